--- a/src/main/java/rillyard/balancer/Attempts.java
+++ b/src/main/java/rillyard/balancer/Attempts.java
@@ -9,7 +9,7 @@
   static final class Attempt {
     final Call call;
     final int number;
-    final Fleet.Host host;
+    final HostState host;
     final String zone;
     final long cell;
     double sentAt; // infinite while the request still comes
@@ -18,7 +18,7 @@
     boolean mayHaveRun = true;
     boolean cancelled;
 
-    Attempt(Call call, int number, Fleet.Host host, double sentAt) {
+    Attempt(Call call, int number, HostState host, double sentAt) {
       this.call = call;
       this.number = number;
       this.host = host;
@@ -37,7 +37,7 @@
       };
     }
 
-    boolean sharesMemory(Fleet.Host target) {
+    boolean sharesMemory(HostState target) {
       return switch (call.type.rules.scope()) {
         case ALL -> true;
         case ZONE -> target != null && zone != null && zone.equals(target.zone);
@@ -67,7 +67,7 @@
       this.aimLeft = type.aimLeft(budget);
     }
 
-    boolean tried(Fleet.Host h) {
+    boolean tried(HostState h) {
       return attempts.stream().anyMatch(a -> a.host == h);
     }
   }
@@ -128,7 +128,7 @@
   }
 
   /** Whether it may go to {@code target}, or be refused where that is null: guards rules 1 and 2. */
-  boolean allowed(Call c, Fleet.Host target, double now) {
+  boolean allowed(Call c, HostState target, double now) {
     if (c.ended || (target != null && (!target.sendable || c.attempts.size() >= limits.maxAttempts()
         || (c.open > 0 && !limits.parallelTries()) || now >= c.deadline))) {
       return false;
@@ -150,7 +150,7 @@
         .orElse(Double.POSITIVE_INFINITY);
   }
 
-  Attempt start(Call c, Fleet.Host h, double now) {
+  Attempt start(Call c, HostState h, double now) {
     Attempt a = new Attempt(c, c.attempts.size(), h, Double.isInfinite(c.deadline) ? c.deadline : now);
     c.attempts.add(a);
     c.open++;
--- a/src/main/java/rillyard/balancer/Balancer.java
+++ b/src/main/java/rillyard/balancer/Balancer.java
@@ -199,7 +199,7 @@
       return;
     }
     if (settings.limits().parallelTries()) {
-      Fleet.Host h = attempts.takeRetry() ? draw.pick(c, now) : null;
+      HostState h = attempts.takeRetry() ? draw.pick(c, now) : null;
       if (h != null) {
         send(c, h, now);
       }
@@ -212,7 +212,7 @@
   private void begin(Attempts.Call c, double now) {
     // Guards against a jam: where no host can answer in time, no work is begun.
     c.patience = Tuning.REFUSE_AT * Math.max(0, c.aimLeft) * Math.max(Tuning.LEAST_STANDING, c.standing);
-    Fleet.Host h = draw.pick(c, now);
+    HostState h = draw.pick(c, now);
     if (h == null) {
       conclude(c, now);
     } else {
@@ -220,7 +220,7 @@
     }
   }
 
-  private void send(Attempts.Call c, Fleet.Host h, double now) {
+  private void send(Attempts.Call c, HostState h, double now) {
     boolean told = now - h.reportAt <= Tuning.REPORT_FRESH;
     double held = told ? h.report.held() + h.sentSinceReport : Double.NaN;
     double notAfter = attempts.notAfter(c);
--- a/src/main/java/rillyard/balancer/Draw.java
+++ b/src/main/java/rillyard/balancer/Draw.java
@@ -14,14 +14,14 @@
   private final Attempts attempts;
   private final Admission admission;
   private final SplittableRandom random;
-  private Fleet.Host[] local = {};
-  private Fleet.Host[] remote = {};
+  private HostState[] local = {};
+  private HostState[] remote = {};
   private int choices = Tuning.MIN_CHOICES;
-  private final List<Fleet.Host> drawn = new ArrayList<>();
+  private final List<HostState> drawn = new ArrayList<>();
   private int size;
   private Place place;
-  private List<Fleet.Host> laidOver;
-  private Fleet.Host best;
+  private List<HostState> laidOver;
+  private HostState best;
   private double bestCount;
   private double bestWait;
   private int equals;
@@ -44,7 +44,7 @@
   }
 
   /** The host for the next attempt of the call, or null where none may or should get it. */
-  Fleet.Host pick(Attempts.Call c, double now) {
+  HostState pick(Attempts.Call c, double now) {
     candidates(c, now);
     best = null;
     drawn.forEach(h -> consider(h, c, now));
@@ -71,10 +71,10 @@
   }
 
   /** Adds up to d of the pool's hosts to those drawn; true if one of them is due for a trial. */
-  private boolean draw(Fleet.Host[] pool, Attempts.Call c, double now) {
+  private boolean draw(HostState[] pool, Attempts.Call c, double now) {
     int seen = 0;
     for (int i = 0; i < 4 * choices && seen < choices && pool.length > 0; i++) {
-      Fleet.Host h = pool[random.nextInt(pool.length)];
+      HostState h = pool[random.nextInt(pool.length)];
       if (drawn.contains(h) || !usable(h, c, now)) {
         continue;
       }
@@ -89,7 +89,7 @@
     return false;
   }
 
-  private boolean usable(Fleet.Host h, Attempts.Call c, double now) {
+  private boolean usable(HostState h, Attempts.Call c, double now) {
     return attempts.allowed(c, h, now)
         && (c.attempts.isEmpty() ? inTime(h, c, now) : !c.tried(h))
         && health.available(h, now, c.type.overdueAfter())
@@ -100,11 +100,11 @@
    * Whether the host can be expected to answer a first attempt in time. Each is asked on its own: by the
    * winner's figure all are refused where an idle host of which nothing is heard wins every draw.
    */
-  private boolean inTime(Fleet.Host h, Attempts.Call c, double now) {
+  private boolean inTime(HostState h, Attempts.Call c, double now) {
     return fleet.expectedAnswer(h, now) <= c.patience;
   }
 
-  private void consider(Fleet.Host h, Attempts.Call c, double now) {
+  private void consider(HostState h, Attempts.Call c, double now) {
     double count = health.count(h, c.type, now);
     double wait = place.coldFirst() && fleet.warmth(h, now) < 1 ? 0 : fleet.expectedWait(h, now);
     if (best != null && count > bestCount + 0.5) {
@@ -121,7 +121,7 @@
   }
 
   /** Guards rule 4: lends a cold host its part of what each of {@code among} hosts is served on the mean. */
-  private boolean credit(Fleet.Host h, int among, double now) {
+  private boolean credit(HostState h, int among, double now) {
     Settings.Rules rules = settings.rules();
     double share = admission.servedRate(now) / Math.max(1, among);
     double gain = Tuning.COLD_SHARE * rules.fallMultiple() * fleet.warmth(h, now) * share
@@ -132,14 +132,14 @@
   }
 
   /** When the draw finds nobody: a healthy host in time; one left out only where none is healthy at all. */
-  private Fleet.Host anyAllowed(Attempts.Call c, double now) {
-    List<Fleet.Host> all = fleet.ready();
+  private HostState anyAllowed(Attempts.Call c, double now) {
+    List<HostState> all = fleet.ready();
     int n = all.size();
     int start = n == 0 ? 0 : random.nextInt(n);
-    Fleet.Host lastResort = null;
+    HostState lastResort = null;
     boolean jam = false;
     for (int i = 0; i < n; i++) {
-      Fleet.Host h = all.get((start + i) % n);
+      HostState h = all.get((start + i) % n);
       if (!attempts.allowed(c, h, now) || (fleet.warmth(h, now) < 1 && !credit(h, n, now))) {
         continue;
       }
@@ -159,27 +159,27 @@
   private void rebuild(int wanted, double now) {
     size = wanted;
     laidOver = fleet.ready();
-    local = window(laidOver.stream().filter(this::isNear).toArray(Fleet.Host[]::new), wanted);
-    remote = window(laidOver.stream().filter(h -> !isNear(h)).toArray(Fleet.Host[]::new), wanted);
+    local = window(laidOver.stream().filter(this::isNear).toArray(HostState[]::new), wanted);
+    remote = window(laidOver.stream().filter(h -> !isNear(h)).toArray(HostState[]::new), wanted);
     choices = choicesFor(local.length > 0 ? local : remote, now);
   }
 
-  private boolean isNear(Fleet.Host h) {
+  private boolean isNear(HostState h) {
     return settings.zone() == null || settings.zone().equals(h.zone);
   }
 
   /** A stable, balanced subset: proxies start evenly spread over the ring of hosts. */
-  private Fleet.Host[] window(Fleet.Host[] ring, int wanted) {
+  private HostState[] window(HostState[] ring, int wanted) {
     if (ring.length <= wanted) {
       return ring;
     }
     int start = (int) ((double) place.position() * ring.length / place.of());
     return IntStream.range(start, start + wanted)
-        .mapToObj(i -> ring[i % ring.length]).toArray(Fleet.Host[]::new);
+        .mapToObj(i -> ring[i % ring.length]).toArray(HostState[]::new);
   }
 
   /** The least d for the number of proxies at which the j slowest hold C(j,d)/C(n,d) of the speed. */
-  private int choicesFor(Fleet.Host[] pool, double now) {
+  private int choicesFor(HostState[] pool, double now) {
     int n = pool.length;
     double[] speeds =
         Arrays.stream(pool).mapToDouble(h -> 1 / Math.max(0.05, fleet.slowness(h, now))).sorted().toArray();
--- a/src/main/java/rillyard/balancer/Fleet.java
+++ b/src/main/java/rillyard/balancer/Fleet.java
@@ -2,57 +2,11 @@
 
 import java.util.Comparator;
 import java.util.HashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 
 /** The host view: membership, drain state, own requests in flight, latency and load figures. */
 final class Fleet {
-  /** A host as this instance knows it. */
-  static final class Host {
-    final long id;
-    final long ring;
-    String zone;
-    String kind;
-    long cell;
-    boolean listed;
-    boolean sendable;
-    double onlineSince;
-    int listMark;
-
-    int inFlight;
-    final Set<Attempts.Attempt> out = new LinkedHashSet<>(4);
-    double lastAnswer = Double.NEGATIVE_INFINITY;
-    double newestAnswered = Double.NEGATIVE_INFINITY;
-
-    double slowness = 1;
-    int samples;
-    double lastSample = Double.NEGATIVE_INFINITY;
-    LoadReport report = LoadReport.NONE;
-    double reportAt = Double.NEGATIVE_INFINITY;
-    int sentSinceReport;
-
-    final Map<Attempts.ClassState, Losses> losses = new HashMap<>(4);
-    int failuresInRow;
-    double charge;
-    double chargeAt;
-    int ejections;
-    double lastEjection = Double.NEGATIVE_INFINITY;
-    double ejectedUntil;
-    boolean halfOpen;
-
-    double coldCredit;
-    double coldCreditAt;
-
-    Host(long id) {
-      this.id = id;
-      long z = id * 0x9E3779B97F4A7C15L;
-      z = (z ^ (z >>> 30)) * 0xBF58476D1CE4E5B9L;
-      this.ring = z ^ (z >>> 27);
-    }
-  }
-
   /** The part of a class's requests that a host has lately lost. */
   static final class Losses {
     double share;
@@ -67,8 +21,8 @@
   }
 
   private final Settings settings;
-  private final Map<Long, Host> byId = new HashMap<>();
-  private List<Host> ready = List.of();
+  private final Map<Long, HostState> byId = new HashMap<>();
+  private List<HostState> ready = List.of();
   private final Map<String, KindSpeed> kinds = new HashMap<>();
   private final double reportFade;
   private int mark;
@@ -80,7 +34,7 @@
     this.reportFade = Tuning.REPORT_FADE * settings.meanAim();
   }
 
-  Host get(long id) {
+  HostState get(long id) {
     return byId.get(id);
   }
 
@@ -89,7 +43,7 @@
   }
 
   /** Hosts that may get requests, in ring order; another list whenever they change. */
-  List<Host> ready() {
+  List<HostState> ready() {
     return ready;
   }
 
@@ -100,7 +54,7 @@
     mark++;
     boolean different = false;
     for (HostEntry e : entries) {
-      Host h = byId.computeIfAbsent(e.id(), Host::new);
+      HostState h = byId.computeIfAbsent(e.id(), HostState::new);
       boolean sendable = e.condition() == HostEntry.Condition.READY;
       h.zone = e.zone();
       h.kind = e.kind();
@@ -114,7 +68,7 @@
       different |= sendable != h.sendable;
       h.sendable = sendable;
     }
-    for (Host h : byId.values()) {
+    for (HostState h : byId.values()) {
       if (kind != News.DELTA && h.listMark != mark) {
         different |= h.sendable;
         h.listed = false;
@@ -127,7 +81,7 @@
     byId.values().removeIf(h -> !h.listed && h.inFlight == 0); // or churn fills memory
   }
 
-  private void restarted(Host h, double now, java.util.SplittableRandom random) {
+  private void restarted(HostState h, double now, java.util.SplittableRandom random) {
     // A new process owes nothing to the old one; its credit starts at chance, or all would send at once.
     h.losses.clear();
     h.failuresInRow = 0;
@@ -143,11 +97,11 @@
 
   private void rebuild() {
     ready = byId.values().stream().filter(h -> h.sendable)
-        .sorted(Comparator.<Host>comparingLong(h -> h.ring).thenComparingLong(h -> h.id)).toList();
+        .sorted(Comparator.<HostState>comparingLong(h -> h.ring).thenComparingLong(h -> h.id)).toList();
   }
 
   /** The least part of its capacity that a host has now: 1 when warm. */
-  double warmth(Host h, double now) {
+  double warmth(HostState h, double now) {
     double age = now - h.onlineSince;
     double cold = settings.rules().cold();
     if (h.onlineSince <= 0 || age >= cold) {
@@ -157,7 +111,7 @@
     return from + (1 - from) * Math.max(0, age) / cold;
   }
 
-  void answered(Host h, double now, double relative) {
+  void answered(HostState h, double now, double relative) {
     double capped = Math.min(relative, 8);
     double own = slowness(h, now);
     // The first answers weigh more: a light proxy would otherwise take a minute to learn.
@@ -168,7 +122,7 @@
   }
 
   /** Learns, where a host reports that it holds many requests, how long each of them takes it. */
-  void queued(Host h, double heldBefore, double spent) {
+  void queued(HostState h, double heldBefore, double spent) {
     double held = Double.isNaN(heldBefore) ? h.report.held() : heldBefore;
     if (held >= Tuning.QUEUE_SEEN) {
       KindSpeed k = kinds.computeIfAbsent(h.kind, x -> new KindSpeed());
@@ -186,7 +140,7 @@
    * fades with the report, or requests without an answer would count as a queue for ever. It should serve
    * for any figure that only an answer renews; harm: a queue that lasts for aims and is not heard of.
    */
-  double expectedAnswer(Host h, double now) {
+  double expectedAnswer(HostState h, double now) {
     KindSpeed k = kinds.get(h.kind);
     if (k == null || k.msPerHeld == 0) {
       return 0;
@@ -203,7 +157,7 @@
    * Attempts out past their aim that later ones have overtaken, but for those of the class {@code of}.
    * They are lost rather than queued, and what is lost of one class tells nothing of another.
    */
-  int lost(Host h, Attempts.ClassState of, double now) {
+  int lost(HostState h, Attempts.ClassState of, double now) {
     int n = 0;
     for (Attempts.Attempt a : h.out) {
       if (a.sentAt >= h.newestAnswered) {
@@ -215,7 +169,7 @@
     return n;
   }
 
-  void reported(Host h, double now, LoadReport report, boolean typical) {
+  void reported(HostState h, double now, LoadReport report, boolean typical) {
     if (report == null || Double.isNaN(report.held())) {
       return;
     }
@@ -228,19 +182,19 @@
   }
 
   /** How slow its kind is against the mean; 1 while nothing is known of it. */
-  double kindSlowness(Host h) {
+  double kindSlowness(HostState h) {
     KindSpeed k = kinds.get(h.kind);
     return k == null ? 1 : k.slowness;
   }
 
   /** How slow it is against the mean; fades to its kind's, or one slow start told for ever. */
-  double slowness(Host h, double now) {
+  double slowness(HostState h, double now) {
     double prior = kindSlowness(h);
     return prior + (h.slowness - prior) * Math.exp(-(now - h.lastSample) / Tuning.SLOWNESS_FADE);
   }
 
   /** Expected wait in units of the mean answer time; decides between equal counts only. */
-  double expectedWait(Host h, double now) {
+  double expectedWait(HostState h, double now) {
     double slow = slowness(h, now);
     double held = meanHeld;
     double fresh = Math.exp(-(now - h.reportAt) / reportFade);
--- a/src/main/java/rillyard/balancer/Health.java
+++ b/src/main/java/rillyard/balancer/Health.java
@@ -17,7 +17,7 @@
   }
 
   /** Whether the host may be a candidate; half-open hosts get one request at a time. */
-  boolean available(Fleet.Host h, double now, double overdue) {
+  boolean available(HostState h, double now, double overdue) {
     return now >= h.ejectedUntil && (h.halfOpen ? h.inFlight == 0 : !silent(h, now, overdue));
   }
 
@@ -25,7 +25,7 @@
    * Guards against hosts that take work and answer nothing: time-outs tell of them much too late, so the
    * time since the last answer, with whole requests out, is held against the expected answer time.
    */
-  boolean silent(Fleet.Host h, double now, double overdue) {
+  boolean silent(HostState h, double now, double overdue) {
     for (Attempts.Attempt a : h.out) {
       if (!overtaken(a) && a.sentAt <= now) {
         double since = Math.max(a.sentAt, h.lastAnswer);
@@ -44,7 +44,7 @@
   }
 
   /** The extra count that failures charge to a host: an empty failing host must not attract. */
-  double charge(Fleet.Host h, double now) {
+  double charge(HostState h, double now) {
     return h.charge < 0.05 ? 0 : h.charge * Math.exp(-(now - h.chargeAt) / (Tuning.CHARGE_FADE * aim));
   }
 
@@ -54,7 +54,7 @@
    * is used where the others are busier by as much, so its room is not lost and no trial is needed. Harm:
    * a class that is lost everywhere by its own fault is spread by chance losses instead of by counts.
    */
-  double count(Fleet.Host h, Attempts.ClassState type, double now) {
+  double count(HostState h, Attempts.ClassState type, double now) {
     return h.inFlight - fleet.lost(h, type, now) + charge(h, now)
         + Tuning.LOSS_CHARGE * lossShare(h.losses.get(type), now);
   }
@@ -64,27 +64,27 @@
   }
 
   /** An attempt of this class was answered, or was lost. */
-  void ended(Fleet.Host h, Attempts.ClassState type, double now, boolean lost) {
+  void ended(HostState h, Attempts.ClassState type, double now, boolean lost) {
     Fleet.Losses l = h.losses.computeIfAbsent(type, t -> new Fleet.Losses());
     double share = lossShare(l, now);
     l.share = share + Tuning.LATENCY_ALPHA * ((lost ? 1 : 0) - share);
     l.at = now;
   }
 
-  void succeeded(Fleet.Host h, double now) {
+  void succeeded(HostState h, double now) {
     h.lastAnswer = now;
     h.failuresInRow = 0;
     readmit(h);
   }
 
-  private void readmit(Fleet.Host h) {
+  private void readmit(HostState h) {
     if (h.halfOpen) {
       h.halfOpen = false;
       actions.log("host " + h.id + " readmitted");
     }
   }
 
-  void failed(Fleet.Host h, double now, boolean answered) {
+  void failed(HostState h, double now, boolean answered) {
     if (answered) {
       h.lastAnswer = now;
     }
@@ -98,7 +98,7 @@
   }
 
   /** The host turned work away as full: it is charged for it, but not held to be failing. */
-  void crowded(Fleet.Host h, double now) {
+  void crowded(HostState h, double now) {
     h.lastAnswer = now;
     h.charge = charge(h, now) + Tuning.FAILURE_CHARGE;
     h.chargeAt = now;
@@ -106,7 +106,7 @@
   }
 
   /** What peers found of a host only takes from it: left out until then at least, or till then at most. */
-  void heed(Fleet.Host h, boolean left, double until) {
+  void heed(HostState h, boolean left, double until) {
     if (h != null && left && mayLeave(h)) {
       h.ejectedUntil = Math.max(h.ejectedUntil, until);
       h.halfOpen = true;
@@ -116,12 +116,12 @@
   }
 
   /** Guards against a fault that many hosts show at once: to leave them all out would bury the rest. */
-  private boolean mayLeave(Fleet.Host h) {
+  private boolean mayLeave(HostState h) {
     long out = fleet.ready().stream().filter(o -> o.halfOpen && o != h).count();
     return out < Tuning.EJECT_PART * fleet.ready().size();
   }
 
-  private void eject(Fleet.Host h, double now) {
+  private void eject(HostState h, double now) {
     if (!mayLeave(h)) {
       return;
     }
--- a/src/test/java/rillyard/balancer/BalancerTest.java
+++ b/src/test/java/rillyard/balancer/BalancerTest.java
@@ -377,7 +377,7 @@
     Settings settings = Bench.settings(Bench.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
     Fleet fleet = new Fleet(settings);
     fleet.apply(bench.now, News.FULL, Bench.hosts(1), new java.util.SplittableRandom(1));
-    Fleet.Host h = fleet.get(0);
+    HostState h = fleet.get(0);
     fleet.queued(h, 9, 100); // 10 ms for each request held
     fleet.reported(h, bench.now, Bench.held(0), true);
     assertThat(fleet.expectedAnswer(h, bench.now)).isZero();
@@ -396,7 +396,7 @@
     Fleet fleet = new Fleet(s);
     var random = new java.util.SplittableRandom(1);
     fleet.apply(bench.now, News.FULL, Bench.hosts(1), random);
-    Fleet.Host h = fleet.get(0);
+    HostState h = fleet.get(0);
     Attempts attempts = new Attempts(s.limits());
     Health health = new Health(fleet, s.meanAim(), random, bench);
     double at = bench.now;
--- a/src/test/java/rillyard/balancer/MeanHeldTest.java
+++ b/src/test/java/rillyard/balancer/MeanHeldTest.java
@@ -16,7 +16,7 @@
   private final Fleet fleet =
       new Fleet(Bench.settings(Bench.type("safe", Semantics.IDEMPOTENT, Scope.ALL)));
 
-  private void jammed(Fleet.Host h) {
+  private void jammed(HostState h) {
     fleet.queued(h, HELD, MS_PER_HELD * (HELD + 1));
     fleet.reported(h, now += 5, Bench.held(HELD), true);
   }
@@ -28,9 +28,9 @@
   @Test
   void hostsThatTurnAwayTellNothingOfTheQueuesOfOthers() {
     fleet.apply(now, News.CACHED, Bench.hosts(3), new SplittableRandom(1));
-    Fleet.Host busy = fleet.get(0);
-    Fleet.Host limited = fleet.get(1);
-    Fleet.Host quiet = fleet.get(2); // of busy's kind
+    HostState busy = fleet.get(0);
+    HostState limited = fleet.get(1);
+    HostState quiet = fleet.get(2); // of busy's kind
     for (int i = 0; i < 400; i++) {
       jammed(busy);
       fleet.reported(limited, now += 5, Bench.held(0), false);
