--- a/src/main/java/rillyard/Main.java
+++ b/src/main/java/rillyard/Main.java
@@ -10,26 +10,26 @@
 
 /** Entry point of the jar. */
 public final class Main {
-  private Main() {}
+    private Main() {}
 
-  /**
-   * Runs {@code proxy}, a client proxy on sockets, or {@code adapter}, the same decisions on the
-   * simulator's wire on standard input and output. The build runs {@code rehearse}, for the JVM to
-   * record what a proxy loads. These three start without the parser of the command line; all else
-   * goes through it.
-   */
-  public static void main(String[] args) throws IOException {
-    String command = args.length == 1 ? args[0] : "";
-    try {
-      switch (command) {
-        case "proxy" -> Proxy.run(System.getenv());
-        case "rehearse" -> Rehearsal.run();
-        case "adapter" -> new Adapter(System.in, System.out, System.err).run();
-        default -> System.exit(Cli.run(args));
-      }
-    } catch (MalformedInputException | ConfigException e) {
-      System.err.println("rillyard: " + e.getMessage());
-      System.exit(1);
+    /**
+     * Runs {@code proxy}, a client proxy on sockets, or {@code adapter}, the same decisions on the
+     * simulator's wire on standard input and output. The build runs {@code rehearse}, for the JVM to
+     * record what a proxy loads. These three start without the parser of the command line; all else
+     * goes through it.
+     */
+    public static void main(String[] args) throws IOException {
+        String command = args.length == 1 ? args[0] : "";
+        try {
+            switch (command) {
+                case "proxy" -> Proxy.run(System.getenv());
+                case "rehearse" -> Rehearsal.run();
+                case "adapter" -> new Adapter(System.in, System.out, System.err).run();
+                default -> System.exit(Cli.run(args));
+            }
+        } catch (MalformedInputException | ConfigException e) {
+            System.err.println("rillyard: " + e.getMessage());
+            System.exit(1);
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/adapter/JsonTree.java
+++ b/src/main/java/rillyard/adapter/JsonTree.java
@@ -16,69 +16,69 @@
  * of a proxy waited for it.
  */
 public final class JsonTree {
-  private static final JsonFactory PARSERS = new JsonFactory();
-  private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
+    private static final JsonFactory PARSERS = new JsonFactory();
+    private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
-  private JsonTree() {}
+    private JsonTree() {}
 
-  /**
-   * Reads one value and all that belongs to it; what follows it is left, as a mapper would.
-   *
-   * @return the value; null where there is none but blanks
-   * @throws com.fasterxml.jackson.core.JsonProcessingException if it is not JSON, or nested too
-   *     deep (1,000 levels, the parser's own bound)
-   */
-  public static JsonNode read(byte[] text, int from, int length) throws IOException {
-    try (JsonParser p = PARSERS.createParser(text, from, length)) {
-      return p.nextToken() == null ? null : value(p);
+    /**
+     * Reads one value and all that belongs to it; what follows it is left, as a mapper would.
+     *
+     * @return the value; null where there is none but blanks
+     * @throws com.fasterxml.jackson.core.JsonProcessingException if it is not JSON, or nested too
+     *     deep (1,000 levels, the parser's own bound)
+     */
+    public static JsonNode read(byte[] text, int from, int length) throws IOException {
+        try (JsonParser p = PARSERS.createParser(text, from, length)) {
+            return p.nextToken() == null ? null : value(p);
+        }
     }
-  }
 
-  /** Reads a whole array of bytes as {@link #read(byte[], int, int)} does. */
-  public static JsonNode read(byte[] text) throws IOException {
-    return read(text, 0, text.length);
-  }
+    /** Reads a whole array of bytes as {@link #read(byte[], int, int)} does. */
+    public static JsonNode read(byte[] text) throws IOException {
+        return read(text, 0, text.length);
+    }
 
-  /** Reads a string as {@link #read(byte[], int, int)} reads bytes. */
-  static JsonNode read(String text) throws IOException {
-    try (JsonParser p = PARSERS.createParser(text)) {
-      return p.nextToken() == null ? null : value(p);
+    /** Reads a string as {@link #read(byte[], int, int)} reads bytes. */
+    static JsonNode read(String text) throws IOException {
+        try (JsonParser p = PARSERS.createParser(text)) {
+            return p.nextToken() == null ? null : value(p);
+        }
     }
-  }
 
-  private static JsonNode value(JsonParser p) throws IOException {
-    return switch (p.currentToken()) {
-      case START_OBJECT -> object(p);
-      case START_ARRAY -> array(p);
-      case VALUE_STRING -> NODES.textNode(p.getText());
-      case VALUE_NUMBER_INT ->
-          switch (p.getNumberType()) {
-            case INT -> NODES.numberNode(p.getIntValue());
-            case LONG -> NODES.numberNode(p.getLongValue());
-            default -> NODES.numberNode(p.getBigIntegerValue());
-          };
-      case VALUE_NUMBER_FLOAT -> NODES.numberNode(p.getDoubleValue());
-      case VALUE_TRUE -> NODES.booleanNode(true);
-      case VALUE_FALSE -> NODES.booleanNode(false);
-      default -> NODES.nullNode();
-    };
-  }
+    private static JsonNode value(JsonParser p) throws IOException {
+        return switch (p.currentToken()) {
+            case START_OBJECT -> object(p);
+            case START_ARRAY -> array(p);
+            case VALUE_STRING -> NODES.textNode(p.getText());
+            case VALUE_NUMBER_INT ->
+                switch (p.getNumberType()) {
+                    case INT -> NODES.numberNode(p.getIntValue());
+                    case LONG -> NODES.numberNode(p.getLongValue());
+                    default -> NODES.numberNode(p.getBigIntegerValue());
+                };
+            case VALUE_NUMBER_FLOAT -> NODES.numberNode(p.getDoubleValue());
+            case VALUE_TRUE -> NODES.booleanNode(true);
+            case VALUE_FALSE -> NODES.booleanNode(false);
+            default -> NODES.nullNode();
+        };
+    }
 
-  private static ObjectNode object(JsonParser p) throws IOException {
-    ObjectNode o = NODES.objectNode();
-    while (p.nextToken() == JsonToken.FIELD_NAME) {
-      String name = p.currentName();
-      p.nextToken();
-      o.set(name, value(p)); // the last of two with one name, as the mapper has it
+    private static ObjectNode object(JsonParser p) throws IOException {
+        ObjectNode o = NODES.objectNode();
+        while (p.nextToken() == JsonToken.FIELD_NAME) {
+            String name = p.currentName();
+            p.nextToken();
+            o.set(name, value(p)); // the last of two with one name, as the mapper has it
+        }
+        return o;
     }
-    return o;
-  }
 
-  private static ArrayNode array(JsonParser p) throws IOException {
-    ArrayNode a = NODES.arrayNode();
-    while (p.nextToken() != JsonToken.END_ARRAY) {
-      a.add(value(p));
+    private static ArrayNode array(JsonParser p) throws IOException {
+        ArrayNode a = NODES.arrayNode();
+        while (p.nextToken() != JsonToken.END_ARRAY) {
+            a.add(value(p));
+        }
+        return a;
     }
-    return a;
-  }
 }
--- a/src/main/java/rillyard/adapter/SettingsCheck.java
+++ b/src/main/java/rillyard/adapter/SettingsCheck.java
@@ -11,106 +11,105 @@
  * that serves for days on a deadline or a repeat window that nobody meant.
  */
 public final class SettingsCheck {
-  /** The longest time (ms) that settings may state: some eleven days. */
-  private static final double LONGEST_MS = 1e9;
+    /** The longest time (ms) that settings may state: some eleven days. */
+    private static final double LONGEST_MS = 1e9;
 
-  private static final double MOST = Integer.MAX_VALUE;
+    private static final double MOST = Integer.MAX_VALUE;
 
-  private SettingsCheck() {}
+    private SettingsCheck() {}
 
-  /**
-   * Checks the settings of a proxy.
-   *
-   * @throws MalformedInputException if they can't be used; the message names the key, what was expected there
-   *     and what was found
-   */
-  public static void check(JsonNode settings) {
-    if (settings == null || !settings.isObject()) {
-      throw new MalformedInputException("settings: expected a JSON object");
+    /**
+     * Checks the settings of a proxy.
+     *
+     * @throws MalformedInputException if they can't be used; the message names the key, what was expected there
+     *     and what was found
+     */
+    public static void check(JsonNode settings) {
+        if (settings == null || !settings.isObject()) {
+            throw new MalformedInputException("settings: expected a JSON object");
+        }
+        classes(list(settings, "classes"));
+        whole(settings, "", "balancers", 1, MOST);
+        whole(settings, "", "position", 0, MOST);
+        number(settings, "", "overShareWorth", 0, MOST);
+        JsonNode limits = object(settings, "limits");
+        whole(limits, "limits.", "maxAttempts", 1, MOST);
+        whole(limits, "limits.", "maxOpen", 1, MOST);
+        time(limits, "limits.", "connIdle", 1);
+        time(limits, "limits.", "connectTimeout", 1);
+        time(limits, "limits.", "maxRetryAfter", 0);
+        JsonNode rules = object(settings, "rules");
+        time(rules, "rules.", "cold", 0);
+        time(rules, "rules.", "fall", 0);
+        time(rules, "rules.", "drainGrace", 0);
+        time(rules, "rules.", "askWithin", 0);
+        number(rules, "rules.", "startCapacity", 0, 1);
+        number(rules, "rules.", "fallMultiple", 0, MOST);
+        JsonNode tenants = list(settings, "tenants");
+        for (int i = 0; i < tenants.size(); i++) {
+            number(tenants.get(i), "tenants[" + i + "].", "portion", 0, MOST);
+        }
     }
-    classes(list(settings, "classes"));
-    whole(settings, "", "balancers", 1, MOST);
-    whole(settings, "", "position", 0, MOST);
-    number(settings, "", "overShareWorth", 0, MOST);
-    JsonNode limits = object(settings, "limits");
-    whole(limits, "limits.", "maxAttempts", 1, MOST);
-    whole(limits, "limits.", "maxOpen", 1, MOST);
-    time(limits, "limits.", "connIdle", 1);
-    time(limits, "limits.", "connectTimeout", 1);
-    time(limits, "limits.", "maxRetryAfter", 0);
-    JsonNode rules = object(settings, "rules");
-    time(rules, "rules.", "cold", 0);
-    time(rules, "rules.", "fall", 0);
-    time(rules, "rules.", "drainGrace", 0);
-    time(rules, "rules.", "askWithin", 0);
-    number(rules, "rules.", "startCapacity", 0, 1);
-    number(rules, "rules.", "fallMultiple", 0, MOST);
-    JsonNode tenants = list(settings, "tenants");
-    for (int i = 0; i < tenants.size(); i++) {
-      number(tenants.get(i), "tenants[" + i + "].", "portion", 0, MOST);
-    }
-  }
 
-  private static void classes(JsonNode classes) {
-    Set<String> names = new HashSet<>();
-    for (int i = 0; i < classes.size(); i++) {
-      JsonNode c = classes.get(i);
-      String where = "classes[" + i + "].";
-      JsonNode name = c.path("name");
-      if (!name.isTextual() || name.asText().isBlank() || !names.add(name.asText())) {
-        throw wrong(where + "name", "a name that no other class has", name);
-      }
-      time(c, where, "deadline", 1);
-      time(c, where, "aim", 0);
-      time(c, where, "repeatWindow", 0);
-      number(c, where, "value", 0, MOST);
-      number(c, where, "lateWorth", 0, MOST);
+    private static void classes(JsonNode classes) {
+        Set<String> names = new HashSet<>();
+        for (int i = 0; i < classes.size(); i++) {
+            JsonNode c = classes.get(i);
+            String where = "classes[" + i + "].";
+            JsonNode name = c.path("name");
+            if (!name.isTextual() || name.asText().isBlank() || !names.add(name.asText())) {
+                throw wrong(where + "name", "a name that no other class has", name);
+            }
+            time(c, where, "deadline", 1);
+            time(c, where, "aim", 0);
+            time(c, where, "repeatWindow", 0);
+            number(c, where, "value", 0, MOST);
+            number(c, where, "lateWorth", 0, MOST);
+        }
     }
-  }
 
-  private static JsonNode object(JsonNode parent, String key) {
-    JsonNode n = parent.path(key);
-    if (!absent(n) && !n.isObject()) {
-      throw wrong(key, "an object", n);
+    private static JsonNode object(JsonNode parent, String key) {
+        JsonNode n = parent.path(key);
+        if (!absent(n) && !n.isObject()) {
+            throw wrong(key, "an object", n);
+        }
+        return n;
     }
-    return n;
-  }
 
-  private static JsonNode list(JsonNode parent, String key) {
-    JsonNode n = parent.path(key);
-    if (!absent(n) && !n.isArray()) {
-      throw wrong(key, "a list", n);
+    private static JsonNode list(JsonNode parent, String key) {
+        JsonNode n = parent.path(key);
+        if (!absent(n) && !n.isArray()) {
+            throw wrong(key, "a list", n);
+        }
+        return n;
     }
-    return n;
-  }
 
-  private static void time(JsonNode parent, String where, String key, double least) {
-    number(parent, where, key, least, LONGEST_MS);
-  }
+    private static void time(JsonNode parent, String where, String key, double least) {
+        number(parent, where, key, least, LONGEST_MS);
+    }
 
-  private static void whole(JsonNode parent, String where, String key, double least, double most) {
-    number(parent, where, key, least, most);
-    JsonNode n = parent.path(key);
-    if (!absent(n) && n.asDouble() != Math.rint(n.asDouble())) {
-      throw wrong(where + key, "a whole number", n);
+    private static void whole(JsonNode parent, String where, String key, double least, double most) {
+        number(parent, where, key, least, most);
+        JsonNode n = parent.path(key);
+        if (!absent(n) && n.asDouble() != Math.rint(n.asDouble())) {
+            throw wrong(where + key, "a whole number", n);
+        }
     }
-  }
 
-  private static void number(JsonNode parent, String where, String key, double least, double most) {
-    JsonNode n = parent.path(key);
-    if (!absent(n) && !(n.isNumber() && n.asDouble() >= least && n.asDouble() <= most)) {
-      throw wrong(where + key, String.format(Locale.ROOT, "a number from %.0f to %.0f", least, most), n);
+    private static void number(JsonNode parent, String where, String key, double least, double most) {
+        JsonNode n = parent.path(key);
+        if (!absent(n) && !(n.isNumber() && n.asDouble() >= least && n.asDouble() <= most)) {
+            throw wrong(where + key, String.format(Locale.ROOT, "a number from %.0f to %.0f", least, most), n);
+        }
     }
-  }
 
-  private static boolean absent(JsonNode n) {
-    return n.isMissingNode() || n.isNull();
-  }
+    private static boolean absent(JsonNode n) {
+        return n.isMissingNode() || n.isNull();
+    }
 
-  private static MalformedInputException wrong(String key, String expected, JsonNode found) {
-    String shown = found.isMissingNode() ? "nothing" : found.toString();
-    return new MalformedInputException(
-        "settings." + key + ": expected " + expected + ", found "
-            + (shown.length() > 60 ? shown.substring(0, 60) + "..." : shown));
-  }
+    private static MalformedInputException wrong(String key, String expected, JsonNode found) {
+        String shown = found.isMissingNode() ? "nothing" : found.toString();
+        return new MalformedInputException("settings." + key + ": expected " + expected + ", found "
+                + (shown.length() > 60 ? shown.substring(0, 60) + "..." : shown));
+    }
 }
--- a/src/main/java/rillyard/audit/Audit.java
+++ b/src/main/java/rillyard/audit/Audit.java
@@ -14,93 +14,92 @@
 
 /** Lays both ledgers beside each other. */
 public final class Audit {
-  /**
-   * What was found.
-   *
-   * @param tries tries of clients that were checked
-   * @param runs receipts of hosts that were checked
-   * @param breaches in the order of their times
-   * @param doubts why the ledgers prove less than they should; empty as a rule
-   */
-  public record Verdict(int tries, int runs, List<Breach> breaches, List<String> doubts) {
-    /** Copies the lists. */
-    public Verdict {
-      breaches = List.copyOf(breaches);
-      doubts = List.copyOf(doubts);
-    }
+    /**
+     * What was found.
+     *
+     * @param tries tries of clients that were checked
+     * @param runs receipts of hosts that were checked
+     * @param breaches in the order of their times
+     * @param doubts why the ledgers prove less than they should; empty as a rule
+     */
+    public record Verdict(int tries, int runs, List<Breach> breaches, List<String> doubts) {
+        /** Copies the lists. */
+        public Verdict {
+            breaches = List.copyOf(breaches);
+            doubts = List.copyOf(doubts);
+        }
 
-    /** Whether the rules were kept, and the ledgers prove it. */
-    public boolean clean() {
-      return breaches.isEmpty() && doubts.isEmpty();
+        /** Whether the rules were kept, and the ledgers prove it. */
+        public boolean clean() {
+            return breaches.isEmpty() && doubts.isEmpty();
+        }
     }
-  }
-
-  private final Evidence evidence = new Evidence();
-  private final AuditSettings settings;
-  private final List<String> doubts = new ArrayList<>();
 
-  /** An audit that holds the ledgers to these figures. */
-  public Audit(AuditSettings settings) {
-    this.settings = settings;
-  }
+    private final Evidence evidence = new Evidence();
+    private final AuditSettings settings;
+    private final List<String> doubts = new ArrayList<>();
 
-  /**
-   * Reads both ledgers and judges them.
-   *
-   * @throws InvalidFileException at the first line that is none of a ledger
-   */
-  public static Verdict of(Path clients, Path hosts, AuditSettings settings)
-      throws InvalidFileException {
-    Audit a = new Audit(settings);
-    if (!LedgerReader.read(clients, "clients", a::add)) {
-      a.doubts.add(clients + " was not closed: its last lines may be missing");
-    }
-    if (!LedgerReader.read(hosts, "hosts", a::add)) {
-      a.doubts.add(hosts + " was not closed: its last lines may be missing");
+    /** An audit that holds the ledgers to these figures. */
+    public Audit(AuditSettings settings) {
+        this.settings = settings;
     }
-    return a.judge();
-  }
 
-  /** Takes a line of either ledger. */
-  public void add(LedgerLine line) {
-    evidence.add(line);
-  }
+    /**
+     * Reads both ledgers and judges them.
+     *
+     * @throws InvalidFileException at the first line that is none of a ledger
+     */
+    public static Verdict of(Path clients, Path hosts, AuditSettings settings) throws InvalidFileException {
+        Audit a = new Audit(settings);
+        if (!LedgerReader.read(clients, "clients", a::add)) {
+            a.doubts.add(clients + " was not closed: its last lines may be missing");
+        }
+        if (!LedgerReader.read(hosts, "hosts", a::add)) {
+            a.doubts.add(hosts + " was not closed: its last lines may be missing");
+        }
+        return a.judge();
+    }
 
-  /** Judges what was taken. */
-  public Verdict judge() {
-    evidence.sort();
-    List<Breach> found = new ArrayList<>();
-    new AnswerRule(evidence, settings).check(found::add);
-    new EffectRule(evidence, settings).check(found::add);
-    new KeyedRule(evidence, settings).check(found::add);
-    new DrainRule(evidence, settings).check(found::add);
-    new ColdRule(evidence, settings).check(found::add);
-    found.sort(Comparator.comparingLong(Breach::at));
-    if (evidence.tries.isEmpty()) {
-      doubts.add("no client sent anything: nothing was proved");
-    } else if (strangers()) {
-      doubts.add("the ledgers have no request in common: they are of two runs");
+    /** Takes a line of either ledger. */
+    public void add(LedgerLine line) {
+        evidence.add(line);
     }
-    Set<String> unknown = new HashSet<>();
-    evidence.tries.forEach(t -> {
-      if (!settings.classes().containsKey(t.type())) {
-        unknown.add(t.type());
-      }
-    });
-    if (!unknown.isEmpty()) {
-      doubts.add("the settings name no class " + String.join(", ", unknown));
+
+    /** Judges what was taken. */
+    public Verdict judge() {
+        evidence.sort();
+        List<Breach> found = new ArrayList<>();
+        new AnswerRule(evidence, settings).check(found::add);
+        new EffectRule(evidence, settings).check(found::add);
+        new KeyedRule(evidence, settings).check(found::add);
+        new DrainRule(evidence, settings).check(found::add);
+        new ColdRule(evidence, settings).check(found::add);
+        found.sort(Comparator.comparingLong(Breach::at));
+        if (evidence.tries.isEmpty()) {
+            doubts.add("no client sent anything: nothing was proved");
+        } else if (strangers()) {
+            doubts.add("the ledgers have no request in common: they are of two runs");
+        }
+        Set<String> unknown = new HashSet<>();
+        evidence.tries.forEach(t -> {
+            if (!settings.classes().containsKey(t.type())) {
+                unknown.add(t.type());
+            }
+        });
+        if (!unknown.isEmpty()) {
+            doubts.add("the settings name no class " + String.join(", ", unknown));
+        }
+        return new Verdict(evidence.tries.size(), evidence.runs.size(), found, doubts);
     }
-    return new Verdict(evidence.tries.size(), evidence.runs.size(), found, doubts);
-  }
 
-  private boolean strangers() {
-    boolean served = false;
-    for (ClientTry t : evidence.tries) {
-      if (!evidence.byId(t.id()).isEmpty()) {
-        return false;
-      }
-      served |= t.outcome() == Outcome.SERVED;
+    private boolean strangers() {
+        boolean served = false;
+        for (ClientTry t : evidence.tries) {
+            if (!evidence.byId(t.id()).isEmpty()) {
+                return false;
+            }
+            served |= t.outcome() == Outcome.SERVED;
+        }
+        return served || !evidence.runs.isEmpty();
     }
-    return served || !evidence.runs.isEmpty();
-  }
 }
--- a/src/main/java/rillyard/audit/AuditSettings.java
+++ b/src/main/java/rillyard/audit/AuditSettings.java
@@ -22,101 +22,105 @@
  * @param fallMultiple how often its present capacity may be sent to it within the window
  */
 public record AuditSettings(
-    Map<String, RequestClass> classes,
-    long answerSlack,
-    long drainGrace,
-    long toldAtLatest,
-    long socketSlack,
-    long fall,
-    double fallMultiple) {
+        Map<String, RequestClass> classes,
+        long answerSlack,
+        long drainGrace,
+        long toldAtLatest,
+        long socketSlack,
+        long fall,
+        double fallMultiple) {
 
-  /** What may be repeated. */
-  public enum Semantics {
-    IDEMPOTENT,
-    DEDUPLICATED,
-    AT_MOST_ONCE
-  }
+    /** What may be repeated. */
+    public enum Semantics {
+        IDEMPOTENT,
+        DEDUPLICATED,
+        AT_MOST_ONCE
+    }
 
-  /** The hosts that share the memory of keys. */
-  public enum Scope {
-    ALL,
-    ZONE,
-    CELL
-  }
+    /** The hosts that share the memory of keys. */
+    public enum Scope {
+        ALL,
+        ZONE,
+        CELL
+    }
 
-  /** A class; {@code window} is how long keys are remembered. */
-  public record RequestClass(String name, Semantics semantics, Scope scope, long window) {}
+    /** A class; {@code window} is how long keys are remembered. */
+    public record RequestClass(String name, Semantics semantics, Scope scope, long window) {}
 
-  /** Copies the classes. */
-  public AuditSettings {
-    classes = Map.copyOf(classes);
-  }
+    /** Copies the classes. */
+    public AuditSettings {
+        classes = Map.copyOf(classes);
+    }
 
-  private static final long SOCKET_SLACK = 50_000;
-  private static final long TOLD_AT_LATEST = 6_000_000;
+    private static final long SOCKET_SLACK = 50_000;
+    private static final long TOLD_AT_LATEST = 6_000_000;
 
-  /**
-   * Reads the platform's settings from a file that holds them, or that holds them under
-   * {@code settings}, as a proxy's configuration does.
-   *
-   * @throws InvalidFileException if it holds none
-   */
-  public static AuditSettings read(Path file) throws InvalidFileException {
-    JsonNode root;
-    try {
-      root = new ObjectMapper().readTree(Files.readAllBytes(file));
-    } catch (JsonProcessingException e) {
-      int line = e.getLocation() == null ? 0 : e.getLocation().getLineNr();
-      throw new InvalidFileException(file.toString(), line, "not JSON: " + e.getOriginalMessage());
-    } catch (IOException e) {
-      throw new InvalidFileException(file.toString(), 0, "can't be read: " + e);
+    /**
+     * Reads the platform's settings from a file that holds them, or that holds them under
+     * {@code settings}, as a proxy's configuration does.
+     *
+     * @throws InvalidFileException if it holds none
+     */
+    public static AuditSettings read(Path file) throws InvalidFileException {
+        JsonNode root;
+        try {
+            root = new ObjectMapper().readTree(Files.readAllBytes(file));
+        } catch (JsonProcessingException e) {
+            int line = e.getLocation() == null ? 0 : e.getLocation().getLineNr();
+            throw new InvalidFileException(file.toString(), line, "not JSON: " + e.getOriginalMessage());
+        } catch (IOException e) {
+            throw new InvalidFileException(file.toString(), 0, "can't be read: " + e);
+        }
+        JsonNode settings = root.has("settings") ? root.get("settings") : root;
+        if (!settings.path("classes").isArray() || settings.path("classes").isEmpty()) {
+            throw new InvalidFileException(
+                    file.toString(), 0, "expected settings with a list of classes that is not empty");
+        }
+        return of(settings);
     }
-    JsonNode settings = root.has("settings") ? root.get("settings") : root;
-    if (!settings.path("classes").isArray() || settings.path("classes").isEmpty()) {
-      throw new InvalidFileException(
-          file.toString(), 0, "expected settings with a list of classes that is not empty");
-    }
-    return of(settings);
-  }
 
-  /** Reads settings that are parsed already. */
-  public static AuditSettings of(JsonNode settings) {
-    Map<String, RequestClass> classes = new HashMap<>();
-    for (JsonNode c : settings.path("classes")) {
-      Semantics semantics =
-          switch (c.path("semantics").asText()) {
-            case "idempotent" -> Semantics.IDEMPOTENT;
-            case "deduplicated" -> Semantics.DEDUPLICATED;
-            default -> Semantics.AT_MOST_ONCE; // the strictest, where a name is new
-          };
-      Scope scope =
-          switch (c.path("keyScope").asText()) {
-            case "all" -> Scope.ALL;
-            case "zone" -> Scope.ZONE;
-            default -> Scope.CELL;
-          };
-      String name = c.path("name").asText();
-      classes.put(
-          name, new RequestClass(name, semantics, scope, micros(c.path("repeatWindow").asDouble(0))));
+    /** Reads settings that are parsed already. */
+    public static AuditSettings of(JsonNode settings) {
+        Map<String, RequestClass> classes = new HashMap<>();
+        for (JsonNode c : settings.path("classes")) {
+            Semantics semantics =
+                    switch (c.path("semantics").asText()) {
+                        case "idempotent" -> Semantics.IDEMPOTENT;
+                        case "deduplicated" -> Semantics.DEDUPLICATED;
+                        default -> Semantics.AT_MOST_ONCE; // the strictest, where a name is new
+                    };
+            Scope scope =
+                    switch (c.path("keyScope").asText()) {
+                        case "all" -> Scope.ALL;
+                        case "zone" -> Scope.ZONE;
+                        default -> Scope.CELL;
+                    };
+            String name = c.path("name").asText();
+            classes.put(
+                    name,
+                    new RequestClass(
+                            name,
+                            semantics,
+                            scope,
+                            micros(c.path("repeatWindow").asDouble(0))));
+        }
+        JsonNode rules = settings.path("rules");
+        return new AuditSettings(
+                classes,
+                micros(rules.path("answerSlack").asDouble(20)),
+                micros(rules.path("drainGrace").asDouble(500)),
+                TOLD_AT_LATEST,
+                SOCKET_SLACK,
+                micros(rules.path("fall").asDouble(1_500)),
+                rules.path("fallMultiple").asDouble(3));
     }
-    JsonNode rules = settings.path("rules");
-    return new AuditSettings(
-        classes,
-        micros(rules.path("answerSlack").asDouble(20)),
-        micros(rules.path("drainGrace").asDouble(500)),
-        TOLD_AT_LATEST,
-        SOCKET_SLACK,
-        micros(rules.path("fall").asDouble(1_500)),
-        rules.path("fallMultiple").asDouble(3));
-  }
 
-  private static long micros(double ms) {
-    return (long) (1_000 * ms);
-  }
+    private static long micros(double ms) {
+        return (long) (1_000 * ms);
+    }
 
-  /** The class of a name; one that is not known is taken for the strictest kind. */
-  RequestClass type(String name) {
-    return classes.getOrDefault(
-        name, new RequestClass(name, Semantics.AT_MOST_ONCE, Scope.CELL, 0));
-  }
+    /** The class of a name; one that is not known is taken for the strictest kind. */
+    RequestClass type(String name) {
+        return classes.getOrDefault(name, new RequestClass(name, Semantics.AT_MOST_ONCE, Scope.CELL, 0));
+    }
 }
--- a/src/main/java/rillyard/audit/Breach.java
+++ b/src/main/java/rillyard/audit/Breach.java
@@ -11,22 +11,22 @@
  * @param history what led to it, line by line, in the order of the times
  */
 public record Breach(Rule rule, long at, String what, List<String> history) {
-  /** The rules, and the ways in which they break. */
-  public enum Rule {
-    /** Exactly one final answer, in time. */
-    ANSWER,
-    /** No effect twice; none refused that may have run. */
-    EFFECT,
-    /** A keyed request again only inside its cell and window. */
-    KEYED,
-    /** Nothing new to a host that drains or is gone. */
-    DRAIN,
-    /** No cold host pushed over. */
-    COLD
-  }
+    /** The rules, and the ways in which they break. */
+    public enum Rule {
+        /** Exactly one final answer, in time. */
+        ANSWER,
+        /** No effect twice; none refused that may have run. */
+        EFFECT,
+        /** A keyed request again only inside its cell and window. */
+        KEYED,
+        /** Nothing new to a host that drains or is gone. */
+        DRAIN,
+        /** No cold host pushed over. */
+        COLD
+    }
 
-  /** Copies the history. */
-  public Breach {
-    history = List.copyOf(history);
-  }
+    /** Copies the history. */
+    public Breach {
+        history = List.copyOf(history);
+    }
 }
--- a/src/main/java/rillyard/audit/ColdRule.java
+++ b/src/main/java/rillyard/audit/ColdRule.java
@@ -12,66 +12,73 @@
  * requests came on their own: 3 sqrt(sum of squares), Campbell's theorem for a Poisson process.
  */
 final class ColdRule {
-  private static final double DEVIATIONS = 3;
+    private static final double DEVIATIONS = 3;
 
-  private final Evidence evidence;
-  private final AuditSettings settings;
+    private final Evidence evidence;
+    private final AuditSettings settings;
 
-  ColdRule(Evidence evidence, AuditSettings settings) {
-    this.evidence = evidence;
-    this.settings = settings;
-  }
+    ColdRule(Evidence evidence, AuditSettings settings) {
+        this.evidence = evidence;
+        this.settings = settings;
+    }
 
-  void check(Consumer<Breach> to) {
-    for (HostNews n : evidence.news) {
-      if (n.what() == HostNews.What.STARTED && n.cold() && n.startShare() < 1) {
-        check(n, to);
-      }
+    void check(Consumer<Breach> to) {
+        for (HostNews n : evidence.news) {
+            if (n.what() == HostNews.What.STARTED && n.cold() && n.startShare() < 1) {
+                check(n, to);
+            }
+        }
     }
-  }
 
-  private void check(HostNews start, Consumer<Breach> to) {
-    List<HostRun> runs =
-        evidence.byHost(start.host()).stream()
-            .filter(r -> r.received() >= start.at() && r.received() < start.at() + start.coldMicros())
-            .toList();
-    double work = 0;
-    double squares = 0;
-    int from = 0;
-    for (int i = 0; i < runs.size(); i++) {
-      long now = runs.get(i).received();
-      double w = runs.get(i).work();
-      work += w;
-      squares += w * w;
-      while (runs.get(from).received() <= now - settings.fall()) {
-        double gone = runs.get(from++).work();
-        work -= gone;
-        squares -= gone * gone;
-      }
-      double budget = settings.fallMultiple() * capacity(start, now - settings.fall(), now);
-      double most = budget + DEVIATIONS * Math.sqrt(Math.max(0, squares));
-      if (work > most) {
-        to.accept(new Breach(Breach.Rule.COLD, now,
-            String.format(Locale.ROOT,
-                "host %s, cold for %d ms, got %.1f ms of work within %d ms, in %d requests; %.1f ms"
-                    + " are its budget, and %.1f ms with what chance may do",
-                start.host(), (now - start.at()) / 1_000, work / 1_000, settings.fall() / 1_000,
-                i - from + 1, budget / 1_000, most / 1_000),
-            Evidence.history(List.of(), runs.subList(from, i + 1))));
-        return;
-      }
+    private void check(HostNews start, Consumer<Breach> to) {
+        List<HostRun> runs = evidence.byHost(start.host()).stream()
+                .filter(r -> r.received() >= start.at() && r.received() < start.at() + start.coldMicros())
+                .toList();
+        double work = 0;
+        double squares = 0;
+        int from = 0;
+        for (int i = 0; i < runs.size(); i++) {
+            long now = runs.get(i).received();
+            double w = runs.get(i).work();
+            work += w;
+            squares += w * w;
+            while (runs.get(from).received() <= now - settings.fall()) {
+                double gone = runs.get(from++).work();
+                work -= gone;
+                squares -= gone * gone;
+            }
+            double budget = settings.fallMultiple() * capacity(start, now - settings.fall(), now);
+            double most = budget + DEVIATIONS * Math.sqrt(Math.max(0, squares));
+            if (work > most) {
+                to.accept(new Breach(
+                        Breach.Rule.COLD,
+                        now,
+                        String.format(
+                                Locale.ROOT,
+                                "host %s, cold for %d ms, got %.1f ms of work within %d ms, in %d requests; %.1f ms"
+                                        + " are its budget, and %.1f ms with what chance may do",
+                                start.host(),
+                                (now - start.at()) / 1_000,
+                                work / 1_000,
+                                settings.fall() / 1_000,
+                                i - from + 1,
+                                budget / 1_000,
+                                most / 1_000),
+                        Evidence.history(List.of(), runs.subList(from, i + 1))));
+                return;
+            }
+        }
     }
-  }
 
-  /** Work that the host can do between two times: its share rises evenly while it gets warm. */
-  private static double capacity(HostNews start, long from, long to) {
-    // A window that began before the host did has its whole length, at the share of the start.
-    double a = from - start.at();
-    double b = to - start.at();
-    double before = Math.max(0, -a) * start.startShare();
-    double low = Math.max(0, a);
-    double slope = (1 - start.startShare()) / start.coldMicros();
-    double rise = start.startShare() * (b - low) + slope * (b * b - low * low) / 2;
-    return start.capacity() * (before + rise);
-  }
+    /** Work that the host can do between two times: its share rises evenly while it gets warm. */
+    private static double capacity(HostNews start, long from, long to) {
+        // A window that began before the host did has its whole length, at the share of the start.
+        double a = from - start.at();
+        double b = to - start.at();
+        double before = Math.max(0, -a) * start.startShare();
+        double low = Math.max(0, a);
+        double slope = (1 - start.startShare()) / start.coldMicros();
+        double rise = start.startShare() * (b - low) + slope * (b * b - low * low) / 2;
+        return start.capacity() * (before + rise);
+    }
 }
--- a/src/main/java/rillyard/audit/DrainRule.java
+++ b/src/main/java/rillyard/audit/DrainRule.java
@@ -14,79 +14,81 @@
  * which watch a request's sender had, so the latest is what all of them are held to.
  */
 final class DrainRule {
-  private static final class Span {
-    final long changed;
-    long told;
-    long until = Long.MAX_VALUE;
+    private static final class Span {
+        final long changed;
+        long told;
+        long until = Long.MAX_VALUE;
 
-    Span(long changed) {
-      this.changed = changed;
+        Span(long changed) {
+            this.changed = changed;
+        }
     }
-  }
-
-  private final Evidence evidence;
-  private final AuditSettings settings;
 
-  DrainRule(Evidence evidence, AuditSettings settings) {
-    this.evidence = evidence;
-    this.settings = settings;
-  }
+    private final Evidence evidence;
+    private final AuditSettings settings;
 
-  void check(Consumer<Breach> to) {
-    spans().forEach((host, spans) -> {
-      for (Span s : spans) {
-        long counted = s.changed + settings.toldAtLatest();
-        long told = s.told == 0 ? counted : Math.min(counted, s.told);
-        check(host, s, told + settings.drainGrace() + settings.socketSlack(), told, to);
-      }
-    });
-  }
+    DrainRule(Evidence evidence, AuditSettings settings) {
+        this.evidence = evidence;
+        this.settings = settings;
+    }
 
-  private void check(String host, Span s, long from, long told, Consumer<Breach> to) {
-    int count = 0;
-    HostRun first = null;
-    for (HostRun r : evidence.byHost(host)) {
-      if (r.received() > from && r.received() < s.until) {
-        first = first == null ? r : first;
-        count++;
-      }
+    void check(Consumer<Breach> to) {
+        spans().forEach((host, spans) -> {
+            for (Span s : spans) {
+                long counted = s.changed + settings.toldAtLatest();
+                long told = s.told == 0 ? counted : Math.min(counted, s.told);
+                check(host, s, told + settings.drainGrace() + settings.socketSlack(), told, to);
+            }
+        });
     }
-    if (first != null) {
-      List<String> history = new ArrayList<>();
-      for (Told t : evidence.told) {
-        if (t.host().equals(host)) {
-          history.add((t.watcher() == 0 ? "discovery has " : "watch " + t.watcher() + " is told ")
-              + host + " " + t.state() + " " + (t.at() - first.received()) / 1_000
-              + " ms from the request");
+
+    private void check(String host, Span s, long from, long told, Consumer<Breach> to) {
+        int count = 0;
+        HostRun first = null;
+        for (HostRun r : evidence.byHost(host)) {
+            if (r.received() > from && r.received() < s.until) {
+                first = first == null ? r : first;
+                count++;
+            }
+        }
+        if (first != null) {
+            List<String> history = new ArrayList<>();
+            for (Told t : evidence.told) {
+                if (t.host().equals(host)) {
+                    history.add((t.watcher() == 0 ? "discovery has " : "watch " + t.watcher() + " is told ")
+                            + host + " " + t.state() + " " + (t.at() - first.received()) / 1_000
+                            + " ms from the request");
+                }
+            }
+            history.addAll(evidence.history(first.id()));
+            to.accept(new Breach(
+                    Breach.Rule.DRAIN,
+                    first.received(),
+                    "host " + host + " drains or is gone, and got " + count + " requests past the grace, the"
+                            + " first, id " + first.id() + ", " + (first.received() - told) / 1_000
+                            + " ms after that was told",
+                    history));
         }
-      }
-      history.addAll(evidence.history(first.id()));
-      to.accept(new Breach(Breach.Rule.DRAIN, first.received(),
-          "host " + host + " drains or is gone, and got " + count + " requests past the grace, the"
-              + " first, id " + first.id() + ", " + (first.received() - told) / 1_000
-              + " ms after that was told",
-          history));
     }
-  }
 
-  private Map<String, List<Span>> spans() {
-    Map<String, List<Span>> all = new HashMap<>();
-    for (Told t : evidence.told) {
-      List<Span> spans = all.computeIfAbsent(t.host(), h -> new ArrayList<>());
-      Span last = spans.isEmpty() ? null : spans.get(spans.size() - 1);
-      boolean open = last != null && last.until == Long.MAX_VALUE;
-      if (t.state().equals("up")) {
-        if (t.watcher() == 0 && open) {
-          last.until = t.at();
+    private Map<String, List<Span>> spans() {
+        Map<String, List<Span>> all = new HashMap<>();
+        for (Told t : evidence.told) {
+            List<Span> spans = all.computeIfAbsent(t.host(), h -> new ArrayList<>());
+            Span last = spans.isEmpty() ? null : spans.get(spans.size() - 1);
+            boolean open = last != null && last.until == Long.MAX_VALUE;
+            if (t.state().equals("up")) {
+                if (t.watcher() == 0 && open) {
+                    last.until = t.at();
+                }
+            } else if (t.watcher() == 0 && !open) {
+                spans.add(new Span(t.at()));
+            } else if (t.watcher() != 0 && open && t.state().equals("draining")) {
+                last.told = t.at();
+            } else if (t.watcher() != 0 && open && last.told == 0) {
+                last.told = t.at();
+            }
         }
-      } else if (t.watcher() == 0 && !open) {
-        spans.add(new Span(t.at()));
-      } else if (t.watcher() != 0 && open && t.state().equals("draining")) {
-        last.told = t.at();
-      } else if (t.watcher() != 0 && open && last.told == 0) {
-        last.told = t.at();
-      }
+        return all;
     }
-    return all;
-  }
 }
--- a/src/main/java/rillyard/audit/KeyedRule.java
+++ b/src/main/java/rillyard/audit/KeyedRule.java
@@ -6,47 +6,49 @@
 
 /** A keyed request that may have run goes again only to hosts that know its key, while they do. */
 final class KeyedRule {
-  private final Evidence evidence;
-  private final AuditSettings settings;
+    private final Evidence evidence;
+    private final AuditSettings settings;
 
-  KeyedRule(Evidence evidence, AuditSettings settings) {
-    this.evidence = evidence;
-    this.settings = settings;
-  }
+    KeyedRule(Evidence evidence, AuditSettings settings) {
+        this.evidence = evidence;
+        this.settings = settings;
+    }
 
-  void check(Consumer<Breach> to) {
-    for (List<HostRun> runs : evidence.byId().values()) {
-      AuditSettings.RequestClass c = settings.type(runs.get(0).type());
-      if (c.semantics() != AuditSettings.Semantics.DEDUPLICATED) {
-        continue;
-      }
-      HostRun first = null;
-      for (HostRun r : runs) {
-        if (first != null) {
-          check(c, first, r, to);
-        } else if (r.mayHaveRun()) {
-          first = r;
+    void check(Consumer<Breach> to) {
+        for (List<HostRun> runs : evidence.byId().values()) {
+            AuditSettings.RequestClass c = settings.type(runs.get(0).type());
+            if (c.semantics() != AuditSettings.Semantics.DEDUPLICATED) {
+                continue;
+            }
+            HostRun first = null;
+            for (HostRun r : runs) {
+                if (first != null) {
+                    check(c, first, r, to);
+                } else if (r.mayHaveRun()) {
+                    first = r;
+                }
+            }
         }
-      }
     }
-  }
 
-  private void check(
-      AuditSettings.RequestClass c, HostRun first, HostRun again, Consumer<Breach> to) {
-    boolean group =
-        switch (c.scope()) {
-          case ALL -> true;
-          case ZONE -> first.zone().equals(again.zone());
-          case CELL -> first.cell() == again.cell();
-        };
-    long late = again.received() - first.received() - c.window() - settings.socketSlack();
-    if (!group || late > 0) {
-      to.accept(new Breach(Breach.Rule.KEYED, again.received(),
-          "id " + again.id() + " of " + c.name() + " came again "
-              + (group ? late / 1_000 + " ms past its window"
-                  : "outside of its " + c.scope().name().toLowerCase(java.util.Locale.ROOT)
-                      + ", at " + again.host()),
-          evidence.history(again.id())));
+    private void check(AuditSettings.RequestClass c, HostRun first, HostRun again, Consumer<Breach> to) {
+        boolean group =
+                switch (c.scope()) {
+                    case ALL -> true;
+                    case ZONE -> first.zone().equals(again.zone());
+                    case CELL -> first.cell() == again.cell();
+                };
+        long late = again.received() - first.received() - c.window() - settings.socketSlack();
+        if (!group || late > 0) {
+            to.accept(new Breach(
+                    Breach.Rule.KEYED,
+                    again.received(),
+                    "id " + again.id() + " of " + c.name() + " came again "
+                            + (group
+                                    ? late / 1_000 + " ms past its window"
+                                    : "outside of its " + c.scope().name().toLowerCase(java.util.Locale.ROOT) + ", at "
+                                            + again.host()),
+                    evidence.history(again.id())));
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/balancer/Balancer.java
+++ b/src/main/java/rillyard/balancer/Balancer.java
@@ -10,254 +10,255 @@
  * answers through {@link Actions}. Not safe for use from several threads at once.
  */
 public final class Balancer {
-  private static final long FOLLOW_TIMER = -1;
+    private static final long FOLLOW_TIMER = -1;
 
-  private final Settings settings;
-  private final Actions actions;
-  private final SplittableRandom random;
-  private final Fleet fleet;
-  private final Health health;
-  private final Attempts attempts;
-  private final Admission admission;
-  private final Draw draw;
-  private final Map<String, Attempts.ClassState> classes = new HashMap<>();
-  private final Map<Long, Attempts.Call> calls = new HashMap<>();
-  private double followBackoff = Tuning.FOLLOW_BACKOFF;
-  private boolean followTimer;
+    private final Settings settings;
+    private final Actions actions;
+    private final SplittableRandom random;
+    private final Fleet fleet;
+    private final Health health;
+    private final Attempts attempts;
+    private final Admission admission;
+    private final Draw draw;
+    private final Map<String, Attempts.ClassState> classes = new HashMap<>();
+    private final Map<Long, Attempts.Call> calls = new HashMap<>();
+    private double followBackoff = Tuning.FOLLOW_BACKOFF;
+    private boolean followTimer;
 
-  /** Creates an instance that knows no host yet. */
-  public Balancer(Settings settings, long seed, Actions actions) {
-    this.settings = settings;
-    this.actions = actions;
-    this.random = new SplittableRandom(seed);
-    this.fleet = new Fleet(settings);
-    this.health = new Health(fleet, settings.meanAim(), random, actions);
-    this.attempts = new Attempts(settings.limits());
-    this.admission = new Admission(settings, random, actions);
-    this.draw = new Draw(settings, fleet, health, attempts, admission, random);
-    settings.classes().forEach(c -> classes.put(c.name(), new Attempts.ClassState(c)));
-  }
-
-  /** Called once after creation, when actions may be taken. */
-  public void onStart(double now) {
-    if (settings.mustFollow()) {
-      actions.follow();
+    /** Creates an instance that knows no host yet. */
+    public Balancer(Settings settings, long seed, Actions actions) {
+        this.settings = settings;
+        this.actions = actions;
+        this.random = new SplittableRandom(seed);
+        this.fleet = new Fleet(settings);
+        this.health = new Health(fleet, settings.meanAim(), random, actions);
+        this.attempts = new Attempts(settings.limits());
+        this.admission = new Admission(settings, random, actions);
+        this.draw = new Draw(settings, fleet, health, attempts, admission, random);
+        settings.classes().forEach(c -> classes.put(c.name(), new Attempts.ClassState(c)));
     }
-  }
 
-  /** News from discovery. */
-  public void onMembership(double now, News kind, List<HostEntry> entries) {
-    fleet.apply(now, kind, entries, random);
-    if (kind == News.FAILED && settings.mustFollow() && !followTimer) {
-      // Discovery is scarce: wait longer each time, at chance, but never past what a change allows.
-      followTimer = true;
-      actions.schedule(followBackoff * (0.5 + random.nextDouble()), FOLLOW_TIMER);
-      followBackoff = Math.min(2 * followBackoff, settings.rules().askAgain(Tuning.FOLLOW_MOST));
-    } else if (kind == News.DELTA || kind == News.FULL) {
-      followBackoff = Tuning.FOLLOW_BACKOFF;
+    /** Called once after creation, when actions may be taken. */
+    public void onStart(double now) {
+        if (settings.mustFollow()) {
+            actions.follow();
+        }
     }
-  }
-
-  /** Listed hosts that get no request as a matter of course: not ready, or ejected. */
-  public int avoided() {
-    return fleet.avoided();
-  }
-
-  /** Proxies that speak to each other have left a host, or take it back; it may be tried in {@code wait} ms. */
-  public void onFleetWord(double now, long host, boolean left, double wait) {
-    health.heed(fleet.get(host), left, now + wait);
-  }
 
-  /** From here on this proxy draws from a pool laid there, instead of where the settings have it. */
-  public void onPlace(Place place) {
-    draw.place(place);
-  }
-
-  /** A request that came with an infinite budget is whole: {@code budget} ms are left of its time. */
-  public void onWhole(double now, long request, double budget) {
-    Attempts.Call c = calls.get(request);
-    if (c != null) {
-      c.deadline = now + budget;
-      c.attempts.forEach(a -> a.sentAt = Math.min(a.sentAt, now));
+    /** News from discovery. */
+    public void onMembership(double now, News kind, List<HostEntry> entries) {
+        fleet.apply(now, kind, entries, random);
+        if (kind == News.FAILED && settings.mustFollow() && !followTimer) {
+            // Discovery is scarce: wait longer each time, at chance, but never past what a change allows.
+            followTimer = true;
+            actions.schedule(followBackoff * (0.5 + random.nextDouble()), FOLLOW_TIMER);
+            followBackoff = Math.min(2 * followBackoff, settings.rules().askAgain(Tuning.FOLLOW_MOST));
+        } else if (kind == News.DELTA || kind == News.FULL) {
+            followBackoff = Tuning.FOLLOW_BACKOFF;
+        }
     }
-  }
 
-  /** A client's request has come, or so much of it that the rest has to follow it to a host. */
-  public void onRequest(double now, Arrival arrival) {
-    Attempts.ClassState type = classes.computeIfAbsent(arrival.className(), n -> unknown(n, arrival));
-    Attempts.Call c = new Attempts.Call(arrival.id(), type, now, arrival.budget());
-    admission.arrived(now, type.rules, arrival.tenant());
-    c.standing = admission.standing(arrival.tenant());
-    attempts.earnRetry();
-    calls.put(c.id, c);
-    if (admission.refuses(now, c)) {
-      admission.ended(false);
-      conclude(c, now);
-    } else {
-      begin(c, now);
+    /** Listed hosts that get no request as a matter of course: not ready, or ejected. */
+    public int avoided() {
+        return fleet.avoided();
     }
-  }
 
-  /** A class that the settings do not name: taken for the strictest kind. */
-  private static Attempts.ClassState unknown(String name, Arrival a) {
-    double budget = Math.max(1, a.budget());
-    return new Attempts.ClassState(new Settings.RequestClass(
-            name, budget, budget, Settings.Semantics.AT_MOST_ONCE, Settings.Scope.ALL, 0, 1, 0));
-  }
-
-  /** An attempt has ended. {@code over} tells that the request is over with it or before. */
-  public void onOutcome(
-      double now, long request, int number, Result result, double spent, boolean over, LoadReport load) {
-    Attempts.Call c = calls.get(request);
-    if (c == null || number < 0 || number >= c.attempts.size() || !c.attempts.get(number).open) {
-      return;
+    /** Proxies that speak to each other have left a host, or take it back; it may be tried in {@code wait} ms. */
+    public void onFleetWord(double now, long host, boolean left, double wait) {
+        health.heed(fleet.get(host), left, now + wait);
     }
-    Attempts.Attempt a = c.attempts.get(number);
-    attempts.finish(a, result);
-    admission.inFlight(now, -1);
-    fleet.reported(a.host, now, load, result != Result.FULL);
-    learn(a, result, now, spent, c);
-    if (over && !c.ended) {
-      cancelAll(c);
-    } else if (!c.ended) {
-      again(c, now);
+
+    /** From here on this proxy draws from a pool laid there, instead of where the settings have it. */
+    public void onPlace(Place place) {
+        draw.place(place);
     }
-    forgetIfDone(c);
-  }
 
-  private void learn(Attempts.Attempt a, Result result, double now, double spent, Attempts.Call c) {
-    Attempts.ClassState type = c.type;
-    admission.ended(result == Result.OK);
-    if (result == Result.OK || result == Result.TIMEOUT || result == Result.RESET) {
-      health.ended(a.host, type, now, result != Result.OK); // errors are charged, and known at once
+    /** A request that came with an infinite budget is whole: {@code budget} ms are left of its time. */
+    public void onWhole(double now, long request, double budget) {
+        Attempts.Call c = calls.get(request);
+        if (c != null) {
+            c.deadline = now + budget;
+            c.attempts.forEach(a -> a.sentAt = Math.min(a.sentAt, now));
+        }
     }
-    switch (result) {
-      case OK -> {
-        health.succeeded(a.host, now);
-        a.host.newestAnswered = Math.max(a.host.newestAnswered, a.sentAt);
-        fleet.answered(a.host, now, spent / Math.max(0.1, type.meanAnswer));
-        type.answered(spent);
-        fleet.queued(a.host, a.heldBefore, spent);
-        admission.answered(now, spent / type.rules.aim(), false);
-      }
-      case ERROR -> health.failed(a.host, now, true);
-      case FULL -> {
-        // Guards against a jam that spreads: a full host is busy, not broken.
-        health.crowded(a.host, now);
-        admission.answered(now, 0, true);
-      }
-      case TIMEOUT -> {
-        if (!health.overtaken(a)) {
-          health.failed(a.host, now, false);
-          admission.answered(now, 0, true);
+
+    /** A client's request has come, or so much of it that the rest has to follow it to a host. */
+    public void onRequest(double now, Arrival arrival) {
+        Attempts.ClassState type = classes.computeIfAbsent(arrival.className(), n -> unknown(n, arrival));
+        Attempts.Call c = new Attempts.Call(arrival.id(), type, now, arrival.budget());
+        admission.arrived(now, type.rules, arrival.tenant());
+        c.standing = admission.standing(arrival.tenant());
+        attempts.earnRetry();
+        calls.put(c.id, c);
+        if (admission.refuses(now, c)) {
+            admission.ended(false);
+            conclude(c, now);
+        } else {
+            begin(c, now);
         }
-      }
-      case RESET, CONNECT_FAILED -> health.failed(a.host, now, false);
-      case CANCELLED, MOOT -> {}
     }
-  }
 
-  private void again(Attempts.Call c, double now) {
-    if (c.open > 0) {
-      return; // another attempt may still answer
+    /** A class that the settings do not name: taken for the strictest kind. */
+    private static Attempts.ClassState unknown(String name, Arrival a) {
+        double budget = Math.max(1, a.budget());
+        return new Attempts.ClassState(new Settings.RequestClass(
+                name, budget, budget, Settings.Semantics.AT_MOST_ONCE, Settings.Scope.ALL, 0, 1, 0));
     }
-    if (now < c.deadline - Tuning.LAST_SEND && !admission.jammed(now) && attempts.takeRetry()) {
-      begin(c, now);
-    } else {
-      conclude(c, now);
+
+    /** An attempt has ended. {@code over} tells that the request is over with it or before. */
+    public void onOutcome(
+            double now, long request, int number, Result result, double spent, boolean over, LoadReport load) {
+        Attempts.Call c = calls.get(request);
+        if (c == null || number < 0 || number >= c.attempts.size() || !c.attempts.get(number).open) {
+            return;
+        }
+        Attempts.Attempt a = c.attempts.get(number);
+        attempts.finish(a, result);
+        admission.inFlight(now, -1);
+        fleet.reported(a.host, now, load, result != Result.FULL);
+        learn(a, result, now, spent, c);
+        if (over && !c.ended) {
+            cancelAll(c);
+        } else if (!c.ended) {
+            again(c, now);
+        }
+        forgetIfDone(c);
     }
-  }
 
-  /** The client has gone; attempts that are out still get their outcome. */
-  public void onClientGone(double now, long request) {
-    Attempts.Call c = calls.get(request);
-    if (c != null && !c.ended) {
-      cancelAll(c);
-      forgetIfDone(c);
+    private void learn(Attempts.Attempt a, Result result, double now, double spent, Attempts.Call c) {
+        Attempts.ClassState type = c.type;
+        admission.ended(result == Result.OK);
+        if (result == Result.OK || result == Result.TIMEOUT || result == Result.RESET) {
+            health.ended(a.host, type, now, result != Result.OK); // errors are charged, and known at once
+        }
+        switch (result) {
+            case OK -> {
+                health.succeeded(a.host, now);
+                a.host.newestAnswered = Math.max(a.host.newestAnswered, a.sentAt);
+                fleet.answered(a.host, now, spent / Math.max(0.1, type.meanAnswer));
+                type.answered(spent);
+                fleet.queued(a.host, a.heldBefore, spent);
+                admission.answered(now, spent / type.rules.aim(), false);
+            }
+            case ERROR -> health.failed(a.host, now, true);
+            case FULL -> {
+                // Guards against a jam that spreads: a full host is busy, not broken.
+                health.crowded(a.host, now);
+                admission.answered(now, 0, true);
+            }
+            case TIMEOUT -> {
+                if (!health.overtaken(a)) {
+                    health.failed(a.host, now, false);
+                    admission.answered(now, 0, true);
+                }
+            }
+            case RESET, CONNECT_FAILED -> health.failed(a.host, now, false);
+            case CANCELLED, MOOT -> {}
+        }
     }
-  }
 
-  /** A timer has come due. */
-  public void onTimer(double now, long token) {
-    if (token == FOLLOW_TIMER) {
-      followTimer = false;
-      actions.follow();
-      return;
+    private void again(Attempts.Call c, double now) {
+        if (c.open > 0) {
+            return; // another attempt may still answer
+        }
+        if (now < c.deadline - Tuning.LAST_SEND && !admission.jammed(now) && attempts.takeRetry()) {
+            begin(c, now);
+        } else {
+            conclude(c, now);
+        }
     }
-    Attempts.Call c = calls.get(token);
-    if (c != null && !c.ended && c.open > 0) {
-      overdue(c, now);
+
+    /** The client has gone; attempts that are out still get their outcome. */
+    public void onClientGone(double now, long request) {
+        Attempts.Call c = calls.get(request);
+        if (c != null && !c.ended) {
+            cancelAll(c);
+            forgetIfDone(c);
+        }
     }
-  }
 
-  /** The last attempt is overdue: a second copy, or where only one may be out, another in place. */
-  private void overdue(Attempts.Call c, double now) {
-    // Guards against copies of costly requests feeding a jam: only silence earns a second copy.
-    Attempts.Attempt last = c.attempts.get(c.attempts.size() - 1);
-    if (now >= c.deadline - Tuning.LAST_SEND || admission.pressure(now) > Tuning.REFUSE_FROM
-        || !(health.overtaken(last) || health.silent(last.host, now, 0.99 * c.type.overdueAfter()))) {
-      return;
+    /** A timer has come due. */
+    public void onTimer(double now, long token) {
+        if (token == FOLLOW_TIMER) {
+            followTimer = false;
+            actions.follow();
+            return;
+        }
+        Attempts.Call c = calls.get(token);
+        if (c != null && !c.ended && c.open > 0) {
+            overdue(c, now);
+        }
     }
-    if (settings.limits().parallelTries()) {
-      HostState h = attempts.takeRetry() ? draw.pick(c, now) : null;
-      if (h != null) {
-        send(c, h, now);
-      }
-    } else if (settings.limits().cancel() && !last.cancelled) {
-      last.cancelled = true;
-      actions.cancel(c.id, last.number);
+
+    /** The last attempt is overdue: a second copy, or where only one may be out, another in place. */
+    private void overdue(Attempts.Call c, double now) {
+        // Guards against copies of costly requests feeding a jam: only silence earns a second copy.
+        Attempts.Attempt last = c.attempts.get(c.attempts.size() - 1);
+        if (now >= c.deadline - Tuning.LAST_SEND
+                || admission.pressure(now) > Tuning.REFUSE_FROM
+                || !(health.overtaken(last) || health.silent(last.host, now, 0.99 * c.type.overdueAfter()))) {
+            return;
+        }
+        if (settings.limits().parallelTries()) {
+            HostState h = attempts.takeRetry() ? draw.pick(c, now) : null;
+            if (h != null) {
+                send(c, h, now);
+            }
+        } else if (settings.limits().cancel() && !last.cancelled) {
+            last.cancelled = true;
+            actions.cancel(c.id, last.number);
+        }
     }
-  }
 
-  private void begin(Attempts.Call c, double now) {
-    // Guards against a jam: where no host can answer in time, no work is begun.
-    c.patience = Tuning.REFUSE_AT * Math.max(0, c.aimLeft) * Math.max(Tuning.LEAST_STANDING, c.standing);
-    HostState h = draw.pick(c, now);
-    if (h == null) {
-      conclude(c, now);
-    } else {
-      send(c, h, now);
+    private void begin(Attempts.Call c, double now) {
+        // Guards against a jam: where no host can answer in time, no work is begun.
+        c.patience = Tuning.REFUSE_AT * Math.max(0, c.aimLeft) * Math.max(Tuning.LEAST_STANDING, c.standing);
+        HostState h = draw.pick(c, now);
+        if (h == null) {
+            conclude(c, now);
+        } else {
+            send(c, h, now);
+        }
     }
-  }
 
-  private void send(Attempts.Call c, HostState h, double now) {
-    boolean told = now - h.reportAt <= Tuning.REPORT_FRESH;
-    double held = told ? h.report.held() + h.sentSinceReport : Double.NaN;
-    double notAfter = attempts.notAfter(c);
-    attempts.start(c, h, now).heldBefore = held;
-    admission.inFlight(now, 1);
-    actions.send(c.id, h.id, 0, notAfter);
-    double due = c.type.overdueAfter() * Math.max(1, fleet.slowness(h, now));
-    if (c.type.repeatable() && now + due < c.deadline && c.attempts.size() < 3) {
-      actions.schedule(due, c.id);
+    private void send(Attempts.Call c, HostState h, double now) {
+        boolean told = now - h.reportAt <= Tuning.REPORT_FRESH;
+        double held = told ? h.report.held() + h.sentSinceReport : Double.NaN;
+        double notAfter = attempts.notAfter(c);
+        attempts.start(c, h, now).heldBefore = held;
+        admission.inFlight(now, 1);
+        actions.send(c.id, h.id, 0, notAfter);
+        double due = c.type.overdueAfter() * Math.max(1, fleet.slowness(h, now));
+        if (c.type.repeatable() && now + due < c.deadline && c.attempts.size() < 3) {
+            actions.schedule(due, c.id);
+        }
     }
-  }
 
-  /** The final answer, where no attempt can bring it any more. */
-  private void conclude(Attempts.Call c, double now) {
-    if (attempts.allowed(c, null, now)) {
-      admission.turnedAway(now, c);
-      actions.refuse(c.id, 0);
-    } else {
-      actions.fail(c.id);
+    /** The final answer, where no attempt can bring it any more. */
+    private void conclude(Attempts.Call c, double now) {
+        if (attempts.allowed(c, null, now)) {
+            admission.turnedAway(now, c);
+            actions.refuse(c.id, 0);
+        } else {
+            actions.fail(c.id);
+        }
+        c.ended = true;
+        forgetIfDone(c);
     }
-    c.ended = true;
-    forgetIfDone(c);
-  }
 
-  private void cancelAll(Attempts.Call c) {
-    c.ended = true;
-    for (Attempts.Attempt a : c.attempts) {
-      if (a.open && !a.cancelled && settings.limits().cancel()) {
-        a.cancelled = true;
-        actions.cancel(c.id, a.number);
-      }
+    private void cancelAll(Attempts.Call c) {
+        c.ended = true;
+        for (Attempts.Attempt a : c.attempts) {
+            if (a.open && !a.cancelled && settings.limits().cancel()) {
+                a.cancelled = true;
+                actions.cancel(c.id, a.number);
+            }
+        }
     }
-  }
 
-  private void forgetIfDone(Attempts.Call c) {
-    if (c.ended && c.open == 0) {
-      calls.remove(c.id);
+    private void forgetIfDone(Attempts.Call c) {
+        if (c.ended && c.open == 0) {
+            calls.remove(c.id);
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/balancer/HostEntry.java
+++ b/src/main/java/rillyard/balancer/HostEntry.java
@@ -2,17 +2,11 @@
 
 /** One entry of a host list; {@code onlineSince} 0 means long ago. */
 public record HostEntry(
-    long id,
-    String zone,
-    String kind,
-    long cell,
-    Condition condition,
-    double capacityHint,
-    double onlineSince) {
-  /** What discovery says of the host. */
-  public enum Condition {
-    READY,
-    TERMINATING,
-    GONE
-  }
+        long id, String zone, String kind, long cell, Condition condition, double capacityHint, double onlineSince) {
+    /** What discovery says of the host. */
+    public enum Condition {
+        READY,
+        TERMINATING,
+        GONE
+    }
 }
--- a/src/main/java/rillyard/balancer/News.java
+++ b/src/main/java/rillyard/balancer/News.java
@@ -2,12 +2,12 @@
 
 /** The kind of a membership event. */
 public enum News {
-  /** Only the changed entries. */
-  DELTA,
-  /** The whole list; hosts not in it are gone. */
-  FULL,
-  /** The whole list as last known, possibly old. */
-  CACHED,
-  /** A call to discovery failed or the subscription broke. */
-  FAILED
+    /** Only the changed entries. */
+    DELTA,
+    /** The whole list; hosts not in it are gone. */
+    FULL,
+    /** The whole list as last known, possibly old. */
+    CACHED,
+    /** A call to discovery failed or the subscription broke. */
+    FAILED
 }
--- a/src/main/java/rillyard/balancer/Place.java
+++ b/src/main/java/rillyard/balancer/Place.java
@@ -10,14 +10,14 @@
  *     proxies together lend it, where else it gets what is left of that by chance
  */
 public record Place(int position, int of, double weight, boolean coldFirst) {
-  /**
-   * Checks the ranges.
-   *
-   * @throws IllegalArgumentException if one is out of its range
-   */
-  public Place {
-    if (of < 1 || position < 0 || position >= of || !(weight >= 1)) {
-      throw new IllegalArgumentException("no place: " + position + " of " + of + ", weight " + weight);
+    /**
+     * Checks the ranges.
+     *
+     * @throws IllegalArgumentException if one is out of its range
+     */
+    public Place {
+        if (of < 1 || position < 0 || position >= of || !(weight >= 1)) {
+            throw new IllegalArgumentException("no place: " + position + " of " + of + ", weight " + weight);
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/balancer/Result.java
+++ b/src/main/java/rillyard/balancer/Result.java
@@ -2,23 +2,23 @@
 
 /** How an attempt ended. */
 public enum Result {
-  OK(false),
-  ERROR(false),
-  FULL(true),
-  TIMEOUT(false),
-  CONNECT_FAILED(true),
-  RESET(false),
-  CANCELLED(false),
-  MOOT(true);
+    OK(false),
+    ERROR(false),
+    FULL(true),
+    TIMEOUT(false),
+    CONNECT_FAILED(true),
+    RESET(false),
+    CANCELLED(false),
+    MOOT(true);
 
-  private final boolean neverRan;
+    private final boolean neverRan;
 
-  Result(boolean neverRan) {
-    this.neverRan = neverRan;
-  }
+    Result(boolean neverRan) {
+        this.neverRan = neverRan;
+    }
 
-  /** Whether this result proves that the attempt had no effect. */
-  public boolean neverRan() {
-    return neverRan;
-  }
+    /** Whether this result proves that the attempt had no effect. */
+    public boolean neverRan() {
+        return neverRan;
+    }
 }
--- a/src/main/java/rillyard/check/Model.java
+++ b/src/main/java/rillyard/check/Model.java
@@ -9,24 +9,24 @@
  * @param <A> an action; its text is shown in histories
  */
 public interface Model<A> {
-  /** A run from the beginning, before any action. */
-  Run<A> start();
+    /** A run from the beginning, before any action. */
+    Run<A> start();
 
-  /** One run. */
-  interface Run<A> {
-    /** What may happen now, in an order that depends on the history alone. */
-    List<A> actions();
+    /** One run. */
+    interface Run<A> {
+        /** What may happen now, in an order that depends on the history alone. */
+        List<A> actions();
 
-    /** Has it happen. */
-    void act(A action);
+        /** Has it happen. */
+        void act(A action);
 
-    /** All that what may happen later depends on: states of one text are taken for one. */
-    String state();
+        /** All that what may happen later depends on: states of one text are taken for one. */
+        String state();
 
-    /** An invariant that the last action broke, in words; null if none. */
-    String broken();
+        /** An invariant that the last action broke, in words; null if none. */
+        String broken();
 
-    /** Goes on without faults until all has come to rest; returns what is not as it should be then, or null. */
-    String fairEnd();
-  }
+        /** Goes on without faults until all has come to rest; returns what is not as it should be then, or null. */
+        String fairEnd();
+    }
 }
--- a/src/main/java/rillyard/cli/Addresses.java
+++ b/src/main/java/rillyard/cli/Addresses.java
@@ -6,12 +6,12 @@
 
 /** Reads {@code IP:port}; names are not looked up. */
 final class Addresses implements ITypeConverter<InetSocketAddress> {
-  @Override
-  public InetSocketAddress convert(String s) {
-    InetSocketAddress address = rillyard.input.Addresses.parse(s);
-    if (address != null) {
-      return address;
+    @Override
+    public InetSocketAddress convert(String s) {
+        InetSocketAddress address = rillyard.input.Addresses.parse(s);
+        if (address != null) {
+            return address;
+        }
+        throw new TypeConversionException("'" + s + "', expected IP:port, as 127.0.0.1:9000");
     }
-    throw new TypeConversionException("'" + s + "', expected IP:port, as 127.0.0.1:9000");
-  }
 }
--- a/src/main/java/rillyard/cli/AuditCommand.java
+++ b/src/main/java/rillyard/cli/AuditCommand.java
@@ -10,55 +10,55 @@
 import rillyard.audit.Breach;
 
 @Command(
-    name = "audit",
-    description = {
-      "Holds the clients' and the hosts' ledgers of a run against the four rules.",
-      "Ends with 0 if the rules were kept and the ledgers prove it, else with 1."
-    },
-    mixinStandardHelpOptions = true,
-    versionProvider = Version.class)
+        name = "audit",
+        description = {
+            "Holds the clients' and the hosts' ledgers of a run against the four rules.",
+            "Ends with 0 if the rules were kept and the ledgers prove it, else with 1."
+        },
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class)
 final class AuditCommand implements Callable<Integer> {
-  @Option(names = "--clients", required = true, description = "The ledger of 'load'.")
-  private Path clients;
+    @Option(names = "--clients", required = true, description = "The ledger of 'load'.")
+    private Path clients;
 
-  @Option(names = "--hosts", required = true, description = "The ledger of 'stand-in'.")
-  private Path hosts;
+    @Option(names = "--hosts", required = true, description = "The ledger of 'stand-in'.")
+    private Path hosts;
 
-  @Option(
-      names = "--settings",
-      required = true,
-      description = "The platform's settings, or a file that holds them, as a ready file does.")
-  private Path settings;
+    @Option(
+            names = "--settings",
+            required = true,
+            description = "The platform's settings, or a file that holds them, as a ready file does.")
+    private Path settings;
 
-  @Option(
-      names = "--most",
-      defaultValue = "20",
-      description = "Breaches that are printed with their history (${DEFAULT-VALUE}).")
-  private int most;
+    @Option(
+            names = "--most",
+            defaultValue = "20",
+            description = "Breaches that are printed with their history (${DEFAULT-VALUE}).")
+    private int most;
 
-  @Override
-  public Integer call() throws Exception {
-    Audit.Verdict v = Audit.of(clients, hosts, AuditSettings.read(settings));
-    print(v, most, System.out);
-    return v.clean() ? Cli.DONE : Cli.FAILED;
-  }
-
-  static void print(Audit.Verdict v, int most, PrintStream out) {
-    for (int i = 0; i < Math.min(most, v.breaches().size()); i++) {
-      Breach b = v.breaches().get(i);
-      out.println("BROKEN " + b.rule() + ": " + b.what());
-      b.history().forEach(h -> out.println("    " + h));
-    }
-    if (v.breaches().size() > most) {
-      out.println((v.breaches().size() - most) + " more");
+    @Override
+    public Integer call() throws Exception {
+        Audit.Verdict v = Audit.of(clients, hosts, AuditSettings.read(settings));
+        print(v, most, System.out);
+        return v.clean() ? Cli.DONE : Cli.FAILED;
     }
-    v.doubts().forEach(d -> out.println("NOT PROVED: " + d));
-    for (Breach.Rule rule : Breach.Rule.values()) {
-      long n = v.breaches().stream().filter(b -> b.rule() == rule).count();
-      out.printf("%-7s %s%n", rule, n == 0 ? "kept" : n + " times broken");
+
+    static void print(Audit.Verdict v, int most, PrintStream out) {
+        for (int i = 0; i < Math.min(most, v.breaches().size()); i++) {
+            Breach b = v.breaches().get(i);
+            out.println("BROKEN " + b.rule() + ": " + b.what());
+            b.history().forEach(h -> out.println("    " + h));
+        }
+        if (v.breaches().size() > most) {
+            out.println((v.breaches().size() - most) + " more");
+        }
+        v.doubts().forEach(d -> out.println("NOT PROVED: " + d));
+        for (Breach.Rule rule : Breach.Rule.values()) {
+            long n = v.breaches().stream().filter(b -> b.rule() == rule).count();
+            out.printf("%-7s %s%n", rule, n == 0 ? "kept" : n + " times broken");
+        }
+        out.println("audit: " + v.tries() + " tries of clients and " + v.runs()
+                + " receipts of hosts, " + v.breaches().size() + " breaches"
+                + (v.doubts().isEmpty() ? "" : ", not proved"));
     }
-    out.println("audit: " + v.tries() + " tries of clients and " + v.runs()
-        + " receipts of hosts, " + v.breaches().size() + " breaches"
-        + (v.doubts().isEmpty() ? "" : ", not proved"));
-  }
 }
--- a/src/main/java/rillyard/cli/Cli.java
+++ b/src/main/java/rillyard/cli/Cli.java
@@ -8,62 +8,61 @@
 
 /** All commands, with {@code --help} and {@code --version} on each. */
 @Command(
-    name = "rillyard",
-    description = "A client-side load-balancing proxy, and what rehearses it.",
-    mixinStandardHelpOptions = true,
-    versionProvider = Version.class,
-    synopsisSubcommandLabel = "COMMAND",
-    subcommands = {
-      ProxyCommands.ProxyCommand.class,
-      ProxyCommands.AdapterCommand.class,
-      ProxyCommands.RehearseCommand.class,
-      StandInCommand.class,
-      LoadCommand.class,
-      AuditCommand.class,
-      DemoCommand.class,
-      MeasureCommand.class,
-      SubsetCommand.class,
-      FleetCommand.class,
-      MembersCommand.class,
-      TrialCommand.class,
-      HelpCommand.class
-    })
+        name = "rillyard",
+        description = "A client-side load-balancing proxy, and what rehearses it.",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
+        synopsisSubcommandLabel = "COMMAND",
+        subcommands = {
+            ProxyCommands.ProxyCommand.class,
+            ProxyCommands.AdapterCommand.class,
+            ProxyCommands.RehearseCommand.class,
+            StandInCommand.class,
+            LoadCommand.class,
+            AuditCommand.class,
+            DemoCommand.class,
+            MeasureCommand.class,
+            SubsetCommand.class,
+            FleetCommand.class,
+            MembersCommand.class,
+            TrialCommand.class,
+            HelpCommand.class
+        })
 public final class Cli {
-  /** Done. */
-  public static final int DONE = 0;
+    /** Done. */
+    public static final int DONE = 0;
 
-  /** The thing asked for failed. */
-  public static final int FAILED = 1;
+    /** The thing asked for failed. */
+    public static final int FAILED = 1;
 
-  /** The command, an option or a file can't be used; nothing was begun. */
-  public static final int USAGE = 2;
+    /** The command, an option or a file can't be used; nothing was begun. */
+    public static final int USAGE = 2;
 
-  private Cli() {}
+    private Cli() {}
 
-  /** Runs a command line and returns the exit code. */
-  public static int run(String... args) {
-    return run(new PrintWriter(System.out, true), new PrintWriter(System.err, true), args);
-  }
+    /** Runs a command line and returns the exit code. */
+    public static int run(String... args) {
+        return run(new PrintWriter(System.out, true), new PrintWriter(System.err, true), args);
+    }
 
-  /** As above, with help and errors written elsewhere. */
-  public static int run(PrintWriter out, PrintWriter err, String... args) {
-    CommandLine line = new CommandLine(new Cli());
-    line.setOut(out);
-    line.setErr(err);
-    line.setCaseInsensitiveEnumValuesAllowed(true);
-    line.setExecutionExceptionHandler(
-        (e, command, result) -> {
-          if (e instanceof InvalidFileException) {
-            err.println(e.getMessage());
-            return USAGE;
-          }
-          err.println("rillyard: " + (e.getMessage() == null ? e.toString() : e.getMessage()));
-          return FAILED;
+    /** As above, with help and errors written elsewhere. */
+    public static int run(PrintWriter out, PrintWriter err, String... args) {
+        CommandLine line = new CommandLine(new Cli());
+        line.setOut(out);
+        line.setErr(err);
+        line.setCaseInsensitiveEnumValuesAllowed(true);
+        line.setExecutionExceptionHandler((e, command, result) -> {
+            if (e instanceof InvalidFileException) {
+                err.println(e.getMessage());
+                return USAGE;
+            }
+            err.println("rillyard: " + (e.getMessage() == null ? e.toString() : e.getMessage()));
+            return FAILED;
         });
-    if (args.length == 0) {
-      line.usage(err);
-      return USAGE;
+        if (args.length == 0) {
+            line.usage(err);
+            return USAGE;
+        }
+        return line.execute(args);
     }
-    return line.execute(args);
-  }
 }
--- a/src/main/java/rillyard/cli/DemoCommand.java
+++ b/src/main/java/rillyard/cli/DemoCommand.java
@@ -9,23 +9,23 @@
 import rillyard.load.ReportTable;
 
 @Command(
-    name = "demo",
-    description = {
-      "Discovery, eight hosts, one proxy and a surge of 20 s, in which one host hangs and one drains.",
-      "Ends with 0 only if no rule was broken."
-    },
-    mixinStandardHelpOptions = true,
-    versionProvider = Version.class)
+        name = "demo",
+        description = {
+            "Discovery, eight hosts, one proxy and a surge of 20 s, in which one host hangs and one drains.",
+            "Ends with 0 only if no rule was broken."
+        },
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class)
 final class DemoCommand implements Callable<Integer> {
-  @Option(names = "--keep", description = "A folder that gets the ledgers and the report.")
-  private Path keep;
+    @Option(names = "--keep", description = "A folder that gets the ledgers and the report.")
+    private Path keep;
 
-  @Override
-  public Integer call() throws Exception {
-    Demo.Result r = new Demo(System.out).run(keep);
-    System.out.print(ReportTable.of(r.report()));
-    AuditCommand.print(r.verdict(), 5, System.out);
-    Audit.Verdict v = r.verdict();
-    return v.clean() ? Cli.DONE : Cli.FAILED;
-  }
+    @Override
+    public Integer call() throws Exception {
+        Demo.Result r = new Demo(System.out).run(keep);
+        System.out.print(ReportTable.of(r.report()));
+        AuditCommand.print(r.verdict(), 5, System.out);
+        Audit.Verdict v = r.verdict();
+        return v.clean() ? Cli.DONE : Cli.FAILED;
+    }
 }
--- a/src/main/java/rillyard/cli/Ending.java
+++ b/src/main/java/rillyard/cli/Ending.java
@@ -5,39 +5,38 @@
  * goes. Without it the JVM ends while ledgers lack their last lines.
  */
 final class Ending {
-  private static final long MOST_MS = 20_000;
+    private static final long MOST_MS = 20_000;
 
-  private final Thread main = Thread.currentThread();
-  private final Thread hook;
-  private volatile boolean signalled;
+    private final Thread main = Thread.currentThread();
+    private final Thread hook;
+    private volatile boolean signalled;
 
-  /** {@code first} is run at the signal, on a thread of its own; then the command is waited for. */
-  Ending(Runnable first) {
-    hook =
-        new Thread(
-            () -> {
-              signalled = true;
-              first.run();
-              try {
-                main.join(MOST_MS);
-              } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-              }
-            },
-            "ending");
-    Runtime.getRuntime().addShutdownHook(hook);
-  }
+    /** {@code first} is run at the signal, on a thread of its own; then the command is waited for. */
+    Ending(Runnable first) {
+        hook = new Thread(
+                () -> {
+                    signalled = true;
+                    first.run();
+                    try {
+                        main.join(MOST_MS);
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                },
+                "ending");
+        Runtime.getRuntime().addShutdownHook(hook);
+    }
 
-  /** The command has done all that it had to; a signal is of no more interest. */
-  void over() {
-    try {
-      Runtime.getRuntime().removeShutdownHook(hook);
-    } catch (IllegalStateException e) {
-      // the signal came, and waits for this thread to end
+    /** The command has done all that it had to; a signal is of no more interest. */
+    void over() {
+        try {
+            Runtime.getRuntime().removeShutdownHook(hook);
+        } catch (IllegalStateException e) {
+            // the signal came, and waits for this thread to end
+        }
     }
-  }
 
-  boolean signalled() {
-    return signalled;
-  }
+    boolean signalled() {
+        return signalled;
+    }
 }
--- a/src/main/java/rillyard/cli/FleetCommand.java
+++ b/src/main/java/rillyard/cli/FleetCommand.java
@@ -11,37 +11,39 @@
 import rillyard.member.net.FleetSettings;
 
 @Command(
-    name = "fleet",
-    description = "Settings of the processes that form a fleet.",
-    mixinStandardHelpOptions = true,
-    versionProvider = Version.class,
-    synopsisSubcommandLabel = "WHAT",
-    subcommands = FleetCommand.Check.class)
+        name = "fleet",
+        description = "Settings of the processes that form a fleet.",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
+        synopsisSubcommandLabel = "WHAT",
+        subcommands = FleetCommand.Check.class)
 final class FleetCommand implements Callable<Integer> {
-  @Override
-  public Integer call() {
-    System.err.println("rillyard: say what of the fleet: check");
-    return Cli.USAGE;
-  }
+    @Override
+    public Integer call() {
+        System.err.println("rillyard: say what of the fleet: check");
+        return Cli.USAGE;
+    }
 
-  @Command(
-      name = "check",
-      description = "Reads a file as `proxy --fleet` would, and tells all that is wrong with it, by line.",
-      mixinStandardHelpOptions = true,
-      versionProvider = Version.class)
-  static final class Check implements Callable<Integer> {
-    @Spec private CommandSpec spec;
+    @Command(
+            name = "check",
+            description = "Reads a file as `proxy --fleet` would, and tells all that is wrong with it, by line.",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class)
+    static final class Check implements Callable<Integer> {
+        @Spec
+        private CommandSpec spec;
 
-    @Parameters(paramLabel = "FILE", description = "TOML, as deploy/fleet.toml.")
-    private Path file;
+        @Parameters(paramLabel = "FILE", description = "TOML, as deploy/fleet.toml.")
+        private Path file;
 
-    @Override
-    public Integer call() throws Exception {
-      FleetSettings s = FleetFile.read(file, System.getenv());
-      PrintWriter out = spec.commandLine().getOut();
-      out.println(s.card().name() + " at " + s.card().at() + ", zone " + s.card().zone() + ", region "
-          + s.card().region() + ", " + s.seeds().size() + " seeds");
-      return Cli.DONE;
+        @Override
+        public Integer call() throws Exception {
+            FleetSettings s = FleetFile.read(file, System.getenv());
+            PrintWriter out = spec.commandLine().getOut();
+            out.println(s.card().name() + " at " + s.card().at() + ", zone "
+                    + s.card().zone() + ", region " + s.card().region() + ", "
+                    + s.seeds().size() + " seeds");
+            return Cli.DONE;
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/cli/MeasureCommand.java
+++ b/src/main/java/rillyard/cli/MeasureCommand.java
@@ -18,159 +18,175 @@
 import rillyard.measure.Starts;
 
 @Command(
-    name = "measure",
-    description = "Repeats the measurements of docs/PERFORMANCE.md on this machine.",
-    mixinStandardHelpOptions = true,
-    versionProvider = Version.class,
-    synopsisSubcommandLabel = "WHAT",
-    subcommands = {MeasureCommand.Proxy.class, MeasureCommand.Generator.class, MeasureCommand.Start.class,
-      MeasureCommand.Fleet.class})
+        name = "measure",
+        description = "Repeats the measurements of docs/PERFORMANCE.md on this machine.",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
+        synopsisSubcommandLabel = "WHAT",
+        subcommands = {
+            MeasureCommand.Proxy.class,
+            MeasureCommand.Generator.class,
+            MeasureCommand.Start.class,
+            MeasureCommand.Fleet.class
+        })
 final class MeasureCommand implements Callable<Integer> {
-  @Override
-  public Integer call() {
-    System.err.println("rillyard: say what to measure: proxy, generator, start or fleet");
-    return Cli.USAGE;
-  }
-
-  @Command(
-      name = "proxy",
-      description = "What the proxy adds, in pairs in turn: latency, and CPU a request beside the generator's.",
-      mixinStandardHelpOptions = true,
-      versionProvider = Version.class)
-  static final class Proxy implements Callable<Integer> {
-    @Option(names = "--rates", defaultValue = "500,1000,2000", description = "Requests a second (${DEFAULT-VALUE}).")
-    private String rates;
-
-    @Option(names = "--pairs", defaultValue = "5", description = "Pairs of runs (${DEFAULT-VALUE}).")
-    private int pairs;
-
-    @Option(names = "--seconds", defaultValue = "5", description = "Length of a run (${DEFAULT-VALUE}).")
-    private int seconds;
-
     @Override
-    public Integer call() throws Exception {
-      Path folder = Files.createTempDirectory("rillyard-measure");
-      new Baseline(folder, System.out).addedByProxy(Baseline.rates(rates), pairs, seconds);
-      return Cli.DONE;
+    public Integer call() {
+        System.err.println("rillyard: say what to measure: proxy, generator, start or fleet");
+        return Cli.USAGE;
     }
-  }
-
-  @Command(
-      name = "start",
-      description = "What a start costs: wall and CPU time to each mark, and the first requests' latency.",
-      mixinStandardHelpOptions = true,
-      versionProvider = Version.class)
-  static final class Start implements Callable<Integer> {
-    @Option(names = "--starts", defaultValue = "10", description = "Starts of each build (${DEFAULT-VALUE}).")
-    private int starts;
-
-    @Option(names = "--cores", defaultValue = "1",
-        description = "Part of a core for the proxy, left to it by busy neighbours (${DEFAULT-VALUE}).")
-    private double cores;
-
-    @Option(names = "--root", defaultValue = ".",
-        description = "Folder that holds deploy/ and target/ (${DEFAULT-VALUE}).")
-    private Path root;
 
-    @Option(names = "--against", paramLabel = "ROOT", description = "Such a folder of another build, in turn.")
-    private Path against;
-
-    @Option(names = "--option", paramLabel = "OPTION", description = "A further option of the JVM, for all.")
-    private List<String> options = List.of();
-
-    @Override
-    public Integer call() throws Exception {
-      if (starts < 1 || cores <= 0 || cores > 1) {
-        System.err.println("rillyard: expected --starts of 1 or more and --cores above 0, up to 1");
-        return Cli.USAGE;
-      }
-      Map<String, Path> builds = new LinkedHashMap<>();
-      builds.put("this", root);
-      if (against != null) {
-        builds.put("against", against);
-      }
-      for (Path build : builds.values()) {
-        if (!Files.exists(build.resolve("target/rillyard.jar"))) {
-          System.err.println("rillyard: " + build + ": expected a folder with target/rillyard.jar, a build");
-          return Cli.USAGE;
+    @Command(
+            name = "proxy",
+            description = "What the proxy adds, in pairs in turn: latency, and CPU a request beside the generator's.",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class)
+    static final class Proxy implements Callable<Integer> {
+        @Option(
+                names = "--rates",
+                defaultValue = "500,1000,2000",
+                description = "Requests a second (${DEFAULT-VALUE}).")
+        private String rates;
+
+        @Option(names = "--pairs", defaultValue = "5", description = "Pairs of runs (${DEFAULT-VALUE}).")
+        private int pairs;
+
+        @Option(names = "--seconds", defaultValue = "5", description = "Length of a run (${DEFAULT-VALUE}).")
+        private int seconds;
+
+        @Override
+        public Integer call() throws Exception {
+            Path folder = Files.createTempDirectory("rillyard-measure");
+            new Baseline(folder, System.out).addedByProxy(Baseline.rates(rates), pairs, seconds);
+            return Cli.DONE;
         }
-      }
-      Path folder = Files.createTempDirectory("rillyard-measure");
-      new Starts(folder, System.out).run(builds, options, starts, cores);
-      return Cli.DONE;
     }
-  }
-
-  @Command(
-      name = "fleet",
-      description = {
-        "Counts over a whole fleet what its proxies did to hosts and discovery.",
-        "Reads their logs, written with -Drillyard.trace=true, one file for each proxy."
-      },
-      mixinStandardHelpOptions = true,
-      versionProvider = Version.class)
-  static final class Fleet implements Callable<Integer> {
-    @Option(names = "--window", defaultValue = "2500", description = "A row of the timetable, ms (${DEFAULT-VALUE}).")
-    private int window;
-
-    @Option(names = "--cold-window", defaultValue = "1500",
-        description = "Work at a cold host is summed over so many ms (${DEFAULT-VALUE}).")
-    private int coldWindow;
-
-    @Parameters(arity = "1..*", paramLabel = "LOG", description = "What one proxy wrote on standard error.")
-    private List<Path> logs;
 
-    @Override
-    public Integer call() throws Exception {
-      if (window < 1 || coldWindow < 1) {
-        System.err.println("rillyard: expected --window and --cold-window of 1 ms or more");
-        return Cli.USAGE;
-      }
-      FleetCount count = new FleetCount(window, coldWindow);
-      for (Path log : logs) {
-        if (!Files.isRegularFile(log) || !Files.isReadable(log)) {
-          System.err.println("rillyard: " + log + ": expected a log that can be read");
-          return Cli.USAGE;
-        }
-      }
-      for (Path log : logs) {
-        // Logs hold what peers sent: a byte that is no UTF-8 must not end the count, as a strict reader would.
-        try (BufferedReader r = new BufferedReader(new InputStreamReader(Files.newInputStream(log), UTF_8))) {
-          count.read(log.toAbsolutePath().normalize().toString(), r); // names alike on all machines are usual
+    @Command(
+            name = "start",
+            description = "What a start costs: wall and CPU time to each mark, and the first requests' latency.",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class)
+    static final class Start implements Callable<Integer> {
+        @Option(names = "--starts", defaultValue = "10", description = "Starts of each build (${DEFAULT-VALUE}).")
+        private int starts;
+
+        @Option(
+                names = "--cores",
+                defaultValue = "1",
+                description = "Part of a core for the proxy, left to it by busy neighbours (${DEFAULT-VALUE}).")
+        private double cores;
+
+        @Option(
+                names = "--root",
+                defaultValue = ".",
+                description = "Folder that holds deploy/ and target/ (${DEFAULT-VALUE}).")
+        private Path root;
+
+        @Option(names = "--against", paramLabel = "ROOT", description = "Such a folder of another build, in turn.")
+        private Path against;
+
+        @Option(names = "--option", paramLabel = "OPTION", description = "A further option of the JVM, for all.")
+        private List<String> options = List.of();
+
+        @Override
+        public Integer call() throws Exception {
+            if (starts < 1 || cores <= 0 || cores > 1) {
+                System.err.println("rillyard: expected --starts of 1 or more and --cores above 0, up to 1");
+                return Cli.USAGE;
+            }
+            Map<String, Path> builds = new LinkedHashMap<>();
+            builds.put("this", root);
+            if (against != null) {
+                builds.put("against", against);
+            }
+            for (Path build : builds.values()) {
+                if (!Files.exists(build.resolve("target/rillyard.jar"))) {
+                    System.err.println("rillyard: " + build + ": expected a folder with target/rillyard.jar, a build");
+                    return Cli.USAGE;
+                }
+            }
+            Path folder = Files.createTempDirectory("rillyard-measure");
+            new Starts(folder, System.out).run(builds, options, starts, cores);
+            return Cli.DONE;
         }
-      }
-      if (count.empty()) {
-        System.err.println("rillyard: no trace in these logs: expected proxies run with -Drillyard.trace=true");
-        return Cli.FAILED;
-      }
-      count.print(System.out);
-      return Cli.DONE;
     }
-  }
-
-  @Command(
-      name = "generator",
-      description = "The highest rate that one core of the generator holds on schedule.",
-      mixinStandardHelpOptions = true,
-      versionProvider = Version.class)
-  static final class Generator implements Callable<Integer> {
-    @Option(names = "--from", defaultValue = "5000", description = "First rate (${DEFAULT-VALUE}).")
-    private int from;
-
-    @Option(names = "--step", defaultValue = "5000", description = "Step (${DEFAULT-VALUE}).")
-    private int step;
-
-    @Option(names = "--most", defaultValue = "100000", description = "Last rate (${DEFAULT-VALUE}).")
-    private int most;
 
-    @Option(names = "--seconds", defaultValue = "5", description = "Length of a run (${DEFAULT-VALUE}).")
-    private int seconds;
+    @Command(
+            name = "fleet",
+            description = {
+                "Counts over a whole fleet what its proxies did to hosts and discovery.",
+                "Reads their logs, written with -Drillyard.trace=true, one file for each proxy."
+            },
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class)
+    static final class Fleet implements Callable<Integer> {
+        @Option(
+                names = "--window",
+                defaultValue = "2500",
+                description = "A row of the timetable, ms (${DEFAULT-VALUE}).")
+        private int window;
+
+        @Option(
+                names = "--cold-window",
+                defaultValue = "1500",
+                description = "Work at a cold host is summed over so many ms (${DEFAULT-VALUE}).")
+        private int coldWindow;
+
+        @Parameters(arity = "1..*", paramLabel = "LOG", description = "What one proxy wrote on standard error.")
+        private List<Path> logs;
+
+        @Override
+        public Integer call() throws Exception {
+            if (window < 1 || coldWindow < 1) {
+                System.err.println("rillyard: expected --window and --cold-window of 1 ms or more");
+                return Cli.USAGE;
+            }
+            FleetCount count = new FleetCount(window, coldWindow);
+            for (Path log : logs) {
+                if (!Files.isRegularFile(log) || !Files.isReadable(log)) {
+                    System.err.println("rillyard: " + log + ": expected a log that can be read");
+                    return Cli.USAGE;
+                }
+            }
+            for (Path log : logs) {
+                // Logs hold what peers sent: a byte that is no UTF-8 must not end the count, as a strict reader would.
+                try (BufferedReader r = new BufferedReader(new InputStreamReader(Files.newInputStream(log), UTF_8))) {
+                    count.read(log.toAbsolutePath().normalize().toString(), r); // names alike on all machines are usual
+                }
+            }
+            if (count.empty()) {
+                System.err.println("rillyard: no trace in these logs: expected proxies run with -Drillyard.trace=true");
+                return Cli.FAILED;
+            }
+            count.print(System.out);
+            return Cli.DONE;
+        }
+    }
 
-    @Override
-    public Integer call() throws Exception {
-      Path folder = Files.createTempDirectory("rillyard-measure");
-      new Baseline(folder, System.out).highestRate(from, step, most, seconds);
-      return Cli.DONE;
+    @Command(
+            name = "generator",
+            description = "The highest rate that one core of the generator holds on schedule.",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class)
+    static final class Generator implements Callable<Integer> {
+        @Option(names = "--from", defaultValue = "5000", description = "First rate (${DEFAULT-VALUE}).")
+        private int from;
+
+        @Option(names = "--step", defaultValue = "5000", description = "Step (${DEFAULT-VALUE}).")
+        private int step;
+
+        @Option(names = "--most", defaultValue = "100000", description = "Last rate (${DEFAULT-VALUE}).")
+        private int most;
+
+        @Option(names = "--seconds", defaultValue = "5", description = "Length of a run (${DEFAULT-VALUE}).")
+        private int seconds;
+
+        @Override
+        public Integer call() throws Exception {
+            Path folder = Files.createTempDirectory("rillyard-measure");
+            new Baseline(folder, System.out).highestRate(from, step, most, seconds);
+            return Cli.DONE;
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/cli/MembersCommand.java
+++ b/src/main/java/rillyard/cli/MembersCommand.java
@@ -16,89 +16,124 @@
 import rillyard.member.net.AdminClient;
 
 @Command(
-    name = "members",
-    description = "Shows what one process of a fleet holds of the others: who lives, since when, by whose word, and what it costs.",
-    mixinStandardHelpOptions = true,
-    versionProvider = Version.class)
+        name = "members",
+        description =
+                "Shows what one process of a fleet holds of the others: who lives, since when, by whose word, and what it costs.",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class)
 final class MembersCommand implements Callable<Integer> {
-  private static final int EVERY_MS = 1_000;
+    private static final int EVERY_MS = 1_000;
 
-  @Spec private CommandSpec spec;
+    @Spec
+    private CommandSpec spec;
 
-  @Option(names = "--admin", required = true, converter = Addresses.class,
-      description = "The process's `admin` of its fleet.toml, IP:port.")
-  private InetSocketAddress admin;
+    @Option(
+            names = "--admin",
+            required = true,
+            converter = Addresses.class,
+            description = "The process's `admin` of its fleet.toml, IP:port.")
+    private InetSocketAddress admin;
 
-  @Option(names = "--watch", description = "Goes on with a line for each change until it is ended.")
-  private boolean watch;
+    @Option(names = "--watch", description = "Goes on with a line for each change until it is ended.")
+    private boolean watch;
 
-  @Option(names = "--json", description = "All of it as JSON, one line.")
-  private boolean json;
+    @Option(names = "--json", description = "All of it as JSON, one line.")
+    private boolean json;
 
-  @Override
-  public Integer call() throws Exception {
-    PrintWriter out = spec.commandLine().getOut();
-    JsonNode view = AdminClient.ask(admin);
-    if (json) {
-      out.println(view);
-    } else {
-      table(view, out);
+    @Override
+    public Integer call() throws Exception {
+        PrintWriter out = spec.commandLine().getOut();
+        JsonNode view = AdminClient.ask(admin);
+        if (json) {
+            out.println(view);
+        } else {
+            table(view, out);
+        }
+        if (watch) {
+            CountDownLatch end = new CountDownLatch(1);
+            Ending ending = new Ending(end::countDown);
+            Map<String, String> before = beliefs(view);
+            while (!end.await(EVERY_MS, TimeUnit.MILLISECONDS)) {
+                Map<String, String> now = beliefs(AdminClient.ask(admin));
+                changes(before, now).forEach(out::println);
+                before = now;
+            }
+            ending.over();
+        }
+        return Cli.DONE;
     }
-    if (watch) {
-      CountDownLatch end = new CountDownLatch(1);
-      Ending ending = new Ending(end::countDown);
-      Map<String, String> before = beliefs(view);
-      while (!end.await(EVERY_MS, TimeUnit.MILLISECONDS)) {
-        Map<String, String> now = beliefs(AdminClient.ask(admin));
-        changes(before, now).forEach(out::println);
-        before = now;
-      }
-      ending.over();
-    }
-    return Cli.DONE;
-  }
 
-  private static void table(JsonNode view, PrintWriter out) {
-    JsonNode self = view.path("self");
-    long at = view.path("at").asLong();
-    out.printf(Locale.ROOT, "%s holds %d present, itself among them%s%n", self.path("name").asText(),
-        view.path("present").asInt(), view.path("over").asBoolean() ? "; it is silent: another has its name" : "");
-    out.printf("%-16s %-21s %4s %6s %-7s %-7s %9s  %s%n", "name", "address", "zone", "region", "status", "loop", "for s", "by");
-    row(self, "-", "itself", out);
-    for (JsonNode m : view.path("members")) {
-      row(m, String.format(Locale.ROOT, "%.1f", (at - m.path("since").asLong()) / 1e3), m.path("by").asText(), out);
+    private static void table(JsonNode view, PrintWriter out) {
+        JsonNode self = view.path("self");
+        long at = view.path("at").asLong();
+        out.printf(
+                Locale.ROOT,
+                "%s holds %d present, itself among them%s%n",
+                self.path("name").asText(),
+                view.path("present").asInt(),
+                view.path("over").asBoolean() ? "; it is silent: another has its name" : "");
+        out.printf(
+                "%-16s %-21s %4s %6s %-7s %-7s %9s  %s%n",
+                "name", "address", "zone", "region", "status", "loop", "for s", "by");
+        row(self, "-", "itself", out);
+        for (JsonNode m : view.path("members")) {
+            row(
+                    m,
+                    String.format(Locale.ROOT, "%.1f", (at - m.path("since").asLong()) / 1e3),
+                    m.path("by").asText(),
+                    out);
+        }
+        JsonNode c = view.path("costs");
+        double up = Math.max(1, c.path("up_ms").asDouble()) / 1e3;
+        out.printf(
+                Locale.ROOT,
+                "a second, over %.0f s: %.1f datagrams and %.0f bytes sent, %.1f and %.0f received; %d turned away;"
+                        + " its thread busy %.2f %% of the time%n",
+                up,
+                c.path("datagrams_sent").asLong() / up,
+                c.path("bytes_sent").asLong() / up,
+                c.path("datagrams_received").asLong() / up,
+                c.path("bytes_received").asLong() / up,
+                c.path("turned_away").asLong(),
+                c.path("busy_ms").asLong() / up / 10);
     }
-    JsonNode c = view.path("costs");
-    double up = Math.max(1, c.path("up_ms").asDouble()) / 1e3;
-    out.printf(Locale.ROOT, "a second, over %.0f s: %.1f datagrams and %.0f bytes sent, %.1f and %.0f received; %d turned away;"
-        + " its thread busy %.2f %% of the time%n", up, c.path("datagrams_sent").asLong() / up,
-        c.path("bytes_sent").asLong() / up, c.path("datagrams_received").asLong() / up,
-        c.path("bytes_received").asLong() / up, c.path("turned_away").asLong(), c.path("busy_ms").asLong() / up / 10);
-  }
 
-  private static void row(JsonNode m, String seconds, String by, PrintWriter out) {
-    out.printf("%-16s %-21s %4d %6d %-7s %-7s %9s  %s%n", m.path("name").asText(), m.path("address").asText(),
-        m.path("zone").asInt(), m.path("region").asInt(), m.path("status").asText(), m.path("loop").asText(), seconds, by);
-  }
+    private static void row(JsonNode m, String seconds, String by, PrintWriter out) {
+        out.printf(
+                "%-16s %-21s %4d %6d %-7s %-7s %9s  %s%n",
+                m.path("name").asText(),
+                m.path("address").asText(),
+                m.path("zone").asInt(),
+                m.path("region").asInt(),
+                m.path("status").asText(),
+                m.path("loop").asText(),
+                seconds,
+                by);
+    }
 
-  private static Map<String, String> beliefs(JsonNode view) {
-    Map<String, String> out = new TreeMap<>();
-    for (JsonNode m : view.path("members")) {
-      out.put(m.path("name").asText(), m.path("status").asText() + ", loop " + m.path("loop").asText() + ", by " + m.path("by").asText());
+    private static Map<String, String> beliefs(JsonNode view) {
+        Map<String, String> out = new TreeMap<>();
+        for (JsonNode m : view.path("members")) {
+            out.put(
+                    m.path("name").asText(),
+                    m.path("status").asText() + ", loop " + m.path("loop").asText() + ", by "
+                            + m.path("by").asText());
+        }
+        return out;
     }
-    return out;
-  }
 
-  private static java.util.List<String> changes(Map<String, String> before, Map<String, String> now) {
-    java.util.List<String> out = new java.util.ArrayList<>();
-    now.forEach((name, is) -> {
-      String was = before.get(name);
-      if (!is.equals(was)) {
-        out.add(java.time.Instant.now() + " " + name + " is " + is + (was == null ? " (new)" : " (was " + was + ")"));
-      }
-    });
-    before.keySet().stream().filter(n -> !now.containsKey(n)).forEach(
-        n -> out.add(java.time.Instant.now() + " " + n + " is forgotten"));
-    return out;
-  }
+    private static java.util.List<String> changes(Map<String, String> before, Map<String, String> now) {
+        java.util.List<String> out = new java.util.ArrayList<>();
+        now.forEach((name, is) -> {
+            String was = before.get(name);
+            if (!is.equals(was)) {
+                out.add(java.time.Instant.now() + " " + name + " is " + is
+                        + (was == null ? " (new)" : " (was " + was + ")"));
+            }
+        });
+        before.keySet().stream()
+                .filter(n -> !now.containsKey(n))
+                .forEach(n -> out.add(java.time.Instant.now() + " " + n + " is forgotten"));
+        return out;
+    }
 }
--- a/src/main/java/rillyard/cli/ProxyCommands.java
+++ b/src/main/java/rillyard/cli/ProxyCommands.java
@@ -18,68 +18,68 @@
 
 /** What the platform starts, for their help; given alone they are run before the parser is loaded. */
 final class ProxyCommands {
-  private ProxyCommands() {}
+    private ProxyCommands() {}
 
-  @Command(
-      name = "proxy",
-      description = {
-        "Runs one client proxy until SIGTERM.",
-        "BALANCER_CONFIG names its configuration (JSON); BALANCER_NAME, BALANCER_LISTEN and"
-            + " BALANCER_DISCOVERY win over it. SIGHUP reads the file again."
-      },
-      mixinStandardHelpOptions = true,
-      versionProvider = Version.class)
-  static final class ProxyCommand implements Callable<Integer> {
-    @Option(
-        names = "--fleet",
-        description = "TOML: joins the fleet that it describes (docs/membership.md). Not on the platform.")
-    private Path fleet;
+    @Command(
+            name = "proxy",
+            description = {
+                "Runs one client proxy until SIGTERM.",
+                "BALANCER_CONFIG names its configuration (JSON); BALANCER_NAME, BALANCER_LISTEN and"
+                        + " BALANCER_DISCOVERY win over it. SIGHUP reads the file again."
+            },
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class)
+    static final class ProxyCommand implements Callable<Integer> {
+        @Option(
+                names = "--fleet",
+                description = "TOML: joins the fleet that it describes (docs/membership.md). Not on the platform.")
+        private Path fleet;
 
-    @Override
-    public Integer call() throws Exception {
-      if (fleet == null) {
-        Proxy.run(System.getenv());
-        return Cli.DONE;
-      }
-      SecureRandom random = new SecureRandom();
-      FleetSettings settings = FleetFile.read(fleet, System.getenv());
-      FleetMember member = new FleetMember(settings, random.nextLong(), System.err);
-      Neighbours news = settings.spread() ? new FleetNews(member, SpreadSettings.USUAL, random.nextLong()) : null;
-      member.start();
-      Runtime.getRuntime().addShutdownHook(new Thread(member::close, "leave"));
-      Proxy.run(System.getenv(), news);
-      return Cli.DONE;
+        @Override
+        public Integer call() throws Exception {
+            if (fleet == null) {
+                Proxy.run(System.getenv());
+                return Cli.DONE;
+            }
+            SecureRandom random = new SecureRandom();
+            FleetSettings settings = FleetFile.read(fleet, System.getenv());
+            FleetMember member = new FleetMember(settings, random.nextLong(), System.err);
+            Neighbours news = settings.spread() ? new FleetNews(member, SpreadSettings.USUAL, random.nextLong()) : null;
+            member.start();
+            Runtime.getRuntime().addShutdownHook(new Thread(member::close, "leave"));
+            Proxy.run(System.getenv(), news);
+            return Cli.DONE;
+        }
     }
-  }
 
-  @Command(
-      name = "adapter",
-      description = "Runs the decisions on the simulator's wire, on standard input and output.",
-      mixinStandardHelpOptions = true,
-      versionProvider = Version.class)
-  static final class AdapterCommand implements Callable<Integer> {
-    @Override
-    public Integer call() throws Exception {
-      try {
-        new Adapter(System.in, System.out, System.err).run();
-        return Cli.DONE;
-      } catch (MalformedInputException e) {
-        System.err.println("rillyard: " + e.getMessage());
-        return Cli.FAILED;
-      }
+    @Command(
+            name = "adapter",
+            description = "Runs the decisions on the simulator's wire, on standard input and output.",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class)
+    static final class AdapterCommand implements Callable<Integer> {
+        @Override
+        public Integer call() throws Exception {
+            try {
+                new Adapter(System.in, System.out, System.err).run();
+                return Cli.DONE;
+            } catch (MalformedInputException e) {
+                System.err.println("rillyard: " + e.getMessage());
+                return Cli.FAILED;
+            }
+        }
     }
-  }
 
-  @Command(
-      name = "rehearse",
-      description = "Starts and warms up with nobody there; the build records what is loaded.",
-      mixinStandardHelpOptions = true,
-      versionProvider = Version.class)
-  static final class RehearseCommand implements Callable<Integer> {
-    @Override
-    public Integer call() throws Exception {
-      Rehearsal.run();
-      return Cli.DONE;
+    @Command(
+            name = "rehearse",
+            description = "Starts and warms up with nobody there; the build records what is loaded.",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class)
+    static final class RehearseCommand implements Callable<Integer> {
+        @Override
+        public Integer call() throws Exception {
+            Rehearsal.run();
+            return Cli.DONE;
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/cli/StandInCommand.java
+++ b/src/main/java/rillyard/cli/StandInCommand.java
@@ -20,86 +20,80 @@
 import rillyard.standin.StandInPlanReader;
 
 @Command(
-    name = "stand-in",
-    description = "Runs hosts and a discovery that stand in for the real ones, until SIGINT or SIGTERM.",
-    mixinStandardHelpOptions = true,
-    versionProvider = Version.class)
+        name = "stand-in",
+        description = "Runs hosts and a discovery that stand in for the real ones, until SIGINT or SIGTERM.",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class)
 final class StandInCommand implements Callable<Integer> {
-  @Option(
-      names = "--hosts",
-      description = "How many hosts there are, where the timetable names none (8).")
-  private int hosts;
+    @Option(names = "--hosts", description = "How many hosts there are, where the timetable names none (8).")
+    private int hosts;
 
-  @Option(
-      names = "--listen",
-      converter = Addresses.class,
-      defaultValue = "127.0.0.1:0",
-      description = "Where discovery listens; hosts have free ports of that address (${DEFAULT-VALUE}).")
-  private InetSocketAddress listen;
+    @Option(
+            names = "--listen",
+            converter = Addresses.class,
+            defaultValue = "127.0.0.1:0",
+            description = "Where discovery listens; hosts have free ports of that address (${DEFAULT-VALUE}).")
+    private InetSocketAddress listen;
 
-  @Option(
-      names = "--ready-file",
-      description = "Written once all listens: a proxy's configuration, and every address.")
-  private Path readyFile;
+    @Option(
+            names = "--ready-file",
+            description = "Written once all listens: a proxy's configuration, and every address.")
+    private Path readyFile;
 
-  @Option(names = "--ledger", description = "Gets a line for every request that a host receives.")
-  private Path ledgerFile;
+    @Option(names = "--ledger", description = "Gets a line for every request that a host receives.")
+    private Path ledgerFile;
 
-  @Option(names = "--timetable", description = "TOML: hosts, classes, rules, and faults by their times.")
-  private Path timetable;
+    @Option(names = "--timetable", description = "TOML: hosts, classes, rules, and faults by their times.")
+    private Path timetable;
 
-  @Option(
-      names = "--threads",
-      defaultValue = "2",
-      description = "Event loops for the hosts (${DEFAULT-VALUE}).")
-  private int threads;
+    @Option(names = "--threads", defaultValue = "2", description = "Event loops for the hosts (${DEFAULT-VALUE}).")
+    private int threads;
 
-  @Option(names = "--cold", description = "Is ready at once, with code that is not compiled yet.")
-  private boolean cold;
+    @Option(names = "--cold", description = "Is ready at once, with code that is not compiled yet.")
+    private boolean cold;
 
-  @Override
-  public Integer call() throws Exception {
-    if (hosts < 0 || hosts > 10_000 || threads < 1 || threads > 256) {
-      System.err.println("--hosts takes 1 to 10000, --threads 1 to 256");
-      return Cli.USAGE;
+    @Override
+    public Integer call() throws Exception {
+        if (hosts < 0 || hosts > 10_000 || threads < 1 || threads > 256) {
+            System.err.println("--hosts takes 1 to 10000, --threads 1 to 256");
+            return Cli.USAGE;
+        }
+        StandInPlan plan = timetable == null
+                ? StandInPlanReader.standard(hosts == 0 ? 8 : hosts)
+                : StandInPlanReader.read(timetable, hosts);
+        if (!cold) {
+            WarmUp.run();
+        }
+        CountDownLatch end = new CountDownLatch(1);
+        Ending ending = new Ending(end::countDown);
+        LedgerHead head = new LedgerHead("hosts", UnixClock.micros(), plan.seed());
+        try (Ledger ledger = ledgerFile == null ? Ledger.none() : Ledger.open(ledgerFile, head);
+                StandIn standIn = new StandIn(plan, listen, threads, ledger, System.err)) {
+            standIn.start();
+            standIn.startTimetable();
+            if (readyFile != null) {
+                writeWhole(
+                        readyFile,
+                        new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsBytes(standIn.ready()));
+            }
+            System.out.println("rillyard: " + plan.hosts().size() + " hosts, discovery at " + text(standIn.discovery())
+                    + ", faults at http://" + text(standIn.control()) + "/faults");
+            while (!end.await(1, TimeUnit.SECONDS)) {
+                ledger.flush();
+            }
+        }
+        ending.over();
+        return Cli.DONE;
     }
-    StandInPlan plan =
-        timetable == null
-            ? StandInPlanReader.standard(hosts == 0 ? 8 : hosts)
-            : StandInPlanReader.read(timetable, hosts);
-    if (!cold) {
-      WarmUp.run();
-    }
-    CountDownLatch end = new CountDownLatch(1);
-    Ending ending = new Ending(end::countDown);
-    LedgerHead head = new LedgerHead("hosts", UnixClock.micros(), plan.seed());
-    try (Ledger ledger = ledgerFile == null ? Ledger.none() : Ledger.open(ledgerFile, head);
-        StandIn standIn = new StandIn(plan, listen, threads, ledger, System.err)) {
-      standIn.start();
-      standIn.startTimetable();
-      if (readyFile != null) {
-        writeWhole(readyFile, new ObjectMapper().writerWithDefaultPrettyPrinter()
-            .writeValueAsBytes(standIn.ready()));
-      }
-      System.out.println(
-          "rillyard: " + plan.hosts().size() + " hosts, discovery at " + text(standIn.discovery())
-              + ", faults at http://" + text(standIn.control()) + "/faults");
-      while (!end.await(1, TimeUnit.SECONDS)) {
-        ledger.flush();
-      }
-    }
-    ending.over();
-    return Cli.DONE;
-  }
 
-  /** Guards against a reader that finds half of it: the name appears with all of it. */
-  private static void writeWhole(Path file, byte[] bytes) throws IOException {
-    Path beside = file.resolveSibling(file.getFileName() + ".part");
-    Files.write(beside, bytes);
-    Files.move(beside, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
-  }
+    /** Guards against a reader that finds half of it: the name appears with all of it. */
+    private static void writeWhole(Path file, byte[] bytes) throws IOException {
+        Path beside = file.resolveSibling(file.getFileName() + ".part");
+        Files.write(beside, bytes);
+        Files.move(beside, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+    }
 
-  private static String text(InetSocketAddress a) {
-    return a.getAddress().getHostAddress() + ":" + a.getPort();
-  }
+    private static String text(InetSocketAddress a) {
+        return a.getAddress().getHostAddress() + ":" + a.getPort();
+    }
 }
--- a/src/main/java/rillyard/cli/SubsetCommand.java
+++ b/src/main/java/rillyard/cli/SubsetCommand.java
@@ -12,80 +12,102 @@
 import rillyard.subset.SubsetSize;
 
 @Command(
-    name = "subset",
-    description = "What instances of a fleet would hold of its hosts.",
-    mixinStandardHelpOptions = true,
-    versionProvider = Version.class,
-    synopsisSubcommandLabel = "WHAT",
-    subcommands = SubsetCommand.Plan.class)
+        name = "subset",
+        description = "What instances of a fleet would hold of its hosts.",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
+        synopsisSubcommandLabel = "WHAT",
+        subcommands = SubsetCommand.Plan.class)
 final class SubsetCommand implements Callable<Integer> {
-  @Override
-  public Integer call() {
-    System.err.println("rillyard: say what of subsets: plan");
-    return Cli.USAGE;
-  }
+    @Override
+    public Integer call() {
+        System.err.println("rillyard: say what of subsets: plan");
+        return Cli.USAGE;
+    }
 
-  @Command(
-      name = "plan",
-      description = {
-        "The most hosts an instance may have so that hosts bear the connections of all, and what that",
-        "comes to by each way of subsetting. Ends with 1 if even two hosts each are too much."
-      },
-      mixinStandardHelpOptions = true,
-      versionProvider = Version.class)
-  static final class Plan implements Callable<Integer> {
-    /** Instances times hosts; more take longer than anyone waits, as every subset is laid out. */
-    private static final long MOST = 10_000_000;
+    @Command(
+            name = "plan",
+            description = {
+                "The most hosts an instance may have so that hosts bear the connections of all, and what that",
+                "comes to by each way of subsetting. Ends with 1 if even two hosts each are too much."
+            },
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class)
+    static final class Plan implements Callable<Integer> {
+        /** Instances times hosts; more take longer than anyone waits, as every subset is laid out. */
+        private static final long MOST = 10_000_000;
 
-    @Spec private CommandSpec spec;
+        @Spec
+        private CommandSpec spec;
 
-    @Option(names = "--instances", required = true, description = "Instances of the proxy.")
-    private int instances;
+        @Option(names = "--instances", required = true, description = "Instances of the proxy.")
+        private int instances;
 
-    @Option(names = "--hosts", required = true, description = "Hosts.")
-    private int hosts;
+        @Option(names = "--hosts", required = true, description = "Hosts.")
+        private int hosts;
 
-    @Option(names = "--cap", required = true, description = "Connections that a host takes.")
-    private int cap;
+        @Option(names = "--cap", required = true, description = "Connections that a host takes.")
+        private int cap;
 
-    @Option(names = "--each", defaultValue = "1",
-        description = "Connections of an instance to a host of its subset at most (${DEFAULT-VALUE}).")
-    private int each;
+        @Option(
+                names = "--each",
+                defaultValue = "1",
+                description = "Connections of an instance to a host of its subset at most (${DEFAULT-VALUE}).")
+        private int each;
 
-    @Option(names = "--reserve", defaultValue = "0.1",
-        description = "Part of the cap left free, for rolling restarts and subsets that widen (${DEFAULT-VALUE}).")
-    private double reserve;
+        @Option(
+                names = "--reserve",
+                defaultValue = "0.1",
+                description =
+                        "Part of the cap left free, for rolling restarts and subsets that widen (${DEFAULT-VALUE}).")
+        private double reserve;
 
-    @Override
-    public Integer call() {
-      PrintWriter out = spec.commandLine().getOut();
-      PrintWriter err = spec.commandLine().getErr();
-      if (instances < 1 || hosts < SubsetSize.LEAST || (long) instances * hosts > MOST || cap < 1 || each < 1
-          || !(reserve >= 0 && reserve < 1)) {
-        err.println("rillyard: expected --instances of 1 or more, --hosts of " + SubsetSize.LEAST + " or more, both times"
-            + " each other up to " + MOST + ", --cap and --each of 1 or more, --reserve from 0 to below 1");
-        return Cli.USAGE;
-      }
-      boolean any = false;
-      out.println("| way | hosts each | instances a host: least, mean, most | connections a host, most |"
-          + " neighbours alike | shared by two | moved when a host goes | when an instance comes |");
-      out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
-      for (Schemes way : Schemes.values()) {
-        try {
-          SubsetSize s = SubsetSize.largest(way, instances, hosts, cap, each, reserve);
-          row(out, way, s, SubsetFigures.of(way, instances, hosts, s.hosts()));
-          any = true;
-        } catch (SubsetSize.TooManyException e) {
-          out.println("| " + way.word() + " | none: " + e.getMessage() + " | | | | | | |");
+        @Override
+        public Integer call() {
+            PrintWriter out = spec.commandLine().getOut();
+            PrintWriter err = spec.commandLine().getErr();
+            if (instances < 1
+                    || hosts < SubsetSize.LEAST
+                    || (long) instances * hosts > MOST
+                    || cap < 1
+                    || each < 1
+                    || !(reserve >= 0 && reserve < 1)) {
+                err.println("rillyard: expected --instances of 1 or more, --hosts of " + SubsetSize.LEAST
+                        + " or more, both times" + " each other up to " + MOST
+                        + ", --cap and --each of 1 or more, --reserve from 0 to below 1");
+                return Cli.USAGE;
+            }
+            boolean any = false;
+            out.println("| way | hosts each | instances a host: least, mean, most | connections a host, most |"
+                    + " neighbours alike | shared by two | moved when a host goes | when an instance comes |");
+            out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
+            for (Schemes way : Schemes.values()) {
+                try {
+                    SubsetSize s = SubsetSize.largest(way, instances, hosts, cap, each, reserve);
+                    row(out, way, s, SubsetFigures.of(way, instances, hosts, s.hosts()));
+                    any = true;
+                } catch (SubsetSize.TooManyException e) {
+                    out.println("| " + way.word() + " | none: " + e.getMessage() + " | | | | | | |");
+                }
+            }
+            return any ? Cli.DONE : Cli.FAILED;
         }
-      }
-      return any ? Cli.DONE : Cli.FAILED;
-    }
 
-    private void row(PrintWriter out, Schemes way, SubsetSize s, SubsetFigures f) {
-      out.println(String.format(Locale.ROOT, "| %s | %d | %d, %.0f, %d | %d of %d | %d | %.2f | %.2f | %.2f |",
-          way.word(), s.hosts(), f.least(), f.mean(), f.most(), s.connections(), cap, f.twins(), f.shared(),
-          f.movedByHost(), f.movedByInstance()));
+        private void row(PrintWriter out, Schemes way, SubsetSize s, SubsetFigures f) {
+            out.println(String.format(
+                    Locale.ROOT,
+                    "| %s | %d | %d, %.0f, %d | %d of %d | %d | %.2f | %.2f | %.2f |",
+                    way.word(),
+                    s.hosts(),
+                    f.least(),
+                    f.mean(),
+                    f.most(),
+                    s.connections(),
+                    cap,
+                    f.twins(),
+                    f.shared(),
+                    f.movedByHost(),
+                    f.movedByInstance()));
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/cli/TrialCommand.java
+++ b/src/main/java/rillyard/cli/TrialCommand.java
@@ -14,66 +14,72 @@
 import rillyard.trial.TrialResult;
 
 @Command(
-    name = "trial",
-    description = "Starts many processes of this program, with faults between them.",
-    mixinStandardHelpOptions = true,
-    versionProvider = Version.class,
-    synopsisSubcommandLabel = "WHAT",
-    subcommands = TrialCommand.Run.class)
+        name = "trial",
+        description = "Starts many processes of this program, with faults between them.",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
+        synopsisSubcommandLabel = "WHAT",
+        subcommands = TrialCommand.Run.class)
 final class TrialCommand implements Callable<Integer> {
-  @Override
-  public Integer call() {
-    System.err.println("rillyard: say what of trials: run");
-    return Cli.USAGE;
-  }
+    @Override
+    public Integer call() {
+        System.err.println("rillyard: say what of trials: run");
+        return Cli.USAGE;
+    }
 
-  @Command(
-      name = "run",
-      description = {
-        "Runs a plan and tells what the processes believed and what clients were served (docs/trials.md). Ends with 1",
-        "if a process that could be heard was held dead, if those that live don't agree in the end, or if a",
-        "rule of the proxies was broken."
-      },
-      mixinStandardHelpOptions = true,
-      versionProvider = Version.class)
-  static final class Run implements Callable<Integer> {
-    @Parameters(paramLabel = "PLAN", description = "TOML: processes, zones, and faults by their times.")
-    private Path plan;
+    @Command(
+            name = "run",
+            description = {
+                "Runs a plan and tells what the processes believed and what clients were served (docs/trials.md). Ends with 1",
+                "if a process that could be heard was held dead, if those that live don't agree in the end, or if a",
+                "rule of the proxies was broken."
+            },
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class)
+    static final class Run implements Callable<Integer> {
+        @Parameters(paramLabel = "PLAN", description = "TOML: processes, zones, and faults by their times.")
+        private Path plan;
 
-    @Option(names = "--out", required = true, description = "A new folder for logs, histories and the report.")
-    private Path out;
+        @Option(names = "--out", required = true, description = "A new folder for logs, histories and the report.")
+        private Path out;
 
-    @Option(names = "--build", defaultValue = ".",
-        description = "The folder that holds deploy and target of the build to start (${DEFAULT-VALUE}).")
-    private Path build;
+        @Option(
+                names = "--build",
+                defaultValue = ".",
+                description = "The folder that holds deploy and target of the build to start (${DEFAULT-VALUE}).")
+        private Path build;
 
-    @Option(names = "--nemesis", split = ",",
-        description = "Draws faults besides those of the plan: ${COMPLETION-CANDIDATES}.")
-    private Set<Nemesis.Kind> nemesis = Set.of();
+        @Option(
+                names = "--nemesis",
+                split = ",",
+                description = "Draws faults besides those of the plan: ${COMPLETION-CANDIDATES}.")
+        private Set<Nemesis.Kind> nemesis = Set.of();
 
-    @Option(names = "--seed", defaultValue = "1", description = "What they are drawn from (${DEFAULT-VALUE}).")
-    private long seed;
+        @Option(names = "--seed", defaultValue = "1", description = "What they are drawn from (${DEFAULT-VALUE}).")
+        private long seed;
 
-    @Override
-    public Integer call() throws Exception {
-      var read = TrialPlanReader.read(plan);
-      if (Files.exists(out)) {
-        System.err.println("rillyard: " + out + " is there already, expected a new folder");
-        return Cli.USAGE;
-      }
-      if (!Files.exists(build.resolve("deploy/proxy.jvm")) || !Files.exists(build.resolve("target/rillyard.jar"))) {
-        System.err.println("rillyard: no deploy/proxy.jvm and target/rillyard.jar in " + build + ", expected a build there");
-        return Cli.USAGE;
-      }
-      if (!nemesis.isEmpty()) {
-        System.out.println("nemesis of seed " + seed);
-        read = read.with(Nemesis.draw(read, nemesis, seed));
-      }
-      TrialResult result = new Trial(read, out, System.out).run(Launch.platform(build.toAbsolutePath()));
-      String report = result.report();
-      Files.writeString(out.resolve("report.txt"), report);
-      System.out.print(report);
-      return result.good() ? Cli.DONE : Cli.FAILED;
+        @Override
+        public Integer call() throws Exception {
+            var read = TrialPlanReader.read(plan);
+            if (Files.exists(out)) {
+                System.err.println("rillyard: " + out + " is there already, expected a new folder");
+                return Cli.USAGE;
+            }
+            if (!Files.exists(build.resolve("deploy/proxy.jvm"))
+                    || !Files.exists(build.resolve("target/rillyard.jar"))) {
+                System.err.println("rillyard: no deploy/proxy.jvm and target/rillyard.jar in " + build
+                        + ", expected a build there");
+                return Cli.USAGE;
+            }
+            if (!nemesis.isEmpty()) {
+                System.out.println("nemesis of seed " + seed);
+                read = read.with(Nemesis.draw(read, nemesis, seed));
+            }
+            TrialResult result = new Trial(read, out, System.out).run(Launch.platform(build.toAbsolutePath()));
+            String report = result.report();
+            Files.writeString(out.resolve("report.txt"), report);
+            System.out.print(report);
+            return result.good() ? Cli.DONE : Cli.FAILED;
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/connections/IdleTimes.java
+++ b/src/main/java/rillyard/connections/IdleTimes.java
@@ -12,29 +12,29 @@
  * @param spare nanoseconds for which any further one is kept: what the last burst needed
  */
 public record IdleTimes(long first, long spare) {
-  /** Nanoseconds for a proxy that is alone; shared by all that may connect to a host. */
-  private static final long FIRST_ALONE = 30_000_000_000L;
+    /** Nanoseconds for a proxy that is alone; shared by all that may connect to a host. */
+    private static final long FIRST_ALONE = 30_000_000_000L;
 
-  private static final long SPARE_ALONE = 4_500_000_000L;
+    private static final long SPARE_ALONE = 4_500_000_000L;
 
-  /** The least (ns): shorter than the pause between requests of a busy proxy each would be new. */
-  private static final long FIRST_LEAST = 2_000_000_000L;
+    /** The least (ns): shorter than the pause between requests of a busy proxy each would be new. */
+    private static final long FIRST_LEAST = 2_000_000_000L;
 
-  private static final long SPARE_LEAST = 300_000_000L;
+    private static final long SPARE_LEAST = 300_000_000L;
 
-  /**
-   * For so many proxies, and hosts that close idle connections after {@code closedAfter} ns; fewer than one
-   * proxy are taken for one.
-   */
-  public static IdleTimes of(int proxies, long closedAfter) {
-    int sharers = Math.max(1, proxies);
-    long first = Math.max(FIRST_LEAST, FIRST_ALONE / sharers);
-    long spare = Math.max(SPARE_LEAST, SPARE_ALONE / sharers);
-    return new IdleTimes(Math.min(first, closedAfter), Math.min(spare, closedAfter));
-  }
+    /**
+     * For so many proxies, and hosts that close idle connections after {@code closedAfter} ns; fewer than one
+     * proxy are taken for one.
+     */
+    public static IdleTimes of(int proxies, long closedAfter) {
+        int sharers = Math.max(1, proxies);
+        long first = Math.max(FIRST_LEAST, FIRST_ALONE / sharers);
+        long spare = Math.max(SPARE_LEAST, SPARE_ALONE / sharers);
+        return new IdleTimes(Math.min(first, closedAfter), Math.min(spare, closedAfter));
+    }
 
-  /** Whether the oldest of {@code idle} connections to a host has stood idle for too long (ns). */
-  public boolean over(int idle, long idleFor) {
-    return idleFor > (idle > 1 ? spare : first);
-  }
+    /** Whether the oldest of {@code idle} connections to a host has stood idle for too long (ns). */
+    public boolean over(int idle, long idleFor) {
+        return idleFor > (idle > 1 ? spare : first);
+    }
 }
--- a/src/main/java/rillyard/demo/Demo.java
+++ b/src/main/java/rillyard/demo/Demo.java
@@ -28,8 +28,8 @@
 
 /** A surge over eight hosts, one of which hangs and one of which drains, through one proxy. */
 public final class Demo {
-  private static final String TIMETABLE =
-      """
+    private static final String TIMETABLE =
+            """
       seed = 20
       [hosts]
       count = 8
@@ -47,8 +47,8 @@
       new_id = true
       """;
 
-  private static final String PLAN =
-      """
+    private static final String PLAN =
+            """
       seed = 20
       [clients]
       count = 120
@@ -64,82 +64,81 @@
       fall_s = 3
       """;
 
-  /** What came of it. */
-  public record Result(Report report, Audit.Verdict verdict) {}
+    /** What came of it. */
+    public record Result(Report report, Audit.Verdict verdict) {}
 
-  private final PrintStream out;
-  private final String timetable;
-  private final String plan;
+    private final PrintStream out;
+    private final String timetable;
+    private final String plan;
 
-  /** A demo whose progress goes to {@code out}. */
-  public Demo(PrintStream out) {
-    this(out, TIMETABLE, PLAN);
-  }
+    /** A demo whose progress goes to {@code out}. */
+    public Demo(PrintStream out) {
+        this(out, TIMETABLE, PLAN);
+    }
 
-  Demo(PrintStream out, String timetable, String plan) {
-    this.out = out;
-    this.timetable = timetable;
-    this.plan = plan;
-  }
+    Demo(PrintStream out, String timetable, String plan) {
+        this.out = out;
+        this.timetable = timetable;
+        this.plan = plan;
+    }
 
-  /**
-   * Runs it; {@code keep} is a folder for the ledgers and the report, or null if they are to go.
-   *
-   * @throws Exception if any part of it could not be started
-   */
-  public Result run(Path keep) throws Exception {
-    Path folder = keep == null ? Files.createTempDirectory("rillyard-demo") : keep;
-    Files.createDirectories(folder);
-    try {
-      return run(folder, out);
-    } finally {
-      if (keep == null) {
-        delete(folder);
-      }
+    /**
+     * Runs it; {@code keep} is a folder for the ledgers and the report, or null if they are to go.
+     *
+     * @throws Exception if any part of it could not be started
+     */
+    public Result run(Path keep) throws Exception {
+        Path folder = keep == null ? Files.createTempDirectory("rillyard-demo") : keep;
+        Files.createDirectories(folder);
+        try {
+            return run(folder, out);
+        } finally {
+            if (keep == null) {
+                delete(folder);
+            }
+        }
     }
-  }
 
-  private Result run(Path folder, PrintStream progress) throws Exception {
-    StandInPlan hosts = StandInPlanReader.parse("demo", timetable, 0);
-    LoadPlan load = LoadPlanReader.parse("demo", plan, folder);
-    Path clientsFile = folder.resolve("clients.jsonl");
-    Path hostsFile = folder.resolve("hosts.jsonl");
-    Path ready = folder.resolve("ready.json");
-    progress.println("rillyard: warming up");
-    WarmUp.run();
-    long now = UnixClock.micros();
-    LoadRun run;
-    try (Ledger hostLedger = Ledger.open(hostsFile, new LedgerHead("hosts", now, hosts.seed()));
-        Ledger clientLedger = Ledger.open(clientsFile, new LedgerHead("clients", now, load.seed()));
-        StandIn standIn =
-            new StandIn(
-                hosts,
-                new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0),
-                2,
-                hostLedger,
-                System.err)) {
-      standIn.start();
-      new ObjectMapper().writerWithDefaultPrettyPrinter().writeValue(ready.toFile(), standIn.ready());
-      progress.println("rillyard: " + hosts.hosts().size() + " hosts are up, a proxy starts");
-      try (ProxyProcess proxy = ProxyProcess.start(ready, folder.resolve("proxy.log"))) {
-        progress.println("rillyard: the proxy is ready at " + proxy.address().getPort()
-            + "; the surge begins");
-        run = new LoadRun(load, List.of(proxy.address()), clientLedger, progress);
-        standIn.startTimetable();
-        run.run();
-      }
+    private Result run(Path folder, PrintStream progress) throws Exception {
+        StandInPlan hosts = StandInPlanReader.parse("demo", timetable, 0);
+        LoadPlan load = LoadPlanReader.parse("demo", plan, folder);
+        Path clientsFile = folder.resolve("clients.jsonl");
+        Path hostsFile = folder.resolve("hosts.jsonl");
+        Path ready = folder.resolve("ready.json");
+        progress.println("rillyard: warming up");
+        WarmUp.run();
+        long now = UnixClock.micros();
+        LoadRun run;
+        try (Ledger hostLedger = Ledger.open(hostsFile, new LedgerHead("hosts", now, hosts.seed()));
+                Ledger clientLedger = Ledger.open(clientsFile, new LedgerHead("clients", now, load.seed()));
+                StandIn standIn = new StandIn(
+                        hosts,
+                        new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0),
+                        2,
+                        hostLedger,
+                        System.err)) {
+            standIn.start();
+            new ObjectMapper().writerWithDefaultPrettyPrinter().writeValue(ready.toFile(), standIn.ready());
+            progress.println("rillyard: " + hosts.hosts().size() + " hosts are up, a proxy starts");
+            try (ProxyProcess proxy = ProxyProcess.start(ready, folder.resolve("proxy.log"))) {
+                progress.println(
+                        "rillyard: the proxy is ready at " + proxy.address().getPort() + "; the surge begins");
+                run = new LoadRun(load, List.of(proxy.address()), clientLedger, progress);
+                standIn.startTimetable();
+                run.run();
+            }
+        }
+        Report report = run.report(Marks.read(hostsFile, run.startedMicros()));
+        ReportFiles.write(folder, report, "Demo: a surge over eight hosts");
+        run.writeHistograms(folder);
+        return new Result(report, Audit.of(clientsFile, hostsFile, AuditSettings.read(ready)));
     }
-    Report report = run.report(Marks.read(hostsFile, run.startedMicros()));
-    ReportFiles.write(folder, report, "Demo: a surge over eight hosts");
-    run.writeHistograms(folder);
-    return new Result(report, Audit.of(clientsFile, hostsFile, AuditSettings.read(ready)));
-  }
 
-  private static void delete(Path folder) throws IOException {
-    try (Stream<Path> all = Files.walk(folder)) {
-      for (Path p : all.sorted(Comparator.reverseOrder()).toList()) {
-        Files.deleteIfExists(p);
-      }
+    private static void delete(Path folder) throws IOException {
+        try (Stream<Path> all = Files.walk(folder)) {
+            for (Path p : all.sorted(Comparator.reverseOrder()).toList()) {
+                Files.deleteIfExists(p);
+            }
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/demo/WarmUp.java
+++ b/src/main/java/rillyard/demo/WarmUp.java
@@ -18,8 +18,8 @@
  * very same classes to stand-ins in its own process first; nothing of that is counted.
  */
 public final class WarmUp {
-  private static final String HOSTS =
-      """
+    private static final String HOSTS =
+            """
       [hosts]
       count = 2
       cores = 1000
@@ -36,8 +36,8 @@
       work = { dist = "constant", mean_ms = 1 }
       """;
 
-  private static final String PLAN =
-      """
+    private static final String PLAN =
+            """
       [clients]
       count = 40
       [[shape]]
@@ -47,21 +47,21 @@
       to = 4000
       """;
 
-  private WarmUp() {}
+    private WarmUp() {}
 
-  /**
-   * Runs for two and a half seconds.
-   *
-   * @throws Exception if loopback can't be used
-   */
-  public static void run() throws Exception {
-    StandInPlan hosts = StandInPlanReader.parse("warm-up", HOSTS, 0);
-    LoadPlan load = LoadPlanReader.parse("warm-up", PLAN, Path.of("."));
-    InetSocketAddress any = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0);
-    try (Ledger ledger = Ledger.none();
-        StandIn standIn = new StandIn(hosts, any, 1, ledger, System.err)) {
-      standIn.start();
-      new LoadRun(load, List.of(standIn.address("s-0"), standIn.address("s-1")), ledger, null).run();
+    /**
+     * Runs for two and a half seconds.
+     *
+     * @throws Exception if loopback can't be used
+     */
+    public static void run() throws Exception {
+        StandInPlan hosts = StandInPlanReader.parse("warm-up", HOSTS, 0);
+        LoadPlan load = LoadPlanReader.parse("warm-up", PLAN, Path.of("."));
+        InetSocketAddress any = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0);
+        try (Ledger ledger = Ledger.none();
+                StandIn standIn = new StandIn(hosts, any, 1, ledger, System.err)) {
+            standIn.start();
+            new LoadRun(load, List.of(standIn.address("s-0"), standIn.address("s-1")), ledger, null).run();
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/input/Finding.java
+++ b/src/main/java/rillyard/input/Finding.java
@@ -8,8 +8,8 @@
  * @param message what was found and what is allowed, on one line
  */
 public record Finding(String file, int line, String message) {
-  @Override
-  public String toString() {
-    return line > 0 ? file + ":" + line + ": " + message : file + ": " + message;
-  }
+    @Override
+    public String toString() {
+        return line > 0 ? file + ":" + line + ": " + message : file + ": " + message;
+    }
 }
--- a/src/main/java/rillyard/input/Nearest.java
+++ b/src/main/java/rillyard/input/Nearest.java
@@ -4,49 +4,48 @@
 
 /** The known name that a mistyped one was most likely meant to be. */
 public final class Nearest {
-  /** More edits than this part of the word make it another word. */
-  private static final double MOST_EDITS = 0.4;
+    /** More edits than this part of the word make it another word. */
+    private static final double MOST_EDITS = 0.4;
 
-  private Nearest() {}
+    private Nearest() {}
 
-  /** The known name with the fewest edits, or null if none is near. */
-  public static String to(String word, Collection<String> known) {
-    String best = null;
-    int fewest = (int) Math.max(1, MOST_EDITS * word.length()) + 1;
-    for (String k : known) {
-      int d = distance(word, k);
-      if (d < fewest) {
-        fewest = d;
-        best = k;
-      }
+    /** The known name with the fewest edits, or null if none is near. */
+    public static String to(String word, Collection<String> known) {
+        String best = null;
+        int fewest = (int) Math.max(1, MOST_EDITS * word.length()) + 1;
+        for (String k : known) {
+            int d = distance(word, k);
+            if (d < fewest) {
+                fewest = d;
+                best = k;
+            }
+        }
+        return best;
     }
-    return best;
-  }
 
-  /**
-   * Edits that make one of the other: letters put in, left out, changed, or two neighbours swapped
-   * (optimal string alignment, after Damerau 1964), by three rows of the table.
-   */
-  static int distance(String a, String b) {
-    int[] twoAbove = new int[b.length() + 1];
-    int[] above = new int[b.length() + 1];
-    for (int j = 0; j <= b.length(); j++) {
-      above[j] = j;
-    }
-    for (int i = 1; i <= a.length(); i++) {
-      int[] row = new int[b.length() + 1];
-      row[0] = i;
-      for (int j = 1; j <= b.length(); j++) {
-        int change = above[j - 1] + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
-        row[j] = Math.min(change, Math.min(above[j], row[j - 1]) + 1);
-        if (i > 1 && j > 1
-            && a.charAt(i - 1) == b.charAt(j - 2) && a.charAt(i - 2) == b.charAt(j - 1)) {
-          row[j] = Math.min(row[j], twoAbove[j - 2] + 1);
+    /**
+     * Edits that make one of the other: letters put in, left out, changed, or two neighbours swapped
+     * (optimal string alignment, after Damerau 1964), by three rows of the table.
+     */
+    static int distance(String a, String b) {
+        int[] twoAbove = new int[b.length() + 1];
+        int[] above = new int[b.length() + 1];
+        for (int j = 0; j <= b.length(); j++) {
+            above[j] = j;
+        }
+        for (int i = 1; i <= a.length(); i++) {
+            int[] row = new int[b.length() + 1];
+            row[0] = i;
+            for (int j = 1; j <= b.length(); j++) {
+                int change = above[j - 1] + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
+                row[j] = Math.min(change, Math.min(above[j], row[j - 1]) + 1);
+                if (i > 1 && j > 1 && a.charAt(i - 1) == b.charAt(j - 2) && a.charAt(i - 2) == b.charAt(j - 1)) {
+                    row[j] = Math.min(row[j], twoAbove[j - 2] + 1);
+                }
+            }
+            twoAbove = above;
+            above = row;
         }
-      }
-      twoAbove = above;
-      above = row;
+        return above[b.length()];
     }
-    return above[b.length()];
-  }
 }
--- a/src/main/java/rillyard/input/TomlTable.java
+++ b/src/main/java/rillyard/input/TomlTable.java
@@ -26,251 +26,253 @@
  * findings then.
  */
 public final class TomlTable {
-  private record Source(String file, Map<String, Integer> lines, List<Finding> findings, List<TomlTable> tables) {}
+    private record Source(String file, Map<String, Integer> lines, List<Finding> findings, List<TomlTable> tables) {}
 
-  private final Source source;
-  private final String path;
-  private final ObjectNode node;
-  private final Set<String> known = new LinkedHashSet<>();
+    private final Source source;
+    private final String path;
+    private final ObjectNode node;
+    private final Set<String> known = new LinkedHashSet<>();
 
-  private TomlTable(Source source, String path, ObjectNode node) {
-    this.source = source;
-    this.path = path;
-    this.node = node;
-    source.tables.add(this);
-  }
-
-  /**
-   * Reads a file.
-   *
-   * @throws InvalidFileException if it can't be read or is no TOML
-   */
-  public static TomlTable read(Path file) throws InvalidFileException {
-    try {
-      return parse(file.toString(), Files.readString(file, StandardCharsets.UTF_8));
-    } catch (IOException e) {
-      throw new InvalidFileException(file.toString(), 0, "can't be read: " + e);
+    private TomlTable(Source source, String path, ObjectNode node) {
+        this.source = source;
+        this.path = path;
+        this.node = node;
+        source.tables.add(this);
     }
-  }
 
-  /**
-   * Reads a text; {@code name} stands for it in findings.
-   *
-   * @throws InvalidFileException if it is no TOML
-   */
-  public static TomlTable parse(String name, String text) throws InvalidFileException {
-    try {
-      JsonNode root = new TomlMapper().readTree(text);
-      ObjectNode table = root instanceof ObjectNode o ? o : JsonNodeFactory.instance.objectNode();
-      return new TomlTable(
-          new Source(name, TomlLines.of(text), new ArrayList<>(), new ArrayList<>()), "", table);
-    } catch (JsonProcessingException e) {
-      JsonLocation at = e.getLocation();
-      int line = at == null ? 0 : Math.max(0, at.getLineNr());
-      throw new InvalidFileException(name, line, "not TOML: " + e.getOriginalMessage());
+    /**
+     * Reads a file.
+     *
+     * @throws InvalidFileException if it can't be read or is no TOML
+     */
+    public static TomlTable read(Path file) throws InvalidFileException {
+        try {
+            return parse(file.toString(), Files.readString(file, StandardCharsets.UTF_8));
+        } catch (IOException e) {
+            throw new InvalidFileException(file.toString(), 0, "can't be read: " + e);
+        }
     }
-  }
-
-  /** Whether the key is there. */
-  public boolean has(String key) {
-    known.add(key);
-    return node.has(key);
-  }
 
-  /** The line of a key, or of the table where the key is absent. */
-  public int line(String key) {
-    String at = path.isEmpty() ? key : path + "." + key;
-    while (!at.isEmpty()) {
-      Integer line = source.lines.get(at);
-      if (line != null) {
-        return line;
-      }
-      int dot = at.lastIndexOf('.');
-      at = dot < 0 ? "" : at.substring(0, dot);
+    /**
+     * Reads a text; {@code name} stands for it in findings.
+     *
+     * @throws InvalidFileException if it is no TOML
+     */
+    public static TomlTable parse(String name, String text) throws InvalidFileException {
+        try {
+            JsonNode root = new TomlMapper().readTree(text);
+            ObjectNode table = root instanceof ObjectNode o ? o : JsonNodeFactory.instance.objectNode();
+            return new TomlTable(new Source(name, TomlLines.of(text), new ArrayList<>(), new ArrayList<>()), "", table);
+        } catch (JsonProcessingException e) {
+            JsonLocation at = e.getLocation();
+            int line = at == null ? 0 : Math.max(0, at.getLineNr());
+            throw new InvalidFileException(name, line, "not TOML: " + e.getOriginalMessage());
+        }
     }
-    return 0;
-  }
-
-  /** Adds a finding at a key. */
-  public void error(String key, String message) {
-    String where = path.isEmpty() ? key : path.replaceAll("\\.(\\d+)", "[$1]") + "." + key;
-    source.findings.add(new Finding(source.file, line(key), where + ": " + message));
-  }
-
-  private JsonNode get(String key) {
-    known.add(key);
-    return node.get(key);
-  }
 
-  /** A text, or the default. */
-  public String text(String key, String otherwise) {
-    JsonNode v = get(key);
-    if (v == null) {
-      return otherwise;
+    /** Whether the key is there. */
+    public boolean has(String key) {
+        known.add(key);
+        return node.has(key);
     }
-    if (!v.isTextual() || v.asText().isBlank()) {
-      error(key, "found " + v + ", expected a text that is not empty");
-      return otherwise;
-    }
-    return v.asText();
-  }
 
-  /** A text that must be there; empty where it is not, which is a finding. */
-  public String text(String key) {
-    if (!node.has(key)) {
-      known.add(key);
-      error(key, "is missing, expected a text");
-      return "";
+    /** The line of a key, or of the table where the key is absent. */
+    public int line(String key) {
+        String at = path.isEmpty() ? key : path + "." + key;
+        while (!at.isEmpty()) {
+            Integer line = source.lines.get(at);
+            if (line != null) {
+                return line;
+            }
+            int dot = at.lastIndexOf('.');
+            at = dot < 0 ? "" : at.substring(0, dot);
+        }
+        return 0;
     }
-    return text(key, "");
-  }
 
-  /** One of a few names, in lower case with _ or - alike; or the default. */
-  public <E extends Enum<E>> E choice(String key, Class<E> type, E otherwise) {
-    String s = text(key, null);
-    if (s == null) {
-      return otherwise;
-    }
-    for (E e : type.getEnumConstants()) {
-      if (name(e).equals(s.replace('_', '-'))) {
-        return e;
-      }
+    /** Adds a finding at a key. */
+    public void error(String key, String message) {
+        String where = path.isEmpty() ? key : path.replaceAll("\\.(\\d+)", "[$1]") + "." + key;
+        source.findings.add(new Finding(source.file, line(key), where + ": " + message));
     }
-    List<String> names = new ArrayList<>();
-    for (E e : type.getEnumConstants()) {
-      names.add(name(e));
-    }
-    String near = Nearest.to(s, names);
-    error(key, "found '" + s + "', expected one of " + String.join(", ", names)
-        + (near == null ? "" : "; did you mean '" + near + "'?"));
-    return otherwise;
-  }
-
-  private static String name(Enum<?> e) {
-    return e.name().toLowerCase(Locale.ROOT).replace('_', '-');
-  }
 
-  /** True or false, or the default. */
-  public boolean flag(String key, boolean otherwise) {
-    JsonNode v = get(key);
-    if (v == null) {
-      return otherwise;
+    private JsonNode get(String key) {
+        known.add(key);
+        return node.get(key);
     }
-    if (!v.isBoolean()) {
-      error(key, "found " + v + ", expected true or false");
-      return otherwise;
-    }
-    return v.asBoolean();
-  }
 
-  /** A finite number within a range, ends included, or the default. */
-  public double number(String key, double otherwise, double least, double most) {
-    JsonNode v = get(key);
-    if (v == null) {
-      return otherwise;
+    /** A text, or the default. */
+    public String text(String key, String otherwise) {
+        JsonNode v = get(key);
+        if (v == null) {
+            return otherwise;
+        }
+        if (!v.isTextual() || v.asText().isBlank()) {
+            error(key, "found " + v + ", expected a text that is not empty");
+            return otherwise;
+        }
+        return v.asText();
     }
-    return inRange(key, v, least, most) ? v.asDouble() : otherwise;
-  }
 
-  /** A whole number within a range, ends included, or the default. */
-  public long whole(String key, long otherwise, long least, long most) {
-    JsonNode v = get(key);
-    if (v == null) {
-      return otherwise;
+    /** A text that must be there; empty where it is not, which is a finding. */
+    public String text(String key) {
+        if (!node.has(key)) {
+            known.add(key);
+            error(key, "is missing, expected a text");
+            return "";
+        }
+        return text(key, "");
     }
-    if (!v.isIntegralNumber() || !v.canConvertToLong() || v.asLong() < least || v.asLong() > most) {
-      error(key, "found " + v + ", expected a whole number from " + least + " to " + most);
-      return otherwise;
+
+    /** One of a few names, in lower case with _ or - alike; or the default. */
+    public <E extends Enum<E>> E choice(String key, Class<E> type, E otherwise) {
+        String s = text(key, null);
+        if (s == null) {
+            return otherwise;
+        }
+        for (E e : type.getEnumConstants()) {
+            if (name(e).equals(s.replace('_', '-'))) {
+                return e;
+            }
+        }
+        List<String> names = new ArrayList<>();
+        for (E e : type.getEnumConstants()) {
+            names.add(name(e));
+        }
+        String near = Nearest.to(s, names);
+        error(
+                key,
+                "found '" + s + "', expected one of " + String.join(", ", names)
+                        + (near == null ? "" : "; did you mean '" + near + "'?"));
+        return otherwise;
     }
-    return v.asLong();
-  }
 
-  /** Numbers within a range, or the default. */
-  public double[] numbers(String key, double[] otherwise, double least, double most) {
-    JsonNode v = get(key);
-    if (v == null) {
-      return otherwise.clone();
+    private static String name(Enum<?> e) {
+        return e.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
-    if (!v.isArray() || v.isEmpty()) {
-      error(key, "found " + v + ", expected a list of numbers");
-      return otherwise.clone();
+
+    /** True or false, or the default. */
+    public boolean flag(String key, boolean otherwise) {
+        JsonNode v = get(key);
+        if (v == null) {
+            return otherwise;
+        }
+        if (!v.isBoolean()) {
+            error(key, "found " + v + ", expected true or false");
+            return otherwise;
+        }
+        return v.asBoolean();
     }
-    double[] out = new double[v.size()];
-    for (int i = 0; i < out.length; i++) {
-      if (!inRange(key, v.get(i), least, most)) {
-        return otherwise.clone();
-      }
-      out[i] = v.get(i).asDouble();
+
+    /** A finite number within a range, ends included, or the default. */
+    public double number(String key, double otherwise, double least, double most) {
+        JsonNode v = get(key);
+        if (v == null) {
+            return otherwise;
+        }
+        return inRange(key, v, least, most) ? v.asDouble() : otherwise;
     }
-    return out;
-  }
 
-  private boolean inRange(String key, JsonNode v, double least, double most) {
-    if (v.isNumber() && v.asDouble() >= least && v.asDouble() <= most) {
-      return true;
+    /** A whole number within a range, ends included, or the default. */
+    public long whole(String key, long otherwise, long least, long most) {
+        JsonNode v = get(key);
+        if (v == null) {
+            return otherwise;
+        }
+        if (!v.isIntegralNumber() || !v.canConvertToLong() || v.asLong() < least || v.asLong() > most) {
+            error(key, "found " + v + ", expected a whole number from " + least + " to " + most);
+            return otherwise;
+        }
+        return v.asLong();
     }
-    error(key, "found " + v + ", expected a number from " + plain(least) + " to " + plain(most));
-    return false;
-  }
 
-  private static String plain(double d) {
-    return d == Math.rint(d) && Math.abs(d) < 1e15 ? Long.toString((long) d) : Double.toString(d);
-  }
+    /** Numbers within a range, or the default. */
+    public double[] numbers(String key, double[] otherwise, double least, double most) {
+        JsonNode v = get(key);
+        if (v == null) {
+            return otherwise.clone();
+        }
+        if (!v.isArray() || v.isEmpty()) {
+            error(key, "found " + v + ", expected a list of numbers");
+            return otherwise.clone();
+        }
+        double[] out = new double[v.size()];
+        for (int i = 0; i < out.length; i++) {
+            if (!inRange(key, v.get(i), least, most)) {
+                return otherwise.clone();
+            }
+            out[i] = v.get(i).asDouble();
+        }
+        return out;
+    }
 
-  /** A table within this one; an empty one where the key is absent. */
-  public TomlTable table(String key) {
-    JsonNode v = get(key);
-    if (v != null && !v.isObject()) {
-      error(key, "found " + v + ", expected a table");
+    private boolean inRange(String key, JsonNode v, double least, double most) {
+        if (v.isNumber() && v.asDouble() >= least && v.asDouble() <= most) {
+            return true;
+        }
+        error(key, "found " + v + ", expected a number from " + plain(least) + " to " + plain(most));
+        return false;
     }
-    String at = path.isEmpty() ? key : path + "." + key;
-    return new TomlTable(
-        source, at, v instanceof ObjectNode o ? o : JsonNodeFactory.instance.objectNode());
-  }
 
-  /** The tables of an array of tables; none where the key is absent. */
-  public List<TomlTable> tables(String key) {
-    JsonNode v = get(key);
-    List<TomlTable> out = new ArrayList<>();
-    if (v == null) {
-      return out;
+    private static String plain(double d) {
+        return d == Math.rint(d) && Math.abs(d) < 1e15 ? Long.toString((long) d) : Double.toString(d);
     }
-    if (!v.isArray()) {
-      error(key, "found " + v + ", expected tables, each headed [[" + key + "]]");
-      return out;
+
+    /** A table within this one; an empty one where the key is absent. */
+    public TomlTable table(String key) {
+        JsonNode v = get(key);
+        if (v != null && !v.isObject()) {
+            error(key, "found " + v + ", expected a table");
+        }
+        String at = path.isEmpty() ? key : path + "." + key;
+        return new TomlTable(source, at, v instanceof ObjectNode o ? o : JsonNodeFactory.instance.objectNode());
     }
-    for (int i = 0; i < v.size(); i++) {
-      if (v.get(i) instanceof ObjectNode o) {
-        out.add(new TomlTable(source, (path.isEmpty() ? key : path + "." + key) + "." + i, o));
-      } else {
-        error(key, "found " + v.get(i) + ", expected a table");
-      }
+
+    /** The tables of an array of tables; none where the key is absent. */
+    public List<TomlTable> tables(String key) {
+        JsonNode v = get(key);
+        List<TomlTable> out = new ArrayList<>();
+        if (v == null) {
+            return out;
+        }
+        if (!v.isArray()) {
+            error(key, "found " + v + ", expected tables, each headed [[" + key + "]]");
+            return out;
+        }
+        for (int i = 0; i < v.size(); i++) {
+            if (v.get(i) instanceof ObjectNode o) {
+                out.add(new TomlTable(source, (path.isEmpty() ? key : path + "." + key) + "." + i, o));
+            } else {
+                error(key, "found " + v.get(i) + ", expected a table");
+            }
+        }
+        return out;
     }
-    return out;
-  }
 
-  /**
-   * Ends the reading of the whole file.
-   *
-   * @throws InvalidFileException if there is any finding, unknown keys included
-   */
-  public void finish() throws InvalidFileException {
-    for (TomlTable t : source.tables) {
-      t.node
-          .fieldNames()
-          .forEachRemaining(
-              k -> {
+    /**
+     * Ends the reading of the whole file.
+     *
+     * @throws InvalidFileException if there is any finding, unknown keys included
+     */
+    public void finish() throws InvalidFileException {
+        for (TomlTable t : source.tables) {
+            t.node.fieldNames().forEachRemaining(k -> {
                 if (!t.known.contains(k)) {
-                  String near = Nearest.to(k, t.known);
-                  t.error(k, "unknown key" + (near != null
-                      ? "; did you mean '" + near + "'?"
-                      : ", expected one of " + t.known.stream().sorted().collect(Collectors.joining(", "))));
+                    String near = Nearest.to(k, t.known);
+                    t.error(
+                            k,
+                            "unknown key"
+                                    + (near != null
+                                            ? "; did you mean '" + near + "'?"
+                                            : ", expected one of "
+                                                    + t.known.stream().sorted().collect(Collectors.joining(", "))));
                 }
-              });
-    }
-    if (!source.findings.isEmpty()) {
-      throw new InvalidFileException(
-          source.findings.stream().sorted(Comparator.comparingInt(Finding::line)).toList());
+            });
+        }
+        if (!source.findings.isEmpty()) {
+            throw new InvalidFileException(source.findings.stream()
+                    .sorted(Comparator.comparingInt(Finding::line))
+                    .toList());
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/ledger/ClientTry.java
+++ b/src/main/java/rillyard/ledger/ClientTry.java
@@ -24,70 +24,70 @@
  * @param last whether the request ended with it
  */
 public record ClientTry(
-    long request,
-    int number,
-    String id,
-    String key,
-    String type,
-    String tenant,
-    int client,
-    long intended,
-    long sent,
-    long ended,
-    long timeout,
-    Outcome outcome,
-    int status,
-    long retryAfter,
-    boolean last)
-    implements LedgerLine {
-  static final String KIND = "try";
+        long request,
+        int number,
+        String id,
+        String key,
+        String type,
+        String tenant,
+        int client,
+        long intended,
+        long sent,
+        long ended,
+        long timeout,
+        Outcome outcome,
+        int status,
+        long retryAfter,
+        boolean last)
+        implements LedgerLine {
+    static final String KIND = "try";
 
-  @Override
-  public void write(JsonGenerator g) throws IOException {
-    g.writeStartObject();
-    g.writeStringField("k", KIND);
-    g.writeNumberField("request", request);
-    g.writeNumberField("try", number);
-    g.writeStringField("id", id);
-    if (key != null) {
-      g.writeStringField("key", key);
+    @Override
+    public void write(JsonGenerator g) throws IOException {
+        g.writeStartObject();
+        g.writeStringField("k", KIND);
+        g.writeNumberField("request", request);
+        g.writeNumberField("try", number);
+        g.writeStringField("id", id);
+        if (key != null) {
+            g.writeStringField("key", key);
+        }
+        g.writeStringField("class", type);
+        if (tenant != null) {
+            g.writeStringField("tenant", tenant);
+        }
+        g.writeNumberField("client", client);
+        g.writeNumberField("intended", intended);
+        g.writeNumberField("sent", sent);
+        g.writeNumberField("ended", ended);
+        g.writeNumberField("timeout", timeout);
+        g.writeStringField("outcome", outcome.name());
+        if (status != 0) {
+            g.writeNumberField("status", status);
+        }
+        if (retryAfter != 0) {
+            g.writeNumberField("retry_after", retryAfter);
+        }
+        g.writeBooleanField("last", last);
+        g.writeEndObject();
     }
-    g.writeStringField("class", type);
-    if (tenant != null) {
-      g.writeStringField("tenant", tenant);
-    }
-    g.writeNumberField("client", client);
-    g.writeNumberField("intended", intended);
-    g.writeNumberField("sent", sent);
-    g.writeNumberField("ended", ended);
-    g.writeNumberField("timeout", timeout);
-    g.writeStringField("outcome", outcome.name());
-    if (status != 0) {
-      g.writeNumberField("status", status);
-    }
-    if (retryAfter != 0) {
-      g.writeNumberField("retry_after", retryAfter);
-    }
-    g.writeBooleanField("last", last);
-    g.writeEndObject();
-  }
 
-  static ClientTry read(JsonNode n) {
-    return new ClientTry(
-        Fields.whole(n, "request"),
-        (int) Fields.whole(n, "try"),
-        Fields.text(n, "id"),
-        Fields.textOrNull(n, "key"),
-        Fields.text(n, "class"),
-        Fields.textOrNull(n, "tenant"),
-        (int) Fields.whole(n, "client"),
-        Fields.whole(n, "intended"),
-        Fields.whole(n, "sent"),
-        Fields.whole(n, "ended"),
-        Fields.whole(n, "timeout"),
-        Fields.choice(n, "outcome", Outcome.class),
-        n.path("status").asInt(0),
-        n.path("retry_after").asLong(0),
-        n.path("last").asBoolean(true));
-  }
+    static ClientTry read(JsonNode n) {
+        return new ClientTry(
+                Fields.whole(n, "request"),
+                (int) Fields.whole(n, "try"),
+                Fields.text(n, "id"),
+                Fields.textOrNull(n, "key"),
+                Fields.text(n, "class"),
+                Fields.textOrNull(n, "tenant"),
+                (int) Fields.whole(n, "client"),
+                Fields.whole(n, "intended"),
+                Fields.whole(n, "sent"),
+                Fields.whole(n, "ended"),
+                Fields.whole(n, "timeout"),
+                Fields.choice(n, "outcome", Outcome.class),
+                n.path("status").asInt(0),
+                n.path("retry_after").asLong(0),
+                n.path("last").asBoolean(true));
+    }
 }
--- a/src/main/java/rillyard/ledger/Fields.java
+++ b/src/main/java/rillyard/ledger/Fields.java
@@ -5,40 +5,40 @@
 
 /** Checked reading of the fields of a line. */
 final class Fields {
-  private Fields() {}
+    private Fields() {}
 
-  static String text(JsonNode n, String key) {
-    JsonNode v = n.path(key);
-    if (!v.isTextual()) {
-      throw new IllegalArgumentException(key + ": found " + found(v) + ", expected a text");
+    static String text(JsonNode n, String key) {
+        JsonNode v = n.path(key);
+        if (!v.isTextual()) {
+            throw new IllegalArgumentException(key + ": found " + found(v) + ", expected a text");
+        }
+        return v.asText();
     }
-    return v.asText();
-  }
 
-  static String textOrNull(JsonNode n, String key) {
-    return n.hasNonNull(key) ? text(n, key) : null;
-  }
+    static String textOrNull(JsonNode n, String key) {
+        return n.hasNonNull(key) ? text(n, key) : null;
+    }
 
-  static long whole(JsonNode n, String key) {
-    JsonNode v = n.path(key);
-    if (!v.isIntegralNumber() || !v.canConvertToLong()) {
-      throw new IllegalArgumentException(key + ": found " + found(v) + ", expected a whole number");
+    static long whole(JsonNode n, String key) {
+        JsonNode v = n.path(key);
+        if (!v.isIntegralNumber() || !v.canConvertToLong()) {
+            throw new IllegalArgumentException(key + ": found " + found(v) + ", expected a whole number");
+        }
+        return v.asLong();
     }
-    return v.asLong();
-  }
 
-  static <E extends Enum<E>> E choice(JsonNode n, String key, Class<E> type) {
-    String s = text(n, key);
-    for (E e : type.getEnumConstants()) {
-      if (e.name().equals(s)) {
-        return e;
-      }
+    static <E extends Enum<E>> E choice(JsonNode n, String key, Class<E> type) {
+        String s = text(n, key);
+        for (E e : type.getEnumConstants()) {
+            if (e.name().equals(s)) {
+                return e;
+            }
+        }
+        throw new IllegalArgumentException(
+                key + ": found '" + s + "', expected one of " + Arrays.toString(type.getEnumConstants()));
     }
-    throw new IllegalArgumentException(
-        key + ": found '" + s + "', expected one of " + Arrays.toString(type.getEnumConstants()));
-  }
 
-  private static String found(JsonNode v) {
-    return v.isMissingNode() ? "nothing" : v.toString();
-  }
+    private static String found(JsonNode v) {
+        return v.isMissingNode() ? "nothing" : v.toString();
+    }
 }
--- a/src/main/java/rillyard/ledger/HostNews.java
+++ b/src/main/java/rillyard/ledger/HostNews.java
@@ -16,62 +16,56 @@
  * @param coldMicros how long it takes to become warm
  */
 public record HostNews(
-    long at,
-    String host,
-    What what,
-    String detail,
-    double capacity,
-    double startShare,
-    long coldMicros)
-    implements LedgerLine {
-  static final String KIND = "host";
+        long at, String host, What what, String detail, double capacity, double startShare, long coldMicros)
+        implements LedgerLine {
+    static final String KIND = "host";
 
-  /** What can happen. */
-  public enum What {
-    STARTED,
-    DRAINING,
-    STOPPED,
-    KILLED,
-    FAULT,
-    FAULT_ENDED
-  }
-
-  /** Whether a host that started was cold. */
-  public boolean cold() {
-    return coldMicros > 0;
-  }
+    /** What can happen. */
+    public enum What {
+        STARTED,
+        DRAINING,
+        STOPPED,
+        KILLED,
+        FAULT,
+        FAULT_ENDED
+    }
 
-  /** News that says nothing of the capacity. */
-  public HostNews(long at, String host, What what, String detail) {
-    this(at, host, what, detail, 0, 1, 0);
-  }
+    /** Whether a host that started was cold. */
+    public boolean cold() {
+        return coldMicros > 0;
+    }
 
-  @Override
-  public void write(JsonGenerator g) throws IOException {
-    g.writeStartObject();
-    g.writeStringField("k", KIND);
-    g.writeNumberField("at", at);
-    g.writeStringField("host", host);
-    g.writeStringField("what", what.name());
-    if (detail != null) {
-      g.writeStringField("detail", detail);
+    /** News that says nothing of the capacity. */
+    public HostNews(long at, String host, What what, String detail) {
+        this(at, host, what, detail, 0, 1, 0);
     }
-    if (what == What.STARTED) {
-      g.writeNumberField("capacity", capacity);
-      g.writeNumberField("start_share", startShare);
-      g.writeNumberField("cold", coldMicros);
+
+    @Override
+    public void write(JsonGenerator g) throws IOException {
+        g.writeStartObject();
+        g.writeStringField("k", KIND);
+        g.writeNumberField("at", at);
+        g.writeStringField("host", host);
+        g.writeStringField("what", what.name());
+        if (detail != null) {
+            g.writeStringField("detail", detail);
+        }
+        if (what == What.STARTED) {
+            g.writeNumberField("capacity", capacity);
+            g.writeNumberField("start_share", startShare);
+            g.writeNumberField("cold", coldMicros);
+        }
+        g.writeEndObject();
     }
-    g.writeEndObject();
-  }
 
-  static HostNews read(JsonNode n) {
-    return new HostNews(
-        Fields.whole(n, "at"),
-        Fields.text(n, "host"),
-        Fields.choice(n, "what", What.class),
-        Fields.textOrNull(n, "detail"),
-        n.path("capacity").asDouble(0),
-        n.path("start_share").asDouble(1),
-        n.path("cold").asLong(0));
-  }
+    static HostNews read(JsonNode n) {
+        return new HostNews(
+                Fields.whole(n, "at"),
+                Fields.text(n, "host"),
+                Fields.choice(n, "what", What.class),
+                Fields.textOrNull(n, "detail"),
+                n.path("capacity").asDouble(0),
+                n.path("start_share").asDouble(1),
+                n.path("cold").asLong(0));
+    }
 }
--- a/src/main/java/rillyard/ledger/HostRun.java
+++ b/src/main/java/rillyard/ledger/HostRun.java
@@ -22,65 +22,65 @@
  * @param result what became of it
  */
 public record HostRun(
-    String id,
-    String key,
-    String type,
-    String host,
-    long cell,
-    String zone,
-    int attempt,
-    long received,
-    long started,
-    long ended,
-    long work,
-    RunResult result)
-    implements LedgerLine {
-  static final String KIND = "run";
+        String id,
+        String key,
+        String type,
+        String host,
+        long cell,
+        String zone,
+        int attempt,
+        long received,
+        long started,
+        long ended,
+        long work,
+        RunResult result)
+        implements LedgerLine {
+    static final String KIND = "run";
 
-  /** Whether the one who sent it must take it to have had its effect. */
-  public boolean mayHaveRun() {
-    return started != 0 && result.mayHaveRun();
-  }
+    /** Whether the one who sent it must take it to have had its effect. */
+    public boolean mayHaveRun() {
+        return started != 0 && result.mayHaveRun();
+    }
 
-  /** Whether it really had its effect here. */
-  public boolean effect() {
-    return started != 0 && result.effect();
-  }
+    /** Whether it really had its effect here. */
+    public boolean effect() {
+        return started != 0 && result.effect();
+    }
 
-  @Override
-  public void write(JsonGenerator g) throws IOException {
-    g.writeStartObject();
-    g.writeStringField("k", KIND);
-    g.writeStringField("id", id);
-    if (key != null) {
-      g.writeStringField("key", key);
+    @Override
+    public void write(JsonGenerator g) throws IOException {
+        g.writeStartObject();
+        g.writeStringField("k", KIND);
+        g.writeStringField("id", id);
+        if (key != null) {
+            g.writeStringField("key", key);
+        }
+        g.writeStringField("class", type);
+        g.writeStringField("host", host);
+        g.writeNumberField("cell", cell);
+        g.writeStringField("zone", zone);
+        g.writeNumberField("attempt", attempt);
+        g.writeNumberField("received", received);
+        g.writeNumberField("started", started);
+        g.writeNumberField("ended", ended);
+        g.writeNumberField("work", work);
+        g.writeStringField("result", result.name());
+        g.writeEndObject();
     }
-    g.writeStringField("class", type);
-    g.writeStringField("host", host);
-    g.writeNumberField("cell", cell);
-    g.writeStringField("zone", zone);
-    g.writeNumberField("attempt", attempt);
-    g.writeNumberField("received", received);
-    g.writeNumberField("started", started);
-    g.writeNumberField("ended", ended);
-    g.writeNumberField("work", work);
-    g.writeStringField("result", result.name());
-    g.writeEndObject();
-  }
 
-  static HostRun read(JsonNode n) {
-    return new HostRun(
-        Fields.text(n, "id"),
-        Fields.textOrNull(n, "key"),
-        Fields.text(n, "class"),
-        Fields.text(n, "host"),
-        Fields.whole(n, "cell"),
-        Fields.text(n, "zone"),
-        (int) Fields.whole(n, "attempt"),
-        Fields.whole(n, "received"),
-        Fields.whole(n, "started"),
-        Fields.whole(n, "ended"),
-        Fields.whole(n, "work"),
-        Fields.choice(n, "result", RunResult.class));
-  }
+    static HostRun read(JsonNode n) {
+        return new HostRun(
+                Fields.text(n, "id"),
+                Fields.textOrNull(n, "key"),
+                Fields.text(n, "class"),
+                Fields.text(n, "host"),
+                Fields.whole(n, "cell"),
+                Fields.text(n, "zone"),
+                (int) Fields.whole(n, "attempt"),
+                Fields.whole(n, "received"),
+                Fields.whole(n, "started"),
+                Fields.whole(n, "ended"),
+                Fields.whole(n, "work"),
+                Fields.choice(n, "result", RunResult.class));
+    }
 }
--- a/src/main/java/rillyard/ledger/LedgerEnd.java
+++ b/src/main/java/rillyard/ledger/LedgerEnd.java
@@ -12,18 +12,18 @@
  * @param lines how many lines stand before it
  */
 public record LedgerEnd(long at, long lines) implements LedgerLine {
-  static final String KIND = "end";
+    static final String KIND = "end";
 
-  @Override
-  public void write(JsonGenerator g) throws IOException {
-    g.writeStartObject();
-    g.writeStringField("k", KIND);
-    g.writeNumberField("at", at);
-    g.writeNumberField("lines", lines);
-    g.writeEndObject();
-  }
+    @Override
+    public void write(JsonGenerator g) throws IOException {
+        g.writeStartObject();
+        g.writeStringField("k", KIND);
+        g.writeNumberField("at", at);
+        g.writeNumberField("lines", lines);
+        g.writeEndObject();
+    }
 
-  static LedgerEnd read(JsonNode n) {
-    return new LedgerEnd(Fields.whole(n, "at"), Fields.whole(n, "lines"));
-  }
+    static LedgerEnd read(JsonNode n) {
+        return new LedgerEnd(Fields.whole(n, "at"), Fields.whole(n, "lines"));
+    }
 }
--- a/src/main/java/rillyard/ledger/LedgerHead.java
+++ b/src/main/java/rillyard/ledger/LedgerHead.java
@@ -12,27 +12,26 @@
  * @param seed the seed of the run
  */
 public record LedgerHead(String of, long at, long seed) implements LedgerLine {
-  static final String KIND = "head";
+    static final String KIND = "head";
 
-  /** The form of the lines; a reader turns away any other. */
-  static final int VERSION = 1;
+    /** The form of the lines; a reader turns away any other. */
+    static final int VERSION = 1;
 
-  @Override
-  public void write(JsonGenerator g) throws IOException {
-    g.writeStartObject();
-    g.writeStringField("k", KIND);
-    g.writeNumberField("version", VERSION);
-    g.writeStringField("of", of);
-    g.writeNumberField("at", at);
-    g.writeNumberField("seed", seed);
-    g.writeEndObject();
-  }
+    @Override
+    public void write(JsonGenerator g) throws IOException {
+        g.writeStartObject();
+        g.writeStringField("k", KIND);
+        g.writeNumberField("version", VERSION);
+        g.writeStringField("of", of);
+        g.writeNumberField("at", at);
+        g.writeNumberField("seed", seed);
+        g.writeEndObject();
+    }
 
-  static LedgerHead read(JsonNode n) {
-    if (Fields.whole(n, "version") != VERSION) {
-      throw new IllegalArgumentException(
-          "version: found " + n.path("version") + ", expected " + VERSION);
+    static LedgerHead read(JsonNode n) {
+        if (Fields.whole(n, "version") != VERSION) {
+            throw new IllegalArgumentException("version: found " + n.path("version") + ", expected " + VERSION);
+        }
+        return new LedgerHead(Fields.text(n, "of"), Fields.whole(n, "at"), Fields.whole(n, "seed"));
     }
-    return new LedgerHead(Fields.text(n, "of"), Fields.whole(n, "at"), Fields.whole(n, "seed"));
-  }
 }
--- a/src/main/java/rillyard/ledger/Surplus.java
+++ b/src/main/java/rillyard/ledger/Surplus.java
@@ -11,18 +11,18 @@
  * @param id id of the request that was answered last on that connection
  */
 public record Surplus(long at, String id) implements LedgerLine {
-  static final String KIND = "surplus";
+    static final String KIND = "surplus";
 
-  @Override
-  public void write(JsonGenerator g) throws IOException {
-    g.writeStartObject();
-    g.writeStringField("k", KIND);
-    g.writeNumberField("at", at);
-    g.writeStringField("id", id);
-    g.writeEndObject();
-  }
+    @Override
+    public void write(JsonGenerator g) throws IOException {
+        g.writeStartObject();
+        g.writeStringField("k", KIND);
+        g.writeNumberField("at", at);
+        g.writeStringField("id", id);
+        g.writeEndObject();
+    }
 
-  static Surplus read(JsonNode n) {
-    return new Surplus(Fields.whole(n, "at"), Fields.text(n, "id"));
-  }
+    static Surplus read(JsonNode n) {
+        return new Surplus(Fields.whole(n, "at"), Fields.text(n, "id"));
+    }
 }
--- a/src/main/java/rillyard/ledger/Told.java
+++ b/src/main/java/rillyard/ledger/Told.java
@@ -13,28 +13,27 @@
  * @param state {@code up}, {@code draining} or {@code removed}
  * @param version discovery's version of the list
  */
-public record Told(long at, long watcher, String host, String state, long version)
-    implements LedgerLine {
-  static final String KIND = "told";
+public record Told(long at, long watcher, String host, String state, long version) implements LedgerLine {
+    static final String KIND = "told";
 
-  @Override
-  public void write(JsonGenerator g) throws IOException {
-    g.writeStartObject();
-    g.writeStringField("k", KIND);
-    g.writeNumberField("at", at);
-    g.writeNumberField("watcher", watcher);
-    g.writeStringField("host", host);
-    g.writeStringField("state", state);
-    g.writeNumberField("version", version);
-    g.writeEndObject();
-  }
+    @Override
+    public void write(JsonGenerator g) throws IOException {
+        g.writeStartObject();
+        g.writeStringField("k", KIND);
+        g.writeNumberField("at", at);
+        g.writeNumberField("watcher", watcher);
+        g.writeStringField("host", host);
+        g.writeStringField("state", state);
+        g.writeNumberField("version", version);
+        g.writeEndObject();
+    }
 
-  static Told read(JsonNode n) {
-    return new Told(
-        Fields.whole(n, "at"),
-        Fields.whole(n, "watcher"),
-        Fields.text(n, "host"),
-        Fields.text(n, "state"),
-        Fields.whole(n, "version"));
-  }
+    static Told read(JsonNode n) {
+        return new Told(
+                Fields.whole(n, "at"),
+                Fields.whole(n, "watcher"),
+                Fields.text(n, "host"),
+                Fields.text(n, "state"),
+                Fields.whole(n, "version"));
+    }
 }
--- a/src/main/java/rillyard/ledger/UnixClock.java
+++ b/src/main/java/rillyard/ledger/UnixClock.java
@@ -7,24 +7,24 @@
  * clock tells what has passed since. Two processes of one machine agree to well under a millisecond.
  */
 public final class UnixClock {
-  private static final long ZERO_NANOS;
-  private static final long ZERO_MICROS;
+    private static final long ZERO_NANOS;
+    private static final long ZERO_MICROS;
 
-  static {
-    Instant now = Instant.now();
-    ZERO_NANOS = System.nanoTime();
-    ZERO_MICROS = now.getEpochSecond() * 1_000_000 + now.getNano() / 1_000;
-  }
+    static {
+        Instant now = Instant.now();
+        ZERO_NANOS = System.nanoTime();
+        ZERO_MICROS = now.getEpochSecond() * 1_000_000 + now.getNano() / 1_000;
+    }
 
-  private UnixClock() {}
+    private UnixClock() {}
 
-  /** Now. */
-  public static long micros() {
-    return micros(System.nanoTime());
-  }
+    /** Now. */
+    public static long micros() {
+        return micros(System.nanoTime());
+    }
 
-  /** The Unix time of a reading of {@link System#nanoTime}. */
-  public static long micros(long nanoTime) {
-    return ZERO_MICROS + Math.floorDiv(nanoTime - ZERO_NANOS, 1_000L);
-  }
+    /** The Unix time of a reading of {@link System#nanoTime}. */
+    public static long micros(long nanoTime) {
+        return ZERO_MICROS + Math.floorDiv(nanoTime - ZERO_NANOS, 1_000L);
+    }
 }
