--- a/src/main/java/rillyard/load/Call.java
+++ b/src/main/java/rillyard/load/Call.java
@@ -11,195 +11,204 @@
  * and when. Knows no sockets, and runs on whatever clock it is given.
  */
 final class Call implements Transport.Listener {
-  /** What a call needs and reports to. */
-  interface Host {
-    Timers timers();
-
-    Transport transport();
-
-    ClientSpec clients();
-
-    RandomGenerator random();
-
-    /** A new id, or key. */
-    String name(int digits);
-
-    /** A try has ended. */
-    void tried(Call call, ClientTry line);
-
-    /** The request is over with this outcome. */
-    void over(Call call, Outcome outcome, long endedAt);
-  }
-
-  final long number;
-  final Arrival arrival;
-  final long intended;
-  private final Host host;
-  private final String key;
-  private final long deadline;
-  private final boolean heeds;
-  private long firstSent;
-  private String id;
-  private int tries;
-  private int retries;
-  private long sentAt;
-  private long timeoutNanos;
-  private Transport.Sent sent;
-  private Timers.Timer timer;
-  private boolean over;
-
-  /** {@code intended} is when the schedule has it be sent, on the clock of the timers. */
-  Call(long number, Arrival arrival, long intended, Host host) {
-    this.number = number;
-    this.arrival = arrival;
-    this.intended = intended;
-    this.host = host;
-    this.key = arrival.type().semantics().keyed() ? host.name(32) : null;
-    this.deadline = intended + nanos(arrival.type().deadlineMs());
-    this.heeds = host.random().nextDouble() < host.clients().heeding();
-  }
-
-  private static long nanos(double ms) {
-    return (long) (1e6 * ms);
-  }
-
-  /** When its first try was really sent. */
-  long firstSent() {
-    return firstSent;
-  }
-
-  /** Sends the first try. */
-  void begin() {
-    firstSent = host.timers().now();
-    attempt(host.name(16), false, false);
-  }
-
-  /** It can't be sent: the generator is at its bound. */
-  void notSent() {
-    sentAt = host.timers().now();
-    firstSent = sentAt;
-    id = host.name(16);
-    end(Outcome.NOT_SENT, 0, 0, false);
-  }
-
-  /** The run is over: leaves, if it is still under way. */
-  void leave() {
-    if (!over) {
-      giveUp(Outcome.ABANDONED, false);
+    /** What a call needs and reports to. */
+    interface Host {
+        Timers timers();
+
+        Transport transport();
+
+        ClientSpec clients();
+
+        RandomGenerator random();
+
+        /** A new id, or key. */
+        String name(int digits);
+
+        /** A try has ended. */
+        void tried(Call call, ClientTry line);
+
+        /** The request is over with this outcome. */
+        void over(Call call, Outcome outcome, long endedAt);
+    }
+
+    final long number;
+    final Arrival arrival;
+    final long intended;
+    private final Host host;
+    private final String key;
+    private final long deadline;
+    private final boolean heeds;
+    private long firstSent;
+    private String id;
+    private int tries;
+    private int retries;
+    private long sentAt;
+    private long timeoutNanos;
+    private Transport.Sent sent;
+    private Timers.Timer timer;
+    private boolean over;
+
+    /** {@code intended} is when the schedule has it be sent, on the clock of the timers. */
+    Call(long number, Arrival arrival, long intended, Host host) {
+        this.number = number;
+        this.arrival = arrival;
+        this.intended = intended;
+        this.host = host;
+        this.key = arrival.type().semantics().keyed() ? host.name(32) : null;
+        this.deadline = intended + nanos(arrival.type().deadlineMs());
+        this.heeds = host.random().nextDouble() < host.clients().heeding();
+    }
+
+    private static long nanos(double ms) {
+        return (long) (1e6 * ms);
     }
-  }
-
-  private void attempt(String as, boolean retried, boolean fresh) {
-    ClientSpec c = host.clients();
-    id = as;
-    sentAt = host.timers().now();
-    long left = deadline - sentAt;
-    double share =
-        c.leastShare() + (c.mostShare() - c.leastShare()) * host.random().nextDouble();
-    long patience = Math.max(1_000_000, Math.min(left, nanos(share * arrival.type().deadlineMs())));
-    timeoutNanos = Math.max(1_000_000, c.announced() ? patience : left);
-    sent = host.transport().send(
-        new Transport.Try(id, key, arrival.type(), arrival.tenant(), arrival.routeKey(),
-            arrival.client(), timeoutNanos / 1_000_000, retried, fresh),
-        this);
-    if (host.random().nextDouble() < c.impatient()) {
-      long leaves = (long) (host.random().nextDouble() * patience);
-      timer = host.timers().at(sentAt + leaves, () -> giveUp(Outcome.ABANDONED, true));
-    } else if (c.announced() || patience >= left) {
-      timer = host.timers().at(
-          sentAt + patience + nanos(c.graceMs()), () -> giveUp(Outcome.UNANSWERED, true));
-    } else {
-      timer = host.timers().at(sentAt + patience, () -> giveUp(Outcome.ABANDONED, true));
+
+    /** When its first try was really sent. */
+    long firstSent() {
+        return firstSent;
+    }
+
+    /** Sends the first try. */
+    void begin() {
+        firstSent = host.timers().now();
+        attempt(host.name(16), false, false);
+    }
+
+    /** It can't be sent: the generator is at its bound. */
+    void notSent() {
+        sentAt = host.timers().now();
+        firstSent = sentAt;
+        id = host.name(16);
+        end(Outcome.NOT_SENT, 0, 0, false);
     }
-  }
-
-  private void giveUp(Outcome how, boolean mayRetry) {
-    if (sent != null) {
-      sent.abandon();
-      sent = null;
-      end(how, 0, 0, mayRetry);
-    } else {
-      timer.cancel(); // it waits for its next try
-      finish(how);
+
+    /** The run is over: leaves, if it is still under way. */
+    void leave() {
+        if (!over) {
+            giveUp(Outcome.ABANDONED, false);
+        }
     }
-  }
 
-  @Override
-  public void ended(Transport.End e) {
-    if (over || sent == null) {
-      return;
+    private void attempt(String as, boolean retried, boolean fresh) {
+        ClientSpec c = host.clients();
+        id = as;
+        sentAt = host.timers().now();
+        long left = deadline - sentAt;
+        double share = c.leastShare()
+                + (c.mostShare() - c.leastShare()) * host.random().nextDouble();
+        long patience =
+                Math.max(1_000_000, Math.min(left, nanos(share * arrival.type().deadlineMs())));
+        timeoutNanos = Math.max(1_000_000, c.announced() ? patience : left);
+        sent = host.transport()
+                .send(
+                        new Transport.Try(
+                                id,
+                                key,
+                                arrival.type(),
+                                arrival.tenant(),
+                                arrival.routeKey(),
+                                arrival.client(),
+                                timeoutNanos / 1_000_000,
+                                retried,
+                                fresh),
+                        this);
+        if (host.random().nextDouble() < c.impatient()) {
+            long leaves = (long) (host.random().nextDouble() * patience);
+            timer = host.timers().at(sentAt + leaves, () -> giveUp(Outcome.ABANDONED, true));
+        } else if (c.announced() || patience >= left) {
+            timer = host.timers().at(sentAt + patience + nanos(c.graceMs()), () -> giveUp(Outcome.UNANSWERED, true));
+        } else {
+            timer = host.timers().at(sentAt + patience, () -> giveUp(Outcome.ABANDONED, true));
+        }
     }
-    sent = null;
-    timer.cancel();
-    end(e.outcome(), e.status(), e.retryAfter(), true);
-  }
-
-  private void end(Outcome outcome, int status, long retryAfter, boolean mayRetry) {
-    long now = host.timers().now();
-    tries++;
-    long wait = mayRetry ? waitBeforeNext(outcome, retryAfter, now) : -1;
-    host.tried(
-        this,
-        new ClientTry(
-            number,
-            tries - 1,
-            id,
-            key,
-            arrival.type().name(),
-            arrival.tenant(),
-            arrival.client(),
-            UnixClock.micros(intended),
-            UnixClock.micros(sentAt),
-            UnixClock.micros(now),
-            timeoutNanos / 1_000,
-            outcome,
-            status,
-            retryAfter,
-            wait < 0));
-    if (wait < 0) {
-      finish(outcome);
-    } else if (outcome == Outcome.STALE) {
-      attempt(id, false, true); // the same one once more, as it was not taken
-    } else {
-      retries++;
-      timer = host.timers().after(wait, () -> attempt(host.name(16), true, false));
+
+    private void giveUp(Outcome how, boolean mayRetry) {
+        if (sent != null) {
+            sent.abandon();
+            sent = null;
+            end(how, 0, 0, mayRetry);
+        } else {
+            timer.cancel(); // it waits for its next try
+            finish(how);
+        }
     }
-  }
 
-  /** How long (ns) until the next try, or below 0 if there is none. */
-  private long waitBeforeNext(Outcome outcome, long retryAfter, long now) {
-    ClientSpec c = host.clients();
-    if (outcome == Outcome.SERVED || outcome == Outcome.NOT_SENT || tries >= c.attempts()) {
-      return -1;
+    @Override
+    public void ended(Transport.End e) {
+        if (over || sent == null) {
+            return;
+        }
+        sent = null;
+        timer.cancel();
+        end(e.outcome(), e.status(), e.retryAfter(), true);
     }
-    if (outcome == Outcome.STALE) {
-      return 0;
+
+    private void end(Outcome outcome, int status, long retryAfter, boolean mayRetry) {
+        long now = host.timers().now();
+        tries++;
+        long wait = mayRetry ? waitBeforeNext(outcome, retryAfter, now) : -1;
+        host.tried(
+                this,
+                new ClientTry(
+                        number,
+                        tries - 1,
+                        id,
+                        key,
+                        arrival.type().name(),
+                        arrival.tenant(),
+                        arrival.client(),
+                        UnixClock.micros(intended),
+                        UnixClock.micros(sentAt),
+                        UnixClock.micros(now),
+                        timeoutNanos / 1_000,
+                        outcome,
+                        status,
+                        retryAfter,
+                        wait < 0));
+        if (wait < 0) {
+            finish(outcome);
+        } else if (outcome == Outcome.STALE) {
+            attempt(id, false, true); // the same one once more, as it was not taken
+        } else {
+            retries++;
+            timer = host.timers().after(wait, () -> attempt(host.name(16), true, false));
+        }
     }
-    if (retries >= c.retries() || !mayRepeat(outcome, now)) {
-      return -1;
+
+    /** How long (ns) until the next try, or below 0 if there is none. */
+    private long waitBeforeNext(Outcome outcome, long retryAfter, long now) {
+        ClientSpec c = host.clients();
+        if (outcome == Outcome.SERVED || outcome == Outcome.NOT_SENT || tries >= c.attempts()) {
+            return -1;
+        }
+        if (outcome == Outcome.STALE) {
+            return 0;
+        }
+        if (retries >= c.retries() || !mayRepeat(outcome, now)) {
+            return -1;
+        }
+        long wait = nanos(c.pauseMs() * Math.pow(c.growth(), retries));
+        if (retryAfter > 0 && heeds) {
+            wait = Math.max(wait, Math.min(1_000 * retryAfter, nanos(c.mostRetryAfterMs())));
+        }
+        return now + wait < deadline - 1_000_000 ? wait : -1;
     }
-    long wait = nanos(c.pauseMs() * Math.pow(c.growth(), retries));
-    if (retryAfter > 0 && heeds) {
-      wait = Math.max(wait, Math.min(1_000 * retryAfter, nanos(c.mostRetryAfterMs())));
+
+    /** What clients may send again: all that was not taken, and of the rest what does no harm. */
+    private boolean mayRepeat(Outcome outcome, long now) {
+        if (outcome == Outcome.REFUSED || outcome == Outcome.UNREACHABLE) {
+            return true;
+        }
+        LoadClass t = arrival.type();
+        return switch (t.semantics()) {
+            case IDEMPOTENT -> true;
+            case KEYED_EVERYWHERE -> now - firstSent < nanos(t.windowMs());
+            case KEYED, AT_MOST_ONCE -> false;
+        };
     }
-    return now + wait < deadline - 1_000_000 ? wait : -1;
-  }
 
-  /** What clients may send again: all that was not taken, and of the rest what does no harm. */
-  private boolean mayRepeat(Outcome outcome, long now) {
-    if (outcome == Outcome.REFUSED || outcome == Outcome.UNREACHABLE) {
-      return true;
+    private void finish(Outcome outcome) {
+        over = true;
+        host.over(this, outcome, host.timers().now());
     }
-    LoadClass t = arrival.type();
-    return switch (t.semantics()) {
-      case IDEMPOTENT -> true;
-      case KEYED_EVERYWHERE -> now - firstSent < nanos(t.windowMs());
-      case KEYED, AT_MOST_ONCE -> false;
-    };
-  }
-
-  private void finish(Outcome outcome) {
-    over = true;
-    host.over(this, outcome, host.timers().now());
-  }
 }
--- a/src/main/java/rillyard/load/ClientSpec.java
+++ b/src/main/java/rillyard/load/ClientSpec.java
@@ -20,17 +20,17 @@
  * @param idleMs a connection that has stood idle for so long is closed by its client
  */
 public record ClientSpec(
-    int count,
-    double skew,
-    int retries,
-    int attempts,
-    double pauseMs,
-    double growth,
-    double leastShare,
-    double mostShare,
-    boolean announced,
-    double impatient,
-    double heeding,
-    double mostRetryAfterMs,
-    double graceMs,
-    double idleMs) {}
+        int count,
+        double skew,
+        int retries,
+        int attempts,
+        double pauseMs,
+        double growth,
+        double leastShare,
+        double mostShare,
+        boolean announced,
+        double impatient,
+        double heeding,
+        double mostRetryAfterMs,
+        double graceMs,
+        double idleMs) {}
--- a/src/main/java/rillyard/load/HistogramFiles.java
+++ b/src/main/java/rillyard/load/HistogramFiles.java
@@ -9,26 +9,26 @@
 
 /** Histograms in the form of HdrHistogram's percentile output, which its plotter reads; in ms. */
 final class HistogramFiles {
-  private static final int TICKS = 10;
+    private static final int TICKS = 10;
 
-  private HistogramFiles() {}
+    private HistogramFiles() {}
 
-  static void write(Path folder, Tally tally) throws IOException {
-    write(folder.resolve("latency.hgrm"), tally.total().latency);
-    write(folder.resolve("service.hgrm"), tally.total().service);
-    write(folder.resolve("lateness.hgrm"), tally.lateness());
-    for (Tally.Row r : tally.rows()) {
-      String name = r.tenant == null ? r.type.name() : r.type.name() + "." + r.tenant;
-      write(folder.resolve("latency." + name + ".hgrm"), r.latency);
+    static void write(Path folder, Tally tally) throws IOException {
+        write(folder.resolve("latency.hgrm"), tally.total().latency);
+        write(folder.resolve("service.hgrm"), tally.total().service);
+        write(folder.resolve("lateness.hgrm"), tally.lateness());
+        for (Tally.Row r : tally.rows()) {
+            String name = r.tenant == null ? r.type.name() : r.type.name() + "." + r.tenant;
+            write(folder.resolve("latency." + name + ".hgrm"), r.latency);
+        }
     }
-  }
 
-  private static void write(Path file, Histogram h) throws IOException {
-    try (PrintStream out = new PrintStream(Files.newOutputStream(file), false, StandardCharsets.UTF_8)) {
-      h.outputPercentileDistribution(out, TICKS, 1_000.0);
-      if (out.checkError()) {
-        throw new IOException(file + " can't be written");
-      }
+    private static void write(Path file, Histogram h) throws IOException {
+        try (PrintStream out = new PrintStream(Files.newOutputStream(file), false, StandardCharsets.UTF_8)) {
+            h.outputPercentileDistribution(out, TICKS, 1_000.0);
+            if (out.checkError()) {
+                throw new IOException(file + " can't be written");
+            }
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/load/HttpConnection.java
+++ b/src/main/java/rillyard/load/HttpConnection.java
@@ -16,129 +16,127 @@
 
 /** One connection of a client. */
 final class HttpConnection extends ChannelInboundHandlerAdapter {
-  private static final HttpDecoderConfig LIMITS =
-      new HttpDecoderConfig().setMaxInitialLineLength(4_096).setMaxHeaderSize(16_384);
+    private static final HttpDecoderConfig LIMITS =
+            new HttpDecoderConfig().setMaxInitialLineLength(4_096).setMaxHeaderSize(16_384);
 
-  private final HttpTransport transport;
-  private final SocketChannel channel;
-  private final int client;
-  private HttpExchange exchange;
-  private String lastId;
-  private boolean written;
-  private boolean skipping;
-  private boolean keep;
-  private boolean used;
-  private long idleSince;
+    private final HttpTransport transport;
+    private final SocketChannel channel;
+    private final int client;
+    private HttpExchange exchange;
+    private String lastId;
+    private boolean written;
+    private boolean skipping;
+    private boolean keep;
+    private boolean used;
+    private long idleSince;
 
-  HttpConnection(HttpTransport transport, SocketChannel channel, int client) {
-    this.transport = transport;
-    this.channel = channel;
-    this.client = client;
-  }
-
-  void begin() {
-    channel.pipeline().addLast(new HttpResponseDecoder(LIMITS), this);
-    channel.closeFuture().addListener(f -> transport.closed(this));
-  }
-
-  int client() {
-    return client;
-  }
-
-  boolean usable() {
-    return channel.isActive() && exchange == null;
-  }
-
-  void close() {
-    channel.close();
-  }
-
-  /** How long (ns) it has stood idle; 0 while it carries a try. */
-  long idleFor(long now) {
-    return exchange == null && idleSince != 0 ? now - idleSince : 0;
-  }
+    HttpConnection(HttpTransport transport, SocketChannel channel, int client) {
+        this.transport = transport;
+        this.channel = channel;
+        this.client = client;
+    }
 
-  void run(HttpExchange e) {
-    exchange = e;
-    e.channel(channel);
-    keep = false;
-    written = false;
-    ChannelFuture f = channel.writeAndFlush(e.bytes(channel.alloc()));
-    if (f.isDone()) {
-      written = f.isSuccess();
-    } else {
-      f.addListener(x -> written = f.isSuccess());
+    void begin() {
+        channel.pipeline().addLast(new HttpResponseDecoder(LIMITS), this);
+        channel.closeFuture().addListener(f -> transport.closed(this));
     }
-  }
 
-  @Override
-  public void channelRead(ChannelHandlerContext ctx, Object msg) {
-    try {
-      take((HttpObject) msg);
-    } finally {
-      ReferenceCountUtil.release(msg);
+    int client() {
+        return client;
     }
-  }
 
-  private void take(HttpObject part) {
-    if (!channel.isOpen()) {
-      return;
+    boolean usable() {
+        return channel.isActive() && exchange == null;
     }
-    if (exchange == null || exchange.over()) {
-      if (lastId != null && exchange == null) {
-        transport.surplus(lastId);
-      }
-      channel.close();
-      return;
+
+    void close() {
+        channel.close();
     }
-    if (part.decoderResult().isFailure()) {
-      end(new Transport.End(Outcome.GARBLED, 0, 0), false);
-      return;
+
+    /** How long (ns) it has stood idle; 0 while it carries a try. */
+    long idleFor(long now) {
+        return exchange == null && idleSince != 0 ? now - idleSince : 0;
     }
-    if (part instanceof HttpResponse r) {
-      skipping = r.status().code() < 200; // 1xx go ahead of the answer
-      if (!skipping) {
-        exchange.head(r);
-        keep = HttpUtil.isKeepAlive(r);
-      }
+
+    void run(HttpExchange e) {
+        exchange = e;
+        e.channel(channel);
+        keep = false;
+        written = false;
+        ChannelFuture f = channel.writeAndFlush(e.bytes(channel.alloc()));
+        if (f.isDone()) {
+            written = f.isSuccess();
+        } else {
+            f.addListener(x -> written = f.isSuccess());
+        }
     }
-    if (skipping || !exchange.begun()) {
-      return;
+
+    @Override
+    public void channelRead(ChannelHandlerContext ctx, Object msg) {
+        try {
+            take((HttpObject) msg);
+        } finally {
+            ReferenceCountUtil.release(msg);
+        }
     }
-    if (part instanceof HttpContent c && !exchange.body(c)) {
-      end(new Transport.End(Outcome.GARBLED, 0, 0), false);
-    } else if (part instanceof LastHttpContent) {
-      Transport.End e = exchange.answered();
-      end(e, keep && e.outcome() != Outcome.GARBLED);
+
+    private void take(HttpObject part) {
+        if (!channel.isOpen()) {
+            return;
+        }
+        if (exchange == null || exchange.over()) {
+            if (lastId != null && exchange == null) {
+                transport.surplus(lastId);
+            }
+            channel.close();
+            return;
+        }
+        if (part.decoderResult().isFailure()) {
+            end(new Transport.End(Outcome.GARBLED, 0, 0), false);
+            return;
+        }
+        if (part instanceof HttpResponse r) {
+            skipping = r.status().code() < 200; // 1xx go ahead of the answer
+            if (!skipping) {
+                exchange.head(r);
+                keep = HttpUtil.isKeepAlive(r);
+            }
+        }
+        if (skipping || !exchange.begun()) {
+            return;
+        }
+        if (part instanceof HttpContent c && !exchange.body(c)) {
+            end(new Transport.End(Outcome.GARBLED, 0, 0), false);
+        } else if (part instanceof LastHttpContent) {
+            Transport.End e = exchange.answered();
+            end(e, keep && e.outcome() != Outcome.GARBLED);
+        }
     }
-  }
 
-  private void end(Transport.End e, boolean keepIt) {
-    HttpExchange ended = exchange;
-    exchange = null;
-    lastId = ended.request().id();
-    used = true;
-    if (keepIt) {
-      idleSince = System.nanoTime();
-      transport.idle(this);
-    } else {
-      channel.close();
+    private void end(Transport.End e, boolean keepIt) {
+        HttpExchange ended = exchange;
+        exchange = null;
+        lastId = ended.request().id();
+        used = true;
+        if (keepIt) {
+            idleSince = System.nanoTime();
+            transport.idle(this);
+        } else {
+            channel.close();
+        }
+        ended.end(e);
     }
-    ended.end(e);
-  }
 
-  @Override
-  public void channelInactive(ChannelHandlerContext ctx) {
-    if (exchange != null && !exchange.over()) {
-      Outcome how =
-          !written ? Outcome.UNREACHABLE
-              : used && !exchange.begun() ? Outcome.STALE : Outcome.BROKEN;
-      end(new Transport.End(how, 0, 0), false);
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) {
+        if (exchange != null && !exchange.over()) {
+            Outcome how = !written ? Outcome.UNREACHABLE : used && !exchange.begun() ? Outcome.STALE : Outcome.BROKEN;
+            end(new Transport.End(how, 0, 0), false);
+        }
     }
-  }
 
-  @Override
-  public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    channel.close(); // the end of the channel tells the rest
-  }
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        channel.close(); // the end of the channel tells the rest
+    }
 }
--- a/src/main/java/rillyard/load/HttpExchange.java
+++ b/src/main/java/rillyard/load/HttpExchange.java
@@ -12,146 +12,144 @@
 
 /** One try on its way: the request's bytes, and the check of the answer. */
 final class HttpExchange implements Transport.Sent {
-  /** What of an answer is kept for the check. */
-  private static final int KEPT = 256;
-
-  /** A larger answer is none. */
-  private static final long MOST_ANSWER = 4 << 20;
-
-  private final Transport.Try request;
-  private final Transport.Listener listener;
-  private final boolean verify;
-  private Channel channel;
-  private HttpResponse head;
-  private final StringBuilder body = new StringBuilder();
-  private long length;
-  private boolean over;
-
-  HttpExchange(Transport.Try request, Transport.Listener listener, boolean verify) {
-    this.request = request;
-    this.listener = listener;
-    this.verify = verify;
-  }
-
-  Transport.Try request() {
-    return request;
-  }
-
-  void channel(Channel c) {
-    channel = c;
-  }
-
-  boolean over() {
-    return over;
-  }
-
-  @Override
-  public void abandon() {
-    over = true;
-    channel.close();
-  }
-
-  void end(Transport.End e) {
-    if (!over) {
-      over = true;
-      listener.ended(e);
+    /** What of an answer is kept for the check. */
+    private static final int KEPT = 256;
+
+    /** A larger answer is none. */
+    private static final long MOST_ANSWER = 4 << 20;
+
+    private final Transport.Try request;
+    private final Transport.Listener listener;
+    private final boolean verify;
+    private Channel channel;
+    private HttpResponse head;
+    private final StringBuilder body = new StringBuilder();
+    private long length;
+    private boolean over;
+
+    HttpExchange(Transport.Try request, Transport.Listener listener, boolean verify) {
+        this.request = request;
+        this.listener = listener;
+        this.verify = verify;
     }
-  }
-
-  /** The whole request. */
-  ByteBuf bytes(ByteBufAllocator alloc) {
-    LoadClass t = request.type();
-    boolean get = t.semantics() == LoadClass.Semantics.IDEMPOTENT;
-    StringBuilder s = new StringBuilder(320);
-    s.append(get ? "GET /" : "POST /").append(t.name()).append(" HTTP/1.1\r\nHost: api.internal\r\n");
-    header(s, "X-Request-ID", request.id());
-    header(s, "X-Priority-Class", t.name());
-    header(s, "X-Tenant-Id", request.tenant());
-    header(s, "X-Route-Key", request.routeKey());
-    header(s, "X-Timeout-Ms", Long.toString(request.timeoutMs()));
-    header(s, "X-Retried", request.retried() ? "1" : null);
-    header(s, "Idempotency-Key", request.key());
-    if (!get) {
-      header(s, "Content-Length", Integer.toString(t.bodyBytes()));
+
+    Transport.Try request() {
+        return request;
+    }
+
+    void channel(Channel c) {
+        channel = c;
+    }
+
+    boolean over() {
+        return over;
+    }
+
+    @Override
+    public void abandon() {
+        over = true;
+        channel.close();
+    }
+
+    void end(Transport.End e) {
+        if (!over) {
+            over = true;
+            listener.ended(e);
+        }
     }
-    s.append("\r\n");
-    ByteBuf b = alloc.buffer(s.length() + t.bodyBytes());
-    b.writeCharSequence(s, StandardCharsets.US_ASCII);
-    if (!get) {
-      b.writeBytes(payload());
+
+    /** The whole request. */
+    ByteBuf bytes(ByteBufAllocator alloc) {
+        LoadClass t = request.type();
+        boolean get = t.semantics() == LoadClass.Semantics.IDEMPOTENT;
+        StringBuilder s = new StringBuilder(320);
+        s.append(get ? "GET /" : "POST /").append(t.name()).append(" HTTP/1.1\r\nHost: api.internal\r\n");
+        header(s, "X-Request-ID", request.id());
+        header(s, "X-Priority-Class", t.name());
+        header(s, "X-Tenant-Id", request.tenant());
+        header(s, "X-Route-Key", request.routeKey());
+        header(s, "X-Timeout-Ms", Long.toString(request.timeoutMs()));
+        header(s, "X-Retried", request.retried() ? "1" : null);
+        header(s, "Idempotency-Key", request.key());
+        if (!get) {
+            header(s, "Content-Length", Integer.toString(t.bodyBytes()));
+        }
+        s.append("\r\n");
+        ByteBuf b = alloc.buffer(s.length() + t.bodyBytes());
+        b.writeCharSequence(s, StandardCharsets.US_ASCII);
+        if (!get) {
+            b.writeBytes(payload());
+        }
+        return b;
     }
-    return b;
-  }
 
-  private static void header(StringBuilder s, String name, String value) {
-    if (value != null) {
-      s.append(name).append(": ").append(value).append("\r\n");
+    private static void header(StringBuilder s, String name, String value) {
+        if (value != null) {
+            s.append(name).append(": ").append(value).append("\r\n");
+        }
     }
-  }
-
-  /** A body that differs from request to request, so that two that are mixed up are told apart. */
-  private byte[] payload() {
-    byte[] p = new byte[request.type().bodyBytes()];
-    byte[] id = request.id().getBytes(StandardCharsets.US_ASCII);
-    for (int i = 0; i < p.length; i++) {
-      p[i] = id[i % id.length];
+
+    /** A body that differs from request to request, so that two that are mixed up are told apart. */
+    private byte[] payload() {
+        byte[] p = new byte[request.type().bodyBytes()];
+        byte[] id = request.id().getBytes(StandardCharsets.US_ASCII);
+        for (int i = 0; i < p.length; i++) {
+            p[i] = id[i % id.length];
+        }
+        return p;
     }
-    return p;
-  }
-
-  /** The answer's head has come. */
-  void head(HttpResponse h) {
-    head = h;
-  }
-
-  boolean begun() {
-    return head != null;
-  }
-
-  /** A part of the body has come; false if there is too much of it. */
-  boolean body(HttpContent c) {
-    ByteBuf b = c.content();
-    length += b.readableBytes();
-    int n = Math.min(b.readableBytes(), KEPT - body.length());
-    if (n > 0) {
-      body.append(b.toString(b.readerIndex(), n, StandardCharsets.US_ASCII));
+
+    /** The answer's head has come. */
+    void head(HttpResponse h) {
+        head = h;
     }
-    return length <= MOST_ANSWER;
-  }
-
-  /** The answer is whole. */
-  Transport.End answered() {
-    int status = head.status().code();
-    if (status == 200) {
-      return new Transport.End(
-          !verify || mine() ? Outcome.SERVED : Outcome.GARBLED, status, 0);
+
+    boolean begun() {
+        return head != null;
     }
-    if (status == 429 || status == 503) {
-      return new Transport.End(Outcome.REFUSED, status, retryAfter());
+
+    /** A part of the body has come; false if there is too much of it. */
+    boolean body(HttpContent c) {
+        ByteBuf b = c.content();
+        length += b.readableBytes();
+        int n = Math.min(b.readableBytes(), KEPT - body.length());
+        if (n > 0) {
+            body.append(b.toString(b.readerIndex(), n, StandardCharsets.US_ASCII));
+        }
+        return length <= MOST_ANSWER;
     }
-    return new Transport.End(Outcome.FAILED, status, 0);
-  }
-
-  /** Whether the answer names this request and the body that was sent with it. */
-  private boolean mine() {
-    String s = body.toString();
-    if (!s.startsWith("id=" + request.id() + " ")) {
-      return false;
+
+    /** The answer is whole. */
+    Transport.End answered() {
+        int status = head.status().code();
+        if (status == 200) {
+            return new Transport.End(!verify || mine() ? Outcome.SERVED : Outcome.GARBLED, status, 0);
+        }
+        if (status == 429 || status == 503) {
+            return new Transport.End(Outcome.REFUSED, status, retryAfter());
+        }
+        return new Transport.End(Outcome.FAILED, status, 0);
+    }
+
+    /** Whether the answer names this request and the body that was sent with it. */
+    private boolean mine() {
+        String s = body.toString();
+        if (!s.startsWith("id=" + request.id() + " ")) {
+            return false;
+        }
+        byte[] p = request.type().semantics() == LoadClass.Semantics.IDEMPOTENT ? new byte[0] : payload();
+        CRC32 crc = new CRC32();
+        crc.update(p);
+        return s.stripTrailing().endsWith(" len=" + p.length + " crc=" + Long.toHexString(crc.getValue()));
     }
-    byte[] p = request.type().semantics() == LoadClass.Semantics.IDEMPOTENT ? new byte[0] : payload();
-    CRC32 crc = new CRC32();
-    crc.update(p);
-    return s.stripTrailing()
-        .endsWith(" len=" + p.length + " crc=" + Long.toHexString(crc.getValue()));
-  }
-
-  private long retryAfter() {
-    String s = head.headers().get(HttpHeaderNames.RETRY_AFTER);
-    try {
-      double seconds = s == null ? 0 : Double.parseDouble(s.trim());
-      return seconds > 0 && seconds < 1e6 ? (long) (1e6 * seconds) : 0;
-    } catch (NumberFormatException e) {
-      return 0; // a date, or no number: no advice that these clients take
+
+    private long retryAfter() {
+        String s = head.headers().get(HttpHeaderNames.RETRY_AFTER);
+        try {
+            double seconds = s == null ? 0 : Double.parseDouble(s.trim());
+            return seconds > 0 && seconds < 1e6 ? (long) (1e6 * seconds) : 0;
+        } catch (NumberFormatException e) {
+            return 0; // a date, or no number: no advice that these clients take
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/load/LoadClass.java
+++ b/src/main/java/rillyard/load/LoadClass.java
@@ -13,28 +13,28 @@
  * @param keys number of distinct route keys; 0 for none
  */
 public record LoadClass(
-    String name,
-    double share,
-    Semantics semantics,
-    double aimMs,
-    double deadlineMs,
-    double windowMs,
-    int bodyBytes,
-    int keys) {
+        String name,
+        double share,
+        Semantics semantics,
+        double aimMs,
+        double deadlineMs,
+        double windowMs,
+        int bodyBytes,
+        int keys) {
 
-  /** What clients may repeat after a failure; after a refusal they may repeat anything. */
-  public enum Semantics {
-    /** Anything, with GET. */
-    IDEMPOTENT,
-    /** Anything within the window: every host knows every key. */
-    KEYED_EVERYWHERE,
-    /** Nothing, as another host may not know the key; has one all the same. */
-    KEYED,
-    /** Nothing. */
-    AT_MOST_ONCE;
+    /** What clients may repeat after a failure; after a refusal they may repeat anything. */
+    public enum Semantics {
+        /** Anything, with GET. */
+        IDEMPOTENT,
+        /** Anything within the window: every host knows every key. */
+        KEYED_EVERYWHERE,
+        /** Nothing, as another host may not know the key; has one all the same. */
+        KEYED,
+        /** Nothing. */
+        AT_MOST_ONCE;
 
-    boolean keyed() {
-      return this == KEYED || this == KEYED_EVERYWHERE;
+        boolean keyed() {
+            return this == KEYED || this == KEYED_EVERYWHERE;
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/load/LoadPlan.java
+++ b/src/main/java/rillyard/load/LoadPlan.java
@@ -16,30 +16,30 @@
  * @param verify whether answers are checked to be a stand-in's answer to the very request
  */
 public record LoadPlan(
-    long seed,
-    List<Shape> shapes,
-    Trace trace,
-    List<LoadClass> classes,
-    List<Tenant> tenants,
-    ClientSpec clients,
-    int maxOpen,
-    double latenessMs,
-    boolean verify) {
+        long seed,
+        List<Shape> shapes,
+        Trace trace,
+        List<LoadClass> classes,
+        List<Tenant> tenants,
+        ClientSpec clients,
+        int maxOpen,
+        double latenessMs,
+        boolean verify) {
 
-  /** Copies the lists. */
-  public LoadPlan {
-    shapes = List.copyOf(shapes);
-    classes = List.copyOf(classes);
-    tenants = List.copyOf(tenants);
-  }
+    /** Copies the lists. */
+    public LoadPlan {
+        shapes = List.copyOf(shapes);
+        classes = List.copyOf(classes);
+        tenants = List.copyOf(tenants);
+    }
 
-  /** A tenant and its weight among the tenants. */
-  public record Tenant(String name, double share) {}
+    /** A tenant and its weight among the tenants. */
+    public record Tenant(String name, double share) {}
 
-  /** Seconds from the first to the last arrival, as far as the plan tells. */
-  public double seconds() {
-    return trace != null
-        ? trace.seconds()
-        : shapes.stream().mapToDouble(Shape::seconds).sum();
-  }
+    /** Seconds from the first to the last arrival, as far as the plan tells. */
+    public double seconds() {
+        return trace != null
+                ? trace.seconds()
+                : shapes.stream().mapToDouble(Shape::seconds).sum();
+    }
 }
--- a/src/main/java/rillyard/load/LoadRun.java
+++ b/src/main/java/rillyard/load/LoadRun.java
@@ -19,126 +19,124 @@
 
 /** One run of a plan against targets, on one event loop thread. */
 public final class LoadRun {
-  private static final long SECOND = 1_000_000_000L;
+    private static final long SECOND = 1_000_000_000L;
 
-  private final LoadPlan plan;
-  private final Ledger ledger;
-  private final Tally tally;
-  private final EventLoopGroup group = Loops.group(1, "load");
-  private final EventLoop loop = group.next();
-  private final CountDownLatch done = new CountDownLatch(1);
-  private final PrintStream progress;
-  private final HttpTransport transport;
-  private final Generator generator;
-  private volatile boolean interrupted;
-  private volatile long startedMicros;
-  private double cpuSeconds;
-  private long shownOver;
-  private long shownOffered;
+    private final LoadPlan plan;
+    private final Ledger ledger;
+    private final Tally tally;
+    private final EventLoopGroup group = Loops.group(1, "load");
+    private final EventLoop loop = group.next();
+    private final CountDownLatch done = new CountDownLatch(1);
+    private final PrintStream progress;
+    private final HttpTransport transport;
+    private final Generator generator;
+    private volatile boolean interrupted;
+    private volatile long startedMicros;
+    private double cpuSeconds;
+    private long shownOver;
+    private long shownOffered;
 
-  /**
-   * Makes one; nothing is sent yet.
-   *
-   * @param targets taken in turn, one at least
-   * @param ledger stays open behind the run
-   * @param progress gets a line a second, or null for none
-   */
-  public LoadRun(
-      LoadPlan plan, List<InetSocketAddress> targets, Ledger ledger, PrintStream progress) {
-    this(plan, targets, false, ledger, progress);
-  }
+    /**
+     * Makes one; nothing is sent yet.
+     *
+     * @param targets taken in turn, one at least
+     * @param ledger stays open behind the run
+     * @param progress gets a line a second, or null for none
+     */
+    public LoadRun(LoadPlan plan, List<InetSocketAddress> targets, Ledger ledger, PrintStream progress) {
+        this(plan, targets, false, ledger, progress);
+    }
 
-  /** As above; with {@code own} each client has the target of its number, as an app beside its proxy. */
-  public LoadRun(LoadPlan plan, List<InetSocketAddress> targets, boolean own, Ledger ledger, PrintStream progress) {
-    this.plan = plan;
-    this.ledger = ledger;
-    this.progress = progress;
-    this.tally = new Tally(plan.seconds());
-    this.transport =
-        new HttpTransport(
-            loop, targets, own, plan.clients().idleMs(), plan.verify(), this::surplus);
-    this.generator =
-        new Generator(plan, new LoopTimers(loop), transport, ledger, tally, done::countDown);
-  }
+    /** As above; with {@code own} each client has the target of its number, as an app beside its proxy. */
+    public LoadRun(LoadPlan plan, List<InetSocketAddress> targets, boolean own, Ledger ledger, PrintStream progress) {
+        this.plan = plan;
+        this.ledger = ledger;
+        this.progress = progress;
+        this.tally = new Tally(plan.seconds());
+        this.transport = new HttpTransport(loop, targets, own, plan.clients().idleMs(), plan.verify(), this::surplus);
+        this.generator = new Generator(plan, new LoopTimers(loop), transport, ledger, tally, done::countDown);
+    }
 
-  private void surplus(String id) {
-    tally.surplus();
-    ledger.append(new Surplus(UnixClock.micros(), id));
-  }
+    private void surplus(String id) {
+        tally.surplus();
+        ledger.append(new Surplus(UnixClock.micros(), id));
+    }
 
-  /**
-   * Runs it to its end, or until it is interrupted.
-   *
-   * @throws InterruptedException if the waiting thread is
-   */
-  public void run() throws InterruptedException {
-    double before = cpu();
-    loop.execute(
-        () -> {
-          startedMicros = UnixClock.micros();
-          generator.start();
+    /**
+     * Runs it to its end, or until it is interrupted.
+     *
+     * @throws InterruptedException if the waiting thread is
+     */
+    public void run() throws InterruptedException {
+        double before = cpu();
+        loop.execute(() -> {
+            startedMicros = UnixClock.micros();
+            generator.start();
         });
-    Future<?> shown =
-        progress == null
-            ? null
-            : loop.scheduleAtFixedRate(this::show, SECOND, SECOND, TimeUnit.NANOSECONDS);
-    try {
-      done.await();
-    } finally {
-      cpuSeconds = cpu() - before;
-      if (shown != null) {
-        shown.cancel(false);
-      }
-      group.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS).syncUninterruptibly();
-      ledger.flush();
+        Future<?> shown =
+                progress == null ? null : loop.scheduleAtFixedRate(this::show, SECOND, SECOND, TimeUnit.NANOSECONDS);
+        try {
+            done.await();
+        } finally {
+            cpuSeconds = cpu() - before;
+            if (shown != null) {
+                shown.cancel(false);
+            }
+            group.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS).syncUninterruptibly();
+            ledger.flush();
+        }
     }
-  }
 
-  private static double cpu() {
-    return ProcessHandle.current().info().totalCpuDuration().orElse(Duration.ZERO).toNanos() / 1e9;
-  }
+    private static double cpu() {
+        return ProcessHandle.current()
+                        .info()
+                        .totalCpuDuration()
+                        .orElse(Duration.ZERO)
+                        .toNanos()
+                / 1e9;
+    }
 
-  /** Ends it early: nothing more is sent, and what is under way is left. Harmless at any time. */
-  public void interrupt() {
-    if (done.getCount() > 0) {
-      interrupted = true;
-      try {
-        loop.execute(generator::stop);
-      } catch (java.util.concurrent.RejectedExecutionException e) {
-        // it has just ended by itself
-      }
+    /** Ends it early: nothing more is sent, and what is under way is left. Harmless at any time. */
+    public void interrupt() {
+        if (done.getCount() > 0) {
+            interrupted = true;
+            try {
+                loop.execute(generator::stop);
+            } catch (java.util.concurrent.RejectedExecutionException e) {
+                // it has just ended by itself
+            }
+        }
     }
-  }
 
-  /** When the run began, microseconds of Unix time; 0 before. */
-  public long startedMicros() {
-    return startedMicros;
-  }
+    /** When the run began, microseconds of Unix time; 0 before. */
+    public long startedMicros() {
+        return startedMicros;
+    }
 
-  private void show() {
-    long offered = tally.offered();
-    long over = tally.over();
-    Tally.Row all = tally.total();
-    progress.printf(
-        Locale.ROOT,
-        "%5.0f s  sent %6d/s  answered %6d/s  open %5d  in aim %6.2f %%  p99 %8.2f ms%n",
-        (UnixClock.micros() - startedMicros) / 1e6,
-        offered - shownOffered,
-        over - shownOver,
-        generator.open(),
-        100.0 * all.inAim / Math.max(1, over),
-        all.latency.getValueAtPercentile(99) / 1_000.0);
-    shownOffered = offered;
-    shownOver = over;
-  }
+    private void show() {
+        long offered = tally.offered();
+        long over = tally.over();
+        Tally.Row all = tally.total();
+        progress.printf(
+                Locale.ROOT,
+                "%5.0f s  sent %6d/s  answered %6d/s  open %5d  in aim %6.2f %%  p99 %8.2f ms%n",
+                (UnixClock.micros() - startedMicros) / 1e6,
+                offered - shownOffered,
+                over - shownOver,
+                generator.open(),
+                100.0 * all.inAim / Math.max(1, over),
+                all.latency.getValueAtPercentile(99) / 1_000.0);
+        shownOffered = offered;
+        shownOver = over;
+    }
 
-  /** What came of it; to be asked once {@link #run} has returned. */
-  public Report report(List<Report.Mark> marks) {
-    return Report.of(plan, tally, interrupted, cpuSeconds, transport.opened(), marks);
-  }
+    /** What came of it; to be asked once {@link #run} has returned. */
+    public Report report(List<Report.Mark> marks) {
+        return Report.of(plan, tally, interrupted, cpuSeconds, transport.opened(), marks);
+    }
 
-  /** Writes the histograms; to be asked once {@link #run} has returned. */
-  public void writeHistograms(java.nio.file.Path folder) throws IOException {
-    HistogramFiles.write(folder, tally);
-  }
+    /** Writes the histograms; to be asked once {@link #run} has returned. */
+    public void writeHistograms(java.nio.file.Path folder) throws IOException {
+        HistogramFiles.write(folder, tally);
+    }
 }
--- a/src/main/java/rillyard/load/Report.java
+++ b/src/main/java/rillyard/load/Report.java
@@ -25,140 +25,133 @@
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
 public record Report(
-    boolean valid,
-    String invalidBecause,
-    boolean interrupted,
-    long seed,
-    double seconds,
-    double cpuSeconds,
-    Quantiles lateness,
-    long surplus,
-    long connections,
-    List<Row> rows,
-    Row total,
-    double stretchSeconds,
-    List<Point> series,
-    List<Mark> marks) {
+        boolean valid,
+        String invalidBecause,
+        boolean interrupted,
+        long seed,
+        double seconds,
+        double cpuSeconds,
+        Quantiles lateness,
+        long surplus,
+        long connections,
+        List<Row> rows,
+        Row total,
+        double stretchSeconds,
+        List<Point> series,
+        List<Mark> marks) {
 
-  /** Quantiles in ms; all 0 where nothing was recorded. */
-  public record Quantiles(
-      long count, double mean, double p50, double p90, double p99, double p999, double max) {
-    static Quantiles of(Histogram h) {
-      return new Quantiles(
-          h.getTotalCount(),
-          round(h.getTotalCount() == 0 ? 0 : h.getMean()),
-          at(h, 50),
-          at(h, 90),
-          at(h, 99),
-          at(h, 99.9),
-          round(h.getMaxValue()));
-    }
+    /** Quantiles in ms; all 0 where nothing was recorded. */
+    public record Quantiles(long count, double mean, double p50, double p90, double p99, double p999, double max) {
+        static Quantiles of(Histogram h) {
+            return new Quantiles(
+                    h.getTotalCount(),
+                    round(h.getTotalCount() == 0 ? 0 : h.getMean()),
+                    at(h, 50),
+                    at(h, 90),
+                    at(h, 99),
+                    at(h, 99.9),
+                    round(h.getMaxValue()));
+        }
 
-    private static double at(Histogram h, double percentile) {
-      return round(h.getValueAtPercentile(percentile));
-    }
+        private static double at(Histogram h, double percentile) {
+            return round(h.getValueAtPercentile(percentile));
+        }
 
-    private static double round(double micros) {
-      return Math.round(micros) / 1_000.0;
+        private static double round(double micros) {
+            return Math.round(micros) / 1_000.0;
+        }
     }
-  }
 
-  /** Figures of one class and tenant. Offered is the sum of the seven ends behind it. */
-  @JsonInclude(JsonInclude.Include.NON_NULL)
-  public record Row(
-      String type,
-      String tenant,
-      long offered,
-      double rate,
-      long inAim,
-      long late,
-      long refused,
-      long failed,
-      long lost,
-      long abandoned,
-      long notSent,
-      double triesPerRequest,
-      Quantiles latency,
-      Quantiles service) {}
+    /** Figures of one class and tenant. Offered is the sum of the seven ends behind it. */
+    @JsonInclude(JsonInclude.Include.NON_NULL)
+    public record Row(
+            String type,
+            String tenant,
+            long offered,
+            double rate,
+            long inAim,
+            long late,
+            long refused,
+            long failed,
+            long lost,
+            long abandoned,
+            long notSent,
+            double triesPerRequest,
+            Quantiles latency,
+            Quantiles service) {}
 
-  /** Figures of one stretch of time; {@code at} in seconds from the start. */
-  public record Point(
-      double at,
-      long offered,
-      long inAim,
-      long late,
-      long refused,
-      long failed,
-      double p50,
-      double p90,
-      double p99,
-      double max) {}
+    /** Figures of one stretch of time; {@code at} in seconds from the start. */
+    public record Point(
+            double at,
+            long offered,
+            long inAim,
+            long late,
+            long refused,
+            long failed,
+            double p50,
+            double p90,
+            double p99,
+            double max) {}
 
-  /** Something that happened to a host; {@code at} in seconds from the start. */
-  public record Mark(double at, String host, String what) {}
+    /** Something that happened to a host; {@code at} in seconds from the start. */
+    public record Mark(double at, String host, String what) {}
 
-  static Report of(
-      LoadPlan plan,
-      Tally tally,
-      boolean interrupted,
-      double cpuSeconds,
-      long connections,
-      List<Mark> marks) {
-    String because = null;
-    Quantiles lateness = Quantiles.of(tally.lateness());
-    Tally.Row all = tally.total();
-    if (lateness.p99() > plan.latenessMs()) {
-      because = "one send of a hundred was more than " + lateness.p99() + " ms late, expected "
-          + plan.latenessMs() + " at most: the generator could not keep its schedule";
-    } else if (all.notSent > 0) {
-      because = all.notSent + " requests were not sent, as " + plan.maxOpen()
-          + " were under way: the schedule was not kept";
-    }
-    double seconds = Math.max(1e-9, tally.seconds());
-    List<Row> rows = new ArrayList<>();
-    tally.rows().forEach(r -> rows.add(row(r, seconds)));
-    List<Point> series = new ArrayList<>();
-    for (Tally.Stretch s : tally.stretches()) {
-      series.add(point(series.size() * tally.stretchSeconds(), s));
+    static Report of(
+            LoadPlan plan, Tally tally, boolean interrupted, double cpuSeconds, long connections, List<Mark> marks) {
+        String because = null;
+        Quantiles lateness = Quantiles.of(tally.lateness());
+        Tally.Row all = tally.total();
+        if (lateness.p99() > plan.latenessMs()) {
+            because = "one send of a hundred was more than " + lateness.p99() + " ms late, expected "
+                    + plan.latenessMs() + " at most: the generator could not keep its schedule";
+        } else if (all.notSent > 0) {
+            because = all.notSent + " requests were not sent, as " + plan.maxOpen()
+                    + " were under way: the schedule was not kept";
+        }
+        double seconds = Math.max(1e-9, tally.seconds());
+        List<Row> rows = new ArrayList<>();
+        tally.rows().forEach(r -> rows.add(row(r, seconds)));
+        List<Point> series = new ArrayList<>();
+        for (Tally.Stretch s : tally.stretches()) {
+            series.add(point(series.size() * tally.stretchSeconds(), s));
+        }
+        return new Report(
+                because == null,
+                because,
+                interrupted,
+                plan.seed(),
+                seconds,
+                cpuSeconds,
+                lateness,
+                tally.surplusAnswers(),
+                connections,
+                rows,
+                row(all, seconds),
+                tally.stretchSeconds(),
+                series,
+                List.copyOf(marks));
     }
-    return new Report(
-        because == null,
-        because,
-        interrupted,
-        plan.seed(),
-        seconds,
-        cpuSeconds,
-        lateness,
-        tally.surplusAnswers(),
-        connections,
-        rows,
-        row(all, seconds),
-        tally.stretchSeconds(),
-        series,
-        List.copyOf(marks));
-  }
 
-  private static Row row(Tally.Row r, double seconds) {
-    return new Row(
-        r.type == null ? "all" : r.type.name(),
-        r.tenant,
-        r.offered,
-        Math.round(100 * r.offered / seconds) / 100.0,
-        r.inAim,
-        r.late,
-        r.refused,
-        r.failed,
-        r.lost,
-        r.abandoned,
-        r.notSent,
-        r.offered == 0 ? 0 : Math.round(1_000.0 * r.tries / r.offered) / 1_000.0,
-        Quantiles.of(r.latency),
-        Quantiles.of(r.service));
-  }
+    private static Row row(Tally.Row r, double seconds) {
+        return new Row(
+                r.type == null ? "all" : r.type.name(),
+                r.tenant,
+                r.offered,
+                Math.round(100 * r.offered / seconds) / 100.0,
+                r.inAim,
+                r.late,
+                r.refused,
+                r.failed,
+                r.lost,
+                r.abandoned,
+                r.notSent,
+                r.offered == 0 ? 0 : Math.round(1_000.0 * r.tries / r.offered) / 1_000.0,
+                Quantiles.of(r.latency),
+                Quantiles.of(r.service));
+    }
 
-  private static Point point(double at, Tally.Stretch s) {
-    Quantiles q = Quantiles.of(s.latency);
-    return new Point(
-        at, s.offered, s.inAim, s.late, s.refused, s.failed, q.p50(), q.p90(), q.p99(), q.max());
-  }
+    private static Point point(double at, Tally.Stretch s) {
+        Quantiles q = Quantiles.of(s.latency);
+        return new Point(at, s.offered, s.inAim, s.late, s.refused, s.failed, q.p50(), q.p90(), q.p99(), q.max());
+    }
 }
--- a/src/main/java/rillyard/load/ReportFiles.java
+++ b/src/main/java/rillyard/load/ReportFiles.java
@@ -7,13 +7,13 @@
 
 /** A report as files: {@code report.json} and {@code report.html}. */
 public final class ReportFiles {
-  private ReportFiles() {}
+    private ReportFiles() {}
 
-  /** Writes both into a folder that is there. */
-  public static void write(Path folder, Report r, String title) throws IOException {
-    Files.writeString(
-        folder.resolve("report.json"),
-        new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(r) + "\n");
-    Files.writeString(folder.resolve("report.html"), ReportHtml.of(r, title));
-  }
+    /** Writes both into a folder that is there. */
+    public static void write(Path folder, Report r, String title) throws IOException {
+        Files.writeString(
+                folder.resolve("report.json"),
+                new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(r) + "\n");
+        Files.writeString(folder.resolve("report.html"), ReportHtml.of(r, title));
+    }
 }
--- a/src/main/java/rillyard/load/Shape.java
+++ b/src/main/java/rillyard/load/Shape.java
@@ -7,151 +7,154 @@
  * that all shapes share one source of chance.
  */
 public sealed interface Shape {
-  /** How long it lasts (s). */
-  double seconds();
-
-  /** Arrivals expected in its first {@code t} seconds; never falls, from 0. */
-  double expected(double t);
-
-  /** Whether arrivals come by chance, rather than evenly. */
-  boolean random();
-
-  /** The rate (1/s) at a time. */
-  double rate(double t);
-
-  /**
-   * The time at which so many arrivals are expected, not before {@code from}, or NaN if it ends
-   * before.
-   */
-  default double when(double arrivals, double from) {
-    double high = seconds();
-    if (expected(high) < arrivals) {
-      return Double.NaN;
+    /** How long it lasts (s). */
+    double seconds();
+
+    /** Arrivals expected in its first {@code t} seconds; never falls, from 0. */
+    double expected(double t);
+
+    /** Whether arrivals come by chance, rather than evenly. */
+    boolean random();
+
+    /** The rate (1/s) at a time. */
+    double rate(double t);
+
+    /**
+     * The time at which so many arrivals are expected, not before {@code from}, or NaN if it ends
+     * before.
+     */
+    default double when(double arrivals, double from) {
+        double high = seconds();
+        if (expected(high) < arrivals) {
+            return Double.NaN;
+        }
+        double low = from;
+        // The next one is near as a rule: widen from there, then halve down to a tenth of a microsecond.
+        double step = 1e-4;
+        while (low + step < high && expected(low + step) < arrivals) {
+            low += step;
+            step *= 2;
+        }
+        high = Math.min(high, low + step);
+        while (high - low > 1e-7) {
+            double mid = (low + high) / 2;
+            if (expected(mid) < arrivals) {
+                low = mid;
+            } else {
+                high = mid;
+            }
+        }
+        return high;
+    }
+
+    /** The same rate all the time; evenly spaced, or as a Poisson process. */
+    record Steady(double seconds, double rate, boolean random) implements Shape {
+        @Override
+        public double expected(double t) {
+            return rate * t;
+        }
+
+        @Override
+        public double rate(double t) {
+            return rate;
+        }
+    }
+
+    /** From one rate to another in a straight line. */
+    record Ramp(double seconds, double from, double to, boolean random) implements Shape {
+        @Override
+        public double expected(double t) {
+            return from * t + (to - from) * t * t / (2 * seconds);
+        }
+
+        @Override
+        public double rate(double t) {
+            return from + (to - from) * t / seconds;
+        }
+    }
+
+    /** A base rate that rises to a peak, holds, and falls back, in straight lines. */
+    record Surge(
+            double seconds, double base, double peak, double at, double rise, double hold, double fall, boolean random)
+            implements Shape {
+        @Override
+        public double expected(double t) {
+            double up = clamp(t - at, rise);
+            double top = clamp(t - at - rise, hold);
+            double down = clamp(t - at - rise - hold, fall);
+            double more =
+                    (rise > 0 ? up * up / (2 * rise) : 0) + top + (fall > 0 ? down - down * down / (2 * fall) : 0);
+            return base * t + (peak - base) * more;
+        }
+
+        @Override
+        public double rate(double t) {
+            double s = t - at;
+            double share = s < 0
+                    ? 0
+                    : s < rise
+                            ? s / rise
+                            : s < rise + hold ? 1 : s < rise + hold + fall ? 1 - (s - rise - hold) / fall : 0;
+            return base + (peak - base) * share;
+        }
+
+        private static double clamp(double x, double most) {
+            return Math.max(0, Math.min(most, x));
+        }
+    }
+
+    /** A sine around a mean; {@code swing} is its amplitude as a share of the mean, at most 1. */
+    record Wave(double seconds, double mean, double swing, double period, boolean random) implements Shape {
+        @Override
+        public double expected(double t) {
+            double w = 2 * Math.PI / period;
+            return mean * (t + swing / w * (1 - Math.cos(w * t)));
+        }
+
+        @Override
+        public double rate(double t) {
+            return mean * (1 + swing * Math.sin(2 * Math.PI * t / period));
+        }
+    }
+
+    /** One rate after another, each for as long. */
+    record Step(double seconds, double[] rates, boolean random) implements Shape {
+        /** Copies the rates. */
+        public Step {
+            rates = rates.clone();
+        }
+
+        @Override
+        public double[] rates() {
+            return rates.clone();
+        }
+
+        @Override
+        public double expected(double t) {
+            double each = seconds / rates.length;
+            double sum = 0;
+            for (int i = 0; i < rates.length; i++) {
+                sum += rates[i] * Math.max(0, Math.min(each, t - i * each));
+            }
+            return sum;
+        }
+
+        @Override
+        public double rate(double t) {
+            return rates[(int) Math.max(0, Math.min(rates.length - 1, t * rates.length / seconds))];
+        }
+
+        @Override
+        public boolean equals(Object o) {
+            return o instanceof Step s
+                    && s.seconds == seconds
+                    && s.random == random
+                    && java.util.Arrays.equals(s.rates, rates);
+        }
+
+        @Override
+        public int hashCode() {
+            return java.util.Arrays.hashCode(rates);
+        }
     }
-    double low = from;
-    // The next one is near as a rule: widen from there, then halve down to a tenth of a microsecond.
-    double step = 1e-4;
-    while (low + step < high && expected(low + step) < arrivals) {
-      low += step;
-      step *= 2;
-    }
-    high = Math.min(high, low + step);
-    while (high - low > 1e-7) {
-      double mid = (low + high) / 2;
-      if (expected(mid) < arrivals) {
-        low = mid;
-      } else {
-        high = mid;
-      }
-    }
-    return high;
-  }
-
-  /** The same rate all the time; evenly spaced, or as a Poisson process. */
-  record Steady(double seconds, double rate, boolean random) implements Shape {
-    @Override
-    public double expected(double t) {
-      return rate * t;
-    }
-
-    @Override
-    public double rate(double t) {
-      return rate;
-    }
-  }
-
-  /** From one rate to another in a straight line. */
-  record Ramp(double seconds, double from, double to, boolean random) implements Shape {
-    @Override
-    public double expected(double t) {
-      return from * t + (to - from) * t * t / (2 * seconds);
-    }
-
-    @Override
-    public double rate(double t) {
-      return from + (to - from) * t / seconds;
-    }
-  }
-
-  /** A base rate that rises to a peak, holds, and falls back, in straight lines. */
-  record Surge(
-      double seconds, double base, double peak, double at, double rise, double hold, double fall,
-      boolean random)
-      implements Shape {
-    @Override
-    public double expected(double t) {
-      double up = clamp(t - at, rise);
-      double top = clamp(t - at - rise, hold);
-      double down = clamp(t - at - rise - hold, fall);
-      double more = (rise > 0 ? up * up / (2 * rise) : 0) + top
-          + (fall > 0 ? down - down * down / (2 * fall) : 0);
-      return base * t + (peak - base) * more;
-    }
-
-    @Override
-    public double rate(double t) {
-      double s = t - at;
-      double share = s < 0 ? 0 : s < rise ? s / rise : s < rise + hold ? 1
-          : s < rise + hold + fall ? 1 - (s - rise - hold) / fall : 0;
-      return base + (peak - base) * share;
-    }
-
-    private static double clamp(double x, double most) {
-      return Math.max(0, Math.min(most, x));
-    }
-  }
-
-  /** A sine around a mean; {@code swing} is its amplitude as a share of the mean, at most 1. */
-  record Wave(double seconds, double mean, double swing, double period, boolean random)
-      implements Shape {
-    @Override
-    public double expected(double t) {
-      double w = 2 * Math.PI / period;
-      return mean * (t + swing / w * (1 - Math.cos(w * t)));
-    }
-
-    @Override
-    public double rate(double t) {
-      return mean * (1 + swing * Math.sin(2 * Math.PI * t / period));
-    }
-  }
-
-  /** One rate after another, each for as long. */
-  record Step(double seconds, double[] rates, boolean random) implements Shape {
-    /** Copies the rates. */
-    public Step {
-      rates = rates.clone();
-    }
-
-    @Override
-    public double[] rates() {
-      return rates.clone();
-    }
-
-    @Override
-    public double expected(double t) {
-      double each = seconds / rates.length;
-      double sum = 0;
-      for (int i = 0; i < rates.length; i++) {
-        sum += rates[i] * Math.max(0, Math.min(each, t - i * each));
-      }
-      return sum;
-    }
-
-    @Override
-    public double rate(double t) {
-      return rates[(int) Math.max(0, Math.min(rates.length - 1, t * rates.length / seconds))];
-    }
-
-    @Override
-    public boolean equals(Object o) {
-      return o instanceof Step s && s.seconds == seconds && s.random == random
-          && java.util.Arrays.equals(s.rates, rates);
-    }
-
-    @Override
-    public int hashCode() {
-      return java.util.Arrays.hashCode(rates);
-    }
-  }
 }
--- a/src/main/java/rillyard/load/SvgPlot.java
+++ b/src/main/java/rillyard/load/SvgPlot.java
@@ -5,122 +5,131 @@
 
 /** One plot over time: lines, marks, axes. */
 final class SvgPlot {
-  private static final int WIDTH = 1_000;
-  private static final int HEIGHT = 240;
-  private static final int LEFT = 56;
-  private static final int RIGHT = 12;
-  private static final int TOP = 24;
-  private static final int BOTTOM = 24;
+    private static final int WIDTH = 1_000;
+    private static final int HEIGHT = 240;
+    private static final int LEFT = 56;
+    private static final int RIGHT = 12;
+    private static final int TOP = 24;
+    private static final int BOTTOM = 24;
 
-  private record Line(String name, String colour, double[][] points) {}
+    private record Line(String name, String colour, double[][] points) {}
 
-  private record Mark(double at, String text) {}
+    private record Mark(double at, String text) {}
 
-  private final String title;
-  private final double end;
-  private final boolean logarithmic;
-  private final List<Line> lines = new ArrayList<>();
-  private final List<Mark> marks = new ArrayList<>();
+    private final String title;
+    private final double end;
+    private final boolean logarithmic;
+    private final List<Line> lines = new ArrayList<>();
+    private final List<Mark> marks = new ArrayList<>();
 
-  /** {@code end} is where the time axis ends (s). */
-  SvgPlot(String title, double end, boolean logarithmic) {
-    this.title = title;
-    this.end = end;
-    this.logarithmic = logarithmic;
-  }
-
-  void line(String name, String colour, double[][] points) {
-    lines.add(new Line(name, colour, points));
-  }
-
-  void mark(double at, String text) {
-    if (at >= 0 && at <= end) {
-      marks.add(new Mark(at, text));
+    /** {@code end} is where the time axis ends (s). */
+    SvgPlot(String title, double end, boolean logarithmic) {
+        this.title = title;
+        this.end = end;
+        this.logarithmic = logarithmic;
     }
-  }
 
-  String svg() {
-    double high = 0;
-    double low = Double.MAX_VALUE;
-    for (Line l : lines) {
-      for (double[] p : l.points()) {
-        high = Math.max(high, p[1]);
-        low = p[1] > 0 ? Math.min(low, p[1]) : low;
-      }
+    void line(String name, String colour, double[][] points) {
+        lines.add(new Line(name, colour, points));
     }
-    high = high == 0 ? 1 : high;
-    double from = logarithmic ? Math.pow(10, Math.floor(Math.log10(Math.min(low, high)))) : 0;
-    double to = logarithmic ? Math.pow(10, Math.ceil(Math.log10(high) + 1e-9)) : 1.05 * high;
-    StringBuilder s = new StringBuilder(8_192);
-    s.append(ReportHtml.format("<svg viewBox=\"0 0 %d %d\" font-family=\"sans-serif\" font-size=\"11\">", WIDTH, HEIGHT));
-    s.append(ReportHtml.format("<text x=\"%d\" y=\"15\" font-weight=\"600\">%s</text>", LEFT, ReportHtml.escape(title)));
-    legend(s);
-    axes(s, from, to);
-    for (Mark m : marks) {
-      s.append(ReportHtml.format(
-          "<line x1=\"%1$.1f\" x2=\"%1$.1f\" y1=\"%2$d\" y2=\"%3$d\" stroke=\"#c0392b\" stroke-dasharray=\"3 3\"><title>%4$s</title></line>",
-          x(m.at()), TOP, HEIGHT - BOTTOM, ReportHtml.escape(m.text())));
-    }
-    for (Line l : lines) {
-      s.append("<polyline fill=\"none\" stroke=\"").append(l.colour()).append("\" stroke-width=\"1.5\" points=\"");
-      for (double[] p : l.points()) {
-        if (!logarithmic || p[1] > 0) {
-          s.append(ReportHtml.format("%.1f,%.1f ", x(p[0]), y(p[1], from, to)));
+
+    void mark(double at, String text) {
+        if (at >= 0 && at <= end) {
+            marks.add(new Mark(at, text));
         }
-      }
-      s.append("\"/>");
     }
-    return s.append("</svg>\n").toString();
-  }
 
-  private void legend(StringBuilder s) {
-    int x = WIDTH - RIGHT;
-    for (int i = lines.size() - 1; i >= 0; i--) {
-      Line l = lines.get(i);
-      s.append(ReportHtml.format("<text x=\"%d\" y=\"15\" text-anchor=\"end\" fill=\"%s\">%s</text>",
-          x, l.colour(), ReportHtml.escape(l.name())));
-      x -= 14 + 6 * l.name().length();
+    String svg() {
+        double high = 0;
+        double low = Double.MAX_VALUE;
+        for (Line l : lines) {
+            for (double[] p : l.points()) {
+                high = Math.max(high, p[1]);
+                low = p[1] > 0 ? Math.min(low, p[1]) : low;
+            }
+        }
+        high = high == 0 ? 1 : high;
+        double from = logarithmic ? Math.pow(10, Math.floor(Math.log10(Math.min(low, high)))) : 0;
+        double to = logarithmic ? Math.pow(10, Math.ceil(Math.log10(high) + 1e-9)) : 1.05 * high;
+        StringBuilder s = new StringBuilder(8_192);
+        s.append(ReportHtml.format(
+                "<svg viewBox=\"0 0 %d %d\" font-family=\"sans-serif\" font-size=\"11\">", WIDTH, HEIGHT));
+        s.append(ReportHtml.format(
+                "<text x=\"%d\" y=\"15\" font-weight=\"600\">%s</text>", LEFT, ReportHtml.escape(title)));
+        legend(s);
+        axes(s, from, to);
+        for (Mark m : marks) {
+            s.append(ReportHtml.format(
+                    "<line x1=\"%1$.1f\" x2=\"%1$.1f\" y1=\"%2$d\" y2=\"%3$d\" stroke=\"#c0392b\" stroke-dasharray=\"3 3\"><title>%4$s</title></line>",
+                    x(m.at()), TOP, HEIGHT - BOTTOM, ReportHtml.escape(m.text())));
+        }
+        for (Line l : lines) {
+            s.append("<polyline fill=\"none\" stroke=\"")
+                    .append(l.colour())
+                    .append("\" stroke-width=\"1.5\" points=\"");
+            for (double[] p : l.points()) {
+                if (!logarithmic || p[1] > 0) {
+                    s.append(ReportHtml.format("%.1f,%.1f ", x(p[0]), y(p[1], from, to)));
+                }
+            }
+            s.append("\"/>");
+        }
+        return s.append("</svg>\n").toString();
     }
-  }
 
-  private void axes(StringBuilder s, double from, double to) {
-    List<Double> levels = new ArrayList<>();
-    if (logarithmic) {
-      for (double v = from; v <= to * 1.001; v *= 10) {
-        levels.add(v);
-      }
-    } else {
-      double step = nice(to / 4);
-      for (double v = 0; v <= to; v += step) {
-        levels.add(v);
-      }
-    }
-    for (double v : levels) {
-      double y = y(v, from, to);
-      s.append(ReportHtml.format("<line x1=\"%d\" x2=\"%d\" y1=\"%3$.1f\" y2=\"%3$.1f\" stroke=\"#e4e4e4\"/>", LEFT, WIDTH - RIGHT, y));
-      s.append(ReportHtml.format("<text x=\"%d\" y=\"%.1f\" text-anchor=\"end\" fill=\"#666\">%s</text>",
-          LEFT - 6, y + 4, v == Math.rint(v) ? Long.toString((long) v) : Double.toString(v)));
+    private void legend(StringBuilder s) {
+        int x = WIDTH - RIGHT;
+        for (int i = lines.size() - 1; i >= 0; i--) {
+            Line l = lines.get(i);
+            s.append(ReportHtml.format(
+                    "<text x=\"%d\" y=\"15\" text-anchor=\"end\" fill=\"%s\">%s</text>",
+                    x, l.colour(), ReportHtml.escape(l.name())));
+            x -= 14 + 6 * l.name().length();
+        }
     }
-    double step = nice(end / 8);
-    for (double t = 0; t <= end; t += step) {
-      s.append(ReportHtml.format("<text x=\"%.1f\" y=\"%d\" text-anchor=\"middle\" fill=\"#666\">%.4g s</text>", x(t), HEIGHT - 8, t));
+
+    private void axes(StringBuilder s, double from, double to) {
+        List<Double> levels = new ArrayList<>();
+        if (logarithmic) {
+            for (double v = from; v <= to * 1.001; v *= 10) {
+                levels.add(v);
+            }
+        } else {
+            double step = nice(to / 4);
+            for (double v = 0; v <= to; v += step) {
+                levels.add(v);
+            }
+        }
+        for (double v : levels) {
+            double y = y(v, from, to);
+            s.append(ReportHtml.format(
+                    "<line x1=\"%d\" x2=\"%d\" y1=\"%3$.1f\" y2=\"%3$.1f\" stroke=\"#e4e4e4\"/>",
+                    LEFT, WIDTH - RIGHT, y));
+            s.append(ReportHtml.format(
+                    "<text x=\"%d\" y=\"%.1f\" text-anchor=\"end\" fill=\"#666\">%s</text>",
+                    LEFT - 6, y + 4, v == Math.rint(v) ? Long.toString((long) v) : Double.toString(v)));
+        }
+        double step = nice(end / 8);
+        for (double t = 0; t <= end; t += step) {
+            s.append(ReportHtml.format(
+                    "<text x=\"%.1f\" y=\"%d\" text-anchor=\"middle\" fill=\"#666\">%.4g s</text>",
+                    x(t), HEIGHT - 8, t));
+        }
     }
-  }
 
-  private static double nice(double step) {
-    double ten = Math.pow(10, Math.floor(Math.log10(step)));
-    double m = step / ten;
-    return ten * (m <= 1 ? 1 : m <= 2 ? 2 : m <= 5 ? 5 : 10);
-  }
+    private static double nice(double step) {
+        double ten = Math.pow(10, Math.floor(Math.log10(step)));
+        double m = step / ten;
+        return ten * (m <= 1 ? 1 : m <= 2 ? 2 : m <= 5 ? 5 : 10);
+    }
 
-  private double x(double t) {
-    return LEFT + t / end * (WIDTH - LEFT - RIGHT);
-  }
+    private double x(double t) {
+        return LEFT + t / end * (WIDTH - LEFT - RIGHT);
+    }
 
-  private double y(double v, double from, double to) {
-    double share = logarithmic
-        ? Math.log(Math.max(v, from) / from) / Math.log(to / from)
-        : (v - from) / (to - from);
-    return HEIGHT - BOTTOM - share * (HEIGHT - TOP - BOTTOM);
-  }
+    private double y(double v, double from, double to) {
+        double share =
+                logarithmic ? Math.log(Math.max(v, from) / from) / Math.log(to / from) : (v - from) / (to - from);
+        return HEIGHT - BOTTOM - share * (HEIGHT - TOP - BOTTOM);
+    }
 }
--- a/src/main/java/rillyard/load/Trace.java
+++ b/src/main/java/rillyard/load/Trace.java
@@ -9,28 +9,28 @@
  * @param speed how much faster than recorded
  */
 public record Trace(List<Entry> entries, double speed) {
-  /** Copies the list. */
-  public Trace {
-    entries = List.copyOf(entries);
-  }
+    /** Copies the list. */
+    public Trace {
+        entries = List.copyOf(entries);
+    }
 
-  /**
-   * One recorded request.
-   *
-   * @param micros when it came, on the clock of the recording
-   * @param type its class
-   * @param tenant its tenant, or null
-   * @param client who sent it, or null where that is not known
-   * @param routeKey what it was about, or null
-   */
-  public record Entry(long micros, LoadClass type, String tenant, String client, String routeKey) {}
+    /**
+     * One recorded request.
+     *
+     * @param micros when it came, on the clock of the recording
+     * @param type its class
+     * @param tenant its tenant, or null
+     * @param client who sent it, or null where that is not known
+     * @param routeKey what it was about, or null
+     */
+    public record Entry(long micros, LoadClass type, String tenant, String client, String routeKey) {}
 
-  /** When an entry is to be sent: nanoseconds from the first one. */
-  long at(Entry e) {
-    return (long) ((e.micros() - entries.get(0).micros()) * 1_000 / speed);
-  }
+    /** When an entry is to be sent: nanoseconds from the first one. */
+    long at(Entry e) {
+        return (long) ((e.micros() - entries.get(0).micros()) * 1_000 / speed);
+    }
 
-  double seconds() {
-    return at(entries.get(entries.size() - 1)) / 1e9;
-  }
+    double seconds() {
+        return at(entries.get(entries.size() - 1)) / 1e9;
+    }
 }
--- a/src/main/java/rillyard/load/TraceReader.java
+++ b/src/main/java/rillyard/load/TraceReader.java
@@ -36,193 +36,199 @@
  * </ul>
  */
 public final class TraceReader {
-  /** The form of a file. */
-  public enum Form {
-    CSV,
-    JSONL,
-    HAPROXY
-  }
-
-  /** More findings than this help nobody. */
-  private static final int MOST_FINDINGS = 50;
-
-  /** Bounds the memory that a trace takes. */
-  private static final int MOST_ENTRIES = 5_000_000;
-
-  private static final ObjectMapper JSON = new ObjectMapper();
-
-  // process[pid]: client:port [date] frontend backend/server Tq/Tw/Tc/Tr/Tt status bytes ... "request"
-  private static final Pattern HTTPLOG =
-      Pattern.compile(
-          "(?:^|\\s)(\\S+):(\\d+) \\[(\\d{2}/[A-Z][a-z]{2}/\\d{4}:\\d{2}:\\d{2}:\\d{2}\\.\\d{3})\\] "
-              + "\\S+ \\S+/\\S+ [-+0-9/]+ -?\\d+ \\+?\\d+ .*\"(?:([A-Z]+) (\\S+) HTTP/[0-9.]+|<BADREQ>)\"");
-
-  private static final DateTimeFormatter DATE =
-      DateTimeFormatter.ofPattern("dd/MMM/yyyy:HH:mm:ss.SSS", Locale.ROOT);
-
-  private final String file;
-  private final Map<String, LoadClass> classes;
-  private final List<Trace.Entry> entries = new ArrayList<>();
-  private final List<Finding> findings = new ArrayList<>();
-  private int leftOut;
-  private int line;
-
-  private TraceReader(String file, List<LoadClass> classes) {
-    this.file = file;
-    this.classes = classes.stream().collect(Collectors.toMap(LoadClass::name, c -> c));
-  }
-
-  /**
-   * Reads a file; entries may stand in any order.
-   *
-   * @throws InvalidFileException with the lines that can't be used, or if none can
-   */
-  public static Trace read(Path file, Form form, List<LoadClass> classes, double speed)
-      throws InvalidFileException {
-    TraceReader r = new TraceReader(file.toString(), classes);
-    try (BufferedReader in = Files.newBufferedReader(file)) {
-      r.read(in, form);
-    } catch (IOException e) {
-      throw new InvalidFileException(file.toString(), r.line, "can't be read: " + e);
+    /** The form of a file. */
+    public enum Form {
+        CSV,
+        JSONL,
+        HAPROXY
     }
-    if (!r.findings.isEmpty()) {
-      throw new InvalidFileException(r.findings);
-    }
-    if (r.entries.isEmpty()) {
-      throw new InvalidFileException(file.toString(), 0, "expected one request at least"
-          + (r.leftOut > 0 ? "; all " + r.leftOut + " are of classes that the plan does not name" : ""));
+
+    /** More findings than this help nobody. */
+    private static final int MOST_FINDINGS = 50;
+
+    /** Bounds the memory that a trace takes. */
+    private static final int MOST_ENTRIES = 5_000_000;
+
+    private static final ObjectMapper JSON = new ObjectMapper();
+
+    // process[pid]: client:port [date] frontend backend/server Tq/Tw/Tc/Tr/Tt status bytes ... "request"
+    private static final Pattern HTTPLOG =
+            Pattern.compile("(?:^|\\s)(\\S+):(\\d+) \\[(\\d{2}/[A-Z][a-z]{2}/\\d{4}:\\d{2}:\\d{2}:\\d{2}\\.\\d{3})\\] "
+                    + "\\S+ \\S+/\\S+ [-+0-9/]+ -?\\d+ \\+?\\d+ .*\"(?:([A-Z]+) (\\S+) HTTP/[0-9.]+|<BADREQ>)\"");
+
+    private static final DateTimeFormatter DATE = DateTimeFormatter.ofPattern("dd/MMM/yyyy:HH:mm:ss.SSS", Locale.ROOT);
+
+    private final String file;
+    private final Map<String, LoadClass> classes;
+    private final List<Trace.Entry> entries = new ArrayList<>();
+    private final List<Finding> findings = new ArrayList<>();
+    private int leftOut;
+    private int line;
+
+    private TraceReader(String file, List<LoadClass> classes) {
+        this.file = file;
+        this.classes = classes.stream().collect(Collectors.toMap(LoadClass::name, c -> c));
     }
-    r.entries.sort(Comparator.comparingLong(Trace.Entry::micros));
-    return new Trace(r.entries, speed);
-  }
-
-  private void read(BufferedReader in, Form form) throws IOException {
-    List<String> columns = null;
-    String text;
-    while ((text = in.readLine()) != null && findings.size() < MOST_FINDINGS) {
-      line++;
-      if (text.isBlank()) {
-        continue;
-      }
-      if (entries.size() >= MOST_ENTRIES) {
-        wrong("expected " + MOST_ENTRIES + " requests at most");
-        return;
-      }
-      if (form == Form.CSV && columns == null) {
-        columns = columns(text);
-        if (columns == null) {
-          return;
+
+    /**
+     * Reads a file; entries may stand in any order.
+     *
+     * @throws InvalidFileException with the lines that can't be used, or if none can
+     */
+    public static Trace read(Path file, Form form, List<LoadClass> classes, double speed) throws InvalidFileException {
+        TraceReader r = new TraceReader(file.toString(), classes);
+        try (BufferedReader in = Files.newBufferedReader(file)) {
+            r.read(in, form);
+        } catch (IOException e) {
+            throw new InvalidFileException(file.toString(), r.line, "can't be read: " + e);
         }
-      } else if (form == Form.CSV) {
-        csv(columns, text);
-      } else if (form == Form.JSONL) {
-        json(text);
-      } else {
-        httplog(text);
-      }
-    }
-  }
-
-  private List<String> columns(String text) {
-    List<String> names = Arrays.stream(text.split(",", -1)).map(String::trim).toList();
-    for (String needed : List.of("time_ms", "class")) {
-      if (!names.contains(needed)) {
-        wrong("expected column names with '" + needed + "' among them, found '" + text + "'");
-        return null;
-      }
-    }
-    return names;
-  }
-
-  private void csv(List<String> columns, String text) {
-    String[] v = text.split(",", -1);
-    if (v.length != columns.size()) {
-      wrong("expected " + columns.size() + " values, found " + v.length);
-      return;
-    }
-    entry(
-        v[columns.indexOf("time_ms")].trim(),
-        v[columns.indexOf("class")].trim(),
-        value(columns, v, "tenant"),
-        value(columns, v, "client"),
-        value(columns, v, "route_key"));
-  }
-
-  private static String value(List<String> columns, String[] v, String name) {
-    int i = columns.indexOf(name);
-    return i < 0 || v[i].isBlank() ? null : v[i].trim();
-  }
-
-  private void json(String text) {
-    JsonNode n;
-    try {
-      n = JSON.readTree(text);
-    } catch (JsonProcessingException e) {
-      wrong("expected a JSON object: " + e.getOriginalMessage());
-      return;
-    }
-    if (!n.isObject()) {
-      wrong("expected a JSON object, found " + text);
-      return;
+        if (!r.findings.isEmpty()) {
+            throw new InvalidFileException(r.findings);
+        }
+        if (r.entries.isEmpty()) {
+            throw new InvalidFileException(
+                    file.toString(),
+                    0,
+                    "expected one request at least"
+                            + (r.leftOut > 0
+                                    ? "; all " + r.leftOut + " are of classes that the plan does not name"
+                                    : ""));
+        }
+        r.entries.sort(Comparator.comparingLong(Trace.Entry::micros));
+        return new Trace(r.entries, speed);
     }
-    entry(
-        n.path("time_ms").asText(),
-        n.path("class").asText(),
-        n.hasNonNull("tenant") ? n.get("tenant").asText() : null,
-        n.hasNonNull("client") ? n.get("client").asText() : null,
-        n.hasNonNull("route_key") ? n.get("route_key").asText() : null);
-  }
-
-  private void entry(String time, String type, String tenant, String client, String key) {
-    double ms;
-    try {
-      ms = Double.parseDouble(time);
-    } catch (NumberFormatException e) {
-      ms = Double.NaN;
+
+    private void read(BufferedReader in, Form form) throws IOException {
+        List<String> columns = null;
+        String text;
+        while ((text = in.readLine()) != null && findings.size() < MOST_FINDINGS) {
+            line++;
+            if (text.isBlank()) {
+                continue;
+            }
+            if (entries.size() >= MOST_ENTRIES) {
+                wrong("expected " + MOST_ENTRIES + " requests at most");
+                return;
+            }
+            if (form == Form.CSV && columns == null) {
+                columns = columns(text);
+                if (columns == null) {
+                    return;
+                }
+            } else if (form == Form.CSV) {
+                csv(columns, text);
+            } else if (form == Form.JSONL) {
+                json(text);
+            } else {
+                httplog(text);
+            }
+        }
     }
-    if (!(ms >= 0 && ms < 1e15)) {
-      wrong("time_ms: found '" + time + "', expected milliseconds from 0");
-      return;
+
+    private List<String> columns(String text) {
+        List<String> names =
+                Arrays.stream(text.split(",", -1)).map(String::trim).toList();
+        for (String needed : List.of("time_ms", "class")) {
+            if (!names.contains(needed)) {
+                wrong("expected column names with '" + needed + "' among them, found '" + text + "'");
+                return null;
+            }
+        }
+        return names;
     }
-    LoadClass c = classes.get(type);
-    if (c == null) {
-      wrong("class: found '" + type + "', expected one of " + String.join(", ", classes.keySet()));
-      return;
+
+    private void csv(List<String> columns, String text) {
+        String[] v = text.split(",", -1);
+        if (v.length != columns.size()) {
+            wrong("expected " + columns.size() + " values, found " + v.length);
+            return;
+        }
+        entry(
+                v[columns.indexOf("time_ms")].trim(),
+                v[columns.indexOf("class")].trim(),
+                value(columns, v, "tenant"),
+                value(columns, v, "client"),
+                value(columns, v, "route_key"));
     }
-    entries.add(new Trace.Entry((long) (1_000 * ms), c, tenant, client, key));
-  }
-
-  private void httplog(String text) {
-    Matcher m = HTTPLOG.matcher(text);
-    if (!m.find()) {
-      wrong("expected a line of HAProxy's option httplog");
-      return;
+
+    private static String value(List<String> columns, String[] v, String name) {
+        int i = columns.indexOf(name);
+        return i < 0 || v[i].isBlank() ? null : v[i].trim();
     }
-    if (m.group(5) == null) {
-      leftOut++; // what the proxy could not read can't be sent again
-      return;
+
+    private void json(String text) {
+        JsonNode n;
+        try {
+            n = JSON.readTree(text);
+        } catch (JsonProcessingException e) {
+            wrong("expected a JSON object: " + e.getOriginalMessage());
+            return;
+        }
+        if (!n.isObject()) {
+            wrong("expected a JSON object, found " + text);
+            return;
+        }
+        entry(
+                n.path("time_ms").asText(),
+                n.path("class").asText(),
+                n.hasNonNull("tenant") ? n.get("tenant").asText() : null,
+                n.hasNonNull("client") ? n.get("client").asText() : null,
+                n.hasNonNull("route_key") ? n.get("route_key").asText() : null);
     }
-    long micros;
-    try {
-      micros = LocalDateTime.parse(m.group(3), DATE).toInstant(ZoneOffset.UTC).toEpochMilli() * 1_000;
-    } catch (DateTimeParseException e) {
-      wrong("found '" + m.group(3) + "', expected an accept date as 06/Feb/2009:12:14:14.655");
-      return;
+
+    private void entry(String time, String type, String tenant, String client, String key) {
+        double ms;
+        try {
+            ms = Double.parseDouble(time);
+        } catch (NumberFormatException e) {
+            ms = Double.NaN;
+        }
+        if (!(ms >= 0 && ms < 1e15)) {
+            wrong("time_ms: found '" + time + "', expected milliseconds from 0");
+            return;
+        }
+        LoadClass c = classes.get(type);
+        if (c == null) {
+            wrong("class: found '" + type + "', expected one of " + String.join(", ", classes.keySet()));
+            return;
+        }
+        entries.add(new Trace.Entry((long) (1_000 * ms), c, tenant, client, key));
     }
-    LoadClass c = classes.get(firstPart(m.group(5)));
-    if (c == null) {
-      leftOut++;
-    } else {
-      entries.add(new Trace.Entry(micros, c, null, m.group(1), null));
+
+    private void httplog(String text) {
+        Matcher m = HTTPLOG.matcher(text);
+        if (!m.find()) {
+            wrong("expected a line of HAProxy's option httplog");
+            return;
+        }
+        if (m.group(5) == null) {
+            leftOut++; // what the proxy could not read can't be sent again
+            return;
+        }
+        long micros;
+        try {
+            micros = LocalDateTime.parse(m.group(3), DATE)
+                            .toInstant(ZoneOffset.UTC)
+                            .toEpochMilli()
+                    * 1_000;
+        } catch (DateTimeParseException e) {
+            wrong("found '" + m.group(3) + "', expected an accept date as 06/Feb/2009:12:14:14.655");
+            return;
+        }
+        LoadClass c = classes.get(firstPart(m.group(5)));
+        if (c == null) {
+            leftOut++;
+        } else {
+            entries.add(new Trace.Entry(micros, c, null, m.group(1), null));
+        }
     }
-  }
 
-  private static String firstPart(String uri) {
-    String path = uri.replaceFirst("^[a-z]+://[^/]*", "");
-    return path.replaceFirst("^/", "").split("[/?]", 2)[0];
-  }
+    private static String firstPart(String uri) {
+        String path = uri.replaceFirst("^[a-z]+://[^/]*", "");
+        return path.replaceFirst("^/", "").split("[/?]", 2)[0];
+    }
 
-  private void wrong(String message) {
-    findings.add(new Finding(file, line, message));
-  }
+    private void wrong(String message) {
+        findings.add(new Finding(file, line, message));
+    }
 }
--- a/src/main/java/rillyard/load/Transport.java
+++ b/src/main/java/rillyard/load/Transport.java
@@ -4,37 +4,37 @@
 
 /** Carries tries to the target. All calls are made on the generator's thread. */
 interface Transport {
-  /**
-   * One try as it goes out.
-   *
-   * @param timeoutMs what {@code X-Timeout-Ms} says
-   * @param retried whether it repeats one that has failed or was refused
-   * @param fresh whether it needs a connection of its own
-   */
-  record Try(
-      String id,
-      String key,
-      LoadClass type,
-      String tenant,
-      String routeKey,
-      int client,
-      long timeoutMs,
-      boolean retried,
-      boolean fresh) {}
+    /**
+     * One try as it goes out.
+     *
+     * @param timeoutMs what {@code X-Timeout-Ms} says
+     * @param retried whether it repeats one that has failed or was refused
+     * @param fresh whether it needs a connection of its own
+     */
+    record Try(
+            String id,
+            String key,
+            LoadClass type,
+            String tenant,
+            String routeKey,
+            int client,
+            long timeoutMs,
+            boolean retried,
+            boolean fresh) {}
 
-  /** How it ended; {@code retryAfter} in microseconds, 0 without one. */
-  record End(Outcome outcome, int status, long retryAfter) {}
+    /** How it ended; {@code retryAfter} in microseconds, 0 without one. */
+    record End(Outcome outcome, int status, long retryAfter) {}
 
-  /** Hears of the end, once, and never from within {@link #send}. */
-  interface Listener {
-    void ended(End end);
-  }
+    /** Hears of the end, once, and never from within {@link #send}. */
+    interface Listener {
+        void ended(End end);
+    }
 
-  /** A try that is under way. */
-  interface Sent {
-    /** Gives it up: its connection is closed, and nothing is heard of it any more. */
-    void abandon();
-  }
+    /** A try that is under way. */
+    interface Sent {
+        /** Gives it up: its connection is closed, and nothing is heard of it any more. */
+        void abandon();
+    }
 
-  Sent send(Try t, Listener listener);
+    Sent send(Try t, Listener listener);
 }
--- a/src/main/java/rillyard/measure/FleetCount.java
+++ b/src/main/java/rillyard/measure/FleetCount.java
@@ -19,199 +19,204 @@
  * every line until it has been counted, as logs are put together by time: some 200 bytes for each.
  */
 public final class FleetCount {
-  /** What the proxies together did to one host. */
-  static final class HostCount {
-    int connects;
-    int failedConnects;
-    int open;
-    int mostOpen;
-    int attempts;
-    int turnedAway;
-    final List<Long> coldSends = new ArrayList<>();
-
-    /** The most that it was sent while cold within any stretch of so many ms. */
-    int mostCold(long stretch) {
-      coldSends.sort(Comparator.naturalOrder());
-      int most = 0;
-      for (int first = 0, last = 0; last < coldSends.size(); last++) {
-        while (coldSends.get(last) - coldSends.get(first) >= stretch) {
-          first++;
+    /** What the proxies together did to one host. */
+    static final class HostCount {
+        int connects;
+        int failedConnects;
+        int open;
+        int mostOpen;
+        int attempts;
+        int turnedAway;
+        final List<Long> coldSends = new ArrayList<>();
+
+        /** The most that it was sent while cold within any stretch of so many ms. */
+        int mostCold(long stretch) {
+            coldSends.sort(Comparator.naturalOrder());
+            int most = 0;
+            for (int first = 0, last = 0; last < coldSends.size(); last++) {
+                while (coldSends.get(last) - coldSends.get(first) >= stretch) {
+                    first++;
+                }
+                most = Math.max(most, last - first + 1);
+            }
+            return most;
         }
-        most = Math.max(most, last - first + 1);
-      }
-      return most;
     }
-  }
-
-  /** Results of attempts of which nothing came to the host. */
-  private static final Set<String> UNSENT = Set.of("CONNECT_FAILED", "MOOT");
-
-  private record Told(String proxy, int number, TraceLine line) {}
-
-  private final long window;
-  private final long coldWindow;
-  private final List<Told> told = new ArrayList<>();
-  private final Map<String, HostCount> hosts = new TreeMap<>();
-  private final Map<String, Integer> attempts = new TreeMap<>();
-  private final Map<String, Integer> refused = new TreeMap<>();
-  private final Map<String, Integer> failed = new TreeMap<>();
-  private int proxies;
-  private int starts;
-  private int lists;
-  private int torn;
-
-  /**
-   * Starts with nothing.
-   *
-   * @param window the length (ms) of a row of the timetable
-   * @param coldWindow the stretch (ms) over which work at a cold host is summed
-   */
-  public FleetCount(long window, long coldWindow) {
-    this.window = window;
-    this.coldWindow = coldWindow;
-  }
-
-  /**
-   * Takes in one proxy's log; lines that a killed process left torn are counted.
-   *
-   * @param proxy tells it from all others: what it had open ends where its log says that it started anew
-   * @throws IOException what reading throws
-   */
-  public void read(String proxy, BufferedReader log) throws IOException {
-    boolean any = false;
-    String line;
-    while ((line = log.readLine()) != null) {
-      try {
-        TraceLine t = TraceLine.read(line);
-        if (t != null) {
-          any = true;
-          told.add(new Told(proxy, told.size(), t));
-        }
-      } catch (IllegalArgumentException e) {
-        torn++;
-      }
+
+    /** Results of attempts of which nothing came to the host. */
+    private static final Set<String> UNSENT = Set.of("CONNECT_FAILED", "MOOT");
+
+    private record Told(String proxy, int number, TraceLine line) {}
+
+    private final long window;
+    private final long coldWindow;
+    private final List<Told> told = new ArrayList<>();
+    private final Map<String, HostCount> hosts = new TreeMap<>();
+    private final Map<String, Integer> attempts = new TreeMap<>();
+    private final Map<String, Integer> refused = new TreeMap<>();
+    private final Map<String, Integer> failed = new TreeMap<>();
+    private int proxies;
+    private int starts;
+    private int lists;
+    private int torn;
+
+    /**
+     * Starts with nothing.
+     *
+     * @param window the length (ms) of a row of the timetable
+     * @param coldWindow the stretch (ms) over which work at a cold host is summed
+     */
+    public FleetCount(long window, long coldWindow) {
+        this.window = window;
+        this.coldWindow = coldWindow;
     }
-    proxies += any ? 1 : 0;
-  }
-
-  /** Whether any trace was found. */
-  public boolean empty() {
-    return told.isEmpty();
-  }
-
-  /** Sums up in the order of time, whatever the order of the logs; to be called once. */
-  FleetCount sum() {
-    told.sort(Comparator.comparingLong((Told t) -> t.line().at()).thenComparingInt(Told::number));
-    Map<String, Map<String, Integer>> open = new HashMap<>(); // by proxy and host
-    for (Told t : told) {
-      TraceLine l = t.line();
-      Map<String, Integer> mine = open.computeIfAbsent(t.proxy(), p -> new HashMap<>());
-      switch (l.what()) {
-        case STARTED -> {
-          starts++;
-          mine.forEach((h, n) -> host(h).open -= n);
-          mine.clear();
-        }
-        case CONNECTED -> {
-          HostCount h = host(l.host());
-          h.connects++;
-          h.open++;
-          h.mostOpen = Math.max(h.mostOpen, h.open);
-          mine.merge(l.host(), 1, Integer::sum);
-        }
-        case CONNECT_FAILED -> host(l.host()).failedConnects++;
-        case CLOSED -> {
-          host(l.host()).open--;
-          mine.merge(l.host(), -1, Integer::sum);
+
+    /**
+     * Takes in one proxy's log; lines that a killed process left torn are counted.
+     *
+     * @param proxy tells it from all others: what it had open ends where its log says that it started anew
+     * @throws IOException what reading throws
+     */
+    public void read(String proxy, BufferedReader log) throws IOException {
+        boolean any = false;
+        String line;
+        while ((line = log.readLine()) != null) {
+            try {
+                TraceLine t = TraceLine.read(line);
+                if (t != null) {
+                    any = true;
+                    told.add(new Told(proxy, told.size(), t));
+                }
+            } catch (IllegalArgumentException e) {
+                torn++;
+            }
         }
-        case ATTEMPT -> {
-          HostCount h = host(l.host());
-          h.attempts++;
-          h.turnedAway += l.how().equals("FULL") ? 1 : 0;
-          if (l.cold() && !UNSENT.contains(l.how())) {
-            h.coldSends.add(l.at() - l.spent());
-          }
-          attempts.merge(l.how(), 1, Integer::sum);
+        proxies += any ? 1 : 0;
+    }
+
+    /** Whether any trace was found. */
+    public boolean empty() {
+        return told.isEmpty();
+    }
+
+    /** Sums up in the order of time, whatever the order of the logs; to be called once. */
+    FleetCount sum() {
+        told.sort(Comparator.comparingLong((Told t) -> t.line().at()).thenComparingInt(Told::number));
+        Map<String, Map<String, Integer>> open = new HashMap<>(); // by proxy and host
+        for (Told t : told) {
+            TraceLine l = t.line();
+            Map<String, Integer> mine = open.computeIfAbsent(t.proxy(), p -> new HashMap<>());
+            switch (l.what()) {
+                case STARTED -> {
+                    starts++;
+                    mine.forEach((h, n) -> host(h).open -= n);
+                    mine.clear();
+                }
+                case CONNECTED -> {
+                    HostCount h = host(l.host());
+                    h.connects++;
+                    h.open++;
+                    h.mostOpen = Math.max(h.mostOpen, h.open);
+                    mine.merge(l.host(), 1, Integer::sum);
+                }
+                case CONNECT_FAILED -> host(l.host()).failedConnects++;
+                case CLOSED -> {
+                    host(l.host()).open--;
+                    mine.merge(l.host(), -1, Integer::sum);
+                }
+                case ATTEMPT -> {
+                    HostCount h = host(l.host());
+                    h.attempts++;
+                    h.turnedAway += l.how().equals("FULL") ? 1 : 0;
+                    if (l.cold() && !UNSENT.contains(l.how())) {
+                        h.coldSends.add(l.at() - l.spent());
+                    }
+                    attempts.merge(l.how(), 1, Integer::sum);
+                }
+                case REFUSED -> refused.merge(l.how(), 1, Integer::sum);
+                case FAILED -> failed.merge(l.how(), 1, Integer::sum);
+                case LIST -> lists++;
+            }
         }
-        case REFUSED -> refused.merge(l.how(), 1, Integer::sum);
-        case FAILED -> failed.merge(l.how(), 1, Integer::sum);
-        case LIST -> lists++;
-      }
+        return this;
+    }
+
+    HostCount host(String name) {
+        return hosts.computeIfAbsent(name, h -> new HostCount());
+    }
+
+    Map<String, Integer> refusedAfter() {
+        return refused;
+    }
+
+    int starts() {
+        return starts;
+    }
+
+    int torn() {
+        return torn;
+    }
+
+    /** Sums up and prints the tables, in Markdown. */
+    public void print(PrintStream out) {
+        sum();
+        out.println("| over the fleet | |\n| --- | --- |");
+        out.println("| proxies, their starts | " + proxies + ", " + starts + " |");
+        out.println("| attempts by result | " + words(attempts) + " |");
+        out.println("| refused, by the last attempt's result | " + words(refused) + " |");
+        out.println("| failed, by the last attempt's result | " + words(failed) + " |");
+        out.println("| calls for the list | " + lists + " |");
+        out.println("| torn lines | " + torn + " |");
+        out.println("\n| of " + hosts.size() + " hosts, each | mean | most |\n| --- | --- | --- |");
+        row(out, "connections opened", h -> h.connects);
+        row(out, "connects that failed", h -> h.failedConnects);
+        row(out, "open at once", h -> h.mostOpen);
+        row(out, "attempts", h -> h.attempts);
+        row(out, "turned away", h -> h.turnedAway);
+        row(out, "sends while cold", h -> h.coldSends.size());
+        row(out, "of them within " + coldWindow + " ms", h -> h.mostCold(coldWindow));
+        timetable(out);
+    }
+
+    private void row(PrintStream out, String what, ToIntFunction<HostCount> count) {
+        out.printf(
+                Locale.ROOT,
+                "| %s | %.1f | %d |%n",
+                what,
+                hosts.values().stream().mapToInt(count).average().orElse(0),
+                hosts.values().stream().mapToInt(count).max().orElse(0));
     }
-    return this;
-  }
-
-  HostCount host(String name) {
-    return hosts.computeIfAbsent(name, h -> new HostCount());
-  }
-
-  Map<String, Integer> refusedAfter() {
-    return refused;
-  }
-
-  int starts() {
-    return starts;
-  }
-
-  int torn() {
-    return torn;
-  }
-
-  /** Sums up and prints the tables, in Markdown. */
-  public void print(PrintStream out) {
-    sum();
-    out.println("| over the fleet | |\n| --- | --- |");
-    out.println("| proxies, their starts | " + proxies + ", " + starts + " |");
-    out.println("| attempts by result | " + words(attempts) + " |");
-    out.println("| refused, by the last attempt's result | " + words(refused) + " |");
-    out.println("| failed, by the last attempt's result | " + words(failed) + " |");
-    out.println("| calls for the list | " + lists + " |");
-    out.println("| torn lines | " + torn + " |");
-    out.println("\n| of " + hosts.size() + " hosts, each | mean | most |\n| --- | --- | --- |");
-    row(out, "connections opened", h -> h.connects);
-    row(out, "connects that failed", h -> h.failedConnects);
-    row(out, "open at once", h -> h.mostOpen);
-    row(out, "attempts", h -> h.attempts);
-    row(out, "turned away", h -> h.turnedAway);
-    row(out, "sends while cold", h -> h.coldSends.size());
-    row(out, "of them within " + coldWindow + " ms", h -> h.mostCold(coldWindow));
-    timetable(out);
-  }
-
-  private void row(PrintStream out, String what, ToIntFunction<HostCount> count) {
-    out.printf(Locale.ROOT, "| %s | %.1f | %d |%n", what,
-        hosts.values().stream().mapToInt(count).average().orElse(0),
-        hosts.values().stream().mapToInt(count).max().orElse(0));
-  }
-
-  private void timetable(PrintStream out) {
-    out.println("\n| from, s | attempts | answered | turned away | lost, failed | refused |"
-        + "\n| --- | --- | --- | --- | --- | --- |");
-    Map<Long, int[]> rows = new TreeMap<>();
-    long first = told.isEmpty() ? 0 : told.get(0).line().at();
-    for (Told t : told) {
-      TraceLine l = t.line();
-      int[] row = rows.computeIfAbsent((l.at() - first) / window, w -> new int[5]);
-      if (l.what() == TraceLine.What.ATTEMPT) {
-        row[0]++;
-        switch (l.how()) {
-          case "OK" -> row[1]++;
-          case "FULL" -> row[2]++;
-          case "CANCELLED", "MOOT" -> {} // given up, not lost
-          default -> row[3]++;
+
+    private void timetable(PrintStream out) {
+        out.println("\n| from, s | attempts | answered | turned away | lost, failed | refused |"
+                + "\n| --- | --- | --- | --- | --- | --- |");
+        Map<Long, int[]> rows = new TreeMap<>();
+        long first = told.isEmpty() ? 0 : told.get(0).line().at();
+        for (Told t : told) {
+            TraceLine l = t.line();
+            int[] row = rows.computeIfAbsent((l.at() - first) / window, w -> new int[5]);
+            if (l.what() == TraceLine.What.ATTEMPT) {
+                row[0]++;
+                switch (l.how()) {
+                    case "OK" -> row[1]++;
+                    case "FULL" -> row[2]++;
+                    case "CANCELLED", "MOOT" -> {} // given up, not lost
+                    default -> row[3]++;
+                }
+            } else if (l.what() == TraceLine.What.REFUSED) {
+                row[4]++;
+            }
         }
-      } else if (l.what() == TraceLine.What.REFUSED) {
-        row[4]++;
-      }
+        rows.forEach((w, n) -> out.printf(
+                Locale.ROOT, "| %.1f | %d | %d | %d | %d | %d |%n", w * window / 1e3, n[0], n[1], n[2], n[3], n[4]));
+    }
+
+    private static String words(Map<String, Integer> counts) {
+        StringBuilder s = new StringBuilder();
+        counts.forEach((how, n) -> s.append(s.isEmpty() ? "" : ", ")
+                .append(how.equals(TraceLine.NONE) ? "none" : how)
+                .append(' ')
+                .append(n));
+        return s.isEmpty() ? "none" : s.toString();
     }
-    rows.forEach((w, n) -> out.printf(Locale.ROOT, "| %.1f | %d | %d | %d | %d | %d |%n",
-        w * window / 1e3, n[0], n[1], n[2], n[3], n[4]));
-  }
-
-  private static String words(Map<String, Integer> counts) {
-    StringBuilder s = new StringBuilder();
-    counts.forEach((how, n) ->
-        s.append(s.isEmpty() ? "" : ", ").append(how.equals(TraceLine.NONE) ? "none" : how).append(' ').append(n));
-    return s.isEmpty() ? "none" : s.toString();
-  }
 }
--- a/src/main/java/rillyard/measure/Neighbours.java
+++ b/src/main/java/rillyard/measure/Neighbours.java
@@ -11,39 +11,37 @@
  * start, which is all work, and kinder than a quota to what comes after it.
  */
 public final class Neighbours implements AutoCloseable {
-  private final List<Process> all = new ArrayList<>();
+    private final List<Process> all = new ArrayList<>();
 
-  /**
-   * Starts them.
-   *
-   * @param core the core, as {@code taskset -c} takes it
-   * @param share the part of the core to be left, from above 0 to 1; rounded to one over a whole number
-   * @throws IOException if one can't be started, as where {@code taskset} is missing
-   */
-  public Neighbours(String core, double share) throws IOException {
-    int n = (int) Math.round(1 / share) - 1;
-    for (int i = 0; i < n; i++) {
-      all.add(
-          new ProcessBuilder("/usr/bin/taskset", "-c", core, "/bin/sh", "-c", "while :; do :; done")
-              .start());
+    /**
+     * Starts them.
+     *
+     * @param core the core, as {@code taskset -c} takes it
+     * @param share the part of the core to be left, from above 0 to 1; rounded to one over a whole number
+     * @throws IOException if one can't be started, as where {@code taskset} is missing
+     */
+    public Neighbours(String core, double share) throws IOException {
+        int n = (int) Math.round(1 / share) - 1;
+        for (int i = 0; i < n; i++) {
+            all.add(new ProcessBuilder("/usr/bin/taskset", "-c", core, "/bin/sh", "-c", "while :; do :; done").start());
+        }
     }
-  }
 
-  /**
-   * Guards against figures of a whole core that are taken for those of a part.
-   *
-   * @throws IllegalStateException if one has ended by itself
-   */
-  public void checkRunning() {
-    for (Process p : all) {
-      if (!p.isAlive()) {
-        throw new IllegalStateException("a busy neighbour has ended by itself");
-      }
+    /**
+     * Guards against figures of a whole core that are taken for those of a part.
+     *
+     * @throws IllegalStateException if one has ended by itself
+     */
+    public void checkRunning() {
+        for (Process p : all) {
+            if (!p.isAlive()) {
+                throw new IllegalStateException("a busy neighbour has ended by itself");
+            }
+        }
     }
-  }
 
-  @Override
-  public void close() {
-    all.forEach(Process::destroyForcibly);
-  }
+    @Override
+    public void close() {
+        all.forEach(Process::destroyForcibly);
+    }
 }
--- a/src/main/java/rillyard/measure/Starts.java
+++ b/src/main/java/rillyard/measure/Starts.java
@@ -21,10 +21,10 @@
 
 /** What a start costs, from exec to the first thousand answers, in turn for several builds. */
 public final class Starts {
-  private static final String CORE = "1";
-  private static final int[] FIRST = {1, 10, 100, 1_000};
-  private static final String HOSTS =
-      """
+    private static final String CORE = "1";
+    private static final int[] FIRST = {1, 10, 100, 1_000};
+    private static final String HOSTS =
+            """
       [hosts]
       count = 12
       cores = 200
@@ -37,8 +37,8 @@
       work = { dist = "constant", mean_ms = 5 }
       """;
 
-  private static final String PLAN =
-      """
+    private static final String PLAN =
+            """
       seed = 7
       [clients]
       count = 60
@@ -48,83 +48,95 @@
       rate = 300
       """;
 
-  private final Path folder;
-  private final PrintStream out;
+    private final Path folder;
+    private final PrintStream out;
 
-  /** Files go to the folder, figures to {@code out}. */
-  public Starts(Path folder, PrintStream out) {
-    this.folder = folder;
-    this.out = out;
-  }
+    /** Files go to the folder, figures to {@code out}. */
+    public Starts(Path folder, PrintStream out) {
+        this.folder = folder;
+        this.out = out;
+    }
 
-  /**
-   * Starts each build so often, in turn.
-   *
-   * @param builds names, and the folders that hold {@code deploy} and {@code target} of each
-   * @param options of the JVM, further ones for all
-   * @param share part of a core that the proxy is to have
-   * @throws Exception if a process could not be started
-   */
-  public void run(Map<String, Path> builds, List<String> options, int starts, double share)
-      throws Exception {
-    LoadPlan plan = LoadPlanReader.parse("starts", PLAN, folder);
-    Map<String, List<StartRun>> runs = new LinkedHashMap<>();
-    WarmUp.run();
-    try (StandIn hosts =
-        new StandIn(StandInPlanReader.parse("starts", HOSTS, 0),
-            new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0), 2, Ledger.none(), System.err)) {
-      hosts.start();
-      Path config = folder.resolve("ready.json");
-      new ObjectMapper().writeValue(config.toFile(), hosts.ready());
-      for (int i = 0; i < starts; i++) {
-        for (Map.Entry<String, Path> b : builds.entrySet()) {
-          try (Neighbours neighbours = new Neighbours(CORE, share)) {
-            neighbours.checkRunning();
-            Launch launch = Launch.platform(b.getValue().toAbsolutePath()).on(CORE).with(options);
-            StartRun r = StartRun.of(launch, config.toAbsolutePath(), plan, folder);
-            runs.computeIfAbsent(b.getKey(), k -> new ArrayList<>()).add(r);
-            line(b.getKey(), i + 1, r);
-          }
+    /**
+     * Starts each build so often, in turn.
+     *
+     * @param builds names, and the folders that hold {@code deploy} and {@code target} of each
+     * @param options of the JVM, further ones for all
+     * @param share part of a core that the proxy is to have
+     * @throws Exception if a process could not be started
+     */
+    public void run(Map<String, Path> builds, List<String> options, int starts, double share) throws Exception {
+        LoadPlan plan = LoadPlanReader.parse("starts", PLAN, folder);
+        Map<String, List<StartRun>> runs = new LinkedHashMap<>();
+        WarmUp.run();
+        try (StandIn hosts = new StandIn(
+                StandInPlanReader.parse("starts", HOSTS, 0),
+                new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0),
+                2,
+                Ledger.none(),
+                System.err)) {
+            hosts.start();
+            Path config = folder.resolve("ready.json");
+            new ObjectMapper().writeValue(config.toFile(), hosts.ready());
+            for (int i = 0; i < starts; i++) {
+                for (Map.Entry<String, Path> b : builds.entrySet()) {
+                    try (Neighbours neighbours = new Neighbours(CORE, share)) {
+                        neighbours.checkRunning();
+                        Launch launch = Launch.platform(b.getValue().toAbsolutePath())
+                                .on(CORE)
+                                .with(options);
+                        StartRun r = StartRun.of(launch, config.toAbsolutePath(), plan, folder);
+                        runs.computeIfAbsent(b.getKey(), k -> new ArrayList<>()).add(r);
+                        line(b.getKey(), i + 1, r);
+                    }
+                }
+            }
         }
-      }
+        runs.forEach(this::summary);
     }
-    runs.forEach(this::summary);
-  }
-
-  private void line(String build, int number, StartRun r) {
-    out.printf(Locale.ROOT, "%-8s %2d  listening %5.0f/%4.0f ms  ready %5.0f/%4.0f ms  %3d MB  first %s ms%n",
-        build, number, r.listening().wall(), r.listening().cpu(), r.ready().wall(), r.ready().cpu(),
-        r.resident() >> 10, latencies(n -> r.latency(n, 0.99)));
-  }
 
-  private static String latencies(ToDoubleFunction<Integer> of) {
-    StringBuilder s = new StringBuilder();
-    for (int n : FIRST) {
-      s.append(String.format(Locale.ROOT, " %d: %.0f", n, of.applyAsDouble(n)));
+    private void line(String build, int number, StartRun r) {
+        out.printf(
+                Locale.ROOT,
+                "%-8s %2d  listening %5.0f/%4.0f ms  ready %5.0f/%4.0f ms  %3d MB  first %s ms%n",
+                build,
+                number,
+                r.listening().wall(),
+                r.listening().cpu(),
+                r.ready().wall(),
+                r.ready().cpu(),
+                r.resident() >> 10,
+                latencies(n -> r.latency(n, 0.99)));
     }
-    return s.toString();
-  }
 
-  private void summary(String build, List<StartRun> all) {
-    out.printf("%n%s, %d starts: least, median, greatest%n", build, all.size());
-    row("exec to listening, wall ms", all, r -> r.listening().wall());
-    row("exec to listening, CPU ms", all, r -> r.listening().cpu());
-    row("exec to ready, wall ms", all, r -> r.ready().wall());
-    row("exec to ready, CPU ms", all, r -> r.ready().cpu());
-    for (String mark : all.get(0).marks().keySet()) {
-      row("  mark " + mark + ", wall ms", all, r -> r.marks().get(mark).wall());
-      row("  mark " + mark + ", CPU ms", all, r -> r.marks().get(mark).cpu());
+    private static String latencies(ToDoubleFunction<Integer> of) {
+        StringBuilder s = new StringBuilder();
+        for (int n : FIRST) {
+            s.append(String.format(Locale.ROOT, " %d: %.0f", n, of.applyAsDouble(n)));
+        }
+        return s.toString();
     }
-    row("resident when ready, MB", all, r -> r.resident() / 1024.0);
-    for (int n : FIRST) {
-      row("p50 of the first " + n + ", ms", all, r -> r.latency(n, 0.5));
-      row("p99 of the first " + n + ", ms", all, r -> r.latency(n, 0.99));
+
+    private void summary(String build, List<StartRun> all) {
+        out.printf("%n%s, %d starts: least, median, greatest%n", build, all.size());
+        row("exec to listening, wall ms", all, r -> r.listening().wall());
+        row("exec to listening, CPU ms", all, r -> r.listening().cpu());
+        row("exec to ready, wall ms", all, r -> r.ready().wall());
+        row("exec to ready, CPU ms", all, r -> r.ready().cpu());
+        for (String mark : all.get(0).marks().keySet()) {
+            row("  mark " + mark + ", wall ms", all, r -> r.marks().get(mark).wall());
+            row("  mark " + mark + ", CPU ms", all, r -> r.marks().get(mark).cpu());
+        }
+        row("resident when ready, MB", all, r -> r.resident() / 1024.0);
+        for (int n : FIRST) {
+            row("p50 of the first " + n + ", ms", all, r -> r.latency(n, 0.5));
+            row("p99 of the first " + n + ", ms", all, r -> r.latency(n, 0.99));
+        }
+        row("CPU a request after ready, us", all, r -> 1e3 * r.loadCpu() / r.latencies().length);
     }
-    row("CPU a request after ready, us", all, r -> 1e3 * r.loadCpu() / r.latencies().length);
-  }
 
-  private void row(String what, List<StartRun> all, ToDoubleFunction<StartRun> of) {
-    double[] v = all.stream().mapToDouble(of).sorted().toArray();
-    out.printf(Locale.ROOT, "  %-32s %8.1f %8.1f %8.1f%n", what, v[0], v[v.length / 2], v[v.length - 1]);
-  }
+    private void row(String what, List<StartRun> all, ToDoubleFunction<StartRun> of) {
+        double[] v = all.stream().mapToDouble(of).sorted().toArray();
+        out.printf(Locale.ROOT, "  %-32s %8.1f %8.1f %8.1f%n", what, v[0], v[v.length / 2], v[v.length - 1]);
+    }
 }
--- a/src/main/java/rillyard/member/Belief.java
+++ b/src/main/java/rillyard/member/Belief.java
@@ -5,44 +5,44 @@
 
 /** What is believed of one member, and since when. */
 final class Belief {
-  /** More than that change nothing. */
-  private static final int MOST_ACCUSERS = 8;
-
-  Update word;
-  double since;
-  /** By whose word, as {@link Change#by}. */
-  String by = "";
-  /** When a suspect is asked again. */
-  double askAt;
-  /** Who suspects it, by number: independent words shorten the time that it has to speak up. */
-  private Set<Integer> accusers = Set.of();
-
-  Belief(Update word, double since) {
-    this.word = word;
-    this.since = since;
-  }
-
-  /** Who accuses it, by number; most members are never accused, and keep no set. */
-  Set<Integer> accusers() {
-    return accusers;
-  }
-
-  /** Adds one; whether it is new, and there is room for it. */
-  boolean accused(int by) {
-    if (accusers.size() >= MOST_ACCUSERS) {
-      return false;
+    /** More than that change nothing. */
+    private static final int MOST_ACCUSERS = 8;
+
+    Update word;
+    double since;
+    /** By whose word, as {@link Change#by}. */
+    String by = "";
+    /** When a suspect is asked again. */
+    double askAt;
+    /** Who suspects it, by number: independent words shorten the time that it has to speak up. */
+    private Set<Integer> accusers = Set.of();
+
+    Belief(Update word, double since) {
+        this.word = word;
+        this.since = since;
     }
-    if (accusers.isEmpty()) {
-      accusers = new HashSet<>(4);
+
+    /** Who accuses it, by number; most members are never accused, and keep no set. */
+    Set<Integer> accusers() {
+        return accusers;
     }
-    return accusers.add(by);
-  }
 
-  void acquit() {
-    accusers = Set.of();
-  }
+    /** Adds one; whether it is new, and there is room for it. */
+    boolean accused(int by) {
+        if (accusers.size() >= MOST_ACCUSERS) {
+            return false;
+        }
+        if (accusers.isEmpty()) {
+            accusers = new HashSet<>(4);
+        }
+        return accusers.add(by);
+    }
 
-  Status status() {
-    return word.status();
-  }
+    void acquit() {
+        accusers = Set.of();
+    }
+
+    Status status() {
+        return word.status();
+    }
 }
--- a/src/main/java/rillyard/member/Card.java
+++ b/src/main/java/rillyard/member/Card.java
@@ -8,19 +8,19 @@
  * @param region number of its region, 0 to 255
  */
 public record Card(String name, Endpoint at, int zone, int region) {
-  public static final int MAX_NAME = 16;
+    public static final int MAX_NAME = 16;
 
-  public Card {
-    if (!isName(name)) {
-      throw new IllegalArgumentException(
-          "name '" + name + "', expected 1 to " + MAX_NAME + " printable ASCII characters");
+    public Card {
+        if (!isName(name)) {
+            throw new IllegalArgumentException(
+                    "name '" + name + "', expected 1 to " + MAX_NAME + " printable ASCII characters");
+        }
+        if (zone < 0 || zone > 255 || region < 0 || region > 255) {
+            throw new IllegalArgumentException("zone " + zone + ", region " + region + ", expected 0 to 255");
+        }
     }
-    if (zone < 0 || zone > 255 || region < 0 || region > 255) {
-      throw new IllegalArgumentException("zone " + zone + ", region " + region + ", expected 0 to 255");
-    }
-  }
 
-  static boolean isName(String s) {
-    return !s.isEmpty() && s.length() <= MAX_NAME && s.chars().allMatch(c -> c > ' ' && c < 127);
-  }
+    static boolean isName(String s) {
+        return !s.isEmpty() && s.length() <= MAX_NAME && s.chars().allMatch(c -> c > ' ' && c < 127);
+    }
 }
--- a/src/main/java/rillyard/member/Codec.java
+++ b/src/main/java/rillyard/member/Codec.java
@@ -13,185 +13,185 @@
  * version (4), age and end (2 each, in 100 ms), value's length and value.
  */
 public final class Codec {
-  /** A platform may carry no more. */
-  public static final int MAX_BYTES = 256;
-
-  private static final byte VERSION = 1;
-  private static final int WORD = 20;
-
-  /** The bytes of the shortest word. */
-  static final int LEAST_WORD = WORD + 1;
-
-  /** The first byte of a fact is this and its kind; a word's is its status, which is less. */
-  private static final int FACT = 64;
-
-  /** The unit (ms) of the times of facts. */
-  private static final double UNIT = 100;
-
-  private Codec() {}
-
-  /** The bytes that a word takes. */
-  static int size(Update u) {
-    return WORD + u.card().name().length();
-  }
-
-  /** The bytes that a message without news takes. */
-  static int emptySize(Update sender, String target, boolean withAddress) {
-    return 11 + size(sender) + target.length() + (withAddress ? 6 : 0);
-  }
-
-  /**
-   * Writes a message.
-   *
-   * @throws IllegalArgumentException if it does not fit into {@code room} bytes
-   */
-  public static byte[] encode(Message m, int room) {
-    ByteBuffer b = ByteBuffer.allocate(4 * MAX_BYTES);
-    b.put(VERSION).put((byte) m.kind().ordinal()).putInt(m.sequence()).putInt(m.digest());
-    put(b, m.sender());
-    put(b, m.target());
-    if (m.kind() == Message.Kind.ASK_FOR_ME) {
-      put(b, m.targetAt());
+    /** A platform may carry no more. */
+    public static final int MAX_BYTES = 256;
+
+    private static final byte VERSION = 1;
+    private static final int WORD = 20;
+
+    /** The bytes of the shortest word. */
+    static final int LEAST_WORD = WORD + 1;
+
+    /** The first byte of a fact is this and its kind; a word's is its status, which is less. */
+    private static final int FACT = 64;
+
+    /** The unit (ms) of the times of facts. */
+    private static final double UNIT = 100;
+
+    private Codec() {}
+
+    /** The bytes that a word takes. */
+    static int size(Update u) {
+        return WORD + u.card().name().length();
     }
-    for (Update u : m.news()) {
-      put(b, u);
-      if (b.position() > room) {
-        break;
-      }
+
+    /** The bytes that a message without news takes. */
+    static int emptySize(Update sender, String target, boolean withAddress) {
+        return 11 + size(sender) + target.length() + (withAddress ? 6 : 0);
     }
-    for (Fact f : m.facts()) {
-      if (b.position() <= room) {
-        put(b, f);
-      }
+
+    /**
+     * Writes a message.
+     *
+     * @throws IllegalArgumentException if it does not fit into {@code room} bytes
+     */
+    public static byte[] encode(Message m, int room) {
+        ByteBuffer b = ByteBuffer.allocate(4 * MAX_BYTES);
+        b.put(VERSION).put((byte) m.kind().ordinal()).putInt(m.sequence()).putInt(m.digest());
+        put(b, m.sender());
+        put(b, m.target());
+        if (m.kind() == Message.Kind.ASK_FOR_ME) {
+            put(b, m.targetAt());
+        }
+        for (Update u : m.news()) {
+            put(b, u);
+            if (b.position() > room) {
+                break;
+            }
+        }
+        for (Fact f : m.facts()) {
+            if (b.position() <= room) {
+                put(b, f);
+            }
+        }
+        if (b.position() > room) {
+            throw new IllegalArgumentException("a datagram of more than " + room + " bytes");
+        }
+        byte[] out = new byte[b.position()];
+        b.flip().get(out);
+        return out;
+    }
+
+    private static void put(ByteBuffer b, Update u) {
+        b.put((byte) u.status().ordinal()).putShort((short) u.by());
+        putStart(b, u.life().start());
+        b.putShort((short) u.life().incarnation());
+        put(b, u.card().at());
+        b.put((byte) u.card().zone()).put((byte) u.card().region());
+        put(b, u.card().name());
     }
-    if (b.position() > room) {
-      throw new IllegalArgumentException("a datagram of more than " + room + " bytes");
+
+    private static void put(ByteBuffer b, Fact f) {
+        b.put((byte) (FACT + f.kind()));
+        put(b, f.owner());
+        putStart(b, f.start());
+        b.putInt((int) f.version()).putShort((short) (f.age() / UNIT)).putShort((short) (f.lasts() / UNIT));
+        b.put((byte) f.value().length).put(f.value());
     }
-    byte[] out = new byte[b.position()];
-    b.flip().get(out);
-    return out;
-  }
-
-  private static void put(ByteBuffer b, Update u) {
-    b.put((byte) u.status().ordinal()).putShort((short) u.by());
-    putStart(b, u.life().start());
-    b.putShort((short) u.life().incarnation());
-    put(b, u.card().at());
-    b.put((byte) u.card().zone()).put((byte) u.card().region());
-    put(b, u.card().name());
-  }
-
-  private static void put(ByteBuffer b, Fact f) {
-    b.put((byte) (FACT + f.kind()));
-    put(b, f.owner());
-    putStart(b, f.start());
-    b.putInt((int) f.version()).putShort((short) (f.age() / UNIT)).putShort((short) (f.lasts() / UNIT));
-    b.put((byte) f.value().length).put(f.value());
-  }
-
-  private static void putStart(ByteBuffer b, long start) {
-    b.putShort((short) (start >> 32)).putInt((int) start);
-  }
-
-  private static void put(ByteBuffer b, Endpoint e) {
-    b.putInt(e.ip()).putShort((short) e.port());
-  }
-
-  private static void put(ByteBuffer b, String s) {
-    b.put((byte) s.length()).put(s.getBytes(StandardCharsets.US_ASCII));
-  }
-
-  /**
-   * Reads a message.
-   *
-   * @throws IllegalArgumentException if the bytes are none; says what was expected
-   */
-  public static Message decode(byte[] bytes) {
-    if (bytes.length > MAX_BYTES) {
-      throw new IllegalArgumentException(bytes.length + " bytes, expected " + MAX_BYTES + " at most");
+
+    private static void putStart(ByteBuffer b, long start) {
+        b.putShort((short) (start >> 32)).putInt((int) start);
     }
-    ByteBuffer b = ByteBuffer.wrap(bytes);
-    try {
-      byte version = b.get();
-      if (version != VERSION) {
-        throw new IllegalArgumentException("version " + version + ", expected " + VERSION);
-      }
-      Message.Kind kind = value(Message.Kind.values(), b.get());
-      int sequence = b.getInt();
-      int digest = b.getInt();
-      Update sender = word(b);
-      if (sender.status() != Status.ALIVE && sender.status() != Status.LEFT) {
-        throw new IllegalArgumentException("a sender that calls itself " + sender.status());
-      }
-      String target = text(b);
-      if (!target.isEmpty() && !Card.isName(target)) {
-        throw new IllegalArgumentException("a target that is no name");
-      }
-      Endpoint at = kind == Message.Kind.ASK_FOR_ME ? endpoint(b) : null;
-      List<Update> news = new ArrayList<>();
-      List<Fact> facts = new ArrayList<>();
-      while (b.hasRemaining()) {
-        if (b.get(b.position()) >= FACT) {
-          facts.add(fact(b));
-        } else {
-          news.add(word(b));
+
+    private static void put(ByteBuffer b, Endpoint e) {
+        b.putInt(e.ip()).putShort((short) e.port());
+    }
+
+    private static void put(ByteBuffer b, String s) {
+        b.put((byte) s.length()).put(s.getBytes(StandardCharsets.US_ASCII));
+    }
+
+    /**
+     * Reads a message.
+     *
+     * @throws IllegalArgumentException if the bytes are none; says what was expected
+     */
+    public static Message decode(byte[] bytes) {
+        if (bytes.length > MAX_BYTES) {
+            throw new IllegalArgumentException(bytes.length + " bytes, expected " + MAX_BYTES + " at most");
+        }
+        ByteBuffer b = ByteBuffer.wrap(bytes);
+        try {
+            byte version = b.get();
+            if (version != VERSION) {
+                throw new IllegalArgumentException("version " + version + ", expected " + VERSION);
+            }
+            Message.Kind kind = value(Message.Kind.values(), b.get());
+            int sequence = b.getInt();
+            int digest = b.getInt();
+            Update sender = word(b);
+            if (sender.status() != Status.ALIVE && sender.status() != Status.LEFT) {
+                throw new IllegalArgumentException("a sender that calls itself " + sender.status());
+            }
+            String target = text(b);
+            if (!target.isEmpty() && !Card.isName(target)) {
+                throw new IllegalArgumentException("a target that is no name");
+            }
+            Endpoint at = kind == Message.Kind.ASK_FOR_ME ? endpoint(b) : null;
+            List<Update> news = new ArrayList<>();
+            List<Fact> facts = new ArrayList<>();
+            while (b.hasRemaining()) {
+                if (b.get(b.position()) >= FACT) {
+                    facts.add(fact(b));
+                } else {
+                    news.add(word(b));
+                }
+            }
+            return new Message(kind, sequence, digest, sender, target, at, List.copyOf(news), List.copyOf(facts));
+        } catch (BufferUnderflowException e) {
+            throw new IllegalArgumentException("cut off after " + bytes.length + " bytes", e);
+        }
+    }
+
+    private static <T> T value(T[] all, byte ordinal) {
+        if (ordinal < 0 || ordinal >= all.length) {
+            throw new IllegalArgumentException("kind or status " + ordinal + ", expected 0 to " + (all.length - 1));
         }
-      }
-      return new Message(kind, sequence, digest, sender, target, at, List.copyOf(news), List.copyOf(facts));
-    } catch (BufferUnderflowException e) {
-      throw new IllegalArgumentException("cut off after " + bytes.length + " bytes", e);
+        return all[ordinal];
     }
-  }
 
-  private static <T> T value(T[] all, byte ordinal) {
-    if (ordinal < 0 || ordinal >= all.length) {
-      throw new IllegalArgumentException("kind or status " + ordinal + ", expected 0 to " + (all.length - 1));
+    private static Update word(ByteBuffer b) {
+        Status status = value(Status.values(), b.get());
+        int by = b.getShort() & 0xFFFF;
+        long start = start(b);
+        Life life = new Life(start, b.getShort() & 0xFFFF);
+        Endpoint at = endpoint(b);
+        int zone = b.get() & 255;
+        int region = b.get() & 255;
+        return new Update(new Card(text(b), at, zone, region), life, status, by);
     }
-    return all[ordinal];
-  }
-
-  private static Update word(ByteBuffer b) {
-    Status status = value(Status.values(), b.get());
-    int by = b.getShort() & 0xFFFF;
-    long start = start(b);
-    Life life = new Life(start, b.getShort() & 0xFFFF);
-    Endpoint at = endpoint(b);
-    int zone = b.get() & 255;
-    int region = b.get() & 255;
-    return new Update(new Card(text(b), at, zone, region), life, status, by);
-  }
-
-  private static Fact fact(ByteBuffer b) {
-    int kind = b.get() - FACT;
-    String owner = text(b);
-    long start = start(b);
-    long version = b.getInt() & 0xFFFFFFFFL;
-    double age = UNIT * (b.getShort() & 0xFFFF);
-    double lasts = UNIT * (b.getShort() & 0xFFFF);
-    int n = b.get();
-    if (n < 0 || n > Fact.MAX_VALUE) {
-      throw new IllegalArgumentException("a value of " + n + " bytes, expected " + Fact.MAX_VALUE + " at most");
+
+    private static Fact fact(ByteBuffer b) {
+        int kind = b.get() - FACT;
+        String owner = text(b);
+        long start = start(b);
+        long version = b.getInt() & 0xFFFFFFFFL;
+        double age = UNIT * (b.getShort() & 0xFFFF);
+        double lasts = UNIT * (b.getShort() & 0xFFFF);
+        int n = b.get();
+        if (n < 0 || n > Fact.MAX_VALUE) {
+            throw new IllegalArgumentException("a value of " + n + " bytes, expected " + Fact.MAX_VALUE + " at most");
+        }
+        byte[] value = new byte[n];
+        b.get(value);
+        return new Fact(owner, start, kind, version, age, lasts, value);
+    }
+
+    private static long start(ByteBuffer b) {
+        return (b.getShort() & 0xFFFFL) << 32 | b.getInt() & 0xFFFFFFFFL;
     }
-    byte[] value = new byte[n];
-    b.get(value);
-    return new Fact(owner, start, kind, version, age, lasts, value);
-  }
-
-  private static long start(ByteBuffer b) {
-    return (b.getShort() & 0xFFFFL) << 32 | b.getInt() & 0xFFFFFFFFL;
-  }
-
-  private static Endpoint endpoint(ByteBuffer b) {
-    return new Endpoint(b.getInt(), b.getShort() & 0xFFFF);
-  }
-
-  private static String text(ByteBuffer b) {
-    int n = b.get();
-    if (n < 0 || n > Card.MAX_NAME) {
-      throw new IllegalArgumentException("a name of " + n + " bytes, expected " + Card.MAX_NAME + " at most");
+
+    private static Endpoint endpoint(ByteBuffer b) {
+        return new Endpoint(b.getInt(), b.getShort() & 0xFFFF);
+    }
+
+    private static String text(ByteBuffer b) {
+        int n = b.get();
+        if (n < 0 || n > Card.MAX_NAME) {
+            throw new IllegalArgumentException("a name of " + n + " bytes, expected " + Card.MAX_NAME + " at most");
+        }
+        byte[] s = new byte[n];
+        b.get(s);
+        return new String(s, StandardCharsets.US_ASCII);
     }
-    byte[] s = new byte[n];
-    b.get(s);
-    return new String(s, StandardCharsets.US_ASCII);
-  }
 }
--- a/src/main/java/rillyard/member/Endpoint.java
+++ b/src/main/java/rillyard/member/Endpoint.java
@@ -2,14 +2,14 @@
 
 /** Where a member is reached: an IPv4 address, its first byte the highest, and a port from 1 to 65535. */
 public record Endpoint(int ip, int port) {
-  public Endpoint {
-    if (port < 1 || port > 65_535) {
-      throw new IllegalArgumentException("port " + port + ", expected 1 to 65535");
+    public Endpoint {
+        if (port < 1 || port > 65_535) {
+            throw new IllegalArgumentException("port " + port + ", expected 1 to 65535");
+        }
     }
-  }
 
-  @Override
-  public String toString() {
-    return (ip >>> 24) + "." + (ip >> 16 & 255) + "." + (ip >> 8 & 255) + "." + (ip & 255) + ":" + port;
-  }
+    @Override
+    public String toString() {
+        return (ip >>> 24) + "." + (ip >> 16 & 255) + "." + (ip >> 8 & 255) + "." + (ip & 255) + ":" + port;
+    }
 }
--- a/src/main/java/rillyard/member/Errands.java
+++ b/src/main/java/rillyard/member/Errands.java
@@ -8,54 +8,54 @@
 
 /** Questions put to members for others that got no answer themselves. Bounded; each ends with its answer or a no. */
 final class Errands {
-  /** Part of what is left of the asker's probe after which it is told that there is no answer here either. */
-  private static final double NO_AFTER = 0.8;
-
-  /** One question: under which number the asker knows it, who and where that is, when it is told no. */
-  record Errand(int sequence, String asker, Endpoint askerAt, double noAt) {}
-
-  private final Map<Integer, Errand> open = new LinkedHashMap<>();
-  private final MemberSettings settings;
-
-  Errands(MemberSettings settings) {
-    this.settings = settings;
-  }
-
-  boolean room() {
-    return open.size() < 4 * settings.most();
-  }
-
-  /** Takes one on, asked under a number of our own. */
-  void take(int own, Message m, Endpoint askerAt, double now) {
-    double noAt = now + NO_AFTER * (settings.interval() - settings.timeout());
-    open.put(own, new Errand(m.sequence(), m.sender().card().name(), askerAt, noAt));
-  }
-
-  /** The errand that an answer to this number of ours ends, or null. */
-  Errand answered(int own) {
-    return open.remove(own);
-  }
-
-  /** Ends those whose askers are to be told no. */
-  List<Errand> overdue(double now) {
-    List<Errand> out = new ArrayList<>(0);
-    for (Iterator<Errand> i = open.values().iterator(); i.hasNext(); ) {
-      Errand e = i.next();
-      if (now >= e.noAt()) {
-        out.add(e);
-        i.remove();
-      }
+    /** Part of what is left of the asker's probe after which it is told that there is no answer here either. */
+    private static final double NO_AFTER = 0.8;
+
+    /** One question: under which number the asker knows it, who and where that is, when it is told no. */
+    record Errand(int sequence, String asker, Endpoint askerAt, double noAt) {}
+
+    private final Map<Integer, Errand> open = new LinkedHashMap<>();
+    private final MemberSettings settings;
+
+    Errands(MemberSettings settings) {
+        this.settings = settings;
+    }
+
+    boolean room() {
+        return open.size() < 4 * settings.most();
+    }
+
+    /** Takes one on, asked under a number of our own. */
+    void take(int own, Message m, Endpoint askerAt, double now) {
+        double noAt = now + NO_AFTER * (settings.interval() - settings.timeout());
+        open.put(own, new Errand(m.sequence(), m.sender().card().name(), askerAt, noAt));
+    }
+
+    /** The errand that an answer to this number of ours ends, or null. */
+    Errand answered(int own) {
+        return open.remove(own);
+    }
+
+    /** Ends those whose askers are to be told no. */
+    List<Errand> overdue(double now) {
+        List<Errand> out = new ArrayList<>(0);
+        for (Iterator<Errand> i = open.values().iterator(); i.hasNext(); ) {
+            Errand e = i.next();
+            if (now >= e.noAt()) {
+                out.add(e);
+                i.remove();
+            }
+        }
+        return out;
+    }
+
+    void clear() {
+        open.clear();
+    }
+
+    String state(double now) {
+        StringBuilder s = new StringBuilder();
+        open.values().forEach(e -> s.append("; for ").append(e.asker()).append(e.noAt() - now));
+        return s.toString();
     }
-    return out;
-  }
-
-  void clear() {
-    open.clear();
-  }
-
-  String state(double now) {
-    StringBuilder s = new StringBuilder();
-    open.values().forEach(e -> s.append("; for ").append(e.asker()).append(e.noAt() - now));
-    return s.toString();
-  }
 }
--- a/src/main/java/rillyard/member/Fact.java
+++ b/src/main/java/rillyard/member/Fact.java
@@ -14,54 +14,66 @@
  * @param value of at most {@link #MAX_VALUE} bytes; none where the owner takes it back
  */
 public record Fact(String owner, long start, int kind, long version, double age, double lasts, byte[] value) {
-  public static final int MAX_KIND = 15;
-  public static final int MAX_VALUE = 32;
+    public static final int MAX_KIND = 15;
+    public static final int MAX_VALUE = 32;
 
-  /** Times have 16 bits of 100 ms on the wire. */
-  public static final double MAX_MS = 6_553_500;
+    /** Times have 16 bits of 100 ms on the wire. */
+    public static final double MAX_MS = 6_553_500;
 
-  /** Versions have 32 bits on the wire. */
-  static final long MAX_VERSION = 0xFFFFFFFFL;
+    /** Versions have 32 bits on the wire. */
+    static final long MAX_VERSION = 0xFFFFFFFFL;
 
-  public Fact {
-    if (!Card.isName(owner) || kind < 0 || kind > MAX_KIND || value.length > MAX_VALUE || version < 0
-        || version > MAX_VERSION || !(age >= 0 && age <= MAX_MS) || !(lasts >= 0 && lasts <= MAX_MS)) {
-      throw new IllegalArgumentException("no fact: kind " + kind + " of '" + owner + "', " + value.length
-          + " bytes, expected a kind to " + MAX_KIND + ", a name and " + MAX_VALUE + " bytes at most");
+    public Fact {
+        if (!Card.isName(owner)
+                || kind < 0
+                || kind > MAX_KIND
+                || value.length > MAX_VALUE
+                || version < 0
+                || version > MAX_VERSION
+                || !(age >= 0 && age <= MAX_MS)
+                || !(lasts >= 0 && lasts <= MAX_MS)) {
+            throw new IllegalArgumentException("no fact: kind " + kind + " of '" + owner + "', " + value.length
+                    + " bytes, expected a kind to " + MAX_KIND + ", a name and " + MAX_VALUE + " bytes at most");
+        }
+        value = value.clone();
     }
-    value = value.clone();
-  }
 
-  @Override
-  public byte[] value() {
-    return value.clone();
-  }
+    @Override
+    public byte[] value() {
+        return value.clone();
+    }
 
-  /** Whether its owner has taken it back. */
-  boolean withdrawn() {
-    return value.length == 0;
-  }
+    /** Whether its owner has taken it back. */
+    boolean withdrawn() {
+        return value.length == 0;
+    }
 
-  /** The bytes of the shortest. */
-  static final int LEAST_SIZE = 18;
+    /** The bytes of the shortest. */
+    static final int LEAST_SIZE = 18;
 
-  int size() {
-    return 17 + owner.length() + value.length;
-  }
+    int size() {
+        return 17 + owner.length() + value.length;
+    }
 
-  @Override
-  public boolean equals(Object o) {
-    return o instanceof Fact f && owner.equals(f.owner) && start == f.start && kind == f.kind && version == f.version
-        && age == f.age && lasts == f.lasts && Arrays.equals(value, f.value);
-  }
+    @Override
+    public boolean equals(Object o) {
+        return o instanceof Fact f
+                && owner.equals(f.owner)
+                && start == f.start
+                && kind == f.kind
+                && version == f.version
+                && age == f.age
+                && lasts == f.lasts
+                && Arrays.equals(value, f.value);
+    }
 
-  @Override
-  public int hashCode() {
-    return owner.hashCode() * 31 + kind * 17 + Long.hashCode(version);
-  }
+    @Override
+    public int hashCode() {
+        return owner.hashCode() * 31 + kind * 17 + Long.hashCode(version);
+    }
 
-  @Override
-  public String toString() {
-    return owner + "/" + kind + " v" + version + " age " + age + " of " + lasts + " " + Arrays.toString(value);
-  }
+    @Override
+    public String toString() {
+        return owner + "/" + kind + " v" + version + " age " + age + " of " + lasts + " " + Arrays.toString(value);
+    }
 }
--- a/src/main/java/rillyard/member/Facts.java
+++ b/src/main/java/rillyard/member/Facts.java
@@ -17,188 +17,200 @@
  * older one is believed after it. Bounded by the members that are kept, times the kinds.
  */
 final class Facts {
-  /** An owner says a fact again when this share of its time is over: two of its tellings may get lost. */
-  private static final double AGAIN = 1 / 3.0;
+    /** An owner says a fact again when this share of its time is over: two of its tellings may get lost. */
+    private static final double AGAIN = 1 / 3.0;
 
-  /** An owner's facts of a kind change at most so often a second over its life, but for the first. */
-  private static final double MOST_A_SECOND = 10;
+    /** An owner's facts of a kind change at most so often a second over its life, but for the first. */
+    private static final double MOST_A_SECOND = 10;
 
-  private static final long FIRST = 1_024;
+    private static final long FIRST = 1_024;
 
-  private record Key(String owner, int kind) {}
+    private record Key(String owner, int kind) {}
 
-  /** A fact, and when (ms) its owner said it. */
-  private record Held(Fact fact, double bornAt) {
-    double age(double now) {
-      return Math.max(0, now - bornAt);
+    /** A fact, and when (ms) its owner said it. */
+    private record Held(Fact fact, double bornAt) {
+        double age(double now) {
+            return Math.max(0, now - bornAt);
+        }
+
+        boolean over(double now) {
+            return age(now) >= fact.lasts();
+        }
+
+        /** As it is passed on at a time. */
+        Fact at(double now) {
+            return new Fact(
+                    fact.owner(),
+                    fact.start(),
+                    fact.kind(),
+                    fact.version(),
+                    Math.min(Fact.MAX_MS, age(now)),
+                    fact.lasts(),
+                    fact.value());
+        }
     }
 
-    boolean over(double now) {
-      return age(now) >= fact.lasts();
+    private final Map<Key, Held> held = new HashMap<>();
+    private final Set<Integer> ownKinds = new TreeSet<>();
+    private final Turns<Key> turns =
+            new Turns<>(Comparator.comparing(Key::owner).thenComparingInt(Key::kind));
+    /** Those of the turns that are worth a datagram of their own: they say something new. */
+    private final Set<Key> urgent = new HashSet<>();
+
+    /**
+     * Says a fact of this member's own, an empty value to take it back.
+     *
+     * @param again whether it is said again in time
+     * @param unixNow this machine's Unix time (ms)
+     * @return whether it is said; not if this member has said so many that nobody would believe one more
+     */
+    boolean say(Update self, int kind, byte[] value, double lasts, boolean again, long unixNow, double now) {
+        Held before = held.get(new Key(self.card().name(), kind));
+        long version = before == null ? 0 : before.fact.version() + 1;
+        if (!possible(version, self.life().start(), unixNow)) {
+            return false;
+        }
+        if (again) {
+            ownKinds.add(kind);
+        } else {
+            ownKinds.remove(kind);
+        }
+        take(new Fact(self.card().name(), self.life().start(), kind, version, 0, lasts, value), now, true);
+        return true;
     }
 
-    /** As it is passed on at a time. */
-    Fact at(double now) {
-      return new Fact(fact.owner(), fact.start(), fact.kind(), fact.version(), Math.min(Fact.MAX_MS, age(now)),
-          fact.lasts(), fact.value());
+    /** What this member says of itself it says again in time. */
+    void tick(Update self, double now) {
+        for (int kind : ownKinds) {
+            Held h = held.get(new Key(self.card().name(), kind));
+            Fact f = h.fact;
+            if (!f.withdrawn() && h.age(now) >= f.lasts() * AGAIN) {
+                take(new Fact(f.owner(), f.start(), kind, f.version() + 1, 0, f.lasts(), f.value()), now, false);
+            }
+        }
+    }
+
+    private void take(Fact f, double now, boolean isNew) {
+        Key key = new Key(f.owner(), f.kind());
+        held.put(key, new Held(f, now - f.age()));
+        turns.add(key);
+        if (isNew) {
+            urgent.add(key);
+        } else {
+            urgent.remove(key);
+        }
     }
-  }
-
-  private final Map<Key, Held> held = new HashMap<>();
-  private final Set<Integer> ownKinds = new TreeSet<>();
-  private final Turns<Key> turns = new Turns<>(Comparator.comparing(Key::owner).thenComparingInt(Key::kind));
-  /** Those of the turns that are worth a datagram of their own: they say something new. */
-  private final Set<Key> urgent = new HashSet<>();
-
-  /**
-   * Says a fact of this member's own, an empty value to take it back.
-   *
-   * @param again whether it is said again in time
-   * @param unixNow this machine's Unix time (ms)
-   * @return whether it is said; not if this member has said so many that nobody would believe one more
-   */
-  boolean say(Update self, int kind, byte[] value, double lasts, boolean again, long unixNow, double now) {
-    Held before = held.get(new Key(self.card().name(), kind));
-    long version = before == null ? 0 : before.fact.version() + 1;
-    if (!possible(version, self.life().start(), unixNow)) {
-      return false;
+
+    private void drop(Key key) {
+        turns.remove(key);
+        urgent.remove(key);
     }
-    if (again) {
-      ownKinds.add(kind);
-    } else {
-      ownKinds.remove(kind);
+
+    /**
+     * A fact has come, by whomever.
+     *
+     * @param life of its owner as this member holds it, null where it is unknown or gone
+     * @param unixNow this machine's Unix time (ms)
+     */
+    void heard(Fact f, Update self, Life life, long unixNow, double now) {
+        boolean own = f.owner().equals(self.card().name());
+        Life of = own ? self.life() : life;
+        if (of == null || of.start() != f.start() || !possible(f.version(), f.start(), unixNow)) {
+            return;
+        }
+        Held h = held.get(new Key(f.owner(), f.kind()));
+        boolean sameLife = h != null && h.fact.start() == f.start();
+        if (own) {
+            ownComesBack(f, h, now);
+        } else if (!sameLife || f.version() > h.fact.version()) {
+            take(f, now, !sameLife || !Arrays.equals(h.fact.value(), f.value()));
+            if (f.age() >= f.lasts() && !f.withdrawn()) {
+                drop(new Key(f.owner(), f.kind())); // over already: not passed on
+            }
+        }
     }
-    take(new Fact(self.card().name(), self.life().start(), kind, version, 0, lasts, value), now, true);
-    return true;
-  }
-
-  /** What this member says of itself it says again in time. */
-  void tick(Update self, double now) {
-    for (int kind : ownKinds) {
-      Held h = held.get(new Key(self.card().name(), kind));
-      Fact f = h.fact;
-      if (!f.withdrawn() && h.age(now) >= f.lasts() * AGAIN) {
-        take(new Fact(f.owner(), f.start(), kind, f.version() + 1, 0, f.lasts(), f.value()), now, false);
-      }
+
+    /** Somebody has one of this member's name that it never said: the member has the last word. */
+    private void ownComesBack(Fact f, Held said, double now) {
+        if (said == null
+                || f.version() > said.fact.version()
+                || f.version() == said.fact.version() && !Arrays.equals(f.value(), said.fact.value())) {
+            byte[] value = said == null ? new byte[0] : said.fact.value();
+            double lasts = said == null ? f.lasts() : said.fact.lasts();
+            double age = said == null ? 0 : said.age(now); // it was said then, and may end by itself
+            take(
+                    new Fact(f.owner(), f.start(), f.kind(), f.version() + 1, Math.min(Fact.MAX_MS, age), lasts, value),
+                    now,
+                    true);
+        }
     }
-  }
-
-  private void take(Fact f, double now, boolean isNew) {
-    Key key = new Key(f.owner(), f.kind());
-    held.put(key, new Held(f, now - f.age()));
-    turns.add(key);
-    if (isNew) {
-      urgent.add(key);
-    } else {
-      urgent.remove(key);
+
+    /** Whether an owner of that start can have said so many: guards against made-up versions that none could follow. */
+    private static boolean possible(long version, long start, long unixNow) {
+        double lived = unixNow + Credence.CLOCKS_APART - start;
+        return version < Math.min(Fact.MAX_VERSION, FIRST + lived / 1_000 * MOST_A_SECOND);
     }
-  }
-
-  private void drop(Key key) {
-    turns.remove(key);
-    urgent.remove(key);
-  }
-
-  /**
-   * A fact has come, by whomever.
-   *
-   * @param life of its owner as this member holds it, null where it is unknown or gone
-   * @param unixNow this machine's Unix time (ms)
-   */
-  void heard(Fact f, Update self, Life life, long unixNow, double now) {
-    boolean own = f.owner().equals(self.card().name());
-    Life of = own ? self.life() : life;
-    if (of == null || of.start() != f.start() || !possible(f.version(), f.start(), unixNow)) {
-      return;
+
+    /** Whether there are facts that are worth a datagram of their own. */
+    boolean urgent() {
+        return !urgent.isEmpty();
     }
-    Held h = held.get(new Key(f.owner(), f.kind()));
-    boolean sameLife = h != null && h.fact.start() == f.start();
-    if (own) {
-      ownComesBack(f, h, now);
-    } else if (!sameLife || f.version() > h.fact.version()) {
-      take(f, now, !sameLife || !Arrays.equals(h.fact.value(), f.value()));
-      if (f.age() >= f.lasts() && !f.withdrawn()) {
-        drop(new Key(f.owner(), f.kind())); // over already: not passed on
-      }
+
+    /** Facts to pass on, least told first, as far as the room (bytes) goes. */
+    List<Fact> pick(int room, int transmits, double now) {
+        List<Fact> out = new ArrayList<>();
+        List<Key> over = new ArrayList<>();
+        int[] left = {room};
+        List<Key> told = turns.offer(transmits, () -> left[0] >= Fact.LEAST_SIZE, key -> {
+            Held h = held.get(key);
+            if (h.over(now)) {
+                over.add(key);
+                return false;
+            }
+            if (h.fact.size() > left[0]) {
+                return false;
+            }
+            left[0] -= h.fact.size();
+            return out.add(h.at(now));
+        });
+        urgent.removeAll(told);
+        over.forEach(this::drop);
+        return out;
     }
-  }
-
-  /** Somebody has one of this member's name that it never said: the member has the last word. */
-  private void ownComesBack(Fact f, Held said, double now) {
-    if (said == null || f.version() > said.fact.version()
-        || f.version() == said.fact.version() && !Arrays.equals(f.value(), said.fact.value())) {
-      byte[] value = said == null ? new byte[0] : said.fact.value();
-      double lasts = said == null ? f.lasts() : said.fact.lasts();
-      double age = said == null ? 0 : said.age(now); // it was said then, and may end by itself
-      take(new Fact(f.owner(), f.start(), f.kind(), f.version() + 1, Math.min(Fact.MAX_MS, age), lasts, value), now, true);
+
+    /** The facts of a kind that hold now, by owner; those whose owner is not present in that life are left out. */
+    Map<String, Fact> holding(int kind, Update self, Map<String, Belief> beliefs, double now) {
+        Map<String, Fact> out = new TreeMap<>();
+        for (Held h : held.values()) {
+            Fact f = h.fact;
+            if (f.kind() == kind && !f.withdrawn() && !h.over(now)) {
+                Belief b = beliefs.get(f.owner());
+                boolean own = f.owner().equals(self.card().name());
+                if (own || b != null && b.status().present() && b.word.life().start() == f.start()) {
+                    out.put(f.owner(), h.at(now));
+                }
+            }
+        }
+        return out;
     }
-  }
-
-  /** Whether an owner of that start can have said so many: guards against made-up versions that none could follow. */
-  private static boolean possible(long version, long start, long unixNow) {
-    double lived = unixNow + Credence.CLOCKS_APART - start;
-    return version < Math.min(Fact.MAX_VERSION, FIRST + lived / 1_000 * MOST_A_SECOND);
-  }
-
-  /** Whether there are facts that are worth a datagram of their own. */
-  boolean urgent() {
-    return !urgent.isEmpty();
-  }
-
-  /** Facts to pass on, least told first, as far as the room (bytes) goes. */
-  List<Fact> pick(int room, int transmits, double now) {
-    List<Fact> out = new ArrayList<>();
-    List<Key> over = new ArrayList<>();
-    int[] left = {room};
-    List<Key> told = turns.offer(transmits, () -> left[0] >= Fact.LEAST_SIZE, key -> {
-      Held h = held.get(key);
-      if (h.over(now)) {
-        over.add(key);
-        return false;
-      }
-      if (h.fact.size() > left[0]) {
-        return false;
-      }
-      left[0] -= h.fact.size();
-      return out.add(h.at(now));
-    });
-    urgent.removeAll(told);
-    over.forEach(this::drop);
-    return out;
-  }
-
-  /** The facts of a kind that hold now, by owner; those whose owner is not present in that life are left out. */
-  Map<String, Fact> holding(int kind, Update self, Map<String, Belief> beliefs, double now) {
-    Map<String, Fact> out = new TreeMap<>();
-    for (Held h : held.values()) {
-      Fact f = h.fact;
-      if (f.kind() == kind && !f.withdrawn() && !h.over(now)) {
-        Belief b = beliefs.get(f.owner());
-        boolean own = f.owner().equals(self.card().name());
-        if (own || b != null && b.status().present() && b.word.life().start() == f.start()) {
-          out.put(f.owner(), h.at(now));
+
+    /** The owner, another member, is forgotten. */
+    void forget(String owner) {
+        for (int kind = 0; kind <= Fact.MAX_KIND; kind++) {
+            Key key = new Key(owner, kind);
+            if (held.remove(key) != null) {
+                drop(key);
+            }
         }
-      }
     }
-    return out;
-  }
-
-  /** The owner, another member, is forgotten. */
-  void forget(String owner) {
-    for (int kind = 0; kind <= Fact.MAX_KIND; kind++) {
-      Key key = new Key(owner, kind);
-      if (held.remove(key) != null) {
-        drop(key);
-      }
+
+    /** All that is held, in words; times count from {@code now}. */
+    String state(double now) {
+        StringBuilder s = new StringBuilder();
+        held.entrySet().stream()
+                .sorted(Map.Entry.comparingByKey(
+                        Comparator.comparing(Key::owner).thenComparingInt(Key::kind)))
+                .forEach(e -> s.append("; fact ").append(e.getValue().at(now)).append(urgent.contains(e.getKey())));
+        return s.append(turns.state()).toString();
     }
-  }
-
-  /** All that is held, in words; times count from {@code now}. */
-  String state(double now) {
-    StringBuilder s = new StringBuilder();
-    held.entrySet().stream()
-        .sorted(Map.Entry.comparingByKey(Comparator.comparing(Key::owner).thenComparingInt(Key::kind)))
-        .forEach(e -> s.append("; fact ").append(e.getValue().at(now)).append(urgent.contains(e.getKey())));
-    return s.append(turns.state()).toString();
-  }
 }
--- a/src/main/java/rillyard/member/Gossip.java
+++ b/src/main/java/rillyard/member/Gossip.java
@@ -9,65 +9,67 @@
 
 /** The words to pass on: the newest of each member. Bounded by the members that are kept. */
 final class Gossip {
-  private final Turns<String> turns = new Turns<>(Comparator.<String>naturalOrder());
+    private final Turns<String> turns = new Turns<>(Comparator.<String>naturalOrder());
 
-  /** There is a new word about this member. */
-  void changed(String name) {
-    turns.add(name);
-  }
+    /** There is a new word about this member. */
+    void changed(String name) {
+        turns.add(name);
+    }
 
-  boolean isEmpty() {
-    return turns.isEmpty();
-  }
+    boolean isEmpty() {
+        return turns.isEmpty();
+    }
 
-  /** What is queued, and how often it was passed on. */
-  String state() {
-    return turns.state();
-  }
+    /** What is queued, and how often it was passed on. */
+    String state() {
+        return turns.state();
+    }
 
-  void forget(String name) {
-    turns.remove(name);
-  }
+    void forget(String name) {
+        turns.remove(name);
+    }
 
-  /**
-   * Picks words for one datagram.
-   *
-   * @param first names that come first, whatever was sent of them before
-   * @param room bytes that are left
-   * @param transmits how often a word is passed on
-   */
-  List<Update> pick(Map<String, Belief> beliefs, List<String> first, int room, int transmits) {
-    Page page = new Page(room);
-    first.forEach(name -> page.add(beliefs.get(name)));
-    turns.offer(transmits, () -> page.left >= Codec.LEAST_WORD, name -> page.add(beliefs.get(name)));
-    return page.words;
-  }
+    /**
+     * Picks words for one datagram.
+     *
+     * @param first names that come first, whatever was sent of them before
+     * @param room bytes that are left
+     * @param transmits how often a word is passed on
+     */
+    List<Update> pick(Map<String, Belief> beliefs, List<String> first, int room, int transmits) {
+        Page page = new Page(room);
+        first.forEach(name -> page.add(beliefs.get(name)));
+        turns.offer(transmits, () -> page.left >= Codec.LEAST_WORD, name -> page.add(beliefs.get(name)));
+        return page.words;
+    }
 
-  /** Adds words about these, where there is room left, in their order. */
-  void fill(Map<String, Belief> beliefs, List<Update> out, int room, List<String> fill) {
-    Page page = new Page(room);
-    out.forEach(u -> page.names.add(u.card().name()));
-    fill.forEach(name -> page.add(beliefs.get(name)));
-    out.addAll(page.words);
-  }
+    /** Adds words about these, where there is room left, in their order. */
+    void fill(Map<String, Belief> beliefs, List<Update> out, int room, List<String> fill) {
+        Page page = new Page(room);
+        out.forEach(u -> page.names.add(u.card().name()));
+        fill.forEach(name -> page.add(beliefs.get(name)));
+        out.addAll(page.words);
+    }
 
-  /** Words that go into one datagram, none about one member twice. */
-  private static final class Page {
-    final List<Update> words = new ArrayList<>(10);
-    final Set<String> names = new HashSet<>();
-    int left;
+    /** Words that go into one datagram, none about one member twice. */
+    private static final class Page {
+        final List<Update> words = new ArrayList<>(10);
+        final Set<String> names = new HashSet<>();
+        int left;
 
-    Page(int room) {
-      this.left = room;
-    }
+        Page(int room) {
+            this.left = room;
+        }
 
-    boolean add(Belief b) {
-      if (b == null || Codec.size(b.word) > left || !names.add(b.word.card().name())) {
-        return false;
-      }
-      words.add(b.word);
-      left -= Codec.size(b.word);
-      return true;
+        boolean add(Belief b) {
+            if (b == null
+                    || Codec.size(b.word) > left
+                    || !names.add(b.word.card().name())) {
+                return false;
+            }
+            words.add(b.word);
+            left -= Codec.size(b.word);
+            return true;
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/member/Identity.java
+++ b/src/main/java/rillyard/member/Identity.java
@@ -2,80 +2,82 @@
 
 /** Who a member is: its word about itself, and what is said under its name by others. */
 final class Identity {
-  /** What a word under this name asks for. */
-  enum Claim {
-    NOTHING,
-    /** This member has spoken up: its word is a new one. */
-    SPOKEN_UP,
-    /** A later process may have the name; only its own word counts, so it is to be asked. */
-    ASK
-  }
-
-  private final double askEvery;
-  private Update word;
-  private boolean silent;
-  private double askedAt = Double.NEGATIVE_INFINITY;
-
-  /** One that has just started; {@code askEvery} (ms) is how often it asks for a namesake at most. */
-  Identity(Card card, long start, double askEvery) {
-    this.askEvery = askEvery;
-    this.word = new Update(card, new Life(start, 0), Status.ALIVE, Update.by(card.name()));
-  }
+    /** What a word under this name asks for. */
+    enum Claim {
+        NOTHING,
+        /** This member has spoken up: its word is a new one. */
+        SPOKEN_UP,
+        /** A later process may have the name; only its own word counts, so it is to be asked. */
+        ASK
+    }
 
-  Update word() {
-    return word;
-  }
+    private final double askEvery;
+    private Update word;
+    private boolean silent;
+    private double askedAt = Double.NEGATIVE_INFINITY;
 
-  /** Whether it has left, or another has its name. */
-  boolean silent() {
-    return silent;
-  }
+    /** One that has just started; {@code askEvery} (ms) is how often it asks for a namesake at most. */
+    Identity(Card card, long start, double askEvery) {
+        this.askEvery = askEvery;
+        this.word = new Update(card, new Life(start, 0), Status.ALIVE, Update.by(card.name()));
+    }
 
-  boolean isName(String name) {
-    return word.card().name().equals(name);
-  }
+    Update word() {
+        return word;
+    }
 
-  /** It goes: this is its last word. */
-  void leave() {
-    word = new Update(word.card(), word.life(), Status.LEFT, word.by());
-  }
+    /** Whether it has left, or another has its name. */
+    boolean silent() {
+        return silent;
+    }
 
-  void fallSilent() {
-    silent = true;
-  }
+    boolean isName(String name) {
+        return word.card().name().equals(name);
+    }
 
-  /** A process of this name speaks itself: the one that started later has the name. Returns whether that is this one. */
-  boolean outlives(Update other, long unixNow) {
-    if (other.life().start() > word.life().start() && Credence.possible(other.life(), null, unixNow)) {
-      silent = true;
+    /** It goes: this is its last word. */
+    void leave() {
+        word = new Update(word.card(), word.life(), Status.LEFT, word.by());
     }
-    return other.life().start() < word.life().start();
-  }
 
-  /** Others hold this member for ill or dead, or remember a life of its name before this one: it speaks up. */
-  Claim heard(Update u, double now, long unixNow) {
-    if (!Credence.possible(u.life(), word.life(), unixNow)) {
-      return Claim.NOTHING; // nobody but itself can have said so
+    void fallSilent() {
+        silent = true;
     }
-    // A life before this one may have had a later start: this machine's clock was set back in between. One at
-    // another address may be a process that took the name over.
-    if (u.life().start() > word.life().start() && !u.card().at().equals(word.card().at()) && u.status().present()) {
-      if (now - askedAt < askEvery) {
-        return Claim.NOTHING;
-      }
-      askedAt = now;
-      return Claim.ASK;
+
+    /** A process of this name speaks itself: the one that started later has the name. Returns whether that is this one. */
+    boolean outlives(Update other, long unixNow) {
+        if (other.life().start() > word.life().start() && Credence.possible(other.life(), null, unixNow)) {
+            silent = true;
+        }
+        return other.life().start() < word.life().start();
     }
-    boolean later = u.life().compareTo(word.life()) > 0;
-    if (!later && (u.status() == Status.ALIVE || !u.life().equals(word.life()))) {
-      return Claim.NOTHING;
+
+    /** Others hold this member for ill or dead, or remember a life of its name before this one: it speaks up. */
+    Claim heard(Update u, double now, long unixNow) {
+        if (!Credence.possible(u.life(), word.life(), unixNow)) {
+            return Claim.NOTHING; // nobody but itself can have said so
+        }
+        // A life before this one may have had a later start: this machine's clock was set back in between. One at
+        // another address may be a process that took the name over.
+        if (u.life().start() > word.life().start()
+                && !u.card().at().equals(word.card().at())
+                && u.status().present()) {
+            if (now - askedAt < askEvery) {
+                return Claim.NOTHING;
+            }
+            askedAt = now;
+            return Claim.ASK;
+        }
+        boolean later = u.life().compareTo(word.life()) > 0;
+        if (!later && (u.status() == Status.ALIVE || !u.life().equals(word.life()))) {
+            return Claim.NOTHING;
+        }
+        word = new Update(word.card(), (later ? u.life() : word.life()).next(), Status.ALIVE, word.by());
+        return Claim.SPOKEN_UP;
     }
-    word = new Update(word.card(), (later ? u.life() : word.life()).next(), Status.ALIVE, word.by());
-    return Claim.SPOKEN_UP;
-  }
 
-  /** All that its next steps depend on, in words; times count from {@code now}. */
-  String state(double now) {
-    return word + " " + silent + (now - askedAt);
-  }
+    /** All that its next steps depend on, in words; times count from {@code now}. */
+    String state(double now) {
+        return word + " " + silent + (now - askedAt);
+    }
 }
--- a/src/main/java/rillyard/member/MemberSettings.java
+++ b/src/main/java/rillyard/member/MemberSettings.java
@@ -14,38 +14,44 @@
  * @param room bytes of a datagram, 128 to {@link Codec#MAX_BYTES}
  */
 public record MemberSettings(
-    double interval, double timeout, int helpers, double suspicion, double suspicionMost, int spread,
-    double forget, int most, int room) {
-  /** As they hold where nothing else is told. */
-  public static final MemberSettings USUAL =
-      new MemberSettings(500, 150, 3, 4, 4, 3, 600_000, 20_000, Codec.MAX_BYTES);
+        double interval,
+        double timeout,
+        int helpers,
+        double suspicion,
+        double suspicionMost,
+        int spread,
+        double forget,
+        int most,
+        int room) {
+    /** As they hold where nothing else is told. */
+    public static final MemberSettings USUAL =
+            new MemberSettings(500, 150, 3, 4, 4, 3, 600_000, 20_000, Codec.MAX_BYTES);
 
-  public MemberSettings {
-    check("interval", interval, 100, 60_000);
-    check("timeout", timeout, 10, interval / 2);
-    check("helpers", helpers, 1, 10);
-    check("suspicion", suspicion, 1, 20);
-    check("suspicion_most", suspicionMost, 1, 20);
-    check("spread", spread, 1, 10);
-    check("forget", forget, 10_000, 3_600_000);
-    check("most", most, 2, 100_000);
-    check("room", room, 128, Codec.MAX_BYTES);
-  }
+    public MemberSettings {
+        check("interval", interval, 100, 60_000);
+        check("timeout", timeout, 10, interval / 2);
+        check("helpers", helpers, 1, 10);
+        check("suspicion", suspicion, 1, 20);
+        check("suspicion_most", suspicionMost, 1, 20);
+        check("spread", spread, 1, 10);
+        check("forget", forget, 10_000, 3_600_000);
+        check("most", most, 2, 100_000);
+        check("room", room, 128, Codec.MAX_BYTES);
+    }
 
-  private static void check(String what, double value, double least, double most) {
-    if (!(value >= least && value <= most)) {
-      throw new IllegalArgumentException(
-          what + " is " + value + ", expected " + least + " to " + most);
+    private static void check(String what, double value, double least, double most) {
+        if (!(value >= least && value <= most)) {
+            throw new IllegalArgumentException(what + " is " + value + ", expected " + least + " to " + most);
+        }
     }
-  }
 
-  /** The least time from suspect to dead in a fleet of so many. */
-  double leastSuspicion(int members) {
-    return suspicion * Math.max(1, Math.log10(members + 1.0)) * interval;
-  }
+    /** The least time from suspect to dead in a fleet of so many. */
+    double leastSuspicion(int members) {
+        return suspicion * Math.max(1, Math.log10(members + 1.0)) * interval;
+    }
 
-  /** How often a word is passed on in a fleet of so many. */
-  int transmits(int members) {
-    return spread * Math.max(1, 32 - Integer.numberOfLeadingZeros(members));
-  }
+    /** How often a word is passed on in a fleet of so many. */
+    int transmits(int members) {
+        return spread * Math.max(1, 32 - Integer.numberOfLeadingZeros(members));
+    }
 }
