--- a/src/main/java/rillyard/member/Membership.java
+++ b/src/main/java/rillyard/member/Membership.java
@@ -12,389 +12,408 @@
  * for use from several threads at once.
  */
 public final class Membership {
-  /** What it does. */
-  public interface Out {
-    /** Sends a message; it may get lost. */
-    void send(Endpoint to, Message message);
-
-    /** A belief has changed. */
-    void changed(Change change);
-  }
-
-  /** Datagrams with all that is known for one who joins: some 300 members; the rest comes by and by. */
-  private static final int WELCOME = 32;
-
-  /** Datagrams an interval for those whose table differs from this member's. */
-  private static final int PAGES = 8;
-
-  /** So many of all members ask a suspect in an interval, besides those who accuse it. */
-  private static final double ASK_SUSPECT = 4;
-
-  /** How many are told directly that this member goes. */
-  private static final int FAREWELLS = 6;
-
-  /** While there are words to pass on they go to so many at a time, so often an interval, besides the probes. */
-  private static final int TELL = 3;
-
-  private static final double TELLS = 2.5;
-
-  private final MemberSettings settings;
-  private final Out out;
-  private final List<Endpoint> seeds;
-  private final RandomGenerator random;
-  private final Roster roster;
-  private final Gossip gossip = new Gossip();
-  private final Facts facts = new Facts();
-  private final Outbox outbox;
-  private final LocalHealth health = new LocalHealth();
-  private final Errands errands;
-  private final long started;
-  private final Identity identity;
-  private Probe probe;
-  private int sequence;
-  private double lastTick = Double.NaN;
-  private double latest;
-  private double reachedOutAt = Double.NEGATIVE_INFINITY;
-  private double toldAt = Double.NEGATIVE_INFINITY;
-  private double pagedAt = Double.NEGATIVE_INFINITY;
-
-  /**
-   * Makes a member that knows nobody yet.
-   *
-   * @param start when its process started, Unix time (ms)
-   * @param seeds where others may be, at the start and after a break
-   * @param random its only source of chance
-   */
-  public Membership(MemberSettings settings, Card card, long start, List<Endpoint> seeds, RandomGenerator random,
-      Out out) {
-    this.settings = settings;
-    this.out = out;
-    this.seeds = List.copyOf(seeds);
-    this.random = random;
-    this.roster = new Roster(random);
-    this.outbox = new Outbox(settings, roster, gossip, facts, out);
-    this.errands = new Errands(settings);
-    this.started = start;
-    this.identity = new Identity(card, start, settings.interval());
-  }
-
-  /** What this member says of itself. */
-  public Update self() {
-    return identity.word();
-  }
-
-  /** Whether it has left, or another has its name: it says nothing any more. */
-  public boolean over() {
-    return identity.silent();
-  }
-
-  /** What is believed of all others, in the order of their names. */
-  public List<Seen> seen() {
-    return roster.beliefs().values().stream().map(b -> new Seen(b.word, b.since, b.by))
-        .sorted(Comparator.comparing(s -> s.word().card().name())).toList();
-  }
-
-  /** A number for all that it holds present, itself among them. */
-  int digest() {
-    return outbox.digest(self());
-  }
-
-  /** By how much this member distrusts its own hearing, 1 where not at all. */
-  public double distrust() {
-    return health.factor();
-  }
-
-  /** All others that are known, in no order. */
-  public List<Update> others() {
-    return roster.beliefs().values().stream().map(b -> b.word).toList();
-  }
-
-  /**
-   * Says something of this member to all.
-   *
-   * @param kind 0 to {@link Fact#MAX_KIND}; a fact of each
-   * @param value of 1 to {@link Fact#MAX_VALUE} bytes, or none to take it back
-   * @param lasts ms after which it ends where no more is heard of it, 1,000 to {@link Fact#MAX_MS}
-   * @param again whether it is said again from time to time, until it is said otherwise; else it ends by itself
-   * @return whether it is said; not where this member says more than ten a second for long
-   * @throws IllegalArgumentException if one of these is out of its range
-   */
-  public boolean say(double now, int kind, byte[] value, double lasts, boolean again) {
-    if (!(lasts >= 1_000)) {
-      throw new IllegalArgumentException("lasts " + lasts + " ms, expected 1,000 and more");
-    }
-    return facts.say(self(), kind, value, lasts, again, unix(now), now);
-  }
-
-  /** The facts of a kind that hold now, by owner: what members that are present have said, this one among them. */
-  public Map<String, Fact> facts(double now, int kind) {
-    return facts.holding(kind, self(), roster.beliefs(), now);
-  }
-
-  /** All that its next steps depend on but chance, in words; times in it count from {@code now}. */
-  String state(double now) {
-    StringBuilder s = new StringBuilder().append(identity.state(now)).append(health.factor());
-    s.append(' ').append(now - lastTick).append(' ').append(now - reachedOutAt).append(' ').append(now - pagedAt)
-        .append(' ').append(now - toldAt);
-    s.append(probe == null ? " -" : probe.state(now, sequence));
-    return s.append(errands.state(now)).append(gossip.state()).append(facts.state(now)).append(roster.state(now)).toString();
-  }
-
-  /** Members alive or suspected, this one among them. */
-  public int present() {
-    return roster.present() + 1;
-  }
-
-  /** Time passes; to be called many times an interval. */
-  public void tick(double now) {
-    if (over()) {
-      return;
-    }
-    latest = now;
-    double gap = now - lastTick;
-    if (gap > settings.interval()) {
-      stoodStill(now, gap);
-    }
-    lastTick = now;
-    errands.overdue(now).forEach(e -> send(Kind.NACK, e.sequence(), e.askerAt(), e.asker(), null));
-    if (probe != null) {
-      goOn(now);
-    }
-    if (probe == null) {
-      begin(now);
+    /** What it does. */
+    public interface Out {
+        /** Sends a message; it may get lost. */
+        void send(Endpoint to, Message message);
+
+        /** A belief has changed. */
+        void changed(Change change);
     }
-    roster.suspects().forEach(b -> suspected(b, now));
-    facts.tick(self(), now);
-    if ((!gossip.isEmpty() || facts.urgent()) && now - toldAt >= settings.interval() / TELLS) {
-      toldAt = now;
-      roster.some(TELL, "", true).forEach(b -> send(Kind.NEWS, 0, b.word.card().at(), "", null));
+
+    /** Datagrams with all that is known for one who joins: some 300 members; the rest comes by and by. */
+    private static final int WELCOME = 32;
+
+    /** Datagrams an interval for those whose table differs from this member's. */
+    private static final int PAGES = 8;
+
+    /** So many of all members ask a suspect in an interval, besides those who accuse it. */
+    private static final double ASK_SUSPECT = 4;
+
+    /** How many are told directly that this member goes. */
+    private static final int FAREWELLS = 6;
+
+    /** While there are words to pass on they go to so many at a time, so often an interval, besides the probes. */
+    private static final int TELL = 3;
+
+    private static final double TELLS = 2.5;
+
+    private final MemberSettings settings;
+    private final Out out;
+    private final List<Endpoint> seeds;
+    private final RandomGenerator random;
+    private final Roster roster;
+    private final Gossip gossip = new Gossip();
+    private final Facts facts = new Facts();
+    private final Outbox outbox;
+    private final LocalHealth health = new LocalHealth();
+    private final Errands errands;
+    private final long started;
+    private final Identity identity;
+    private Probe probe;
+    private int sequence;
+    private double lastTick = Double.NaN;
+    private double latest;
+    private double reachedOutAt = Double.NEGATIVE_INFINITY;
+    private double toldAt = Double.NEGATIVE_INFINITY;
+    private double pagedAt = Double.NEGATIVE_INFINITY;
+
+    /**
+     * Makes a member that knows nobody yet.
+     *
+     * @param start when its process started, Unix time (ms)
+     * @param seeds where others may be, at the start and after a break
+     * @param random its only source of chance
+     */
+    public Membership(
+            MemberSettings settings, Card card, long start, List<Endpoint> seeds, RandomGenerator random, Out out) {
+        this.settings = settings;
+        this.out = out;
+        this.seeds = List.copyOf(seeds);
+        this.random = random;
+        this.roster = new Roster(random);
+        this.outbox = new Outbox(settings, roster, gossip, facts, out);
+        this.errands = new Errands(settings);
+        this.started = start;
+        this.identity = new Identity(card, start, settings.interval());
     }
-    if (now - reachedOutAt >= 2 * settings.interval()) {
-      reachedOutAt = now;
-      reachOut();
-      roster.forget(now - settings.forget()).forEach(name -> {
-        gossip.forget(name);
-        facts.forget(name);
-      });
+
+    /** What this member says of itself. */
+    public Update self() {
+        return identity.word();
     }
-  }
-
-  /**
-   * This process stood still: answers may lie unread, and suspects had no chance to be heard. Guards against
-   * a process that wakes up and has everybody declared dead.
-   */
-  private void stoodStill(double now, double gap) {
-    probe = null;
-    errands.clear();
-    health.worse(2);
-    roster.suspects().forEach(b -> b.since += gap);
-  }
-
-  /**
-   * A suspect is asked again and again, so that it hears of it and its word is heard, also where much gets
-   * lost: by those who accuse it, by a few of the others, and by whoever has not heard its word when that should
-   * long be round. Guards against the one in hundreds whom the word passed by.
-   */
-  private void suspected(Belief b, double now) {
-    if (now >= b.askAt) {
-      b.askAt = now + settings.interval();
-      boolean late = now - b.since >= settings.leastSuspicion(present()) / 2;
-      if (late || b.accusers().contains(self().by()) || random.nextDouble() * present() < ASK_SUSPECT) {
-        send(Kind.PING, ++sequence, b.word.card().at(), b.word.card().name(), null);
-      }
+
+    /** Whether it has left, or another has its name: it says nothing any more. */
+    public boolean over() {
+        return identity.silent();
     }
-    if (now - b.since >= Suspicion.time(settings, present(), b.accusers().size())) {
-      believe(b, new Update(b.word.card(), b.word.life(), Status.DEAD, self().by()), now, "its time");
+
+    /** What is believed of all others, in the order of their names. */
+    public List<Seen> seen() {
+        return roster.beliefs().values().stream()
+                .map(b -> new Seen(b.word, b.since, b.by))
+                .sorted(Comparator.comparing(s -> s.word().card().name()))
+                .toList();
     }
-  }
 
-  private void begin(double now) {
-    Belief b = roster.nextToProbe();
-    if (b != null) {
-      probe = new Probe(++sequence, b.word.card(), now, health.factor(), settings);
-      send(Kind.PING, probe.sequence, probe.target.at(), probe.target.name(), null);
+    /** A number for all that it holds present, itself among them. */
+    int digest() {
+        return outbox.digest(self());
     }
-  }
-
-  private void goOn(double now) {
-    if (probe.asksHelp(now)) {
-      for (Belief helper : roster.some(settings.helpers(), probe.target.name(), false)) {
-        probe.helpers++;
-        send(Kind.ASK_FOR_ME, probe.sequence, helper.word.card().at(), probe.target.name(), probe.target.at());
-      }
+
+    /** By how much this member distrusts its own hearing, 1 where not at all. */
+    public double distrust() {
+        return health.factor();
     }
-    if (!probe.over(now)) {
-      if (probe.asksAgain(now)) {
-        send(Kind.PING, probe.sequence, probe.target.at(), probe.target.name(), null);
-      }
-      return;
+
+    /** All others that are known, in no order. */
+    public List<Update> others() {
+        return roster.beliefs().values().stream().map(b -> b.word).toList();
     }
-    Probe p = probe;
-    probe = null;
-    if (p.answered) {
-      health.better();
-      return;
+
+    /**
+     * Says something of this member to all.
+     *
+     * @param kind 0 to {@link Fact#MAX_KIND}; a fact of each
+     * @param value of 1 to {@link Fact#MAX_VALUE} bytes, or none to take it back
+     * @param lasts ms after which it ends where no more is heard of it, 1,000 to {@link Fact#MAX_MS}
+     * @param again whether it is said again from time to time, until it is said otherwise; else it ends by itself
+     * @return whether it is said; not where this member says more than ten a second for long
+     * @throws IllegalArgumentException if one of these is out of its range
+     */
+    public boolean say(double now, int kind, byte[] value, double lasts, boolean again) {
+        if (!(lasts >= 1_000)) {
+            throw new IllegalArgumentException("lasts " + lasts + " ms, expected 1,000 and more");
+        }
+        return facts.say(self(), kind, value, lasts, again, unix(now), now);
     }
-    // Helpers that say nothing tell of this member's own hearing; those that say no speak for it.
-    health.worse(p.helpers == 0 ? 1 : Math.max(0, p.helpers - p.nacks));
-    Belief b = roster.get(p.target.name());
-    if (b != null && b.status().present()) {
-      heard(new Update(b.word.card(), b.word.life(), Status.SUSPECT, self().by()), now, "a probe");
+
+    /** The facts of a kind that hold now, by owner: what members that are present have said, this one among them. */
+    public Map<String, Fact> facts(double now, int kind) {
+        return facts.holding(kind, self(), roster.beliefs(), now);
     }
-  }
 
-  /** Asks one who is held dead, or a seed that nobody is known at: after a break all are to be one again. */
-  private void reachOut() {
-    Belief dead = roster.someDead();
-    if (dead != null) {
-      send(Kind.PING, ++sequence, dead.word.card().at(), dead.word.card().name(), null);
+    /** All that its next steps depend on but chance, in words; times in it count from {@code now}. */
+    String state(double now) {
+        StringBuilder s = new StringBuilder().append(identity.state(now)).append(health.factor());
+        s.append(' ')
+                .append(now - lastTick)
+                .append(' ')
+                .append(now - reachedOutAt)
+                .append(' ')
+                .append(now - pagedAt)
+                .append(' ')
+                .append(now - toldAt);
+        s.append(probe == null ? " -" : probe.state(now, sequence));
+        return s.append(errands.state(now))
+                .append(gossip.state())
+                .append(facts.state(now))
+                .append(roster.state(now))
+                .toString();
     }
-    if (!seeds.isEmpty()) {
-      Endpoint seed = seeds.get(random.nextInt(seeds.size()));
-      boolean known = seed.equals(self().card().at())
-          || roster.beliefs().values().stream().anyMatch(b -> b.status().present() && b.word.card().at().equals(seed));
-      if (!known) {
-        send(Kind.PING, ++sequence, seed, "", null);
-      }
+
+    /** Members alive or suspected, this one among them. */
+    public int present() {
+        return roster.present() + 1;
     }
-  }
 
-  /** Says that it goes, and says nothing after. */
-  public void leave(double now) {
-    if (over()) {
-      return;
+    /** Time passes; to be called many times an interval. */
+    public void tick(double now) {
+        if (over()) {
+            return;
+        }
+        latest = now;
+        double gap = now - lastTick;
+        if (gap > settings.interval()) {
+            stoodStill(now, gap);
+        }
+        lastTick = now;
+        errands.overdue(now).forEach(e -> send(Kind.NACK, e.sequence(), e.askerAt(), e.asker(), null));
+        if (probe != null) {
+            goOn(now);
+        }
+        if (probe == null) {
+            begin(now);
+        }
+        roster.suspects().forEach(b -> suspected(b, now));
+        facts.tick(self(), now);
+        if ((!gossip.isEmpty() || facts.urgent()) && now - toldAt >= settings.interval() / TELLS) {
+            toldAt = now;
+            roster.some(TELL, "", true)
+                    .forEach(b -> send(Kind.NEWS, 0, b.word.card().at(), "", null));
+        }
+        if (now - reachedOutAt >= 2 * settings.interval()) {
+            reachedOutAt = now;
+            reachOut();
+            roster.forget(now - settings.forget()).forEach(name -> {
+                gossip.forget(name);
+                facts.forget(name);
+            });
+        }
     }
-    identity.leave();
-    for (Belief b : roster.some(FAREWELLS, "", false)) {
-      send(Kind.NEWS, 0, b.word.card().at(), "", null);
+
+    /**
+     * This process stood still: answers may lie unread, and suspects had no chance to be heard. Guards against
+     * a process that wakes up and has everybody declared dead.
+     */
+    private void stoodStill(double now, double gap) {
+        probe = null;
+        errands.clear();
+        health.worse(2);
+        roster.suspects().forEach(b -> b.since += gap);
     }
-    identity.fallSilent();
-  }
-
-  /** A message has come from an address. */
-  public void received(double now, Endpoint from, Message m) {
-    latest = now;
-    Update sender = m.sender();
-    if (over() || !sender.card().at().equals(from)) { // who speaks for another place is not believed
-      return;
+
+    /**
+     * A suspect is asked again and again, so that it hears of it and its word is heard, also where much gets
+     * lost: by those who accuse it, by a few of the others, and by whoever has not heard its word when that should
+     * long be round. Guards against the one in hundreds whom the word passed by.
+     */
+    private void suspected(Belief b, double now) {
+        if (now >= b.askAt) {
+            b.askAt = now + settings.interval();
+            boolean late = now - b.since >= settings.leastSuspicion(present()) / 2;
+            if (late || b.accusers().contains(self().by()) || random.nextDouble() * present() < ASK_SUSPECT) {
+                send(Kind.PING, ++sequence, b.word.card().at(), b.word.card().name(), null);
+            }
+        }
+        if (now - b.since >= Suspicion.time(settings, present(), b.accusers().size())) {
+            believe(b, new Update(b.word.card(), b.word.life(), Status.DEAD, self().by()), now, "its time");
+        }
     }
-    if (identity.isName(sender.card().name())) {
-      namesake(now, sender);
-      return;
+
+    private void begin(double now) {
+        Belief b = roster.nextToProbe();
+        if (b != null) {
+            probe = new Probe(++sequence, b.word.card(), now, health.factor(), settings);
+            send(Kind.PING, probe.sequence, probe.target.at(), probe.target.name(), null);
+        }
     }
-    boolean fresh = roster.get(sender.card().name()) == null;
-    heard(sender, now, sender.card().name());
-    for (Update u : m.news()) {
-      heard(u, now, "#" + u.by());
+
+    private void goOn(double now) {
+        if (probe.asksHelp(now)) {
+            for (Belief helper : roster.some(settings.helpers(), probe.target.name(), false)) {
+                probe.helpers++;
+                send(Kind.ASK_FOR_ME, probe.sequence, helper.word.card().at(), probe.target.name(), probe.target.at());
+            }
+        }
+        if (!probe.over(now)) {
+            if (probe.asksAgain(now)) {
+                send(Kind.PING, probe.sequence, probe.target.at(), probe.target.name(), null);
+            }
+            return;
+        }
+        Probe p = probe;
+        probe = null;
+        if (p.answered) {
+            health.better();
+            return;
+        }
+        // Helpers that say nothing tell of this member's own hearing; those that say no speak for it.
+        health.worse(p.helpers == 0 ? 1 : Math.max(0, p.helpers - p.nacks));
+        Belief b = roster.get(p.target.name());
+        if (b != null && b.status().present()) {
+            heard(new Update(b.word.card(), b.word.life(), Status.SUSPECT, self().by()), now, "a probe");
+        }
     }
-    for (Fact f : m.facts()) {
-      Belief b = roster.get(f.owner());
-      facts.heard(f, self(), b == null || !b.status().present() ? null : b.word.life(), unix(now), now);
+
+    /** Asks one who is held dead, or a seed that nobody is known at: after a break all are to be one again. */
+    private void reachOut() {
+        Belief dead = roster.someDead();
+        if (dead != null) {
+            send(Kind.PING, ++sequence, dead.word.card().at(), dead.word.card().name(), null);
+        }
+        if (!seeds.isEmpty()) {
+            Endpoint seed = seeds.get(random.nextInt(seeds.size()));
+            boolean known = seed.equals(self().card().at())
+                    || roster.beliefs().values().stream()
+                            .anyMatch(b ->
+                                    b.status().present() && b.word.card().at().equals(seed));
+            if (!known) {
+                send(Kind.PING, ++sequence, seed, "", null);
+            }
+        }
     }
-    answer(now, from, m);
-    boolean joins = fresh && sender.status() == Status.ALIVE && roster.get(sender.card().name()) != null;
-    if (joins) {
-      outbox.pages(self(), from, WELCOME);
-    } else if (m.kind() != Kind.NEWS && m.digest() != digest() && now - pagedAt >= settings.interval()) {
-      pagedAt = now;
-      outbox.pages(self(), from, PAGES);
+
+    /** Says that it goes, and says nothing after. */
+    public void leave(double now) {
+        if (over()) {
+            return;
+        }
+        identity.leave();
+        for (Belief b : roster.some(FAREWELLS, "", false)) {
+            send(Kind.NEWS, 0, b.word.card().at(), "", null);
+        }
+        identity.fallSilent();
     }
-  }
 
-  private void answer(double now, Endpoint from, Message m) {
-    switch (m.kind()) {
-      case PING -> {
-        if (m.target().isEmpty() || m.target().equals(self().card().name())) {
-          send(Kind.ACK, m.sequence(), from, m.sender().card().name(), null);
+    /** A message has come from an address. */
+    public void received(double now, Endpoint from, Message m) {
+        latest = now;
+        Update sender = m.sender();
+        if (over() || !sender.card().at().equals(from)) { // who speaks for another place is not believed
+            return;
         }
-      }
-      case ASK_FOR_ME -> {
-        if (errands.room() && !m.target().equals(self().card().name())) {
-          errands.take(++sequence, m, from, now);
-          send(Kind.PING, sequence, m.targetAt(), m.target(), null);
+        if (identity.isName(sender.card().name())) {
+            namesake(now, sender);
+            return;
         }
-      }
-      case ACK -> {
-        Errands.Errand e = errands.answered(m.sequence());
-        if (e != null) {
-          send(Kind.ACK, e.sequence(), e.askerAt(), e.asker(), null);
-        } else if (probe != null && probe.sequence == m.sequence()) {
-          probe.answered = true;
+        boolean fresh = roster.get(sender.card().name()) == null;
+        heard(sender, now, sender.card().name());
+        for (Update u : m.news()) {
+            heard(u, now, "#" + u.by());
         }
-      }
-      case NACK -> {
-        if (probe != null && probe.sequence == m.sequence()) {
-          probe.nacks++;
+        for (Fact f : m.facts()) {
+            Belief b = roster.get(f.owner());
+            facts.heard(f, self(), b == null || !b.status().present() ? null : b.word.life(), unix(now), now);
+        }
+        answer(now, from, m);
+        boolean joins = fresh
+                && sender.status() == Status.ALIVE
+                && roster.get(sender.card().name()) != null;
+        if (joins) {
+            outbox.pages(self(), from, WELCOME);
+        } else if (m.kind() != Kind.NEWS && m.digest() != digest() && now - pagedAt >= settings.interval()) {
+            pagedAt = now;
+            outbox.pages(self(), from, PAGES);
         }
-      }
-      case NEWS -> {}
-    }
-  }
-
-  /** A process of this member's own name speaks. */
-  private void namesake(double now, Update other) {
-    if (identity.outlives(other, unix(now))) {
-      send(Kind.NEWS, 0, other.card().at(), "", null);
-    } else if (over()) {
-      out.changed(new Change(now, other, Status.ALIVE, other.card().name()));
     }
-  }
 
-  private void aboutSelf(Update u, double now) {
-    switch (identity.heard(u, now, unix(now))) {
-      case SPOKEN_UP -> health.worse(1);
-      case ASK -> send(Kind.PING, ++sequence, u.card().at(), self().card().name(), null);
-      case NOTHING -> {}
+    private void answer(double now, Endpoint from, Message m) {
+        switch (m.kind()) {
+            case PING -> {
+                if (m.target().isEmpty() || m.target().equals(self().card().name())) {
+                    send(Kind.ACK, m.sequence(), from, m.sender().card().name(), null);
+                }
+            }
+            case ASK_FOR_ME -> {
+                if (errands.room() && !m.target().equals(self().card().name())) {
+                    errands.take(++sequence, m, from, now);
+                    send(Kind.PING, sequence, m.targetAt(), m.target(), null);
+                }
+            }
+            case ACK -> {
+                Errands.Errand e = errands.answered(m.sequence());
+                if (e != null) {
+                    send(Kind.ACK, e.sequence(), e.askerAt(), e.asker(), null);
+                } else if (probe != null && probe.sequence == m.sequence()) {
+                    probe.answered = true;
+                }
+            }
+            case NACK -> {
+                if (probe != null && probe.sequence == m.sequence()) {
+                    probe.nacks++;
+                }
+            }
+            case NEWS -> {}
+        }
     }
-  }
 
-  /** This machine's Unix time (ms). */
-  private long unix(double now) {
-    return started + (long) now;
-  }
+    /** A process of this member's own name speaks. */
+    private void namesake(double now, Update other) {
+        if (identity.outlives(other, unix(now))) {
+            send(Kind.NEWS, 0, other.card().at(), "", null);
+        } else if (over()) {
+            out.changed(new Change(now, other, Status.ALIVE, other.card().name()));
+        }
+    }
 
-  private void heard(Update u, double now, String by) {
-    if (identity.isName(u.card().name())) {
-      aboutSelf(u, now);
-      return;
+    private void aboutSelf(Update u, double now) {
+        switch (identity.heard(u, now, unix(now))) {
+            case SPOKEN_UP -> health.worse(1);
+            case ASK -> send(Kind.PING, ++sequence, u.card().at(), self().card().name(), null);
+            case NOTHING -> {}
+        }
     }
-    Belief b = roster.get(u.card().name());
-    if (!Credence.possible(u.life(), b == null ? null : b.word.life(), unix(now))) {
-      return;
+
+    /** This machine's Unix time (ms). */
+    private long unix(double now) {
+        return started + (long) now;
     }
-    if (b == null) {
-      if (u.status().present() && roster.beliefs().size() < settings.most()) {
-        b = new Belief(u, now);
-        roster.add(b);
-        told(b, now, null, by);
-      }
-    } else if (u.overrides(b.word)) {
-      believe(b, u, now, by);
-    } else if (b.status() == Status.SUSPECT && u.status() == Status.SUSPECT && u.life().equals(b.word.life())
-        && b.accused(u.by())) {
-      b.word = u; // passed on as well: it is another's independent word
-      gossip.changed(u.card().name());
+
+    private void heard(Update u, double now, String by) {
+        if (identity.isName(u.card().name())) {
+            aboutSelf(u, now);
+            return;
+        }
+        Belief b = roster.get(u.card().name());
+        if (!Credence.possible(u.life(), b == null ? null : b.word.life(), unix(now))) {
+            return;
+        }
+        if (b == null) {
+            if (u.status().present() && roster.beliefs().size() < settings.most()) {
+                b = new Belief(u, now);
+                roster.add(b);
+                told(b, now, null, by);
+            }
+        } else if (u.overrides(b.word)) {
+            believe(b, u, now, by);
+        } else if (b.status() == Status.SUSPECT
+                && u.status() == Status.SUSPECT
+                && u.life().equals(b.word.life())
+                && b.accused(u.by())) {
+            b.word = u; // passed on as well: it is another's independent word
+            gossip.changed(u.card().name());
+        }
     }
-  }
-
-  private void believe(Belief b, Update u, double now, String by) {
-    Status before = b.status();
-    roster.set(b, u, now);
-    told(b, now, before, by);
-  }
-
-  private void told(Belief b, double now, Status before, String by) {
-    b.by = by;
-    if (b.status() == Status.SUSPECT) {
-      b.accused(b.word.by());
+
+    private void believe(Belief b, Update u, double now, String by) {
+        Status before = b.status();
+        roster.set(b, u, now);
+        told(b, now, before, by);
     }
-    gossip.changed(b.word.card().name());
-    if (b.status() != before) {
-      out.changed(new Change(now, b.word, before, by));
+
+    private void told(Belief b, double now, Status before, String by) {
+        b.by = by;
+        if (b.status() == Status.SUSPECT) {
+            b.accused(b.word.by());
+        }
+        gossip.changed(b.word.card().name());
+        if (b.status() != before) {
+            out.changed(new Change(now, b.word, before, by));
+        }
     }
-  }
 
-  private void send(Kind kind, int seq, Endpoint to, String target, Endpoint targetAt) {
-    outbox.send(self(), latest, kind, seq, to, target, targetAt);
-  }
+    private void send(Kind kind, int seq, Endpoint to, String target, Endpoint targetAt) {
+        outbox.send(self(), latest, kind, seq, to, target, targetAt);
+    }
 }
--- a/src/main/java/rillyard/member/Message.java
+++ b/src/main/java/rillyard/member/Message.java
@@ -13,24 +13,32 @@
  * @param news words about others
  * @param facts that members say of themselves
  */
-public record Message(Kind kind, int sequence, int digest, Update sender, String target, Endpoint targetAt,
-    List<Update> news, List<Fact> facts) {
-  /** Without facts. */
-  public Message(Kind kind, int sequence, int digest, Update sender, String target, Endpoint targetAt, List<Update> news) {
-    this(kind, sequence, digest, sender, target, targetAt, news, List.of());
-  }
+public record Message(
+        Kind kind,
+        int sequence,
+        int digest,
+        Update sender,
+        String target,
+        Endpoint targetAt,
+        List<Update> news,
+        List<Fact> facts) {
+    /** Without facts. */
+    public Message(
+            Kind kind, int sequence, int digest, Update sender, String target, Endpoint targetAt, List<Update> news) {
+        this(kind, sequence, digest, sender, target, targetAt, news, List.of());
+    }
 
-  /** What a datagram is for. */
-  public enum Kind {
-    /** Are you there? */
-    PING,
-    /** The one asked for is there. */
-    ACK,
-    /** Ask the target for me, and tell me. */
-    ASK_FOR_ME,
-    /** It has not answered me either, but I am there. */
-    NACK,
-    /** Nothing but news. */
-    NEWS
-  }
+    /** What a datagram is for. */
+    public enum Kind {
+        /** Are you there? */
+        PING,
+        /** The one asked for is there. */
+        ACK,
+        /** Ask the target for me, and tell me. */
+        ASK_FOR_ME,
+        /** It has not answered me either, but I am there. */
+        NACK,
+        /** Nothing but news. */
+        NEWS
+    }
 }
--- a/src/main/java/rillyard/member/Outbox.java
+++ b/src/main/java/rillyard/member/Outbox.java
@@ -6,60 +6,61 @@
 
 /** Fills datagrams: first what the question is about, then news, facts, and whatever else there is room for. */
 final class Outbox {
-  /** Names that a datagram may be filled up with. */
-  private static final int FILL = 12;
+    /** Names that a datagram may be filled up with. */
+    private static final int FILL = 12;
 
-  /** Facts are passed on so much less often than news: they are said again anyway. */
-  private static final double FACTS = 2 / 3.0;
+    /** Facts are passed on so much less often than news: they are said again anyway. */
+    private static final double FACTS = 2 / 3.0;
 
-  /** This share of a datagram is kept for facts that are new, so that much news can't crowd them out. */
-  private static final double KEPT = 0.25;
+    /** This share of a datagram is kept for facts that are new, so that much news can't crowd them out. */
+    private static final double KEPT = 0.25;
 
-  private final MemberSettings settings;
-  private final Roster roster;
-  private final Gossip gossip;
-  private final Facts facts;
-  private final Membership.Out out;
+    private final MemberSettings settings;
+    private final Roster roster;
+    private final Gossip gossip;
+    private final Facts facts;
+    private final Membership.Out out;
 
-  Outbox(MemberSettings settings, Roster roster, Gossip gossip, Facts facts, Membership.Out out) {
-    this.settings = settings;
-    this.roster = roster;
-    this.gossip = gossip;
-    this.facts = facts;
-    this.out = out;
-  }
+    Outbox(MemberSettings settings, Roster roster, Gossip gossip, Facts facts, Membership.Out out) {
+        this.settings = settings;
+        this.roster = roster;
+        this.gossip = gossip;
+        this.facts = facts;
+        this.out = out;
+    }
 
-  /** A number for all that the member and its roster hold present. */
-  int digest(Update self) {
-    return roster.digest() + Roster.mark(self);
-  }
+    /** A number for all that the member and its roster hold present. */
+    int digest(Update self) {
+        return roster.digest() + Roster.mark(self);
+    }
 
-  /** Sends a message with as much news as there is room for. */
-  void send(Update self, double now, Kind kind, int sequence, Endpoint to, String target, Endpoint targetAt) {
-    List<String> first = new ArrayList<>(1);
-    Belief about = target.isEmpty() ? null : roster.get(target);
-    if (about != null && (about.status() != Status.ALIVE || !about.word.card().at().equals(to))) {
-      first.add(target); // it hears first what is believed of it, or who has its name now
+    /** Sends a message with as much news as there is room for. */
+    void send(Update self, double now, Kind kind, int sequence, Endpoint to, String target, Endpoint targetAt) {
+        List<String> first = new ArrayList<>(1);
+        Belief about = target.isEmpty() ? null : roster.get(target);
+        if (about != null
+                && (about.status() != Status.ALIVE || !about.word.card().at().equals(to))) {
+            first.add(target); // it hears first what is believed of it, or who has its name now
+        }
+        int room = settings.room() - Codec.emptySize(self, target, targetAt != null);
+        int transmits = settings.transmits(roster.present() + 1);
+        int kept = facts.urgent() ? (int) (KEPT * room) : 0;
+        List<Update> news = gossip.pick(roster.beliefs(), first, room - kept, transmits);
+        room -= news.stream().mapToInt(Codec::size).sum();
+        List<Fact> told = facts.pick(room, (int) Math.ceil(FACTS * transmits), now);
+        room -= told.stream().mapToInt(Fact::size).sum();
+        gossip.fill(roster.beliefs(), news, room, roster.fill(FILL));
+        out.send(to, new Message(kind, sequence, digest(self), self, target, targetAt, news, told));
     }
-    int room = settings.room() - Codec.emptySize(self, target, targetAt != null);
-    int transmits = settings.transmits(roster.present() + 1);
-    int kept = facts.urgent() ? (int) (KEPT * room) : 0;
-    List<Update> news = gossip.pick(roster.beliefs(), first, room - kept, transmits);
-    room -= news.stream().mapToInt(Codec::size).sum();
-    List<Fact> told = facts.pick(room, (int) Math.ceil(FACTS * transmits), now);
-    room -= told.stream().mapToInt(Fact::size).sum();
-    gossip.fill(roster.beliefs(), news, room, roster.fill(FILL));
-    out.send(to, new Message(kind, sequence, digest(self), self, target, targetAt, news, told));
-  }
 
-  /** Tells what is held of all, as far as so many datagrams go. */
-  void pages(Update self, Endpoint to, int most) {
-    int room = settings.room() - Codec.emptySize(self, "", false);
-    int told = 0;
-    for (int i = 0; i < most && told < roster.beliefs().size(); i++) {
-      List<Update> page = roster.page(room);
-      told += page.size();
-      out.send(to, new Message(Kind.NEWS, 0, digest(self), self, "", null, page, List.of()));
+    /** Tells what is held of all, as far as so many datagrams go. */
+    void pages(Update self, Endpoint to, int most) {
+        int room = settings.room() - Codec.emptySize(self, "", false);
+        int told = 0;
+        for (int i = 0; i < most && told < roster.beliefs().size(); i++) {
+            List<Update> page = roster.page(room);
+            told += page.size();
+            out.send(to, new Message(Kind.NEWS, 0, digest(self), self, "", null, page, List.of()));
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/member/Roster.java
+++ b/src/main/java/rillyard/member/Roster.java
@@ -13,185 +13,192 @@
 
 /** The other members that are known, and in which order they are probed: a random one, dealt anew each round. */
 final class Roster {
-  private final Map<String, Belief> beliefs = new HashMap<>();
-  private final List<String> round = new ArrayList<>();
-  private final List<String> all = new ArrayList<>();
-  /** Those that are suspected, in the order in which they came to be: asked for many times an interval. */
-  private final Set<Belief> suspects = new LinkedHashSet<>();
-  private final RandomGenerator random;
-  private int next;
-  private int cursor;
-  private int present;
-  private int digest;
-
-  Roster(RandomGenerator random) {
-    this.random = random;
-  }
-
-  Map<String, Belief> beliefs() {
-    return beliefs;
-  }
-
-  /** Suspects as of now; they may be changed meanwhile. */
-  List<Belief> suspects() {
-    return suspects.isEmpty() ? List.of() : new ArrayList<>(suspects);
-  }
-
-  Belief get(String name) {
-    return beliefs.get(name);
-  }
-
-  /** Others that are alive or suspected. */
-  int present() {
-    return present;
-  }
-
-  void add(Belief b) {
-    String name = b.word.card().name();
-    beliefs.put(name, b);
-    all.add(name);
-    // At a random place, so that those who join together are not probed together for ever.
-    round.add(round.isEmpty() ? 0 : random.nextInt(round.size() + 1), name);
-    count(b.word, 1);
-    mark(b);
-  }
-
-  private void mark(Belief b) {
-    if (b.status() == Status.SUSPECT) {
-      suspects.add(b);
-    } else {
-      suspects.remove(b);
-    }
-  }
-
-  private void count(Update u, int sign) {
-    if (u.status().present()) {
-      present += sign;
-      digest += sign * mark(u);
-    }
-  }
-
-  /** A number for one who is present, by name and start: words that change often don't change it. */
-  static int mark(Update u) {
-    int h = u.card().name().hashCode() * 31 + Long.hashCode(u.life().start());
-    h = (h ^ h >>> 16) * 0x85EBCA6B;
-    return h ^ h >>> 13;
-  }
-
-  /** A number for all who are present: two tables that hold the same have the same. */
-  int digest() {
-    return digest;
-  }
-
-  void set(Belief b, Update word, double now) {
-    count(b.word, -1);
-    count(word, 1);
-    b.word = word;
-    b.since = now;
-    b.acquit();
-    mark(b);
-  }
-
-  /** Forgets members that have been dead or gone since before {@code until}; returns their names. */
-  List<String> forget(double until) {
-    List<String> gone = new ArrayList<>();
-    for (Iterator<Belief> i = beliefs.values().iterator(); i.hasNext(); ) {
-      Belief b = i.next();
-      if (!b.status().present() && b.since < until) {
-        i.remove();
-        gone.add(b.word.card().name());
-      }
-    }
-    if (!gone.isEmpty()) {
-      all.removeIf(n -> !beliefs.containsKey(n));
-      round.removeIf(n -> !beliefs.containsKey(n));
-      next = Math.min(next, round.size());
-    }
-    return gone;
-  }
-
-  /** The member to probe next, null if there is none. */
-  Belief nextToProbe() {
-    for (int looked = 0; looked <= round.size(); looked++) {
-      if (next >= round.size()) {
-        shuffle();
-        next = 0;
-      }
-      if (round.isEmpty()) {
+    private final Map<String, Belief> beliefs = new HashMap<>();
+    private final List<String> round = new ArrayList<>();
+    private final List<String> all = new ArrayList<>();
+    /** Those that are suspected, in the order in which they came to be: asked for many times an interval. */
+    private final Set<Belief> suspects = new LinkedHashSet<>();
+
+    private final RandomGenerator random;
+    private int next;
+    private int cursor;
+    private int present;
+    private int digest;
+
+    Roster(RandomGenerator random) {
+        this.random = random;
+    }
+
+    Map<String, Belief> beliefs() {
+        return beliefs;
+    }
+
+    /** Suspects as of now; they may be changed meanwhile. */
+    List<Belief> suspects() {
+        return suspects.isEmpty() ? List.of() : new ArrayList<>(suspects);
+    }
+
+    Belief get(String name) {
+        return beliefs.get(name);
+    }
+
+    /** Others that are alive or suspected. */
+    int present() {
+        return present;
+    }
+
+    void add(Belief b) {
+        String name = b.word.card().name();
+        beliefs.put(name, b);
+        all.add(name);
+        // At a random place, so that those who join together are not probed together for ever.
+        round.add(round.isEmpty() ? 0 : random.nextInt(round.size() + 1), name);
+        count(b.word, 1);
+        mark(b);
+    }
+
+    private void mark(Belief b) {
+        if (b.status() == Status.SUSPECT) {
+            suspects.add(b);
+        } else {
+            suspects.remove(b);
+        }
+    }
+
+    private void count(Update u, int sign) {
+        if (u.status().present()) {
+            present += sign;
+            digest += sign * mark(u);
+        }
+    }
+
+    /** A number for one who is present, by name and start: words that change often don't change it. */
+    static int mark(Update u) {
+        int h = u.card().name().hashCode() * 31 + Long.hashCode(u.life().start());
+        h = (h ^ h >>> 16) * 0x85EBCA6B;
+        return h ^ h >>> 13;
+    }
+
+    /** A number for all who are present: two tables that hold the same have the same. */
+    int digest() {
+        return digest;
+    }
+
+    void set(Belief b, Update word, double now) {
+        count(b.word, -1);
+        count(word, 1);
+        b.word = word;
+        b.since = now;
+        b.acquit();
+        mark(b);
+    }
+
+    /** Forgets members that have been dead or gone since before {@code until}; returns their names. */
+    List<String> forget(double until) {
+        List<String> gone = new ArrayList<>();
+        for (Iterator<Belief> i = beliefs.values().iterator(); i.hasNext(); ) {
+            Belief b = i.next();
+            if (!b.status().present() && b.since < until) {
+                i.remove();
+                gone.add(b.word.card().name());
+            }
+        }
+        if (!gone.isEmpty()) {
+            all.removeIf(n -> !beliefs.containsKey(n));
+            round.removeIf(n -> !beliefs.containsKey(n));
+            next = Math.min(next, round.size());
+        }
+        return gone;
+    }
+
+    /** The member to probe next, null if there is none. */
+    Belief nextToProbe() {
+        for (int looked = 0; looked <= round.size(); looked++) {
+            if (next >= round.size()) {
+                shuffle();
+                next = 0;
+            }
+            if (round.isEmpty()) {
+                return null;
+            }
+            Belief b = beliefs.get(round.get(next++));
+            if (b.status().present()) {
+                return b;
+            }
+        }
         return null;
-      }
-      Belief b = beliefs.get(round.get(next++));
-      if (b.status().present()) {
-        return b;
-      }
-    }
-    return null;
-  }
-
-  private void shuffle() {
-    for (int i = round.size() - 1; i > 0; i--) {
-      int k = random.nextInt(i + 1);
-      String s = round.get(i);
-      round.set(i, round.get(k));
-      round.set(k, s);
-    }
-  }
-
-  /** Up to so many others at random, without this one, and without suspects unless these are asked for. */
-  List<Belief> some(int n, String without, boolean suspects) {
-    List<Belief> out = new ArrayList<>(n);
-    for (int looked = 0; looked < 3 * n + 8 && out.size() < n && !all.isEmpty(); looked++) {
-      Belief b = beliefs.get(all.get(random.nextInt(all.size())));
-      if ((suspects ? b.status().present() : b.status() == Status.ALIVE) && !b.word.card().name().equals(without) && !out.contains(b)) {
-        out.add(b);
-      }
-    }
-    return out;
-  }
-
-  /** One that is believed dead, at random; null if the draw finds none. */
-  Belief someDead() {
-    for (int looked = 0; looked < 16 && !all.isEmpty(); looked++) {
-      Belief b = beliefs.get(all.get(random.nextInt(all.size())));
-      if (b.status() == Status.DEAD) {
-        return b;
-      }
-    }
-    return null;
-  }
-
-  /** What is believed, and whose turn it is. */
-  String state(double now) {
-    StringBuilder s = new StringBuilder();
-    new TreeMap<>(beliefs).values().forEach(b -> s.append("; ").append(b.word).append(now - b.since).append(' ')
-        .append(b.askAt - now).append(new TreeSet<>(b.accusers())));
-    suspects.forEach(b -> s.append(b.word.card().name()));
-    return s + "; " + round + next + " " + all + cursor;
-  }
-
-  /** The next words in turn that fit into the room: page after page the whole table. */
-  List<Update> page(int room) {
-    List<Update> out = new ArrayList<>(12);
-    int left = room;
-    for (int i = 0; i < all.size(); i++) {
-      Update u = beliefs.get(all.get(cursor % all.size())).word;
-      left -= Codec.size(u);
-      if (left < 0) {
-        break;
-      }
-      out.add(u);
-      cursor = (cursor + 1) % all.size();
-    }
-    return out;
-  }
-
-  /** Names from a random place on, to fill datagrams with: so all tables become one, whatever was lost. */
-  List<String> fill(int n) {
-    List<String> out = new ArrayList<>(n);
-    int from = all.isEmpty() ? 0 : random.nextInt(all.size());
-    for (int i = 0; i < Math.min(n, all.size()); i++) {
-      out.add(all.get((from + i) % all.size()));
-    }
-    return out;
-  }
+    }
+
+    private void shuffle() {
+        for (int i = round.size() - 1; i > 0; i--) {
+            int k = random.nextInt(i + 1);
+            String s = round.get(i);
+            round.set(i, round.get(k));
+            round.set(k, s);
+        }
+    }
+
+    /** Up to so many others at random, without this one, and without suspects unless these are asked for. */
+    List<Belief> some(int n, String without, boolean suspects) {
+        List<Belief> out = new ArrayList<>(n);
+        for (int looked = 0; looked < 3 * n + 8 && out.size() < n && !all.isEmpty(); looked++) {
+            Belief b = beliefs.get(all.get(random.nextInt(all.size())));
+            if ((suspects ? b.status().present() : b.status() == Status.ALIVE)
+                    && !b.word.card().name().equals(without)
+                    && !out.contains(b)) {
+                out.add(b);
+            }
+        }
+        return out;
+    }
+
+    /** One that is believed dead, at random; null if the draw finds none. */
+    Belief someDead() {
+        for (int looked = 0; looked < 16 && !all.isEmpty(); looked++) {
+            Belief b = beliefs.get(all.get(random.nextInt(all.size())));
+            if (b.status() == Status.DEAD) {
+                return b;
+            }
+        }
+        return null;
+    }
+
+    /** What is believed, and whose turn it is. */
+    String state(double now) {
+        StringBuilder s = new StringBuilder();
+        new TreeMap<>(beliefs).values().forEach(b -> s.append("; ")
+                .append(b.word)
+                .append(now - b.since)
+                .append(' ')
+                .append(b.askAt - now)
+                .append(new TreeSet<>(b.accusers())));
+        suspects.forEach(b -> s.append(b.word.card().name()));
+        return s + "; " + round + next + " " + all + cursor;
+    }
+
+    /** The next words in turn that fit into the room: page after page the whole table. */
+    List<Update> page(int room) {
+        List<Update> out = new ArrayList<>(12);
+        int left = room;
+        for (int i = 0; i < all.size(); i++) {
+            Update u = beliefs.get(all.get(cursor % all.size())).word;
+            left -= Codec.size(u);
+            if (left < 0) {
+                break;
+            }
+            out.add(u);
+            cursor = (cursor + 1) % all.size();
+        }
+        return out;
+    }
+
+    /** Names from a random place on, to fill datagrams with: so all tables become one, whatever was lost. */
+    List<String> fill(int n) {
+        List<String> out = new ArrayList<>(n);
+        int from = all.isEmpty() ? 0 : random.nextInt(all.size());
+        for (int i = 0; i < Math.min(n, all.size()); i++) {
+            out.add(all.get((from + i) % all.size()));
+        }
+        return out;
+    }
 }
--- a/src/main/java/rillyard/member/Suspicion.java
+++ b/src/main/java/rillyard/member/Suspicion.java
@@ -5,17 +5,17 @@
  * one that is ill; the shorter, the more say so independently.
  */
 final class Suspicion {
-  /** So many words besides the first bring it down to the least. */
-  private static final int ENOUGH = 3;
+    /** So many words besides the first bring it down to the least. */
+    private static final int ENOUGH = 3;
 
-  private Suspicion() {}
+    private Suspicion() {}
 
-  /** The time (ms) from the first word to death, with so many independent ones in a fleet of {@code members}. */
-  static double time(MemberSettings s, int members, int accusers) {
-    double least = s.leastSuspicion(members);
-    double most = least * s.suspicionMost();
-    int enough = Math.max(1, Math.min(ENOUGH, members - 2));
-    double part = Math.log(Math.max(1, accusers)) / Math.log(enough + 1.0);
-    return Math.max(least, most - (most - least) * part);
-  }
+    /** The time (ms) from the first word to death, with so many independent ones in a fleet of {@code members}. */
+    static double time(MemberSettings s, int members, int accusers) {
+        double least = s.leastSuspicion(members);
+        double most = least * s.suspicionMost();
+        int enough = Math.max(1, Math.min(ENOUGH, members - 2));
+        double part = Math.log(Math.max(1, accusers)) / Math.log(enough + 1.0);
+        return Math.max(least, most - (most - least) * part);
+    }
 }
--- a/src/main/java/rillyard/member/Turns.java
+++ b/src/main/java/rillyard/member/Turns.java
@@ -15,82 +15,82 @@
  * thousands join at once and each datagram takes ten.
  */
 final class Turns<K> {
-  private static final class Turn<K> {
-    final K key;
-    int told;
+    private static final class Turn<K> {
+        final K key;
+        int told;
 
-    Turn(K key) {
-      this.key = key;
+        Turn(K key) {
+            this.key = key;
+        }
     }
-  }
 
-  private final Map<K, Turn<K>> turns = new HashMap<>();
-  private final TreeSet<Turn<K>> order;
-  private final Comparator<K> ties;
+    private final Map<K, Turn<K>> turns = new HashMap<>();
+    private final TreeSet<Turn<K>> order;
+    private final Comparator<K> ties;
 
-  /** Of two that were told alike the first by {@code ties} comes first. */
-  Turns(Comparator<K> ties) {
-    this.ties = ties;
-    this.order = new TreeSet<>(Comparator.<Turn<K>>comparingInt(t -> t.told).thenComparing(t -> t.key, ties));
-  }
-
-  /** There is something new about this: its turns begin anew. */
-  void add(K key) {
-    remove(key);
-    Turn<K> t = new Turn<>(key);
-    turns.put(key, t);
-    order.add(t);
-  }
+    /** Of two that were told alike the first by {@code ties} comes first. */
+    Turns(Comparator<K> ties) {
+        this.ties = ties;
+        this.order = new TreeSet<>(Comparator.<Turn<K>>comparingInt(t -> t.told).thenComparing(t -> t.key, ties));
+    }
 
-  void remove(K key) {
-    Turn<K> t = turns.remove(key);
-    if (t != null) {
-      order.remove(t);
+    /** There is something new about this: its turns begin anew. */
+    void add(K key) {
+        remove(key);
+        Turn<K> t = new Turn<>(key);
+        turns.put(key, t);
+        order.add(t);
     }
-  }
 
-  boolean isEmpty() {
-    return turns.isEmpty();
-  }
+    void remove(K key) {
+        Turn<K> t = turns.remove(key);
+        if (t != null) {
+            order.remove(t);
+        }
+    }
 
-  /**
-   * Offers all in turn.
-   *
-   * @param times those taken so often leave
-   * @param more whether any further one could be taken at all
-   * @param taken takes one, or doesn't; to change nothing here
-   * @return those that have left
-   */
-  List<K> offer(int times, BooleanSupplier more, Predicate<K> taken) {
-    List<Turn<K>> told = new ArrayList<>(10);
-    for (Turn<K> t : order) {
-      if (!more.getAsBoolean()) {
-        break;
-      }
-      if (taken.test(t.key)) {
-        told.add(t);
-      }
+    boolean isEmpty() {
+        return turns.isEmpty();
     }
-    List<K> left = new ArrayList<>();
-    for (Turn<K> t : told) {
-      order.remove(t);
-      t.told++;
-      if (t.told < times) {
-        order.add(t);
-      } else {
-        turns.remove(t.key);
-        left.add(t.key);
-      }
+
+    /**
+     * Offers all in turn.
+     *
+     * @param times those taken so often leave
+     * @param more whether any further one could be taken at all
+     * @param taken takes one, or doesn't; to change nothing here
+     * @return those that have left
+     */
+    List<K> offer(int times, BooleanSupplier more, Predicate<K> taken) {
+        List<Turn<K>> told = new ArrayList<>(10);
+        for (Turn<K> t : order) {
+            if (!more.getAsBoolean()) {
+                break;
+            }
+            if (taken.test(t.key)) {
+                told.add(t);
+            }
+        }
+        List<K> left = new ArrayList<>();
+        for (Turn<K> t : told) {
+            order.remove(t);
+            t.told++;
+            if (t.told < times) {
+                order.add(t);
+            } else {
+                turns.remove(t.key);
+                left.add(t.key);
+            }
+        }
+        return left;
     }
-    return left;
-  }
 
-  /** What is waiting, and how often it was told. */
-  String state() {
-    StringBuilder s = new StringBuilder();
-    Map<K, Turn<K>> sorted = new TreeMap<>(ties);
-    sorted.putAll(turns);
-    sorted.values().forEach(t -> s.append("; tell ").append(t.key).append(t.told));
-    return s.toString();
-  }
+    /** What is waiting, and how often it was told. */
+    String state() {
+        StringBuilder s = new StringBuilder();
+        Map<K, Turn<K>> sorted = new TreeMap<>(ties);
+        sorted.putAll(turns);
+        sorted.values().forEach(t -> s.append("; tell ").append(t.key).append(t.told));
+        return s.toString();
+    }
 }
--- a/src/main/java/rillyard/member/Update.java
+++ b/src/main/java/rillyard/member/Update.java
@@ -9,15 +9,17 @@
  * @param by a number for who first said so, made from its name; independent words are counted by it
  */
 public record Update(Card card, Life life, Status status, int by) {
-  /** Whether this word holds against another about the same member. */
-  boolean overrides(Update other) {
-    int c = life.compareTo(other.life);
-    return c > 0 ? status != Status.SUSPECT || other.status.present() : c == 0 && status.compareTo(other.status) > 0;
-  }
+    /** Whether this word holds against another about the same member. */
+    boolean overrides(Update other) {
+        int c = life.compareTo(other.life);
+        return c > 0
+                ? status != Status.SUSPECT || other.status.present()
+                : c == 0 && status.compareTo(other.status) > 0;
+    }
 
-  /** The number for a name, 0 to 65535. */
-  public static int by(String name) {
-    int h = name.hashCode() * 0x9E3779B1;
-    return h >>> 16;
-  }
+    /** The number for a name, 0 to 65535. */
+    public static int by(String name) {
+        int h = name.hashCode() * 0x9E3779B1;
+        return h >>> 16;
+    }
 }
--- a/src/main/java/rillyard/member/net/Admin.java
+++ b/src/main/java/rillyard/member/net/Admin.java
@@ -15,50 +15,53 @@
 
 /** Tells whoever connects what this member holds: one line, and the connection ends. It takes nothing in. */
 final class Admin {
-  /** Connections at a time; past it one that comes is ended at once. */
-  private static final int MOST_OPEN = 8;
+    /** Connections at a time; past it one that comes is ended at once. */
+    private static final int MOST_OPEN = 8;
 
-  /** How long (ms) a caller may take to read. */
-  private static final long CALL_MS = 2_500;
+    /** How long (ms) a caller may take to read. */
+    private static final long CALL_MS = 2_500;
 
-  private final Supplier<String> view;
-  private int open;
+    private final Supplier<String> view;
+    private int open;
 
-  /** {@code view} is asked on the loop. */
-  Admin(Supplier<String> view) {
-    this.view = view;
-  }
+    /** {@code view} is asked on the loop. */
+    Admin(Supplier<String> view) {
+        this.view = view;
+    }
 
-  /**
-   * Listens.
-   *
-   * @throws IOException if the address can't be bound
-   */
-  void listen(EventLoopGroup loop, InetSocketAddress at) throws IOException {
-    try {
-      new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-          .childHandler(new ChannelInitializer<SocketChannel>() {
-            @Override
-            protected void initChannel(SocketChannel ch) {
-              called(ch);
-            }
-          })
-          .bind(at).sync();
-    } catch (Exception e) {
-      throw new IOException("fleet: can't listen on " + at + " for `members --admin`: " + e.getMessage(), e);
+    /**
+     * Listens.
+     *
+     * @throws IOException if the address can't be bound
+     */
+    void listen(EventLoopGroup loop, InetSocketAddress at) throws IOException {
+        try {
+            new ServerBootstrap()
+                    .group(loop)
+                    .channel(NioServerSocketChannel.class)
+                    .childHandler(new ChannelInitializer<SocketChannel>() {
+                        @Override
+                        protected void initChannel(SocketChannel ch) {
+                            called(ch);
+                        }
+                    })
+                    .bind(at)
+                    .sync();
+        } catch (Exception e) {
+            throw new IOException("fleet: can't listen on " + at + " for `members --admin`: " + e.getMessage(), e);
+        }
     }
-  }
 
-  private void called(SocketChannel ch) {
-    if (open >= MOST_OPEN) {
-      ch.close();
-      return;
+    private void called(SocketChannel ch) {
+        if (open >= MOST_OPEN) {
+            ch.close();
+            return;
+        }
+        open++;
+        ch.closeFuture().addListener(f -> open--);
+        ch.eventLoop().schedule(() -> ch.close(), CALL_MS, TimeUnit.MILLISECONDS);
+        // Registration is not over yet: what is written now would be lost.
+        ch.eventLoop().execute(() -> ch.writeAndFlush(Unpooled.copiedBuffer(view.get() + "\n", StandardCharsets.UTF_8))
+                .addListener(ChannelFutureListener.CLOSE));
     }
-    open++;
-    ch.closeFuture().addListener(f -> open--);
-    ch.eventLoop().schedule(() -> ch.close(), CALL_MS, TimeUnit.MILLISECONDS);
-    // Registration is not over yet: what is written now would be lost.
-    ch.eventLoop().execute(() -> ch.writeAndFlush(Unpooled.copiedBuffer(view.get() + "\n", StandardCharsets.UTF_8))
-        .addListener(ChannelFutureListener.CLOSE));
-  }
 }
--- a/src/main/java/rillyard/member/net/AdminClient.java
+++ b/src/main/java/rillyard/member/net/AdminClient.java
@@ -8,36 +8,37 @@
 
 /** Asks a member what it holds. */
 public final class AdminClient {
-  private static final int WAIT_MS = 3_000;
+    private static final int WAIT_MS = 3_000;
 
-  /** Some 300 bytes for each of 100,000 members. */
-  private static final int MOST_BYTES = 64 << 20;
+    /** Some 300 bytes for each of 100,000 members. */
+    private static final int MOST_BYTES = 64 << 20;
 
-  private AdminClient() {}
+    private AdminClient() {}
 
-  /**
-   * Asks.
-   *
-   * @throws IOException if nobody is there, takes too long, or says what no member says
-   */
-  public static JsonNode ask(InetSocketAddress at) throws IOException {
-    byte[] bytes;
-    try (Socket s = new Socket()) {
-      s.connect(at, WAIT_MS);
-      s.setSoTimeout(WAIT_MS);
-      bytes = s.getInputStream().readNBytes(MOST_BYTES);
-    } catch (IOException e) {
-      throw new IOException("no answer from " + at + ": " + e.getMessage(), e);
+    /**
+     * Asks.
+     *
+     * @throws IOException if nobody is there, takes too long, or says what no member says
+     */
+    public static JsonNode ask(InetSocketAddress at) throws IOException {
+        byte[] bytes;
+        try (Socket s = new Socket()) {
+            s.connect(at, WAIT_MS);
+            s.setSoTimeout(WAIT_MS);
+            bytes = s.getInputStream().readNBytes(MOST_BYTES);
+        } catch (IOException e) {
+            throw new IOException("no answer from " + at + ": " + e.getMessage(), e);
+        }
+        JsonNode n = null;
+        try {
+            n = new ObjectMapper().readTree(bytes);
+        } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
+            // said below
+        }
+        if (n == null || !n.path("self").isObject() || !n.path("members").isArray()) {
+            throw new IOException(
+                    at + " is no member's `admin` address: " + bytes.length + " bytes that are no view of a fleet");
+        }
+        return n;
     }
-    JsonNode n = null;
-    try {
-      n = new ObjectMapper().readTree(bytes);
-    } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
-      // said below
-    }
-    if (n == null || !n.path("self").isObject() || !n.path("members").isArray()) {
-      throw new IOException(at + " is no member's `admin` address: " + bytes.length + " bytes that are no view of a fleet");
-    }
-    return n;
-  }
 }
--- a/src/main/java/rillyard/member/net/FleetFile.java
+++ b/src/main/java/rillyard/member/net/FleetFile.java
@@ -22,111 +22,123 @@
 
 /** Reads {@code deploy/fleet.toml}. */
 public final class FleetFile {
-  private FleetFile() {}
+    private FleetFile() {}
 
-  /**
-   * Reads a file; where it names no member, {@code BALANCER_NAME} does.
-   *
-   * @throws InvalidFileException with all findings, by line
-   */
-  public static FleetSettings read(Path file, Map<String, String> environment) throws InvalidFileException {
-    TomlTable root = TomlTable.read(file);
-    TomlTable self = root.table("self");
-    String name = self.text("name", environment.getOrDefault("BALANCER_NAME", ""));
-    Endpoint listen = endpoint(self, "listen", self.text("listen"));
-    Endpoint advertise = self.has("advertise") ? endpoint(self, "advertise", self.text("advertise")) : listen;
-    Card card = null;
-    try {
-      card = new Card(name, advertise, (int) self.whole("zone", 0, 0, 255), (int) self.whole("region", 0, 0, 255));
-    } catch (IllegalArgumentException e) {
-      self.error("name", e.getMessage());
-    }
-    String history = self.text("history", null);
-    InetSocketAddress admin = self.has("admin") ? address(endpoint(self, "admin", self.text("admin"))) : null;
-    List<Endpoint> seeds = new ArrayList<>();
-    for (String s : root.text("seeds", "").split("[,\\s]+")) {
-      if (!s.isEmpty()) {
-        seeds.add(endpoint(root, "seeds", s));
-      }
+    /**
+     * Reads a file; where it names no member, {@code BALANCER_NAME} does.
+     *
+     * @throws InvalidFileException with all findings, by line
+     */
+    public static FleetSettings read(Path file, Map<String, String> environment) throws InvalidFileException {
+        TomlTable root = TomlTable.read(file);
+        TomlTable self = root.table("self");
+        String name = self.text("name", environment.getOrDefault("BALANCER_NAME", ""));
+        Endpoint listen = endpoint(self, "listen", self.text("listen"));
+        Endpoint advertise = self.has("advertise") ? endpoint(self, "advertise", self.text("advertise")) : listen;
+        Card card = null;
+        try {
+            card = new Card(
+                    name, advertise, (int) self.whole("zone", 0, 0, 255), (int) self.whole("region", 0, 0, 255));
+        } catch (IllegalArgumentException e) {
+            self.error("name", e.getMessage());
+        }
+        String history = self.text("history", null);
+        InetSocketAddress admin = self.has("admin") ? address(endpoint(self, "admin", self.text("admin"))) : null;
+        List<Endpoint> seeds = new ArrayList<>();
+        for (String s : root.text("seeds", "").split("[,\\s]+")) {
+            if (!s.isEmpty()) {
+                seeds.add(endpoint(root, "seeds", s));
+            }
+        }
+        List<byte[]> keys = keys(root);
+        MemberSettings member = member(root.table("membership"), keys.isEmpty() ? 0 : Seal.BYTES);
+        boolean spread = root.table("spread").flag("news", false);
+        double clockRate = root.table("test").number("clock_rate", 1, 0.01, 100);
+        root.finish();
+        return new FleetSettings(
+                address(listen),
+                card,
+                seeds,
+                member,
+                keys,
+                history == null ? null : Path.of(history),
+                admin,
+                spread,
+                clockRate);
     }
-    List<byte[]> keys = keys(root);
-    MemberSettings member = member(root.table("membership"), keys.isEmpty() ? 0 : Seal.BYTES);
-    boolean spread = root.table("spread").flag("news", false);
-    double clockRate = root.table("test").number("clock_rate", 1, 0.01, 100);
-    root.finish();
-    return new FleetSettings(
-        address(listen), card, seeds, member, keys, history == null ? null : Path.of(history), admin, spread, clockRate);
-  }
 
-  /** One or two keys, a line of 64 hexadecimal digits each, in a file that only this process's user may read. */
-  private static List<byte[]> keys(TomlTable root) {
-    String file = root.text("key_file", null);
-    if (file == null) {
-      return List.of();
-    }
-    try {
-      Path path = Path.of(file);
-      if (Files.getPosixFilePermissions(path).stream().anyMatch(p -> !p.name().startsWith("OWNER"))) {
-        root.error("key_file", file + " may be read by others, expected mode 600");
-      }
-      List<byte[]> keys = new ArrayList<>();
-      for (String line : Files.readAllLines(path)) {
-        if (!line.isBlank()) {
-          keys.add(line.strip().length() == 64 ? HexFormat.of().parseHex(line.strip()) : new byte[0]);
+    /** One or two keys, a line of 64 hexadecimal digits each, in a file that only this process's user may read. */
+    private static List<byte[]> keys(TomlTable root) {
+        String file = root.text("key_file", null);
+        if (file == null) {
+            return List.of();
+        }
+        try {
+            Path path = Path.of(file);
+            if (Files.getPosixFilePermissions(path).stream()
+                    .anyMatch(p -> !p.name().startsWith("OWNER"))) {
+                root.error("key_file", file + " may be read by others, expected mode 600");
+            }
+            List<byte[]> keys = new ArrayList<>();
+            for (String line : Files.readAllLines(path)) {
+                if (!line.isBlank()) {
+                    keys.add(line.strip().length() == 64 ? HexFormat.of().parseHex(line.strip()) : new byte[0]);
+                }
+            }
+            if (keys.isEmpty() || keys.size() > 2 || keys.stream().anyMatch(k -> k.length != 32)) {
+                root.error("key_file", file + ": expected one or two lines of 64 hexadecimal digits");
+                return List.of();
+            }
+            return keys;
+        } catch (IOException | IllegalArgumentException | UnsupportedOperationException e) {
+            root.error("key_file", file + " can't be read: " + e);
+            return List.of();
         }
-      }
-      if (keys.isEmpty() || keys.size() > 2 || keys.stream().anyMatch(k -> k.length != 32)) {
-        root.error("key_file", file + ": expected one or two lines of 64 hexadecimal digits");
-        return List.of();
-      }
-      return keys;
-    } catch (IOException | IllegalArgumentException | UnsupportedOperationException e) {
-      root.error("key_file", file + " can't be read: " + e);
-      return List.of();
     }
-  }
 
-  private static MemberSettings member(TomlTable t, int seal) {
-    MemberSettings u = MemberSettings.USUAL;
-    double interval = t.number("interval_ms", u.interval(), 100, 60_000);
-    double timeout = t.number("timeout_ms", Math.min(u.timeout(), interval / 2), 10, 30_000);
-    if (timeout > interval / 2) {
-      t.error("timeout_ms", "found " + timeout + ", expected at most half of interval_ms, " + interval / 2);
-      timeout = interval / 2;
+    private static MemberSettings member(TomlTable t, int seal) {
+        MemberSettings u = MemberSettings.USUAL;
+        double interval = t.number("interval_ms", u.interval(), 100, 60_000);
+        double timeout = t.number("timeout_ms", Math.min(u.timeout(), interval / 2), 10, 30_000);
+        if (timeout > interval / 2) {
+            t.error("timeout_ms", "found " + timeout + ", expected at most half of interval_ms, " + interval / 2);
+            timeout = interval / 2;
+        }
+        return new MemberSettings(
+                interval,
+                timeout,
+                (int) t.whole("helpers", u.helpers(), 1, 10),
+                t.number("suspicion", u.suspicion(), 1, 20),
+                t.number("suspicion_most", u.suspicionMost(), 1, 20),
+                (int) t.whole("spread", u.spread(), 1, 10),
+                1_000 * t.number("forget_s", u.forget() / 1_000, 10, 3_600),
+                (int) t.whole("most", u.most(), 2, 100_000),
+                (int) t.whole("datagram_bytes", u.room(), 128 + seal, Codec.MAX_BYTES) - seal);
     }
-    return new MemberSettings(interval, timeout,
-        (int) t.whole("helpers", u.helpers(), 1, 10),
-        t.number("suspicion", u.suspicion(), 1, 20),
-        t.number("suspicion_most", u.suspicionMost(), 1, 20),
-        (int) t.whole("spread", u.spread(), 1, 10),
-        1_000 * t.number("forget_s", u.forget() / 1_000, 10, 3_600),
-        (int) t.whole("most", u.most(), 2, 100_000),
-        (int) t.whole("datagram_bytes", u.room(), 128 + seal, Codec.MAX_BYTES) - seal);
-  }
 
-  /** An {@code IPv4:port}; names are not looked up. */
-  private static Endpoint endpoint(TomlTable t, String key, String s) {
-    InetSocketAddress a = Addresses.parse(s);
-    if (a != null && a.getPort() > 0 && a.getAddress() instanceof Inet4Address) {
-      return endpoint(a);
-    }
-    if (!s.isEmpty()) { // that it is missing is told already
-      t.error(key, "found '" + s + "', expected IPv4:port, as 10.1.0.4:7400");
+    /** An {@code IPv4:port}; names are not looked up. */
+    private static Endpoint endpoint(TomlTable t, String key, String s) {
+        InetSocketAddress a = Addresses.parse(s);
+        if (a != null && a.getPort() > 0 && a.getAddress() instanceof Inet4Address) {
+            return endpoint(a);
+        }
+        if (!s.isEmpty()) { // that it is missing is told already
+            t.error(key, "found '" + s + "', expected IPv4:port, as 10.1.0.4:7400");
+        }
+        return new Endpoint(0x7F000001, 1);
     }
-    return new Endpoint(0x7F000001, 1);
-  }
 
-  /** The endpoint of an IPv4 address. */
-  static Endpoint endpoint(InetSocketAddress a) {
-    return new Endpoint(ByteBuffer.wrap(a.getAddress().getAddress()).getInt(), a.getPort());
-  }
+    /** The endpoint of an IPv4 address. */
+    static Endpoint endpoint(InetSocketAddress a) {
+        return new Endpoint(ByteBuffer.wrap(a.getAddress().getAddress()).getInt(), a.getPort());
+    }
 
-  static InetSocketAddress address(Endpoint e) {
-    try {
-      byte[] ip = {(byte) (e.ip() >> 24), (byte) (e.ip() >> 16), (byte) (e.ip() >> 8), (byte) e.ip()};
-      return new InetSocketAddress(InetAddress.getByAddress(ip), e.port());
-    } catch (UnknownHostException x) {
-      throw new IllegalStateException(x); // four bytes are an address
+    static InetSocketAddress address(Endpoint e) {
+        try {
+            byte[] ip = {(byte) (e.ip() >> 24), (byte) (e.ip() >> 16), (byte) (e.ip() >> 8), (byte) e.ip()};
+            return new InetSocketAddress(InetAddress.getByAddress(ip), e.port());
+        } catch (UnknownHostException x) {
+            throw new IllegalStateException(x); // four bytes are an address
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/member/net/FleetSettings.java
+++ b/src/main/java/rillyard/member/net/FleetSettings.java
@@ -20,5 +20,12 @@
  * @param clockRate ms that pass in one on the clock that decisions are fed with; 1 but in trials of bad clocks
  */
 public record FleetSettings(
-    InetSocketAddress listen, Card card, List<Endpoint> seeds, MemberSettings member, List<byte[]> keys,
-    Path history, InetSocketAddress admin, boolean spread, double clockRate) {}
+        InetSocketAddress listen,
+        Card card,
+        List<Endpoint> seeds,
+        MemberSettings member,
+        List<byte[]> keys,
+        Path history,
+        InetSocketAddress admin,
+        boolean spread,
+        double clockRate) {}
--- a/src/main/java/rillyard/member/net/History.java
+++ b/src/main/java/rillyard/member/net/History.java
@@ -12,31 +12,35 @@
 
 /** What one process believed and since when, a JSON object a line; each line is out at once. */
 final class History implements AutoCloseable {
-  private static final ObjectMapper JSON = new ObjectMapper();
+    private static final ObjectMapper JSON = new ObjectMapper();
 
-  private final Writer out;
-  private final String member;
+    private final Writer out;
+    private final String member;
 
-  /** Goes on where the file has lines of an earlier process of that name. */
-  History(Path file, String member) throws IOException {
-    this.out = Files.newBufferedWriter(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
-    this.member = member;
-  }
+    /** Goes on where the file has lines of an earlier process of that name. */
+    History(Path file, String member) throws IOException {
+        this.out = Files.newBufferedWriter(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+        this.member = member;
+    }
 
-  /** {@code unixMs} is when; an IOException costs the line, never the member. */
-  void line(long unixMs, Change c) throws IOException {
-    Update u = c.now();
-    ObjectNode n = JSON.createObjectNode();
-    n.put("at", unixMs).put("member", member).put("about", u.card().name()).put("status", u.status().name());
-    n.put("before", c.before() == null ? null : c.before().name()).put("start", u.life().start());
-    n.put("incarnation", u.life().incarnation()).put("by", c.by());
-    out.write(JSON.writeValueAsString(n));
-    out.write('\n');
-    out.flush();
-  }
+    /** {@code unixMs} is when; an IOException costs the line, never the member. */
+    void line(long unixMs, Change c) throws IOException {
+        Update u = c.now();
+        ObjectNode n = JSON.createObjectNode();
+        n.put("at", unixMs)
+                .put("member", member)
+                .put("about", u.card().name())
+                .put("status", u.status().name());
+        n.put("before", c.before() == null ? null : c.before().name())
+                .put("start", u.life().start());
+        n.put("incarnation", u.life().incarnation()).put("by", c.by());
+        out.write(JSON.writeValueAsString(n));
+        out.write('\n');
+        out.flush();
+    }
 
-  @Override
-  public void close() throws IOException {
-    out.close();
-  }
+    @Override
+    public void close() throws IOException {
+        out.close();
+    }
 }
--- a/src/main/java/rillyard/member/net/Seal.java
+++ b/src/main/java/rillyard/member/net/Seal.java
@@ -22,142 +22,148 @@
  * everywhere, then first. Not safe for use from several threads at once.
  */
 final class Seal {
-  /** What a seal adds to a datagram: its mark, the nonce, the tag. */
-  static final int BYTES = 1 + 12 + 16;
-
-  private static final byte MARK = (byte) 0x81;
-  private static final int KEY_BYTES = 32;
-  private static final int TAG_BITS = 128;
-
-  /** Late datagrams may be so many behind the newest of their sender. */
-  private static final int WINDOW = 64;
-
-  /** What was opened of one sender: its start, the newest count, and which of those before it. */
-  private static final class Opened {
-    long start = -1;
-    long newest;
-    long before;
-  }
-
-  private record Sender(List<SecretKeySpec> keys, Opened opened) {}
-
-  private final List<byte[]> keys;
-  private final Map<Endpoint, Sender> senders;
-  private final SecretKeySpec own;
-  private final long start;
-  private long count;
-
-  /**
-   * Makes the seal of one process.
-   *
-   * @param keys of 32 bytes each, one or two
-   * @param self where datagrams of this process come from
-   * @param start of this process, Unix time (ms)
-   * @param most senders that are remembered; guards against made-up addresses without end
-   */
-  Seal(List<byte[]> keys, Endpoint self, long start, int most) {
-    if (keys.isEmpty() || keys.size() > 2 || keys.stream().anyMatch(k -> k.length != KEY_BYTES)) {
-      throw new IllegalArgumentException("expected one or two keys of " + KEY_BYTES + " bytes");
+    /** What a seal adds to a datagram: its mark, the nonce, the tag. */
+    static final int BYTES = 1 + 12 + 16;
+
+    private static final byte MARK = (byte) 0x81;
+    private static final int KEY_BYTES = 32;
+    private static final int TAG_BITS = 128;
+
+    /** Late datagrams may be so many behind the newest of their sender. */
+    private static final int WINDOW = 64;
+
+    /** What was opened of one sender: its start, the newest count, and which of those before it. */
+    private static final class Opened {
+        long start = -1;
+        long newest;
+        long before;
     }
-    this.keys = List.copyOf(keys);
-    this.start = start;
-    this.own = derived(keys.get(0), self);
-    this.senders =
-        new LinkedHashMap<>(16, 0.75f, true) {
-          private static final long serialVersionUID = 1;
-
-          @Override
-          protected boolean removeEldestEntry(Map.Entry<Endpoint, Sender> eldest) {
-            return size() > most;
-          }
+
+    private record Sender(List<SecretKeySpec> keys, Opened opened) {}
+
+    private final List<byte[]> keys;
+    private final Map<Endpoint, Sender> senders;
+    private final SecretKeySpec own;
+    private final long start;
+    private long count;
+
+    /**
+     * Makes the seal of one process.
+     *
+     * @param keys of 32 bytes each, one or two
+     * @param self where datagrams of this process come from
+     * @param start of this process, Unix time (ms)
+     * @param most senders that are remembered; guards against made-up addresses without end
+     */
+    Seal(List<byte[]> keys, Endpoint self, long start, int most) {
+        if (keys.isEmpty() || keys.size() > 2 || keys.stream().anyMatch(k -> k.length != KEY_BYTES)) {
+            throw new IllegalArgumentException("expected one or two keys of " + KEY_BYTES + " bytes");
+        }
+        this.keys = List.copyOf(keys);
+        this.start = start;
+        this.own = derived(keys.get(0), self);
+        this.senders = new LinkedHashMap<>(16, 0.75f, true) {
+            private static final long serialVersionUID = 1;
+
+            @Override
+            protected boolean removeEldestEntry(Map.Entry<Endpoint, Sender> eldest) {
+                return size() > most;
+            }
         };
-  }
-
-  private static SecretKeySpec derived(byte[] key, Endpoint at) {
-    try {
-      Mac mac = Mac.getInstance("HmacSHA256");
-      mac.init(new SecretKeySpec(key, "HmacSHA256"));
-      return new SecretKeySpec(mac.doFinal(("rillyard fleet 1 " + at).getBytes(StandardCharsets.US_ASCII)), "AES");
-    } catch (GeneralSecurityException e) {
-      throw new IllegalStateException(e); // every JDK has it
-    }
-  }
-
-  /** Seals a datagram of this process. */
-  byte[] seal(byte[] plain) {
-    ByteBuffer nonce = ByteBuffer.allocate(12);
-    put48(nonce, start);
-    put48(nonce, ++count);
-    try {
-      Cipher c = Cipher.getInstance("AES/GCM/NoPadding");
-      c.init(Cipher.ENCRYPT_MODE, own, new GCMParameterSpec(TAG_BITS, nonce.array()));
-      c.updateAAD(new byte[] {MARK});
-      return ByteBuffer.allocate(plain.length + BYTES).put(MARK).put(nonce.array()).put(c.doFinal(plain)).array();
-    } catch (GeneralSecurityException e) {
-      throw new IllegalStateException(e);
     }
-  }
-
-  /**
-   * Opens a datagram.
-   *
-   * @throws IllegalArgumentException if it is not sealed by a member at that address, or was opened before
-   */
-  byte[] open(Endpoint from, byte[] sealed) {
-    if (sealed.length < BYTES || sealed[0] != MARK) {
-      throw new IllegalArgumentException("not sealed");
+
+    private static SecretKeySpec derived(byte[] key, Endpoint at) {
+        try {
+            Mac mac = Mac.getInstance("HmacSHA256");
+            mac.init(new SecretKeySpec(key, "HmacSHA256"));
+            return new SecretKeySpec(
+                    mac.doFinal(("rillyard fleet 1 " + at).getBytes(StandardCharsets.US_ASCII)), "AES");
+        } catch (GeneralSecurityException e) {
+            throw new IllegalStateException(e); // every JDK has it
+        }
     }
-    ByteBuffer nonce = ByteBuffer.wrap(sealed, 1, 12);
-    long began = get48(nonce);
-    long number = get48(nonce);
-    Sender known = senders.get(from);
-    Sender s = known != null ? known : new Sender(keys.stream().map(k -> derived(k, from)).toList(), new Opened());
-    if (known != null && replayed(s.opened, began, number)) {
-      throw new IllegalArgumentException("opened before, or of an older process");
+
+    /** Seals a datagram of this process. */
+    byte[] seal(byte[] plain) {
+        ByteBuffer nonce = ByteBuffer.allocate(12);
+        put48(nonce, start);
+        put48(nonce, ++count);
+        try {
+            Cipher c = Cipher.getInstance("AES/GCM/NoPadding");
+            c.init(Cipher.ENCRYPT_MODE, own, new GCMParameterSpec(TAG_BITS, nonce.array()));
+            c.updateAAD(new byte[] {MARK});
+            return ByteBuffer.allocate(plain.length + BYTES)
+                    .put(MARK)
+                    .put(nonce.array())
+                    .put(c.doFinal(plain))
+                    .array();
+        } catch (GeneralSecurityException e) {
+            throw new IllegalStateException(e);
+        }
     }
-    for (SecretKeySpec key : s.keys) {
-      try {
-        Cipher c = Cipher.getInstance("AES/GCM/NoPadding");
-        c.init(Cipher.DECRYPT_MODE, key, new GCMParameterSpec(TAG_BITS, sealed, 1, 12));
-        c.updateAAD(sealed, 0, 1);
-        byte[] plain = c.doFinal(sealed, 13, sealed.length - 13);
-        senders.put(from, s); // only who holds a key takes a place
-        opened(s.opened, began, number);
-        return plain;
-      } catch (GeneralSecurityException e) {
-        // another key, or none of ours
-      }
+
+    /**
+     * Opens a datagram.
+     *
+     * @throws IllegalArgumentException if it is not sealed by a member at that address, or was opened before
+     */
+    byte[] open(Endpoint from, byte[] sealed) {
+        if (sealed.length < BYTES || sealed[0] != MARK) {
+            throw new IllegalArgumentException("not sealed");
+        }
+        ByteBuffer nonce = ByteBuffer.wrap(sealed, 1, 12);
+        long began = get48(nonce);
+        long number = get48(nonce);
+        Sender known = senders.get(from);
+        Sender s = known != null
+                ? known
+                : new Sender(keys.stream().map(k -> derived(k, from)).toList(), new Opened());
+        if (known != null && replayed(s.opened, began, number)) {
+            throw new IllegalArgumentException("opened before, or of an older process");
+        }
+        for (SecretKeySpec key : s.keys) {
+            try {
+                Cipher c = Cipher.getInstance("AES/GCM/NoPadding");
+                c.init(Cipher.DECRYPT_MODE, key, new GCMParameterSpec(TAG_BITS, sealed, 1, 12));
+                c.updateAAD(sealed, 0, 1);
+                byte[] plain = c.doFinal(sealed, 13, sealed.length - 13);
+                senders.put(from, s); // only who holds a key takes a place
+                opened(s.opened, began, number);
+                return plain;
+            } catch (GeneralSecurityException e) {
+                // another key, or none of ours
+            }
+        }
+        throw new IllegalArgumentException("sealed by no key of this fleet for that address");
     }
-    throw new IllegalArgumentException("sealed by no key of this fleet for that address");
-  }
 
-  private static boolean replayed(Opened o, long began, long number) {
-    if (began != o.start) {
-      return began < o.start;
+    private static boolean replayed(Opened o, long began, long number) {
+        if (began != o.start) {
+            return began < o.start;
+        }
+        long behind = o.newest - number;
+        return behind >= WINDOW || behind >= 0 && (o.before >>> behind & 1) == 1;
     }
-    long behind = o.newest - number;
-    return behind >= WINDOW || behind >= 0 && (o.before >>> behind & 1) == 1;
-  }
-
-  private static void opened(Opened o, long began, long number) {
-    if (began != o.start) {
-      o.start = began;
-      o.newest = number;
-      o.before = 1;
-    } else if (number > o.newest) {
-      long ahead = number - o.newest;
-      o.before = (ahead >= WINDOW ? 0 : o.before << ahead) | 1;
-      o.newest = number;
-    } else {
-      o.before |= 1L << o.newest - number;
+
+    private static void opened(Opened o, long began, long number) {
+        if (began != o.start) {
+            o.start = began;
+            o.newest = number;
+            o.before = 1;
+        } else if (number > o.newest) {
+            long ahead = number - o.newest;
+            o.before = (ahead >= WINDOW ? 0 : o.before << ahead) | 1;
+            o.newest = number;
+        } else {
+            o.before |= 1L << o.newest - number;
+        }
     }
-  }
 
-  private static void put48(ByteBuffer b, long v) {
-    b.putShort((short) (v >> 32)).putInt((int) v);
-  }
+    private static void put48(ByteBuffer b, long v) {
+        b.putShort((short) (v >> 32)).putInt((int) v);
+    }
 
-  private static long get48(ByteBuffer b) {
-    return (b.getShort() & 0xFFFFL) << 32 | b.getInt() & 0xFFFFFFFFL;
-  }
+    private static long get48(ByteBuffer b) {
+        return (b.getShort() & 0xFFFFL) << 32 | b.getInt() & 0xFFFFFFFFL;
+    }
 }
--- a/src/main/java/rillyard/operator/Figures.java
+++ b/src/main/java/rillyard/operator/Figures.java
@@ -11,73 +11,78 @@
  * the plain form of statsd: {@code name:value|c} for a count, {@code |g} for a gauge.
  */
 public final class Figures {
-  /** What came of a request. */
-  public enum End {
-    COMPLETED,
-    REJECTED,
-    FAILED;
+    /** What came of a request. */
+    public enum End {
+        COMPLETED,
+        REJECTED,
+        FAILED;
 
-    private final String figure = name().toLowerCase(java.util.Locale.ROOT);
-  }
+        private final String figure = name().toLowerCase(java.util.Locale.ROOT);
+    }
 
-  private static final String PREFIX = "proxy.";
+    private static final String PREFIX = "proxy.";
 
-  private final Map<String, AtomicLong[]> byClass = new TreeMap<>();
-  private final AtomicLong attempts = new AtomicLong();
-  private final AtomicInteger pending = new AtomicInteger();
-  private volatile int members;
-  private volatile int unavailable;
+    private final Map<String, AtomicLong[]> byClass = new TreeMap<>();
+    private final AtomicLong attempts = new AtomicLong();
+    private final AtomicInteger pending = new AtomicInteger();
+    private volatile int members;
+    private volatile int unavailable;
 
-  /** {@code classes} are the classes of requests; others are not counted. */
-  public Figures(Collection<String> classes) {
-    for (String c : classes) {
-      AtomicLong[] ends = new AtomicLong[End.values().length];
-      for (int i = 0; i < ends.length; i++) {
-        ends[i] = new AtomicLong();
-      }
-      byClass.put(c, ends);
+    /** {@code classes} are the classes of requests; others are not counted. */
+    public Figures(Collection<String> classes) {
+        for (String c : classes) {
+            AtomicLong[] ends = new AtomicLong[End.values().length];
+            for (int i = 0; i < ends.length; i++) {
+                ends[i] = new AtomicLong();
+            }
+            byClass.put(c, ends);
+        }
     }
-  }
 
-  /** A request of this class has had its final answer. */
-  public void ended(String requestClass, End how) {
-    AtomicLong[] ends = byClass.get(requestClass);
-    if (ends != null) {
-      ends[how.ordinal()].incrementAndGet();
+    /** A request of this class has had its final answer. */
+    public void ended(String requestClass, End how) {
+        AtomicLong[] ends = byClass.get(requestClass);
+        if (ends != null) {
+            ends[how.ordinal()].incrementAndGet();
+        }
     }
-  }
 
-  /** An attempt has been written whole to a host. */
-  public void attemptWritten() {
-    attempts.incrementAndGet();
-  }
+    /** An attempt has been written whole to a host. */
+    public void attemptWritten() {
+        attempts.incrementAndGet();
+    }
 
-  /** Requests taken and not yet ended change by so many. */
-  public void pending(int change) {
-    pending.addAndGet(change);
-  }
+    /** Requests taken and not yet ended change by so many. */
+    public void pending(int change) {
+        pending.addAndGet(change);
+    }
 
-  /** The hosts listed, and those of them that are avoided, by hand or by choice. */
-  public void members(int listed, int avoided) {
-    members = listed;
-    unavailable = avoided;
-  }
+    /** The hosts listed, and those of them that are avoided, by hand or by choice. */
+    public void members(int listed, int avoided) {
+        members = listed;
+        unavailable = avoided;
+    }
 
-  /** All of them, a line each. */
-  public String text() {
-    StringBuilder out = new StringBuilder(512);
-    for (End end : End.values()) {
-      byClass.forEach(
-          (name, ends) -> line(out, end.figure + "." + name, ends[end.ordinal()].get(), 'c'));
+    /** All of them, a line each. */
+    public String text() {
+        StringBuilder out = new StringBuilder(512);
+        for (End end : End.values()) {
+            byClass.forEach((name, ends) -> line(out, end.figure + "." + name, ends[end.ordinal()].get(), 'c'));
+        }
+        line(out, "upstream_requests", attempts.get(), 'c');
+        line(out, "pending", pending.get(), 'g');
+        line(out, "members", members, 'g');
+        line(out, "members_unavailable", unavailable, 'g');
+        return out.toString();
     }
-    line(out, "upstream_requests", attempts.get(), 'c');
-    line(out, "pending", pending.get(), 'g');
-    line(out, "members", members, 'g');
-    line(out, "members_unavailable", unavailable, 'g');
-    return out.toString();
-  }
 
-  private static void line(StringBuilder out, String name, long value, char kind) {
-    out.append(PREFIX).append(name).append(':').append(value).append('|').append(kind).append('\n');
-  }
+    private static void line(StringBuilder out, String name, long value, char kind) {
+        out.append(PREFIX)
+                .append(name)
+                .append(':')
+                .append(value)
+                .append('|')
+                .append(kind)
+                .append('\n');
+    }
 }
--- a/src/main/java/rillyard/operator/Operations.java
+++ b/src/main/java/rillyard/operator/Operations.java
@@ -5,25 +5,25 @@
 
 /** What people on call and their tools may ask of a running proxy; called on the server's thread. */
 public interface Operations {
-  /** Whether requests would be served now. */
-  boolean ready();
+    /** Whether requests would be served now. */
+    boolean ready();
 
-  /** The figures, brought up to date. */
-  Figures figures();
+    /** The figures, brought up to date. */
+    Figures figures();
 
-  /**
-   * Takes a host out.
-   *
-   * @param files where files are touched
-   * @return whether such a host is known, once it is out; fails if this could not be done or kept
-   */
-  CompletionStage<Boolean> detach(String host, Executor files);
+    /**
+     * Takes a host out.
+     *
+     * @param files where files are touched
+     * @return whether such a host is known, once it is out; fails if this could not be done or kept
+     */
+    CompletionStage<Boolean> detach(String host, Executor files);
 
-  /**
-   * Gives a host back.
-   *
-   * @param files where files are touched
-   * @return whether such a host is known, once it may serve; fails if this could not be done or kept
-   */
-  CompletionStage<Boolean> attach(String host, Executor files);
+    /**
+     * Gives a host back.
+     *
+     * @param files where files are touched
+     * @return whether such a host is known, once it may serve; fails if this could not be done or kept
+     */
+    CompletionStage<Boolean> attach(String host, Executor files);
 }
--- a/src/main/java/rillyard/operator/OperatorCall.java
+++ b/src/main/java/rillyard/operator/OperatorCall.java
@@ -19,86 +19,78 @@
 
 /** One call on the second address: 2xx means yes, 4xx and 5xx no, with a line that says why. */
 final class OperatorCall extends SimpleChannelInboundHandler<FullHttpRequest> {
-  private static final int MAX_NAME = 128;
+    private static final int MAX_NAME = 128;
 
-  private record Reply(HttpResponseStatus status, String text) {}
+    private record Reply(HttpResponseStatus status, String text) {}
 
-  private final Operations operations;
+    private final Operations operations;
 
-  OperatorCall(Operations operations) {
-    this.operations = operations;
-  }
+    OperatorCall(Operations operations) {
+        this.operations = operations;
+    }
 
-  @Override
-  protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-    CompletionStage<Reply> reply =
-        request.decoderResult().isFailure()
-            ? reply(HttpResponseStatus.BAD_REQUEST, "not a request that can be read\n")
-            : carriedOut(request, ctx.channel().eventLoop());
-    reply.whenComplete(
-        (r, failure) ->
-            answer(
+    @Override
+    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
+        CompletionStage<Reply> reply = request.decoderResult().isFailure()
+                ? reply(HttpResponseStatus.BAD_REQUEST, "not a request that can be read\n")
+                : carriedOut(request, ctx.channel().eventLoop());
+        reply.whenComplete((r, failure) -> answer(
                 ctx,
                 failure == null
-                    ? r
-                    : new Reply(
-                        HttpResponseStatus.INTERNAL_SERVER_ERROR, "not done: " + failure + "\n")));
-  }
-
-  private static void answer(ChannelHandlerContext ctx, Reply reply) {
-    ByteBuf body = Unpooled.copiedBuffer(reply.text(), StandardCharsets.UTF_8);
-    DefaultFullHttpResponse r =
-        new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, reply.status(), body);
-    r.headers()
-        .set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8")
-        .set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes())
-        .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-    ctx.writeAndFlush(r).addListener(ChannelFutureListener.CLOSE);
-  }
-
-  private static CompletionStage<Reply> reply(HttpResponseStatus status, String why) {
-    return CompletableFuture.completedFuture(new Reply(status, why));
-  }
-
-  private CompletionStage<Reply> carriedOut(FullHttpRequest request, Executor files) {
-    String path = request.uri();
-    boolean post = path.startsWith("/_hosts/");
-    if (!path.equals("/_ready")
-        && !path.equals("/_vars")
-        && !path.equals("/_hosts/detach")
-        && !path.equals("/_hosts/attach")) {
-      return reply(HttpResponseStatus.NOT_FOUND, "no such call: " + path + "\n");
-    }
-    if (!request.method().equals(post ? HttpMethod.POST : HttpMethod.GET)) {
-      return reply(
-          HttpResponseStatus.METHOD_NOT_ALLOWED, path + " is called by " + (post ? "POST" : "GET") + "\n");
+                        ? r
+                        : new Reply(HttpResponseStatus.INTERNAL_SERVER_ERROR, "not done: " + failure + "\n")));
     }
-    if (path.equals("/_ready")) {
-      return operations.ready()
-          ? reply(HttpResponseStatus.OK, "ready\n")
-          : reply(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready\n");
+
+    private static void answer(ChannelHandlerContext ctx, Reply reply) {
+        ByteBuf body = Unpooled.copiedBuffer(reply.text(), StandardCharsets.UTF_8);
+        DefaultFullHttpResponse r = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, reply.status(), body);
+        r.headers()
+                .set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8")
+                .set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes())
+                .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+        ctx.writeAndFlush(r).addListener(ChannelFutureListener.CLOSE);
     }
-    if (path.equals("/_vars")) {
-      return reply(HttpResponseStatus.OK, operations.figures().text());
+
+    private static CompletionStage<Reply> reply(HttpResponseStatus status, String why) {
+        return CompletableFuture.completedFuture(new Reply(status, why));
     }
-    String host = request.content().toString(StandardCharsets.UTF_8).strip();
-    if (host.isEmpty() || host.length() > MAX_NAME) {
-      return reply(
-          HttpResponseStatus.BAD_REQUEST,
-          "the body is to be the id of one host, 1 to " + MAX_NAME + " characters\n");
+
+    private CompletionStage<Reply> carriedOut(FullHttpRequest request, Executor files) {
+        String path = request.uri();
+        boolean post = path.startsWith("/_hosts/");
+        if (!path.equals("/_ready")
+                && !path.equals("/_vars")
+                && !path.equals("/_hosts/detach")
+                && !path.equals("/_hosts/attach")) {
+            return reply(HttpResponseStatus.NOT_FOUND, "no such call: " + path + "\n");
+        }
+        if (!request.method().equals(post ? HttpMethod.POST : HttpMethod.GET)) {
+            return reply(
+                    HttpResponseStatus.METHOD_NOT_ALLOWED, path + " is called by " + (post ? "POST" : "GET") + "\n");
+        }
+        if (path.equals("/_ready")) {
+            return operations.ready()
+                    ? reply(HttpResponseStatus.OK, "ready\n")
+                    : reply(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready\n");
+        }
+        if (path.equals("/_vars")) {
+            return reply(HttpResponseStatus.OK, operations.figures().text());
+        }
+        String host = request.content().toString(StandardCharsets.UTF_8).strip();
+        if (host.isEmpty() || host.length() > MAX_NAME) {
+            return reply(
+                    HttpResponseStatus.BAD_REQUEST,
+                    "the body is to be the id of one host, 1 to " + MAX_NAME + " characters\n");
+        }
+        boolean out = path.endsWith("/detach");
+        return (out ? operations.detach(host, files) : operations.attach(host, files))
+                .thenApply(known -> known
+                        ? new Reply(HttpResponseStatus.OK, host + (out ? " is out\n" : " may serve again\n"))
+                        : new Reply(HttpResponseStatus.NOT_FOUND, "no host of the id " + host + "\n"));
     }
-    boolean out = path.endsWith("/detach");
-    return (out ? operations.detach(host, files) : operations.attach(host, files))
-        .thenApply(
-            known ->
-                known
-                    ? new Reply(
-                        HttpResponseStatus.OK, host + (out ? " is out\n" : " may serve again\n"))
-                    : new Reply(HttpResponseStatus.NOT_FOUND, "no host of the id " + host + "\n"));
-  }
 
-  @Override
-  public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    ctx.close();
-  }
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        ctx.close();
+    }
 }
--- a/src/main/java/rillyard/operator/OperatorServer.java
+++ b/src/main/java/rillyard/operator/OperatorServer.java
@@ -21,70 +21,65 @@
  * requests while the proxy's loop is behind, which is when people on call ask. One call a connection.
  */
 public final class OperatorServer implements Closeable {
-  /** Connections open at a time; past it the oldest gives way, as it has had the longest time. */
-  static final int MOST_OPEN = 16;
+    /** Connections open at a time; past it the oldest gives way, as it has had the longest time. */
+    static final int MOST_OPEN = 16;
 
-  /** How long (ms) a caller may take for a call. */
-  private static final long CALL_MS = 2_500;
+    /** How long (ms) a caller may take for a call. */
+    private static final long CALL_MS = 2_500;
 
-  private static final int BACKLOG = 64;
-  private static final int MAX_BODY = 1_024;
+    private static final int BACKLOG = 64;
+    private static final int MAX_BODY = 1_024;
 
-  private final MultiThreadIoEventLoopGroup group =
-      new MultiThreadIoEventLoopGroup(
-          1, new DefaultThreadFactory("operator", true), NioIoHandler.newFactory());
-  private final ArrayDeque<Channel> open = new ArrayDeque<>();
-  private final Operations operations;
-  private Channel listener;
+    private final MultiThreadIoEventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("operator", true), NioIoHandler.newFactory());
+    private final ArrayDeque<Channel> open = new ArrayDeque<>();
+    private final Operations operations;
+    private Channel listener;
 
-  /** One that carries out calls through {@code operations}. */
-  public OperatorServer(Operations operations) {
-    this.operations = operations;
-  }
+    /** One that carries out calls through {@code operations}. */
+    public OperatorServer(Operations operations) {
+        this.operations = operations;
+    }
 
-  /**
-   * Listens, and returns the address.
-   *
-   * @throws Exception what the bind throws
-   */
-  public InetSocketAddress listen(InetSocketAddress at) throws Exception {
-    listener =
-        new ServerBootstrap()
-            .group(group)
-            .channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG)
-            .childHandler(
-                new ChannelInitializer<SocketChannel>() {
-                  @Override
-                  protected void initChannel(SocketChannel ch) {
-                    accepted(ch);
-                  }
+    /**
+     * Listens, and returns the address.
+     *
+     * @throws Exception what the bind throws
+     */
+    public InetSocketAddress listen(InetSocketAddress at) throws Exception {
+        listener = new ServerBootstrap()
+                .group(group)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel ch) {
+                        accepted(ch);
+                    }
                 })
-            .bind(at)
-            .sync()
-            .channel();
-    return (InetSocketAddress) listener.localAddress();
-  }
+                .bind(at)
+                .sync()
+                .channel();
+        return (InetSocketAddress) listener.localAddress();
+    }
 
-  /** Runs something on the server's thread again and again, each time after so many ms. */
-  public void every(long millis, Runnable what) {
-    group.scheduleWithFixedDelay(what, millis, millis, TimeUnit.MILLISECONDS);
-  }
+    /** Runs something on the server's thread again and again, each time after so many ms. */
+    public void every(long millis, Runnable what) {
+        group.scheduleWithFixedDelay(what, millis, millis, TimeUnit.MILLISECONDS);
+    }
 
-  private void accepted(SocketChannel ch) {
-    if (open.size() >= MOST_OPEN) {
-      open.poll().close();
+    private void accepted(SocketChannel ch) {
+        if (open.size() >= MOST_OPEN) {
+            open.poll().close();
+        }
+        open.add(ch);
+        ch.closeFuture().addListener(f -> open.remove(ch));
+        ch.eventLoop().schedule(() -> ch.close(), CALL_MS, TimeUnit.MILLISECONDS);
+        ch.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY), new OperatorCall(operations));
     }
-    open.add(ch);
-    ch.closeFuture().addListener(f -> open.remove(ch));
-    ch.eventLoop().schedule(() -> ch.close(), CALL_MS, TimeUnit.MILLISECONDS);
-    ch.pipeline()
-        .addLast(
-            new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY), new OperatorCall(operations));
-  }
 
-  @Override
-  public void close() {
-    group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
-  }
+    @Override
+    public void close() {
+        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
+    }
 }
--- a/src/main/java/rillyard/process/Launch.java
+++ b/src/main/java/rillyard/process/Launch.java
@@ -19,82 +19,82 @@
  *     gets
  */
 public record Launch(
-    Path java,
-    Path folder,
-    String cores,
-    List<String> options,
-    List<String> program,
-    Map<String, String> environment) {
-  private static final Path TASKSET = Path.of("/usr/bin/taskset");
+        Path java,
+        Path folder,
+        String cores,
+        List<String> options,
+        List<String> program,
+        Map<String, String> environment) {
+    private static final Path TASKSET = Path.of("/usr/bin/taskset");
 
-  public Launch {
-    options = List.copyOf(options);
-    program = List.copyOf(program);
-    environment = Map.copyOf(environment);
-  }
-
-  /** This very program, on the JVM and class path of this process. */
-  public static Launch self() {
-    return new Launch(
-        Path.of(System.getProperty("java.home"), "bin", "java"),
-        null,
-        null,
-        List.of(),
-        List.of("-cp", System.getProperty("java.class.path"), "rillyard.Main"),
-        Map.of());
-  }
+    public Launch {
+        options = List.copyOf(options);
+        program = List.copyOf(program);
+        environment = Map.copyOf(environment);
+    }
 
-  /**
-   * A build as the platform starts it: by the options and the class archive that stand beside it.
-   * An archive that is not there, or is none, is no error: the JVM starts without it.
-   *
-   * @param root the folder that holds {@code deploy} and {@code target}
-   */
-  public static Launch platform(Path root) {
-    return new Launch(
-        Path.of(System.getProperty("java.home"), "bin", "java"),
-        root,
-        null,
-        List.of("@deploy/proxy.jvm", "-XX:SharedArchiveFile=target/rillyard.jsa"),
-        List.of("-jar", "target/rillyard.jar"),
-        Map.of("MALLOC_ARENA_MAX", "1"));
-  }
+    /** This very program, on the JVM and class path of this process. */
+    public static Launch self() {
+        return new Launch(
+                Path.of(System.getProperty("java.home"), "bin", "java"),
+                null,
+                null,
+                List.of(),
+                List.of("-cp", System.getProperty("java.class.path"), "rillyard.Main"),
+                Map.of());
+    }
 
-  /** The same on these cores only; on all where {@code taskset} is missing. */
-  public Launch on(String cores) {
-    return new Launch(java, folder, cores, options, program, environment);
-  }
+    /**
+     * A build as the platform starts it: by the options and the class archive that stand beside it.
+     * An archive that is not there, or is none, is no error: the JVM starts without it.
+     *
+     * @param root the folder that holds {@code deploy} and {@code target}
+     */
+    public static Launch platform(Path root) {
+        return new Launch(
+                Path.of(System.getProperty("java.home"), "bin", "java"),
+                root,
+                null,
+                List.of("@deploy/proxy.jvm", "-XX:SharedArchiveFile=target/rillyard.jsa"),
+                List.of("-jar", "target/rillyard.jar"),
+                Map.of("MALLOC_ARENA_MAX", "1"));
+    }
 
-  /** The same with further options of the JVM, ahead of those it has. */
-  public Launch with(List<String> options) {
-    List<String> all = new ArrayList<>(options);
-    all.addAll(this.options);
-    return new Launch(java, folder, cores, all, program, environment);
-  }
+    /** The same on these cores only; on all where {@code taskset} is missing. */
+    public Launch on(String cores) {
+        return new Launch(java, folder, cores, options, program, environment);
+    }
 
-  /** The same with a further variable. */
-  public Launch with(String variable, String value) {
-    Map<String, String> all = new HashMap<>(environment);
-    all.put(variable, value);
-    return new Launch(java, folder, cores, options, program, all);
-  }
+    /** The same with further options of the JVM, ahead of those it has. */
+    public Launch with(List<String> options) {
+        List<String> all = new ArrayList<>(options);
+        all.addAll(this.options);
+        return new Launch(java, folder, cores, all, program, environment);
+    }
 
-  /** The process to be, for a command of this program. */
-  ProcessBuilder builder(String... command) {
-    List<String> line = new ArrayList<>();
-    if (cores != null && Files.isExecutable(TASKSET)) {
-      line.addAll(List.of(TASKSET.toString(), "-c", cores));
+    /** The same with a further variable. */
+    public Launch with(String variable, String value) {
+        Map<String, String> all = new HashMap<>(environment);
+        all.put(variable, value);
+        return new Launch(java, folder, cores, options, program, all);
     }
-    line.add(java.toString());
-    line.addAll(options);
-    line.addAll(program);
-    line.addAll(List.of(command));
-    ProcessBuilder b = new ProcessBuilder(line);
-    if (folder != null) {
-      b.directory(folder.toFile());
+
+    /** The process to be, for a command of this program. */
+    ProcessBuilder builder(String... command) {
+        List<String> line = new ArrayList<>();
+        if (cores != null && Files.isExecutable(TASKSET)) {
+            line.addAll(List.of(TASKSET.toString(), "-c", cores));
+        }
+        line.add(java.toString());
+        line.addAll(options);
+        line.addAll(program);
+        line.addAll(List.of(command));
+        ProcessBuilder b = new ProcessBuilder(line);
+        if (folder != null) {
+            b.directory(folder.toFile());
+        }
+        b.environment().keySet().removeIf(k -> k.startsWith("BALANCER_"));
+        b.environment().putAll(environment);
+        return b;
     }
-    b.environment().keySet().removeIf(k -> k.startsWith("BALANCER_"));
-    b.environment().putAll(environment);
-    return b;
-  }
 }
--- a/src/main/java/rillyard/process/ProxyProcess.java
+++ b/src/main/java/rillyard/process/ProxyProcess.java
@@ -13,154 +13,151 @@
 
 /** A proxy in a process of its own, as a platform would run it. */
 public final class ProxyProcess implements AutoCloseable {
-  /** How far one has come, as a client can see it. */
-  public enum State {
-    /** Connections are refused. */
-    ABSENT,
-    /** It listens, and is not ready. */
-    LISTENING,
-    /** It says that it would serve. */
-    READY
-  }
-
-  private static final long READY_NANOS = 60_000_000_000L;
-  private static final int ASK_MS = 1_000;
-  private static final int ASK_EVERY_MS = 10;
-  private static final int STARTS = 3;
-  private static final byte[] ASK =
-      "GET /_health HTTP/1.1\r\nHost: proxy\r\nConnection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-  private static final byte[] YES = "HTTP/1.1 200".getBytes(StandardCharsets.US_ASCII);
-
-  private final Child process;
-  private final InetSocketAddress address;
-  private final Path log;
-
-  private ProxyProcess(Child process, InetSocketAddress address, Path log) {
-    this.process = process;
-    this.address = address;
-    this.log = log;
-  }
-
-  /**
-   * Starts one from this program's own class path, on a free port, and waits until it would serve.
-   *
-   * @param config its configuration, as a ready file holds it
-   * @param log gets what it writes
-   * @throws IOException if it does not come up; holds the end of its log
-   */
-  public static ProxyProcess start(Path config, Path log) throws IOException, InterruptedException {
-    Launch launch =
-        Launch.self().with(List.of("-XX:+UseSerialGC", "-Xmx64m", "-XX:MaxDirectMemorySize=140m"));
-    IOException failure = null;
-    for (int i = 0; i < STARTS; i++) { // another may take the free port first
-      ProxyProcess p = launch(launch, config, freeAddress(), log);
-      try {
-        p.await(State.READY);
-        return p;
-      } catch (IOException e) {
-        p.close();
-        failure = e;
-      }
+    /** How far one has come, as a client can see it. */
+    public enum State {
+        /** Connections are refused. */
+        ABSENT,
+        /** It listens, and is not ready. */
+        LISTENING,
+        /** It says that it would serve. */
+        READY
     }
-    throw failure;
-  }
-
-  /**
-   * Starts one and returns at once.
-   *
-   * @param listen where it is to listen
-   * @throws IOException if the process could not be started
-   */
-  public static ProxyProcess launch(Launch launch, Path config, InetSocketAddress listen, Path log)
-      throws IOException {
-    Launch told =
-        launch
-            .with("BALANCER_CONFIG", config.toString())
-            .with("BALANCER_LISTEN", listen.getAddress().getHostAddress() + ":" + listen.getPort());
-    return new ProxyProcess(Child.start(told, log, log, "proxy"), listen, log);
-  }
-
-  /** An address of loopback that was free a moment ago. */
-  public static InetSocketAddress freeAddress() throws IOException {
-    InetAddress here = InetAddress.getByName("127.0.0.1");
-    try (ServerSocket s = new ServerSocket(0, 1, here)) {
-      return new InetSocketAddress(here, s.getLocalPort());
+
+    private static final long READY_NANOS = 60_000_000_000L;
+    private static final int ASK_MS = 1_000;
+    private static final int ASK_EVERY_MS = 10;
+    private static final int STARTS = 3;
+    private static final byte[] ASK =
+            "GET /_health HTTP/1.1\r\nHost: proxy\r\nConnection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] YES = "HTTP/1.1 200".getBytes(StandardCharsets.US_ASCII);
+
+    private final Child process;
+    private final InetSocketAddress address;
+    private final Path log;
+
+    private ProxyProcess(Child process, InetSocketAddress address, Path log) {
+        this.process = process;
+        this.address = address;
+        this.log = log;
+    }
+
+    /**
+     * Starts one from this program's own class path, on a free port, and waits until it would serve.
+     *
+     * @param config its configuration, as a ready file holds it
+     * @param log gets what it writes
+     * @throws IOException if it does not come up; holds the end of its log
+     */
+    public static ProxyProcess start(Path config, Path log) throws IOException, InterruptedException {
+        Launch launch = Launch.self().with(List.of("-XX:+UseSerialGC", "-Xmx64m", "-XX:MaxDirectMemorySize=140m"));
+        IOException failure = null;
+        for (int i = 0; i < STARTS; i++) { // another may take the free port first
+            ProxyProcess p = launch(launch, config, freeAddress(), log);
+            try {
+                p.await(State.READY);
+                return p;
+            } catch (IOException e) {
+                p.close();
+                failure = e;
+            }
+        }
+        throw failure;
+    }
+
+    /**
+     * Starts one and returns at once.
+     *
+     * @param listen where it is to listen
+     * @throws IOException if the process could not be started
+     */
+    public static ProxyProcess launch(Launch launch, Path config, InetSocketAddress listen, Path log)
+            throws IOException {
+        Launch told = launch.with("BALANCER_CONFIG", config.toString())
+                .with("BALANCER_LISTEN", listen.getAddress().getHostAddress() + ":" + listen.getPort());
+        return new ProxyProcess(Child.start(told, log, log, "proxy"), listen, log);
     }
-  }
-
-  /**
-   * Waits until it has come so far.
-   *
-   * @throws IOException if it ends first or takes more than a minute; holds the end of its log
-   */
-  public void await(State least) throws IOException, InterruptedException {
-    long until = System.nanoTime() + READY_NANOS;
-    State now;
-    while ((now = state(address)).compareTo(least) < 0) {
-      if (!process.alive() || System.nanoTime() > until) {
-        String said = Files.exists(log) ? Files.readString(log) : "";
-        throw new IOException("the proxy did not come up; it said:\n"
-            + said.substring(Math.max(0, said.length() - 2_000)));
-      }
-      // Guards against asking so often that it is the questions which warm the proxy up, or starve it.
-      Thread.sleep(now == State.ABSENT ? 1 : ASK_EVERY_MS);
+
+    /** An address of loopback that was free a moment ago. */
+    public static InetSocketAddress freeAddress() throws IOException {
+        InetAddress here = InetAddress.getByName("127.0.0.1");
+        try (ServerSocket s = new ServerSocket(0, 1, here)) {
+            return new InetSocketAddress(here, s.getLocalPort());
+        }
     }
-  }
-
-  /** How far the proxy at an address has come. */
-  public static State state(InetSocketAddress address) {
-    try (Socket s = new Socket()) {
-      s.connect(address, ASK_MS);
-      s.setSoTimeout(ASK_MS);
-      try {
-        s.getOutputStream().write(ASK);
-        byte[] head = s.getInputStream().readNBytes(YES.length);
-        return java.util.Arrays.equals(head, YES) ? State.READY : State.LISTENING;
-      } catch (IOException e) {
-        return State.LISTENING;
-      }
-    } catch (IOException e) {
-      return State.ABSENT;
+
+    /**
+     * Waits until it has come so far.
+     *
+     * @throws IOException if it ends first or takes more than a minute; holds the end of its log
+     */
+    public void await(State least) throws IOException, InterruptedException {
+        long until = System.nanoTime() + READY_NANOS;
+        State now;
+        while ((now = state(address)).compareTo(least) < 0) {
+            if (!process.alive() || System.nanoTime() > until) {
+                String said = Files.exists(log) ? Files.readString(log) : "";
+                throw new IOException(
+                        "the proxy did not come up; it said:\n" + said.substring(Math.max(0, said.length() - 2_000)));
+            }
+            // Guards against asking so often that it is the questions which warm the proxy up, or starve it.
+            Thread.sleep(now == State.ABSENT ? 1 : ASK_EVERY_MS);
+        }
     }
-  }
-
-  /** Where it listens. */
-  public InetSocketAddress address() {
-    return address;
-  }
-
-  /** Its process id. */
-  public long pid() {
-    return process.pid();
-  }
-
-  /** The CPU time that it has taken so far, to the clock tick (10 ms). */
-  public Duration cpu() {
-    return process.cpu();
-  }
-
-  /** Resident memory in KiB, 0 where the system does not tell. */
-  public long residentKb() throws IOException {
-    Path status = Path.of("/proc", Long.toString(pid()), "status");
-    if (!Files.exists(status)) {
-      return 0;
+
+    /** How far the proxy at an address has come. */
+    public static State state(InetSocketAddress address) {
+        try (Socket s = new Socket()) {
+            s.connect(address, ASK_MS);
+            s.setSoTimeout(ASK_MS);
+            try {
+                s.getOutputStream().write(ASK);
+                byte[] head = s.getInputStream().readNBytes(YES.length);
+                return java.util.Arrays.equals(head, YES) ? State.READY : State.LISTENING;
+            } catch (IOException e) {
+                return State.LISTENING;
+            }
+        } catch (IOException e) {
+            return State.ABSENT;
+        }
+    }
+
+    /** Where it listens. */
+    public InetSocketAddress address() {
+        return address;
     }
-    for (String line : Files.readAllLines(status)) {
-      if (line.startsWith("VmRSS:")) {
-        return Long.parseLong(line.replaceAll("\\D", ""));
-      }
+
+    /** Its process id. */
+    public long pid() {
+        return process.pid();
+    }
+
+    /** The CPU time that it has taken so far, to the clock tick (10 ms). */
+    public Duration cpu() {
+        return process.cpu();
+    }
+
+    /** Resident memory in KiB, 0 where the system does not tell. */
+    public long residentKb() throws IOException {
+        Path status = Path.of("/proc", Long.toString(pid()), "status");
+        if (!Files.exists(status)) {
+            return 0;
+        }
+        for (String line : Files.readAllLines(status)) {
+            if (line.startsWith("VmRSS:")) {
+                return Long.parseLong(line.replaceAll("\\D", ""));
+            }
+        }
+        return 0;
+    }
+
+    /** The process itself, to be ended in other ways than {@link #close}. */
+    public Child process() {
+        return process;
+    }
+
+    /** Ends it in order; by force if that takes too long. */
+    @Override
+    public void close() {
+        process.close();
     }
-    return 0;
-  }
-
-  /** The process itself, to be ended in other ways than {@link #close}. */
-  public Child process() {
-    return process;
-  }
-
-  /** Ends it in order; by force if that takes too long. */
-  @Override
-  public void close() {
-    process.close();
-  }
 }
--- a/src/main/java/rillyard/proxy/Attempt.java
+++ b/src/main/java/rillyard/proxy/Attempt.java
@@ -13,283 +13,278 @@
 
 /** One send of a request to a host; it ends with exactly one outcome. */
 final class Attempt extends UpstreamCall {
-  /** A host may pause for so long (ns) within an answer that is passed on. */
-  private static final long STREAM_STALL_NANOS = 10_000_000_000L;
-
-  /**
-   * Bytes and time (ms) for which an answer of untold length is held in the hope of its end. Of one
-   * that is long the first bytes count, and hosts may give them slowly.
-   */
-  private static final long UNTOLD_HELD = 32 * 1024;
-
-  private static final double UNTOLD_MS = 30;
-
-  private final Exchange exchange;
-  private final Dispatcher dispatcher;
-  private final int number;
-  private double sentAt;
-  private final Runnable resume = this::resumeReading;
-  private double notAfter = Double.POSITIVE_INFINITY;
-  private Future<?> giveUp;
-  private Future<?> tooLate;
-  private LoadReport report;
-  private HttpResponse head;
-  private Body body;
-  private long length;
-  private long passed;
-  private boolean over;
-  private boolean streams;
-  private double headAt;
-
-  Attempt(Exchange exchange, Dispatcher dispatcher, Host host, int number, double sentAt) {
-    super(host);
-    this.exchange = exchange;
-    this.dispatcher = dispatcher;
-    this.number = number;
-    this.sentAt = sentAt;
-  }
-
-  /**
-   * Starts it; {@code giveUpAfter} 0 leaves the request's own deadline as its only one. Past {@code notAfter}
-   * it is not written any more. Guards against a repeat that waits for its connection until hosts have
-   * forgotten the key of the request that it repeats.
-   */
-  void start(double giveUpAfter, double notAfter) {
-    this.notAfter = notAfter;
-    if (notAfter < Double.POSITIVE_INFINITY) {
-      tooLate = dispatcher.later(notAfter - dispatcher.now(), this::notWritten);
+    /** A host may pause for so long (ns) within an answer that is passed on. */
+    private static final long STREAM_STALL_NANOS = 10_000_000_000L;
+
+    /**
+     * Bytes and time (ms) for which an answer of untold length is held in the hope of its end. Of one
+     * that is long the first bytes count, and hosts may give them slowly.
+     */
+    private static final long UNTOLD_HELD = 32 * 1024;
+
+    private static final double UNTOLD_MS = 30;
+
+    private final Exchange exchange;
+    private final Dispatcher dispatcher;
+    private final int number;
+    private double sentAt;
+    private final Runnable resume = this::resumeReading;
+    private double notAfter = Double.POSITIVE_INFINITY;
+    private Future<?> giveUp;
+    private Future<?> tooLate;
+    private LoadReport report;
+    private HttpResponse head;
+    private Body body;
+    private long length;
+    private long passed;
+    private boolean over;
+    private boolean streams;
+    private double headAt;
+
+    Attempt(Exchange exchange, Dispatcher dispatcher, Host host, int number, double sentAt) {
+        super(host);
+        this.exchange = exchange;
+        this.dispatcher = dispatcher;
+        this.number = number;
+        this.sentAt = sentAt;
     }
-    if (giveUpAfter > 0) {
-      giveUp = dispatcher.later(giveUpAfter, this::timeUp);
+
+    /**
+     * Starts it; {@code giveUpAfter} 0 leaves the request's own deadline as its only one. Past {@code notAfter}
+     * it is not written any more. Guards against a repeat that waits for its connection until hosts have
+     * forgotten the key of the request that it repeats.
+     */
+    void start(double giveUpAfter, double notAfter) {
+        this.notAfter = notAfter;
+        if (notAfter < Double.POSITIVE_INFINITY) {
+            tooLate = dispatcher.later(notAfter - dispatcher.now(), this::notWritten);
+        }
+        if (giveUpAfter > 0) {
+            giveUp = dispatcher.later(giveUpAfter, this::timeUp);
+        }
+        dispatcher.upstreams().start(this);
+    }
+
+    boolean open() {
+        return !over;
+    }
+
+    int number() {
+        return number;
+    }
+
+    private void notWritten() {
+        if (!mayHaveRun()) {
+            finish(Result.MOOT);
+        }
+    }
+
+    @Override
+    boolean mayBegin() {
+        return exchange.mayBegin(notAfter);
+    }
+
+    @Override
+    ChannelFuture write(Channel channel) {
+        return exchange.writeTo(channel);
+    }
+
+    @Override
+    void writtenWhole() {
+        dispatcher.figures().attemptWritten();
+        if (exchange.passesOn()) {
+            sentAt = dispatcher.now(); // a host begins with the last byte
+        }
     }
-    dispatcher.upstreams().start(this);
-  }
 
-  boolean open() {
-    return !over;
-  }
+    @Override
+    void writable() {
+        exchange.hostTakesMore();
+    }
 
-  int number() {
-    return number;
-  }
+    @Override
+    long stallNanos() {
+        return streams ? STREAM_STALL_NANOS : STALL_NANOS;
+    }
 
-  private void notWritten() {
-    if (!mayHaveRun()) {
-      finish(Result.MOOT);
+    @Override
+    void notSent() {
+        finish(Result.CONNECT_FAILED);
     }
-  }
-
-  @Override
-  boolean mayBegin() {
-    return exchange.mayBegin(notAfter);
-  }
-
-  @Override
-  ChannelFuture write(Channel channel) {
-    return exchange.writeTo(channel);
-  }
-
-  @Override
-  void writtenWhole() {
-    dispatcher.figures().attemptWritten();
-    if (exchange.passesOn()) {
-      sentAt = dispatcher.now(); // a host begins with the last byte
+
+    @Override
+    void moot() {
+        finish(Result.MOOT);
     }
-  }
-
-  @Override
-  void writable() {
-    exchange.hostTakesMore();
-  }
-
-  @Override
-  long stallNanos() {
-    return streams ? STREAM_STALL_NANOS : STALL_NANOS;
-  }
-
-  @Override
-  void notSent() {
-    finish(Result.CONNECT_FAILED);
-  }
-
-  @Override
-  void moot() {
-    finish(Result.MOOT);
-  }
-
-  /** Nobody waits any longer. What was not written whole never ran, whatever it waited for. */
-  void timeUp() {
-    finish(mayHaveRun() ? Result.TIMEOUT : Result.MOOT);
-  }
-
-  void cancel() {
-    finish(mayHaveRun() ? Result.CANCELLED : Result.MOOT);
-  }
-
-  @Override
-  void head(HttpResponse reply) {
-    report = Reports.read(reply.headers().get(Headers.SERVER_LOAD));
-    int status = reply.status().code();
-    if (status == 200) {
-      if (!mayHaveRun()) {
-        finish(Result.CONNECT_FAILED); // no host can serve what it has not been sent
-        return;
-      }
-      head = reply;
-      length = HttpUtil.getContentLength(reply, -1L);
-      // Guards against an answer that is said to be larger than any may be, and goes on coming; and
-      // against one whose end, for want of a length, looks like a connection that broke half way.
-      if (length > Body.MAX
-          || (length < 0
-              && !HttpUtil.isTransferEncodingChunked(reply)
-              && HttpUtil.isKeepAlive(reply))) {
-        broken();
-        return;
-      }
-      headAt = dispatcher.now();
-      if (length > Body.HELD) {
-        stream();
-      }
-      return;
+
+    /** Nobody waits any longer. What was not written whole never ran, whatever it waited for. */
+    void timeUp() {
+        finish(mayHaveRun() ? Result.TIMEOUT : Result.MOOT);
     }
-    boolean turnedAway =
-        (status == 503 || status == 504) && "1".equals(reply.headers().get(Headers.NOT_PROCESSED));
-    connection().discardRest();
-    finish(turnedAway ? Result.FULL : mayHaveRun() ? Result.ERROR : Result.CONNECT_FAILED);
-  }
-
-  @Override
-  void content(HttpContent part) {
-    int n = part.content().readableBytes();
-    passed += n;
-    if (passed > Body.MAX) {
-      broken(); // larger than any answer may be
-      return;
+
+    void cancel() {
+        finish(mayHaveRun() ? Result.CANCELLED : Result.MOOT);
     }
-    if (streams) {
-      pass(part.content().retain());
-    } else if (n > 0) {
-      if (body == null) {
-        body = dispatcher.newBody(length, false);
-      }
-      body.append(part.content());
-      if (body.size() > Body.HELD
-          || (length < 0
-              && (body.size() > UNTOLD_HELD || dispatcher.now() - headAt > UNTOLD_MS))) {
-        stream();
-        return;
-      }
-      if (dispatcher.budget().full(body.size())) {
-        connection().pauseReading();
-        dispatcher.budget().await(resume);
-      }
+
+    @Override
+    void head(HttpResponse reply) {
+        report = Reports.read(reply.headers().get(Headers.SERVER_LOAD));
+        int status = reply.status().code();
+        if (status == 200) {
+            if (!mayHaveRun()) {
+                finish(Result.CONNECT_FAILED); // no host can serve what it has not been sent
+                return;
+            }
+            head = reply;
+            length = HttpUtil.getContentLength(reply, -1L);
+            // Guards against an answer that is said to be larger than any may be, and goes on coming; and
+            // against one whose end, for want of a length, looks like a connection that broke half way.
+            if (length > Body.MAX
+                    || (length < 0 && !HttpUtil.isTransferEncodingChunked(reply) && HttpUtil.isKeepAlive(reply))) {
+                broken();
+                return;
+            }
+            headAt = dispatcher.now();
+            if (length > Body.HELD) {
+                stream();
+            }
+            return;
+        }
+        boolean turnedAway =
+                (status == 503 || status == 504) && "1".equals(reply.headers().get(Headers.NOT_PROCESSED));
+        connection().discardRest();
+        finish(turnedAway ? Result.FULL : mayHaveRun() ? Result.ERROR : Result.CONNECT_FAILED);
     }
-  }
 
-  /** Memory is free again. */
-  void resumeReading() {
-    if (!over && connection() != null) {
-      connection().resumeReading();
+    @Override
+    void content(HttpContent part) {
+        int n = part.content().readableBytes();
+        passed += n;
+        if (passed > Body.MAX) {
+            broken(); // larger than any answer may be
+            return;
+        }
+        if (streams) {
+            pass(part.content().retain());
+        } else if (n > 0) {
+            if (body == null) {
+                body = dispatcher.newBody(length, false);
+            }
+            body.append(part.content());
+            if (body.size() > Body.HELD
+                    || (length < 0 && (body.size() > UNTOLD_HELD || dispatcher.now() - headAt > UNTOLD_MS))) {
+                stream();
+                return;
+            }
+            if (dispatcher.budget().full(body.size())) {
+                connection().pauseReading();
+                dispatcher.budget().await(resume);
+            }
+        }
     }
-  }
-
-  // --- answers that are passed on as they come
-
-  /**
-   * From here on the answer is this one: the module hears that the host has answered, and what is
-   * left is between the client and this host. A reader that takes its time is no queue of the host's.
-   */
-  private void stream() {
-    if (!exchange.beginStream(this, head, length)) {
-      finish(Result.OK); // answered otherwise
-      return;
+
+    /** Memory is free again. */
+    void resumeReading() {
+        if (!over && connection() != null) {
+            connection().resumeReading();
+        }
     }
-    streams = true;
-    over = true;
-    endTimers();
-    dispatcher.budget().forget(resume);
-    if (body != null) {
-      Body first = body;
-      body = null;
-      first.retained().forEach(this::pass);
-      first.free();
+
+    // --- answers that are passed on as they come
+
+    /**
+     * From here on the answer is this one: the module hears that the host has answered, and what is
+     * left is between the client and this host. A reader that takes its time is no queue of the host's.
+     */
+    private void stream() {
+        if (!exchange.beginStream(this, head, length)) {
+            finish(Result.OK); // answered otherwise
+            return;
+        }
+        streams = true;
+        over = true;
+        endTimers();
+        dispatcher.budget().forget(resume);
+        if (body != null) {
+            Body first = body;
+            body = null;
+            first.retained().forEach(this::pass);
+            first.free();
+        }
+        exchange.attemptEnded(this, Result.OK, dispatcher.now() - sentAt, report);
     }
-    exchange.attemptEnded(this, Result.OK, dispatcher.now() - sentAt, report);
-  }
 
-  private void pass(ByteBuf bytes) {
-    if (!exchange.pass(bytes)) {
-      connection().pauseReading();
+    private void pass(ByteBuf bytes) {
+        if (!exchange.pass(bytes)) {
+            connection().pauseReading();
+        }
     }
-  }
-
-  /** The client takes more. */
-  void resumeStream() {
-    connection().resumeReading();
-  }
-
-  /** Nobody wants the rest of the stream. */
-  void abandonStream() {
-    dispatcher.upstreams().end(this);
-  }
-
-  @Override
-  void end() {
-    if (streams) {
-      dispatcher.upstreams().end(this);
-      exchange.streamEnded(true);
-      return;
+
+    /** The client takes more. */
+    void resumeStream() {
+        connection().resumeReading();
     }
-    Body whole = body;
-    body = null;
-    exchange.served(head, whole);
-    finish(Result.OK);
-  }
-
-  @Override
-  void broken() {
-    if (streams) {
-      dispatcher.log().line(() -> describe(Result.RESET));
-      dispatcher.upstreams().end(this);
-      exchange.streamEnded(false);
-      return;
+
+    /** Nobody wants the rest of the stream. */
+    void abandonStream() {
+        dispatcher.upstreams().end(this);
     }
-    finish(Result.RESET);
-  }
 
-  private void finish(Result result) {
-    if (over) {
-      return;
+    @Override
+    void end() {
+        if (streams) {
+            dispatcher.upstreams().end(this);
+            exchange.streamEnded(true);
+            return;
+        }
+        Body whole = body;
+        body = null;
+        exchange.served(head, whole);
+        finish(Result.OK);
     }
-    over = true;
-    endTimers();
-    dispatcher.budget().forget(resume);
-    if (body != null) {
-      body.free();
-      body = null;
+
+    @Override
+    void broken() {
+        if (streams) {
+            dispatcher.log().line(() -> describe(Result.RESET));
+            dispatcher.upstreams().end(this);
+            exchange.streamEnded(false);
+            return;
+        }
+        finish(Result.RESET);
     }
-    if (result == Result.TIMEOUT || result == Result.RESET || result == Result.CONNECT_FAILED) {
-      dispatcher.log().line(() -> describe(result));
+
+    private void finish(Result result) {
+        if (over) {
+            return;
+        }
+        over = true;
+        endTimers();
+        dispatcher.budget().forget(resume);
+        if (body != null) {
+            body.free();
+            body = null;
+        }
+        if (result == Result.TIMEOUT || result == Result.RESET || result == Result.CONNECT_FAILED) {
+            dispatcher.log().line(() -> describe(result));
+        }
+        dispatcher.upstreams().end(this);
+        exchange.attemptEnded(this, result, dispatcher.now() - sentAt, report);
     }
-    dispatcher.upstreams().end(this);
-    exchange.attemptEnded(this, result, dispatcher.now() - sentAt, report);
-  }
 
-  private void endTimers() {
-    if (giveUp != null) {
-      giveUp.cancel(false);
+    private void endTimers() {
+        if (giveUp != null) {
+            giveUp.cancel(false);
+        }
+        if (tooLate != null) {
+            tooLate.cancel(false);
+        }
     }
-    if (tooLate != null) {
-      tooLate.cancel(false);
+
+    private String describe(Result result) {
+        String got = head != null
+                ? passed + " bytes of an answer of " + length
+                : connection() == null ? "no connection" : "no answer";
+        return String.format(Locale.ROOT, "%s %s after %.0f ms: %s", host.name, result, dispatcher.now() - sentAt, got);
     }
-  }
-
-  private String describe(Result result) {
-    String got =
-        head != null
-            ? passed + " bytes of an answer of " + length
-            : connection() == null ? "no connection" : "no answer";
-    return String.format(
-        Locale.ROOT, "%s %s after %.0f ms: %s", host.name, result, dispatcher.now() - sentAt, got);
-  }
 }
--- a/src/main/java/rillyard/proxy/Body.java
+++ b/src/main/java/rillyard/proxy/Body.java
@@ -10,76 +10,76 @@
  * whole read buffers alive for a few bytes each when a body comes slowly.
  */
 final class Body {
-  /** The most that the protocol lets a body hold. */
-  static final long MAX = 32 << 20;
+    /** The most that the protocol lets a body hold. */
+    static final long MAX = 32 << 20;
 
-  /** The most of a body that is held whole; a longer one is passed on as it comes. */
-  static final long HELD = 64 * 1024;
+    /** The most of a body that is held whole; a longer one is passed on as it comes. */
+    static final long HELD = 64 * 1024;
 
-  private static final int BLOCK = 64 * 1024;
-  private static final int FIRST = 512;
+    private static final int BLOCK = 64 * 1024;
+    private static final int FIRST = 512;
 
-  private final BodyBudget budget;
-  private final ByteBufAllocator allocator;
-  private final List<ByteBuf> blocks = new ArrayList<>(1);
-  private final long expected;
-  private long size;
-  private boolean partial;
+    private final BodyBudget budget;
+    private final ByteBufAllocator allocator;
+    private final List<ByteBuf> blocks = new ArrayList<>(1);
+    private final long expected;
+    private long size;
+    private boolean partial;
 
-  /** {@code expected} is the length that was announced, or -1; {@code partial} marks a request's. */
-  Body(BodyBudget budget, ByteBufAllocator allocator, long expected, boolean partial) {
-    this.budget = budget;
-    this.allocator = allocator;
-    this.expected = expected;
-    this.partial = partial;
-  }
-
-  void append(ByteBuf bytes) {
-    int n = bytes.readableBytes();
-    budget.charge(n, partial);
-    size += n;
-    while (bytes.isReadable()) {
-      ByteBuf last = blocks.isEmpty() ? null : blocks.get(blocks.size() - 1);
-      if (last == null || last.maxWritableBytes() == 0) {
-        long rest = expected < 0 ? FIRST : expected - (size - bytes.readableBytes());
-        int capacity = (int) Math.max(1, Math.min(BLOCK, Math.max(rest, bytes.readableBytes())));
-        last = allocator.directBuffer(capacity, BLOCK);
-        blocks.add(last);
-      }
-      last.writeBytes(bytes, Math.min(bytes.readableBytes(), last.maxWritableBytes()));
+    /** {@code expected} is the length that was announced, or -1; {@code partial} marks a request's. */
+    Body(BodyBudget budget, ByteBufAllocator allocator, long expected, boolean partial) {
+        this.budget = budget;
+        this.allocator = allocator;
+        this.expected = expected;
+        this.partial = partial;
     }
-  }
 
-  long size() {
-    return size;
-  }
+    void append(ByteBuf bytes) {
+        int n = bytes.readableBytes();
+        budget.charge(n, partial);
+        size += n;
+        while (bytes.isReadable()) {
+            ByteBuf last = blocks.isEmpty() ? null : blocks.get(blocks.size() - 1);
+            if (last == null || last.maxWritableBytes() == 0) {
+                long rest = expected < 0 ? FIRST : expected - (size - bytes.readableBytes());
+                int capacity = (int) Math.max(1, Math.min(BLOCK, Math.max(rest, bytes.readableBytes())));
+                last = allocator.directBuffer(capacity, BLOCK);
+                blocks.add(last);
+            }
+            last.writeBytes(bytes, Math.min(bytes.readableBytes(), last.maxWritableBytes()));
+        }
+    }
 
-  void completed() {
-    if (partial) {
-      partial = false;
-      budget.completed(size);
+    long size() {
+        return size;
     }
-  }
 
-  /** The blocks, each retained for one write. */
-  List<ByteBuf> retained() {
-    List<ByteBuf> out = new ArrayList<>(blocks.size());
-    for (ByteBuf b : blocks) {
-      out.add(b.retainedDuplicate());
+    void completed() {
+        if (partial) {
+            partial = false;
+            budget.completed(size);
+        }
     }
-    return out;
-  }
 
-  /** Gives the bytes back; harmless if done before. */
-  void free() {
-    for (ByteBuf b : blocks) {
-      b.release();
+    /** The blocks, each retained for one write. */
+    List<ByteBuf> retained() {
+        List<ByteBuf> out = new ArrayList<>(blocks.size());
+        for (ByteBuf b : blocks) {
+            out.add(b.retainedDuplicate());
+        }
+        return out;
     }
-    blocks.clear();
-    long freed = size;
-    size = 0;
-    if (freed > 0) {
-      budget.release(freed, partial);
+
+    /** Gives the bytes back; harmless if done before. */
+    void free() {
+        for (ByteBuf b : blocks) {
+            b.release();
+        }
+        blocks.clear();
+        long freed = size;
+        size = 0;
+        if (freed > 0) {
+            budget.release(freed, partial);
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/proxy/BodyBudget.java
+++ b/src/main/java/rillyard/proxy/BodyBudget.java
@@ -8,63 +8,63 @@
  * its socket: its reader is paused and resumed in order of waiting.
  */
 final class BodyBudget {
-  /** Bodies up to this size may use all of the budget, larger ones leave a part to them. */
-  static final int SMALL = 64 * 1024;
+    /** Bodies up to this size may use all of the budget, larger ones leave a part to them. */
+    static final int SMALL = 64 * 1024;
 
-  private static final double LARGE_PART = 0.85;
+    private static final double LARGE_PART = 0.85;
 
-  private final long limit;
-  private final Set<Runnable> waiting = new LinkedHashSet<>();
-  private long used;
-  private long incomplete;
+    private final long limit;
+    private final Set<Runnable> waiting = new LinkedHashSet<>();
+    private long used;
+    private long incomplete;
 
-  BodyBudget(long limit) {
-    this.limit = limit;
-  }
+    BodyBudget(long limit) {
+        this.limit = limit;
+    }
 
-  private long limitFor(long size) {
-    return size <= SMALL ? limit : (long) (LARGE_PART * limit);
-  }
+    private long limitFor(long size) {
+        return size <= SMALL ? limit : (long) (LARGE_PART * limit);
+    }
 
-  /** Counts bytes that were read; {@code partial} ones belong to a request that still comes. */
-  void charge(int bytes, boolean partial) {
-    used += bytes;
-    incomplete += partial ? bytes : 0;
-  }
+    /** Counts bytes that were read; {@code partial} ones belong to a request that still comes. */
+    void charge(int bytes, boolean partial) {
+        used += bytes;
+        incomplete += partial ? bytes : 0;
+    }
 
-  /** The request these bytes belong to has come whole: they are freed at its deadline at last. */
-  void completed(long bytes) {
-    incomplete -= bytes;
-  }
+    /** The request these bytes belong to has come whole: they are freed at its deadline at last. */
+    void completed(long bytes) {
+        incomplete -= bytes;
+    }
 
-  void release(long bytes, boolean partial) {
-    used -= bytes;
-    incomplete -= partial ? bytes : 0;
-    if (!waiting.isEmpty() && used < limitFor(Long.MAX_VALUE)) {
-      Runnable[] resumed = waiting.toArray(Runnable[]::new);
-      waiting.clear();
-      for (Runnable r : resumed) {
-        r.run();
-      }
+    void release(long bytes, boolean partial) {
+        used -= bytes;
+        incomplete -= partial ? bytes : 0;
+        if (!waiting.isEmpty() && used < limitFor(Long.MAX_VALUE)) {
+            Runnable[] resumed = waiting.toArray(Runnable[]::new);
+            waiting.clear();
+            for (Runnable r : resumed) {
+                r.run();
+            }
+        }
     }
-  }
 
-  /** Whether a body of this size must not grow now. */
-  boolean full(long size) {
-    return used >= limitFor(size);
-  }
+    /** Whether a body of this size must not grow now. */
+    boolean full(long size) {
+        return used >= limitFor(size);
+    }
 
-  /** Whether waiting would never end: requests that still come hold all that they may. */
-  boolean stuck() {
-    return incomplete >= limitFor(Long.MAX_VALUE);
-  }
+    /** Whether waiting would never end: requests that still come hold all that they may. */
+    boolean stuck() {
+        return incomplete >= limitFor(Long.MAX_VALUE);
+    }
 
-  /** Runs {@code resume} once when bytes have been freed. */
-  void await(Runnable resume) {
-    waiting.add(resume);
-  }
+    /** Runs {@code resume} once when bytes have been freed. */
+    void await(Runnable resume) {
+        waiting.add(resume);
+    }
 
-  void forget(Runnable resume) {
-    waiting.remove(resume);
-  }
+    void forget(Runnable resume) {
+        waiting.remove(resume);
+    }
 }
--- a/src/main/java/rillyard/proxy/ClientConnection.java
+++ b/src/main/java/rillyard/proxy/ClientConnection.java
@@ -34,657 +34,647 @@
 
 /** A connection of the application's: reads its requests one by one and writes their answers. */
 final class ClientConnection extends ChannelInboundHandlerAdapter implements Sockets.Idle {
-  /** How long (ns) a head may take, of which clients are allowed 2 s. */
-  private static final long SLOW_NANOS = 2_300_000_000L;
-
-  /** How long (ns) a request may take to come whole besides what its bytes take at the least rate. */
-  private static final long BODY_NANOS = 6_000_000_000L;
-
-  /** Bytes a second; clients take and give bodies at 64 kB a second. */
-  private static final double LEAST_RATE = 8_192;
-
-  /**
-   * How long (ns) a host may take nothing of a body. Guards against one that hangs under a request whose
-   * time does not run yet, as its last byte has not come.
-   */
-  private static final long UNTAKEN_NANOS = 5_000_000_000L;
-
-  /** How long (ns) a body that has begun may bring nothing. */
-  private static final long SILENT_NANOS = 2_200_000_000L;
-
-  /**
-   * How long (ns) a connection may stand with no request on it. Clients may count on 2 s; those that
-   * keep theirs for good without need take the places of others, theirs and ours.
-   */
-  private static final long IDLE_NANOS = 2_100_000_000L;
-
-  /** How long (ms) the rest of a rejected message is read, so that the client sees its answer. */
-  private static final long LINGER_MS = 500;
-
-  /** The longest (ms) that a request waits for memory, and no longer than half of its time. */
-  private static final double MAX_PAUSE_MS = 400;
-
-  /** A request that is whole so soon (ns) after a pause had been waiting in its socket. */
-  private static final long JUST_NOW_NANOS = 20_000_000L;
-
-  private final Front front;
-  private final QuietChannel channel;
-  private final ClientDecoder decoder;
-  private final boolean overflow;
-  private final Runnable resume = this::resumeReading;
-  private final ArrayDeque<HttpObject> ahead = new ArrayDeque<>(0);
-  private HttpRequest head;
-  private Body body;
-  private long received;
-  private boolean health;
-  private double timeout;
-  private String type;
-  private Exchange exchange;
-  private Upload upload;
-  private boolean skipping;
-  private long blockedSince;
-  private boolean closing;
-  private boolean rejected;
-  private boolean paused;
-  private long pausedAt;
-  private long resumedAt;
-  private Future<?> pauseEnd;
-  private long receivingSince;
-  private long writingSince;
-  private long idleSince = System.nanoTime();
-  private boolean used;
-
-  /** {@code overflow} marks a connection beyond what is allowed: its request is refused. */
-  ClientConnection(Front front, QuietChannel channel, ClientDecoder decoder, boolean overflow) {
-    this.front = front;
-    this.channel = channel;
-    this.decoder = decoder;
-    this.overflow = overflow;
-  }
-
-  @Override
-  public void channelActive(ChannelHandlerContext ctx) {
-    front.opened(this);
-  }
-
-  @Override
-  public void channelInactive(ChannelHandlerContext ctx) {
-    Exchange e = exchange;
-    exchange = null;
-    endPause();
-    dropRequest();
-    while (!ahead.isEmpty()) {
-      ReferenceCountUtil.release(ahead.poll());
-    }
-    if (e != null) {
-      e.clientGone();
-    }
-  }
-
-  @Override
-  public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    if (!(cause instanceof IOException)) {
-      front.log().failure("a client's connection failed", cause);
-      if (exchange != null) {
-        closing = true; // its answer is to arrive
-        exchange.failUnasked();
-        if (exchange == null) {
-          return;
-        }
-      }
-    }
-    channel.close();
-  }
-
-  // --- reading
-
-  @Override
-  public void channelRead(ChannelHandlerContext ctx, Object msg) {
-    if (exchange != null && upload == null && !rejected) {
-      // Sent ahead of its time: it waits for the answer before it. What follows is read all the same, as
-      // the end of the connection lies behind it, after which nothing may be begun for this client.
-      ahead.add((HttpObject) msg);
-      decoder.hold();
-      return;
-    }
-    try {
-      take((HttpObject) msg);
-    } finally {
-      ReferenceCountUtil.release(msg);
-    }
-  }
-
-  private void take(HttpObject part) {
-    if (rejected) {
-      return;
-    }
-    if (part.decoderResult().isFailure()) {
-      Throwable cause = part.decoderResult().cause();
-      reject(
-          cause instanceof TooLongHttpLineException
-              ? 414
-              : cause instanceof TooLongHttpHeaderException ? 431 : 400);
-      return;
-    }
-    if (skipping) {
-      if (part instanceof LastHttpContent) {
-        skipped();
-      }
-      return;
-    }
-    if (part instanceof HttpRequest request) {
-      begin(request);
-    }
-    if (part instanceof HttpContent content && !rejected) {
-      ByteBuf bytes = content.content();
-      if (bytes.isReadable()) {
-        append(bytes);
-      }
-      if (part instanceof LastHttpContent && !rejected) {
+    /** How long (ns) a head may take, of which clients are allowed 2 s. */
+    private static final long SLOW_NANOS = 2_300_000_000L;
+
+    /** How long (ns) a request may take to come whole besides what its bytes take at the least rate. */
+    private static final long BODY_NANOS = 6_000_000_000L;
+
+    /** Bytes a second; clients take and give bodies at 64 kB a second. */
+    private static final double LEAST_RATE = 8_192;
+
+    /**
+     * How long (ns) a host may take nothing of a body. Guards against one that hangs under a request whose
+     * time does not run yet, as its last byte has not come.
+     */
+    private static final long UNTAKEN_NANOS = 5_000_000_000L;
+
+    /** How long (ns) a body that has begun may bring nothing. */
+    private static final long SILENT_NANOS = 2_200_000_000L;
+
+    /**
+     * How long (ns) a connection may stand with no request on it. Clients may count on 2 s; those that
+     * keep theirs for good without need take the places of others, theirs and ours.
+     */
+    private static final long IDLE_NANOS = 2_100_000_000L;
+
+    /** How long (ms) the rest of a rejected message is read, so that the client sees its answer. */
+    private static final long LINGER_MS = 500;
+
+    /** The longest (ms) that a request waits for memory, and no longer than half of its time. */
+    private static final double MAX_PAUSE_MS = 400;
+
+    /** A request that is whole so soon (ns) after a pause had been waiting in its socket. */
+    private static final long JUST_NOW_NANOS = 20_000_000L;
+
+    private final Front front;
+    private final QuietChannel channel;
+    private final ClientDecoder decoder;
+    private final boolean overflow;
+    private final Runnable resume = this::resumeReading;
+    private final ArrayDeque<HttpObject> ahead = new ArrayDeque<>(0);
+    private HttpRequest head;
+    private Body body;
+    private long received;
+    private boolean health;
+    private double timeout;
+    private String type;
+    private Exchange exchange;
+    private Upload upload;
+    private boolean skipping;
+    private long blockedSince;
+    private boolean closing;
+    private boolean rejected;
+    private boolean paused;
+    private long pausedAt;
+    private long resumedAt;
+    private Future<?> pauseEnd;
+    private long receivingSince;
+    private long writingSince;
+    private long idleSince = System.nanoTime();
+    private boolean used;
+
+    /** {@code overflow} marks a connection beyond what is allowed: its request is refused. */
+    ClientConnection(Front front, QuietChannel channel, ClientDecoder decoder, boolean overflow) {
+        this.front = front;
+        this.channel = channel;
+        this.decoder = decoder;
+        this.overflow = overflow;
+    }
+
+    @Override
+    public void channelActive(ChannelHandlerContext ctx) {
+        front.opened(this);
+    }
+
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) {
+        Exchange e = exchange;
+        exchange = null;
+        endPause();
+        dropRequest();
+        while (!ahead.isEmpty()) {
+            ReferenceCountUtil.release(ahead.poll());
+        }
+        if (e != null) {
+            e.clientGone();
+        }
+    }
+
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        if (!(cause instanceof IOException)) {
+            front.log().failure("a client's connection failed", cause);
+            if (exchange != null) {
+                closing = true; // its answer is to arrive
+                exchange.failUnasked();
+                if (exchange == null) {
+                    return;
+                }
+            }
+        }
+        channel.close();
+    }
+
+    // --- reading
+
+    @Override
+    public void channelRead(ChannelHandlerContext ctx, Object msg) {
+        if (exchange != null && upload == null && !rejected) {
+            // Sent ahead of its time: it waits for the answer before it. What follows is read all the same, as
+            // the end of the connection lies behind it, after which nothing may be begun for this client.
+            ahead.add((HttpObject) msg);
+            decoder.hold();
+            return;
+        }
+        try {
+            take((HttpObject) msg);
+        } finally {
+            ReferenceCountUtil.release(msg);
+        }
+    }
+
+    private void take(HttpObject part) {
+        if (rejected) {
+            return;
+        }
+        if (part.decoderResult().isFailure()) {
+            Throwable cause = part.decoderResult().cause();
+            reject(
+                    cause instanceof TooLongHttpLineException
+                            ? 414
+                            : cause instanceof TooLongHttpHeaderException ? 431 : 400);
+            return;
+        }
         if (skipping) {
-          skipped();
+            if (part instanceof LastHttpContent) {
+                skipped();
+            }
+            return;
+        }
+        if (part instanceof HttpRequest request) {
+            begin(request);
+        }
+        if (part instanceof HttpContent content && !rejected) {
+            ByteBuf bytes = content.content();
+            if (bytes.isReadable()) {
+                append(bytes);
+            }
+            if (part instanceof LastHttpContent && !rejected) {
+                if (skipping) {
+                    skipped();
+                } else {
+                    complete();
+                }
+            }
+        }
+    }
+
+    /** All has come of a request that had its answer before. */
+    private void skipped() {
+        skipping = false;
+        decoder.receiving = decoder.surplus();
+        receivingSince = 0;
+        if (closing) {
+            linger();
+        } else if (!decoder.receiving) {
+            idleAgain();
+        }
+    }
+
+    private void begin(HttpRequest request) {
+        front.sockets().clientIdle(this, false);
+        used = true;
+        head = request;
+        received = 0;
+        closing = !HttpUtil.isKeepAlive(request);
+        RequestForm.toOriginForm(request);
+        health = request.uri().equals("/_health");
+        HttpMethod method = request.method();
+        if (!request.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
+            reject(505);
+        } else if (!method.equals(HttpMethod.GET) && !method.equals(HttpMethod.POST)) {
+            reject(405);
+        } else if (HttpUtil.getContentLength(request, 0L) > Body.MAX) {
+            reject(413);
+        } else if (!health) {
+            check(request);
+        }
+        if (!rejected && HttpUtil.is100ContinueExpected(request)) {
+            channel.writeAndFlush(new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+        }
+    }
+
+    /**
+     * Takes on only what has the form of the protocol. Guards against hosts that are blamed for
+     * turning away, or end a connection over, what no client should have sent; also against names and
+     * ids of any length that we would keep. It does harm if the protocol gains a form not known here.
+     */
+    private void check(HttpRequest request) {
+        HttpHeaders h = request.headers();
+        String id = RequestForm.single(h, Headers.REQUEST_ID);
+        String named = RequestForm.single(h, Headers.CLASS);
+        type = named == null ? RequestForm.pathClass(request.uri()) : named;
+        Settings.RequestClass c = front.type(type);
+        if (id == null
+                || id.isBlank()
+                || RequestForm.single(h, HttpHeaderNames.HOST) == null
+                || !RequestForm.onceAtMost(h, Headers.CLASS, Headers.TIMEOUT_MS, Headers.IDEMPOTENCY_KEY)) {
+            reject(400);
+        } else if (c == null || !type.equals(RequestForm.pathClass(request.uri()))) {
+            reject(404);
+        } else if (!RequestForm.fits(c, request)) {
+            reject(400);
         } else {
-          complete();
-        }
-      }
-    }
-  }
-
-  /** All has come of a request that had its answer before. */
-  private void skipped() {
-    skipping = false;
-    decoder.receiving = decoder.surplus();
-    receivingSince = 0;
-    if (closing) {
-      linger();
-    } else if (!decoder.receiving) {
-      idleAgain();
-    }
-  }
-
-  private void begin(HttpRequest request) {
-    front.sockets().clientIdle(this, false);
-    used = true;
-    head = request;
-    received = 0;
-    closing = !HttpUtil.isKeepAlive(request);
-    RequestForm.toOriginForm(request);
-    health = request.uri().equals("/_health");
-    HttpMethod method = request.method();
-    if (!request.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
-      reject(505);
-    } else if (!method.equals(HttpMethod.GET) && !method.equals(HttpMethod.POST)) {
-      reject(405);
-    } else if (HttpUtil.getContentLength(request, 0L) > Body.MAX) {
-      reject(413);
-    } else if (!health) {
-      check(request);
-    }
-    if (!rejected && HttpUtil.is100ContinueExpected(request)) {
-      channel.writeAndFlush(
-          new DefaultFullHttpResponse(
-              HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
-    }
-  }
-
-  /**
-   * Takes on only what has the form of the protocol. Guards against hosts that are blamed for
-   * turning away, or end a connection over, what no client should have sent; also against names and
-   * ids of any length that we would keep. It does harm if the protocol gains a form not known here.
-   */
-  private void check(HttpRequest request) {
-    HttpHeaders h = request.headers();
-    String id = RequestForm.single(h, Headers.REQUEST_ID);
-    String named = RequestForm.single(h, Headers.CLASS);
-    type = named == null ? RequestForm.pathClass(request.uri()) : named;
-    Settings.RequestClass c = front.type(type);
-    if (id == null
-        || id.isBlank()
-        || RequestForm.single(h, HttpHeaderNames.HOST) == null
-        || !RequestForm.onceAtMost(h, Headers.CLASS, Headers.TIMEOUT_MS, Headers.IDEMPOTENCY_KEY)) {
-      reject(400);
-    } else if (c == null || !type.equals(RequestForm.pathClass(request.uri()))) {
-      reject(404);
-    } else if (!RequestForm.fits(c, request)) {
-      reject(400);
-    } else {
-      timeout = RequestForm.timeout(h.get(Headers.TIMEOUT_MS), c);
-      if (Double.isNaN(timeout)) {
-        reject(400);
-      } else if (front.dispatcher().known(id)) {
-        reject(409); // the id of another request, which alone has a claim to its answer
-      }
-    }
-  }
-
-  private void append(ByteBuf bytes) {
-    received += bytes.readableBytes();
-    if (received > Body.MAX || (health && received > Body.HELD)) {
-      reject(413);
-      return;
-    }
-    if (upload != null) {
-      upload.take(bytes);
-      if (!upload.wanted()) {
-        channel.config().setAutoRead(false);
-      }
-      return;
-    }
-    if (body == null) {
-      body = front.dispatcher().newBody(HttpUtil.getContentLength(head, -1L), true);
-    }
-    body.append(bytes);
-    if (body.size() > Body.HELD) {
-      beginUpload();
-      return;
-    }
-    if (front.budget().full(body.size())) {
-      if (front.budget().stuck()) {
-        // Guards against requests that wait for each other's memory: the one at hand gives way.
-        refuseForMemory();
-      } else {
-        paused = true;
-        pausedAt = System.nanoTime();
+            timeout = RequestForm.timeout(h.get(Headers.TIMEOUT_MS), c);
+            if (Double.isNaN(timeout)) {
+                reject(400);
+            } else if (front.dispatcher().known(id)) {
+                reject(409); // the id of another request, which alone has a claim to its answer
+            }
+        }
+    }
+
+    private void append(ByteBuf bytes) {
+        received += bytes.readableBytes();
+        if (received > Body.MAX || (health && received > Body.HELD)) {
+            reject(413);
+            return;
+        }
+        if (upload != null) {
+            upload.take(bytes);
+            if (!upload.wanted()) {
+                channel.config().setAutoRead(false);
+            }
+            return;
+        }
+        if (body == null) {
+            body = front.dispatcher().newBody(HttpUtil.getContentLength(head, -1L), true);
+        }
+        body.append(bytes);
+        if (body.size() > Body.HELD) {
+            beginUpload();
+            return;
+        }
+        if (front.budget().full(body.size())) {
+            if (front.budget().stuck()) {
+                // Guards against requests that wait for each other's memory: the one at hand gives way.
+                refuseForMemory();
+            } else {
+                paused = true;
+                pausedAt = System.nanoTime();
+                channel.config().setAutoRead(false);
+                front.budget().await(resume);
+                long most = (long) Math.min(MAX_PAUSE_MS, timeout / 2);
+                pauseEnd = channel.eventLoop().schedule(this::refuseForMemory, most, TimeUnit.MILLISECONDS);
+            }
+        }
+    }
+
+    /**
+     * Guards against a request that is lost in our queue: what is not read may have been sent whole,
+     * and its client waits for an answer. It was sent to no host, so trying again is harmless.
+     */
+    private void refuseForMemory() {
+        front.refusedForMemory();
+        front.dispatcher().figures().ended(type, Figures.End.REJECTED);
+        reject(503);
+    }
+
+    private void resumeReading() {
+        endPause();
+        receivingSince = System.nanoTime();
+        channel.config().setAutoRead(true);
+    }
+
+    private void endPause() {
+        if (paused) {
+            paused = false;
+            resumedAt = System.nanoTime();
+            front.budget().forget(resume);
+            pauseEnd.cancel(false);
+        }
+    }
+
+    /** A body that is longer than may be held: its request goes to a host, and the rest follows it. */
+    private void beginUpload() {
+        if (paused) {
+            endPause();
+        }
+        Dispatcher d = front.dispatcher();
+        HttpRequest request = head;
+        Body start = body;
+        head = null;
+        body = null;
+        String id = request.headers().get(Headers.REQUEST_ID);
+        if (d.known(id)) {
+            start.free();
+            reject(409);
+            return;
+        }
         channel.config().setAutoRead(false);
-        front.budget().await(resume);
-        long most = (long) Math.min(MAX_PAUSE_MS, timeout / 2);
-        pauseEnd =
-            channel
-                .eventLoop()
-                .schedule(this::refuseForMemory, most, TimeUnit.MILLISECONDS);
-      }
-    }
-  }
-
-  /**
-   * Guards against a request that is lost in our queue: what is not read may have been sent whole,
-   * and its client waits for an answer. It was sent to no host, so trying again is harmless.
-   */
-  private void refuseForMemory() {
-    front.refusedForMemory();
-    front.dispatcher().figures().ended(type, Figures.End.REJECTED);
-    reject(503);
-  }
-
-  private void resumeReading() {
-    endPause();
-    receivingSince = System.nanoTime();
-    channel.config().setAutoRead(true);
-  }
-
-  private void endPause() {
-    if (paused) {
-      paused = false;
-      resumedAt = System.nanoTime();
-      front.budget().forget(resume);
-      pauseEnd.cancel(false);
-    }
-  }
-
-  /** A body that is longer than may be held: its request goes to a host, and the rest follows it. */
-  private void beginUpload() {
-    if (paused) {
-      endPause();
-    }
-    Dispatcher d = front.dispatcher();
-    HttpRequest request = head;
-    Body start = body;
-    head = null;
-    body = null;
-    String id = request.headers().get(Headers.REQUEST_ID);
-    if (d.known(id)) {
-      start.free();
-      reject(409);
-      return;
-    }
-    channel.config().setAutoRead(false);
-    upload = new Upload(start, HttpUtil.getContentLength(request, -1L));
-    boolean room = !overflow && d.open() < front.maxOpen();
-    exchange =
-        new Exchange(
-            d.newId(), id, type, d, this, request, null, Double.POSITIVE_INFINITY, timeout, upload);
-    if (room) {
-      d.arrived(exchange, arrival(request.headers(), exchange.id, Double.POSITIVE_INFINITY));
-    } else {
-      front.refusedForSockets();
-      closing |= overflow;
-      exchange.refuse(0);
-    }
-  }
-
-  /** The connection to the host takes more of the body. */
-  void readOn() {
-    decoder.readAt = System.nanoTime(); // the pause was the host's, and no silence of the client's
-    channel.config().setAutoRead(true);
-  }
-
-  private Arrival arrival(HttpHeaders h, long id, double budget) {
-    return new Arrival(
-        id,
-        type,
-        h.get(Headers.TENANT),
-        budget,
-        RequestForm.estimate(h.get(Headers.COST)),
-        "1".equals(h.get(Headers.RETRIED)));
-  }
-
-  private void complete() {
-    decoder.receiving = decoder.surplus();
-    if (paused) {
-      resumeReading();
-    }
-    receivingSince = 0;
-    if (upload != null) {
-      upload = null;
-      readOn();
-      exchange.uploaded(waited() / 1e6);
-      return;
-    }
-    HttpRequest request = head;
-    Body whole = body;
-    head = null;
-    body = null;
-    if (whole != null) {
-      whole.completed();
-    }
-    if (health) {
-      free(whole);
-      answer(front.ready() ? 200 : 503, 0);
-      return;
-    }
-    Dispatcher d = front.dispatcher();
-    if (overflow || d.open() >= front.maxOpen()) {
-      front.refusedForSockets();
-      d.figures().ended(type, Figures.End.REJECTED);
-      free(whole);
-      closing |= overflow;
-      answer(503, 0);
-      return;
-    }
-    // Time in our own queue comes off the client's budget: its last byte may have waited there.
-    double budget = Math.max(0, timeout - waited() / 1e6);
-    String id = request.headers().get(Headers.REQUEST_ID);
-    if (d.known(id)) { // it has come elsewhere while this one's body was on its way
-      free(whole);
-      reject(409);
-      return;
-    }
-    exchange = new Exchange(d.newId(), id, type, d, this, request, whole, d.now() + budget, budget, null);
-    if (channel.ended()) {
-      // Guards against work for clients that left while the loop was behind: each send would be
-      // called off at once, at the price of its connection, and the loop fall further behind.
-      exchange.dropUnsent();
-      exchange = null;
-      channel.close();
-      return;
-    }
-    decoder.receiving |= channel.holding();
-    d.arrived(exchange, arrival(request.headers(), exchange.id, budget));
-  }
-
-  /** For how long (ns) the last byte read may have waited for us: in its socket, and before that unaccepted. */
-  private long waited() {
-    long now = System.nanoTime();
-    long paused = now - resumedAt < JUST_NOW_NANOS ? resumedAt - pausedAt : 0;
-    return Math.max(paused, now - channel.waitingSince());
-  }
-
-  private static void free(Body b) {
-    if (b != null) {
-      b.free();
-    }
-  }
-
-  private void dropRequest() {
-    free(body);
-    body = null;
-    head = null;
-  }
-
-  // --- writing
-
-  /** An answer of our own. */
-  void answer(int status, double coolDownMs) {
-    DefaultFullHttpResponse r =
-        new DefaultFullHttpResponse(
-            HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.EMPTY_BUFFER);
-    r.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
-    if (coolDownMs > 0) {
-      r.headers()
-          .set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", coolDownMs / 1_000));
-    }
-    markClose(r);
-    answered(channel.writeAndFlush(r));
-  }
-
-  /** A host's answer that has come whole. */
-  void answer(HttpResponse reply, Body whole) {
-    HttpHeaders h = reply.headers();
-    Headers.dropHopByHop(h);
-    h.set(HttpHeaderNames.CONTENT_LENGTH, whole == null ? 0 : whole.size());
-    ByteBuf bytes = whole == null ? Unpooled.EMPTY_BUFFER : joined(whole);
-    DefaultFullHttpResponse r =
-        new DefaultFullHttpResponse(
-            HttpVersion.HTTP_1_1, HttpResponseStatus.OK, bytes, h, Headers.NONE);
-    markClose(r);
-    ChannelFuture written = channel.writeAndFlush(r);
-    if (whole != null) {
-      written.addListener(f -> whole.free());
-    }
-    answered(written);
-  }
-
-  /** The head of an answer that is passed on as it comes; {@code length} is -1 where it isn't told. */
-  void beginAnswer(HttpResponse reply, long length) {
-    HttpHeaders h = reply.headers();
-    Headers.dropHopByHop(h);
-    if (length >= 0) {
-      h.set(HttpHeaderNames.CONTENT_LENGTH, length);
-    } else {
-      h.remove(HttpHeaderNames.CONTENT_LENGTH);
-      h.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-    }
-    DefaultHttpResponse r = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, h);
-    markClose(r);
-    channel.writeAndFlush(r);
-  }
-
-  /** Part of it; false if the connection takes no more for now. */
-  boolean pass(ByteBuf bytes) {
-    channel.writeAndFlush(new DefaultHttpContent(bytes));
-    return channel.isWritable();
-  }
-
-  void endAnswer() {
-    answered(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
-  }
-
-  /** It broke half way: the client sees an end that is none. */
-  void cutAnswer() {
-    exchange = null;
-    channel.close();
-  }
-
-  @Override
-  public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-    blockedSince = channel.isWritable() ? 0 : System.nanoTime();
-    if (blockedSince == 0 && exchange != null) {
-      exchange.clientTakesMore();
-    }
-  }
-
-  private static ByteBuf joined(Body whole) {
-    ByteBuf[] blocks = whole.retained().toArray(ByteBuf[]::new);
-    return blocks.length == 1 ? blocks[0] : Unpooled.wrappedBuffer(blocks);
-  }
-
-  private void markClose(HttpResponse r) {
-    closing |= front.draining();
-    if (closing) {
-      r.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-    }
-  }
-
-  private void answered(ChannelFuture written) {
-    exchange = null;
-    if (upload != null && !rejected) {
-      upload = null;
-      skipping = true;
-      channel.config().setAutoRead(true);
-    }
-    if (closing && !skipping) {
-      written.addListener(f -> linger());
-      return;
-    }
-    if (!written.isDone()) {
-      writingSince = System.nanoTime();
-      written.addListener(f -> writingSince = 0);
-    }
-    receivingSince = 0; // what came meanwhile had to wait, by no fault of its client's
-    if (!ahead.isEmpty() || decoder.holds()) {
-      takeAhead();
-    } else if (!decoder.receiving && !skipping) {
-      idleAgain();
-    }
-  }
-
-  private void idleAgain() {
-    idleSince = System.nanoTime();
-    front.sockets().clientIdle(this, true);
-  }
-
-  private void takeAhead() {
-    while (exchange == null && !ahead.isEmpty()) {
-      HttpObject part = ahead.poll();
-      try {
-        take(part);
-      } finally {
-        ReferenceCountUtil.release(part);
-      }
-    }
-    if (exchange == null && ahead.isEmpty() && decoder.holds()) {
-      // Not at once: guards against a decoder that is entered again while it is at work.
-      channel.eventLoop().execute(this::takeHeld);
-    }
-  }
-
-  private void takeHeld() {
-    if (exchange == null && ahead.isEmpty()) {
-      if (!paused) {
+        upload = new Upload(start, HttpUtil.getContentLength(request, -1L));
+        boolean room = !overflow && d.open() < front.maxOpen();
+        exchange = new Exchange(d.newId(), id, type, d, this, request, null, Double.POSITIVE_INFINITY, timeout, upload);
+        if (room) {
+            d.arrived(exchange, arrival(request.headers(), exchange.id, Double.POSITIVE_INFINITY));
+        } else {
+            front.refusedForSockets();
+            closing |= overflow;
+            exchange.refuse(0);
+        }
+    }
+
+    /** The connection to the host takes more of the body. */
+    void readOn() {
+        decoder.readAt = System.nanoTime(); // the pause was the host's, and no silence of the client's
+        channel.config().setAutoRead(true);
+    }
+
+    private Arrival arrival(HttpHeaders h, long id, double budget) {
+        return new Arrival(
+                id,
+                type,
+                h.get(Headers.TENANT),
+                budget,
+                RequestForm.estimate(h.get(Headers.COST)),
+                "1".equals(h.get(Headers.RETRIED)));
+    }
+
+    private void complete() {
+        decoder.receiving = decoder.surplus();
+        if (paused) {
+            resumeReading();
+        }
+        receivingSince = 0;
+        if (upload != null) {
+            upload = null;
+            readOn();
+            exchange.uploaded(waited() / 1e6);
+            return;
+        }
+        HttpRequest request = head;
+        Body whole = body;
+        head = null;
+        body = null;
+        if (whole != null) {
+            whole.completed();
+        }
+        if (health) {
+            free(whole);
+            answer(front.ready() ? 200 : 503, 0);
+            return;
+        }
+        Dispatcher d = front.dispatcher();
+        if (overflow || d.open() >= front.maxOpen()) {
+            front.refusedForSockets();
+            d.figures().ended(type, Figures.End.REJECTED);
+            free(whole);
+            closing |= overflow;
+            answer(503, 0);
+            return;
+        }
+        // Time in our own queue comes off the client's budget: its last byte may have waited there.
+        double budget = Math.max(0, timeout - waited() / 1e6);
+        String id = request.headers().get(Headers.REQUEST_ID);
+        if (d.known(id)) { // it has come elsewhere while this one's body was on its way
+            free(whole);
+            reject(409);
+            return;
+        }
+        exchange = new Exchange(d.newId(), id, type, d, this, request, whole, d.now() + budget, budget, null);
+        if (channel.ended()) {
+            // Guards against work for clients that left while the loop was behind: each send would be
+            // called off at once, at the price of its connection, and the loop fall further behind.
+            exchange.dropUnsent();
+            exchange = null;
+            channel.close();
+            return;
+        }
+        decoder.receiving |= channel.holding();
+        d.arrived(exchange, arrival(request.headers(), exchange.id, budget));
+    }
+
+    /** For how long (ns) the last byte read may have waited for us: in its socket, and before that unaccepted. */
+    private long waited() {
+        long now = System.nanoTime();
+        long paused = now - resumedAt < JUST_NOW_NANOS ? resumedAt - pausedAt : 0;
+        return Math.max(paused, now - channel.waitingSince());
+    }
+
+    private static void free(Body b) {
+        if (b != null) {
+            b.free();
+        }
+    }
+
+    private void dropRequest() {
+        free(body);
+        body = null;
+        head = null;
+    }
+
+    // --- writing
+
+    /** An answer of our own. */
+    void answer(int status, double coolDownMs) {
+        DefaultFullHttpResponse r = new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.EMPTY_BUFFER);
+        r.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
+        if (coolDownMs > 0) {
+            r.headers().set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", coolDownMs / 1_000));
+        }
+        markClose(r);
+        answered(channel.writeAndFlush(r));
+    }
+
+    /** A host's answer that has come whole. */
+    void answer(HttpResponse reply, Body whole) {
+        HttpHeaders h = reply.headers();
+        Headers.dropHopByHop(h);
+        h.set(HttpHeaderNames.CONTENT_LENGTH, whole == null ? 0 : whole.size());
+        ByteBuf bytes = whole == null ? Unpooled.EMPTY_BUFFER : joined(whole);
+        DefaultFullHttpResponse r =
+                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, bytes, h, Headers.NONE);
+        markClose(r);
+        ChannelFuture written = channel.writeAndFlush(r);
+        if (whole != null) {
+            written.addListener(f -> whole.free());
+        }
+        answered(written);
+    }
+
+    /** The head of an answer that is passed on as it comes; {@code length} is -1 where it isn't told. */
+    void beginAnswer(HttpResponse reply, long length) {
+        HttpHeaders h = reply.headers();
+        Headers.dropHopByHop(h);
+        if (length >= 0) {
+            h.set(HttpHeaderNames.CONTENT_LENGTH, length);
+        } else {
+            h.remove(HttpHeaderNames.CONTENT_LENGTH);
+            h.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+        }
+        DefaultHttpResponse r = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, h);
+        markClose(r);
+        channel.writeAndFlush(r);
+    }
+
+    /** Part of it; false if the connection takes no more for now. */
+    boolean pass(ByteBuf bytes) {
+        channel.writeAndFlush(new DefaultHttpContent(bytes));
+        return channel.isWritable();
+    }
+
+    void endAnswer() {
+        answered(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
+    }
+
+    /** It broke half way: the client sees an end that is none. */
+    void cutAnswer() {
+        exchange = null;
+        channel.close();
+    }
+
+    @Override
+    public void channelWritabilityChanged(ChannelHandlerContext ctx) {
+        blockedSince = channel.isWritable() ? 0 : System.nanoTime();
+        if (blockedSince == 0 && exchange != null) {
+            exchange.clientTakesMore();
+        }
+    }
+
+    private static ByteBuf joined(Body whole) {
+        ByteBuf[] blocks = whole.retained().toArray(ByteBuf[]::new);
+        return blocks.length == 1 ? blocks[0] : Unpooled.wrappedBuffer(blocks);
+    }
+
+    private void markClose(HttpResponse r) {
+        closing |= front.draining();
+        if (closing) {
+            r.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+        }
+    }
+
+    private void answered(ChannelFuture written) {
+        exchange = null;
+        if (upload != null && !rejected) {
+            upload = null;
+            skipping = true;
+            channel.config().setAutoRead(true);
+        }
+        if (closing && !skipping) {
+            written.addListener(f -> linger());
+            return;
+        }
+        if (!written.isDone()) {
+            writingSince = System.nanoTime();
+            written.addListener(f -> writingSince = 0);
+        }
+        receivingSince = 0; // what came meanwhile had to wait, by no fault of its client's
+        if (!ahead.isEmpty() || decoder.holds()) {
+            takeAhead();
+        } else if (!decoder.receiving && !skipping) {
+            idleAgain();
+        }
+    }
+
+    private void idleAgain() {
+        idleSince = System.nanoTime();
+        front.sockets().clientIdle(this, true);
+    }
+
+    private void takeAhead() {
+        while (exchange == null && !ahead.isEmpty()) {
+            HttpObject part = ahead.poll();
+            try {
+                take(part);
+            } finally {
+                ReferenceCountUtil.release(part);
+            }
+        }
+        if (exchange == null && ahead.isEmpty() && decoder.holds()) {
+            // Not at once: guards against a decoder that is entered again while it is at work.
+            channel.eventLoop().execute(this::takeHeld);
+        }
+    }
+
+    private void takeHeld() {
+        if (exchange == null && ahead.isEmpty()) {
+            if (!paused) {
+                channel.config().setAutoRead(true);
+            }
+            decoder.letGo();
+        }
+    }
+
+    /** Answers what can't be a request and ends the connection. */
+    private void reject(int status) {
+        rejected = true;
+        if (exchange != null) { // its body goes wrong while it is passed on: no host gets the end of it
+            Exchange e = exchange;
+            exchange = null;
+            upload = null;
+            e.clientGone();
+        }
+        decoder.deaf = true;
+        endPause();
+        dropRequest();
+        closing = true;
+        answer(status, 0);
         channel.config().setAutoRead(true);
-      }
-      decoder.letGo();
-    }
-  }
-
-  /** Answers what can't be a request and ends the connection. */
-  private void reject(int status) {
-    rejected = true;
-    if (exchange != null) { // its body goes wrong while it is passed on: no host gets the end of it
-      Exchange e = exchange;
-      exchange = null;
-      upload = null;
-      e.clientGone();
-    }
-    decoder.deaf = true;
-    endPause();
-    dropRequest();
-    closing = true;
-    answer(status, 0);
-    channel.config().setAutoRead(true);
-  }
-
-  /**
-   * Lingering close. Guards against a reset that overtakes an answer: a close while bytes are unread would be
-   * one, so the sending ends first, and what still comes is read and thrown away. A request among it is sent
-   * nowhere: its client sees the end before any answer, and asks again elsewhere.
-   */
-  private void linger() {
-    closing = true;
-    rejected = true;
-    decoder.deaf = true;
-    if (!channel.isActive()) {
-      return;
-    }
-    front.sockets().clientIdle(this, false);
-    channel.shutdownOutput();
-    channel.config().setAutoRead(true);
-    channel.eventLoop().schedule(channel::endSending, LINGER_MS, TimeUnit.MILLISECONDS);
-  }
-
-  // --- upkeep
-
-  /** Whether it carries a request, or part of one, or an answer that is not written yet. */
-  boolean busy() {
-    return exchange != null || skipping || decoder.receiving || writingSince != 0 || closing;
-  }
-
-  /** Makes room at once. */
-  @Override
-  public void closeIdle() {
-    if (!taken()) {
-      rejected = true;
-      decoder.deaf = true;
-      channel.endSending();
-    }
-  }
-
-  /** Ends it unless a request has come in this moment. */
-  void endIdle() {
-    if (!taken()) {
-      linger();
-    }
-  }
-
-  /** Whether something has come that is not read yet, or the client has ended it. */
-  private boolean taken() {
-    if (channel.ended()) {
-      channel.close();
-      return true;
-    }
-    decoder.receiving |= channel.holding();
-    return channel.holding();
-  }
-
-  void sweep(long now) {
-    if (decoder.receiving && receivingSince == 0) {
-      receivingSince = now;
-    }
-    if (upload != null && !channel.config().isAutoRead() && now - decoder.readAt > UNTAKEN_NANOS) {
-      exchange.hostTakesNothing();
-    } else if (slow(now)) {
-      if (skipping) {
-        channel.close(); // it has its answer
-      } else {
-        reject(408);
-      }
-    } else if (blockedSince != 0 && exchange != null && now - blockedSince > Exchange.CLIENT_STALL) {
-      channel.close();
-    } else if (writingSince != 0 && now - writingSince > Exchange.CLIENT_STALL) {
-      channel.close();
-    } else if (!busy() && now - idleSince > IDLE_NANOS) {
-      // Guards against connections that are kept for good and asked nothing: each holds a descriptor.
-      endIdle();
-    }
-  }
-
-  /** Whether what is being received takes too long, by no fault of ours. */
-  private boolean slow(long now) {
-    if (rejected || paused || receivingSince == 0 || !channel.config().isAutoRead()) {
-      return false;
-    }
-    boolean bodyComes = upload != null || skipping || body != null || head != null;
-    if (!bodyComes) {
-      return exchange == null && now - receivingSince > SLOW_NANOS;
-    }
-    // What follows to a host comes as fast as the host takes it; the rest has to come at some rate.
-    long most = BODY_NANOS + (long) (received * 1e9 / LEAST_RATE);
-    return now - decoder.readAt > SILENT_NANOS
-        || (upload == null && !skipping && now - receivingSince > most);
-  }
-
-  @Override
-  public boolean used() {
-    return used;
-  }
+    }
+
+    /**
+     * Lingering close. Guards against a reset that overtakes an answer: a close while bytes are unread would be
+     * one, so the sending ends first, and what still comes is read and thrown away. A request among it is sent
+     * nowhere: its client sees the end before any answer, and asks again elsewhere.
+     */
+    private void linger() {
+        closing = true;
+        rejected = true;
+        decoder.deaf = true;
+        if (!channel.isActive()) {
+            return;
+        }
+        front.sockets().clientIdle(this, false);
+        channel.shutdownOutput();
+        channel.config().setAutoRead(true);
+        channel.eventLoop().schedule(channel::endSending, LINGER_MS, TimeUnit.MILLISECONDS);
+    }
+
+    // --- upkeep
+
+    /** Whether it carries a request, or part of one, or an answer that is not written yet. */
+    boolean busy() {
+        return exchange != null || skipping || decoder.receiving || writingSince != 0 || closing;
+    }
+
+    /** Makes room at once. */
+    @Override
+    public void closeIdle() {
+        if (!taken()) {
+            rejected = true;
+            decoder.deaf = true;
+            channel.endSending();
+        }
+    }
+
+    /** Ends it unless a request has come in this moment. */
+    void endIdle() {
+        if (!taken()) {
+            linger();
+        }
+    }
+
+    /** Whether something has come that is not read yet, or the client has ended it. */
+    private boolean taken() {
+        if (channel.ended()) {
+            channel.close();
+            return true;
+        }
+        decoder.receiving |= channel.holding();
+        return channel.holding();
+    }
+
+    void sweep(long now) {
+        if (decoder.receiving && receivingSince == 0) {
+            receivingSince = now;
+        }
+        if (upload != null && !channel.config().isAutoRead() && now - decoder.readAt > UNTAKEN_NANOS) {
+            exchange.hostTakesNothing();
+        } else if (slow(now)) {
+            if (skipping) {
+                channel.close(); // it has its answer
+            } else {
+                reject(408);
+            }
+        } else if (blockedSince != 0 && exchange != null && now - blockedSince > Exchange.CLIENT_STALL) {
+            channel.close();
+        } else if (writingSince != 0 && now - writingSince > Exchange.CLIENT_STALL) {
+            channel.close();
+        } else if (!busy() && now - idleSince > IDLE_NANOS) {
+            // Guards against connections that are kept for good and asked nothing: each holds a descriptor.
+            endIdle();
+        }
+    }
+
+    /** Whether what is being received takes too long, by no fault of ours. */
+    private boolean slow(long now) {
+        if (rejected || paused || receivingSince == 0 || !channel.config().isAutoRead()) {
+            return false;
+        }
+        boolean bodyComes = upload != null || skipping || body != null || head != null;
+        if (!bodyComes) {
+            return exchange == null && now - receivingSince > SLOW_NANOS;
+        }
+        // What follows to a host comes as fast as the host takes it; the rest has to come at some rate.
+        long most = BODY_NANOS + (long) (received * 1e9 / LEAST_RATE);
+        return now - decoder.readAt > SILENT_NANOS || (upload == null && !skipping && now - receivingSince > most);
+    }
+
+    @Override
+    public boolean used() {
+        return used;
+    }
 }
