--- a/src/main/java/rillyard/proxy/Config.java
+++ b/src/main/java/rillyard/proxy/Config.java
@@ -22,111 +22,107 @@
  * address, null where there is none.
  */
 record Config(
-    String name,
-    InetSocketAddress listen,
-    InetSocketAddress discovery,
-    long seed,
-    int memoryMb,
-    int sockets,
-    JsonNode known,
-    Settings settings,
-    double connIdle,
-    double connectTimeout,
-    int maxOpen,
-    InetSocketAddress operator) {
-  /**
-   * Reads the file that {@code BALANCER_CONFIG} names. The other variables win over it, but for
-   * discovery's address: the file is replaced while the process runs, its environment never is.
-   */
-  static Config load(Map<String, String> env) throws ConfigException {
-    String file = env.get("BALANCER_CONFIG");
-    if (file == null || file.isEmpty()) {
-      throw new ConfigException("BALANCER_CONFIG is not set");
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        long seed,
+        int memoryMb,
+        int sockets,
+        JsonNode known,
+        Settings settings,
+        double connIdle,
+        double connectTimeout,
+        int maxOpen,
+        InetSocketAddress operator) {
+    /**
+     * Reads the file that {@code BALANCER_CONFIG} names. The other variables win over it, but for
+     * discovery's address: the file is replaced while the process runs, its environment never is.
+     */
+    static Config load(Map<String, String> env) throws ConfigException {
+        String file = env.get("BALANCER_CONFIG");
+        if (file == null || file.isEmpty()) {
+            throw new ConfigException("BALANCER_CONFIG is not set");
+        }
+        JsonNode root;
+        try {
+            root = JsonTree.read(Files.readAllBytes(Path.of(file)));
+        } catch (JsonProcessingException e) {
+            throw new ConfigException(file + ": not JSON: " + e.getOriginalMessage());
+        } catch (IOException | InvalidPathException e) {
+            throw new ConfigException(file + ": can't be read: " + e);
+        }
+        if (root == null || !root.isObject()) {
+            throw new ConfigException(file + ": not a JSON object");
+        }
+        Settings settings;
+        try {
+            SettingsCheck.check(root.path("settings"));
+            settings = SettingsReader.read(root.path("settings"));
+        } catch (MalformedInputException e) {
+            throw new ConfigException(file + ": " + e.getMessage());
+        }
+        JsonNode limits = root.path("limits");
+        for (String key : new String[] {"memory_mb", "sockets"}) {
+            JsonNode n = limits.path(key);
+            if (!n.isMissingNode() && !n.isNull() && !(n.canConvertToInt() && n.asInt() > 0)) {
+                throw new ConfigException(file + ": limits." + key + ": expected a whole number above 0, found " + n);
+            }
+        }
+        JsonNode allowed = root.path("settings").path("limits");
+        return new Config(
+                told(env, "BALANCER_NAME", root, "name"),
+                address(told(env, "BALANCER_LISTEN", root, "listen"), "listen"),
+                address(root.path("discovery").asText(env.getOrDefault("BALANCER_DISCOVERY", "")), "discovery"),
+                seed(root.path("seed").asText()),
+                limits.path("memory_mb").asInt(128),
+                limits.path("sockets").asInt(1024),
+                root.path("known"),
+                settings,
+                allowed.path("connIdle").asDouble(15_000),
+                allowed.path("connectTimeout").asDouble(250),
+                allowed.path("maxOpen").asInt(Integer.MAX_VALUE),
+                operator(env, root));
     }
-    JsonNode root;
-    try {
-      root = JsonTree.read(Files.readAllBytes(Path.of(file)));
-    } catch (JsonProcessingException e) {
-      throw new ConfigException(file + ": not JSON: " + e.getOriginalMessage());
-    } catch (IOException | InvalidPathException e) {
-      throw new ConfigException(file + ": can't be read: " + e);
-    }
-    if (root == null || !root.isObject()) {
-      throw new ConfigException(file + ": not a JSON object");
-    }
-    Settings settings;
-    try {
-      SettingsCheck.check(root.path("settings"));
-      settings = SettingsReader.read(root.path("settings"));
-    } catch (MalformedInputException e) {
-      throw new ConfigException(file + ": " + e.getMessage());
-    }
-    JsonNode limits = root.path("limits");
-    for (String key : new String[] {"memory_mb", "sockets"}) {
-      JsonNode n = limits.path(key);
-      if (!n.isMissingNode() && !n.isNull() && !(n.canConvertToInt() && n.asInt() > 0)) {
-        throw new ConfigException(file + ": limits." + key + ": expected a whole number above 0, found " + n);
-      }
-    }
-    JsonNode allowed = root.path("settings").path("limits");
-    return new Config(
-        told(env, "BALANCER_NAME", root, "name"),
-        address(told(env, "BALANCER_LISTEN", root, "listen"), "listen"),
-        address(
-            root.path("discovery").asText(env.getOrDefault("BALANCER_DISCOVERY", "")), "discovery"),
-        seed(root.path("seed").asText()),
-        limits.path("memory_mb").asInt(128),
-        limits.path("sockets").asInt(1024),
-        root.path("known"),
-        settings,
-        allowed.path("connIdle").asDouble(15_000),
-        allowed.path("connectTimeout").asDouble(250),
-        allowed.path("maxOpen").asInt(Integer.MAX_VALUE),
-        operator(env, root));
-  }
 
-  /** The second address, null where none is configured. */
-  private static InetSocketAddress operator(Map<String, String> env, JsonNode root)
-      throws ConfigException {
-    String told = told(env, "BALANCER_OPERATOR", root, "operator");
-    return told.isEmpty() ? null : address(told, "operator");
-  }
-
-  private static String told(Map<String, String> env, String variable, JsonNode root, String key) {
-    String s = env.get(variable);
-    return s == null || s.isEmpty() ? root.path(key).asText("") : s;
-  }
+    /** The second address, null where none is configured. */
+    private static InetSocketAddress operator(Map<String, String> env, JsonNode root) throws ConfigException {
+        String told = told(env, "BALANCER_OPERATOR", root, "operator");
+        return told.isEmpty() ? null : address(told, "operator");
+    }
 
-  private static long seed(String s) {
-    try {
-      return Long.parseUnsignedLong(s, 16);
-    } catch (NumberFormatException e) {
-      return s.hashCode() ^ System.nanoTime(); // any will do, as long as no two starts share it
+    private static String told(Map<String, String> env, String variable, JsonNode root, String key) {
+        String s = env.get(variable);
+        return s == null || s.isEmpty() ? root.path(key).asText("") : s;
     }
-  }
 
-  private static InetSocketAddress address(String s, String what) throws ConfigException {
-    InetSocketAddress a = address(s);
-    if (a == null) {
-      throw new ConfigException(what + " is not IP:port: '" + s + "'");
+    private static long seed(String s) {
+        try {
+            return Long.parseUnsignedLong(s, 16);
+        } catch (NumberFormatException e) {
+            return s.hashCode() ^ System.nanoTime(); // any will do, as long as no two starts share it
+        }
     }
-    return a;
-  }
 
-  /** An {@code IP:port}, or null if it is none; names are not looked up: there is no DNS. */
-  static InetSocketAddress address(String s) {
-    int colon = s.lastIndexOf(':');
-    byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(s.substring(0, colon));
-    if (ip == null) {
-      return null;
+    private static InetSocketAddress address(String s, String what) throws ConfigException {
+        InetSocketAddress a = address(s);
+        if (a == null) {
+            throw new ConfigException(what + " is not IP:port: '" + s + "'");
+        }
+        return a;
     }
-    try {
-      int port = Integer.parseInt(s.substring(colon + 1));
-      return port < 0 || port > 65_535
-          ? null
-          : new InetSocketAddress(InetAddress.getByAddress(ip), port);
-    } catch (NumberFormatException | UnknownHostException e) {
-      return null;
+
+    /** An {@code IP:port}, or null if it is none; names are not looked up: there is no DNS. */
+    static InetSocketAddress address(String s) {
+        int colon = s.lastIndexOf(':');
+        byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(s.substring(0, colon));
+        if (ip == null) {
+            return null;
+        }
+        try {
+            int port = Integer.parseInt(s.substring(colon + 1));
+            return port < 0 || port > 65_535 ? null : new InetSocketAddress(InetAddress.getByAddress(ip), port);
+        } catch (NumberFormatException | UnknownHostException e) {
+            return null;
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/proxy/Discovery.java
+++ b/src/main/java/rillyard/proxy/Discovery.java
@@ -37,260 +37,255 @@
  * break loses no change.
  */
 final class Discovery {
-  /*
-   * What a watch misses counts as told 6 s after it fell silent, or after a call for it went wrong. Within that
-   * time a silent one is opened anew, and so is one after a wait, a connect and an answer's time that all went
-   * as badly as they may. One after the other they may take longer: see docs/design/endings.md.
-   */
+    /*
+     * What a watch misses counts as told 6 s after it fell silent, or after a call for it went wrong. Within that
+     * time a silent one is opened anew, and so is one after a wait, a connect and an answer's time that all went
+     * as badly as they may. One after the other they may take longer: see docs/design/endings.md.
+     */
 
-  static final int CONNECT_TIMEOUT_MS = 1_000;
+    static final int CONNECT_TIMEOUT_MS = 1_000;
 
-  /** A watch says something whole every 2 s; one that has not for longer than this (ns) is broken. */
-  static final long SILENCE_NANOS = 2_800_000_000L;
+    /** A watch says something whole every 2 s; one that has not for longer than this (ns) is broken. */
+    static final long SILENCE_NANOS = 2_800_000_000L;
 
-  /** How long (ns) a call may go without an answer: asked discovery has it wait 2 s at most. */
-  static final long UNANSWERED_NANOS = 2_400_000_000L;
+    /** How long (ns) a call may go without an answer: asked discovery has it wait 2 s at most. */
+    static final long UNANSWERED_NANOS = 2_400_000_000L;
 
-  /**
-   * First wait (ms) before a broken watch is opened anew where lists are pushed, doubled up to the last. Its
-   * agent is on this machine and asks no price, and what it has counts as told from its return on.
-   */
-  private static final long BACKOFF_MS = 50;
+    /**
+     * First wait (ms) before a broken watch is opened anew where lists are pushed, doubled up to the last. Its
+     * agent is on this machine and asks no price, and what it has counts as told from its return on.
+     */
+    private static final long BACKOFF_MS = 50;
 
-  private static final long BACKOFF_MAX_MS = 250;
+    private static final long BACKOFF_MAX_MS = 250;
 
-  private final Dispatcher dispatcher;
-  private final Log log;
-  private InetSocketAddress address;
-  private final boolean asked;
-  private final Bootstrap bootstrap;
-  private long version;
-  private long malformed;
-  private long backoff = BACKOFF_MS;
-  private Watch watch;
-  private Future<?> reopening;
+    private final Dispatcher dispatcher;
+    private final Log log;
+    private InetSocketAddress address;
+    private final boolean asked;
+    private final Bootstrap bootstrap;
+    private long version;
+    private long malformed;
+    private long backoff = BACKOFF_MS;
+    private Watch watch;
+    private Future<?> reopening;
 
-  Discovery(EventLoopGroup loop, Config config, Dispatcher dispatcher, Log log) {
-    this.dispatcher = dispatcher;
-    this.log = log;
-    this.address = config.discovery();
-    this.asked = config.settings().mustFollow();
-    this.bootstrap =
-        new Bootstrap()
-            .group(loop)
-            .channel(NioSocketChannel.class)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
-            .option(ChannelOption.TCP_NODELAY, true)
-            .handler(
-                new ChannelInitializer<SocketChannel>() {
-                  @Override
-                  protected void initChannel(SocketChannel ch) {}
+    Discovery(EventLoopGroup loop, Config config, Dispatcher dispatcher, Log log) {
+        this.dispatcher = dispatcher;
+        this.log = log;
+        this.address = config.discovery();
+        this.asked = config.settings().mustFollow();
+        this.bootstrap = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .handler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel ch) {}
                 });
-  }
-
-  /** Starts the module with the list of the configuration, and the watch behind it. */
-  void start(JsonNode known) {
-    Hosts.News news;
-    try {
-      news = dispatcher.hosts().read(known);
-      version = news.version();
-    } catch (IllegalArgumentException e) {
-      news = new Hosts.News(0, true, List.of());
-    }
-    dispatcher.start(news, this::open);
-    if (!asked) {
-      open();
     }
-  }
 
-  /**
-   * Discovery has moved: watches it at its new address from the last version on. Guards against a
-   * wait for the old one, which may stay open and say nothing more. Harmless where it has not moved.
-   */
-  void moveTo(InetSocketAddress to) {
-    if (to.equals(address)) {
-      return;
+    /** Starts the module with the list of the configuration, and the watch behind it. */
+    void start(JsonNode known) {
+        Hosts.News news;
+        try {
+            news = dispatcher.hosts().read(known);
+            version = news.version();
+        } catch (IllegalArgumentException e) {
+            news = new Hosts.News(0, true, List.of());
+        }
+        dispatcher.start(news, this::open);
+        if (!asked) {
+            open();
+        }
     }
-    log.line("watch: discovery moves from " + address + " to " + to);
-    address = to;
-    backoff = BACKOFF_MS;
-    open();
-  }
 
-  /** Opens the watch, in place of one that is open or waits to be opened. */
-  private void open() {
-    if (reopening != null) {
-      reopening.cancel(false);
-      reopening = null;
-    }
-    if (watch != null) {
-      Watch old = watch;
-      watch = null;
-      old.channel.close();
-    }
-    if (log.trace() != null) {
-      log.trace().did(TraceLine.What.LIST, TraceLine.NONE);
+    /**
+     * Discovery has moved: watches it at its new address from the last version on. Guards against a
+     * wait for the old one, which may stay open and say nothing more. Harmless where it has not moved.
+     */
+    void moveTo(InetSocketAddress to) {
+        if (to.equals(address)) {
+            return;
+        }
+        log.line("watch: discovery moves from " + address + " to " + to);
+        address = to;
+        backoff = BACKOFF_MS;
+        open();
     }
-    ChannelFuture f = bootstrap.connect(address);
-    Watch w = new Watch(f.channel());
-    watch = w;
-    f.addListener(
-        x -> {
-          if (f.isSuccess()) {
-            w.begin();
-          } else {
-            w.broken("can't be reached");
-          }
-        });
-  }
 
-  /**
-   * Reads what the watch has waiting, ahead of all other sockets. Guards against requests that came before a list did and,
-   * after a gap in this process's own time, would be read before it: they would go to hosts that drain by then.
-   */
-  void readFirst() {
-    if (watch != null && watch.channel instanceof AbstractNioChannel c && c.isActive()) {
-      c.unsafe().read();
+    /** Opens the watch, in place of one that is open or waits to be opened. */
+    private void open() {
+        if (reopening != null) {
+            reopening.cancel(false);
+            reopening = null;
+        }
+        if (watch != null) {
+            Watch old = watch;
+            watch = null;
+            old.channel.close();
+        }
+        if (log.trace() != null) {
+            log.trace().did(TraceLine.What.LIST, TraceLine.NONE);
+        }
+        ChannelFuture f = bootstrap.connect(address);
+        Watch w = new Watch(f.channel());
+        watch = w;
+        f.addListener(x -> {
+            if (f.isSuccess()) {
+                w.begin();
+            } else {
+                w.broken("can't be reached");
+            }
+        });
     }
-  }
 
-  /** Ends a watch that has gone silent. */
-  void sweep() {
-    if (watch != null && System.nanoTime() - watch.heardAt > (watch.good ? SILENCE_NANOS : UNANSWERED_NANOS)) {
-      watch.broken("silent");
+    /**
+     * Reads what the watch has waiting, ahead of all other sockets. Guards against requests that came before a list did and,
+     * after a gap in this process's own time, would be read before it: they would go to hosts that drain by then.
+     */
+    void readFirst() {
+        if (watch != null && watch.channel instanceof AbstractNioChannel c && c.isActive()) {
+            c.unsafe().read();
+        }
     }
-  }
 
-  private void retry() {
-    if (asked) {
-      dispatcher.followFailed(); // the module decides when to ask again
-      return;
+    /** Ends a watch that has gone silent. */
+    void sweep() {
+        if (watch != null && System.nanoTime() - watch.heardAt > (watch.good ? SILENCE_NANOS : UNANSWERED_NANOS)) {
+            watch.broken("silent");
+        }
     }
-    long wait = backoff / 2 + (long) (Math.random() * backoff);
-    backoff = Math.min(2 * backoff, BACKOFF_MAX_MS);
-    reopening = dispatcher.later(wait, this::open);
-  }
 
-  private final class Watch extends ChannelInboundHandlerAdapter implements ListFrames.Sink {
-    private final Channel channel;
-    private final ListFrames frames = new ListFrames();
-    private long heardAt = System.nanoTime();
-    private boolean good;
-
-    Watch(Channel channel) {
-      this.channel = channel;
+    private void retry() {
+        if (asked) {
+            dispatcher.followFailed(); // the module decides when to ask again
+            return;
+        }
+        long wait = backoff / 2 + (long) (Math.random() * backoff);
+        backoff = Math.min(2 * backoff, BACKOFF_MAX_MS);
+        reopening = dispatcher.later(wait, this::open);
     }
 
-    void begin() {
-      if (watch != this) {
-        channel.close();
-        return;
-      }
-      channel.pipeline().addLast(new HttpResponseDecoder(), new HttpRequestEncoder(), this);
-      DefaultFullHttpRequest r =
-          new DefaultFullHttpRequest(
-              HttpVersion.HTTP_1_1,
-              HttpMethod.GET,
-              "/catalog/members?follow=1&since=" + version,
-              Unpooled.EMPTY_BUFFER);
-      r.headers()
-          .set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
-      channel.writeAndFlush(r);
-    }
+    private final class Watch extends ChannelInboundHandlerAdapter implements ListFrames.Sink {
+        private final Channel channel;
+        private final ListFrames frames = new ListFrames();
+        private long heardAt = System.nanoTime();
+        private boolean good;
 
-    /** Ends this watch once and has it opened anew. */
-    void broken(String why) {
-      channel.close();
-      if (watch == this) {
-        watch = null;
-        log.line("watch: " + why);
-        retry();
-      }
-    }
+        Watch(Channel channel) {
+            this.channel = channel;
+        }
 
-    @Override
-    public void channelRead(ChannelHandlerContext ctx, Object msg) {
-      try {
-        if (watch == this) {
-          take((HttpObject) msg);
+        void begin() {
+            if (watch != this) {
+                channel.close();
+                return;
+            }
+            channel.pipeline().addLast(new HttpResponseDecoder(), new HttpRequestEncoder(), this);
+            DefaultFullHttpRequest r = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1,
+                    HttpMethod.GET,
+                    "/catalog/members?follow=1&since=" + version,
+                    Unpooled.EMPTY_BUFFER);
+            r.headers().set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
+            channel.writeAndFlush(r);
         }
-      } finally {
-        ReferenceCountUtil.release(msg);
-      }
-    }
 
-    private void take(HttpObject part) {
-      if (part.decoderResult().isFailure()) {
-        broken("malformed answer");
-      } else if (part instanceof HttpResponse head && head.status().code() != 200) {
-        broken("answered " + head.status().code());
-      } else if (part instanceof HttpContent content) {
-        String wrong = frames.take(content.content(), this);
-        if (wrong != null && watch == this) {
-          malformed(wrong);
+        /** Ends this watch once and has it opened anew. */
+        void broken(String why) {
+            channel.close();
+            if (watch == this) {
+                watch = null;
+                log.line("watch: " + why);
+                retry();
+            }
         }
-        if (part instanceof LastHttpContent && watch == this) {
-          broken("ended");
+
+        @Override
+        public void channelRead(ChannelHandlerContext ctx, Object msg) {
+            try {
+                if (watch == this) {
+                    take((HttpObject) msg);
+                }
+            } finally {
+                ReferenceCountUtil.release(msg);
+            }
         }
-      }
-    }
 
-    /** The watch lives: guards against one whose bytes come for ever and are never whole. */
-    @Override
-    public void blank() {
-      if (watch != this) {
-        return; // it came behind what broke the watch
-      }
-      heardAt = System.nanoTime();
-      if (!good) {
-        good = true;
-        backoff = BACKOFF_MS;
-      }
-    }
+        private void take(HttpObject part) {
+            if (part.decoderResult().isFailure()) {
+                broken("malformed answer");
+            } else if (part instanceof HttpResponse head && head.status().code() != 200) {
+                broken("answered " + head.status().code());
+            } else if (part instanceof HttpContent content) {
+                String wrong = frames.take(content.content(), this);
+                if (wrong != null && watch == this) {
+                    malformed(wrong);
+                }
+                if (part instanceof LastHttpContent && watch == this) {
+                    broken("ended");
+                }
+            }
+        }
 
-    @Override
-    public void list(byte[] bytes, int length) {
-      if (watch != this) {
-        return; // broken by one before it, which came with it
-      }
-      Hosts.News news;
-      try {
-        news = dispatcher.hosts().read(JsonTree.read(bytes, 0, length));
-      } catch (IOException | IllegalArgumentException e) {
-        malformed(e.getMessage());
-        return;
-      }
-      apply(news);
-      blank();
-    }
+        /** The watch lives: guards against one whose bytes come for ever and are never whole. */
+        @Override
+        public void blank() {
+            if (watch != this) {
+                return; // it came behind what broke the watch
+            }
+            heardAt = System.nanoTime();
+            if (!good) {
+                good = true;
+                backoff = BACKOFF_MS;
+            }
+        }
 
-    /** The last good list stays; what this one was to tell comes again from its version on. */
-    private void malformed(String why) {
-      log.line("watch: malformed list, " + ++malformed + " so far: " + why);
-      broken("can't be understood");
-    }
+        @Override
+        public void list(byte[] bytes, int length) {
+            if (watch != this) {
+                return; // broken by one before it, which came with it
+            }
+            Hosts.News news;
+            try {
+                news = dispatcher.hosts().read(JsonTree.read(bytes, 0, length));
+            } catch (IOException | IllegalArgumentException e) {
+                malformed(e.getMessage());
+                return;
+            }
+            apply(news);
+            blank();
+        }
 
-    private void apply(Hosts.News news) {
-      // A whole list that opens a watch is all that this discovery knows, whatever it counts from.
-      if (news.version() < version && (good || !news.full())) {
-        log.line("watch: version " + news.version() + " is older than " + version + ", left out");
-        return;
-      }
-      version = news.version();
-      dispatcher.membership(news.full() ? News.FULL : News.DELTA, news);
-    }
+        /** The last good list stays; what this one was to tell comes again from its version on. */
+        private void malformed(String why) {
+            log.line("watch: malformed list, " + ++malformed + " so far: " + why);
+            broken("can't be understood");
+        }
 
-    @Override
-    public void channelInactive(ChannelHandlerContext ctx) {
-      broken("closed");
-    }
+        private void apply(Hosts.News news) {
+            // A whole list that opens a watch is all that this discovery knows, whatever it counts from.
+            if (news.version() < version && (good || !news.full())) {
+                log.line("watch: version " + news.version() + " is older than " + version + ", left out");
+                return;
+            }
+            version = news.version();
+            dispatcher.membership(news.full() ? News.FULL : News.DELTA, news);
+        }
+
+        @Override
+        public void channelInactive(ChannelHandlerContext ctx) {
+            broken("closed");
+        }
 
-    @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      if (!(cause instanceof IOException)) {
-        log.failure("the watch failed", cause);
-      }
-      broken("failed");
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+            if (!(cause instanceof IOException)) {
+                log.failure("the watch failed", cause);
+            }
+            broken("failed");
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/proxy/Exchange.java
+++ b/src/main/java/rillyard/proxy/Exchange.java
@@ -25,349 +25,348 @@
  * gives exactly one; holds the deadline, the request and its attempts.
  */
 final class Exchange {
-  /** A client that takes nothing of its answer for so long (ns) has gone. */
-  static final long CLIENT_STALL = 30_000_000_000L;
-
-  final long id;
-  final String name;
-  private final String type;
-  private final Dispatcher dispatcher;
-  private final ClientConnection client;
-  private final HttpRequest head;
-  private final Body body;
-  private double deadlineAt;
-  private final Upload upload;
-  private final double timeout;
-  private final List<Runnable> whenWhole = new ArrayList<>(0);
-  private Attempt stream;
-  private final List<Attempt> attempts = new ArrayList<>(2);
-  private final List<Future<?>> timers = new ArrayList<>(2);
-  private int open;
-  private Result last;
-  private boolean mayHaveRun;
-  private boolean answered;
-
-  Exchange(
-      long id,
-      String name,
-      String type,
-      Dispatcher dispatcher,
-      ClientConnection client,
-      HttpRequest head,
-      Body body,
-      double deadlineAt,
-      double timeout,
-      Upload upload) {
-    this.id = id;
-    this.name = name;
-    this.type = type;
-    this.dispatcher = dispatcher;
-    this.client = client;
-    this.head = head;
-    this.body = body;
-    this.deadlineAt = deadlineAt;
-    this.timeout = timeout;
-    this.upload = upload;
-    dispatcher.figures().pending(1);
-    Headers.dropHopByHop(head.headers());
-    if (body != null) {
-      head.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.size());
-    }
-    head.headers().remove(HttpHeaderNames.EXPECT);
-    if (upload == null) {
-      later(deadlineAt - dispatcher.now(), this::timeUp);
+    /** A client that takes nothing of its answer for so long (ns) has gone. */
+    static final long CLIENT_STALL = 30_000_000_000L;
+
+    final long id;
+    final String name;
+    private final String type;
+    private final Dispatcher dispatcher;
+    private final ClientConnection client;
+    private final HttpRequest head;
+    private final Body body;
+    private double deadlineAt;
+    private final Upload upload;
+    private final double timeout;
+    private final List<Runnable> whenWhole = new ArrayList<>(0);
+    private Attempt stream;
+    private final List<Attempt> attempts = new ArrayList<>(2);
+    private final List<Future<?>> timers = new ArrayList<>(2);
+    private int open;
+    private Result last;
+    private boolean mayHaveRun;
+    private boolean answered;
+
+    Exchange(
+            long id,
+            String name,
+            String type,
+            Dispatcher dispatcher,
+            ClientConnection client,
+            HttpRequest head,
+            Body body,
+            double deadlineAt,
+            double timeout,
+            Upload upload) {
+        this.id = id;
+        this.name = name;
+        this.type = type;
+        this.dispatcher = dispatcher;
+        this.client = client;
+        this.head = head;
+        this.body = body;
+        this.deadlineAt = deadlineAt;
+        this.timeout = timeout;
+        this.upload = upload;
+        dispatcher.figures().pending(1);
+        Headers.dropHopByHop(head.headers());
+        if (body != null) {
+            head.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.size());
+        }
+        head.headers().remove(HttpHeaderNames.EXPECT);
+        if (upload == null) {
+            later(deadlineAt - dispatcher.now(), this::timeUp);
+        }
     }
-  }
-
-  /**
-   * Runs something later unless the request and its attempts are all over by then. The time of a
-   * request that still comes runs from its last byte.
-   */
-  void later(double delay, Runnable what) {
-    if (uploads()) {
-      whenWhole.add(() -> later(delay, what));
-    } else {
-      timers.add(dispatcher.later(delay, what));
+
+    /**
+     * Runs something later unless the request and its attempts are all over by then. The time of a
+     * request that still comes runs from its last byte.
+     */
+    void later(double delay, Runnable what) {
+        if (uploads()) {
+            whenWhole.add(() -> later(delay, what));
+        } else {
+            timers.add(dispatcher.later(delay, what));
+        }
     }
-  }
-
-  // --- a body that is passed on as it comes
-
-  /** Whether its last byte has not come yet. */
-  boolean uploads() {
-    return upload != null && !upload.whole();
-  }
-
-  /** Whether its body is passed on as it comes, or was. */
-  boolean passesOn() {
-    return upload != null;
-  }
-
-  /** Its last byte has come, and may have waited for so long (ms) in its socket. */
-  void uploaded(double waited) {
-    upload.last();
-    double left = Math.max(0, timeout - waited);
-    deadlineAt = dispatcher.now() + left;
-    dispatcher.whole(this, left);
-    if (!answered) {
-      later(left, this::timeUp);
-      whenWhole.forEach(Runnable::run);
+
+    // --- a body that is passed on as it comes
+
+    /** Whether its last byte has not come yet. */
+    boolean uploads() {
+        return upload != null && !upload.whole();
     }
-    whenWhole.clear();
-  }
-
-  /** The host hangs under a body that still comes: it can't have run, and the attempt is over. */
-  void hostTakesNothing() {
-    for (int i = 0; i < attempts.size(); i++) {
-      if (attempts.get(i).open()) {
-        attempts.get(i).notSent();
-      }
+
+    /** Whether its body is passed on as it comes, or was. */
+    boolean passesOn() {
+        return upload != null;
     }
-  }
 
-  void hostTakesMore() {
-    if (uploads()) {
-      client.readOn();
+    /** Its last byte has come, and may have waited for so long (ms) in its socket. */
+    void uploaded(double waited) {
+        upload.last();
+        double left = Math.max(0, timeout - waited);
+        deadlineAt = dispatcher.now() + left;
+        dispatcher.whole(this, left);
+        if (!answered) {
+            later(left, this::timeUp);
+            whenWhole.forEach(Runnable::run);
+        }
+        whenWhole.clear();
     }
-  }
-
-  boolean answered() {
-    return answered;
-  }
-
-  // --- attempts
-
-  /** Whether an attempt may be written now that must not be so past {@code notAfter} (ms). */
-  boolean mayBegin(double notAfter) {
-    double now = dispatcher.now();
-    return !answered && now < notAfter && now < deadlineAt;
-  }
-
-  void send(Host host, double giveUpAfter, double notAfter) {
-    Attempt a = new Attempt(this, dispatcher, host, attempts.size(), dispatcher.now());
-    attempts.add(a);
-    open++;
-    if (answered
-        || !host.sendable
-        || (upload != null && upload.bound())
-        || attempts.size() > dispatcher.maxAttempts()
-        || giveUpAfter < 0
-        || dispatcher.now() >= deadlineAt) {
-      a.moot();
-    } else {
-      a.start(giveUpAfter, notAfter);
+
+    /** The host hangs under a body that still comes: it can't have run, and the attempt is over. */
+    void hostTakesNothing() {
+        for (int i = 0; i < attempts.size(); i++) {
+            if (attempts.get(i).open()) {
+                attempts.get(i).notSent();
+            }
+        }
     }
-  }
-
-  void cancel(int number) {
-    attempts.get(number).cancel();
-  }
-
-  ChannelFuture writeTo(Channel channel) {
-    HttpHeaders h = head.headers();
-    double left = upload == null || upload.whole() ? deadlineAt - dispatcher.now() : timeout;
-    h.set(Headers.TIMEOUT_MS, Math.max(1, (long) left));
-    if (upload != null) {
-      ChannelFuture last = upload.begin(channel, head, h);
-      hostTakesMore();
-      return last;
+
+    void hostTakesMore() {
+        if (uploads()) {
+            client.readOn();
+        }
     }
-    List<ByteBuf> blocks = body == null ? List.of() : body.retained();
-    if (blocks.size() <= 1) {
-      ByteBuf bytes = blocks.isEmpty() ? Unpooled.EMPTY_BUFFER : blocks.get(0);
-      return channel.writeAndFlush(
-          new DefaultFullHttpRequest(
-              HttpVersion.HTTP_1_1, head.method(), head.uri(), bytes, h, Headers.NONE));
+
+    boolean answered() {
+        return answered;
     }
-    channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), h));
-    for (ByteBuf b : blocks) {
-      channel.write(new DefaultHttpContent(b));
+
+    // --- attempts
+
+    /** Whether an attempt may be written now that must not be so past {@code notAfter} (ms). */
+    boolean mayBegin(double notAfter) {
+        double now = dispatcher.now();
+        return !answered && now < notAfter && now < deadlineAt;
     }
-    return channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
-  }
-
-  void attemptEnded(Attempt a, Result result, double spent, LoadReport report) {
-    open--;
-    last = result;
-    dispatcher.attemptEnded(a.host, result, spent);
-    if (upload != null && stream != a) {
-      upload.detached(a.connection());
-      mayHaveRun |= !result.neverRan();
-      if (upload.spent() && open == 0 && !answered) {
-        // Nothing is left to send: what never ran is refused, what may have run has failed.
-        if (mayHaveRun) {
-          fail();
+
+    void send(Host host, double giveUpAfter, double notAfter) {
+        Attempt a = new Attempt(this, dispatcher, host, attempts.size(), dispatcher.now());
+        attempts.add(a);
+        open++;
+        if (answered
+                || !host.sendable
+                || (upload != null && upload.bound())
+                || attempts.size() > dispatcher.maxAttempts()
+                || giveUpAfter < 0
+                || dispatcher.now() >= deadlineAt) {
+            a.moot();
         } else {
-          refuse(0);
+            a.start(giveUpAfter, notAfter);
+        }
+    }
+
+    void cancel(int number) {
+        attempts.get(number).cancel();
+    }
+
+    ChannelFuture writeTo(Channel channel) {
+        HttpHeaders h = head.headers();
+        double left = upload == null || upload.whole() ? deadlineAt - dispatcher.now() : timeout;
+        h.set(Headers.TIMEOUT_MS, Math.max(1, (long) left));
+        if (upload != null) {
+            ChannelFuture last = upload.begin(channel, head, h);
+            hostTakesMore();
+            return last;
+        }
+        List<ByteBuf> blocks = body == null ? List.of() : body.retained();
+        if (blocks.size() <= 1) {
+            ByteBuf bytes = blocks.isEmpty() ? Unpooled.EMPTY_BUFFER : blocks.get(0);
+            return channel.writeAndFlush(new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1, head.method(), head.uri(), bytes, h, Headers.NONE));
+        }
+        channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), h));
+        for (ByteBuf b : blocks) {
+            channel.write(new DefaultHttpContent(b));
+        }
+        return channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
+    }
+
+    void attemptEnded(Attempt a, Result result, double spent, LoadReport report) {
+        open--;
+        last = result;
+        dispatcher.attemptEnded(a.host, result, spent);
+        if (upload != null && stream != a) {
+            upload.detached(a.connection());
+            mayHaveRun |= !result.neverRan();
+            if (upload.spent() && open == 0 && !answered) {
+                // Nothing is left to send: what never ran is refused, what may have run has failed.
+                if (mayHaveRun) {
+                    fail();
+                } else {
+                    refuse(0);
+                }
+            }
         }
-      }
+        dispatcher.outcome(this, a.number(), result, spent, answered, report);
+        forgetIfDone();
     }
-    dispatcher.outcome(this, a.number(), result, spent, answered, report);
-    forgetIfDone();
-  }
 
-  // --- the one final answer
+    // --- the one final answer
 
-  void refuse(double coolDown) {
-    if (answer(Figures.End.REJECTED)) {
-      client.answer(503, coolDown);
-      forgetIfDone();
+    void refuse(double coolDown) {
+        if (answer(Figures.End.REJECTED)) {
+            client.answer(503, coolDown);
+            forgetIfDone();
+        }
     }
-  }
 
-  void fail() {
-    if (answer(Figures.End.FAILED)) {
-      client.answer(dispatcher.now() >= deadlineAt ? 504 : 502, 0);
-      forgetIfDone();
+    void fail() {
+        if (answer(Figures.End.FAILED)) {
+            client.answer(dispatcher.now() >= deadlineAt ? 504 : 502, 0);
+            forgetIfDone();
+        }
     }
-  }
 
-  /** Fails what the module has not ended, and tells it that there is nothing left to end. */
-  void failUnasked() {
-    if (!answered) {
-      fail();
-      dispatcher.clientGone(this);
+    /** Fails what the module has not ended, and tells it that there is nothing left to end. */
+    void failUnasked() {
+        if (!answered) {
+            fail();
+            dispatcher.clientGone(this);
+        }
     }
-  }
 
-  void served(HttpResponse reply, Body whole) {
-    if (answer(Figures.End.COMPLETED)) {
-      client.answer(reply, whole);
-    } else if (whole != null) {
-      whole.free();
+    void served(HttpResponse reply, Body whole) {
+        if (answer(Figures.End.COMPLETED)) {
+            client.answer(reply, whole);
+        } else if (whole != null) {
+            whole.free();
+        }
     }
-  }
 
-  /** An answer begins that is passed on as it comes; false if there is another one. */
-  boolean beginStream(Attempt a, HttpResponse reply, long length) {
-    if (answered) {
-      return false;
+    /** An answer begins that is passed on as it comes; false if there is another one. */
+    boolean beginStream(Attempt a, HttpResponse reply, long length) {
+        if (answered) {
+            return false;
+        }
+        answered = true;
+        stream = a;
+        client.beginAnswer(reply, length);
+        return true;
     }
-    answered = true;
-    stream = a;
-    client.beginAnswer(reply, length);
-    return true;
-  }
-
-  /** Passes part of it on; false if the client takes no more for now. */
-  boolean pass(ByteBuf bytes) {
-    return client.pass(bytes);
-  }
-
-  void clientTakesMore() {
-    if (stream != null) {
-      stream.resumeStream();
+
+    /** Passes part of it on; false if the client takes no more for now. */
+    boolean pass(ByteBuf bytes) {
+        return client.pass(bytes);
     }
-  }
-
-  /** The stream has come to its end, or has broken, which the client is to notice. */
-  void streamEnded(boolean whole) {
-    stream = null;
-    dispatcher.figures().pending(-1);
-    dispatcher.figures().ended(type, whole ? Figures.End.COMPLETED : Figures.End.FAILED);
-    if (whole) {
-      client.endAnswer();
-    } else {
-      client.cutAnswer();
+
+    void clientTakesMore() {
+        if (stream != null) {
+            stream.resumeStream();
+        }
     }
-    forgetIfDone();
-  }
 
-  private boolean answer(Figures.End how) {
-    if (answered) {
-      return false;
+    /** The stream has come to its end, or has broken, which the client is to notice. */
+    void streamEnded(boolean whole) {
+        stream = null;
+        dispatcher.figures().pending(-1);
+        dispatcher.figures().ended(type, whole ? Figures.End.COMPLETED : Figures.End.FAILED);
+        if (whole) {
+            client.endAnswer();
+        } else {
+            client.cutAnswer();
+        }
+        forgetIfDone();
     }
-    over();
-    dispatcher.figures().ended(type, how);
-    dispatcher.traceEnd(how, last);
-    return true;
-  }
-
-  private void over() {
-    answered = true;
-    dispatcher.figures().pending(-1);
-  }
-
-  // --- ends
-
-  /** The client has gone before its answer. */
-  void clientGone() {
-    if (stream != null) {
-      Attempt a = stream;
-      stream = null;
-      dispatcher.figures().pending(-1);
-      a.abandonStream();
-      forgetIfDone();
-      return;
+
+    private boolean answer(Figures.End how) {
+        if (answered) {
+            return false;
+        }
+        over();
+        dispatcher.figures().ended(type, how);
+        dispatcher.traceEnd(how, last);
+        return true;
     }
-    if (answered) {
-      return;
+
+    private void over() {
+        answered = true;
+        dispatcher.figures().pending(-1);
     }
-    over();
-    dispatcher.clientGone(this);
-    // Whether or not attempts may be called off, none begins for a client that has gone: its connection may
-    // come up later. And what was to follow of an upload never comes: no host waits for it.
-    for (int i = 0; i < attempts.size(); i++) {
-      Attempt a = attempts.get(i);
-      if (uploads() || !a.mayHaveRun()) {
-        a.cancel();
-      }
+
+    // --- ends
+
+    /** The client has gone before its answer. */
+    void clientGone() {
+        if (stream != null) {
+            Attempt a = stream;
+            stream = null;
+            dispatcher.figures().pending(-1);
+            a.abandonStream();
+            forgetIfDone();
+            return;
+        }
+        if (answered) {
+            return;
+        }
+        over();
+        dispatcher.clientGone(this);
+        // Whether or not attempts may be called off, none begins for a client that has gone: its connection may
+        // come up later. And what was to follow of an upload never comes: no host waits for it.
+        for (int i = 0; i < attempts.size(); i++) {
+            Attempt a = attempts.get(i);
+            if (uploads() || !a.mayHaveRun()) {
+                a.cancel();
+            }
+        }
+        forgetIfDone();
     }
-    forgetIfDone();
-  }
-
-  /** The client has gone before anything was begun. */
-  void dropUnsent() {
-    over();
-    forgetIfDone();
-  }
-
-  /**
-   * Ends it after a gap of this process's own, in ms, if its time has passed; tells whether it had. A host
-   * whose answer may lie in our socket is not to blame.
-   */
-  boolean endIfOverdue(double now, double gap) {
-    if (answered || now < deadlineAt) {
-      return false;
+
+    /** The client has gone before anything was begun. */
+    void dropUnsent() {
+        over();
+        forgetIfDone();
     }
-    timeUp(now - gap < deadlineAt);
-    return true;
-  }
-
-  private void timeUp() {
-    timeUp(false);
-  }
-
-  private void timeUp(boolean byOurGap) {
-    for (int i = 0; i < attempts.size(); i++) {
-      if (attempts.get(i).open()) {
-        if (byOurGap) {
-          attempts.get(i).cancel();
-        } else {
-          attempts.get(i).timeUp();
+
+    /**
+     * Ends it after a gap of this process's own, in ms, if its time has passed; tells whether it had. A host
+     * whose answer may lie in our socket is not to blame.
+     */
+    boolean endIfOverdue(double now, double gap) {
+        if (answered || now < deadlineAt) {
+            return false;
         }
-      }
+        timeUp(now - gap < deadlineAt);
+        return true;
+    }
+
+    private void timeUp() {
+        timeUp(false);
     }
-    failUnasked(); // if the module holds it still, the client's time is up all the same
-  }
 
-  private void freeBody() {
-    if (body != null) {
-      body.free();
+    private void timeUp(boolean byOurGap) {
+        for (int i = 0; i < attempts.size(); i++) {
+            if (attempts.get(i).open()) {
+                if (byOurGap) {
+                    attempts.get(i).cancel();
+                } else {
+                    attempts.get(i).timeUp();
+                }
+            }
+        }
+        failUnasked(); // if the module holds it still, the client's time is up all the same
     }
-    if (upload != null) {
-      upload.free();
+
+    private void freeBody() {
+        if (body != null) {
+            body.free();
+        }
+        if (upload != null) {
+            upload.free();
+        }
     }
-  }
-
-  private void forgetIfDone() {
-    if (answered && open == 0 && stream == null) {
-      for (int i = 0; i < timers.size(); i++) {
-        timers.get(i).cancel(false);
-      }
-      timers.clear();
-      freeBody();
-      dispatcher.forget(this);
+
+    private void forgetIfDone() {
+        if (answered && open == 0 && stream == null) {
+            for (int i = 0; i < timers.size(); i++) {
+                timers.get(i).cancel(false);
+            }
+            timers.clear();
+            freeBody();
+            dispatcher.forget(this);
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/proxy/Heeding.java
+++ b/src/main/java/rillyard/proxy/Heeding.java
@@ -5,30 +5,30 @@
 
 /** What neighbours found out goes to the module, of hosts that this proxy's own list names. */
 record Heeding(Dispatcher dispatcher) implements Neighbours.Heed {
-  @Override
-  public void leave(String host, double wait) {
-    word(host, true, wait);
-  }
+    @Override
+    public void leave(String host, double wait) {
+        word(host, true, wait);
+    }
 
-  @Override
-  public void comeBack(String host, double wait) {
-    word(host, false, wait);
-  }
+    @Override
+    public void comeBack(String host, double wait) {
+        word(host, false, wait);
+    }
 
-  private void word(String host, boolean left, double wait) {
-    Host h = dispatcher.hosts().listed(host);
-    if (h != null) {
-      dispatcher.tell((Balancer b) -> b.onFleetWord(dispatcher.now(), h.id, left, wait));
+    private void word(String host, boolean left, double wait) {
+        Host h = dispatcher.hosts().listed(host);
+        if (h != null) {
+            dispatcher.tell((Balancer b) -> b.onFleetWord(dispatcher.now(), h.id, left, wait));
+        }
     }
-  }
 
-  @Override
-  public void place(Place p) {
-    dispatcher.tell(b -> b.onPlace(p));
-  }
+    @Override
+    public void place(Place p) {
+        dispatcher.tell(b -> b.onPlace(p));
+    }
 
-  @Override
-  public void log(String line) {
-    dispatcher.log().line(line);
-  }
+    @Override
+    public void log(String line) {
+        dispatcher.log().line(line);
+    }
 }
--- a/src/main/java/rillyard/proxy/Host.java
+++ b/src/main/java/rillyard/proxy/Host.java
@@ -8,21 +8,21 @@
 
 /** A host as the sockets see it: where it listens, whether it may get work, its connections. */
 final class Host {
-  final String name;
-  final long id;
-  InetSocketAddress address;
-  boolean sendable;
-  boolean listed;
+    final String name;
+    final long id;
+    InetSocketAddress address;
+    boolean sendable;
+    boolean listed;
 
-  /** What discovery last said of it, whatever operators did. */
-  HostEntry told;
+    /** What discovery last said of it, whatever operators did. */
+    HostEntry told;
 
-  final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>(2);
-  final Set<UpstreamCall> connecting = new LinkedHashSet<>(2);
-  int calls;
+    final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>(2);
+    final Set<UpstreamCall> connecting = new LinkedHashSet<>(2);
+    int calls;
 
-  Host(String name, long id) {
-    this.name = name;
-    this.id = id;
-  }
+    Host(String name, long id) {
+        this.name = name;
+        this.id = id;
+    }
 }
--- a/src/main/java/rillyard/proxy/Log.java
+++ b/src/main/java/rillyard/proxy/Log.java
@@ -6,64 +6,64 @@
 
 /** Lines for the people on call, on standard error; at most so many a second, the rest is counted. */
 final class Log {
-  private static final int MAX_PER_SECOND = 50;
+    private static final int MAX_PER_SECOND = 50;
 
-  private final PrintStream out;
-  private final Trace trace;
-  private long second;
-  private int written;
-  private long dropped;
+    private final PrintStream out;
+    private final Trace trace;
+    private long second;
+    private int written;
+    private long dropped;
 
-  Log(PrintStream out) {
-    this(out, null);
-  }
-
-  /** {@code trace} is null where none was asked for. */
-  Log(PrintStream out, Trace trace) {
-    this.out = out;
-    this.trace = trace;
-  }
+    Log(PrintStream out) {
+        this(out, null);
+    }
 
-  /** Where every thing done to hosts and discovery is written down, or null. */
-  Trace trace() {
-    return trace;
-  }
+    /** {@code trace} is null where none was asked for. */
+    Log(PrintStream out, Trace trace) {
+        this.out = out;
+        this.trace = trace;
+    }
 
-  void line(String text) {
-    line(() -> text);
-  }
+    /** Where every thing done to hosts and discovery is written down, or null. */
+    Trace trace() {
+        return trace;
+    }
 
-  /** A line that is made only if it is written. */
-  void line(Supplier<String> text) {
-    if (admits()) {
-      out.println("rillyard: " + text.get().replace('\n', ' ').replace('\r', ' '));
+    void line(String text) {
+        line(() -> text);
     }
-  }
 
-  /** A failure of our own code, with its stack. */
-  void failure(String what, Throwable t) {
-    if (admits()) {
-      out.println("rillyard: " + what);
-      t.printStackTrace(out);
+    /** A line that is made only if it is written. */
+    void line(Supplier<String> text) {
+        if (admits()) {
+            out.println("rillyard: " + text.get().replace('\n', ' ').replace('\r', ' '));
+        }
     }
-  }
 
-  // Guards against a log that outgrows the machine when every request has something to say.
-  private boolean admits() {
-    long now = System.nanoTime() / 1_000_000_000L;
-    if (now != second) {
-      if (dropped > 0) {
-        out.println("rillyard: " + dropped + " lines left out");
-      }
-      second = now;
-      written = 0;
-      dropped = 0;
+    /** A failure of our own code, with its stack. */
+    void failure(String what, Throwable t) {
+        if (admits()) {
+            out.println("rillyard: " + what);
+            t.printStackTrace(out);
+        }
     }
-    if (written >= MAX_PER_SECOND) {
-      dropped++;
-      return false;
+
+    // Guards against a log that outgrows the machine when every request has something to say.
+    private boolean admits() {
+        long now = System.nanoTime() / 1_000_000_000L;
+        if (now != second) {
+            if (dropped > 0) {
+                out.println("rillyard: " + dropped + " lines left out");
+            }
+            second = now;
+            written = 0;
+            dropped = 0;
+        }
+        if (written >= MAX_PER_SECOND) {
+            dropped++;
+            return false;
+        }
+        written++;
+        return true;
     }
-    written++;
-    return true;
-  }
 }
--- a/src/main/java/rillyard/proxy/Neighbours.java
+++ b/src/main/java/rillyard/proxy/Neighbours.java
@@ -6,24 +6,24 @@
 
 /** Whoever carries news of hosts between proxies, where somebody does. All calls are on the proxy's loop. */
 public interface Neighbours {
-  /** What the others found out; hosts that are not listed are passed over. */
-  interface Heed {
-    /** Nothing goes to the host for so long (ms), then a trial. */
-    void leave(String host, double wait);
+    /** What the others found out; hosts that are not listed are passed over. */
+    interface Heed {
+        /** Nothing goes to the host for so long (ms), then a trial. */
+        void leave(String host, double wait);
 
-    /** The host may be tried in so long (ms). */
-    void comeBack(String host, double wait);
+        /** The host may be tried in so long (ms). */
+        void comeBack(String host, double wait);
 
-    /** Where this proxy's pool lies from now on. */
-    void place(Place p);
+        /** Where this proxy's pool lies from now on. */
+        void place(Place p);
 
-    /** Tells the people on call. */
-    void log(String line);
-  }
+        /** Tells the people on call. */
+        void log(String line);
+    }
 
-  /** An attempt at a host has ended at a time (ms) of the proxy's clock. */
-  void ended(String host, Result result, double now);
+    /** An attempt at a host has ended at a time (ms) of the proxy's clock. */
+    void ended(String host, Result result, double now);
 
-  /** Some time has passed; {@code hosts} are listed. */
-  void step(double now, Set<String> hosts, Heed heed);
+    /** Some time has passed; {@code hosts} are listed. */
+    void step(double now, Set<String> hosts, Heed heed);
 }
--- a/src/main/java/rillyard/proxy/Proxy.java
+++ b/src/main/java/rillyard/proxy/Proxy.java
@@ -20,327 +20,325 @@
 
 /** One client proxy: all of it on one event loop thread, from its start to its drain. */
 public final class Proxy {
-  /** What the JVM takes of the memory limit besides bodies. */
-  private static final long BASE_MB = 76;
-
-  private static final long LEAST_BODIES_MB = 8;
-  /** Bodies that are held are small; two processes may share the limit while one follows the other. */
-  private static final long MOST_BODIES_MB = 48;
-  private static final long SWEEP_MS = 250;
-
-  /** After SIGTERM new connections come for 0.4 s at most; they are accepted for longer (ms). */
-  private static final long ACCEPT_MS = 800;
-
-  /** How long (ms) clients' idle connections stay open for a request that tells them to move. */
-  private static final long MOVE_MS = 400;
-
-  /** SIGKILL comes no sooner than the longest deadline and 0.7 s; the process needs some of that to end (ms). */
-  private static final long LAST_MS = 550;
-
-  /** The longest deadline (ms) for which SIGKILL waits. */
-  private static final double LONGEST_MS = 3_000;
-
-  /** The longest warm-up (ms): a slow core gets a half-warm proxy in time. */
-  private static final long WARM_UP_MS = 2_000;
-
-  /** So long (ms) before the end of its time a drain fails what it still holds, so that the answers get out. */
-  private static final long TELL_MS = 100;
-
-  private static final long POLL_MS = 10;
-
-  private final Config config;
-  private final MultiThreadIoEventLoopGroup group;
-  private final EventLoop loop;
-  private final Front front;
-  private final Dispatcher dispatcher;
-  private final Discovery discovery;
-  private final CountDownLatch ended = new CountDownLatch(1);
-  private final Log log;
-  private volatile Operator operator;
-  private InetSocketAddress operatorAddress;
-  private long drainUntil;
-  private long acceptUntil;
-
-  Proxy(Config config, Log log) {
-    this(config, log, null, null);
-  }
-
-  /** {@code guard} is null where whole lists are always believed, {@code neighbours} where nobody brings news. */
-  Proxy(Config config, Log log, ListGuard guard, Neighbours neighbours) {
-    this.config = config;
-    this.log = log;
-    Gaps gaps = new Gaps(System.nanoTime());
-    this.group = newGroup(TimedLooks.factory(gaps, this::late));
-    this.loop = (EventLoop) group.next();
-    Sockets sockets = new Sockets(config.sockets());
-    long bodies =
-        Math.max(LEAST_BODIES_MB, Math.min(MOST_BODIES_MB, config.memoryMb() - BASE_MB));
-    BodyBudget budget = new BodyBudget(bodies << 20);
-    Upstreams upstreams = new Upstreams(group, config, sockets, log);
-    this.dispatcher = new Dispatcher(loop, config, upstreams, budget, log, guard, gaps, neighbours);
-    this.front = new Front(dispatcher, config, sockets, budget, log);
-    this.discovery = new Discovery(group, config, dispatcher, log);
-  }
-
-  /** One event loop on a thread of its own. */
-  static MultiThreadIoEventLoopGroup newGroup(IoHandlerFactory sockets) {
-    return new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop", true), sockets);
-  }
-
-  /** The loop or the process stood still: who has waited past their time is told first, then lists are read. */
-  private void late(long nanos) {
-    try {
-      dispatcher.endOverdue(nanos);
-      discovery.readFirst();
-    } catch (RuntimeException e) {
-      log.failure("what was overdue could not be ended", e); // the timers will
+    /** What the JVM takes of the memory limit besides bodies. */
+    private static final long BASE_MB = 76;
+
+    private static final long LEAST_BODIES_MB = 8;
+    /** Bodies that are held are small; two processes may share the limit while one follows the other. */
+    private static final long MOST_BODIES_MB = 48;
+
+    private static final long SWEEP_MS = 250;
+
+    /** After SIGTERM new connections come for 0.4 s at most; they are accepted for longer (ms). */
+    private static final long ACCEPT_MS = 800;
+
+    /** How long (ms) clients' idle connections stay open for a request that tells them to move. */
+    private static final long MOVE_MS = 400;
+
+    /** SIGKILL comes no sooner than the longest deadline and 0.7 s; the process needs some of that to end (ms). */
+    private static final long LAST_MS = 550;
+
+    /** The longest deadline (ms) for which SIGKILL waits. */
+    private static final double LONGEST_MS = 3_000;
+
+    /** The longest warm-up (ms): a slow core gets a half-warm proxy in time. */
+    private static final long WARM_UP_MS = 2_000;
+
+    /** So long (ms) before the end of its time a drain fails what it still holds, so that the answers get out. */
+    private static final long TELL_MS = 100;
+
+    private static final long POLL_MS = 10;
+
+    private final Config config;
+    private final MultiThreadIoEventLoopGroup group;
+    private final EventLoop loop;
+    private final Front front;
+    private final Dispatcher dispatcher;
+    private final Discovery discovery;
+    private final CountDownLatch ended = new CountDownLatch(1);
+    private final Log log;
+    private volatile Operator operator;
+    private InetSocketAddress operatorAddress;
+    private long drainUntil;
+    private long acceptUntil;
+
+    Proxy(Config config, Log log) {
+        this(config, log, null, null);
+    }
+
+    /** {@code guard} is null where whole lists are always believed, {@code neighbours} where nobody brings news. */
+    Proxy(Config config, Log log, ListGuard guard, Neighbours neighbours) {
+        this.config = config;
+        this.log = log;
+        Gaps gaps = new Gaps(System.nanoTime());
+        this.group = newGroup(TimedLooks.factory(gaps, this::late));
+        this.loop = (EventLoop) group.next();
+        Sockets sockets = new Sockets(config.sockets());
+        long bodies = Math.max(LEAST_BODIES_MB, Math.min(MOST_BODIES_MB, config.memoryMb() - BASE_MB));
+        BodyBudget budget = new BodyBudget(bodies << 20);
+        Upstreams upstreams = new Upstreams(group, config, sockets, log);
+        this.dispatcher = new Dispatcher(loop, config, upstreams, budget, log, guard, gaps, neighbours);
+        this.front = new Front(dispatcher, config, sockets, budget, log);
+        this.discovery = new Discovery(group, config, dispatcher, log);
     }
-  }
-
-  /**
-   * Runs a client proxy as the environment describes it, until SIGTERM has been carried out.
-   *
-   * @throws ConfigException if there is no configuration to run with
-   */
-  public static void run(Map<String, String> env) throws ConfigException {
-    run(env, null);
-  }
-
-  /**
-   * The same with news from other proxies.
-   *
-   * @param neighbours brings it; null where nobody does
-   * @throws ConfigException if there is no configuration to run with
-   */
-  public static void run(Map<String, String> env, Neighbours neighbours) throws ConfigException {
-    begin(env, WARM_UP_MS, neighbours).awaitEnd();
-  }
-
-  /**
-   * Starts one and returns once it is as ready as it gets within {@code warmUp} ms.
-   *
-   * @throws ConfigException if there is no configuration to run with
-   */
-  static Proxy begin(Map<String, String> env, long warmUp, Neighbours neighbours) throws ConfigException {
-    StartMarks.at("main");
-    // Netty would look for two other libraries first, in a jar that holds neither.
-    InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-    Config config = Config.load(env);
-    StartMarks.at("settings");
-    Trace trace = Boolean.getBoolean(Trace.PROPERTY) ? new Trace(System.err) : null;
-    Proxy p = new Proxy(config, new Log(System.err, trace), ListOptions.guard(System.getProperties()), neighbours);
-    // Before anything is taken: guards against a signal that finds it listening and without a drain.
-    // An exit by SIGTERM is status 143 to the JVM, and a drain that is done is a success.
-    Runtime.getRuntime()
-        .addShutdownHook(
-            new Thread(
-                () -> {
-                  p.drain();
-                  p.awaitEnd();
-                  Runtime.getRuntime().halt(0);
-                },
-                "drain"));
-    StartMarks.at("loop");
-    p.front.warming(true);
-    p.operate(env);
-    p.watch();
-    // Guards against requests that meet cold code while a process that is warm takes them all. One
-    // that has nobody before it listens at once: a slow answer is better than none.
-    boolean follows = p.hasPredecessor();
-    if (!follows) {
-      p.listen();
+
+    /** One event loop on a thread of its own. */
+    static MultiThreadIoEventLoopGroup newGroup(IoHandlerFactory sockets) {
+        return new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop", true), sockets);
     }
-    StartMarks.at("listening");
-    Reload.onHangUp(env, p, p.log);
-    StartMarks.at("warm-up");
-    try {
-      new WarmUp(config).run(warmUp);
-    } catch (Exception e) {
-      p.log.failure("the warm-up failed", e); // a cold proxy serves too
+
+    /** The loop or the process stood still: who has waited past their time is told first, then lists are read. */
+    private void late(long nanos) {
+        try {
+            dispatcher.endOverdue(nanos);
+            discovery.readFirst();
+        } catch (RuntimeException e) {
+            log.failure("what was overdue could not be ended", e); // the timers will
+        }
     }
-    if (follows) {
-      p.listen();
+
+    /**
+     * Runs a client proxy as the environment describes it, until SIGTERM has been carried out.
+     *
+     * @throws ConfigException if there is no configuration to run with
+     */
+    public static void run(Map<String, String> env) throws ConfigException {
+        run(env, null);
     }
-    p.ready();
-    StartMarks.at("ready");
-    return p;
-  }
-
-  /** Listens and starts the watch. */
-  void start() throws ConfigException {
-    watch();
-    listen();
-  }
-
-  private void watch() throws ConfigException {
-    try {
-      loop.submit(() -> discovery.start(config.known())).sync();
-    } catch (Exception e) {
-      group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
-      throw new ConfigException("can't start: " + e);
+
+    /**
+     * The same with news from other proxies.
+     *
+     * @param neighbours brings it; null where nobody does
+     * @throws ConfigException if there is no configuration to run with
+     */
+    public static void run(Map<String, String> env, Neighbours neighbours) throws ConfigException {
+        begin(env, WARM_UP_MS, neighbours).awaitEnd();
     }
-    loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
-  }
-
-  private void listen() throws ConfigException {
-    try {
-      front.listen(group, config);
-    } catch (Exception e) {
-      group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
-      if (e instanceof BindException || e instanceof SocketException) {
-        throw new ConfigException("can't listen on " + config.listen() + ": " + e.getMessage());
-      }
-      throw new ConfigException("can't listen: " + e);
+
+    /**
+     * Starts one and returns once it is as ready as it gets within {@code warmUp} ms.
+     *
+     * @throws ConfigException if there is no configuration to run with
+     */
+    static Proxy begin(Map<String, String> env, long warmUp, Neighbours neighbours) throws ConfigException {
+        StartMarks.at("main");
+        // Netty would look for two other libraries first, in a jar that holds neither.
+        InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
+        Config config = Config.load(env);
+        StartMarks.at("settings");
+        Trace trace = Boolean.getBoolean(Trace.PROPERTY) ? new Trace(System.err) : null;
+        Proxy p = new Proxy(config, new Log(System.err, trace), ListOptions.guard(System.getProperties()), neighbours);
+        // Before anything is taken: guards against a signal that finds it listening and without a drain.
+        // An exit by SIGTERM is status 143 to the JVM, and a drain that is done is a success.
+        Runtime.getRuntime()
+                .addShutdownHook(new Thread(
+                        () -> {
+                            p.drain();
+                            p.awaitEnd();
+                            Runtime.getRuntime().halt(0);
+                        },
+                        "drain"));
+        StartMarks.at("loop");
+        p.front.warming(true);
+        p.operate(env);
+        p.watch();
+        // Guards against requests that meet cold code while a process that is warm takes them all. One
+        // that has nobody before it listens at once: a slow answer is better than none.
+        boolean follows = p.hasPredecessor();
+        if (!follows) {
+            p.listen();
+        }
+        StartMarks.at("listening");
+        Reload.onHangUp(env, p, p.log);
+        StartMarks.at("warm-up");
+        try {
+            new WarmUp(config).run(warmUp);
+        } catch (Exception e) {
+            p.log.failure("the warm-up failed", e); // a cold proxy serves too
+        }
+        if (follows) {
+            p.listen();
+        }
+        p.ready();
+        StartMarks.at("ready");
+        return p;
     }
-  }
 
-  /** Opens the second address, where one is configured. */
-  void operate(Map<String, String> env) throws ConfigException {
-    if (config.operator() == null) {
-      return;
+    /** Listens and starts the watch. */
+    void start() throws ConfigException {
+        watch();
+        listen();
     }
-    try {
-      Operator o = new Operator(Operator.folder(env, config), loop, front, dispatcher, log);
-      operatorAddress = o.start(config.operator());
-      operator = o;
-    } catch (Exception e) {
-      throw new ConfigException("can't listen for operators on " + config.operator() + ": " + e);
+
+    private void watch() throws ConfigException {
+        try {
+            loop.submit(() -> discovery.start(config.known())).sync();
+        } catch (Exception e) {
+            group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
+            throw new ConfigException("can't start: " + e);
+        }
+        loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
-  }
-
-  private boolean hasPredecessor() {
-    return operator != null && operator.hasPredecessor();
-  }
-
-  /** It is as ready as it gets: says so, to whom it concerns. */
-  void ready() {
-    front.warming(false);
-    loop.execute(this::sweep);
-    try {
-      if (operator != null) {
-        operator.serving();
-      }
-    } catch (IOException e) {
-      log.failure("a process before this one can't be told", e);
+
+    private void listen() throws ConfigException {
+        try {
+            front.listen(group, config);
+        } catch (Exception e) {
+            group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
+            if (e instanceof BindException || e instanceof SocketException) {
+                throw new ConfigException("can't listen on " + config.listen() + ": " + e.getMessage());
+            }
+            throw new ConfigException("can't listen: " + e);
+        }
     }
-  }
-
-  /** The second address, null where there is none. */
-  InetSocketAddress operatorAddress() {
-    return operatorAddress;
-  }
-
-  InetSocketAddress address() {
-    return (InetSocketAddress) front.listener().localAddress();
-  }
-
-  /** Connections of clients that are open; to be asked on the loop. */
-  int clients() {
-    return front.open();
-  }
-
-  /** Requests that are not over, or whose attempts are not; to be asked on the loop. */
-  int requests() {
-    return dispatcher.open();
-  }
-
-  /** Connections to hosts that are open or come up; to be asked on the loop. */
-  int hostConnections() {
-    return front.sockets().upstreams();
-  }
-
-  Figures figures() {
-    return dispatcher.figures();
-  }
-
-  EventLoop loop() {
-    return loop;
-  }
-
-  private void sweep() {
-    try {
-      dispatcher.sweep();
-      front.sweep();
-      discovery.sweep();
-    } catch (RuntimeException e) {
-      // Guards against a periodic task that ends for ever with its first exception.
-      log.failure("upkeep failed", e);
+
+    /** Opens the second address, where one is configured. */
+    void operate(Map<String, String> env) throws ConfigException {
+        if (config.operator() == null) {
+            return;
+        }
+        try {
+            Operator o = new Operator(Operator.folder(env, config), loop, front, dispatcher, log);
+            operatorAddress = o.start(config.operator());
+            operator = o;
+        } catch (Exception e) {
+            throw new ConfigException("can't listen for operators on " + config.operator() + ": " + e);
+        }
     }
-  }
-
-  /** Takes over what of a new configuration may change while requests are under way. */
-  void reload(Config fresh) {
-    loop.execute(() -> discovery.moveTo(fresh.discovery()));
-  }
-
-  /** Begins the end: all that was taken is answered, then the process may go. */
-  void drain() {
-    loop.execute(
-        () -> {
-          double longest = 0;
-          for (var c : config.settings().classes()) {
-            longest = Math.max(longest, c.deadline());
-          }
-          long now = System.nanoTime();
-          boolean succeeded = operator != null && operator.hasSuccessor();
-          acceptUntil = now + (succeeded ? MOVE_MS : ACCEPT_MS) * 1_000_000;
-          drainUntil = now + (long) ((Math.min(longest, LONGEST_MS) + LAST_MS) * 1e6);
-          log.line(succeeded ? "draining: a successor serves" : "draining");
-          if (succeeded) {
-            front.closeListener();
-            front.moveOff();
-          } else {
-            front.drain();
-          }
-          pollDrain();
-        });
-  }
-
-  private void pollDrain() {
-    long now = System.nanoTime();
-    if (now >= acceptUntil) {
-      // Guards against a request that comes on a connection, new since the drain began and idle so
-      // far, in the moment in which the process ends: its client is told first that it is over.
-      front.drain();
+
+    private boolean hasPredecessor() {
+        return operator != null && operator.hasPredecessor();
+    }
+
+    /** It is as ready as it gets: says so, to whom it concerns. */
+    void ready() {
+        front.warming(false);
+        loop.execute(this::sweep);
+        try {
+            if (operator != null) {
+                operator.serving();
+            }
+        } catch (IOException e) {
+            log.failure("a process before this one can't be told", e);
+        }
+    }
+
+    /** The second address, null where there is none. */
+    InetSocketAddress operatorAddress() {
+        return operatorAddress;
+    }
+
+    InetSocketAddress address() {
+        return (InetSocketAddress) front.listener().localAddress();
+    }
+
+    /** Connections of clients that are open; to be asked on the loop. */
+    int clients() {
+        return front.open();
+    }
+
+    /** Requests that are not over, or whose attempts are not; to be asked on the loop. */
+    int requests() {
+        return dispatcher.open();
+    }
+
+    /** Connections to hosts that are open or come up; to be asked on the loop. */
+    int hostConnections() {
+        return front.sockets().upstreams();
+    }
+
+    Figures figures() {
+        return dispatcher.figures();
     }
-    if (now >= drainUntil - TELL_MS * 1_000_000) {
-      // Guards against requests that came late in the drain and end unanswered with the process.
-      dispatcher.failAll();
+
+    EventLoop loop() {
+        return loop;
     }
-    boolean done = now >= acceptUntil && !front.busy();
-    if (done) {
-      // Guards against the same of connections that came while this process stood still, and wait unaccepted.
-      front.closeListener();
-      front.drain();
-      done = !front.busy();
+
+    private void sweep() {
+        try {
+            dispatcher.sweep();
+            front.sweep();
+            discovery.sweep();
+        } catch (RuntimeException e) {
+            // Guards against a periodic task that ends for ever with its first exception.
+            log.failure("upkeep failed", e);
+        }
     }
-    if (done || now >= drainUntil) {
-      log.line(done ? "drained" : "drain cut short by its time");
-      front.closeListener();
-      ended.countDown();
-    } else {
-      loop.schedule(this::pollDrain, POLL_MS, TimeUnit.MILLISECONDS);
+
+    /** Takes over what of a new configuration may change while requests are under way. */
+    void reload(Config fresh) {
+        loop.execute(() -> discovery.moveTo(fresh.discovery()));
     }
-  }
 
-  void awaitEnd() {
-    try {
-      ended.await();
-    } catch (InterruptedException e) {
-      Thread.currentThread().interrupt();
+    /** Begins the end: all that was taken is answered, then the process may go. */
+    void drain() {
+        loop.execute(() -> {
+            double longest = 0;
+            for (var c : config.settings().classes()) {
+                longest = Math.max(longest, c.deadline());
+            }
+            long now = System.nanoTime();
+            boolean succeeded = operator != null && operator.hasSuccessor();
+            acceptUntil = now + (succeeded ? MOVE_MS : ACCEPT_MS) * 1_000_000;
+            drainUntil = now + (long) ((Math.min(longest, LONGEST_MS) + LAST_MS) * 1e6);
+            log.line(succeeded ? "draining: a successor serves" : "draining");
+            if (succeeded) {
+                front.closeListener();
+                front.moveOff();
+            } else {
+                front.drain();
+            }
+            pollDrain();
+        });
     }
-  }
-
-  /** Ends the loop at once. */
-  void stop() {
-    try {
-      if (operator != null) {
-        operator.close();
-      }
-    } catch (IOException e) {
-      log.failure("the second address did not close", e);
+
+    private void pollDrain() {
+        long now = System.nanoTime();
+        if (now >= acceptUntil) {
+            // Guards against a request that comes on a connection, new since the drain began and idle so
+            // far, in the moment in which the process ends: its client is told first that it is over.
+            front.drain();
+        }
+        if (now >= drainUntil - TELL_MS * 1_000_000) {
+            // Guards against requests that came late in the drain and end unanswered with the process.
+            dispatcher.failAll();
+        }
+        boolean done = now >= acceptUntil && !front.busy();
+        if (done) {
+            // Guards against the same of connections that came while this process stood still, and wait unaccepted.
+            front.closeListener();
+            front.drain();
+            done = !front.busy();
+        }
+        if (done || now >= drainUntil) {
+            log.line(done ? "drained" : "drain cut short by its time");
+            front.closeListener();
+            ended.countDown();
+        } else {
+            loop.schedule(this::pollDrain, POLL_MS, TimeUnit.MILLISECONDS);
+        }
+    }
+
+    void awaitEnd() {
+        try {
+            ended.await();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** Ends the loop at once. */
+    void stop() {
+        try {
+            if (operator != null) {
+                operator.close();
+            }
+        } catch (IOException e) {
+            log.failure("the second address did not close", e);
+        }
+        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
+        ended.countDown();
     }
-    group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
-    ended.countDown();
-  }
 }
--- a/src/main/java/rillyard/proxy/RecentIds.java
+++ b/src/main/java/rillyard/proxy/RecentIds.java
@@ -11,34 +11,33 @@
  * very many follow it. It does harm only to a client that uses an id twice, which none may.
  */
 final class RecentIds {
-  private static final long KEEP_NANOS = 2_000_000_000L;
-  private static final int MAX_CLOSED = 4_096;
-
-  private record Closed(String id, long at) {}
-
-  private final Set<String> ids = new HashSet<>();
-  private final ArrayDeque<Closed> closed = new ArrayDeque<>();
-
-  void opened(String id) {
-    ids.add(id);
-  }
-
-  void closed(String id, long now) {
-    closed.add(new Closed(id, now));
-    expire(now);
-  }
-
-  boolean known(String id, long now) {
-    expire(now);
-    return ids.contains(id);
-  }
-
-  private void expire(long now) {
-    Closed c;
-    while ((c = closed.peek()) != null
-        && (closed.size() > MAX_CLOSED || now - c.at() > KEEP_NANOS)) {
-      closed.poll();
-      ids.remove(c.id());
+    private static final long KEEP_NANOS = 2_000_000_000L;
+    private static final int MAX_CLOSED = 4_096;
+
+    private record Closed(String id, long at) {}
+
+    private final Set<String> ids = new HashSet<>();
+    private final ArrayDeque<Closed> closed = new ArrayDeque<>();
+
+    void opened(String id) {
+        ids.add(id);
+    }
+
+    void closed(String id, long now) {
+        closed.add(new Closed(id, now));
+        expire(now);
+    }
+
+    boolean known(String id, long now) {
+        expire(now);
+        return ids.contains(id);
+    }
+
+    private void expire(long now) {
+        Closed c;
+        while ((c = closed.peek()) != null && (closed.size() > MAX_CLOSED || now - c.at() > KEEP_NANOS)) {
+            closed.poll();
+            ids.remove(c.id());
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/proxy/Rehearsal.java
+++ b/src/main/java/rillyard/proxy/Rehearsal.java
@@ -16,10 +16,10 @@
  * takes to load and verify them all. Without the archive a proxy starts as well, only later.
  */
 public final class Rehearsal {
-  private static final long MOST_MS = 30_000;
+    private static final long MOST_MS = 30_000;
 
-  private static final String CONFIG =
-      """
+    private static final String CONFIG =
+            """
       {"name":"rehearsal","listen":"127.0.0.1:0","operator":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
        "limits":{"cores":1.0,"memory_mb":128,"sockets":1024},
        "known":{"version":1,"full":true,"servers":[
@@ -35,36 +35,35 @@
         "rules":{"cold":8700,"startCapacity":0.3,"fall":1500,"fallMultiple":3}}}
       """;
 
-  private Rehearsal() {}
+    private Rehearsal() {}
 
-  private static void call(InetSocketAddress to, String what, String body) throws IOException {
-    try (Socket s = new Socket(to.getAddress(), to.getPort())) {
-      String request =
-          what + " HTTP/1.1\r\nHost: operator\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
-      s.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
-      s.getInputStream().readAllBytes();
+    private static void call(InetSocketAddress to, String what, String body) throws IOException {
+        try (Socket s = new Socket(to.getAddress(), to.getPort())) {
+            String request =
+                    what + " HTTP/1.1\r\nHost: operator\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
+            s.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
+            s.getInputStream().readAllBytes();
+        }
     }
-  }
 
-  /** Runs one from its start to its drain, and ends the process. */
-  public static void run() throws IOException, ConfigException {
-    Path folder = Files.createTempDirectory("rehearsal");
-    try {
-      Path file = Files.writeString(folder.resolve("config.json"), CONFIG);
-      Map<String, String> env =
-          Map.of("BALANCER_CONFIG", file.toString(), "TMPDIR", folder.toString());
-      InetSocketAddress operator = Proxy.begin(env, MOST_MS, null).operatorAddress();
-      call(operator, "GET /_ready", "");
-      call(operator, "GET /_vars", "");
-      call(operator, "POST /_hosts/detach", "a");
-      call(operator, "POST /_hosts/attach", "a");
-    } finally {
-      try (Stream<Path> all = Files.walk(folder)) {
-        for (Path p : all.sorted(Comparator.reverseOrder()).toList()) {
-          Files.delete(p);
+    /** Runs one from its start to its drain, and ends the process. */
+    public static void run() throws IOException, ConfigException {
+        Path folder = Files.createTempDirectory("rehearsal");
+        try {
+            Path file = Files.writeString(folder.resolve("config.json"), CONFIG);
+            Map<String, String> env = Map.of("BALANCER_CONFIG", file.toString(), "TMPDIR", folder.toString());
+            InetSocketAddress operator = Proxy.begin(env, MOST_MS, null).operatorAddress();
+            call(operator, "GET /_ready", "");
+            call(operator, "GET /_vars", "");
+            call(operator, "POST /_hosts/detach", "a");
+            call(operator, "POST /_hosts/attach", "a");
+        } finally {
+            try (Stream<Path> all = Files.walk(folder)) {
+                for (Path p : all.sorted(Comparator.reverseOrder()).toList()) {
+                    Files.delete(p);
+                }
+            }
         }
-      }
+        System.exit(0); // as SIGTERM would end it: what a drain loads is of use too
     }
-    System.exit(0); // as SIGTERM would end it: what a drain loads is of use too
-  }
 }
--- a/src/main/java/rillyard/proxy/Reload.java
+++ b/src/main/java/rillyard/proxy/Reload.java
@@ -9,18 +9,16 @@
  * with an old configuration serves, one that ended does not.
  */
 final class Reload {
-  private Reload() {}
+    private Reload() {}
 
-  static void onHangUp(Map<String, String> env, Proxy proxy, Log log) {
-    Signal.handle(
-        new Signal("HUP"),
-        s -> {
-          try {
-            proxy.reload(Config.load(env));
-            log.line("configuration reloaded");
-          } catch (ConfigException | RuntimeException e) {
-            log.line("configuration not reloaded: " + e.getMessage());
-          }
+    static void onHangUp(Map<String, String> env, Proxy proxy, Log log) {
+        Signal.handle(new Signal("HUP"), s -> {
+            try {
+                proxy.reload(Config.load(env));
+                log.line("configuration reloaded");
+            } catch (ConfigException | RuntimeException e) {
+                log.line("configuration not reloaded: " + e.getMessage());
+            }
         });
-  }
+    }
 }
--- a/src/main/java/rillyard/proxy/TimedLooks.java
+++ b/src/main/java/rillyard/proxy/TimedLooks.java
@@ -14,106 +14,106 @@
  * its process stood still, what is overdue is ended before anything new is read.
  */
 final class TimedLooks implements IoHandler {
-  /** What is read later than this (ns) may be overdue; below it a turn's tasks find out soon enough. */
-  private static final long LATE_NANOS = 20_000_000L;
-
-  private final IoHandler sockets;
-  private final Gaps gaps;
-  private final LongConsumer late;
-  private final AfterLook afterLook = new AfterLook();
-
-  private TimedLooks(IoHandler sockets, Gaps gaps, LongConsumer late) {
-    this.sockets = sockets;
-    this.gaps = gaps;
-    this.late = late;
-  }
-
-  /**
-   * Makes it for one loop, which alone uses {@code gaps}.
-   *
-   * @param late told by how much (ns) a turn is late, before it reads anything
-   */
-  static IoHandlerFactory factory(Gaps gaps, LongConsumer late) {
-    IoHandlerFactory nio = NioIoHandler.newFactory();
-    return executor -> new TimedLooks(nio.newHandler(executor), gaps, late);
-  }
-
-  @Override
-  public int run(IoHandlerContext context) {
-    long now = System.nanoTime();
-    gaps.looking(now, context.canBlock() ? now + context.delayNanos(now) : now);
-    afterLook.context = context;
-    int handled = sockets.run(afterLook);
-    if (handled == 0) {
-      gaps.foundNothing();
+    /** What is read later than this (ns) may be overdue; below it a turn's tasks find out soon enough. */
+    private static final long LATE_NANOS = 20_000_000L;
+
+    private final IoHandler sockets;
+    private final Gaps gaps;
+    private final LongConsumer late;
+    private final AfterLook afterLook = new AfterLook();
+
+    private TimedLooks(IoHandler sockets, Gaps gaps, LongConsumer late) {
+        this.sockets = sockets;
+        this.gaps = gaps;
+        this.late = late;
     }
-    return handled;
-  }
 
-  /**
-   * Netty asks between its wait and its reads whether the time of the reads is to be told: the one moment
-   * at which the wait is over and nothing is read yet (NioIoHandler.run, held by a test).
-   */
-  private final class AfterLook implements IoHandlerContext {
-    private IoHandlerContext context;
+    /**
+     * Makes it for one loop, which alone uses {@code gaps}.
+     *
+     * @param late told by how much (ns) a turn is late, before it reads anything
+     */
+    static IoHandlerFactory factory(Gaps gaps, LongConsumer late) {
+        IoHandlerFactory nio = NioIoHandler.newFactory();
+        return executor -> new TimedLooks(nio.newHandler(executor), gaps, late);
+    }
+
+    @Override
+    public int run(IoHandlerContext context) {
+        long now = System.nanoTime();
+        gaps.looking(now, context.canBlock() ? now + context.delayNanos(now) : now);
+        afterLook.context = context;
+        int handled = sockets.run(afterLook);
+        if (handled == 0) {
+            gaps.foundNothing();
+        }
+        return handled;
+    }
+
+    /**
+     * Netty asks between its wait and its reads whether the time of the reads is to be told: the one moment
+     * at which the wait is over and nothing is read yet (NioIoHandler.run, held by a test).
+     */
+    private final class AfterLook implements IoHandlerContext {
+        private IoHandlerContext context;
+
+        @Override
+        public boolean canBlock() {
+            return context.canBlock();
+        }
+
+        @Override
+        public long delayNanos(long now) {
+            return context.delayNanos(now);
+        }
+
+        @Override
+        public long deadlineNanos() {
+            return context.deadlineNanos();
+        }
+
+        @Override
+        public void reportActiveIoTime(long nanos) {
+            context.reportActiveIoTime(nanos);
+        }
+
+        @Override
+        public boolean shouldReportActiveIoTime() {
+            gaps.looked(System.nanoTime());
+            if (gaps.late() > LATE_NANOS) {
+                late.accept(gaps.late());
+            }
+            return context.shouldReportActiveIoTime();
+        }
+    }
+
+    @Override
+    public void initialize() {
+        sockets.initialize();
+    }
 
     @Override
-    public boolean canBlock() {
-      return context.canBlock();
+    public void prepareToDestroy() {
+        sockets.prepareToDestroy();
     }
 
     @Override
-    public long delayNanos(long now) {
-      return context.delayNanos(now);
+    public void destroy() {
+        sockets.destroy();
     }
 
     @Override
-    public long deadlineNanos() {
-      return context.deadlineNanos();
+    public IoRegistration register(IoHandle handle) throws Exception {
+        return sockets.register(handle);
     }
 
     @Override
-    public void reportActiveIoTime(long nanos) {
-      context.reportActiveIoTime(nanos);
+    public void wakeup() {
+        sockets.wakeup();
     }
 
     @Override
-    public boolean shouldReportActiveIoTime() {
-      gaps.looked(System.nanoTime());
-      if (gaps.late() > LATE_NANOS) {
-        late.accept(gaps.late());
-      }
-      return context.shouldReportActiveIoTime();
+    public boolean isCompatible(Class<? extends IoHandle> type) {
+        return sockets.isCompatible(type);
     }
-  }
-
-  @Override
-  public void initialize() {
-    sockets.initialize();
-  }
-
-  @Override
-  public void prepareToDestroy() {
-    sockets.prepareToDestroy();
-  }
-
-  @Override
-  public void destroy() {
-    sockets.destroy();
-  }
-
-  @Override
-  public IoRegistration register(IoHandle handle) throws Exception {
-    return sockets.register(handle);
-  }
-
-  @Override
-  public void wakeup() {
-    sockets.wakeup();
-  }
-
-  @Override
-  public boolean isCompatible(Class<? extends IoHandle> type) {
-    return sockets.isCompatible(type);
-  }
 }
--- a/src/main/java/rillyard/proxy/Upload.java
+++ b/src/main/java/rillyard/proxy/Upload.java
@@ -19,88 +19,87 @@
  * host takes it, and is held nowhere. From its first byte on the request can't be sent again.
  */
 final class Upload {
-  private final Body start;
-  private final long length;
-  private Channel to;
-  private ChannelPromise written;
-  private boolean whole;
-  private boolean spent;
+    private final Body start;
+    private final long length;
+    private Channel to;
+    private ChannelPromise written;
+    private boolean whole;
+    private boolean spent;
 
-  /** {@code start} is what has come; {@code length} the whole length in bytes, -1 if not told. */
-  Upload(Body start, long length) {
-    this.start = start;
-    this.length = length;
-  }
-
-  /** Whether bytes have been passed on that are held no more. */
-  boolean spent() {
-    return spent;
-  }
-
-  /** Whether it can't go to another connection, not now or never. */
-  boolean bound() {
-    return spent || (to != null && !whole);
-  }
+    /** {@code start} is what has come; {@code length} the whole length in bytes, -1 if not told. */
+    Upload(Body start, long length) {
+        this.start = start;
+        this.length = length;
+    }
 
-  /** Whether its last byte has come. */
-  boolean whole() {
-    return whole;
-  }
+    /** Whether bytes have been passed on that are held no more. */
+    boolean spent() {
+        return spent;
+    }
 
-  /** Whether more of it is to be read from the client now. */
-  boolean wanted() {
-    return to != null && to.isWritable();
-  }
+    /** Whether it can't go to another connection, not now or never. */
+    boolean bound() {
+        return spent || (to != null && !whole);
+    }
 
-  /** Writes the head and what is held; the future is that of the last byte of all. */
-  ChannelFuture begin(Channel channel, HttpRequest head, HttpHeaders headers) {
-    if (length >= 0) {
-      headers.set(HttpHeaderNames.CONTENT_LENGTH, length);
-    } else {
-      headers.remove(HttpHeaderNames.CONTENT_LENGTH);
-      headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+    /** Whether its last byte has come. */
+    boolean whole() {
+        return whole;
     }
-    channel.write(
-        new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), headers));
-    for (ByteBuf b : start.retained()) {
-      channel.write(new DefaultHttpContent(b));
+
+    /** Whether more of it is to be read from the client now. */
+    boolean wanted() {
+        return to != null && to.isWritable();
     }
-    to = channel;
-    written = channel.newPromise();
-    if (whole) {
-      channel.write(LastHttpContent.EMPTY_LAST_CONTENT, written);
+
+    /** Writes the head and what is held; the future is that of the last byte of all. */
+    ChannelFuture begin(Channel channel, HttpRequest head, HttpHeaders headers) {
+        if (length >= 0) {
+            headers.set(HttpHeaderNames.CONTENT_LENGTH, length);
+        } else {
+            headers.remove(HttpHeaderNames.CONTENT_LENGTH);
+            headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+        }
+        channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), headers));
+        for (ByteBuf b : start.retained()) {
+            channel.write(new DefaultHttpContent(b));
+        }
+        to = channel;
+        written = channel.newPromise();
+        if (whole) {
+            channel.write(LastHttpContent.EMPTY_LAST_CONTENT, written);
+        }
+        channel.flush();
+        return written;
     }
-    channel.flush();
-    return written;
-  }
 
-  /** More has come; the caller keeps its own reference. */
-  void take(ByteBuf bytes) {
-    if (to == null) {
-      start.append(bytes); // read before the client was paused: a few reads at the most
-      return;
+    /** More has come; the caller keeps its own reference. */
+    void take(ByteBuf bytes) {
+        if (to == null) {
+            start.append(bytes); // read before the client was paused: a few reads at the most
+            return;
+        }
+        spent = true;
+        start.free();
+        to.writeAndFlush(new DefaultHttpContent(bytes.retain()));
     }
-    spent = true;
-    start.free();
-    to.writeAndFlush(new DefaultHttpContent(bytes.retain()));
-  }
 
-  /** The last byte has come. */
-  void last() {
-    whole = true;
-    if (to != null) {
-      to.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT, written);
+    /** The last byte has come. */
+    void last() {
+        whole = true;
+        if (to != null) {
+            to.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT, written);
+        }
     }
-  }
 
-  /** An attempt is over that used this connection, if any. */
-  void detached(UpstreamConnection by) {
-    if (by != null && by.channel() == to) {
-      to = null;
+    /** An attempt is over that used this connection, if any. */
+    void detached(UpstreamConnection by) {
+        if (by != null && by.channel() == to) {
+            to = null;
+        }
     }
-  }
 
-  void free() {
-    start.free();
-  }
+    void free() {
+        start.free();
+    }
 }
--- a/src/main/java/rillyard/proxy/UpstreamCall.java
+++ b/src/main/java/rillyard/proxy/UpstreamCall.java
@@ -7,81 +7,81 @@
 
 /** What one connection to a host carries at a time: an attempt of a request. */
 abstract class UpstreamCall {
-  /** Hosts pause for 0.1 s at most. */
-  static final long STALL_NANOS = 150_000_000L;
+    /** Hosts pause for 0.1 s at most. */
+    static final long STALL_NANOS = 150_000_000L;
 
-  final Host host;
-  private Channel connecting;
-  private UpstreamConnection connection;
+    final Host host;
+    private Channel connecting;
+    private UpstreamConnection connection;
 
-  UpstreamCall(Host host) {
-    this.host = host;
-    host.calls++; // until Upstreams.end
-  }
-
-  /** Whether it may still be written; asked once a connection has come up, which may be late. */
-  boolean mayBegin() {
-    return true;
-  }
+    UpstreamCall(Host host) {
+        this.host = host;
+        host.calls++; // until Upstreams.end
+    }
 
-  /** Writes all of it; the future is that of the last byte. */
-  abstract ChannelFuture write(Channel channel);
+    /** Whether it may still be written; asked once a connection has come up, which may be late. */
+    boolean mayBegin() {
+        return true;
+    }
 
-  /** The last byte has gone out. */
-  abstract void writtenWhole();
+    /** Writes all of it; the future is that of the last byte. */
+    abstract ChannelFuture write(Channel channel);
 
-  /** The last byte has not gone out: there was no connection, or it went away before. */
-  abstract void notSent();
+    /** The last byte has gone out. */
+    abstract void writtenWhole();
 
-  /** The host must not get it any more, and no byte of it has gone out. */
-  abstract void moot();
+    /** The last byte has not gone out: there was no connection, or it went away before. */
+    abstract void notSent();
 
-  /** The head of the final answer. */
-  abstract void head(HttpResponse head);
+    /** The host must not get it any more, and no byte of it has gone out. */
+    abstract void moot();
 
-  /** Part of the answer's body. */
-  abstract void content(HttpContent part);
+    /** The head of the final answer. */
+    abstract void head(HttpResponse head);
 
-  /** More of the request would be taken by the connection. */
-  void writable() {}
+    /** Part of the answer's body. */
+    abstract void content(HttpContent part);
 
-  /** How long (ns) an answer that has begun may say nothing before it is held to have broken. */
-  long stallNanos() {
-    return STALL_NANOS;
-  }
+    /** More of the request would be taken by the connection. */
+    void writable() {}
 
-  /** The answer is whole. */
-  abstract void end();
+    /** How long (ns) an answer that has begun may say nothing before it is held to have broken. */
+    long stallNanos() {
+        return STALL_NANOS;
+    }
 
-  /** The connection broke, or the answer is malformed; the last byte had been written. */
-  abstract void broken();
+    /** The answer is whole. */
+    abstract void end();
 
-  void connecting(Channel channel) {
-    connecting = channel;
-  }
+    /** The connection broke, or the answer is malformed; the last byte had been written. */
+    abstract void broken();
 
-  void attached(UpstreamConnection to) {
-    connecting = null;
-    connection = to;
-  }
+    void connecting(Channel channel) {
+        connecting = channel;
+    }
 
-  UpstreamConnection connection() {
-    return connection;
-  }
+    void attached(UpstreamConnection to) {
+        connecting = null;
+        connection = to;
+    }
 
-  /** Whether the last byte may have reached the host. */
-  boolean mayHaveRun() {
-    return connection != null && connection.written();
-  }
+    UpstreamConnection connection() {
+        return connection;
+    }
 
-  /** Ends the use of the connection, by closing it unless the answer has been read to its end. */
-  void abandon() {
-    if (connecting != null) {
-      connecting.close();
-      connecting = null;
+    /** Whether the last byte may have reached the host. */
+    boolean mayHaveRun() {
+        return connection != null && connection.written();
     }
-    if (connection != null) {
-      connection.abort(this);
+
+    /** Ends the use of the connection, by closing it unless the answer has been read to its end. */
+    void abandon() {
+        if (connecting != null) {
+            connecting.close();
+            connecting = null;
+        }
+        if (connection != null) {
+            connection.abort(this);
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/proxy/Upstreams.java
+++ b/src/main/java/rillyard/proxy/Upstreams.java
@@ -21,185 +21,183 @@
 
 /** The connections to hosts: opens them as needed, keeps the idle ones, ends them in time. */
 final class Upstreams {
-  /** Part of the host's idle time after which a connection is closed: well before the host does. */
-  private static final double IDLE_PART = 0.7;
-
-  /** How long (ns) a connection must have stood idle for its end to have been heard of. */
-  private static final long SETTLE_NANOS = 30_000_000L;
-
-  /** How long (ns) the rest of an unwanted answer is waited for. */
-  private static final long DISCARD_NANOS = 500_000_000L;
-
-  /** Small reads and marks bound what one connection holds in memory. */
-  static final AdaptiveRecvByteBufAllocator READS = new AdaptiveRecvByteBufAllocator(512, 2048, 16_384);
-
-  static final WriteBufferWaterMark MARKS = new WriteBufferWaterMark(16_384, 32_768);
-
-  static final HttpDecoderConfig DECODER = new HttpDecoderConfig().setMaxInitialLineLength(8_192)
-      .setMaxHeaderSize(16_384).setMaxChunkSize(16_384).setInitialBufferSize(256);
-
-  private final Bootstrap bootstrap;
-  private final Sockets sockets;
-  private final Log log;
-  private final IdleTimes idleTimes;
-  private final Set<UpstreamConnection> discarding = new HashSet<>();
-  private final IdleRisk risk = new IdleRisk();
-  private long refused;
-
-  Upstreams(EventLoopGroup loop, Config config, Sockets sockets, Log log) {
-    this.sockets = sockets;
-    this.log = log;
-    this.idleTimes =
-        IdleTimes.of(config.settings().balancers(), (long) (IDLE_PART * config.connIdle() * 1e6));
-    this.bootstrap =
-        new Bootstrap()
-            .group(loop)
-            .channelFactory(QuietChannel::new)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, config.connectTimeout()))
-            .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, READS)
-            .option(ChannelOption.WRITE_BUFFER_WATER_MARK, MARKS)
-            .handler(
-                new ChannelInitializer<QuietChannel>() {
-                  @Override
-                  protected void initChannel(QuietChannel ch) {}
+    /** Part of the host's idle time after which a connection is closed: well before the host does. */
+    private static final double IDLE_PART = 0.7;
+
+    /** How long (ns) a connection must have stood idle for its end to have been heard of. */
+    private static final long SETTLE_NANOS = 30_000_000L;
+
+    /** How long (ns) the rest of an unwanted answer is waited for. */
+    private static final long DISCARD_NANOS = 500_000_000L;
+
+    /** Small reads and marks bound what one connection holds in memory. */
+    static final AdaptiveRecvByteBufAllocator READS = new AdaptiveRecvByteBufAllocator(512, 2048, 16_384);
+
+    static final WriteBufferWaterMark MARKS = new WriteBufferWaterMark(16_384, 32_768);
+
+    static final HttpDecoderConfig DECODER = new HttpDecoderConfig()
+            .setMaxInitialLineLength(8_192)
+            .setMaxHeaderSize(16_384)
+            .setMaxChunkSize(16_384)
+            .setInitialBufferSize(256);
+
+    private final Bootstrap bootstrap;
+    private final Sockets sockets;
+    private final Log log;
+    private final IdleTimes idleTimes;
+    private final Set<UpstreamConnection> discarding = new HashSet<>();
+    private final IdleRisk risk = new IdleRisk();
+    private long refused;
+
+    Upstreams(EventLoopGroup loop, Config config, Sockets sockets, Log log) {
+        this.sockets = sockets;
+        this.log = log;
+        this.idleTimes = IdleTimes.of(config.settings().balancers(), (long) (IDLE_PART * config.connIdle() * 1e6));
+        this.bootstrap = new Bootstrap()
+                .group(loop)
+                .channelFactory(QuietChannel::new)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, config.connectTimeout()))
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.RECVBUF_ALLOCATOR, READS)
+                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, MARKS)
+                .handler(new ChannelInitializer<QuietChannel>() {
+                    @Override
+                    protected void initChannel(QuietChannel ch) {}
                 });
-  }
-
-  /** Carries the call to its host on a quiet connection, or on a new one. */
-  void start(UpstreamCall call) {
-    Host host = call.host;
-    UpstreamConnection c;
-    long now = System.nanoTime();
-    while ((c = pick(host.idle, UpstreamConnection::since, now)) != null) {
-      host.idle.remove(c);
-      sockets.upstreamIdle(c, false);
-      if (c.alive() && c.reusable() && !risk.risky(now - c.since(), now)) {
-        c.run(call);
-        return;
-      }
-      c.channel().close();
     }
-    if (!sockets.room()) {
-      if (refused++ % 100 == 0) {
-        log.line("out of sockets: " + refused + " attempts had none");
-      }
-      call.notSent();
-      return;
+
+    /** Carries the call to its host on a quiet connection, or on a new one. */
+    void start(UpstreamCall call) {
+        Host host = call.host;
+        UpstreamConnection c;
+        long now = System.nanoTime();
+        while ((c = pick(host.idle, UpstreamConnection::since, now)) != null) {
+            host.idle.remove(c);
+            sockets.upstreamIdle(c, false);
+            if (c.alive() && c.reusable() && !risk.risky(now - c.since(), now)) {
+                c.run(call);
+                return;
+            }
+            c.channel().close();
+        }
+        if (!sockets.room()) {
+            if (refused++ % 100 == 0) {
+                log.line("out of sockets: " + refused + " attempts had none");
+            }
+            call.notSent();
+            return;
+        }
+        connect(call, host);
     }
-    connect(call, host);
-  }
-
-  /**
-   * The idle connection to use: the newest of those that have stood for a while, else the oldest.
-   * Guards against a host that ends its connection right behind an answer, or is about to go: the
-   * end is on its way for so long, and a request that crosses it counts as one that may have run.
-   * The cost is a connection or two more for each host, all of them in use.
-   */
-  static <T> T pick(ArrayDeque<T> idle, ToLongFunction<T> since, long now) {
-    for (Iterator<T> newest = idle.descendingIterator(); newest.hasNext(); ) {
-      T c = newest.next();
-      if (now - since.applyAsLong(c) >= SETTLE_NANOS) {
-        return c;
-      }
+
+    /**
+     * The idle connection to use: the newest of those that have stood for a while, else the oldest.
+     * Guards against a host that ends its connection right behind an answer, or is about to go: the
+     * end is on its way for so long, and a request that crosses it counts as one that may have run.
+     * The cost is a connection or two more for each host, all of them in use.
+     */
+    static <T> T pick(ArrayDeque<T> idle, ToLongFunction<T> since, long now) {
+        for (Iterator<T> newest = idle.descendingIterator(); newest.hasNext(); ) {
+            T c = newest.next();
+            if (now - since.applyAsLong(c) >= SETTLE_NANOS) {
+                return c;
+            }
+        }
+        return idle.peekFirst();
     }
-    return idle.peekFirst();
-  }
-
-  private void connect(UpstreamCall call, Host host) {
-    ChannelFuture f = bootstrap.connect(host.address);
-    QuietChannel channel = (QuietChannel) f.channel();
-    UpstreamConnection.Decoder decoder = new UpstreamConnection.Decoder(DECODER);
-    UpstreamConnection c = new UpstreamConnection(this, host, channel, decoder);
-    sockets.upstreamOpened();
-    channel.closeFuture().addListener(x -> sockets.upstreamClosed());
-    call.connecting(channel);
-    host.connecting.add(call);
-    f.addListener(
-        x -> {
-          traceConnect(f, host);
-          if (!host.connecting.remove(call)) {
-            channel.close(); // given up meanwhile
-          } else if (!f.isSuccess()) {
-            call.notSent();
-          } else if (!call.mayBegin()) {
-            channel.close();
-            call.moot();
-          } else {
-            channel.pipeline().addLast(decoder, new HttpRequestEncoder(), c);
-            c.run(call);
-          }
+
+    private void connect(UpstreamCall call, Host host) {
+        ChannelFuture f = bootstrap.connect(host.address);
+        QuietChannel channel = (QuietChannel) f.channel();
+        UpstreamConnection.Decoder decoder = new UpstreamConnection.Decoder(DECODER);
+        UpstreamConnection c = new UpstreamConnection(this, host, channel, decoder);
+        sockets.upstreamOpened();
+        channel.closeFuture().addListener(x -> sockets.upstreamClosed());
+        call.connecting(channel);
+        host.connecting.add(call);
+        f.addListener(x -> {
+            traceConnect(f, host);
+            if (!host.connecting.remove(call)) {
+                channel.close(); // given up meanwhile
+            } else if (!f.isSuccess()) {
+                call.notSent();
+            } else if (!call.mayBegin()) {
+                channel.close();
+                call.moot();
+            } else {
+                channel.pipeline().addLast(decoder, new HttpRequestEncoder(), c);
+                c.run(call);
+            }
         });
-  }
-
-  private void traceConnect(ChannelFuture f, Host host) {
-    if (log.trace() != null) {
-      log.trace().did(f.isSuccess() ? What.CONNECTED : What.CONNECT_FAILED, host.name);
-      if (f.isSuccess()) {
-        f.channel().closeFuture().addListener(x -> log.trace().did(What.CLOSED, host.name));
-      }
     }
-  }
-
-  /** The call is over, whether or not it was ever started. */
-  void end(UpstreamCall call) {
-    call.host.calls--;
-    call.host.connecting.remove(call);
-    call.abandon();
-  }
-
-  void idle(Host host, UpstreamConnection c) {
-    discarding.remove(c);
-    host.idle.addLast(c);
-    sockets.upstreamIdle(c, true);
-  }
-
-  /** What came of the use of a connection that had stood idle. */
-  void reused(long idleNanos, boolean broke) {
-    risk.used(idleNanos, broke, System.nanoTime());
-  }
-
-  void discarding(UpstreamConnection c) {
-    discarding.add(c);
-  }
-
-  void malformed(Host host, Throwable cause) {
-    log.line(() -> host.name + " sent what is no answer: " + cause);
-  }
-
-  void closed(Host host, UpstreamConnection c) {
-    discarding.remove(c);
-    host.idle.remove(c);
-    sockets.upstreamIdle(c, false);
-  }
-
-  /** Nothing new goes to the host as it was: returns the calls that had not got a connection. */
-  List<UpstreamCall> cut(Host host) {
-    for (UpstreamConnection c : new ArrayList<>(host.idle)) {
-      if (!c.reusable()) {
-        c.channel().close();
-      }
+
+    private void traceConnect(ChannelFuture f, Host host) {
+        if (log.trace() != null) {
+            log.trace().did(f.isSuccess() ? What.CONNECTED : What.CONNECT_FAILED, host.name);
+            if (f.isSuccess()) {
+                f.channel().closeFuture().addListener(x -> log.trace().did(What.CLOSED, host.name));
+            }
+        }
+    }
+
+    /** The call is over, whether or not it was ever started. */
+    void end(UpstreamCall call) {
+        call.host.calls--;
+        call.host.connecting.remove(call);
+        call.abandon();
+    }
+
+    void idle(Host host, UpstreamConnection c) {
+        discarding.remove(c);
+        host.idle.addLast(c);
+        sockets.upstreamIdle(c, true);
+    }
+
+    /** What came of the use of a connection that had stood idle. */
+    void reused(long idleNanos, boolean broke) {
+        risk.used(idleNanos, broke, System.nanoTime());
+    }
+
+    void discarding(UpstreamConnection c) {
+        discarding.add(c);
+    }
+
+    void malformed(Host host, Throwable cause) {
+        log.line(() -> host.name + " sent what is no answer: " + cause);
     }
-    List<UpstreamCall> unsent = new ArrayList<>(host.connecting);
-    host.connecting.clear();
-    return unsent;
-  }
-
-  /** Closes what has been idle for long. */
-  void sweep(Iterable<Host> hosts) {
-    long now = System.nanoTime();
-    for (Host h : hosts) {
-      UpstreamConnection c;
-      while ((c = h.idle.peekFirst()) != null
-          && idleTimes.over(h.idle.size(), now - c.since())) {
-        h.idle.pollFirst();
-        c.channel().close();
-      }
+
+    void closed(Host host, UpstreamConnection c) {
+        discarding.remove(c);
+        host.idle.remove(c);
+        sockets.upstreamIdle(c, false);
     }
-    for (UpstreamConnection c : new ArrayList<>(discarding)) {
-      if (now - c.since() > DISCARD_NANOS) {
-        c.channel().close();
-      }
+
+    /** Nothing new goes to the host as it was: returns the calls that had not got a connection. */
+    List<UpstreamCall> cut(Host host) {
+        for (UpstreamConnection c : new ArrayList<>(host.idle)) {
+            if (!c.reusable()) {
+                c.channel().close();
+            }
+        }
+        List<UpstreamCall> unsent = new ArrayList<>(host.connecting);
+        host.connecting.clear();
+        return unsent;
+    }
+
+    /** Closes what has been idle for long. */
+    void sweep(Iterable<Host> hosts) {
+        long now = System.nanoTime();
+        for (Host h : hosts) {
+            UpstreamConnection c;
+            while ((c = h.idle.peekFirst()) != null && idleTimes.over(h.idle.size(), now - c.since())) {
+                h.idle.pollFirst();
+                c.channel().close();
+            }
+        }
+        for (UpstreamConnection c : new ArrayList<>(discarding)) {
+            if (now - c.since() > DISCARD_NANOS) {
+                c.channel().close();
+            }
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/proxy/WarmUp.java
+++ b/src/main/java/rillyard/proxy/WarmUp.java
@@ -1,7 +1,7 @@
 package rillyard.proxy;
 
-import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -44,165 +44,158 @@
  * It costs those who wait for a proxy that restarts, so it ends when more of it gains less.
  */
 final class WarmUp {
-  /**
-   * Weighed against what comes after, in plays of days with restarts. With 40 a proxy is back a
-   * second sooner, which gained on one day and lost more on another, where half a core can't follow
-   * the first requests through cold code and clients give up by the tenth; 10 lost on both.
-   */
-  private static final int REQUESTS = 200;
+    /**
+     * Weighed against what comes after, in plays of days with restarts. With 40 a proxy is back a
+     * second sooner, which gained on one day and lost more on another, where half a core can't follow
+     * the first requests through cold code and clients give up by the tenth; 10 lost on both.
+     */
+    private static final int REQUESTS = 200;
 
-  private static final int CLIENTS = 8;
-  private static final int HOSTS = 8;
-  private static final byte[] BODY = new byte[600];
+    private static final int CLIENTS = 8;
+    private static final int HOSTS = 8;
+    private static final byte[] BODY = new byte[600];
 
-  private final Config config;
-  private final CountDownLatch left = new CountDownLatch(REQUESTS);
-  private long sent;
+    private final Config config;
+    private final CountDownLatch left = new CountDownLatch(REQUESTS);
+    private long sent;
 
-  WarmUp(Config config) {
-    this.config = config;
-  }
-
-  /**
-   * Runs for as long as the requests take, and no longer than {@code most} ms; returns how many were
-   * answered.
-   */
-  int run(long most) throws Exception {
-    if (config.settings().classes().isEmpty()) {
-      return 0; // nothing could be sent, and nobody be served either
+    WarmUp(Config config) {
+        this.config = config;
     }
-    Log silent = new Log(new PrintStream(OutputStream.nullOutputStream()));
-    EventLoopGroup group = Proxy.newGroup(NioIoHandler.newFactory());
-    try {
-      Channel hosts =
-          new ServerBootstrap()
-              .group(group)
-              .channel(NioServerSocketChannel.class)
-              .childHandler(
-                  pipeline(
-                      HttpRequestDecoder::new, HttpResponseEncoder::new, () -> new Responder()))
-              .bind(new InetSocketAddress(config.listen().getAddress(), 0))
-              .sync()
-              .channel();
-      Proxy proxy = new Proxy(copy((InetSocketAddress) hosts.localAddress()), silent);
-      try {
-        proxy.start();
-        Bootstrap clients =
-            new Bootstrap()
-                .group(group)
-                .channel(NioSocketChannel.class)
-                .handler(
-                    pipeline(HttpResponseDecoder::new, HttpRequestEncoder::new, () -> new Caller()));
-        for (int i = 0; i < CLIENTS; i++) {
-          clients.connect(proxy.address());
+
+    /**
+     * Runs for as long as the requests take, and no longer than {@code most} ms; returns how many were
+     * answered.
+     */
+    int run(long most) throws Exception {
+        if (config.settings().classes().isEmpty()) {
+            return 0; // nothing could be sent, and nobody be served either
+        }
+        Log silent = new Log(new PrintStream(OutputStream.nullOutputStream()));
+        EventLoopGroup group = Proxy.newGroup(NioIoHandler.newFactory());
+        try {
+            Channel hosts = new ServerBootstrap()
+                    .group(group)
+                    .channel(NioServerSocketChannel.class)
+                    .childHandler(pipeline(HttpRequestDecoder::new, HttpResponseEncoder::new, () -> new Responder()))
+                    .bind(new InetSocketAddress(config.listen().getAddress(), 0))
+                    .sync()
+                    .channel();
+            Proxy proxy = new Proxy(copy((InetSocketAddress) hosts.localAddress()), silent);
+            try {
+                proxy.start();
+                Bootstrap clients = new Bootstrap()
+                        .group(group)
+                        .channel(NioSocketChannel.class)
+                        .handler(pipeline(HttpResponseDecoder::new, HttpRequestEncoder::new, () -> new Caller()));
+                for (int i = 0; i < CLIENTS; i++) {
+                    clients.connect(proxy.address());
+                }
+                left.await(most, TimeUnit.MILLISECONDS);
+                return REQUESTS - (int) left.getCount();
+            } finally {
+                proxy.stop();
+            }
+        } finally {
+            group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
         }
-        left.await(most, TimeUnit.MILLISECONDS);
-        return REQUESTS - (int) left.getCount();
-      } finally {
-        proxy.stop();
-      }
-    } finally {
-      group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
-  }
 
-  /** The same configuration, but for the addresses and the hosts. */
-  private Config copy(InetSocketAddress hosts) {
-    ObjectNode known = JsonNodeFactory.instance.objectNode().put("version", 1).put("full", true);
-    ArrayNode servers = known.putArray("servers");
-    for (int i = 0; i < HOSTS; i++) {
-      servers
-          .addObject()
-          .put("id", "warm-" + i)
-          .put("addr", hosts.getAddress().getHostAddress() + ":" + hosts.getPort())
-          .put("zone", config.settings().zone())
-          .put("state", "up");
+    /** The same configuration, but for the addresses and the hosts. */
+    private Config copy(InetSocketAddress hosts) {
+        ObjectNode known =
+                JsonNodeFactory.instance.objectNode().put("version", 1).put("full", true);
+        ArrayNode servers = known.putArray("servers");
+        for (int i = 0; i < HOSTS; i++) {
+            servers.addObject()
+                    .put("id", "warm-" + i)
+                    .put("addr", hosts.getAddress().getHostAddress() + ":" + hosts.getPort())
+                    .put("zone", config.settings().zone())
+                    .put("state", "up");
+        }
+        return new Config(
+                config.name(),
+                new InetSocketAddress(config.listen().getAddress(), 0),
+                hosts,
+                config.seed(),
+                config.memoryMb(),
+                config.sockets(),
+                known,
+                config.settings(),
+                config.connIdle(),
+                config.connectTimeout(),
+                config.maxOpen(),
+                null);
     }
-    return new Config(
-        config.name(),
-        new InetSocketAddress(config.listen().getAddress(), 0),
-        hosts,
-        config.seed(),
-        config.memoryMb(),
-        config.sockets(),
-        known,
-        config.settings(),
-        config.connIdle(),
-        config.connectTimeout(),
-        config.maxOpen(),
-        null);
-  }
-
-  private interface Part {
-    ChannelHandler make();
-  }
 
-  private static ChannelInitializer<SocketChannel> pipeline(Part decoder, Part encoder, Part end) {
-    return new ChannelInitializer<>() {
-      @Override
-      protected void initChannel(SocketChannel ch) {
-        ch.pipeline().addLast(decoder.make(), encoder.make(), end.make());
-      }
-    };
-  }
-
-  /** Answers every request, as a host would. */
-  private static final class Responder extends ChannelInboundHandlerAdapter {
-    @Override
-    public void channelRead(ChannelHandlerContext ctx, Object msg) {
-      if (msg instanceof LastHttpContent) {
-        FullHttpResponse r =
-            new DefaultFullHttpResponse(
-                HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(BODY));
-        r.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY.length);
-        r.headers().set(Headers.SERVER_LOAD, "rif=1,fail_rate=0");
-        ctx.writeAndFlush(r);
-      }
-      ReferenceCountUtil.release(msg);
+    private interface Part {
+        ChannelHandler make();
     }
-  }
 
-  /** Sends the next request once the last one is answered. */
-  private final class Caller extends ChannelInboundHandlerAdapter {
-    @Override
-    public void channelActive(ChannelHandlerContext ctx) {
-      next(ctx);
+    private static ChannelInitializer<SocketChannel> pipeline(Part decoder, Part encoder, Part end) {
+        return new ChannelInitializer<>() {
+            @Override
+            protected void initChannel(SocketChannel ch) {
+                ch.pipeline().addLast(decoder.make(), encoder.make(), end.make());
+            }
+        };
     }
 
-    @Override
-    public void channelRead(ChannelHandlerContext ctx, Object msg) {
-      if (msg instanceof LastHttpContent) {
-        left.countDown();
-        next(ctx);
-      }
-      ReferenceCountUtil.release(msg);
+    /** Answers every request, as a host would. */
+    private static final class Responder extends ChannelInboundHandlerAdapter {
+        @Override
+        public void channelRead(ChannelHandlerContext ctx, Object msg) {
+            if (msg instanceof LastHttpContent) {
+                FullHttpResponse r = new DefaultFullHttpResponse(
+                        HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(BODY));
+                r.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY.length);
+                r.headers().set(Headers.SERVER_LOAD, "rif=1,fail_rate=0");
+                ctx.writeAndFlush(r);
+            }
+            ReferenceCountUtil.release(msg);
+        }
     }
 
-    private void next(ChannelHandlerContext ctx) {
-      if (sent == REQUESTS) {
-        return;
-      }
-      var classes = config.settings().classes();
-      Settings.RequestClass c = classes.get((int) (sent++ % classes.size()));
-      boolean safe = c.semantics() == Settings.Semantics.IDEMPOTENT;
-      FullHttpRequest r =
-          new DefaultFullHttpRequest(
-              HttpVersion.HTTP_1_1,
-              safe ? HttpMethod.GET : HttpMethod.POST,
-              "/" + c.name(),
-              safe ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(BODY));
-      r.headers()
-          .set(HttpHeaderNames.HOST, "api.internal")
-          .set(Headers.REQUEST_ID, Long.toHexString(sent))
-          .set(Headers.CLASS, c.name())
-          .set(Headers.TIMEOUT_MS, 10_000);
-      if (!safe) {
-        r.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY.length);
-      }
-      if (c.semantics() == Settings.Semantics.DEDUPLICATED) {
-        r.headers().set(Headers.IDEMPOTENCY_KEY, Long.toHexString(sent));
-      }
-      ctx.writeAndFlush(r);
+    /** Sends the next request once the last one is answered. */
+    private final class Caller extends ChannelInboundHandlerAdapter {
+        @Override
+        public void channelActive(ChannelHandlerContext ctx) {
+            next(ctx);
+        }
+
+        @Override
+        public void channelRead(ChannelHandlerContext ctx, Object msg) {
+            if (msg instanceof LastHttpContent) {
+                left.countDown();
+                next(ctx);
+            }
+            ReferenceCountUtil.release(msg);
+        }
+
+        private void next(ChannelHandlerContext ctx) {
+            if (sent == REQUESTS) {
+                return;
+            }
+            var classes = config.settings().classes();
+            Settings.RequestClass c = classes.get((int) (sent++ % classes.size()));
+            boolean safe = c.semantics() == Settings.Semantics.IDEMPOTENT;
+            FullHttpRequest r = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1,
+                    safe ? HttpMethod.GET : HttpMethod.POST,
+                    "/" + c.name(),
+                    safe ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(BODY));
+            r.headers()
+                    .set(HttpHeaderNames.HOST, "api.internal")
+                    .set(Headers.REQUEST_ID, Long.toHexString(sent))
+                    .set(Headers.CLASS, c.name())
+                    .set(Headers.TIMEOUT_MS, 10_000);
+            if (!safe) {
+                r.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY.length);
+            }
+            if (c.semantics() == Settings.Semantics.DEDUPLICATED) {
+                r.headers().set(Headers.IDEMPOTENCY_KEY, Long.toHexString(sent));
+            }
+            ctx.writeAndFlush(r);
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/spread/HostWords.java
+++ b/src/main/java/rillyard/spread/HostWords.java
@@ -14,134 +14,137 @@
  * Times are ms of this proxy's clock. Not safe for use from several threads at once.
  */
 public final class HostWords {
-  /** What it decides; hosts by {@link Vote#number}. */
-  public interface Out {
-    /** The host gets nothing for so long (ms), then a trial. */
-    void leave(int host, double wait, int failed, int served);
+    /** What it decides; hosts by {@link Vote#number}. */
+    public interface Out {
+        /** The host gets nothing for so long (ms), then a trial. */
+        void leave(int host, double wait, int failed, int served);
 
-    /** The host may be tried in so long (ms). */
-    void comeBack(int host, double wait);
-  }
-
-  /** What is held of a host that is spoken of. */
-  private static final class Word {
-    boolean left;
-    double since = Double.NEGATIVE_INFINITY;
-    double accusedFrom = Double.NaN;
-    double heardAt;
-    boolean again;
-  }
+        /** The host may be tried in so long (ms). */
+        void comeBack(int host, double wait);
+    }
 
-  private final SpreadSettings settings;
-  private final RandomGenerator random;
-  private final Out out;
-  private final Sightings own = new Sightings();
-  private final Map<Integer, Word> words = new HashMap<>();
+    /** What is held of a host that is spoken of. */
+    private static final class Word {
+        boolean left;
+        double since = Double.NEGATIVE_INFINITY;
+        double accusedFrom = Double.NaN;
+        double heardAt;
+        boolean again;
+    }
 
-  /** {@code random} is its only source of chance. */
-  public HostWords(SpreadSettings settings, RandomGenerator random, Out out) {
-    this.settings = settings;
-    this.random = random;
-    this.out = out;
-  }
+    private final SpreadSettings settings;
+    private final RandomGenerator random;
+    private final Out out;
+    private final Sightings own = new Sightings();
+    private final Map<Integer, Word> words = new HashMap<>();
 
-  /** An attempt of this proxy's own has told whether a host serves. */
-  public void ended(int host, boolean failed, double now) {
-    own.ended(host, failed, now);
-    Word w = words.get(host);
-    if (w != null && w.left && failed) {
-      w.again = true;
+    /** {@code random} is its only source of chance. */
+    public HostWords(SpreadSettings settings, RandomGenerator random, Out out) {
+        this.settings = settings;
+        this.random = random;
+        this.out = out;
     }
-  }
 
-  /**
-   * Takes the votes of all other proxies that are present, one list each, and decides.
-   *
-   * @param others their votes, as old as they are by now
-   * @param proxies that are present, this one among them
-   * @param hosts that are listed
-   * @return this proxy's own votes, for the others; those that matter most come first
-   */
-  public List<Vote> step(List<List<Vote>> others, int proxies, int hosts, double now) {
-    // Each that uses a part of the hosts is taken for one of many alike: so many use each host.
-    double users = Math.max(settings.quorum(), (double) proxies * own.used(settings.habit(), now) / Math.max(1, hosts));
-    Set<Integer> spokenOf = new TreeSet<>(words.keySet());
-    spokenOf.addAll(own.failing(settings.window(), now));
-    others.forEach(votes -> votes.stream().filter(v -> v.failed() && v.age() < settings.window())
-        .forEach(v -> spokenOf.add(v.host())));
-    List<Vote> mine = own.votes(spokenOf::contains, settings.window(), now);
-    Map<Integer, Vote> seen = mine.stream().collect(Collectors.toMap(Vote::host, v -> v));
-    for (int host : spokenOf) {
-      Word w = words.computeIfAbsent(host, h -> new Word());
-      decide(host, w, seen.get(host), others, users, now);
+    /** An attempt of this proxy's own has told whether a host serves. */
+    public void ended(int host, boolean failed, double now) {
+        own.ended(host, failed, now);
+        Word w = words.get(host);
+        if (w != null && w.left && failed) {
+            w.again = true;
+        }
     }
-    words.entrySet().removeIf(e -> forgotten(e.getKey(), e.getValue(), now));
-    return mine;
-  }
 
-  /**
-   * Whether nobody has told of a failure there for so long. Guards against a proxy that is cut off from the others' news and
-   * waits on for its turn among all of them: it tries a host that it has left.
-   */
-  private boolean forgotten(int host, Word w, double now) {
-    boolean over = now - w.heardAt > settings.forget();
-    if (over && w.left) {
-      out.comeBack(host, settings.ramp() * random.nextDouble());
+    /**
+     * Takes the votes of all other proxies that are present, one list each, and decides.
+     *
+     * @param others their votes, as old as they are by now
+     * @param proxies that are present, this one among them
+     * @param hosts that are listed
+     * @return this proxy's own votes, for the others; those that matter most come first
+     */
+    public List<Vote> step(List<List<Vote>> others, int proxies, int hosts, double now) {
+        // Each that uses a part of the hosts is taken for one of many alike: so many use each host.
+        double users =
+                Math.max(settings.quorum(), (double) proxies * own.used(settings.habit(), now) / Math.max(1, hosts));
+        Set<Integer> spokenOf = new TreeSet<>(words.keySet());
+        spokenOf.addAll(own.failing(settings.window(), now));
+        others.forEach(votes -> votes.stream()
+                .filter(v -> v.failed() && v.age() < settings.window())
+                .forEach(v -> spokenOf.add(v.host())));
+        List<Vote> mine = own.votes(spokenOf::contains, settings.window(), now);
+        Map<Integer, Vote> seen = mine.stream().collect(Collectors.toMap(Vote::host, v -> v));
+        for (int host : spokenOf) {
+            Word w = words.computeIfAbsent(host, h -> new Word());
+            decide(host, w, seen.get(host), others, users, now);
+        }
+        words.entrySet().removeIf(e -> forgotten(e.getKey(), e.getValue(), now));
+        return mine;
     }
-    return over;
-  }
 
-  private void decide(int host, Word w, Vote mine, List<List<Vote>> others, double users, double now) {
-    Tally tally = mine != null && now - mine.age() > w.since ? Tally.NONE.plus(mine) : Tally.NONE;
-    for (List<Vote> votes : others) {
-      for (Vote v : votes) {
-        if (v.host() == host && v.age() < settings.window() && now - v.age() > w.since) {
-          tally = tally.plus(v);
-          break; // one voice a proxy, whatever it says twice
+    /**
+     * Whether nobody has told of a failure there for so long. Guards against a proxy that is cut off from the others' news and
+     * waits on for its turn among all of them: it tries a host that it has left.
+     */
+    private boolean forgotten(int host, Word w, double now) {
+        boolean over = now - w.heardAt > settings.forget();
+        if (over && w.left) {
+            out.comeBack(host, settings.ramp() * random.nextDouble());
         }
-      }
+        return over;
     }
-    w.heardAt = tally.failed() > 0 || w.heardAt == 0 ? now : w.heardAt;
-    if (w.left) {
-      away(host, w, tally, users, now);
-    } else {
-      here(host, w, tally, mine, users, now);
+
+    private void decide(int host, Word w, Vote mine, List<List<Vote>> others, double users, double now) {
+        Tally tally = mine != null && now - mine.age() > w.since ? Tally.NONE.plus(mine) : Tally.NONE;
+        for (List<Vote> votes : others) {
+            for (Vote v : votes) {
+                if (v.host() == host && v.age() < settings.window() && now - v.age() > w.since) {
+                    tally = tally.plus(v);
+                    break; // one voice a proxy, whatever it says twice
+                }
+            }
+        }
+        w.heardAt = tally.failed() > 0 || w.heardAt == 0 ? now : w.heardAt;
+        if (w.left) {
+            away(host, w, tally, users, now);
+        } else {
+            here(host, w, tally, mine, users, now);
+        }
     }
-  }
 
-  private void here(int host, Word w, Tally tally, Vote mine, double users, double now) {
-    boolean byOthers = tally.failed() > (mine != null && mine.failed() ? 1 : 0);
-    w.accusedFrom = !byOthers ? Double.NaN : Double.isNaN(w.accusedFrom) ? now + tally.youngest() : w.accusedFrom;
-    // Guards against late news: who was served there after the last failure that anybody tells of believes its own eyes.
-    boolean knowsBetter = mine != null && !mine.failed() && mine.age() < tally.youngest();
-    if (tally.fails(settings) && now - w.accusedFrom >= settings.hold() && !knowsBetter) {
-      turn(w, true, now);
-      out.leave(host, untilTrial(users), tally.failed(), tally.served());
+    private void here(int host, Word w, Tally tally, Vote mine, double users, double now) {
+        boolean byOthers = tally.failed() > (mine != null && mine.failed() ? 1 : 0);
+        w.accusedFrom = !byOthers ? Double.NaN : Double.isNaN(w.accusedFrom) ? now + tally.youngest() : w.accusedFrom;
+        // Guards against late news: who was served there after the last failure that anybody tells of believes its own
+        // eyes.
+        boolean knowsBetter = mine != null && !mine.failed() && mine.age() < tally.youngest();
+        if (tally.fails(settings) && now - w.accusedFrom >= settings.hold() && !knowsBetter) {
+            turn(w, true, now);
+            out.leave(host, untilTrial(users), tally.failed(), tally.served());
+        }
     }
-  }
 
-  private void away(int host, Word w, Tally tally, double users, double now) {
-    if (tally.serves(settings)) {
-      turn(w, false, now);
-      out.comeBack(host, settings.ramp() * random.nextDouble());
-    } else if (w.again) {
-      out.leave(host, untilTrial(users), tally.failed(), tally.served());
+    private void away(int host, Word w, Tally tally, double users, double now) {
+        if (tally.serves(settings)) {
+            turn(w, false, now);
+            out.comeBack(host, settings.ramp() * random.nextDouble());
+        } else if (w.again) {
+            out.leave(host, untilTrial(users), tally.failed(), tally.served());
+        }
+        w.again = false;
     }
-    w.again = false;
-  }
 
-  /** Only what is seen from now on counts for the next turn. */
-  private static void turn(Word w, boolean left, double now) {
-    w.left = left;
-    w.since = now;
-    w.accusedFrom = Double.NaN;
-  }
+    /** Only what is seen from now on counts for the next turn. */
+    private static void turn(Word w, boolean left, double now) {
+        w.left = left;
+        w.since = now;
+        w.accusedFrom = Double.NaN;
+    }
 
-  /**
-   * An instant of this proxy's own, such that all who use the host together try it so many times a second. Guards against
-   * all trying it at one instant, and against trials that grow with the number of proxies.
-   */
-  private double untilTrial(double users) {
-    return 2_000 * users / settings.trials() * random.nextDouble();
-  }
+    /**
+     * An instant of this proxy's own, such that all who use the host together try it so many times a second. Guards against
+     * all trying it at one instant, and against trials that grow with the number of proxies.
+     */
+    private double untilTrial(double users) {
+        return 2_000 * users / settings.trials() * random.nextDouble();
+    }
 }
--- a/src/main/java/rillyard/spread/Sightings.java
+++ b/src/main/java/rillyard/spread/Sightings.java
@@ -9,38 +9,43 @@
 
 /** What this proxy last saw of each host that it uses. Bounded by the hosts that its list names and a time. */
 final class Sightings {
-  private record Seen(boolean failed, double at) {}
+    private record Seen(boolean failed, double at) {}
 
-  private final Map<Integer, Seen> last = new HashMap<>();
+    private final Map<Integer, Seen> last = new HashMap<>();
 
-  void ended(int host, boolean failed, double now) {
-    last.put(host, new Seen(failed, now));
-  }
+    void ended(int host, boolean failed, double now) {
+        last.put(host, new Seen(failed, now));
+    }
 
-  /** How many hosts it used within so many ms. */
-  int used(double habit, double now) {
-    last.values().removeIf(s -> now - s.at >= habit);
-    return last.size();
-  }
+    /** How many hosts it used within so many ms. */
+    int used(double habit, double now) {
+        last.values().removeIf(s -> now - s.at >= habit);
+        return last.size();
+    }
 
-  /** The hosts whose last sight was a failure, within a window. */
-  List<Integer> failing(double window, double now) {
-    return last.entrySet().stream().filter(e -> e.getValue().failed && now - e.getValue().at < window)
-        .map(Map.Entry::getKey).toList();
-  }
+    /** The hosts whose last sight was a failure, within a window. */
+    List<Integer> failing(double window, double now) {
+        return last.entrySet().stream()
+                .filter(e -> e.getValue().failed && now - e.getValue().at < window)
+                .map(Map.Entry::getKey)
+                .toList();
+    }
 
-  /**
-   * Its votes of a window: the hosts that failed, newest first, then those of {@code accused} hosts that served it.
-   * Guards against a host that loses one request in ten being judged by those it lost alone.
-   */
-  List<Vote> votes(IntPredicate accused, double window, double now) {
-    List<Vote> votes = new ArrayList<>();
-    last.forEach((host, s) -> {
-      if (now - s.at < window && (s.failed || accused.test(host))) {
-        votes.add(new Vote(host, s.failed, Math.max(0, now - s.at)));
-      }
-    });
-    votes.sort(Comparator.comparing(Vote::failed).reversed().thenComparingDouble(Vote::age).thenComparingInt(Vote::host));
-    return votes;
-  }
+    /**
+     * Its votes of a window: the hosts that failed, newest first, then those of {@code accused} hosts that served it.
+     * Guards against a host that loses one request in ten being judged by those it lost alone.
+     */
+    List<Vote> votes(IntPredicate accused, double window, double now) {
+        List<Vote> votes = new ArrayList<>();
+        last.forEach((host, s) -> {
+            if (now - s.at < window && (s.failed || accused.test(host))) {
+                votes.add(new Vote(host, s.failed, Math.max(0, now - s.at)));
+            }
+        });
+        votes.sort(Comparator.comparing(Vote::failed)
+                .reversed()
+                .thenComparingDouble(Vote::age)
+                .thenComparingInt(Vote::host));
+        return votes;
+    }
 }
--- a/src/main/java/rillyard/spread/SpreadSettings.java
+++ b/src/main/java/rillyard/spread/SpreadSettings.java
@@ -15,7 +15,16 @@
  * @param forget time after which a host that nobody speaks of is as any other
  */
 public record SpreadSettings(
-    double window, int quorum, double share, double hold, double trials, int back, double habit, double ramp, double forget) {
-  /** Reasons and figures: {@code docs/design/even-load.md}. */
-  public static final SpreadSettings USUAL = new SpreadSettings(4_000, 3, 2 / 3.0, 1_000, 2, 2, 30_000, 2_000, 20_000);
+        double window,
+        int quorum,
+        double share,
+        double hold,
+        double trials,
+        int back,
+        double habit,
+        double ramp,
+        double forget) {
+    /** Reasons and figures: {@code docs/design/even-load.md}. */
+    public static final SpreadSettings USUAL =
+            new SpreadSettings(4_000, 3, 2 / 3.0, 1_000, 2, 2, 30_000, 2_000, 20_000);
 }
--- a/src/main/java/rillyard/spread/Tally.java
+++ b/src/main/java/rillyard/spread/Tally.java
@@ -8,23 +8,25 @@
  * @param youngest age (ms) of the newest failure; infinite without one
  */
 record Tally(int failed, int served, double youngest) {
-  static final Tally NONE = new Tally(0, 0, Double.POSITIVE_INFINITY);
+    static final Tally NONE = new Tally(0, 0, Double.POSITIVE_INFINITY);
 
-  Tally plus(Vote v) {
-    return v.failed() ? new Tally(failed + 1, served, Math.min(youngest, v.age())) : new Tally(failed, served + 1, youngest);
-  }
+    Tally plus(Vote v) {
+        return v.failed()
+                ? new Tally(failed + 1, served, Math.min(youngest, v.age()))
+                : new Tally(failed, served + 1, youngest);
+    }
 
-  int voices() {
-    return failed + served;
-  }
+    int voices() {
+        return failed + served;
+    }
 
-  /** Whether so many say that it fails, and they are more than that share of all; one who was served counts from the start. */
-  boolean fails(SpreadSettings s) {
-    return failed >= s.quorum() && failed >= s.share() * (voices() + 1);
-  }
+    /** Whether so many say that it fails, and they are more than that share of all; one who was served counts from the start. */
+    boolean fails(SpreadSettings s) {
+        return failed >= s.quorum() && failed >= s.share() * (voices() + 1);
+    }
 
-  /** Whether so many were served that it is well again, and at least twice those who were not. */
-  boolean serves(SpreadSettings s) {
-    return served >= s.back() && served >= 2 * failed;
-  }
+    /** Whether so many were served that it is well again, and at least twice those who were not. */
+    boolean serves(SpreadSettings s) {
+        return served >= s.back() && served >= 2 * failed;
+    }
 }
--- a/src/main/java/rillyard/spread/Vote.java
+++ b/src/main/java/rillyard/spread/Vote.java
@@ -10,25 +10,25 @@
  * @param age ms since then, 0 to {@link #MAX_AGE}
  */
 public record Vote(int host, boolean failed, double age) {
-  /** The oldest (ms) that fits on the wire; nobody counts one so old. */
-  public static final double MAX_AGE = 127 * Ballot.AGE_STEP;
+    /** The oldest (ms) that fits on the wire; nobody counts one so old. */
+    public static final double MAX_AGE = 127 * Ballot.AGE_STEP;
 
-  /**
-   * Checks the age.
-   *
-   * @throws IllegalArgumentException if it is out of its range
-   */
-  public Vote {
-    if (!(age >= 0 && age <= MAX_AGE)) {
-      throw new IllegalArgumentException("a vote of " + age + " ms, expected 0 to " + MAX_AGE);
+    /**
+     * Checks the age.
+     *
+     * @throws IllegalArgumentException if it is out of its range
+     */
+    public Vote {
+        if (!(age >= 0 && age <= MAX_AGE)) {
+            throw new IllegalArgumentException("a vote of " + age + " ms, expected 0 to " + MAX_AGE);
+        }
     }
-  }
 
-  /**
-   * A host's number: 32 bits of its name, the same in every process. Two of 1,000 hosts share one once in some 9,000
-   * fleets; they are then left and taken back together.
-   */
-  public static int number(String name) {
-    return (int) LongHashFunction.xx3().hashChars(name);
-  }
+    /**
+     * A host's number: 32 bits of its name, the same in every process. Two of 1,000 hosts share one once in some 9,000
+     * fleets; they are then left and taken back together.
+     */
+    public static int number(String name) {
+        return (int) LongHashFunction.xx3().hashChars(name);
+    }
 }
--- a/src/main/java/rillyard/spread/measure/Herd.java
+++ b/src/main/java/rillyard/spread/measure/Herd.java
@@ -12,5 +12,13 @@
  * @param allProxies how many sent anything then
  * @param before what the proxies may have had in common, the last before it first
  */
-public record Herd(String host, long from, long until, int count, double expected, double probability, int proxies,
-    int allProxies, List<Mark> before) {}
+public record Herd(
+        String host,
+        long from,
+        long until,
+        int count,
+        double expected,
+        double probability,
+        int proxies,
+        int allProxies,
+        List<Mark> before) {}
--- a/src/main/java/rillyard/spread/measure/Herds.java
+++ b/src/main/java/rillyard/spread/measure/Herds.java
@@ -14,118 +14,128 @@
  * so that a whole run of uniform load raises a false alarm with a probability of {@link #FALSE_ALARM} at most.
  */
 final class Herds {
-  /** A host that gets more than so many times its share is herded to. */
-  static final double TIMES = 3;
+    /** A host that gets more than so many times its share is herded to. */
+    static final double TIMES = 3;
 
-  static final double FALSE_ALARM = 0.01;
+    static final double FALSE_ALARM = 0.01;
 
-  /** Stretches are so many answer times long: a herd may be over at once, or outlast many answers. */
-  private static final int[] SCALES = {1, 4, 16};
+    /** Stretches are so many answer times long: a herd may be over at once, or outlast many answers. */
+    private static final int[] SCALES = {1, 4, 16};
 
-  /** What happened at most so long (us) before a herd may have brought it about. */
-  private static final long BEFORE = 2_000_000;
+    /** What happened at most so long (us) before a herd may have brought it about. */
+    private static final long BEFORE = 2_000_000;
 
-  private static final int MOST_MARKS = 4;
+    private static final int MOST_MARKS = 4;
 
-  private final List<Arrival> first;
-  private final HostTimes hosts;
-  private final List<Mark> marks;
+    private final List<Arrival> first;
+    private final HostTimes hosts;
+    private final List<Mark> marks;
 
-  /** Arrivals and marks in the order of their times. */
-  Herds(List<Arrival> arrivals, HostTimes hosts, List<Mark> marks) {
-    this.first = arrivals.stream().filter(Arrival::first).toList();
-    this.hosts = hosts;
-    this.marks = marks;
-  }
-
-  /** All herds, stretches that overlap taken as one, in the order of their times. */
-  List<Herd> find(long answerTime) {
-    double bound = FALSE_ALARM / Math.max(1, first.size() * SCALES.length);
-    List<Herd> found = new ArrayList<>();
-    for (int scale : SCALES) {
-      scan(answerTime * scale, bound, found);
+    /** Arrivals and marks in the order of their times. */
+    Herds(List<Arrival> arrivals, HostTimes hosts, List<Mark> marks) {
+        this.first = arrivals.stream().filter(Arrival::first).toList();
+        this.hosts = hosts;
+        this.marks = marks;
     }
-    return merged(found);
-  }
 
-  private void scan(long stretch, double bound, List<Herd> found) {
-    Map<String, List<Integer>> byHost = new HashMap<>();
-    for (int i = 0; i < first.size(); i++) {
-      byHost.computeIfAbsent(first.get(i).host(), h -> new ArrayList<>()).add(i);
-    }
-    for (Map.Entry<String, List<Integer>> e : byHost.entrySet()) {
-      List<Integer> at = e.getValue();
-      int end = 0;
-      int allEnd = 0;
-      for (int k = 0; k < at.size(); k++) {
-        long from = first.get(at.get(k)).at();
-        while (end < at.size() && first.get(at.get(end)).at() < from + stretch) {
-          end++;
+    /** All herds, stretches that overlap taken as one, in the order of their times. */
+    List<Herd> find(long answerTime) {
+        double bound = FALSE_ALARM / Math.max(1, first.size() * SCALES.length);
+        List<Herd> found = new ArrayList<>();
+        for (int scale : SCALES) {
+            scan(answerTime * scale, bound, found);
         }
-        while (allEnd < first.size() && first.get(allEnd).at() < from + stretch) {
-          allEnd++;
+        return merged(found);
+    }
+
+    private void scan(long stretch, double bound, List<Herd> found) {
+        Map<String, List<Integer>> byHost = new HashMap<>();
+        for (int i = 0; i < first.size(); i++) {
+            byHost.computeIfAbsent(first.get(i).host(), h -> new ArrayList<>()).add(i);
         }
-        int count = end - k;
-        int all = allEnd - at.get(k);
-        if (count > 2) {
-          judge(e.getKey(), from, from + stretch, count, at.get(k), allEnd, all, bound, found);
+        for (Map.Entry<String, List<Integer>> e : byHost.entrySet()) {
+            List<Integer> at = e.getValue();
+            int end = 0;
+            int allEnd = 0;
+            for (int k = 0; k < at.size(); k++) {
+                long from = first.get(at.get(k)).at();
+                while (end < at.size() && first.get(at.get(end)).at() < from + stretch) {
+                    end++;
+                }
+                while (allEnd < first.size() && first.get(allEnd).at() < from + stretch) {
+                    allEnd++;
+                }
+                int count = end - k;
+                int all = allEnd - at.get(k);
+                if (count > 2) {
+                    judge(e.getKey(), from, from + stretch, count, at.get(k), allEnd, all, bound, found);
+                }
+            }
         }
-      }
     }
-  }
 
-  private void judge(String host, long from, long until, int count, int firstIndex, int lastIndex, int all, double bound,
-      List<Herd> found) {
-    double share = hosts.share(host, from);
-    double expected = all * share;
-    if (share <= 0 || count <= TIMES * Math.max(expected, share)) {
-      return;
-    }
-    // The stretch begins with one of the host's arrivals: that one is given, the others are by chance.
-    double p = Chance.atLeast(count - 1, all - 1, share);
-    if (p < bound) {
-      Set<String> part = new HashSet<>();
-      Set<String> any = new HashSet<>();
-      for (Arrival a : first.subList(firstIndex, lastIndex)) {
-        any.add(a.proxy());
-        if (a.host().equals(host)) {
-          part.add(a.proxy());
+    private void judge(
+            String host,
+            long from,
+            long until,
+            int count,
+            int firstIndex,
+            int lastIndex,
+            int all,
+            double bound,
+            List<Herd> found) {
+        double share = hosts.share(host, from);
+        double expected = all * share;
+        if (share <= 0 || count <= TIMES * Math.max(expected, share)) {
+            return;
+        }
+        // The stretch begins with one of the host's arrivals: that one is given, the others are by chance.
+        double p = Chance.atLeast(count - 1, all - 1, share);
+        if (p < bound) {
+            Set<String> part = new HashSet<>();
+            Set<String> any = new HashSet<>();
+            for (Arrival a : first.subList(firstIndex, lastIndex)) {
+                any.add(a.proxy());
+                if (a.host().equals(host)) {
+                    part.add(a.proxy());
+                }
+            }
+            found.add(new Herd(host, from, until, count, expected, p, part.size(), any.size(), before(host, from)));
         }
-      }
-      found.add(new Herd(host, from, until, count, expected, p, part.size(), any.size(), before(host, from)));
     }
-  }
 
-  private List<Mark> before(String host, long from) {
-    List<Mark> out = new ArrayList<>();
-    for (Mark m : marks) {
-      if (m.at() <= from && m.at() > from - BEFORE && (m.host().isEmpty() || m.host().equals(host))) {
-        out.add(m);
-      }
+    private List<Mark> before(String host, long from) {
+        List<Mark> out = new ArrayList<>();
+        for (Mark m : marks) {
+            if (m.at() <= from
+                    && m.at() > from - BEFORE
+                    && (m.host().isEmpty() || m.host().equals(host))) {
+                out.add(m);
+            }
+        }
+        out.sort(Comparator.comparingLong(Mark::at).reversed());
+        return List.copyOf(out.subList(0, Math.min(MOST_MARKS, out.size())));
     }
-    out.sort(Comparator.comparingLong(Mark::at).reversed());
-    return List.copyOf(out.subList(0, Math.min(MOST_MARKS, out.size())));
-  }
 
-  /** One for all that overlap at one host: the least probable of them, which tells best when it was. */
-  private static List<Herd> merged(List<Herd> found) {
-    List<Herd> sorted = new ArrayList<>(found);
-    sorted.sort(Comparator.comparing(Herd::host).thenComparingLong(Herd::from));
-    List<Herd> out = new ArrayList<>();
-    String host = "";
-    long until = 0;
-    for (Herd h : sorted) {
-      boolean overlaps = h.host().equals(host) && h.from() < until;
-      until = overlaps ? Math.max(until, h.until()) : h.until();
-      host = h.host();
-      int last = out.size() - 1;
-      if (!overlaps) {
-        out.add(h);
-      } else if (h.probability() < out.get(last).probability()) {
-        out.set(last, h);
-      }
+    /** One for all that overlap at one host: the least probable of them, which tells best when it was. */
+    private static List<Herd> merged(List<Herd> found) {
+        List<Herd> sorted = new ArrayList<>(found);
+        sorted.sort(Comparator.comparing(Herd::host).thenComparingLong(Herd::from));
+        List<Herd> out = new ArrayList<>();
+        String host = "";
+        long until = 0;
+        for (Herd h : sorted) {
+            boolean overlaps = h.host().equals(host) && h.from() < until;
+            until = overlaps ? Math.max(until, h.until()) : h.until();
+            host = h.host();
+            int last = out.size() - 1;
+            if (!overlaps) {
+                out.add(h);
+            } else if (h.probability() < out.get(last).probability()) {
+                out.set(last, h);
+            }
+        }
+        out.sort(Comparator.comparingLong(Herd::from));
+        return out;
     }
-    out.sort(Comparator.comparingLong(Herd::from));
-    return out;
-  }
 }
--- a/src/main/java/rillyard/spread/net/FleetNews.java
+++ b/src/main/java/rillyard/spread/net/FleetNews.java
@@ -11,7 +11,6 @@
 import java.util.stream.Collectors;
 import rillyard.balancer.Place;
 import rillyard.balancer.Result;
-import rillyard.member.Fact;
 import rillyard.member.net.FleetMember;
 import rillyard.proxy.Neighbours;
 import rillyard.spread.Ballot;
@@ -23,155 +22,162 @@
 
 /** Carries votes on hosts, and rates, between a proxy and the other members of its fleet, as facts. */
 public final class FleetNews implements Neighbours {
-  /** Kinds of the facts that hold votes. */
-  static final int FIRST_KIND = 1;
-
-  static final int KINDS = 3;
-
-  /** Kind of the fact that holds the rate. */
-  static final int RATE = 4;
-
-  /** Votes end by their own age; as facts they last a little longer (ms). */
-  private static final double VOTES_LAST = 6_000;
-
-  private static final double RATE_LASTS = 600_000;
-
-  /** Votes that say the same of newer sights are told again after so long (ms). */
-  private static final double RENEW = 1_000;
-
-  /** All names and rates are gone through so often (ms): with thousands of members that is work on the loop. */
-  private static final double LAY_EACH = 1_000;
-
-  private final FleetMember member;
-  private final HostWords words;
-  private final Pools pools = new Pools();
-  private final Rate rate = new Rate();
-  private final Set<String> strangers = new HashSet<>();
-  private final Map<Integer, String> names = new HashMap<>();
-  private Set<String> listed = Set.of();
-  private Set<Vote> told = Set.of();
-  private double toldAt = Double.NEGATIVE_INFINITY;
-  private int factsTold;
-  private double laidAt = Double.NEGATIVE_INFINITY;
-  private Heed heed;
-
-  /** The member is to be started by whoever made it. */
-  public FleetNews(FleetMember member, SpreadSettings settings, long seed) {
-    this.member = member;
-    this.words = new HostWords(settings, new SplittableRandom(seed), new Decided());
-    member.follow(FIRST_KIND, FIRST_KIND + 1, FIRST_KIND + 2, RATE);
-  }
-
-  @Override
-  public void ended(String host, Result result, double now) {
-    rate.counted(now);
-    switch (result) {
-      case OK -> words.ended(Vote.number(host), false, now);
-      case ERROR, TIMEOUT, RESET, CONNECT_FAILED -> words.ended(Vote.number(host), true, now);
-      case FULL, CANCELLED, MOOT -> {} // a full host is busy, and the others tell nothing of it
+    /** Kinds of the facts that hold votes. */
+    static final int FIRST_KIND = 1;
+
+    static final int KINDS = 3;
+
+    /** Kind of the fact that holds the rate. */
+    static final int RATE = 4;
+
+    /** Votes end by their own age; as facts they last a little longer (ms). */
+    private static final double VOTES_LAST = 6_000;
+
+    private static final double RATE_LASTS = 600_000;
+
+    /** Votes that say the same of newer sights are told again after so long (ms). */
+    private static final double RENEW = 1_000;
+
+    /** All names and rates are gone through so often (ms): with thousands of members that is work on the loop. */
+    private static final double LAY_EACH = 1_000;
+
+    private final FleetMember member;
+    private final HostWords words;
+    private final Pools pools = new Pools();
+    private final Rate rate = new Rate();
+    private final Set<String> strangers = new HashSet<>();
+    private final Map<Integer, String> names = new HashMap<>();
+    private Set<String> listed = Set.of();
+    private Set<Vote> told = Set.of();
+    private double toldAt = Double.NEGATIVE_INFINITY;
+    private int factsTold;
+    private double laidAt = Double.NEGATIVE_INFINITY;
+    private Heed heed;
+
+    /** The member is to be started by whoever made it. */
+    public FleetNews(FleetMember member, SpreadSettings settings, long seed) {
+        this.member = member;
+        this.words = new HostWords(settings, new SplittableRandom(seed), new Decided());
+        member.follow(FIRST_KIND, FIRST_KIND + 1, FIRST_KIND + 2, RATE);
     }
-  }
-
-  @Override
-  public void step(double now, Set<String> hosts, Heed to) {
-    heed = to;
-    if (!hosts.equals(listed)) {
-      listed = Set.copyOf(hosts);
-      names.clear();
-      listed.forEach(h -> names.put(Vote.number(h), h));
-    }
-    FleetMember.Known known = member.known();
-    List<Vote> mine = words.step(votes(known), known.present().size(), listed.size(), now);
-    tell(mine, now);
-    byte[] news = rate.news(now);
-    if (news != null) {
-      member.say(RATE, news, RATE_LASTS, true);
-    }
-    if (now - laidAt >= LAY_EACH) {
-      laidAt = now;
-      lay(known);
+
+    @Override
+    public void ended(String host, Result result, double now) {
+        rate.counted(now);
+        switch (result) {
+            case OK -> words.ended(Vote.number(host), false, now);
+            case ERROR, TIMEOUT, RESET, CONNECT_FAILED -> words.ended(Vote.number(host), true, now);
+            case FULL, CANCELLED, MOOT -> {} // a full host is busy, and the others tell nothing of it
+        }
     }
-  }
-
-  /** What the others saw of hosts that this proxy's own list names: nobody's word brings it another. */
-  private List<List<Vote>> votes(FleetMember.Known known) {
-    Map<String, List<Vote>> byOwner = new HashMap<>();
-    for (int kind = FIRST_KIND; kind < FIRST_KIND + KINDS; kind++) {
-      known.facts(kind).forEach((owner, fact) -> {
-        if (owner.equals(known.self())) {
-          return;
+
+    @Override
+    public void step(double now, Set<String> hosts, Heed to) {
+        heed = to;
+        if (!hosts.equals(listed)) {
+            listed = Set.copyOf(hosts);
+            names.clear();
+            listed.forEach(h -> names.put(Vote.number(h), h));
         }
-        try {
-          for (Vote v : Ballot.decode(fact.value(), known.age(fact))) {
-            if (names.containsKey(v.host())) {
-              byOwner.computeIfAbsent(owner, o -> new ArrayList<>()).add(v);
-            }
-          }
-        } catch (IllegalArgumentException e) {
-          strange(owner, e);
+        FleetMember.Known known = member.known();
+        List<Vote> mine = words.step(votes(known), known.present().size(), listed.size(), now);
+        tell(mine, now);
+        byte[] news = rate.news(now);
+        if (news != null) {
+            member.say(RATE, news, RATE_LASTS, true);
+        }
+        if (now - laidAt >= LAY_EACH) {
+            laidAt = now;
+            lay(known);
         }
-      });
-    }
-    return List.copyOf(byOwner.values());
-  }
-
-  private void tell(List<Vote> mine, double now) {
-    // What is said of which host, whenever it was seen.
-    Set<Vote> said = mine.stream().map(v -> new Vote(v.host(), v.failed(), 0)).collect(Collectors.toSet());
-    boolean renewed = !mine.isEmpty() && now - toldAt >= RENEW
-        && mine.stream().anyMatch(v -> v.age() < now - toldAt);
-    if (said.equals(told) && !renewed) {
-      return;
     }
-    told = said;
-    toldAt = now;
-    List<byte[]> values = Ballot.encode(mine, KINDS);
-    for (int i = 0; i < Math.max(values.size(), factsTold); i++) {
-      member.say(FIRST_KIND + i, i < values.size() ? values.get(i) : new byte[0], VOTES_LAST, false);
+
+    /** What the others saw of hosts that this proxy's own list names: nobody's word brings it another. */
+    private List<List<Vote>> votes(FleetMember.Known known) {
+        Map<String, List<Vote>> byOwner = new HashMap<>();
+        for (int kind = FIRST_KIND; kind < FIRST_KIND + KINDS; kind++) {
+            known.facts(kind).forEach((owner, fact) -> {
+                if (owner.equals(known.self())) {
+                    return;
+                }
+                try {
+                    for (Vote v : Ballot.decode(fact.value(), known.age(fact))) {
+                        if (names.containsKey(v.host())) {
+                            byOwner.computeIfAbsent(owner, o -> new ArrayList<>())
+                                    .add(v);
+                        }
+                    }
+                } catch (IllegalArgumentException e) {
+                    strange(owner, e);
+                }
+            });
+        }
+        return List.copyOf(byOwner.values());
     }
-    factsTold = values.size();
-  }
-
-  private void lay(FleetMember.Known known) {
-    Map<String, Double> rates = new HashMap<>();
-    known.facts(RATE).forEach((owner, fact) -> {
-      try {
-        rates.put(owner, Rate.read(fact.value()));
-      } catch (IllegalArgumentException e) {
-        strange(owner, e);
-      }
-    });
-    Place p = known.present().isEmpty() ? null : pools.lay(known.self(), known.present(), rates);
-    if (p != null) {
-      heed.place(p);
-      heed.log(String.format(Locale.ROOT, "fleet: pool %d of %d, weight %.2f", p.position(), p.of(), p.weight()));
+
+    private void tell(List<Vote> mine, double now) {
+        // What is said of which host, whenever it was seen.
+        Set<Vote> said =
+                mine.stream().map(v -> new Vote(v.host(), v.failed(), 0)).collect(Collectors.toSet());
+        boolean renewed =
+                !mine.isEmpty() && now - toldAt >= RENEW && mine.stream().anyMatch(v -> v.age() < now - toldAt);
+        if (said.equals(told) && !renewed) {
+            return;
+        }
+        told = said;
+        toldAt = now;
+        List<byte[]> values = Ballot.encode(mine, KINDS);
+        for (int i = 0; i < Math.max(values.size(), factsTold); i++) {
+            member.say(FIRST_KIND + i, i < values.size() ? values.get(i) : new byte[0], VOTES_LAST, false);
+        }
+        factsTold = values.size();
     }
-  }
 
-  private void strange(String owner, IllegalArgumentException e) {
-    if (strangers.size() < 100 && strangers.add(owner)) {
-      heed.log("fleet: " + owner + " says what can't be read: " + e.getMessage());
+    private void lay(FleetMember.Known known) {
+        Map<String, Double> rates = new HashMap<>();
+        known.facts(RATE).forEach((owner, fact) -> {
+            try {
+                rates.put(owner, Rate.read(fact.value()));
+            } catch (IllegalArgumentException e) {
+                strange(owner, e);
+            }
+        });
+        Place p = known.present().isEmpty() ? null : pools.lay(known.self(), known.present(), rates);
+        if (p != null) {
+            heed.place(p);
+            heed.log(String.format(Locale.ROOT, "fleet: pool %d of %d, weight %.2f", p.position(), p.of(), p.weight()));
+        }
     }
-  }
 
-  private final class Decided implements HostWords.Out {
-    @Override
-    public void leave(int host, double wait, int failed, int served) {
-      String name = names.get(host);
-      if (name != null) {
-        heed.leave(name, wait);
-        heed.log(String.format(Locale.ROOT, "fleet: host %s left: failed %d proxies, served %d; trial in %.1f s",
-            name, failed, served, wait / 1_000));
-      }
+    private void strange(String owner, IllegalArgumentException e) {
+        if (strangers.size() < 100 && strangers.add(owner)) {
+            heed.log("fleet: " + owner + " says what can't be read: " + e.getMessage());
+        }
     }
 
-    @Override
-    public void comeBack(int host, double wait) {
-      String name = names.get(host);
-      if (name != null) {
-        heed.comeBack(name, wait);
-        heed.log(String.format(Locale.ROOT, "fleet: host %s serves again; back in %.1f s", name, wait / 1_000));
-      }
+    private final class Decided implements HostWords.Out {
+        @Override
+        public void leave(int host, double wait, int failed, int served) {
+            String name = names.get(host);
+            if (name != null) {
+                heed.leave(name, wait);
+                heed.log(String.format(
+                        Locale.ROOT,
+                        "fleet: host %s left: failed %d proxies, served %d; trial in %.1f s",
+                        name,
+                        failed,
+                        served,
+                        wait / 1_000));
+            }
+        }
+
+        @Override
+        public void comeBack(int host, double wait) {
+            String name = names.get(host);
+            if (name != null) {
+                heed.comeBack(name, wait);
+                heed.log(String.format(Locale.ROOT, "fleet: host %s serves again; back in %.1f s", name, wait / 1_000));
+            }
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/standin/AddressView.java
+++ b/src/main/java/rillyard/standin/AddressView.java
@@ -5,14 +5,14 @@
 /** Where each caller of discovery is told that a host is: with a relay between them each has its own way there. */
 @FunctionalInterface
 public interface AddressView {
-  /** All are told where the hosts are. */
-  AddressView SAME = (caller, address) -> address;
+    /** All are told where the hosts are. */
+    AddressView SAME = (caller, address) -> address;
 
-  /**
-   * The address to tell.
-   *
-   * @param caller where the call came from
-   * @param address where the host listens, {@code IP:port}
-   */
-  String address(InetAddress caller, String address);
+    /**
+     * The address to tell.
+     *
+     * @param caller where the call came from
+     * @param address where the host listens, {@code IP:port}
+     */
+    String address(InetAddress caller, String address);
 }
--- a/src/main/java/rillyard/standin/Answer.java
+++ b/src/main/java/rillyard/standin/Answer.java
@@ -13,58 +13,59 @@
  * and is filled up with spaces to the size that the class asks for.
  */
 public final class Answer {
-  private static final byte[] NOISE = "\u0001\u0002 this is no answer \u0003\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] NOISE =
+            "\u0001\u0002 this is no answer \u0003\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
-  private Answer() {}
+    private Answer() {}
 
-  /** The body of a good answer. */
-  public static String body(String id, String host, long length, long crc) {
-    return "id=" + id + " host=" + host + " len=" + length + " crc=" + Long.toHexString(crc);
-  }
+    /** The body of a good answer. */
+    public static String body(String id, String host, long length, long crc) {
+        return "id=" + id + " host=" + host + " len=" + length + " crc=" + Long.toHexString(crc);
+    }
 
-  static ByteBuf good(ByteBufAllocator alloc, Received r, String host, String load) {
-    String body = body(r.id(), host, r.length(), r.crc());
-    int size = Math.max(body.length(), r.spec().answerBytes());
-    String head =
-        "HTTP/1.1 200 OK\r\nContent-Length: " + size + "\r\n"
-            + (load == null ? "" : "X-Server-Load: " + load + "\r\n") + "\r\n";
-    ByteBuf b = alloc.buffer(head.length() + size);
-    b.writeCharSequence(head, StandardCharsets.US_ASCII);
-    b.writeCharSequence(body, StandardCharsets.US_ASCII);
-    for (int i = body.length(); i < size; i++) {
-      b.writeByte(' ');
+    static ByteBuf good(ByteBufAllocator alloc, Received r, String host, String load) {
+        String body = body(r.id(), host, r.length(), r.crc());
+        int size = Math.max(body.length(), r.spec().answerBytes());
+        String head = "HTTP/1.1 200 OK\r\nContent-Length: " + size + "\r\n"
+                + (load == null ? "" : "X-Server-Load: " + load + "\r\n") + "\r\n";
+        ByteBuf b = alloc.buffer(head.length() + size);
+        b.writeCharSequence(head, StandardCharsets.US_ASCII);
+        b.writeCharSequence(body, StandardCharsets.US_ASCII);
+        for (int i = body.length(); i < size; i++) {
+            b.writeByte(' ');
+        }
+        return b;
     }
-    return b;
-  }
 
-  static ByteBuf status(ByteBufAllocator alloc, int status, boolean unseen, boolean close) {
-    String head =
-        "HTTP/1.1 " + status + " X\r\nContent-Length: 0\r\n"
-            + (unseen ? "X-Not-Processed: 1\r\n" : "")
-            + (close ? "Connection: close\r\n" : "") + "\r\n";
-    ByteBuf b = alloc.buffer(head.length());
-    b.writeCharSequence(head, StandardCharsets.US_ASCII);
-    return b;
-  }
+    static ByteBuf status(ByteBufAllocator alloc, int status, boolean unseen, boolean close) {
+        String head = "HTTP/1.1 " + status + " X\r\nContent-Length: 0\r\n"
+                + (unseen ? "X-Not-Processed: 1\r\n" : "")
+                + (close ? "Connection: close\r\n" : "") + "\r\n";
+        ByteBuf b = alloc.buffer(head.length());
+        b.writeCharSequence(head, StandardCharsets.US_ASCII);
+        return b;
+    }
 
-  static ByteBuf text(ByteBufAllocator alloc, int status, String text) {
-    byte[] body = text.getBytes(StandardCharsets.UTF_8);
-    String head = "HTTP/1.1 " + status + " X\r\nContent-Length: " + body.length + "\r\n\r\n";
-    ByteBuf b = alloc.buffer(head.length() + body.length);
-    b.writeCharSequence(head, StandardCharsets.US_ASCII);
-    b.writeBytes(body);
-    return b;
-  }
+    static ByteBuf text(ByteBufAllocator alloc, int status, String text) {
+        byte[] body = text.getBytes(StandardCharsets.UTF_8);
+        String head = "HTTP/1.1 " + status + " X\r\nContent-Length: " + body.length + "\r\n\r\n";
+        ByteBuf b = alloc.buffer(head.length() + body.length);
+        b.writeCharSequence(head, StandardCharsets.US_ASCII);
+        b.writeBytes(body);
+        return b;
+    }
 
-  /** One of four that can't be read as an answer: noise, no end of a line, a wrong length, no length. */
-  static ByteBuf spoilt(ByteBufAllocator alloc, int which) {
-    ByteBuf b = alloc.buffer(64);
-    switch (which & 3) {
-      case 0 -> b.writeBytes(NOISE);
-      case 1 -> b.writeCharSequence("HTTP/1.1 200 OK\r\nContent-Length: 12\r\nX-Half", StandardCharsets.US_ASCII);
-      case 2 -> b.writeCharSequence("HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nspoilt", StandardCharsets.US_ASCII);
-      default -> b.writeCharSequence("HTTP/1.1 2x0 OK\r\nContent-Length: 6\r\n\r\nspoilt", StandardCharsets.US_ASCII);
+    /** One of four that can't be read as an answer: noise, no end of a line, a wrong length, no length. */
+    static ByteBuf spoilt(ByteBufAllocator alloc, int which) {
+        ByteBuf b = alloc.buffer(64);
+        switch (which & 3) {
+            case 0 -> b.writeBytes(NOISE);
+            case 1 -> b.writeCharSequence("HTTP/1.1 200 OK\r\nContent-Length: 12\r\nX-Half", StandardCharsets.US_ASCII);
+            case 2 ->
+                b.writeCharSequence("HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nspoilt", StandardCharsets.US_ASCII);
+            default ->
+                b.writeCharSequence("HTTP/1.1 2x0 OK\r\nContent-Length: 6\r\n\r\nspoilt", StandardCharsets.US_ASCII);
+        }
+        return b;
     }
-    return b;
-  }
 }
--- a/src/main/java/rillyard/standin/Catalog.java
+++ b/src/main/java/rillyard/standin/Catalog.java
@@ -11,89 +11,91 @@
 
 /** The list of hosts and the changes that made it, by version. Used on discovery's loop only. */
 final class Catalog {
-  /** Changes kept for those that ask for what came after a version; past it they get the whole list. */
-  private static final int KEPT = 1_000;
+    /** Changes kept for those that ask for what came after a version; past it they get the whole list. */
+    private static final int KEPT = 1_000;
 
-  private static final ObjectMapper JSON = new ObjectMapper();
+    private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** One entry, as it is told. */
-  record Entry(HostSpec spec, String address, String state, long startedMs) {}
+    /** One entry, as it is told. */
+    record Entry(HostSpec spec, String address, String state, long startedMs) {}
 
-  /** One change. */
-  record Change(long version, Entry entry) {}
+    /** One change. */
+    record Change(long version, Entry entry) {}
 
-  private final Map<String, Entry> entries = new LinkedHashMap<>();
-  private final List<Change> changes = new ArrayList<>();
-  private long version = 1;
+    private final Map<String, Entry> entries = new LinkedHashMap<>();
+    private final List<Change> changes = new ArrayList<>();
+    private long version = 1;
 
-  /** The list at the start, which has version 1. */
-  Catalog(List<Entry> initial) {
-    initial.forEach(e -> entries.put(e.spec().id(), e));
-  }
+    /** The list at the start, which has version 1. */
+    Catalog(List<Entry> initial) {
+        initial.forEach(e -> entries.put(e.spec().id(), e));
+    }
+
+    long version() {
+        return version;
+    }
+
+    /** Takes a change over; state {@code removed} takes the entry off the list. */
+    Change change(Entry e) {
+        if (e.state().equals("removed")) {
+            entries.remove(e.spec().id());
+        } else {
+            entries.put(e.spec().id(), e);
+        }
+        Change c = new Change(++version, e);
+        changes.add(c);
+        if (changes.size() > KEPT) {
+            changes.remove(0);
+        }
+        return c;
+    }
+
+    /** The entry of a host, or null. */
+    Entry get(String id) {
+        return entries.get(id);
+    }
 
-  long version() {
-    return version;
-  }
+    /** What is told of the changes after a version: these, or all where they are not kept any more. */
+    List<Entry> entriesSince(long since) {
+        if (!whole(since)) {
+            return changes.stream()
+                    .filter(c -> c.version() > since)
+                    .map(Change::entry)
+                    .toList();
+        }
+        return List.copyOf(entries.values());
+    }
+
+    private boolean whole(long since) {
+        return since <= 0 || since > version || since < version - changes.size();
+    }
 
-  /** Takes a change over; state {@code removed} takes the entry off the list. */
-  Change change(Entry e) {
-    if (e.state().equals("removed")) {
-      entries.remove(e.spec().id());
-    } else {
-      entries.put(e.spec().id(), e);
+    /** The line that tells what came after a version, or the whole list; addresses as they are to be told. */
+    String since(long since, UnaryOperator<String> address) {
+        return line(whole(since), entriesSince(since), address);
     }
-    Change c = new Change(++version, e);
-    changes.add(c);
-    if (changes.size() > KEPT) {
-      changes.remove(0);
+
+    /** The whole list. */
+    String all(UnaryOperator<String> address) {
+        return line(true, entries.values(), address);
     }
-    return c;
-  }
-
-  /** The entry of a host, or null. */
-  Entry get(String id) {
-    return entries.get(id);
-  }
-
-  /** What is told of the changes after a version: these, or all where they are not kept any more. */
-  List<Entry> entriesSince(long since) {
-    if (!whole(since)) {
-      return changes.stream().filter(c -> c.version() > since).map(Change::entry).toList();
+
+    private String line(boolean full, Iterable<Entry> told, UnaryOperator<String> address) {
+        ObjectNode n = JSON.createObjectNode().put("version", version).put("full", full);
+        ArrayNode servers = n.putArray("servers");
+        told.forEach(e -> put(servers, e, address));
+        return n.toString();
+    }
+
+    private static void put(ArrayNode servers, Entry e, UnaryOperator<String> address) {
+        servers.addObject()
+                .put("id", e.spec().id())
+                .put("addr", address.apply(e.address()))
+                .put("zone", e.spec().zone())
+                .put("kind", e.spec().kind())
+                .put("cell", e.spec().cell())
+                .put("state", e.state())
+                .put("weight", e.spec().cores() * e.spec().speed())
+                .put("started_ms", e.startedMs());
     }
-    return List.copyOf(entries.values());
-  }
-
-  private boolean whole(long since) {
-    return since <= 0 || since > version || since < version - changes.size();
-  }
-
-  /** The line that tells what came after a version, or the whole list; addresses as they are to be told. */
-  String since(long since, UnaryOperator<String> address) {
-    return line(whole(since), entriesSince(since), address);
-  }
-
-  /** The whole list. */
-  String all(UnaryOperator<String> address) {
-    return line(true, entries.values(), address);
-  }
-
-  private String line(boolean full, Iterable<Entry> told, UnaryOperator<String> address) {
-    ObjectNode n = JSON.createObjectNode().put("version", version).put("full", full);
-    ArrayNode servers = n.putArray("servers");
-    told.forEach(e -> put(servers, e, address));
-    return n.toString();
-  }
-
-  private static void put(ArrayNode servers, Entry e, UnaryOperator<String> address) {
-    servers
-        .addObject()
-        .put("id", e.spec().id())
-        .put("addr", address.apply(e.address()))
-        .put("zone", e.spec().zone())
-        .put("kind", e.spec().kind())
-        .put("cell", e.spec().cell())
-        .put("state", e.state())
-        .put("weight", e.spec().cores() * e.spec().speed())
-        .put("started_ms", e.startedMs());
-  }
 }
--- a/src/main/java/rillyard/standin/ClassSpec.java
+++ b/src/main/java/rillyard/standin/ClassSpec.java
@@ -16,37 +16,37 @@
  * @param answerBytes size of an answer
  */
 public record ClassSpec(
-    String name,
-    Semantics semantics,
-    Scope scope,
-    double aimMs,
-    double deadlineMs,
-    double windowMs,
-    double worth,
-    ServiceTime work,
-    int answerBytes) {
+        String name,
+        Semantics semantics,
+        Scope scope,
+        double aimMs,
+        double deadlineMs,
+        double windowMs,
+        double worth,
+        ServiceTime work,
+        int answerBytes) {
 
-  /** What may be repeated. */
-  public enum Semantics {
-    IDEMPOTENT,
-    DEDUPLICATED,
-    AT_MOST_ONCE;
+    /** What may be repeated. */
+    public enum Semantics {
+        IDEMPOTENT,
+        DEDUPLICATED,
+        AT_MOST_ONCE;
 
-    /** The name in the platform's settings. */
-    String setting() {
-      return name().toLowerCase(Locale.ROOT);
+        /** The name in the platform's settings. */
+        String setting() {
+            return name().toLowerCase(Locale.ROOT);
+        }
     }
-  }
 
-  /** The hosts that share the memory of keys. */
-  public enum Scope {
-    ALL,
-    ZONE,
-    CELL;
+    /** The hosts that share the memory of keys. */
+    public enum Scope {
+        ALL,
+        ZONE,
+        CELL;
 
-    /** The name in the platform's settings. */
-    String setting() {
-      return name().toLowerCase(Locale.ROOT);
+        /** The name in the platform's settings. */
+        String setting() {
+            return name().toLowerCase(Locale.ROOT);
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/standin/ControlServer.java
+++ b/src/main/java/rillyard/standin/ControlServer.java
@@ -29,82 +29,81 @@
  * one has begun.
  */
 final class ControlServer {
-  private static final int MOST = 64 * 1024;
+    private static final int MOST = 64 * 1024;
 
-  private final StandIn standIn;
+    private final StandIn standIn;
 
-  ControlServer(StandIn standIn) {
-    this.standIn = standIn;
-  }
+    ControlServer(StandIn standIn) {
+        this.standIn = standIn;
+    }
 
-  InetSocketAddress start(EventLoopGroup loop, InetSocketAddress at) throws Exception {
-    return (InetSocketAddress)
-        new ServerBootstrap()
-            .group(loop)
-            .channel(Loops.listening())
-            .childHandler(
-                new ChannelInitializer<SocketChannel>() {
-                  @Override
-                  protected void initChannel(SocketChannel ch) {
-                    ch.pipeline()
-                        .addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST), new Caller());
-                  }
+    InetSocketAddress start(EventLoopGroup loop, InetSocketAddress at) throws Exception {
+        return (InetSocketAddress) new ServerBootstrap()
+                .group(loop)
+                .channel(Loops.listening())
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel ch) {
+                        ch.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST), new Caller());
+                    }
                 })
-            .bind(at)
-            .sync()
-            .channel()
-            .localAddress();
-  }
-
-  private final class Caller extends SimpleChannelInboundHandler<FullHttpRequest> {
-    @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest r) {
-      if (!r.uri().equals("/faults") || !r.method().equals(HttpMethod.POST)) {
-        respond(ctx, HttpResponseStatus.NOT_FOUND, "POST /faults takes [[fault]] tables\n");
-        return;
-      }
-      try {
-        List<Fault> faults =
-            StandInPlanReader.faults("faults", r.content().toString(StandardCharsets.UTF_8));
-        for (Fault f : faults) {
-          if (!f.kind().ofDiscovery() && standIn.address(f.host()) == null) {
-            respond(ctx, HttpResponseStatus.BAD_REQUEST, "no host '" + f.host() + "'\n");
-            return;
-          }
-        }
-        begin(ctx, faults);
-      } catch (InvalidFileException e) {
-        respond(ctx, HttpResponseStatus.BAD_REQUEST, e.getMessage() + "\n");
-      }
+                .bind(at)
+                .sync()
+                .channel()
+                .localAddress();
     }
 
-    /** Answers when the last has begun: what the caller sends next may be on another loop. */
-    private void begin(ChannelHandlerContext ctx, List<Fault> faults) {
-      PromiseCombiner all = new PromiseCombiner(ctx.executor());
-      faults.forEach(f -> all.add(standIn.begin(f)));
-      Promise<Void> begun = ctx.executor().newPromise();
-      all.finish(begun);
-      begun.addListener(
-          f -> {
-            if (f.isSuccess()) {
-              respond(ctx, HttpResponseStatus.OK, faults.size() + " begun\n");
-            } else {
-              respond(ctx, HttpResponseStatus.INTERNAL_SERVER_ERROR, f.cause().getMessage() + "\n");
+    private final class Caller extends SimpleChannelInboundHandler<FullHttpRequest> {
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest r) {
+            if (!r.uri().equals("/faults") || !r.method().equals(HttpMethod.POST)) {
+                respond(ctx, HttpResponseStatus.NOT_FOUND, "POST /faults takes [[fault]] tables\n");
+                return;
             }
-          });
-    }
+            try {
+                List<Fault> faults =
+                        StandInPlanReader.faults("faults", r.content().toString(StandardCharsets.UTF_8));
+                for (Fault f : faults) {
+                    if (!f.kind().ofDiscovery() && standIn.address(f.host()) == null) {
+                        respond(ctx, HttpResponseStatus.BAD_REQUEST, "no host '" + f.host() + "'\n");
+                        return;
+                    }
+                }
+                begin(ctx, faults);
+            } catch (InvalidFileException e) {
+                respond(ctx, HttpResponseStatus.BAD_REQUEST, e.getMessage() + "\n");
+            }
+        }
 
-    private void respond(ChannelHandlerContext ctx, HttpResponseStatus status, String text) {
-      byte[] body = text.getBytes(StandardCharsets.UTF_8);
-      DefaultFullHttpResponse answer =
-          new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
-      answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
-      ctx.writeAndFlush(answer);
-    }
+        /** Answers when the last has begun: what the caller sends next may be on another loop. */
+        private void begin(ChannelHandlerContext ctx, List<Fault> faults) {
+            PromiseCombiner all = new PromiseCombiner(ctx.executor());
+            faults.forEach(f -> all.add(standIn.begin(f)));
+            Promise<Void> begun = ctx.executor().newPromise();
+            all.finish(begun);
+            begun.addListener(f -> {
+                if (f.isSuccess()) {
+                    respond(ctx, HttpResponseStatus.OK, faults.size() + " begun\n");
+                } else {
+                    respond(
+                            ctx,
+                            HttpResponseStatus.INTERNAL_SERVER_ERROR,
+                            f.cause().getMessage() + "\n");
+                }
+            });
+        }
 
-    @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      ctx.close();
+        private void respond(ChannelHandlerContext ctx, HttpResponseStatus status, String text) {
+            byte[] body = text.getBytes(StandardCharsets.UTF_8);
+            DefaultFullHttpResponse answer =
+                    new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
+            answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
+            ctx.writeAndFlush(answer);
+        }
+
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+            ctx.close();
+        }
     }
-  }
 }
