--- a/src/main/java/rillyard/standin/DiscoveryServer.java
+++ b/src/main/java/rillyard/standin/DiscoveryServer.java
@@ -36,196 +36,191 @@
 
 /** Discovery: the list, and watches on it. All of it on one event loop. */
 final class DiscoveryServer {
-  /** While nothing changes a watch gets an empty line so often. */
-  private static final long BLANK_MS = 2_000;
-
-  private final EventLoop loop;
-  private final Catalog catalog;
-  private final Ledger ledger;
-  private final AddressView view;
-  private final Set<Watch> watches = new LinkedHashSet<>();
-  private Channel listener;
-  private long watchers;
-  private boolean stale;
-  private boolean silent;
-
-  DiscoveryServer(EventLoop loop, Catalog catalog, Ledger ledger, AddressView view) {
-    this.loop = loop;
-    this.catalog = catalog;
-    this.ledger = ledger;
-    this.view = view;
-  }
-
-  /** Listens; throws what the bind throws. */
-  InetSocketAddress start(InetSocketAddress at) throws Exception {
-    listener =
-        new ServerBootstrap()
-            .group(loop)
-            .channel(Loops.listening())
-            .childHandler(
-                new ChannelInitializer<SocketChannel>() {
-                  @Override
-                  protected void initChannel(SocketChannel ch) {
-                    ch.pipeline().addLast(new HttpServerCodec(), new Caller());
-                  }
-                })
-            .bind(at)
-            .sync()
-            .channel();
-    loop.scheduleAtFixedRate(this::blank, BLANK_MS, BLANK_MS, TimeUnit.MILLISECONDS);
-    return (InetSocketAddress) listener.localAddress();
-  }
-
-  EventLoop loop() {
-    return loop;
-  }
-
-  /** Takes a change over and tells it, unless discovery is stale or silent; to be called on the loop. */
-  void change(Catalog.Entry e) {
-    Catalog.Change c = catalog.change(e);
-    ledger.append(new Told(UnixClock.micros(), 0, e.spec().id(), e.state(), c.version()));
-    tell();
-  }
-
-  private void tell() {
-    if (!stale && !silent) {
-      watches.forEach(Watch::catchUp);
+    /** While nothing changes a watch gets an empty line so often. */
+    private static final long BLANK_MS = 2_000;
+
+    private final EventLoop loop;
+    private final Catalog catalog;
+    private final Ledger ledger;
+    private final AddressView view;
+    private final Set<Watch> watches = new LinkedHashSet<>();
+    private Channel listener;
+    private long watchers;
+    private boolean stale;
+    private boolean silent;
+
+    DiscoveryServer(EventLoop loop, Catalog catalog, Ledger ledger, AddressView view) {
+        this.loop = loop;
+        this.catalog = catalog;
+        this.ledger = ledger;
+        this.view = view;
     }
-  }
-
-  /** The entry of a host, or null; to be called on the loop. */
-  Catalog.Entry get(String id) {
-    return catalog.get(id);
-  }
-
-  /** Begins or ends a fault; what was held back is told at its end. To be called on the loop. */
-  void fault(Fault.Kind kind, boolean on) {
-    if (kind == Fault.Kind.DISCOVERY_STALE) {
-      stale = on;
-    } else {
-      silent = on;
+
+    /** Listens; throws what the bind throws. */
+    InetSocketAddress start(InetSocketAddress at) throws Exception {
+        listener = new ServerBootstrap()
+                .group(loop)
+                .channel(Loops.listening())
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel ch) {
+                        ch.pipeline().addLast(new HttpServerCodec(), new Caller());
+                    }
+                })
+                .bind(at)
+                .sync()
+                .channel();
+        loop.scheduleAtFixedRate(this::blank, BLANK_MS, BLANK_MS, TimeUnit.MILLISECONDS);
+        return (InetSocketAddress) listener.localAddress();
     }
-    tell();
-  }
-
-  private void blank() {
-    if (!silent) {
-      for (Watch w : watches) {
-        w.write("");
-      }
+
+    EventLoop loop() {
+        return loop;
     }
-  }
-
-  /** The addresses that a caller is told. */
-  private UnaryOperator<String> told(Channel caller) {
-    InetAddress from = ((InetSocketAddress) caller.remoteAddress()).getAddress();
-    return address -> view.address(from, address);
-  }
-
-  /** One watch. */
-  private final class Watch {
-    private final Channel channel;
-    private final long number = ++watchers;
-    private long version;
-    private boolean begun;
-
-    Watch(Channel channel, long since) {
-      this.channel = channel;
-      this.version = since;
+
+    /** Takes a change over and tells it, unless discovery is stale or silent; to be called on the loop. */
+    void change(Catalog.Entry e) {
+        Catalog.Change c = catalog.change(e);
+        ledger.append(new Told(UnixClock.micros(), 0, e.spec().id(), e.state(), c.version()));
+        tell();
     }
 
-    void write(String line) {
-      channel.writeAndFlush(
-          new DefaultHttpContent(Unpooled.copiedBuffer(line + "\n", StandardCharsets.UTF_8)));
+    private void tell() {
+        if (!stale && !silent) {
+            watches.forEach(Watch::catchUp);
+        }
     }
 
-    /** Tells what came after what it was told last; the first line of a watch is never left out. */
-    void catchUp() {
-      if (begun && version == catalog.version()) {
-        return;
-      }
-      begun = true;
-      write(catalog.since(version, told(channel)));
-      for (Catalog.Entry e : catalog.entriesSince(version)) {
-        ledger.append(
-            new Told(UnixClock.micros(), number, e.spec().id(), e.state(), catalog.version()));
-      }
-      version = catalog.version();
+    /** The entry of a host, or null; to be called on the loop. */
+    Catalog.Entry get(String id) {
+        return catalog.get(id);
     }
-  }
-
-  private final class Caller extends ChannelInboundHandlerAdapter {
-    private HttpRequest head;
-    private Watch watch;
-
-    @Override
-    public void channelRead(ChannelHandlerContext ctx, Object msg) {
-      try {
-        if (((HttpObject) msg).decoderResult().isFailure()) {
-          ctx.close();
-          return;
-        }
-        if (msg instanceof HttpRequest r) {
-          head = r;
-        }
-        if (msg instanceof LastHttpContent && head != null && watch == null && !silent) {
-          asked(ctx, head);
+
+    /** Begins or ends a fault; what was held back is told at its end. To be called on the loop. */
+    void fault(Fault.Kind kind, boolean on) {
+        if (kind == Fault.Kind.DISCOVERY_STALE) {
+            stale = on;
+        } else {
+            silent = on;
         }
-      } finally {
-        ReferenceCountUtil.release(msg);
-      }
+        tell();
     }
 
-    private void asked(ChannelHandlerContext ctx, HttpRequest r) {
-      QueryStringDecoder q = new QueryStringDecoder(r.uri());
-      if (!q.path().equals("/catalog/members")) {
-        respond(ctx, HttpResponseStatus.NOT_FOUND, "");
-        return;
-      }
-      boolean follow = q.parameters().getOrDefault("follow", List.of()).contains("1");
-      long since = 0;
-      try {
-        since = Long.parseLong(q.parameters().getOrDefault("since", List.of("0")).get(0));
-      } catch (NumberFormatException e) {
-        respond(ctx, HttpResponseStatus.BAD_REQUEST, "since is no number");
-        return;
-      }
-      if (!follow) {
-        respond(ctx, HttpResponseStatus.OK, catalog.all(told(ctx.channel())));
-        return;
-      }
-      DefaultHttpResponse answer =
-          new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-      answer.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-      ctx.write(answer);
-      watch = new Watch(ctx.channel(), since);
-      watches.add(watch);
-      if (stale) {
-        watch.write("");
-      } else {
-        watch.catchUp();
-      }
+    private void blank() {
+        if (!silent) {
+            for (Watch w : watches) {
+                w.write("");
+            }
+        }
     }
 
-    private void respond(ChannelHandlerContext ctx, HttpResponseStatus status, String body) {
-      byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-      DefaultFullHttpResponse answer =
-          new DefaultFullHttpResponse(
-              HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(bytes));
-      answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, bytes.length);
-      ctx.writeAndFlush(answer);
+    /** The addresses that a caller is told. */
+    private UnaryOperator<String> told(Channel caller) {
+        InetAddress from = ((InetSocketAddress) caller.remoteAddress()).getAddress();
+        return address -> view.address(from, address);
     }
 
-    @Override
-    public void channelInactive(ChannelHandlerContext ctx) {
-      if (watch != null) {
-        watches.remove(watch);
-      }
+    /** One watch. */
+    private final class Watch {
+        private final Channel channel;
+        private final long number = ++watchers;
+        private long version;
+        private boolean begun;
+
+        Watch(Channel channel, long since) {
+            this.channel = channel;
+            this.version = since;
+        }
+
+        void write(String line) {
+            channel.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(line + "\n", StandardCharsets.UTF_8)));
+        }
+
+        /** Tells what came after what it was told last; the first line of a watch is never left out. */
+        void catchUp() {
+            if (begun && version == catalog.version()) {
+                return;
+            }
+            begun = true;
+            write(catalog.since(version, told(channel)));
+            for (Catalog.Entry e : catalog.entriesSince(version)) {
+                ledger.append(new Told(UnixClock.micros(), number, e.spec().id(), e.state(), catalog.version()));
+            }
+            version = catalog.version();
+        }
     }
 
-    @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      ctx.close();
+    private final class Caller extends ChannelInboundHandlerAdapter {
+        private HttpRequest head;
+        private Watch watch;
+
+        @Override
+        public void channelRead(ChannelHandlerContext ctx, Object msg) {
+            try {
+                if (((HttpObject) msg).decoderResult().isFailure()) {
+                    ctx.close();
+                    return;
+                }
+                if (msg instanceof HttpRequest r) {
+                    head = r;
+                }
+                if (msg instanceof LastHttpContent && head != null && watch == null && !silent) {
+                    asked(ctx, head);
+                }
+            } finally {
+                ReferenceCountUtil.release(msg);
+            }
+        }
+
+        private void asked(ChannelHandlerContext ctx, HttpRequest r) {
+            QueryStringDecoder q = new QueryStringDecoder(r.uri());
+            if (!q.path().equals("/catalog/members")) {
+                respond(ctx, HttpResponseStatus.NOT_FOUND, "");
+                return;
+            }
+            boolean follow = q.parameters().getOrDefault("follow", List.of()).contains("1");
+            long since = 0;
+            try {
+                since = Long.parseLong(
+                        q.parameters().getOrDefault("since", List.of("0")).get(0));
+            } catch (NumberFormatException e) {
+                respond(ctx, HttpResponseStatus.BAD_REQUEST, "since is no number");
+                return;
+            }
+            if (!follow) {
+                respond(ctx, HttpResponseStatus.OK, catalog.all(told(ctx.channel())));
+                return;
+            }
+            DefaultHttpResponse answer = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+            answer.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+            ctx.write(answer);
+            watch = new Watch(ctx.channel(), since);
+            watches.add(watch);
+            if (stale) {
+                watch.write("");
+            } else {
+                watch.catchUp();
+            }
+        }
+
+        private void respond(ChannelHandlerContext ctx, HttpResponseStatus status, String body) {
+            byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
+            DefaultFullHttpResponse answer =
+                    new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(bytes));
+            answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, bytes.length);
+            ctx.writeAndFlush(answer);
+        }
+
+        @Override
+        public void channelInactive(ChannelHandlerContext ctx) {
+            if (watch != null) {
+                watches.remove(watch);
+            }
+        }
+
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+            ctx.close();
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/standin/Fault.java
+++ b/src/main/java/rillyard/standin/Fault.java
@@ -14,44 +14,43 @@
  *     stopped; below 0 for never
  * @param newId whether that host has a new id
  */
-public record Fault(
-    double atMs, double forMs, Kind kind, String host, double size, double restartMs, boolean newId) {
+public record Fault(double atMs, double forMs, Kind kind, String host, double size, double restartMs, boolean newId) {
 
-  /** What can go wrong. */
-  public enum Kind {
-    /** All stands still, as in a long collection of garbage; what came meanwhile is served after. */
-    PAUSE,
-    /** Takes work and answers nothing. */
-    HANG,
-    /** Runs nothing and answers 500 at once. */
-    ERRORS,
-    /** Runs the request and resets the connection in the middle of the answer. */
-    RESET,
-    /** Takes longer. */
-    SLOW,
-    /** Runs the request and spoils the answer. */
-    GARBLE,
-    /** Dies: connections are reset, new ones refused. */
-    KILL,
-    /** Discovery says that it drains; it stops when the time is up. */
-    DRAIN,
-    /** Discovery keeps its watches and tells nothing new. */
-    DISCOVERY_STALE,
-    /** Discovery says nothing at all. */
-    DISCOVERY_SILENT;
+    /** What can go wrong. */
+    public enum Kind {
+        /** All stands still, as in a long collection of garbage; what came meanwhile is served after. */
+        PAUSE,
+        /** Takes work and answers nothing. */
+        HANG,
+        /** Runs nothing and answers 500 at once. */
+        ERRORS,
+        /** Runs the request and resets the connection in the middle of the answer. */
+        RESET,
+        /** Takes longer. */
+        SLOW,
+        /** Runs the request and spoils the answer. */
+        GARBLE,
+        /** Dies: connections are reset, new ones refused. */
+        KILL,
+        /** Discovery says that it drains; it stops when the time is up. */
+        DRAIN,
+        /** Discovery keeps its watches and tells nothing new. */
+        DISCOVERY_STALE,
+        /** Discovery says nothing at all. */
+        DISCOVERY_SILENT;
 
-    boolean ofDiscovery() {
-      return this == DISCOVERY_STALE || this == DISCOVERY_SILENT;
+        boolean ofDiscovery() {
+            return this == DISCOVERY_STALE || this == DISCOVERY_SILENT;
+        }
     }
-  }
 
-  /** In words, for ledgers and reports. */
-  public String words() {
-    String name = kind.name().toLowerCase(Locale.ROOT).replace('_', ' ');
-    return switch (kind) {
-      case SLOW -> name + " x" + size;
-      case ERRORS, RESET, GARBLE -> size < 1 ? name + " " + Math.round(100 * size) + " %" : name;
-      default -> name;
-    };
-  }
+    /** In words, for ledgers and reports. */
+    public String words() {
+        String name = kind.name().toLowerCase(Locale.ROOT).replace('_', ' ');
+        return switch (kind) {
+            case SLOW -> name + " x" + size;
+            case ERRORS, RESET, GARBLE -> size < 1 ? name + " " + Math.round(100 * size) + " %" : name;
+            default -> name;
+        };
+    }
 }
--- a/src/main/java/rillyard/standin/Fleet.java
+++ b/src/main/java/rillyard/standin/Fleet.java
@@ -4,28 +4,28 @@
 
 /** What a host needs of the stand-in it belongs to. */
 interface Fleet {
-  StandInPlan plan();
+    StandInPlan plan();
 
-  Ledger ledger();
+    Ledger ledger();
 
-  /** The class of this name, or null. */
-  ClassSpec type(String name);
+    /** The class of this name, or null. */
+    ClassSpec type(String name);
 
-  /** The memory of keys of a class that a host shares. */
-  KeyMemory memory(ClassSpec type, HostSpec host);
+    /** The memory of keys of a class that a host shares. */
+    KeyMemory memory(ClassSpec type, HostSpec host);
 
-  /** How many times this id has come before, at whatever host. */
-  int attempt(String id);
+    /** How many times this id has come before, at whatever host. */
+    int attempt(String id);
 
-  /** The host is to drain, and to stop when the fault's time is up. */
-  void draining(HostServer host, Fault f);
+    /** The host is to drain, and to stop when the fault's time is up. */
+    void draining(HostServer host, Fault f);
 
-  /** The host has died. */
-  void stopped(HostServer host, Fault f);
+    /** The host has died. */
+    void stopped(HostServer host, Fault f);
 
-  /** The host listens again. */
-  void restarted(HostServer host);
+    /** The host listens again. */
+    void restarted(HostServer host);
 
-  /** A failure of our own code. */
-  void failed(String what, Throwable t);
+    /** A failure of our own code. */
+    void failed(String what, Throwable t);
 }
--- a/src/main/java/rillyard/standin/HostConnection.java
+++ b/src/main/java/rillyard/standin/HostConnection.java
@@ -17,334 +17,337 @@
 
 /** One connection to a host: it carries one request at a time. */
 final class HostConnection extends ChannelInboundHandlerAdapter {
-  /** A body may not be larger; past it the connection ends. */
-  private static final long MOST_BODY = 64 << 10;
+    /** A body may not be larger; past it the connection ends. */
+    private static final long MOST_BODY = 64 << 10;
 
-  /** Notes when the first byte of a request came. */
-  static final class FirstByte extends ChannelInboundHandlerAdapter {
-    private final HostConnection connection;
+    /** Notes when the first byte of a request came. */
+    static final class FirstByte extends ChannelInboundHandlerAdapter {
+        private final HostConnection connection;
 
-    FirstByte(HostConnection connection) {
-      this.connection = connection;
-    }
+        FirstByte(HostConnection connection) {
+            this.connection = connection;
+        }
 
-    @Override
-    public void channelRead(ChannelHandlerContext ctx, Object msg) throws Exception {
-      if (connection.firstByte == 0) {
-        connection.firstByte = connection.host.timers.now();
-      }
-      super.channelRead(ctx, msg);
-    }
-  }
-
-  private final HostServer host;
-  private final SocketChannel channel;
-  private final boolean turnedAway;
-  private final long readyAt;
-  private long idleSince;
-  private long firstByte;
-  private HttpRequest head;
-  private CRC32 crc;
-  private long length;
-  private Exchange exchange;
-
-  /** {@code turnedAway} marks a connection past the host's bound. */
-  HostConnection(HostServer host, SocketChannel channel, boolean turnedAway) {
-    this.host = host;
-    this.channel = channel;
-    this.turnedAway = turnedAway;
-    this.idleSince = host.timers.now();
-    this.readyAt = idleSince + (long) (host.spec.handshakeMs() * 1e6);
-  }
-
-  void reading(boolean on) {
-    channel.config().setAutoRead(on);
-  }
-
-  boolean busy() {
-    return head != null || exchange != null;
-  }
-
-  void closeIfIdle(long nanos) {
-    if (!busy() && firstByte == 0 && host.timers.now() - idleSince >= nanos) {
-      channel.close();
+        @Override
+        public void channelRead(ChannelHandlerContext ctx, Object msg) throws Exception {
+            if (connection.firstByte == 0) {
+                connection.firstByte = connection.host.timers.now();
+            }
+            super.channelRead(ctx, msg);
+        }
     }
-  }
 
-  /** The host has died. */
-  void kill() {
-    if (exchange != null) {
-      exchange.killed();
-    }
-    reset();
-  }
-
-  private void reset() {
-    channel.config().setSoLinger(0);
-    channel.close();
-  }
-
-  @Override
-  public void channelRead(ChannelHandlerContext ctx, Object msg) {
-    try {
-      take((HttpObject) msg);
-    } finally {
-      ReferenceCountUtil.release(msg);
+    private final HostServer host;
+    private final SocketChannel channel;
+    private final boolean turnedAway;
+    private final long readyAt;
+    private long idleSince;
+    private long firstByte;
+    private HttpRequest head;
+    private CRC32 crc;
+    private long length;
+    private Exchange exchange;
+
+    /** {@code turnedAway} marks a connection past the host's bound. */
+    HostConnection(HostServer host, SocketChannel channel, boolean turnedAway) {
+        this.host = host;
+        this.channel = channel;
+        this.turnedAway = turnedAway;
+        this.idleSince = host.timers.now();
+        this.readyAt = idleSince + (long) (host.spec.handshakeMs() * 1e6);
     }
-  }
 
-  private void take(HttpObject part) {
-    if (!channel.isOpen()) {
-      return;
+    void reading(boolean on) {
+        channel.config().setAutoRead(on);
     }
-    if (part.decoderResult().isFailure() || (part instanceof HttpRequest && exchange != null)) {
-      refuse(400, false, true); // not a request, or a second one before the first is answered
-      return;
-    }
-    if (part instanceof HttpRequest r) {
-      head = r;
-      crc = new CRC32();
-      length = 0;
+
+    boolean busy() {
+        return head != null || exchange != null;
     }
-    if (part instanceof HttpContent c && head != null) {
-      ByteBuf b = c.content();
-      length += b.readableBytes();
-      if (length > MOST_BODY) {
-        refuse(413, false, true);
-        return;
-      }
-      crc.update(b.nioBuffer());
-      if (part instanceof LastHttpContent) {
-        complete();
-      }
+
+    void closeIfIdle(long nanos) {
+        if (!busy() && firstByte == 0 && host.timers.now() - idleSince >= nanos) {
+            channel.close();
+        }
     }
-  }
-
-  private void complete() {
-    HttpRequest r = head;
-    head = null;
-    if (r.uri().equals("/ping")) {
-      answer(Answer.text(channel.alloc(), 200, ""));
-      return;
+
+    /** The host has died. */
+    void kill() {
+        if (exchange != null) {
+            exchange.killed();
+        }
+        reset();
     }
-    if (r.uri().equals("/_load")) {
-      String load = host.load();
-      answer(load == null ? Answer.status(channel.alloc(), 404, false, false)
-          : Answer.text(channel.alloc(), 200, load));
-      return;
+
+    private void reset() {
+        channel.config().setSoLinger(0);
+        channel.close();
     }
-    HttpHeaders h = r.headers();
-    String id = h.get("X-Request-ID");
-    ClassSpec spec = host.fleet().type(type(r.uri()));
-    if (id == null || spec == null) {
-      refuse(404, false, false);
-      return;
+
+    @Override
+    public void channelRead(ChannelHandlerContext ctx, Object msg) {
+        try {
+            take((HttpObject) msg);
+        } finally {
+            ReferenceCountUtil.release(msg);
+        }
     }
-    String key = h.get("Idempotency-Key");
-    if (spec.semantics() == ClassSpec.Semantics.DEDUPLICATED && key == null) {
-      refuse(400, false, false);
-      return;
+
+    private void take(HttpObject part) {
+        if (!channel.isOpen()) {
+            return;
+        }
+        if (part.decoderResult().isFailure() || (part instanceof HttpRequest && exchange != null)) {
+            refuse(400, false, true); // not a request, or a second one before the first is answered
+            return;
+        }
+        if (part instanceof HttpRequest r) {
+            head = r;
+            crc = new CRC32();
+            length = 0;
+        }
+        if (part instanceof HttpContent c && head != null) {
+            ByteBuf b = c.content();
+            length += b.readableBytes();
+            if (length > MOST_BODY) {
+                refuse(413, false, true);
+                return;
+            }
+            crc.update(b.nioBuffer());
+            if (part instanceof LastHttpContent) {
+                complete();
+            }
+        }
     }
-    long now = host.timers.now();
-    long until = now + (long) (timeout(h.get("X-Timeout-Ms"), spec.deadlineMs()) * 1e6);
-    exchange = new Exchange(
-        new Received(id, key, spec, r.uri(), length, crc.getValue(), firstByte, until));
-    if (turnedAway) {
-      exchange.turnAway(503, true);
-    } else if (now < readyAt) {
-      Exchange e = exchange;
-      host.timers.at(readyAt, e::begin);
-    } else {
-      exchange.begin();
+
+    private void complete() {
+        HttpRequest r = head;
+        head = null;
+        if (r.uri().equals("/ping")) {
+            answer(Answer.text(channel.alloc(), 200, ""));
+            return;
+        }
+        if (r.uri().equals("/_load")) {
+            String load = host.load();
+            answer(
+                    load == null
+                            ? Answer.status(channel.alloc(), 404, false, false)
+                            : Answer.text(channel.alloc(), 200, load));
+            return;
+        }
+        HttpHeaders h = r.headers();
+        String id = h.get("X-Request-ID");
+        ClassSpec spec = host.fleet().type(type(r.uri()));
+        if (id == null || spec == null) {
+            refuse(404, false, false);
+            return;
+        }
+        String key = h.get("Idempotency-Key");
+        if (spec.semantics() == ClassSpec.Semantics.DEDUPLICATED && key == null) {
+            refuse(400, false, false);
+            return;
+        }
+        long now = host.timers.now();
+        long until = now + (long) (timeout(h.get("X-Timeout-Ms"), spec.deadlineMs()) * 1e6);
+        exchange = new Exchange(new Received(id, key, spec, r.uri(), length, crc.getValue(), firstByte, until));
+        if (turnedAway) {
+            exchange.turnAway(503, true);
+        } else if (now < readyAt) {
+            Exchange e = exchange;
+            host.timers.at(readyAt, e::begin);
+        } else {
+            exchange.begin();
+        }
     }
-  }
 
-  /** The first part of a path. */
-  static String type(String uri) {
-    int to = 1;
-    while (to < uri.length() && uri.charAt(to) != '/' && uri.charAt(to) != '?') {
-      to++;
+    /** The first part of a path. */
+    static String type(String uri) {
+        int to = 1;
+        while (to < uri.length() && uri.charAt(to) != '/' && uri.charAt(to) != '?') {
+            to++;
+        }
+        return uri.isEmpty() ? "" : uri.substring(1, to);
     }
-    return uri.isEmpty() ? "" : uri.substring(1, to);
-  }
-
-  private static double timeout(String s, double otherwise) {
-    try {
-      return s == null ? otherwise : Math.max(0, Math.min(3_600_000, Long.parseLong(s)));
-    } catch (NumberFormatException e) {
-      return otherwise;
+
+    private static double timeout(String s, double otherwise) {
+        try {
+            return s == null ? otherwise : Math.max(0, Math.min(3_600_000, Long.parseLong(s)));
+        } catch (NumberFormatException e) {
+            return otherwise;
+        }
     }
-  }
-
-  private void refuse(int status, boolean unseen, boolean close) {
-    head = null;
-    var written = channel.writeAndFlush(Answer.status(channel.alloc(), status, unseen, close));
-    if (close) {
-      written.addListener(ChannelFutureListener.CLOSE);
-    } else {
-      over();
+
+    private void refuse(int status, boolean unseen, boolean close) {
+        head = null;
+        var written = channel.writeAndFlush(Answer.status(channel.alloc(), status, unseen, close));
+        if (close) {
+            written.addListener(ChannelFutureListener.CLOSE);
+        } else {
+            over();
+        }
     }
-  }
-
-  private void answer(ByteBuf bytes) {
-    channel.writeAndFlush(bytes);
-    over();
-  }
-
-  private void over() {
-    exchange = null;
-    firstByte = 0;
-    idleSince = host.timers.now();
-  }
-
-  @Override
-  public void channelInactive(ChannelHandlerContext ctx) {
-    if (exchange != null) {
-      exchange.left();
+
+    private void answer(ByteBuf bytes) {
+        channel.writeAndFlush(bytes);
+        over();
     }
-  }
 
-  @Override
-  public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    if (!(cause instanceof IOException)) {
-      host.fleet().failed(host.spec.id() + ": a connection failed", cause);
+    private void over() {
+        exchange = null;
+        firstByte = 0;
+        idleSince = host.timers.now();
     }
-    channel.close();
-  }
-
-  /** One request, from its last byte to the line in the ledger, which it writes exactly once. */
-  private final class Exchange {
-    private final Received request;
-    private final int attempt;
-    private final HostWork.Job job;
-    private boolean fresh;
-    private boolean hung;
-    private boolean over;
-
-    Exchange(Received request) {
-      this.request = request;
-      this.attempt = host.fleet().attempt(request.id());
-      this.job = new HostWork.Job(request.spec().work().draw(host.random) * 1e6) {
-        @Override
-        boolean starts() {
-          return Exchange.this.starts();
+
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) {
+        if (exchange != null) {
+            exchange.left();
         }
+    }
 
-        @Override
-        void finished() {
-          Exchange.this.finished();
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        if (!(cause instanceof IOException)) {
+            host.fleet().failed(host.spec.id() + ": a connection failed", cause);
         }
-      };
+        channel.close();
     }
 
-    void begin() {
-      if (over) {
-        return;
-      }
-      if (host.faults.meets(Fault.Kind.ERRORS)) {
-        ledger(host.timers.now(), RunResult.ERROR);
-        answer(Answer.status(channel.alloc(), 500, false, false));
-      } else if (request.spec().semantics() != ClassSpec.Semantics.DEDUPLICATED) {
-        offer();
-      } else {
-        KeyMemory memory = host.fleet().memory(request.spec(), host.spec);
-        switch (memory.seen(request.key(), host.timers.now(), () -> host.loop().execute(this::begin))) {
-          case NEW -> {
-            fresh = true;
-            offer();
-          }
-          case DONE -> {
-            if (host.faults.meets(Fault.Kind.HANG)) {
-              hung = true;
-              return;
+    /** One request, from its last byte to the line in the ledger, which it writes exactly once. */
+    private final class Exchange {
+        private final Received request;
+        private final int attempt;
+        private final HostWork.Job job;
+        private boolean fresh;
+        private boolean hung;
+        private boolean over;
+
+        Exchange(Received request) {
+            this.request = request;
+            this.attempt = host.fleet().attempt(request.id());
+            this.job = new HostWork.Job(request.spec().work().draw(host.random) * 1e6) {
+                @Override
+                boolean starts() {
+                    return Exchange.this.starts();
+                }
+
+                @Override
+                void finished() {
+                    Exchange.this.finished();
+                }
+            };
+        }
+
+        void begin() {
+            if (over) {
+                return;
+            }
+            if (host.faults.meets(Fault.Kind.ERRORS)) {
+                ledger(host.timers.now(), RunResult.ERROR);
+                answer(Answer.status(channel.alloc(), 500, false, false));
+            } else if (request.spec().semantics() != ClassSpec.Semantics.DEDUPLICATED) {
+                offer();
+            } else {
+                KeyMemory memory = host.fleet().memory(request.spec(), host.spec);
+                switch (memory.seen(
+                        request.key(), host.timers.now(), () -> host.loop().execute(this::begin))) {
+                    case NEW -> {
+                        fresh = true;
+                        offer();
+                    }
+                    case DONE -> {
+                        if (host.faults.meets(Fault.Kind.HANG)) {
+                            hung = true;
+                            return;
+                        }
+                        ledger(0, RunResult.REMEMBERED);
+                        answer(Answer.good(channel.alloc(), request, host.spec.id(), host.load()));
+                    }
+                    case RUNNING -> {
+                        // the answer of the first one is this one's too
+                    }
+                }
             }
-            ledger(0, RunResult.REMEMBERED);
-            answer(Answer.good(channel.alloc(), request, host.spec.id(), host.load()));
-          }
-          case RUNNING -> {
-            // the answer of the first one is this one's too
-          }
         }
-      }
-    }
 
-    private void offer() {
-      if (!host.work.offer(job)) {
-        turnAway(503, false);
-      }
-    }
+        private void offer() {
+            if (!host.work.offer(job)) {
+                turnAway(503, false);
+            }
+        }
 
-    void turnAway(int status, boolean close) {
-      forgetKey();
-      ledger(0, RunResult.TURNED_AWAY);
-      refuse(status, true, close);
-    }
+        void turnAway(int status, boolean close) {
+            forgetKey();
+            ledger(0, RunResult.TURNED_AWAY);
+            refuse(status, true, close);
+        }
 
-    private boolean starts() {
-      if (over) {
-        return false;
-      }
-      if (host.timers.now() >= request.until()) {
-        turnAway(504, false); // its client has stopped waiting: it is over, and has not run
-        return false;
-      }
-      return true;
-    }
+        private boolean starts() {
+            if (over) {
+                return false;
+            }
+            if (host.timers.now() >= request.until()) {
+                turnAway(504, false); // its client has stopped waiting: it is over, and has not run
+                return false;
+            }
+            return true;
+        }
 
-    private void finished() {
-      if (fresh) {
-        host.fleet().memory(request.spec(), host.spec).done(request.key());
-      }
-      if (over) {
-        return;
-      }
-      if (host.faults.meets(Fault.Kind.HANG)) {
-        hung = true; // written down when its connection ends, or the stand-in does
-      } else if (host.faults.meets(Fault.Kind.RESET)) {
-        ledger(job.startedAt(), RunResult.RESET);
-        ByteBuf whole = Answer.good(channel.alloc(), request, host.spec.id(), host.load());
-        channel.writeAndFlush(whole.readSlice(whole.readableBytes() / 2)).addListener(f -> reset());
-      } else if (host.faults.meets(Fault.Kind.GARBLE)) {
-        ledger(job.startedAt(), RunResult.GARBLED);
-        channel.writeAndFlush(Answer.spoilt(channel.alloc(), host.random.nextInt()));
-      } else {
-        ledger(job.startedAt(), RunResult.DONE);
-        answer(Answer.good(channel.alloc(), request, host.spec.id(), host.load()));
-      }
-    }
+        private void finished() {
+            if (fresh) {
+                host.fleet().memory(request.spec(), host.spec).done(request.key());
+            }
+            if (over) {
+                return;
+            }
+            if (host.faults.meets(Fault.Kind.HANG)) {
+                hung = true; // written down when its connection ends, or the stand-in does
+            } else if (host.faults.meets(Fault.Kind.RESET)) {
+                ledger(job.startedAt(), RunResult.RESET);
+                ByteBuf whole = Answer.good(channel.alloc(), request, host.spec.id(), host.load());
+                channel.writeAndFlush(whole.readSlice(whole.readableBytes() / 2))
+                        .addListener(f -> reset());
+            } else if (host.faults.meets(Fault.Kind.GARBLE)) {
+                ledger(job.startedAt(), RunResult.GARBLED);
+                channel.writeAndFlush(Answer.spoilt(channel.alloc(), host.random.nextInt()));
+            } else {
+                ledger(job.startedAt(), RunResult.DONE);
+                answer(Answer.good(channel.alloc(), request, host.spec.id(), host.load()));
+            }
+        }
 
-    /** The client has ended the connection. */
-    void left() {
-      if (host.work.withdraw(job) || (!job.running() && !hung)) {
-        forgetKey();
-        ledger(0, RunResult.DROPPED);
-      } else {
-        ledger(job.startedAt(), hung ? RunResult.HUNG : RunResult.LEFT);
-      }
-    }
+        /** The client has ended the connection. */
+        void left() {
+            if (host.work.withdraw(job) || (!job.running() && !hung)) {
+                forgetKey();
+                ledger(0, RunResult.DROPPED);
+            } else {
+                ledger(job.startedAt(), hung ? RunResult.HUNG : RunResult.LEFT);
+            }
+        }
 
-    void killed() {
-      if (hung) {
-        ledger(job.startedAt(), RunResult.HUNG);
-        return;
-      }
-      boolean ran = job.running();
-      forgetKey(); // what a dead host had not finished had no effect that anybody remembers
-      ledger(ran ? job.startedAt() : 0, ran ? RunResult.KILLED : RunResult.DROPPED);
-    }
+        void killed() {
+            if (hung) {
+                ledger(job.startedAt(), RunResult.HUNG);
+                return;
+            }
+            boolean ran = job.running();
+            forgetKey(); // what a dead host had not finished had no effect that anybody remembers
+            ledger(ran ? job.startedAt() : 0, ran ? RunResult.KILLED : RunResult.DROPPED);
+        }
 
-    private void forgetKey() {
-      if (fresh) {
-        fresh = false;
-        host.fleet().memory(request.spec(), host.spec).forget(request.key());
-      }
-    }
+        private void forgetKey() {
+            if (fresh) {
+                fresh = false;
+                host.fleet().memory(request.spec(), host.spec).forget(request.key());
+            }
+        }
 
-    private void ledger(long startedAt, RunResult result) {
-      if (!over) {
-        over = true;
-        host.ran(request, attempt, startedAt, job.work, result);
-      }
+        private void ledger(long startedAt, RunResult result) {
+            if (!over) {
+                over = true;
+                host.ran(request, attempt, startedAt, job.work, result);
+            }
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/standin/HostServer.java
+++ b/src/main/java/rillyard/standin/HostServer.java
@@ -27,274 +27,268 @@
 
 /** One host: its listener, its connections, its work, its faults. All of it on one event loop. */
 final class HostServer {
-  private static final long SWEEP_MS = 100;
-  private static final long RETRY_NANOS = 50_000_000;
+    private static final long SWEEP_MS = 100;
+    private static final long RETRY_NANOS = 50_000_000;
 
-  final HostSpec spec;
-  final SplittableRandom random;
-  final HostFaults faults;
-  final HostWork work;
-  final Timers timers;
-  private final EventLoop loop;
-  private final Fleet fleet;
-  private final Set<HostConnection> connections = new LinkedHashSet<>();
-  private Channel listener;
-  private InetSocketAddress address;
-  private boolean up;
-  private String load;
-  private long loadAt;
-  private Future<?> sweeping;
+    final HostSpec spec;
+    final SplittableRandom random;
+    final HostFaults faults;
+    final HostWork work;
+    final Timers timers;
+    private final EventLoop loop;
+    private final Fleet fleet;
+    private final Set<HostConnection> connections = new LinkedHashSet<>();
+    private Channel listener;
+    private InetSocketAddress address;
+    private boolean up;
+    private String load;
+    private long loadAt;
+    private Future<?> sweeping;
 
-  HostServer(HostSpec spec, EventLoop loop, Fleet fleet, long seed) {
-    this.spec = spec;
-    this.loop = loop;
-    this.fleet = fleet;
-    this.timers = new LoopTimers(loop);
-    this.random = new SplittableRandom(seed);
-    this.faults = new HostFaults(random.split());
-    this.work = new HostWork(spec, timers);
-  }
+    HostServer(HostSpec spec, EventLoop loop, Fleet fleet, long seed) {
+        this.spec = spec;
+        this.loop = loop;
+        this.fleet = fleet;
+        this.timers = new LoopTimers(loop);
+        this.random = new SplittableRandom(seed);
+        this.faults = new HostFaults(random.split());
+        this.work = new HostWork(spec, timers);
+    }
 
-  EventLoop loop() {
-    return loop;
-  }
+    EventLoop loop() {
+        return loop;
+    }
 
-  Fleet fleet() {
-    return fleet;
-  }
+    Fleet fleet() {
+        return fleet;
+    }
 
-  InetSocketAddress address() {
-    return address;
-  }
+    InetSocketAddress address() {
+        return address;
+    }
 
-  /** Listens; throws what the bind throws. Not to be called on the loop. */
-  void start(InetSocketAddress at, boolean cold) throws Exception {
-    listener = listen(at).sync().channel();
-    address = (InetSocketAddress) listener.localAddress();
-    loop.submit(() -> began(cold)).sync();
-  }
+    /** Listens; throws what the bind throws. Not to be called on the loop. */
+    void start(InetSocketAddress at, boolean cold) throws Exception {
+        listener = listen(at).sync().channel();
+        address = (InetSocketAddress) listener.localAddress();
+        loop.submit(() -> began(cold)).sync();
+    }
 
-  /** Listens, cold, where it did before, or another did that has stopped; to be called on the loop. */
-  void restart(InetSocketAddress at) {
-    address = at;
-    listen(at)
-        .addListener(
-            (ChannelFuture f) -> {
-              if (f.isSuccess()) {
+    /** Listens, cold, where it did before, or another did that has stopped; to be called on the loop. */
+    void restart(InetSocketAddress at) {
+        address = at;
+        listen(at).addListener((ChannelFuture f) -> {
+            if (f.isSuccess()) {
                 listener = f.channel();
                 began(true);
                 fleet.restarted(this);
-              } else {
+            } else {
                 // The port is held by a connection that is not over yet.
                 timers.after(RETRY_NANOS, () -> restart(at));
-              }
-            });
-  }
-
-  private ChannelFuture listen(InetSocketAddress at) {
-    return new ServerBootstrap()
-        .group(loop)
-        .channel(Loops.listening())
-        .option(ChannelOption.SO_REUSEADDR, true)
-        .option(ChannelOption.SO_BACKLOG, 1_024)
-        .childOption(ChannelOption.TCP_NODELAY, true)
-        .childHandler(
-            new ChannelInitializer<SocketChannel>() {
-              @Override
-              protected void initChannel(SocketChannel ch) {
-                accepted(ch);
-              }
-            })
-        .bind(at);
-  }
+            }
+        });
+    }
 
-  private void began(boolean cold) {
-    up = true;
-    work.started(cold);
-    if (sweeping == null) {
-      sweeping =
-          loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+    private ChannelFuture listen(InetSocketAddress at) {
+        return new ServerBootstrap()
+                .group(loop)
+                .channel(Loops.listening())
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .option(ChannelOption.SO_BACKLOG, 1_024)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel ch) {
+                        accepted(ch);
+                    }
+                })
+                .bind(at);
     }
-    fleet.ledger().append(
-        new HostNews(
-            UnixClock.micros(),
-            spec.id(),
-            HostNews.What.STARTED,
-            null,
-            spec.cores() * spec.speed(),
-            cold ? spec.startShare() : 1,
-            cold ? (long) (1_000 * spec.coldMs()) : 0));
-  }
 
-  private void accepted(SocketChannel ch) {
-    boolean full = connections.size() >= spec.connections();
-    HostConnection c = new HostConnection(this, ch, full);
-    connections.add(c);
-    ch.closeFuture().addListener(f -> connections.remove(c));
-    ch.pipeline().addLast(new HostConnection.FirstByte(c), new HttpRequestDecoder(), c);
-    if (!full && spec.handshakeWorkMs() > 0) {
-      work.force(handshake());
+    private void began(boolean cold) {
+        up = true;
+        work.started(cold);
+        if (sweeping == null) {
+            sweeping = loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        }
+        fleet.ledger()
+                .append(new HostNews(
+                        UnixClock.micros(),
+                        spec.id(),
+                        HostNews.What.STARTED,
+                        null,
+                        spec.cores() * spec.speed(),
+                        cold ? spec.startShare() : 1,
+                        cold ? (long) (1_000 * spec.coldMs()) : 0));
     }
-    if (faults.has(Fault.Kind.PAUSE)) {
-      ch.config().setAutoRead(false);
+
+    private void accepted(SocketChannel ch) {
+        boolean full = connections.size() >= spec.connections();
+        HostConnection c = new HostConnection(this, ch, full);
+        connections.add(c);
+        ch.closeFuture().addListener(f -> connections.remove(c));
+        ch.pipeline().addLast(new HostConnection.FirstByte(c), new HttpRequestDecoder(), c);
+        if (!full && spec.handshakeWorkMs() > 0) {
+            work.force(handshake());
+        }
+        if (faults.has(Fault.Kind.PAUSE)) {
+            ch.config().setAutoRead(false);
+        }
     }
-  }
 
-  private HostWork.Job handshake() {
-    return new HostWork.Job(spec.handshakeWorkMs() * 1e6) {
-      @Override
-      boolean starts() {
-        return true;
-      }
+    private HostWork.Job handshake() {
+        return new HostWork.Job(spec.handshakeWorkMs() * 1e6) {
+            @Override
+            boolean starts() {
+                return true;
+            }
 
-      @Override
-      void finished() {}
-    };
-  }
+            @Override
+            void finished() {}
+        };
+    }
 
-  // --- faults; all on the loop
+    // --- faults; all on the loop
 
-  void begin(Fault f) {
-    fleet.ledger().append(
-        new HostNews(UnixClock.micros(), spec.id(), HostNews.What.FAULT, f.words()));
-    switch (f.kind()) {
-      case PAUSE -> {
-        faults.begin(f);
-        work.pause();
-        reading(false);
-      }
-      case SLOW -> {
-        faults.begin(f);
-        work.slow(f.size());
-      }
-      case KILL -> kill(f);
-      case DRAIN -> fleet.draining(this, f);
-      default -> faults.begin(f);
-    }
-    if (f.forMs() > 0 && f.kind() != Fault.Kind.KILL && f.kind() != Fault.Kind.DRAIN) {
-      timers.after((long) (f.forMs() * 1e6), () -> end(f));
+    void begin(Fault f) {
+        fleet.ledger().append(new HostNews(UnixClock.micros(), spec.id(), HostNews.What.FAULT, f.words()));
+        switch (f.kind()) {
+            case PAUSE -> {
+                faults.begin(f);
+                work.pause();
+                reading(false);
+            }
+            case SLOW -> {
+                faults.begin(f);
+                work.slow(f.size());
+            }
+            case KILL -> kill(f);
+            case DRAIN -> fleet.draining(this, f);
+            default -> faults.begin(f);
+        }
+        if (f.forMs() > 0 && f.kind() != Fault.Kind.KILL && f.kind() != Fault.Kind.DRAIN) {
+            timers.after((long) (f.forMs() * 1e6), () -> end(f));
+        }
     }
-  }
 
-  private void end(Fault f) {
-    if (!faults.end(f)) {
-      return;
+    private void end(Fault f) {
+        if (!faults.end(f)) {
+            return;
+        }
+        fleet.ledger().append(new HostNews(UnixClock.micros(), spec.id(), HostNews.What.FAULT_ENDED, f.words()));
+        if (f.kind() == Fault.Kind.PAUSE) {
+            work.resume();
+            reading(true);
+        } else if (f.kind() == Fault.Kind.SLOW) {
+            work.slow(1);
+        }
     }
-    fleet.ledger().append(
-        new HostNews(UnixClock.micros(), spec.id(), HostNews.What.FAULT_ENDED, f.words()));
-    if (f.kind() == Fault.Kind.PAUSE) {
-      work.resume();
-      reading(true);
-    } else if (f.kind() == Fault.Kind.SLOW) {
-      work.slow(1);
-    }
-  }
 
-  private void reading(boolean on) {
-    if (listener.isOpen()) {
-      listener.config().setAutoRead(on);
-    }
-    for (HostConnection c : connections) {
-      c.reading(on);
+    private void reading(boolean on) {
+        if (listener.isOpen()) {
+            listener.config().setAutoRead(on);
+        }
+        for (HostConnection c : connections) {
+            c.reading(on);
+        }
     }
-  }
 
-  private void kill(Fault f) {
-    if (!up) {
-      return;
+    private void kill(Fault f) {
+        if (!up) {
+            return;
+        }
+        down(HostNews.What.KILLED);
+        fleet.stopped(this, f);
     }
-    down(HostNews.What.KILLED);
-    fleet.stopped(this, f);
-  }
 
-  /** Ends the host: its listener, its connections, what it runs. */
-  void down(HostNews.What how) {
-    if (!up) {
-      return;
+    /** Ends the host: its listener, its connections, what it runs. */
+    void down(HostNews.What how) {
+        if (!up) {
+            return;
+        }
+        up = false;
+        sweeping.cancel(false);
+        sweeping = null;
+        fleet.ledger().append(new HostNews(UnixClock.micros(), spec.id(), how, null));
+        listener.close();
+        for (HostConnection c : new ArrayList<>(connections)) {
+            c.kill();
+        }
+        work.kill();
+        faults.clear();
     }
-    up = false;
-    sweeping.cancel(false);
-    sweeping = null;
-    fleet.ledger().append(new HostNews(UnixClock.micros(), spec.id(), how, null));
-    listener.close();
-    for (HostConnection c : new ArrayList<>(connections)) {
-      c.kill();
-    }
-    work.kill();
-    faults.clear();
-  }
 
-  boolean up() {
-    return up;
-  }
+    boolean up() {
+        return up;
+    }
 
-  /** Ends the connections that carry nothing, as a host does that is about to stop. */
-  void closeIdle() {
-    for (HostConnection c : new ArrayList<>(connections)) {
-      c.closeIfIdle(0);
+    /** Ends the connections that carry nothing, as a host does that is about to stop. */
+    void closeIdle() {
+        for (HostConnection c : new ArrayList<>(connections)) {
+            c.closeIfIdle(0);
+        }
     }
-  }
 
-  boolean busy() {
-    for (HostConnection c : connections) {
-      if (c.busy()) {
-        return true;
-      }
+    boolean busy() {
+        for (HostConnection c : connections) {
+            if (c.busy()) {
+                return true;
+            }
+        }
+        return false;
     }
-    return false;
-  }
 
-  private void sweep() {
-    if (!faults.has(Fault.Kind.PAUSE)) {
-      for (HostConnection c : new ArrayList<>(connections)) {
-        c.closeIfIdle((long) (spec.idleMs() * 1e6));
-      }
+    private void sweep() {
+        if (!faults.has(Fault.Kind.PAUSE)) {
+            for (HostConnection c : new ArrayList<>(connections)) {
+                c.closeIfIdle((long) (spec.idleMs() * 1e6));
+            }
+        }
     }
-  }
 
-  // --- what connections need
+    // --- what connections need
 
-  /** The load report, made anew when the last is as old as it may be; null where there is none. */
-  String load() {
-    List<String> fields = fleet.plan().reportFields();
-    if (fields.isEmpty()) {
-      return null;
+    /** The load report, made anew when the last is as old as it may be; null where there is none. */
+    String load() {
+        List<String> fields = fleet.plan().reportFields();
+        if (fields.isEmpty()) {
+            return null;
+        }
+        long now = timers.now();
+        if (load == null || now - loadAt >= fleet.plan().reportPeriodMs() * 1e6) {
+            StringBuilder s = new StringBuilder();
+            for (String f : fields) {
+                double v =
+                        switch (f) {
+                            case "inflight", "rif" -> work.running() + work.queued();
+                            case "queue", "q" -> work.queued();
+                            case "util", "busy" -> work.utilisation();
+                            default -> 0;
+                        };
+                s.append(s.isEmpty() ? "" : ",").append(f).append('=');
+                s.append(v == Math.rint(v) ? Long.toString((long) v) : String.format(Locale.ROOT, "%.3f", v));
+            }
+            load = s.toString();
+            loadAt = now;
+        }
+        return load;
     }
-    long now = timers.now();
-    if (load == null || now - loadAt >= fleet.plan().reportPeriodMs() * 1e6) {
-      StringBuilder s = new StringBuilder();
-      for (String f : fields) {
-        double v =
-            switch (f) {
-              case "inflight", "rif" -> work.running() + work.queued();
-              case "queue", "q" -> work.queued();
-              case "util", "busy" -> work.utilisation();
-              default -> 0;
-            };
-        s.append(s.isEmpty() ? "" : ",").append(f).append('=');
-        s.append(v == Math.rint(v) ? Long.toString((long) v) : String.format(Locale.ROOT, "%.3f", v));
-      }
-      load = s.toString();
-      loadAt = now;
-    }
-    return load;
-  }
 
-  /** Writes down what became of a request; {@code startedAt} 0 if it never ran. */
-  void ran(Received r, int attempt, long startedAt, double workNanos, RunResult result) {
-    fleet.ledger().append(
-        new HostRun(
-            r.id(),
-            r.key(),
-            r.spec().name(),
-            spec.id(),
-            spec.cell(),
-            spec.zone(),
-            attempt,
-            UnixClock.micros(r.firstByte()),
-            startedAt == 0 ? 0 : UnixClock.micros(startedAt),
-            UnixClock.micros(timers.now()),
-            (long) (workNanos / 1_000),
-            result));
-  }
+    /** Writes down what became of a request; {@code startedAt} 0 if it never ran. */
+    void ran(Received r, int attempt, long startedAt, double workNanos, RunResult result) {
+        fleet.ledger()
+                .append(new HostRun(
+                        r.id(),
+                        r.key(),
+                        r.spec().name(),
+                        spec.id(),
+                        spec.cell(),
+                        spec.zone(),
+                        attempt,
+                        UnixClock.micros(r.firstByte()),
+                        startedAt == 0 ? 0 : UnixClock.micros(startedAt),
+                        UnixClock.micros(timers.now()),
+                        (long) (workNanos / 1_000),
+                        result));
+    }
 }
--- a/src/main/java/rillyard/standin/HostSpec.java
+++ b/src/main/java/rillyard/standin/HostSpec.java
@@ -19,24 +19,37 @@
  * @param startsCold whether it is cold when the stand-in starts
  */
 public record HostSpec(
-    String id,
-    String zone,
-    String kind,
-    long cell,
-    int cores,
-    double speed,
-    int queue,
-    int connections,
-    double handshakeMs,
-    double handshakeWorkMs,
-    double idleMs,
-    double coldMs,
-    double startShare,
-    boolean startsCold) {
+        String id,
+        String zone,
+        String kind,
+        long cell,
+        int cores,
+        double speed,
+        int queue,
+        int connections,
+        double handshakeMs,
+        double handshakeWorkMs,
+        double idleMs,
+        double coldMs,
+        double startShare,
+        boolean startsCold) {
 
-  /** The same machine under another id. */
-  HostSpec named(String other) {
-    return new HostSpec(other, zone, kind, cell, cores, speed, queue, connections, handshakeMs,
-        handshakeWorkMs, idleMs, coldMs, startShare, startsCold);
-  }
+    /** The same machine under another id. */
+    HostSpec named(String other) {
+        return new HostSpec(
+                other,
+                zone,
+                kind,
+                cell,
+                cores,
+                speed,
+                queue,
+                connections,
+                handshakeMs,
+                handshakeWorkMs,
+                idleMs,
+                coldMs,
+                startShare,
+                startsCold);
+    }
 }
--- a/src/main/java/rillyard/standin/HostWork.java
+++ b/src/main/java/rillyard/standin/HostWork.java
@@ -11,207 +11,207 @@
  * whatever clock it is given, on one thread.
  */
 final class HostWork {
-  /** A piece of work. */
-  abstract static class Job {
-    final double work;
-    private long startedAt;
-    private double left;
-    private long resumedAt;
-    private double rate;
-    private Timers.Timer timer;
-    private boolean queued;
-    private boolean running;
-
-    /** {@code work} is core time of a warm core of speed 1, in ns. */
-    Job(double work) {
-      this.work = work;
-    }
-
-    /** Its turn has come; false if it is not to run after all. */
-    abstract boolean starts();
-
-    /** It has run. */
-    abstract void finished();
-
-    /** Whether it holds a core. */
-    boolean running() {
-      return running;
-    }
-
-    /** When it began to run, on the clock of the host; 0 if it has not. */
-    long startedAt() {
-      return startedAt;
-    }
-  }
-
-  private final HostSpec spec;
-  private final Timers timers;
-  private final ArrayDeque<Job> queue = new ArrayDeque<>();
-  private final Set<Job> running = new LinkedHashSet<>();
-  private double slow = 1;
-  private long warmFrom;
-  private boolean cold;
-  private boolean paused;
-  private double busyNanos;
-  private long countedAt;
-  private long usedFrom;
-
-  HostWork(HostSpec spec, Timers timers) {
-    this.spec = spec;
-    this.timers = timers;
-    this.countedAt = timers.now();
-    this.usedFrom = countedAt;
-  }
-
-  /** The host starts now; a cold one gets warm evenly over its time. */
-  void started(boolean asCold) {
-    cold = asCold;
-    warmFrom = timers.now();
-  }
-
-  /** The share of its full speed that the host has by now. */
-  double warmth() {
-    if (!cold || spec.coldMs() <= 0) {
-      return 1;
-    }
-    double share = (timers.now() - warmFrom) / (spec.coldMs() * 1e6);
-    return Math.min(1, spec.startShare() + (1 - spec.startShare()) * share);
-  }
-
-  /** Takes a job; false if the queue is full. */
-  boolean offer(Job j) {
-    if (!paused && running.size() < spec.cores()) {
-      begin(j);
-      return true;
-    }
-    if (queue.size() >= spec.queue()) {
-      return false;
-    }
-    put(j);
-    return true;
-  }
-
-  /** Takes a job whether or not there is room. */
-  void force(Job j) {
-    if (!paused && running.size() < spec.cores()) {
-      begin(j);
-    } else {
-      put(j);
-    }
-  }
-
-  private void put(Job j) {
-    j.queued = true;
-    queue.addLast(j);
-  }
-
-  /** Takes a job that waits out of the queue; false if it doesn't wait. */
-  boolean withdraw(Job j) {
-    if (!j.queued) {
-      return false;
-    }
-    j.queued = false;
-    return queue.remove(j);
-  }
-
-  private void begin(Job j) {
-    j.queued = false;
-    if (!j.starts()) {
-      return;
-    }
-    count();
-    j.running = true;
-    j.startedAt = timers.now();
-    j.left = j.work;
-    running.add(j);
-    run(j);
-  }
-
-  private void run(Job j) {
-    j.resumedAt = timers.now();
-    j.rate = spec.speed() * warmth() / slow;
-    j.timer = timers.at(j.resumedAt + (long) (j.left / j.rate), () -> finish(j));
-  }
-
-  private void finish(Job j) {
-    count();
-    running.remove(j);
-    j.running = false;
-    j.finished();
-    fill();
-  }
-
-  private void fill() {
-    while (!paused && running.size() < spec.cores() && !queue.isEmpty()) {
-      begin(queue.pollFirst());
-    }
-  }
-
-  /** All stands still. */
-  void pause() {
-    if (paused) {
-      return;
-    }
-    count();
-    paused = true;
-    for (Job j : running) {
-      j.timer.cancel();
-      j.left = Math.max(0, j.left - (timers.now() - j.resumedAt) * j.rate);
-    }
-  }
-
-  /** All goes on from where it stood. */
-  void resume() {
-    if (!paused) {
-      return;
-    }
-    count();
-    paused = false;
-    for (Job j : new ArrayList<>(running)) {
-      run(j);
-    }
-    fill();
-  }
-
-  /** From now on what starts takes so many times as long. */
-  void slow(double factor) {
-    slow = factor;
-  }
-
-  /** All work is lost: nothing of it finishes. */
-  void kill() {
-    count();
-    for (Job j : running) {
-      j.timer.cancel();
-      j.running = false;
-    }
-    running.clear();
-    queue.clear();
-    paused = false;
-    slow = 1;
-  }
-
-  int running() {
-    return running.size();
-  }
-
-  int queued() {
-    return queue.size();
-  }
-
-  /** Mean share of the cores in use since the last call, from 0 to 1. */
-  double utilisation() {
-    count();
-    long now = timers.now();
-    double share = now == usedFrom ? 0 : busyNanos / ((double) (now - usedFrom) * spec.cores());
-    usedFrom = now;
-    busyNanos = 0;
-    return Math.min(1, share);
-  }
-
-  private void count() {
-    long now = timers.now();
-    busyNanos += paused ? 0 : (double) (now - countedAt) * running.size();
-    countedAt = now;
-  }
+    /** A piece of work. */
+    abstract static class Job {
+        final double work;
+        private long startedAt;
+        private double left;
+        private long resumedAt;
+        private double rate;
+        private Timers.Timer timer;
+        private boolean queued;
+        private boolean running;
+
+        /** {@code work} is core time of a warm core of speed 1, in ns. */
+        Job(double work) {
+            this.work = work;
+        }
+
+        /** Its turn has come; false if it is not to run after all. */
+        abstract boolean starts();
+
+        /** It has run. */
+        abstract void finished();
+
+        /** Whether it holds a core. */
+        boolean running() {
+            return running;
+        }
+
+        /** When it began to run, on the clock of the host; 0 if it has not. */
+        long startedAt() {
+            return startedAt;
+        }
+    }
+
+    private final HostSpec spec;
+    private final Timers timers;
+    private final ArrayDeque<Job> queue = new ArrayDeque<>();
+    private final Set<Job> running = new LinkedHashSet<>();
+    private double slow = 1;
+    private long warmFrom;
+    private boolean cold;
+    private boolean paused;
+    private double busyNanos;
+    private long countedAt;
+    private long usedFrom;
+
+    HostWork(HostSpec spec, Timers timers) {
+        this.spec = spec;
+        this.timers = timers;
+        this.countedAt = timers.now();
+        this.usedFrom = countedAt;
+    }
+
+    /** The host starts now; a cold one gets warm evenly over its time. */
+    void started(boolean asCold) {
+        cold = asCold;
+        warmFrom = timers.now();
+    }
+
+    /** The share of its full speed that the host has by now. */
+    double warmth() {
+        if (!cold || spec.coldMs() <= 0) {
+            return 1;
+        }
+        double share = (timers.now() - warmFrom) / (spec.coldMs() * 1e6);
+        return Math.min(1, spec.startShare() + (1 - spec.startShare()) * share);
+    }
+
+    /** Takes a job; false if the queue is full. */
+    boolean offer(Job j) {
+        if (!paused && running.size() < spec.cores()) {
+            begin(j);
+            return true;
+        }
+        if (queue.size() >= spec.queue()) {
+            return false;
+        }
+        put(j);
+        return true;
+    }
+
+    /** Takes a job whether or not there is room. */
+    void force(Job j) {
+        if (!paused && running.size() < spec.cores()) {
+            begin(j);
+        } else {
+            put(j);
+        }
+    }
+
+    private void put(Job j) {
+        j.queued = true;
+        queue.addLast(j);
+    }
+
+    /** Takes a job that waits out of the queue; false if it doesn't wait. */
+    boolean withdraw(Job j) {
+        if (!j.queued) {
+            return false;
+        }
+        j.queued = false;
+        return queue.remove(j);
+    }
+
+    private void begin(Job j) {
+        j.queued = false;
+        if (!j.starts()) {
+            return;
+        }
+        count();
+        j.running = true;
+        j.startedAt = timers.now();
+        j.left = j.work;
+        running.add(j);
+        run(j);
+    }
+
+    private void run(Job j) {
+        j.resumedAt = timers.now();
+        j.rate = spec.speed() * warmth() / slow;
+        j.timer = timers.at(j.resumedAt + (long) (j.left / j.rate), () -> finish(j));
+    }
+
+    private void finish(Job j) {
+        count();
+        running.remove(j);
+        j.running = false;
+        j.finished();
+        fill();
+    }
+
+    private void fill() {
+        while (!paused && running.size() < spec.cores() && !queue.isEmpty()) {
+            begin(queue.pollFirst());
+        }
+    }
+
+    /** All stands still. */
+    void pause() {
+        if (paused) {
+            return;
+        }
+        count();
+        paused = true;
+        for (Job j : running) {
+            j.timer.cancel();
+            j.left = Math.max(0, j.left - (timers.now() - j.resumedAt) * j.rate);
+        }
+    }
+
+    /** All goes on from where it stood. */
+    void resume() {
+        if (!paused) {
+            return;
+        }
+        count();
+        paused = false;
+        for (Job j : new ArrayList<>(running)) {
+            run(j);
+        }
+        fill();
+    }
+
+    /** From now on what starts takes so many times as long. */
+    void slow(double factor) {
+        slow = factor;
+    }
+
+    /** All work is lost: nothing of it finishes. */
+    void kill() {
+        count();
+        for (Job j : running) {
+            j.timer.cancel();
+            j.running = false;
+        }
+        running.clear();
+        queue.clear();
+        paused = false;
+        slow = 1;
+    }
+
+    int running() {
+        return running.size();
+    }
+
+    int queued() {
+        return queue.size();
+    }
+
+    /** Mean share of the cores in use since the last call, from 0 to 1. */
+    double utilisation() {
+        count();
+        long now = timers.now();
+        double share = now == usedFrom ? 0 : busyNanos / ((double) (now - usedFrom) * spec.cores());
+        usedFrom = now;
+        busyNanos = 0;
+        return Math.min(1, share);
+    }
+
+    private void count() {
+        long now = timers.now();
+        busyNanos += paused ? 0 : (double) (now - countedAt) * running.size();
+        countedAt = now;
+    }
 }
--- a/src/main/java/rillyard/standin/KeyMemory.java
+++ b/src/main/java/rillyard/standin/KeyMemory.java
@@ -13,78 +13,78 @@
  * within one.
  */
 final class KeyMemory {
-  private static final class Entry {
-    final long until;
-    boolean done;
-    List<Runnable> waiting = List.of();
+    private static final class Entry {
+        final long until;
+        boolean done;
+        List<Runnable> waiting = List.of();
 
-    Entry(long until) {
-      this.until = until;
+        Entry(long until) {
+            this.until = until;
+        }
     }
-  }
 
-  /** What a key is to a host that receives it. */
-  enum Known {
-    /** New: the request runs, and {@link KeyMemory#done} is to follow. */
-    NEW,
-    /** Answered before. */
-    DONE,
-    /** Running: the answer comes later. */
-    RUNNING
-  }
-
-  private final long window;
-  private final Map<String, Entry> keys = new LinkedHashMap<>();
+    /** What a key is to a host that receives it. */
+    enum Known {
+        /** New: the request runs, and {@link KeyMemory#done} is to follow. */
+        NEW,
+        /** Answered before. */
+        DONE,
+        /** Running: the answer comes later. */
+        RUNNING
+    }
 
-  /** {@code window} in ns. */
-  KeyMemory(long window) {
-    this.window = window;
-  }
+    private final long window;
+    private final Map<String, Entry> keys = new LinkedHashMap<>();
 
-  /** A request of this key has come; {@code later} is run once a running one is done. */
-  synchronized Known seen(String key, long now, Runnable later) {
-    for (Iterator<Entry> i = keys.values().iterator(); i.hasNext() && i.next().until <= now; ) {
-      i.remove();
-    }
-    Entry e = keys.get(key);
-    if (e == null || e.until <= now) {
-      keys.put(key, new Entry(now + window));
-      return Known.NEW;
+    /** {@code window} in ns. */
+    KeyMemory(long window) {
+        this.window = window;
     }
-    if (e.done) {
-      return Known.DONE;
+
+    /** A request of this key has come; {@code later} is run once a running one is done. */
+    synchronized Known seen(String key, long now, Runnable later) {
+        for (Iterator<Entry> i = keys.values().iterator(); i.hasNext() && i.next().until <= now; ) {
+            i.remove();
+        }
+        Entry e = keys.get(key);
+        if (e == null || e.until <= now) {
+            keys.put(key, new Entry(now + window));
+            return Known.NEW;
+        }
+        if (e.done) {
+            return Known.DONE;
+        }
+        e.waiting = new ArrayList<>(e.waiting);
+        e.waiting.add(later);
+        return Known.RUNNING;
     }
-    e.waiting = new ArrayList<>(e.waiting);
-    e.waiting.add(later);
-    return Known.RUNNING;
-  }
 
-  /** The request that was new has run. */
-  void done(String key) {
-    List<Runnable> waiting;
-    synchronized (this) {
-      Entry e = keys.get(key);
-      if (e == null) {
-        return;
-      }
-      e.done = true;
-      waiting = e.waiting;
-      e.waiting = List.of();
+    /** The request that was new has run. */
+    void done(String key) {
+        List<Runnable> waiting;
+        synchronized (this) {
+            Entry e = keys.get(key);
+            if (e == null) {
+                return;
+            }
+            e.done = true;
+            waiting = e.waiting;
+            e.waiting = List.of();
+        }
+        waiting.forEach(Runnable::run);
     }
-    waiting.forEach(Runnable::run);
-  }
 
-  /** The request that was new has not run after all. */
-  void forget(String key) {
-    List<Runnable> waiting;
-    synchronized (this) {
-      Entry e = keys.remove(key);
-      waiting = e == null ? List.of() : e.waiting;
+    /** The request that was new has not run after all. */
+    void forget(String key) {
+        List<Runnable> waiting;
+        synchronized (this) {
+            Entry e = keys.remove(key);
+            waiting = e == null ? List.of() : e.waiting;
+        }
+        waiting.forEach(Runnable::run);
     }
-    waiting.forEach(Runnable::run);
-  }
 
-  synchronized int size() {
-    return keys.size();
-  }
+    synchronized int size() {
+        return keys.size();
+    }
 }
--- a/src/main/java/rillyard/standin/ReadyFile.java
+++ b/src/main/java/rillyard/standin/ReadyFile.java
@@ -10,84 +10,80 @@
 
 /** What a stand-in tells once it is ready: a proxy's configuration, and where all listens. */
 final class ReadyFile {
-  private static final ObjectMapper JSON = new ObjectMapper();
+    private static final ObjectMapper JSON = new ObjectMapper();
 
-  private ReadyFile() {}
+    private ReadyFile() {}
 
-  static ObjectNode of(
-      StandInPlan plan,
-      List<Catalog.Entry> entries,
-      InetSocketAddress discovery,
-      InetSocketAddress control) {
-    ObjectNode root = JSON.createObjectNode();
-    root.put("name", "n0")
-        .put("listen", "127.0.0.1:0")
-        .put("discovery", text(discovery))
-        .put("seed", Long.toHexString(plan.seed()));
-    root.putObject("limits").put("cores", 1.0).put("memory_mb", 128).put("sockets", 1_024);
-    root.set("known", list(entries));
-    root.set("settings", settings(plan));
-    root.put("control", text(control));
-    ArrayNode hosts = root.putArray("hosts");
-    entries.forEach(e -> hosts.addObject().put("id", e.spec().id()).put("addr", e.address()));
-    return root;
-  }
+    static ObjectNode of(
+            StandInPlan plan, List<Catalog.Entry> entries, InetSocketAddress discovery, InetSocketAddress control) {
+        ObjectNode root = JSON.createObjectNode();
+        root.put("name", "n0")
+                .put("listen", "127.0.0.1:0")
+                .put("discovery", text(discovery))
+                .put("seed", Long.toHexString(plan.seed()));
+        root.putObject("limits").put("cores", 1.0).put("memory_mb", 128).put("sockets", 1_024);
+        root.set("known", list(entries));
+        root.set("settings", settings(plan));
+        root.put("control", text(control));
+        ArrayNode hosts = root.putArray("hosts");
+        entries.forEach(e -> hosts.addObject().put("id", e.spec().id()).put("addr", e.address()));
+        return root;
+    }
 
-  private static JsonNode list(List<Catalog.Entry> entries) {
-    try {
-      return JSON.readTree(new Catalog(entries).all(UnaryOperator.identity()));
-    } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
-      throw new IllegalStateException(e); // never: it was made as JSON
+    private static JsonNode list(List<Catalog.Entry> entries) {
+        try {
+            return JSON.readTree(new Catalog(entries).all(UnaryOperator.identity()));
+        } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
+            throw new IllegalStateException(e); // never: it was made as JSON
+        }
     }
-  }
 
-  private static ObjectNode settings(StandInPlan plan) {
-    ObjectNode s = JSON.createObjectNode();
-    s.put("balancers", 1).put("position", 0).put("membershipMode", "automatic");
-    s.put("zone", plan.hosts().get(0).zone());
-    ArrayNode zones = s.putArray("zones");
-    plan.hosts().stream().map(HostSpec::zone).distinct().forEach(zones::add);
-    ArrayNode classes = s.putArray("classes");
-    for (ClassSpec c : plan.classes()) {
-      classes
-          .addObject()
-          .put("name", c.name())
-          .put("aim", c.aimMs())
-          .put("deadline", c.deadlineMs())
-          .put("semantics", c.semantics().setting())
-          .put("keyScope", c.scope().setting())
-          .put("repeatWindow", c.windowMs())
-          .put("value", c.worth());
+    private static ObjectNode settings(StandInPlan plan) {
+        ObjectNode s = JSON.createObjectNode();
+        s.put("balancers", 1).put("position", 0).put("membershipMode", "automatic");
+        s.put("zone", plan.hosts().get(0).zone());
+        ArrayNode zones = s.putArray("zones");
+        plan.hosts().stream().map(HostSpec::zone).distinct().forEach(zones::add);
+        ArrayNode classes = s.putArray("classes");
+        for (ClassSpec c : plan.classes()) {
+            classes.addObject()
+                    .put("name", c.name())
+                    .put("aim", c.aimMs())
+                    .put("deadline", c.deadlineMs())
+                    .put("semantics", c.semantics().setting())
+                    .put("keyScope", c.scope().setting())
+                    .put("repeatWindow", c.windowMs())
+                    .put("value", c.worth());
+        }
+        HostSpec first = plan.hosts().get(0);
+        StandInPlan.Rules r = plan.rules();
+        s.putObject("limits")
+                .put("cancel", true)
+                .put("connIdle", first.idleMs())
+                .put("connectTimeout", r.connectTimeoutMs())
+                .put("maxAttempts", r.maxAttempts())
+                .put("maxOpen", 20_000)
+                .put("parallelTries", true)
+                .put("probes", true)
+                .put("retryAfter", true)
+                .put("maxRetryAfter", 2_000)
+                .put("streamsPerConn", 1);
+        ObjectNode report = s.putObject("report");
+        report.put("how", plan.reportFields().isEmpty() ? "none" : "answers");
+        ArrayNode fields = report.putArray("fields");
+        plan.reportFields().forEach(fields::add);
+        s.putObject("rules")
+                .put("answerSlack", 20.0)
+                .put("drainGrace", r.drainGraceMs())
+                .put("cold", first.coldMs())
+                .put("startCapacity", first.startShare())
+                .put("fall", r.fallMs())
+                .put("fallMultiple", r.fallMultiple());
+        s.putArray("tenants");
+        return s;
     }
-    HostSpec first = plan.hosts().get(0);
-    StandInPlan.Rules r = plan.rules();
-    s.putObject("limits")
-        .put("cancel", true)
-        .put("connIdle", first.idleMs())
-        .put("connectTimeout", r.connectTimeoutMs())
-        .put("maxAttempts", r.maxAttempts())
-        .put("maxOpen", 20_000)
-        .put("parallelTries", true)
-        .put("probes", true)
-        .put("retryAfter", true)
-        .put("maxRetryAfter", 2_000)
-        .put("streamsPerConn", 1);
-    ObjectNode report = s.putObject("report");
-    report.put("how", plan.reportFields().isEmpty() ? "none" : "answers");
-    ArrayNode fields = report.putArray("fields");
-    plan.reportFields().forEach(fields::add);
-    s.putObject("rules")
-        .put("answerSlack", 20.0)
-        .put("drainGrace", r.drainGraceMs())
-        .put("cold", first.coldMs())
-        .put("startCapacity", first.startShare())
-        .put("fall", r.fallMs())
-        .put("fallMultiple", r.fallMultiple());
-    s.putArray("tenants");
-    return s;
-  }
 
-  private static String text(InetSocketAddress a) {
-    return a.getAddress().getHostAddress() + ":" + a.getPort();
-  }
+    private static String text(InetSocketAddress a) {
+        return a.getAddress().getHostAddress() + ":" + a.getPort();
+    }
 }
--- a/src/main/java/rillyard/standin/Received.java
+++ b/src/main/java/rillyard/standin/Received.java
@@ -13,4 +13,4 @@
  * @param until when its client stops waiting, on the same clock
  */
 record Received(
-    String id, String key, ClassSpec spec, String path, long length, long crc, long firstByte, long until) {}
+        String id, String key, ClassSpec spec, String path, long length, long crc, long firstByte, long until) {}
--- a/src/main/java/rillyard/standin/StandInPlan.java
+++ b/src/main/java/rillyard/standin/StandInPlan.java
@@ -15,36 +15,32 @@
  * @param faults what goes wrong, in the order of its times
  */
 public record StandInPlan(
-    long seed,
-    List<HostSpec> hosts,
-    List<ClassSpec> classes,
-    List<String> reportFields,
-    double reportPeriodMs,
-    double noticeMs,
-    Rules rules,
-    List<Fault> faults) {
+        long seed,
+        List<HostSpec> hosts,
+        List<ClassSpec> classes,
+        List<String> reportFields,
+        double reportPeriodMs,
+        double noticeMs,
+        Rules rules,
+        List<Fault> faults) {
 
-  /** Copies the lists. */
-  public StandInPlan {
-    hosts = List.copyOf(hosts);
-    classes = List.copyOf(classes);
-    reportFields = List.copyOf(reportFields);
-    faults = List.copyOf(faults);
-  }
+    /** Copies the lists. */
+    public StandInPlan {
+        hosts = List.copyOf(hosts);
+        classes = List.copyOf(classes);
+        reportFields = List.copyOf(reportFields);
+        faults = List.copyOf(faults);
+    }
 
-  /**
-   * The figures of the rules (ms, but for the multiple).
-   *
-   * @param drainGraceMs how long after it was told a proxy may send to a host that drains
-   * @param fallMs the window of the cold host's budget
-   * @param fallMultiple how often its present capacity may be sent to it within the window
-   * @param connectTimeoutMs a proxy gives up a connection that has not come up in this time
-   * @param maxAttempts attempts of one request
-   */
-  public record Rules(
-      double drainGraceMs,
-      double fallMs,
-      double fallMultiple,
-      double connectTimeoutMs,
-      int maxAttempts) {}
+    /**
+     * The figures of the rules (ms, but for the multiple).
+     *
+     * @param drainGraceMs how long after it was told a proxy may send to a host that drains
+     * @param fallMs the window of the cold host's budget
+     * @param fallMultiple how often its present capacity may be sent to it within the window
+     * @param connectTimeoutMs a proxy gives up a connection that has not come up in this time
+     * @param maxAttempts attempts of one request
+     */
+    public record Rules(
+            double drainGraceMs, double fallMs, double fallMultiple, double connectTimeoutMs, int maxAttempts) {}
 }
--- a/src/main/java/rillyard/standin/StandInPlanReader.java
+++ b/src/main/java/rillyard/standin/StandInPlanReader.java
@@ -11,228 +11,236 @@
 
 /** Reads a timetable: hosts, classes, rules and faults, in TOML. What is left out has its default. */
 public final class StandInPlanReader {
-  private static final HostSpec DEFAULT =
-      new HostSpec("", "z1", "std", 0, 4, 1, 64, 1_000, 0, 0, 60_000, 8_000, 0.3, false);
-
-  private static final int HOSTS = 8;
-  private static final int CELL = 4;
-
-  /** Names of service time distributions. */
-  private enum Shape {
-    CONSTANT,
-    EXPONENTIAL,
-    LOGNORMAL,
-    TABLE
-  }
-
-  private StandInPlanReader() {}
-
-  /** The plan without a file: so many hosts in cells of four, three classes, no faults. */
-  public static StandInPlan standard(int hosts) {
-    try {
-      return read(TomlTable.parse("standard", ""), hosts);
-    } catch (InvalidFileException e) {
-      throw new IllegalStateException(e); // never: there is nothing to read
+    private static final HostSpec DEFAULT =
+            new HostSpec("", "z1", "std", 0, 4, 1, 64, 1_000, 0, 0, 60_000, 8_000, 0.3, false);
+
+    private static final int HOSTS = 8;
+    private static final int CELL = 4;
+
+    /** Names of service time distributions. */
+    private enum Shape {
+        CONSTANT,
+        EXPONENTIAL,
+        LOGNORMAL,
+        TABLE
     }
-  }
-
-  /**
-   * Reads a file.
-   *
-   * @param hosts how many hosts there are if the file names none; 0 leaves that to the file
-   * @throws InvalidFileException with all findings
-   */
-  public static StandInPlan read(Path file, int hosts) throws InvalidFileException {
-    return read(TomlTable.read(file), hosts);
-  }
-
-  /** Reads a text; {@code name} stands for it in findings. */
-  public static StandInPlan parse(String name, String text, int hosts) throws InvalidFileException {
-    return read(TomlTable.parse(name, text), hosts);
-  }
-
-  /** Reads faults alone, whose hosts the caller has to know. */
-  static List<Fault> faults(String name, String text) throws InvalidFileException {
-    TomlTable root = TomlTable.parse(name, text);
-    List<Fault> faults = faults(root, null);
-    root.finish();
-    return faults;
-  }
-
-  private static StandInPlan read(TomlTable root, int count) throws InvalidFileException {
-    long seed = root.whole("seed", 1, 0, Long.MAX_VALUE);
-    List<HostSpec> hosts = hosts(root, count);
-    List<ClassSpec> classes = classes(root);
-    TomlTable discovery = root.table("discovery");
-    double notice = discovery.number("notice_ms", 100, 0, 60_000);
-    TomlTable report = root.table("report");
-    List<String> fields = fields(report);
-    double period = report.number("period_ms", 100, 0, 60_000);
-    TomlTable r = root.table("rules");
-    StandInPlan.Rules rules =
-        new StandInPlan.Rules(
-            r.number("drain_grace_ms", 500, 0, 60_000),
-            r.number("fall_ms", 1_500, 1, 60_000),
-            r.number("fall_multiple", 3, 1, 100),
-            r.number("connect_timeout_ms", 200, 1, 60_000),
-            (int) r.whole("max_attempts", 6, 1, 100));
-    Set<String> ids = new HashSet<>();
-    hosts.forEach(h -> ids.add(h.id()));
-    List<Fault> faults = faults(root, ids);
-    root.finish();
-    return new StandInPlan(seed, hosts, classes, fields, period, notice, rules, faults);
-  }
-
-  private static List<String> fields(TomlTable report) {
-    String s = report.text("fields", "inflight,util");
-    if (s.equals("none")) {
-      return List.of();
+
+    private StandInPlanReader() {}
+
+    /** The plan without a file: so many hosts in cells of four, three classes, no faults. */
+    public static StandInPlan standard(int hosts) {
+        try {
+            return read(TomlTable.parse("standard", ""), hosts);
+        } catch (InvalidFileException e) {
+            throw new IllegalStateException(e); // never: there is nothing to read
+        }
+    }
+
+    /**
+     * Reads a file.
+     *
+     * @param hosts how many hosts there are if the file names none; 0 leaves that to the file
+     * @throws InvalidFileException with all findings
+     */
+    public static StandInPlan read(Path file, int hosts) throws InvalidFileException {
+        return read(TomlTable.read(file), hosts);
+    }
+
+    /** Reads a text; {@code name} stands for it in findings. */
+    public static StandInPlan parse(String name, String text, int hosts) throws InvalidFileException {
+        return read(TomlTable.parse(name, text), hosts);
+    }
+
+    /** Reads faults alone, whose hosts the caller has to know. */
+    static List<Fault> faults(String name, String text) throws InvalidFileException {
+        TomlTable root = TomlTable.parse(name, text);
+        List<Fault> faults = faults(root, null);
+        root.finish();
+        return faults;
+    }
+
+    private static StandInPlan read(TomlTable root, int count) throws InvalidFileException {
+        long seed = root.whole("seed", 1, 0, Long.MAX_VALUE);
+        List<HostSpec> hosts = hosts(root, count);
+        List<ClassSpec> classes = classes(root);
+        TomlTable discovery = root.table("discovery");
+        double notice = discovery.number("notice_ms", 100, 0, 60_000);
+        TomlTable report = root.table("report");
+        List<String> fields = fields(report);
+        double period = report.number("period_ms", 100, 0, 60_000);
+        TomlTable r = root.table("rules");
+        StandInPlan.Rules rules = new StandInPlan.Rules(
+                r.number("drain_grace_ms", 500, 0, 60_000),
+                r.number("fall_ms", 1_500, 1, 60_000),
+                r.number("fall_multiple", 3, 1, 100),
+                r.number("connect_timeout_ms", 200, 1, 60_000),
+                (int) r.whole("max_attempts", 6, 1, 100));
+        Set<String> ids = new HashSet<>();
+        hosts.forEach(h -> ids.add(h.id()));
+        List<Fault> faults = faults(root, ids);
+        root.finish();
+        return new StandInPlan(seed, hosts, classes, fields, period, notice, rules, faults);
     }
-    List<String> out = new ArrayList<>();
-    for (String f : s.split(",")) {
-      if (!Set.of("inflight", "queue", "util").contains(f.trim())) {
-        report.error("fields", "found '" + f.trim() + "', expected inflight, queue, util or none");
-      }
-      out.add(f.trim());
+
+    private static List<String> fields(TomlTable report) {
+        String s = report.text("fields", "inflight,util");
+        if (s.equals("none")) {
+            return List.of();
+        }
+        List<String> out = new ArrayList<>();
+        for (String f : s.split(",")) {
+            if (!Set.of("inflight", "queue", "util").contains(f.trim())) {
+                report.error("fields", "found '" + f.trim() + "', expected inflight, queue, util or none");
+            }
+            out.add(f.trim());
+        }
+        return out;
+    }
+
+    private static List<HostSpec> hosts(TomlTable root, int count) {
+        TomlTable common = root.table("hosts");
+        int number = (int) common.whole("count", HOSTS, 1, 10_000);
+        number = count > 0 ? count : number;
+        int cell = (int) common.whole("cell_size", CELL, 1, 10_000);
+        HostSpec defaults = host(common, DEFAULT);
+        List<HostSpec> out = new ArrayList<>();
+        Set<String> ids = new HashSet<>();
+        List<TomlTable> named = root.tables("host");
+        for (int i = 0; i < named.size(); i++) {
+            TomlTable t = named.get(i);
+            String id = t.text("id");
+            if (!id.matches("[A-Za-z0-9._-]{1,64}")) {
+                t.error("id", "found '" + id + "', expected 1 to 64 letters, digits, dots, - or _");
+            } else if (!ids.add(id)) {
+                t.error("id", "'" + id + "' is another host's too");
+            }
+            HostSpec h = host(t, defaults.named(id));
+            long c = t.whole("cell", i / cell, 0, Integer.MAX_VALUE);
+            out.add(inCell(h, c));
+        }
+        for (int i = 0; named.isEmpty() && i < number; i++) {
+            out.add(inCell(defaults.named("s-" + i), i / cell));
+        }
+        return out;
+    }
+
+    private static HostSpec inCell(HostSpec h, long cell) {
+        return new HostSpec(
+                h.id(),
+                h.zone(),
+                h.kind(),
+                cell,
+                h.cores(),
+                h.speed(),
+                h.queue(),
+                h.connections(),
+                h.handshakeMs(),
+                h.handshakeWorkMs(),
+                h.idleMs(),
+                h.coldMs(),
+                h.startShare(),
+                h.startsCold());
     }
-    return out;
-  }
-
-  private static List<HostSpec> hosts(TomlTable root, int count) {
-    TomlTable common = root.table("hosts");
-    int number = (int) common.whole("count", HOSTS, 1, 10_000);
-    number = count > 0 ? count : number;
-    int cell = (int) common.whole("cell_size", CELL, 1, 10_000);
-    HostSpec defaults = host(common, DEFAULT);
-    List<HostSpec> out = new ArrayList<>();
-    Set<String> ids = new HashSet<>();
-    List<TomlTable> named = root.tables("host");
-    for (int i = 0; i < named.size(); i++) {
-      TomlTable t = named.get(i);
-      String id = t.text("id");
-      if (!id.matches("[A-Za-z0-9._-]{1,64}")) {
-        t.error("id", "found '" + id + "', expected 1 to 64 letters, digits, dots, - or _");
-      } else if (!ids.add(id)) {
-        t.error("id", "'" + id + "' is another host's too");
-      }
-      HostSpec h = host(t, defaults.named(id));
-      long c = t.whole("cell", i / cell, 0, Integer.MAX_VALUE);
-      out.add(inCell(h, c));
+
+    private static HostSpec host(TomlTable t, HostSpec d) {
+        return new HostSpec(
+                d.id(),
+                t.text("zone", d.zone()),
+                t.text("kind", d.kind()),
+                d.cell(),
+                (int) t.whole("cores", d.cores(), 1, 100_000),
+                t.number("speed", d.speed(), 0.001, 1_000),
+                (int) t.whole("queue", d.queue(), 0, 1_000_000),
+                (int) t.whole("connections", d.connections(), 1, 1_000_000),
+                t.number("handshake_ms", d.handshakeMs(), 0, 60_000),
+                t.number("handshake_work_ms", d.handshakeWorkMs(), 0, 60_000),
+                t.number("idle_ms", d.idleMs(), 1, 3_600_000),
+                t.number("cold_ms", d.coldMs(), 0, 3_600_000),
+                t.number("start_share", d.startShare(), 0.01, 1),
+                t.flag("starts_cold", d.startsCold()));
     }
-    for (int i = 0; named.isEmpty() && i < number; i++) {
-      out.add(inCell(defaults.named("s-" + i), i / cell));
+
+    private static List<ClassSpec> classes(TomlTable root) {
+        List<ClassSpec> out = new ArrayList<>();
+        Set<String> names = new HashSet<>();
+        for (TomlTable t : root.tables("class")) {
+            String name = t.text("name");
+            if (!name.matches("[A-Za-z0-9._-]{1,64}")) {
+                t.error("name", "found '" + name + "', expected 1 to 64 letters, digits, dots, - or _");
+            } else if (!names.add(name)) {
+                t.error("name", "'" + name + "' is another class's too");
+            }
+            double aim = t.number("aim_ms", 400, 1, 3_600_000);
+            double deadline = t.number("deadline_ms", 2 * aim, 1, 3_600_000);
+            if (deadline < aim) {
+                t.error("deadline_ms", "found " + deadline + ", expected no less than aim_ms, " + aim);
+            }
+            out.add(new ClassSpec(
+                    name,
+                    t.choice("semantics", ClassSpec.Semantics.class, ClassSpec.Semantics.AT_MOST_ONCE),
+                    t.choice("scope", ClassSpec.Scope.class, ClassSpec.Scope.CELL),
+                    aim,
+                    deadline,
+                    t.number("window_ms", 750, 0, 3_600_000),
+                    t.number("worth", 1, 0, 1e9),
+                    work(t.table("work")),
+                    (int) t.whole("answer_bytes", 256, 0, 65_536)));
+        }
+        return out.isEmpty() ? standardClasses() : out;
     }
-    return out;
-  }
-
-  private static HostSpec inCell(HostSpec h, long cell) {
-    return new HostSpec(h.id(), h.zone(), h.kind(), cell, h.cores(), h.speed(), h.queue(),
-        h.connections(), h.handshakeMs(), h.handshakeWorkMs(), h.idleMs(), h.coldMs(),
-        h.startShare(), h.startsCold());
-  }
-
-  private static HostSpec host(TomlTable t, HostSpec d) {
-    return new HostSpec(
-        d.id(),
-        t.text("zone", d.zone()),
-        t.text("kind", d.kind()),
-        d.cell(),
-        (int) t.whole("cores", d.cores(), 1, 100_000),
-        t.number("speed", d.speed(), 0.001, 1_000),
-        (int) t.whole("queue", d.queue(), 0, 1_000_000),
-        (int) t.whole("connections", d.connections(), 1, 1_000_000),
-        t.number("handshake_ms", d.handshakeMs(), 0, 60_000),
-        t.number("handshake_work_ms", d.handshakeWorkMs(), 0, 60_000),
-        t.number("idle_ms", d.idleMs(), 1, 3_600_000),
-        t.number("cold_ms", d.coldMs(), 0, 3_600_000),
-        t.number("start_share", d.startShare(), 0.01, 1),
-        t.flag("starts_cold", d.startsCold()));
-  }
-
-  private static List<ClassSpec> classes(TomlTable root) {
-    List<ClassSpec> out = new ArrayList<>();
-    Set<String> names = new HashSet<>();
-    for (TomlTable t : root.tables("class")) {
-      String name = t.text("name");
-      if (!name.matches("[A-Za-z0-9._-]{1,64}")) {
-        t.error("name", "found '" + name + "', expected 1 to 64 letters, digits, dots, - or _");
-      } else if (!names.add(name)) {
-        t.error("name", "'" + name + "' is another class's too");
-      }
-      double aim = t.number("aim_ms", 400, 1, 3_600_000);
-      double deadline = t.number("deadline_ms", 2 * aim, 1, 3_600_000);
-      if (deadline < aim) {
-        t.error("deadline_ms", "found " + deadline + ", expected no less than aim_ms, " + aim);
-      }
-      out.add(
-          new ClassSpec(
-              name,
-              t.choice("semantics", ClassSpec.Semantics.class, ClassSpec.Semantics.AT_MOST_ONCE),
-              t.choice("scope", ClassSpec.Scope.class, ClassSpec.Scope.CELL),
-              aim,
-              deadline,
-              t.number("window_ms", 750, 0, 3_600_000),
-              t.number("worth", 1, 0, 1e9),
-              work(t.table("work")),
-              (int) t.whole("answer_bytes", 256, 0, 65_536)));
+
+    private static List<ClassSpec> standardClasses() {
+        ServiceTime work = new ServiceTime.Lognormal(12, 0.6);
+        return List.of(
+                new ClassSpec("list", ClassSpec.Semantics.IDEMPOTENT, ClassSpec.Scope.ALL, 400, 800, 0, 1, work, 1_024),
+                new ClassSpec(
+                        "log", ClassSpec.Semantics.DEDUPLICATED, ClassSpec.Scope.CELL, 400, 1_200, 750, 5, work, 128),
+                new ClassSpec(
+                        "claim", ClassSpec.Semantics.AT_MOST_ONCE, ClassSpec.Scope.ALL, 400, 800, 0, 8, work, 128));
     }
-    return out.isEmpty() ? standardClasses() : out;
-  }
-
-  private static List<ClassSpec> standardClasses() {
-    ServiceTime work = new ServiceTime.Lognormal(12, 0.6);
-    return List.of(
-        new ClassSpec("list", ClassSpec.Semantics.IDEMPOTENT, ClassSpec.Scope.ALL,
-            400, 800, 0, 1, work, 1_024),
-        new ClassSpec("log", ClassSpec.Semantics.DEDUPLICATED, ClassSpec.Scope.CELL,
-            400, 1_200, 750, 5, work, 128),
-        new ClassSpec("claim", ClassSpec.Semantics.AT_MOST_ONCE, ClassSpec.Scope.ALL,
-            400, 800, 0, 8, work, 128));
-  }
-
-  private static ServiceTime work(TomlTable t) {
-    Shape shape = t.choice("dist", Shape.class, Shape.LOGNORMAL);
-    double mean = t.number("mean_ms", 12, 0.001, 60_000);
-    double cv = t.number("cv", 0.6, 0.01, 10);
-    double[] table = t.numbers("table_ms", new double[] {10, 10}, 0, 60_000);
-    if (shape == Shape.TABLE && (!t.has("table_ms") || table.length < 2)) {
-      t.error("table_ms", "expected two times or more for the distribution 'table'");
+
+    private static ServiceTime work(TomlTable t) {
+        Shape shape = t.choice("dist", Shape.class, Shape.LOGNORMAL);
+        double mean = t.number("mean_ms", 12, 0.001, 60_000);
+        double cv = t.number("cv", 0.6, 0.01, 10);
+        double[] table = t.numbers("table_ms", new double[] {10, 10}, 0, 60_000);
+        if (shape == Shape.TABLE && (!t.has("table_ms") || table.length < 2)) {
+            t.error("table_ms", "expected two times or more for the distribution 'table'");
+        }
+        return switch (shape) {
+            case CONSTANT -> new ServiceTime.Constant(mean);
+            case EXPONENTIAL -> new ServiceTime.Exponential(mean);
+            case LOGNORMAL -> new ServiceTime.Lognormal(mean, cv);
+            case TABLE -> new ServiceTime.Empirical(table);
+        };
     }
-    return switch (shape) {
-      case CONSTANT -> new ServiceTime.Constant(mean);
-      case EXPONENTIAL -> new ServiceTime.Exponential(mean);
-      case LOGNORMAL -> new ServiceTime.Lognormal(mean, cv);
-      case TABLE -> new ServiceTime.Empirical(table);
-    };
-  }
-
-  private static List<Fault> faults(TomlTable root, Set<String> ids) {
-    List<Fault> out = new ArrayList<>();
-    for (TomlTable t : root.tables("fault")) {
-      Fault.Kind kind = t.choice("kind", Fault.Kind.class, Fault.Kind.HANG);
-      if (!t.has("kind")) {
-        t.error("kind", "is missing, expected what goes wrong");
-      }
-      String host = kind.ofDiscovery() ? "" : t.text("host");
-      if (!host.isEmpty() && ids != null && !ids.contains(host)) {
-        t.error("host", "there is no host '" + host + "'");
-      }
-      boolean slow = kind == Fault.Kind.SLOW;
-      double forMs = 1_000 * t.number("for_s", 0, 0, 86_400);
-      if (kind == Fault.Kind.PAUSE && forMs == 0) {
-        t.error("for_s", "expected how long the pause lasts, above 0");
-      }
-      out.add(
-          new Fault(
-              1_000 * t.number("at_s", 0, 0, 86_400),
-              forMs,
-              kind,
-              host,
-              slow ? t.number("size", 4, 1, 1_000) : t.number("size", 1, 0, 1),
-              1_000 * t.number("restart_s", -0.001, -0.001, 86_400),
-              t.flag("new_id", false)));
+
+    private static List<Fault> faults(TomlTable root, Set<String> ids) {
+        List<Fault> out = new ArrayList<>();
+        for (TomlTable t : root.tables("fault")) {
+            Fault.Kind kind = t.choice("kind", Fault.Kind.class, Fault.Kind.HANG);
+            if (!t.has("kind")) {
+                t.error("kind", "is missing, expected what goes wrong");
+            }
+            String host = kind.ofDiscovery() ? "" : t.text("host");
+            if (!host.isEmpty() && ids != null && !ids.contains(host)) {
+                t.error("host", "there is no host '" + host + "'");
+            }
+            boolean slow = kind == Fault.Kind.SLOW;
+            double forMs = 1_000 * t.number("for_s", 0, 0, 86_400);
+            if (kind == Fault.Kind.PAUSE && forMs == 0) {
+                t.error("for_s", "expected how long the pause lasts, above 0");
+            }
+            out.add(new Fault(
+                    1_000 * t.number("at_s", 0, 0, 86_400),
+                    forMs,
+                    kind,
+                    host,
+                    slow ? t.number("size", 4, 1, 1_000) : t.number("size", 1, 0, 1),
+                    1_000 * t.number("restart_s", -0.001, -0.001, 86_400),
+                    t.flag("new_id", false)));
+        }
+        out.sort(Comparator.comparingDouble(Fault::atMs));
+        return out;
     }
-    out.sort(Comparator.comparingDouble(Fault::atMs));
-    return out;
-  }
 }
--- a/src/main/java/rillyard/succession/OutFolder.java
+++ b/src/main/java/rillyard/succession/OutFolder.java
@@ -23,111 +23,110 @@
  * process does is seen whole or not at all by another, and a kill at any moment harms nothing.
  */
 public final class OutFolder {
-  /** What the folder says: hosts out, and Unix time (ms) at which others were given back. */
-  public record State(Set<String> out, Map<String, Long> back) {}
+    /** What the folder says: hosts out, and Unix time (ms) at which others were given back. */
+    public record State(Set<String> out, Map<String, Long> back) {}
 
-  private static final String OUT = "out-";
-  private static final String BACK = "back-";
+    private static final String OUT = "out-";
+    private static final String BACK = "back-";
 
-  /** A host that was given back so long ago (ms) is warm by any deployment's figures. */
-  private static final long FORGET_MS = 120_000;
+    /** A host that was given back so long ago (ms) is warm by any deployment's figures. */
+    private static final long FORGET_MS = 120_000;
 
-  private final Path folder;
+    private final Path folder;
 
-  /**
-   * Opens a folder.
-   *
-   * @param folder the folder, made if it isn't there
-   * @throws IOException if it can't be made
-   */
-  public OutFolder(Path folder) throws IOException {
-    this.folder = Files.createDirectories(folder);
-  }
+    /**
+     * Opens a folder.
+     *
+     * @param folder the folder, made if it isn't there
+     * @throws IOException if it can't be made
+     */
+    public OutFolder(Path folder) throws IOException {
+        this.folder = Files.createDirectories(folder);
+    }
 
-  /**
-   * Notes that a host is out.
-   *
-   * @throws IOException if that can't be kept
-   */
-  public void takeOut(String name) throws IOException {
-    Files.deleteIfExists(file(BACK, name));
-    try {
-      Files.createFile(file(OUT, name));
-    } catch (FileAlreadyExistsException e) {
-      // out already
+    /**
+     * Notes that a host is out.
+     *
+     * @throws IOException if that can't be kept
+     */
+    public void takeOut(String name) throws IOException {
+        Files.deleteIfExists(file(BACK, name));
+        try {
+            Files.createFile(file(OUT, name));
+        } catch (FileAlreadyExistsException e) {
+            // out already
+        }
     }
-  }
 
-  /**
-   * Notes that a host may serve again from {@code now} (Unix ms) on.
-   *
-   * @throws IOException if that can't be kept
-   */
-  public void giveBack(String name, long now) throws IOException {
-    Path back = file(BACK, name);
-    try {
-      Path out = file(OUT, name);
-      Files.setLastModifiedTime(out, FileTime.fromMillis(now));
-      Files.move(out, back, StandardCopyOption.REPLACE_EXISTING);
-    } catch (NoSuchFileException e) {
-      // was not out
+    /**
+     * Notes that a host may serve again from {@code now} (Unix ms) on.
+     *
+     * @throws IOException if that can't be kept
+     */
+    public void giveBack(String name, long now) throws IOException {
+        Path back = file(BACK, name);
+        try {
+            Path out = file(OUT, name);
+            Files.setLastModifiedTime(out, FileTime.fromMillis(now));
+            Files.move(out, back, StandardCopyOption.REPLACE_EXISTING);
+        } catch (NoSuchFileException e) {
+            // was not out
+        }
     }
-  }
 
-  /**
-   * Reads all of it; what has no place here is left alone, what is old is removed.
-   *
-   * @param now Unix time (ms)
-   * @throws IOException if the folder can't be read
-   */
-  public State read(long now) throws IOException {
-    Set<String> out = new HashSet<>();
-    Map<String, Long> back = new HashMap<>();
-    try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
-      for (Path p : files) {
-        String file = p.getFileName().toString();
-        if (file.startsWith(OUT)) {
-          String name = name(file, OUT);
-          if (name != null) {
-            out.add(name);
-          }
-        } else if (file.startsWith(BACK)) {
-          readBack(p, name(file, BACK), now, back);
+    /**
+     * Reads all of it; what has no place here is left alone, what is old is removed.
+     *
+     * @param now Unix time (ms)
+     * @throws IOException if the folder can't be read
+     */
+    public State read(long now) throws IOException {
+        Set<String> out = new HashSet<>();
+        Map<String, Long> back = new HashMap<>();
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
+            for (Path p : files) {
+                String file = p.getFileName().toString();
+                if (file.startsWith(OUT)) {
+                    String name = name(file, OUT);
+                    if (name != null) {
+                        out.add(name);
+                    }
+                } else if (file.startsWith(BACK)) {
+                    readBack(p, name(file, BACK), now, back);
+                }
+            }
+        } catch (NoSuchFileException e) {
+            Files.createDirectories(folder); // cleared away by somebody: all that it said is void
+        } catch (DirectoryIteratorException e) {
+            throw e.getCause();
         }
-      }
-    } catch (NoSuchFileException e) {
-      Files.createDirectories(folder); // cleared away by somebody: all that it said is void
-    } catch (DirectoryIteratorException e) {
-      throw e.getCause();
+        return new State(out, back);
     }
-    return new State(out, back);
-  }
 
-  private static void readBack(Path file, String name, long now, Map<String, Long> back)
-      throws IOException {
-    try {
-      long at = Files.getLastModifiedTime(file).toMillis();
-      if (now - at > FORGET_MS) {
-        Files.deleteIfExists(file);
-      } else if (name != null) {
-        back.put(name, Math.min(at, now));
-      }
-    } catch (NoSuchFileException e) {
-      // taken out again in this moment
+    private static void readBack(Path file, String name, long now, Map<String, Long> back) throws IOException {
+        try {
+            long at = Files.getLastModifiedTime(file).toMillis();
+            if (now - at > FORGET_MS) {
+                Files.deleteIfExists(file);
+            } else if (name != null) {
+                back.put(name, Math.min(at, now));
+            }
+        } catch (NoSuchFileException e) {
+            // taken out again in this moment
+        }
     }
-  }
 
-  private Path file(String kind, String name) {
-    byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
-    return folder.resolve(kind + Base64.getUrlEncoder().withoutPadding().encodeToString(bytes));
-  }
+    private Path file(String kind, String name) {
+        byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
+        return folder.resolve(kind + Base64.getUrlEncoder().withoutPadding().encodeToString(bytes));
+    }
 
-  private static String name(String file, String kind) {
-    try {
-      byte[] bytes = Base64.getUrlDecoder().decode(file.substring(kind.length()));
-      return new String(bytes, StandardCharsets.UTF_8);
-    } catch (IllegalArgumentException e) {
-      return null; // not one of ours
+    private static String name(String file, String kind) {
+        try {
+            byte[] bytes = Base64.getUrlDecoder().decode(file.substring(kind.length()));
+            return new String(bytes, StandardCharsets.UTF_8);
+        } catch (IllegalArgumentException e) {
+            return null; // not one of ours
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/succession/Succession.java
+++ b/src/main/java/rillyard/succession/Succession.java
@@ -16,79 +16,79 @@
  * killed. Safe for use from several threads: the loop asks at the end, the second address follows.
  */
 public final class Succession implements Closeable {
-  private final FileChannel serving;
-  private final FileChannel next;
-  private FileLock inCharge;
-  private FileLock following;
+    private final FileChannel serving;
+    private final FileChannel next;
+    private FileLock inCharge;
+    private FileLock following;
 
-  /**
-   * Joins at the end of the line.
-   *
-   * @param folder where the processes meet, made if it isn't there
-   * @throws IOException if the folder can't be used
-   */
-  public Succession(Path folder) throws IOException {
-    Files.createDirectories(folder);
-    serving = open(folder.resolve("serving"));
-    next = open(folder.resolve("next"));
-    inCharge = lock(serving);
-  }
-
-  private static FileChannel open(Path file) throws IOException {
-    return FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-  }
-
-  private static FileLock lock(FileChannel file) throws IOException {
-    try {
-      return file.tryLock();
-    } catch (OverlappingFileLockException e) {
-      return null; // held within this very process, as in tests
+    /**
+     * Joins at the end of the line.
+     *
+     * @param folder where the processes meet, made if it isn't there
+     * @throws IOException if the folder can't be used
+     */
+    public Succession(Path folder) throws IOException {
+        Files.createDirectories(folder);
+        serving = open(folder.resolve("serving"));
+        next = open(folder.resolve("next"));
+        inCharge = lock(serving);
     }
-  }
 
-  /** Whether no other process is in charge. */
-  public synchronized boolean inCharge() {
-    return inCharge != null;
-  }
+    private static FileChannel open(Path file) throws IOException {
+        return FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+    }
 
-  /**
-   * This process listens: the one in charge may go at any time from now on. Called again and again it
-   * takes charge once that one has gone.
-   *
-   * @throws IOException if the files can't be locked
-   */
-  public synchronized void follow() throws IOException {
-    if (inCharge == null) {
-      inCharge = lock(serving);
+    private static FileLock lock(FileChannel file) throws IOException {
+        try {
+            return file.tryLock();
+        } catch (OverlappingFileLockException e) {
+            return null; // held within this very process, as in tests
+        }
     }
-    if (inCharge == null && following == null) {
-      following = lock(next);
-    } else if (inCharge != null && following != null) {
-      following.release();
-      following = null;
+
+    /** Whether no other process is in charge. */
+    public synchronized boolean inCharge() {
+        return inCharge != null;
     }
-  }
 
-  /**
-   * Whether another process listens that follows this one.
-   *
-   * @throws IOException if the file can't be locked
-   */
-  public synchronized boolean followed() throws IOException {
-    if (following != null) {
-      return false;
+    /**
+     * This process listens: the one in charge may go at any time from now on. Called again and again it
+     * takes charge once that one has gone.
+     *
+     * @throws IOException if the files can't be locked
+     */
+    public synchronized void follow() throws IOException {
+        if (inCharge == null) {
+            inCharge = lock(serving);
+        }
+        if (inCharge == null && following == null) {
+            following = lock(next);
+        } else if (inCharge != null && following != null) {
+            following.release();
+            following = null;
+        }
     }
-    FileLock free = lock(next);
-    if (free == null) {
-      return true;
+
+    /**
+     * Whether another process listens that follows this one.
+     *
+     * @throws IOException if the file can't be locked
+     */
+    public synchronized boolean followed() throws IOException {
+        if (following != null) {
+            return false;
+        }
+        FileLock free = lock(next);
+        if (free == null) {
+            return true;
+        }
+        free.release();
+        return false;
     }
-    free.release();
-    return false;
-  }
 
-  @Override
-  public synchronized void close() throws IOException {
-    serving.close();
-    next.close();
-  }
+    @Override
+    public synchronized void close() throws IOException {
+        serving.close();
+        next.close();
+    }
 }
--- a/src/main/java/rillyard/timing/LoopTimers.java
+++ b/src/main/java/rillyard/timing/LoopTimers.java
@@ -6,21 +6,21 @@
 
 /** Timers of an event loop; to be used on its thread only. */
 public final class LoopTimers implements Timers {
-  private final EventLoop loop;
+    private final EventLoop loop;
 
-  /** The timers of this loop. */
-  public LoopTimers(EventLoop loop) {
-    this.loop = loop;
-  }
+    /** The timers of this loop. */
+    public LoopTimers(EventLoop loop) {
+        this.loop = loop;
+    }
 
-  @Override
-  public long now() {
-    return System.nanoTime();
-  }
+    @Override
+    public long now() {
+        return System.nanoTime();
+    }
 
-  @Override
-  public Timer at(long at, Runnable what) {
-    Future<?> f = loop.schedule(what, Math.max(0, at - now()), TimeUnit.NANOSECONDS);
-    return () -> f.cancel(false);
-  }
+    @Override
+    public Timer at(long at, Runnable what) {
+        Future<?> f = loop.schedule(what, Math.max(0, at - now()), TimeUnit.NANOSECONDS);
+        return () -> f.cancel(false);
+    }
 }
--- a/src/main/java/rillyard/timing/Loops.java
+++ b/src/main/java/rillyard/timing/Loops.java
@@ -20,31 +20,31 @@
  * selector has to do, and timers are up to a millisecond late.
  */
 public final class Loops {
-  private static final boolean EPOLL;
+    private static final boolean EPOLL;
 
-  static {
-    // Guards against waits that are rounded to whole milliseconds past the default threshold.
-    if (System.getProperty("io.netty.channel.epoll.epollWaitThreshold") == null) {
-      System.setProperty("io.netty.channel.epoll.epollWaitThreshold", "1000000");
+    static {
+        // Guards against waits that are rounded to whole milliseconds past the default threshold.
+        if (System.getProperty("io.netty.channel.epoll.epollWaitThreshold") == null) {
+            System.setProperty("io.netty.channel.epoll.epollWaitThreshold", "1000000");
+        }
+        EPOLL = Epoll.isAvailable();
     }
-    EPOLL = Epoll.isAvailable();
-  }
 
-  private Loops() {}
+    private Loops() {}
 
-  /** So many loops, each on a daemon thread of its own. */
-  public static EventLoopGroup group(int threads, String name) {
-    IoHandlerFactory io = EPOLL ? EpollIoHandler.newFactory() : NioIoHandler.newFactory();
-    return new MultiThreadIoEventLoopGroup(threads, new DefaultThreadFactory(name, true), io);
-  }
+    /** So many loops, each on a daemon thread of its own. */
+    public static EventLoopGroup group(int threads, String name) {
+        IoHandlerFactory io = EPOLL ? EpollIoHandler.newFactory() : NioIoHandler.newFactory();
+        return new MultiThreadIoEventLoopGroup(threads, new DefaultThreadFactory(name, true), io);
+    }
 
-  /** The kind of channel that listens on such loops. */
-  public static Class<? extends ServerChannel> listening() {
-    return EPOLL ? EpollServerSocketChannel.class : NioServerSocketChannel.class;
-  }
+    /** The kind of channel that listens on such loops. */
+    public static Class<? extends ServerChannel> listening() {
+        return EPOLL ? EpollServerSocketChannel.class : NioServerSocketChannel.class;
+    }
 
-  /** The kind of channel that connects on such loops. */
-  public static Class<? extends SocketChannel> connecting() {
-    return EPOLL ? EpollSocketChannel.class : NioSocketChannel.class;
-  }
+    /** The kind of channel that connects on such loops. */
+    public static Class<? extends SocketChannel> connecting() {
+        return EPOLL ? EpollSocketChannel.class : NioSocketChannel.class;
+    }
 }
--- a/src/main/java/rillyard/trial/Expense.java
+++ b/src/main/java/rillyard/trial/Expense.java
@@ -11,50 +11,59 @@
 
 /** What membership costs the processes of a trial, from one look at them to the next. */
 final class Expense {
-  private final TrialFleet fleet;
-  private final Map<String, JsonNode> first;
+    private final TrialFleet fleet;
+    private final Map<String, JsonNode> first;
 
-  Expense(TrialFleet fleet) {
-    this.fleet = fleet;
-    this.first = look();
-  }
-
-  private Map<String, JsonNode> look() {
-    Map<String, JsonNode> out = new HashMap<>();
-    for (TrialMember m : fleet.members()) {
-      try {
-        out.put(m.name(), AdminClient.ask(fleet.admin(m)));
-      } catch (IOException e) {
-        // it has ended, or stands still: it is left out
-      }
+    Expense(TrialFleet fleet) {
+        this.fleet = fleet;
+        this.first = look();
     }
-    return out;
-  }
 
-  /** The costs since the first look, in words; processes that are not the same ones any more are left out. */
-  String words() {
-    List<Double> busy = new ArrayList<>();
-    double datagrams = 0;
-    double bytes = 0;
-    for (Map.Entry<String, JsonNode> e : look().entrySet()) {
-      JsonNode before = first.get(e.getKey());
-      if (before != null && before.path("self").path("start").equals(e.getValue().path("self").path("start"))) {
-        double s = Math.max(0.001, since(before, e.getValue(), "up_ms") / 1e3);
-        busy.add(since(before, e.getValue(), "busy_ms") / s / 10);
-        datagrams += since(before, e.getValue(), "datagrams_sent") / s;
-        bytes += since(before, e.getValue(), "bytes_sent") / s;
-      }
+    private Map<String, JsonNode> look() {
+        Map<String, JsonNode> out = new HashMap<>();
+        for (TrialMember m : fleet.members()) {
+            try {
+                out.put(m.name(), AdminClient.ask(fleet.admin(m)));
+            } catch (IOException e) {
+                // it has ended, or stands still: it is left out
+            }
+        }
+        return out;
     }
-    if (busy.isEmpty()) {
-      return "";
+
+    /** The costs since the first look, in words; processes that are not the same ones any more are left out. */
+    String words() {
+        List<Double> busy = new ArrayList<>();
+        double datagrams = 0;
+        double bytes = 0;
+        for (Map.Entry<String, JsonNode> e : look().entrySet()) {
+            JsonNode before = first.get(e.getKey());
+            if (before != null
+                    && before.path("self")
+                            .path("start")
+                            .equals(e.getValue().path("self").path("start"))) {
+                double s = Math.max(0.001, since(before, e.getValue(), "up_ms") / 1e3);
+                busy.add(since(before, e.getValue(), "busy_ms") / s / 10);
+                datagrams += since(before, e.getValue(), "datagrams_sent") / s;
+                bytes += since(before, e.getValue(), "bytes_sent") / s;
+            }
+        }
+        if (busy.isEmpty()) {
+            return "";
+        }
+        busy.sort(null);
+        return String.format(
+                Locale.ROOT,
+                "membership: %.1f datagrams and %.0f bytes sent a second a member; its thread busy %.2f %%"
+                        + " of the time (median), %.2f %% (most)%n",
+                datagrams / busy.size(),
+                bytes / busy.size(),
+                busy.get(busy.size() / 2),
+                busy.get(busy.size() - 1));
     }
-    busy.sort(null);
-    return String.format(Locale.ROOT, "membership: %.1f datagrams and %.0f bytes sent a second a member; its thread busy %.2f %%"
-        + " of the time (median), %.2f %% (most)%n", datagrams / busy.size(), bytes / busy.size(),
-        busy.get(busy.size() / 2), busy.get(busy.size() - 1));
-  }
 
-  private static double since(JsonNode before, JsonNode now, String what) {
-    return now.path("costs").path(what).asDouble() - before.path("costs").path(what).asDouble();
-  }
+    private static double since(JsonNode before, JsonNode now, String what) {
+        return now.path("costs").path(what).asDouble()
+                - before.path("costs").path(what).asDouble();
+    }
 }
--- a/src/main/java/rillyard/trial/HostGroup.java
+++ b/src/main/java/rillyard/trial/HostGroup.java
@@ -4,25 +4,25 @@
 
 /** Some hosts of a trial, in words: {@code all}, {@code zone:a}, {@code s-2}, by commas; or {@code discovery}. */
 final class HostGroup {
-  /** No host: for faults that are none of theirs. */
-  static final HostGroup NONE = new HostGroup("none");
+    /** No host: for faults that are none of theirs. */
+    static final HostGroup NONE = new HostGroup("none");
 
-  /** What {@code discovery} is called where it is called. */
-  static final String DISCOVERY = "discovery";
+    /** What {@code discovery} is called where it is called. */
+    static final String DISCOVERY = "discovery";
 
-  private final List<String> words;
+    private final List<String> words;
 
-  HostGroup(String words) {
-    this.words = List.of(words.split("\\s*,\\s*"));
-  }
+    HostGroup(String words) {
+        this.words = List.of(words.split("\\s*,\\s*"));
+    }
 
-  /** Whether it has the host; discovery only where it is named. */
-  boolean has(String id, String zone) {
-    return words.contains(id) || !id.equals(DISCOVERY) && (words.contains("all") || words.contains("zone:" + zone));
-  }
+    /** Whether it has the host; discovery only where it is named. */
+    boolean has(String id, String zone) {
+        return words.contains(id) || !id.equals(DISCOVERY) && (words.contains("all") || words.contains("zone:" + zone));
+    }
 
-  @Override
-  public String toString() {
-    return String.join(",", words);
-  }
+    @Override
+    public String toString() {
+        return String.join(",", words);
+    }
 }
--- a/src/main/java/rillyard/trial/HostLink.java
+++ b/src/main/java/rillyard/trial/HostLink.java
@@ -16,104 +16,108 @@
 
 /** One process's way to one host: a listener of its own and the connections on it. All on one event loop. */
 final class HostLink {
-  /** So long (ms) after its port was still held the way tries to listen again. */
-  private static final long AGAIN_MS = 20;
+    /** So long (ms) after its port was still held the way tries to listen again. */
+    private static final long AGAIN_MS = 20;
 
-  private final TrialMember from;
-  private final LinkTarget target;
-  private final EventLoop loop;
-  private final HostLinks faults;
-  private final Set<LinkedPair> pairs = new LinkedHashSet<>();
-  private InetSocketAddress address;
-  private Channel listener;
+    private final TrialMember from;
+    private final LinkTarget target;
+    private final EventLoop loop;
+    private final HostLinks faults;
+    private final Set<LinkedPair> pairs = new LinkedHashSet<>();
+    private InetSocketAddress address;
+    private Channel listener;
 
-  HostLink(TrialMember from, LinkTarget target, EventLoop loop, HostLinks faults) {
-    this.from = from;
-    this.target = target;
-    this.loop = loop;
-    this.faults = faults;
-  }
+    HostLink(TrialMember from, LinkTarget target, EventLoop loop, HostLinks faults) {
+        this.from = from;
+        this.target = target;
+        this.loop = loop;
+        this.faults = faults;
+    }
 
-  /** Listens on a free port of the process's own address; throws what the bind throws. Not to be called on the loop. */
-  void open(InetAddress own) throws Exception {
-    address = new InetSocketAddress(own, 0);
-    listener = listen().bind(address).sync().channel();
-    address = (InetSocketAddress) listener.localAddress();
-    loop.submit(() -> target.add(this)).sync();
-  }
+    /** Listens on a free port of the process's own address; throws what the bind throws. Not to be called on the loop. */
+    void open(InetAddress own) throws Exception {
+        address = new InetSocketAddress(own, 0);
+        listener = listen().bind(address).sync().channel();
+        address = (InetSocketAddress) listener.localAddress();
+        loop.submit(() -> target.add(this)).sync();
+    }
 
-  /** Where the process is to call. */
-  InetSocketAddress address() {
-    return address;
-  }
+    /** Where the process is to call. */
+    InetSocketAddress address() {
+        return address;
+    }
 
-  private ServerBootstrap listen() {
-    return new ServerBootstrap().group(loop).channel(Loops.listening())
-        .option(ChannelOption.SO_REUSEADDR, true)
-        .childOption(ChannelOption.TCP_NODELAY, true)
-        .childOption(ChannelOption.AUTO_READ, false)
-        .childHandler(new ChannelInitializer<SocketChannel>() {
-          @Override
-          protected void initChannel(SocketChannel ch) {
-            accepted(ch);
-          }
-        });
-  }
+    private ServerBootstrap listen() {
+        return new ServerBootstrap()
+                .group(loop)
+                .channel(Loops.listening())
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childOption(ChannelOption.AUTO_READ, false)
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel ch) {
+                        accepted(ch);
+                    }
+                });
+    }
 
-  HostLinks.Way way() {
-    return faults.way(from, target.host, target.zone);
-  }
+    HostLinks.Way way() {
+        return faults.way(from, target.host, target.zone);
+    }
 
-  /** Faults have begun or ended, or the host refuses, or is back. */
-  void changed() {
-    HostLinks.Way way = way();
-    boolean listening = !way.refused() && !target.down();
-    if (!listening && listener != null) {
-      listener.close();
-      listener = null;
-    } else if (listening && listener == null) {
-      listener = listen().bind(address).addListener(f -> {
-        if (!f.isSuccess()) { // what closed a moment ago may hold the port still
-          listener = null;
-          loop.schedule(this::changed, AGAIN_MS, TimeUnit.MILLISECONDS);
+    /** Faults have begun or ended, or the host refuses, or is back. */
+    void changed() {
+        HostLinks.Way way = way();
+        boolean listening = !way.refused() && !target.down();
+        if (!listening && listener != null) {
+            listener.close();
+            listener = null;
+        } else if (listening && listener == null) {
+            listener = listen().bind(address)
+                    .addListener(f -> {
+                        if (!f.isSuccess()) { // what closed a moment ago may hold the port still
+                            listener = null;
+                            loop.schedule(this::changed, AGAIN_MS, TimeUnit.MILLISECONDS);
+                        }
+                    })
+                    .channel();
+        }
+        for (LinkedPair p : Set.copyOf(pairs)) {
+            p.changed(way);
         }
-      }).channel();
-    }
-    for (LinkedPair p : Set.copyOf(pairs)) {
-      p.changed(way);
     }
-  }
 
-  private void accepted(SocketChannel ch) {
-    HostLinks.Way way = way();
-    if (way.reset() || way.refused()) {
-      LinkedPair.reset(ch);
-      return;
-    }
-    LinkedPair pair = new LinkedPair(ch, this);
-    pairs.add(pair);
-    if (!way.silent()) {
-      connect(pair);
+    private void accepted(SocketChannel ch) {
+        HostLinks.Way way = way();
+        if (way.reset() || way.refused()) {
+            LinkedPair.reset(ch);
+            return;
+        }
+        LinkedPair pair = new LinkedPair(ch, this);
+        pairs.add(pair);
+        if (!way.silent()) {
+            connect(pair);
+        }
     }
-  }
 
-  /** One side of a connection has ended. */
-  void closed(LinkedPair pair) {
-    if (pair.over()) {
-      pairs.remove(pair);
+    /** One side of a connection has ended. */
+    void closed(LinkedPair pair) {
+        if (pair.over()) {
+            pairs.remove(pair);
+        }
     }
-  }
 
-  /** Calls the host for a connection. */
-  void connect(LinkedPair pair) {
-    pair.connecting();
-    target.call(address.getAddress()).addListener((ChannelFutureListener) f -> {
-      if (f.isSuccess()) {
-        pair.connected((SocketChannel) f.channel());
-      } else {
-        pair.reset();
-        target.refused();
-      }
-    });
-  }
+    /** Calls the host for a connection. */
+    void connect(LinkedPair pair) {
+        pair.connecting();
+        target.call(address.getAddress()).addListener((ChannelFutureListener) f -> {
+            if (f.isSuccess()) {
+                pair.connected((SocketChannel) f.channel());
+            } else {
+                pair.reset();
+                target.refused();
+            }
+        });
+    }
 }
--- a/src/main/java/rillyard/trial/HostRelays.java
+++ b/src/main/java/rillyard/trial/HostRelays.java
@@ -12,58 +12,58 @@
 
 /** The ways from each process of a trial to each host, and to discovery: a listener for each pair. */
 final class HostRelays implements AutoCloseable {
-  private final EventLoopGroup group = Loops.group(1, "host-relays");
-  private final EventLoop loop = group.next();
-  private final HostLinks faults = new HostLinks();
-  private final Map<InetSocketAddress, LinkTarget> targets = new HashMap<>();
-  /** By the process's address and the host's: what a process is told instead. */
-  private final Map<InetAddress, Map<String, String>> told = new HashMap<>();
+    private final EventLoopGroup group = Loops.group(1, "host-relays");
+    private final EventLoop loop = group.next();
+    private final HostLinks faults = new HostLinks();
+    private final Map<InetSocketAddress, LinkTarget> targets = new HashMap<>();
+    /** By the process's address and the host's: what a process is told instead. */
+    private final Map<InetAddress, Map<String, String>> told = new HashMap<>();
 
-  /**
-   * Opens the ways of one process to one host.
-   *
-   * @param own the process's own address
-   * @return where the process is to call
-   * @throws Exception what the bind throws
-   */
-  synchronized InetSocketAddress open(TrialMember from, InetAddress own, String host, String zone, InetSocketAddress target)
-      throws Exception {
-    LinkTarget called = targets.computeIfAbsent(target, t -> new LinkTarget(host, zone, t, loop));
-    HostLink link = new HostLink(from, called, loop, faults);
-    link.open(own);
-    told.computeIfAbsent(own, a -> new HashMap<>()).put(text(target), text(link.address()));
-    return link.address();
-  }
+    /**
+     * Opens the ways of one process to one host.
+     *
+     * @param own the process's own address
+     * @return where the process is to call
+     * @throws Exception what the bind throws
+     */
+    synchronized InetSocketAddress open(
+            TrialMember from, InetAddress own, String host, String zone, InetSocketAddress target) throws Exception {
+        LinkTarget called = targets.computeIfAbsent(target, t -> new LinkTarget(host, zone, t, loop));
+        HostLink link = new HostLink(from, called, loop, faults);
+        link.open(own);
+        told.computeIfAbsent(own, a -> new HashMap<>()).put(text(target), text(link.address()));
+        return link.address();
+    }
 
-  /** What a process is told of a host's address; as it is where no way was opened. */
-  synchronized String told(InetAddress caller, String address) {
-    return told.getOrDefault(caller, Map.of()).getOrDefault(address, address);
-  }
+    /** What a process is told of a host's address; as it is where no way was opened. */
+    synchronized String told(InetAddress caller, String address) {
+        return told.getOrDefault(caller, Map.of()).getOrDefault(address, address);
+    }
 
-  void begin(Fault f) {
-    loop.execute(() -> {
-      faults.begin(f);
-      targets().forEach(LinkTarget::changed);
-    });
-  }
+    void begin(Fault f) {
+        loop.execute(() -> {
+            faults.begin(f);
+            targets().forEach(LinkTarget::changed);
+        });
+    }
 
-  void end(Fault f) {
-    loop.execute(() -> {
-      faults.end(f);
-      targets().forEach(LinkTarget::changed);
-    });
-  }
+    void end(Fault f) {
+        loop.execute(() -> {
+            faults.end(f);
+            targets().forEach(LinkTarget::changed);
+        });
+    }
 
-  private synchronized List<LinkTarget> targets() {
-    return List.copyOf(targets.values());
-  }
+    private synchronized List<LinkTarget> targets() {
+        return List.copyOf(targets.values());
+    }
 
-  static String text(InetSocketAddress a) {
-    return a.getAddress().getHostAddress() + ":" + a.getPort();
-  }
+    static String text(InetSocketAddress a) {
+        return a.getAddress().getHostAddress() + ":" + a.getPort();
+    }
 
-  @Override
-  public void close() {
-    group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
-  }
+    @Override
+    public void close() {
+        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
+    }
 }
--- a/src/main/java/rillyard/trial/LinkFaults.java
+++ b/src/main/java/rillyard/trial/LinkFaults.java
@@ -6,43 +6,43 @@
 
 /** Decides what becomes of a datagram between two processes, by the faults that are under way. */
 final class LinkFaults {
-  private final List<Fault> active = new ArrayList<>();
-  private final SplittableRandom random;
+    private final List<Fault> active = new ArrayList<>();
+    private final SplittableRandom random;
 
-  LinkFaults(long seed) {
-    this.random = new SplittableRandom(seed);
-  }
+    LinkFaults(long seed) {
+        this.random = new SplittableRandom(seed);
+    }
 
-  void begin(Fault f) {
-    active.add(f);
-  }
+    void begin(Fault f) {
+        active.add(f);
+    }
 
-  void end(Fault f) {
-    active.remove(f);
-  }
+    void end(Fault f) {
+        active.remove(f);
+    }
 
-  /** For how long (ms) each copy is held that arrives; none where it is lost. */
-  double[] copies(TrialMember from, TrialMember to) {
-    int copies = 1;
-    double late = 0;
-    for (Fault f : active) {
-      if (f.touches(from, to)) {
-        boolean met = f.kind() == Fault.Kind.DELAY || random.nextDouble() < f.share();
-        if (met) {
-          switch (f.kind()) {
-            case LOSE -> {
-              return new double[0];
+    /** For how long (ms) each copy is held that arrives; none where it is lost. */
+    double[] copies(TrialMember from, TrialMember to) {
+        int copies = 1;
+        double late = 0;
+        for (Fault f : active) {
+            if (f.touches(from, to)) {
+                boolean met = f.kind() == Fault.Kind.DELAY || random.nextDouble() < f.share();
+                if (met) {
+                    switch (f.kind()) {
+                        case LOSE -> {
+                            return new double[0];
+                        }
+                        case DOUBLE -> copies = 2;
+                        default -> late = Math.max(late, f.lateMs());
+                    }
+                }
             }
-            case DOUBLE -> copies = 2;
-            default -> late = Math.max(late, f.lateMs());
-          }
         }
-      }
-    }
-    double[] held = new double[copies];
-    for (int i = 0; i < copies; i++) {
-      held[i] = late * random.nextDouble();
+        double[] held = new double[copies];
+        for (int i = 0; i < copies; i++) {
+            held[i] = late * random.nextDouble();
+        }
+        return held;
     }
-    return held;
-  }
 }
--- a/src/main/java/rillyard/trial/LinkTarget.java
+++ b/src/main/java/rillyard/trial/LinkTarget.java
@@ -15,71 +15,73 @@
 
 /** A host, or discovery, with all ways to it. While it refuses, so do they. All on one event loop. */
 final class LinkTarget {
-  /** So long (ms) after a target refused it is called again. One asks for all ways, whatever their number. */
-  private static final long LOOK_MS = 50;
+    /** So long (ms) after a target refused it is called again. One asks for all ways, whatever their number. */
+    private static final long LOOK_MS = 50;
 
-  final String host;
-  final String zone;
-  private final InetSocketAddress at;
-  private final EventLoop loop;
-  private final List<HostLink> links = new ArrayList<>();
-  private boolean down;
+    final String host;
+    final String zone;
+    private final InetSocketAddress at;
+    private final EventLoop loop;
+    private final List<HostLink> links = new ArrayList<>();
+    private boolean down;
 
-  LinkTarget(String host, String zone, InetSocketAddress at, EventLoop loop) {
-    this.host = host;
-    this.zone = zone;
-    this.at = at;
-    this.loop = loop;
-  }
+    LinkTarget(String host, String zone, InetSocketAddress at, EventLoop loop) {
+        this.host = host;
+        this.zone = zone;
+        this.at = at;
+        this.loop = loop;
+    }
 
-  /** One more way to it; to be called on the loop. */
-  void add(HostLink link) {
-    links.add(link);
-  }
+    /** One more way to it; to be called on the loop. */
+    void add(HostLink link) {
+        links.add(link);
+    }
 
-  /** Faults have begun or ended. */
-  void changed() {
-    links.forEach(HostLink::changed);
-  }
+    /** Faults have begun or ended. */
+    void changed() {
+        links.forEach(HostLink::changed);
+    }
 
-  /** Whether it refused when it was called last. */
-  boolean down() {
-    return down;
-  }
+    /** Whether it refused when it was called last. */
+    boolean down() {
+        return down;
+    }
 
-  /** Calls it from a process's own address, by which discovery knows the process. */
-  ChannelFuture call(InetAddress from) {
-    return new Bootstrap().group(loop).channel(Loops.connecting())
-        .option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.AUTO_READ, false)
-        .handler(new ChannelInboundHandlerAdapter())
-        .connect(at, new InetSocketAddress(from, 0));
-  }
+    /** Calls it from a process's own address, by which discovery knows the process. */
+    ChannelFuture call(InetAddress from) {
+        return new Bootstrap()
+                .group(loop)
+                .channel(Loops.connecting())
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.AUTO_READ, false)
+                .handler(new ChannelInboundHandlerAdapter())
+                .connect(at, new InetSocketAddress(from, 0));
+    }
 
-  /** A call was refused. */
-  void refused() {
-    if (!down) {
-      down = true;
-      changed();
-      lookSoon();
+    /** A call was refused. */
+    void refused() {
+        if (!down) {
+            down = true;
+            changed();
+            lookSoon();
+        }
     }
-  }
 
-  private void lookSoon() {
-    if (!loop.isShuttingDown()) {
-      loop.schedule(this::look, LOOK_MS, TimeUnit.MILLISECONDS);
+    private void lookSoon() {
+        if (!loop.isShuttingDown()) {
+            loop.schedule(this::look, LOOK_MS, TimeUnit.MILLISECONDS);
+        }
     }
-  }
 
-  private void look() {
-    call(at.getAddress()).addListener((ChannelFutureListener) f -> {
-      if (f.isSuccess()) {
-        f.channel().close();
-        down = false;
-        changed();
-      } else {
-        lookSoon();
-      }
-    });
-  }
+    private void look() {
+        call(at.getAddress()).addListener((ChannelFutureListener) f -> {
+            if (f.isSuccess()) {
+                f.channel().close();
+                down = false;
+                changed();
+            } else {
+                lookSoon();
+            }
+        });
+    }
 }
--- a/src/main/java/rillyard/trial/LinkedPair.java
+++ b/src/main/java/rillyard/trial/LinkedPair.java
@@ -9,153 +9,153 @@
 
 /** A connection of a process's and the one to its host that goes with it. */
 final class LinkedPair {
-  private final SocketChannel front;
-  private final HostLink link;
-  private final Passing there;
-  private SocketChannel back;
-  private Passing here;
-  private boolean connecting;
-
-  LinkedPair(SocketChannel front, HostLink link) {
-    this.front = front;
-    this.link = link;
-    this.there = new Passing(front);
-  }
-
-  void connecting() {
-    connecting = true;
-  }
-
-  void connected(SocketChannel ch) {
-    back = ch;
-    if (!front.isActive()) {
-      ch.close();
-      return;
+    private final SocketChannel front;
+    private final HostLink link;
+    private final Passing there;
+    private SocketChannel back;
+    private Passing here;
+    private boolean connecting;
+
+    LinkedPair(SocketChannel front, HostLink link) {
+        this.front = front;
+        this.link = link;
+        this.there = new Passing(front);
     }
-    here = new Passing(ch);
-    goOn();
-  }
-
-  private void goOn() {
-    there.goOn();
-    here.goOn();
-  }
-
-  /** Goes on, or ends, as the faults that are under way now have it. */
-  void changed(HostLinks.Way way) {
-    if (way.reset()) {
-      reset();
-    } else if (!way.silent() && back == null) {
-      if (!connecting) {
-        link.connect(this);
-      }
-    } else if (!way.silent() && front.isActive() && back.isActive()) {
-      goOn();
-    } else if (!way.silent()) {
-      front.close();
-      back.close();
-    }
-  }
 
-  /** Ends both with a reset. */
-  void reset() {
-    reset(front);
-    if (back != null) {
-      reset(back);
+    void connecting() {
+        connecting = true;
     }
-  }
 
-  static void reset(SocketChannel ch) {
-    if (ch.isOpen()) {
-      ch.config().setSoLinger(0);
-      ch.close();
+    void connected(SocketChannel ch) {
+        back = ch;
+        if (!front.isActive()) {
+            ch.close();
+            return;
+        }
+        here = new Passing(ch);
+        goOn();
     }
-  }
-
-  /** Whether nothing is left of it. */
-  boolean over() {
-    return !front.isOpen() && (back == null || !back.isOpen());
-  }
-
-  /**
-   * One way: a piece is read, held as long as the faults say, and passed on before the next is read, so that none
-   * overtakes another when a fault ends.
-   */
-  private final class Passing extends ChannelInboundHandlerAdapter {
-    private final SocketChannel from;
-    private boolean busy;
-    private Object waiting;
-    private boolean ended;
-
-    Passing(SocketChannel from) {
-      this.from = from;
-      from.pipeline().addLast(this);
+
+    private void goOn() {
+        there.goOn();
+        here.goOn();
     }
 
-    private SocketChannel to() {
-      return from == front ? back : front;
+    /** Goes on, or ends, as the faults that are under way now have it. */
+    void changed(HostLinks.Way way) {
+        if (way.reset()) {
+            reset();
+        } else if (!way.silent() && back == null) {
+            if (!connecting) {
+                link.connect(this);
+            }
+        } else if (!way.silent() && front.isActive() && back.isActive()) {
+            goOn();
+        } else if (!way.silent()) {
+            front.close();
+            back.close();
+        }
     }
 
-    /** Passes on what came during a silence, or reads the next piece. */
-    void goOn() {
-      if (waiting != null) {
-        Object piece = waiting;
-        waiting = null;
-        hold(piece);
-      } else if (!busy) {
-        from.read();
-      }
+    /** Ends both with a reset. */
+    void reset() {
+        reset(front);
+        if (back != null) {
+            reset(back);
+        }
     }
 
-    @Override
-    public void channelRead(ChannelHandlerContext ctx, Object piece) {
-      busy = true;
-      if (link.way().silent()) {
-        waiting = piece; // its read was asked for before the silence
-      } else {
-        hold(piece);
-      }
+    static void reset(SocketChannel ch) {
+        if (ch.isOpen()) {
+            ch.config().setSoLinger(0);
+            ch.close();
+        }
     }
 
-    private void hold(Object piece) {
-      double late = link.way().lateMs();
-      if (late > 0) {
-        from.eventLoop().schedule(() -> pass(piece), (long) (late * 1_000), TimeUnit.MICROSECONDS);
-      } else {
-        pass(piece);
-      }
+    /** Whether nothing is left of it. */
+    boolean over() {
+        return !front.isOpen() && (back == null || !back.isOpen());
     }
 
-    private void pass(Object piece) {
-      to().writeAndFlush(piece).addListener(f -> {
-        busy = false;
-        if (ended) {
-          to().close();
-        } else if (f.isSuccess() && !link.way().silent()) {
-          from.read();
+    /**
+     * One way: a piece is read, held as long as the faults say, and passed on before the next is read, so that none
+     * overtakes another when a fault ends.
+     */
+    private final class Passing extends ChannelInboundHandlerAdapter {
+        private final SocketChannel from;
+        private boolean busy;
+        private Object waiting;
+        private boolean ended;
+
+        Passing(SocketChannel from) {
+            this.from = from;
+            from.pipeline().addLast(this);
         }
-      });
-    }
 
-    @Override
-    public void channelInactive(ChannelHandlerContext ctx) {
-      ended = true;
-      ReferenceCountUtil.release(waiting);
-      busy &= waiting == null;
-      waiting = null;
-      if (to() != null && !busy && !link.way().silent()) { // its end would be a sign of life where nothing passes
-        to().close();
-      }
-      link.closed(LinkedPair.this);
-    }
+        private SocketChannel to() {
+            return from == front ? back : front;
+        }
+
+        /** Passes on what came during a silence, or reads the next piece. */
+        void goOn() {
+            if (waiting != null) {
+                Object piece = waiting;
+                waiting = null;
+                hold(piece);
+            } else if (!busy) {
+                from.read();
+            }
+        }
+
+        @Override
+        public void channelRead(ChannelHandlerContext ctx, Object piece) {
+            busy = true;
+            if (link.way().silent()) {
+                waiting = piece; // its read was asked for before the silence
+            } else {
+                hold(piece);
+            }
+        }
+
+        private void hold(Object piece) {
+            double late = link.way().lateMs();
+            if (late > 0) {
+                from.eventLoop().schedule(() -> pass(piece), (long) (late * 1_000), TimeUnit.MICROSECONDS);
+            } else {
+                pass(piece);
+            }
+        }
 
-    @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      if (cause instanceof IOException) {
-        reset(); // one side was reset: so is the other
-      } else {
-        ctx.close();
-      }
+        private void pass(Object piece) {
+            to().writeAndFlush(piece).addListener(f -> {
+                busy = false;
+                if (ended) {
+                    to().close();
+                } else if (f.isSuccess() && !link.way().silent()) {
+                    from.read();
+                }
+            });
+        }
+
+        @Override
+        public void channelInactive(ChannelHandlerContext ctx) {
+            ended = true;
+            ReferenceCountUtil.release(waiting);
+            busy &= waiting == null;
+            waiting = null;
+            if (to() != null && !busy && !link.way().silent()) { // its end would be a sign of life where nothing passes
+                to().close();
+            }
+            link.closed(LinkedPair.this);
+        }
+
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+            if (cause instanceof IOException) {
+                reset(); // one side was reset: so is the other
+            } else {
+                ctx.close();
+            }
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/trial/Nemesis.java
+++ b/src/main/java/rillyard/trial/Nemesis.java
@@ -8,97 +8,149 @@
 
 /** Draws a timetable of faults from a seed; the same seed, plan and kinds give the same. */
 public final class Nemesis {
-  /** What it may do. */
-  public enum Kind {
-    /** Datagrams lost, doubled, late; zones cut off, one way or both. */
-    LINKS,
-    /** Processes stopped, or starved of their core. */
-    PAUSES,
-    /** Processes killed and started again, or killed for good. */
-    KILLS,
-    /** Connections to hosts silent, reset, slow, refused. */
-    HOSTS
-  }
+    /** What it may do. */
+    public enum Kind {
+        /** Datagrams lost, doubled, late; zones cut off, one way or both. */
+        LINKS,
+        /** Processes stopped, or starved of their core. */
+        PAUSES,
+        /** Processes killed and started again, or killed for good. */
+        KILLS,
+        /** Connections to hosts silent, reset, slow, refused. */
+        HOSTS
+    }
 
-  /** Between the ends of two faults (ms, in the mean), which may overlap. */
-  private static final double EVERY_MS = 4_000;
+    /** Between the ends of two faults (ms, in the mean), which may overlap. */
+    private static final double EVERY_MS = 4_000;
 
-  private static final double SHORTEST_MS = 500;
-  private static final double LONGEST_MS = 8_000;
+    private static final double SHORTEST_MS = 500;
+    private static final double LONGEST_MS = 8_000;
 
-  /** At the end all is quiet for this share of the time, so that it shows whether all agree again. */
-  private static final double QUIET = 0.35;
+    /** At the end all is quiet for this share of the time, so that it shows whether all agree again. */
+    private static final double QUIET = 0.35;
 
-  /** At most this share of all processes is killed for good. */
-  private static final double LOST = 0.25;
+    /** At most this share of all processes is killed for good. */
+    private static final double LOST = 0.25;
 
-  private final TrialPlan plan;
-  private final SplittableRandom random;
-  private final List<Kind> kinds;
-  private int lost;
+    private final TrialPlan plan;
+    private final SplittableRandom random;
+    private final List<Kind> kinds;
+    private int lost;
 
-  private Nemesis(TrialPlan plan, Set<Kind> kinds, long seed) {
-    this.plan = plan;
-    this.random = new SplittableRandom(seed);
-    this.kinds = kinds.stream().sorted().toList();
-  }
+    private Nemesis(TrialPlan plan, Set<Kind> kinds, long seed) {
+        this.plan = plan;
+        this.random = new SplittableRandom(seed);
+        this.kinds = kinds.stream().sorted().toList();
+    }
 
-  /** The faults, in the order of their times. */
-  public static List<Fault> draw(TrialPlan plan, Set<Kind> kinds, long seed) {
-    Nemesis n = new Nemesis(plan, kinds, seed);
-    List<Fault> out = new ArrayList<>();
-    double until = plan.lasts() * (1 - QUIET);
-    double at = n.random.nextExponential() * EVERY_MS;
-    while (at < until && !n.kinds.isEmpty()) {
-      out.add(n.fault(at, until));
-      at += n.random.nextExponential() * EVERY_MS;
+    /** The faults, in the order of their times. */
+    public static List<Fault> draw(TrialPlan plan, Set<Kind> kinds, long seed) {
+        Nemesis n = new Nemesis(plan, kinds, seed);
+        List<Fault> out = new ArrayList<>();
+        double until = plan.lasts() * (1 - QUIET);
+        double at = n.random.nextExponential() * EVERY_MS;
+        while (at < until && !n.kinds.isEmpty()) {
+            out.add(n.fault(at, until));
+            at += n.random.nextExponential() * EVERY_MS;
+        }
+        out.sort(Comparator.comparingDouble(Fault::at));
+        return List.copyOf(out);
     }
-    out.sort(Comparator.comparingDouble(Fault::at));
-    return List.copyOf(out);
-  }
 
-  private Fault fault(double at, double until) {
-    double lasts = Math.min(SHORTEST_MS + random.nextDouble() * (LONGEST_MS - SHORTEST_MS), Math.max(SHORTEST_MS, until - at));
-    return switch (kinds.get(random.nextInt(kinds.size()))) {
-      case LINKS -> link(at, lasts);
-      case PAUSES -> {
-        boolean starve = random.nextBoolean();
-        yield new Fault(at, starve ? Fault.Kind.STARVE : Fault.Kind.STOP, one(), new Group("all"), HostGroup.NONE, false,
-            lasts, starve ? 0.5 + 0.4 * random.nextDouble() : 0, 0);
-      }
-      case KILLS -> {
-        boolean forGood = lost + 1 <= LOST * plan.processes() && random.nextInt(3) == 0;
-        lost += forGood ? 1 : 0;
-        // Those that end for good are counted from the end, so that none of them is stopped or started again.
-        Group who = forGood ? new Group("m" + (plan.processes() - lost)) : one();
-        yield new Fault(at, forGood ? Fault.Kind.KILL : Fault.Kind.RESTART, who, who, HostGroup.NONE, false, 0, 0, 0);
-      }
-      case HOSTS -> {
-        Fault.Kind[] how = {Fault.Kind.SILENT, Fault.Kind.RESET, Fault.Kind.SLOW, Fault.Kind.REFUSED};
-        var hosts = plan.hosts().hosts();
-        HostGroup which = new HostGroup(random.nextInt(5) == 0 ? HostGroup.DISCOVERY : hosts.get(random.nextInt(hosts.size())).id());
-        yield new Fault(at, how[random.nextInt(how.length)], some(), new Group("all"), which, false, lasts, 0,
-            20 + random.nextInt(200));
-      }
-    };
-  }
+    private Fault fault(double at, double until) {
+        double lasts = Math.min(
+                SHORTEST_MS + random.nextDouble() * (LONGEST_MS - SHORTEST_MS), Math.max(SHORTEST_MS, until - at));
+        return switch (kinds.get(random.nextInt(kinds.size()))) {
+            case LINKS -> link(at, lasts);
+            case PAUSES -> {
+                boolean starve = random.nextBoolean();
+                yield new Fault(
+                        at,
+                        starve ? Fault.Kind.STARVE : Fault.Kind.STOP,
+                        one(),
+                        new Group("all"),
+                        HostGroup.NONE,
+                        false,
+                        lasts,
+                        starve ? 0.5 + 0.4 * random.nextDouble() : 0,
+                        0);
+            }
+            case KILLS -> {
+                boolean forGood = lost + 1 <= LOST * plan.processes() && random.nextInt(3) == 0;
+                lost += forGood ? 1 : 0;
+                // Those that end for good are counted from the end, so that none of them is stopped or started again.
+                Group who = forGood ? new Group("m" + (plan.processes() - lost)) : one();
+                yield new Fault(
+                        at, forGood ? Fault.Kind.KILL : Fault.Kind.RESTART, who, who, HostGroup.NONE, false, 0, 0, 0);
+            }
+            case HOSTS -> {
+                Fault.Kind[] how = {Fault.Kind.SILENT, Fault.Kind.RESET, Fault.Kind.SLOW, Fault.Kind.REFUSED};
+                var hosts = plan.hosts().hosts();
+                HostGroup which = new HostGroup(
+                        random.nextInt(5) == 0
+                                ? HostGroup.DISCOVERY
+                                : hosts.get(random.nextInt(hosts.size())).id());
+                yield new Fault(
+                        at,
+                        how[random.nextInt(how.length)],
+                        some(),
+                        new Group("all"),
+                        which,
+                        false,
+                        lasts,
+                        0,
+                        20 + random.nextInt(200));
+            }
+        };
+    }
 
-  private Fault link(double at, double lasts) {
-    Group on = some();
-    return switch (random.nextInt(4)) {
-      case 0 -> new Fault(at, Fault.Kind.DOUBLE, on, new Group("all"), HostGroup.NONE, false, lasts, random.nextDouble(), 0);
-      case 1 -> new Fault(at, Fault.Kind.DELAY, on, new Group("all"), HostGroup.NONE, false, lasts, 0, 5 + random.nextInt(60));
-      case 2 -> new Fault(at, Fault.Kind.LOSE, on, new Group("all"), HostGroup.NONE, false, lasts, 0.3 * random.nextDouble(), 0);
-      default -> new Fault(at, Fault.Kind.LOSE, on, new Group("all"), HostGroup.NONE, random.nextBoolean(), lasts, 1, 0);
-    };
-  }
+    private Fault link(double at, double lasts) {
+        Group on = some();
+        return switch (random.nextInt(4)) {
+            case 0 ->
+                new Fault(
+                        at,
+                        Fault.Kind.DOUBLE,
+                        on,
+                        new Group("all"),
+                        HostGroup.NONE,
+                        false,
+                        lasts,
+                        random.nextDouble(),
+                        0);
+            case 1 ->
+                new Fault(
+                        at,
+                        Fault.Kind.DELAY,
+                        on,
+                        new Group("all"),
+                        HostGroup.NONE,
+                        false,
+                        lasts,
+                        0,
+                        5 + random.nextInt(60));
+            case 2 ->
+                new Fault(
+                        at,
+                        Fault.Kind.LOSE,
+                        on,
+                        new Group("all"),
+                        HostGroup.NONE,
+                        false,
+                        lasts,
+                        0.3 * random.nextDouble(),
+                        0);
+            default ->
+                new Fault(at, Fault.Kind.LOSE, on, new Group("all"), HostGroup.NONE, random.nextBoolean(), lasts, 1, 0);
+        };
+    }
 
-  /** One that is not among those that may end for good. */
-  private Group one() {
-    return new Group("m" + random.nextInt(Math.max(1, (int) (plan.processes() * (1 - LOST)))));
-  }
+    /** One that is not among those that may end for good. */
+    private Group one() {
+        return new Group("m" + random.nextInt(Math.max(1, (int) (plan.processes() * (1 - LOST)))));
+    }
 
-  private Group some() {
-    return plan.zones() > 1 && random.nextBoolean() ? new Group("zone:" + random.nextInt(plan.zones())) : one();
-  }
+    private Group some() {
+        return plan.zones() > 1 && random.nextBoolean() ? new Group("zone:" + random.nextInt(plan.zones())) : one();
+    }
 }
--- a/src/main/java/rillyard/trial/Relays.java
+++ b/src/main/java/rillyard/trial/Relays.java
@@ -23,83 +23,91 @@
  * by the source, and passes on from the sender's own socket, so that the receiver sees the public address.
  */
 final class Relays implements AutoCloseable {
-  private final MultiThreadIoEventLoopGroup group =
-      new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("relays", true), NioIoHandler.newFactory());
-  private final EventLoop loop = (EventLoop) group.next();
-  private final LinkFaults faults;
-  private final List<TrialMember> members;
-  private final List<InetSocketAddress> own;
-  private final Map<InetSocketAddress, TrialMember> bySource = new HashMap<>();
-  private final Channel[] sockets;
+    private final MultiThreadIoEventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("relays", true), NioIoHandler.newFactory());
+    private final EventLoop loop = (EventLoop) group.next();
+    private final LinkFaults faults;
+    private final List<TrialMember> members;
+    private final List<InetSocketAddress> own;
+    private final Map<InetSocketAddress, TrialMember> bySource = new HashMap<>();
+    private final Channel[] sockets;
 
-  /**
-   * Opens them.
-   *
-   * @param own where the processes themselves listen, in the order of {@code members}
-   * @throws IOException if a socket can't be had
-   */
-  Relays(List<TrialMember> members, List<InetSocketAddress> own, LinkFaults faults) throws IOException {
-    this.members = members;
-    this.own = own;
-    this.faults = faults;
-    this.sockets = new Channel[members.size()];
-    try {
-      for (TrialMember m : members) {
-        bySource.put(own.get(m.index()), m);
-        sockets[m.index()] = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
-            .handler(new Passing(m)).bind(InetAddress.getByName("127.0.0.1"), 0).sync().channel();
-      }
-    } catch (Exception e) {
-      close();
-      throw new IOException("a relay's socket can't be had: " + e, e);
+    /**
+     * Opens them.
+     *
+     * @param own where the processes themselves listen, in the order of {@code members}
+     * @throws IOException if a socket can't be had
+     */
+    Relays(List<TrialMember> members, List<InetSocketAddress> own, LinkFaults faults) throws IOException {
+        this.members = members;
+        this.own = own;
+        this.faults = faults;
+        this.sockets = new Channel[members.size()];
+        try {
+            for (TrialMember m : members) {
+                bySource.put(own.get(m.index()), m);
+                sockets[m.index()] = new Bootstrap()
+                        .group(loop)
+                        .channel(NioDatagramChannel.class)
+                        .handler(new Passing(m))
+                        .bind(InetAddress.getByName("127.0.0.1"), 0)
+                        .sync()
+                        .channel();
+            }
+        } catch (Exception e) {
+            close();
+            throw new IOException("a relay's socket can't be had: " + e, e);
+        }
     }
-  }
 
-  /** Where the others reach this one. */
-  InetSocketAddress address(TrialMember m) {
-    return (InetSocketAddress) sockets[m.index()].localAddress();
-  }
+    /** Where the others reach this one. */
+    InetSocketAddress address(TrialMember m) {
+        return (InetSocketAddress) sockets[m.index()].localAddress();
+    }
 
-  void begin(Fault f) {
-    loop.execute(() -> faults.begin(f));
-  }
+    void begin(Fault f) {
+        loop.execute(() -> faults.begin(f));
+    }
 
-  void end(Fault f) {
-    loop.execute(() -> faults.end(f));
-  }
+    void end(Fault f) {
+        loop.execute(() -> faults.end(f));
+    }
 
-  @Override
-  public void close() {
-    group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
-  }
+    @Override
+    public void close() {
+        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
+    }
 
-  private final class Passing extends SimpleChannelInboundHandler<DatagramPacket> {
-    private final TrialMember to;
+    private final class Passing extends SimpleChannelInboundHandler<DatagramPacket> {
+        private final TrialMember to;
 
-    Passing(TrialMember to) {
-      this.to = to;
-    }
+        Passing(TrialMember to) {
+            this.to = to;
+        }
 
-    @Override
-    protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket p) {
-      TrialMember from = bySource.get(p.sender());
-      if (from == null || !members.contains(from)) {
-        return; // no process of this trial
-      }
-      for (double held : faults.copies(from, to)) {
-        DatagramPacket copy = new DatagramPacket(p.content().retainedDuplicate(), own.get(to.index()));
-        Channel out = sockets[from.index()];
-        if (held < 0.5) {
-          out.writeAndFlush(copy, out.voidPromise());
-        } else {
-          loop.schedule(() -> out.writeAndFlush(copy, out.voidPromise()), (long) (held * 1_000), TimeUnit.MICROSECONDS);
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket p) {
+            TrialMember from = bySource.get(p.sender());
+            if (from == null || !members.contains(from)) {
+                return; // no process of this trial
+            }
+            for (double held : faults.copies(from, to)) {
+                DatagramPacket copy = new DatagramPacket(p.content().retainedDuplicate(), own.get(to.index()));
+                Channel out = sockets[from.index()];
+                if (held < 0.5) {
+                    out.writeAndFlush(copy, out.voidPromise());
+                } else {
+                    loop.schedule(
+                            () -> out.writeAndFlush(copy, out.voidPromise()),
+                            (long) (held * 1_000),
+                            TimeUnit.MICROSECONDS);
+                }
+            }
         }
-      }
-    }
 
-    @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      // The process is gone, and its port answers so: the datagram is lost.
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+            // The process is gone, and its port answers so: the datagram is lost.
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/trial/Starving.java
+++ b/src/main/java/rillyard/trial/Starving.java
@@ -1,8 +1,8 @@
 package rillyard.trial;
 
 import java.io.IOException;
-import java.util.concurrent.ConcurrentHashMap;
 import java.util.Map;
+import java.util.concurrent.ConcurrentHashMap;
 import rillyard.process.Child;
 
 /**
@@ -10,51 +10,51 @@
  * under a quota of processor time that is used up.
  */
 final class Starving implements AutoCloseable {
-  /** The period (ms) that quotas of processor time usually have. */
-  private static final int PERIOD_MS = 100;
+    /** The period (ms) that quotas of processor time usually have. */
+    private static final int PERIOD_MS = 100;
 
-  private final Map<Child, Thread> threads = new ConcurrentHashMap<>();
+    private final Map<Child, Thread> threads = new ConcurrentHashMap<>();
 
-  /** Has it stand still for this share of its time until {@link #end}. */
-  void begin(Child child, double share) {
-    Thread t = new Thread(() -> starve(child, share), "starve-" + child.pid());
-    t.setDaemon(true);
-    if (threads.putIfAbsent(child, t) == null) {
-      t.start();
+    /** Has it stand still for this share of its time until {@link #end}. */
+    void begin(Child child, double share) {
+        Thread t = new Thread(() -> starve(child, share), "starve-" + child.pid());
+        t.setDaemon(true);
+        if (threads.putIfAbsent(child, t) == null) {
+            t.start();
+        }
     }
-  }
 
-  private void starve(Child child, double share) {
-    try {
-      while (child.alive() && threads.containsKey(child)) {
-        child.pause();
-        Thread.sleep((long) (share * PERIOD_MS));
-        child.resume();
-        Thread.sleep((long) ((1 - share) * PERIOD_MS));
-      }
-    } catch (IOException e) {
-      // it has ended meanwhile
-    } catch (InterruptedException e) {
-      Thread.currentThread().interrupt();
+    private void starve(Child child, double share) {
+        try {
+            while (child.alive() && threads.containsKey(child)) {
+                child.pause();
+                Thread.sleep((long) (share * PERIOD_MS));
+                child.resume();
+                Thread.sleep((long) ((1 - share) * PERIOD_MS));
+            }
+        } catch (IOException e) {
+            // it has ended meanwhile
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
     }
-  }
 
-  /** Has it run as before; returns once it does. */
-  void end(Child child) throws InterruptedException {
-    Thread t = threads.remove(child);
-    if (t != null) {
-      t.join();
+    /** Has it run as before; returns once it does. */
+    void end(Child child) throws InterruptedException {
+        Thread t = threads.remove(child);
+        if (t != null) {
+            t.join();
+        }
     }
-  }
 
-  @Override
-  public void close() {
-    for (Child c : threads.keySet()) {
-      try {
-        end(c);
-      } catch (InterruptedException e) {
-        Thread.currentThread().interrupt();
-      }
+    @Override
+    public void close() {
+        for (Child c : threads.keySet()) {
+            try {
+                end(c);
+            } catch (InterruptedException e) {
+                Thread.currentThread().interrupt();
+            }
+        }
     }
-  }
 }
--- a/src/main/java/rillyard/trial/Trial.java
+++ b/src/main/java/rillyard/trial/Trial.java
@@ -25,244 +25,252 @@
 
 /** Runs a plan: starts the processes, carries the timetable out, and tells what they believed. */
 public final class Trial {
-  /** All have to have found each other after so long (ms) and a share for each process. */
-  private static final long JOIN_MS = 30_000;
+    /** All have to have found each other after so long (ms) and a share for each process. */
+    private static final long JOIN_MS = 30_000;
 
-  private static final long JOIN_EACH_MS = 300;
-  private static final long POLL_MS = 100;
-  private static final int STARTS_A_CORE = 2;
-  private static final long START_POLL_MS = 20;
-  private static final long SHOW_NANOS = 5_000_000_000L;
-  private static final String CLIENTS = "clients.jsonl";
-  private static final String HOSTS = "hosts.jsonl";
+    private static final long JOIN_EACH_MS = 300;
+    private static final long POLL_MS = 100;
+    private static final int STARTS_A_CORE = 2;
+    private static final long START_POLL_MS = 20;
+    private static final long SHOW_NANOS = 5_000_000_000L;
+    private static final String CLIENTS = "clients.jsonl";
+    private static final String HOSTS = "hosts.jsonl";
 
-  /** One thing to do at its time. */
-  private record Step(double at, Fault fault, boolean begin) {}
+    /** One thing to do at its time. */
+    private record Step(double at, Fault fault, boolean begin) {}
 
-  private final TrialPlan plan;
-  private final Path folder;
-  private final PrintStream out;
+    private final TrialPlan plan;
+    private final Path folder;
+    private final PrintStream out;
 
-  /** Files go to the folder, progress to {@code out}. */
-  public Trial(TrialPlan plan, Path folder, PrintStream out) {
-    this.plan = plan;
-    this.folder = folder;
-    this.out = out;
-  }
+    /** Files go to the folder, progress to {@code out}. */
+    public Trial(TrialPlan plan, Path folder, PrintStream out) {
+        this.plan = plan;
+        this.folder = folder;
+        this.out = out;
+    }
 
-  /**
-   * Runs it; no process is left, whatever comes of it.
-   *
-   * @param launch how the processes are started
-   * @throws Exception if they can't be started, or don't find each other
-   */
-  public TrialResult run(Launch launch) throws Exception {
-    out.println("seed " + plan.seed() + ", " + plan.processes() + " processes in " + plan.zones() + " zones");
-    plan.faults().forEach(f -> out.println("  " + f));
-    Files.createDirectories(folder);
-    long now = UnixClock.micros();
-    LedgerHead head = new LedgerHead("clients", now, plan.seed());
-    TrialResult result;
-    Path config;
-    LoadRun load;
-    try (Ledger hosts = Ledger.open(file(HOSTS), new LedgerHead("hosts", now, plan.seed()));
-        Ledger clients = plan.load() == null ? Ledger.none() : Ledger.open(file(CLIENTS), head);
-        TrialFleet fleet = new TrialFleet(plan, launch, folder, hosts)) {
-      config = fleet.config();
-      load = plan.load() == null ? null : new LoadRun(plan.load(), fleet.serving(), true, clients, null);
-      Thread end = new Thread(fleet::killAll, "trial-end");
-      Runtime.getRuntime().addShutdownHook(end);
-      try {
-        result = run(fleet, load);
-      } finally {
-        try {
-          Runtime.getRuntime().removeShutdownHook(end);
-        } catch (IllegalStateException e) {
-          // this process is told to end, and the hook ends the others
+    /**
+     * Runs it; no process is left, whatever comes of it.
+     *
+     * @param launch how the processes are started
+     * @throws Exception if they can't be started, or don't find each other
+     */
+    public TrialResult run(Launch launch) throws Exception {
+        out.println("seed " + plan.seed() + ", " + plan.processes() + " processes in " + plan.zones() + " zones");
+        plan.faults().forEach(f -> out.println("  " + f));
+        Files.createDirectories(folder);
+        long now = UnixClock.micros();
+        LedgerHead head = new LedgerHead("clients", now, plan.seed());
+        TrialResult result;
+        Path config;
+        LoadRun load;
+        try (Ledger hosts = Ledger.open(file(HOSTS), new LedgerHead("hosts", now, plan.seed()));
+                Ledger clients = plan.load() == null ? Ledger.none() : Ledger.open(file(CLIENTS), head);
+                TrialFleet fleet = new TrialFleet(plan, launch, folder, hosts)) {
+            config = fleet.config();
+            load = plan.load() == null ? null : new LoadRun(plan.load(), fleet.serving(), true, clients, null);
+            Thread end = new Thread(fleet::killAll, "trial-end");
+            Runtime.getRuntime().addShutdownHook(end);
+            try {
+                result = run(fleet, load);
+            } finally {
+                try {
+                    Runtime.getRuntime().removeShutdownHook(end);
+                } catch (IllegalStateException e) {
+                    // this process is told to end, and the hook ends the others
+                }
+            }
         }
-      }
-    }
-    result.write(file("history.jsonl"));
-    if (load != null) {
-      audit(result, load, config);
+        result.write(file("history.jsonl"));
+        if (load != null) {
+            audit(result, load, config);
+        }
+        return result;
     }
-    return result;
-  }
 
-  private void audit(TrialResult result, LoadRun load, Path config) throws Exception {
-    result.served(TrialAudit.of(file(CLIENTS), file(HOSTS), config, plan, result.done()),
-        TrialSpread.of(file(CLIENTS), file(HOSTS), plan, result.done()), load.startedMicros());
-    List<Report.Mark> marks = new ArrayList<>(Marks.read(file(HOSTS), load.startedMicros()));
-    for (TrialResult.Done d : result.done()) {
-      String where = d.fault().place() == Fault.Place.PROCESSES ? "processes" : "network";
-      marks.add(new Report.Mark((d.at() - load.startedMicros() / 1_000) / 1e3, where,
-          d.fault().words() + (d.begin() ? "" : " ends")));
+    private void audit(TrialResult result, LoadRun load, Path config) throws Exception {
+        result.served(
+                TrialAudit.of(file(CLIENTS), file(HOSTS), config, plan, result.done()),
+                TrialSpread.of(file(CLIENTS), file(HOSTS), plan, result.done()),
+                load.startedMicros());
+        List<Report.Mark> marks = new ArrayList<>(Marks.read(file(HOSTS), load.startedMicros()));
+        for (TrialResult.Done d : result.done()) {
+            String where = d.fault().place() == Fault.Place.PROCESSES ? "processes" : "network";
+            marks.add(new Report.Mark(
+                    (d.at() - load.startedMicros() / 1_000) / 1e3,
+                    where,
+                    d.fault().words() + (d.begin() ? "" : " ends")));
+        }
+        marks.sort(Comparator.comparingDouble(Report.Mark::at));
+        ReportFiles.write(
+                folder, load.report(marks), "Trial of " + plan.processes() + " processes, seed " + plan.seed());
     }
-    marks.sort(Comparator.comparingDouble(Report.Mark::at));
-    ReportFiles.write(folder, load.report(marks), "Trial of " + plan.processes() + " processes, seed " + plan.seed());
-  }
-
-  private Path file(String name) {
-    return folder.resolve(name);
-  }
 
-  private TrialResult run(TrialFleet fleet, LoadRun load) throws Exception {
-    long from = System.currentTimeMillis();
-    startAll(fleet);
-    Set<String> all = fleet.members().stream().map(TrialMember::name).collect(Collectors.toSet());
-    awaitAgreement(fleet, all, JOIN_MS + plan.processes() * JOIN_EACH_MS);
-    out.printf(Locale.ROOT, "all have found each other after %.1f s%n", (System.currentTimeMillis() - from) / 1e3);
-    Expense expense = new Expense(fleet);
-    Thread asking = load == null ? null : asking(load);
-    fleet.hosts.startTimetable();
-    long begun = System.currentTimeMillis();
-    List<TrialResult.Done> done = new ArrayList<>();
-    try {
-      carryOut(fleet, begun, done);
-      awaitEnd(fleet, all, begun + (long) plan.lasts());
-      if (asking != null) {
-        asking.join();
-      }
-    } finally {
-      if (asking != null) {
-        load.interrupt();
-        asking.join();
-      }
+    private Path file(String name) {
+        return folder.resolve(name);
     }
-    return new TrialResult(plan, begun, done, living(all, fleet), read(fleet), expense.words());
-  }
 
-  private static Thread asking(LoadRun load) {
-    Thread t = new Thread(() -> {
-      try {
-        load.run();
-      } catch (InterruptedException e) {
-        Thread.currentThread().interrupt();
-      }
-    }, "clients");
-    t.start();
-    return t;
-  }
-
-  /** Starts them, some at a time: all at once they are so slow that they take each other for dead. */
-  private void startAll(TrialFleet fleet) throws Exception {
-    int atOnce = Math.max(4, STARTS_A_CORE * Runtime.getRuntime().availableProcessors());
-    Deque<TrialMember> starting = new ArrayDeque<>();
-    long shown = System.nanoTime();
-    int started = 0;
-    for (TrialMember m : fleet.members()) {
-      while (starting.size() >= atOnce) {
-        starting.removeIf(s -> ProxyProcess.state(fleet.serving().get(s.index())) == ProxyProcess.State.READY);
-        checkAlive(fleet, starting);
-        Thread.sleep(START_POLL_MS);
-      }
-      fleet.start(m);
-      starting.add(m);
-      started++;
-      if (System.nanoTime() - shown > SHOW_NANOS) {
-        shown = System.nanoTime();
-        out.println("started " + started + " of " + plan.processes());
-      }
-    }
-    while (!starting.isEmpty()) {
-      starting.removeIf(s -> ProxyProcess.state(fleet.serving().get(s.index())) == ProxyProcess.State.READY);
-      checkAlive(fleet, starting);
-      Thread.sleep(START_POLL_MS);
+    private TrialResult run(TrialFleet fleet, LoadRun load) throws Exception {
+        long from = System.currentTimeMillis();
+        startAll(fleet);
+        Set<String> all = fleet.members().stream().map(TrialMember::name).collect(Collectors.toSet());
+        awaitAgreement(fleet, all, JOIN_MS + plan.processes() * JOIN_EACH_MS);
+        out.printf(Locale.ROOT, "all have found each other after %.1f s%n", (System.currentTimeMillis() - from) / 1e3);
+        Expense expense = new Expense(fleet);
+        Thread asking = load == null ? null : asking(load);
+        fleet.hosts.startTimetable();
+        long begun = System.currentTimeMillis();
+        List<TrialResult.Done> done = new ArrayList<>();
+        try {
+            carryOut(fleet, begun, done);
+            awaitEnd(fleet, all, begun + (long) plan.lasts());
+            if (asking != null) {
+                asking.join();
+            }
+        } finally {
+            if (asking != null) {
+                load.interrupt();
+                asking.join();
+            }
+        }
+        return new TrialResult(plan, begun, done, living(all, fleet), read(fleet), expense.words());
     }
-  }
 
-  private static void checkAlive(TrialFleet fleet, Iterable<TrialMember> members) throws IOException {
-    for (TrialMember m : members) {
-      if (!fleet.child(m).alive()) {
-        throw new IOException(m.name() + " ended by itself; see its log");
-      }
+    private static Thread asking(LoadRun load) {
+        Thread t = new Thread(
+                () -> {
+                    try {
+                        load.run();
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                },
+                "clients");
+        t.start();
+        return t;
     }
-  }
 
-  private static Beliefs read(TrialFleet fleet) throws IOException {
-    return Beliefs.read(fleet.members().stream().map(fleet::history).toList());
-  }
-
-  private static Set<String> living(Set<String> all, TrialFleet fleet) {
-    Set<String> living = new HashSet<>(all);
-    fleet.members().stream().filter(m -> !fleet.child(m).alive()).forEach(m -> living.remove(m.name()));
-    return living;
-  }
+    /** Starts them, some at a time: all at once they are so slow that they take each other for dead. */
+    private void startAll(TrialFleet fleet) throws Exception {
+        int atOnce = Math.max(4, STARTS_A_CORE * Runtime.getRuntime().availableProcessors());
+        Deque<TrialMember> starting = new ArrayDeque<>();
+        long shown = System.nanoTime();
+        int started = 0;
+        for (TrialMember m : fleet.members()) {
+            while (starting.size() >= atOnce) {
+                starting.removeIf(s -> ProxyProcess.state(fleet.serving().get(s.index())) == ProxyProcess.State.READY);
+                checkAlive(fleet, starting);
+                Thread.sleep(START_POLL_MS);
+            }
+            fleet.start(m);
+            starting.add(m);
+            started++;
+            if (System.nanoTime() - shown > SHOW_NANOS) {
+                shown = System.nanoTime();
+                out.println("started " + started + " of " + plan.processes());
+            }
+        }
+        while (!starting.isEmpty()) {
+            starting.removeIf(s -> ProxyProcess.state(fleet.serving().get(s.index())) == ProxyProcess.State.READY);
+            checkAlive(fleet, starting);
+            Thread.sleep(START_POLL_MS);
+        }
+    }
 
-  private static void awaitAgreement(TrialFleet fleet, Set<String> living, long mostMs) throws Exception {
-    long until = System.nanoTime() + mostMs * 1_000_000;
-    while (read(fleet).agreedSince(living) < 0) {
-      checkAlive(fleet, fleet.members());
-      if (System.nanoTime() > until) {
-        throw new IOException("the processes did not find each other within " + mostMs / 1_000 + " s");
-      }
-      pause(fleet);
+    private static void checkAlive(TrialFleet fleet, Iterable<TrialMember> members) throws IOException {
+        for (TrialMember m : members) {
+            if (!fleet.child(m).alive()) {
+                throw new IOException(m.name() + " ended by itself; see its log");
+            }
+        }
     }
-  }
 
-  /** Each look reads all histories anew: the larger they are together, the seldomer. */
-  private static void pause(TrialFleet fleet) throws InterruptedException {
-    Thread.sleep(POLL_MS * Math.max(1, fleet.members().size() / 20));
-  }
+    private static Beliefs read(TrialFleet fleet) throws IOException {
+        return Beliefs.read(fleet.members().stream().map(fleet::history).toList());
+    }
 
-  /** Waits until those that live agree, all faults being done, and no longer than until {@code most}. */
-  private static void awaitEnd(TrialFleet fleet, Set<String> all, long most) throws Exception {
-    while (System.currentTimeMillis() < most && read(fleet).agreedSince(living(all, fleet)) < 0) {
-      pause(fleet);
+    private static Set<String> living(Set<String> all, TrialFleet fleet) {
+        Set<String> living = new HashSet<>(all);
+        fleet.members().stream().filter(m -> !fleet.child(m).alive()).forEach(m -> living.remove(m.name()));
+        return living;
     }
-  }
 
-  private void carryOut(TrialFleet fleet, long begun, List<TrialResult.Done> done) throws Exception {
-    List<Step> steps = new ArrayList<>();
-    for (Fault f : plan.faults()) {
-      steps.add(new Step(f.at(), f, true));
-      if (f.lasts() > 0) {
-        steps.add(new Step(f.at() + f.lasts(), f, false));
-      }
+    private static void awaitAgreement(TrialFleet fleet, Set<String> living, long mostMs) throws Exception {
+        long until = System.nanoTime() + mostMs * 1_000_000;
+        while (read(fleet).agreedSince(living) < 0) {
+            checkAlive(fleet, fleet.members());
+            if (System.nanoTime() > until) {
+                throw new IOException("the processes did not find each other within " + mostMs / 1_000 + " s");
+            }
+            pause(fleet);
+        }
     }
-    steps.sort(Comparator.comparingDouble(Step::at));
-    for (Step s : steps) {
-      Thread.sleep(Math.max(0, begun + (long) s.at() - System.currentTimeMillis()));
-      long at = System.currentTimeMillis();
-      carryOut(fleet, s);
-      done.add(new TrialResult.Done(at, s.fault(), s.begin()));
+
+    /** Each look reads all histories anew: the larger they are together, the seldomer. */
+    private static void pause(TrialFleet fleet) throws InterruptedException {
+        Thread.sleep(POLL_MS * Math.max(1, fleet.members().size() / 20));
     }
-  }
 
-  private static void carryOut(TrialFleet fleet, Step s) throws Exception {
-    Fault f = s.fault();
-    switch (f.place()) {
-      case DATAGRAMS -> {
-        if (s.begin()) {
-          fleet.relays.begin(f);
-        } else {
-          fleet.relays.end(f);
+    /** Waits until those that live agree, all faults being done, and no longer than until {@code most}. */
+    private static void awaitEnd(TrialFleet fleet, Set<String> all, long most) throws Exception {
+        while (System.currentTimeMillis() < most && read(fleet).agreedSince(living(all, fleet)) < 0) {
+            pause(fleet);
         }
-      }
-      case CONNECTIONS -> {
-        if (s.begin()) {
-          fleet.ways.begin(f);
-        } else {
-          fleet.ways.end(f);
+    }
+
+    private void carryOut(TrialFleet fleet, long begun, List<TrialResult.Done> done) throws Exception {
+        List<Step> steps = new ArrayList<>();
+        for (Fault f : plan.faults()) {
+            steps.add(new Step(f.at(), f, true));
+            if (f.lasts() > 0) {
+                steps.add(new Step(f.at() + f.lasts(), f, false));
+            }
         }
-      }
-      case PROCESSES -> {
-        for (TrialMember m : fleet.members()) {
-          if (f.on().has(m) && s.begin()) {
-            fleet.begin(f, m);
-          } else if (f.on().has(m)) {
-            fleet.end(f, m);
-          }
+        steps.sort(Comparator.comparingDouble(Step::at));
+        for (Step s : steps) {
+            Thread.sleep(Math.max(0, begun + (long) s.at() - System.currentTimeMillis()));
+            long at = System.currentTimeMillis();
+            carryOut(fleet, s);
+            done.add(new TrialResult.Done(at, s.fault(), s.begin()));
         }
-        if (f.kind() == Fault.Kind.RESTART) {
-          // Guards against kills that wait behind the starts of others: they would come seconds after their time.
-          for (TrialMember m : fleet.members()) {
-            if (f.on().has(m)) {
-              fleet.start(m);
+    }
+
+    private static void carryOut(TrialFleet fleet, Step s) throws Exception {
+        Fault f = s.fault();
+        switch (f.place()) {
+            case DATAGRAMS -> {
+                if (s.begin()) {
+                    fleet.relays.begin(f);
+                } else {
+                    fleet.relays.end(f);
+                }
+            }
+            case CONNECTIONS -> {
+                if (s.begin()) {
+                    fleet.ways.begin(f);
+                } else {
+                    fleet.ways.end(f);
+                }
+            }
+            case PROCESSES -> {
+                for (TrialMember m : fleet.members()) {
+                    if (f.on().has(m) && s.begin()) {
+                        fleet.begin(f, m);
+                    } else if (f.on().has(m)) {
+                        fleet.end(f, m);
+                    }
+                }
+                if (f.kind() == Fault.Kind.RESTART) {
+                    // Guards against kills that wait behind the starts of others: they would come seconds after their
+                    // time.
+                    for (TrialMember m : fleet.members()) {
+                        if (f.on().has(m)) {
+                            fleet.start(m);
+                        }
+                    }
+                }
             }
-          }
         }
-      }
     }
-  }
 }
