--- a/src/test/java/rillyard/load/CallTest.java
+++ b/src/test/java/rillyard/load/CallTest.java
@@ -18,142 +18,147 @@
 
 /** The app that is modelled, on a virtual clock: when it gives up, comes back, and stops asking. */
 class CallTest {
-  private static final String CLIENTS = "[clients]\ncount = 1\ntry_share = [0.5, 0.5]\nheeding = 1\n";
-  private static final String ONE = "[[shape]]\nkind = 'steady'\nfor_s = 1\nrate = 1\n";
-
-  @TempDir Path folder;
-  private final VirtualTimers timers = new VirtualTimers();
-  private FakeTransport transport;
-  private Tally tally;
-
-  /** Plays one request whose tries have these fates, and returns what the ledger says. */
-  private List<ClientTry> play(String semantics, String clients, FakeTransport.Fate... fates)
-      throws Exception {
-    Iterator<FakeTransport.Fate> next = List.of(fates).iterator();
-    String type =
-        "[[class]]\nname = 'c'\nsemantics = '" + semantics + "'\naim_ms = 400\ndeadline_ms = 1000\n"
-            + "window_ms = 300\n";
-    LoadPlan plan = LoadPlanReader.parse("p", CLIENTS + clients + type + ONE, folder);
-    transport = new FakeTransport(timers, t -> next.next());
-    tally = new Tally(plan.seconds());
-    boolean[] done = new boolean[1];
-    Path file = folder.resolve("c.jsonl");
-    try (Ledger l = Ledger.open(file, new LedgerHead("clients", 1, 1))) {
-      new Generator(plan, timers, transport, l, tally, () -> done[0] = true).start();
-      timers.drain();
+    private static final String CLIENTS = "[clients]\ncount = 1\ntry_share = [0.5, 0.5]\nheeding = 1\n";
+    private static final String ONE = "[[shape]]\nkind = 'steady'\nfor_s = 1\nrate = 1\n";
+
+    @TempDir
+    Path folder;
+
+    private final VirtualTimers timers = new VirtualTimers();
+    private FakeTransport transport;
+    private Tally tally;
+
+    /** Plays one request whose tries have these fates, and returns what the ledger says. */
+    private List<ClientTry> play(String semantics, String clients, FakeTransport.Fate... fates) throws Exception {
+        Iterator<FakeTransport.Fate> next = List.of(fates).iterator();
+        String type = "[[class]]\nname = 'c'\nsemantics = '" + semantics + "'\naim_ms = 400\ndeadline_ms = 1000\n"
+                + "window_ms = 300\n";
+        LoadPlan plan = LoadPlanReader.parse("p", CLIENTS + clients + type + ONE, folder);
+        transport = new FakeTransport(timers, t -> next.next());
+        tally = new Tally(plan.seconds());
+        boolean[] done = new boolean[1];
+        Path file = folder.resolve("c.jsonl");
+        try (Ledger l = Ledger.open(file, new LedgerHead("clients", 1, 1))) {
+            new Generator(plan, timers, transport, l, tally, () -> done[0] = true).start();
+            timers.drain();
+        }
+        assertThat(done[0]).isTrue();
+        List<ClientTry> out = new ArrayList<>();
+        LedgerReader.read(file, "clients", x -> out.add((ClientTry) x));
+        assertThat(out.stream().filter(ClientTry::last)).hasSize(1);
+        return out;
+    }
+
+    private List<Outcome> outcomes(String semantics, String clients, FakeTransport.Fate... fates) throws Exception {
+        return play(semantics, clients, fates).stream().map(ClientTry::outcome).toList();
+    }
+
+    private static FakeTransport.Fate failed() {
+        return FakeTransport.Fate.of(1, Outcome.FAILED, 502);
+    }
+
+    private static FakeTransport.Fate refused() {
+        return FakeTransport.Fate.refused(1, 0);
+    }
+
+    @Test
+    void whatIsSafeIsTriedAgainThreeTimesAndWhatIsNotOnlyWhenRefused() throws Exception {
+        assertThat(outcomes("idempotent", "", failed(), failed(), failed(), failed()))
+                .hasSize(4)
+                .containsOnly(Outcome.FAILED);
+        assertThat(outcomes("at-most-once", "", failed())).containsExactly(Outcome.FAILED);
+        assertThat(outcomes("keyed", "", failed())).containsExactly(Outcome.FAILED);
+        assertThat(outcomes("keyed-everywhere", "", failed(), FakeTransport.Fate.served(1)))
+                .containsExactly(Outcome.FAILED, Outcome.SERVED);
+        assertThat(outcomes("at-most-once", "", refused(), refused(), FakeTransport.Fate.served(1)))
+                .containsExactly(Outcome.REFUSED, Outcome.REFUSED, Outcome.SERVED);
+        FakeTransport.Fate gone = FakeTransport.Fate.of(1, Outcome.UNREACHABLE, 0);
+        assertThat(outcomes("at-most-once", "", gone, FakeTransport.Fate.served(1)))
+                .containsExactly(Outcome.UNREACHABLE, Outcome.SERVED);
+    }
+
+    @Test
+    void everyTryHasItsOwnIdAndAllHaveTheOneKey() throws Exception {
+        List<ClientTry> tries = play("keyed", "", refused(), FakeTransport.Fate.served(1));
+        assertThat(tries).extracting(ClientTry::id).doesNotHaveDuplicates();
+        assertThat(tries).extracting(ClientTry::key).doesNotContainNull();
+        assertThat(tries.get(0).key()).isEqualTo(tries.get(1).key());
+        assertThat(transport.tries).extracting(Transport.Try::retried).containsExactly(false, true);
+    }
+
+    @Test
+    void aKeyIsNotSentAgainPastItsWindow() throws Exception {
+        FakeTransport.Fate late = FakeTransport.Fate.of(301, Outcome.FAILED, 502);
+        assertThat(outcomes("keyed-everywhere", "", late)).containsExactly(Outcome.FAILED);
+    }
+
+    @Test
+    void aConnectionThatHadGoneHasTheSameRequestSentOnceMoreOnANewOne() throws Exception {
+        List<ClientTry> tries =
+                play("at-most-once", "", FakeTransport.Fate.of(1, Outcome.STALE, 0), FakeTransport.Fate.served(1));
+        assertThat(tries).extracting(ClientTry::outcome).containsExactly(Outcome.STALE, Outcome.SERVED);
+        assertThat(tries.get(0).id()).isEqualTo(tries.get(1).id());
+        assertThat(transport.tries).extracting(Transport.Try::fresh).containsExactly(false, true);
+    }
+
+    @Test
+    void noRequestIsSentMoreThanSixTimes() throws Exception {
+        FakeTransport.Fate stale = FakeTransport.Fate.of(1, Outcome.STALE, 0);
+        assertThat(outcomes("idempotent", "", stale, refused(), stale, refused(), stale, refused()))
+                .hasSize(6);
+    }
+
+    @Test
+    void aTryIsGivenUpAtItsShareOfTheDeadlineAndTheGraceBehindIt() throws Exception {
+        List<ClientTry> tries =
+                play("idempotent", "grace_ms = 70\n", FakeTransport.Fate.silence(), FakeTransport.Fate.silence());
+        assertThat(tries).extracting(ClientTry::outcome).containsOnly(Outcome.UNANSWERED);
+        assertThat(tries.get(0).timeout()).isEqualTo(500_000);
+        assertThat(tries.get(0).ended() - tries.get(0).sent()).isEqualTo(570_000);
+        assertThat(tries.get(1).timeout()).isEqualTo(430_000); // what was left of the deadline
+        assertThat(tries).hasSize(2);
+        assertThat(transport.abandoned).isEqualTo(2);
+    }
+
+    @Test
+    void aClientThatDoesNotSayWhenLeavesBefore() throws Exception {
+        List<ClientTry> tries = play("at-most-once", "announced = false\n", FakeTransport.Fate.served(501));
+        assertThat(tries.get(0).outcome()).isEqualTo(Outcome.ABANDONED);
+        assertThat(tries.get(0).timeout()).isEqualTo(1_000_000);
+        assertThat(tries.get(0).ended() - tries.get(0).sent()).isEqualTo(500_000);
+        assertThat(tally.total().abandoned).isEqualTo(1);
+        assertThat(tally.total().latency.getTotalCount()).isZero(); // the late answer isn't counted
+    }
+
+    @Test
+    void retryAfterIsHeededAndAPauseGrows() throws Exception {
+        play("idempotent", "", FakeTransport.Fate.refused(1, 200), FakeTransport.Fate.served(1));
+        assertThat(transport.at.get(1) - transport.at.get(0)).isEqualTo(201_000_000L);
+        play(
+                "idempotent",
+                "heeding = 0\n".replace("heeding = 0", "pause_ms = 10\ngrowth = 3"),
+                refused(),
+                refused(),
+                refused(),
+                FakeTransport.Fate.served(1));
+        assertThat(transport.at.get(1) - transport.at.get(0)).isEqualTo(11_000_000L);
+        assertThat(transport.at.get(2) - transport.at.get(1)).isEqualTo(31_000_000L);
+        assertThat(transport.at.get(3) - transport.at.get(2)).isEqualTo(91_000_000L);
+    }
+
+    @Test
+    void nobodyComesBackPastTheDeadline() throws Exception {
+        assertThat(outcomes("idempotent", "", FakeTransport.Fate.refused(1, 1_500)))
+                .containsExactly(Outcome.REFUSED);
+        assertThat(Files.exists(folder.resolve("c.jsonl"))).isTrue();
+    }
+
+    @Test
+    void latencyCountsFromTheScheduleOverAllTries() throws Exception {
+        play("idempotent", "", refused(), FakeTransport.Fate.served(300));
+        assertThat(tally.total().latency.getMaxValue()).isBetween(301_000L, 301_200L);
+        assertThat(tally.total().inAim).isEqualTo(1);
+        play("idempotent", "", FakeTransport.Fate.of(200, Outcome.FAILED, 500), FakeTransport.Fate.served(201));
+        assertThat(tally.total().late).isEqualTo(1);
     }
-    assertThat(done[0]).isTrue();
-    List<ClientTry> out = new ArrayList<>();
-    LedgerReader.read(file, "clients", x -> out.add((ClientTry) x));
-    assertThat(out.stream().filter(ClientTry::last)).hasSize(1);
-    return out;
-  }
-
-  private List<Outcome> outcomes(String semantics, String clients, FakeTransport.Fate... fates)
-      throws Exception {
-    return play(semantics, clients, fates).stream().map(ClientTry::outcome).toList();
-  }
-
-  private static FakeTransport.Fate failed() {
-    return FakeTransport.Fate.of(1, Outcome.FAILED, 502);
-  }
-
-  private static FakeTransport.Fate refused() {
-    return FakeTransport.Fate.refused(1, 0);
-  }
-
-  @Test
-  void whatIsSafeIsTriedAgainThreeTimesAndWhatIsNotOnlyWhenRefused() throws Exception {
-    assertThat(outcomes("idempotent", "", failed(), failed(), failed(), failed()))
-        .hasSize(4).containsOnly(Outcome.FAILED);
-    assertThat(outcomes("at-most-once", "", failed())).containsExactly(Outcome.FAILED);
-    assertThat(outcomes("keyed", "", failed())).containsExactly(Outcome.FAILED);
-    assertThat(outcomes("keyed-everywhere", "", failed(), FakeTransport.Fate.served(1)))
-        .containsExactly(Outcome.FAILED, Outcome.SERVED);
-    assertThat(outcomes("at-most-once", "", refused(), refused(), FakeTransport.Fate.served(1)))
-        .containsExactly(Outcome.REFUSED, Outcome.REFUSED, Outcome.SERVED);
-    FakeTransport.Fate gone = FakeTransport.Fate.of(1, Outcome.UNREACHABLE, 0);
-    assertThat(outcomes("at-most-once", "", gone, FakeTransport.Fate.served(1)))
-        .containsExactly(Outcome.UNREACHABLE, Outcome.SERVED);
-  }
-
-  @Test
-  void everyTryHasItsOwnIdAndAllHaveTheOneKey() throws Exception {
-    List<ClientTry> tries = play("keyed", "", refused(), FakeTransport.Fate.served(1));
-    assertThat(tries).extracting(ClientTry::id).doesNotHaveDuplicates();
-    assertThat(tries).extracting(ClientTry::key).doesNotContainNull();
-    assertThat(tries.get(0).key()).isEqualTo(tries.get(1).key());
-    assertThat(transport.tries).extracting(Transport.Try::retried).containsExactly(false, true);
-  }
-
-  @Test
-  void aKeyIsNotSentAgainPastItsWindow() throws Exception {
-    FakeTransport.Fate late = FakeTransport.Fate.of(301, Outcome.FAILED, 502);
-    assertThat(outcomes("keyed-everywhere", "", late)).containsExactly(Outcome.FAILED);
-  }
-
-  @Test
-  void aConnectionThatHadGoneHasTheSameRequestSentOnceMoreOnANewOne() throws Exception {
-    List<ClientTry> tries =
-        play("at-most-once", "", FakeTransport.Fate.of(1, Outcome.STALE, 0), FakeTransport.Fate.served(1));
-    assertThat(tries).extracting(ClientTry::outcome).containsExactly(Outcome.STALE, Outcome.SERVED);
-    assertThat(tries.get(0).id()).isEqualTo(tries.get(1).id());
-    assertThat(transport.tries).extracting(Transport.Try::fresh).containsExactly(false, true);
-  }
-
-  @Test
-  void noRequestIsSentMoreThanSixTimes() throws Exception {
-    FakeTransport.Fate stale = FakeTransport.Fate.of(1, Outcome.STALE, 0);
-    assertThat(outcomes("idempotent", "", stale, refused(), stale, refused(), stale, refused())).hasSize(6);
-  }
-
-  @Test
-  void aTryIsGivenUpAtItsShareOfTheDeadlineAndTheGraceBehindIt() throws Exception {
-    List<ClientTry> tries =
-        play("idempotent", "grace_ms = 70\n", FakeTransport.Fate.silence(), FakeTransport.Fate.silence());
-    assertThat(tries).extracting(ClientTry::outcome).containsOnly(Outcome.UNANSWERED);
-    assertThat(tries.get(0).timeout()).isEqualTo(500_000);
-    assertThat(tries.get(0).ended() - tries.get(0).sent()).isEqualTo(570_000);
-    assertThat(tries.get(1).timeout()).isEqualTo(430_000); // what was left of the deadline
-    assertThat(tries).hasSize(2);
-    assertThat(transport.abandoned).isEqualTo(2);
-  }
-
-  @Test
-  void aClientThatDoesNotSayWhenLeavesBefore() throws Exception {
-    List<ClientTry> tries =
-        play("at-most-once", "announced = false\n", FakeTransport.Fate.served(501));
-    assertThat(tries.get(0).outcome()).isEqualTo(Outcome.ABANDONED);
-    assertThat(tries.get(0).timeout()).isEqualTo(1_000_000);
-    assertThat(tries.get(0).ended() - tries.get(0).sent()).isEqualTo(500_000);
-    assertThat(tally.total().abandoned).isEqualTo(1);
-    assertThat(tally.total().latency.getTotalCount()).isZero(); // the late answer isn't counted
-  }
-
-  @Test
-  void retryAfterIsHeededAndAPauseGrows() throws Exception {
-    play("idempotent", "", FakeTransport.Fate.refused(1, 200), FakeTransport.Fate.served(1));
-    assertThat(transport.at.get(1) - transport.at.get(0)).isEqualTo(201_000_000L);
-    play("idempotent", "heeding = 0\n".replace("heeding = 0", "pause_ms = 10\ngrowth = 3"),
-        refused(), refused(), refused(), FakeTransport.Fate.served(1));
-    assertThat(transport.at.get(1) - transport.at.get(0)).isEqualTo(11_000_000L);
-    assertThat(transport.at.get(2) - transport.at.get(1)).isEqualTo(31_000_000L);
-    assertThat(transport.at.get(3) - transport.at.get(2)).isEqualTo(91_000_000L);
-  }
-
-  @Test
-  void nobodyComesBackPastTheDeadline() throws Exception {
-    assertThat(outcomes("idempotent", "", FakeTransport.Fate.refused(1, 1_500)))
-        .containsExactly(Outcome.REFUSED);
-    assertThat(Files.exists(folder.resolve("c.jsonl"))).isTrue();
-  }
-
-  @Test
-  void latencyCountsFromTheScheduleOverAllTries() throws Exception {
-    play("idempotent", "", refused(), FakeTransport.Fate.served(300));
-    assertThat(tally.total().latency.getMaxValue()).isBetween(301_000L, 301_200L);
-    assertThat(tally.total().inAim).isEqualTo(1);
-    play("idempotent", "", FakeTransport.Fate.of(200, Outcome.FAILED, 500), FakeTransport.Fate.served(201));
-    assertThat(tally.total().late).isEqualTo(1);
-  }
 }
--- a/src/test/java/rillyard/load/LoadPlanReaderTest.java
+++ b/src/test/java/rillyard/load/LoadPlanReaderTest.java
@@ -9,18 +9,18 @@
 import rillyard.input.InvalidFileException;
 
 class LoadPlanReaderTest {
-  private static LoadPlan parse(String text) throws InvalidFileException {
-    return LoadPlanReader.parse("p.toml", text, Path.of("."));
-  }
+    private static LoadPlan parse(String text) throws InvalidFileException {
+        return LoadPlanReader.parse("p.toml", text, Path.of("."));
+    }
 
-  private static InvalidFileException fails(String text) {
-    return catchThrowableOfType(InvalidFileException.class, () -> parse(text));
-  }
+    private static InvalidFileException fails(String text) {
+        return catchThrowableOfType(InvalidFileException.class, () -> parse(text));
+    }
 
-  @Test
-  void everyShapeIsRead() throws Exception {
-    LoadPlan p =
-        parse("""
+    @Test
+    void everyShapeIsRead() throws Exception {
+        LoadPlan p = parse(
+                """
             [[shape]]
             kind = "steady"
             rate = 5
@@ -44,22 +44,22 @@
             rates = [1, 2]
             random = false
             """);
-    assertThat(p.shapes())
-        .containsExactly(
-            new Shape.Steady(10, 5, false),
-            new Shape.Steady(10, 5, true),
-            new Shape.Ramp(10, 1, 2, true),
-            new Shape.Surge(8, 1, 2, 2, 1, 2, 1, true),
-            new Shape.Wave(10, 5, 0.3, 60, true),
-            new Shape.Step(10, new double[] {1, 2}, false));
-    assertThat(p.seconds()).isEqualTo(58);
-    assertThat(p.classes()).hasSize(3);
-  }
+        assertThat(p.shapes())
+                .containsExactly(
+                        new Shape.Steady(10, 5, false),
+                        new Shape.Steady(10, 5, true),
+                        new Shape.Ramp(10, 1, 2, true),
+                        new Shape.Surge(8, 1, 2, 2, 1, 2, 1, true),
+                        new Shape.Wave(10, 5, 0.3, 60, true),
+                        new Shape.Step(10, new double[] {1, 2}, false));
+        assertThat(p.seconds()).isEqualTo(58);
+        assertThat(p.classes()).hasSize(3);
+    }
 
-  @Test
-  void everyErrorNamesItsLineInOnePass() {
-    InvalidFileException e =
-        fails("""
+    @Test
+    void everyErrorNamesItsLineInOnePass() {
+        InvalidFileException e = fails(
+                """
             max_opne = 5
             [clients]
             try_share = [0.9, 0.5]
@@ -77,16 +77,17 @@
             base = 5
             at_s = 5
             """);
-    assertThat(e.findings()).extracting(Finding::line).containsExactly(1, 3, 7, 9, 11, 12, 14);
-    assertThat(e.getMessage()).contains("p.toml:1: max_opne: unknown key; did you mean 'max_open'?")
-        .contains("p.toml:12: shape[0].peak: is missing, expected requests a second");
-  }
+        assertThat(e.findings()).extracting(Finding::line).containsExactly(1, 3, 7, 9, 11, 12, 14);
+        assertThat(e.getMessage())
+                .contains("p.toml:1: max_opne: unknown key; did you mean 'max_open'?")
+                .contains("p.toml:12: shape[0].peak: is missing, expected requests a second");
+    }
 
-  @Test
-  void thereIsEitherAShapeOrATrace() {
-    assertThat(fails("seed = 1\n").getMessage()).contains("expected a [[shape]] at least, or a [trace]");
-    assertThat(fails("[trace]\nfile = 'x'\n[[shape]]\nrate = 1\n").getMessage())
-        .contains("expected one of the two");
-    assertThat(fails("[trace]\nfile = 'no-such-file'\n").getMessage()).contains("can't be read");
-  }
+    @Test
+    void thereIsEitherAShapeOrATrace() {
+        assertThat(fails("seed = 1\n").getMessage()).contains("expected a [[shape]] at least, or a [trace]");
+        assertThat(fails("[trace]\nfile = 'x'\n[[shape]]\nrate = 1\n").getMessage())
+                .contains("expected one of the two");
+        assertThat(fails("[trace]\nfile = 'no-such-file'\n").getMessage()).contains("can't be read");
+    }
 }
--- a/src/test/java/rillyard/load/LoadRunTest.java
+++ b/src/test/java/rillyard/load/LoadRunTest.java
@@ -30,292 +30,290 @@
 /** The generator against stand-ins and against targets that are none, on loopback. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class LoadRunTest {
-  private static final InetSocketAddress ANY =
-      new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
-  private static final String CLASS =
-      "[[class]]\nname = 'c'\nsemantics = 'idempotent'\naim_ms = 400\ndeadline_ms = 20000\n";
+    private static final String CLASS =
+            "[[class]]\nname = 'c'\nsemantics = 'idempotent'\naim_ms = 400\ndeadline_ms = 20000\n";
 
-  private static final int RUNS = 6;
+    private static final int RUNS = 6;
 
-  @TempDir Path folder;
+    @TempDir
+    Path folder;
 
-  private static String hosts(String work, String faults) {
-    return "[hosts]\ncount = 1\ncores = 2000\nqueue = 100000\nconnections = 100000\n"
-        + "[[class]]\nname = 'c'\nsemantics = 'idempotent'\naim_ms = 400\ndeadline_ms = 20000\nwork = " + work
-        + "\n" + faults;
-  }
+    private static String hosts(String work, String faults) {
+        return "[hosts]\ncount = 1\ncores = 2000\nqueue = 100000\nconnections = 100000\n"
+                + "[[class]]\nname = 'c'\nsemantics = 'idempotent'\naim_ms = 400\ndeadline_ms = 20000\nwork = " + work
+                + "\n" + faults;
+    }
 
-  /** Plays a plan against one stand-in host. */
-  private Report play(String hosts, String plan) throws Exception {
-    try (Ledger hostLedger = Ledger.open(folder.resolve("h"), new LedgerHead("hosts", 1, 1));
-        Ledger ledger = Ledger.open(folder.resolve("c"), new LedgerHead("clients", 1, 1));
-        StandIn s = new StandIn(StandInPlanReader.parse("h", hosts, 0), ANY, 1, hostLedger, System.err)) {
-      s.start();
-      LoadRun run =
-          new LoadRun(LoadPlanReader.parse("p", plan, folder), List.of(s.address("s-0")), ledger, null);
-      s.startTimetable();
-      run.run();
-      return run.report(List.of());
+    /** Plays a plan against one stand-in host. */
+    private Report play(String hosts, String plan) throws Exception {
+        try (Ledger hostLedger = Ledger.open(folder.resolve("h"), new LedgerHead("hosts", 1, 1));
+                Ledger ledger = Ledger.open(folder.resolve("c"), new LedgerHead("clients", 1, 1));
+                StandIn s = new StandIn(StandInPlanReader.parse("h", hosts, 0), ANY, 1, hostLedger, System.err)) {
+            s.start();
+            LoadRun run = new LoadRun(LoadPlanReader.parse("p", plan, folder), List.of(s.address("s-0")), ledger, null);
+            s.startTimetable();
+            run.run();
+            return run.report(List.of());
+        }
     }
-  }
 
-  private <T extends LedgerLine> List<T> ledger(String of, Class<T> kind) throws Exception {
-    List<T> out = new ArrayList<>();
-    boolean whole =
-        LedgerReader.read(
-            folder.resolve(of.substring(0, 1)),
-            of,
-            l -> {
-              if (kind.isInstance(l)) {
+    private <T extends LedgerLine> List<T> ledger(String of, Class<T> kind) throws Exception {
+        List<T> out = new ArrayList<>();
+        boolean whole = LedgerReader.read(folder.resolve(of.substring(0, 1)), of, l -> {
+            if (kind.isInstance(l)) {
                 out.add(kind.cast(l));
-              }
-            });
-    assertThat(whole).isTrue();
-    return out;
-  }
+            }
+        });
+        assertThat(whole).isTrue();
+        return out;
+    }
 
-  @Test
-  void aPauseOfTwoSecondsIsTwoSecondsOfLateAnswersAndNoGap() throws Exception {
-    int rate = 300;
-    Report r =
-        play(
-            hosts("{ dist = 'constant', mean_ms = 1 }",
-                "[[fault]]\nkind = 'pause'\nhost = 's-0'\nat_s = 1\nfor_s = 2\n"),
-            "lateness_ms = 5000\n" + CLASS + "[clients]\nretries = 0\ntry_share = [1, 1]\n"
-                + "[[shape]]\nkind = 'steady'\nfor_s = 4\nrate = " + rate + "\n");
-    assertThat(r.total().offered()).isEqualTo(4 * rate);
-    assertThat(r.total().inAim() + r.total().late()).isEqualTo(4 * rate);
-    List<ClientTry> tries = ledger("clients", ClientTry.class);
-    for (double x = 0.2; x < 2; x += 0.2) {
-      double seconds = x;
-      long later = tries.stream().filter(t -> t.ended() - t.intended() > 1e6 * seconds).count();
-      // The pause begins and ends on the stand-in's own clock: some tens of ms of either side.
-      assertThat(later).as("later than %.1f s", x)
-          .isCloseTo(Math.round(rate * (2 - x)), within(Math.round(0.15 * rate)));
+    @Test
+    void aPauseOfTwoSecondsIsTwoSecondsOfLateAnswersAndNoGap() throws Exception {
+        int rate = 300;
+        Report r = play(
+                hosts(
+                        "{ dist = 'constant', mean_ms = 1 }",
+                        "[[fault]]\nkind = 'pause'\nhost = 's-0'\nat_s = 1\nfor_s = 2\n"),
+                "lateness_ms = 5000\n" + CLASS + "[clients]\nretries = 0\ntry_share = [1, 1]\n"
+                        + "[[shape]]\nkind = 'steady'\nfor_s = 4\nrate = " + rate + "\n");
+        assertThat(r.total().offered()).isEqualTo(4 * rate);
+        assertThat(r.total().inAim() + r.total().late()).isEqualTo(4 * rate);
+        List<ClientTry> tries = ledger("clients", ClientTry.class);
+        for (double x = 0.2; x < 2; x += 0.2) {
+            double seconds = x;
+            long later = tries.stream()
+                    .filter(t -> t.ended() - t.intended() > 1e6 * seconds)
+                    .count();
+            // The pause begins and ends on the stand-in's own clock: some tens of ms of either side.
+            assertThat(later)
+                    .as("later than %.1f s", x)
+                    .isCloseTo(Math.round(rate * (2 - x)), within(Math.round(0.15 * rate)));
+        }
     }
-  }
 
-  /**
-   * Noise of the machine only ever adds to what is seen, and is not in every run: of a few runs one
-   * must see what was injected. A histogram that is wrong is so in all of them.
-   */
-  @Test
-  void quantilesAreThoseOfTheInjectedDistribution() throws Exception {
-    String hosts = hosts("{ dist = 'lognormal', mean_ms = 100, cv = 0.7 }", "");
-    String plan =
-        CLASS + "[clients]\nretries = 0\ntry_share = [1, 1]\n"
-            + "[[shape]]\nkind = 'poisson'\nfor_s = 2.5\nrate = 500\n";
-    List<String> seen = new ArrayList<>();
-    for (int i = 0; i < RUNS; i++) {
-      Report r = play(hosts, plan);
-      // What the hosts drew is in their ledger: the generator must see these very times.
-      double[] drawn =
-          ledger("hosts", HostRun.class).stream().mapToDouble(h -> h.work() / 1_000.0).sorted().toArray();
-      assertThat((long) drawn.length).isEqualTo(r.total().offered());
-      Report.Quantiles q = r.total().service();
-      if (near(q.p50(), at(drawn, 0.5)) && near(q.p90(), at(drawn, 0.9))
-          && near(q.p99(), at(drawn, 0.99)) && near(q.p999(), at(drawn, 0.999))) {
-        // And they are a sample of the distribution that was asked for, whose median is known.
-        assertThat(at(drawn, 0.5)).isCloseTo(100 / Math.sqrt(1.49), within(8.0));
-        return;
-      }
-      seen.add(q + " for " + at(drawn, 0.5) + " " + at(drawn, 0.9) + " " + at(drawn, 0.99));
+    /**
+     * Noise of the machine only ever adds to what is seen, and is not in every run: of a few runs one
+     * must see what was injected. A histogram that is wrong is so in all of them.
+     */
+    @Test
+    void quantilesAreThoseOfTheInjectedDistribution() throws Exception {
+        String hosts = hosts("{ dist = 'lognormal', mean_ms = 100, cv = 0.7 }", "");
+        String plan = CLASS + "[clients]\nretries = 0\ntry_share = [1, 1]\n"
+                + "[[shape]]\nkind = 'poisson'\nfor_s = 2.5\nrate = 500\n";
+        List<String> seen = new ArrayList<>();
+        for (int i = 0; i < RUNS; i++) {
+            Report r = play(hosts, plan);
+            // What the hosts drew is in their ledger: the generator must see these very times.
+            double[] drawn = ledger("hosts", HostRun.class).stream()
+                    .mapToDouble(h -> h.work() / 1_000.0)
+                    .sorted()
+                    .toArray();
+            assertThat((long) drawn.length).isEqualTo(r.total().offered());
+            Report.Quantiles q = r.total().service();
+            if (near(q.p50(), at(drawn, 0.5))
+                    && near(q.p90(), at(drawn, 0.9))
+                    && near(q.p99(), at(drawn, 0.99))
+                    && near(q.p999(), at(drawn, 0.999))) {
+                // And they are a sample of the distribution that was asked for, whose median is known.
+                assertThat(at(drawn, 0.5)).isCloseTo(100 / Math.sqrt(1.49), within(8.0));
+                return;
+            }
+            seen.add(q + " for " + at(drawn, 0.5) + " " + at(drawn, 0.9) + " " + at(drawn, 0.99));
+        }
+        assertThat(seen).as("quantiles that are all off").isEmpty();
     }
-    assertThat(seen).as("quantiles that are all off").isEmpty();
-  }
 
-  private static double at(double[] sorted, double share) {
-    return sorted[(int) Math.min(sorted.length - 1, Math.ceil(share * sorted.length) - 1)];
-  }
+    private static double at(double[] sorted, double share) {
+        return sorted[(int) Math.min(sorted.length - 1, Math.ceil(share * sorted.length) - 1)];
+    }
 
-  /** Within 3 % or 1 ms. */
-  private static boolean near(double seen, double injected) {
-    return Math.abs(seen - injected) <= Math.max(0.03 * injected, 1);
-  }
+    /** Within 3 % or 1 ms. */
+    private static boolean near(double seen, double injected) {
+        return Math.abs(seen - injected) <= Math.max(0.03 * injected, 1);
+    }
 
-  private interface Target {
-    void serve(Socket s) throws IOException;
-  }
+    private interface Target {
+        void serve(Socket s) throws IOException;
+    }
 
-  /** Plays a plan against a target that does to each connection what it is told to. */
-  private Report against(Target target, String plan) throws Exception {
-    try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        Ledger ledger = Ledger.open(folder.resolve("c"), new LedgerHead("clients", 1, 1))) {
-      Thread t =
-          new Thread(
-              () -> {
+    /** Plays a plan against a target that does to each connection what it is told to. */
+    private Report against(Target target, String plan) throws Exception {
+        try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+                Ledger ledger = Ledger.open(folder.resolve("c"), new LedgerHead("clients", 1, 1))) {
+            Thread t = new Thread(() -> {
                 while (!server.isClosed()) {
-                  try {
-                    Socket s = server.accept();
-                    target.serve(s);
-                  } catch (IOException e) {
-                    // the next one, or the end of the test
-                  }
+                    try {
+                        Socket s = server.accept();
+                        target.serve(s);
+                    } catch (IOException e) {
+                        // the next one, or the end of the test
+                    }
                 }
-              });
-      t.setDaemon(true);
-      t.start();
-      LoadRun run =
-          new LoadRun(
-              LoadPlanReader.parse("p", plan, folder),
-              List.of((InetSocketAddress) server.getLocalSocketAddress()),
-              ledger,
-              null);
-      run.run();
-      return run.report(List.of());
+            });
+            t.setDaemon(true);
+            t.start();
+            LoadRun run = new LoadRun(
+                    LoadPlanReader.parse("p", plan, folder),
+                    List.of((InetSocketAddress) server.getLocalSocketAddress()),
+                    ledger,
+                    null);
+            run.run();
+            return run.report(List.of());
+        }
     }
-  }
-
-  private static final String SHORT =
-      "max_open = 2000\n[[class]]\nname = 'c'\nsemantics = 'idempotent'\naim_ms = 100\ndeadline_ms = 300\n"
-          + "[[shape]]\nkind = 'poisson'\nfor_s = 1\nrate = 300\n";
 
-  private void assertAllEnded(Report r, Outcome only) throws Exception {
-    assertThat(r.total().offered()).isGreaterThan(200);
-    assertThat(r.total().inAim() + r.total().late()).isZero();
-    List<ClientTry> tries = ledger("clients", ClientTry.class);
-    assertThat(tries.stream().filter(ClientTry::last).count()).isEqualTo(r.total().offered());
-    assertThat(tries.stream().map(ClientTry::outcome).filter(o -> o == only)).isNotEmpty();
-    assertThat(tries).allMatch(t -> t.number() < 6);
-  }
+    private static final String SHORT =
+            "max_open = 2000\n[[class]]\nname = 'c'\nsemantics = 'idempotent'\naim_ms = 100\ndeadline_ms = 300\n"
+                    + "[[shape]]\nkind = 'poisson'\nfor_s = 1\nrate = 300\n";
 
-  @Test
-  void aTargetThatResetsEverything() throws Exception {
-    Report r =
-        against(
-            s -> {
-              s.setSoLinger(true, 0);
-              s.close();
-            },
-            SHORT);
-    assertAllEnded(r, r.total().lost() > 0 ? Outcome.BROKEN : Outcome.UNREACHABLE);
-    assertThat(r.total().lost() + r.total().failed()).isEqualTo(r.total().offered());
-  }
+    private void assertAllEnded(Report r, Outcome only) throws Exception {
+        assertThat(r.total().offered()).isGreaterThan(200);
+        assertThat(r.total().inAim() + r.total().late()).isZero();
+        List<ClientTry> tries = ledger("clients", ClientTry.class);
+        assertThat(tries.stream().filter(ClientTry::last).count())
+                .isEqualTo(r.total().offered());
+        assertThat(tries.stream().map(ClientTry::outcome).filter(o -> o == only))
+                .isNotEmpty();
+        assertThat(tries).allMatch(t -> t.number() < 6);
+    }
 
-  @Test
-  void aTargetThatAnswersGarbage() throws Exception {
-    Report r =
-        against(
-            s -> {
-              s.getOutputStream().write("garbage\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-              s.getOutputStream().flush();
-            },
-            SHORT);
-    assertAllEnded(r, Outcome.GARBLED);
-    assertThat(r.total().lost()).isEqualTo(r.total().offered());
-  }
+    @Test
+    void aTargetThatResetsEverything() throws Exception {
+        Report r = against(
+                s -> {
+                    s.setSoLinger(true, 0);
+                    s.close();
+                },
+                SHORT);
+        assertAllEnded(r, r.total().lost() > 0 ? Outcome.BROKEN : Outcome.UNREACHABLE);
+        assertThat(r.total().lost() + r.total().failed()).isEqualTo(r.total().offered());
+    }
 
-  @Test
-  void aTargetThatTakesAllAndAnswersNothing() throws Exception {
-    List<Socket> held = new ArrayList<>();
-    Report r = against(held::add, SHORT);
-    assertAllEnded(r, Outcome.UNANSWERED);
-    assertThat(r.total().lost() + r.total().notSent() + r.total().failed()).isEqualTo(r.total().offered());
-  }
+    @Test
+    void aTargetThatAnswersGarbage() throws Exception {
+        Report r = against(
+                s -> {
+                    s.getOutputStream().write("garbage\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+                    s.getOutputStream().flush();
+                },
+                SHORT);
+        assertAllEnded(r, Outcome.GARBLED);
+        assertThat(r.total().lost()).isEqualTo(r.total().offered());
+    }
 
-  @Test
-  void aTargetThatAcceptsNothing() throws Exception {
-    int port;
-    try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      port = s.getLocalPort();
+    @Test
+    void aTargetThatTakesAllAndAnswersNothing() throws Exception {
+        List<Socket> held = new ArrayList<>();
+        Report r = against(held::add, SHORT);
+        assertAllEnded(r, Outcome.UNANSWERED);
+        assertThat(r.total().lost() + r.total().notSent() + r.total().failed())
+                .isEqualTo(r.total().offered());
     }
-    Report r;
-    try (Ledger ledger = Ledger.open(folder.resolve("c"), new LedgerHead("clients", 1, 1))) {
-      LoadRun run =
-          new LoadRun(
-              LoadPlanReader.parse("p", SHORT, folder),
-              List.of(new InetSocketAddress(InetAddress.getLoopbackAddress(), port)),
-              ledger,
-              null);
-      run.run();
-      r = run.report(List.of());
+
+    @Test
+    void aTargetThatAcceptsNothing() throws Exception {
+        int port;
+        try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = s.getLocalPort();
+        }
+        Report r;
+        try (Ledger ledger = Ledger.open(folder.resolve("c"), new LedgerHead("clients", 1, 1))) {
+            LoadRun run = new LoadRun(
+                    LoadPlanReader.parse("p", SHORT, folder),
+                    List.of(new InetSocketAddress(InetAddress.getLoopbackAddress(), port)),
+                    ledger,
+                    null);
+            run.run();
+            r = run.report(List.of());
+        }
+        assertAllEnded(r, Outcome.UNREACHABLE);
+        assertThat(r.total().failed()).isEqualTo(r.total().offered());
     }
-    assertAllEnded(r, Outcome.UNREACHABLE);
-    assertThat(r.total().failed()).isEqualTo(r.total().offered());
-  }
 
-  @Test
-  void anAnswerForAnotherRequestIsNoneOfOurs() throws Exception {
-    Report r =
-        against(
-            s -> {
-              s.getInputStream().read(new byte[4_096]);
-              s.getOutputStream().write(
-                  "HTTP/1.1 200 OK\r\nContent-Length: 27\r\n\r\nid=other host=h len=0 crc=0"
-                      .getBytes(StandardCharsets.US_ASCII));
-            },
-            SHORT);
-    assertAllEnded(r, Outcome.GARBLED);
-  }
+    @Test
+    void anAnswerForAnotherRequestIsNoneOfOurs() throws Exception {
+        Report r = against(
+                s -> {
+                    s.getInputStream().read(new byte[4_096]);
+                    s.getOutputStream()
+                            .write("HTTP/1.1 200 OK\r\nContent-Length: 27\r\n\r\nid=other host=h len=0 crc=0"
+                                    .getBytes(StandardCharsets.US_ASCII));
+                },
+                SHORT);
+        assertAllEnded(r, Outcome.GARBLED);
+    }
 
-  @Test
-  void aClientThatAbandonsClosesItsConnectionAndItsLateAnswerIsNotCounted() throws Exception {
-    Report r =
-        play(
-            hosts("{ dist = 'constant', mean_ms = 400 }", ""),
-            "[[class]]\nname = 'c'\nsemantics = 'at-most-once'\naim_ms = 400\ndeadline_ms = 500\nbody_bytes = 0\n"
-                + "[clients]\nretries = 0\nannounced = false\ntry_share = [0.2, 0.2]\n"
-                + "[[shape]]\nkind = 'steady'\nfor_s = 1\nrate = 50\n");
-    assertThat(r.total().abandoned()).isEqualTo(50);
-    assertThat(r.total().latency().count()).isZero();
-    assertThat(ledger("clients", ClientTry.class)).allMatch(t -> t.outcome() == Outcome.ABANDONED);
-    // The host saw each connection end while the request ran.
-    List<HostRun> runs = ledger("hosts", HostRun.class);
-    assertThat(runs).hasSize(50).allMatch(h -> h.result() == RunResult.LEFT);
-  }
+    @Test
+    void aClientThatAbandonsClosesItsConnectionAndItsLateAnswerIsNotCounted() throws Exception {
+        Report r = play(
+                hosts("{ dist = 'constant', mean_ms = 400 }", ""),
+                "[[class]]\nname = 'c'\nsemantics = 'at-most-once'\naim_ms = 400\ndeadline_ms = 500\nbody_bytes = 0\n"
+                        + "[clients]\nretries = 0\nannounced = false\ntry_share = [0.2, 0.2]\n"
+                        + "[[shape]]\nkind = 'steady'\nfor_s = 1\nrate = 50\n");
+        assertThat(r.total().abandoned()).isEqualTo(50);
+        assertThat(r.total().latency().count()).isZero();
+        assertThat(ledger("clients", ClientTry.class)).allMatch(t -> t.outcome() == Outcome.ABANDONED);
+        // The host saw each connection end while the request ran.
+        List<HostRun> runs = ledger("hosts", HostRun.class);
+        assertThat(runs).hasSize(50).allMatch(h -> h.result() == RunResult.LEFT);
+    }
 
-  @Test
-  void anInterruptedRunReportsWhatItHasAndItsLedgerIsWhole() throws Exception {
-    Report r;
-    try (Ledger hostLedger = Ledger.none();
-        Ledger ledger = Ledger.open(folder.resolve("c"), new LedgerHead("clients", 1, 1));
-        StandIn s =
-            new StandIn(
-                StandInPlanReader.parse("h", hosts("{ dist = 'constant', mean_ms = 5 }", ""), 0),
-                ANY,
-                1,
-                hostLedger,
-                System.err)) {
-      s.start();
-      LoadRun run =
-          new LoadRun(
-              LoadPlanReader.parse(
-                  "p", CLASS + "[[shape]]\nkind = 'poisson'\nfor_s = 3600\nrate = 200\n", folder),
-              List.of(s.address("s-0")),
-              ledger,
-              null);
-      Thread t =
-          new Thread(
-              () -> {
+    @Test
+    void anInterruptedRunReportsWhatItHasAndItsLedgerIsWhole() throws Exception {
+        Report r;
+        try (Ledger hostLedger = Ledger.none();
+                Ledger ledger = Ledger.open(folder.resolve("c"), new LedgerHead("clients", 1, 1));
+                StandIn s = new StandIn(
+                        StandInPlanReader.parse("h", hosts("{ dist = 'constant', mean_ms = 5 }", ""), 0),
+                        ANY,
+                        1,
+                        hostLedger,
+                        System.err)) {
+            s.start();
+            LoadRun run = new LoadRun(
+                    LoadPlanReader.parse(
+                            "p", CLASS + "[[shape]]\nkind = 'poisson'\nfor_s = 3600\nrate = 200\n", folder),
+                    List.of(s.address("s-0")),
+                    ledger,
+                    null);
+            Thread t = new Thread(() -> {
                 long until = System.nanoTime() + 30_000_000_000L;
                 while (ledger.lines() < 100 && System.nanoTime() < until) {
-                  Thread.onSpinWait();
+                    Thread.onSpinWait();
                 }
                 run.interrupt();
-              });
-      t.start();
-      run.run();
-      r = run.report(List.of());
+            });
+            t.start();
+            run.run();
+            r = run.report(List.of());
+        }
+        assertThat(r.interrupted()).isTrue();
+        assertThat(r.total().inAim() + r.total().late()).isGreaterThan(50);
+        assertThat(ReportTable.of(r)).contains("interrupted");
+        assertThat(ledger("clients", ClientTry.class).stream()
+                        .filter(ClientTry::last)
+                        .count())
+                .isEqualTo(r.total().offered());
     }
-    assertThat(r.interrupted()).isTrue();
-    assertThat(r.total().inAim() + r.total().late()).isGreaterThan(50);
-    assertThat(ReportTable.of(r)).contains("interrupted");
-    assertThat(ledger("clients", ClientTry.class).stream().filter(ClientTry::last).count())
-        .isEqualTo(r.total().offered());
-  }
 
-  @Test
-  void theReportIsAPageOfItsOwnAndHistogramsAreWritten() throws Exception {
-    Report r =
-        play(
-            hosts("{ dist = 'constant', mean_ms = 2 }", ""),
-            CLASS + "[[tenant]]\nname = 't1'\n"
-                + "[[shape]]\nkind = 'poisson'\nfor_s = 1\nrate = 100\n");
-    ReportFiles.write(folder, r, "a <title>");
-    String page = java.nio.file.Files.readString(folder.resolve("report.html"));
-    assertThat(page).contains("a &lt;title&gt;").contains("<svg").contains("c, t1")
-        .doesNotContain("<script").doesNotContain("http://").doesNotContain("NaN");
-    assertThat(java.nio.file.Files.readString(folder.resolve("report.json"))).contains("\"inAim\"");
-  }
+    @Test
+    void theReportIsAPageOfItsOwnAndHistogramsAreWritten() throws Exception {
+        Report r = play(
+                hosts("{ dist = 'constant', mean_ms = 2 }", ""),
+                CLASS + "[[tenant]]\nname = 't1'\n" + "[[shape]]\nkind = 'poisson'\nfor_s = 1\nrate = 100\n");
+        ReportFiles.write(folder, r, "a <title>");
+        String page = java.nio.file.Files.readString(folder.resolve("report.html"));
+        assertThat(page)
+                .contains("a &lt;title&gt;")
+                .contains("<svg")
+                .contains("c, t1")
+                .doesNotContain("<script")
+                .doesNotContain("http://")
+                .doesNotContain("NaN");
+        assertThat(java.nio.file.Files.readString(folder.resolve("report.json")))
+                .contains("\"inAim\"");
+    }
 }
--- a/src/test/java/rillyard/load/ScheduleTest.java
+++ b/src/test/java/rillyard/load/ScheduleTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.Test;
 
 class ScheduleTest {
-  private static List<Arrival> arrivals(String plan) throws Exception {
-    List<Arrival> out = new ArrayList<>();
-    new Schedule(LoadPlanReader.parse("p", plan, Path.of("."))).forEachRemaining(out::add);
-    return out;
-  }
+    private static List<Arrival> arrivals(String plan) throws Exception {
+        List<Arrival> out = new ArrayList<>();
+        new Schedule(LoadPlanReader.parse("p", plan, Path.of("."))).forEachRemaining(out::add);
+        return out;
+    }
 
-  private static final String TWO =
-      """
+    private static final String TWO =
+            """
       seed = 5
       [clients]
       count = 20
@@ -39,56 +39,56 @@
       to = 2000
       """;
 
-  @Test
-  void theSameSeedGivesTheSameArrivalsAndAnotherGivesOthers() throws Exception {
-    assertThat(arrivals(TWO)).isEqualTo(arrivals(TWO));
-    assertThat(arrivals(TWO.replace("seed = 5", "seed = 6"))).isNotEqualTo(arrivals(TWO));
-  }
-
-  @Test
-  void arrivalsComeInOrderAtTheRatesOfTheShapesOneAfterTheOther() throws Exception {
-    List<Arrival> all = arrivals(TWO);
-    int[] perSecond = new int[20];
-    long before = 0;
-    for (Arrival a : all) {
-      assertThat(a.at()).isGreaterThanOrEqualTo(before);
-      before = a.at();
-      perSecond[(int) (a.at() / 1_000_000_000L)]++;
+    @Test
+    void theSameSeedGivesTheSameArrivalsAndAnotherGivesOthers() throws Exception {
+        assertThat(arrivals(TWO)).isEqualTo(arrivals(TWO));
+        assertThat(arrivals(TWO.replace("seed = 5", "seed = 6"))).isNotEqualTo(arrivals(TWO));
     }
-    for (int i = 0; i < 10; i++) {
-      assertThat(perSecond[i]).isCloseTo(1_000, within(150)); // 4.7 standard deviations
-      double expected = 200 * i + 100;
-      assertThat(perSecond[10 + i]).isCloseTo((int) expected, within((int) (5 * Math.sqrt(expected)) + 1));
-    }
-  }
 
-  @Test
-  void steadyArrivalsAreEvenlySpaced() throws Exception {
-    List<Arrival> all = arrivals("[[shape]]\nkind = 'steady'\nfor_s = 2\nrate = 100\n");
-    assertThat(all).hasSize(200);
-    for (int i = 1; i < all.size(); i++) {
-      assertThat(all.get(i).at() - all.get(i - 1).at()).isCloseTo(10_000_000L, within(1_000L));
+    @Test
+    void arrivalsComeInOrderAtTheRatesOfTheShapesOneAfterTheOther() throws Exception {
+        List<Arrival> all = arrivals(TWO);
+        int[] perSecond = new int[20];
+        long before = 0;
+        for (Arrival a : all) {
+            assertThat(a.at()).isGreaterThanOrEqualTo(before);
+            before = a.at();
+            perSecond[(int) (a.at() / 1_000_000_000L)]++;
+        }
+        for (int i = 0; i < 10; i++) {
+            assertThat(perSecond[i]).isCloseTo(1_000, within(150)); // 4.7 standard deviations
+            double expected = 200 * i + 100;
+            assertThat(perSecond[10 + i]).isCloseTo((int) expected, within((int) (5 * Math.sqrt(expected)) + 1));
+        }
     }
-  }
 
-  @Test
-  void classesTenantsAndClientsHaveTheirShares() throws Exception {
-    Map<String, Integer> counts = new HashMap<>();
-    List<Arrival> all = arrivals(TWO);
-    for (Arrival a : all) {
-      counts.merge(a.type().name(), 1, Integer::sum);
-      counts.merge(a.tenant(), 1, Integer::sum);
-      counts.merge("c" + a.client(), 1, Integer::sum);
+    @Test
+    void steadyArrivalsAreEvenlySpaced() throws Exception {
+        List<Arrival> all = arrivals("[[shape]]\nkind = 'steady'\nfor_s = 2\nrate = 100\n");
+        assertThat(all).hasSize(200);
+        for (int i = 1; i < all.size(); i++) {
+            assertThat(all.get(i).at() - all.get(i - 1).at()).isCloseTo(10_000_000L, within(1_000L));
+        }
     }
-    double n = all.size();
-    assertThat(counts.get("list") / n).isCloseTo(0.6, within(0.02));
-    assertThat(counts.get("claim") / n).isCloseTo(0.1, within(0.02));
-    assertThat(counts.get("t1") / n).isCloseTo(0.75, within(0.02));
-    double harmonic = 0;
-    for (int k = 1; k <= 20; k++) {
-      harmonic += 1.0 / k;
+
+    @Test
+    void classesTenantsAndClientsHaveTheirShares() throws Exception {
+        Map<String, Integer> counts = new HashMap<>();
+        List<Arrival> all = arrivals(TWO);
+        for (Arrival a : all) {
+            counts.merge(a.type().name(), 1, Integer::sum);
+            counts.merge(a.tenant(), 1, Integer::sum);
+            counts.merge("c" + a.client(), 1, Integer::sum);
+        }
+        double n = all.size();
+        assertThat(counts.get("list") / n).isCloseTo(0.6, within(0.02));
+        assertThat(counts.get("claim") / n).isCloseTo(0.1, within(0.02));
+        assertThat(counts.get("t1") / n).isCloseTo(0.75, within(0.02));
+        double harmonic = 0;
+        for (int k = 1; k <= 20; k++) {
+            harmonic += 1.0 / k;
+        }
+        assertThat(counts.get("c0") / n).isCloseTo(1 / harmonic, within(0.02));
+        assertThat(counts.get("c19") / n).isCloseTo(1 / harmonic / 20, within(0.01));
     }
-    assertThat(counts.get("c0") / n).isCloseTo(1 / harmonic, within(0.02));
-    assertThat(counts.get("c19") / n).isCloseTo(1 / harmonic / 20, within(0.01));
-  }
 }
--- a/src/test/java/rillyard/measure/FleetCountTest.java
+++ b/src/test/java/rillyard/measure/FleetCountTest.java
@@ -15,71 +15,87 @@
 
 /** Logs of several proxies, put together by time. */
 class FleetCountTest {
-  private final FleetCount count = new FleetCount(1_000, 500);
+    private final FleetCount count = new FleetCount(1_000, 500);
 
-  private static String did(long at, What what, String host) {
-    return new TraceLine(at, what, host, TraceLine.NONE, 0, false).text() + "\n";
-  }
+    private static String did(long at, What what, String host) {
+        return new TraceLine(at, what, host, TraceLine.NONE, 0, false).text() + "\n";
+    }
 
-  private static String attempt(long sent, long spent, String host, String how, boolean cold) {
-    return new TraceLine(sent + spent, What.ATTEMPT, host, how, spent, cold).text() + "\n";
-  }
+    private static String attempt(long sent, long spent, String host, String how, boolean cold) {
+        return new TraceLine(sent + spent, What.ATTEMPT, host, how, spent, cold).text() + "\n";
+    }
 
-  private void log(String proxy, String text) throws IOException {
-    count.read(proxy, new BufferedReader(new StringReader(text)));
-  }
+    private void log(String proxy, String text) throws IOException {
+        count.read(proxy, new BufferedReader(new StringReader(text)));
+    }
 
-  @Test
-  void connectionsOfAllProxiesStandOpenTogether() throws Exception {
-    log("n1", did(0, What.STARTED, "-") + did(10, What.CONNECTED, "a") + did(40, What.CLOSED, "a"));
-    log("n2", did(0, What.STARTED, "-") + did(20, What.CONNECTED, "a") + did(30, What.CONNECT_FAILED, "a"));
-    log("n3", did(0, What.STARTED, "-") + did(50, What.CONNECTED, "a"));
-    FleetCount.HostCount a = count.sum().host("a");
-    assertThat(a.connects).isEqualTo(3);
-    assertThat(a.failedConnects).isEqualTo(1);
-    assertThat(a.mostOpen).isEqualTo(2);
-    assertThat(a.open).isEqualTo(2);
-  }
+    @Test
+    void connectionsOfAllProxiesStandOpenTogether() throws Exception {
+        log("n1", did(0, What.STARTED, "-") + did(10, What.CONNECTED, "a") + did(40, What.CLOSED, "a"));
+        log("n2", did(0, What.STARTED, "-") + did(20, What.CONNECTED, "a") + did(30, What.CONNECT_FAILED, "a"));
+        log("n3", did(0, What.STARTED, "-") + did(50, What.CONNECTED, "a"));
+        FleetCount.HostCount a = count.sum().host("a");
+        assertThat(a.connects).isEqualTo(3);
+        assertThat(a.failedConnects).isEqualTo(1);
+        assertThat(a.mostOpen).isEqualTo(2);
+        assertThat(a.open).isEqualTo(2);
+    }
 
-  @Test
-  void aProxyThatStartsAnewHasNothingOpen() throws Exception {
-    log("n1", did(0, What.STARTED, "-") + did(1, What.CONNECTED, "a") + did(2, What.CONNECTED, "b")
-        + did(3, What.STARTED, "-") + did(4, What.CONNECTED, "a"));
-    assertThat(count.sum().host("a").mostOpen).isEqualTo(1);
-    assertThat(count.host("b").open).isZero();
-    assertThat(count.starts()).isEqualTo(2);
-  }
+    @Test
+    void aProxyThatStartsAnewHasNothingOpen() throws Exception {
+        log(
+                "n1",
+                did(0, What.STARTED, "-")
+                        + did(1, What.CONNECTED, "a")
+                        + did(2, What.CONNECTED, "b")
+                        + did(3, What.STARTED, "-")
+                        + did(4, What.CONNECTED, "a"));
+        assertThat(count.sum().host("a").mostOpen).isEqualTo(1);
+        assertThat(count.host("b").open).isZero();
+        assertThat(count.starts()).isEqualTo(2);
+    }
 
-  @Test
-  void workAtAColdHostIsSummedOverTheFleetByWhenItWasSent() throws Exception {
-    log("n1", attempt(0, 900, "a", "OK", true) + attempt(499, 1, "a", "TIMEOUT", true)
-        + attempt(300, 1, "a", "CONNECT_FAILED", true) + attempt(300, 1, "a", "MOOT", true) // nothing was sent
-        + attempt(500, 1, "a", "OK", true) + attempt(510, 1, "a", "OK", false));
-    log("n2", attempt(250, 700, "a", "OK", true) + attempt(2_000, 1, "a", "OK", true));
-    FleetCount.HostCount a = count.sum().host("a");
-    assertThat(a.attempts).isEqualTo(8);
-    assertThat(a.coldSends).hasSize(5);
-    assertThat(a.mostCold(500)).isEqualTo(3); // 0, 250, 499; and 250, 499, 500
-  }
+    @Test
+    void workAtAColdHostIsSummedOverTheFleetByWhenItWasSent() throws Exception {
+        log(
+                "n1",
+                attempt(0, 900, "a", "OK", true)
+                        + attempt(499, 1, "a", "TIMEOUT", true)
+                        + attempt(300, 1, "a", "CONNECT_FAILED", true)
+                        + attempt(300, 1, "a", "MOOT", true) // nothing was sent
+                        + attempt(500, 1, "a", "OK", true)
+                        + attempt(510, 1, "a", "OK", false));
+        log("n2", attempt(250, 700, "a", "OK", true) + attempt(2_000, 1, "a", "OK", true));
+        FleetCount.HostCount a = count.sum().host("a");
+        assertThat(a.attempts).isEqualTo(8);
+        assertThat(a.coldSends).hasSize(5);
+        assertThat(a.mostCold(500)).isEqualTo(3); // 0, 250, 499; and 250, 499, 500
+    }
 
-  @Test
-  void refusalsAreCountedByWhatCameBefore() throws Exception {
-    log("n1", new TraceLine(5, What.REFUSED, "-", "FULL", 0, false).text() + "\n" + did(6, What.REFUSED, "-")
-        + "something else\n" + did(7, What.LIST, "-").substring(0, 30));
-    assertThat(count.sum().refusedAfter()).isEqualTo(Map.of("FULL", 1, "-", 1));
-    assertThat(count.torn()).isEqualTo(1);
-  }
+    @Test
+    void refusalsAreCountedByWhatCameBefore() throws Exception {
+        log(
+                "n1",
+                new TraceLine(5, What.REFUSED, "-", "FULL", 0, false).text() + "\n" + did(6, What.REFUSED, "-")
+                        + "something else\n" + did(7, What.LIST, "-").substring(0, 30));
+        assertThat(count.sum().refusedAfter()).isEqualTo(Map.of("FULL", 1, "-", 1));
+        assertThat(count.torn()).isEqualTo(1);
+    }
 
-  @Test
-  void tablesHoldTheSums() throws Exception {
-    log("n1", attempt(0, 5, "a", "OK", false) + attempt(1_500, 5, "a", "FULL", false)
-        + attempt(1_500, 6, "b", "RESET", false) + did(1_600, What.REFUSED, "-"));
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    count.print(new PrintStream(bytes, true, StandardCharsets.UTF_8));
-    assertThat(bytes.toString(StandardCharsets.UTF_8))
-        .contains("| attempts by result | FULL 1, OK 1, RESET 1 |")
-        .contains("| attempts | 1.5 | 2 |")
-        .contains("| 0.0 | 1 | 1 | 0 | 0 | 0 |")
-        .contains("| 1.0 | 2 | 0 | 1 | 1 | 1 |");
-  }
+    @Test
+    void tablesHoldTheSums() throws Exception {
+        log(
+                "n1",
+                attempt(0, 5, "a", "OK", false)
+                        + attempt(1_500, 5, "a", "FULL", false)
+                        + attempt(1_500, 6, "b", "RESET", false)
+                        + did(1_600, What.REFUSED, "-"));
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+        count.print(new PrintStream(bytes, true, StandardCharsets.UTF_8));
+        assertThat(bytes.toString(StandardCharsets.UTF_8))
+                .contains("| attempts by result | FULL 1, OK 1, RESET 1 |")
+                .contains("| attempts | 1.5 | 2 |")
+                .contains("| 0.0 | 1 | 1 | 0 | 0 | 0 |")
+                .contains("| 1.0 | 2 | 0 | 1 | 1 | 1 |");
+    }
 }
--- a/src/test/java/rillyard/member/MemberModel.java
+++ b/src/test/java/rillyard/member/MemberModel.java
@@ -13,198 +13,206 @@
 
 /** Three members that know each other, and all that a network and a bounded number of restarts do to them. */
 final class MemberModel implements Model<String> {
-  private static final int MEMBERS = 3;
-  private static final double STEP = 250;
-  private static final int IN_FLIGHT = 6;
-  private static final int CHOICES = 3;
-  private static final int RESTARTS = 1;
-  private static final int JOIN_STEPS = 12;
-  private static final int FAIR_STEPS = 240;
-
-  private record Flying(String from, Endpoint source, Endpoint to, Message message) {
-    @Override
-    public String toString() {
-      return message.kind() + " of " + from + " to m" + (to.ip() - 1) + " " + message.news().stream()
-          .map(u -> u.card().name() + "=" + u.status() + "/" + u.life().start() + "." + u.life().incarnation()).toList();
-    }
-  }
-
-  private final UnaryOperator<Message> change;
-  private final BiPredicate<String, Message> passes;
-
-  /**
-   * A model with a fault put in.
-   *
-   * @param change what becomes of each message on its way
-   * @param passes which messages of which sender are sent at all, once all know each other
-   */
-  MemberModel(UnaryOperator<Message> change, BiPredicate<String, Message> passes) {
-    this.change = change;
-    this.passes = passes;
-  }
-
-  MemberModel() {
-    this(m -> m, (from, m) -> true);
-  }
-
-  @Override
-  public Run<String> start() {
-    return new OneRun();
-  }
-
-  private final class OneRun implements Run<String> {
-    private final Map<String, Membership> members = new TreeMap<>();
-    private final Map<String, Double> startedAt = new HashMap<>();
-    private final List<Flying> flying = new ArrayList<>();
-    private final Map<String, Set<Life>> spoken = new HashMap<>();
-    private Map<String, Life> before = new HashMap<>();
-    private double now;
-    private boolean joined;
-    private int restarts;
-    private String broken;
-
-    OneRun() {
-      for (int i = 0; i < MEMBERS; i++) {
-        begin(i, 1_000);
-      }
-      for (int i = 0; i < JOIN_STEPS; i++) {
-        step();
-        deliverAll();
-      }
-      before = lives();
-      joined = true;
-    }
-
-    private Endpoint at(int i) {
-      return new Endpoint(1 + i, 1);
-    }
-
-    private void begin(int i, long start) {
-      String name = "m" + i;
-      startedAt.put(name, now);
-      Membership.Out out = new Membership.Out() {
+    private static final int MEMBERS = 3;
+    private static final double STEP = 250;
+    private static final int IN_FLIGHT = 6;
+    private static final int CHOICES = 3;
+    private static final int RESTARTS = 1;
+    private static final int JOIN_STEPS = 12;
+    private static final int FAIR_STEPS = 240;
+
+    private record Flying(String from, Endpoint source, Endpoint to, Message message) {
         @Override
-        public void send(Endpoint to, Message m) {
-          spoken.computeIfAbsent(name, n -> new HashSet<>()).add(m.sender().life());
-          if ((!joined || passes.test(name, m)) && flying.size() < IN_FLIGHT * (now == 0 ? 100 : 1)) {
-            flying.add(new Flying(name, at(i), to, change.apply(m)));
-          }
+        public String toString() {
+            return message.kind() + " of " + from + " to m" + (to.ip() - 1) + " "
+                    + message.news().stream()
+                            .map(u -> u.card().name() + "=" + u.status() + "/"
+                                    + u.life().start() + "." + u.life().incarnation())
+                            .toList();
         }
-
-        @Override
-        public void changed(Change c) {}
-      };
-      List<Endpoint> seeds = List.of(at(0), at(1), at(2));
-      // Chance is taken away: each draw is its least.
-      members.put(name, new Membership(MemberSettings.USUAL, new Card(name, at(i), 0, 0), start, seeds, () -> 0L, out));
     }
 
-    private double time(String name) {
-      return now - startedAt.get(name);
+    private final UnaryOperator<Message> change;
+    private final BiPredicate<String, Message> passes;
+
+    /**
+     * A model with a fault put in.
+     *
+     * @param change what becomes of each message on its way
+     * @param passes which messages of which sender are sent at all, once all know each other
+     */
+    MemberModel(UnaryOperator<Message> change, BiPredicate<String, Message> passes) {
+        this.change = change;
+        this.passes = passes;
     }
 
-    private void step() {
-      now += STEP;
-      members.forEach((name, m) -> m.tick(time(name)));
+    MemberModel() {
+        this(m -> m, (from, m) -> true);
     }
 
-    private void deliver(Flying f) {
-      String to = "m" + (f.to.ip() - 1);
-      members.get(to).received(time(to), f.source, f.message);
+    @Override
+    public Run<String> start() {
+        return new OneRun();
     }
 
-    private void deliverAll() {
-      while (!flying.isEmpty()) {
-        deliver(flying.remove(0));
-      }
-    }
+    private final class OneRun implements Run<String> {
+        private final Map<String, Membership> members = new TreeMap<>();
+        private final Map<String, Double> startedAt = new HashMap<>();
+        private final List<Flying> flying = new ArrayList<>();
+        private final Map<String, Set<Life>> spoken = new HashMap<>();
+        private Map<String, Life> before = new HashMap<>();
+        private double now;
+        private boolean joined;
+        private int restarts;
+        private String broken;
+
+        OneRun() {
+            for (int i = 0; i < MEMBERS; i++) {
+                begin(i, 1_000);
+            }
+            for (int i = 0; i < JOIN_STEPS; i++) {
+                step();
+                deliverAll();
+            }
+            before = lives();
+            joined = true;
+        }
 
-    @Override
-    public List<String> actions() {
-      List<String> all = new ArrayList<>(List.of("time"));
-      for (int i = 0; i < Math.min(CHOICES, flying.size()); i++) {
-        all.add("deliver " + i + ": " + flying.get(i));
-        all.add("lose " + i + ": " + flying.get(i));
-        all.add("double " + i + ": " + flying.get(i));
-      }
-      if (restarts < RESTARTS) {
-        all.add("restart m0");
-        all.add("restart m0 with its clock set back");
-      }
-      return all;
-    }
+        private Endpoint at(int i) {
+            return new Endpoint(1 + i, 1);
+        }
 
-    @Override
-    public void act(String action) {
-      if (action.equals("time")) {
-        step();
-      } else if (action.startsWith("restart")) {
-        restarts++;
-        before.keySet().removeIf(k -> k.startsWith("m0:"));
-        begin(0, action.endsWith("back") ? 500 : 9_000);
-      } else {
-        int i = action.charAt(action.indexOf(' ') + 1) - '0';
-        switch (action.charAt(0) + "" + action.charAt(1)) {
-          case "de" -> deliver(flying.remove(i));
-          case "lo" -> flying.remove(i);
-          default -> deliver(flying.get(i));
+        private void begin(int i, long start) {
+            String name = "m" + i;
+            startedAt.put(name, now);
+            Membership.Out out = new Membership.Out() {
+                @Override
+                public void send(Endpoint to, Message m) {
+                    spoken.computeIfAbsent(name, n -> new HashSet<>())
+                            .add(m.sender().life());
+                    if ((!joined || passes.test(name, m)) && flying.size() < IN_FLIGHT * (now == 0 ? 100 : 1)) {
+                        flying.add(new Flying(name, at(i), to, change.apply(m)));
+                    }
+                }
+
+                @Override
+                public void changed(Change c) {}
+            };
+            List<Endpoint> seeds = List.of(at(0), at(1), at(2));
+            // Chance is taken away: each draw is its least.
+            members.put(
+                    name,
+                    new Membership(MemberSettings.USUAL, new Card(name, at(i), 0, 0), start, seeds, () -> 0L, out));
         }
-      }
-      check();
-    }
 
-    /** The lives that each holds of the others. */
-    private Map<String, Life> lives() {
-      Map<String, Life> all = new HashMap<>();
-      members.forEach((name, m) -> m.others().forEach(u -> all.put(name + ":" + u.card().name(), u.life())));
-      return all;
-    }
+        private double time(String name) {
+            return now - startedAt.get(name);
+        }
 
-    private void check() {
-      Map<String, Life> after = lives();
-      after.forEach((who, life) -> {
-        Life old = before.get(who);
-        if (old != null && life.compareTo(old) < 0) {
-          broken = "an older life has overridden a newer one: " + who;
+        private void step() {
+            now += STEP;
+            members.forEach((name, m) -> m.tick(time(name)));
         }
-        String about = who.substring(3);
-        if (!spoken.getOrDefault(about, Set.of()).contains(life)) {
-          broken = "somebody has spoken for another's incarnation: " + who + " holds " + life;
+
+        private void deliver(Flying f) {
+            String to = "m" + (f.to.ip() - 1);
+            members.get(to).received(time(to), f.source, f.message);
         }
-      });
-      before = after;
-    }
 
-    @Override
-    public String broken() {
-      return broken;
-    }
+        private void deliverAll() {
+            while (!flying.isEmpty()) {
+                deliver(flying.remove(0));
+            }
+        }
 
-    @Override
-    public String state() {
-      StringBuilder s = new StringBuilder().append(restarts).append(flying);
-      members.forEach((name, m) -> s.append('\n').append(m.state(time(name))));
-      return s.toString();
-    }
+        @Override
+        public List<String> actions() {
+            List<String> all = new ArrayList<>(List.of("time"));
+            for (int i = 0; i < Math.min(CHOICES, flying.size()); i++) {
+                all.add("deliver " + i + ": " + flying.get(i));
+                all.add("lose " + i + ": " + flying.get(i));
+                all.add("double " + i + ": " + flying.get(i));
+            }
+            if (restarts < RESTARTS) {
+                all.add("restart m0");
+                all.add("restart m0 with its clock set back");
+            }
+            return all;
+        }
 
-    @Override
-    public String fairEnd() {
-      for (int i = 0; i < FAIR_STEPS; i++) {
-        deliverAll();
-        step();
-      }
-      deliverAll();
-      for (Map.Entry<String, Membership> e : members.entrySet()) {
-        for (Update u : e.getValue().others()) {
-          if (u.status() != Status.ALIVE) {
-            return "a live process that is heard stays " + u.status() + ": " + u.card().name() + " to " + e.getKey();
-          }
+        @Override
+        public void act(String action) {
+            if (action.equals("time")) {
+                step();
+            } else if (action.startsWith("restart")) {
+                restarts++;
+                before.keySet().removeIf(k -> k.startsWith("m0:"));
+                begin(0, action.endsWith("back") ? 500 : 9_000);
+            } else {
+                int i = action.charAt(action.indexOf(' ') + 1) - '0';
+                switch (action.charAt(0) + "" + action.charAt(1)) {
+                    case "de" -> deliver(flying.remove(i));
+                    case "lo" -> flying.remove(i);
+                    default -> deliver(flying.get(i));
+                }
+            }
+            check();
+        }
+
+        /** The lives that each holds of the others. */
+        private Map<String, Life> lives() {
+            Map<String, Life> all = new HashMap<>();
+            members.forEach((name, m) ->
+                    m.others().forEach(u -> all.put(name + ":" + u.card().name(), u.life())));
+            return all;
         }
-        if (e.getValue().present() != MEMBERS) {
-          return e.getKey() + " does not know all";
+
+        private void check() {
+            Map<String, Life> after = lives();
+            after.forEach((who, life) -> {
+                Life old = before.get(who);
+                if (old != null && life.compareTo(old) < 0) {
+                    broken = "an older life has overridden a newer one: " + who;
+                }
+                String about = who.substring(3);
+                if (!spoken.getOrDefault(about, Set.of()).contains(life)) {
+                    broken = "somebody has spoken for another's incarnation: " + who + " holds " + life;
+                }
+            });
+            before = after;
+        }
+
+        @Override
+        public String broken() {
+            return broken;
+        }
+
+        @Override
+        public String state() {
+            StringBuilder s = new StringBuilder().append(restarts).append(flying);
+            members.forEach((name, m) -> s.append('\n').append(m.state(time(name))));
+            return s.toString();
+        }
+
+        @Override
+        public String fairEnd() {
+            for (int i = 0; i < FAIR_STEPS; i++) {
+                deliverAll();
+                step();
+            }
+            deliverAll();
+            for (Map.Entry<String, Membership> e : members.entrySet()) {
+                for (Update u : e.getValue().others()) {
+                    if (u.status() != Status.ALIVE) {
+                        return "a live process that is heard stays " + u.status() + ": "
+                                + u.card().name() + " to " + e.getKey();
+                    }
+                }
+                if (e.getValue().present() != MEMBERS) {
+                    return e.getKey() + " does not know all";
+                }
+            }
+            return null;
         }
-      }
-      return null;
     }
-  }
 }
--- a/src/test/java/rillyard/member/MemberModelTest.java
+++ b/src/test/java/rillyard/member/MemberModelTest.java
@@ -9,45 +9,56 @@
 
 /** Every order of messages, losses, doubles, restarts and time, over the very classes; -Drillyard.check.depth for more. */
 class MemberModelTest {
-  private static final int DEPTH = Integer.getInteger("rillyard.check.depth", 7);
-  private static final int STATES = Integer.getInteger("rillyard.check.states", 40_000);
-  private static final int FAIR_EVERY = 100;
+    private static final int DEPTH = Integer.getInteger("rillyard.check.depth", 7);
+    private static final int STATES = Integer.getInteger("rillyard.check.states", 40_000);
+    private static final int FAIR_EVERY = 100;
 
-  @Test
-  void noOrderOfThingsBreaksWhatMembersMayRelyOn() {
-    Checker.Result<String> r = new Checker<>(new MemberModel()).walk(DEPTH, STATES, FAIR_EVERY);
-    System.out.println("membership model: " + r);
-    assertThat(r.breach()).as(r.toString()).isNull();
-    assertThat(r.states()).isGreaterThan(20_000);
-  }
+    @Test
+    void noOrderOfThingsBreaksWhatMembersMayRelyOn() {
+        Checker.Result<String> r = new Checker<>(new MemberModel()).walk(DEPTH, STATES, FAIR_EVERY);
+        System.out.println("membership model: " + r);
+        assertThat(r.breach()).as(r.toString()).isNull();
+        assertThat(r.states()).isGreaterThan(20_000);
+    }
 
-  /** Planted: members that make their word about another count for more than its own; m0 is cut off. */
-  @Test
-  void oneWhoSpeaksForAnothersIncarnationIsFoundByTheShortestHistory() {
-    MemberModel planted = new MemberModel(m -> new Message(m.kind(), m.sequence(), m.digest(), m.sender(), m.target(),
-        m.targetAt(), m.news().stream().map(u -> u.status() == Status.SUSPECT
-            ? new Update(u.card(), u.life().next(), u.status(), u.by()) : u).toList()), (from, m) -> !from.equals("m0") && !m.target().equals("m0"));
-    Checker.Result<String> r = new Checker<>(planted).walk(8, STATES, 0);
-    assertThat(r.breach()).as(r.toString()).startsWith("somebody has spoken for another's incarnation");
-    assertThat(r.history()).hasSizeLessThanOrEqualTo(8).contains("time");
-  }
+    /** Planted: members that make their word about another count for more than its own; m0 is cut off. */
+    @Test
+    void oneWhoSpeaksForAnothersIncarnationIsFoundByTheShortestHistory() {
+        MemberModel planted = new MemberModel(
+                m -> new Message(
+                        m.kind(),
+                        m.sequence(),
+                        m.digest(),
+                        m.sender(),
+                        m.target(),
+                        m.targetAt(),
+                        m.news().stream()
+                                .map(u -> u.status() == Status.SUSPECT
+                                        ? new Update(u.card(), u.life().next(), u.status(), u.by())
+                                        : u)
+                                .toList()),
+                (from, m) -> !from.equals("m0") && !m.target().equals("m0"));
+        Checker.Result<String> r = new Checker<>(planted).walk(8, STATES, 0);
+        assertThat(r.breach()).as(r.toString()).startsWith("somebody has spoken for another's incarnation");
+        assertThat(r.history()).hasSizeLessThanOrEqualTo(8).contains("time");
+    }
 
-  /** Planted: m1 and m2 never ask m0 again, and its own questions get lost. */
-  @Test
-  void oneWhoStaysDeadAlthoughItLivesIsFound() {
-    MemberModel planted = new MemberModel(m -> m, (from, m) -> !(m.kind() == Kind.PING && m.target().equals("m0"))
-        && !from.equals("m0"));
-    Checker.Result<String> r = new Checker<>(planted).walk(2, STATES, 1);
-    assertThat(r.breach()).as(r.toString()).startsWith("a live process that is heard stays DEAD");
-    assertThat(r.history()).hasSize(1);
-  }
+    /** Planted: m1 and m2 never ask m0 again, and its own questions get lost. */
+    @Test
+    void oneWhoStaysDeadAlthoughItLivesIsFound() {
+        MemberModel planted = new MemberModel(
+                m -> m, (from, m) -> !(m.kind() == Kind.PING && m.target().equals("m0")) && !from.equals("m0"));
+        Checker.Result<String> r = new Checker<>(planted).walk(2, STATES, 1);
+        assertThat(r.breach()).as(r.toString()).startsWith("a live process that is heard stays DEAD");
+        assertThat(r.history()).hasSize(1);
+    }
 
-  @Test
-  void theWalkIsAlikeEachTime() {
-    Checker.Result<String> one = new Checker<>(new MemberModel()).walk(3, STATES, 0);
-    Checker.Result<String> two = new Checker<>(new MemberModel()).walk(3, STATES, 0);
-    assertThat(one).isEqualTo(two);
-    assertThat(one.whole()).isTrue();
-    assertThat(List.of(one.depth())).containsExactly(3);
-  }
+    @Test
+    void theWalkIsAlikeEachTime() {
+        Checker.Result<String> one = new Checker<>(new MemberModel()).walk(3, STATES, 0);
+        Checker.Result<String> two = new Checker<>(new MemberModel()).walk(3, STATES, 0);
+        assertThat(one).isEqualTo(two);
+        assertThat(one.whole()).isTrue();
+        assertThat(List.of(one.depth())).containsExactly(3);
+    }
 }
--- a/src/test/java/rillyard/member/MembershipTest.java
+++ b/src/test/java/rillyard/member/MembershipTest.java
@@ -9,258 +9,292 @@
 
 /** Whole fleets on a virtual clock; the seeds stand in the calls. */
 class MembershipTest {
-  private static final double S = 1_000;
+    private static final double S = 1_000;
 
-  private static VirtualFleet joined(long seed, int members) {
-    VirtualFleet f = new VirtualFleet(seed, members);
-    assertThat(f.untilAgreed(30 * S)).as("joined").isNotNegative();
-    f.run(5 * S);
-    assertThat(f.deaths).isEmpty();
-    return f;
-  }
+    private static VirtualFleet joined(long seed, int members) {
+        VirtualFleet f = new VirtualFleet(seed, members);
+        assertThat(f.untilAgreed(30 * S)).as("joined").isNotNegative();
+        f.run(5 * S);
+        assertThat(f.deaths).isEmpty();
+        return f;
+    }
 
-  @ParameterizedTest
-  @ValueSource(ints = {2, 10, 50, 200})
-  void allFindEachOtherByThreeSeeds(int members) {
-    joined(1, members);
-  }
+    @ParameterizedTest
+    @ValueSource(ints = {2, 10, 50, 200})
+    void allFindEachOtherByThreeSeeds(int members) {
+        joined(1, members);
+    }
 
-  @ParameterizedTest
-  @ValueSource(doubles = {0, 0.05, 0.3})
-  void aKilledMemberIsHeldDeadByAllAndNobodyElseIs(double loss) {
-    VirtualFleet f = joined(2, 50);
-    f.loss = loss;
-    f.kill(7);
-    assertThat(f.until(40 * S, () -> f.allHold("m7", Status.DEAD))).as("time (ms)").isBetween(0.0, 40 * S);
-    f.run(60 * S);
-    assertThat(f.deaths).containsOnly("m7");
-  }
+    @ParameterizedTest
+    @ValueSource(doubles = {0, 0.05, 0.3})
+    void aKilledMemberIsHeldDeadByAllAndNobodyElseIs(double loss) {
+        VirtualFleet f = joined(2, 50);
+        f.loss = loss;
+        f.kill(7);
+        assertThat(f.until(40 * S, () -> f.allHold("m7", Status.DEAD)))
+                .as("time (ms)")
+                .isBetween(0.0, 40 * S);
+        f.run(60 * S);
+        assertThat(f.deaths).containsOnly("m7");
+    }
 
-  @Test
-  void lossDoublesAndDisorderKillNobodyInTenMinutes() {
-    VirtualFleet f = joined(3, 30);
-    f.loss = 0.3;
-    f.doubled = 0.3;
-    f.delay = 40;
-    f.run(600 * S);
-    assertThat(f.deaths).isEmpty();
-  }
+    @Test
+    void lossDoublesAndDisorderKillNobodyInTenMinutes() {
+        VirtualFleet f = joined(3, 30);
+        f.loss = 0.3;
+        f.doubled = 0.3;
+        f.delay = 40;
+        f.run(600 * S);
+        assertThat(f.deaths).isEmpty();
+    }
 
-  @Test
-  void oneThatStoodStillHasNobodyDeclaredDeadAndIsBackSoon() {
-    VirtualFleet f = joined(4, 40);
-    f.stop(5, 10 * S);
-    f.run(10 * S);
-    assertThat(f.node(6).member.others()).anyMatch(u -> u.card().name().equals("m5") && u.status() == Status.DEAD);
-    assertThat(f.untilAgreed(10 * S)).as("agreed").isNotNegative();
-    assertThat(f.deaths).containsOnly("m5");
-    f.run(20 * S);
-    assertThat(f.deaths).containsOnly("m5");
-  }
+    @Test
+    void oneThatStoodStillHasNobodyDeclaredDeadAndIsBackSoon() {
+        VirtualFleet f = joined(4, 40);
+        f.stop(5, 10 * S);
+        f.run(10 * S);
+        assertThat(f.node(6).member.others()).anyMatch(u -> u.card().name().equals("m5") && u.status() == Status.DEAD);
+        assertThat(f.untilAgreed(10 * S)).as("agreed").isNotNegative();
+        assertThat(f.deaths).containsOnly("m5");
+        f.run(20 * S);
+        assertThat(f.deaths).containsOnly("m5");
+    }
 
-  @Test
-  void halvesThatWereCutApartAreOneAgain() {
-    VirtualFleet f = joined(5, 40);
-    f.links = (a, b) -> half(a) == half(b);
-    f.run(60 * S);
-    assertThat(f.node(0).member.present()).isEqualTo(20);
-    f.links = (a, b) -> true;
-    assertThat(f.untilAgreed(30 * S)).as("agreed").isNotNegative();
-  }
+    @Test
+    void halvesThatWereCutApartAreOneAgain() {
+        VirtualFleet f = joined(5, 40);
+        f.links = (a, b) -> half(a) == half(b);
+        f.run(60 * S);
+        assertThat(f.node(0).member.present()).isEqualTo(20);
+        f.links = (a, b) -> true;
+        assertThat(f.untilAgreed(30 * S)).as("agreed").isNotNegative();
+    }
 
-  @Test
-  void partsThatWereCutInThreeAreOneAgain() {
-    VirtualFleet f = joined(14, 45);
-    f.links = (a, b) -> number(a) % 3 == number(b) % 3;
-    f.run(60 * S);
-    assertThat(f.node(0).member.present()).isEqualTo(15);
-    f.links = (a, b) -> true;
-    assertThat(f.untilAgreed(30 * S)).as("agreed").isNotNegative();
-  }
+    @Test
+    void partsThatWereCutInThreeAreOneAgain() {
+        VirtualFleet f = joined(14, 45);
+        f.links = (a, b) -> number(a) % 3 == number(b) % 3;
+        f.run(60 * S);
+        assertThat(f.node(0).member.present()).isEqualTo(15);
+        f.links = (a, b) -> true;
+        assertThat(f.untilAgreed(30 * S)).as("agreed").isNotNegative();
+    }
 
-  /** Between two members that costs nobody its life; all links of one may cost its own, and it is back. */
-  @Test
-  void linksThatFlapEverySecondForAMinuteTakeNobodyElse() {
-    VirtualFleet f = joined(15, 40);
-    f.links = (a, b) -> !(a.equals("m3") && b.equals("m9") || a.equals("m9") && b.equals("m3")) || (long) (f.now / S) % 2 == 0;
-    f.run(60 * S);
-    assertThat(f.deaths).isEmpty();
-    f.links = (a, b) -> !a.equals("m9") && !b.equals("m9") || (long) (f.now / S) % 2 == 0;
-    f.run(60 * S);
-    assertThat(f.deaths.stream().filter(d -> !d.equals("m9"))).isEmpty();
-    f.links = (a, b) -> true;
-    assertThat(f.untilAgreed(30 * S)).as("agreed").isNotNegative();
-  }
+    /** Between two members that costs nobody its life; all links of one may cost its own, and it is back. */
+    @Test
+    void linksThatFlapEverySecondForAMinuteTakeNobodyElse() {
+        VirtualFleet f = joined(15, 40);
+        f.links = (a, b) ->
+                !(a.equals("m3") && b.equals("m9") || a.equals("m9") && b.equals("m3")) || (long) (f.now / S) % 2 == 0;
+        f.run(60 * S);
+        assertThat(f.deaths).isEmpty();
+        f.links = (a, b) -> !a.equals("m9") && !b.equals("m9") || (long) (f.now / S) % 2 == 0;
+        f.run(60 * S);
+        assertThat(f.deaths.stream().filter(d -> !d.equals("m9"))).isEmpty();
+        f.links = (a, b) -> true;
+        assertThat(f.untilAgreed(30 * S)).as("agreed").isNotNegative();
+    }
 
-  @Test
-  void twoHundredRestartedWithinASecondAreOneFleetAgain() {
-    VirtualFleet f = joined(16, 200);
-    for (int i = 0; i < 200; i++) {
-      f.kill(i);
-      f.run(5);
-      f.start(i);
+    @Test
+    void twoHundredRestartedWithinASecondAreOneFleetAgain() {
+        VirtualFleet f = joined(16, 200);
+        for (int i = 0; i < 200; i++) {
+            f.kill(i);
+            f.run(5);
+            f.start(i);
+        }
+        assertThat(f.untilAgreed(30 * S)).as("agreed").isNotNegative();
+        assertThat(f.deaths).isEmpty();
     }
-    assertThat(f.untilAgreed(30 * S)).as("agreed").isNotNegative();
-    assertThat(f.deaths).isEmpty();
-  }
 
-  @Test
-  void aRollingRestartATenthAtATimeCostsNobodyElseItsLife() {
-    VirtualFleet f = joined(17, 60);
-    for (int tenth = 0; tenth < 10; tenth++) {
-      for (int i = tenth; i < 60; i += 10) {
-        f.kill(i);
-      }
-      f.run(3 * S);
-      for (int i = tenth; i < 60; i += 10) {
-        f.start(i);
-      }
-      f.run(2 * S);
+    @Test
+    void aRollingRestartATenthAtATimeCostsNobodyElseItsLife() {
+        VirtualFleet f = joined(17, 60);
+        for (int tenth = 0; tenth < 10; tenth++) {
+            for (int i = tenth; i < 60; i += 10) {
+                f.kill(i);
+            }
+            f.run(3 * S);
+            for (int i = tenth; i < 60; i += 10) {
+                f.start(i);
+            }
+            f.run(2 * S);
+        }
+        assertThat(f.untilAgreed(30 * S)).as("agreed").isNotNegative();
+        assertThat(f.deaths).isEmpty();
     }
-    assertThat(f.untilAgreed(30 * S)).as("agreed").isNotNegative();
-    assertThat(f.deaths).isEmpty();
-  }
 
-  /** The word that it lives passes one by, who alone can ask it; the others' words don't come to that one. */
-  @ParameterizedTest
-  @ValueSource(longs = {20, 23})
-  void aSuspectWhoseWordDoesNotComeRoundIsAskedBeforeItsTimeIsUp(long seed) {
-    VirtualFleet f = joined(seed, 200);
-    VirtualFleet.Node one = f.node(9);
-    f.links = (a, b) -> !a.equals("m9") && !b.equals("m9") || a.equals("m4") || b.equals("m4");
-    Update m4 = f.node(4).member.self();
-    Update suspect = new Update(m4.card(), m4.life(), Status.SUSPECT, Update.by("m5"));
-    one.member.received(f.now, f.node(5).at,
-        new Message(Message.Kind.NEWS, 0, 0, f.node(5).member.self(), "", null, List.of(suspect)));
-    assertThat(one.member.others()).contains(suspect);
-    f.run(40 * S);
-    assertThat(one.changes.stream().filter(c -> c.now().status() == Status.DEAD).map(c -> c.now().card().name()))
-        .doesNotContain("m4");
-    assertThat(f.node(4).member.self().life().incarnation()).isPositive();
-  }
+    /** The word that it lives passes one by, who alone can ask it; the others' words don't come to that one. */
+    @ParameterizedTest
+    @ValueSource(longs = {20, 23})
+    void aSuspectWhoseWordDoesNotComeRoundIsAskedBeforeItsTimeIsUp(long seed) {
+        VirtualFleet f = joined(seed, 200);
+        VirtualFleet.Node one = f.node(9);
+        f.links = (a, b) -> !a.equals("m9") && !b.equals("m9") || a.equals("m4") || b.equals("m4");
+        Update m4 = f.node(4).member.self();
+        Update suspect = new Update(m4.card(), m4.life(), Status.SUSPECT, Update.by("m5"));
+        one.member.received(
+                f.now,
+                f.node(5).at,
+                new Message(Message.Kind.NEWS, 0, 0, f.node(5).member.self(), "", null, List.of(suspect)));
+        assertThat(one.member.others()).contains(suspect);
+        f.run(40 * S);
+        assertThat(one.changes.stream()
+                        .filter(c -> c.now().status() == Status.DEAD)
+                        .map(c -> c.now().card().name()))
+                .doesNotContain("m4");
+        assertThat(f.node(4).member.self().life().incarnation()).isPositive();
+    }
 
-  private static int number(String name) {
-    return Integer.parseInt(name.substring(1));
-  }
+    private static int number(String name) {
+        return Integer.parseInt(name.substring(1));
+    }
 
-  private static int half(String name) {
-    return Integer.parseInt(name.substring(1)) % 2;
-  }
+    private static int half(String name) {
+        return Integer.parseInt(name.substring(1)) % 2;
+    }
 
-  /** Heard by none: the fleet holds it dead. Hearing none: it may hold others dead, but takes nobody with it. */
-  @ParameterizedTest
-  @ValueSource(booleans = {true, false})
-  void oneWayDeafnessCostsNobodyElseItsLife(boolean heardByNone) {
-    VirtualFleet f = joined(6, 40);
-    f.links = (a, b) -> !(heardByNone ? a : b).equals("m9");
-    f.run(60 * S);
-    for (int i = 0; i < 40; i++) {
-      if (i != 9) {
-        assertThat(f.node(i).member.present()).as("members that m%d holds", i).isGreaterThanOrEqualTo(39);
-      }
+    /** Heard by none: the fleet holds it dead. Hearing none: it may hold others dead, but takes nobody with it. */
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
+    void oneWayDeafnessCostsNobodyElseItsLife(boolean heardByNone) {
+        VirtualFleet f = joined(6, 40);
+        f.links = (a, b) -> !(heardByNone ? a : b).equals("m9");
+        f.run(60 * S);
+        for (int i = 0; i < 40; i++) {
+            if (i != 9) {
+                assertThat(f.node(i).member.present())
+                        .as("members that m%d holds", i)
+                        .isGreaterThanOrEqualTo(39);
+            }
+        }
+        f.links = (a, b) -> true;
+        assertThat(f.untilAgreed(30 * S)).as("agreed").isNotNegative();
     }
-    f.links = (a, b) -> true;
-    assertThat(f.untilAgreed(30 * S)).as("agreed").isNotNegative();
-  }
 
-  @Test
-  void seventyOfAHundredKilledAtOnceAreHeldDeadAndTheRestLives() {
-    VirtualFleet f = joined(7, 100);
-    for (int i = 0; i < 70; i++) {
-      f.kill(i);
+    @Test
+    void seventyOfAHundredKilledAtOnceAreHeldDeadAndTheRestLives() {
+        VirtualFleet f = joined(7, 100);
+        for (int i = 0; i < 70; i++) {
+            f.kill(i);
+        }
+        assertThat(f.untilAgreed(120 * S)).as("agreed").isNotNegative();
+        assertThat(f.deaths).doesNotContain("m70", "m85", "m99");
     }
-    assertThat(f.untilAgreed(120 * S)).as("agreed").isNotNegative();
-    assertThat(f.deaths).doesNotContain("m70", "m85", "m99");
-  }
 
-  @Test
-  void aNewLifeUnderTheOldNameAndAddressIsHeldAtOnceAndAnOldWordChangesNothing() {
-    VirtualFleet f = joined(8, 20);
-    Update old = f.node(4).member.self();
-    f.kill(4);
-    f.run(1 * S);
-    f.start(4);
-    assertThat(f.untilAgreed(10 * S)).as("agreed").isNotNegative();
-    f.run(30 * S);
-    Update now = f.node(4).member.self();
-    assertThat(now.life().start()).isGreaterThan(old.life().start());
-    Membership other = f.node(5).member;
-    for (Status s : Status.values()) {
-      Update late = new Update(old.card(), old.life(), s, old.by());
-      other.received(f.now, f.node(6).at,
-          new Message(Message.Kind.NEWS, 0, 0, f.node(6).member.self(), "", null, List.of(late)));
+    @Test
+    void aNewLifeUnderTheOldNameAndAddressIsHeldAtOnceAndAnOldWordChangesNothing() {
+        VirtualFleet f = joined(8, 20);
+        Update old = f.node(4).member.self();
+        f.kill(4);
+        f.run(1 * S);
+        f.start(4);
+        assertThat(f.untilAgreed(10 * S)).as("agreed").isNotNegative();
+        f.run(30 * S);
+        Update now = f.node(4).member.self();
+        assertThat(now.life().start()).isGreaterThan(old.life().start());
+        Membership other = f.node(5).member;
+        for (Status s : Status.values()) {
+            Update late = new Update(old.card(), old.life(), s, old.by());
+            other.received(
+                    f.now,
+                    f.node(6).at,
+                    new Message(Message.Kind.NEWS, 0, 0, f.node(6).member.self(), "", null, List.of(late)));
+        }
+        assertThat(other.others()).contains(now);
     }
-    assertThat(other.others()).contains(now);
-  }
 
-  @Test
-  void aProcessWhoseClockWasSetBackBetweenItsLivesIsBackAllTheSame() {
-    VirtualFleet f = joined(12, 10);
-    f.kill(4);
-    f.run(1 * S);
-    f.clock -= 600_000;
-    f.start(4);
-    f.clock += 600_000;
-    assertThat(f.untilAgreed(30 * S)).as("agreed").isNotNegative();
-  }
+    @Test
+    void aProcessWhoseClockWasSetBackBetweenItsLivesIsBackAllTheSame() {
+        VirtualFleet f = joined(12, 10);
+        f.kill(4);
+        f.run(1 * S);
+        f.clock -= 600_000;
+        f.start(4);
+        f.clock += 600_000;
+        assertThat(f.untilAgreed(30 * S)).as("agreed").isNotNegative();
+    }
 
-  @Test
-  void oneThatLeavesIsGoneWithoutBeingSuspected() {
-    VirtualFleet f = joined(9, 20);
-    f.node(3).member.leave(f.now);
-    f.kill(3);
-    assertThat(f.untilAgreed(5 * S)).as("agreed").isNotNegative();
-    assertThat(f.deaths).isEmpty();
-  }
+    @Test
+    void oneThatLeavesIsGoneWithoutBeingSuspected() {
+        VirtualFleet f = joined(9, 20);
+        f.node(3).member.leave(f.now);
+        f.kill(3);
+        assertThat(f.untilAgreed(5 * S)).as("agreed").isNotNegative();
+        assertThat(f.deaths).isEmpty();
+    }
 
-  @Test
-  void aLiarCanNeitherKillForLongNorSpeakForOthersNorUseUpTheIncarnations() {
-    VirtualFleet f = joined(10, 20);
-    VirtualFleet.Node liar = f.node(0);
-    VirtualFleet.Node victim = f.node(1);
-    for (int round = 0; round < 50; round++) {
-      for (VirtualFleet.Node n : f.nodes.values()) {
-        Update dead = new Update(victim.member.self().card(), victim.member.self().life(), Status.DEAD, 1);
-        Update end = new Update(dead.card(), new Life(dead.life().start(), Life.MAX_INCARNATION), Status.DEAD, 1);
-        Update future = new Update(dead.card(), new Life(Life.MAX_START, 0), Status.DEAD, 1);
-        if (n != liar) {
-          n.member.received(f.now - n.startedAt, liar.at,
-              new Message(Message.Kind.NEWS, 0, 0, liar.member.self(), "", null, List.of(dead, end, future)));
-          // In the name of another, from the liar's own place.
-          n.member.received(f.now - n.startedAt, liar.at,
-              new Message(Message.Kind.NEWS, 0, 0, new Update(f.node(2).member.self().card(),
-                  new Life(f.node(2).member.self().life().start(), 9), Status.LEFT, 1), "", null, List.of()));
+    @Test
+    void aLiarCanNeitherKillForLongNorSpeakForOthersNorUseUpTheIncarnations() {
+        VirtualFleet f = joined(10, 20);
+        VirtualFleet.Node liar = f.node(0);
+        VirtualFleet.Node victim = f.node(1);
+        for (int round = 0; round < 50; round++) {
+            for (VirtualFleet.Node n : f.nodes.values()) {
+                Update dead = new Update(
+                        victim.member.self().card(), victim.member.self().life(), Status.DEAD, 1);
+                Update end =
+                        new Update(dead.card(), new Life(dead.life().start(), Life.MAX_INCARNATION), Status.DEAD, 1);
+                Update future = new Update(dead.card(), new Life(Life.MAX_START, 0), Status.DEAD, 1);
+                if (n != liar) {
+                    n.member.received(
+                            f.now - n.startedAt,
+                            liar.at,
+                            new Message(
+                                    Message.Kind.NEWS, 0, 0, liar.member.self(), "", null, List.of(dead, end, future)));
+                    // In the name of another, from the liar's own place.
+                    n.member.received(
+                            f.now - n.startedAt,
+                            liar.at,
+                            new Message(
+                                    Message.Kind.NEWS,
+                                    0,
+                                    0,
+                                    new Update(
+                                            f.node(2).member.self().card(),
+                                            new Life(
+                                                    f.node(2)
+                                                            .member
+                                                            .self()
+                                                            .life()
+                                                            .start(),
+                                                    9),
+                                            Status.LEFT,
+                                            1),
+                                    "",
+                                    null,
+                                    List.of()));
+                }
+            }
+            f.run(100);
         }
-      }
-      f.run(100);
+        assertThat(f.untilAgreed(15 * S)).as("agreed").isNotNegative();
+        assertThat(victim.member.self().life().incarnation()).isBetween(1, 200);
+        assertThat(f.node(2).member.self().life().incarnation()).isZero();
     }
-    assertThat(f.untilAgreed(15 * S)).as("agreed").isNotNegative();
-    assertThat(victim.member.self().life().incarnation()).isBetween(1, 200);
-    assertThat(f.node(2).member.self().life().incarnation()).isZero();
-  }
 
-  /** Its successor has another address: nobody writes to the old one any more, until it writes itself. */
-  @Test
-  void oneThatWasReplacedWhileItStoodStillFallsSilentSoonAfterItWakes() {
-    VirtualFleet f = joined(13, 20);
-    VirtualFleet.Node old = f.node(4);
-    f.stop(4, 20 * S);
-    f.run(10 * S);
-    VirtualFleet.Node successor = f.startElsewhere(4, 90);
-    f.run(10 * S);
-    assertThat(f.until(10 * S, old.member::over)).as("time (ms)").isNotNegative();
-    assertThat(successor.member.over()).isFalse();
-    f.run(10 * S);
-    assertThat(f.node(6).member.others()).contains(successor.member.self());
-  }
+    /** Its successor has another address: nobody writes to the old one any more, until it writes itself. */
+    @Test
+    void oneThatWasReplacedWhileItStoodStillFallsSilentSoonAfterItWakes() {
+        VirtualFleet f = joined(13, 20);
+        VirtualFleet.Node old = f.node(4);
+        f.stop(4, 20 * S);
+        f.run(10 * S);
+        VirtualFleet.Node successor = f.startElsewhere(4, 90);
+        f.run(10 * S);
+        assertThat(f.until(10 * S, old.member::over)).as("time (ms)").isNotNegative();
+        assertThat(successor.member.over()).isFalse();
+        f.run(10 * S);
+        assertThat(f.node(6).member.others()).contains(successor.member.self());
+    }
 
-  @Test
-  void aLaterProcessOfTheSameNameSilencesTheOldOneThatWakes() {
-    VirtualFleet f = joined(11, 10);
-    Membership old = f.node(2).member;
-    Card moved = new Card("m2", new Endpoint(0x7F00FF01, 4_000), 0, 0);
-    Update later = new Update(moved, new Life(old.self().life().start() + 20_000, 0), Status.ALIVE, 1);
-    old.received(f.now, moved.at(), new Message(Message.Kind.PING, 1, 0, later, "", null, List.of()));
-    assertThat(old.over()).isTrue();
-  }
+    @Test
+    void aLaterProcessOfTheSameNameSilencesTheOldOneThatWakes() {
+        VirtualFleet f = joined(11, 10);
+        Membership old = f.node(2).member;
+        Card moved = new Card("m2", new Endpoint(0x7F00FF01, 4_000), 0, 0);
+        Update later = new Update(moved, new Life(old.self().life().start() + 20_000, 0), Status.ALIVE, 1);
+        old.received(f.now, moved.at(), new Message(Message.Kind.PING, 1, 0, later, "", null, List.of()));
+        assertThat(old.over()).isTrue();
+    }
 }
--- a/src/test/java/rillyard/member/VirtualFleet.java
+++ b/src/test/java/rillyard/member/VirtualFleet.java
@@ -14,221 +14,233 @@
 
 /** Members on a virtual clock, every datagram written to bytes and read again, with faults between them. */
 final class VirtualFleet {
-  /** Unix time (ms) at which the clock begins. */
-  private static final long BEGIN = 1_700_000_000_000L;
+    /** Unix time (ms) at which the clock begins. */
+    private static final long BEGIN = 1_700_000_000_000L;
+
+    private static final double TICK = 20;
+
+    private record Event(double at, long order, Runnable what) {}
+
+    /** One process. */
+    final class Node implements Membership.Out {
+        final String name;
+        final double startedAt = now;
+        final Endpoint at;
+        final Membership member;
+        final List<Change> changes = new ArrayList<>();
+        double stoppedUntil;
+        boolean dead;
+
+        Node(String name, int index) {
+            this.name = name;
+            this.at = new Endpoint(0x7F000001 + index, 4_000);
+            this.member = new Membership(
+                    settings,
+                    new Card(name, at, index % 3, 0),
+                    BEGIN + (long) now + clock,
+                    seeds,
+                    random.split(),
+                    this);
+        }
+
+        private double time() {
+            return now - startedAt;
+        }
+
+        private void tick() {
+            if (!dead) {
+                if (now >= stoppedUntil) {
+                    member.tick(time());
+                }
+                after(TICK * (0.9 + 0.2 * random.nextDouble()), this::tick);
+            }
+        }
+
+        @Override
+        public void send(Endpoint to, Message m) {
+            byte[] bytes = Codec.encode(m, Codec.MAX_BYTES);
+            sent++;
+            sentBytes += bytes.length;
+            int copies = random.nextDouble() < loss ? 0 : random.nextDouble() < doubled ? 2 : 1;
+            for (int i = 0; i < copies; i++) {
+                after(0.2 + random.nextDouble() * delay, () -> deliver(to, bytes));
+            }
+        }
+
+        private void deliver(Endpoint to, byte[] bytes) {
+            Node n = byAddress.get(to);
+            if (n == null || n.dead || !links.test(name, n.name)) {
+                return;
+            }
+            if (now < n.stoppedUntil) {
+                after(n.stoppedUntil - now + 0.1, () -> deliver(to, bytes)); // it lies in its socket
+            } else {
+                n.member.received(n.time(), at, shared(Codec.decode(bytes)));
+            }
+        }
+
+        @Override
+        public void changed(Change c) {
+            if (large) {
+                deaths.addAll(
+                        c.now().status() == Status.DEAD ? List.of(c.now().card().name()) : List.of());
+                return;
+            }
+            changes.add(c);
+            history.add(name + " holds " + c.now().card().name() + " " + c.now().status() + " at " + (long) now);
+            if (c.now().status() == Status.DEAD) {
+                deaths.add(c.now().card().name());
+            }
+        }
+    }
+
+    final MemberSettings settings;
+    final SplittableRandom random;
+    final List<String> history = new ArrayList<>();
+    /** Names that anyone came to hold dead, once for each who did. */
+    final List<String> deaths = new ArrayList<>();
+
+    final Map<String, Node> nodes = new LinkedHashMap<>();
+    private final Map<Endpoint, Node> byAddress = new HashMap<>();
+    private final List<Endpoint> seeds = new ArrayList<>();
+    private final Map<Update, Update> words = new HashMap<>();
+    /** No histories are kept then. */
+    private final boolean large;
+
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>((a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private long order;
+    double now;
+    /** What the wall clock is ahead by (ms), at the start of the next process. */
+    long clock;
+
+    double loss;
+    double doubled;
+    double delay = 2;
+    long sent;
+    long sentBytes;
+    BiPredicate<String, String> links = (from, to) -> true;
+
+    VirtualFleet(long seed, int members) {
+        this(seed, members, MemberSettings.USUAL);
+    }
+
+    VirtualFleet(long seed, int members, MemberSettings settings) {
+        this.random = new SplittableRandom(seed);
+        this.settings = settings;
+        this.large = members > 500;
+        for (int i = 0; i < Math.min(3, members); i++) {
+            seeds.add(new Endpoint(0x7F000001 + i, 4_000));
+        }
+        for (int i = 0; i < members; i++) {
+            start(i);
+        }
+    }
+
+    static String name(int i) {
+        return "m" + i;
+    }
 
-  private static final double TICK = 20;
+    Node node(int i) {
+        return nodes.get(name(i));
+    }
 
-  private record Event(double at, long order, Runnable what) {}
+    /** Starts member {@code i}, also in the place of one that ended. */
+    Node start(int i) {
+        return startElsewhere(i, i);
+    }
+
+    /** Starts a process of that member's name at the address that member {@code place} would have. */
+    Node startElsewhere(int i, int place) {
+        Node n = new Node(name(i), place);
+        nodes.put(n.name, n);
+        byAddress.put(n.at, n);
+        after(random.nextDouble() * TICK, n::tick);
+        return n;
+    }
 
-  /** One process. */
-  final class Node implements Membership.Out {
-    final String name;
-    final double startedAt = now;
-    final Endpoint at;
-    final Membership member;
-    final List<Change> changes = new ArrayList<>();
-    double stoppedUntil;
-    boolean dead;
+    void kill(int i) {
+        node(i).dead = true;
+    }
 
-    Node(String name, int index) {
-      this.name = name;
-      this.at = new Endpoint(0x7F000001 + index, 4_000);
-      this.member =
-          new Membership(settings, new Card(name, at, index % 3, 0), BEGIN + (long) now + clock, seeds, random.split(), this);
+    void stop(int i, double ms) {
+        node(i).stoppedUntil = now + ms;
     }
 
-    private double time() {
-      return now - startedAt;
+    void after(double ms, Runnable what) {
+        events.add(new Event(now + ms, order++, what));
     }
 
-    private void tick() {
-      if (!dead) {
-        if (now >= stoppedUntil) {
-          member.tick(time());
+    /** In large fleets all members hold one object for one word: millions of them would not fit otherwise. */
+    private Message shared(Message m) {
+        if (!large) {
+            return m;
         }
-        after(TICK * (0.9 + 0.2 * random.nextDouble()), this::tick);
-      }
-    }
-
-    @Override
-    public void send(Endpoint to, Message m) {
-      byte[] bytes = Codec.encode(m, Codec.MAX_BYTES);
-      sent++;
-      sentBytes += bytes.length;
-      int copies = random.nextDouble() < loss ? 0 : random.nextDouble() < doubled ? 2 : 1;
-      for (int i = 0; i < copies; i++) {
-        after(0.2 + random.nextDouble() * delay, () -> deliver(to, bytes));
-      }
-    }
-
-    private void deliver(Endpoint to, byte[] bytes) {
-      Node n = byAddress.get(to);
-      if (n == null || n.dead || !links.test(name, n.name)) {
-        return;
-      }
-      if (now < n.stoppedUntil) {
-        after(n.stoppedUntil - now + 0.1, () -> deliver(to, bytes)); // it lies in its socket
-      } else {
-        n.member.received(n.time(), at, shared(Codec.decode(bytes)));
-      }
-    }
-
-    @Override
-    public void changed(Change c) {
-      if (large) {
-        deaths.addAll(c.now().status() == Status.DEAD ? List.of(c.now().card().name()) : List.of());
-        return;
-      }
-      changes.add(c);
-      history.add(name + " holds " + c.now().card().name() + " " + c.now().status() + " at " + (long) now);
-      if (c.now().status() == Status.DEAD) {
-        deaths.add(c.now().card().name());
-      }
-    }
-  }
-
-  final MemberSettings settings;
-  final SplittableRandom random;
-  final List<String> history = new ArrayList<>();
-  /** Names that anyone came to hold dead, once for each who did. */
-  final List<String> deaths = new ArrayList<>();
-  final Map<String, Node> nodes = new LinkedHashMap<>();
-  private final Map<Endpoint, Node> byAddress = new HashMap<>();
-  private final List<Endpoint> seeds = new ArrayList<>();
-  private final Map<Update, Update> words = new HashMap<>();
-  /** No histories are kept then. */
-  private final boolean large;
-  private final PriorityQueue<Event> events =
-      new PriorityQueue<>((a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
-  private long order;
-  double now;
-  /** What the wall clock is ahead by (ms), at the start of the next process. */
-  long clock;
-  double loss;
-  double doubled;
-  double delay = 2;
-  long sent;
-  long sentBytes;
-  BiPredicate<String, String> links = (from, to) -> true;
-
-  VirtualFleet(long seed, int members) {
-    this(seed, members, MemberSettings.USUAL);
-  }
-
-  VirtualFleet(long seed, int members, MemberSettings settings) {
-    this.random = new SplittableRandom(seed);
-    this.settings = settings;
-    this.large = members > 500;
-    for (int i = 0; i < Math.min(3, members); i++) {
-      seeds.add(new Endpoint(0x7F000001 + i, 4_000));
-    }
-    for (int i = 0; i < members; i++) {
-      start(i);
-    }
-  }
-
-  static String name(int i) {
-    return "m" + i;
-  }
-
-  Node node(int i) {
-    return nodes.get(name(i));
-  }
-
-  /** Starts member {@code i}, also in the place of one that ended. */
-  Node start(int i) {
-    return startElsewhere(i, i);
-  }
-
-  /** Starts a process of that member's name at the address that member {@code place} would have. */
-  Node startElsewhere(int i, int place) {
-    Node n = new Node(name(i), place);
-    nodes.put(n.name, n);
-    byAddress.put(n.at, n);
-    after(random.nextDouble() * TICK, n::tick);
-    return n;
-  }
-
-  void kill(int i) {
-    node(i).dead = true;
-  }
-
-  void stop(int i, double ms) {
-    node(i).stoppedUntil = now + ms;
-  }
-
-  void after(double ms, Runnable what) {
-    events.add(new Event(now + ms, order++, what));
-  }
-
-  /** In large fleets all members hold one object for one word: millions of them would not fit otherwise. */
-  private Message shared(Message m) {
-    if (!large) {
-      return m;
-    }
-    List<Update> news = m.news().stream().map(this::shared).toList();
-    return new Message(m.kind(), m.sequence(), m.digest(), shared(m.sender()), m.target(), m.targetAt(), news, m.facts());
-  }
-
-  private Update shared(Update u) {
-    return words.computeIfAbsent(u, w -> w);
-  }
-
-  /** Lets time pass. */
-  void run(double ms) {
-    double until = now + ms;
-    Event e;
-    while ((e = events.peek()) != null && e.at <= until) {
-      events.poll();
-      now = e.at;
-      e.what.run();
-    }
-    now = until;
-  }
-
-  /** Lets time pass until all that live hold just those that live; returns how long it took, or -1. */
-  double untilAgreed(double most) {
-    return until(most, this::agreed);
-  }
-
-  /** Lets time pass until this holds; returns how long it took, or -1. */
-  double until(double most, BooleanSupplier what) {
-    double from = now;
-    while (now - from < most) {
-      if (what.getAsBoolean()) {
-        return now - from;
-      }
-      run(50);
-    }
-    return -1;
-  }
-
-  /** Whether all that live hold this of one member. */
-  boolean allHold(String name, Status status) {
-    return nodes.values().stream().filter(n -> !n.dead && !n.name.equals(name)).allMatch(
-        n -> n.member.others().stream().anyMatch(u -> u.card().name().equals(name) && u.status() == status));
-  }
-
-  boolean agreed() {
-    Set<String> living = new HashSet<>();
-    nodes.values().stream().filter(n -> !n.dead).forEach(n -> living.add(n.name));
-    for (Node n : nodes.values()) {
-      if (!n.dead) {
-        Set<String> held = new HashSet<>();
-        for (Update u : n.member.others()) {
-          if (u.status() == Status.SUSPECT) {
-            return false;
-          } else if (u.status() == Status.ALIVE) {
-            held.add(u.card().name());
-          }
+        List<Update> news = m.news().stream().map(this::shared).toList();
+        return new Message(
+                m.kind(), m.sequence(), m.digest(), shared(m.sender()), m.target(), m.targetAt(), news, m.facts());
+    }
+
+    private Update shared(Update u) {
+        return words.computeIfAbsent(u, w -> w);
+    }
+
+    /** Lets time pass. */
+    void run(double ms) {
+        double until = now + ms;
+        Event e;
+        while ((e = events.peek()) != null && e.at <= until) {
+            events.poll();
+            now = e.at;
+            e.what.run();
         }
-        held.add(n.name);
-        if (!held.equals(living)) {
-          return false;
+        now = until;
+    }
+
+    /** Lets time pass until all that live hold just those that live; returns how long it took, or -1. */
+    double untilAgreed(double most) {
+        return until(most, this::agreed);
+    }
+
+    /** Lets time pass until this holds; returns how long it took, or -1. */
+    double until(double most, BooleanSupplier what) {
+        double from = now;
+        while (now - from < most) {
+            if (what.getAsBoolean()) {
+                return now - from;
+            }
+            run(50);
+        }
+        return -1;
+    }
+
+    /** Whether all that live hold this of one member. */
+    boolean allHold(String name, Status status) {
+        return nodes.values().stream()
+                .filter(n -> !n.dead && !n.name.equals(name))
+                .allMatch(n ->
+                        n.member.others().stream().anyMatch(u -> u.card().name().equals(name) && u.status() == status));
+    }
+
+    boolean agreed() {
+        Set<String> living = new HashSet<>();
+        nodes.values().stream().filter(n -> !n.dead).forEach(n -> living.add(n.name));
+        for (Node n : nodes.values()) {
+            if (!n.dead) {
+                Set<String> held = new HashSet<>();
+                for (Update u : n.member.others()) {
+                    if (u.status() == Status.SUSPECT) {
+                        return false;
+                    } else if (u.status() == Status.ALIVE) {
+                        held.add(u.card().name());
+                    }
+                }
+                held.add(n.name);
+                if (!held.equals(living)) {
+                    return false;
+                }
+            }
         }
-      }
+        return true;
     }
-    return true;
-  }
 }
--- a/src/test/java/rillyard/member/net/AdminTest.java
+++ b/src/test/java/rillyard/member/net/AdminTest.java
@@ -25,76 +25,98 @@
 /** Two members over sockets, asked what they hold. */
 @Timeout(30)
 class AdminTest {
-  @TempDir Path folder;
+    @TempDir
+    Path folder;
 
-  private FleetSettings settings(String name, int port, int seed, int admin) throws Exception {
-    Path file = folder.resolve(name + ".toml");
-    Files.writeString(file, "seeds = \"127.0.0.1:" + seed + "\"\n[self]\nname = \"" + name + "\"\nlisten = \"127.0.0.1:" + port
-        + "\"\nadmin = \"127.0.0.1:" + admin + "\"\n[membership]\ninterval_ms = 100\ntimeout_ms = 40\n");
-    return FleetFile.read(file, Map.of());
-  }
+    private FleetSettings settings(String name, int port, int seed, int admin) throws Exception {
+        Path file = folder.resolve(name + ".toml");
+        Files.writeString(
+                file,
+                "seeds = \"127.0.0.1:" + seed + "\"\n[self]\nname = \"" + name + "\"\nlisten = \"127.0.0.1:" + port
+                        + "\"\nadmin = \"127.0.0.1:" + admin
+                        + "\"\n[membership]\ninterval_ms = 100\ntimeout_ms = 40\n");
+        return FleetFile.read(file, Map.of());
+    }
 
-  private static int[] freePorts() throws IOException {
-    InetAddress at = InetAddress.getByName("127.0.0.1");
-    try (DatagramSocket a = new DatagramSocket(0, at); DatagramSocket b = new DatagramSocket(0, at);
-        ServerSocket c = new ServerSocket(0, 1, at); ServerSocket d = new ServerSocket(0, 1, at)) {
-      return new int[] {a.getLocalPort(), b.getLocalPort(), c.getLocalPort(), d.getLocalPort()};
+    private static int[] freePorts() throws IOException {
+        InetAddress at = InetAddress.getByName("127.0.0.1");
+        try (DatagramSocket a = new DatagramSocket(0, at);
+                DatagramSocket b = new DatagramSocket(0, at);
+                ServerSocket c = new ServerSocket(0, 1, at);
+                ServerSocket d = new ServerSocket(0, 1, at)) {
+            return new int[] {a.getLocalPort(), b.getLocalPort(), c.getLocalPort(), d.getLocalPort()};
+        }
     }
-  }
 
-  @Test
-  void tellsWhoLivesSinceWhenByWhomAndWhatItCosts() throws Exception {
-    int[] p = freePorts();
-    InetSocketAddress admin = new InetSocketAddress("127.0.0.1", p[2]);
-    try (FleetMember a = new FleetMember(settings("a", p[0], p[1], p[2]), 1, System.err)) {
-      a.start();
-      try (FleetMember b = new FleetMember(settings("b", p[1], p[0], p[3]), 2, System.err)) {
-        b.start();
-        JsonNode view = AdminClient.ask(admin);
-        while (view.path("present").asInt() < 2) {
-          view = AdminClient.ask(admin);
+    @Test
+    void tellsWhoLivesSinceWhenByWhomAndWhatItCosts() throws Exception {
+        int[] p = freePorts();
+        InetSocketAddress admin = new InetSocketAddress("127.0.0.1", p[2]);
+        try (FleetMember a = new FleetMember(settings("a", p[0], p[1], p[2]), 1, System.err)) {
+            a.start();
+            try (FleetMember b = new FleetMember(settings("b", p[1], p[0], p[3]), 2, System.err)) {
+                b.start();
+                JsonNode view = AdminClient.ask(admin);
+                while (view.path("present").asInt() < 2) {
+                    view = AdminClient.ask(admin);
+                }
+                JsonNode of = view.path("members").path(0);
+                assertThat(of.path("name").asText()).isEqualTo("b");
+                assertThat(of.path("by").asText()).isEqualTo("b");
+                assertThat(of.path("since").asLong())
+                        .isBetween(
+                                view.path("self").path("start").asLong(),
+                                view.path("at").asLong());
+                assertThat(view.path("costs").path("datagrams_received").asLong())
+                        .isPositive();
+                StringWriter out = new StringWriter();
+                int rc = Cli.run(
+                        new PrintWriter(out, true),
+                        new PrintWriter(out, true),
+                        "members",
+                        "--admin",
+                        "127.0.0.1:" + p[2]);
+                assertThat(rc).as(out.toString()).isEqualTo(Cli.DONE);
+                assertThat(out.toString()).contains("a holds 2 present", "ALIVE", "datagrams");
+            }
+            while (!AdminClient.ask(admin)
+                    .path("members")
+                    .path(0)
+                    .path("status")
+                    .asText()
+                    .equals("LEFT")) {
+                Thread.onSpinWait();
+            }
+            assertThat(AdminClient.ask(admin).path("present").asInt()).isEqualTo(1);
         }
-        JsonNode of = view.path("members").path(0);
-        assertThat(of.path("name").asText()).isEqualTo("b");
-        assertThat(of.path("by").asText()).isEqualTo("b");
-        assertThat(of.path("since").asLong()).isBetween(view.path("self").path("start").asLong(), view.path("at").asLong());
-        assertThat(view.path("costs").path("datagrams_received").asLong()).isPositive();
-        StringWriter out = new StringWriter();
-        int rc = Cli.run(new PrintWriter(out, true), new PrintWriter(out, true), "members", "--admin", "127.0.0.1:" + p[2]);
-        assertThat(rc).as(out.toString()).isEqualTo(Cli.DONE);
-        assertThat(out.toString()).contains("a holds 2 present", "ALIVE", "datagrams");
-      }
-      while (!AdminClient.ask(admin).path("members").path(0).path("status").asText().equals("LEFT")) {
-        Thread.onSpinWait();
-      }
-      assertThat(AdminClient.ask(admin).path("present").asInt()).isEqualTo(1);
+        assertThatThrownBy(() -> AdminClient.ask(admin))
+                .isInstanceOf(IOException.class)
+                .hasMessageContaining("no answer");
     }
-    assertThatThrownBy(() -> AdminClient.ask(admin)).isInstanceOf(IOException.class).hasMessageContaining("no answer");
-  }
 
-  @Test
-  void callersThatStayDoNotShutOthersOutForever() throws Exception {
-    int[] p = freePorts();
-    InetSocketAddress admin = new InetSocketAddress("127.0.0.1", p[2]);
-    List<Socket> idle = new ArrayList<>();
-    try (FleetMember a = new FleetMember(settings("a", p[0], p[1], p[2]), 1, System.err)) {
-      a.start();
-      for (int i = 0; i < 50; i++) {
-        idle.add(new Socket("127.0.0.1", p[2]));
-      }
-      JsonNode view = null;
-      while (view == null) {
-        try {
-          view = AdminClient.ask(admin);
-        } catch (IOException e) {
-          Thread.sleep(5); // full for the moment
+    @Test
+    void callersThatStayDoNotShutOthersOutForever() throws Exception {
+        int[] p = freePorts();
+        InetSocketAddress admin = new InetSocketAddress("127.0.0.1", p[2]);
+        List<Socket> idle = new ArrayList<>();
+        try (FleetMember a = new FleetMember(settings("a", p[0], p[1], p[2]), 1, System.err)) {
+            a.start();
+            for (int i = 0; i < 50; i++) {
+                idle.add(new Socket("127.0.0.1", p[2]));
+            }
+            JsonNode view = null;
+            while (view == null) {
+                try {
+                    view = AdminClient.ask(admin);
+                } catch (IOException e) {
+                    Thread.sleep(5); // full for the moment
+                }
+            }
+            assertThat(view.path("self").path("name").asText()).isEqualTo("a");
+        } finally {
+            for (Socket s : idle) {
+                s.close();
+            }
         }
-      }
-      assertThat(view.path("self").path("name").asText()).isEqualTo("a");
-    } finally {
-      for (Socket s : idle) {
-        s.close();
-      }
     }
-  }
 }
--- a/src/test/java/rillyard/member/net/FleetFileTest.java
+++ b/src/test/java/rillyard/member/net/FleetFileTest.java
@@ -12,61 +12,74 @@
 import rillyard.input.InvalidFileException;
 
 class FleetFileTest {
-  @TempDir Path folder;
+    @TempDir
+    Path folder;
 
-  private FleetSettings read(String text) throws Exception {
-    return FleetFile.read(Files.writeString(folder.resolve("fleet.toml"), text), Map.of("BALANCER_NAME", "app-17"));
-  }
+    private FleetSettings read(String text) throws Exception {
+        return FleetFile.read(Files.writeString(folder.resolve("fleet.toml"), text), Map.of("BALANCER_NAME", "app-17"));
+    }
 
-  @Test
-  void theFileUnderDeployIsRight() throws Exception {
-    FleetSettings s = FleetFile.read(Path.of("deploy/fleet.toml"), Map.of("BALANCER_NAME", "app-17"));
-    assertThat(s.card().name()).isEqualTo("app-17");
-    assertThat(s.seeds()).hasSize(3);
-    assertThat(s.member()).isEqualTo(rillyard.member.MemberSettings.USUAL);
-    assertThat(s.history()).isNull();
-    assertThat(s.spread()).as("news of hosts").isFalse();
-    assertThat(read("[self]\nlisten = \"127.0.0.1:7400\"\n[spread]\nnews = true\n").spread()).isTrue();
-  }
+    @Test
+    void theFileUnderDeployIsRight() throws Exception {
+        FleetSettings s = FleetFile.read(Path.of("deploy/fleet.toml"), Map.of("BALANCER_NAME", "app-17"));
+        assertThat(s.card().name()).isEqualTo("app-17");
+        assertThat(s.seeds()).hasSize(3);
+        assertThat(s.member()).isEqualTo(rillyard.member.MemberSettings.USUAL);
+        assertThat(s.history()).isNull();
+        assertThat(s.spread()).as("news of hosts").isFalse();
+        assertThat(read("[self]\nlisten = \"127.0.0.1:7400\"\n[spread]\nnews = true\n")
+                        .spread())
+                .isTrue();
+    }
 
-  @Test
-  void othersAreToldTheAddressThatIsAdvertised() throws Exception {
-    FleetSettings s = read("[self]\nlisten = \"127.0.0.1:7400\"\nadvertise = \"10.9.8.7:65535\"\n");
-    assertThat(s.card().at()).hasToString("10.9.8.7:65535");
-    assertThat(s.listen().getPort()).isEqualTo(7400);
-  }
+    @Test
+    void othersAreToldTheAddressThatIsAdvertised() throws Exception {
+        FleetSettings s = read("[self]\nlisten = \"127.0.0.1:7400\"\nadvertise = \"10.9.8.7:65535\"\n");
+        assertThat(s.card().at()).hasToString("10.9.8.7:65535");
+        assertThat(s.listen().getPort()).isEqualTo(7400);
+    }
 
-  @Test
-  void keysAreReadFromAFileThatOthersMayNotRead() throws Exception {
-    Path key = Files.writeString(folder.resolve("key"), "ab".repeat(32) + "\n" + "cd".repeat(32) + "\n");
-    String text = "key_file = \"" + key + "\"\n[self]\nlisten = \"127.0.0.1:7400\"\n";
-    Files.setPosixFilePermissions(key, PosixFilePermissions.fromString("rw-r--r--"));
-    assertThatThrownBy(() -> read(text)).hasMessageContaining("fleet.toml:1").hasMessageContaining("expected mode 600");
-    Files.setPosixFilePermissions(key, PosixFilePermissions.fromString("rw-------"));
-    assertThat(read(text).keys()).hasSize(2);
-    assertThat(read(text).member().room()).isEqualTo(256 - Seal.BYTES);
-    Files.writeString(key, "xy".repeat(32));
-    assertThatThrownBy(() -> read(text)).hasMessageContaining("key_file");
-  }
+    @Test
+    void keysAreReadFromAFileThatOthersMayNotRead() throws Exception {
+        Path key = Files.writeString(folder.resolve("key"), "ab".repeat(32) + "\n" + "cd".repeat(32) + "\n");
+        String text = "key_file = \"" + key + "\"\n[self]\nlisten = \"127.0.0.1:7400\"\n";
+        Files.setPosixFilePermissions(key, PosixFilePermissions.fromString("rw-r--r--"));
+        assertThatThrownBy(() -> read(text))
+                .hasMessageContaining("fleet.toml:1")
+                .hasMessageContaining("expected mode 600");
+        Files.setPosixFilePermissions(key, PosixFilePermissions.fromString("rw-------"));
+        assertThat(read(text).keys()).hasSize(2);
+        assertThat(read(text).member().room()).isEqualTo(256 - Seal.BYTES);
+        Files.writeString(key, "xy".repeat(32));
+        assertThatThrownBy(() -> read(text)).hasMessageContaining("key_file");
+    }
 
-  @Test
-  void anAddressIsFourNumbersAndAPortAndNothingElse() {
-    for (String bad : new String[] {"10.1.0.4.7400", "10:1:0:4:7400", "10.1.0.256:1", "10.1.0.4:0", "10.1.0.4:65536", "[::1]:7400"}) {
-      assertThatThrownBy(() -> read("[self]\nlisten = \"" + bad + "\"\n")).as(bad)
-          .hasMessageContaining("fleet.toml:2").hasMessageContaining("expected IPv4:port");
+    @Test
+    void anAddressIsFourNumbersAndAPortAndNothingElse() {
+        for (String bad : new String[] {
+            "10.1.0.4.7400", "10:1:0:4:7400", "10.1.0.256:1", "10.1.0.4:0", "10.1.0.4:65536", "[::1]:7400"
+        }) {
+            assertThatThrownBy(() -> read("[self]\nlisten = \"" + bad + "\"\n"))
+                    .as(bad)
+                    .hasMessageContaining("fleet.toml:2")
+                    .hasMessageContaining("expected IPv4:port");
+        }
+        assertThatThrownBy(() -> read("[self]\nzone = 1\n")).hasMessageContaining("listen: is missing");
     }
-    assertThatThrownBy(() -> read("[self]\nzone = 1\n")).hasMessageContaining("listen: is missing");
-  }
 
-  @Test
-  void allThatIsWrongIsToldByLine() {
-    assertThatThrownBy(() -> read("seeds = \"10.1.0.4\"\n[self]\nname = \"more than sixteen letters\"\n"
-            + "listen = \"host:1\"\nzone = 300\n[membership]\ntimeout_ms = 400\nintervall_ms = 1\n"))
-        .isInstanceOf(InvalidFileException.class)
-        .hasMessageContaining("fleet.toml:1").hasMessageContaining("expected IPv4:port")
-        .hasMessageContaining("fleet.toml:3").hasMessageContaining("printable ASCII")
-        .hasMessageContaining("fleet.toml:5").hasMessageContaining("expected a whole number from 0 to 255")
-        .hasMessageContaining("fleet.toml:7").hasMessageContaining("half of interval_ms")
-        .hasMessageContaining("did you mean 'interval_ms'");
-  }
+    @Test
+    void allThatIsWrongIsToldByLine() {
+        assertThatThrownBy(() -> read("seeds = \"10.1.0.4\"\n[self]\nname = \"more than sixteen letters\"\n"
+                        + "listen = \"host:1\"\nzone = 300\n[membership]\ntimeout_ms = 400\nintervall_ms = 1\n"))
+                .isInstanceOf(InvalidFileException.class)
+                .hasMessageContaining("fleet.toml:1")
+                .hasMessageContaining("expected IPv4:port")
+                .hasMessageContaining("fleet.toml:3")
+                .hasMessageContaining("printable ASCII")
+                .hasMessageContaining("fleet.toml:5")
+                .hasMessageContaining("expected a whole number from 0 to 255")
+                .hasMessageContaining("fleet.toml:7")
+                .hasMessageContaining("half of interval_ms")
+                .hasMessageContaining("did you mean 'interval_ms'");
+    }
 }
--- a/src/test/java/rillyard/proxy/ClientSideTest.java
+++ b/src/test/java/rillyard/proxy/ClientSideTest.java
@@ -15,312 +15,307 @@
 
 /** What clients may send, and what they get for it. */
 class ClientSideTest {
-  private static final ScriptedServer.Reply OK = r -> ScriptedServer.ok("x");
+    private static final ScriptedServer.Reply OK = r -> ScriptedServer.ok("x");
 
-  /** Leaves 8 MB for bodies, which no limit goes below. */
-  private static final Consumer<ObjectNode> SMALL_MEMORY = limit("memory_mb", 64);
+    /** Leaves 8 MB for bodies, which no limit goes below. */
+    private static final Consumer<ObjectNode> SMALL_MEMORY = limit("memory_mb", 64);
 
-  private static Consumer<ObjectNode> limit(String name, int value) {
-    return c -> ((ObjectNode) c.get("limits")).put(name, value);
-  }
+    private static Consumer<ObjectNode> limit(String name, int value) {
+        return c -> ((ObjectNode) c.get("limits")).put(name, value);
+    }
 
-  @ParameterizedTest
-  @CsvSource({
-    "400, 'NONSENSE\r\n\r\n'",
-    "400, 'GET /read HTTP/1.1\r\nX-Timeout-Ms: 80\r\n\r\n'",
-    "400, 'GET /read HTTP/1.1\r\nX-Request-ID: a\r\nX-Timeout-Ms: soon\r\n\r\n'",
-    "400, 'GET /read HTTP/1.1\r\nX-Request-ID: a\r\nX-Timeout-Ms: -1\r\n\r\n'",
-    "400, 'POST /read HTTP/1.1\r\nX-Request-ID: a\r\nContent-Length: x\r\n\r\n'",
-    "413, 'POST /read HTTP/1.1\r\nX-Request-ID: a\r\nContent-Length: 33554433\r\n\r\n'",
-    "400, 'GET /read HTTP/1.1\r\nHost: h\r\nX-Request-ID: a\r\nX-Request-ID: b\r\n\r\n'",
-    "400, 'GET /read HTTP/1.1\r\nHost: h\r\nX-Request-ID: a\r\nX-Timeout-Ms: 99999999999999999\r\n\r\n'",
-    "400, 'GET /read HTTP/1.1\r\nHost: h\r\nX-Request-ID: a\r\nX-Timeout-Ms: 1e2\r\n\r\n'",
-    "400, 'POST /log HTTP/1.1\r\nHost: h\r\nX-Request-ID: a\r\nContent-Length: 0\r\n\r\n'",
-    "404, 'GET /novel HTTP/1.1\r\nHost: h\r\nX-Request-ID: a\r\n\r\n'",
-    "404, 'GET /read HTTP/1.1\r\nHost: h\r\nX-Request-ID: a\r\nX-Priority-Class: claim\r\n\r\n'",
-    "400, 'POST /claim HTTP/1.1\r\nHost: h\r\nX-Request-ID: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n'",
-    "405, 'CONNECT a:1 HTTP/1.1\r\nX-Request-ID: a\r\n\r\n'",
-    "505, 'GET /read HTTP/1.0\r\nX-Request-ID: a\r\n\r\n'"
-  })
-  void malformedRequestIsAnsweredAndItsConnectionEnds(int status, String request)
-      throws Exception {
-    try (ScriptedServer host = ScriptedServer.host(OK);
-        Rig rig = new Rig(Rig.server("a", host.port()));
-        Peer other = rig.client();
-        Peer c = rig.client()) {
-      c.write(request);
-      assertThat(c.read().status()).isEqualTo(status);
-      assertThat(c.read()).isNull();
-      other.write(Rig.get("read", 800));
-      assertThat(other.read().status()).isEqualTo(200);
-      assertThat(host.requests).hasSize(1);
+    @ParameterizedTest
+    @CsvSource({
+        "400, 'NONSENSE\r\n\r\n'",
+        "400, 'GET /read HTTP/1.1\r\nX-Timeout-Ms: 80\r\n\r\n'",
+        "400, 'GET /read HTTP/1.1\r\nX-Request-ID: a\r\nX-Timeout-Ms: soon\r\n\r\n'",
+        "400, 'GET /read HTTP/1.1\r\nX-Request-ID: a\r\nX-Timeout-Ms: -1\r\n\r\n'",
+        "400, 'POST /read HTTP/1.1\r\nX-Request-ID: a\r\nContent-Length: x\r\n\r\n'",
+        "413, 'POST /read HTTP/1.1\r\nX-Request-ID: a\r\nContent-Length: 33554433\r\n\r\n'",
+        "400, 'GET /read HTTP/1.1\r\nHost: h\r\nX-Request-ID: a\r\nX-Request-ID: b\r\n\r\n'",
+        "400, 'GET /read HTTP/1.1\r\nHost: h\r\nX-Request-ID: a\r\nX-Timeout-Ms: 99999999999999999\r\n\r\n'",
+        "400, 'GET /read HTTP/1.1\r\nHost: h\r\nX-Request-ID: a\r\nX-Timeout-Ms: 1e2\r\n\r\n'",
+        "400, 'POST /log HTTP/1.1\r\nHost: h\r\nX-Request-ID: a\r\nContent-Length: 0\r\n\r\n'",
+        "404, 'GET /novel HTTP/1.1\r\nHost: h\r\nX-Request-ID: a\r\n\r\n'",
+        "404, 'GET /read HTTP/1.1\r\nHost: h\r\nX-Request-ID: a\r\nX-Priority-Class: claim\r\n\r\n'",
+        "400, 'POST /claim HTTP/1.1\r\nHost: h\r\nX-Request-ID: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n'",
+        "405, 'CONNECT a:1 HTTP/1.1\r\nX-Request-ID: a\r\n\r\n'",
+        "505, 'GET /read HTTP/1.0\r\nX-Request-ID: a\r\n\r\n'"
+    })
+    void malformedRequestIsAnsweredAndItsConnectionEnds(int status, String request) throws Exception {
+        try (ScriptedServer host = ScriptedServer.host(OK);
+                Rig rig = new Rig(Rig.server("a", host.port()));
+                Peer other = rig.client();
+                Peer c = rig.client()) {
+            c.write(request);
+            assertThat(c.read().status()).isEqualTo(status);
+            assertThat(c.read()).isNull();
+            other.write(Rig.get("read", 800));
+            assertThat(other.read().status()).isEqualTo(200);
+            assertThat(host.requests).hasSize(1);
+        }
     }
-  }
 
-  @Test
-  void overlongHeadIsAnswered431() throws Exception {
-    try (Rig rig = new Rig();
-        Peer c = rig.client()) {
-      c.write(Rig.head("GET", "read", 800, "X-Long: " + "y".repeat(60_000) + "\r\n") + "\r\n");
-      assertThat(c.read().status()).isEqualTo(431);
+    @Test
+    void overlongHeadIsAnswered431() throws Exception {
+        try (Rig rig = new Rig();
+                Peer c = rig.client()) {
+            c.write(Rig.head("GET", "read", 800, "X-Long: " + "y".repeat(60_000) + "\r\n") + "\r\n");
+            assertThat(c.read().status()).isEqualTo(431);
+        }
     }
-  }
 
-  @Test
-  void idOfAnothersRequestIsTurnedAwayAndTheOtherIsServed() throws Exception {
-    CountDownLatch release = new CountDownLatch(1);
-    try (ScriptedServer host =
-            ScriptedServer.host(
-                r -> {
-                  release.await();
-                  return ScriptedServer.ok("mine");
+    @Test
+    void idOfAnothersRequestIsTurnedAwayAndTheOtherIsServed() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        try (ScriptedServer host = ScriptedServer.host(r -> {
+                    release.await();
+                    return ScriptedServer.ok("mine");
                 });
-        Rig rig = new Rig(Rig.server("a", host.port()));
-        Peer first = rig.client()) {
-      String request = Rig.post("claim", 20_000, "", "x");
-      first.write(request);
-      host.request();
-      assertThat(rig.call(request).status()).isEqualTo(409);
-      release.countDown();
-      assertThat(first.read().text()).isEqualTo("mine");
-      assertThat(rig.call(request).status()).isEqualTo(409); // nor just after its end
-      assertThat(host.requests).isEmpty();
+                Rig rig = new Rig(Rig.server("a", host.port()));
+                Peer first = rig.client()) {
+            String request = Rig.post("claim", 20_000, "", "x");
+            first.write(request);
+            host.request();
+            assertThat(rig.call(request).status()).isEqualTo(409);
+            release.countDown();
+            assertThat(first.read().text()).isEqualTo("mine");
+            assertThat(rig.call(request).status()).isEqualTo(409); // nor just after its end
+            assertThat(host.requests).isEmpty();
+        }
     }
-  }
 
-  @Test
-  void clientThatSaysNothingOrHalfARequestIsLetGo() throws Exception {
-    try (Rig rig = new Rig();
-        Peer silent = rig.client();
-        Peer half = rig.client()) {
-      half.write("POST /claim HTTP/1.1\r\nX-Request-ID: a\r\n");
-      assertThat(half.read().status()).isEqualTo(408);
-      assertThat(silent.read()).isNull();
+    @Test
+    void clientThatSaysNothingOrHalfARequestIsLetGo() throws Exception {
+        try (Rig rig = new Rig();
+                Peer silent = rig.client();
+                Peer half = rig.client()) {
+            half.write("POST /claim HTTP/1.1\r\nX-Request-ID: a\r\n");
+            assertThat(half.read().status()).isEqualTo(408);
+            assertThat(silent.read()).isNull();
+        }
     }
-  }
 
-  @Test
-  void drainEndsTheIdleConnectionsThatCameMeanwhile() throws Exception {
-    try (Rig rig = new Rig()) {
-      rig.proxy.drain();
-      try (Peer late = rig.client()) {
-        late.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
-        assertThat(late.read().status()).isEqualTo(503);
-        try (Peer idle = rig.client()) {
-          rig.proxy.awaitEnd();
-          assertThat(rig.proxy.loop().submit(rig.proxy::clients).get()).isZero();
-          assertThat(idle.read()).isNull();
+    @Test
+    void drainEndsTheIdleConnectionsThatCameMeanwhile() throws Exception {
+        try (Rig rig = new Rig()) {
+            rig.proxy.drain();
+            try (Peer late = rig.client()) {
+                late.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+                assertThat(late.read().status()).isEqualTo(503);
+                try (Peer idle = rig.client()) {
+                    rig.proxy.awaitEnd();
+                    assertThat(rig.proxy.loop().submit(rig.proxy::clients).get())
+                            .isZero();
+                    assertThat(idle.read()).isNull();
+                }
+            }
         }
-      }
     }
-  }
 
-  @Test
-  void silentConnectionsMakeRoomBeforeThoseInUse() throws Exception {
-    try (ScriptedServer host = ScriptedServer.host(OK);
-        Rig rig = new Rig(limit("sockets", 64), Rig.server("a", host.port()));
-        Peer used = rig.client()) {
-      used.write(Rig.get("read", 800));
-      assertThat(used.read().status()).isEqualTo(200);
-      List<Peer> silent = new ArrayList<>();
-      for (int i = 0; i < 40; i++) {
-        silent.add(rig.client());
-        if (i % 8 == 0) { // so that it stands idle for a few connects only
-          used.write(Rig.get("read", 800));
-          assertThat(used.read().status()).isEqualTo(200);
+    @Test
+    void silentConnectionsMakeRoomBeforeThoseInUse() throws Exception {
+        try (ScriptedServer host = ScriptedServer.host(OK);
+                Rig rig = new Rig(limit("sockets", 64), Rig.server("a", host.port()));
+                Peer used = rig.client()) {
+            used.write(Rig.get("read", 800));
+            assertThat(used.read().status()).isEqualTo(200);
+            List<Peer> silent = new ArrayList<>();
+            for (int i = 0; i < 40; i++) {
+                silent.add(rig.client());
+                if (i % 8 == 0) { // so that it stands idle for a few connects only
+                    used.write(Rig.get("read", 800));
+                    assertThat(used.read().status()).isEqualTo(200);
+                }
+            }
+            silent.get(0).awaitEnd(); // the flood is above what may be held
+            used.write(Rig.get("read", 800));
+            assertThat(used.read().status()).isEqualTo(200);
+            for (Peer p : silent) {
+                p.close();
+            }
         }
-      }
-      silent.get(0).awaitEnd(); // the flood is above what may be held
-      used.write(Rig.get("read", 800));
-      assertThat(used.read().status()).isEqualTo(200);
-      for (Peer p : silent) {
-        p.close();
-      }
     }
-  }
 
-  @Test
-  void endlessBodyIsCutOffAfterItsAnswer() throws Exception {
-    try (Rig rig = new Rig();
-        Peer c = rig.client()) {
-      c.write(Rig.head("POST", "claim", 800, "") + "Content-Length: 60000000\r\n\r\n");
-      assertThat(c.read().status()).isEqualTo(413);
-      byte[] part = new byte[1 << 20];
-      assertThatThrownBy(
-              () -> {
-                for (int i = 0; i < 60; i++) {
-                  c.write(part);
-                }
-              })
-          .isInstanceOf(java.net.SocketException.class);
+    @Test
+    void endlessBodyIsCutOffAfterItsAnswer() throws Exception {
+        try (Rig rig = new Rig();
+                Peer c = rig.client()) {
+            c.write(Rig.head("POST", "claim", 800, "") + "Content-Length: 60000000\r\n\r\n");
+            assertThat(c.read().status()).isEqualTo(413);
+            byte[] part = new byte[1 << 20];
+            assertThatThrownBy(() -> {
+                        for (int i = 0; i < 60; i++) {
+                            c.write(part);
+                        }
+                    })
+                    .isInstanceOf(java.net.SocketException.class);
+        }
     }
-  }
 
-  @Test
-  void pipelinedRequestsAreAnsweredInTheirOrder() throws Exception {
-    try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok(r.text()));
-        Rig rig = new Rig(Rig.server("a", host.port()));
-        Peer c = rig.client()) {
-      c.write(Rig.post("claim", 800, "", "one") + Rig.post("claim", 800, "", "two")
-          + Rig.post("claim", 800, "Connection: close\r\n", "three"));
-      assertThat(c.read().text()).isEqualTo("one");
-      assertThat(c.read().text()).isEqualTo("two");
-      assertThat(c.read().text()).isEqualTo("three");
-      assertThat(c.read()).isNull();
+    @Test
+    void pipelinedRequestsAreAnsweredInTheirOrder() throws Exception {
+        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok(r.text()));
+                Rig rig = new Rig(Rig.server("a", host.port()));
+                Peer c = rig.client()) {
+            c.write(Rig.post("claim", 800, "", "one")
+                    + Rig.post("claim", 800, "", "two")
+                    + Rig.post("claim", 800, "Connection: close\r\n", "three"));
+            assertThat(c.read().text()).isEqualTo("one");
+            assertThat(c.read().text()).isEqualTo("two");
+            assertThat(c.read().text()).isEqualTo("three");
+            assertThat(c.read()).isNull();
+        }
     }
-  }
 
-  @Test
-  void healthFollowsTheList() throws Exception {
-    String health = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
-    try (ScriptedServer host = ScriptedServer.host(OK);
-        Rig rig = new Rig();
-        Peer c = rig.client()) {
-      c.write(health);
-      assertThat(c.read().status()).isEqualTo(503);
-      rig.tell(2, true, Rig.server("a", host.port()));
-      int status = 0;
-      while (status != 200) { // the list is on its way
-        c.write(health);
-        status = c.read().status();
-      }
-      c.write(Rig.get("read", 800));
-      assertThat(c.read().status()).isEqualTo(200);
+    @Test
+    void healthFollowsTheList() throws Exception {
+        String health = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
+        try (ScriptedServer host = ScriptedServer.host(OK);
+                Rig rig = new Rig();
+                Peer c = rig.client()) {
+            c.write(health);
+            assertThat(c.read().status()).isEqualTo(503);
+            rig.tell(2, true, Rig.server("a", host.port()));
+            int status = 0;
+            while (status != 200) { // the list is on its way
+                c.write(health);
+                status = c.read().status();
+            }
+            c.write(Rig.get("read", 800));
+            assertThat(c.read().status()).isEqualTo(200);
+        }
     }
-  }
 
-  @Test
-  void idleClientsMakeRoomForNewOnes() throws Exception {
-    try (ScriptedServer host = ScriptedServer.host(OK);
-        Rig rig =
-            new Rig(limit("sockets", 64), Rig.server("a", host.port()))) {
-      Peer[] idle = new Peer[40];
-      for (int i = 0; i < idle.length; i++) {
-        idle[i] = rig.client();
-        idle[i].write(Rig.get("read", 800));
-        assertThat(idle[i].read().status()).isEqualTo(200);
-      }
-      idle[0].awaitEnd(); // the oldest one had to go
-      for (Peer p : idle) {
-        p.close();
-      }
+    @Test
+    void idleClientsMakeRoomForNewOnes() throws Exception {
+        try (ScriptedServer host = ScriptedServer.host(OK);
+                Rig rig = new Rig(limit("sockets", 64), Rig.server("a", host.port()))) {
+            Peer[] idle = new Peer[40];
+            for (int i = 0; i < idle.length; i++) {
+                idle[i] = rig.client();
+                idle[i].write(Rig.get("read", 800));
+                assertThat(idle[i].read().status()).isEqualTo(200);
+            }
+            idle[0].awaitEnd(); // the oldest one had to go
+            for (Peer p : idle) {
+                p.close();
+            }
+        }
     }
-  }
 
-  @Test
-  void configurationThatMakesNoSenseIsOnePlainLine() throws Exception {
-    assertThatThrownBy(() -> Config.load(Map.of())).hasMessageContaining("BALANCER_CONFIG");
-    assertThatThrownBy(() -> Config.load(Map.of("BALANCER_CONFIG", "/none")))
-        .isInstanceOf(ConfigException.class);
-    java.nio.file.Path file = Rig.config(1, c -> c.put("listen", "nowhere"));
-    Map<String, String> env = Map.of("BALANCER_CONFIG", file.toString());
-    assertThatThrownBy(() -> Config.load(env)).hasMessage("listen is not IP:port: 'nowhere'");
-    java.nio.file.Files.writeString(file, "{");
-    assertThatThrownBy(() -> Config.load(env))
-        .isInstanceOf(ConfigException.class)
-        .message()
-        .doesNotContain("\n");
-    java.nio.file.Files.delete(file);
-    try (Rig rig = new Rig()) {
-      assertThatThrownBy(() -> new Rig(c -> c.put("listen", "127.0.0.1:" + rig.port)))
-          .isInstanceOf(ConfigException.class)
-          .hasMessageContaining("can't listen");
+    @Test
+    void configurationThatMakesNoSenseIsOnePlainLine() throws Exception {
+        assertThatThrownBy(() -> Config.load(Map.of())).hasMessageContaining("BALANCER_CONFIG");
+        assertThatThrownBy(() -> Config.load(Map.of("BALANCER_CONFIG", "/none")))
+                .isInstanceOf(ConfigException.class);
+        java.nio.file.Path file = Rig.config(1, c -> c.put("listen", "nowhere"));
+        Map<String, String> env = Map.of("BALANCER_CONFIG", file.toString());
+        assertThatThrownBy(() -> Config.load(env)).hasMessage("listen is not IP:port: 'nowhere'");
+        java.nio.file.Files.writeString(file, "{");
+        assertThatThrownBy(() -> Config.load(env))
+                .isInstanceOf(ConfigException.class)
+                .message()
+                .doesNotContain("\n");
+        java.nio.file.Files.delete(file);
+        try (Rig rig = new Rig()) {
+            assertThatThrownBy(() -> new Rig(c -> c.put("listen", "127.0.0.1:" + rig.port)))
+                    .isInstanceOf(ConfigException.class)
+                    .hasMessageContaining("can't listen");
+        }
     }
-  }
 
-  @Test
-  void requestsThatFindNoMemoryAreRefusedUnsentAndTheRestIsServed() throws Exception {
-    CountDownLatch release = new CountDownLatch(1);
-    try (ScriptedServer host =
-            ScriptedServer.host(
-                r -> {
-                  release.await();
-                  return ScriptedServer.ok("held");
+    @Test
+    void requestsThatFindNoMemoryAreRefusedUnsentAndTheRestIsServed() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        try (ScriptedServer host = ScriptedServer.host(r -> {
+                    release.await();
+                    return ScriptedServer.ok("held");
                 });
-        Rig rig = new Rig(SMALL_MEMORY, Rig.server("a", host.port()))) {
-      String body = "x".repeat(64 * 1024);
-      List<Peer> clients = new ArrayList<>();
-      for (int i = 0; i < 150; i++) { // 9.4 MB, and the budget is 8 MB
-        Peer c = rig.client();
-        clients.add(c);
-        c.write(Rig.post("claim", 600_000, "", body));
-      }
-      // Which of them finds none depends on the order in which they are read.
-      long until = System.nanoTime() + 20_000_000_000L;
-      while (!rig.log().contains("out of memory") && System.nanoTime() < until) {
-        Thread.sleep(5);
-      }
-      release.countDown();
-      int refused = 0;
-      int served = 0;
-      for (Peer c : clients) {
-        int status = c.read().status();
-        served += status == 200 ? 1 : 0;
-        refused += status == 503 ? 1 : 0;
-        c.close();
-      }
-      assertThat(served).isPositive();
-      assertThat(refused).isPositive();
-      assertThat(served + refused).isEqualTo(clients.size());
-      assertThat(host.requests).hasSize(served);
+                Rig rig = new Rig(SMALL_MEMORY, Rig.server("a", host.port()))) {
+            String body = "x".repeat(64 * 1024);
+            List<Peer> clients = new ArrayList<>();
+            for (int i = 0; i < 150; i++) { // 9.4 MB, and the budget is 8 MB
+                Peer c = rig.client();
+                clients.add(c);
+                c.write(Rig.post("claim", 600_000, "", body));
+            }
+            // Which of them finds none depends on the order in which they are read.
+            long until = System.nanoTime() + 20_000_000_000L;
+            while (!rig.log().contains("out of memory") && System.nanoTime() < until) {
+                Thread.sleep(5);
+            }
+            release.countDown();
+            int refused = 0;
+            int served = 0;
+            for (Peer c : clients) {
+                int status = c.read().status();
+                served += status == 200 ? 1 : 0;
+                refused += status == 503 ? 1 : 0;
+                c.close();
+            }
+            assertThat(served).isPositive();
+            assertThat(refused).isPositive();
+            assertThat(served + refused).isEqualTo(clients.size());
+            assertThat(host.requests).hasSize(served);
+        }
     }
-  }
 
-  @Test
-  void requestOfAClientThatLeftWhileTheLoopWasBusyIsNotBegun() throws Exception {
-    try (ScriptedServer host = ScriptedServer.host(OK);
-        Rig rig = new Rig(Rig.server("a", host.port()));
-        Peer stays = rig.client()) {
-      CountDownLatch open = rig.blockLoop();
-      for (int i = 0; i < 20; i++) {
-        try (Peer leaves = rig.client()) {
-          leaves.write(Rig.post("claim", 800, "", "left"));
+    @Test
+    void requestOfAClientThatLeftWhileTheLoopWasBusyIsNotBegun() throws Exception {
+        try (ScriptedServer host = ScriptedServer.host(OK);
+                Rig rig = new Rig(Rig.server("a", host.port()));
+                Peer stays = rig.client()) {
+            CountDownLatch open = rig.blockLoop();
+            for (int i = 0; i < 20; i++) {
+                try (Peer leaves = rig.client()) {
+                    leaves.write(Rig.post("claim", 800, "", "left"));
+                }
+            }
+            stays.write(Rig.post("claim", 800, "", "stays"));
+            open.countDown();
+            assertThat(stays.read().status()).isEqualTo(200);
+            assertThat(host.requests).extracting(Peer.Message::text).containsExactly("stays");
         }
-      }
-      stays.write(Rig.post("claim", 800, "", "stays"));
-      open.countDown();
-      assertThat(stays.read().status()).isEqualTo(200);
-      assertThat(host.requests).extracting(Peer.Message::text).containsExactly("stays");
     }
-  }
 
-  @Test
-  void requestThatFollowsInTheNextReadKeepsItsFirstByte() throws Exception {
-    // The first read of a connection takes 2 kB: the second request begins within it or behind it.
-    for (int size = 1_700; size < 2_100; size += 20) {
-      String first = "x".repeat(size);
-      try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok(r.text()));
-          Rig rig = new Rig(Rig.server("a", host.port()));
-          Peer c = rig.client()) {
-        CountDownLatch open = rig.blockLoop();
-        c.write(Rig.post("claim", 5_000, "", first) + Rig.post("claim", 5_000, "", "second"));
-        open.countDown();
-        Peer.Message answer = c.read();
-        assertThat(answer.status()).as(rig.log()).isEqualTo(200);
-        assertThat(answer.text()).isEqualTo(first);
-        assertThat(c.read().text()).isEqualTo("second");
-      }
+    @Test
+    void requestThatFollowsInTheNextReadKeepsItsFirstByte() throws Exception {
+        // The first read of a connection takes 2 kB: the second request begins within it or behind it.
+        for (int size = 1_700; size < 2_100; size += 20) {
+            String first = "x".repeat(size);
+            try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok(r.text()));
+                    Rig rig = new Rig(Rig.server("a", host.port()));
+                    Peer c = rig.client()) {
+                CountDownLatch open = rig.blockLoop();
+                c.write(Rig.post("claim", 5_000, "", first) + Rig.post("claim", 5_000, "", "second"));
+                open.countDown();
+                Peer.Message answer = c.read();
+                assertThat(answer.status()).as(rig.log()).isEqualTo(200);
+                assertThat(answer.text()).isEqualTo(first);
+                assertThat(c.read().text()).isEqualTo("second");
+            }
+        }
     }
-  }
 
-  /** Guards against clients that ask once, keep their connection and so take all places. */
-  @Test
-  void connectionsThatWereOfUseMakeRoomForNewOnes() throws Exception {
-    List<Peer> kept = new ArrayList<>();
-    try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
-        Rig rig = new Rig(limit("sockets", 160), Rig.server("a", host.port()))) {
-      for (int i = 0; i < 60; i++) {
-        Peer c = rig.client();
-        kept.add(c);
-        c.write(Rig.get("read", 60_000));
-        assertThat(c.read().status()).isEqualTo(200);
-      }
-      int open = rig.proxy.loop().submit(() -> rig.proxy.clients()).get();
-      assertThat(open).isLessThanOrEqualTo(41); // a quarter, and the one that came last
-    } finally {
-      for (Peer c : kept) {
-        c.close();
-      }
+    /** Guards against clients that ask once, keep their connection and so take all places. */
+    @Test
+    void connectionsThatWereOfUseMakeRoomForNewOnes() throws Exception {
+        List<Peer> kept = new ArrayList<>();
+        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
+                Rig rig = new Rig(limit("sockets", 160), Rig.server("a", host.port()))) {
+            for (int i = 0; i < 60; i++) {
+                Peer c = rig.client();
+                kept.add(c);
+                c.write(Rig.get("read", 60_000));
+                assertThat(c.read().status()).isEqualTo(200);
+            }
+            int open = rig.proxy.loop().submit(() -> rig.proxy.clients()).get();
+            assertThat(open).isLessThanOrEqualTo(41); // a quarter, and the one that came last
+        } finally {
+            for (Peer c : kept) {
+                c.close();
+            }
+        }
     }
-  }
 }
--- a/src/test/java/rillyard/proxy/ColdRampIT.java
+++ b/src/test/java/rillyard/proxy/ColdRampIT.java
@@ -27,169 +27,171 @@
  */
 @Timeout(value = 180, unit = TimeUnit.SECONDS)
 class ColdRampIT {
-  private static final Launch BUILT = Launch.platform(Path.of("").toAbsolutePath());
-  private static final int WARM_HOSTS = 5;
-  private static final double COLD_MS = 8_700;
-  private static final double FROM = 0.3;
-  /** Low, so that a host which gets what each of the others gets has got too much. */
-  private static final double MULTIPLE = 0.6;
+    private static final Launch BUILT = Launch.platform(Path.of("").toAbsolutePath());
+    private static final int WARM_HOSTS = 5;
+    private static final double COLD_MS = 8_700;
+    private static final double FROM = 0.3;
+    /** Low, so that a host which gets what each of the others gets has got too much. */
+    private static final double MULTIPLE = 0.6;
 
-  private static final double WINDOW_MS = 1_500;
+    private static final double WINDOW_MS = 1_500;
 
-  /** Requests a second of each process: few, so that each knows little of the fleet. */
-  private static final double RATE = 3;
+    /** Requests a second of each process: few, so that each knows little of the fleet. */
+    private static final double RATE = 3;
 
-  /** The part of their capacity that hosts are used to. */
-  private static final double USED = 0.8;
+    /** The part of their capacity that hosts are used to. */
+    private static final double USED = 0.8;
 
-  private static final long SEED = 20_261_202;
+    private static final long SEED = 20_261_202;
 
-  @TempDir Path folder;
+    @TempDir
+    Path folder;
 
-  private final Queue<Long> arrivals = new ConcurrentLinkedQueue<>();
-  private final List<AutoCloseable> open = new ArrayList<>();
+    private final Queue<Long> arrivals = new ConcurrentLinkedQueue<>();
+    private final List<AutoCloseable> open = new ArrayList<>();
 
-  private <T extends AutoCloseable> T kept(T resource) {
-    synchronized (open) {
-      open.add(resource);
+    private <T extends AutoCloseable> T kept(T resource) {
+        synchronized (open) {
+            open.add(resource);
+        }
+        return resource;
     }
-    return resource;
-  }
-
-  private static String entry(String id, int port, long startedMs) throws IOException {
-    ObjectMapper json = new ObjectMapper();
-    return ((ObjectNode) json.readTree(Rig.server(id, port))).put("started_ms", startedMs).toString();
-  }
-
-  /** Says that it lives until the latch opens, then the list, and goes on to say that it lives. */
-  private static ScriptedServer discovery(CountDownLatch told, String[] list) throws IOException {
-    return new ScriptedServer(
-        p -> {
-          p.read();
-          p.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-          while (!told.await(500, TimeUnit.MILLISECONDS)) {
-            p.write("1\r\n\n\r\n");
-          }
-          String line = list[0] + "\n";
-          p.write(Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
-          CountDownLatch never = new CountDownLatch(1);
-          while (!never.await(500, TimeUnit.MILLISECONDS)) {
-            p.write("1\r\n\n\r\n");
-          }
+
+    private static String entry(String id, int port, long startedMs) throws IOException {
+        ObjectMapper json = new ObjectMapper();
+        return ((ObjectNode) json.readTree(Rig.server(id, port)))
+                .put("started_ms", startedMs)
+                .toString();
+    }
+
+    /** Says that it lives until the latch opens, then the list, and goes on to say that it lives. */
+    private static ScriptedServer discovery(CountDownLatch told, String[] list) throws IOException {
+        return new ScriptedServer(p -> {
+            p.read();
+            p.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            while (!told.await(500, TimeUnit.MILLISECONDS)) {
+                p.write("1\r\n\n\r\n");
+            }
+            String line = list[0] + "\n";
+            p.write(Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
+            CountDownLatch never = new CountDownLatch(1);
+            while (!never.await(500, TimeUnit.MILLISECONDS)) {
+                p.write("1\r\n\n\r\n");
+            }
         });
-  }
-
-  private ProxyProcess launch(int number, int of, int discovery, String... known) throws Exception {
-    Path config = folder.resolve("config-" + number + ".json");
-    Files.move(
-        Rig.config(
-            discovery,
-            c -> {
-              c.put("seed", Long.toHexString(SEED * (number + 1)));
-              ObjectNode settings = (ObjectNode) c.get("settings");
-              settings.put("balancers", of).put("position", number);
-              ((ObjectNode) settings.get("rules")).put("fallMultiple", MULTIPLE);
-            },
-            known),
-        config);
-    return kept(ProxyProcess.launch(BUILT, config, ProxyProcess.freeAddress(), folder.resolve("log-" + number)));
-  }
-
-  /** Sends at random times until the latch opens. */
-  private Thread clients(ProxyProcess proxy, int number, CountDownLatch end) {
-    Thread t =
-        new Thread(
-            () -> {
-              Random random = new Random(SEED + number);
-              try (Peer c = Peer.connect(proxy.address().getPort())) {
+    }
+
+    private ProxyProcess launch(int number, int of, int discovery, String... known) throws Exception {
+        Path config = folder.resolve("config-" + number + ".json");
+        Files.move(
+                Rig.config(
+                        discovery,
+                        c -> {
+                            c.put("seed", Long.toHexString(SEED * (number + 1)));
+                            ObjectNode settings = (ObjectNode) c.get("settings");
+                            settings.put("balancers", of).put("position", number);
+                            ((ObjectNode) settings.get("rules")).put("fallMultiple", MULTIPLE);
+                        },
+                        known),
+                config);
+        return kept(ProxyProcess.launch(BUILT, config, ProxyProcess.freeAddress(), folder.resolve("log-" + number)));
+    }
+
+    /** Sends at random times until the latch opens. */
+    private Thread clients(ProxyProcess proxy, int number, CountDownLatch end) {
+        Thread t = new Thread(() -> {
+            Random random = new Random(SEED + number);
+            try (Peer c = Peer.connect(proxy.address().getPort())) {
                 while (!end.await((long) (-Math.log(1 - random.nextDouble()) * 1_000 / RATE), TimeUnit.MILLISECONDS)) {
-                  c.write(Rig.get("read", 800));
-                  c.read();
+                    c.write(Rig.get("read", 800));
+                    c.read();
                 }
-              } catch (Exception e) {
+            } catch (Exception e) {
                 // its connection has ended: what it would have sent is missing, no more is sent
-              }
-            });
-    t.setDaemon(true);
-    t.start();
-    return t;
-  }
-
-  @ParameterizedTest
-  @CsvSource({"20, 6", "30, 10", "30, 30"})
-  void allTogetherSendAColdHostLittleMoreThanItMayGet(int processes, int fresh) throws Exception {
-    try {
-      CountDownLatch told = new CountDownLatch(1);
-      CountDownLatch end = new CountDownLatch(1);
-      String[] list = new String[1];
-      ScriptedServer discovery = kept(discovery(told, list));
-      List<String> warm = new ArrayList<>();
-      for (int i = 0; i < WARM_HOSTS; i++) {
-        warm.add(Rig.server("warm" + i, kept(ScriptedServer.host(r -> ScriptedServer.ok("w"))).port()));
-      }
-      ScriptedServer cold =
-          kept(
-              ScriptedServer.host(
-                  r -> {
-                    arrivals.add(System.nanoTime());
-                    return ScriptedServer.ok("c");
-                  }));
-      List<ProxyProcess> running = new ArrayList<>();
-      for (int i = fresh; i < processes; i++) {
-        running.add(launch(i, processes, discovery.port(), warm.toArray(String[]::new)));
-      }
-      List<Thread> senders = new ArrayList<>();
-      for (int i = 0; i < running.size(); i++) {
-        running.get(i).await(ProxyProcess.State.READY);
-        senders.add(clients(running.get(i), fresh + i, end));
-      }
-      // Those that are fresh start with the host on their list; it is cold from the moment that they serve.
-      List<ProxyProcess> begun = new ArrayList<>();
-      long startedMs = System.currentTimeMillis();
-      warm.add(entry("cold", cold.port(), startedMs));
-      list[0] = Rig.list(2, true, warm.toArray(String[]::new));
-      for (int i = 0; i < fresh; i++) {
-        begun.add(launch(i, processes, discovery.port(), warm.toArray(String[]::new)));
-      }
-      for (ProxyProcess p : begun) {
-        p.await(ProxyProcess.State.READY);
-      }
-      long startedNanos = System.nanoTime() - (System.currentTimeMillis() - startedMs) * 1_000_000;
-      told.countDown();
-      for (int i = 0; i < begun.size(); i++) {
-        senders.add(clients(begun.get(i), i, end));
-      }
-      while (System.nanoTime() - startedNanos < (COLD_MS + WINDOW_MS) * 1e6) {
-        Thread.sleep(50);
-      }
-      end.countDown();
-      for (Thread t : senders) {
-        t.join();
-      }
-      check(processes, startedNanos);
-    } finally {
-      for (int i = open.size() - 1; i >= 0; i--) {
-        open.get(i).close();
-      }
+            }
+        });
+        t.setDaemon(true);
+        t.start();
+        return t;
     }
-  }
-
-  private void check(int processes, long startedNanos) {
-    double capacity = processes * RATE / (WARM_HOSTS + 1) / USED; // requests a second, warm
-    List<Double> at = arrivals.stream().map(a -> (a - startedNanos) / 1e6).sorted().toList();
-    System.out.printf("cold ramp: %d processes, %d requests in %.0f ms%n", processes, at.size(), COLD_MS);
-    int from = 0;
-    for (int to = 0; to < at.size(); to++) {
-      while (at.get(to) - at.get(from) > WINDOW_MS) {
-        from++;
-      }
-      double age = Math.max(0, at.get(from));
-      double warmth = Math.min(1, FROM + (1 - FROM) * age / COLD_MS);
-      double allowed = MULTIPLE * warmth * capacity * WINDOW_MS / 1_000;
-      assertThat((double) (to - from + 1))
-          .as("requests within %.0f ms up to %.0f ms after the start, of which the settings allow %.1f", WINDOW_MS, at.get(to), allowed)
-          .isLessThanOrEqualTo(allowed + 2 * Math.sqrt(allowed) + 2);
+
+    @ParameterizedTest
+    @CsvSource({"20, 6", "30, 10", "30, 30"})
+    void allTogetherSendAColdHostLittleMoreThanItMayGet(int processes, int fresh) throws Exception {
+        try {
+            CountDownLatch told = new CountDownLatch(1);
+            CountDownLatch end = new CountDownLatch(1);
+            String[] list = new String[1];
+            ScriptedServer discovery = kept(discovery(told, list));
+            List<String> warm = new ArrayList<>();
+            for (int i = 0; i < WARM_HOSTS; i++) {
+                warm.add(Rig.server(
+                        "warm" + i,
+                        kept(ScriptedServer.host(r -> ScriptedServer.ok("w"))).port()));
+            }
+            ScriptedServer cold = kept(ScriptedServer.host(r -> {
+                arrivals.add(System.nanoTime());
+                return ScriptedServer.ok("c");
+            }));
+            List<ProxyProcess> running = new ArrayList<>();
+            for (int i = fresh; i < processes; i++) {
+                running.add(launch(i, processes, discovery.port(), warm.toArray(String[]::new)));
+            }
+            List<Thread> senders = new ArrayList<>();
+            for (int i = 0; i < running.size(); i++) {
+                running.get(i).await(ProxyProcess.State.READY);
+                senders.add(clients(running.get(i), fresh + i, end));
+            }
+            // Those that are fresh start with the host on their list; it is cold from the moment that they serve.
+            List<ProxyProcess> begun = new ArrayList<>();
+            long startedMs = System.currentTimeMillis();
+            warm.add(entry("cold", cold.port(), startedMs));
+            list[0] = Rig.list(2, true, warm.toArray(String[]::new));
+            for (int i = 0; i < fresh; i++) {
+                begun.add(launch(i, processes, discovery.port(), warm.toArray(String[]::new)));
+            }
+            for (ProxyProcess p : begun) {
+                p.await(ProxyProcess.State.READY);
+            }
+            long startedNanos = System.nanoTime() - (System.currentTimeMillis() - startedMs) * 1_000_000;
+            told.countDown();
+            for (int i = 0; i < begun.size(); i++) {
+                senders.add(clients(begun.get(i), i, end));
+            }
+            while (System.nanoTime() - startedNanos < (COLD_MS + WINDOW_MS) * 1e6) {
+                Thread.sleep(50);
+            }
+            end.countDown();
+            for (Thread t : senders) {
+                t.join();
+            }
+            check(processes, startedNanos);
+        } finally {
+            for (int i = open.size() - 1; i >= 0; i--) {
+                open.get(i).close();
+            }
+        }
+    }
+
+    private void check(int processes, long startedNanos) {
+        double capacity = processes * RATE / (WARM_HOSTS + 1) / USED; // requests a second, warm
+        List<Double> at =
+                arrivals.stream().map(a -> (a - startedNanos) / 1e6).sorted().toList();
+        System.out.printf("cold ramp: %d processes, %d requests in %.0f ms%n", processes, at.size(), COLD_MS);
+        int from = 0;
+        for (int to = 0; to < at.size(); to++) {
+            while (at.get(to) - at.get(from) > WINDOW_MS) {
+                from++;
+            }
+            double age = Math.max(0, at.get(from));
+            double warmth = Math.min(1, FROM + (1 - FROM) * age / COLD_MS);
+            double allowed = MULTIPLE * warmth * capacity * WINDOW_MS / 1_000;
+            assertThat((double) (to - from + 1))
+                    .as(
+                            "requests within %.0f ms up to %.0f ms after the start, of which the settings allow %.1f",
+                            WINDOW_MS, at.get(to), allowed)
+                    .isLessThanOrEqualTo(allowed + 2 * Math.sqrt(allowed) + 2);
+        }
+        assertThat(at).as("what is lent is used").isNotEmpty();
     }
-    assertThat(at).as("what is lent is used").isNotEmpty();
-  }
 }
--- a/src/test/java/rillyard/proxy/DiscoveryTest.java
+++ b/src/test/java/rillyard/proxy/DiscoveryTest.java
@@ -12,208 +12,203 @@
 
 /** What discovery says, how its watch breaks, and what that means for connections. */
 class DiscoveryTest {
-  private static String claim() {
-    return Rig.post("claim", 800, "", "x");
-  }
-
-  private static String watch(Rig rig) throws InterruptedException {
-    return rig.watches.poll(20, TimeUnit.SECONDS);
-  }
-
-  @Test
-  void brokenWatchResumesFromTheLastVersion() throws Exception {
-    try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
-        Rig rig = new Rig()) {
-      assertThat(watch(rig)).contains("follow=1&since=1 ");
-      rig.tell(5, true, Rig.server("a", host.port()));
-      rig.news.add("");
-      assertThat(watch(rig)).contains("since=5 ");
-      assertThat(rig.call(claim()).status()).isEqualTo(200);
+    private static String claim() {
+        return Rig.post("claim", 800, "", "x");
     }
-  }
-
-  @Test
-  void malformedLineKeepsTheLastGoodListAndIsAskedForAgain() throws Exception {
-    try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
-        Rig rig = new Rig(Rig.server("a", host.port()))) {
-      for (String bad :
-          new String[] {
-            "{\"version\":2,\"full\":true,\"serv\n",
-            "{\"version\":2,\"full\":true,\"servers\":[{\"id\":\"b\",\"state\":\"up\"}]}\n",
-            "[]\n",
-            "{\"version\":2,\"full\":true}\n"
-          }) {
-        assertThat(watch(rig)).contains("since=1 ");
-        rig.news.add(bad);
-      }
-      assertThat(watch(rig)).contains("since=1 ");
-      assertThat(rig.call(claim()).status()).isEqualTo(200);
-      // One log line each, counted; a watch that ended in between may have taken a line with it.
-      List<String> told = rig.log().lines().filter(l -> l.contains("malformed list")).toList();
-      assertThat(told).isNotEmpty();
-      for (int i = 0; i < told.size(); i++) {
-        assertThat(told.get(i)).contains("malformed list, " + (i + 1) + " so far: ");
-      }
+
+    private static String watch(Rig rig) throws InterruptedException {
+        return rig.watches.poll(20, TimeUnit.SECONDS);
     }
-  }
 
-  @Test
-  void silentWatchIsOpenedAnew() throws Exception {
-    try (Rig rig = new Rig()) {
-      assertThat(watch(rig)).isNotNull();
-      assertThat(watch(rig)).contains("since=1 "); // nothing was said on the first one
+    @Test
+    void brokenWatchResumesFromTheLastVersion() throws Exception {
+        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
+                Rig rig = new Rig()) {
+            assertThat(watch(rig)).contains("follow=1&since=1 ");
+            rig.tell(5, true, Rig.server("a", host.port()));
+            rig.news.add("");
+            assertThat(watch(rig)).contains("since=5 ");
+            assertThat(rig.call(claim()).status()).isEqualTo(200);
+        }
     }
-  }
-
-  @Test
-  void indentedListIsOneList() throws Exception {
-    try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
-        Rig rig = new Rig()) {
-      String list =
-          new com.fasterxml.jackson.databind.ObjectMapper()
-              .readTree(Rig.list(2, true, Rig.server("a", host.port())))
-              .toPrettyString();
-      assertThat(list).contains("\n");
-      rig.news.add(list + "\n");
-      rig.news.add("");
-      watch(rig);
-      assertThat(watch(rig)).contains("since=2 ");
-      assertThat(rig.call(claim()).status()).isEqualTo(200);
+
+    @Test
+    void malformedLineKeepsTheLastGoodListAndIsAskedForAgain() throws Exception {
+        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
+                Rig rig = new Rig(Rig.server("a", host.port()))) {
+            for (String bad : new String[] {
+                "{\"version\":2,\"full\":true,\"serv\n",
+                "{\"version\":2,\"full\":true,\"servers\":[{\"id\":\"b\",\"state\":\"up\"}]}\n",
+                "[]\n",
+                "{\"version\":2,\"full\":true}\n"
+            }) {
+                assertThat(watch(rig)).contains("since=1 ");
+                rig.news.add(bad);
+            }
+            assertThat(watch(rig)).contains("since=1 ");
+            assertThat(rig.call(claim()).status()).isEqualTo(200);
+            // One log line each, counted; a watch that ended in between may have taken a line with it.
+            List<String> told =
+                    rig.log().lines().filter(l -> l.contains("malformed list")).toList();
+            assertThat(told).isNotEmpty();
+            for (int i = 0; i < told.size(); i++) {
+                assertThat(told.get(i)).contains("malformed list, " + (i + 1) + " so far: ");
+            }
+        }
     }
-  }
-
-  /** What never gets whole is no sign of life, however long bytes of it come. */
-  @Test
-  void endlessListIsSilence() throws Exception {
-    try (Rig rig = new Rig()) {
-      assertThat(watch(rig)).isNotNull();
-      rig.news.add("{\"version\":2,\"servers\":[");
-      String next = null;
-      for (int i = 0; i < 2_000 && next == null; i++) {
-        rig.news.add(" ");
-        next = rig.watches.poll(10, TimeUnit.MILLISECONDS);
-      }
-      assertThat(next).as("a new watch").contains("since=1 ");
-      assertThat(rig.log()).contains("watch: silent");
+
+    @Test
+    void silentWatchIsOpenedAnew() throws Exception {
+        try (Rig rig = new Rig()) {
+            assertThat(watch(rig)).isNotNull();
+            assertThat(watch(rig)).contains("since=1 "); // nothing was said on the first one
+        }
     }
-  }
-
-  /** A change counts as told 6 s after discovery had it, and after a silence began: the steps add up. */
-  @Test
-  void theWorstOfEachStepStaysWithinTheTimeOfAChange() {
-    long sweepMs = 250;
-    long longestWaitMs = 2_100; // BalancerTest holds the module to it, and pushed lists wait for less
-    long silenceMs = Discovery.SILENCE_NANOS / 1_000_000;
-    long unansweredMs = Discovery.UNANSWERED_NANOS / 1_000_000;
-    assertThat(longestWaitMs + Discovery.CONNECT_TIMEOUT_MS + unansweredMs + sweepMs).isLessThan(6_000);
-    assertThat(silenceMs + sweepMs + longestWaitMs).isLessThan(6_000);
-    assertThat(silenceMs).as("a watch says something every 2 s").isGreaterThan(2_000);
-    assertThat(unansweredMs).as("asked discovery has a call wait 2 s").isGreaterThan(2_000);
-  }
-
-  @Test
-  void lineInPiecesIsOneLine() throws Exception {
-    try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
-        Rig rig = new Rig()) {
-      String line = Rig.list(2, true, Rig.server("a", host.port())) + "\n";
-      rig.news.add(line.substring(0, 30));
-      rig.news.add(line.substring(30));
-      rig.news.add("");
-      watch(rig);
-      assertThat(watch(rig)).contains("since=2 ");
+
+    @Test
+    void indentedListIsOneList() throws Exception {
+        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
+                Rig rig = new Rig()) {
+            String list = new com.fasterxml.jackson.databind.ObjectMapper()
+                    .readTree(Rig.list(2, true, Rig.server("a", host.port())))
+                    .toPrettyString();
+            assertThat(list).contains("\n");
+            rig.news.add(list + "\n");
+            rig.news.add("");
+            watch(rig);
+            assertThat(watch(rig)).contains("since=2 ");
+            assertThat(rig.call(claim()).status()).isEqualTo(200);
+        }
+    }
+
+    /** What never gets whole is no sign of life, however long bytes of it come. */
+    @Test
+    void endlessListIsSilence() throws Exception {
+        try (Rig rig = new Rig()) {
+            assertThat(watch(rig)).isNotNull();
+            rig.news.add("{\"version\":2,\"servers\":[");
+            String next = null;
+            for (int i = 0; i < 2_000 && next == null; i++) {
+                rig.news.add(" ");
+                next = rig.watches.poll(10, TimeUnit.MILLISECONDS);
+            }
+            assertThat(next).as("a new watch").contains("since=1 ");
+            assertThat(rig.log()).contains("watch: silent");
+        }
+    }
+
+    /** A change counts as told 6 s after discovery had it, and after a silence began: the steps add up. */
+    @Test
+    void theWorstOfEachStepStaysWithinTheTimeOfAChange() {
+        long sweepMs = 250;
+        long longestWaitMs = 2_100; // BalancerTest holds the module to it, and pushed lists wait for less
+        long silenceMs = Discovery.SILENCE_NANOS / 1_000_000;
+        long unansweredMs = Discovery.UNANSWERED_NANOS / 1_000_000;
+        assertThat(longestWaitMs + Discovery.CONNECT_TIMEOUT_MS + unansweredMs + sweepMs)
+                .isLessThan(6_000);
+        assertThat(silenceMs + sweepMs + longestWaitMs).isLessThan(6_000);
+        assertThat(silenceMs).as("a watch says something every 2 s").isGreaterThan(2_000);
+        assertThat(unansweredMs).as("asked discovery has a call wait 2 s").isGreaterThan(2_000);
     }
-  }
-
-  @Test
-  void drainingHostLosesItsIdleConnectionsAndGetsNothingNew() throws Exception {
-    for (String state : new String[] {"draining", "removed"}) {
-      CountDownLatch ended = new CountDownLatch(1);
-      ScriptedServer old =
-          new ScriptedServer(
-              p -> {
+
+    @Test
+    void lineInPiecesIsOneLine() throws Exception {
+        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
+                Rig rig = new Rig()) {
+            String line = Rig.list(2, true, Rig.server("a", host.port())) + "\n";
+            rig.news.add(line.substring(0, 30));
+            rig.news.add(line.substring(30));
+            rig.news.add("");
+            watch(rig);
+            assertThat(watch(rig)).contains("since=2 ");
+        }
+    }
+
+    @Test
+    void drainingHostLosesItsIdleConnectionsAndGetsNothingNew() throws Exception {
+        for (String state : new String[] {"draining", "removed"}) {
+            CountDownLatch ended = new CountDownLatch(1);
+            ScriptedServer old = new ScriptedServer(p -> {
                 p.read();
                 p.write(ScriptedServer.ok("old"));
                 p.awaitEnd();
                 ended.countDown();
-              });
-      try (old;
-          ScriptedServer next = ScriptedServer.host(r -> ScriptedServer.ok("next"));
-          Rig rig = new Rig(Rig.server("a", old.port()))) {
-        assertThat(rig.call(claim()).text()).isEqualTo("old");
-        rig.tell(
-            2, false, Rig.server("a", old.port(), 0, state), Rig.server("b", next.port(), 0, "up"));
-        ended.await();
-        for (int i = 0; i < 5; i++) {
-          assertThat(rig.call(claim()).text()).isEqualTo("next");
+            });
+            try (old;
+                    ScriptedServer next = ScriptedServer.host(r -> ScriptedServer.ok("next"));
+                    Rig rig = new Rig(Rig.server("a", old.port()))) {
+                assertThat(rig.call(claim()).text()).isEqualTo("old");
+                rig.tell(2, false, Rig.server("a", old.port(), 0, state), Rig.server("b", next.port(), 0, "up"));
+                ended.await();
+                for (int i = 0; i < 5; i++) {
+                    assertThat(rig.call(claim()).text()).isEqualTo("next");
+                }
+                assertThat(old.accepted()).isNotNull();
+                assertThat(old.acceptedMore()).isFalse();
+            }
         }
-        assertThat(old.accepted()).isNotNull();
-        assertThat(old.acceptedMore()).isFalse();
-      }
     }
-  }
-
-  @Test
-  void hostAbsentFromAFullListIsGone() throws Exception {
-    try (ScriptedServer a = ScriptedServer.host(r -> ScriptedServer.ok("a"));
-        ScriptedServer b = ScriptedServer.host(r -> ScriptedServer.ok("b"));
-        Rig rig = new Rig(Rig.server("a", a.port()))) {
-      rig.tell(2, true, Rig.server("b", b.port()));
-      rig.news.add("");
-      watch(rig);
-      watch(rig);
-      for (int i = 0; i < 5; i++) {
-        assertThat(rig.call(claim()).text()).isEqualTo("b");
-      }
+
+    @Test
+    void hostAbsentFromAFullListIsGone() throws Exception {
+        try (ScriptedServer a = ScriptedServer.host(r -> ScriptedServer.ok("a"));
+                ScriptedServer b = ScriptedServer.host(r -> ScriptedServer.ok("b"));
+                Rig rig = new Rig(Rig.server("a", a.port()))) {
+            rig.tell(2, true, Rig.server("b", b.port()));
+            rig.news.add("");
+            watch(rig);
+            watch(rig);
+            for (int i = 0; i < 5; i++) {
+                assertThat(rig.call(claim()).text()).isEqualTo("b");
+            }
+        }
     }
-  }
-
-  @Test
-  void hostThatMovedIsReachedAtItsNewAddressOnly() throws Exception {
-    try (ScriptedServer before = ScriptedServer.host(r -> ScriptedServer.ok("before"));
-        ScriptedServer after = ScriptedServer.host(r -> ScriptedServer.ok("after"));
-        Rig rig = new Rig(Rig.server("a", before.port()))) {
-      assertThat(rig.call(claim()).text()).isEqualTo("before");
-      rig.tell(2, false, Rig.server("a", after.port()));
-      rig.news.add("");
-      watch(rig);
-      watch(rig);
-      assertThat(rig.call(claim()).text()).isEqualTo("after");
+
+    @Test
+    void hostThatMovedIsReachedAtItsNewAddressOnly() throws Exception {
+        try (ScriptedServer before = ScriptedServer.host(r -> ScriptedServer.ok("before"));
+                ScriptedServer after = ScriptedServer.host(r -> ScriptedServer.ok("after"));
+                Rig rig = new Rig(Rig.server("a", before.port()))) {
+            assertThat(rig.call(claim()).text()).isEqualTo("before");
+            rig.tell(2, false, Rig.server("a", after.port()));
+            rig.news.add("");
+            watch(rig);
+            watch(rig);
+            assertThat(rig.call(claim()).text()).isEqualTo("after");
+        }
     }
-  }
-
-  @Test
-  void askedDiscoveryIsAskedAgainByTheModuleWhenItsWatchEnds() throws Exception {
-    try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
-        Rig rig =
-            new Rig(
-                c -> {
-                  ObjectNode settings = (ObjectNode) c.get("settings");
-                  settings.put("membershipMode", "subscribe");
-                  ((ObjectNode) settings.get("rules")).put("askWithin", 10_000);
+
+    @Test
+    void askedDiscoveryIsAskedAgainByTheModuleWhenItsWatchEnds() throws Exception {
+        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
+                Rig rig = new Rig(c -> {
+                    ObjectNode settings = (ObjectNode) c.get("settings");
+                    settings.put("membershipMode", "subscribe");
+                    ((ObjectNode) settings.get("rules")).put("askWithin", 10_000);
                 })) {
-      assertThat(watch(rig)).contains("since=1 ");
-      rig.tell(4, true, Rig.server("a", host.port()));
-      rig.news.add("");
-      assertThat(watch(rig)).contains("since=4 ");
-      assertThat(rig.call(claim()).status()).isEqualTo(200);
+            assertThat(watch(rig)).contains("since=1 ");
+            rig.tell(4, true, Rig.server("a", host.port()));
+            rig.news.add("");
+            assertThat(watch(rig)).contains("since=4 ");
+            assertThat(rig.call(claim()).status()).isEqualTo(200);
+        }
     }
-  }
-
-  @Test
-  void connectUnderWayIsGivenUpWhenItsHostDrains() throws Exception {
-    try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        Peer first = Peer.connect(full.getLocalPort());
-        Peer second = Peer.connect(full.getLocalPort());
-        Rig rig =
-            new Rig(
-                // Nothing but the drain can end the connect before the test's reads give up.
-                c -> ((ObjectNode) c.get("settings").get("limits")).put("connectTimeout", 600_000),
-                Rig.server("a", full.getLocalPort()));
-        Peer client = rig.client()) {
-      assertThat(first.socket.isConnected() && second.socket.isConnected()).isTrue(); // it is full
-      client.write(Rig.post("claim", 600_000, "", "x"));
-      rig.tell(2, false, Rig.server("a", full.getLocalPort(), 0, "draining"));
-      assertThat(client.read().status()).isEqualTo(503);
+
+    @Test
+    void connectUnderWayIsGivenUpWhenItsHostDrains() throws Exception {
+        try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+                Peer first = Peer.connect(full.getLocalPort());
+                Peer second = Peer.connect(full.getLocalPort());
+                Rig rig = new Rig(
+                        // Nothing but the drain can end the connect before the test's reads give up.
+                        c -> ((ObjectNode) c.get("settings").get("limits")).put("connectTimeout", 600_000),
+                        Rig.server("a", full.getLocalPort()));
+                Peer client = rig.client()) {
+            assertThat(first.socket.isConnected() && second.socket.isConnected())
+                    .isTrue(); // it is full
+            client.write(Rig.post("claim", 600_000, "", "x"));
+            rig.tell(2, false, Rig.server("a", full.getLocalPort(), 0, "draining"));
+            assertThat(client.read().status()).isEqualTo(503);
+        }
     }
-  }
 }
--- a/src/test/java/rillyard/proxy/DoubtfulListTest.java
+++ b/src/test/java/rillyard/proxy/DoubtfulListTest.java
@@ -16,109 +16,110 @@
 
 /** Whole lists with most hosts missing, where they are doubted and where they are not. */
 class DoubtfulListTest {
-  private static final String[] NAMES = {"a", "b", "c", "d"};
-  private static final double LONG_MS = 3_600_000;
+    private static final String[] NAMES = {"a", "b", "c", "d"};
+    private static final double LONG_MS = 3_600_000;
 
-  private final List<ScriptedServer> hosts = new ArrayList<>();
+    private final List<ScriptedServer> hosts = new ArrayList<>();
 
-  @BeforeEach
-  void start() throws Exception {
-    for (String name : NAMES) {
-      hosts.add(
-          ScriptedServer.host(
-              r -> {
+    @BeforeEach
+    void start() throws Exception {
+        for (String name : NAMES) {
+            hosts.add(ScriptedServer.host(r -> {
                 Thread.sleep(20); // its work: so that calls made together are spread
                 return ScriptedServer.ok(name);
-              }));
+            }));
+        }
     }
-  }
 
-  @AfterEach
-  void stop() throws Exception {
-    for (ScriptedServer h : hosts) {
-      h.close();
+    @AfterEach
+    void stop() throws Exception {
+        for (ScriptedServer h : hosts) {
+            h.close();
+        }
     }
-  }
 
-  private String[] all() {
-    String[] servers = new String[NAMES.length];
-    for (int i = 0; i < NAMES.length; i++) {
-      servers[i] = Rig.server(NAMES[i], hosts.get(i).port());
+    private String[] all() {
+        String[] servers = new String[NAMES.length];
+        for (int i = 0; i < NAMES.length; i++) {
+            servers[i] = Rig.server(NAMES[i], hosts.get(i).port());
+        }
+        return servers;
     }
-    return servers;
-  }
 
-  /** Who answers now, after the proxy has surely read what discovery said. */
-  private static Set<String> answering(Rig rig) throws Exception {
-    rig.news.add(""); // ends the watch; the next one is opened after all of it was read
-    assertThat(rig.watches.poll(20, TimeUnit.SECONDS)).isNotNull();
-    assertThat(rig.watches.poll(20, TimeUnit.SECONDS)).isNotNull();
-    Set<String> who = new TreeSet<>();
-    for (int i = 0; i < 5; i++) {
-      List<Peer> calls = new ArrayList<>();
-      for (int n = 0; n < 12; n++) {
-        Peer c = rig.client();
-        c.write(Rig.post("claim", 20_000, "", "x"));
-        calls.add(c);
-      }
-      for (Peer c : calls) {
-        who.add(c.read().text());
-        c.close();
-      }
+    /** Who answers now, after the proxy has surely read what discovery said. */
+    private static Set<String> answering(Rig rig) throws Exception {
+        rig.news.add(""); // ends the watch; the next one is opened after all of it was read
+        assertThat(rig.watches.poll(20, TimeUnit.SECONDS)).isNotNull();
+        assertThat(rig.watches.poll(20, TimeUnit.SECONDS)).isNotNull();
+        Set<String> who = new TreeSet<>();
+        for (int i = 0; i < 5; i++) {
+            List<Peer> calls = new ArrayList<>();
+            for (int n = 0; n < 12; n++) {
+                Peer c = rig.client();
+                c.write(Rig.post("claim", 20_000, "", "x"));
+                calls.add(c);
+            }
+            for (Peer c : calls) {
+                who.add(c.read().text());
+                c.close();
+            }
+        }
+        return who;
     }
-    return who;
-  }
 
-  @Test
-  void withTheGuardTheServiceGoesOnWithAllAndADrainIsObeyed() throws Exception {
-    try (Rig rig = new Rig(false, new ListGuard(0.5, LONG_MS), c -> {}, all())) {
-      // One is left of four, and one of the others was told to drain in the same breath.
-      rig.tell(2, true, all()[0].replace("\"up\"", "\"draining\""));
-      assertThat(answering(rig)).containsExactly("b", "c", "d");
-      assertThat(rig.log()).contains("a list of 1 hosts lacks 3 in use: not believed for now");
-      rig.tell(3, false, all()[1].replace("\"up\"", "\"removed\""));
-      assertThat(answering(rig)).containsExactly("c", "d");
+    @Test
+    void withTheGuardTheServiceGoesOnWithAllAndADrainIsObeyed() throws Exception {
+        try (Rig rig = new Rig(false, new ListGuard(0.5, LONG_MS), c -> {}, all())) {
+            // One is left of four, and one of the others was told to drain in the same breath.
+            rig.tell(2, true, all()[0].replace("\"up\"", "\"draining\""));
+            assertThat(answering(rig)).containsExactly("b", "c", "d");
+            assertThat(rig.log()).contains("a list of 1 hosts lacks 3 in use: not believed for now");
+            rig.tell(3, false, all()[1].replace("\"up\"", "\"removed\""));
+            assertThat(answering(rig)).containsExactly("c", "d");
+        }
     }
-  }
 
-  @Test
-  void whatNoListNamesAgainIsGoneInTheEnd() throws Exception {
-    try (Rig rig = new Rig(false, new ListGuard(0.5, 1), c -> {}, all())) {
-      rig.tell(2, true, all()[0]);
-      rig.news.add("");
-      assertThat(rig.watches.poll(20, TimeUnit.SECONDS)).isNotNull();
-      assertThat(rig.watches.poll(20, TimeUnit.SECONDS)).isNotNull();
-      long until = System.nanoTime() + 20_000_000_000L;
-      while (rig.log().lines().filter(l -> l.contains("is gone: no list")).count() < 3
-          && System.nanoTime() < until) {
-        Thread.onSpinWait();
-      }
-      for (int i = 0; i < 20; i++) {
-        assertThat(rig.call(Rig.post("claim", 800, "", "x")).text()).isEqualTo("a");
-      }
+    @Test
+    void whatNoListNamesAgainIsGoneInTheEnd() throws Exception {
+        try (Rig rig = new Rig(false, new ListGuard(0.5, 1), c -> {}, all())) {
+            rig.tell(2, true, all()[0]);
+            rig.news.add("");
+            assertThat(rig.watches.poll(20, TimeUnit.SECONDS)).isNotNull();
+            assertThat(rig.watches.poll(20, TimeUnit.SECONDS)).isNotNull();
+            long until = System.nanoTime() + 20_000_000_000L;
+            while (rig.log().lines().filter(l -> l.contains("is gone: no list")).count() < 3
+                    && System.nanoTime() < until) {
+                Thread.onSpinWait();
+            }
+            for (int i = 0; i < 20; i++) {
+                assertThat(rig.call(Rig.post("claim", 800, "", "x")).text()).isEqualTo("a");
+            }
+        }
     }
-  }
 
-  /** The platform's rule, and what holds where no guard is asked for. */
-  @Test
-  void withoutTheGuardTheListIsBelieved() throws Exception {
-    try (Rig rig = new Rig(all())) {
-      rig.tell(2, true, all()[0]);
-      assertThat(answering(rig)).containsExactly("a");
+    /** The platform's rule, and what holds where no guard is asked for. */
+    @Test
+    void withoutTheGuardTheListIsBelieved() throws Exception {
+        try (Rig rig = new Rig(all())) {
+            rig.tell(2, true, all()[0]);
+            assertThat(answering(rig)).containsExactly("a");
+        }
     }
-  }
 
-  @Test
-  void theGuardIsAskedForByProperties() throws Exception {
-    Properties p = new Properties();
-    assertThat(ListOptions.guard(p)).isNull();
-    p.setProperty(ListOptions.HOLD, "30000");
-    assertThat(ListOptions.guard(p)).isNotNull();
-    p.setProperty(ListOptions.LEAST_SHARE, "1.5");
-    assertThatThrownBy(() -> ListOptions.guard(p)).isInstanceOf(ConfigException.class)
-        .hasMessageContaining("least_share").hasMessageContaining("expected 0 to 1, found 1.5");
-    p.setProperty(ListOptions.HOLD, "soon");
-    assertThatThrownBy(() -> ListOptions.guard(p)).isInstanceOf(ConfigException.class)
-        .hasMessage("-Drillyard.lists.hold_ms: expected a number, found 'soon'");
-  }
+    @Test
+    void theGuardIsAskedForByProperties() throws Exception {
+        Properties p = new Properties();
+        assertThat(ListOptions.guard(p)).isNull();
+        p.setProperty(ListOptions.HOLD, "30000");
+        assertThat(ListOptions.guard(p)).isNotNull();
+        p.setProperty(ListOptions.LEAST_SHARE, "1.5");
+        assertThatThrownBy(() -> ListOptions.guard(p))
+                .isInstanceOf(ConfigException.class)
+                .hasMessageContaining("least_share")
+                .hasMessageContaining("expected 0 to 1, found 1.5");
+        p.setProperty(ListOptions.HOLD, "soon");
+        assertThatThrownBy(() -> ListOptions.guard(p))
+                .isInstanceOf(ConfigException.class)
+                .hasMessage("-Drillyard.lists.hold_ms: expected a number, found 'soon'");
+    }
 }
