--- a/src/test/java/rillyard/proxy/EndingsTest.java
+++ b/src/test/java/rillyard/proxy/EndingsTest.java
@@ -16,309 +16,291 @@
 /** The instants in which something ends while something is still owed; see docs/design/endings.md. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class EndingsTest {
-  private static final long FAR_NANOS = 20_000_000_000L;
+    private static final long FAR_NANOS = 20_000_000_000L;
 
-  private static Consumer<ObjectNode> limits(Consumer<ObjectNode> change) {
-    return c -> change.accept((ObjectNode) c.get("settings").get("limits"));
-  }
+    private static Consumer<ObjectNode> limits(Consumer<ObjectNode> change) {
+        return c -> change.accept((ObjectNode) c.get("settings").get("limits"));
+    }
 
-  /** Waits for something that is true on the proxy's loop, as it can be asked there only. */
-  private static void await(Rig rig, Callable<Boolean> what) throws Exception {
-    long until = System.nanoTime() + FAR_NANOS;
-    while (!rig.proxy.loop().submit(what).get()) {
-      assertThat(System.nanoTime()).as("time is up").isLessThan(until);
-      Thread.sleep(1);
+    /** Waits for something that is true on the proxy's loop, as it can be asked there only. */
+    private static void await(Rig rig, Callable<Boolean> what) throws Exception {
+        long until = System.nanoTime() + FAR_NANOS;
+        while (!rig.proxy.loop().submit(what).get()) {
+            assertThat(System.nanoTime()).as("time is up").isLessThan(until);
+            Thread.sleep(1);
+        }
     }
-  }
 
-  private static void awaitQuietly(CountDownLatch latch) {
-    try {
-      latch.await();
-    } catch (InterruptedException e) {
-      Thread.currentThread().interrupt();
+    private static void awaitQuietly(CountDownLatch latch) {
+        try {
+            latch.await();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
     }
-  }
 
-  private static void awaitRequests(Rig rig, int n) throws Exception {
-    await(rig, () -> rig.proxy.requests() == n);
-  }
+    private static void awaitRequests(Rig rig, int n) throws Exception {
+        await(rig, () -> rig.proxy.requests() == n);
+    }
 
-  /** Ends the watch and waits for the next, so that all that was told before has been applied. */
-  private static void awaitApplied(Rig rig) throws Exception {
-    rig.news.add("");
-    while (!rig.watches.poll(20, TimeUnit.SECONDS).contains("since=2 ")) {
-      continue;
+    /** Ends the watch and waits for the next, so that all that was told before has been applied. */
+    private static void awaitApplied(Rig rig) throws Exception {
+        rig.news.add("");
+        while (!rig.watches.poll(20, TimeUnit.SECONDS).contains("since=2 ")) {
+            continue;
+        }
     }
-  }
 
-  @Test
-  void aRepeatWhoseConnectionIsNotUpByTheEndOfItsWindowIsGivenUp() throws Exception {
-    repeatAtALateConnection(
-        (rig, late, client) -> {
-          assertThat(client.read().status()).isEqualTo(502); // 504 by the deadline of 15 s
-          awaitRequests(rig, 0);
+    @Test
+    void aRepeatWhoseConnectionIsNotUpByTheEndOfItsWindowIsGivenUp() throws Exception {
+        repeatAtALateConnection((rig, late, client) -> {
+            assertThat(client.read().status()).isEqualTo(502); // 504 by the deadline of 15 s
+            awaitRequests(rig, 0);
         });
-  }
+    }
 
-  @Test
-  void aConnectionThatIsUpAheadOfTheTimerThatEndsItsWindowGetsNothing() throws Exception {
-    repeatAtALateConnection(
-        (rig, late, client) -> {
-          CountDownLatch open = rig.blockLoop();
-          late.makeRoom(); // it is up a second after it was begun: past the window of 750 ms
-          try (Peer host = late.accept()) {
-            open.countDown();
-            assertThat(host.read()).isNull();
-          }
-          assertThat(client.read().status()).isEqualTo(502);
+    @Test
+    void aConnectionThatIsUpAheadOfTheTimerThatEndsItsWindowGetsNothing() throws Exception {
+        repeatAtALateConnection((rig, late, client) -> {
+            CountDownLatch open = rig.blockLoop();
+            late.makeRoom(); // it is up a second after it was begun: past the window of 750 ms
+            try (Peer host = late.accept()) {
+                open.countDown();
+                assertThat(host.read()).isNull();
+            }
+            assertThat(client.read().status()).isEqualTo(502);
         });
-  }
+    }
 
-  private interface LateRepeat {
-    void check(Rig rig, LateConnect late, Peer client) throws Exception;
-  }
+    private interface LateRepeat {
+        void check(Rig rig, LateConnect late, Peer client) throws Exception;
+    }
 
-  /** A keyed request has failed at one host, and the connection for its repeat at another is on its way. */
-  private static void repeatAtALateConnection(LateRepeat then) throws Exception {
-    try (LateConnect late = new LateConnect()) {
-      Rig[] rig = new Rig[1];
-      ScriptedServer first =
-          ScriptedServer.host(
-              r -> {
+    /** A keyed request has failed at one host, and the connection for its repeat at another is on its way. */
+    private static void repeatAtALateConnection(LateRepeat then) throws Exception {
+        try (LateConnect late = new LateConnect()) {
+            Rig[] rig = new Rig[1];
+            ScriptedServer first = ScriptedServer.host(r -> {
                 rig[0].tell(2, false, Rig.server("b", late.port()));
                 awaitApplied(rig[0]); // the repeat has somewhere to go
                 return ScriptedServer.status(500, "");
-              });
-      try (first;
-          Rig made = new Rig(limits(l -> l.put("connectTimeout", 15_000)), Rig.server("a", first.port()));
-          Peer client = made.client()) {
-        rig[0] = made;
-        client.write(Rig.post("log", 15_000, "Idempotency-Key: k\r\n", "x")); // its window is 750 ms
-        first.request();
-        await(made, () -> made.proxy.hostConnections() == 2);
-        then.check(made, late, client);
-      }
+            });
+            try (first;
+                    Rig made = new Rig(limits(l -> l.put("connectTimeout", 15_000)), Rig.server("a", first.port()));
+                    Peer client = made.client()) {
+                rig[0] = made;
+                client.write(Rig.post("log", 15_000, "Idempotency-Key: k\r\n", "x")); // its window is 750 ms
+                first.request();
+                await(made, () -> made.proxy.hostConnections() == 2);
+                then.check(made, late, client);
+            }
+        }
     }
-  }
 
-  @Test
-  void nothingBeginsForAClientThatLeftWhileItsConnectionWasComingUp() throws Exception {
-    try (LateConnect late = new LateConnect();
-        Rig rig =
-            new Rig( // nothing else can end the attempt, and it may not be called off
-                limits(l -> l.put("connectTimeout", 600_000).put("cancel", false)),
-                Rig.server("a", late.port()))) {
-      try (Peer client = rig.client()) {
-        client.write(Rig.post("claim", 600_000, "", "x"));
-        awaitRequests(rig, 1);
-      }
-      awaitRequests(rig, 0);
+    @Test
+    void nothingBeginsForAClientThatLeftWhileItsConnectionWasComingUp() throws Exception {
+        try (LateConnect late = new LateConnect();
+                Rig rig = new Rig( // nothing else can end the attempt, and it may not be called off
+                        limits(l -> l.put("connectTimeout", 600_000).put("cancel", false)),
+                        Rig.server("a", late.port()))) {
+            try (Peer client = rig.client()) {
+                client.write(Rig.post("claim", 600_000, "", "x"));
+                awaitRequests(rig, 1);
+            }
+            awaitRequests(rig, 0);
+        }
     }
-  }
 
-  @Test
-  void theEndOfAConnectionIsSeenBehindRequestsSentAhead() throws Exception {
-    CountDownLatch ended = new CountDownLatch(1);
-    ScriptedServer host =
-        new ScriptedServer(
-            p -> {
-              p.read();
-              p.awaitEnd();
-              ended.countDown();
-            });
-    try (host;
-        Rig rig = new Rig(Rig.server("a", host.port()))) {
-      try (Peer client = rig.client()) {
-        client.write(Rig.post("claim", 600_000, "", "first"));
-        host.accepted();
-        client.write(Rig.post("claim", 600_000, "", "second"));
-        client.write(Rig.post("claim", 600_000, "", "third " + "x".repeat(10_000)));
-      }
-      ended.await(); // the first is called off
-      awaitRequests(rig, 0);
-      assertThat(host.acceptedMore()).isFalse(); // and the others never begun
+    @Test
+    void theEndOfAConnectionIsSeenBehindRequestsSentAhead() throws Exception {
+        CountDownLatch ended = new CountDownLatch(1);
+        ScriptedServer host = new ScriptedServer(p -> {
+            p.read();
+            p.awaitEnd();
+            ended.countDown();
+        });
+        try (host;
+                Rig rig = new Rig(Rig.server("a", host.port()))) {
+            try (Peer client = rig.client()) {
+                client.write(Rig.post("claim", 600_000, "", "first"));
+                host.accepted();
+                client.write(Rig.post("claim", 600_000, "", "second"));
+                client.write(Rig.post("claim", 600_000, "", "third " + "x".repeat(10_000)));
+            }
+            ended.await(); // the first is called off
+            awaitRequests(rig, 0);
+            assertThat(host.acceptedMore()).isFalse(); // and the others never begun
+        }
     }
-  }
 
-  @Test
-  void aResetOfTheClientsEndsItsAttempt() throws Exception {
-    CountDownLatch ended = new CountDownLatch(1);
-    ScriptedServer host =
-        new ScriptedServer(
-            p -> {
-              p.read();
-              p.awaitEnd();
-              ended.countDown();
-            });
-    try (host;
-        Rig rig = new Rig(Rig.server("a", host.port()));
-        Peer client = rig.client()) {
-      client.write(Rig.post("claim", 600_000, "", "x"));
-      host.accepted();
-      client.reset();
-      ended.await();
-      awaitRequests(rig, 0);
+    @Test
+    void aResetOfTheClientsEndsItsAttempt() throws Exception {
+        CountDownLatch ended = new CountDownLatch(1);
+        ScriptedServer host = new ScriptedServer(p -> {
+            p.read();
+            p.awaitEnd();
+            ended.countDown();
+        });
+        try (host;
+                Rig rig = new Rig(Rig.server("a", host.port()));
+                Peer client = rig.client()) {
+            client.write(Rig.post("claim", 600_000, "", "x"));
+            host.accepted();
+            client.reset();
+            ended.await();
+            awaitRequests(rig, 0);
+        }
     }
-  }
 
-  @Test
-  void aRequestBehindTheLastAnswerOfAConnectionIsSentNowhere() throws Exception {
-    try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok(r.text()));
-        Rig rig = new Rig(Rig.server("a", host.port()));
-        Peer client = rig.client()) {
-      client.write(Rig.post("claim", 20_000, "Connection: close\r\n", "last")
-          + Rig.post("claim", 20_000, "", "behind"));
-      assertThat(client.read().text()).isEqualTo("last");
-      assertThat(client.read()).isNull();
-      await(rig, () -> rig.proxy.clients() == 0);
-      assertThat(host.requests).extracting(Peer.Message::text).containsExactly("last");
+    @Test
+    void aRequestBehindTheLastAnswerOfAConnectionIsSentNowhere() throws Exception {
+        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok(r.text()));
+                Rig rig = new Rig(Rig.server("a", host.port()));
+                Peer client = rig.client()) {
+            client.write(Rig.post("claim", 20_000, "Connection: close\r\n", "last")
+                    + Rig.post("claim", 20_000, "", "behind"));
+            assertThat(client.read().text()).isEqualTo("last");
+            assertThat(client.read()).isNull();
+            await(rig, () -> rig.proxy.clients() == 0);
+            assertThat(host.requests).extracting(Peer.Message::text).containsExactly("last");
+        }
     }
-  }
 
-  @Test
-  void manyRequestsSentAheadAreAnsweredInOrderHoweverTheyAreCut() throws Exception {
-    try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok(r.text()));
-        Rig rig = new Rig(Rig.server("a", host.port()));
-        Peer client = rig.client()) {
-      int n = 200; // 60 kB: more than is held
-      StringBuilder all = new StringBuilder();
-      for (int i = 0; i < n; i++) {
-        all.append(Rig.post("claim", 20_000, "", "r" + i + "x".repeat(150)));
-      }
-      CountDownLatch open = rig.blockLoop();
-      Thread writer =
-          new Thread(
-              () -> {
+    @Test
+    void manyRequestsSentAheadAreAnsweredInOrderHoweverTheyAreCut() throws Exception {
+        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok(r.text()));
+                Rig rig = new Rig(Rig.server("a", host.port()));
+                Peer client = rig.client()) {
+            int n = 200; // 60 kB: more than is held
+            StringBuilder all = new StringBuilder();
+            for (int i = 0; i < n; i++) {
+                all.append(Rig.post("claim", 20_000, "", "r" + i + "x".repeat(150)));
+            }
+            CountDownLatch open = rig.blockLoop();
+            Thread writer = new Thread(() -> {
                 try {
-                  for (int from = 0; from < all.length(); from += 777) {
-                    client.write(all.substring(from, Math.min(all.length(), from + 777)));
-                  }
+                    for (int from = 0; from < all.length(); from += 777) {
+                        client.write(all.substring(from, Math.min(all.length(), from + 777)));
+                    }
                 } catch (java.io.IOException e) {
-                  // the reads below fail
+                    // the reads below fail
                 }
-              });
-      writer.start();
-      open.countDown();
-      for (int i = 0; i < n; i++) {
-        assertThat(client.read().text()).startsWith("r" + i + "x");
-      }
-      writer.join();
+            });
+            writer.start();
+            open.countDown();
+            for (int i = 0; i < n; i++) {
+                assertThat(client.read().text()).startsWith("r" + i + "x");
+            }
+            writer.join();
+        }
     }
-  }
 
-  @Test
-  void aRequestThatCrossesTheEndOfAnIdleConnectionIsSentNowhereAndNoResetAnswersIt() throws Exception {
-    try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
-        Rig rig = new Rig(Rig.server("a", host.port()));
-        Peer client = rig.client()) {
-      client.write(Rig.post("claim", 800, "", "first"));
-      assertThat(client.read().status()).isEqualTo(200);
-      // The drain ends the sending, and the loop does nothing more until the client has written.
-      CountDownLatch begin = rig.blockLoop();
-      rig.proxy.drain();
-      CountDownLatch goOn = new CountDownLatch(1);
-      rig.proxy.loop().execute(() -> awaitQuietly(goOn));
-      begin.countDown();
-      assertThat(client.read()).as("the end of the sending").isNull();
-      client.write(Rig.post("claim", 800, "", "late"));
-      client.write(Rig.post("claim", 800, "", "later")); // fails where the first was answered by a reset
-      goOn.countDown();
-      client.socket.shutdownOutput();
-      rig.proxy.awaitEnd();
-      assertThat(host.requests).extracting(Peer.Message::text).containsExactly("first");
+    @Test
+    void aRequestThatCrossesTheEndOfAnIdleConnectionIsSentNowhereAndNoResetAnswersIt() throws Exception {
+        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
+                Rig rig = new Rig(Rig.server("a", host.port()));
+                Peer client = rig.client()) {
+            client.write(Rig.post("claim", 800, "", "first"));
+            assertThat(client.read().status()).isEqualTo(200);
+            // The drain ends the sending, and the loop does nothing more until the client has written.
+            CountDownLatch begin = rig.blockLoop();
+            rig.proxy.drain();
+            CountDownLatch goOn = new CountDownLatch(1);
+            rig.proxy.loop().execute(() -> awaitQuietly(goOn));
+            begin.countDown();
+            assertThat(client.read()).as("the end of the sending").isNull();
+            client.write(Rig.post("claim", 800, "", "late"));
+            client.write(Rig.post("claim", 800, "", "later")); // fails where the first was answered by a reset
+            goOn.countDown();
+            client.socket.shutdownOutput();
+            rig.proxy.awaitEnd();
+            assertThat(host.requests).extracting(Peer.Message::text).containsExactly("first");
+        }
     }
-  }
 
-  @Test
-  void aConnectionThatMakesRoomTakesNoAnswerWithIt() throws Exception {
-    try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
-        Rig rig =
-            new Rig(c -> ((ObjectNode) c.get("limits")).put("sockets", 64), Rig.server("a", host.port()));
-        Peer client = rig.client()) {
-      client.write(Rig.post("claim", 20_000, "", "first"));
-      host.request();
-      await(rig, () -> rig.proxy.requests() == 0);
-      // The answer lies unread at its client while others take its place.
-      Peer[] more = new Peer[40];
-      for (int i = 0; i < more.length; i++) {
-        more[i] = rig.client();
-      }
-      assertThat(client.read().text()).isEqualTo("x");
-      assertThat(client.read()).isNull();
-      for (Peer p : more) {
-        p.close();
-      }
+    @Test
+    void aConnectionThatMakesRoomTakesNoAnswerWithIt() throws Exception {
+        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
+                Rig rig =
+                        new Rig(c -> ((ObjectNode) c.get("limits")).put("sockets", 64), Rig.server("a", host.port()));
+                Peer client = rig.client()) {
+            client.write(Rig.post("claim", 20_000, "", "first"));
+            host.request();
+            await(rig, () -> rig.proxy.requests() == 0);
+            // The answer lies unread at its client while others take its place.
+            Peer[] more = new Peer[40];
+            for (int i = 0; i < more.length; i++) {
+                more[i] = rig.client();
+            }
+            assertThat(client.read().text()).isEqualTo("x");
+            assertThat(client.read()).isNull();
+            for (Peer p : more) {
+                p.close();
+            }
+        }
     }
-  }
 
-  /** The platform kills 3.7 s after SIGTERM at the latest, whatever the longest deadline is. */
-  @ParameterizedTest
-  @ValueSource(ints = {1_200, 600_000})
-  void whatADrainStillHoldsIsAnsweredBeforeTheEnd(int longest) throws Exception {
-    CountDownLatch never = new CountDownLatch(1);
-    try (ScriptedServer host =
-            ScriptedServer.host(
-                r -> {
-                  never.await();
-                  return "";
+    /** The platform kills 3.7 s after SIGTERM at the latest, whatever the longest deadline is. */
+    @ParameterizedTest
+    @ValueSource(ints = {1_200, 600_000})
+    void whatADrainStillHoldsIsAnsweredBeforeTheEnd(int longest) throws Exception {
+        CountDownLatch never = new CountDownLatch(1);
+        try (ScriptedServer host = ScriptedServer.host(r -> {
+                    never.await();
+                    return "";
                 });
-        Rig rig =
-            new Rig(
-                c -> ((ObjectNode) c.at("/settings/classes/1")).put("deadline", longest),
-                Rig.server("a", host.port()));
-        Peer client = rig.client()) {
-      client.write(Rig.post("claim", 600_000, "", "x")); // far longer than a drain may take
-      host.request();
-      rig.proxy.drain();
-      Peer.Message answer = client.read();
-      assertThat(answer.status()).isEqualTo(502);
-      assertThat(answer.header("Connection")).isEqualTo("close");
-      rig.proxy.awaitEnd();
-      never.countDown();
+                Rig rig = new Rig(
+                        c -> ((ObjectNode) c.at("/settings/classes/1")).put("deadline", longest),
+                        Rig.server("a", host.port()));
+                Peer client = rig.client()) {
+            client.write(Rig.post("claim", 600_000, "", "x")); // far longer than a drain may take
+            host.request();
+            rig.proxy.drain();
+            Peer.Message answer = client.read();
+            assertThat(answer.status()).isEqualTo(502);
+            assertThat(answer.header("Connection")).isEqualTo("close");
+            rig.proxy.awaitEnd();
+            never.countDown();
+        }
     }
-  }
 
-  @Test
-  void aLineCutOffWithinAnAnswerAheadOfACloseIsNoAnswer() throws Exception {
-    ScriptedServer host =
-        new ScriptedServer(
-            p -> {
-              p.read();
-              p.write("HTTP/1.1 200 OK\r\nContent-Le");
-            });
-    try (host;
-        Rig rig = new Rig(Rig.server("a", host.port()))) {
-      assertThat(rig.call(Rig.post("claim", 20_000, "", "x")).status()).isEqualTo(502);
+    @Test
+    void aLineCutOffWithinAnAnswerAheadOfACloseIsNoAnswer() throws Exception {
+        ScriptedServer host = new ScriptedServer(p -> {
+            p.read();
+            p.write("HTTP/1.1 200 OK\r\nContent-Le");
+        });
+        try (host;
+                Rig rig = new Rig(Rig.server("a", host.port()))) {
+            assertThat(rig.call(Rig.post("claim", 20_000, "", "x")).status()).isEqualTo(502);
+        }
     }
-  }
 
-  @Test
-  void anAnswerWithoutALengthThatIsResetOnceItIsPassedOnIsSeenToBeCut() throws Exception {
-    CountDownLatch passed = new CountDownLatch(1);
-    ScriptedServer host =
-        new ScriptedServer(
-            p -> {
-              p.read();
-              p.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "x".repeat(70_000));
-              passed.await();
-              p.reset();
-            });
-    try (host;
-        Rig rig = new Rig(Rig.server("a", host.port()));
-        Peer client = rig.client()) {
-      client.write(Rig.post("claim", 20_000, "", "x"));
-      assertThat(client.readHead()).contains("200");
-      passed.countDown();
-      boolean whole = false;
-      try {
-        String line;
-        while ((line = client.readLine()) != null) {
-          whole |= line.equals("0"); // the last chunk
+    @Test
+    void anAnswerWithoutALengthThatIsResetOnceItIsPassedOnIsSeenToBeCut() throws Exception {
+        CountDownLatch passed = new CountDownLatch(1);
+        ScriptedServer host = new ScriptedServer(p -> {
+            p.read();
+            p.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "x".repeat(70_000));
+            passed.await();
+            p.reset();
+        });
+        try (host;
+                Rig rig = new Rig(Rig.server("a", host.port()));
+                Peer client = rig.client()) {
+            client.write(Rig.post("claim", 20_000, "", "x"));
+            assertThat(client.readHead()).contains("200");
+            passed.countDown();
+            boolean whole = false;
+            try {
+                String line;
+                while ((line = client.readLine()) != null) {
+                    whole |= line.equals("0"); // the last chunk
+                }
+            } catch (SocketException e) {
+                // a reset tells the client as well
+            }
+            assertThat(whole).isFalse();
         }
-      } catch (SocketException e) {
-        // a reset tells the client as well
-      }
-      assertThat(whole).isFalse();
     }
-  }
 }
--- a/src/test/java/rillyard/proxy/GapIT.java
+++ b/src/test/java/rillyard/proxy/GapIT.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
-import java.util.concurrent.atomic.AtomicInteger;
-import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -24,192 +24,196 @@
 /** The built jar, which stands still (SIGSTOP) again and again while requests come. */
 @Timeout(120)
 class GapIT {
-  private static final Launch BUILT = Launch.platform(Path.of("").toAbsolutePath()).on("0");
-  private static final int CLIENTS = 8;
-  private static final int TIME_MS = 1_500;
+    private static final Launch BUILT =
+            Launch.platform(Path.of("").toAbsolutePath()).on("0");
+    private static final int CLIENTS = 8;
+    private static final int TIME_MS = 1_500;
 
-  /** More than a loop accepts in one turn. */
-  private static final int BURST = 40;
+    /** More than a loop accepts in one turn. */
+    private static final int BURST = 40;
 
-  /** The protocol's: a final answer may be late by so much (ms) before it counts as none. */
-  private static final long SLACK_MS = 550;
+    /** The protocol's: a final answer may be late by so much (ms) before it counts as none. */
+    private static final long SLACK_MS = 550;
 
-  @TempDir Path folder;
+    @TempDir
+    Path folder;
 
-  private ProxyProcess launch(ScriptedServer discovery, ScriptedServer... hosts) throws Exception {
-    Path config = folder.resolve("config.json");
-    String[] known = new String[hosts.length];
-    for (int i = 0; i < hosts.length; i++) {
-      known[i] = Rig.server("h" + i, hosts[i].port());
+    private ProxyProcess launch(ScriptedServer discovery, ScriptedServer... hosts) throws Exception {
+        Path config = folder.resolve("config.json");
+        String[] known = new String[hosts.length];
+        for (int i = 0; i < hosts.length; i++) {
+            known[i] = Rig.server("h" + i, hosts[i].port());
+        }
+        Files.move(Rig.config(discovery.port(), c -> {}, known), config);
+        ProxyProcess p = ProxyProcess.launch(BUILT, config, ProxyProcess.freeAddress(), folder.resolve("log"));
+        p.await(ProxyProcess.State.READY);
+        return p;
     }
-    Files.move(Rig.config(discovery.port(), c -> {}, known), config);
-    ProxyProcess p = ProxyProcess.launch(BUILT, config, ProxyProcess.freeAddress(), folder.resolve("log"));
-    p.await(ProxyProcess.State.READY);
-    return p;
-  }
 
-  /** A time (ns) in which the process stood still. */
-  private record Gap(long from, long to) {}
+    /** A time (ns) in which the process stood still. */
+    private record Gap(long from, long to) {}
 
-  /** A request and when (ns) its answer came; none where the connection ended with no answer. */
-  private record Asked(long sent, long answered, boolean whole) {
-    /**
-     * Whether it is lost: past its time and the slack. One whose time was up while the process stood still can
-     * be answered no sooner than that goes on; the slack counts from there.
-     */
-    boolean lost(List<Gap> gaps) {
-      long due = sent + TIME_MS * 1_000_000L;
-      for (Gap g : gaps) {
-        if (g.from <= due && due <= g.to) {
-          due = g.to;
+    /** A request and when (ns) its answer came; none where the connection ended with no answer. */
+    private record Asked(long sent, long answered, boolean whole) {
+        /**
+         * Whether it is lost: past its time and the slack. One whose time was up while the process stood still can
+         * be answered no sooner than that goes on; the slack counts from there.
+         */
+        boolean lost(List<Gap> gaps) {
+            long due = sent + TIME_MS * 1_000_000L;
+            for (Gap g : gaps) {
+                if (g.from <= due && due <= g.to) {
+                    due = g.to;
+                }
+            }
+            return !whole || answered > due + SLACK_MS * 1_000_000;
         }
-      }
-      return !whole || answered > due + SLACK_MS * 1_000_000;
-    }
 
-    String told(List<Gap> gaps, long zero) {
-      return "sent " + (sent - zero) / 1_000_000 + ", answered " + (answered - zero) / 1_000_000 + ", gaps "
-          + gaps.stream().map(g -> (g.from - zero) / 1_000_000 + "-" + (g.to - zero) / 1_000_000).toList();
+        String told(List<Gap> gaps, long zero) {
+            return "sent " + (sent - zero) / 1_000_000 + ", answered " + (answered - zero) / 1_000_000 + ", gaps "
+                    + gaps.stream()
+                            .map(g -> (g.from - zero) / 1_000_000 + "-" + (g.to - zero) / 1_000_000)
+                            .toList();
+        }
     }
-  }
 
-  /** One client, one request after another on a kept connection, until told to end. */
-  private static void ask(ProxyProcess p, Queue<Asked> seen, AtomicLong latest, AtomicInteger on) throws Exception {
-    Peer c = Peer.connect(p.address().getPort());
-    try {
-      while (on.get() > 0) {
-        long sent = System.nanoTime();
-        latest.set(sent);
-        c.write(Rig.post("claim", TIME_MS, "", "x"));
-        Peer.Message m = c.read();
-        seen.add(new Asked(sent, System.nanoTime(), m != null));
-        if (m == null || "close".equals(m.header("Connection"))) {
-          c.close();
-          c = Peer.connect(p.address().getPort());
+    /** One client, one request after another on a kept connection, until told to end. */
+    private static void ask(ProxyProcess p, Queue<Asked> seen, AtomicLong latest, AtomicInteger on) throws Exception {
+        Peer c = Peer.connect(p.address().getPort());
+        try {
+            while (on.get() > 0) {
+                long sent = System.nanoTime();
+                latest.set(sent);
+                c.write(Rig.post("claim", TIME_MS, "", "x"));
+                Peer.Message m = c.read();
+                seen.add(new Asked(sent, System.nanoTime(), m != null));
+                if (m == null || "close".equals(m.header("Connection"))) {
+                    c.close();
+                    c = Peer.connect(p.address().getPort());
+                }
+            }
+        } finally {
+            c.close();
         }
-      }
-    } finally {
-      c.close();
     }
-  }
 
-  /** Every third request meets a host that hangs, so that nothing but its time ends it. */
-  @ParameterizedTest
-  @ValueSource(ints = {50, 150, 500, 1_000})
-  void eachRequestGetsItsOneAnswerInTimeAcrossGaps(int gapMs) throws Exception {
-    AtomicInteger count = new AtomicInteger();
-    AtomicInteger on = new AtomicInteger(1);
-    Queue<Asked> seen = new ConcurrentLinkedQueue<>();
-    List<Gap> gaps = new ArrayList<>();
-    long zero = System.nanoTime();
-    ExecutorService clients = Executors.newCachedThreadPool();
-    try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
-        ScriptedServer host =
-            new ScriptedServer(
-                peer -> {
-                  Peer.Message m;
-                  while ((m = peer.read()) != null) {
-                    if (count.incrementAndGet() % 3 == 0) {
-                      peer.awaitEnd(); // hangs under this one
-                      return;
+    /** Every third request meets a host that hangs, so that nothing but its time ends it. */
+    @ParameterizedTest
+    @ValueSource(ints = {50, 150, 500, 1_000})
+    void eachRequestGetsItsOneAnswerInTimeAcrossGaps(int gapMs) throws Exception {
+        AtomicInteger count = new AtomicInteger();
+        AtomicInteger on = new AtomicInteger(1);
+        Queue<Asked> seen = new ConcurrentLinkedQueue<>();
+        List<Gap> gaps = new ArrayList<>();
+        long zero = System.nanoTime();
+        ExecutorService clients = Executors.newCachedThreadPool();
+        try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
+                ScriptedServer host = new ScriptedServer(peer -> {
+                    Peer.Message m;
+                    while ((m = peer.read()) != null) {
+                        if (count.incrementAndGet() % 3 == 0) {
+                            peer.awaitEnd(); // hangs under this one
+                            return;
+                        }
+                        peer.write(ScriptedServer.ok("served"));
                     }
-                    peer.write(ScriptedServer.ok("served"));
-                  }
                 });
-        ProxyProcess p = launch(silent, host)) {
-      List<Future<?>> asking = new ArrayList<>();
-      List<AtomicLong> latest = new ArrayList<>();
-      for (int i = 0; i < CLIENTS; i++) {
-        AtomicLong mine = new AtomicLong();
-        latest.add(mine);
-        asking.add(clients.submit(() -> {
-          ask(p, seen, mine, on);
-          return null;
-        }));
-      }
-      for (int i = 0; i < 4; i++) {
-        // What was asked in one gap has its answer before the next: two that meet one request would hide each other.
-        long since = gaps.isEmpty() ? zero : gaps.get(i - 1).to;
-        while (latest.stream().anyMatch(sent -> sent.get() <= since)) {
-          Thread.sleep(1);
+                ProxyProcess p = launch(silent, host)) {
+            List<Future<?>> asking = new ArrayList<>();
+            List<AtomicLong> latest = new ArrayList<>();
+            for (int i = 0; i < CLIENTS; i++) {
+                AtomicLong mine = new AtomicLong();
+                latest.add(mine);
+                asking.add(clients.submit(() -> {
+                    ask(p, seen, mine, on);
+                    return null;
+                }));
+            }
+            for (int i = 0; i < 4; i++) {
+                // What was asked in one gap has its answer before the next: two that meet one request would hide each
+                // other.
+                long since = gaps.isEmpty() ? zero : gaps.get(i - 1).to;
+                while (latest.stream().anyMatch(sent -> sent.get() <= since)) {
+                    Thread.sleep(1);
+                }
+                long from = System.nanoTime();
+                p.process().pause();
+                Thread.sleep(gapMs); // the gap itself
+                p.process().resume();
+                gaps.add(new Gap(from, System.nanoTime()));
+            }
+            on.set(0);
+            for (Future<?> f : asking) {
+                f.get();
+            }
+        } finally {
+            clients.shutdownNow();
         }
-        long from = System.nanoTime();
-        p.process().pause();
-        Thread.sleep(gapMs); // the gap itself
-        p.process().resume();
-        gaps.add(new Gap(from, System.nanoTime()));
-      }
-      on.set(0);
-      for (Future<?> f : asking) {
-        f.get();
-      }
-    } finally {
-      clients.shutdownNow();
+        assertThat(seen.stream().filter(a -> a.lost(gaps)).map(a -> a.told(gaps, zero)))
+                .isEmpty();
     }
-    assertThat(seen.stream().filter(a -> a.lost(gaps)).map(a -> a.told(gaps, zero))).isEmpty();
-  }
 
-  /** More new connections than a loop accepts in one turn, and a reload, come while it stands still. */
-  @Test
-  void aBurstAndAReloadInAGapAreServed() throws Exception {
-    try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
-        ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"));
-        ProxyProcess p = launch(silent, host)) {
-      for (int round = 0; round < 3; round++) {
-        List<Peer> burst = new ArrayList<>();
-        try {
-          p.process().pause();
-          p.process().signal("HUP");
-          for (int i = 0; i < BURST; i++) {
-            Peer c = Peer.connect(p.address().getPort());
-            c.write(Rig.post("claim", TIME_MS, "", "x"));
-            burst.add(c);
-          }
-          Thread.sleep(300); // the gap itself
-          p.process().resume();
-          for (Peer c : burst) {
-            assertThat(c.read()).isNotNull();
-          }
-        } finally {
-          for (Peer c : burst) {
-            c.close();
-          }
+    /** More new connections than a loop accepts in one turn, and a reload, come while it stands still. */
+    @Test
+    void aBurstAndAReloadInAGapAreServed() throws Exception {
+        try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
+                ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"));
+                ProxyProcess p = launch(silent, host)) {
+            for (int round = 0; round < 3; round++) {
+                List<Peer> burst = new ArrayList<>();
+                try {
+                    p.process().pause();
+                    p.process().signal("HUP");
+                    for (int i = 0; i < BURST; i++) {
+                        Peer c = Peer.connect(p.address().getPort());
+                        c.write(Rig.post("claim", TIME_MS, "", "x"));
+                        burst.add(c);
+                    }
+                    Thread.sleep(300); // the gap itself
+                    p.process().resume();
+                    for (Peer c : burst) {
+                        assertThat(c.read()).isNotNull();
+                    }
+                } finally {
+                    for (Peer c : burst) {
+                        c.close();
+                    }
+                }
+            }
         }
-      }
     }
-  }
 
-  /** SIGTERM and new connections come while it stands still, for longer than it would accept them. */
-  @Test
-  void aDrainThatBeginsInAGapAnswersWhatCameInIt() throws Exception {
-    try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
-        ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"));
-        ProxyProcess p = launch(silent, host)) {
-      List<Peer> waiting = new ArrayList<>();
-      try (Peer kept = Peer.connect(p.address().getPort())) {
-        kept.write(Rig.post("claim", TIME_MS, "", "x"));
-        assertThat(kept.read().text()).isEqualTo("served");
-        p.process().terminate();
-        while (!Files.readString(folder.resolve("log")).contains("draining")) {
-          Thread.sleep(1);
-        }
-        p.process().pause();
-        for (int i = 0; i < BURST; i++) {
-          Peer c = Peer.connect(p.address().getPort());
-          c.write(Rig.post("claim", 2 * TIME_MS, "", "x"));
-          waiting.add(c);
-        }
-        Thread.sleep(1_000); // past the time for which new connections are accepted
-        p.process().resume();
-        for (Peer c : waiting) {
-          assertThat(c.read()).isNotNull();
-        }
-      } finally {
-        for (Peer c : waiting) {
-          c.close();
+    /** SIGTERM and new connections come while it stands still, for longer than it would accept them. */
+    @Test
+    void aDrainThatBeginsInAGapAnswersWhatCameInIt() throws Exception {
+        try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
+                ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"));
+                ProxyProcess p = launch(silent, host)) {
+            List<Peer> waiting = new ArrayList<>();
+            try (Peer kept = Peer.connect(p.address().getPort())) {
+                kept.write(Rig.post("claim", TIME_MS, "", "x"));
+                assertThat(kept.read().text()).isEqualTo("served");
+                p.process().terminate();
+                while (!Files.readString(folder.resolve("log")).contains("draining")) {
+                    Thread.sleep(1);
+                }
+                p.process().pause();
+                for (int i = 0; i < BURST; i++) {
+                    Peer c = Peer.connect(p.address().getPort());
+                    c.write(Rig.post("claim", 2 * TIME_MS, "", "x"));
+                    waiting.add(c);
+                }
+                Thread.sleep(1_000); // past the time for which new connections are accepted
+                p.process().resume();
+                for (Peer c : waiting) {
+                    assertThat(c.read()).isNotNull();
+                }
+            } finally {
+                for (Peer c : waiting) {
+                    c.close();
+                }
+            }
+            assertThat(p.process().await()).isZero();
         }
-      }
-      assertThat(p.process().await()).isZero();
     }
-  }
 }
--- a/src/test/java/rillyard/proxy/HostTableTest.java
+++ b/src/test/java/rillyard/proxy/HostTableTest.java
@@ -13,96 +13,88 @@
 
 /** Hosts hold so many connections: what the proxy keeps of them, and what it does where there is none. */
 class HostTableTest {
-  private static String claim() {
-    return Rig.post("claim", 800, "", "visit=1");
-  }
+    private static String claim() {
+        return Rig.post("claim", 800, "", "visit=1");
+    }
 
-  /** Where many proxies share the hosts' tables, what a burst needed is given back soon after it. */
-  @Test
-  void idleConnectionsOfABurstAreGivenBackWhereManyProxiesShareTheHosts() throws Exception {
-    CountDownLatch all = new CountDownLatch(6);
-    CountDownLatch ended = new CountDownLatch(5);
-    try (ScriptedServer host =
-            new ScriptedServer(
-                p -> {
-                  p.read();
-                  all.countDown();
-                  all.await(); // so that each has a connection of its own
-                  p.write(ScriptedServer.ok("x"));
-                  p.awaitEnd();
-                  ended.countDown();
+    /** Where many proxies share the hosts' tables, what a burst needed is given back soon after it. */
+    @Test
+    void idleConnectionsOfABurstAreGivenBackWhereManyProxiesShareTheHosts() throws Exception {
+        CountDownLatch all = new CountDownLatch(6);
+        CountDownLatch ended = new CountDownLatch(5);
+        try (ScriptedServer host = new ScriptedServer(p -> {
+                    p.read();
+                    all.countDown();
+                    all.await(); // so that each has a connection of its own
+                    p.write(ScriptedServer.ok("x"));
+                    p.awaitEnd();
+                    ended.countDown();
                 });
-        Rig rig =
-            new Rig(
-                c -> ((ObjectNode) c.path("settings")).put("balancers", 14),
-                Rig.server("a", host.port()))) {
-      List<Peer> clients = new ArrayList<>();
-      for (int i = 0; i < 6; i++) {
-        Peer c = rig.client();
-        c.write(Rig.post("claim", 20_000, "", "visit=1"));
-        clients.add(c);
-      }
-      for (Peer c : clients) {
-        assertThat(c.read().status()).isEqualTo(200);
-        c.close();
-      }
-      assertThat(ended.await(10, TimeUnit.SECONDS)).isTrue(); // of 42 s otherwise
+                Rig rig = new Rig(
+                        c -> ((ObjectNode) c.path("settings")).put("balancers", 14), Rig.server("a", host.port()))) {
+            List<Peer> clients = new ArrayList<>();
+            for (int i = 0; i < 6; i++) {
+                Peer c = rig.client();
+                c.write(Rig.post("claim", 20_000, "", "visit=1"));
+                clients.add(c);
+            }
+            for (Peer c : clients) {
+                assertThat(c.read().status()).isEqualTo(200);
+                c.close();
+            }
+            assertThat(ended.await(10, TimeUnit.SECONDS)).isTrue(); // of 42 s otherwise
+        }
     }
-  }
 
-  /** A host whose table is full is left for others at once, not knocked at all the time, and used again. */
-  @Test
-  void aFullHostCostsNoAnswerAndIsUsedAgainOnceItHasRoom() throws Exception {
-    AtomicBoolean full = new AtomicBoolean(true);
-    AtomicInteger knocked = new AtomicInteger();
-    try (ScriptedServer tight =
-            new ScriptedServer(
-                p -> {
-                  while (p.read() != null) {
-                    if (full.get()) {
-                      knocked.incrementAndGet();
-                      p.write(ScriptedServer.status(503, "X-Not-Processed: 1\r\nConnection: close\r\n"));
-                      return;
+    /** A host whose table is full is left for others at once, not knocked at all the time, and used again. */
+    @Test
+    void aFullHostCostsNoAnswerAndIsUsedAgainOnceItHasRoom() throws Exception {
+        AtomicBoolean full = new AtomicBoolean(true);
+        AtomicInteger knocked = new AtomicInteger();
+        try (ScriptedServer tight = new ScriptedServer(p -> {
+                    while (p.read() != null) {
+                        if (full.get()) {
+                            knocked.incrementAndGet();
+                            p.write(ScriptedServer.status(503, "X-Not-Processed: 1\r\nConnection: close\r\n"));
+                            return;
+                        }
+                        p.write(ScriptedServer.ok("tight"));
                     }
-                    p.write(ScriptedServer.ok("tight"));
-                  }
                 });
-        ScriptedServer roomy =
-            ScriptedServer.host(
-                r -> {
-                  Thread.sleep(20); // its work: so that others find it busier than the full one
-                  return ScriptedServer.ok("roomy");
+                ScriptedServer roomy = ScriptedServer.host(r -> {
+                    Thread.sleep(20); // its work: so that others find it busier than the full one
+                    return ScriptedServer.ok("roomy");
                 });
-        Rig rig = new Rig(Rig.server("a", tight.port()), Rig.server("b", roomy.port()))) {
-      for (int i = 0; i < 5; i++) {
-        assertThat(together(rig, 8)).hasSize(8).containsOnly("roomy");
-      }
-      // Of 40 each but the first would go to the one that looks idle; a refusal keeps it out for a while.
-      assertThat(knocked.get()).isBetween(1, 20);
-      full.set(false);
-      List<String> from = List.of();
-      for (long end = System.nanoTime() + 20_000_000_000L; !from.contains("tight") && System.nanoTime() < end; ) {
-        from = together(rig, 8);
-      }
-      assertThat(from).contains("tight");
+                Rig rig = new Rig(Rig.server("a", tight.port()), Rig.server("b", roomy.port()))) {
+            for (int i = 0; i < 5; i++) {
+                assertThat(together(rig, 8)).hasSize(8).containsOnly("roomy");
+            }
+            // Of 40 each but the first would go to the one that looks idle; a refusal keeps it out for a while.
+            assertThat(knocked.get()).isBetween(1, 20);
+            full.set(false);
+            List<String> from = List.of();
+            for (long end = System.nanoTime() + 20_000_000_000L; !from.contains("tight") && System.nanoTime() < end; ) {
+                from = together(rig, 8);
+            }
+            assertThat(from).contains("tight");
+        }
     }
-  }
 
-  /** What so many requests at once were served with. */
-  private static List<String> together(Rig rig, int n) throws Exception {
-    List<Peer> clients = new ArrayList<>();
-    for (int i = 0; i < n; i++) {
-      Peer c = rig.client();
-      c.write(claim());
-      clients.add(c);
-    }
-    List<String> texts = new ArrayList<>();
-    for (Peer c : clients) {
-      try (c) {
-        Peer.Message m = c.read();
-        texts.add(m.status() == 200 ? m.text() : "status " + m.status());
-      }
+    /** What so many requests at once were served with. */
+    private static List<String> together(Rig rig, int n) throws Exception {
+        List<Peer> clients = new ArrayList<>();
+        for (int i = 0; i < n; i++) {
+            Peer c = rig.client();
+            c.write(claim());
+            clients.add(c);
+        }
+        List<String> texts = new ArrayList<>();
+        for (Peer c : clients) {
+            try (c) {
+                Peer.Message m = c.read();
+                texts.add(m.status() == 200 ? m.text() : "status " + m.status());
+            }
+        }
+        return texts;
     }
-    return texts;
-  }
 }
--- a/src/test/java/rillyard/proxy/JarIT.java
+++ b/src/test/java/rillyard/proxy/JarIT.java
@@ -16,227 +16,230 @@
 
 /** Starts the built jar both ways, with the options the platform starts it with. */
 class JarIT {
-  /** The JVM's own, made at run time: proxies of annotations, method handles, accessors; 15 now. */
-  private static final long OUTSIDE_ARCHIVE = 25;
-
-  private static Process start(Path config, String command) throws IOException {
-    List<String> line = new ArrayList<>();
-    line.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-    if (command.equals("proxy")) {
-      line.addAll(List.of("@deploy/proxy.jvm", "-XX:SharedArchiveFile=target/rillyard.jsa"));
-    }
-    line.addAll(List.of("-jar", "target/rillyard.jar", command));
-    ProcessBuilder b = new ProcessBuilder(line);
-    b.environment().keySet().removeIf(k -> k.startsWith("BALANCER_"));
-    if (config != null) {
-      b.environment().put("BALANCER_CONFIG", config.toString());
-    }
-    return b.start();
-  }
-
-  private static String errors(Process p) throws IOException {
-    return new String(p.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
-  }
-
-  /** A proxy that is ready, with one host and a discovery that says nothing. */
-  private static final class Running implements AutoCloseable {
-    final int port = Rig.freePort();
-    final Process process;
-    private final ScriptedServer discovery = new ScriptedServer(Peer::awaitEnd);
-    private final Path config;
-
-    Running(ScriptedServer host) throws Exception {
-      config =
-          Rig.config(
-              discovery.port(),
-              c -> c.put("listen", "127.0.0.1:" + port),
-              Rig.server("a", host.port()));
-      process = start(config, "proxy");
-      awaitReady();
+    /** The JVM's own, made at run time: proxies of annotations, method handles, accessors; 15 now. */
+    private static final long OUTSIDE_ARCHIVE = 25;
+
+    private static Process start(Path config, String command) throws IOException {
+        List<String> line = new ArrayList<>();
+        line.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
+        if (command.equals("proxy")) {
+            line.addAll(List.of("@deploy/proxy.jvm", "-XX:SharedArchiveFile=target/rillyard.jsa"));
+        }
+        line.addAll(List.of("-jar", "target/rillyard.jar", command));
+        ProcessBuilder b = new ProcessBuilder(line);
+        b.environment().keySet().removeIf(k -> k.startsWith("BALANCER_"));
+        if (config != null) {
+            b.environment().put("BALANCER_CONFIG", config.toString());
+        }
+        return b.start();
     }
 
-    /** The same configuration but for discovery's address, in a file of its own. */
-    Path newConfig(ScriptedServer discovery, ScriptedServer host) throws IOException {
-      return Rig.config(
-          discovery.port(),
-          c -> c.put("listen", "127.0.0.1:" + port),
-          Rig.server("a", host.port()));
+    private static String errors(Process p) throws IOException {
+        return new String(p.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
     }
 
-    void signal(String name) throws Exception {
-      String pid = Long.toString(process.pid());
-      assertThat(new ProcessBuilder("kill", "-" + name, pid).start().waitFor()).isZero();
-    }
+    /** A proxy that is ready, with one host and a discovery that says nothing. */
+    private static final class Running implements AutoCloseable {
+        final int port = Rig.freePort();
+        final Process process;
+        private final ScriptedServer discovery = new ScriptedServer(Peer::awaitEnd);
+        private final Path config;
+
+        Running(ScriptedServer host) throws Exception {
+            config = Rig.config(
+                    discovery.port(), c -> c.put("listen", "127.0.0.1:" + port), Rig.server("a", host.port()));
+            process = start(config, "proxy");
+            awaitReady();
+        }
 
-    private void awaitReady() throws Exception {
-      for (int i = 0; i < 2_000; i++) {
-        try (Peer c = Peer.connect(port)) {
-          c.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
-          if (c.read().status() == 200) {
-            return;
-          }
-        } catch (IOException e) {
-          // not listening yet
+        /** The same configuration but for discovery's address, in a file of its own. */
+        Path newConfig(ScriptedServer discovery, ScriptedServer host) throws IOException {
+            return Rig.config(
+                    discovery.port(), c -> c.put("listen", "127.0.0.1:" + port), Rig.server("a", host.port()));
+        }
+
+        void signal(String name) throws Exception {
+            String pid = Long.toString(process.pid());
+            assertThat(new ProcessBuilder("kill", "-" + name, pid).start().waitFor())
+                    .isZero();
         }
-        Thread.sleep(10);
-      }
-      throw new AssertionError("not ready");
-    }
 
-    @Override
-    public void close() throws IOException {
-      process.destroyForcibly();
-      discovery.close();
-      Files.delete(config);
+        private void awaitReady() throws Exception {
+            for (int i = 0; i < 2_000; i++) {
+                try (Peer c = Peer.connect(port)) {
+                    c.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+                    if (c.read().status() == 200) {
+                        return;
+                    }
+                } catch (IOException e) {
+                    // not listening yet
+                }
+                Thread.sleep(10);
+            }
+            throw new AssertionError("not ready");
+        }
+
+        @Override
+        public void close() throws IOException {
+            process.destroyForcibly();
+            discovery.close();
+            Files.delete(config);
+        }
     }
-  }
-
-  @Test
-  void proxyServesAndOnSigtermAnswersAllItHoldsAndExitsWithZero() throws Exception {
-    java.util.concurrent.CountDownLatch answer = new java.util.concurrent.CountDownLatch(1);
-    try (ScriptedServer host =
-            ScriptedServer.host(
-                r -> {
-                  if (r.text().equals("slow")) {
-                    answer.await();
-                  }
-                  return ScriptedServer.ok("served");
+
+    @Test
+    void proxyServesAndOnSigtermAnswersAllItHoldsAndExitsWithZero() throws Exception {
+        java.util.concurrent.CountDownLatch answer = new java.util.concurrent.CountDownLatch(1);
+        try (ScriptedServer host = ScriptedServer.host(r -> {
+                    if (r.text().equals("slow")) {
+                        answer.await();
+                    }
+                    return ScriptedServer.ok("served");
                 });
-        Running proxy = new Running(host)) {
-      try (Peer held = Peer.connect(proxy.port);
-          Peer idle = Peer.connect(proxy.port)) {
-        idle.write(Rig.post("claim", 800, "", "x"));
-        assertThat(idle.read().status()).isEqualTo(200);
-        host.request();
-        held.write(Rig.post("claim", 1_200, "", "slow"));
-        host.request();
-        proxy.process.toHandle().destroy(); // SIGTERM; the process's own method would close its streams
-        assertThat(idle.read()).isNull();
-        try (Peer late = Peer.connect(proxy.port)) {
-          late.write(Rig.post("claim", 800, "", "x"));
-          Peer.Message m = late.read();
-          assertThat(m.status()).isEqualTo(200);
-          assertThat(m.header("Connection")).isEqualToIgnoringCase("close");
+                Running proxy = new Running(host)) {
+            try (Peer held = Peer.connect(proxy.port);
+                    Peer idle = Peer.connect(proxy.port)) {
+                idle.write(Rig.post("claim", 800, "", "x"));
+                assertThat(idle.read().status()).isEqualTo(200);
+                host.request();
+                held.write(Rig.post("claim", 1_200, "", "slow"));
+                host.request();
+                proxy.process.toHandle().destroy(); // SIGTERM; the process's own method would close its streams
+                assertThat(idle.read()).isNull();
+                try (Peer late = Peer.connect(proxy.port)) {
+                    late.write(Rig.post("claim", 800, "", "x"));
+                    Peer.Message m = late.read();
+                    assertThat(m.status()).isEqualTo(200);
+                    assertThat(m.header("Connection")).isEqualToIgnoringCase("close");
+                }
+                answer.countDown();
+                assertThat(held.read().text()).isEqualTo("served");
+            }
+            assertThat(proxy.process.waitFor(20, TimeUnit.SECONDS)).isTrue();
+            assertThat(proxy.process.exitValue()).isZero();
+            assertThat(errors(proxy.process)).contains("drained");
         }
-        answer.countDown();
-        assertThat(held.read().text()).isEqualTo("served");
-      }
-      assertThat(proxy.process.waitFor(20, TimeUnit.SECONDS)).isTrue();
-      assertThat(proxy.process.exitValue()).isZero();
-      assertThat(errors(proxy.process)).contains("drained");
     }
-  }
-
-  @Test
-  void manyLargeBodiesLeaveTheProcessUnderItsLimit() throws Exception {
-    try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("" + r.body().length));
-        Running proxy = new Running(host)) {
-      byte[] most = new byte[(64 << 10) - 1];
-      List<Peer> clients = new ArrayList<>();
-      for (int i = 0; i < 400; i++) { // 25 MB at once, if all came in
-        Peer c = Peer.connect(proxy.port);
-        clients.add(c);
-        Thread t =
-            new Thread(
-                () -> {
-                  try {
-                    c.write(
-                        Rig.head("POST", "claim", 20_000, "")
-                            + "Content-Length: "
-                            + (most.length + 1)
-                            + "\r\n\r\n");
-                    c.write(most);
-                    c.write("x");
-                  } catch (IOException e) {
-                    // refused half way: its answer is there all the same
-                  }
+
+    @Test
+    void manyLargeBodiesLeaveTheProcessUnderItsLimit() throws Exception {
+        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("" + r.body().length));
+                Running proxy = new Running(host)) {
+            byte[] most = new byte[(64 << 10) - 1];
+            List<Peer> clients = new ArrayList<>();
+            for (int i = 0; i < 400; i++) { // 25 MB at once, if all came in
+                Peer c = Peer.connect(proxy.port);
+                clients.add(c);
+                Thread t = new Thread(() -> {
+                    try {
+                        c.write(Rig.head("POST", "claim", 20_000, "")
+                                + "Content-Length: "
+                                + (most.length + 1)
+                                + "\r\n\r\n");
+                        c.write(most);
+                        c.write("x");
+                    } catch (IOException e) {
+                        // refused half way: its answer is there all the same
+                    }
                 });
-        t.setDaemon(true);
-        t.start();
-      }
-      for (Peer c : clients) {
-        assertThat(c.read().status()).isIn(200, 503);
-        c.close();
-      }
-      String status = Files.readString(Path.of("/proc/" + proxy.process.pid() + "/status"));
-      String peak = status.replaceAll("(?s).*VmHWM:\\s*(\\d+) kB.*", "$1");
-      assertThat(Integer.parseInt(peak)).isLessThan(128 * 1024);
+                t.setDaemon(true);
+                t.start();
+            }
+            for (Peer c : clients) {
+                assertThat(c.read().status()).isIn(200, 503);
+                c.close();
+            }
+            String status = Files.readString(Path.of("/proc/" + proxy.process.pid() + "/status"));
+            String peak = status.replaceAll("(?s).*VmHWM:\\s*(\\d+) kB.*", "$1");
+            assertThat(Integer.parseInt(peak)).isLessThan(128 * 1024);
+        }
     }
-  }
-
-  @Test
-  void proxyLoadsItsClassesFromTheArchive() throws Exception {
-    Process p =
-        new ProcessBuilder(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "@deploy/proxy.jvm",
-                "-XX:SharedArchiveFile=target/rillyard.jsa",
-                "-Xlog:class+load",
-                "-jar",
-                "target/rillyard.jar",
-                "rehearse")
-            .redirectErrorStream(true)
-            .start();
-    String log = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-    assertThat(p.waitFor()).isZero();
-    assertThat(log)
-        .contains("rillyard.proxy.Dispatcher source: shared objects file (top)")
-        .contains("io.netty.handler.codec.http.HttpObjectDecoder source: shared objects file (top)")
-        .doesNotContain(
-            "picocli", "HdrHistogram", "dataformat.toml", "channel.epoll", "rillyard.cli",
-            "rillyard.load", "rillyard.trace.", "rillyard.standin", "rillyard.audit", "rillyard.demo", "rillyard.ledger",
-            "rillyard.timing", "rillyard.input", "rillyard.process", "rillyard.measure", "rillyard.subset",
-            "rillyard.member", "rillyard.trial")
-        // Each of these took a part of every start: a mapper with calendars and locales, the
-        // recorder's events, libraries for logs that are not there.
-        .doesNotContain("databind.ObjectMapper ", "jdk.jfr.internal.EventClassBuilder", "Slf4JLogger");
-    long outside =
-        log.lines().filter(l -> l.contains(" source: ") && !l.contains("shared objects file")).count();
-    assertThat(outside).as("classes from outside the archive").isBetween(1L, OUTSIDE_ARCHIVE);
-  }
-
-  @Test
-  void hangUpMovesTheWatchAndEndsNothing() throws Exception {
-    BlockingQueue<String> asked = new LinkedBlockingQueue<>();
-    try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"));
-        ScriptedServer moved =
-            new ScriptedServer(
-                p -> {
-                  asked.add(p.read().line());
-                  p.awaitEnd();
+
+    @Test
+    void proxyLoadsItsClassesFromTheArchive() throws Exception {
+        Process p = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "@deploy/proxy.jvm",
+                        "-XX:SharedArchiveFile=target/rillyard.jsa",
+                        "-Xlog:class+load",
+                        "-jar",
+                        "target/rillyard.jar",
+                        "rehearse")
+                .redirectErrorStream(true)
+                .start();
+        String log = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertThat(p.waitFor()).isZero();
+        assertThat(log)
+                .contains("rillyard.proxy.Dispatcher source: shared objects file (top)")
+                .contains("io.netty.handler.codec.http.HttpObjectDecoder source: shared objects file (top)")
+                .doesNotContain(
+                        "picocli",
+                        "HdrHistogram",
+                        "dataformat.toml",
+                        "channel.epoll",
+                        "rillyard.cli",
+                        "rillyard.load",
+                        "rillyard.trace.",
+                        "rillyard.standin",
+                        "rillyard.audit",
+                        "rillyard.demo",
+                        "rillyard.ledger",
+                        "rillyard.timing",
+                        "rillyard.input",
+                        "rillyard.process",
+                        "rillyard.measure",
+                        "rillyard.subset",
+                        "rillyard.member",
+                        "rillyard.trial")
+                // Each of these took a part of every start: a mapper with calendars and locales, the
+                // recorder's events, libraries for logs that are not there.
+                .doesNotContain("databind.ObjectMapper ", "jdk.jfr.internal.EventClassBuilder", "Slf4JLogger");
+        long outside = log.lines()
+                .filter(l -> l.contains(" source: ") && !l.contains("shared objects file"))
+                .count();
+        assertThat(outside).as("classes from outside the archive").isBetween(1L, OUTSIDE_ARCHIVE);
+    }
+
+    @Test
+    void hangUpMovesTheWatchAndEndsNothing() throws Exception {
+        BlockingQueue<String> asked = new LinkedBlockingQueue<>();
+        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"));
+                ScriptedServer moved = new ScriptedServer(p -> {
+                    asked.add(p.read().line());
+                    p.awaitEnd();
                 });
-        Running proxy = new Running(host)) {
-      // One that can't be read, one that can't be used, and a good one.
-      for (String file : new String[] {"{", "{\"settings\":{\"classes\":7}}", null}) {
-        if (file == null) {
-          Files.move(proxy.newConfig(moved, host), proxy.config, REPLACE_EXISTING);
-        } else {
-          Files.writeString(proxy.config, file);
+                Running proxy = new Running(host)) {
+            // One that can't be read, one that can't be used, and a good one.
+            for (String file : new String[] {"{", "{\"settings\":{\"classes\":7}}", null}) {
+                if (file == null) {
+                    Files.move(proxy.newConfig(moved, host), proxy.config, REPLACE_EXISTING);
+                } else {
+                    Files.writeString(proxy.config, file);
+                }
+                proxy.signal("HUP");
+                try (Peer client = Peer.connect(proxy.port)) {
+                    client.write(Rig.post("claim", 800, "", "x"));
+                    assertThat(client.read().text()).isEqualTo("served");
+                }
+            }
+            assertThat(asked.poll(20, TimeUnit.SECONDS)).contains("follow=1&since=1 ");
+            assertThat(proxy.process.isAlive()).isTrue();
         }
-        proxy.signal("HUP");
-        try (Peer client = Peer.connect(proxy.port)) {
-          client.write(Rig.post("claim", 800, "", "x"));
-          assertThat(client.read().text()).isEqualTo("served");
-        }
-      }
-      assertThat(asked.poll(20, TimeUnit.SECONDS)).contains("follow=1&since=1 ");
-      assertThat(proxy.process.isAlive()).isTrue();
     }
-  }
-
-  @Test
-  void proxyWithoutConfigurationEndsWithOneLine() throws Exception {
-    Process p = start(null, "proxy");
-    assertThat(p.waitFor()).isEqualTo(1);
-    assertThat(errors(p)).isEqualTo("rillyard: BALANCER_CONFIG is not set\n");
-  }
-
-  @Test
-  void adapterAnswersABatch() throws Exception {
-    Process p = start(null, "adapter");
-    p.getOutputStream().write("sync wall=1.0\neob\n".getBytes(StandardCharsets.UTF_8));
-    p.getOutputStream().close();
-    assertThat(p.getInputStream().readAllBytes()).asString().isEqualTo("ok\n");
-    assertThat(p.waitFor()).isZero();
-  }
+
+    @Test
+    void proxyWithoutConfigurationEndsWithOneLine() throws Exception {
+        Process p = start(null, "proxy");
+        assertThat(p.waitFor()).isEqualTo(1);
+        assertThat(errors(p)).isEqualTo("rillyard: BALANCER_CONFIG is not set\n");
+    }
+
+    @Test
+    void adapterAnswersABatch() throws Exception {
+        Process p = start(null, "adapter");
+        p.getOutputStream().write("sync wall=1.0\neob\n".getBytes(StandardCharsets.UTF_8));
+        p.getOutputStream().close();
+        assertThat(p.getInputStream().readAllBytes()).asString().isEqualTo("ok\n");
+        assertThat(p.waitFor()).isZero();
+    }
 }
--- a/src/test/java/rillyard/proxy/LateConnect.java
+++ b/src/test/java/rillyard/proxy/LateConnect.java
@@ -12,38 +12,38 @@
  * {@link #makeRoom}, when the kernel of the one that connects asks again (1 s after the first time).
  */
 final class LateConnect implements AutoCloseable {
-  private final ServerSocket server;
-  private final List<Socket> filling = new ArrayList<>();
+    private final ServerSocket server;
+    private final List<Socket> filling = new ArrayList<>();
 
-  LateConnect() throws IOException {
-    server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-    for (int i = 0; i < 2; i++) { // a backlog of one holds two
-      filling.add(new Socket(InetAddress.getLoopbackAddress(), server.getLocalPort()));
+    LateConnect() throws IOException {
+        server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+        for (int i = 0; i < 2; i++) { // a backlog of one holds two
+            filling.add(new Socket(InetAddress.getLoopbackAddress(), server.getLocalPort()));
+        }
     }
-  }
 
-  int port() {
-    return server.getLocalPort();
-  }
+    int port() {
+        return server.getLocalPort();
+    }
 
-  /** Takes those that fill the queue out of it. */
-  void makeRoom() throws IOException {
-    for (int i = 0; i < filling.size(); i++) {
-      server.accept().close();
+    /** Takes those that fill the queue out of it. */
+    void makeRoom() throws IOException {
+        for (int i = 0; i < filling.size(); i++) {
+            server.accept().close();
+        }
     }
-  }
 
-  /** The connection that was late. */
-  Peer accept() throws IOException {
-    server.setSoTimeout(20_000);
-    return new Peer(server.accept());
-  }
+    /** The connection that was late. */
+    Peer accept() throws IOException {
+        server.setSoTimeout(20_000);
+        return new Peer(server.accept());
+    }
 
-  @Override
-  public void close() throws IOException {
-    for (Socket s : filling) {
-      s.close();
+    @Override
+    public void close() throws IOException {
+        for (Socket s : filling) {
+            s.close();
+        }
+        server.close();
     }
-    server.close();
-  }
 }
--- a/src/test/java/rillyard/proxy/LossByClassTest.java
+++ b/src/test/java/rillyard/proxy/LossByClassTest.java
@@ -7,49 +7,47 @@
 
 /** A host that never answers requests of one class and is quick with those of another. */
 class LossByClassTest {
-  private static final int ROUNDS = 40;
+    private static final int ROUNDS = 40;
 
-  private static String log() {
-    return Rig.post("log", 250, "Idempotency-Key: " + System.nanoTime() + "\r\n", "x");
-  }
+    private static String log() {
+        return Rig.post("log", 250, "Idempotency-Key: " + System.nanoTime() + "\r\n", "x");
+    }
 
-  @Test
-  void hostThatLosesOneClassGetsTheOthers() throws Exception {
-    AtomicInteger claims = new AtomicInteger();
-    AtomicInteger logs = new AtomicInteger();
-    ScriptedServer.Reply lossy =
-        r -> {
-          if (r.line().contains("/claim")) {
-            claims.incrementAndGet();
-            Thread.sleep(600_000);
-          }
-          logs.incrementAndGet();
-          return ScriptedServer.ok("x");
+    @Test
+    void hostThatLosesOneClassGetsTheOthers() throws Exception {
+        AtomicInteger claims = new AtomicInteger();
+        AtomicInteger logs = new AtomicInteger();
+        ScriptedServer.Reply lossy = r -> {
+            if (r.line().contains("/claim")) {
+                claims.incrementAndGet();
+                Thread.sleep(600_000);
+            }
+            logs.incrementAndGet();
+            return ScriptedServer.ok("x");
         };
-    ScriptedServer.Reply sound =
-        r -> {
-          Thread.sleep(20);
-          return ScriptedServer.ok("x");
+        ScriptedServer.Reply sound = r -> {
+            Thread.sleep(20);
+            return ScriptedServer.ok("x");
         };
-    try (ScriptedServer a = ScriptedServer.host(lossy);
-        ScriptedServer b = ScriptedServer.host(sound);
-        Rig rig = new Rig(Rig.server("a", a.port()), Rig.server("b", b.port()));
-        Peer claim = rig.client();
-        Peer one = rig.client();
-        Peer two = rig.client();
-        Peer three = rig.client()) {
-      for (int i = 0; i < ROUNDS; i++) {
-        claim.write(Rig.post("claim", 250, "", "x"));
-        // While it is out, so many logs that each host gets one: the lost claim is overtaken.
-        for (Peer p : new Peer[] {one, two, three}) {
-          p.write(log());
-        }
-        for (Peer p : new Peer[] {one, two, three, claim}) {
-          p.read();
+        try (ScriptedServer a = ScriptedServer.host(lossy);
+                ScriptedServer b = ScriptedServer.host(sound);
+                Rig rig = new Rig(Rig.server("a", a.port()), Rig.server("b", b.port()));
+                Peer claim = rig.client();
+                Peer one = rig.client();
+                Peer two = rig.client();
+                Peer three = rig.client()) {
+            for (int i = 0; i < ROUNDS; i++) {
+                claim.write(Rig.post("claim", 250, "", "x"));
+                // While it is out, so many logs that each host gets one: the lost claim is overtaken.
+                for (Peer p : new Peer[] {one, two, three}) {
+                    p.write(log());
+                }
+                for (Peer p : new Peer[] {one, two, three, claim}) {
+                    p.read();
+                }
+            }
         }
-      }
+        assertThat(claims.get()).isLessThan(ROUNDS / 4); // half of them or more by counts alone
+        assertThat(logs.get()).isGreaterThan(ROUNDS / 2);
     }
-    assertThat(claims.get()).isLessThan(ROUNDS / 4); // half of them or more by counts alone
-    assertThat(logs.get()).isGreaterThan(ROUNDS / 2);
-  }
 }
--- a/src/test/java/rillyard/proxy/Peer.java
+++ b/src/test/java/rillyard/proxy/Peer.java
@@ -12,137 +12,137 @@
 
 /** One end of a connection, spoken byte by byte: a client's, a host's or discovery's. */
 final class Peer implements AutoCloseable {
-  /** Reads give up after this long: a test that waits for ever is a failure too. */
-  private static final int READ_TIMEOUT_MS = 20_000;
+    /** Reads give up after this long: a test that waits for ever is a failure too. */
+    private static final int READ_TIMEOUT_MS = 20_000;
 
-  /** A message as it came: its head without the blank line, and its body. */
-  record Message(String head, byte[] body) {
-    String line() {
-      return head.split("\r\n", 2)[0];
+    /** A message as it came: its head without the blank line, and its body. */
+    record Message(String head, byte[] body) {
+        String line() {
+            return head.split("\r\n", 2)[0];
+        }
+
+        int status() {
+            return Integer.parseInt(line().split(" ")[1]);
+        }
+
+        String header(String name) {
+            for (String l : head.split("\r\n")) {
+                if (l.toLowerCase(Locale.ROOT).startsWith(name.toLowerCase(Locale.ROOT) + ":")) {
+                    return l.substring(name.length() + 1).trim();
+                }
+            }
+            return null;
+        }
+
+        String text() {
+            return new String(body, StandardCharsets.UTF_8);
+        }
     }
 
-    int status() {
-      return Integer.parseInt(line().split(" ")[1]);
+    final Socket socket;
+    private final InputStream in;
+
+    Peer(Socket socket) throws IOException {
+        this.socket = socket;
+        socket.setSoTimeout(READ_TIMEOUT_MS);
+        socket.setTcpNoDelay(true);
+        this.in = socket.getInputStream();
     }
 
-    String header(String name) {
-      for (String l : head.split("\r\n")) {
-        if (l.toLowerCase(Locale.ROOT).startsWith(name.toLowerCase(Locale.ROOT) + ":")) {
-          return l.substring(name.length() + 1).trim();
-        }
-      }
-      return null;
+    static Peer connect(int port) throws IOException {
+        Socket s = new Socket();
+        s.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+        return new Peer(s);
+    }
+
+    void write(String text) throws IOException {
+        write(text.getBytes(StandardCharsets.ISO_8859_1));
+    }
+
+    void write(byte[] bytes) throws IOException {
+        socket.getOutputStream().write(bytes);
     }
 
-    String text() {
-      return new String(body, StandardCharsets.UTF_8);
+    /** The next message, whole; null if the connection ended before its first byte. */
+    Message read() throws IOException {
+        String head = readHead();
+        if (head == null) {
+            return null;
+        }
+        Message m = new Message(head, new byte[0]);
+        if (m.header("Transfer-Encoding") != null) {
+            ByteArrayOutputStream body = new ByteArrayOutputStream();
+            int n;
+            while ((n = Integer.parseInt(readLine(), 16)) > 0) {
+                body.write(exactly(n));
+                readLine();
+            }
+            readLine();
+            return new Message(head, body.toByteArray());
+        }
+        String length = m.header("Content-Length");
+        return length == null ? m : new Message(head, exactly(Integer.parseInt(length)));
     }
-  }
-
-  final Socket socket;
-  private final InputStream in;
-
-  Peer(Socket socket) throws IOException {
-    this.socket = socket;
-    socket.setSoTimeout(READ_TIMEOUT_MS);
-    socket.setTcpNoDelay(true);
-    this.in = socket.getInputStream();
-  }
-
-  static Peer connect(int port) throws IOException {
-    Socket s = new Socket();
-    s.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-    return new Peer(s);
-  }
-
-  void write(String text) throws IOException {
-    write(text.getBytes(StandardCharsets.ISO_8859_1));
-  }
-
-  void write(byte[] bytes) throws IOException {
-    socket.getOutputStream().write(bytes);
-  }
-
-  /** The next message, whole; null if the connection ended before its first byte. */
-  Message read() throws IOException {
-    String head = readHead();
-    if (head == null) {
-      return null;
+
+    String readHead() throws IOException {
+        StringBuilder head = new StringBuilder();
+        while (true) {
+            String line = readLine();
+            if (line == null && head.length() == 0) {
+                return null;
+            }
+            if (line == null) {
+                throw new EOFException("within a head: " + head);
+            }
+            if (line.isEmpty()) {
+                return head.toString();
+            }
+            head.append(line).append("\r\n");
+        }
     }
-    Message m = new Message(head, new byte[0]);
-    if (m.header("Transfer-Encoding") != null) {
-      ByteArrayOutputStream body = new ByteArrayOutputStream();
-      int n;
-      while ((n = Integer.parseInt(readLine(), 16)) > 0) {
-        body.write(exactly(n));
-        readLine();
-      }
-      readLine();
-      return new Message(head, body.toByteArray());
+
+    String readLine() throws IOException {
+        StringBuilder line = new StringBuilder();
+        int b;
+        while ((b = in.read()) != '\n') {
+            if (b < 0) {
+                return line.length() == 0 ? null : line.toString();
+            }
+            if (b != '\r') {
+                line.append((char) b);
+            }
+        }
+        return line.toString();
     }
-    String length = m.header("Content-Length");
-    return length == null ? m : new Message(head, exactly(Integer.parseInt(length)));
-  }
-
-  String readHead() throws IOException {
-    StringBuilder head = new StringBuilder();
-    while (true) {
-      String line = readLine();
-      if (line == null && head.length() == 0) {
-        return null;
-      }
-      if (line == null) {
-        throw new EOFException("within a head: " + head);
-      }
-      if (line.isEmpty()) {
-        return head.toString();
-      }
-      head.append(line).append("\r\n");
+
+    byte[] exactly(int n) throws IOException {
+        byte[] b = in.readNBytes(n);
+        if (b.length < n) {
+            throw new EOFException("after " + b.length + " of " + n + " bytes");
+        }
+        return b;
     }
-  }
-
-  String readLine() throws IOException {
-    StringBuilder line = new StringBuilder();
-    int b;
-    while ((b = in.read()) != '\n') {
-      if (b < 0) {
-        return line.length() == 0 ? null : line.toString();
-      }
-      if (b != '\r') {
-        line.append((char) b);
-      }
+
+    /** Waits for the other side to end the connection, by whatever means. */
+    void awaitEnd() throws IOException {
+        try {
+            byte[] rest = new byte[8_192];
+            while (in.read(rest) >= 0) {
+                continue;
+            }
+        } catch (java.net.SocketException e) {
+            // a reset is an end too
+        }
     }
-    return line.toString();
-  }
 
-  byte[] exactly(int n) throws IOException {
-    byte[] b = in.readNBytes(n);
-    if (b.length < n) {
-      throw new EOFException("after " + b.length + " of " + n + " bytes");
+    /** Ends the connection by a reset. */
+    void reset() throws IOException {
+        socket.setSoLinger(true, 0);
+        socket.close();
     }
-    return b;
-  }
-
-  /** Waits for the other side to end the connection, by whatever means. */
-  void awaitEnd() throws IOException {
-    try {
-      byte[] rest = new byte[8_192];
-      while (in.read(rest) >= 0) {
-        continue;
-      }
-    } catch (java.net.SocketException e) {
-      // a reset is an end too
+
+    @Override
+    public void close() throws IOException {
+        socket.close();
     }
-  }
-
-  /** Ends the connection by a reset. */
-  void reset() throws IOException {
-    socket.setSoLinger(true, 0);
-    socket.close();
-  }
-
-  @Override
-  public void close() throws IOException {
-    socket.close();
-  }
 }
--- a/src/test/java/rillyard/proxy/PlatformRunIT.java
+++ b/src/test/java/rillyard/proxy/PlatformRunIT.java
@@ -25,115 +25,127 @@
 /** The texts of {@code run} under deploy, started as a platform does: by the shell, also on part of a core. */
 @Timeout(value = 180, unit = java.util.concurrent.TimeUnit.SECONDS)
 class PlatformRunIT {
-  private static final Path ROOT = Path.of("").toAbsolutePath();
-  private static final Path LAUNCHER = ROOT.resolve("target/start");
+    private static final Path ROOT = Path.of("").toAbsolutePath();
+    private static final Path LAUNCHER = ROOT.resolve("target/start");
 
-  /** Clock ticks (10 ms) in 2 s that a thread of an idle proxy may take: one that spins takes 30 and more. */
-  private static final long IDLE_TICKS = 20;
+    /** Clock ticks (10 ms) in 2 s that a thread of an idle proxy may take: one that spins takes 30 and more. */
+    private static final long IDLE_TICKS = 20;
 
-  @TempDir Path folder;
+    @TempDir
+    Path folder;
 
-  private static Launch shell(Path root, String file) throws IOException {
-    String run = new TomlMapper().readTree(ROOT.resolve("deploy").resolve(file).toFile()).get("run").asText();
-    return new Launch(Path.of("/bin/sh"), root, null, List.of("-c"), List.of(run), Map.of());
-  }
+    private static Launch shell(Path root, String file) throws IOException {
+        String run = new TomlMapper()
+                .readTree(ROOT.resolve("deploy").resolve(file).toFile())
+                .get("run")
+                .asText();
+        return new Launch(Path.of("/bin/sh"), root, null, List.of("-c"), List.of(run), Map.of());
+    }
 
-  private ProxyProcess launch(Launch launch, ScriptedServer discovery) throws Exception {
-    Path config = folder.resolve("config.json");
-    Files.move(Rig.config(discovery.port(), c -> {}, Rig.server("a", Rig.freePort())), config);
-    return ProxyProcess.launch(launch, config, ProxyProcess.freeAddress(), folder.resolve("log"));
-  }
+    private ProxyProcess launch(Launch launch, ScriptedServer discovery) throws Exception {
+        Path config = folder.resolve("config.json");
+        Files.move(Rig.config(discovery.port(), c -> {}, Rig.server("a", Rig.freePort())), config);
+        return ProxyProcess.launch(launch, config, ProxyProcess.freeAddress(), folder.resolve("log"));
+    }
 
-  private static String program(ProxyProcess p) throws IOException {
-    return Path.of("/proc", Long.toString(p.pid()), "exe").toRealPath().getFileName().toString();
-  }
+    private static String program(ProxyProcess p) throws IOException {
+        return Path.of("/proc", Long.toString(p.pid()), "exe")
+                .toRealPath()
+                .getFileName()
+                .toString();
+    }
 
-  private static List<Path> threads(ProxyProcess p) throws IOException {
-    try (Stream<Path> all = Files.list(Path.of("/proc", Long.toString(p.pid()), "task"))) {
-      return all.toList();
+    private static List<Path> threads(ProxyProcess p) throws IOException {
+        try (Stream<Path> all = Files.list(Path.of("/proc", Long.toString(p.pid()), "task"))) {
+            return all.toList();
+        }
     }
-  }
-
-  private static Map<String, Long> ticks(ProxyProcess p) throws IOException {
-    Map<String, Long> ticks = new HashMap<>();
-    for (Path thread : threads(p)) {
-      String stat = Files.readString(thread.resolve("stat"));
-      String[] f = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-      String name = thread.getFileName() + " " + stat.substring(stat.indexOf('('), stat.lastIndexOf(')') + 1);
-      ticks.put(name, Long.parseLong(f[11]) + Long.parseLong(f[12]));
+
+    private static Map<String, Long> ticks(ProxyProcess p) throws IOException {
+        Map<String, Long> ticks = new HashMap<>();
+        for (Path thread : threads(p)) {
+            String stat = Files.readString(thread.resolve("stat"));
+            String[] f = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+            String name = thread.getFileName() + " " + stat.substring(stat.indexOf('('), stat.lastIndexOf(')') + 1);
+            ticks.put(name, Long.parseLong(f[11]) + Long.parseLong(f[12]));
+        }
+        return ticks;
     }
-    return ticks;
-  }
-
-  @ParameterizedTest
-  @ValueSource(strings = {"balancer.toml", "launcher.toml"})
-  void itIsOneProcessThatTheShellHasBecome(String file) throws Exception {
-    boolean launcher = file.startsWith("launcher") && Files.isExecutable(LAUNCHER);
-    try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
-        ProxyProcess p = launch(shell(ROOT, file), silent)) {
-      p.await(ProxyProcess.State.READY);
-      assertThat(program(p)).isEqualTo(launcher ? "start" : "java");
-      assertThat(ProcessHandle.of(p.pid()).orElseThrow().children()).isEmpty();
-      p.process().terminate();
-      assertThat(p.process().await()).isZero();
+
+    @ParameterizedTest
+    @ValueSource(strings = {"balancer.toml", "launcher.toml"})
+    void itIsOneProcessThatTheShellHasBecome(String file) throws Exception {
+        boolean launcher = file.startsWith("launcher") && Files.isExecutable(LAUNCHER);
+        try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
+                ProxyProcess p = launch(shell(ROOT, file), silent)) {
+            p.await(ProxyProcess.State.READY);
+            assertThat(program(p)).isEqualTo(launcher ? "start" : "java");
+            assertThat(ProcessHandle.of(p.pid()).orElseThrow().children()).isEmpty();
+            p.process().terminate();
+            assertThat(p.process().await()).isZero();
+        }
     }
-  }
-
-  @Test
-  void aBuildWithoutALauncherStartsByTheJdks() throws Exception {
-    Files.createSymbolicLink(folder.resolve("deploy"), ROOT.resolve("deploy"));
-    Files.createDirectory(folder.resolve("target"));
-    Files.createSymbolicLink(folder.resolve("target/rillyard.jar"), ROOT.resolve("target/rillyard.jar"));
-    try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
-        ProxyProcess p = launch(shell(folder, "launcher.toml"), silent)) {
-      p.await(ProxyProcess.State.READY);
-      assertThat(program(p)).isEqualTo("java");
+
+    @Test
+    void aBuildWithoutALauncherStartsByTheJdks() throws Exception {
+        Files.createSymbolicLink(folder.resolve("deploy"), ROOT.resolve("deploy"));
+        Files.createDirectory(folder.resolve("target"));
+        Files.createSymbolicLink(folder.resolve("target/rillyard.jar"), ROOT.resolve("target/rillyard.jar"));
+        try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
+                ProxyProcess p = launch(shell(folder, "launcher.toml"), silent)) {
+            p.await(ProxyProcess.State.READY);
+            assertThat(program(p)).isEqualTo("java");
+        }
     }
-  }
-
-  /** A start that is starved: a third of one core for all of its threads, and none of them may spin. */
-  @Test
-  void starvedOfItsCoreItGetsReadyAndThenRests() throws Exception {
-    try (Neighbours neighbours = new Neighbours("0", 1 / 3.0);
-        ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
-        ProxyProcess p = launch(shell(ROOT, "balancer.toml").on("0"), silent)) {
-      p.await(ProxyProcess.State.READY);
-      Map<String, Long> before = ticks(p);
-      Thread.sleep(2_000); // what is counted is processor time, which an idle thread does not take
-      ticks(p).forEach(
-          (thread, now) -> assertThat(now - before.getOrDefault(thread, 0L)).as(thread).isLessThan(IDLE_TICKS));
-      neighbours.checkRunning();
+
+    /** A start that is starved: a third of one core for all of its threads, and none of them may spin. */
+    @Test
+    void starvedOfItsCoreItGetsReadyAndThenRests() throws Exception {
+        try (Neighbours neighbours = new Neighbours("0", 1 / 3.0);
+                ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
+                ProxyProcess p = launch(shell(ROOT, "balancer.toml").on("0"), silent)) {
+            p.await(ProxyProcess.State.READY);
+            Map<String, Long> before = ticks(p);
+            Thread.sleep(2_000); // what is counted is processor time, which an idle thread does not take
+            ticks(p).forEach((thread, now) ->
+                    assertThat(now - before.getOrDefault(thread, 0L)).as(thread).isLessThan(IDLE_TICKS));
+            neighbours.checkRunning();
+        }
+    }
+
+    private String launched(Map<String, String> environment, int code, String... arguments) throws Exception {
+        assumeThat(LAUNCHER).as("built where there is a C compiler").isExecutable();
+        List<String> line = new ArrayList<>(List.of(LAUNCHER.toString()));
+        line.addAll(List.of(arguments));
+        ProcessBuilder b = new ProcessBuilder(line).redirectErrorStream(true);
+        b.environment().putAll(environment);
+        Process p = b.start();
+        String said = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertThat(p.waitFor()).as(said).isEqualTo(code);
+        return said;
+    }
+
+    @Test
+    void theLauncherTakesArgumentsAsJavaDoes() throws Exception {
+        Path file = folder.resolve("options");
+        Files.writeString(file, "# a comment\n-Done=1 \"-Dtwo=a b\"\n-Xss300k\n");
+        String said = launched(
+                Map.of(), 0, "@" + file, "-Dthree=3", "-XX:+PrintFlagsFinal", "-XshowSettings:properties", "-version");
+        assertThat(said)
+                .contains("one = 1")
+                .contains("two = a b")
+                .contains("three = 3")
+                .containsPattern("ThreadStackSize +=? *= *300");
+        assertThat(launched(Map.of(), 2, "-jar", "target/rillyard.jar", "no-such-command"))
+                .contains("no-such-command");
+        assertThat(launched(Map.of(), 1, "no.such.Main")).contains("no.such.Main");
+    }
+
+    /** The JDK's launcher reads this variable; what stands in its place hands over to it. */
+    @Test
+    void optionsInTheEnvironmentAreNotLost() throws Exception {
+        String said =
+                launched(Map.of("JDK_JAVA_OPTIONS", "-Dfrom=outside"), 0, "-XshowSettings:properties", "-version");
+        assertThat(said).contains("from = outside");
     }
-  }
-
-  private String launched(Map<String, String> environment, int code, String... arguments) throws Exception {
-    assumeThat(LAUNCHER).as("built where there is a C compiler").isExecutable();
-    List<String> line = new ArrayList<>(List.of(LAUNCHER.toString()));
-    line.addAll(List.of(arguments));
-    ProcessBuilder b = new ProcessBuilder(line).redirectErrorStream(true);
-    b.environment().putAll(environment);
-    Process p = b.start();
-    String said = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-    assertThat(p.waitFor()).as(said).isEqualTo(code);
-    return said;
-  }
-
-  @Test
-  void theLauncherTakesArgumentsAsJavaDoes() throws Exception {
-    Path file = folder.resolve("options");
-    Files.writeString(file, "# a comment\n-Done=1 \"-Dtwo=a b\"\n-Xss300k\n");
-    String said = launched(Map.of(), 0, "@" + file, "-Dthree=3", "-XX:+PrintFlagsFinal",
-        "-XshowSettings:properties", "-version");
-    assertThat(said).contains("one = 1").contains("two = a b").contains("three = 3")
-        .containsPattern("ThreadStackSize +=? *= *300");
-    assertThat(launched(Map.of(), 2, "-jar", "target/rillyard.jar", "no-such-command")).contains("no-such-command");
-    assertThat(launched(Map.of(), 1, "no.such.Main")).contains("no.such.Main");
-  }
-
-  /** The JDK's launcher reads this variable; what stands in its place hands over to it. */
-  @Test
-  void optionsInTheEnvironmentAreNotLost() throws Exception {
-    String said = launched(Map.of("JDK_JAVA_OPTIONS", "-Dfrom=outside"), 0, "-XshowSettings:properties", "-version");
-    assertThat(said).contains("from = outside");
-  }
 }
--- a/src/test/java/rillyard/proxy/QuietChannelTest.java
+++ b/src/test/java/rillyard/proxy/QuietChannelTest.java
@@ -3,12 +3,12 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.netty.bootstrap.Bootstrap;
+import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.util.CharsetUtil;
-import io.netty.buffer.Unpooled;
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.util.concurrent.TimeUnit;
@@ -18,33 +18,32 @@
 /** A close over bytes that nobody has read. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class QuietChannelTest {
-  @Test
-  void whatWasSentArrivesAlthoughBytesLieUnreadAtTheClose() throws Exception {
-    MultiThreadIoEventLoopGroup group = Proxy.newGroup(NioIoHandler.newFactory());
-    try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      QuietChannel channel =
-          (QuietChannel)
-              new Bootstrap()
-                  .group(group)
-                  .channelFactory(QuietChannel::new)
-                  .option(ChannelOption.AUTO_READ, false)
-                  .handler(new ChannelInboundHandlerAdapter())
-                  .connect(server.getLocalSocketAddress())
-                  .sync()
-                  .channel();
-      try (Peer peer = new Peer(server.accept())) {
-        channel.writeAndFlush(Unpooled.copiedBuffer("answer\n", CharsetUtil.US_ASCII)).sync();
-        peer.write("a request that crosses the close");
-        while (channel.eventLoop().submit(channel::quiet).get()) {
-          Thread.onSpinWait(); // until its first bytes are there; asking takes one of them
+    @Test
+    void whatWasSentArrivesAlthoughBytesLieUnreadAtTheClose() throws Exception {
+        MultiThreadIoEventLoopGroup group = Proxy.newGroup(NioIoHandler.newFactory());
+        try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            QuietChannel channel = (QuietChannel) new Bootstrap()
+                    .group(group)
+                    .channelFactory(QuietChannel::new)
+                    .option(ChannelOption.AUTO_READ, false)
+                    .handler(new ChannelInboundHandlerAdapter())
+                    .connect(server.getLocalSocketAddress())
+                    .sync()
+                    .channel();
+            try (Peer peer = new Peer(server.accept())) {
+                channel.writeAndFlush(Unpooled.copiedBuffer("answer\n", CharsetUtil.US_ASCII))
+                        .sync();
+                peer.write("a request that crosses the close");
+                while (channel.eventLoop().submit(channel::quiet).get()) {
+                    Thread.onSpinWait(); // until its first bytes are there; asking takes one of them
+                }
+                channel.eventLoop().submit(channel::endSending).sync();
+                channel.closeFuture().sync();
+                assertThat(peer.readLine()).isEqualTo("answer");
+                assertThat(peer.readLine()).isNull(); // a reset throws
+            }
+        } finally {
+            group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
         }
-        channel.eventLoop().submit(channel::endSending).sync();
-        channel.closeFuture().sync();
-        assertThat(peer.readLine()).isEqualTo("answer");
-        assertThat(peer.readLine()).isNull(); // a reset throws
-      }
-    } finally {
-      group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
     }
-  }
 }
--- a/src/test/java/rillyard/proxy/RefusalTest.java
+++ b/src/test/java/rillyard/proxy/RefusalTest.java
@@ -11,103 +11,100 @@
 
 /** What is refused, and for how long, seen from the application's side. */
 class RefusalTest {
-  private static String claim(int timeout) {
-    return Rig.post("claim", timeout, "", "visit=1");
-  }
+    private static String claim(int timeout) {
+        return Rig.post("claim", timeout, "", "visit=1");
+    }
 
-  private static String report(int held) {
-    return "HTTP/1.1 200 OK\r\nX-Server-Load: rif=" + held + "\r\nContent-Length: 2\r\n\r\nok";
-  }
+    private static String report(int held) {
+        return "HTTP/1.1 200 OK\r\nX-Server-Load: rif=" + held + "\r\nContent-Length: 2\r\n\r\nok";
+    }
 
-  /**
-   * Guards against a host that is left alone for good: what was sent to it and lost brought no newer
-   * report, and must not count as its queue for ever.
-   */
-  @Test
-  void refusalsEndAfterWhatRaisedThem() throws Exception {
-    AtomicInteger seen = new AtomicInteger();
-    ScriptedServer.Reply reply =
-        r -> {
-          int n = seen.incrementAndGet();
-          if (n == 1) {
-            Thread.sleep(350); // one of a queue of six: each takes long
-            return report(6);
-          }
-          if (n <= 9) {
-            Thread.sleep(600_000); // lost
-          }
-          return report(0);
+    /**
+     * Guards against a host that is left alone for good: what was sent to it and lost brought no newer
+     * report, and must not count as its queue for ever.
+     */
+    @Test
+    void refusalsEndAfterWhatRaisedThem() throws Exception {
+        AtomicInteger seen = new AtomicInteger();
+        ScriptedServer.Reply reply = r -> {
+            int n = seen.incrementAndGet();
+            if (n == 1) {
+                Thread.sleep(350); // one of a queue of six: each takes long
+                return report(6);
+            }
+            if (n <= 9) {
+                Thread.sleep(600_000); // lost
+            }
+            return report(0);
         };
-    try (ScriptedServer host = ScriptedServer.host(reply);
-        Rig rig = new Rig(Rig.server("a", host.port()))) {
-      assertThat(rig.call(claim(60_000)).status()).isEqualTo(200);
-      long until = System.nanoTime() + 30_000_000_000L;
-      int status = 0;
-      while (status != 200 && System.nanoTime() < until) {
-        status = rig.call(claim(100)).status();
-      }
-      assertThat(status).isEqualTo(200);
+        try (ScriptedServer host = ScriptedServer.host(reply);
+                Rig rig = new Rig(Rig.server("a", host.port()))) {
+            assertThat(rig.call(claim(60_000)).status()).isEqualTo(200);
+            long until = System.nanoTime() + 30_000_000_000L;
+            int status = 0;
+            while (status != 200 && System.nanoTime() < until) {
+                status = rig.call(claim(100)).status();
+            }
+            assertThat(status).isEqualTo(200);
+        }
     }
-  }
 
-  /**
-   * Guards against retries whose aim is past taking the place of requests that can still be of use.
-   */
-  @Test
-  void whatComesTooLateIsRefusedBeforeTheRest() throws Exception {
-    ScriptedServer.Reply slow =
-        r -> {
-          Thread.sleep(240); // six tenths of the aim
-          return ScriptedServer.ok("ok");
+    /**
+     * Guards against retries whose aim is past taking the place of requests that can still be of use.
+     */
+    @Test
+    void whatComesTooLateIsRefusedBeforeTheRest() throws Exception {
+        ScriptedServer.Reply slow = r -> {
+            Thread.sleep(240); // six tenths of the aim
+            return ScriptedServer.ok("ok");
         };
-    try (ScriptedServer host = ScriptedServer.host(slow);
-        Rig rig = new Rig(Rig.server("a", host.port()))) {
-      for (int i = 0; i < 16; i++) {
-        rig.call(claim(800));
-      }
-      int served = host.requests.size();
-      for (int i = 0; i < 10; i++) {
-        assertThat(rig.call(claim(300)).status()).isEqualTo(503); // 500 ms of 800 are gone
-      }
-      assertThat(host.requests).hasSize(served);
-      int status = 0;
-      for (int i = 0; i < 200 && status != 200; i++) {
-        status = rig.call(claim(800)).status();
-      }
-      assertThat(status).isEqualTo(200);
+        try (ScriptedServer host = ScriptedServer.host(slow);
+                Rig rig = new Rig(Rig.server("a", host.port()))) {
+            for (int i = 0; i < 16; i++) {
+                rig.call(claim(800));
+            }
+            int served = host.requests.size();
+            for (int i = 0; i < 10; i++) {
+                assertThat(rig.call(claim(300)).status()).isEqualTo(503); // 500 ms of 800 are gone
+            }
+            assertThat(host.requests).hasSize(served);
+            int status = 0;
+            for (int i = 0; i < 200 && status != 200; i++) {
+                status = rig.call(claim(800)).status();
+            }
+            assertThat(status).isEqualTo(200);
+        }
     }
-  }
 
-  /** Guards against clients that come back at once until chance lets them through. */
-  @Test
-  void triesAtOnceMeetTheSameAnswer() throws Exception {
-    ScriptedServer.Reply slow =
-        r -> {
-          Thread.sleep(300); // about half are refused at three quarters of the aim
-          return ScriptedServer.ok("ok");
+    /** Guards against clients that come back at once until chance lets them through. */
+    @Test
+    void triesAtOnceMeetTheSameAnswer() throws Exception {
+        ScriptedServer.Reply slow = r -> {
+            Thread.sleep(300); // about half are refused at three quarters of the aim
+            return ScriptedServer.ok("ok");
         };
-    List<Peer> clients = new ArrayList<>();
-    try (ScriptedServer host = ScriptedServer.host(slow);
-        Rig rig = new Rig(Rig.server("a", host.port()))) {
-      for (int i = 0; i < 8; i++) {
-        clients.add(rig.client());
-      }
-      int mixed = 0;
-      for (int i = 0; i < 24; i++) {
-        for (Peer c : clients) {
-          c.write(claim(800));
-        }
-        Set<Integer> answers = new HashSet<>();
-        for (Peer c : clients) {
-          answers.add(c.read().status());
+        List<Peer> clients = new ArrayList<>();
+        try (ScriptedServer host = ScriptedServer.host(slow);
+                Rig rig = new Rig(Rig.server("a", host.port()))) {
+            for (int i = 0; i < 8; i++) {
+                clients.add(rig.client());
+            }
+            int mixed = 0;
+            for (int i = 0; i < 24; i++) {
+                for (Peer c : clients) {
+                    c.write(claim(800));
+                }
+                Set<Integer> answers = new HashSet<>();
+                for (Peer c : clients) {
+                    answers.add(c.read().status());
+                }
+                mixed += i >= 8 && answers.size() > 1 ? 1 : 0; // the first ones raise the pressure
+            }
+            assertThat(mixed).isLessThan(8); // of 16; chance for each mixes nearly all
+        } finally {
+            for (Peer c : clients) {
+                c.close();
+            }
         }
-        mixed += i >= 8 && answers.size() > 1 ? 1 : 0; // the first ones raise the pressure
-      }
-      assertThat(mixed).isLessThan(8); // of 16; chance for each mixes nearly all
-    } finally {
-      for (Peer c : clients) {
-        c.close();
-      }
     }
-  }
 }
--- a/src/test/java/rillyard/proxy/ReplaceIT.java
+++ b/src/test/java/rillyard/proxy/ReplaceIT.java
@@ -20,164 +20,162 @@
 /** The built jar, replaced by a second process under load. Discovery never answers. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class ReplaceIT {
-  private static final int CLIENTS = 8;
-
-  @TempDir Path folder;
-
-  /** Clients as the application has them: they keep connections, and move when they are told to. */
-  private static final class Load implements AutoCloseable {
-    final AtomicInteger served = new AtomicInteger();
-    /** What became of each request without an answer of a host's, and when (ms since the load began). */
-    final Queue<String> lost = new ConcurrentLinkedQueue<>();
-    private final long began = System.nanoTime();
-    private final AtomicBoolean over = new AtomicBoolean();
-
-    Load(InetSocketAddress to) {
-      for (int i = 0; i < CLIENTS; i++) {
-        Thread t = new Thread(() -> run(to));
-        t.setDaemon(true);
-        t.start();
-      }
-    }
+    private static final int CLIENTS = 8;
+
+    @TempDir
+    Path folder;
+
+    /** Clients as the application has them: they keep connections, and move when they are told to. */
+    private static final class Load implements AutoCloseable {
+        final AtomicInteger served = new AtomicInteger();
+        /** What became of each request without an answer of a host's, and when (ms since the load began). */
+        final Queue<String> lost = new ConcurrentLinkedQueue<>();
+
+        private final long began = System.nanoTime();
+        private final AtomicBoolean over = new AtomicBoolean();
+
+        Load(InetSocketAddress to) {
+            for (int i = 0; i < CLIENTS; i++) {
+                Thread t = new Thread(() -> run(to));
+                t.setDaemon(true);
+                t.start();
+            }
+        }
 
-    private void lose(String how) {
-      lost.add((System.nanoTime() - began) / 1_000_000 + " ms: " + how);
-    }
+        private void lose(String how) {
+            lost.add((System.nanoTime() - began) / 1_000_000 + " ms: " + how);
+        }
 
-    private void run(InetSocketAddress to) {
-      Peer c = null;
-      while (!over.get()) {
-        try {
-          c = c == null ? Peer.connect(to.getPort()) : c;
-          c.write(Rig.post("claim", 1_500, "", "x"));
-          Peer.Message m = c.read();
-          if (m == null || m.status() != 200) {
-            lose(m == null ? "ended without an answer" : m.line());
-          } else {
-            served.incrementAndGet();
-          }
-          if (m == null || "close".equals(m.header("Connection"))) {
-            c.close();
-            c = null;
-          }
-          Thread.sleep(2);
-        } catch (IOException e) {
-          lose((c == null ? "connecting: " : "on a connection: ") + e);
-          c = null;
-        } catch (InterruptedException e) {
-          return;
+        private void run(InetSocketAddress to) {
+            Peer c = null;
+            while (!over.get()) {
+                try {
+                    c = c == null ? Peer.connect(to.getPort()) : c;
+                    c.write(Rig.post("claim", 1_500, "", "x"));
+                    Peer.Message m = c.read();
+                    if (m == null || m.status() != 200) {
+                        lose(m == null ? "ended without an answer" : m.line());
+                    } else {
+                        served.incrementAndGet();
+                    }
+                    if (m == null || "close".equals(m.header("Connection"))) {
+                        c.close();
+                        c = null;
+                    }
+                    Thread.sleep(2);
+                } catch (IOException e) {
+                    lose((c == null ? "connecting: " : "on a connection: ") + e);
+                    c = null;
+                } catch (InterruptedException e) {
+                    return;
+                }
+            }
+        }
+
+        void awaitServed(int more) throws InterruptedException {
+            int until = served.get() + more;
+            while (served.get() < until) {
+                Thread.sleep(5);
+            }
+        }
+
+        @Override
+        public void close() {
+            over.set(true); // each ends with its present request
         }
-      }
     }
 
-    void awaitServed(int more) throws InterruptedException {
-      int until = served.get() + more;
-      while (served.get() < until) {
-        Thread.sleep(5);
-      }
+    private ProxyProcess launch(
+            ScriptedServer discovery, String name, InetSocketAddress listen, int operator, String... known)
+            throws Exception {
+        Path config = folder.resolve(name + ".json");
+        Files.move(Rig.config(discovery.port(), c -> c.put("operator", "127.0.0.1:" + operator), known), config);
+        Launch built = Launch.platform(Path.of("").toAbsolutePath())
+                .with("TMPDIR", folder.resolve("tmp").toString());
+        return ProxyProcess.launch(built, config, listen, folder.resolve(name + ".log"));
     }
 
-    @Override
-    public void close() {
-      over.set(true); // each ends with its present request
+    private String log(String name) throws IOException {
+        return Files.readString(folder.resolve(name + ".log"));
     }
-  }
-
-  private ProxyProcess launch(
-      ScriptedServer discovery, String name, InetSocketAddress listen, int operator, String... known)
-      throws Exception {
-    Path config = folder.resolve(name + ".json");
-    Files.move(
-        Rig.config(discovery.port(), c -> c.put("operator", "127.0.0.1:" + operator), known), config);
-    Launch built =
-        Launch.platform(Path.of("").toAbsolutePath()).with("TMPDIR", folder.resolve("tmp").toString());
-    return ProxyProcess.launch(built, config, listen, folder.resolve(name + ".log"));
-  }
-
-  private String log(String name) throws IOException {
-    return Files.readString(folder.resolve(name + ".log"));
-  }
-
-  private static int call(int operator, String what, String body) throws IOException {
-    try (Peer p = Peer.connect(operator)) {
-      p.write(what + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
-      return p.read().status();
+
+    private static int call(int operator, String what, String body) throws IOException {
+        try (Peer p = Peer.connect(operator)) {
+            p.write(what + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+            return p.read().status();
+        }
     }
-  }
 
-  private static void awaitReady(int operator) throws InterruptedException {
-    while (true) {
-      try {
-        if (call(operator, "GET /_ready", "") == 200) {
-          return;
+    private static void awaitReady(int operator) throws InterruptedException {
+        while (true) {
+            try {
+                if (call(operator, "GET /_ready", "") == 200) {
+                    return;
+                }
+            } catch (IOException e) {
+                // not there yet
+            }
+            Thread.sleep(10);
         }
-      } catch (IOException e) {
-        // not there yet
-      }
-      Thread.sleep(10);
     }
-  }
-
-  @Test
-  void aSuccessorTakesOverUnderLoadAndKnowsWhatIsOut() throws Exception {
-    Files.createDirectory(folder.resolve("tmp"));
-    InetSocketAddress listen = ProxyProcess.freeAddress();
-    int oldOperator = ProxyProcess.freeAddress().getPort();
-    int newOperator = ProxyProcess.freeAddress().getPort();
-    try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
-        ScriptedServer a = ScriptedServer.host(r -> ScriptedServer.ok("a"));
-        ScriptedServer b = ScriptedServer.host(r -> ScriptedServer.ok("b"));
-        ProxyProcess old =
-            launch(silent, "old", listen, oldOperator,
-                Rig.server("a", a.port()), Rig.server("b", b.port()))) {
-      awaitReady(oldOperator);
-      try (Load load = new Load(listen)) {
-        load.awaitServed(200);
-        assertThat(call(oldOperator, "POST /_hosts/detach", "a")).isEqualTo(200);
-        try (ProxyProcess next =
-            launch(silent, "next", listen, newOperator,
-                Rig.server("a", a.port()), Rig.server("b", b.port()))) {
-          awaitReady(newOperator);
-          load.awaitServed(200);
-          a.requests.clear();
-          old.process().terminate();
-          assertThat(old.process().await()).isZero();
-          assertThat(log("old")).contains("draining: a successor serves", "drained");
-          load.awaitServed(400);
-          assertThat(load.lost).isEmpty();
-          assertThat(a.requests).isEmpty();
-          assertThat(call(newOperator, "POST /_hosts/attach", "a")).isEqualTo(200);
-          while (a.requests.isEmpty()) {
-            load.awaitServed(1);
-          }
-          assertThat(next.process().alive()).isTrue();
+
+    @Test
+    void aSuccessorTakesOverUnderLoadAndKnowsWhatIsOut() throws Exception {
+        Files.createDirectory(folder.resolve("tmp"));
+        InetSocketAddress listen = ProxyProcess.freeAddress();
+        int oldOperator = ProxyProcess.freeAddress().getPort();
+        int newOperator = ProxyProcess.freeAddress().getPort();
+        try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
+                ScriptedServer a = ScriptedServer.host(r -> ScriptedServer.ok("a"));
+                ScriptedServer b = ScriptedServer.host(r -> ScriptedServer.ok("b"));
+                ProxyProcess old = launch(
+                        silent, "old", listen, oldOperator, Rig.server("a", a.port()), Rig.server("b", b.port()))) {
+            awaitReady(oldOperator);
+            try (Load load = new Load(listen)) {
+                load.awaitServed(200);
+                assertThat(call(oldOperator, "POST /_hosts/detach", "a")).isEqualTo(200);
+                try (ProxyProcess next = launch(
+                        silent, "next", listen, newOperator, Rig.server("a", a.port()), Rig.server("b", b.port()))) {
+                    awaitReady(newOperator);
+                    load.awaitServed(200);
+                    a.requests.clear();
+                    old.process().terminate();
+                    assertThat(old.process().await()).isZero();
+                    assertThat(log("old")).contains("draining: a successor serves", "drained");
+                    load.awaitServed(400);
+                    assertThat(load.lost).isEmpty();
+                    assertThat(a.requests).isEmpty();
+                    assertThat(call(newOperator, "POST /_hosts/attach", "a")).isEqualTo(200);
+                    while (a.requests.isEmpty()) {
+                        load.awaitServed(1);
+                    }
+                    assertThat(next.process().alive()).isTrue();
+                }
+            }
         }
-      }
     }
-  }
-
-  @Test
-  void aSuccessorThatDiesLeavesTheFirstOneServing() throws Exception {
-    Files.createDirectory(folder.resolve("tmp"));
-    InetSocketAddress listen = ProxyProcess.freeAddress();
-    int oldOperator = ProxyProcess.freeAddress().getPort();
-    int newOperator = ProxyProcess.freeAddress().getPort();
-    try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
-        ScriptedServer a = ScriptedServer.host(r -> ScriptedServer.ok("a"));
-        ProxyProcess old = launch(silent, "old", listen, oldOperator, Rig.server("a", a.port()))) {
-      awaitReady(oldOperator);
-      try (ProxyProcess next =
-          launch(silent, "next", listen, newOperator, Rig.server("a", a.port()))) {
-        awaitReady(newOperator);
-        next.process().kill();
-      }
-      try (Load load = new Load(listen)) {
-        load.awaitServed(100);
-        assertThat(load.lost).isEmpty();
-      }
-      old.process().terminate();
-      assertThat(old.process().await()).isZero();
-      assertThat(log("old")).contains("draining").doesNotContain("a successor serves");
+
+    @Test
+    void aSuccessorThatDiesLeavesTheFirstOneServing() throws Exception {
+        Files.createDirectory(folder.resolve("tmp"));
+        InetSocketAddress listen = ProxyProcess.freeAddress();
+        int oldOperator = ProxyProcess.freeAddress().getPort();
+        int newOperator = ProxyProcess.freeAddress().getPort();
+        try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
+                ScriptedServer a = ScriptedServer.host(r -> ScriptedServer.ok("a"));
+                ProxyProcess old = launch(silent, "old", listen, oldOperator, Rig.server("a", a.port()))) {
+            awaitReady(oldOperator);
+            try (ProxyProcess next = launch(silent, "next", listen, newOperator, Rig.server("a", a.port()))) {
+                awaitReady(newOperator);
+                next.process().kill();
+            }
+            try (Load load = new Load(listen)) {
+                load.awaitServed(100);
+                assertThat(load.lost).isEmpty();
+            }
+            old.process().terminate();
+            assertThat(old.process().await()).isZero();
+            assertThat(log("old")).contains("draining").doesNotContain("a successor serves");
+        }
     }
-  }
 }
--- a/src/test/java/rillyard/proxy/RestartIT.java
+++ b/src/test/java/rillyard/proxy/RestartIT.java
@@ -21,131 +21,134 @@
 /** The built jar at its start and its end, with what goes wrong there. Discovery never answers. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class RestartIT {
-  private static final Launch BUILT = Launch.platform(Path.of("").toAbsolutePath()).with(List.of("-Drillyard.marks=true"));
+    private static final Launch BUILT =
+            Launch.platform(Path.of("").toAbsolutePath()).with(List.of("-Drillyard.marks=true"));
 
-  /** Far more than the 0.3 s that the requests have, and far less than a hang. */
-  private static final long MUCH_NANOS = 5_000_000_000L;
+    /** Far more than the 0.3 s that the requests have, and far less than a hang. */
+    private static final long MUCH_NANOS = 5_000_000_000L;
 
-  @TempDir Path folder;
+    @TempDir
+    Path folder;
 
-  private ProxyProcess launch(ScriptedServer discovery, String... known) throws Exception {
-    Path config = folder.resolve("config.json");
-    Files.move(Rig.config(discovery.port(), c -> {}, known), config);
-    return ProxyProcess.launch(BUILT, config, ProxyProcess.freeAddress(), folder.resolve("log"));
-  }
+    private ProxyProcess launch(ScriptedServer discovery, String... known) throws Exception {
+        Path config = folder.resolve("config.json");
+        Files.move(Rig.config(discovery.port(), c -> {}, known), config);
+        return ProxyProcess.launch(BUILT, config, ProxyProcess.freeAddress(), folder.resolve("log"));
+    }
 
-  private String log() throws Exception {
-    return Files.readString(folder.resolve("log"));
-  }
+    private String log() throws Exception {
+        return Files.readString(folder.resolve("log"));
+    }
 
-  /** From the loop on there is something to drain, whether or not it listens yet. */
-  @ParameterizedTest
-  @ValueSource(strings = {"loop", "listening", "warm-up"})
-  void aTermDuringTheStartEndsItInOrder(String mark) throws Exception {
-    try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
-        ProxyProcess p = launch(silent, Rig.server("a", Rig.freePort()))) {
-      while (!log().contains("mark " + mark + " ") && p.process().alive()) {
-        Thread.sleep(1);
-      }
-      p.process().terminate();
-      assertThat(p.process().await()).isZero();
-      assertThat(log()).contains("drained").doesNotContain("Exception");
+    /** From the loop on there is something to drain, whether or not it listens yet. */
+    @ParameterizedTest
+    @ValueSource(strings = {"loop", "listening", "warm-up"})
+    void aTermDuringTheStartEndsItInOrder(String mark) throws Exception {
+        try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
+                ProxyProcess p = launch(silent, Rig.server("a", Rig.freePort()))) {
+            while (!log().contains("mark " + mark + " ") && p.process().alive()) {
+                Thread.sleep(1);
+            }
+            p.process().terminate();
+            assertThat(p.process().await()).isZero();
+            assertThat(log()).contains("drained").doesNotContain("Exception");
+        }
     }
-  }
 
-  @Test
-  void aSecondTermChangesNothingForWhatIsUnderWay() throws Exception {
-    CountDownLatch answer = new CountDownLatch(1);
-    try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
-        ScriptedServer host =
-            ScriptedServer.host(
-                r -> {
-                  answer.await();
-                  return ScriptedServer.ok("served");
+    @Test
+    void aSecondTermChangesNothingForWhatIsUnderWay() throws Exception {
+        CountDownLatch answer = new CountDownLatch(1);
+        try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
+                ScriptedServer host = ScriptedServer.host(r -> {
+                    answer.await();
+                    return ScriptedServer.ok("served");
                 });
-        ProxyProcess p = launch(silent, Rig.server("a", host.port()))) {
-      p.await(ProxyProcess.State.READY);
-      try (Peer held = Peer.connect(p.address().getPort())) {
-        held.write(Rig.post("claim", 1_500, "", "x"));
-        host.request();
-        p.process().terminate();
-        p.process().terminate();
-        answer.countDown();
-        assertThat(held.read().text()).isEqualTo("served");
-      }
-      assertThat(p.process().await()).isZero();
+                ProxyProcess p = launch(silent, Rig.server("a", host.port()))) {
+            p.await(ProxyProcess.State.READY);
+            try (Peer held = Peer.connect(p.address().getPort())) {
+                held.write(Rig.post("claim", 1_500, "", "x"));
+                host.request();
+                p.process().terminate();
+                p.process().terminate();
+                answer.countDown();
+                assertThat(held.read().text()).isEqualTo("served");
+            }
+            assertThat(p.process().await()).isZero();
+        }
     }
-  }
 
-  @Test
-  void aKnownListOfHostsThatAreAllGoneEndsEachRequestInTime() throws Exception {
-    try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
-        ProxyProcess p =
-            launch(silent, Rig.server("a", Rig.freePort()), Rig.server("b", Rig.freePort()))) {
-      p.await(ProxyProcess.State.READY);
-      for (String request : new String[] {Rig.get("read", 300), Rig.post("claim", 300, "", "x")}) {
-        try (Peer c = Peer.connect(p.address().getPort())) {
-          long sent = System.nanoTime();
-          c.write(request);
-          assertThat(c.read().status()).isIn(502, 503, 504);
-          assertThat(System.nanoTime() - sent).isLessThan(MUCH_NANOS);
+    @Test
+    void aKnownListOfHostsThatAreAllGoneEndsEachRequestInTime() throws Exception {
+        try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
+                ProxyProcess p = launch(silent, Rig.server("a", Rig.freePort()), Rig.server("b", Rig.freePort()))) {
+            p.await(ProxyProcess.State.READY);
+            for (String request : new String[] {Rig.get("read", 300), Rig.post("claim", 300, "", "x")}) {
+                try (Peer c = Peer.connect(p.address().getPort())) {
+                    long sent = System.nanoTime();
+                    c.write(request);
+                    assertThat(c.read().status()).isIn(502, 503, 504);
+                    assertThat(System.nanoTime() - sent).isLessThan(MUCH_NANOS);
+                }
+            }
         }
-      }
     }
-  }
 
-  @Test
-  void aThousandClientsAtOnceDuringTheWarmUpKeepNobodyFromBeingServedAfter() throws Exception {
-    try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
-        ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"));
-        ProxyProcess p = launch(silent, Rig.server("a", host.port()))) {
-      p.await(ProxyProcess.State.LISTENING);
-      List<Peer> crowd = new ArrayList<>();
-      try {
-        for (int i = 0; i < 1_000; i++) {
-          crowd.add(Peer.connect(p.address().getPort()));
-        }
-        p.await(ProxyProcess.State.READY);
-        try (Peer c = Peer.connect(p.address().getPort())) {
-          c.write(Rig.post("claim", 1_500, "", "x"));
-          assertThat(c.read().text()).isEqualTo("served");
+    @Test
+    void aThousandClientsAtOnceDuringTheWarmUpKeepNobodyFromBeingServedAfter() throws Exception {
+        try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
+                ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"));
+                ProxyProcess p = launch(silent, Rig.server("a", host.port()))) {
+            p.await(ProxyProcess.State.LISTENING);
+            List<Peer> crowd = new ArrayList<>();
+            try {
+                for (int i = 0; i < 1_000; i++) {
+                    crowd.add(Peer.connect(p.address().getPort()));
+                }
+                p.await(ProxyProcess.State.READY);
+                try (Peer c = Peer.connect(p.address().getPort())) {
+                    c.write(Rig.post("claim", 1_500, "", "x"));
+                    assertThat(c.read().text()).isEqualTo("served");
+                }
+            } finally {
+                for (Peer c : crowd) {
+                    c.close();
+                }
+            }
         }
-      } finally {
-        for (Peer c : crowd) {
-          c.close();
-        }
-      }
     }
-  }
 
-  /**
-   * An archive that is not what the build made costs time only. One that is cut off is not among
-   * these: the JVM maps it by the sizes in its head and ends by SIGBUS; see docs/restarts.md.
-   */
-  @ParameterizedTest
-  @ValueSource(strings = {"missing", "noise", "of another jar"})
-  void aStartGoesOnWithoutAnArchiveThatIsNoneOfIts(String kind) throws Exception {
-    Path made = Path.of("target/rillyard.jsa").toAbsolutePath();
-    Path archive = folder.resolve("archive.jsa");
-    Path jar = Path.of("target/rillyard.jar").toAbsolutePath();
-    switch (kind) {
-      case "noise" -> Files.write(archive, "no archive at all".repeat(10_000).getBytes(StandardCharsets.US_ASCII));
-      case "of another jar" -> {
-        Files.copy(made, archive);
-        jar = Files.copy(jar, folder.resolve("other.jar"));
-      }
-      default -> assertThat(archive).doesNotExist();
-    }
-    Launch launch =
-        new Launch(BUILT.java(), BUILT.folder(), null,
-            List.of("@deploy/proxy.jvm", "-XX:SharedArchiveFile=" + archive, "-Xlog:class+load"),
-            List.of("-jar", jar.toString()), BUILT.environment());
-    Path out = folder.resolve("out");
-    try (Child c = Child.start(launch, out, out, "rehearse")) {
-      assertThat(c.await()).isZero();
+    /**
+     * An archive that is not what the build made costs time only. One that is cut off is not among
+     * these: the JVM maps it by the sizes in its head and ends by SIGBUS; see docs/restarts.md.
+     */
+    @ParameterizedTest
+    @ValueSource(strings = {"missing", "noise", "of another jar"})
+    void aStartGoesOnWithoutAnArchiveThatIsNoneOfIts(String kind) throws Exception {
+        Path made = Path.of("target/rillyard.jsa").toAbsolutePath();
+        Path archive = folder.resolve("archive.jsa");
+        Path jar = Path.of("target/rillyard.jar").toAbsolutePath();
+        switch (kind) {
+            case "noise" ->
+                Files.write(archive, "no archive at all".repeat(10_000).getBytes(StandardCharsets.US_ASCII));
+            case "of another jar" -> {
+                Files.copy(made, archive);
+                jar = Files.copy(jar, folder.resolve("other.jar"));
+            }
+            default -> assertThat(archive).doesNotExist();
+        }
+        Launch launch = new Launch(
+                BUILT.java(),
+                BUILT.folder(),
+                null,
+                List.of("@deploy/proxy.jvm", "-XX:SharedArchiveFile=" + archive, "-Xlog:class+load"),
+                List.of("-jar", jar.toString()),
+                BUILT.environment());
+        Path out = folder.resolve("out");
+        try (Child c = Child.start(launch, out, out, "rehearse")) {
+            assertThat(c.await()).isZero();
+        }
+        assertThat(Files.readString(out))
+                .contains("rillyard.proxy.Dispatcher source: file:")
+                .contains("rillyard: drained");
     }
-    assertThat(Files.readString(out))
-        .contains("rillyard.proxy.Dispatcher source: file:")
-        .contains("rillyard: drained");
-  }
 }
--- a/src/test/java/rillyard/proxy/Rig.java
+++ b/src/test/java/rillyard/proxy/Rig.java
@@ -20,12 +20,12 @@
 
 /** A client proxy on loopback, with a discovery that says what the test has it say. */
 final class Rig implements AutoCloseable {
-  /** Ids of requests: none twice, whichever thread asks, as a second one is a conflict (409). */
-  private static final AtomicLong IDS = new AtomicLong(System.nanoTime());
+    /** Ids of requests: none twice, whichever thread asks, as a second one is a conflict (409). */
+    private static final AtomicLong IDS = new AtomicLong(System.nanoTime());
 
-  private static final ObjectMapper JSON = new ObjectMapper();
-  private static final String SETTINGS =
-      """
+    private static final ObjectMapper JSON = new ObjectMapper();
+    private static final String SETTINGS =
+            """
       {"balancers":1,"position":0,"zone":"z","zones":["z"],"membershipMode":"automatic",
        "classes":[
         {"name":"read","aim":400,"deadline":800,"semantics":"idempotent","keyScope":"all"},
@@ -38,149 +38,139 @@
        "rules":{"cold":8700,"startCapacity":0.3,"fall":1500,"fallMultiple":3,"drainGrace":500}}
       """;
 
-  final BlockingQueue<String> news = new LinkedBlockingQueue<>();
-  final BlockingQueue<String> watches = new LinkedBlockingQueue<>();
-  private final AtomicReference<Thread> watcher = new AtomicReference<>();
-  final ScriptedServer discovery;
-  final Proxy proxy;
-  final int port;
-  private final ByteArrayOutputStream log = new ByteArrayOutputStream();
-
-  Rig(String... servers) throws Exception {
-    this(c -> {}, servers);
-  }
-
-  /** {@code servers} are entries as {@link #server} makes them; {@code change} edits the rest. */
-  Rig(Consumer<ObjectNode> change, String... servers) throws Exception {
-    this(false, null, change, servers);
-  }
-
-  /** {@code traced} has the log hold the trace as well; {@code guard} may be null. */
-  Rig(boolean traced, ListGuard guard, Consumer<ObjectNode> change, String... servers) throws Exception {
-    discovery =
-        new ScriptedServer(
-            peer -> {
-              String request = peer.read().line();
-              Thread before = watcher.getAndSet(Thread.currentThread());
-              if (before != null) {
+    final BlockingQueue<String> news = new LinkedBlockingQueue<>();
+    final BlockingQueue<String> watches = new LinkedBlockingQueue<>();
+    private final AtomicReference<Thread> watcher = new AtomicReference<>();
+    final ScriptedServer discovery;
+    final Proxy proxy;
+    final int port;
+    private final ByteArrayOutputStream log = new ByteArrayOutputStream();
+
+    Rig(String... servers) throws Exception {
+        this(c -> {}, servers);
+    }
+
+    /** {@code servers} are entries as {@link #server} makes them; {@code change} edits the rest. */
+    Rig(Consumer<ObjectNode> change, String... servers) throws Exception {
+        this(false, null, change, servers);
+    }
+
+    /** {@code traced} has the log hold the trace as well; {@code guard} may be null. */
+    Rig(boolean traced, ListGuard guard, Consumer<ObjectNode> change, String... servers) throws Exception {
+        discovery = new ScriptedServer(peer -> {
+            String request = peer.read().line();
+            Thread before = watcher.getAndSet(Thread.currentThread());
+            if (before != null) {
                 before.interrupt(); // what is told from now on belongs to the new watch
-              }
-              watches.add(request);
-              peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-              while (true) {
+            }
+            watches.add(request);
+            peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            while (true) {
                 String line = news.take();
                 if (line.isEmpty()) {
-                  return; // ends the watch
+                    return; // ends the watch
                 }
                 peer.write(Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
-              }
-            });
-    Path file = config(discovery.port(), change, servers);
-    PrintStream out = new PrintStream(log, true, StandardCharsets.UTF_8);
-    proxy =
-        new Proxy(
-            Config.load(Map.of("BALANCER_CONFIG", file.toString())),
-            new Log(out, traced ? new Trace(out) : null),
-            guard,
-            null);
-    Files.delete(file);
-    proxy.start();
-    port = proxy.address().getPort();
-  }
-
-  /** Writes a configuration to a file of its own. */
-  static Path config(int discoveryPort, Consumer<ObjectNode> change, String... servers)
-      throws IOException {
-    ObjectNode c = JSON.createObjectNode();
-    c.put("name", "n0").put("listen", "127.0.0.1:0").put("discovery", "127.0.0.1:" + discoveryPort);
-    c.put("seed", "8c1f30d27a5be964");
-    c.putObject("limits").put("cores", 1.0).put("memory_mb", 128).put("sockets", 1024);
-    c.set("settings", JSON.readTree(SETTINGS));
-    c.set("known", JSON.readTree(list(1, true, servers)));
-    change.accept(c);
-    return Files.write(Files.createTempFile("rillyard", ".json"), JSON.writeValueAsBytes(c));
-  }
-
-  static String server(String id, int port) {
-    return server(id, port, 0, "up");
-  }
-
-  static String server(String id, int port, int cell, String state) {
-    return "{\"id\":\"" + id + "\",\"addr\":\"127.0.0.1:" + port + "\",\"zone\":\"z\",\"kind\":\"k\","
-        + "\"cell\":" + cell + ",\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":0}";
-  }
-
-  static String list(int version, boolean full, String... servers) {
-    return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":["
-        + String.join(",", servers) + "]}";
-  }
-
-  /** Has discovery say this on the watch. */
-  void tell(int version, boolean full, String... servers) {
-    news.add(list(version, full, servers) + "\n");
-  }
-
-  Peer client() throws IOException {
-    return Peer.connect(port);
-  }
-
-  /** One request on a connection of its own. */
-  Peer.Message call(String request) throws IOException {
-    try (Peer c = client()) {
-      c.write(request);
-      return c.read();
-    }
-  }
-
-  static String get(String type, int timeout) {
-    return head("GET", type, timeout, "") + "\r\n";
-  }
-
-  static String post(String type, int timeout, String headers, String body) {
-    return head("POST", type, timeout, headers) + "Content-Length: " + body.length() + "\r\n\r\n"
-        + body;
-  }
-
-  static String head(String method, String type, int timeout, String headers) {
-    return method + " /" + type + " HTTP/1.1\r\nHost: api.internal\r\nX-Request-ID: "
-        + Long.toHexString(IDS.incrementAndGet()) + "\r\nX-Priority-Class: " + type
-        + "\r\nX-Timeout-Ms: " + timeout + "\r\n" + headers;
-  }
-
-  /** Keeps the loop busy until the latch is opened; what comes meanwhile waits in its sockets. */
-  CountDownLatch blockLoop() throws InterruptedException {
-    CountDownLatch blocked = new CountDownLatch(1);
-    CountDownLatch open = new CountDownLatch(1);
-    proxy
-        .loop()
-        .execute(
-            () -> {
-              blocked.countDown();
-              try {
+            }
+        });
+        Path file = config(discovery.port(), change, servers);
+        PrintStream out = new PrintStream(log, true, StandardCharsets.UTF_8);
+        proxy = new Proxy(
+                Config.load(Map.of("BALANCER_CONFIG", file.toString())),
+                new Log(out, traced ? new Trace(out) : null),
+                guard,
+                null);
+        Files.delete(file);
+        proxy.start();
+        port = proxy.address().getPort();
+    }
+
+    /** Writes a configuration to a file of its own. */
+    static Path config(int discoveryPort, Consumer<ObjectNode> change, String... servers) throws IOException {
+        ObjectNode c = JSON.createObjectNode();
+        c.put("name", "n0").put("listen", "127.0.0.1:0").put("discovery", "127.0.0.1:" + discoveryPort);
+        c.put("seed", "8c1f30d27a5be964");
+        c.putObject("limits").put("cores", 1.0).put("memory_mb", 128).put("sockets", 1024);
+        c.set("settings", JSON.readTree(SETTINGS));
+        c.set("known", JSON.readTree(list(1, true, servers)));
+        change.accept(c);
+        return Files.write(Files.createTempFile("rillyard", ".json"), JSON.writeValueAsBytes(c));
+    }
+
+    static String server(String id, int port) {
+        return server(id, port, 0, "up");
+    }
+
+    static String server(String id, int port, int cell, String state) {
+        return "{\"id\":\"" + id + "\",\"addr\":\"127.0.0.1:" + port + "\",\"zone\":\"z\",\"kind\":\"k\"," + "\"cell\":"
+                + cell + ",\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":0}";
+    }
+
+    static String list(int version, boolean full, String... servers) {
+        return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", servers) + "]}";
+    }
+
+    /** Has discovery say this on the watch. */
+    void tell(int version, boolean full, String... servers) {
+        news.add(list(version, full, servers) + "\n");
+    }
+
+    Peer client() throws IOException {
+        return Peer.connect(port);
+    }
+
+    /** One request on a connection of its own. */
+    Peer.Message call(String request) throws IOException {
+        try (Peer c = client()) {
+            c.write(request);
+            return c.read();
+        }
+    }
+
+    static String get(String type, int timeout) {
+        return head("GET", type, timeout, "") + "\r\n";
+    }
+
+    static String post(String type, int timeout, String headers, String body) {
+        return head("POST", type, timeout, headers) + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+    }
+
+    static String head(String method, String type, int timeout, String headers) {
+        return method + " /" + type + " HTTP/1.1\r\nHost: api.internal\r\nX-Request-ID: "
+                + Long.toHexString(IDS.incrementAndGet()) + "\r\nX-Priority-Class: " + type
+                + "\r\nX-Timeout-Ms: " + timeout + "\r\n" + headers;
+    }
+
+    /** Keeps the loop busy until the latch is opened; what comes meanwhile waits in its sockets. */
+    CountDownLatch blockLoop() throws InterruptedException {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch open = new CountDownLatch(1);
+        proxy.loop().execute(() -> {
+            blocked.countDown();
+            try {
                 open.await();
-              } catch (InterruptedException e) {
+            } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-              }
-            });
-    blocked.await();
-    return open;
-  }
-
-  String log() {
-    return log.toString(StandardCharsets.UTF_8);
-  }
+            }
+        });
+        blocked.await();
+        return open;
+    }
 
-  /** Ports of loopback on which nothing listens. */
-  static int freePort() throws IOException {
-    try (java.net.ServerSocket s = new java.net.ServerSocket(0)) {
-      return s.getLocalPort();
+    String log() {
+        return log.toString(StandardCharsets.UTF_8);
     }
-  }
 
+    /** Ports of loopback on which nothing listens. */
+    static int freePort() throws IOException {
+        try (java.net.ServerSocket s = new java.net.ServerSocket(0)) {
+            return s.getLocalPort();
+        }
+    }
 
-  @Override
-  public void close() throws IOException {
-    proxy.stop();
-    discovery.close();
-  }
+    @Override
+    public void close() throws IOException {
+        proxy.stop();
+        discovery.close();
+    }
 }
--- a/src/test/java/rillyard/proxy/ScriptedServer.java
+++ b/src/test/java/rillyard/proxy/ScriptedServer.java
@@ -9,109 +9,104 @@
 
 /** A host or a discovery that does to each connection what the test's script says. */
 final class ScriptedServer implements AutoCloseable {
-  /** What happens on one connection; the connection is closed after it. */
-  interface Script {
-    void serve(Peer peer) throws Exception;
-  }
-
-  /** The answer to one request. */
-  interface Reply {
-    String to(Peer.Message request) throws Exception;
-  }
-
-  private final ServerSocket server;
-  private final Script script;
-  private final BlockingQueue<Peer> accepted = new LinkedBlockingQueue<>();
-  final BlockingQueue<Peer.Message> requests = new LinkedBlockingQueue<>();
-
-  ScriptedServer(Script script) throws IOException {
-    this(0, script);
-  }
-
-  /** On this port; 0 is any that is free. */
-  ScriptedServer(int port, Script script) throws IOException {
-    this.server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
-    this.script = script;
-    thread(this::accept);
-  }
-
-  /** A host that answers each request on a kept connection. */
-  static ScriptedServer host(Reply reply) throws IOException {
-    ScriptedServer[] self = new ScriptedServer[1];
-    self[0] =
-        new ScriptedServer(
-            peer -> {
-              Peer.Message m;
-              while ((m = peer.read()) != null) {
+    /** What happens on one connection; the connection is closed after it. */
+    interface Script {
+        void serve(Peer peer) throws Exception;
+    }
+
+    /** The answer to one request. */
+    interface Reply {
+        String to(Peer.Message request) throws Exception;
+    }
+
+    private final ServerSocket server;
+    private final Script script;
+    private final BlockingQueue<Peer> accepted = new LinkedBlockingQueue<>();
+    final BlockingQueue<Peer.Message> requests = new LinkedBlockingQueue<>();
+
+    ScriptedServer(Script script) throws IOException {
+        this(0, script);
+    }
+
+    /** On this port; 0 is any that is free. */
+    ScriptedServer(int port, Script script) throws IOException {
+        this.server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
+        this.script = script;
+        thread(this::accept);
+    }
+
+    /** A host that answers each request on a kept connection. */
+    static ScriptedServer host(Reply reply) throws IOException {
+        ScriptedServer[] self = new ScriptedServer[1];
+        self[0] = new ScriptedServer(peer -> {
+            Peer.Message m;
+            while ((m = peer.read()) != null) {
                 self[0].requests.add(m);
                 peer.write(reply.to(m));
-              }
-            });
-    return self[0];
-  }
-
-  static String ok(String body) {
-    return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
-  }
-
-  static String status(int code, String headers) {
-    return "HTTP/1.1 " + code + " X\r\nContent-Length: 0\r\n" + headers + "\r\n";
-  }
-
-  int port() {
-    return server.getLocalPort();
-  }
-
-  /** The next connection that came. */
-  Peer accepted() throws InterruptedException {
-    return accepted.poll(20, TimeUnit.SECONDS);
-  }
-
-  /** Whether a connection has come that {@link #accepted} has not returned. */
-  boolean acceptedMore() {
-    return !accepted.isEmpty();
-  }
-
-  Peer.Message request() throws InterruptedException {
-    return requests.poll(20, TimeUnit.SECONDS);
-  }
-
-  private void accept() throws Exception {
-    while (true) {
-      Peer p = new Peer(server.accept());
-      accepted.add(p);
-      thread(
-          () -> {
-            try (p) {
-              script.serve(p);
             }
-          });
+        });
+        return self[0];
+    }
+
+    static String ok(String body) {
+        return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
+    }
+
+    static String status(int code, String headers) {
+        return "HTTP/1.1 " + code + " X\r\nContent-Length: 0\r\n" + headers + "\r\n";
+    }
+
+    int port() {
+        return server.getLocalPort();
+    }
+
+    /** The next connection that came. */
+    Peer accepted() throws InterruptedException {
+        return accepted.poll(20, TimeUnit.SECONDS);
+    }
+
+    /** Whether a connection has come that {@link #accepted} has not returned. */
+    boolean acceptedMore() {
+        return !accepted.isEmpty();
     }
-  }
 
-  private interface Work {
-    void run() throws Exception;
-  }
+    Peer.Message request() throws InterruptedException {
+        return requests.poll(20, TimeUnit.SECONDS);
+    }
 
-  private static void thread(Work work) {
-    Thread t =
-        new Thread(
-            () -> {
-              try {
+    private void accept() throws Exception {
+        while (true) {
+            Peer p = new Peer(server.accept());
+            accepted.add(p);
+            thread(() -> {
+                try (p) {
+                    script.serve(p);
+                }
+            });
+        }
+    }
+
+    private interface Work {
+        void run() throws Exception;
+    }
+
+    private static void thread(Work work) {
+        Thread t = new Thread(() -> {
+            try {
                 work.run();
-              } catch (Exception e) {
+            } catch (Exception e) {
                 // the connection or the server ended: the test sees that on its own side
-              }
-            });
-    t.setDaemon(true);
-    t.start();
-  }
-
-  @Override
-  public void close() throws IOException {
-    server.close();
-    for (Peer p : accepted) {
-      p.close();
+            }
+        });
+        t.setDaemon(true);
+        t.start();
+    }
+
+    @Override
+    public void close() throws IOException {
+        server.close();
+        for (Peer p : accepted) {
+            p.close();
+        }
     }
-  }
 }
--- a/src/test/java/rillyard/proxy/ThreadsIT.java
+++ b/src/test/java/rillyard/proxy/ThreadsIT.java
@@ -20,84 +20,85 @@
 /** The built jar makes its threads before it is ready, and none of them ends while it serves. */
 @Timeout(120)
 class ThreadsIT {
-  private static final int REQUESTS = 10_000;
-  private static final int BURST = 200;
+    private static final int REQUESTS = 10_000;
+    private static final int BURST = 200;
 
-  /** Longer than the quiet after which idle threads of JVM or library have been seen to end (1 to 3 s). */
-  private static final long QUIET_MS = 5_000;
+    /** Longer than the quiet after which idle threads of JVM or library have been seen to end (1 to 3 s). */
+    private static final long QUIET_MS = 5_000;
 
-  /** The JDK makes one for each signal and ends it at once. */
-  private static final String SIGNAL = "SIGHUP handler";
+    /** The JDK makes one for each signal and ends it at once. */
+    private static final String SIGNAL = "SIGHUP handler";
 
-  @TempDir Path folder;
+    @TempDir
+    Path folder;
 
-  /** Threads by number, with the names that the system knows. */
-  private static Map<String, String> threads(ProxyProcess p) throws IOException {
-    Map<String, String> names = new TreeMap<>();
-    try (Stream<Path> all = Files.list(Path.of("/proc", Long.toString(p.pid()), "task"))) {
-      for (Path t : all.toList()) {
-        String name = name(t);
-        if (!name.isEmpty() && !name.equals(SIGNAL)) {
-          names.put(t.getFileName().toString(), name);
+    /** Threads by number, with the names that the system knows. */
+    private static Map<String, String> threads(ProxyProcess p) throws IOException {
+        Map<String, String> names = new TreeMap<>();
+        try (Stream<Path> all = Files.list(Path.of("/proc", Long.toString(p.pid()), "task"))) {
+            for (Path t : all.toList()) {
+                String name = name(t);
+                if (!name.isEmpty() && !name.equals(SIGNAL)) {
+                    names.put(t.getFileName().toString(), name);
+                }
+            }
         }
-      }
+        return names;
     }
-    return names;
-  }
 
-  private static String name(Path thread) throws IOException {
-    try {
-      return Files.readString(thread.resolve("comm")).strip();
-    } catch (NoSuchFileException e) {
-      return ""; // it ended while they were listed
-    } catch (IOException e) {
-      return e.getMessage().contains("No such process") ? "" : fail(e);
+    private static String name(Path thread) throws IOException {
+        try {
+            return Files.readString(thread.resolve("comm")).strip();
+        } catch (NoSuchFileException e) {
+            return ""; // it ended while they were listed
+        } catch (IOException e) {
+            return e.getMessage().contains("No such process") ? "" : fail(e);
+        }
     }
-  }
 
-  private static String fail(IOException e) throws IOException {
-    throw e;
-  }
+    private static String fail(IOException e) throws IOException {
+        throw e;
+    }
 
-  @Test
-  void theSameThreadsFromReadyOn() throws Exception {
-    try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
-        ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"))) {
-      Path config = folder.resolve("config.json");
-      Files.move(Rig.config(silent.port(), c -> {}, Rig.server("a", host.port())), config);
-      Launch built = Launch.platform(Path.of("").toAbsolutePath());
-      try (ProxyProcess p =
-          ProxyProcess.launch(built, config, ProxyProcess.freeAddress(), folder.resolve("log"))) {
-        p.await(ProxyProcess.State.READY);
-        Map<String, String> ready = threads(p);
-        assertThat(ready).containsValue("C1 CompilerThre");
-        try (Peer c = Peer.connect(p.address().getPort())) {
-          for (int i = 0; i < REQUESTS; i++) {
-            c.write(Rig.get("read", 1_500));
-            c.read();
-          }
-        }
-        assertThat(threads(p)).as("after %d requests", REQUESTS).isEqualTo(ready);
-        p.process().signal("HUP");
-        List<Peer> burst = new ArrayList<>();
-        try {
-          for (int i = 0; i < BURST; i++) {
-            Peer c = Peer.connect(p.address().getPort());
-            burst.add(c);
-            c.write(Rig.get("read", 1_500));
-          }
-          for (Peer c : burst) {
-            assertThat(c.read()).isNotNull();
-          }
-        } finally {
-          for (Peer c : burst) {
-            c.close();
-          }
+    @Test
+    void theSameThreadsFromReadyOn() throws Exception {
+        try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
+                ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"))) {
+            Path config = folder.resolve("config.json");
+            Files.move(Rig.config(silent.port(), c -> {}, Rig.server("a", host.port())), config);
+            Launch built = Launch.platform(Path.of("").toAbsolutePath());
+            try (ProxyProcess p =
+                    ProxyProcess.launch(built, config, ProxyProcess.freeAddress(), folder.resolve("log"))) {
+                p.await(ProxyProcess.State.READY);
+                Map<String, String> ready = threads(p);
+                assertThat(ready).containsValue("C1 CompilerThre");
+                try (Peer c = Peer.connect(p.address().getPort())) {
+                    for (int i = 0; i < REQUESTS; i++) {
+                        c.write(Rig.get("read", 1_500));
+                        c.read();
+                    }
+                }
+                assertThat(threads(p)).as("after %d requests", REQUESTS).isEqualTo(ready);
+                p.process().signal("HUP");
+                List<Peer> burst = new ArrayList<>();
+                try {
+                    for (int i = 0; i < BURST; i++) {
+                        Peer c = Peer.connect(p.address().getPort());
+                        burst.add(c);
+                        c.write(Rig.get("read", 1_500));
+                    }
+                    for (Peer c : burst) {
+                        assertThat(c.read()).isNotNull();
+                    }
+                } finally {
+                    for (Peer c : burst) {
+                        c.close();
+                    }
+                }
+                assertThat(threads(p)).as("after a reload and a burst").isEqualTo(ready);
+                Thread.sleep(QUIET_MS); // quiet is the fault here
+                assertThat(threads(p)).as("after quiet").isEqualTo(ready);
+            }
         }
-        assertThat(threads(p)).as("after a reload and a burst").isEqualTo(ready);
-        Thread.sleep(QUIET_MS); // quiet is the fault here
-        assertThat(threads(p)).as("after quiet").isEqualTo(ready);
-      }
     }
-  }
 }
--- a/src/test/java/rillyard/proxy/TraceTest.java
+++ b/src/test/java/rillyard/proxy/TraceTest.java
@@ -11,42 +11,51 @@
 
 /** What a proxy writes down of itself where that is asked for. */
 class TraceTest {
-  private static List<TraceLine> lines(Rig rig) {
-    return rig.log().lines().map(TraceLine::read).filter(Objects::nonNull).toList();
-  }
+    private static List<TraceLine> lines(Rig rig) {
+        return rig.log().lines().map(TraceLine::read).filter(Objects::nonNull).toList();
+    }
 
-  /** A cold host that can do all of its work: it is told as cold, and lent without a wait. */
-  private static void ableFromTheStart(ObjectNode config) {
-    ((ObjectNode) config.path("settings").path("rules")).put("startCapacity", 1);
-  }
+    /** A cold host that can do all of its work: it is told as cold, and lent without a wait. */
+    private static void ableFromTheStart(ObjectNode config) {
+        ((ObjectNode) config.path("settings").path("rules")).put("startCapacity", 1);
+    }
 
-  @Test
-  void connectionsAttemptsAndRefusalsAreToldWithTheirHostsAndResults() throws Exception {
-    String fresh = Rig.server("a", 0).replace("\"started_ms\":0", "\"started_ms\":" + (System.currentTimeMillis() - 5_000));
-    try (ScriptedServer full =
-            new ScriptedServer(
-                p -> {
-                  p.read();
-                  p.write(ScriptedServer.status(503, "X-Not-Processed: 1\r\nConnection: close\r\n"));
+    @Test
+    void connectionsAttemptsAndRefusalsAreToldWithTheirHostsAndResults() throws Exception {
+        String fresh = Rig.server("a", 0)
+                .replace("\"started_ms\":0", "\"started_ms\":" + (System.currentTimeMillis() - 5_000));
+        try (ScriptedServer full = new ScriptedServer(p -> {
+                    p.read();
+                    p.write(ScriptedServer.status(503, "X-Not-Processed: 1\r\nConnection: close\r\n"));
                 });
-        Rig rig = new Rig(true, null, TraceTest::ableFromTheStart, fresh.replace("127.0.0.1:0", "127.0.0.1:" + full.port()))) {
-      assertThat(rig.call(Rig.post("claim", 800, "", "x")).status()).isEqualTo(503);
-      List<TraceLine> told = lines(rig);
-      assertThat(told).extracting(TraceLine::what)
-          .startsWith(What.STARTED).contains(What.LIST, What.CONNECTED, What.ATTEMPT, What.REFUSED);
-      assertThat(told).filteredOn(t -> t.what() == What.ATTEMPT).isNotEmpty()
-          .allMatch(t -> t.host().equals("a") && t.how().equals("FULL") && t.cold());
-      assertThat(told).filteredOn(t -> t.what() == What.REFUSED)
-          .extracting(TraceLine::how).containsExactly("FULL");
+                Rig rig = new Rig(
+                        true,
+                        null,
+                        TraceTest::ableFromTheStart,
+                        fresh.replace("127.0.0.1:0", "127.0.0.1:" + full.port()))) {
+            assertThat(rig.call(Rig.post("claim", 800, "", "x")).status()).isEqualTo(503);
+            List<TraceLine> told = lines(rig);
+            assertThat(told)
+                    .extracting(TraceLine::what)
+                    .startsWith(What.STARTED)
+                    .contains(What.LIST, What.CONNECTED, What.ATTEMPT, What.REFUSED);
+            assertThat(told)
+                    .filteredOn(t -> t.what() == What.ATTEMPT)
+                    .isNotEmpty()
+                    .allMatch(t -> t.host().equals("a") && t.how().equals("FULL") && t.cold());
+            assertThat(told)
+                    .filteredOn(t -> t.what() == What.REFUSED)
+                    .extracting(TraceLine::how)
+                    .containsExactly("FULL");
+        }
     }
-  }
 
-  @Test
-  void withoutBeingAskedNothingIsWritten() throws Exception {
-    try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
-        Rig rig = new Rig(Rig.server("a", host.port()))) {
-      assertThat(rig.call(Rig.post("claim", 800, "", "x")).status()).isEqualTo(200);
-      assertThat(lines(rig)).isEmpty();
+    @Test
+    void withoutBeingAskedNothingIsWritten() throws Exception {
+        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
+                Rig rig = new Rig(Rig.server("a", host.port()))) {
+            assertThat(rig.call(Rig.post("claim", 800, "", "x")).status()).isEqualTo(200);
+            assertThat(lines(rig)).isEmpty();
+        }
     }
-  }
 }
--- a/src/test/java/rillyard/proxy/WarmUpTest.java
+++ b/src/test/java/rillyard/proxy/WarmUpTest.java
@@ -9,31 +9,31 @@
 import org.junit.jupiter.api.Test;
 
 class WarmUpTest {
-  private static final long MOST_MS = 30_000;
+    private static final long MOST_MS = 30_000;
 
-  /** What is sent before a proxy is ready is paid by each restart: counted, so that it doesn't grow unseen. */
-  @Test
-  void fewRequestsAreSentAllAreAnsweredAndNothingIsLeftBehind() throws Exception {
-    Path file = Rig.config(1, c -> {}, Rig.server("a", 1));
-    Set<Thread> before = Thread.getAllStackTraces().keySet();
-    int answered = new WarmUp(Config.load(Map.of("BALANCER_CONFIG", file.toString()))).run(MOST_MS);
-    Files.delete(file);
-    assertThat(answered).isBetween(20, 200);
-    for (Thread t : Thread.getAllStackTraces().keySet()) {
-      if (!before.contains(t) && t.getName().startsWith("loop-")) {
-        t.join(MOST_MS);
-        assertThat(t.isAlive()).as(t.getName()).isFalse();
-      }
+    /** What is sent before a proxy is ready is paid by each restart: counted, so that it doesn't grow unseen. */
+    @Test
+    void fewRequestsAreSentAllAreAnsweredAndNothingIsLeftBehind() throws Exception {
+        Path file = Rig.config(1, c -> {}, Rig.server("a", 1));
+        Set<Thread> before = Thread.getAllStackTraces().keySet();
+        int answered = new WarmUp(Config.load(Map.of("BALANCER_CONFIG", file.toString()))).run(MOST_MS);
+        Files.delete(file);
+        assertThat(answered).isBetween(20, 200);
+        for (Thread t : Thread.getAllStackTraces().keySet()) {
+            if (!before.contains(t) && t.getName().startsWith("loop-")) {
+                t.join(MOST_MS);
+                assertThat(t.isAlive()).as(t.getName()).isFalse();
+            }
+        }
     }
-  }
 
-  @Test
-  void aServiceWithoutClassesHasNothingToSendAndIsNotHeldUpForLong() throws Exception {
-    Path file = Rig.config(1, c -> c.withObject("/settings").putArray("classes"), Rig.server("a", 1));
-    long from = System.nanoTime();
-    int answered = new WarmUp(Config.load(Map.of("BALANCER_CONFIG", file.toString()))).run(MOST_MS);
-    Files.delete(file);
-    assertThat(answered).isZero();
-    assertThat(System.nanoTime() - from).isLessThan(MOST_MS * 1_000_000 / 2);
-  }
+    @Test
+    void aServiceWithoutClassesHasNothingToSendAndIsNotHeldUpForLong() throws Exception {
+        Path file = Rig.config(1, c -> c.withObject("/settings").putArray("classes"), Rig.server("a", 1));
+        long from = System.nanoTime();
+        int answered = new WarmUp(Config.load(Map.of("BALANCER_CONFIG", file.toString()))).run(MOST_MS);
+        Files.delete(file);
+        assertThat(answered).isZero();
+        assertThat(System.nanoTime() - from).isLessThan(MOST_MS * 1_000_000 / 2);
+    }
 }
--- a/src/test/java/rillyard/spread/FleetOfWords.java
+++ b/src/test/java/rillyard/spread/FleetOfWords.java
@@ -8,97 +8,107 @@
 
 /** Proxies that use one host and hear each other's votes late, on a virtual clock. */
 final class FleetOfWords {
-  static final int HOST = Vote.number("s-20");
-  private static final double STEP = 250;
+    static final int HOST = Vote.number("s-20");
+    private static final double STEP = 250;
 
-  /** One proxy: when it may send to the host, and what it did. */
-  final class Proxy implements HostWords.Out {
-    final HostWords words = new HostWords(SpreadSettings.USUAL, random.split(), this);
-    final List<double[]> leaves = new ArrayList<>(); // when, until
-    final List<Double> backs = new ArrayList<>();
-    double notBefore;
-    boolean trial;
+    /** One proxy: when it may send to the host, and what it did. */
+    final class Proxy implements HostWords.Out {
+        final HostWords words = new HostWords(SpreadSettings.USUAL, random.split(), this);
+        final List<double[]> leaves = new ArrayList<>(); // when, until
+        final List<Double> backs = new ArrayList<>();
+        double notBefore;
+        boolean trial;
 
-    @Override
-    public void leave(int host, double wait, int failed, int served) {
-      leaves.add(new double[] {now, now + wait});
-      notBefore = Math.max(notBefore, now + wait);
-      trial = true;
-    }
+        @Override
+        public void leave(int host, double wait, int failed, int served) {
+            leaves.add(new double[] {now, now + wait});
+            notBefore = Math.max(notBefore, now + wait);
+            trial = true;
+        }
 
-    @Override
-    public void comeBack(int host, double wait) {
-      backs.add(now + wait);
-      notBefore = Math.min(notBefore, now + wait);
-      trial = false;
+        @Override
+        public void comeBack(int host, double wait) {
+            backs.add(now + wait);
+            notBefore = Math.min(notBefore, now + wait);
+            trial = false;
+        }
     }
-  }
 
-  private record Heard(double at, List<Vote> votes) {}
+    private record Heard(double at, List<Vote> votes) {}
 
-  final SplittableRandom random;
-  final List<Proxy> proxies = new ArrayList<>();
-  final double late;
-  final double each;
-  private final Map<Proxy, List<Heard>> said = new HashMap<>();
-  double now = 1e9;
-  /** Whether every second one believes in half as many proxies as there are. */
-  boolean halfAreWrong;
-  int sent;
-  int failed;
-  /** Sends to the host in each second since the start. */
-  final Map<Integer, Integer> bySecond = new HashMap<>();
-  private final double began = now;
+    final SplittableRandom random;
+    final List<Proxy> proxies = new ArrayList<>();
+    final double late;
+    final double each;
+    private final Map<Proxy, List<Heard>> said = new HashMap<>();
+    double now = 1e9;
+    /** Whether every second one believes in half as many proxies as there are. */
+    boolean halfAreWrong;
 
-  /** {@code late} ms until votes are heard; each proxy sends the host {@code each} requests a second. */
-  FleetOfWords(int proxies, double late, double each, long seed) {
-    this.random = new SplittableRandom(seed);
-    this.late = late;
-    this.each = each;
-    for (int i = 0; i < proxies; i++) {
-      this.proxies.add(new Proxy());
-    }
-  }
+    int sent;
+    int failed;
+    /** Sends to the host in each second since the start. */
+    final Map<Integer, Integer> bySecond = new HashMap<>();
+
+    private final double began = now;
 
-  /** Time passes while the host fails that share of its requests. */
-  void run(double ms, double fails) {
-    for (double end = now + ms; now < end; now += STEP) {
-      for (Proxy p : proxies) {
-        if (now >= p.notBefore && random.nextDouble() < each * STEP / 1_000) {
-          boolean lost = random.nextDouble() < fails;
-          sent++;
-          bySecond.merge((int) ((now - began) / 1_000), 1, Integer::sum);
-          failed += lost ? 1 : 0;
-          p.words.ended(HOST, lost, now);
-          p.trial &= lost;
-          if (lost && p.trial) {
-            p.notBefore = now + 2_000; // by itself, until it hears what the fleet's pace is
-          }
+    /** {@code late} ms until votes are heard; each proxy sends the host {@code each} requests a second. */
+    FleetOfWords(int proxies, double late, double each, long seed) {
+        this.random = new SplittableRandom(seed);
+        this.late = late;
+        this.each = each;
+        for (int i = 0; i < proxies; i++) {
+            this.proxies.add(new Proxy());
         }
-      }
-      for (Proxy p : proxies) {
-        List<List<Vote>> others = new ArrayList<>();
-        said.forEach((who, all) -> {
-          if (who != p) {
-            for (int i = all.size() - 1; i >= 0; i--) {
-              Heard h = all.get(i);
-              if (now - h.at >= late) {
-                others.add(h.votes.stream().filter(v -> v.age() + now - h.at <= Vote.MAX_AGE)
-                    .map(v -> new Vote(v.host(), v.failed(), v.age() + now - h.at)).toList());
-                break;
-              }
+    }
+
+    /** Time passes while the host fails that share of its requests. */
+    void run(double ms, double fails) {
+        for (double end = now + ms; now < end; now += STEP) {
+            for (Proxy p : proxies) {
+                if (now >= p.notBefore && random.nextDouble() < each * STEP / 1_000) {
+                    boolean lost = random.nextDouble() < fails;
+                    sent++;
+                    bySecond.merge((int) ((now - began) / 1_000), 1, Integer::sum);
+                    failed += lost ? 1 : 0;
+                    p.words.ended(HOST, lost, now);
+                    p.trial &= lost;
+                    if (lost && p.trial) {
+                        p.notBefore = now + 2_000; // by itself, until it hears what the fleet's pace is
+                    }
+                }
+            }
+            for (Proxy p : proxies) {
+                List<List<Vote>> others = new ArrayList<>();
+                said.forEach((who, all) -> {
+                    if (who != p) {
+                        for (int i = all.size() - 1; i >= 0; i--) {
+                            Heard h = all.get(i);
+                            if (now - h.at >= late) {
+                                others.add(h.votes.stream()
+                                        .filter(v -> v.age() + now - h.at <= Vote.MAX_AGE)
+                                        .map(v -> new Vote(v.host(), v.failed(), v.age() + now - h.at))
+                                        .toList());
+                                break;
+                            }
+                        }
+                    }
+                });
+                List<Vote> mine = p.words.step(
+                        others,
+                        halfAreWrong && proxies.indexOf(p) % 2 == 0 ? proxies.size() / 2 : proxies.size(),
+                        1,
+                        now);
+                List<Heard> all = said.computeIfAbsent(p, x -> new ArrayList<>());
+                all.add(new Heard(now, mine));
+                all.removeIf(h -> now - h.at > late + 5_000);
             }
-          }
-        });
-        List<Vote> mine = p.words.step(others, halfAreWrong && proxies.indexOf(p) % 2 == 0 ? proxies.size() / 2 : proxies.size(), 1, now);
-        List<Heard> all = said.computeIfAbsent(p, x -> new ArrayList<>());
-        all.add(new Heard(now, mine));
-        all.removeIf(h -> now - h.at > late + 5_000);
-      }
+        }
     }
-  }
 
-  long left() {
-    return proxies.stream().filter(p -> p.leaves.size() > 0 && p.backs.size() == 0).count();
-  }
+    long left() {
+        return proxies.stream()
+                .filter(p -> p.leaves.size() > 0 && p.backs.size() == 0)
+                .count();
+    }
 }
--- a/src/test/java/rillyard/spread/HostWordsTest.java
+++ b/src/test/java/rillyard/spread/HostWordsTest.java
@@ -11,167 +11,167 @@
 
 /** Many proxies decide on one host from each other's votes, each for itself. */
 class HostWordsTest {
-  private static final double LATE = 1_000;
-
-  @Test
-  void aHostThatFailsEveryRequestIsLeftByAllAfterErrorsThatDontGrowWithTheFleet() {
-    int[] errors = new int[2];
-    int[] sizes = {20, 200};
-    for (int k = 0; k < 2; k++) {
-      // The host's whole traffic is the same: 12 a second.
-      FleetOfWords f = new FleetOfWords(sizes[k], LATE, 12.0 / sizes[k], 7);
-      f.run(4_000, 0);
-      f.run(8_000, 1);
-      assertThat(f.left()).as("of " + sizes[k]).isEqualTo(sizes[k]);
-      errors[k] = f.failed;
+    private static final double LATE = 1_000;
+
+    @Test
+    void aHostThatFailsEveryRequestIsLeftByAllAfterErrorsThatDontGrowWithTheFleet() {
+        int[] errors = new int[2];
+        int[] sizes = {20, 200};
+        for (int k = 0; k < 2; k++) {
+            // The host's whole traffic is the same: 12 a second.
+            FleetOfWords f = new FleetOfWords(sizes[k], LATE, 12.0 / sizes[k], 7);
+            f.run(4_000, 0);
+            f.run(8_000, 1);
+            assertThat(f.left()).as("of " + sizes[k]).isEqualTo(sizes[k]);
+            errors[k] = f.failed;
+        }
+        // 12 a second until the votes are round: a second late, the hold, a step or two; then two trials a second.
+        assertThat(errors[0]).isLessThan(60);
+        assertThat(errors[1]).isLessThan(60);
     }
-    // 12 a second until the votes are round: a second late, the hold, a step or two; then two trials a second.
-    assertThat(errors[0]).isLessThan(60);
-    assertThat(errors[1]).isLessThan(60);
-  }
-
-  @ParameterizedTest
-  @CsvSource({"0.02,0", "0.1,0", "0.3,2"})
-  void aHostThatLosesSomeIsLeftByNobody(double fails, int most) {
-    int left = 0;
-    for (int seed = 0; seed < 20; seed++) {
-      FleetOfWords f = new FleetOfWords(40, LATE, 0.3, seed);
-      f.run(60_000, fails);
-      left += f.proxies.stream().anyMatch(p -> !p.leaves.isEmpty()) ? 1 : 0;
+
+    @ParameterizedTest
+    @CsvSource({"0.02,0", "0.1,0", "0.3,2"})
+    void aHostThatLosesSomeIsLeftByNobody(double fails, int most) {
+        int left = 0;
+        for (int seed = 0; seed < 20; seed++) {
+            FleetOfWords f = new FleetOfWords(40, LATE, 0.3, seed);
+            f.run(60_000, fails);
+            left += f.proxies.stream().anyMatch(p -> !p.leaves.isEmpty()) ? 1 : 0;
+        }
+        assertThat(left).as("of 20 runs of a minute").isLessThanOrEqualTo(most);
+    }
+
+    @Test
+    void trialsOfAllTogetherComeAtAStatedPaceAndTheReturnIsSpread() {
+        FleetOfWords f = new FleetOfWords(100, LATE, 0.3, 3);
+        f.run(4_000, 0);
+        f.run(6_000, 1);
+        int before = f.sent;
+        f.run(10_000, 1);
+        // Two a second are meant; a proxy draws the instant, and then sends at its next request.
+        assertThat(f.sent - before).isBetween(2, 40);
+        int back = f.sent;
+        f.run(10_000, 0);
+        assertThat(f.proxies).allMatch(p -> p.backs.size() >= 1);
+        assertThat(f.sent - back).isGreaterThan(100);
+        double first = f.proxies.stream().mapToDouble(p -> p.backs.get(0)).min().orElseThrow();
+        double last = f.proxies.stream().mapToDouble(p -> p.backs.get(0)).max().orElseThrow();
+        assertThat(last - first).as("ms from the first to the last").isBetween(1_000.0, 4_500.0);
     }
-    assertThat(left).as("of 20 runs of a minute").isLessThanOrEqualTo(most);
-  }
-
-  @Test
-  void trialsOfAllTogetherComeAtAStatedPaceAndTheReturnIsSpread() {
-    FleetOfWords f = new FleetOfWords(100, LATE, 0.3, 3);
-    f.run(4_000, 0);
-    f.run(6_000, 1);
-    int before = f.sent;
-    f.run(10_000, 1);
-    // Two a second are meant; a proxy draws the instant, and then sends at its next request.
-    assertThat(f.sent - before).isBetween(2, 40);
-    int back = f.sent;
-    f.run(10_000, 0);
-    assertThat(f.proxies).allMatch(p -> p.backs.size() >= 1);
-    assertThat(f.sent - back).isGreaterThan(100);
-    double first = f.proxies.stream().mapToDouble(p -> p.backs.get(0)).min().orElseThrow();
-    double last = f.proxies.stream().mapToDouble(p -> p.backs.get(0)).max().orElseThrow();
-    assertThat(last - first).as("ms from the first to the last").isBetween(1_000.0, 4_500.0);
-  }
-
-  @Test
-  void theirPaceHoldsWhereHalfBelieveInHalfTheFleet() {
-    FleetOfWords right = new FleetOfWords(100, LATE, 0.3, 4);
-    FleetOfWords half = new FleetOfWords(100, LATE, 0.3, 4);
-    half.halfAreWrong = true;
-    int[] trials = new int[2];
-    int k = 0;
-    for (FleetOfWords f : List.of(right, half)) {
-      f.run(4_000, 0);
-      f.run(10_000, 1);
-      int before = f.sent;
-      f.run(30_000, 1);
-      trials[k++] = f.sent - before;
+
+    @Test
+    void theirPaceHoldsWhereHalfBelieveInHalfTheFleet() {
+        FleetOfWords right = new FleetOfWords(100, LATE, 0.3, 4);
+        FleetOfWords half = new FleetOfWords(100, LATE, 0.3, 4);
+        half.halfAreWrong = true;
+        int[] trials = new int[2];
+        int k = 0;
+        for (FleetOfWords f : List.of(right, half)) {
+            f.run(4_000, 0);
+            f.run(10_000, 1);
+            int before = f.sent;
+            f.run(30_000, 1);
+            trials[k++] = f.sent - before;
+        }
+        assertThat(trials[0]).as("in 30 s, two a second meant").isBetween(20, 90);
+        assertThat(trials[1]).as("with half of them wrong").isLessThan(135);
     }
-    assertThat(trials[0]).as("in 30 s, two a second meant").isBetween(20, 90);
-    assertThat(trials[1]).as("with half of them wrong").isLessThan(135);
-  }
-
-  @Test
-  void oneOrTwoThatLieMoveNobody() {
-    int host = FleetOfWords.HOST;
-    List<Double> leaves = new ArrayList<>();
-    HostWords words = new HostWords(SpreadSettings.USUAL, new SplittableRandom(1), out(leaves));
-    List<Vote> lie = List.of(new Vote(host, true, 0), new Vote(host, true, 0), new Vote(host, true, 0));
-    for (double now = 1e6; now < 1e6 + 60_000; now += 250) {
-      words.step(List.of(lie, lie), 100, 1, now);
+
+    @Test
+    void oneOrTwoThatLieMoveNobody() {
+        int host = FleetOfWords.HOST;
+        List<Double> leaves = new ArrayList<>();
+        HostWords words = new HostWords(SpreadSettings.USUAL, new SplittableRandom(1), out(leaves));
+        List<Vote> lie = List.of(new Vote(host, true, 0), new Vote(host, true, 0), new Vote(host, true, 0));
+        for (double now = 1e6; now < 1e6 + 60_000; now += 250) {
+            words.step(List.of(lie, lie), 100, 1, now);
+        }
+        assertThat(leaves).isEmpty();
+        for (double now = 2e6; now < 2e6 + 1_000; now += 250) {
+            words.step(List.of(lie, lie, lie), 100, 1, now);
+        }
+        assertThat(leaves).as("three who agree, and nobody who was served").hasSize(1);
     }
-    assertThat(leaves).isEmpty();
-    for (double now = 2e6; now < 2e6 + 1_000; now += 250) {
-      words.step(List.of(lie, lie, lie), 100, 1, now);
+
+    @Test
+    void threeThatLieMoveNobodyWhileTwoWereServed() {
+        List<Double> leaves = new ArrayList<>();
+        HostWords words = new HostWords(SpreadSettings.USUAL, new SplittableRandom(1), out(leaves));
+        List<Vote> lie = List.of(new Vote(FleetOfWords.HOST, true, 0));
+        List<Vote> served = List.of(new Vote(FleetOfWords.HOST, false, 500));
+        for (double now = 1e6; now < 1e6 + 60_000; now += 250) {
+            words.step(List.of(lie, served, lie, served, lie), 100, 1, now);
+        }
+        assertThat(leaves).isEmpty();
     }
-    assertThat(leaves).as("three who agree, and nobody who was served").hasSize(1);
-  }
-
-  @Test
-  void threeThatLieMoveNobodyWhileTwoWereServed() {
-    List<Double> leaves = new ArrayList<>();
-    HostWords words = new HostWords(SpreadSettings.USUAL, new SplittableRandom(1), out(leaves));
-    List<Vote> lie = List.of(new Vote(FleetOfWords.HOST, true, 0));
-    List<Vote> served = List.of(new Vote(FleetOfWords.HOST, false, 500));
-    for (double now = 1e6; now < 1e6 + 60_000; now += 250) {
-      words.step(List.of(lie, served, lie, served, lie), 100, 1, now);
+
+    @Test
+    void whoWasServedAfterTheLastFailureBelievesItsOwnEyes() {
+        List<Double> leaves = new ArrayList<>();
+        HostWords words = new HostWords(SpreadSettings.USUAL, new SplittableRandom(1), out(leaves));
+        List<Vote> old = List.of(new Vote(FleetOfWords.HOST, true, 3_000));
+        for (double now = 1e6; now < 1e6 + 5_000; now += 250) {
+            words.ended(FleetOfWords.HOST, false, now - 100);
+            words.step(List.of(old, old, old, old, old, old), 100, 1, now);
+        }
+        assertThat(leaves).isEmpty();
     }
-    assertThat(leaves).isEmpty();
-  }
-
-  @Test
-  void whoWasServedAfterTheLastFailureBelievesItsOwnEyes() {
-    List<Double> leaves = new ArrayList<>();
-    HostWords words = new HostWords(SpreadSettings.USUAL, new SplittableRandom(1), out(leaves));
-    List<Vote> old = List.of(new Vote(FleetOfWords.HOST, true, 3_000));
-    for (double now = 1e6; now < 1e6 + 5_000; now += 250) {
-      words.ended(FleetOfWords.HOST, false, now - 100);
-      words.step(List.of(old, old, old, old, old, old), 100, 1, now);
+
+    @Test
+    void whatIsPastTheWindowCountsForNothing() {
+        List<Double> leaves = new ArrayList<>();
+        HostWords words = new HostWords(SpreadSettings.USUAL, new SplittableRandom(1), out(leaves));
+        List<Vote> old = List.of(new Vote(FleetOfWords.HOST, true, SpreadSettings.USUAL.window()));
+        for (double now = 1e6; now < 1e6 + 5_000; now += 250) {
+            words.step(List.of(old, old, old, old, old, old), 100, 1, now);
+        }
+        assertThat(leaves).isEmpty();
     }
-    assertThat(leaves).isEmpty();
-  }
-
-  @Test
-  void whatIsPastTheWindowCountsForNothing() {
-    List<Double> leaves = new ArrayList<>();
-    HostWords words = new HostWords(SpreadSettings.USUAL, new SplittableRandom(1), out(leaves));
-    List<Vote> old = List.of(new Vote(FleetOfWords.HOST, true, SpreadSettings.USUAL.window()));
-    for (double now = 1e6; now < 1e6 + 5_000; now += 250) {
-      words.step(List.of(old, old, old, old, old, old), 100, 1, now);
+
+    @Test
+    void whoIsCutOffFromAllNewsTriesAHostThatItLeftBeforeItsTurnAmongAll() {
+        List<Double> backs = new ArrayList<>();
+        HostWords words = new HostWords(SpreadSettings.USUAL, new SplittableRandom(1), new HostWords.Out() {
+            @Override
+            public void leave(int host, double wait, int failed, int served) {}
+
+            @Override
+            public void comeBack(int host, double wait) {
+                backs.add(wait);
+            }
+        });
+        List<Vote> failed = List.of(new Vote(FleetOfWords.HOST, true, 0));
+        double now = 1e6;
+        for (; now < 1e6 + 3_000; now += 250) {
+            words.step(List.of(failed, failed, failed), 10_000, 1, now);
+        }
+        for (double cut = now; now < cut + SpreadSettings.USUAL.forget() - 1_000; now += 250) {
+            words.step(List.of(), 1, 1, now);
+        }
+        assertThat(backs).isEmpty();
+        words.step(List.of(), 1, 1, now + 2_000);
+        assertThat(backs).hasSize(1).allMatch(wait -> wait <= SpreadSettings.USUAL.ramp());
     }
-    assertThat(leaves).isEmpty();
-  }
-
-  @Test
-  void whoIsCutOffFromAllNewsTriesAHostThatItLeftBeforeItsTurnAmongAll() {
-    List<Double> backs = new ArrayList<>();
-    HostWords words = new HostWords(SpreadSettings.USUAL, new SplittableRandom(1), new HostWords.Out() {
-      @Override
-      public void leave(int host, double wait, int failed, int served) {}
-
-      @Override
-      public void comeBack(int host, double wait) {
-        backs.add(wait);
-      }
-    });
-    List<Vote> failed = List.of(new Vote(FleetOfWords.HOST, true, 0));
-    double now = 1e6;
-    for (; now < 1e6 + 3_000; now += 250) {
-      words.step(List.of(failed, failed, failed), 10_000, 1, now);
+
+    @Test
+    void newsFiveSecondsLateLeavesAHostThatIsWellForNoLongerThanItsTrialsTake() {
+        FleetOfWords f = new FleetOfWords(100, 5_000, 0.3, 9);
+        f.run(4_000, 0);
+        f.run(3_000, 1);
+        f.run(40_000, 0);
+        assertThat(f.left()).as("still away 40 s after it was well again").isZero();
     }
-    for (double cut = now; now < cut + SpreadSettings.USUAL.forget() - 1_000; now += 250) {
-      words.step(List.of(), 1, 1, now);
+
+    private static HostWords.Out out(List<Double> leaves) {
+        return new HostWords.Out() {
+            @Override
+            public void leave(int host, double wait, int failed, int served) {
+                leaves.add(wait);
+            }
+
+            @Override
+            public void comeBack(int host, double wait) {}
+        };
     }
-    assertThat(backs).isEmpty();
-    words.step(List.of(), 1, 1, now + 2_000);
-    assertThat(backs).hasSize(1).allMatch(wait -> wait <= SpreadSettings.USUAL.ramp());
-  }
-
-  @Test
-  void newsFiveSecondsLateLeavesAHostThatIsWellForNoLongerThanItsTrialsTake() {
-    FleetOfWords f = new FleetOfWords(100, 5_000, 0.3, 9);
-    f.run(4_000, 0);
-    f.run(3_000, 1);
-    f.run(40_000, 0);
-    assertThat(f.left()).as("still away 40 s after it was well again").isZero();
-  }
-
-  private static HostWords.Out out(List<Double> leaves) {
-    return new HostWords.Out() {
-      @Override
-      public void leave(int host, double wait, int failed, int served) {
-        leaves.add(wait);
-      }
-
-      @Override
-      public void comeBack(int host, double wait) {}
-    };
-  }
 }
--- a/src/test/java/rillyard/spread/WirePropertiesTest.java
+++ b/src/test/java/rillyard/spread/WirePropertiesTest.java
@@ -16,78 +16,85 @@
 
 /** What goes over the wire, and pools from rates. */
 class WirePropertiesTest {
-  @Property
-  void votesComeBackAsTheyWereSaidAndOlder(@ForAll @Size(max = 40) List<Integer> hosts,
-      @ForAll @DoubleRange(max = 4_000) double age, @ForAll @DoubleRange(max = 2_000) double since) {
-    List<Vote> votes = hosts.stream().map(h -> new Vote(h, h % 2 == 0, age)).toList();
-    List<byte[]> values = Ballot.encode(votes, 3);
-    assertThat(values).hasSizeLessThanOrEqualTo(3).allMatch(v -> v.length <= 32);
-    List<Vote> back = new ArrayList<>();
-    values.forEach(v -> back.addAll(Ballot.decode(v, since)));
-    assertThat(back).hasSize(Math.min(18, votes.size()));
-    for (int i = 0; i < back.size(); i++) {
-      assertThat(back.get(i).host()).isEqualTo(votes.get(i).host());
-      assertThat(back.get(i).failed()).isEqualTo(votes.get(i).failed());
-      assertThat(back.get(i).age()).isBetween(age + since - Ballot.AGE_STEP, age + since);
+    @Property
+    void votesComeBackAsTheyWereSaidAndOlder(
+            @ForAll @Size(max = 40) List<Integer> hosts,
+            @ForAll @DoubleRange(max = 4_000) double age,
+            @ForAll @DoubleRange(max = 2_000) double since) {
+        List<Vote> votes = hosts.stream().map(h -> new Vote(h, h % 2 == 0, age)).toList();
+        List<byte[]> values = Ballot.encode(votes, 3);
+        assertThat(values).hasSizeLessThanOrEqualTo(3).allMatch(v -> v.length <= 32);
+        List<Vote> back = new ArrayList<>();
+        values.forEach(v -> back.addAll(Ballot.decode(v, since)));
+        assertThat(back).hasSize(Math.min(18, votes.size()));
+        for (int i = 0; i < back.size(); i++) {
+            assertThat(back.get(i).host()).isEqualTo(votes.get(i).host());
+            assertThat(back.get(i).failed()).isEqualTo(votes.get(i).failed());
+            assertThat(back.get(i).age()).isBetween(age + since - Ballot.AGE_STEP, age + since);
+        }
     }
-  }
 
-  @Property
-  void hostileBytesAreVotesInRangeOrTurnedAway(@ForAll @Size(max = 40) byte[] bytes, @ForAll double since) {
-    try {
-      assertThat(Ballot.decode(bytes, since)).allMatch(v -> v.age() >= 0 && v.age() <= Vote.MAX_AGE);
-    } catch (IllegalArgumentException e) {
-      assertThat(e).hasMessageStartingWith("no votes");
+    @Property
+    void hostileBytesAreVotesInRangeOrTurnedAway(@ForAll @Size(max = 40) byte[] bytes, @ForAll double since) {
+        try {
+            assertThat(Ballot.decode(bytes, since)).allMatch(v -> v.age() >= 0 && v.age() <= Vote.MAX_AGE);
+        } catch (IllegalArgumentException e) {
+            assertThat(e).hasMessageStartingWith("no votes");
+        }
+        try {
+            assertThat(Rate.read(bytes)).isBetween(0.0, 1e6);
+        } catch (IllegalArgumentException e) {
+            assertThat(e).hasMessageStartingWith("no rate");
+        }
     }
-    try {
-      assertThat(Rate.read(bytes)).isBetween(0.0, 1e6);
-    } catch (IllegalArgumentException e) {
-      assertThat(e).hasMessageStartingWith("no rate");
-    }
-  }
 
-  @Property
-  void poolsOfAllLieEvenlyAndGrowWithTheRate(@ForAll @IntRange(min = 1, max = 60) int n, @ForAll @DoubleRange(min = 0.1, max = 50) double hot) {
-    List<String> names = new ArrayList<>();
-    Map<String, Double> rates = new java.util.HashMap<>();
-    for (int i = 0; i < n; i++) {
-      names.add("m" + i);
-      rates.put("m" + i, i == 0 ? hot : 1);
-    }
-    List<Integer> positions = new ArrayList<>();
-    for (String name : names) {
-      Place p = new Pools().lay(name, names, rates);
-      positions.add(p.position());
-      assertThat(p.of()).isEqualTo(n);
-      assertThat(p.weight()).isBetween(1.0, 16.0);
+    @Property
+    void poolsOfAllLieEvenlyAndGrowWithTheRate(
+            @ForAll @IntRange(min = 1, max = 60) int n, @ForAll @DoubleRange(min = 0.1, max = 50) double hot) {
+        List<String> names = new ArrayList<>();
+        Map<String, Double> rates = new java.util.HashMap<>();
+        for (int i = 0; i < n; i++) {
+            names.add("m" + i);
+            rates.put("m" + i, i == 0 ? hot : 1);
+        }
+        List<Integer> positions = new ArrayList<>();
+        for (String name : names) {
+            Place p = new Pools().lay(name, names, rates);
+            positions.add(p.position());
+            assertThat(p.of()).isEqualTo(n);
+            assertThat(p.weight()).isBetween(1.0, 16.0);
+        }
+        assertThat(positions).doesNotHaveDuplicates().allMatch(p -> p >= 0 && p < n);
     }
-    assertThat(positions).doesNotHaveDuplicates().allMatch(p -> p >= 0 && p < n);
-  }
 
-  @Test
-  void aPoolStaysWhereChangesAreNotWorthNewConnections() {
-    Pools pools = new Pools();
-    assertThat(pools.lay("m0", List.of("m0", "m1"), Map.of("m0", 2.0, "m1", 1.0)).weight()).isEqualTo(2 / 1.5);
-    assertThat(pools.lay("m0", List.of("m0", "m1"), Map.of("m0", 2.2, "m1", 1.0))).isNull();
-    assertThat(pools.lay("m0", List.of("m0", "m1"), Map.of("m0", 20.0, "m1", 1.0))).isNotNull();
-  }
-
-  @Test
-  void aRateIsToldWhenItHasChangedAndNotOtherwise() {
-    Rate r = new Rate();
-    assertThat(r.news(1e6)).isNull();
-    double now = 1e6;
-    int told = 0;
-    for (int i = 0; i < 600; i++, now += 500) {
-      r.counted(now);
-      told += r.news(now) == null ? 0 : 1;
+    @Test
+    void aPoolStaysWhereChangesAreNotWorthNewConnections() {
+        Pools pools = new Pools();
+        assertThat(pools.lay("m0", List.of("m0", "m1"), Map.of("m0", 2.0, "m1", 1.0))
+                        .weight())
+                .isEqualTo(2 / 1.5);
+        assertThat(pools.lay("m0", List.of("m0", "m1"), Map.of("m0", 2.2, "m1", 1.0)))
+                .isNull();
+        assertThat(pools.lay("m0", List.of("m0", "m1"), Map.of("m0", 20.0, "m1", 1.0)))
+                .isNotNull();
     }
-    assertThat(r.now(now)).isBetween(1.8, 2.2);
-    assertThat(told).isBetween(1, 4);
-    for (int i = 0; i < 600; i++, now += 50) {
-      r.counted(now);
+
+    @Test
+    void aRateIsToldWhenItHasChangedAndNotOtherwise() {
+        Rate r = new Rate();
+        assertThat(r.news(1e6)).isNull();
+        double now = 1e6;
+        int told = 0;
+        for (int i = 0; i < 600; i++, now += 500) {
+            r.counted(now);
+            told += r.news(now) == null ? 0 : 1;
+        }
+        assertThat(r.now(now)).isBetween(1.8, 2.2);
+        assertThat(told).isBetween(1, 4);
+        for (int i = 0; i < 600; i++, now += 50) {
+            r.counted(now);
+        }
+        assertThat(Rate.read(r.news(now))).isBetween(10.0, 22.0);
+        assertThatThrownBy(() -> Rate.read(new byte[3])).hasMessageContaining("3 bytes");
     }
-    assertThat(Rate.read(r.news(now))).isBetween(10.0, 22.0);
-    assertThatThrownBy(() -> Rate.read(new byte[3])).hasMessageContaining("3 bytes");
-  }
 }
