--- a/src/test/java/rillyard/spread/measure/SpreadTest.java
+++ b/src/test/java/rillyard/spread/measure/SpreadTest.java
@@ -11,136 +11,146 @@
 
 /** Runs of uniform load by seeds, and what is planted in them. */
 class SpreadTest {
-  private static final int HOSTS = 40;
-  private static final int PROXIES = 200;
-  private static final long SECONDS = 20;
-  private static final long RATE = 300;
-  private static final long S = 1_000_000;
+    private static final int HOSTS = 40;
+    private static final int PROXIES = 200;
+    private static final long SECONDS = 20;
+    private static final long RATE = 300;
+    private static final long S = 1_000_000;
 
-  private static List<Arrival> uniform(long seed) {
-    SplittableRandom random = new SplittableRandom(seed);
-    List<Arrival> out = new ArrayList<>();
-    double at = 0;
-    while ((at += random.nextExponential() * S / RATE) < SECONDS * S) {
-      out.add(arrival((long) at, random.nextInt(HOSTS), random.nextInt(PROXIES), random.nextInt(3) == 0 ? 8_000 : 0));
+    private static List<Arrival> uniform(long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        List<Arrival> out = new ArrayList<>();
+        double at = 0;
+        while ((at += random.nextExponential() * S / RATE) < SECONDS * S) {
+            out.add(arrival(
+                    (long) at, random.nextInt(HOSTS), random.nextInt(PROXIES), random.nextInt(3) == 0 ? 8_000 : 0));
+        }
+        return out;
     }
-    return out;
-  }
 
-  private static Arrival arrival(long at, int host, int proxy, long waited) {
-    return new Arrival(at, "s-" + host, "m" + proxy, true, waited, 20_000 + waited);
-  }
-
-  private static HostTimes all() {
-    HostTimes t = new HostTimes();
-    for (int h = 0; h < HOSTS; h++) {
-      t.add("s-" + h, 1, 0, SECONDS * S);
+    private static Arrival arrival(long at, int host, int proxy, long waited) {
+        return new Arrival(at, "s-" + host, "m" + proxy, true, waited, 20_000 + waited);
     }
-    return t;
-  }
 
-  @Test
-  void uniformLoadRaisesFewFalseAlarms() {
-    int herds = 0;
-    int idle = 0;
-    for (long seed = 1; seed <= 300; seed++) {
-      Spread s = Spread.of(uniform(seed), all(), List.of(), S);
-      herds += s.herds().isEmpty() ? 0 : 1;
-      idle += s.idle().isEmpty() ? 0 : 1;
+    private static HostTimes all() {
+        HostTimes t = new HostTimes();
+        for (int h = 0; h < HOSTS; h++) {
+            t.add("s-" + h, 1, 0, SECONDS * S);
+        }
+        return t;
     }
-    // A bound of 1 % allows 3 runs of 300 in the mean; 9 and more have a probability of 0.4 %.
-    assertThat(herds).as("runs with a false herd").isLessThan(9);
-    assertThat(idle).as("runs with a host falsely idle").isLessThan(9);
-  }
 
-  @Test
-  void aHerdThatIsOverAtOnceIsFoundWithWhoTookPartAndWhatCameBefore() {
-    List<Arrival> arrivals = uniform(5);
-    for (int p = 0; p < 30; p++) {
-      arrivals.add(arrival(10 * S + p * 500, 7, p, 0));
+    @Test
+    void uniformLoadRaisesFewFalseAlarms() {
+        int herds = 0;
+        int idle = 0;
+        for (long seed = 1; seed <= 300; seed++) {
+            Spread s = Spread.of(uniform(seed), all(), List.of(), S);
+            herds += s.herds().isEmpty() ? 0 : 1;
+            idle += s.idle().isEmpty() ? 0 : 1;
+        }
+        // A bound of 1 % allows 3 runs of 300 in the mean; 9 and more have a probability of 0.4 %.
+        assertThat(herds).as("runs with a false herd").isLessThan(9);
+        assertThat(idle).as("runs with a host falsely idle").isLessThan(9);
     }
-    List<Mark> marks = List.of(new Mark(3 * S, "", "a list"), new Mark(10 * S - 40_000, "s-7", "s-7 started"),
-        new Mark(10 * S - 30_000, "s-8", "s-8 started"));
-    List<Herd> herds = Spread.of(arrivals, all(), marks, S).herds();
-    assertThat(herds).hasSize(1);
-    Herd h = herds.get(0);
-    assertThat(h.host()).isEqualTo("s-7");
-    assertThat(h.from()).isBetween(10 * S - 400_000, 10 * S);
-    assertThat(h.count()).isGreaterThanOrEqualTo(28);
-    assertThat(h.proxies()).isGreaterThanOrEqualTo(28);
-    assertThat(h.before()).containsExactly(marks.get(1));
-  }
 
-  @Test
-  void aHerdOfFourTimesTheShareForSecondsIsFoundAndOneOfTwiceIsNone() {
-    List<Arrival> four = uniform(6);
-    List<Arrival> twice = uniform(6);
-    SplittableRandom random = new SplittableRandom(9);
-    long each = HOSTS * S / RATE; // between two arrivals at one host
-    for (long at = 8 * S; at < 12 * S; at += each / 3) {
-      four.add(arrival(at, 3, random.nextInt(PROXIES), 0));
-    }
-    for (long at = 8 * S; at < 12 * S; at += each) {
-      twice.add(arrival(at, 3, random.nextInt(PROXIES), 0));
+    @Test
+    void aHerdThatIsOverAtOnceIsFoundWithWhoTookPartAndWhatCameBefore() {
+        List<Arrival> arrivals = uniform(5);
+        for (int p = 0; p < 30; p++) {
+            arrivals.add(arrival(10 * S + p * 500, 7, p, 0));
+        }
+        List<Mark> marks = List.of(
+                new Mark(3 * S, "", "a list"),
+                new Mark(10 * S - 40_000, "s-7", "s-7 started"),
+                new Mark(10 * S - 30_000, "s-8", "s-8 started"));
+        List<Herd> herds = Spread.of(arrivals, all(), marks, S).herds();
+        assertThat(herds).hasSize(1);
+        Herd h = herds.get(0);
+        assertThat(h.host()).isEqualTo("s-7");
+        assertThat(h.from()).isBetween(10 * S - 400_000, 10 * S);
+        assertThat(h.count()).isGreaterThanOrEqualTo(28);
+        assertThat(h.proxies()).isGreaterThanOrEqualTo(28);
+        assertThat(h.before()).containsExactly(marks.get(1));
     }
-    assertThat(Spread.of(four, all(), List.of(), S).herds()).isNotEmpty().allMatch(h -> h.host().equals("s-3"));
-    assertThat(Spread.of(twice, all(), List.of(), S).herds()).isEmpty();
-  }
 
-  @Test
-  void repeatedAttemptsMakeNoHerd() {
-    List<Arrival> arrivals = uniform(5);
-    for (int p = 0; p < 30; p++) {
-      arrivals.add(new Arrival(10 * S + p * 500, "s-7", "m" + p, false, 0, 20_000));
+    @Test
+    void aHerdOfFourTimesTheShareForSecondsIsFoundAndOneOfTwiceIsNone() {
+        List<Arrival> four = uniform(6);
+        List<Arrival> twice = uniform(6);
+        SplittableRandom random = new SplittableRandom(9);
+        long each = HOSTS * S / RATE; // between two arrivals at one host
+        for (long at = 8 * S; at < 12 * S; at += each / 3) {
+            four.add(arrival(at, 3, random.nextInt(PROXIES), 0));
+        }
+        for (long at = 8 * S; at < 12 * S; at += each) {
+            twice.add(arrival(at, 3, random.nextInt(PROXIES), 0));
+        }
+        assertThat(Spread.of(four, all(), List.of(), S).herds()).isNotEmpty().allMatch(h -> h.host()
+                .equals("s-3"));
+        assertThat(Spread.of(twice, all(), List.of(), S).herds()).isEmpty();
     }
-    assertThat(Spread.of(arrivals, all(), List.of(), S).herds()).isEmpty();
-  }
 
-  @Test
-  void aHostThatGetsNothingWhileOthersQueueIsIdleUnlessItIsDown() {
-    List<Arrival> without = uniform(7);
-    without.removeIf(a -> a.host().equals("s-4") && a.at() > 5 * S && a.at() < 8 * S);
-    List<IdleHost> idle = Spread.of(without, all(), List.of(), S).idle();
-    assertThat(idle).hasSize(1);
-    assertThat(idle.get(0).host()).isEqualTo("s-4");
-    assertThat(idle.get(0).until() - idle.get(0).from()).isGreaterThan(3 * S - 100_000);
-    HostTimes down = new HostTimes();
-    for (int h = 0; h < HOSTS; h++) {
-      if (h == 4) {
-        down.add("s-4", 1, 0, 5 * S);
-        down.add("s-4", 1, 8 * S, SECONDS * S);
-      } else {
-        down.add("s-" + h, 1, 0, SECONDS * S);
-      }
+    @Test
+    void repeatedAttemptsMakeNoHerd() {
+        List<Arrival> arrivals = uniform(5);
+        for (int p = 0; p < 30; p++) {
+            arrivals.add(new Arrival(10 * S + p * 500, "s-7", "m" + p, false, 0, 20_000));
+        }
+        assertThat(Spread.of(arrivals, all(), List.of(), S).herds()).isEmpty();
     }
-    assertThat(Spread.of(without, down, List.of(), S).idle()).isEmpty();
-    HostTimes early = new HostTimes();
-    for (int h = 0; h < HOSTS; h++) {
-      early.add("s-" + h, 1, -60 * S, SECONDS * S + 60 * S);
+
+    @Test
+    void aHostThatGetsNothingWhileOthersQueueIsIdleUnlessItIsDown() {
+        List<Arrival> without = uniform(7);
+        without.removeIf(a -> a.host().equals("s-4") && a.at() > 5 * S && a.at() < 8 * S);
+        List<IdleHost> idle = Spread.of(without, all(), List.of(), S).idle();
+        assertThat(idle).hasSize(1);
+        assertThat(idle.get(0).host()).isEqualTo("s-4");
+        assertThat(idle.get(0).until() - idle.get(0).from()).isGreaterThan(3 * S - 100_000);
+        HostTimes down = new HostTimes();
+        for (int h = 0; h < HOSTS; h++) {
+            if (h == 4) {
+                down.add("s-4", 1, 0, 5 * S);
+                down.add("s-4", 1, 8 * S, SECONDS * S);
+            } else {
+                down.add("s-" + h, 1, 0, SECONDS * S);
+            }
+        }
+        assertThat(Spread.of(without, down, List.of(), S).idle()).isEmpty();
+        HostTimes early = new HostTimes();
+        for (int h = 0; h < HOSTS; h++) {
+            early.add("s-" + h, 1, -60 * S, SECONDS * S + 60 * S);
+        }
+        assertThat(Spread.of(without, early, List.of(), S).idle())
+                .as("before the first and after the last")
+                .hasSize(1);
+        List<Arrival> calm = without.stream()
+                .map(a -> new Arrival(a.at(), a.host(), a.proxy(), true, 0, 20_000))
+                .toList();
+        assertThat(Spread.of(calm, all(), List.of(), S).idle())
+                .as("where nobody queues")
+                .isEmpty();
     }
-    assertThat(Spread.of(without, early, List.of(), S).idle()).as("before the first and after the last").hasSize(1);
-    List<Arrival> calm = without.stream().map(a -> new Arrival(a.at(), a.host(), a.proxy(), true, 0, 20_000)).toList();
-    assertThat(Spread.of(calm, all(), List.of(), S).idle()).as("where nobody queues").isEmpty();
-  }
 
-  @Test
-  void evennessIsCountedInSharesOfEachHost() {
-    Evenness even = Evenness.of(Map.of("a", 30, "b", 10), Map.of("a", 0.75, "b", 0.25));
-    assertThat(even.most()).isEqualTo(1);
-    assertThat(even.variation()).isZero();
-    assertThat(even.jain()).isEqualTo(1);
-    Evenness one = Evenness.of(Map.of("a", 40), Map.of("a", 0.25, "b", 0.25, "c", 0.25, "d", 0.25));
-    assertThat(one.jain()).isCloseTo(0.25, within(1e-9));
-    assertThat(one.most()).isCloseTo(4, within(1e-9));
-    assertThat(one.least()).isZero();
-    assertThat(one.chanceVariation()).isCloseTo(Math.sqrt(0.75 / 10), within(1e-9));
-  }
+    @Test
+    void evennessIsCountedInSharesOfEachHost() {
+        Evenness even = Evenness.of(Map.of("a", 30, "b", 10), Map.of("a", 0.75, "b", 0.25));
+        assertThat(even.most()).isEqualTo(1);
+        assertThat(even.variation()).isZero();
+        assertThat(even.jain()).isEqualTo(1);
+        Evenness one = Evenness.of(Map.of("a", 40), Map.of("a", 0.25, "b", 0.25, "c", 0.25, "d", 0.25));
+        assertThat(one.jain()).isCloseTo(0.25, within(1e-9));
+        assertThat(one.most()).isCloseTo(4, within(1e-9));
+        assertThat(one.least()).isZero();
+        assertThat(one.chanceVariation()).isCloseTo(Math.sqrt(0.75 / 10), within(1e-9));
+    }
 
-  @Test
-  void chanceIsThatOfABinomial() {
-    assertThat(Chance.atLeast(2, 2, 0.5)).isCloseTo(0.25, within(1e-12));
-    assertThat(Chance.atLeast(0, 5, 0.1)).isEqualTo(1);
-    assertThat(Chance.atLeast(6, 5, 0.1)).isZero();
-    assertThat(Chance.none(3, 0.5)).isCloseTo(0.125, within(1e-12));
-  }
+    @Test
+    void chanceIsThatOfABinomial() {
+        assertThat(Chance.atLeast(2, 2, 0.5)).isCloseTo(0.25, within(1e-12));
+        assertThat(Chance.atLeast(0, 5, 0.1)).isEqualTo(1);
+        assertThat(Chance.atLeast(6, 5, 0.1)).isZero();
+        assertThat(Chance.none(3, 0.5)).isCloseTo(0.125, within(1e-12));
+    }
 }
--- a/src/test/java/rillyard/spread/net/FleetNewsTest.java
+++ b/src/test/java/rillyard/spread/net/FleetNewsTest.java
@@ -25,132 +25,137 @@
 /** Five members over sockets that tell each other what they saw of hosts. */
 @Timeout(60)
 class FleetNewsTest {
-  private static final Set<String> HOSTS = Set.of("a", "b");
-
-  /** What one proxy was told to heed. */
-  private static final class Heeded implements Neighbours.Heed {
-    final List<String> left = new ArrayList<>();
-    final List<String> back = new ArrayList<>();
-    final List<String> lines = new ArrayList<>();
-    Place place;
-
-    @Override
-    public void leave(String host, double wait) {
-      left.add(host);
+    private static final Set<String> HOSTS = Set.of("a", "b");
+
+    /** What one proxy was told to heed. */
+    private static final class Heeded implements Neighbours.Heed {
+        final List<String> left = new ArrayList<>();
+        final List<String> back = new ArrayList<>();
+        final List<String> lines = new ArrayList<>();
+        Place place;
+
+        @Override
+        public void leave(String host, double wait) {
+            left.add(host);
+        }
+
+        @Override
+        public void comeBack(String host, double wait) {
+            back.add(host);
+        }
+
+        @Override
+        public void place(Place p) {
+            place = p;
+        }
+
+        @Override
+        public void log(String line) {
+            lines.add(line);
+        }
     }
 
-    @Override
-    public void comeBack(String host, double wait) {
-      back.add(host);
-    }
+    @TempDir
+    Path folder;
 
-    @Override
-    public void place(Place p) {
-      place = p;
-    }
+    private final List<FleetMember> members = new ArrayList<>();
+    private final List<FleetNews> news = new ArrayList<>();
+    private final List<Heeded> heeded = new ArrayList<>();
 
-    @Override
-    public void log(String line) {
-      lines.add(line);
-    }
-  }
-
-  @TempDir Path folder;
-  private final List<FleetMember> members = new ArrayList<>();
-  private final List<FleetNews> news = new ArrayList<>();
-  private final List<Heeded> heeded = new ArrayList<>();
-
-  private static double now() {
-    return System.nanoTime() / 1e6;
-  }
-
-  private void start(int n) throws Exception {
-    int seed = 0;
-    for (int i = 0; i < n; i++) {
-      int port;
-      try (DatagramSocket s = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
-        port = s.getLocalPort();
-      }
-      seed = i == 0 ? port : seed;
-      Path file = folder.resolve("p" + i + ".toml");
-      Files.writeString(file, "seeds = \"127.0.0.1:" + seed + "\"\n[self]\nname = \"p" + i + "\"\nlisten = \"127.0.0.1:" + port
-          + "\"\n[membership]\ninterval_ms = 100\ntimeout_ms = 40\n");
-      FleetMember m = new FleetMember(FleetFile.read(file, Map.of()), i, System.err);
-      news.add(new FleetNews(m, SpreadSettings.USUAL, i));
-      heeded.add(new Heeded());
-      members.add(m);
-      m.start();
+    private static double now() {
+        return System.nanoTime() / 1e6;
     }
-  }
 
-  @AfterEach
-  void end() {
-    members.forEach(FleetMember::close);
-  }
-
-  private void stepAll() throws InterruptedException {
-    for (int i = 0; i < news.size(); i++) {
-      news.get(i).step(now(), HOSTS, heeded.get(i));
-    }
-    Thread.sleep(20); // between two looks
-  }
-
-  @Test
-  void whoSawNothingLeavesTheHostThatThreeOthersSawFailAndComesBackWithThem() throws Exception {
-    start(5);
-    while (!members.stream().allMatch(m -> m.known().present().size() == 5)) {
-      stepAll();
+    private void start(int n) throws Exception {
+        int seed = 0;
+        for (int i = 0; i < n; i++) {
+            int port;
+            try (DatagramSocket s = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
+                port = s.getLocalPort();
+            }
+            seed = i == 0 ? port : seed;
+            Path file = folder.resolve("p" + i + ".toml");
+            Files.writeString(
+                    file,
+                    "seeds = \"127.0.0.1:" + seed + "\"\n[self]\nname = \"p" + i + "\"\nlisten = \"127.0.0.1:" + port
+                            + "\"\n[membership]\ninterval_ms = 100\ntimeout_ms = 40\n");
+            FleetMember m = new FleetMember(FleetFile.read(file, Map.of()), i, System.err);
+            news.add(new FleetNews(m, SpreadSettings.USUAL, i));
+            heeded.add(new Heeded());
+            members.add(m);
+            m.start();
+        }
     }
-    while (heeded.get(4).left.isEmpty()) {
-      for (int i = 0; i < 3; i++) {
-        news.get(i).ended("a", Result.ERROR, now());
-        news.get(i).ended("b", Result.OK, now());
-        news.get(i).ended("stranger", Result.ERROR, now());
-      }
-      news.get(3).ended("a", Result.FULL, now()); // tells nothing
-      stepAll();
+
+    @AfterEach
+    void end() {
+        members.forEach(FleetMember::close);
     }
-    assertThat(heeded.get(4).left).containsOnly("a");
-    while (heeded.get(4).back.isEmpty()) {
-      news.get(0).ended("a", Result.OK, now());
-      news.get(1).ended("a", Result.OK, now());
-      stepAll();
+
+    private void stepAll() throws InterruptedException {
+        for (int i = 0; i < news.size(); i++) {
+            news.get(i).step(now(), HOSTS, heeded.get(i));
+        }
+        Thread.sleep(20); // between two looks
     }
-    assertThat(heeded.get(4).back).containsOnly("a");
-    assertThat(heeded.stream().flatMap(h -> h.left.stream())).containsOnly("a");
-    while (heeded.get(0).place.weight() <= 1) {
-      news.get(0).ended("a", Result.OK, now()); // the only one that sends still
-      stepAll();
+
+    @Test
+    void whoSawNothingLeavesTheHostThatThreeOthersSawFailAndComesBackWithThem() throws Exception {
+        start(5);
+        while (!members.stream().allMatch(m -> m.known().present().size() == 5)) {
+            stepAll();
+        }
+        while (heeded.get(4).left.isEmpty()) {
+            for (int i = 0; i < 3; i++) {
+                news.get(i).ended("a", Result.ERROR, now());
+                news.get(i).ended("b", Result.OK, now());
+                news.get(i).ended("stranger", Result.ERROR, now());
+            }
+            news.get(3).ended("a", Result.FULL, now()); // tells nothing
+            stepAll();
+        }
+        assertThat(heeded.get(4).left).containsOnly("a");
+        while (heeded.get(4).back.isEmpty()) {
+            news.get(0).ended("a", Result.OK, now());
+            news.get(1).ended("a", Result.OK, now());
+            stepAll();
+        }
+        assertThat(heeded.get(4).back).containsOnly("a");
+        assertThat(heeded.stream().flatMap(h -> h.left.stream())).containsOnly("a");
+        while (heeded.get(0).place.weight() <= 1) {
+            news.get(0).ended("a", Result.OK, now()); // the only one that sends still
+            stepAll();
+        }
+        assertThat(heeded.get(0).place.of()).isEqualTo(5);
     }
-    assertThat(heeded.get(0).place.of()).isEqualTo(5);
-  }
-
-  @Test
-  void whatCantBeReadIsToldOnceAndPassedOver() throws Exception {
-    start(2);
-    while (heeded.get(0).lines.stream().noneMatch(l -> l.contains("p1 says what can't be read"))) {
-      members.get(1).say(FleetNews.FIRST_KIND, new byte[] {1, 2, 3}, 60_000, true);
-      stepAll();
+
+    @Test
+    void whatCantBeReadIsToldOnceAndPassedOver() throws Exception {
+        start(2);
+        while (heeded.get(0).lines.stream().noneMatch(l -> l.contains("p1 says what can't be read"))) {
+            members.get(1).say(FleetNews.FIRST_KIND, new byte[] {1, 2, 3}, 60_000, true);
+            stepAll();
+        }
+        stepAll();
+        assertThat(heeded.get(0).lines.stream().filter(l -> l.contains("p1 says")))
+                .hasSize(1);
+        assertThat(heeded.get(0).left).isEmpty();
     }
-    stepAll();
-    assertThat(heeded.get(0).lines.stream().filter(l -> l.contains("p1 says"))).hasSize(1);
-    assertThat(heeded.get(0).left).isEmpty();
-  }
-
-  @Test
-  void aMemberThatHasLeftSaysNothingMoreAndWhatItHeldGetsOlder() throws Exception {
-    start(1);
-    members.get(0).say(FleetNews.RATE, new byte[] {0, 0, 0, 0}, 60_000, true);
-    while (members.get(0).known().facts(FleetNews.RATE).isEmpty()) {
-      stepAll();
+
+    @Test
+    void aMemberThatHasLeftSaysNothingMoreAndWhatItHeldGetsOlder() throws Exception {
+        start(1);
+        members.get(0).say(FleetNews.RATE, new byte[] {0, 0, 0, 0}, 60_000, true);
+        while (members.get(0).known().facts(FleetNews.RATE).isEmpty()) {
+            stepAll();
+        }
+        FleetMember ended = members.remove(0);
+        ended.close();
+        FleetMember.Known known = ended.known();
+        Fact fact = known.facts(FleetNews.RATE).get("p0");
+        double age = known.age(fact);
+        news.get(0).ended("a", Result.ERROR, now());
+        stepAll(); // while the proxy beside it drains
+        assertThat(known.age(fact)).isGreaterThan(age);
     }
-    FleetMember ended = members.remove(0);
-    ended.close();
-    FleetMember.Known known = ended.known();
-    Fact fact = known.facts(FleetNews.RATE).get("p0");
-    double age = known.age(fact);
-    news.get(0).ended("a", Result.ERROR, now());
-    stepAll(); // while the proxy beside it drains
-    assertThat(known.age(fact)).isGreaterThan(age);
-  }
 }
--- a/src/test/java/rillyard/standin/CatalogTest.java
+++ b/src/test/java/rillyard/standin/CatalogTest.java
@@ -9,38 +9,42 @@
 import org.junit.jupiter.api.Test;
 
 class CatalogTest {
-  private static Catalog.Entry entry(String id, String state) {
-    HostSpec spec = StandInPlanReader.standard(1).hosts().get(0).named(id);
-    return new Catalog.Entry(spec, "127.0.0.1:1", state, 0);
-  }
+    private static Catalog.Entry entry(String id, String state) {
+        HostSpec spec = StandInPlanReader.standard(1).hosts().get(0).named(id);
+        return new Catalog.Entry(spec, "127.0.0.1:1", state, 0);
+    }
 
-  private static JsonNode json(String line) throws Exception {
-    return new ObjectMapper().readTree(line);
-  }
+    private static JsonNode json(String line) throws Exception {
+        return new ObjectMapper().readTree(line);
+    }
 
-  @Test
-  void tellsTheWholeListOrWhatChangedSince() throws Exception {
-    Catalog c = new Catalog(List.of(entry("a", "up"), entry("b", "up")));
-    assertThat(json(c.since(0, UnaryOperator.identity())).path("full").asBoolean()).isTrue();
-    assertThat(json(c.since(0, UnaryOperator.identity())).path("servers")).hasSize(2);
-    c.change(entry("a", "draining"));
-    c.change(entry("a", "removed"));
-    JsonNode since = json(c.since(1, UnaryOperator.identity()));
-    assertThat(since.path("version").asLong()).isEqualTo(3);
-    assertThat(since.path("full").asBoolean()).isFalse();
-    assertThat(since.path("servers")).hasSize(2);
-    assertThat(json(c.all(UnaryOperator.identity())).path("servers")).hasSize(1);
-    assertThat(json(c.since(3, UnaryOperator.identity())).path("servers")).isEmpty();
-    assertThat(json(c.since(99, UnaryOperator.identity())).path("full").asBoolean()).isTrue();
-  }
+    @Test
+    void tellsTheWholeListOrWhatChangedSince() throws Exception {
+        Catalog c = new Catalog(List.of(entry("a", "up"), entry("b", "up")));
+        assertThat(json(c.since(0, UnaryOperator.identity())).path("full").asBoolean())
+                .isTrue();
+        assertThat(json(c.since(0, UnaryOperator.identity())).path("servers")).hasSize(2);
+        c.change(entry("a", "draining"));
+        c.change(entry("a", "removed"));
+        JsonNode since = json(c.since(1, UnaryOperator.identity()));
+        assertThat(since.path("version").asLong()).isEqualTo(3);
+        assertThat(since.path("full").asBoolean()).isFalse();
+        assertThat(since.path("servers")).hasSize(2);
+        assertThat(json(c.all(UnaryOperator.identity())).path("servers")).hasSize(1);
+        assertThat(json(c.since(3, UnaryOperator.identity())).path("servers")).isEmpty();
+        assertThat(json(c.since(99, UnaryOperator.identity())).path("full").asBoolean())
+                .isTrue();
+    }
 
-  @Test
-  void whoAsksForMoreThanIsKeptGetsTheWholeList() throws Exception {
-    Catalog c = new Catalog(List.of(entry("a", "up")));
-    for (int i = 0; i < 1_500; i++) {
-      c.change(entry("a", i % 2 == 0 ? "draining" : "up"));
+    @Test
+    void whoAsksForMoreThanIsKeptGetsTheWholeList() throws Exception {
+        Catalog c = new Catalog(List.of(entry("a", "up")));
+        for (int i = 0; i < 1_500; i++) {
+            c.change(entry("a", i % 2 == 0 ? "draining" : "up"));
+        }
+        assertThat(json(c.since(2, UnaryOperator.identity())).path("full").asBoolean())
+                .isTrue();
+        assertThat(json(c.since(1_000, UnaryOperator.identity())).path("full").asBoolean())
+                .isFalse();
     }
-    assertThat(json(c.since(2, UnaryOperator.identity())).path("full").asBoolean()).isTrue();
-    assertThat(json(c.since(1_000, UnaryOperator.identity())).path("full").asBoolean()).isFalse();
-  }
 }
--- a/src/test/java/rillyard/standin/HostWorkTest.java
+++ b/src/test/java/rillyard/standin/HostWorkTest.java
@@ -8,124 +8,123 @@
 import rillyard.timing.VirtualTimers;
 
 class HostWorkTest {
-  private final VirtualTimers timers = new VirtualTimers();
-  private final long zero = timers.now();
-  private final List<String> ends = new ArrayList<>();
+    private final VirtualTimers timers = new VirtualTimers();
+    private final long zero = timers.now();
+    private final List<String> ends = new ArrayList<>();
 
-  private HostWork host(int cores, int queue, double coldMs) {
-    HostWork w =
-        new HostWork(
-            new HostSpec("s", "z", "k", 0, cores, 1, queue, 10, 0, 0, 1e6, coldMs, 0.25, false), timers);
-    w.started(coldMs > 0);
-    return w;
-  }
+    private HostWork host(int cores, int queue, double coldMs) {
+        HostWork w = new HostWork(
+                new HostSpec("s", "z", "k", 0, cores, 1, queue, 10, 0, 0, 1e6, coldMs, 0.25, false), timers);
+        w.started(coldMs > 0);
+        return w;
+    }
 
-  private HostWork.Job job(String name, double ms) {
-    return job(name, ms, true);
-  }
+    private HostWork.Job job(String name, double ms) {
+        return job(name, ms, true);
+    }
 
-  private HostWork.Job job(String name, double ms, boolean starts) {
-    return new HostWork.Job(ms * 1e6) {
-      @Override
-      boolean starts() {
-        return starts;
-      }
+    private HostWork.Job job(String name, double ms, boolean starts) {
+        return new HostWork.Job(ms * 1e6) {
+            @Override
+            boolean starts() {
+                return starts;
+            }
 
-      @Override
-      void finished() {
-        ends.add(name + "@" + Math.round((timers.now() - zero) / 1e6));
-      }
-    };
-  }
+            @Override
+            void finished() {
+                ends.add(name + "@" + Math.round((timers.now() - zero) / 1e6));
+            }
+        };
+    }
 
-  @Test
-  void firstComeFirstServedOnSoManyCoresAndNoMoreThanTheQueueHolds() {
-    HostWork w = host(2, 2, 0);
-    assertThat(w.offer(job("a", 10))).isTrue();
-    assertThat(w.offer(job("b", 30))).isTrue();
-    assertThat(w.offer(job("c", 10))).isTrue();
-    assertThat(w.offer(job("d", 10))).isTrue();
-    assertThat(w.offer(job("e", 10))).isFalse();
-    assertThat(w.running()).isEqualTo(2);
-    assertThat(w.queued()).isEqualTo(2);
-    timers.drain();
-    assertThat(ends).containsExactly("a@10", "c@20", "b@30", "d@30");
-  }
+    @Test
+    void firstComeFirstServedOnSoManyCoresAndNoMoreThanTheQueueHolds() {
+        HostWork w = host(2, 2, 0);
+        assertThat(w.offer(job("a", 10))).isTrue();
+        assertThat(w.offer(job("b", 30))).isTrue();
+        assertThat(w.offer(job("c", 10))).isTrue();
+        assertThat(w.offer(job("d", 10))).isTrue();
+        assertThat(w.offer(job("e", 10))).isFalse();
+        assertThat(w.running()).isEqualTo(2);
+        assertThat(w.queued()).isEqualTo(2);
+        timers.drain();
+        assertThat(ends).containsExactly("a@10", "c@20", "b@30", "d@30");
+    }
 
-  @Test
-  void aPauseMovesAllEndsByItsLength() {
-    HostWork w = host(1, 10, 0);
-    w.offer(job("a", 10));
-    timers.passMs(4);
-    w.pause();
-    w.offer(job("b", 10));
-    timers.passMs(2_000);
-    assertThat(ends).isEmpty();
-    w.resume();
-    timers.drain();
-    assertThat(ends).containsExactly("a@2010", "b@2020");
-  }
+    @Test
+    void aPauseMovesAllEndsByItsLength() {
+        HostWork w = host(1, 10, 0);
+        w.offer(job("a", 10));
+        timers.passMs(4);
+        w.pause();
+        w.offer(job("b", 10));
+        timers.passMs(2_000);
+        assertThat(ends).isEmpty();
+        w.resume();
+        timers.drain();
+        assertThat(ends).containsExactly("a@2010", "b@2020");
+    }
 
-  @Test
-  void aColdHostIsSlowAtFirstAndWarmAtTheEnd() {
-    HostWork w = host(1, 10, 1_000);
-    assertThat(w.warmth()).isEqualTo(0.25);
-    w.offer(job("a", 10));
-    timers.passMs(500);
-    assertThat(w.warmth()).isBetween(0.62, 0.63);
-    timers.passMs(500);
-    assertThat(w.warmth()).isEqualTo(1);
-    w.offer(job("b", 10));
-    timers.drain();
-    assertThat(ends).containsExactly("a@40", "b@1010");
-  }
+    @Test
+    void aColdHostIsSlowAtFirstAndWarmAtTheEnd() {
+        HostWork w = host(1, 10, 1_000);
+        assertThat(w.warmth()).isEqualTo(0.25);
+        w.offer(job("a", 10));
+        timers.passMs(500);
+        assertThat(w.warmth()).isBetween(0.62, 0.63);
+        timers.passMs(500);
+        assertThat(w.warmth()).isEqualTo(1);
+        w.offer(job("b", 10));
+        timers.drain();
+        assertThat(ends).containsExactly("a@40", "b@1010");
+    }
 
-  @Test
-  void aSlowHostTakesSoManyTimesAsLong() {
-    HostWork w = host(1, 10, 0);
-    w.slow(5);
-    w.offer(job("a", 10));
-    timers.drain();
-    w.slow(1);
-    w.offer(job("b", 10));
-    timers.drain();
-    assertThat(ends).containsExactly("a@50", "b@60");
-  }
+    @Test
+    void aSlowHostTakesSoManyTimesAsLong() {
+        HostWork w = host(1, 10, 0);
+        w.slow(5);
+        w.offer(job("a", 10));
+        timers.drain();
+        w.slow(1);
+        w.offer(job("b", 10));
+        timers.drain();
+        assertThat(ends).containsExactly("a@50", "b@60");
+    }
 
-  @Test
-  void whatIsWithdrawnOrNotToRunTakesNoCore() {
-    HostWork w = host(1, 10, 0);
-    HostWork.Job gone = job("b", 10);
-    w.offer(job("a", 10));
-    w.offer(gone);
-    w.offer(job("c", 10, false));
-    w.offer(job("d", 10));
-    assertThat(w.withdraw(gone)).isTrue();
-    assertThat(w.withdraw(gone)).isFalse();
-    timers.drain();
-    assertThat(ends).containsExactly("a@10", "d@20");
-  }
+    @Test
+    void whatIsWithdrawnOrNotToRunTakesNoCore() {
+        HostWork w = host(1, 10, 0);
+        HostWork.Job gone = job("b", 10);
+        w.offer(job("a", 10));
+        w.offer(gone);
+        w.offer(job("c", 10, false));
+        w.offer(job("d", 10));
+        assertThat(w.withdraw(gone)).isTrue();
+        assertThat(w.withdraw(gone)).isFalse();
+        timers.drain();
+        assertThat(ends).containsExactly("a@10", "d@20");
+    }
 
-  @Test
-  void aHostThatIsKilledFinishesNothing() {
-    HostWork w = host(1, 10, 0);
-    w.offer(job("a", 10));
-    w.offer(job("b", 10));
-    w.kill();
-    timers.drain();
-    assertThat(ends).isEmpty();
-    w.offer(job("c", 10));
-    timers.drain();
-    assertThat(ends).containsExactly("c@10");
-  }
+    @Test
+    void aHostThatIsKilledFinishesNothing() {
+        HostWork w = host(1, 10, 0);
+        w.offer(job("a", 10));
+        w.offer(job("b", 10));
+        w.kill();
+        timers.drain();
+        assertThat(ends).isEmpty();
+        w.offer(job("c", 10));
+        timers.drain();
+        assertThat(ends).containsExactly("c@10");
+    }
 
-  @Test
-  void utilisationIsTheShareOfTheCoresInUse() {
-    HostWork w = host(2, 10, 0);
-    w.offer(job("a", 50));
-    timers.passMs(100);
-    assertThat(w.utilisation()).isBetween(0.249, 0.251);
-    timers.passMs(100);
-    assertThat(w.utilisation()).isZero();
-  }
+    @Test
+    void utilisationIsTheShareOfTheCoresInUse() {
+        HostWork w = host(2, 10, 0);
+        w.offer(job("a", 50));
+        timers.passMs(100);
+        assertThat(w.utilisation()).isBetween(0.249, 0.251);
+        timers.passMs(100);
+        assertThat(w.utilisation()).isZero();
+    }
 }
--- a/src/test/java/rillyard/standin/RawClient.java
+++ b/src/test/java/rillyard/standin/RawClient.java
@@ -9,59 +9,58 @@
 
 /** A connection that a test speaks byte by byte. */
 public final class RawClient implements AutoCloseable {
-  private static final int TIMEOUT_MS = 20_000;
+    private static final int TIMEOUT_MS = 20_000;
 
-  public final Socket socket = new Socket();
-  private final InputStream in;
+    public final Socket socket = new Socket();
+    private final InputStream in;
 
-  public RawClient(InetSocketAddress to) throws IOException {
-    socket.setSoTimeout(TIMEOUT_MS);
-    socket.connect(to);
-    in = socket.getInputStream();
-  }
+    public RawClient(InetSocketAddress to) throws IOException {
+        socket.setSoTimeout(TIMEOUT_MS);
+        socket.connect(to);
+        in = socket.getInputStream();
+    }
 
-  public void write(String text) throws IOException {
-    socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-  }
+    public void write(String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+    }
 
-  /** A request as the proxy sends it; {@code key} may be null. */
-  public static String request(String type, String id, String key, String body) {
-    return (body == null ? "GET /" : "POST /") + type + " HTTP/1.1\r\nHost: h\r\nX-Request-ID: " + id
-        + "\r\nX-Priority-Class: " + type + "\r\nX-Timeout-Ms: 10000\r\n"
-        + (key == null ? "" : "Idempotency-Key: " + key + "\r\n")
-        + (body == null ? "\r\n" : "Content-Length: " + body.length() + "\r\n\r\n" + body);
-  }
+    /** A request as the proxy sends it; {@code key} may be null. */
+    public static String request(String type, String id, String key, String body) {
+        return (body == null ? "GET /" : "POST /") + type + " HTTP/1.1\r\nHost: h\r\nX-Request-ID: " + id
+                + "\r\nX-Priority-Class: " + type + "\r\nX-Timeout-Ms: 10000\r\n"
+                + (key == null ? "" : "Idempotency-Key: " + key + "\r\n")
+                + (body == null ? "\r\n" : "Content-Length: " + body.length() + "\r\n\r\n" + body);
+    }
 
-  /** Head and body of the next answer with a length, or null if the connection ended before. */
-  public String answer() throws IOException {
-    StringBuilder head = new StringBuilder();
-    while (head.indexOf("\r\n\r\n") < 0) {
-      int b = in.read();
-      if (b < 0) {
-        return head.isEmpty() ? null : head.toString();
-      }
-      head.append((char) b);
+    /** Head and body of the next answer with a length, or null if the connection ended before. */
+    public String answer() throws IOException {
+        StringBuilder head = new StringBuilder();
+        while (head.indexOf("\r\n\r\n") < 0) {
+            int b = in.read();
+            if (b < 0) {
+                return head.isEmpty() ? null : head.toString();
+            }
+            head.append((char) b);
+        }
+        int length = Integer.parseInt(head.toString().replaceAll("(?si).*content-length: *(\\d+).*", "$1"));
+        return head + new String(in.readNBytes(length), StandardCharsets.ISO_8859_1);
     }
-    int length =
-        Integer.parseInt(head.toString().replaceAll("(?si).*content-length: *(\\d+).*", "$1"));
-    return head + new String(in.readNBytes(length), StandardCharsets.ISO_8859_1);
-  }
 
-  /** A line of an answer without a length, as a watch has them; null at the end. */
-  public String line() throws IOException {
-    ByteArrayOutputStream line = new ByteArrayOutputStream();
-    int b;
-    while ((b = in.read()) != '\n') {
-      if (b < 0) {
-        return null;
-      }
-      line.write(b);
+    /** A line of an answer without a length, as a watch has them; null at the end. */
+    public String line() throws IOException {
+        ByteArrayOutputStream line = new ByteArrayOutputStream();
+        int b;
+        while ((b = in.read()) != '\n') {
+            if (b < 0) {
+                return null;
+            }
+            line.write(b);
+        }
+        return line.toString(StandardCharsets.UTF_8).trim();
     }
-    return line.toString(StandardCharsets.UTF_8).trim();
-  }
 
-  @Override
-  public void close() throws IOException {
-    socket.close();
-  }
+    @Override
+    public void close() throws IOException {
+        socket.close();
+    }
 }
--- a/src/test/java/rillyard/standin/ServiceTimeTest.java
+++ b/src/test/java/rillyard/standin/ServiceTimeTest.java
@@ -10,32 +10,40 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 class ServiceTimeTest {
-  static Stream<ServiceTime> all() {
-    return Stream.of(
-        new ServiceTime.Constant(7),
-        new ServiceTime.Exponential(7),
-        new ServiceTime.Lognormal(7, 0.8),
-        new ServiceTime.Empirical(new double[] {20, 1, 3, 4}));
-  }
+    static Stream<ServiceTime> all() {
+        return Stream.of(
+                new ServiceTime.Constant(7),
+                new ServiceTime.Exponential(7),
+                new ServiceTime.Lognormal(7, 0.8),
+                new ServiceTime.Empirical(new double[] {20, 1, 3, 4}));
+    }
 
-  @ParameterizedTest
-  @MethodSource("all")
-  void drawsHaveTheMeanThatIsStated(ServiceTime t) {
-    SplittableRandom random = new SplittableRandom(3);
-    double mean = Stream.generate(() -> t.draw(random)).limit(200_000).mapToDouble(d -> d).average().orElseThrow();
-    assertThat(mean).isCloseTo(t.mean(), within(0.02 * t.mean()));
-  }
+    @ParameterizedTest
+    @MethodSource("all")
+    void drawsHaveTheMeanThatIsStated(ServiceTime t) {
+        SplittableRandom random = new SplittableRandom(3);
+        double mean = Stream.generate(() -> t.draw(random))
+                .limit(200_000)
+                .mapToDouble(d -> d)
+                .average()
+                .orElseThrow();
+        assertThat(mean).isCloseTo(t.mean(), within(0.02 * t.mean()));
+    }
 
-  @ParameterizedTest
-  @MethodSource("all")
-  void theMedianLiesWhereTheDistributionHasIt(ServiceTime t) {
-    SplittableRandom random = new SplittableRandom(4);
-    double[] drawn = Stream.generate(() -> t.draw(random)).limit(100_001).mapToDouble(d -> d).toArray();
-    Arrays.sort(drawn);
-    double expected =
-        t instanceof ServiceTime.Exponential e ? e.mean() * Math.log(2)
-            : t instanceof ServiceTime.Lognormal l ? l.mean() / Math.sqrt(1 + l.cv() * l.cv())
-                : t instanceof ServiceTime.Empirical ? 3.5 : 7;
-    assertThat(drawn[50_000]).isCloseTo(expected, within(0.02 * expected));
-  }
+    @ParameterizedTest
+    @MethodSource("all")
+    void theMedianLiesWhereTheDistributionHasIt(ServiceTime t) {
+        SplittableRandom random = new SplittableRandom(4);
+        double[] drawn = Stream.generate(() -> t.draw(random))
+                .limit(100_001)
+                .mapToDouble(d -> d)
+                .toArray();
+        Arrays.sort(drawn);
+        double expected = t instanceof ServiceTime.Exponential e
+                ? e.mean() * Math.log(2)
+                : t instanceof ServiceTime.Lognormal l
+                        ? l.mean() / Math.sqrt(1 + l.cv() * l.cv())
+                        : t instanceof ServiceTime.Empirical ? 3.5 : 7;
+        assertThat(drawn[50_000]).isCloseTo(expected, within(0.02 * expected));
+    }
 }
--- a/src/test/java/rillyard/standin/StandInPlanReaderTest.java
+++ b/src/test/java/rillyard/standin/StandInPlanReaderTest.java
@@ -8,10 +8,11 @@
 import rillyard.input.InvalidFileException;
 
 class StandInPlanReaderTest {
-  @Test
-  void hostsHaveWhatTheFileSaysOfAllAndOfEach() throws Exception {
-    StandInPlan p =
-        StandInPlanReader.parse("t", """
+    @Test
+    void hostsHaveWhatTheFileSaysOfAllAndOfEach() throws Exception {
+        StandInPlan p = StandInPlanReader.parse(
+                "t",
+                """
             [hosts]
             cores = 8
             [[host]]
@@ -32,20 +33,21 @@
             [[fault]]
             kind = "discovery-silent"
             at_s = 1
-            """, 0);
-    assertThat(p.hosts()).extracting(HostSpec::cores).containsExactly(8, 2);
-    assertThat(p.hosts()).extracting(HostSpec::cell).containsExactly(0L, 7L);
-    assertThat(p.classes().get(0).work()).isEqualTo(new ServiceTime.Exponential(5));
-    assertThat(p.faults()).extracting(Fault::kind)
-        .containsExactly(Fault.Kind.DISCOVERY_SILENT, Fault.Kind.SLOW);
-  }
+            """,
+                0);
+        assertThat(p.hosts()).extracting(HostSpec::cores).containsExactly(8, 2);
+        assertThat(p.hosts()).extracting(HostSpec::cell).containsExactly(0L, 7L);
+        assertThat(p.classes().get(0).work()).isEqualTo(new ServiceTime.Exponential(5));
+        assertThat(p.faults()).extracting(Fault::kind).containsExactly(Fault.Kind.DISCOVERY_SILENT, Fault.Kind.SLOW);
+    }
 
-  @Test
-  void everyErrorNamesItsLine() {
-    InvalidFileException e =
-        catchThrowableOfType(
-            InvalidFileException.class,
-            () -> StandInPlanReader.parse("t.toml", """
+    @Test
+    void everyErrorNamesItsLine() {
+        InvalidFileException e = catchThrowableOfType(
+                InvalidFileException.class,
+                () -> StandInPlanReader.parse(
+                        "t.toml",
+                        """
                 [hosts]
                 coers = 8
                 [[class]]
@@ -54,16 +56,18 @@
                 [[fault]]
                 kind = "pause"
                 host = "s-99"
-                """, 4));
-    assertThat(e.findings()).extracting(Finding::line).containsExactly(2, 4, 5, 6, 8);
-    assertThat(e.getMessage())
-        .contains("t.toml:2: hosts.coers: unknown key; did you mean 'cores'?")
-        .contains("t.toml:8: fault[0].host: there is no host 's-99'");
-  }
+                """,
+                        4));
+        assertThat(e.findings()).extracting(Finding::line).containsExactly(2, 4, 5, 6, 8);
+        assertThat(e.getMessage())
+                .contains("t.toml:2: hosts.coers: unknown key; did you mean 'cores'?")
+                .contains("t.toml:8: fault[0].host: there is no host 's-99'");
+    }
 
-  @Test
-  void withoutAFileHostsAreInCellsOfFour() {
-    assertThat(StandInPlanReader.standard(6).hosts()).extracting(HostSpec::cell)
-        .containsExactly(0L, 0L, 0L, 0L, 1L, 1L);
-  }
+    @Test
+    void withoutAFileHostsAreInCellsOfFour() {
+        assertThat(StandInPlanReader.standard(6).hosts())
+                .extracting(HostSpec::cell)
+                .containsExactly(0L, 0L, 0L, 0L, 1L, 1L);
+    }
 }
--- a/src/test/java/rillyard/standin/StandInTest.java
+++ b/src/test/java/rillyard/standin/StandInTest.java
@@ -29,8 +29,8 @@
 
 /** Stand-ins on loopback, spoken to byte by byte; what they did is read from their ledger. */
 class StandInTest {
-  private static final String HOSTS =
-      """
+    private static final String HOSTS =
+            """
       [hosts]
       count = 2
       cell_size = 2
@@ -53,391 +53,401 @@
       work = { dist = "constant", mean_ms = 300 }
       """;
 
-  @TempDir Path folder;
-  private Ledger ledger;
-  private StandIn standIn;
+    @TempDir
+    Path folder;
 
-  @BeforeEach
-  void start() throws Exception {
-    ledger = Ledger.open(file(), new LedgerHead("hosts", 1, 1));
-    standIn =
-        new StandIn(
-            StandInPlanReader.parse("t", HOSTS, 0),
-            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-            1,
-            ledger,
-            System.err);
-    standIn.start();
-  }
+    private Ledger ledger;
+    private StandIn standIn;
 
-  @AfterEach
-  void stop() throws IOException {
-    standIn.close();
-    ledger.close();
-  }
-
-  private Path file() {
-    return folder.resolve("hosts.jsonl");
-  }
-
-  private RawClient host(int n) throws IOException {
-    return new RawClient(standIn.address("s-" + n));
-  }
-
-  /** Ends the stand-in and reads what it wrote down. */
-  private <T extends LedgerLine> List<T> ledger(Class<T> kind) throws Exception {
-    stop();
-    List<T> out = new ArrayList<>();
-    assertThat(
-            LedgerReader.read(
-                file(),
-                "hosts",
-                l -> {
-                  if (kind.isInstance(l)) {
-                    out.add(kind.cast(l));
-                  }
-                }))
-        .isTrue();
-    return out;
-  }
-
-  private String fault(String toml) throws IOException {
-    try (RawClient c = new RawClient(standIn.control())) {
-      c.write("POST /faults HTTP/1.1\r\nHost: h\r\nContent-Length: " + toml.length() + "\r\n\r\n" + toml);
-      return c.answer();
+    @BeforeEach
+    void start() throws Exception {
+        ledger = Ledger.open(file(), new LedgerHead("hosts", 1, 1));
+        standIn = new StandIn(
+                StandInPlanReader.parse("t", HOSTS, 0),
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                1,
+                ledger,
+                System.err);
+        standIn.start();
     }
-  }
-
-  private void faulty(String kind, int host, String more) throws IOException {
-    String answer =
-        fault("[[fault]]\nkind = \"" + kind + "\"\nhost = \"s-" + host + "\"\n" + more + "\n");
-    assertThat(answer).startsWith("HTTP/1.1 200").endsWith("1 begun\n");
-  }
 
-  @Test
-  void anAnswerNamesItsRequestAndItsBody() throws Exception {
-    try (RawClient c = host(0)) {
-      c.write(RawClient.request("list", "a1", null, null));
-      assertThat(c.answer()).startsWith("HTTP/1.1 200").contains("X-Server-Load: inflight=")
-          .contains("id=a1 host=s-0 len=0 crc=0");
-      c.write(RawClient.request("claim", "a2", null, "123456789"));
-      assertThat(c.answer()).contains("id=a2 host=s-0 len=9 crc=cbf43926"); // the check value of CRC-32
-      c.write("GET /ping HTTP/1.1\r\nHost: h\r\n\r\n");
-      assertThat(c.answer()).startsWith("HTTP/1.1 200");
-      c.write("GET /list HTTP/1.1\r\nHost: h\r\n\r\n"); // no id
-      assertThat(c.answer()).startsWith("HTTP/1.1 404");
+    @AfterEach
+    void stop() throws IOException {
+        standIn.close();
+        ledger.close();
     }
-    assertThat(ledger(HostRun.class)).extracting(HostRun::id).containsExactly("a1", "a2");
-  }
 
-  @Test
-  void aKeyRunsOnceInItsCellWhicheverHostItComesTo() throws Exception {
-    for (int i = 0; i < 2; i++) {
-      try (RawClient c = host(i)) {
-        c.write(RawClient.request("log", "b" + i, "k", "x"));
-        assertThat(c.answer()).contains("id=b" + i);
-      }
+    private Path file() {
+        return folder.resolve("hosts.jsonl");
     }
-    assertThat(ledger(HostRun.class)).extracting(HostRun::result)
-        .containsExactly(RunResult.DONE, RunResult.REMEMBERED);
-  }
 
-  @Test
-  void whatHasNoRoomIsTurnedAwayUnseen() throws Exception {
-    List<RawClient> all = new ArrayList<>();
-    for (int i = 0; i < 4; i++) { // one runs, one waits, one is too many; the fourth connection too
-      RawClient c = host(0);
-      all.add(c);
-      c.write(RawClient.request("claim", "c" + i, null, "x"));
+    private RawClient host(int n) throws IOException {
+        return new RawClient(standIn.address("s-" + n));
     }
-    List<String> answers = new ArrayList<>();
-    for (RawClient c : all) {
-      answers.add(c.answer());
-      c.close();
-    }
-    assertThat(answers).filteredOn(a -> a.startsWith("HTTP/1.1 200")).hasSize(2);
-    assertThat(answers).filteredOn(a -> a.startsWith("HTTP/1.1 503") && a.contains("X-Not-Processed: 1"))
-        .hasSize(2);
-    assertThat(ledger(HostRun.class)).filteredOn(r -> r.result() == RunResult.TURNED_AWAY)
-        .hasSize(2).allMatch(r -> !r.mayHaveRun());
-  }
 
-  @Test
-  void aClientThatLeavesIsWrittenDown() throws Exception {
-    try (RawClient runs = host(0); RawClient waits = host(0)) {
-      runs.write(RawClient.request("claim", "d0", null, "x"));
-      runs.write(""); // in this order, as the second connection's bytes come after its own
-      awaitLoad(host(0), "inflight=1");
-      waits.write(RawClient.request("claim", "d1", null, "x"));
-      awaitLoad(host(0), "inflight=2");
+    /** Ends the stand-in and reads what it wrote down. */
+    private <T extends LedgerLine> List<T> ledger(Class<T> kind) throws Exception {
+        stop();
+        List<T> out = new ArrayList<>();
+        assertThat(LedgerReader.read(file(), "hosts", l -> {
+                    if (kind.isInstance(l)) {
+                        out.add(kind.cast(l));
+                    }
+                }))
+                .isTrue();
+        return out;
     }
-    awaitLoad(host(0), "inflight=0");
-    List<HostRun> runs = ledger(HostRun.class);
-    assertThat(runs).extracting(HostRun::id).containsExactlyInAnyOrder("d0", "d1");
-    for (HostRun r : runs) {
-      assertThat(r.result()).isEqualTo(r.id().equals("d0") ? RunResult.LEFT : RunResult.DROPPED);
+
+    private String fault(String toml) throws IOException {
+        try (RawClient c = new RawClient(standIn.control())) {
+            c.write("POST /faults HTTP/1.1\r\nHost: h\r\nContent-Length: " + toml.length() + "\r\n\r\n" + toml);
+            return c.answer();
+        }
     }
-  }
 
-  private static void awaitLoad(RawClient c, String load) throws IOException {
-    try (c) {
-      long until = System.nanoTime() + 20_000_000_000L;
-      String answer;
-      do {
-        c.write("GET /_load HTTP/1.1\r\nHost: h\r\n\r\n");
-        answer = c.answer();
-      } while (!answer.contains(load) && System.nanoTime() < until);
-      assertThat(answer).contains(load);
+    private void faulty(String kind, int host, String more) throws IOException {
+        String answer = fault("[[fault]]\nkind = \"" + kind + "\"\nhost = \"s-" + host + "\"\n" + more + "\n");
+        assertThat(answer).startsWith("HTTP/1.1 200").endsWith("1 begun\n");
     }
-  }
 
-  @Test
-  void faultsAreDoneToRequestsAndWrittenDown() throws Exception {
-    try (RawClient c = host(0)) {
-      faulty("errors", 0, "");
-      c.write(RawClient.request("list", "e0", null, null));
-      assertThat(c.answer()).startsWith("HTTP/1.1 500");
+    @Test
+    void anAnswerNamesItsRequestAndItsBody() throws Exception {
+        try (RawClient c = host(0)) {
+            c.write(RawClient.request("list", "a1", null, null));
+            assertThat(c.answer())
+                    .startsWith("HTTP/1.1 200")
+                    .contains("X-Server-Load: inflight=")
+                    .contains("id=a1 host=s-0 len=0 crc=0");
+            c.write(RawClient.request("claim", "a2", null, "123456789"));
+            assertThat(c.answer()).contains("id=a2 host=s-0 len=9 crc=cbf43926"); // the check value of CRC-32
+            c.write("GET /ping HTTP/1.1\r\nHost: h\r\n\r\n");
+            assertThat(c.answer()).startsWith("HTTP/1.1 200");
+            c.write("GET /list HTTP/1.1\r\nHost: h\r\n\r\n"); // no id
+            assertThat(c.answer()).startsWith("HTTP/1.1 404");
+        }
+        assertThat(ledger(HostRun.class)).extracting(HostRun::id).containsExactly("a1", "a2");
     }
-    faulty("reset", 1, "");
-    try (RawClient c = host(1)) {
-      c.write(RawClient.request("list", "e1", null, null));
-      assertThatThrownBy(
-              () -> {
-                String a;
-                while ((a = c.answer()) != null) {
-                  assertThat(a).doesNotContain("id=e1 host=s-1 len=0 crc=0");
-                }
-                throw new SocketException("ended");
-              })
-          .isInstanceOf(IOException.class);
+
+    @Test
+    void aKeyRunsOnceInItsCellWhicheverHostItComesTo() throws Exception {
+        for (int i = 0; i < 2; i++) {
+            try (RawClient c = host(i)) {
+                c.write(RawClient.request("log", "b" + i, "k", "x"));
+                assertThat(c.answer()).contains("id=b" + i);
+            }
+        }
+        assertThat(ledger(HostRun.class))
+                .extracting(HostRun::result)
+                .containsExactly(RunResult.DONE, RunResult.REMEMBERED);
     }
-    assertThat(ledger(HostRun.class)).extracting(HostRun::result)
-        .containsExactly(RunResult.ERROR, RunResult.RESET);
-  }
 
-  @Test
-  void aFaultIsCalledBegunOnceItsHostHasIt() throws Exception {
-    CountDownLatch free = new CountDownLatch(1);
-    standIn.host("s-0").loop().execute(() -> awaitQuietly(free));
-    try (RawClient asks = new RawClient(standIn.control())) {
-      String toml = "[[fault]]\nkind = \"errors\"\nhost = \"s-0\"\n";
-      asks.write("POST /faults HTTP/1.1\r\nHost: h\r\nContent-Length: " + toml.length() + "\r\n\r\n" + toml);
-      // Answered on the same loop, after the question above was read there.
-      assertThat(fault("[[fault]]\nkind = \"errors\"\nhost = \"s-9\"\n")).startsWith("HTTP/1.1 400");
-      assertThat(asks.socket.getInputStream().available()).isZero();
-      free.countDown();
-      assertThat(asks.answer()).startsWith("HTTP/1.1 200").endsWith("1 begun\n");
-    } finally {
-      free.countDown();
+    @Test
+    void whatHasNoRoomIsTurnedAwayUnseen() throws Exception {
+        List<RawClient> all = new ArrayList<>();
+        for (int i = 0; i < 4; i++) { // one runs, one waits, one is too many; the fourth connection too
+            RawClient c = host(0);
+            all.add(c);
+            c.write(RawClient.request("claim", "c" + i, null, "x"));
+        }
+        List<String> answers = new ArrayList<>();
+        for (RawClient c : all) {
+            answers.add(c.answer());
+            c.close();
+        }
+        assertThat(answers).filteredOn(a -> a.startsWith("HTTP/1.1 200")).hasSize(2);
+        assertThat(answers)
+                .filteredOn(a -> a.startsWith("HTTP/1.1 503") && a.contains("X-Not-Processed: 1"))
+                .hasSize(2);
+        assertThat(ledger(HostRun.class))
+                .filteredOn(r -> r.result() == RunResult.TURNED_AWAY)
+                .hasSize(2)
+                .allMatch(r -> !r.mayHaveRun());
     }
-  }
 
-  private static void awaitQuietly(CountDownLatch l) {
-    try {
-      l.await();
-    } catch (InterruptedException e) {
-      Thread.currentThread().interrupt();
+    @Test
+    void aClientThatLeavesIsWrittenDown() throws Exception {
+        try (RawClient runs = host(0);
+                RawClient waits = host(0)) {
+            runs.write(RawClient.request("claim", "d0", null, "x"));
+            runs.write(""); // in this order, as the second connection's bytes come after its own
+            awaitLoad(host(0), "inflight=1");
+            waits.write(RawClient.request("claim", "d1", null, "x"));
+            awaitLoad(host(0), "inflight=2");
+        }
+        awaitLoad(host(0), "inflight=0");
+        List<HostRun> runs = ledger(HostRun.class);
+        assertThat(runs).extracting(HostRun::id).containsExactlyInAnyOrder("d0", "d1");
+        for (HostRun r : runs) {
+            assertThat(r.result()).isEqualTo(r.id().equals("d0") ? RunResult.LEFT : RunResult.DROPPED);
+        }
     }
-  }
 
-  @Test
-  void aHostThatHangsAnswersNothingAndAPauseOnlyWaits() throws Exception {
-    faulty("hang", 0, "");
-    faulty("pause", 1, "for_s = 0.3");
-    try (RawClient hung = host(0); RawClient paused = host(1)) {
-      hung.write(RawClient.request("list", "f0", null, null));
-      paused.write(RawClient.request("list", "f1", null, null));
-      assertThat(paused.answer()).contains("id=f1");
-      hung.socket.setSoTimeout(50);
-      assertThatThrownBy(hung::answer).isInstanceOf(java.net.SocketTimeoutException.class);
+    private static void awaitLoad(RawClient c, String load) throws IOException {
+        try (c) {
+            long until = System.nanoTime() + 20_000_000_000L;
+            String answer;
+            do {
+                c.write("GET /_load HTTP/1.1\r\nHost: h\r\n\r\n");
+                answer = c.answer();
+            } while (!answer.contains(load) && System.nanoTime() < until);
+            assertThat(answer).contains(load);
+        }
     }
-    List<HostRun> runs = ledger(HostRun.class);
-    assertThat(runs).anyMatch(r -> r.id().equals("f0") && r.result() == RunResult.HUNG && r.mayHaveRun());
-    assertThat(runs).anyMatch(r -> r.id().equals("f1") && r.result() == RunResult.DONE);
-  }
 
-  @Test
-  void aHostThatIsKilledComesBackUnderAnotherIdAndDiscoveryTells() throws Exception {
-    try (RawClient watch = new RawClient(standIn.discovery());
-        RawClient c = host(0)) {
-      watch.write("GET /catalog/members?follow=1&since=1 HTTP/1.1\r\nHost: h\r\n\r\n");
-      c.write(RawClient.request("claim", "g0", null, "x"));
-      awaitLoad(host(0), "inflight=1");
-      InetSocketAddress was = standIn.address("s-0");
-      faulty("kill", 0, "restart_s = 0.2\nnew_id = true");
-      assertThatThrownBy(c::answer).isInstanceOf(SocketException.class);
-      assertThatThrownBy(() -> new RawClient(was).close()).isInstanceOf(ConnectException.class);
-      assertThat(told(watch, "s-0")).isEqualTo("removed");
-      assertThat(told(watch, "s-0+1")).isEqualTo("up");
-      assertThat(standIn.address("s-0+1")).isEqualTo(was);
-      try (RawClient again = new RawClient(was)) {
-        again.write(RawClient.request("list", "g1", null, null));
-        assertThat(again.answer()).contains("host=s-0+1");
-      }
+    @Test
+    void faultsAreDoneToRequestsAndWrittenDown() throws Exception {
+        try (RawClient c = host(0)) {
+            faulty("errors", 0, "");
+            c.write(RawClient.request("list", "e0", null, null));
+            assertThat(c.answer()).startsWith("HTTP/1.1 500");
+        }
+        faulty("reset", 1, "");
+        try (RawClient c = host(1)) {
+            c.write(RawClient.request("list", "e1", null, null));
+            assertThatThrownBy(() -> {
+                        String a;
+                        while ((a = c.answer()) != null) {
+                            assertThat(a).doesNotContain("id=e1 host=s-1 len=0 crc=0");
+                        }
+                        throw new SocketException("ended");
+                    })
+                    .isInstanceOf(IOException.class);
+        }
+        assertThat(ledger(HostRun.class)).extracting(HostRun::result).containsExactly(RunResult.ERROR, RunResult.RESET);
     }
-    assertThat(ledger(HostRun.class)).anyMatch(r -> r.id().equals("g0") && r.result() == RunResult.KILLED);
-  }
 
-  /** The next state of a host that the watch is told. */
-  private static String told(RawClient watch, String host) throws IOException {
-    String line;
-    while ((line = watch.line()) != null) {
-      if (line.startsWith("{")) {
-        JsonNode news = new ObjectMapper().readTree(line);
-        for (JsonNode s : news.path("servers")) {
-          if (s.path("id").asText().equals(host)) {
-            return s.path("state").asText();
-          }
+    @Test
+    void aFaultIsCalledBegunOnceItsHostHasIt() throws Exception {
+        CountDownLatch free = new CountDownLatch(1);
+        standIn.host("s-0").loop().execute(() -> awaitQuietly(free));
+        try (RawClient asks = new RawClient(standIn.control())) {
+            String toml = "[[fault]]\nkind = \"errors\"\nhost = \"s-0\"\n";
+            asks.write("POST /faults HTTP/1.1\r\nHost: h\r\nContent-Length: " + toml.length() + "\r\n\r\n" + toml);
+            // Answered on the same loop, after the question above was read there.
+            assertThat(fault("[[fault]]\nkind = \"errors\"\nhost = \"s-9\"\n")).startsWith("HTTP/1.1 400");
+            assertThat(asks.socket.getInputStream().available()).isZero();
+            free.countDown();
+            assertThat(asks.answer()).startsWith("HTTP/1.1 200").endsWith("1 begun\n");
+        } finally {
+            free.countDown();
         }
-      }
     }
-    throw new IOException("the watch ended");
-  }
 
-  @Test
-  void aHostThatDrainsIsToldOfAndStopsWhenItIsDone() throws Exception {
-    try (RawClient watch = new RawClient(standIn.discovery());
-        RawClient c = host(0)) {
-      watch.write("GET /catalog/members?follow=1&since=0 HTTP/1.1\r\nHost: h\r\n\r\n");
-      assertThat(told(watch, "s-0")).isEqualTo("up");
-      c.write(RawClient.request("claim", "h0", null, "x"));
-      awaitLoad(host(0), "inflight=1");
-      faulty("drain", 0, "for_s = 0.05");
-      assertThat(told(watch, "s-0")).isEqualTo("draining");
-      assertThat(c.answer()).contains("id=h0"); // it has what it had, and finishes it
-      assertThat(told(watch, "s-0")).isEqualTo("removed");
+    private static void awaitQuietly(CountDownLatch l) {
+        try {
+            l.await();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
     }
-    assertThat(ledger(Told.class)).filteredOn(t -> t.watcher() == 1 && t.host().equals("s-0"))
-        .extracting(Told::state).containsExactly("up", "draining", "removed");
-  }
 
-  @Test
-  void aStaleDiscoveryTellsNothingNewUntilItIsOver() throws Exception {
-    assertThat(fault("[[fault]]\nkind = \"discovery-stale\"\nfor_s = 0.4\n")).contains("1 begun");
-    try (RawClient watch = new RawClient(standIn.discovery())) {
-      watch.write("GET /catalog/members?follow=1&since=1 HTTP/1.1\r\nHost: h\r\n\r\n");
-      faulty("kill", 0, "");
-      assertThat(told(watch, "s-0")).isEqualTo("removed");
+    @Test
+    void aHostThatHangsAnswersNothingAndAPauseOnlyWaits() throws Exception {
+        faulty("hang", 0, "");
+        faulty("pause", 1, "for_s = 0.3");
+        try (RawClient hung = host(0);
+                RawClient paused = host(1)) {
+            hung.write(RawClient.request("list", "f0", null, null));
+            paused.write(RawClient.request("list", "f1", null, null));
+            assertThat(paused.answer()).contains("id=f1");
+            hung.socket.setSoTimeout(50);
+            assertThatThrownBy(hung::answer).isInstanceOf(java.net.SocketTimeoutException.class);
+        }
+        List<HostRun> runs = ledger(HostRun.class);
+        assertThat(runs).anyMatch(r -> r.id().equals("f0") && r.result() == RunResult.HUNG && r.mayHaveRun());
+        assertThat(runs).anyMatch(r -> r.id().equals("f1") && r.result() == RunResult.DONE);
     }
-    List<LedgerLine> lines = ledger(LedgerLine.class);
-    int ends = -1;
-    int told = -1;
-    for (int i = 0; i < lines.size(); i++) {
-      if (lines.get(i) instanceof HostNews n && n.host().equals("discovery")
-          && n.what() == HostNews.What.FAULT_ENDED) {
-        ends = i;
-      } else if (lines.get(i) instanceof Told t && t.watcher() > 0 && t.host().equals("s-0")) {
-        told = i;
-      }
+
+    @Test
+    void aHostThatIsKilledComesBackUnderAnotherIdAndDiscoveryTells() throws Exception {
+        try (RawClient watch = new RawClient(standIn.discovery());
+                RawClient c = host(0)) {
+            watch.write("GET /catalog/members?follow=1&since=1 HTTP/1.1\r\nHost: h\r\n\r\n");
+            c.write(RawClient.request("claim", "g0", null, "x"));
+            awaitLoad(host(0), "inflight=1");
+            InetSocketAddress was = standIn.address("s-0");
+            faulty("kill", 0, "restart_s = 0.2\nnew_id = true");
+            assertThatThrownBy(c::answer).isInstanceOf(SocketException.class);
+            assertThatThrownBy(() -> new RawClient(was).close()).isInstanceOf(ConnectException.class);
+            assertThat(told(watch, "s-0")).isEqualTo("removed");
+            assertThat(told(watch, "s-0+1")).isEqualTo("up");
+            assertThat(standIn.address("s-0+1")).isEqualTo(was);
+            try (RawClient again = new RawClient(was)) {
+                again.write(RawClient.request("list", "g1", null, null));
+                assertThat(again.answer()).contains("host=s-0+1");
+            }
+        }
+        assertThat(ledger(HostRun.class)).anyMatch(r -> r.id().equals("g0") && r.result() == RunResult.KILLED);
     }
-    assertThat(told).isGreaterThan(0);
-    // The fault's end is written right behind what it lets through.
-    assertThat(ends).isBetween(told, told + 2);
-  }
 
-  @Test
-  void aHostThatIsKilledMayComeBackUnderTheSameIdColdAndWithAFreshStart() throws Exception {
-    long before = System.currentTimeMillis();
-    try (RawClient watch = new RawClient(standIn.discovery())) {
-      watch.write("GET /catalog/members?follow=1&since=1 HTTP/1.1\r\nHost: h\r\n\r\n");
-      faulty("kill", 1, "restart_s = 0.1");
-      assertThat(told(watch, "s-1")).isEqualTo("removed");
-      assertThat(told(watch, "s-1")).isEqualTo("up");
+    /** The next state of a host that the watch is told. */
+    private static String told(RawClient watch, String host) throws IOException {
+        String line;
+        while ((line = watch.line()) != null) {
+            if (line.startsWith("{")) {
+                JsonNode news = new ObjectMapper().readTree(line);
+                for (JsonNode s : news.path("servers")) {
+                    if (s.path("id").asText().equals(host)) {
+                        return s.path("state").asText();
+                    }
+                }
+            }
+        }
+        throw new IOException("the watch ended");
     }
-    try (RawClient c = new RawClient(standIn.discovery())) {
-      c.write("GET /catalog/members HTTP/1.1\r\nHost: h\r\n\r\n");
-      JsonNode list = new ObjectMapper().readTree(c.answer().split("\r\n\r\n", 2)[1]);
-      for (JsonNode e : list.path("servers")) {
-        long started = e.path("started_ms").asLong();
-        assertThat(started).isGreaterThanOrEqualTo(e.path("id").asText().equals("s-1") ? before : 0);
-      }
-      assertThat(list.path("servers")).hasSize(2);
+
+    @Test
+    void aHostThatDrainsIsToldOfAndStopsWhenItIsDone() throws Exception {
+        try (RawClient watch = new RawClient(standIn.discovery());
+                RawClient c = host(0)) {
+            watch.write("GET /catalog/members?follow=1&since=0 HTTP/1.1\r\nHost: h\r\n\r\n");
+            assertThat(told(watch, "s-0")).isEqualTo("up");
+            c.write(RawClient.request("claim", "h0", null, "x"));
+            awaitLoad(host(0), "inflight=1");
+            faulty("drain", 0, "for_s = 0.05");
+            assertThat(told(watch, "s-0")).isEqualTo("draining");
+            assertThat(c.answer()).contains("id=h0"); // it has what it had, and finishes it
+            assertThat(told(watch, "s-0")).isEqualTo("removed");
+        }
+        assertThat(ledger(Told.class))
+                .filteredOn(t -> t.watcher() == 1 && t.host().equals("s-0"))
+                .extracting(Told::state)
+                .containsExactly("up", "draining", "removed");
     }
-    assertThat(ledger(HostNews.class))
-        .filteredOn(n -> n.host().equals("s-1") && n.what() == HostNews.What.STARTED)
-        .extracting(HostNews::cold).containsExactly(false, true);
-  }
 
-  @Test
-  void aSpoiltAnswerRanAndASlowHostTakesLonger() throws Exception {
-    faulty("garble", 0, "");
-    try (RawClient c = host(0)) {
-      c.socket.setSoTimeout(200);
-      c.write(RawClient.request("list", "i0", null, null));
-      String answer = null;
-      try {
-        answer = c.answer();
-      } catch (IOException | RuntimeException e) {
-        // half an answer, or one that a reader of answers can't read
-      }
-      if (answer != null) {
-        assertThat(answer).doesNotContain("id=i0 host=s-0 len=0 crc=0");
-      }
+    @Test
+    void aStaleDiscoveryTellsNothingNewUntilItIsOver() throws Exception {
+        assertThat(fault("[[fault]]\nkind = \"discovery-stale\"\nfor_s = 0.4\n"))
+                .contains("1 begun");
+        try (RawClient watch = new RawClient(standIn.discovery())) {
+            watch.write("GET /catalog/members?follow=1&since=1 HTTP/1.1\r\nHost: h\r\n\r\n");
+            faulty("kill", 0, "");
+            assertThat(told(watch, "s-0")).isEqualTo("removed");
+        }
+        List<LedgerLine> lines = ledger(LedgerLine.class);
+        int ends = -1;
+        int told = -1;
+        for (int i = 0; i < lines.size(); i++) {
+            if (lines.get(i) instanceof HostNews n
+                    && n.host().equals("discovery")
+                    && n.what() == HostNews.What.FAULT_ENDED) {
+                ends = i;
+            } else if (lines.get(i) instanceof Told t
+                    && t.watcher() > 0
+                    && t.host().equals("s-0")) {
+                told = i;
+            }
+        }
+        assertThat(told).isGreaterThan(0);
+        // The fault's end is written right behind what it lets through.
+        assertThat(ends).isBetween(told, told + 2);
     }
-    faulty("slow", 1, "size = 400");
-    try (RawClient c = host(1)) {
-      c.write(RawClient.request("list", "i1", null, null));
-      assertThat(c.answer()).contains("id=i1");
+
+    @Test
+    void aHostThatIsKilledMayComeBackUnderTheSameIdColdAndWithAFreshStart() throws Exception {
+        long before = System.currentTimeMillis();
+        try (RawClient watch = new RawClient(standIn.discovery())) {
+            watch.write("GET /catalog/members?follow=1&since=1 HTTP/1.1\r\nHost: h\r\n\r\n");
+            faulty("kill", 1, "restart_s = 0.1");
+            assertThat(told(watch, "s-1")).isEqualTo("removed");
+            assertThat(told(watch, "s-1")).isEqualTo("up");
+        }
+        try (RawClient c = new RawClient(standIn.discovery())) {
+            c.write("GET /catalog/members HTTP/1.1\r\nHost: h\r\n\r\n");
+            JsonNode list = new ObjectMapper().readTree(c.answer().split("\r\n\r\n", 2)[1]);
+            for (JsonNode e : list.path("servers")) {
+                long started = e.path("started_ms").asLong();
+                assertThat(started).isGreaterThanOrEqualTo(e.path("id").asText().equals("s-1") ? before : 0);
+            }
+            assertThat(list.path("servers")).hasSize(2);
+        }
+        assertThat(ledger(HostNews.class))
+                .filteredOn(n -> n.host().equals("s-1") && n.what() == HostNews.What.STARTED)
+                .extracting(HostNews::cold)
+                .containsExactly(false, true);
     }
-    for (HostRun r : ledger(HostRun.class)) {
-      assertThat(r.result()).isEqualTo(r.id().equals("i0") ? RunResult.GARBLED : RunResult.DONE);
-      if (r.id().equals("i1")) {
-        assertThat(r.ended() - r.started()).isGreaterThanOrEqualTo(399_000);
-      }
+
+    @Test
+    void aSpoiltAnswerRanAndASlowHostTakesLonger() throws Exception {
+        faulty("garble", 0, "");
+        try (RawClient c = host(0)) {
+            c.socket.setSoTimeout(200);
+            c.write(RawClient.request("list", "i0", null, null));
+            String answer = null;
+            try {
+                answer = c.answer();
+            } catch (IOException | RuntimeException e) {
+                // half an answer, or one that a reader of answers can't read
+            }
+            if (answer != null) {
+                assertThat(answer).doesNotContain("id=i0 host=s-0 len=0 crc=0");
+            }
+        }
+        faulty("slow", 1, "size = 400");
+        try (RawClient c = host(1)) {
+            c.write(RawClient.request("list", "i1", null, null));
+            assertThat(c.answer()).contains("id=i1");
+        }
+        for (HostRun r : ledger(HostRun.class)) {
+            assertThat(r.result()).isEqualTo(r.id().equals("i0") ? RunResult.GARBLED : RunResult.DONE);
+            if (r.id().equals("i1")) {
+                assertThat(r.ended() - r.started()).isGreaterThanOrEqualTo(399_000);
+            }
+        }
     }
-  }
 
-  @Test
-  void aNewConnectionWaitsForItsHandshakeAndCostsTheHostWork() throws Exception {
-    stop();
-    ledger = Ledger.open(file(), new LedgerHead("hosts", 1, 1));
-    standIn =
-        new StandIn(
-            StandInPlanReader.parse(
-                "t",
-                HOSTS.replace("[hosts]", "[hosts]\nhandshake_ms = 150\nhandshake_work_ms = 60"),
-                0),
-            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-            1,
-            ledger,
-            System.err);
-    standIn.start();
-    try (RawClient c = host(0)) {
-      for (int i = 0; i < 2; i++) {
-        c.write(RawClient.request("list", "j" + i, null, null));
-        assertThat(c.answer()).contains("id=j" + i);
-      }
+    @Test
+    void aNewConnectionWaitsForItsHandshakeAndCostsTheHostWork() throws Exception {
+        stop();
+        ledger = Ledger.open(file(), new LedgerHead("hosts", 1, 1));
+        standIn = new StandIn(
+                StandInPlanReader.parse(
+                        "t", HOSTS.replace("[hosts]", "[hosts]\nhandshake_ms = 150\nhandshake_work_ms = 60"), 0),
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                1,
+                ledger,
+                System.err);
+        standIn.start();
+        try (RawClient c = host(0)) {
+            for (int i = 0; i < 2; i++) {
+                c.write(RawClient.request("list", "j" + i, null, null));
+                assertThat(c.answer()).contains("id=j" + i);
+            }
+        }
+        List<HostRun> runs = ledger(HostRun.class);
+        assertThat(runs.get(0).started() - runs.get(0).received()).isGreaterThan(100_000);
+        assertThat(runs).extracting(HostRun::result).containsOnly(RunResult.DONE);
     }
-    List<HostRun> runs = ledger(HostRun.class);
-    assertThat(runs.get(0).started() - runs.get(0).received()).isGreaterThan(100_000);
-    assertThat(runs).extracting(HostRun::result).containsOnly(RunResult.DONE);
-  }
 
-  @Test
-  void aSilentDiscoverySaysNothingAtAll() throws Exception {
-    assertThat(fault("[[fault]]\nkind = \"discovery-silent\"\n")).contains("1 begun");
-    try (RawClient c = new RawClient(standIn.discovery())) {
-      c.socket.setSoTimeout(100);
-      c.write("GET /catalog/members?follow=1&since=0 HTTP/1.1\r\nHost: h\r\n\r\n");
-      assertThatThrownBy(c::line).isInstanceOf(java.net.SocketTimeoutException.class);
+    @Test
+    void aSilentDiscoverySaysNothingAtAll() throws Exception {
+        assertThat(fault("[[fault]]\nkind = \"discovery-silent\"\n")).contains("1 begun");
+        try (RawClient c = new RawClient(standIn.discovery())) {
+            c.socket.setSoTimeout(100);
+            c.write("GET /catalog/members?follow=1&since=0 HTTP/1.1\r\nHost: h\r\n\r\n");
+            assertThatThrownBy(c::line).isInstanceOf(java.net.SocketTimeoutException.class);
+        }
     }
-  }
 
-  @Test
-  void aFaultThatIsNoneIsRefusedWithItsLine() throws Exception {
-    assertThat(fault("[[fault]]\nkind = \"hnag\"\nhost = \"s-0\"\n")).startsWith("HTTP/1.1 400")
-        .contains("faults:2: fault[0].kind: found 'hnag'").contains("did you mean 'hang'?");
-    assertThat(fault("[[fault]]\nkind = \"hang\"\nhost = \"s-9\"\n")).startsWith("HTTP/1.1 400")
-        .contains("no host 's-9'");
-  }
+    @Test
+    void aFaultThatIsNoneIsRefusedWithItsLine() throws Exception {
+        assertThat(fault("[[fault]]\nkind = \"hnag\"\nhost = \"s-0\"\n"))
+                .startsWith("HTTP/1.1 400")
+                .contains("faults:2: fault[0].kind: found 'hnag'")
+                .contains("did you mean 'hang'?");
+        assertThat(fault("[[fault]]\nkind = \"hang\"\nhost = \"s-9\"\n"))
+                .startsWith("HTTP/1.1 400")
+                .contains("no host 's-9'");
+    }
 
-  @Test
-  void theReadyFileIsAConfigurationOfAProxy() {
-    JsonNode ready = standIn.ready();
-    assertThat(ready.path("known").path("servers")).hasSize(2);
-    assertThat(ready.path("settings").path("classes")).hasSize(3);
-    assertThat(ready.path("discovery").asText()).endsWith(":" + standIn.discovery().getPort());
-    assertThat(ready.path("hosts").get(0).path("addr").asText())
-        .endsWith(":" + standIn.address("s-0").getPort());
-  }
+    @Test
+    void theReadyFileIsAConfigurationOfAProxy() {
+        JsonNode ready = standIn.ready();
+        assertThat(ready.path("known").path("servers")).hasSize(2);
+        assertThat(ready.path("settings").path("classes")).hasSize(3);
+        assertThat(ready.path("discovery").asText())
+                .endsWith(":" + standIn.discovery().getPort());
+        assertThat(ready.path("hosts").get(0).path("addr").asText())
+                .endsWith(":" + standIn.address("s-0").getPort());
+    }
 }
--- a/src/test/java/rillyard/succession/SuccessionTest.java
+++ b/src/test/java/rillyard/succession/SuccessionTest.java
@@ -11,76 +11,77 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class SuccessionTest {
-  @TempDir Path tmp;
+    @TempDir
+    Path tmp;
 
-  @Test
-  void theFirstIsInChargeUntilItEndsAndSeesWhoFollows() throws Exception {
-    Path folder = tmp.resolve("deep/er");
-    Succession first = new Succession(folder);
-    assertThat(first.inCharge()).isTrue();
-    Succession second = new Succession(folder);
-    assertThat(second.inCharge()).isFalse();
-    assertThat(first.followed()).isFalse(); // it does not listen yet
-    second.follow();
-    assertThat(first.followed()).isTrue();
-    assertThat(second.followed()).isFalse();
-    first.close();
-    second.follow();
-    assertThat(second.inCharge()).isTrue();
-    assertThat(second.followed()).isFalse();
-    Succession third = new Succession(folder);
-    third.follow();
-    assertThat(second.followed()).isTrue();
-    third.close();
-    assertThat(second.followed()).isFalse(); // it died: nobody follows any more
-    second.close();
-  }
+    @Test
+    void theFirstIsInChargeUntilItEndsAndSeesWhoFollows() throws Exception {
+        Path folder = tmp.resolve("deep/er");
+        Succession first = new Succession(folder);
+        assertThat(first.inCharge()).isTrue();
+        Succession second = new Succession(folder);
+        assertThat(second.inCharge()).isFalse();
+        assertThat(first.followed()).isFalse(); // it does not listen yet
+        second.follow();
+        assertThat(first.followed()).isTrue();
+        assertThat(second.followed()).isFalse();
+        first.close();
+        second.follow();
+        assertThat(second.inCharge()).isTrue();
+        assertThat(second.followed()).isFalse();
+        Succession third = new Succession(folder);
+        third.follow();
+        assertThat(second.followed()).isTrue();
+        third.close();
+        assertThat(second.followed()).isFalse(); // it died: nobody follows any more
+        second.close();
+    }
 
-  @Test
-  void hostsOutAreSeenByTheOtherProcess() throws Exception {
-    OutFolder one = new OutFolder(tmp);
-    OutFolder other = new OutFolder(tmp);
-    String odd = "../s-5be2a07c/ü \"";
-    one.takeOut("a");
-    one.takeOut("a");
-    other.takeOut(odd);
-    assertThat(other.read(1_000).out()).containsExactlyInAnyOrder("a", odd);
-    other.giveBack("a", 5_000);
-    other.giveBack("a", 6_000); // not out any more: the first call counts
-    assertThat(one.read(7_000)).isEqualTo(new OutFolder.State(Set.of(odd), Map.of("a", 5_000L)));
-    one.takeOut("a");
-    assertThat(other.read(8_000)).isEqualTo(new OutFolder.State(Set.of("a", odd), Map.of()));
-  }
+    @Test
+    void hostsOutAreSeenByTheOtherProcess() throws Exception {
+        OutFolder one = new OutFolder(tmp);
+        OutFolder other = new OutFolder(tmp);
+        String odd = "../s-5be2a07c/ü \"";
+        one.takeOut("a");
+        one.takeOut("a");
+        other.takeOut(odd);
+        assertThat(other.read(1_000).out()).containsExactlyInAnyOrder("a", odd);
+        other.giveBack("a", 5_000);
+        other.giveBack("a", 6_000); // not out any more: the first call counts
+        assertThat(one.read(7_000)).isEqualTo(new OutFolder.State(Set.of(odd), Map.of("a", 5_000L)));
+        one.takeOut("a");
+        assertThat(other.read(8_000)).isEqualTo(new OutFolder.State(Set.of("a", odd), Map.of()));
+    }
 
-  @Test
-  void whatIsForeignIsLeftAloneAndWhatIsOldGoes() throws Exception {
-    OutFolder folder = new OutFolder(tmp);
-    Files.createFile(tmp.resolve("out-%%"));
-    Files.createFile(tmp.resolve("serving"));
-    folder.takeOut("a");
-    folder.giveBack("a", 1_000);
-    assertThat(folder.read(1_000_000)).isEqualTo(new OutFolder.State(Set.of(), Map.of()));
-    assertThat(folder.read(1_000)).isEqualTo(new OutFolder.State(Set.of(), Map.of()));
-    assertThat(tmp.resolve("out-%%")).exists();
-  }
+    @Test
+    void whatIsForeignIsLeftAloneAndWhatIsOldGoes() throws Exception {
+        OutFolder folder = new OutFolder(tmp);
+        Files.createFile(tmp.resolve("out-%%"));
+        Files.createFile(tmp.resolve("serving"));
+        folder.takeOut("a");
+        folder.giveBack("a", 1_000);
+        assertThat(folder.read(1_000_000)).isEqualTo(new OutFolder.State(Set.of(), Map.of()));
+        assertThat(folder.read(1_000)).isEqualTo(new OutFolder.State(Set.of(), Map.of()));
+        assertThat(tmp.resolve("out-%%")).exists();
+    }
 
-  @Test
-  void aTimeInTheFutureIsTakenForNow() throws Exception {
-    OutFolder folder = new OutFolder(tmp);
-    folder.takeOut("a");
-    folder.giveBack("a", 1_000);
-    try (var files = Files.list(tmp)) {
-      Files.setLastModifiedTime(files.findFirst().orElseThrow(), FileTime.fromMillis(99_000));
+    @Test
+    void aTimeInTheFutureIsTakenForNow() throws Exception {
+        OutFolder folder = new OutFolder(tmp);
+        folder.takeOut("a");
+        folder.giveBack("a", 1_000);
+        try (var files = Files.list(tmp)) {
+            Files.setLastModifiedTime(files.findFirst().orElseThrow(), FileTime.fromMillis(99_000));
+        }
+        assertThat(folder.read(5_000).back()).isEqualTo(Map.of("a", 5_000L));
     }
-    assertThat(folder.read(5_000).back()).isEqualTo(Map.of("a", 5_000L));
-  }
 
-  @Test
-  void aFolderThatIsClearedAwayIsMadeAgain() throws Exception {
-    OutFolder folder = new OutFolder(tmp.resolve("own"));
-    Files.delete(tmp.resolve("own"));
-    assertThat(folder.read(0).out()).isEmpty();
-    folder.takeOut("a");
-    assertThat(folder.read(0).out()).containsExactly("a");
-  }
+    @Test
+    void aFolderThatIsClearedAwayIsMadeAgain() throws Exception {
+        OutFolder folder = new OutFolder(tmp.resolve("own"));
+        Files.delete(tmp.resolve("own"));
+        assertThat(folder.read(0).out()).isEmpty();
+        folder.takeOut("a");
+        assertThat(folder.read(0).out()).containsExactly("a");
+    }
 }
--- a/src/test/java/rillyard/trial/HostNewsIT.java
+++ b/src/test/java/rillyard/trial/HostNewsIT.java
@@ -14,8 +14,8 @@
 /** Ten processes that tell each other which hosts fail, three of them cut off from the others' news. */
 @Timeout(150)
 class HostNewsIT {
-  private static final String PLAN =
-      """
+    private static final String PLAN =
+            """
       seed = 5
       processes = 10
       news = true
@@ -30,9 +30,9 @@
       for_s = 14
       """;
 
-  /** One host answers all with errors from 6 s to 14 s. */
-  private static final String HOSTS =
-      """
+    /** One host answers all with errors from 6 s to 14 s. */
+    private static final String HOSTS =
+            """
       seed = 5
       [hosts]
       count = 10
@@ -43,27 +43,31 @@
       host = "s-3"
       """;
 
-  @TempDir Path folder;
+    @TempDir
+    Path folder;
 
-  @Test
-  void aHostOfErrorsIsLeftByThoseWhoHearOfItAndServesAllAgainAfter() throws Exception {
-    Files.writeString(folder.resolve("hosts.toml"), HOSTS);
-    Files.writeString(folder.resolve("load.toml"),
-        "seed = 5\n[clients]\ncount = 100\n[[shape]]\nkind = \"poisson\"\nfor_s = 24\nrate = 120\n");
-    Path out = folder.resolve("trial");
-    TrialResult r = new Trial(TrialPlanReader.parse("plan", PLAN, folder), out, System.out)
-        .run(Launch.platform(Path.of("").toAbsolutePath()));
-    assertThat(r.good()).as(r.report()).isTrue();
-    for (int i = 0; i < 10; i++) {
-      List<String> said = new ArrayList<>();
-      Files.readAllLines(out.resolve("m" + i + ".log")).stream().filter(l -> l.contains("fleet: host")).forEach(said::add);
-      assertThat(said).as("m" + i).allMatch(l -> l.contains("host s-3 "));
-      if (i < 3) {
-        assertThat(said).as("m" + i + ", which hears nobody").noneMatch(l -> l.contains("left"));
-      } else {
-        assertThat(said).as("m" + i).anyMatch(l -> l.contains("host s-3 left"));
-        assertThat(said.get(said.size() - 1)).as("m" + i).contains("serves again");
-      }
+    @Test
+    void aHostOfErrorsIsLeftByThoseWhoHearOfItAndServesAllAgainAfter() throws Exception {
+        Files.writeString(folder.resolve("hosts.toml"), HOSTS);
+        Files.writeString(
+                folder.resolve("load.toml"),
+                "seed = 5\n[clients]\ncount = 100\n[[shape]]\nkind = \"poisson\"\nfor_s = 24\nrate = 120\n");
+        Path out = folder.resolve("trial");
+        TrialResult r = new Trial(TrialPlanReader.parse("plan", PLAN, folder), out, System.out)
+                .run(Launch.platform(Path.of("").toAbsolutePath()));
+        assertThat(r.good()).as(r.report()).isTrue();
+        for (int i = 0; i < 10; i++) {
+            List<String> said = new ArrayList<>();
+            Files.readAllLines(out.resolve("m" + i + ".log")).stream()
+                    .filter(l -> l.contains("fleet: host"))
+                    .forEach(said::add);
+            assertThat(said).as("m" + i).allMatch(l -> l.contains("host s-3 "));
+            if (i < 3) {
+                assertThat(said).as("m" + i + ", which hears nobody").noneMatch(l -> l.contains("left"));
+            } else {
+                assertThat(said).as("m" + i).anyMatch(l -> l.contains("host s-3 left"));
+                assertThat(said.get(said.size() - 1)).as("m" + i).contains("serves again");
+            }
+        }
     }
-  }
 }
--- a/src/test/java/rillyard/trial/HostRelaysTest.java
+++ b/src/test/java/rillyard/trial/HostRelaysTest.java
@@ -22,192 +22,197 @@
 /** A host that sends back what it gets, called by two processes on ways of their own. */
 @Timeout(30)
 class HostRelaysTest {
-  private static final TrialMember A = TrialMember.of(0, 2, 1);
-  private static final TrialMember B = TrialMember.of(1, 2, 1);
-
-  private final HostRelays relays = new HostRelays();
-  /** Connections that ended with not a byte on them. */
-  private final AtomicInteger empty = new AtomicInteger();
-  private ServerSocket host;
-  private InetSocketAddress wayA;
-  private InetSocketAddress wayB;
-
-  @BeforeEach
-  void open() throws Exception {
-    listen(0);
-    InetSocketAddress at = (InetSocketAddress) host.getLocalSocketAddress();
-    wayA = relays.open(A, InetAddress.getByName("127.0.0.2"), "s-0", "a", at);
-    wayB = relays.open(B, InetAddress.getByName("127.0.0.3"), "s-0", "a", at);
-  }
-
-  private void listen(int port) throws IOException {
-    ServerSocket at = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
-    host = at;
-    Thread t = new Thread(() -> serve(at));
-    t.setDaemon(true);
-    t.start();
-  }
-
-  private void serve(ServerSocket at) {
-    try {
-      while (true) {
-        Socket s = at.accept();
-        Thread t = new Thread(() -> {
-          try (s) {
-            if (s.getInputStream().transferTo(s.getOutputStream()) == 0) {
-              empty.incrementAndGet();
-            }
-          } catch (IOException e) {
-            // reset
-          }
-        });
+    private static final TrialMember A = TrialMember.of(0, 2, 1);
+    private static final TrialMember B = TrialMember.of(1, 2, 1);
+
+    private final HostRelays relays = new HostRelays();
+    /** Connections that ended with not a byte on them. */
+    private final AtomicInteger empty = new AtomicInteger();
+
+    private ServerSocket host;
+    private InetSocketAddress wayA;
+    private InetSocketAddress wayB;
+
+    @BeforeEach
+    void open() throws Exception {
+        listen(0);
+        InetSocketAddress at = (InetSocketAddress) host.getLocalSocketAddress();
+        wayA = relays.open(A, InetAddress.getByName("127.0.0.2"), "s-0", "a", at);
+        wayB = relays.open(B, InetAddress.getByName("127.0.0.3"), "s-0", "a", at);
+    }
+
+    private void listen(int port) throws IOException {
+        ServerSocket at = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
+        host = at;
+        Thread t = new Thread(() -> serve(at));
         t.setDaemon(true);
         t.start();
-      }
-    } catch (IOException e) {
-      // closed
     }
-  }
-
-  @AfterEach
-  void close() throws IOException {
-    relays.close();
-    host.close();
-  }
-
-  private static Fault fault(Fault.Kind kind, double lateMs) {
-    return new Fault(0, kind, new Group("m0"), new Group("all"), new HostGroup("zone:a"), false, 1_000, 0, lateMs);
-  }
-
-  private static int echo(Socket s) throws IOException {
-    s.getOutputStream().write(7);
-    return s.getInputStream().read();
-  }
-
-  private static Socket call(InetSocketAddress way) throws IOException {
-    Socket s = new Socket(way.getAddress(), way.getPort());
-    s.setSoTimeout(300);
-    return s;
-  }
-
-  @Test
-  void silenceHoldsAllOfOneProcessUntilItsEnd() throws Exception {
-    try (Socket open = call(wayA); Socket other = call(wayB)) {
-      assertThat(echo(open)).isEqualTo(7);
-      Fault f = fault(Fault.Kind.SILENT, 0);
-      relays.begin(f);
-      try (Socket fresh = call(wayA)) {
-        assertThatThrownBy(() -> echo(fresh)).isInstanceOf(SocketTimeoutException.class);
-        assertThatThrownBy(() -> echo(open)).isInstanceOf(SocketTimeoutException.class);
-        assertThat(echo(other)).isEqualTo(7);
-        relays.end(f);
-        open.setSoTimeout(10_000);
-        fresh.setSoTimeout(10_000);
-        assertThat(open.getInputStream().read()).isEqualTo(7);
-        assertThat(fresh.getInputStream().read()).isEqualTo(7);
-      }
-    }
-  }
-
-  @Test
-  void resetsEndWhatIsOpenAndWhatComes() throws Exception {
-    try (Socket open = call(wayA); Socket other = call(wayB)) {
-      assertThat(echo(open)).isEqualTo(7);
-      relays.begin(fault(Fault.Kind.RESET, 0));
-      assertThatThrownBy(() -> open.getInputStream().read()).hasMessageContaining("reset");
-      assertThatThrownBy(() -> {
-        try (Socket fresh = call(wayA)) {
-          echo(fresh);
-          fresh.getInputStream().read();
+
+    private void serve(ServerSocket at) {
+        try {
+            while (true) {
+                Socket s = at.accept();
+                Thread t = new Thread(() -> {
+                    try (s) {
+                        if (s.getInputStream().transferTo(s.getOutputStream()) == 0) {
+                            empty.incrementAndGet();
+                        }
+                    } catch (IOException e) {
+                        // reset
+                    }
+                });
+                t.setDaemon(true);
+                t.start();
+            }
+        } catch (IOException e) {
+            // closed
         }
-      }).isInstanceOf(IOException.class);
-      assertThat(echo(other)).isEqualTo(7);
     }
-  }
-
-  @Test
-  void refusalLeavesWhatIsOpenAndEnds() throws Exception {
-    try (Socket open = call(wayA)) {
-      assertThat(echo(open)).isEqualTo(7);
-      Fault f = fault(Fault.Kind.REFUSED, 0);
-      relays.begin(f);
-      awaitRefusal(wayA);
-      assertThat(echo(open)).isEqualTo(7);
-      call(wayB).close();
-      relays.end(f);
-      awaitWay(wayA);
+
+    @AfterEach
+    void close() throws IOException {
+        relays.close();
+        host.close();
     }
-  }
-
-  @Test
-  void aHostThatIsDownIsRefusedOnItsWays() throws Exception {
-    int port = host.getLocalPort();
-    host.close();
-    try (Socket first = call(wayB)) { // finds out
-      assertThatThrownBy(() -> {
-        echo(first);
-        first.getInputStream().read();
-      }).isInstanceOf(IOException.class);
+
+    private static Fault fault(Fault.Kind kind, double lateMs) {
+        return new Fault(0, kind, new Group("m0"), new Group("all"), new HostGroup("zone:a"), false, 1_000, 0, lateMs);
     }
-    awaitRefusal(wayB);
-    listen(port);
-    awaitWay(wayB);
-  }
-
-  @Test
-  void manyWaysToAHostThatIsDownCallItForAllOfThemTogether() throws Exception {
-    InetSocketAddress at = (InetSocketAddress) host.getLocalSocketAddress();
-    List<InetSocketAddress> ways = new ArrayList<>();
-    for (int i = 0; i < 20; i++) {
-      TrialMember m = TrialMember.of(10 + i, 1, 1);
-      ways.add(relays.open(m, InetAddress.getByName("127.0.0." + (10 + i)), "s-0", "a", at));
+
+    private static int echo(Socket s) throws IOException {
+        s.getOutputStream().write(7);
+        return s.getInputStream().read();
     }
-    host.close();
-    for (InetSocketAddress way : ways) {
-      awaitRefusal(way);
+
+    private static Socket call(InetSocketAddress way) throws IOException {
+        Socket s = new Socket(way.getAddress(), way.getPort());
+        s.setSoTimeout(300);
+        return s;
     }
-    listen(at.getPort());
-    for (InetSocketAddress way : ways) {
-      awaitWay(way);
+
+    @Test
+    void silenceHoldsAllOfOneProcessUntilItsEnd() throws Exception {
+        try (Socket open = call(wayA);
+                Socket other = call(wayB)) {
+            assertThat(echo(open)).isEqualTo(7);
+            Fault f = fault(Fault.Kind.SILENT, 0);
+            relays.begin(f);
+            try (Socket fresh = call(wayA)) {
+                assertThatThrownBy(() -> echo(fresh)).isInstanceOf(SocketTimeoutException.class);
+                assertThatThrownBy(() -> echo(open)).isInstanceOf(SocketTimeoutException.class);
+                assertThat(echo(other)).isEqualTo(7);
+                relays.end(f);
+                open.setSoTimeout(10_000);
+                fresh.setSoTimeout(10_000);
+                assertThat(open.getInputStream().read()).isEqualTo(7);
+                assertThat(fresh.getInputStream().read()).isEqualTo(7);
+            }
+        }
     }
-    relays.close(); // ends the last of what was open
-    assertThat(empty.get()).isLessThan(5);
-  }
-
-  @Test
-  void slowBytesComeLaterAndInOrder() throws Exception {
-    relays.begin(fault(Fault.Kind.SLOW, 60));
-    try (Socket s = call(wayA)) {
-      s.setSoTimeout(10_000);
-      long from = System.nanoTime();
-      s.getOutputStream().write(new byte[] {1, 2, 3});
-      assertThat(s.getInputStream().readNBytes(3)).containsExactly(1, 2, 3);
-      assertThat(System.nanoTime() - from).isGreaterThan(119_000_000L);
+
+    @Test
+    void resetsEndWhatIsOpenAndWhatComes() throws Exception {
+        try (Socket open = call(wayA);
+                Socket other = call(wayB)) {
+            assertThat(echo(open)).isEqualTo(7);
+            relays.begin(fault(Fault.Kind.RESET, 0));
+            assertThatThrownBy(() -> open.getInputStream().read()).hasMessageContaining("reset");
+            assertThatThrownBy(() -> {
+                        try (Socket fresh = call(wayA)) {
+                            echo(fresh);
+                            fresh.getInputStream().read();
+                        }
+                    })
+                    .isInstanceOf(IOException.class);
+            assertThat(echo(other)).isEqualTo(7);
+        }
     }
-  }
-
-  private static void awaitRefusal(InetSocketAddress way) throws Exception {
-    while (true) {
-      try {
-        call(way).close();
-        Thread.sleep(5);
-      } catch (ConnectException e) {
-        return;
-      } catch (SocketException e) {
-        // taken in the moment in which the way was closed, and reset
-      }
+
+    @Test
+    void refusalLeavesWhatIsOpenAndEnds() throws Exception {
+        try (Socket open = call(wayA)) {
+            assertThat(echo(open)).isEqualTo(7);
+            Fault f = fault(Fault.Kind.REFUSED, 0);
+            relays.begin(f);
+            awaitRefusal(wayA);
+            assertThat(echo(open)).isEqualTo(7);
+            call(wayB).close();
+            relays.end(f);
+            awaitWay(wayA);
+        }
     }
-  }
 
-  private static void awaitWay(InetSocketAddress way) throws Exception {
-    while (true) {
-      try (Socket s = call(way)) {
-        if (echo(s) == 7) {
-          return;
+    @Test
+    void aHostThatIsDownIsRefusedOnItsWays() throws Exception {
+        int port = host.getLocalPort();
+        host.close();
+        try (Socket first = call(wayB)) { // finds out
+            assertThatThrownBy(() -> {
+                        echo(first);
+                        first.getInputStream().read();
+                    })
+                    .isInstanceOf(IOException.class);
+        }
+        awaitRefusal(wayB);
+        listen(port);
+        awaitWay(wayB);
+    }
+
+    @Test
+    void manyWaysToAHostThatIsDownCallItForAllOfThemTogether() throws Exception {
+        InetSocketAddress at = (InetSocketAddress) host.getLocalSocketAddress();
+        List<InetSocketAddress> ways = new ArrayList<>();
+        for (int i = 0; i < 20; i++) {
+            TrialMember m = TrialMember.of(10 + i, 1, 1);
+            ways.add(relays.open(m, InetAddress.getByName("127.0.0." + (10 + i)), "s-0", "a", at));
+        }
+        host.close();
+        for (InetSocketAddress way : ways) {
+            awaitRefusal(way);
+        }
+        listen(at.getPort());
+        for (InetSocketAddress way : ways) {
+            awaitWay(way);
+        }
+        relays.close(); // ends the last of what was open
+        assertThat(empty.get()).isLessThan(5);
+    }
+
+    @Test
+    void slowBytesComeLaterAndInOrder() throws Exception {
+        relays.begin(fault(Fault.Kind.SLOW, 60));
+        try (Socket s = call(wayA)) {
+            s.setSoTimeout(10_000);
+            long from = System.nanoTime();
+            s.getOutputStream().write(new byte[] {1, 2, 3});
+            assertThat(s.getInputStream().readNBytes(3)).containsExactly(1, 2, 3);
+            assertThat(System.nanoTime() - from).isGreaterThan(119_000_000L);
+        }
+    }
+
+    private static void awaitRefusal(InetSocketAddress way) throws Exception {
+        while (true) {
+            try {
+                call(way).close();
+                Thread.sleep(5);
+            } catch (ConnectException e) {
+                return;
+            } catch (SocketException e) {
+                // taken in the moment in which the way was closed, and reset
+            }
+        }
+    }
+
+    private static void awaitWay(InetSocketAddress way) throws Exception {
+        while (true) {
+            try (Socket s = call(way)) {
+                if (echo(s) == 7) {
+                    return;
+                }
+            } catch (IOException e) {
+                Thread.sleep(5);
+            }
         }
-      } catch (IOException e) {
-        Thread.sleep(5);
-      }
     }
-  }
 }
--- a/src/test/java/rillyard/trial/TrialIT.java
+++ b/src/test/java/rillyard/trial/TrialIT.java
@@ -11,8 +11,8 @@
 /** Twelve processes of the built jar, one killed, one stopped for a while, a zone cut off from the others. */
 @Timeout(150)
 class TrialIT {
-  private static final String PLAN =
-      """
+    private static final String PLAN =
+            """
       seed = 7
       processes = 12
       zones = 3
@@ -34,19 +34,22 @@
       for_s = 8
       """;
 
-  @TempDir Path folder;
+    @TempDir
+    Path folder;
 
-  @Test
-  void beliefsFollowAKillAStopAndACutAndAreOneAgain() throws Exception {
-    Launch built = Launch.platform(Path.of("").toAbsolutePath());
-    TrialResult r =
-        new Trial(TrialPlanReader.parse("plan", PLAN, folder), folder.resolve("trial"), System.out).run(built);
-    assertThat(r.living()).hasSize(11).doesNotContain("m5");
-    assertThat(r.heldGoneAfter("m5", 1)).as(r.report()).hasSize(11);
-    assertThat(r.heldGoneAfter("m7", 1)).as(r.report()).hasSize(10);
-    assertThat(r.heldGoneAfter("m0", 14)).as("held gone across the cut: %s", r.report()).isNotEmpty();
-    assertThat(r.falseDeaths()).as(r.report()).isEmpty();
-    assertThat(r.report()).containsPattern("membership: [1-9][0-9.]* datagrams and [1-9]");
-    assertThat(r.agreedSeconds()).as(r.report()).isGreaterThan(14);
-  }
+    @Test
+    void beliefsFollowAKillAStopAndACutAndAreOneAgain() throws Exception {
+        Launch built = Launch.platform(Path.of("").toAbsolutePath());
+        TrialResult r =
+                new Trial(TrialPlanReader.parse("plan", PLAN, folder), folder.resolve("trial"), System.out).run(built);
+        assertThat(r.living()).hasSize(11).doesNotContain("m5");
+        assertThat(r.heldGoneAfter("m5", 1)).as(r.report()).hasSize(11);
+        assertThat(r.heldGoneAfter("m7", 1)).as(r.report()).hasSize(10);
+        assertThat(r.heldGoneAfter("m0", 14))
+                .as("held gone across the cut: %s", r.report())
+                .isNotEmpty();
+        assertThat(r.falseDeaths()).as(r.report()).isEmpty();
+        assertThat(r.report()).containsPattern("membership: [1-9][0-9.]* datagrams and [1-9]");
+        assertThat(r.agreedSeconds()).as(r.report()).isGreaterThan(14);
+    }
 }
--- a/src/test/java/rillyard/trial/TrialServingIT.java
+++ b/src/test/java/rillyard/trial/TrialServingIT.java
@@ -18,8 +18,8 @@
 /** Six processes of the built jar serve their clients while their ways to hosts break, and they are halted. */
 @Timeout(150)
 class TrialServingIT {
-  private static final String PLAN =
-      """
+    private static final String PLAN =
+            """
       seed = 3
       processes = 6
       zones = 2
@@ -62,49 +62,66 @@
       for_s = 3
       """;
 
-  @TempDir Path folder;
+    @TempDir
+    Path folder;
 
-  @Test
-  void rulesAreKeptWhileWaysToHostsBreakAndProcessesAreHalted() throws Exception {
-    Files.writeString(folder.resolve("hosts.toml"), "seed = 3\n[hosts]\ncount = 6\n");
-    Files.writeString(folder.resolve("load.toml"),
-        "seed = 3\n[clients]\ncount = 60\n[[shape]]\nkind = \"poisson\"\nfor_s = 18\nrate = 150\n");
-    Launch built = Launch.platform(Path.of("").toAbsolutePath());
-    Path out = folder.resolve("trial");
-    TrialResult r = new Trial(TrialPlanReader.parse("plan", PLAN, folder), out, System.out).run(built);
-    assertThat(r.living()).hasSize(6);
-    assertThat(r.good()).as(r.report()).isTrue();
-    assertThat(r.audit().verdict().tries()).isGreaterThan(2_000);
-    assertThat(r.audit().notOwed()).as(r.report()).isBetween(1, r.audit().verdict().tries() / 4);
-    assertThat(out.resolve("report.html")).content().contains("refused zone:0 to hosts s-0");
-    assertThat(r.spread().windows()).as(r.report()).hasSizeGreaterThan(10);
-    assertThat(r.report()).contains("largest over mean", "herds: ", "idle hosts: ");
-    assertThat(Files.readAllLines(out.resolve("history.jsonl"))).hasSizeGreaterThan(36);
-    // None of a port that a way, or a connection on it, is given by itself while the process is not there to hold it.
-    for (int i = 0; i < 6; i++) {
-      String listen = new ObjectMapper().readTree(out.resolve("m" + i + ".json").toFile()).path("listen").asText();
-      assertThat(Integer.parseInt(listen.substring(listen.indexOf(':') + 1))).isLessThan(32_768);
+    @Test
+    void rulesAreKeptWhileWaysToHostsBreakAndProcessesAreHalted() throws Exception {
+        Files.writeString(folder.resolve("hosts.toml"), "seed = 3\n[hosts]\ncount = 6\n");
+        Files.writeString(
+                folder.resolve("load.toml"),
+                "seed = 3\n[clients]\ncount = 60\n[[shape]]\nkind = \"poisson\"\nfor_s = 18\nrate = 150\n");
+        Launch built = Launch.platform(Path.of("").toAbsolutePath());
+        Path out = folder.resolve("trial");
+        TrialResult r = new Trial(TrialPlanReader.parse("plan", PLAN, folder), out, System.out).run(built);
+        assertThat(r.living()).hasSize(6);
+        assertThat(r.good()).as(r.report()).isTrue();
+        assertThat(r.audit().verdict().tries()).isGreaterThan(2_000);
+        assertThat(r.audit().notOwed())
+                .as(r.report())
+                .isBetween(1, r.audit().verdict().tries() / 4);
+        assertThat(out.resolve("report.html")).content().contains("refused zone:0 to hosts s-0");
+        assertThat(r.spread().windows()).as(r.report()).hasSizeGreaterThan(10);
+        assertThat(r.report()).contains("largest over mean", "herds: ", "idle hosts: ");
+        assertThat(Files.readAllLines(out.resolve("history.jsonl"))).hasSizeGreaterThan(36);
+        // None of a port that a way, or a connection on it, is given by itself while the process is not there to hold
+        // it.
+        for (int i = 0; i < 6; i++) {
+            String listen = new ObjectMapper()
+                    .readTree(out.resolve("m" + i + ".json").toFile())
+                    .path("listen")
+                    .asText();
+            assertThat(Integer.parseInt(listen.substring(listen.indexOf(':') + 1)))
+                    .isLessThan(32_768);
+        }
+        // Each client has a proxy of its own: what those of zone 1 ask for can't come to the host that is cut off from
+        // them.
+        long from = time(r, true) + 300;
+        long until = time(r, false);
+        Set<String> zone1 = new HashSet<>();
+        LedgerReader.read(out.resolve("clients.jsonl"), "clients", l -> {
+            if (l instanceof ClientTry t && t.client() % 6 % 2 == 1) {
+                zone1.add(t.id());
+            }
+        });
+        int[] received = {0, 0};
+        LedgerReader.read(out.resolve("hosts.jsonl"), "hosts", l -> {
+            if (l instanceof HostRun h
+                    && h.host().equals("s-2")
+                    && h.received() / 1_000 > from
+                    && h.received() / 1_000 < until) {
+                received[zone1.contains(h.id()) ? 1 : 0]++;
+            }
+        });
+        assertThat(received[0]).as("by the other zone").isPositive();
+        assertThat(received[1]).as("by the zone that is reset").isZero();
     }
-    // Each client has a proxy of its own: what those of zone 1 ask for can't come to the host that is cut off from them.
-    long from = time(r, true) + 300;
-    long until = time(r, false);
-    Set<String> zone1 = new HashSet<>();
-    LedgerReader.read(out.resolve("clients.jsonl"), "clients", l -> {
-      if (l instanceof ClientTry t && t.client() % 6 % 2 == 1) {
-        zone1.add(t.id());
-      }
-    });
-    int[] received = {0, 0};
-    LedgerReader.read(out.resolve("hosts.jsonl"), "hosts", l -> {
-      if (l instanceof HostRun h && h.host().equals("s-2") && h.received() / 1_000 > from && h.received() / 1_000 < until) {
-        received[zone1.contains(h.id()) ? 1 : 0]++;
-      }
-    });
-    assertThat(received[0]).as("by the other zone").isPositive();
-    assertThat(received[1]).as("by the zone that is reset").isZero();
-  }
 
-  private static long time(TrialResult r, boolean begin) {
-    return r.done().stream().filter(d -> d.fault().kind() == Fault.Kind.RESET && d.begin() == begin).findFirst().orElseThrow().at();
-  }
+    private static long time(TrialResult r, boolean begin) {
+        return r.done().stream()
+                .filter(d -> d.fault().kind() == Fault.Kind.RESET && d.begin() == begin)
+                .findFirst()
+                .orElseThrow()
+                .at();
+    }
 }
