--- a/src/main/java/rillyard/Main.java
+++ b/src/main/java/rillyard/Main.java
@@ -1,12 +1,12 @@
 package rillyard;
 
 import java.io.IOException;
-import rillyard.adapter.Adapter;
-import rillyard.adapter.MalformedInputException;
 import rillyard.cli.Cli;
 import rillyard.proxy.ConfigException;
 import rillyard.proxy.Proxy;
 import rillyard.proxy.Rehearsal;
+import rillyard.settings.MalformedInputException;
+import rillyard.simulation.SimulatorSession;
 
 /** Entry point of the jar. */
 public final class Main {
@@ -24,7 +24,7 @@
             switch (command) {
                 case "proxy" -> Proxy.run(System.getenv());
                 case "rehearse" -> Rehearsal.run();
-                case "adapter" -> new Adapter(System.in, System.out, System.err).run();
+                case "adapter" -> new SimulatorSession(System.in, System.out, System.err).run();
                 default -> System.exit(Cli.run(args));
             }
         } catch (MalformedInputException | ConfigException e) {
--- a/src/main/java/rillyard/balancer/Admission.java
+++ b/src/main/java/rillyard/balancer/AdmissionController.java
@@ -5,22 +5,22 @@
 import java.util.SplittableRandom;
 
 /** Own rate and load, and early refusal when the aim can't be met. */
-final class Admission {
+final class AdmissionController {
     /** The part of recent requests that came from a tenant. */
-    private static final class Share {
+    private static final class TenantUsage {
         final double portion;
         double count;
         double at;
 
-        Share(double portion) {
+        TenantUsage(double portion) {
             this.portion = portion;
         }
     }
 
     private final SplittableRandom random;
-    private final Actions actions;
+    private final BalancerActions actions;
     private final Settings settings;
-    private final Map<String, Share> shares = new HashMap<>();
+    private final Map<String, TenantUsage> shares = new HashMap<>();
     private double sum;
     private double servedPart = 1;
     private double rate;
@@ -38,16 +38,16 @@
     private double turnedAwayAt = Double.NEGATIVE_INFINITY;
     private boolean overloaded;
 
-    Admission(Settings settings, SplittableRandom random, Actions actions) {
+    AdmissionController(Settings settings, SplittableRandom random, BalancerActions actions) {
         this.settings = settings;
-        settings.tenants().forEach(t -> shares.put(t.name(), new Share(t.portion())));
+        settings.tenants().forEach(t -> shares.put(t.name(), new TenantUsage(t.portion())));
         this.random = random;
         this.start = random.nextDouble();
         this.actions = actions;
     }
 
     void arrived(double now, Settings.RequestClass rules, String tenant) {
-        Share s = shares.get(tenant);
+        TenantUsage s = shares.get(tenant);
         double fade = Math.exp(-(now - rateAt) / Tuning.SHARE_MEMORY);
         sum = sum * fade + 1;
         if (s != null) {
@@ -64,7 +64,7 @@
 
     /** Worth of a tenant's request, 1 within its share: one's burst must not displace the others. */
     double standing(String tenant) {
-        Share s = shares.get(tenant);
+        TenantUsage s = shares.get(tenant);
         if (s == null || s.portion <= 0) {
             return 1;
         }
@@ -115,7 +115,7 @@
     }
 
     /** Notes that a request was refused which could still have been of use: there is no room. */
-    void turnedAway(double now, Attempts.Call c) {
+    void turnedAway(double now, RetryPolicy.RequestState c) {
         if (!c.type.tooLate(c.aimLeft)) {
             turnedAwayAt = now;
         }
@@ -141,7 +141,7 @@
     }
 
     /** Whether to refuse on arrival: as answers near the aim, ever more, the least worth first. */
-    boolean refuses(double now, Attempts.Call c) {
+    boolean refuses(double now, RetryPolicy.RequestState c) {
         double over = (pressure(now) - Tuning.REFUSE_FROM) / Tuning.REFUSE_SPAN;
         boolean turned = overloaded ? pressure(now) < Tuning.REFUSE_FROM / 2 : over > 0.5;
         if (turned) {
--- a/src/main/java/rillyard/balancer/Result.java
+++ b/src/main/java/rillyard/balancer/AttemptOutcome.java
@@ -1,7 +1,7 @@
 package rillyard.balancer;
 
 /** How an attempt ended. */
-public enum Result {
+public enum AttemptOutcome {
     OK(false),
     ERROR(false),
     FULL(true),
@@ -13,7 +13,7 @@
 
     private final boolean neverRan;
 
-    Result(boolean neverRan) {
+    AttemptOutcome(boolean neverRan) {
         this.neverRan = neverRan;
     }
 
--- a/src/main/java/rillyard/balancer/Balancer.java
+++ b/src/main/java/rillyard/balancer/Balancer.java
@@ -7,35 +7,35 @@
 
 /**
  * The decisions of one client proxy. Feed it events with a clock in ms that never goes back; it
- * answers through {@link Actions}. Not safe for use from several threads at once.
+ * answers through {@link BalancerActions}. Not safe for use from several threads at once.
  */
 public final class Balancer {
     private static final long FOLLOW_TIMER = -1;
 
     private final Settings settings;
-    private final Actions actions;
+    private final BalancerActions actions;
     private final SplittableRandom random;
-    private final Fleet fleet;
-    private final Health health;
-    private final Attempts attempts;
-    private final Admission admission;
-    private final Draw draw;
-    private final Map<String, Attempts.ClassState> classes = new HashMap<>();
-    private final Map<Long, Attempts.Call> calls = new HashMap<>();
+    private final HostSet fleet;
+    private final OutlierDetector health;
+    private final RetryPolicy attempts;
+    private final AdmissionController admission;
+    private final HostSelector draw;
+    private final Map<String, RetryPolicy.RequestClassStats> classes = new HashMap<>();
+    private final Map<Long, RetryPolicy.RequestState> calls = new HashMap<>();
     private double followBackoff = Tuning.FOLLOW_BACKOFF;
     private boolean followTimer;
 
     /** Creates an instance that knows no host yet. */
-    public Balancer(Settings settings, long seed, Actions actions) {
+    public Balancer(Settings settings, long seed, BalancerActions actions) {
         this.settings = settings;
         this.actions = actions;
         this.random = new SplittableRandom(seed);
-        this.fleet = new Fleet(settings);
-        this.health = new Health(fleet, settings.meanAim(), random, actions);
-        this.attempts = new Attempts(settings.limits());
-        this.admission = new Admission(settings, random, actions);
-        this.draw = new Draw(settings, fleet, health, attempts, admission, random);
-        settings.classes().forEach(c -> classes.put(c.name(), new Attempts.ClassState(c)));
+        this.fleet = new HostSet(settings);
+        this.health = new OutlierDetector(fleet, settings.meanAim(), random, actions);
+        this.attempts = new RetryPolicy(settings.limits());
+        this.admission = new AdmissionController(settings, random, actions);
+        this.draw = new HostSelector(settings, fleet, health, attempts, admission, random);
+        settings.classes().forEach(c -> classes.put(c.name(), new RetryPolicy.RequestClassStats(c)));
     }
 
     /** Called once after creation, when actions may be taken. */
@@ -46,14 +46,14 @@
     }
 
     /** News from discovery. */
-    public void onMembership(double now, News kind, List<HostEntry> entries) {
+    public void onMembership(double now, WatchEvent kind, List<EndpointEntry> entries) {
         fleet.apply(now, kind, entries, random);
-        if (kind == News.FAILED && settings.mustFollow() && !followTimer) {
+        if (kind == WatchEvent.FAILED && settings.mustFollow() && !followTimer) {
             // Discovery is scarce: wait longer each time, at chance, but never past what a change allows.
             followTimer = true;
             actions.schedule(followBackoff * (0.5 + random.nextDouble()), FOLLOW_TIMER);
             followBackoff = Math.min(2 * followBackoff, settings.rules().askAgain(Tuning.FOLLOW_MOST));
-        } else if (kind == News.DELTA || kind == News.FULL) {
+        } else if (kind == WatchEvent.DELTA || kind == WatchEvent.FULL) {
             followBackoff = Tuning.FOLLOW_BACKOFF;
         }
     }
@@ -69,13 +69,13 @@
     }
 
     /** From here on this proxy draws from a pool laid there, instead of where the settings have it. */
-    public void onPlace(Place place) {
+    public void onPlace(SubsetPosition place) {
         draw.place(place);
     }
 
     /** A request that came with an infinite budget is whole: {@code budget} ms are left of its time. */
     public void onWhole(double now, long request, double budget) {
-        Attempts.Call c = calls.get(request);
+        RetryPolicy.RequestState c = calls.get(request);
         if (c != null) {
             c.deadline = now + budget;
             c.attempts.forEach(a -> a.sentAt = Math.min(a.sentAt, now));
@@ -83,9 +83,9 @@
     }
 
     /** A client's request has come, or so much of it that the rest has to follow it to a host. */
-    public void onRequest(double now, Arrival arrival) {
-        Attempts.ClassState type = classes.computeIfAbsent(arrival.className(), n -> unknown(n, arrival));
-        Attempts.Call c = new Attempts.Call(arrival.id(), type, now, arrival.budget());
+    public void onRequest(double now, IncomingRequest arrival) {
+        RetryPolicy.RequestClassStats type = classes.computeIfAbsent(arrival.className(), n -> unknown(n, arrival));
+        RetryPolicy.RequestState c = new RetryPolicy.RequestState(arrival.id(), type, now, arrival.budget());
         admission.arrived(now, type.rules, arrival.tenant());
         c.standing = admission.standing(arrival.tenant());
         attempts.earnRetry();
@@ -99,23 +99,23 @@
     }
 
     /** A class that the settings do not name: taken for the strictest kind. */
-    private static Attempts.ClassState unknown(String name, Arrival a) {
+    private static RetryPolicy.RequestClassStats unknown(String name, IncomingRequest a) {
         double budget = Math.max(1, a.budget());
-        return new Attempts.ClassState(new Settings.RequestClass(
+        return new RetryPolicy.RequestClassStats(new Settings.RequestClass(
                 name, budget, budget, Settings.Semantics.AT_MOST_ONCE, Settings.Scope.ALL, 0, 1, 0));
     }
 
     /** An attempt has ended. {@code over} tells that the request is over with it or before. */
     public void onOutcome(
-            double now, long request, int number, Result result, double spent, boolean over, LoadReport load) {
-        Attempts.Call c = calls.get(request);
+            double now, long request, int number, AttemptOutcome result, double spent, boolean over, LoadReport load) {
+        RetryPolicy.RequestState c = calls.get(request);
         if (c == null || number < 0 || number >= c.attempts.size() || !c.attempts.get(number).open) {
             return;
         }
-        Attempts.Attempt a = c.attempts.get(number);
+        RetryPolicy.AttemptState a = c.attempts.get(number);
         attempts.finish(a, result);
         admission.inFlight(now, -1);
-        fleet.reported(a.host, now, load, result != Result.FULL);
+        fleet.reported(a.host, now, load, result != AttemptOutcome.FULL);
         learn(a, result, now, spent, c);
         if (over && !c.ended) {
             cancelAll(c);
@@ -125,11 +125,12 @@
         forgetIfDone(c);
     }
 
-    private void learn(Attempts.Attempt a, Result result, double now, double spent, Attempts.Call c) {
-        Attempts.ClassState type = c.type;
-        admission.ended(result == Result.OK);
-        if (result == Result.OK || result == Result.TIMEOUT || result == Result.RESET) {
-            health.ended(a.host, type, now, result != Result.OK); // errors are charged, and known at once
+    private void learn(
+            RetryPolicy.AttemptState a, AttemptOutcome result, double now, double spent, RetryPolicy.RequestState c) {
+        RetryPolicy.RequestClassStats type = c.type;
+        admission.ended(result == AttemptOutcome.OK);
+        if (result == AttemptOutcome.OK || result == AttemptOutcome.TIMEOUT || result == AttemptOutcome.RESET) {
+            health.ended(a.host, type, now, result != AttemptOutcome.OK); // errors are charged, and known at once
         }
         switch (result) {
             case OK -> {
@@ -157,7 +158,7 @@
         }
     }
 
-    private void again(Attempts.Call c, double now) {
+    private void again(RetryPolicy.RequestState c, double now) {
         if (c.open > 0) {
             return; // another attempt may still answer
         }
@@ -170,7 +171,7 @@
 
     /** The client has gone; attempts that are out still get their outcome. */
     public void onClientGone(double now, long request) {
-        Attempts.Call c = calls.get(request);
+        RetryPolicy.RequestState c = calls.get(request);
         if (c != null && !c.ended) {
             cancelAll(c);
             forgetIfDone(c);
@@ -184,16 +185,16 @@
             actions.follow();
             return;
         }
-        Attempts.Call c = calls.get(token);
+        RetryPolicy.RequestState c = calls.get(token);
         if (c != null && !c.ended && c.open > 0) {
             overdue(c, now);
         }
     }
 
     /** The last attempt is overdue: a second copy, or where only one may be out, another in place. */
-    private void overdue(Attempts.Call c, double now) {
+    private void overdue(RetryPolicy.RequestState c, double now) {
         // Guards against copies of costly requests feeding a jam: only silence earns a second copy.
-        Attempts.Attempt last = c.attempts.get(c.attempts.size() - 1);
+        RetryPolicy.AttemptState last = c.attempts.get(c.attempts.size() - 1);
         if (now >= c.deadline - Tuning.LAST_SEND
                 || admission.pressure(now) > Tuning.REFUSE_FROM
                 || !(health.overtaken(last) || health.silent(last.host, now, 0.99 * c.type.overdueAfter()))) {
@@ -210,7 +211,7 @@
         }
     }
 
-    private void begin(Attempts.Call c, double now) {
+    private void begin(RetryPolicy.RequestState c, double now) {
         // Guards against a jam: where no host can answer in time, no work is begun.
         c.patience = Tuning.REFUSE_AT * Math.max(0, c.aimLeft) * Math.max(Tuning.LEAST_STANDING, c.standing);
         HostState h = draw.pick(c, now);
@@ -221,7 +222,7 @@
         }
     }
 
-    private void send(Attempts.Call c, HostState h, double now) {
+    private void send(RetryPolicy.RequestState c, HostState h, double now) {
         boolean told = now - h.reportAt <= Tuning.REPORT_FRESH;
         double held = told ? h.report.held() + h.sentSinceReport : Double.NaN;
         double notAfter = attempts.notAfter(c);
@@ -235,7 +236,7 @@
     }
 
     /** The final answer, where no attempt can bring it any more. */
-    private void conclude(Attempts.Call c, double now) {
+    private void conclude(RetryPolicy.RequestState c, double now) {
         if (attempts.allowed(c, null, now)) {
             admission.turnedAway(now, c);
             actions.refuse(c.id, 0);
@@ -246,9 +247,9 @@
         forgetIfDone(c);
     }
 
-    private void cancelAll(Attempts.Call c) {
+    private void cancelAll(RetryPolicy.RequestState c) {
         c.ended = true;
-        for (Attempts.Attempt a : c.attempts) {
+        for (RetryPolicy.AttemptState a : c.attempts) {
             if (a.open && !a.cancelled && settings.limits().cancel()) {
                 a.cancelled = true;
                 actions.cancel(c.id, a.number);
@@ -256,7 +257,7 @@
         }
     }
 
-    private void forgetIfDone(Attempts.Call c) {
+    private void forgetIfDone(RetryPolicy.RequestState c) {
         if (c.ended && c.open == 0) {
             calls.remove(c.id);
         }
--- a/src/main/java/rillyard/balancer/Actions.java
+++ b/src/main/java/rillyard/balancer/BalancerActions.java
@@ -1,7 +1,7 @@
 package rillyard.balancer;
 
 /** What a {@link Balancer} asks its proxy to do. Calls are made from within the event methods. */
-public interface Actions {
+public interface BalancerActions {
     /**
      * Starts an attempt; attempts of a request are numbered 0, 1, 2 ... in the order of the calls.
      *
--- a/src/main/java/rillyard/balancer/Draw.java
+++ b/src/main/java/rillyard/balancer/HostSelector.java
@@ -7,31 +7,31 @@
 import java.util.stream.IntStream;
 
 /** The design's draw: from a pool, d candidates, the one with the fewest own requests wins. */
-final class Draw {
+final class HostSelector {
     private final Settings settings;
-    private final Fleet fleet;
-    private final Health health;
-    private final Attempts attempts;
-    private final Admission admission;
+    private final HostSet fleet;
+    private final OutlierDetector health;
+    private final RetryPolicy attempts;
+    private final AdmissionController admission;
     private final SplittableRandom random;
     private HostState[] local = {};
     private HostState[] remote = {};
     private int choices = Tuning.MIN_CHOICES;
     private final List<HostState> drawn = new ArrayList<>();
     private int size;
-    private Place place;
+    private SubsetPosition place;
     private List<HostState> laidOver;
     private HostState best;
     private double bestCount;
     private double bestWait;
     private int equals;
 
-    Draw(
+    HostSelector(
             Settings settings,
-            Fleet fleet,
-            Health health,
-            Attempts attempts,
-            Admission admission,
+            HostSet fleet,
+            OutlierDetector health,
+            RetryPolicy attempts,
+            AdmissionController admission,
             SplittableRandom random) {
         this.settings = settings;
         this.fleet = fleet;
@@ -39,17 +39,18 @@
         this.attempts = attempts;
         this.admission = admission;
         this.random = random;
-        place(new Place(Math.floorMod(settings.position(), settings.balancers()), settings.balancers(), 1, false));
+        place(new SubsetPosition(
+                Math.floorMod(settings.position(), settings.balancers()), settings.balancers(), 1, false));
     }
 
     /** The pool is laid there for the next request. */
-    void place(Place p) {
+    void place(SubsetPosition p) {
         place = p;
         laidOver = null;
     }
 
     /** The host for the next attempt of the call, or null where none may or should get it. */
-    HostState pick(Attempts.Call c, double now) {
+    HostState pick(RetryPolicy.RequestState c, double now) {
         candidates(c, now);
         best = null;
         drawn.forEach(h -> consider(h, c, now));
@@ -60,7 +61,7 @@
         return best;
     }
 
-    private void candidates(Attempts.Call c, double now) {
+    private void candidates(RetryPolicy.RequestState c, double now) {
         // Guards against many proxies that use up the hosts' connections (if1c0a3); those in use add up to the same.
         double peak = admission.peak(now);
         double most =
@@ -78,7 +79,7 @@
     }
 
     /** Adds up to d of the pool's hosts to those drawn; true if one of them is due for a trial. */
-    private boolean draw(HostState[] pool, Attempts.Call c, double now) {
+    private boolean draw(HostState[] pool, RetryPolicy.RequestState c, double now) {
         int seen = 0;
         for (int i = 0; i < 4 * choices && seen < choices && pool.length > 0; i++) {
             HostState h = pool[random.nextInt(pool.length)];
@@ -96,7 +97,7 @@
         return false;
     }
 
-    private boolean usable(HostState h, Attempts.Call c, double now) {
+    private boolean usable(HostState h, RetryPolicy.RequestState c, double now) {
         return attempts.allowed(c, h, now)
                 && (c.attempts.isEmpty() ? inTime(h, c, now) : !c.tried(h))
                 && health.available(h, now, c.type.overdueAfter())
@@ -107,11 +108,11 @@
      * Whether the host can be expected to answer a first attempt in time. Each is asked on its own: by the
      * winner's figure all are refused where an idle host of which nothing is heard wins every draw.
      */
-    private boolean inTime(HostState h, Attempts.Call c, double now) {
+    private boolean inTime(HostState h, RetryPolicy.RequestState c, double now) {
         return fleet.expectedAnswer(h, now) <= c.patience;
     }
 
-    private void consider(HostState h, Attempts.Call c, double now) {
+    private void consider(HostState h, RetryPolicy.RequestState c, double now) {
         double count = health.count(h, c.type, now);
         double wait = place.coldFirst() && fleet.warmth(h, now) < 1 ? 0 : fleet.expectedWait(h, now);
         if (best != null && count > bestCount + 0.5) {
@@ -143,7 +144,7 @@
     }
 
     /** When the draw finds nobody: a healthy host in time; one left out only where none is healthy at all. */
-    private HostState anyAllowed(Attempts.Call c, double now) {
+    private HostState anyAllowed(RetryPolicy.RequestState c, double now) {
         List<HostState> all = fleet.ready();
         int n = all.size();
         int start = n == 0 ? 0 : random.nextInt(n);
--- a/src/main/java/rillyard/balancer/Fleet.java
+++ b/src/main/java/rillyard/balancer/HostSet.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 
 /** The host view: membership, drain state, own requests in flight, latency and load figures. */
-final class Fleet {
+final class HostSet {
     /** The part of a class's requests that a host has lately lost. */
-    static final class Losses {
+    static final class FailureRate {
         double share;
         double at;
     }
 
     /** Speed of a kind of machine, the prior for hosts with few answers of their own. */
-    private static final class KindSpeed {
+    private static final class MachineKindStats {
         double slowness = 1;
         int samples;
         double msPerHeld;
@@ -23,13 +23,13 @@
     private final Settings settings;
     private final Map<Long, HostState> byId = new HashMap<>();
     private List<HostState> ready = List.of();
-    private final Map<String, KindSpeed> kinds = new HashMap<>();
+    private final Map<String, MachineKindStats> kinds = new HashMap<>();
     private final double reportFade;
     private int mark;
     private double meanHeld;
     private double anyReportAt = Double.NEGATIVE_INFINITY;
 
-    Fleet(Settings settings) {
+    HostSet(Settings settings) {
         this.settings = settings;
         this.reportFade = Tuning.REPORT_FADE * settings.meanAim();
     }
@@ -49,20 +49,20 @@
         return ready;
     }
 
-    void apply(double now, News kind, List<HostEntry> entries, java.util.SplittableRandom random) {
-        if (kind == News.FAILED) {
+    void apply(double now, WatchEvent kind, List<EndpointEntry> entries, java.util.SplittableRandom random) {
+        if (kind == WatchEvent.FAILED) {
             return;
         }
         mark++;
         boolean different = false;
-        for (HostEntry e : entries) {
+        for (EndpointEntry e : entries) {
             HostState h = byId.computeIfAbsent(e.id(), HostState::new);
-            boolean sendable = e.condition() == HostEntry.Condition.READY;
+            boolean sendable = e.condition() == EndpointEntry.Condition.READY;
             h.zone = e.zone();
             h.kind = e.kind();
             h.cell = e.cell();
             h.listMark = mark;
-            h.listed = e.condition() != HostEntry.Condition.GONE;
+            h.listed = e.condition() != EndpointEntry.Condition.GONE;
             if (e.onlineSince() != h.onlineSince) {
                 h.onlineSince = e.onlineSince();
                 restarted(h, now, random);
@@ -71,7 +71,7 @@
             h.sendable = sendable;
         }
         for (HostState h : byId.values()) {
-            if (kind != News.DELTA && h.listMark != mark) {
+            if (kind != WatchEvent.DELTA && h.listMark != mark) {
                 different |= h.sendable;
                 h.listed = false;
                 h.sendable = false;
@@ -121,7 +121,7 @@
         // The first answers weigh more: a light proxy would otherwise take a minute to learn.
         h.slowness = own + Math.max(Tuning.LATENCY_ALPHA, 1.0 / (++h.samples + 2)) * (capped - own);
         h.lastSample = now;
-        KindSpeed k = kinds.computeIfAbsent(h.kind, x -> new KindSpeed());
+        MachineKindStats k = kinds.computeIfAbsent(h.kind, x -> new MachineKindStats());
         k.slowness += Math.max(Tuning.LATENCY_ALPHA / 2, 1.0 / (++k.samples + 4)) * (capped - k.slowness);
     }
 
@@ -129,7 +129,7 @@
     void queued(HostState h, double heldBefore, double spent) {
         double held = Double.isNaN(heldBefore) ? h.report.held() : heldBefore;
         if (held >= Tuning.QUEUE_SEEN) {
-            KindSpeed k = kinds.computeIfAbsent(h.kind, x -> new KindSpeed());
+            MachineKindStats k = kinds.computeIfAbsent(h.kind, x -> new MachineKindStats());
             double each = spent / (held + 1);
             // The median: a few heavy requests say nothing of how long the next one will take.
             double step = each > k.msPerHeld ? Tuning.QUEUE_STEP : -Tuning.QUEUE_STEP;
@@ -145,7 +145,7 @@
      * for any figure that only an answer renews; harm: a queue that lasts for aims and is not heard of.
      */
     double expectedAnswer(HostState h, double now) {
-        KindSpeed k = kinds.get(h.kind);
+        MachineKindStats k = kinds.get(h.kind);
         if (k == null || k.msPerHeld == 0) {
             return 0;
         }
@@ -162,13 +162,13 @@
      * Attempts out past their aim that later ones have overtaken, but for those of the class {@code of}.
      * They are lost rather than queued, and what is lost of one class tells nothing of another.
      */
-    int lost(HostState h, Attempts.ClassState of, double now) {
+    int lost(HostState h, RetryPolicy.RequestClassStats of, double now) {
         int n = 0;
-        for (Attempts.Attempt a : h.out) {
+        for (RetryPolicy.AttemptState a : h.out) {
             if (a.sentAt >= h.newestAnswered) {
                 break; // in the order of their sends
             }
-            Attempts.ClassState type = a.call.type;
+            RetryPolicy.RequestClassStats type = a.call.type;
             n += type != of && now - a.sentAt > type.rules.aim() ? 1 : 0;
         }
         return n;
@@ -188,7 +188,7 @@
 
     /** How slow its kind is against the mean; 1 while nothing is known of it. */
     double kindSlowness(HostState h) {
-        KindSpeed k = kinds.get(h.kind);
+        MachineKindStats k = kinds.get(h.kind);
         return k == null ? 1 : k.slowness;
     }
 
--- a/src/main/java/rillyard/balancer/HostState.java
+++ b/src/main/java/rillyard/balancer/HostState.java
@@ -18,7 +18,7 @@
     int listMark;
 
     int inFlight;
-    final Set<Attempts.Attempt> out = new LinkedHashSet<>(4);
+    final Set<RetryPolicy.AttemptState> out = new LinkedHashSet<>(4);
     double lastAnswer = Double.NEGATIVE_INFINITY;
     double newestAnswered = Double.NEGATIVE_INFINITY;
 
@@ -29,7 +29,7 @@
     double reportAt = Double.NEGATIVE_INFINITY;
     int sentSinceReport;
 
-    final Map<Attempts.ClassState, Fleet.Losses> losses = new HashMap<>(4);
+    final Map<RetryPolicy.RequestClassStats, HostSet.FailureRate> losses = new HashMap<>(4);
     int failuresInRow;
     double charge;
     double chargeAt;
--- a/src/main/java/rillyard/balancer/Arrival.java
+++ b/src/main/java/rillyard/balancer/IncomingRequest.java
@@ -5,4 +5,5 @@
  * {@code budget} is what is left of its time (ms), infinite while its last byte has not come: see
  * {@link Balancer#onWhole}.
  */
-public record Arrival(long id, String className, String tenant, double budget, double estimate, boolean repeat) {}
+public record IncomingRequest(
+        long id, String className, String tenant, double budget, double estimate, boolean repeat) {}
--- a/src/main/java/rillyard/balancer/Health.java
+++ b/src/main/java/rillyard/balancer/OutlierDetector.java
@@ -3,13 +3,13 @@
 import java.util.SplittableRandom;
 
 /** Outlier detection: silence, failures, ejection with growing back-off, half-open trials. */
-final class Health {
-    private final Fleet fleet;
+final class OutlierDetector {
+    private final HostSet fleet;
     private final double aim;
     private final SplittableRandom random;
-    private final Actions actions;
+    private final BalancerActions actions;
 
-    Health(Fleet fleet, double aim, SplittableRandom random, Actions actions) {
+    OutlierDetector(HostSet fleet, double aim, SplittableRandom random, BalancerActions actions) {
         this.fleet = fleet;
         this.aim = aim;
         this.random = random;
@@ -26,7 +26,7 @@
      * time since the last answer, with whole requests out, is held against the expected answer time.
      */
     boolean silent(HostState h, double now, double overdue) {
-        for (Attempts.Attempt a : h.out) {
+        for (RetryPolicy.AttemptState a : h.out) {
             if (!overtaken(a) && a.sentAt <= now) {
                 double since = Math.max(a.sentAt, h.lastAnswer);
                 return now - since > Math.max(Tuning.SILENCE_FLOOR, overdue * Math.max(1, h.slowness));
@@ -39,7 +39,7 @@
      * Whether what was sent to the host later has been answered. Guards against a host that loses some of
      * what it gets being taken for one that hangs, or for a queue: it is of use for the others.
      */
-    boolean overtaken(Attempts.Attempt a) {
+    boolean overtaken(RetryPolicy.AttemptState a) {
         return a.sentAt < a.host.newestAnswered;
     }
 
@@ -54,20 +54,20 @@
      * is used where the others are busier by as much, so its room is not lost and no trial is needed. Harm:
      * a class that is lost everywhere by its own fault is spread by chance losses instead of by counts.
      */
-    double count(HostState h, Attempts.ClassState type, double now) {
+    double count(HostState h, RetryPolicy.RequestClassStats type, double now) {
         return h.inFlight
                 - fleet.lost(h, type, now)
                 + charge(h, now)
                 + Tuning.LOSS_CHARGE * lossShare(h.losses.get(type), now);
     }
 
-    private double lossShare(Fleet.Losses l, double now) {
+    private double lossShare(HostSet.FailureRate l, double now) {
         return l == null ? 0 : l.share * Math.exp(-(now - l.at) / (Tuning.LOSS_FADE * aim));
     }
 
     /** An attempt of this class was answered, or was lost. */
-    void ended(HostState h, Attempts.ClassState type, double now, boolean lost) {
-        Fleet.Losses l = h.losses.computeIfAbsent(type, t -> new Fleet.Losses());
+    void ended(HostState h, RetryPolicy.RequestClassStats type, double now, boolean lost) {
+        HostSet.FailureRate l = h.losses.computeIfAbsent(type, t -> new HostSet.FailureRate());
         double share = lossShare(l, now);
         l.share = share + Tuning.LATENCY_ALPHA * ((lost ? 1 : 0) - share);
         l.at = now;
--- a/src/main/java/rillyard/balancer/Attempts.java
+++ b/src/main/java/rillyard/balancer/RetryPolicy.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /** Requests and their attempts: what has run, what may be repeated, and the retry budget. */
-final class Attempts {
+final class RetryPolicy {
     /** One send of a request to a host. */
-    static final class Attempt {
-        final Call call;
+    static final class AttemptState {
+        final RequestState call;
         final int number;
         final HostState host;
         final String zone;
@@ -18,7 +18,7 @@
         boolean mayHaveRun = true;
         boolean cancelled;
 
-        Attempt(Call call, int number, HostState host, double sentAt) {
+        AttemptState(RequestState call, int number, HostState host, double sentAt) {
             this.call = call;
             this.number = number;
             this.host = host;
@@ -47,19 +47,19 @@
     }
 
     /** A client's request while it is held or has attempts out. */
-    static final class Call {
+    static final class RequestState {
         final long id;
-        final ClassState type;
+        final RequestClassStats type;
         final double arrivedAt;
         double deadline;
         final double aimLeft;
         double standing = 1;
         double patience;
-        final List<Attempt> attempts = new ArrayList<>(2);
+        final List<AttemptState> attempts = new ArrayList<>(2);
         int open;
         boolean ended;
 
-        Call(long id, ClassState type, double arrivedAt, double budget) {
+        RequestState(long id, RequestClassStats type, double arrivedAt, double budget) {
             this.id = id;
             this.type = type;
             this.arrivedAt = arrivedAt;
@@ -73,14 +73,14 @@
     }
 
     /** A class of requests with its observed answer time. */
-    static final class ClassState {
+    static final class RequestClassStats {
         final Settings.RequestClass rules;
         double meanAnswer;
         double deviation;
         int samples;
         double firstBudget;
 
-        ClassState(Settings.RequestClass rules) {
+        RequestClassStats(Settings.RequestClass rules) {
             this.rules = rules;
             this.meanAnswer = rules.aim() / 4; // until answers come
             this.deviation = meanAnswer;
@@ -123,12 +123,12 @@
     private final Settings.Limits limits;
     private double retrySavings = Tuning.RETRY_SAVINGS;
 
-    Attempts(Settings.Limits limits) {
+    RetryPolicy(Settings.Limits limits) {
         this.limits = limits;
     }
 
     /** Whether it may go to {@code target}, or be refused where that is null: guards rules 1 and 2. */
-    boolean allowed(Call c, HostState target, double now) {
+    boolean allowed(RequestState c, HostState target, double now) {
         if (c.ended
                 || (target != null
                         && (!target.sendable
@@ -140,7 +140,7 @@
         if (c.type.rules.semantics() == Settings.Semantics.IDEMPOTENT) {
             return true;
         }
-        for (Attempt a : c.attempts) {
+        for (AttemptState a : c.attempts) {
             if (a.mayHaveRun && (now >= a.repeatBy() || !a.sharesMemory(target))) {
                 return false;
             }
@@ -149,16 +149,16 @@
     }
 
     /** Until when (ms) the next attempt of the call has to be written. */
-    double notAfter(Call c) {
+    double notAfter(RequestState c) {
         return c.attempts.stream()
                 .filter(a -> a.mayHaveRun)
-                .mapToDouble(Attempt::repeatBy)
+                .mapToDouble(AttemptState::repeatBy)
                 .min()
                 .orElse(Double.POSITIVE_INFINITY);
     }
 
-    Attempt start(Call c, HostState h, double now) {
-        Attempt a = new Attempt(c, c.attempts.size(), h, Double.isInfinite(c.deadline) ? c.deadline : now);
+    AttemptState start(RequestState c, HostState h, double now) {
+        AttemptState a = new AttemptState(c, c.attempts.size(), h, Double.isInfinite(c.deadline) ? c.deadline : now);
         c.attempts.add(a);
         c.open++;
         h.inFlight++;
@@ -167,7 +167,7 @@
         return a;
     }
 
-    void finish(Attempt a, Result result) {
+    void finish(AttemptState a, AttemptOutcome result) {
         a.open = false;
         a.mayHaveRun = !result.neverRan();
         a.call.open--;
--- a/src/main/java/rillyard/balancer/Place.java
+++ b/src/main/java/rillyard/balancer/SubsetPosition.java
@@ -9,13 +9,13 @@
  * @param coldFirst whether a cold host that may get a request, by what is lent to it, wins ties: it then gets what all
  *     proxies together lend it, where else it gets what is left of that by chance
  */
-public record Place(int position, int of, double weight, boolean coldFirst) {
+public record SubsetPosition(int position, int of, double weight, boolean coldFirst) {
     /**
      * Checks the ranges.
      *
      * @throws IllegalArgumentException if one is out of its range
      */
-    public Place {
+    public SubsetPosition {
         if (of < 1 || position < 0 || position >= of || !(weight >= 1)) {
             throw new IllegalArgumentException("no place: " + position + " of " + of + ", weight " + weight);
         }
--- a/src/main/java/rillyard/balancer/News.java
+++ b/src/main/java/rillyard/balancer/WatchEvent.java
@@ -1,7 +1,7 @@
 package rillyard.balancer;
 
 /** The kind of a membership event. */
-public enum News {
+public enum WatchEvent {
     /** Only the changed entries. */
     DELTA,
     /** The whole list; hosts not in it are gone. */
--- a/src/main/java/rillyard/cli/ProxyCommands.java
+++ b/src/main/java/rillyard/cli/ProxyCommands.java
@@ -5,14 +5,14 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import rillyard.adapter.Adapter;
-import rillyard.adapter.MalformedInputException;
 import rillyard.member.net.FleetFile;
 import rillyard.member.net.FleetMember;
 import rillyard.member.net.FleetSettings;
 import rillyard.proxy.Neighbours;
 import rillyard.proxy.Proxy;
 import rillyard.proxy.Rehearsal;
+import rillyard.settings.MalformedInputException;
+import rillyard.simulation.SimulatorSession;
 import rillyard.spread.SpreadSettings;
 import rillyard.spread.net.FleetNews;
 
@@ -61,7 +61,7 @@
         @Override
         public Integer call() throws Exception {
             try {
-                new Adapter(System.in, System.out, System.err).run();
+                new SimulatorSession(System.in, System.out, System.err).run();
                 return Cli.DONE;
             } catch (MalformedInputException e) {
                 System.err.println("rillyard: " + e.getMessage());
--- a/src/main/java/rillyard/hostlist/TakenOut.java
+++ b/src/main/java/rillyard/hostlist/TakenOut.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
-import rillyard.balancer.HostEntry;
+import rillyard.balancer.EndpointEntry;
 
 /**
  * The hosts that people on call have taken out, laid over what discovery tells of them. A host that
@@ -105,14 +105,14 @@
     }
 
     /** What the module is to be told of a host of which discovery says {@code told}. */
-    public HostEntry effective(String name, HostEntry told) {
-        boolean ready = told.condition() == HostEntry.Condition.READY;
-        HostEntry.Condition condition =
-                ready && out.contains(name) ? HostEntry.Condition.TERMINATING : told.condition();
+    public EndpointEntry effective(String name, EndpointEntry told) {
+        boolean ready = told.condition() == EndpointEntry.Condition.READY;
+        EndpointEntry.Condition condition =
+                ready && out.contains(name) ? EndpointEntry.Condition.TERMINATING : told.condition();
         double since = Math.max(told.onlineSince(), back.getOrDefault(name, 0.0));
         return condition == told.condition() && since == told.onlineSince()
                 ? told
-                : new HostEntry(
+                : new EndpointEntry(
                         told.id(), told.zone(), told.kind(), told.cell(), condition, told.capacityHint(), since);
     }
 }
--- a/src/main/java/rillyard/proxy/Attempt.java
+++ b/src/main/java/rillyard/proxy/Attempt.java
@@ -8,8 +8,8 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.util.concurrent.Future;
 import java.util.Locale;
+import rillyard.balancer.AttemptOutcome;
 import rillyard.balancer.LoadReport;
-import rillyard.balancer.Result;
 
 /** One send of a request to a host; it ends with exactly one outcome. */
 final class Attempt extends UpstreamCall {
@@ -75,7 +75,7 @@
 
     private void notWritten() {
         if (!mayHaveRun()) {
-            finish(Result.MOOT);
+            finish(AttemptOutcome.MOOT);
         }
     }
 
@@ -109,21 +109,21 @@
 
     @Override
     void notSent() {
-        finish(Result.CONNECT_FAILED);
+        finish(AttemptOutcome.CONNECT_FAILED);
     }
 
     @Override
     void moot() {
-        finish(Result.MOOT);
+        finish(AttemptOutcome.MOOT);
     }
 
     /** Nobody waits any longer. What was not written whole never ran, whatever it waited for. */
     void timeUp() {
-        finish(mayHaveRun() ? Result.TIMEOUT : Result.MOOT);
+        finish(mayHaveRun() ? AttemptOutcome.TIMEOUT : AttemptOutcome.MOOT);
     }
 
     void cancel() {
-        finish(mayHaveRun() ? Result.CANCELLED : Result.MOOT);
+        finish(mayHaveRun() ? AttemptOutcome.CANCELLED : AttemptOutcome.MOOT);
     }
 
     @Override
@@ -132,7 +132,7 @@
         int status = reply.status().code();
         if (status == 200) {
             if (!mayHaveRun()) {
-                finish(Result.CONNECT_FAILED); // no host can serve what it has not been sent
+                finish(AttemptOutcome.CONNECT_FAILED); // no host can serve what it has not been sent
                 return;
             }
             head = reply;
@@ -153,7 +153,7 @@
         boolean turnedAway =
                 (status == 503 || status == 504) && "1".equals(reply.headers().get(Headers.NOT_PROCESSED));
         connection().discardRest();
-        finish(turnedAway ? Result.FULL : mayHaveRun() ? Result.ERROR : Result.CONNECT_FAILED);
+        finish(turnedAway ? AttemptOutcome.FULL : mayHaveRun() ? AttemptOutcome.ERROR : AttemptOutcome.CONNECT_FAILED);
     }
 
     @Override
@@ -198,7 +198,7 @@
      */
     private void stream() {
         if (!exchange.beginStream(this, head, length)) {
-            finish(Result.OK); // answered otherwise
+            finish(AttemptOutcome.OK); // answered otherwise
             return;
         }
         streams = true;
@@ -211,7 +211,7 @@
             first.retained().forEach(this::pass);
             first.free();
         }
-        exchange.attemptEnded(this, Result.OK, dispatcher.now() - sentAt, report);
+        exchange.attemptEnded(this, AttemptOutcome.OK, dispatcher.now() - sentAt, report);
     }
 
     private void pass(ByteBuf bytes) {
@@ -240,21 +240,21 @@
         Body whole = body;
         body = null;
         exchange.served(head, whole);
-        finish(Result.OK);
+        finish(AttemptOutcome.OK);
     }
 
     @Override
     void broken() {
         if (streams) {
-            dispatcher.log().line(() -> describe(Result.RESET));
+            dispatcher.log().line(() -> describe(AttemptOutcome.RESET));
             dispatcher.upstreams().end(this);
             exchange.streamEnded(false);
             return;
         }
-        finish(Result.RESET);
+        finish(AttemptOutcome.RESET);
     }
 
-    private void finish(Result result) {
+    private void finish(AttemptOutcome result) {
         if (over) {
             return;
         }
@@ -265,7 +265,9 @@
             body.free();
             body = null;
         }
-        if (result == Result.TIMEOUT || result == Result.RESET || result == Result.CONNECT_FAILED) {
+        if (result == AttemptOutcome.TIMEOUT
+                || result == AttemptOutcome.RESET
+                || result == AttemptOutcome.CONNECT_FAILED) {
             dispatcher.log().line(() -> describe(result));
         }
         dispatcher.upstreams().end(this);
@@ -281,7 +283,7 @@
         }
     }
 
-    private String describe(Result result) {
+    private String describe(AttemptOutcome result) {
         String got = head != null
                 ? passed + " bytes of an answer of " + length
                 : connection() == null ? "no connection" : "no answer";
--- a/src/main/java/rillyard/proxy/ClientConnection.java
+++ b/src/main/java/rillyard/proxy/ClientConnection.java
@@ -28,7 +28,7 @@
 import java.util.ArrayDeque;
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
-import rillyard.balancer.Arrival;
+import rillyard.balancer.IncomingRequest;
 import rillyard.balancer.Settings;
 import rillyard.operator.Figures;
 
@@ -352,8 +352,8 @@
         channel.config().setAutoRead(true);
     }
 
-    private Arrival arrival(HttpHeaders h, long id, double budget) {
-        return new Arrival(
+    private IncomingRequest arrival(HttpHeaders h, long id, double budget) {
+        return new IncomingRequest(
                 id,
                 type,
                 h.get(Headers.TENANT),
--- a/src/main/java/rillyard/proxy/Config.java
+++ b/src/main/java/rillyard/proxy/Config.java
@@ -11,11 +11,11 @@
 import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
 import java.util.Map;
-import rillyard.adapter.JsonTree;
-import rillyard.adapter.MalformedInputException;
-import rillyard.adapter.SettingsCheck;
-import rillyard.adapter.SettingsReader;
 import rillyard.balancer.Settings;
+import rillyard.settings.JsonTreeReader;
+import rillyard.settings.MalformedInputException;
+import rillyard.settings.SettingsReader;
+import rillyard.settings.SettingsValidator;
 
 /**
  * What the platform tells one client proxy; times are milliseconds. {@code operator} is the second
@@ -45,7 +45,7 @@
         }
         JsonNode root;
         try {
-            root = JsonTree.read(Files.readAllBytes(Path.of(file)));
+            root = JsonTreeReader.read(Files.readAllBytes(Path.of(file)));
         } catch (JsonProcessingException e) {
             throw new ConfigException(file + ": not JSON: " + e.getOriginalMessage());
         } catch (IOException | InvalidPathException e) {
@@ -56,7 +56,7 @@
         }
         Settings settings;
         try {
-            SettingsCheck.check(root.path("settings"));
+            SettingsValidator.check(root.path("settings"));
             settings = SettingsReader.read(root.path("settings"));
         } catch (MalformedInputException e) {
             throw new ConfigException(file + ": " + e.getMessage());
--- a/src/main/java/rillyard/proxy/Discovery.java
+++ b/src/main/java/rillyard/proxy/Discovery.java
@@ -28,8 +28,8 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
-import rillyard.adapter.JsonTree;
-import rillyard.balancer.News;
+import rillyard.balancer.WatchEvent;
+import rillyard.settings.JsonTreeReader;
 import rillyard.trace.TraceLine;
 
 /**
@@ -250,7 +250,7 @@
             }
             Hosts.News news;
             try {
-                news = dispatcher.hosts().read(JsonTree.read(bytes, 0, length));
+                news = dispatcher.hosts().read(JsonTreeReader.read(bytes, 0, length));
             } catch (IOException | IllegalArgumentException e) {
                 malformed(e.getMessage());
                 return;
@@ -272,7 +272,7 @@
                 return;
             }
             version = news.version();
-            dispatcher.membership(news.full() ? News.FULL : News.DELTA, news);
+            dispatcher.membership(news.full() ? WatchEvent.FULL : WatchEvent.DELTA, news);
         }
 
         @Override
--- a/src/main/java/rillyard/proxy/Dispatcher.java
+++ b/src/main/java/rillyard/proxy/Dispatcher.java
@@ -12,12 +12,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import rillyard.balancer.Actions;
-import rillyard.balancer.Arrival;
+import rillyard.balancer.AttemptOutcome;
 import rillyard.balancer.Balancer;
-import rillyard.balancer.HostEntry;
+import rillyard.balancer.BalancerActions;
+import rillyard.balancer.EndpointEntry;
+import rillyard.balancer.IncomingRequest;
 import rillyard.balancer.LoadReport;
-import rillyard.balancer.Result;
 import rillyard.balancer.Settings;
 import rillyard.gaps.Gaps;
 import rillyard.hostlist.ListGuard;
@@ -32,7 +32,7 @@
  * came, and carries out what it asks for. What an action brings about at once waits in a queue
  * until the module has returned.
  */
-final class Dispatcher implements Actions {
+final class Dispatcher implements BalancerActions {
     /** The module's clock begins here, so that a host that started before this process has a time. */
     private static final double CLOCK_START = 1e9;
 
@@ -157,10 +157,10 @@
     void start(Hosts.News known, Runnable follow) {
         this.follow = follow;
         deliver(null, () -> balancer.onStart(now()));
-        membership(rillyard.balancer.News.CACHED, known);
+        membership(rillyard.balancer.WatchEvent.CACHED, known);
     }
 
-    void membership(rillyard.balancer.News kind, Hosts.News news) {
+    void membership(rillyard.balancer.WatchEvent kind, Hosts.News news) {
         Hosts.News believed = guard == null ? news : doubted(news);
         Set<Host> cut = hosts.apply(believed);
         tell(kind, hosts.effective(believed), cut);
@@ -194,11 +194,11 @@
             }
         }
         if (!gone.isEmpty()) {
-            membership(rillyard.balancer.News.DELTA, new Hosts.News(0, false, gone));
+            membership(rillyard.balancer.WatchEvent.DELTA, new Hosts.News(0, false, gone));
         }
     }
 
-    private void tell(rillyard.balancer.News kind, List<HostEntry> entries, Iterable<Host> cut) {
+    private void tell(rillyard.balancer.WatchEvent kind, List<EndpointEntry> entries, Iterable<Host> cut) {
         deliver(null, () -> balancer.onMembership(now(), kind, entries));
         for (Host h : cut) {
             // Guards against a send to a host that drains or has moved while its connection comes up.
@@ -232,7 +232,7 @@
     }
 
     private void changedByHand(Set<String> names) {
-        List<HostEntry> entries = new ArrayList<>();
+        List<EndpointEntry> entries = new ArrayList<>();
         List<Host> cut = new ArrayList<>();
         for (String name : names) {
             log.line(() -> name + (takenOut.contains(name) ? " is out by hand" : " is back by hand"));
@@ -243,7 +243,7 @@
             }
         }
         if (!entries.isEmpty()) {
-            tell(rillyard.balancer.News.DELTA, entries, cut);
+            tell(rillyard.balancer.WatchEvent.DELTA, entries, cut);
         }
     }
 
@@ -252,17 +252,17 @@
     }
 
     void followFailed() {
-        deliver(null, () -> balancer.onMembership(now(), rillyard.balancer.News.FAILED, null));
+        deliver(null, () -> balancer.onMembership(now(), rillyard.balancer.WatchEvent.FAILED, null));
     }
 
-    void arrived(Exchange e, Arrival arrival) {
+    void arrived(Exchange e, IncomingRequest arrival) {
         exchanges.put(e.id, e);
         ids.opened(e.name);
         deliver(e, () -> balancer.onRequest(now(), arrival));
     }
 
     /** Writes an attempt down and tells neighbours, if that was asked for. */
-    void attemptEnded(Host h, Result result, double spent) {
+    void attemptEnded(Host h, AttemptOutcome result, double spent) {
         if (neighbours != null) {
             neighbours.ended(h.name, result, now());
         }
@@ -278,13 +278,13 @@
     }
 
     /** Writes an answer of our own down, if that was asked for; {@code last} as {@link Trace#ended}. */
-    void traceEnd(Figures.End how, Result last) {
+    void traceEnd(Figures.End how, AttemptOutcome last) {
         if (log.trace() != null && how != Figures.End.COMPLETED) {
             log.trace().ended(how == Figures.End.REJECTED ? What.REFUSED : What.FAILED, last);
         }
     }
 
-    void outcome(Exchange e, int number, Result result, double spent, boolean over, LoadReport report) {
+    void outcome(Exchange e, int number, AttemptOutcome result, double spent, boolean over, LoadReport report) {
         deliver(e, () -> balancer.onOutcome(now(), e.id, number, result, spent, over, report));
     }
 
--- a/src/main/java/rillyard/proxy/Exchange.java
+++ b/src/main/java/rillyard/proxy/Exchange.java
@@ -16,8 +16,8 @@
 import io.netty.util.concurrent.Future;
 import java.util.ArrayList;
 import java.util.List;
+import rillyard.balancer.AttemptOutcome;
 import rillyard.balancer.LoadReport;
-import rillyard.balancer.Result;
 import rillyard.operator.Figures;
 
 /**
@@ -43,7 +43,7 @@
     private final List<Attempt> attempts = new ArrayList<>(2);
     private final List<Future<?>> timers = new ArrayList<>(2);
     private int open;
-    private Result last;
+    private AttemptOutcome last;
     private boolean mayHaveRun;
     private boolean answered;
 
@@ -185,7 +185,7 @@
         return channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
     }
 
-    void attemptEnded(Attempt a, Result result, double spent, LoadReport report) {
+    void attemptEnded(Attempt a, AttemptOutcome result, double spent, LoadReport report) {
         open--;
         last = result;
         dispatcher.attemptEnded(a.host, result, spent);
--- a/src/main/java/rillyard/proxy/Heeding.java
+++ b/src/main/java/rillyard/proxy/Heeding.java
@@ -1,7 +1,7 @@
 package rillyard.proxy;
 
 import rillyard.balancer.Balancer;
-import rillyard.balancer.Place;
+import rillyard.balancer.SubsetPosition;
 
 /** What neighbours found out goes to the module, of hosts that this proxy's own list names. */
 record Heeding(Dispatcher dispatcher) implements Neighbours.Heed {
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public void place(Place p) {
+    public void place(SubsetPosition p) {
         dispatcher.tell(b -> b.onPlace(p));
     }
 
--- a/src/main/java/rillyard/proxy/Host.java
+++ b/src/main/java/rillyard/proxy/Host.java
@@ -4,7 +4,7 @@
 import java.util.ArrayDeque;
 import java.util.LinkedHashSet;
 import java.util.Set;
-import rillyard.balancer.HostEntry;
+import rillyard.balancer.EndpointEntry;
 
 /** A host as the sockets see it: where it listens, whether it may get work, its connections. */
 final class Host {
@@ -15,7 +15,7 @@
     boolean listed;
 
     /** What discovery last said of it, whatever operators did. */
-    HostEntry told;
+    EndpointEntry told;
 
     final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>(2);
     final Set<UpstreamCall> connecting = new LinkedHashSet<>(2);
--- a/src/main/java/rillyard/proxy/Hosts.java
+++ b/src/main/java/rillyard/proxy/Hosts.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import rillyard.balancer.HostEntry;
+import rillyard.balancer.EndpointEntry;
 import rillyard.hostlist.TakenOut;
 
 /** The hosts that discovery has named, and the numbers by which the module knows them. */
@@ -20,7 +20,7 @@
     record News(long version, boolean full, List<Listed> hosts) {}
 
     /** One entry; an address may be absent where nothing is sent to it. */
-    record Listed(String name, InetSocketAddress address, HostEntry entry) {}
+    record Listed(String name, InetSocketAddress address, EndpointEntry entry) {}
 
     private static final Pattern HOST = Pattern.compile("host (\\d{1,19})");
 
@@ -73,17 +73,17 @@
         for (JsonNode s : servers) {
             String name = s.path("id").asText("");
             InetSocketAddress address = Config.address(s.path("addr").asText(""));
-            HostEntry.Condition condition =
+            EndpointEntry.Condition condition =
                     switch (s.path("state").asText("")) {
-                        case "up" -> HostEntry.Condition.READY;
-                        case "removed" -> HostEntry.Condition.GONE;
-                        default -> HostEntry.Condition.TERMINATING; // nothing new goes to a state not known
+                        case "up" -> EndpointEntry.Condition.READY;
+                        case "removed" -> EndpointEntry.Condition.GONE;
+                        default -> EndpointEntry.Condition.TERMINATING; // nothing new goes to a state not known
                     };
-            if (name.isEmpty() || (address == null && condition == HostEntry.Condition.READY)) {
+            if (name.isEmpty() || (address == null && condition == EndpointEntry.Condition.READY)) {
                 throw new IllegalArgumentException("an entry without id or address");
             }
             double started = s.path("started_ms").asDouble(0);
-            HostEntry entry = new HostEntry(
+            EndpointEntry entry = new EndpointEntry(
                     number(name),
                     s.path("zone").asText(""),
                     s.path("kind").asText(""),
@@ -101,7 +101,7 @@
         Set<Host> cut = new HashSet<>();
         Set<Host> named = new HashSet<>();
         for (Listed p : news.hosts()) {
-            HostEntry e = p.entry();
+            EndpointEntry e = p.entry();
             Host h = byName.get(p.name());
             if (h == null) {
                 h = new Host(p.name(), e.id());
@@ -109,9 +109,9 @@
                 byId.put(h.id, h);
             }
             named.add(h);
-            h.listed = e.condition() != HostEntry.Condition.GONE;
+            h.listed = e.condition() != EndpointEntry.Condition.GONE;
             h.told = e;
-            h.sendable = effective(h).condition() == HostEntry.Condition.READY;
+            h.sendable = effective(h).condition() == EndpointEntry.Condition.READY;
             if (!h.sendable || !p.address().equals(h.address)) {
                 cut.add(h);
             }
@@ -135,7 +135,7 @@
     Set<String> inUse() {
         Set<String> names = new HashSet<>();
         for (Host h : byId.values()) {
-            if (h.listed && h.told.condition() == HostEntry.Condition.READY) {
+            if (h.listed && h.told.condition() == EndpointEntry.Condition.READY) {
                 names.add(h.name);
             }
         }
@@ -151,28 +151,28 @@
     /** A listed host as a list would tell that it is gone. */
     Listed asGone(String name) {
         Host h = byName.get(name);
-        HostEntry t = h.told;
+        EndpointEntry t = h.told;
         return new Listed(
                 name,
                 h.address,
-                new HostEntry(
+                new EndpointEntry(
                         t.id(),
                         t.zone(),
                         t.kind(),
                         t.cell(),
-                        HostEntry.Condition.GONE,
+                        EndpointEntry.Condition.GONE,
                         t.capacityHint(),
                         t.onlineSince()));
     }
 
     /** The entries of a list as the module is to have them. */
-    List<HostEntry> effective(News news) {
+    List<EndpointEntry> effective(News news) {
         return news.hosts().stream()
                 .map(l -> out.effective(l.name(), l.entry()))
                 .toList();
     }
 
-    private HostEntry effective(Host h) {
+    private EndpointEntry effective(Host h) {
         return out.effective(h.name, h.told);
     }
 
@@ -183,9 +183,9 @@
     }
 
     /** What operators did to a listed host has changed; returns what the module is to be told. */
-    HostEntry changedByHand(Host h) {
-        HostEntry e = effective(h);
-        h.sendable = e.condition() == HostEntry.Condition.READY;
+    EndpointEntry changedByHand(Host h) {
+        EndpointEntry e = effective(h);
+        h.sendable = e.condition() == EndpointEntry.Condition.READY;
         return e;
     }
 
--- a/src/main/java/rillyard/proxy/Neighbours.java
+++ b/src/main/java/rillyard/proxy/Neighbours.java
@@ -1,8 +1,8 @@
 package rillyard.proxy;
 
 import java.util.Set;
-import rillyard.balancer.Place;
-import rillyard.balancer.Result;
+import rillyard.balancer.AttemptOutcome;
+import rillyard.balancer.SubsetPosition;
 
 /** Whoever carries news of hosts between proxies, where somebody does. All calls are on the proxy's loop. */
 public interface Neighbours {
@@ -15,14 +15,14 @@
         void comeBack(String host, double wait);
 
         /** Where this proxy's pool lies from now on. */
-        void place(Place p);
+        void place(SubsetPosition p);
 
         /** Tells the people on call. */
         void log(String line);
     }
 
     /** An attempt at a host has ended at a time (ms) of the proxy's clock. */
-    void ended(String host, Result result, double now);
+    void ended(String host, AttemptOutcome result, double now);
 
     /** Some time has passed; {@code hosts} are listed. */
     void step(double now, Set<String> hosts, Heed heed);
--- a/src/main/java/rillyard/adapter/JsonTree.java
+++ b/src/main/java/rillyard/settings/JsonTreeReader.java
@@ -1,4 +1,4 @@
-package rillyard.adapter;
+package rillyard.settings;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -15,11 +15,11 @@
  * with calendars, locales and a serializer for each type, none of which a tree needs. Every start
  * of a proxy waited for it.
  */
-public final class JsonTree {
+public final class JsonTreeReader {
     private static final JsonFactory PARSERS = new JsonFactory();
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
-    private JsonTree() {}
+    private JsonTreeReader() {}
 
     /**
      * Reads one value and all that belongs to it; what follows it is left, as a mapper would.
--- a/src/main/java/rillyard/adapter/MalformedInputException.java
+++ b/src/main/java/rillyard/settings/MalformedInputException.java
@@ -1,4 +1,4 @@
-package rillyard.adapter;
+package rillyard.settings;
 
 /** Input that is not of the wire; its message is one plain line. */
 public final class MalformedInputException extends RuntimeException {
--- a/src/main/java/rillyard/adapter/SettingsReader.java
+++ b/src/main/java/rillyard/settings/SettingsReader.java
@@ -1,4 +1,4 @@
-package rillyard.adapter;
+package rillyard.settings;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -11,10 +11,10 @@
 public final class SettingsReader {
     private SettingsReader() {}
 
-    static Settings read(String conf) {
+    public static Settings read(String conf) {
         JsonNode root;
         try {
-            root = JsonTree.read(conf);
+            root = JsonTreeReader.read(conf);
         } catch (JsonProcessingException e) {
             throw new MalformedInputException("malformed conf: " + e.getOriginalMessage());
         } catch (IOException e) {
--- a/src/main/java/rillyard/adapter/SettingsCheck.java
+++ b/src/main/java/rillyard/settings/SettingsValidator.java
@@ -1,4 +1,4 @@
-package rillyard.adapter;
+package rillyard.settings;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.HashSet;
@@ -10,13 +10,13 @@
  * fault; a value that {@link SettingsReader} would have to replace by a guess is one. Guards against a proxy
  * that serves for days on a deadline or a repeat window that nobody meant.
  */
-public final class SettingsCheck {
+public final class SettingsValidator {
     /** The longest time (ms) that settings may state: some eleven days. */
     private static final double LONGEST_MS = 1e9;
 
     private static final double MOST = Integer.MAX_VALUE;
 
-    private SettingsCheck() {}
+    private SettingsValidator() {}
 
     /**
      * Checks the settings of a proxy.
--- a/src/main/java/rillyard/adapter/Adapter.java
+++ b/src/main/java/rillyard/simulation/SimulatorSession.java
@@ -1,4 +1,4 @@
-package rillyard.adapter;
+package rillyard.simulation;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -8,28 +8,30 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import rillyard.balancer.Actions;
-import rillyard.balancer.Arrival;
+import rillyard.balancer.AttemptOutcome;
 import rillyard.balancer.Balancer;
-import rillyard.balancer.HostEntry;
+import rillyard.balancer.BalancerActions;
+import rillyard.balancer.EndpointEntry;
+import rillyard.balancer.IncomingRequest;
 import rillyard.balancer.LoadReport;
-import rillyard.balancer.News;
-import rillyard.balancer.Result;
+import rillyard.balancer.WatchEvent;
+import rillyard.settings.MalformedInputException;
+import rillyard.settings.SettingsReader;
 
 /** Hosts one {@link Balancer} for each instance named on the wire and speaks the wire for them. */
-public final class Adapter {
-    private final LineReader reader;
+public final class SimulatorSession {
+    private final WireReader reader;
     private final OutputStream out;
     private final PrintStream err;
-    private final Line line = new Line();
-    private final ReplyWriter reply = new ReplyWriter();
+    private final WireMessage line = new WireMessage();
+    private final WireWriter reply = new WireWriter();
     private final Map<Long, Balancer> instances = new HashMap<>();
-    private final Map<Long, List<HostEntry>> ledgers = new HashMap<>();
+    private final Map<Long, List<EndpointEntry>> ledgers = new HashMap<>();
     private double now;
 
     /** Creates an adapter on these streams. */
-    public Adapter(InputStream in, OutputStream out, PrintStream err) {
-        this.reader = new LineReader(in);
+    public SimulatorSession(InputStream in, OutputStream out, PrintStream err) {
+        this.reader = new WireReader(in);
         this.out = out;
         this.err = err;
     }
@@ -121,12 +123,12 @@
         Balancer b = instance();
         long id = line.number("txn");
         int number = (int) line.number("sendNo");
-        Result result = result((int) line.number("reason"));
+        AttemptOutcome result = result((int) line.number("reason"));
         double spent = line.decimal("spent", 0);
         boolean over = line.flag("terminal");
         if (b != null) {
             // A reason that is not known proves nothing: as an error, it may have run.
-            b.onOutcome(now, id, number, result == null ? Result.ERROR : result, spent, over, load());
+            b.onOutcome(now, id, number, result == null ? AttemptOutcome.ERROR : result, spent, over, load());
         }
     }
 
@@ -138,7 +140,7 @@
         if (b != null) {
             b.onRequest(
                     now,
-                    new Arrival(
+                    new IncomingRequest(
                             id,
                             type,
                             line.string("org", null),
@@ -159,7 +161,7 @@
     private void ledger() throws IOException {
         long buffer = line.number("buffer");
         long records = line.number("records");
-        List<HostEntry> entries = new ArrayList<>();
+        List<EndpointEntry> entries = new ArrayList<>();
         for (long i = 0; i < records; i++) {
             if (!reader.next(line)) {
                 throw new MalformedInputException("the input ends in the middle of a ledger");
@@ -167,7 +169,7 @@
             if (!line.named("host")) {
                 throw line.malformed("a ledger has fewer 'host' lines than it says");
             }
-            entries.add(new HostEntry(
+            entries.add(new EndpointEntry(
                     line.number("host"),
                     line.string("hall", ""),
                     line.string("model", ""),
@@ -179,29 +181,29 @@
         ledgers.put(buffer, entries);
     }
 
-    private static HostEntry.Condition condition(String s) {
+    private static EndpointEntry.Condition condition(String s) {
         return switch (s) {
-            case "Ready" -> HostEntry.Condition.READY;
-            case "Gone" -> HostEntry.Condition.GONE;
-            default -> HostEntry.Condition.TERMINATING; // nothing new goes to a state not known
+            case "Ready" -> EndpointEntry.Condition.READY;
+            case "Gone" -> EndpointEntry.Condition.GONE;
+            default -> EndpointEntry.Condition.TERMINATING; // nothing new goes to a state not known
         };
     }
 
     private void membership() {
         Balancer b = instance();
-        News how =
+        WatchEvent how =
                 switch (line.string("how")) {
-                    case "delta" -> News.DELTA;
-                    case "full" -> News.FULL;
-                    case "cached" -> News.CACHED;
-                    case "failed" -> News.FAILED;
+                    case "delta" -> WatchEvent.DELTA;
+                    case "full" -> WatchEvent.FULL;
+                    case "cached" -> WatchEvent.CACHED;
+                    case "failed" -> WatchEvent.FAILED;
                     default -> null;
                 };
         if (b == null || how == null) {
             return;
         }
-        List<HostEntry> entries = List.of();
-        if (how != News.FAILED) {
+        List<EndpointEntry> entries = List.of();
+        if (how != WatchEvent.FAILED) {
             entries = ledgers.get(line.number("buffer"));
             if (entries == null) {
                 throw line.malformed("no ledger with this number has come");
@@ -215,29 +217,29 @@
         return v == null ? null : new LoadReport(v[0], v[1], v[2], v[3], v[4], v[5]);
     }
 
-    private static Result result(int code) {
+    private static AttemptOutcome result(int code) {
         return switch (code) {
-            case 1 -> Result.OK;
-            case 2 -> Result.ERROR;
-            case 3 -> Result.FULL;
-            case 4 -> Result.TIMEOUT;
-            case 5 -> Result.CONNECT_FAILED;
-            case 6 -> Result.RESET;
-            case 7 -> Result.CANCELLED;
-            case 8 -> Result.MOOT;
+            case 1 -> AttemptOutcome.OK;
+            case 2 -> AttemptOutcome.ERROR;
+            case 3 -> AttemptOutcome.FULL;
+            case 4 -> AttemptOutcome.TIMEOUT;
+            case 5 -> AttemptOutcome.CONNECT_FAILED;
+            case 6 -> AttemptOutcome.RESET;
+            case 7 -> AttemptOutcome.CANCELLED;
+            case 8 -> AttemptOutcome.MOOT;
             default -> null;
         };
     }
 
     /** The actions of one instance, written in the order they are made. */
-    private final class Wire implements Actions {
+    private final class Wire implements BalancerActions {
         private final long who;
 
         Wire(long who) {
             this.who = who;
         }
 
-        private ReplyWriter start(String action) {
+        private WireWriter start(String action) {
             return reply.word(action).word(" who=").number(who);
         }
 
--- a/src/main/java/rillyard/adapter/Line.java
+++ b/src/main/java/rillyard/simulation/WireMessage.java
@@ -1,10 +1,11 @@
-package rillyard.adapter;
+package rillyard.simulation;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
+import rillyard.settings.MalformedInputException;
 
 /** One line of the wire, taken apart in place: a name and name=value fields. */
-final class Line {
+final class WireMessage {
     private static final int MAX_TEXT = 60;
 
     private byte[] buf = {};
--- a/src/main/java/rillyard/adapter/LineReader.java
+++ b/src/main/java/rillyard/simulation/WireReader.java
@@ -1,22 +1,23 @@
-package rillyard.adapter;
+package rillyard.simulation;
 
 import java.io.IOException;
 import java.io.InputStream;
 import java.util.Arrays;
+import rillyard.settings.MalformedInputException;
 
 /** Cuts a stream into lines without copying them; a line is valid until the next call. */
-final class LineReader {
+final class WireReader {
     private final InputStream in;
     private byte[] buf = new byte[1 << 16];
     private int from;
     private int to;
 
-    LineReader(InputStream in) {
+    WireReader(InputStream in) {
         this.in = in;
     }
 
     /** Points {@code line} at the next line; false at the end of the input. */
-    boolean next(Line line) throws IOException {
+    boolean next(WireMessage line) throws IOException {
         int scanned = from;
         while (true) {
             for (int i = scanned; i < to; i++) {
--- a/src/main/java/rillyard/adapter/ReplyWriter.java
+++ b/src/main/java/rillyard/simulation/WireWriter.java
@@ -1,4 +1,4 @@
-package rillyard.adapter;
+package rillyard.simulation;
 
 import java.io.IOException;
 import java.io.OutputStream;
@@ -6,11 +6,11 @@
 import java.util.Arrays;
 
 /** Collects the lines of one reply as bytes. */
-final class ReplyWriter {
+final class WireWriter {
     private byte[] buf = new byte[1 << 14];
     private int size;
 
-    ReplyWriter word(String s) {
+    WireWriter word(String s) {
         int n = s.length();
         room(n);
         for (int i = 0; i < n; i++) {
@@ -19,7 +19,7 @@
         return this;
     }
 
-    ReplyWriter number(long v) {
+    WireWriter number(long v) {
         room(20);
         if (v < 0) {
             buf[size++] = '-';
@@ -39,7 +39,7 @@
     }
 
     /** A time in ms with microseconds. */
-    ReplyWriter time(double ms) {
+    WireWriter time(double ms) {
         long us = Math.round(ms * 1000);
         if (us < 0) {
             word("-");
@@ -58,7 +58,7 @@
     }
 
     /** Free text, kept to one line. */
-    ReplyWriter text(String s) {
+    WireWriter text(String s) {
         byte[] b = s.replace('\n', ' ').replace('\r', ' ').getBytes(StandardCharsets.UTF_8);
         room(b.length);
         System.arraycopy(b, 0, buf, size, b.length);
--- a/src/main/java/rillyard/spread/Pools.java
+++ b/src/main/java/rillyard/spread/Pools.java
@@ -2,7 +2,7 @@
 
 import java.util.Collection;
 import java.util.Map;
-import rillyard.balancer.Place;
+import rillyard.balancer.SubsetPosition;
 
 /**
  * Lays this proxy's pool from the names and rates of all. Where pools are of one size whatever is sent from them, a proxy
@@ -19,7 +19,7 @@
     /** A pool moves only by more than this part of the ring. */
     private static final double MOVE = 1 / 64.0;
 
-    private Place now;
+    private SubsetPosition now;
 
     /**
      * The pool by what is known, or null where it stays as it was.
@@ -28,7 +28,7 @@
      * @param names of all proxies present, this one's among them
      * @param rates requests a second, by name; those not known are left out of the mean
      */
-    public Place lay(String self, Collection<String> names, Map<String, Double> rates) {
+    public SubsetPosition lay(String self, Collection<String> names, Map<String, Double> rates) {
         int own = Vote.number(self);
         int position = 0;
         for (String n : names) {
@@ -38,7 +38,7 @@
         double mean = rates.values().stream().mapToDouble(d -> d).average().orElse(0);
         double rate = rates.getOrDefault(self, 0.0);
         double weight = mean > 0 ? Math.min(MOST, Math.max(1, rate / mean)) : 1;
-        Place next = new Place(position, Math.max(1, names.size()), weight, true);
+        SubsetPosition next = new SubsetPosition(position, Math.max(1, names.size()), weight, true);
         if (now != null
                 && Math.abs(next.weight() / now.weight() - 1) < WORTH
                 && Math.abs(part(next) - part(now)) < MOVE) {
@@ -48,7 +48,7 @@
         return next;
     }
 
-    private static double part(Place p) {
+    private static double part(SubsetPosition p) {
         return (double) p.position() / p.of();
     }
 }
--- a/src/main/java/rillyard/spread/net/FleetNews.java
+++ b/src/main/java/rillyard/spread/net/FleetNews.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
-import rillyard.balancer.Place;
-import rillyard.balancer.Result;
+import rillyard.balancer.AttemptOutcome;
+import rillyard.balancer.SubsetPosition;
 import rillyard.member.net.FleetMember;
 import rillyard.proxy.Neighbours;
 import rillyard.spread.Ballot;
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public void ended(String host, Result result, double now) {
+    public void ended(String host, AttemptOutcome result, double now) {
         rate.counted(now);
         switch (result) {
             case OK -> words.ended(Vote.number(host), false, now);
@@ -142,7 +142,7 @@
                 strange(owner, e);
             }
         });
-        Place p = known.present().isEmpty() ? null : pools.lay(known.self(), known.present(), rates);
+        SubsetPosition p = known.present().isEmpty() ? null : pools.lay(known.self(), known.present(), rates);
         if (p != null) {
             heed.place(p);
             heed.log(String.format(Locale.ROOT, "fleet: pool %d of %d, weight %.2f", p.position(), p.of(), p.weight()));
--- a/src/test/java/rillyard/ArchitectureTest.java
+++ b/src/test/java/rillyard/ArchitectureTest.java
@@ -64,7 +64,8 @@
     @ArchTest
     static final ArchRule THE_PROXY_KNOWS_NOTHING_OF_ITS_REHEARSAL = noClasses()
             .that()
-            .resideInAnyPackage("rillyard.proxy..", "rillyard.balancer..", "rillyard.adapter..")
+            .resideInAnyPackage(
+                    "rillyard.proxy..", "rillyard.balancer..", "rillyard.simulation..", "rillyard.settings..")
             .should()
             .dependOnClassesThat()
             .resideInAnyPackage(
--- a/src/test/java/rillyard/adapter/RecordedDecisionsTest.java
+++ b/src/test/java/rillyard/adapter/RecordedDecisionsTest.java
@@ -13,6 +13,7 @@
 import java.util.List;
 import java.util.zip.GZIPInputStream;
 import org.junit.jupiter.api.Test;
+import rillyard.simulation.SimulatorSession;
 
 /**
  * Replays events that were recorded with revision 9259448 on the simulator's wire and compares the decisions byte for
@@ -29,7 +30,10 @@
         ByteArrayOutputStream actions = new ByteArrayOutputStream();
         ByteArrayOutputStream errors = new ByteArrayOutputStream();
 
-        new Adapter(new ByteArrayInputStream(events), actions, new PrintStream(errors, true, StandardCharsets.UTF_8))
+        new SimulatorSession(
+                        new ByteArrayInputStream(events),
+                        actions,
+                        new PrintStream(errors, true, StandardCharsets.UTF_8))
                 .run();
 
         List<String> recorded = withoutLogTexts(read("actions.txt.gz"));
--- a/src/test/java/rillyard/balancer/Bench.java
+++ b/src/test/java/rillyard/balancer/BalancerFixture.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** Builds settings and hosts for tests, and records what a balancer asks for. */
-final class Bench implements Actions {
+final class BalancerFixture implements BalancerActions {
     record Send(long request, int number, long host, double at) {}
 
     double now = 1_000;
@@ -53,24 +53,24 @@
                 false);
     }
 
-    static HostEntry host(long id) {
-        return host(id, HostEntry.Condition.READY, 0);
+    static EndpointEntry host(long id) {
+        return host(id, EndpointEntry.Condition.READY, 0);
     }
 
-    static HostEntry host(long id, HostEntry.Condition condition, double since) {
-        return new HostEntry(id, id % 5 == 4 ? "b" : "a", "k" + id % 2, id / 4, condition, 1, since);
+    static EndpointEntry host(long id, EndpointEntry.Condition condition, double since) {
+        return new EndpointEntry(id, id % 5 == 4 ? "b" : "a", "k" + id % 2, id / 4, condition, 1, since);
     }
 
-    static List<HostEntry> hosts(int n) {
-        List<HostEntry> all = new ArrayList<>();
+    static List<EndpointEntry> hosts(int n) {
+        List<EndpointEntry> all = new ArrayList<>();
         for (int i = 0; i < n; i++) {
             all.add(host(i));
         }
         return all;
     }
 
-    static Arrival request(long id, String type, double budget) {
-        return new Arrival(id, type, null, budget, Double.NaN, false);
+    static IncomingRequest request(long id, String type, double budget) {
+        return new IncomingRequest(id, type, null, budget, Double.NaN, false);
     }
 
     /** A report of so many requests held and of nothing else. */
--- a/src/test/java/rillyard/balancer/BalancerTest.java
+++ b/src/test/java/rillyard/balancer/BalancerTest.java
@@ -7,38 +7,40 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import rillyard.balancer.HostEntry.Condition;
+import rillyard.balancer.EndpointEntry.Condition;
 import rillyard.balancer.Settings.Scope;
 import rillyard.balancer.Settings.Semantics;
 
 class BalancerTest {
     private static final String SAFE = "safe";
     private static final String ONCE = "once";
-    private final Bench bench = new Bench();
+    private final BalancerFixture bench = new BalancerFixture();
     private long next;
 
-    private Balancer balancer(Settings settings, List<HostEntry> hosts) {
+    private Balancer balancer(Settings settings, List<EndpointEntry> hosts) {
         Balancer b = new Balancer(settings, 7, bench);
         b.onStart(bench.now);
-        b.onMembership(bench.now, News.CACHED, hosts);
+        b.onMembership(bench.now, WatchEvent.CACHED, hosts);
         return b;
     }
 
     private Balancer safe(int hosts) {
-        return balancer(Bench.settings(Bench.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)), Bench.hosts(hosts));
+        return balancer(
+                BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)),
+                BalancerFixture.hosts(hosts));
     }
 
     private void serve(Balancer b, long id, double spent) {
-        b.onRequest(bench.now, Bench.request(id, SAFE, 800));
-        Bench.Send s = bench.last();
+        b.onRequest(bench.now, BalancerFixture.request(id, SAFE, 800));
+        BalancerFixture.Send s = bench.last();
         bench.now += spent;
-        b.onOutcome(bench.now, id, s.number(), Result.OK, spent, true, null);
+        b.onOutcome(bench.now, id, s.number(), AttemptOutcome.OK, spent, true, null);
     }
 
     @Test
     void refusesAtOnceWithoutHosts() {
         Balancer b = safe(0);
-        b.onRequest(bench.now, Bench.request(1, SAFE, 800));
+        b.onRequest(bench.now, BalancerFixture.request(1, SAFE, 800));
         assertThat(bench.refused).containsExactly(1L);
     }
 
@@ -47,7 +49,7 @@
         Balancer b = safe(4);
         Map<Long, Integer> counts = new HashMap<>();
         for (int i = 0; i < 40; i++) {
-            b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             counts.merge(bench.last().host(), 1, Integer::sum);
         }
         assertThat(counts.values()).allSatisfy(n -> assertThat(n).isBetween(7, 13));
@@ -59,7 +61,7 @@
         for (int i = 0; i < 200; i++) {
             serve(b, i, 10);
         }
-        b.onRequest(bench.now, Bench.request(1_000, SAFE, 800));
+        b.onRequest(bench.now, BalancerFixture.request(1_000, SAFE, 800));
         long silent = bench.last().host();
         bench.now += 300;
         for (int i = 2_000; i < 2_100; i++) {
@@ -77,9 +79,9 @@
         int trials = 0;
         for (int i = 0; i < 2_000; i++) {
             bench.now += 5;
-            b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             for (int k = 0; k < 3; k++) {
-                Bench.Send s = bench.last();
+                BalancerFixture.Send s = bench.last();
                 if (s.request() != i || s.number() != k) {
                     break;
                 }
@@ -89,7 +91,7 @@
                     later += i >= 100 && bench.now < 7_000 ? 1 : 0;
                     trials += bench.now >= 7_000 ? 1 : 0;
                 }
-                b.onOutcome(bench.now, i, k, fails ? Result.ERROR : Result.OK, 1, !fails, null);
+                b.onOutcome(bench.now, i, k, fails ? AttemptOutcome.ERROR : AttemptOutcome.OK, 1, !fails, null);
             }
         }
         assertThat(first).isLessThan(8);
@@ -101,13 +103,13 @@
     void keepsServingAndLeavesFewOutWhenEveryHostFails() {
         Balancer b = safe(3);
         for (int i = 0; i < 60; i++) {
-            b.onRequest(bench.now, Bench.request(i, SAFE, 800));
-            b.onOutcome(bench.now, i, 0, Result.ERROR, 1, true, null);
+            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+            b.onOutcome(bench.now, i, 0, AttemptOutcome.ERROR, 1, true, null);
         }
         int before = bench.sends.size();
-        b.onRequest(bench.now, Bench.request(100, SAFE, 800));
+        b.onRequest(bench.now, BalancerFixture.request(100, SAFE, 800));
         assertThat(bench.sends).hasSizeGreaterThan(before);
-        b.onOutcome(bench.now, 100, 0, Result.OK, 1, true, null);
+        b.onOutcome(bench.now, 100, 0, AttemptOutcome.OK, 1, true, null);
         assertThat(bench.logs).filteredOn(l -> l.endsWith("ejected")).hasSize(1);
         bench.now += 20_000;
         for (int i = 200; i < 260; i++) {
@@ -122,9 +124,9 @@
         Balancer b = safe(4);
         for (int i = 0; i < 60; i++) {
             bench.now += 20;
-            b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             for (int k = 0; k < 4 && bench.last().request() == i && bench.last().number() == k; k++) {
-                b.onOutcome(bench.now, i, k, Result.FULL, 1, false, null);
+                b.onOutcome(bench.now, i, k, AttemptOutcome.FULL, 1, false, null);
             }
         }
         assertThat(bench.logs).noneMatch(l -> l.contains("ejected"));
@@ -135,9 +137,9 @@
     @Test
     void sendsNothingToDrainingHost() {
         Balancer b = safe(3);
-        b.onMembership(bench.now, News.DELTA, List.of(Bench.host(1, Condition.TERMINATING, 0)));
+        b.onMembership(bench.now, WatchEvent.DELTA, List.of(BalancerFixture.host(1, Condition.TERMINATING, 0)));
         for (int i = 0; i < 60; i++) {
-            b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             assertThat(bench.last().host()).isNotEqualTo(1);
         }
     }
@@ -148,7 +150,7 @@
         for (int i = 0; i < 1_000; i++) {
             serve(b, i, 4);
         }
-        b.onMembership(bench.now, News.DELTA, List.of(Bench.host(3, Condition.READY, bench.now)));
+        b.onMembership(bench.now, WatchEvent.DELTA, List.of(BalancerFixture.host(3, Condition.READY, bench.now)));
         int cold = 0;
         for (int i = 1_000; i < 1_500; i++) {
             serve(b, i, 4);
@@ -160,13 +162,15 @@
 
     @Test
     void unsafeRequestIsNeverRepeatedAfterTimeout() {
-        Balancer b = balancer(Bench.settings(Bench.type("once", Semantics.AT_MOST_ONCE, Scope.ALL)), Bench.hosts(4));
-        b.onRequest(bench.now, Bench.request(1, "once", 400));
-        b.onOutcome(bench.now + 400, 1, 0, Result.TIMEOUT, 400, false, null);
+        Balancer b = balancer(
+                BalancerFixture.settings(BalancerFixture.type("once", Semantics.AT_MOST_ONCE, Scope.ALL)),
+                BalancerFixture.hosts(4));
+        b.onRequest(bench.now, BalancerFixture.request(1, "once", 400));
+        b.onOutcome(bench.now + 400, 1, 0, AttemptOutcome.TIMEOUT, 400, false, null);
         assertThat(bench.sends).hasSize(1);
         assertThat(bench.failed).containsExactly(1L);
-        b.onRequest(bench.now, Bench.request(2, "once", 400));
-        b.onOutcome(bench.now, 2, 0, Result.FULL, 1, false, null);
+        b.onRequest(bench.now, BalancerFixture.request(2, "once", 400));
+        b.onOutcome(bench.now, 2, 0, AttemptOutcome.FULL, 1, false, null);
         assertThat(bench.sends).hasSize(3);
     }
 
@@ -174,23 +178,23 @@
     void refusesEarlyInOverloadAndRecovers() {
         Balancer b = safe(4);
         for (int i = 0; i < 60; i++) {
-            b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
         }
         bench.now += 790;
         for (int i = 0; i < 60; i++) {
-            b.onOutcome(bench.now, i, 0, Result.OK, 790, true, null);
+            b.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 790, true, null);
         }
         int sent = bench.sends.size();
         for (int i = 1_000; i < 1_050; i++) {
             bench.now += 20; // what comes in the same moment meets the same answer
-            b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
         }
         assertThat(bench.refused).hasSizeGreaterThan(20);
         assertThat(bench.sends).hasSizeGreaterThan(sent);
         bench.now += 60_000;
         int refused = bench.refused.size();
         for (int i = 2_000; i < 2_050; i++) {
-            b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
         }
         assertThat(bench.refused).hasSize(refused);
     }
@@ -200,15 +204,15 @@
     void jamIsRememberedBetweenTimeouts() {
         Balancer b = safe(4);
         for (int i = 0; i < 60; i++) {
-            b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
         }
         bench.now += 790;
         for (int i = 0; i < 60; i++) {
-            b.onOutcome(bench.now, i, 0, Result.OK, 790, true, null);
+            b.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 790, true, null);
         }
         bench.now += 3_000;
         for (int i = 1_000; i < 1_100; i++) {
-            b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
         }
         assertThat(bench.refused).hasSizeGreaterThan(60);
     }
@@ -216,11 +220,12 @@
     @Test
     void followsAgainAfterFailureWithBackoff() {
         Balancer b = balancer(
-                Bench.settings(true, 4, true, Bench.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)), Bench.hosts(2));
+                BalancerFixture.settings(true, 4, true, BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)),
+                BalancerFixture.hosts(2));
         assertThat(bench.follows).isEqualTo(1);
         double last = 0;
         for (int i = 0; i < 6; i++) {
-            b.onMembership(bench.now, News.FAILED, List.of());
+            b.onMembership(bench.now, WatchEvent.FAILED, List.of());
             Map.Entry<Double, List<Long>> timer = bench.timers.pollFirstEntry();
             last = timer.getKey() - bench.now;
             bench.now = timer.getKey();
@@ -243,12 +248,13 @@
 
     @Test
     void sameSeedAndEventsGiveTheSameActions() {
-        Bench other = new Bench();
-        for (Bench each : List.of(bench, other)) {
-            Balancer b = new Balancer(Bench.settings(Bench.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)), 3, each);
-            b.onMembership(each.now, News.FULL, Bench.hosts(9));
+        BalancerFixture other = new BalancerFixture();
+        for (BalancerFixture each : List.of(bench, other)) {
+            Balancer b = new Balancer(
+                    BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)), 3, each);
+            b.onMembership(each.now, WatchEvent.FULL, BalancerFixture.hosts(9));
             for (int i = 0; i < 100; i++) {
-                b.onRequest(each.now, Bench.request(i, SAFE, 800));
+                b.onRequest(each.now, BalancerFixture.request(i, SAFE, 800));
             }
         }
         assertThat(other.sends).isEqualTo(bench.sends);
@@ -259,20 +265,20 @@
     void heavyAnswersDoNotMakeQueuesLookLong() {
         Balancer b = safe(3);
         for (int i = 0; i < 120; i++) {
-            b.onRequest(bench.now, Bench.request(i, SAFE, 800));
-            Bench.Send s = bench.last();
+            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+            BalancerFixture.Send s = bench.last();
             double spent = i % 10 == 9 ? 780 : 60;
             bench.now += spent;
-            b.onOutcome(bench.now, i, s.number(), Result.OK, spent, true, Bench.held(10));
+            b.onOutcome(bench.now, i, s.number(), AttemptOutcome.OK, spent, true, BalancerFixture.held(10));
         }
         // A mean of 132 ms for 11 held makes a queue of 25 too long for the aim; a median of 60 does not.
         int refused = bench.refused.size();
         bench.now += 15_000; // pressure fades
         for (int i = 200; i < 203; i++) {
-            b.onRequest(bench.now, Bench.request(i, SAFE, 800));
-            b.onOutcome(bench.now, i, bench.last().number(), Result.OK, 60, true, Bench.held(25));
+            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+            b.onOutcome(bench.now, i, bench.last().number(), AttemptOutcome.OK, 60, true, BalancerFixture.held(25));
         }
-        b.onRequest(bench.now, Bench.request(900, SAFE, 800));
+        b.onRequest(bench.now, BalancerFixture.request(900, SAFE, 800));
         assertThat(bench.refused).hasSize(refused);
     }
 
@@ -280,23 +286,23 @@
     @Test
     void refusesATenantOverItsShareFirst() {
         Balancer b = balancer(
-                Bench.settings(
+                BalancerFixture.settings(
                         List.of(new Settings.Tenant("x", 10, 0.5), new Settings.Tenant("y", 10, 0.5)),
-                        Bench.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)),
-                Bench.hosts(4));
+                        BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)),
+                BalancerFixture.hosts(4));
         for (int i = 0; i < 90; i++) {
-            b.onRequest(bench.now, new Arrival(i, SAFE, i % 9 == 0 ? "y" : "x", 800, Double.NaN, false));
+            b.onRequest(bench.now, new IncomingRequest(i, SAFE, i % 9 == 0 ? "y" : "x", 800, Double.NaN, false));
         }
         bench.now += 790;
         for (int i = 0; i < 90; i++) {
-            b.onOutcome(bench.now, i, 0, Result.OK, 300, true, null);
+            b.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 300, true, null);
         }
         int[] refused = new int[2];
         for (int i = 0; i < 180; i++) {
             int before = bench.refused.size();
             boolean y = i % 9 == 0;
             bench.now += 20;
-            b.onRequest(bench.now, new Arrival(1_000 + i, SAFE, y ? "y" : "x", 800, Double.NaN, false));
+            b.onRequest(bench.now, new IncomingRequest(1_000 + i, SAFE, y ? "y" : "x", 800, Double.NaN, false));
             refused[y ? 1 : 0] += bench.refused.size() - before;
         }
         // 160 of x, 20 of y
@@ -312,16 +318,19 @@
         for (int i = 0; i < 4_000; i++) {
             bench.now += 1;
             if (i == 2_000) {
-                b.onMembership(bench.now, News.DELTA, List.of(Bench.host(3, HostEntry.Condition.READY, bench.now)));
+                b.onMembership(
+                        bench.now,
+                        WatchEvent.DELTA,
+                        List.of(BalancerFixture.host(3, EndpointEntry.Condition.READY, bench.now)));
             }
             int before = bench.sends.size();
-            b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             for (int k = before; k < bench.sends.size(); k++) {
-                Bench.Send s = bench.sends.get(k);
+                BalancerFixture.Send s = bench.sends.get(k);
                 boolean ok = k % 10 == 0; // hosts serve a tenth of what comes
                 cold += i >= 2_000 && s.host() == 3 ? 1 : 0;
                 served += i >= 2_000 && ok ? 1 : 0;
-                b.onOutcome(bench.now, i, s.number(), ok ? Result.OK : Result.FULL, 2, ok, null);
+                b.onOutcome(bench.now, i, s.number(), ok ? AttemptOutcome.OK : AttemptOutcome.FULL, 2, ok, null);
             }
         }
         // A warm host serves a fifth of that, and a cold one may get at most three times as much.
@@ -331,14 +340,17 @@
     /** Guards against many proxies that together use up the hosts' connections (if1c0a3). */
     @Test
     void manyProxiesOnFewHostsKeepSmallPools() {
-        Settings s = Bench.settings(Bench.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
+        Settings s = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
         Settings many = new Settings(
                 s.classes(), s.tenants(), s.limits(), s.rules(), s.fees(), false, "a", 17, 1_500, 1, false);
-        Balancer b = balancer(many, Bench.hosts(40));
+        Balancer b = balancer(many, BalancerFixture.hosts(40));
         for (int i = 0; i < 500; i++) {
             serve(b, i, 10);
         }
-        assertThat(bench.sends.stream().map(Bench.Send::host).distinct().count())
+        assertThat(bench.sends.stream()
+                        .map(BalancerFixture.Send::host)
+                        .distinct()
+                        .count())
                 .isBetween(3L, 5L);
     }
 
@@ -346,68 +358,69 @@
     void reportOfALongQueueIsNotBelievedForLongerThanTheQueueLasts() {
         Balancer b = safe(2);
         for (int i = 0; bench.refused.isEmpty(); i++) {
-            b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             if (bench.refused.isEmpty()) { // each answer takes 300 ms behind nine others
                 bench.now += 300;
-                b.onOutcome(bench.now, i, 0, Result.OK, 300, true, Bench.held(9));
+                b.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 300, true, BalancerFixture.held(9));
             }
             assertThat(i).isLessThan(100);
         }
         int before = bench.sends.size();
         bench.now += 2_400; // six aims: nobody was asked, and nothing newer was heard
         for (int i = 0; i < 20; i++) {
-            b.onRequest(bench.now, Bench.request(1_000 + i, SAFE, 800));
+            b.onRequest(bench.now, BalancerFixture.request(1_000 + i, SAFE, 800));
         }
         assertThat(bench.sends.size() - before).isGreaterThan(5);
     }
 
     @Test
     void hostHoldsAtLeastWhatWasSentToItAndAReportedQueueDrains() {
-        Settings settings = Bench.settings(Bench.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
-        Fleet fleet = new Fleet(settings);
-        fleet.apply(bench.now, News.FULL, Bench.hosts(1), new java.util.SplittableRandom(1));
+        Settings settings = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
+        HostSet fleet = new HostSet(settings);
+        fleet.apply(bench.now, WatchEvent.FULL, BalancerFixture.hosts(1), new java.util.SplittableRandom(1));
         HostState h = fleet.get(0);
         fleet.queued(h, 9, 100); // 10 ms for each request held
-        fleet.reported(h, bench.now, Bench.held(0), true);
+        fleet.reported(h, bench.now, BalancerFixture.held(0), true);
         assertThat(fleet.expectedAnswer(h, bench.now)).isZero();
         h.inFlight = 20; // the report is older than these
         assertThat(fleet.expectedAnswer(h, bench.now)).isGreaterThanOrEqualTo(200);
         h.inFlight = 0;
-        fleet.reported(h, bench.now, Bench.held(14), true);
+        fleet.reported(h, bench.now, BalancerFixture.held(14), true);
         assertThat(fleet.expectedAnswer(h, bench.now)).isGreaterThanOrEqualTo(140);
         assertThat(fleet.expectedAnswer(h, bench.now + 150)).isZero();
     }
 
     @Test
     void aRequestThatStillComesIsNoSilenceAndHidesNone() {
-        Settings s = Bench.settings(Bench.type(SAFE, Semantics.AT_MOST_ONCE, Scope.ALL));
-        Attempts.ClassState type = new Attempts.ClassState(s.classes().get(0));
-        Fleet fleet = new Fleet(s);
+        Settings s = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.AT_MOST_ONCE, Scope.ALL));
+        RetryPolicy.RequestClassStats type =
+                new RetryPolicy.RequestClassStats(s.classes().get(0));
+        HostSet fleet = new HostSet(s);
         var random = new java.util.SplittableRandom(1);
-        fleet.apply(bench.now, News.FULL, Bench.hosts(1), random);
+        fleet.apply(bench.now, WatchEvent.FULL, BalancerFixture.hosts(1), random);
         HostState h = fleet.get(0);
-        Attempts attempts = new Attempts(s.limits());
-        Health health = new Health(fleet, s.meanAim(), random, bench);
+        RetryPolicy attempts = new RetryPolicy(s.limits());
+        OutlierDetector health = new OutlierDetector(fleet, s.meanAim(), random, bench);
         double at = bench.now;
-        attempts.start(new Attempts.Call(1, type, at, Double.POSITIVE_INFINITY), h, at);
+        attempts.start(new RetryPolicy.RequestState(1, type, at, Double.POSITIVE_INFINITY), h, at);
         assertThat(health.silent(h, at + 60_000, 50)).isFalse();
-        Attempts.Attempt whole = attempts.start(new Attempts.Call(2, type, at, 800), h, at);
+        RetryPolicy.AttemptState whole = attempts.start(new RetryPolicy.RequestState(2, type, at, 800), h, at);
         assertThat(health.silent(h, at + 1_000, 50)).isTrue();
-        attempts.finish(whole, Result.OK);
+        attempts.finish(whole, AttemptOutcome.OK);
         assertThat(health.silent(h, at + 1_000, 50)).isFalse();
     }
 
     @Test
     void theTimeOfARequestThatStillComesRunsFromItsLastByte() {
-        Settings s = Bench.settings(Bench.type(SAFE, Semantics.AT_MOST_ONCE, Scope.ALL));
-        Balancer b = balancer(s, Bench.hosts(2));
-        b.onRequest(bench.now, Bench.request(1, SAFE, Double.POSITIVE_INFINITY));
+        Settings s = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.AT_MOST_ONCE, Scope.ALL));
+        Balancer b = balancer(s, BalancerFixture.hosts(2));
+        b.onRequest(bench.now, BalancerFixture.request(1, SAFE, Double.POSITIVE_INFINITY));
         bench.now += 60_000;
-        b.onOutcome(bench.now, 1, 0, Result.CONNECT_FAILED, 5, false, null);
+        b.onOutcome(bench.now, 1, 0, AttemptOutcome.CONNECT_FAILED, 5, false, null);
         assertThat(bench.sends).hasSize(2); // it may still go to another one
         b.onWhole(bench.now, 1, 800);
         bench.now += 900;
-        b.onOutcome(bench.now, 1, 1, Result.CONNECT_FAILED, 5, false, null);
+        b.onOutcome(bench.now, 1, 1, AttemptOutcome.CONNECT_FAILED, 5, false, null);
         assertThat(bench.refused).containsExactly(1L); // its time is up, and it never ran
         assertThat(bench.sends).hasSize(2);
     }
@@ -415,8 +428,8 @@
     /** Without it a successor would lend cold hosts next to nothing for its first seconds. */
     @Test
     void theRateOfAProxyThatHasAllItsLoadAtOnceIsNearTheTrueOneFromTheFirstSecondAndNeverOver() {
-        Settings s = Bench.settings(Bench.type(SAFE, Semantics.AT_MOST_ONCE, Scope.ALL));
-        Admission admission = new Admission(s, new java.util.SplittableRandom(1), bench);
+        Settings s = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.AT_MOST_ONCE, Scope.ALL));
+        AdmissionController admission = new AdmissionController(s, new java.util.SplittableRandom(1), bench);
         assertThat(admission.servedRate(bench.now)).isZero();
         for (int ms = 0; ms <= 20_000; ms += 10) { // 0.1 a ms
             admission.arrived(bench.now + ms, s.classes().get(0), null);
@@ -429,37 +442,39 @@
 
     @Test
     void aJamOfTheHealthyIsNoReasonToSendToThoseThatFail() {
-        Settings s = Bench.settings(Bench.type(SAFE, Semantics.AT_MOST_ONCE, Scope.ALL));
+        Settings s = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.AT_MOST_ONCE, Scope.ALL));
         Settings.RequestClass type = s.classes().get(0);
-        Fleet fleet = new Fleet(s);
+        HostSet fleet = new HostSet(s);
         var random = new java.util.SplittableRandom(1);
-        fleet.apply(bench.now, News.FULL, Bench.hosts(2), random);
-        Attempts attempts = new Attempts(s.limits());
-        Health health = new Health(fleet, s.meanAim(), random, bench);
-        Admission admission = new Admission(s, random, bench);
-        Draw draw = new Draw(s, fleet, health, attempts, admission, random);
-        Attempts.Call c = new Attempts.Call(1, new Attempts.ClassState(type), bench.now, 800);
+        fleet.apply(bench.now, WatchEvent.FULL, BalancerFixture.hosts(2), random);
+        RetryPolicy attempts = new RetryPolicy(s.limits());
+        OutlierDetector health = new OutlierDetector(fleet, s.meanAim(), random, bench);
+        AdmissionController admission = new AdmissionController(s, random, bench);
+        HostSelector draw = new HostSelector(s, fleet, health, attempts, admission, random);
+        RetryPolicy.RequestState c =
+                new RetryPolicy.RequestState(1, new RetryPolicy.RequestClassStats(type), bench.now, 800);
         c.patience = 280;
         for (int i = 0; i < 3; i++) {
             health.failed(fleet.get(1), bench.now, true);
         }
         assertThat(draw.pick(c, bench.now)).isSameAs(fleet.get(0));
         fleet.queued(fleet.get(0), 9, 100);
-        fleet.reported(fleet.get(0), bench.now, Bench.held(60), true); // its queue takes longer than the request has
+        fleet.reported(
+                fleet.get(0), bench.now, BalancerFixture.held(60), true); // its queue takes longer than the request has
         assertThat(draw.pick(c, bench.now)).isNull();
         for (int i = 0; i < 3; i++) {
             health.failed(fleet.get(0), bench.now, true);
         }
-        fleet.reported(fleet.get(0), bench.now, Bench.held(0), true);
+        fleet.reported(fleet.get(0), bench.now, BalancerFixture.held(0), true);
         assertThat(draw.pick(c, bench.now)).isNotNull(); // nobody is healthy: somebody is better than none
     }
 
     @Test
     void twoProxiesWithFewHostsKeepTheirCountsEven() {
-        Settings s = Bench.settings(Bench.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
+        Settings s = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
         Settings two =
                 new Settings(s.classes(), s.tenants(), s.limits(), s.rules(), s.fees(), false, "a", 0, 2, 1, false);
-        Balancer b = balancer(two, Bench.hosts(8)); // all but host 4 are near
+        Balancer b = balancer(two, BalancerFixture.hosts(8)); // all but host 4 are near
         Map<Long, Integer> counts = new HashMap<>();
         for (long id : new long[] {0, 1, 2, 3, 5, 6, 7}) {
             counts.put(id, 0);
@@ -467,7 +482,7 @@
         int missed = 0;
         for (int i = 0; i < 84; i++) {
             int least = counts.values().stream().min(Integer::compare).orElseThrow();
-            b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             missed += counts.merge(bench.last().host(), 1, Integer::sum) > least + 1 ? 1 : 0;
         }
         assertThat(missed).isLessThan(12); // one in seven, where the draw leaves one out
@@ -475,27 +490,27 @@
 
     /** One request each 2 ms, served in 40 ms but for those that {@code lost} names at host 0. */
     private int sentTo0(Balancer b, java.util.function.IntPredicate lost) {
-        java.util.PriorityQueue<Map.Entry<Double, Bench.Send>> due =
+        java.util.PriorityQueue<Map.Entry<Double, BalancerFixture.Send>> due =
                 new java.util.PriorityQueue<>(Map.Entry.comparingByKey());
         int sent = 0;
         for (int i = 0; i < 2_000; i++) {
             bench.now += 2;
             while (!due.isEmpty() && due.peek().getKey() <= bench.now) {
-                Bench.Send s = due.poll().getValue();
+                BalancerFixture.Send s = due.poll().getValue();
                 boolean late = bench.now - s.at() >= 400;
                 b.onOutcome(
                         bench.now,
                         s.request(),
                         s.number(),
-                        late ? Result.TIMEOUT : Result.OK,
+                        late ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK,
                         bench.now - s.at(),
                         true,
                         null);
             }
             int before = bench.sends.size();
-            b.onRequest(bench.now, Bench.request(next++, ONCE, 400));
+            b.onRequest(bench.now, BalancerFixture.request(next++, ONCE, 400));
             if (bench.sends.size() > before) {
-                Bench.Send s = bench.last();
+                BalancerFixture.Send s = bench.last();
                 boolean gone = s.host() == 0 && lost.test(sent++);
                 due.add(Map.entry(bench.now + (gone ? 400 : 40), s));
             }
@@ -505,36 +520,39 @@
 
     @Test
     void hostThatLosesSomeIsOfUseAndOneThatHangsIsNot() {
-        Settings once = Bench.settings(Bench.type(ONCE, Semantics.AT_MOST_ONCE, Scope.ALL));
-        int some = sentTo0(balancer(once, Bench.hosts(3)), n -> n % 3 == 2);
+        Settings once = BalancerFixture.settings(BalancerFixture.type(ONCE, Semantics.AT_MOST_ONCE, Scope.ALL));
+        int some = sentTo0(balancer(once, BalancerFixture.hosts(3)), n -> n % 3 == 2);
         assertThat(bench.logs).doesNotContain("host 0 ejected");
-        int all = sentTo0(balancer(once, Bench.hosts(3)), n -> true);
+        int all = sentTo0(balancer(once, BalancerFixture.hosts(3)), n -> true);
         assertThat(bench.logs).contains("host 0 ejected");
         assertThat(some).isGreaterThan(2 * all);
     }
 
     @Test
     void restartedHostIsNotWeighedByAReportOfItsFormerProcess() {
-        Fleet fleet = new Fleet(Bench.settings(Bench.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)));
+        HostSet fleet =
+                new HostSet(BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)));
         java.util.SplittableRandom random = new java.util.SplittableRandom(1);
-        fleet.apply(bench.now, News.FULL, Bench.hosts(1), random);
-        fleet.reported(fleet.get(0), bench.now, Bench.held(5), true);
-        fleet.apply(bench.now, News.DELTA, List.of(Bench.host(0, Condition.READY, bench.now)), random);
+        fleet.apply(bench.now, WatchEvent.FULL, BalancerFixture.hosts(1), random);
+        fleet.reported(fleet.get(0), bench.now, BalancerFixture.held(5), true);
+        fleet.apply(bench.now, WatchEvent.DELTA, List.of(BalancerFixture.host(0, Condition.READY, bench.now)), random);
         assertThat(fleet.expectedWait(fleet.get(0), bench.now)).isFinite();
         assertThat(fleet.expectedAnswer(fleet.get(0), bench.now)).isZero();
     }
 
     @Test
     void forgetsHostsThatAreGone() {
-        Fleet fleet = new Fleet(Bench.settings(Bench.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)));
+        HostSet fleet =
+                new HostSet(BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)));
         java.util.SplittableRandom random = new java.util.SplittableRandom(1);
-        List<HostEntry> three = Bench.hosts(3);
-        fleet.apply(bench.now, News.FULL, three, random);
-        HostEntry first = three.get(0);
-        HostEntry gone = new HostEntry(first.id(), first.zone(), first.kind(), first.cell(), Condition.GONE, 1, 0);
-        fleet.apply(bench.now, News.DELTA, List.of(gone), random);
+        List<EndpointEntry> three = BalancerFixture.hosts(3);
+        fleet.apply(bench.now, WatchEvent.FULL, three, random);
+        EndpointEntry first = three.get(0);
+        EndpointEntry gone =
+                new EndpointEntry(first.id(), first.zone(), first.kind(), first.cell(), Condition.GONE, 1, 0);
+        fleet.apply(bench.now, WatchEvent.DELTA, List.of(gone), random);
         assertThat(fleet.get(first.id())).isNull();
-        fleet.apply(bench.now, News.FULL, List.of(three.get(2)), random);
+        fleet.apply(bench.now, WatchEvent.FULL, List.of(three.get(2)), random);
         assertThat(fleet.get(three.get(1).id())).isNull();
         assertThat(fleet.get(three.get(2).id())).isNotNull();
     }
--- a/src/test/java/rillyard/balancer/FleetWordTest.java
+++ b/src/test/java/rillyard/balancer/FleetEjectionTest.java
@@ -8,18 +8,20 @@
 import org.junit.jupiter.api.Test;
 
 /** What other proxies found of a host, and where a pool lies. */
-class FleetWordTest {
-    private final Bench bench = new Bench();
+class FleetEjectionTest {
+    private final BalancerFixture bench = new BalancerFixture();
     private final Balancer b = new Balancer(
-            Bench.settings(Bench.type("visit", Settings.Semantics.IDEMPOTENT, Settings.Scope.ALL)), 1, bench);
+            BalancerFixture.settings(BalancerFixture.type("visit", Settings.Semantics.IDEMPOTENT, Settings.Scope.ALL)),
+            1,
+            bench);
     private long next;
 
-    FleetWordTest() {
+    FleetEjectionTest() {
         b.onStart(bench.now);
     }
 
     private void hosts(int n) {
-        b.onMembership(bench.now, News.FULL, Bench.hosts(n));
+        b.onMembership(bench.now, WatchEvent.FULL, BalancerFixture.hosts(n));
     }
 
     /** Hosts that get something of so many requests, each answered at once. */
@@ -27,9 +29,9 @@
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < requests; i++) {
             bench.now += 20;
-            b.onRequest(bench.now, Bench.request(next, "visit", 800));
+            b.onRequest(bench.now, BalancerFixture.request(next, "visit", 800));
             used.add(bench.last().host());
-            b.onOutcome(bench.now + 5, next++, 0, Result.OK, 5, true, null);
+            b.onOutcome(bench.now + 5, next++, 0, AttemptOutcome.OK, 5, true, null);
         }
         return used;
     }
@@ -60,17 +62,18 @@
 
     @Test
     void aPoolLiesWhereItIsLaidAndGrowsWithItsWeight() {
-        Settings s = Bench.settings(Bench.type("visit", Settings.Semantics.IDEMPOTENT, Settings.Scope.ALL));
-        List<HostEntry> all = Bench.hosts(40).stream()
-                .map(e -> new HostEntry(e.id(), "a", e.kind(), e.cell(), e.condition(), 1, 0))
+        Settings s = BalancerFixture.settings(
+                BalancerFixture.type("visit", Settings.Semantics.IDEMPOTENT, Settings.Scope.ALL));
+        List<EndpointEntry> all = BalancerFixture.hosts(40).stream()
+                .map(e -> new EndpointEntry(e.id(), "a", e.kind(), e.cell(), e.condition(), 1, 0))
                 .toList();
-        b.onMembership(bench.now, News.FULL, all);
+        b.onMembership(bench.now, WatchEvent.FULL, all);
         Set<Long> first = used(300);
         assertThat(first).hasSizeBetween(5, 9);
-        b.onPlace(new Place(1, 2, 1, false));
+        b.onPlace(new SubsetPosition(1, 2, 1, false));
         Set<Long> other = used(300);
         assertThat(other).hasSizeBetween(5, 9).doesNotContainAnyElementsOf(first);
-        b.onPlace(new Place(1, 2, 5, false));
+        b.onPlace(new SubsetPosition(1, 2, 5, false));
         assertThat(used(2_000)).hasSizeGreaterThan(28);
         assertThat(s.position()).isZero();
     }
@@ -79,21 +82,27 @@
     private static int firstOfCold(boolean coldFirst) {
         int got = 0;
         for (int k = 0; k < 40; k++) {
-            Bench at = new Bench();
+            BalancerFixture at = new BalancerFixture();
             Balancer one = new Balancer(
-                    Bench.settings(Bench.type("visit", Settings.Semantics.IDEMPOTENT, Settings.Scope.ALL)), k, at);
+                    BalancerFixture.settings(
+                            BalancerFixture.type("visit", Settings.Semantics.IDEMPOTENT, Settings.Scope.ALL)),
+                    k,
+                    at);
             one.onStart(at.now);
-            one.onMembership(at.now, News.FULL, Bench.hosts(6));
-            one.onPlace(new Place(0, 1, 1, coldFirst));
+            one.onMembership(at.now, WatchEvent.FULL, BalancerFixture.hosts(6));
+            one.onPlace(new SubsetPosition(0, 1, 1, coldFirst));
             at.now += k * 20;
             double started = 31_000; // each has sent for half a minute by then
             for (int i = 0; at.now < started + 3_000; i++) {
                 if (at.now >= started && at.now - 800 < started) {
-                    one.onMembership(started, News.DELTA, List.of(Bench.host(2, HostEntry.Condition.READY, started)));
+                    one.onMembership(
+                            started,
+                            WatchEvent.DELTA,
+                            List.of(BalancerFixture.host(2, EndpointEntry.Condition.READY, started)));
                 }
-                one.onRequest(at.now, Bench.request(i, "visit", 800));
+                one.onRequest(at.now, BalancerFixture.request(i, "visit", 800));
                 got += at.now >= started && at.last().host() == 2 ? 1 : 0;
-                one.onOutcome(at.now + 5, i, 0, Result.OK, 5, true, null);
+                one.onOutcome(at.now + 5, i, 0, AttemptOutcome.OK, 5, true, null);
                 at.now += 800;
             }
         }
--- a/src/test/java/rillyard/balancer/FleetTroubleTest.java
+++ b/src/test/java/rillyard/balancer/FleetFaultTest.java
@@ -11,22 +11,22 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import rillyard.balancer.HostEntry.Condition;
+import rillyard.balancer.EndpointEntry.Condition;
 
 /** Troubles of many hosts at once, on a virtual clock: one proxy, hosts that answer as the test says. */
-class FleetTroubleTest {
+class FleetFaultTest {
     /** What a host does with an attempt; {@code after} is in ms, {@code null} result says nothing. */
-    private record Reply(Result result, double after) {}
+    private record Reply(AttemptOutcome result, double after) {}
 
     private interface Hosts {
         Reply reply(long host, double now);
     }
 
-    private record End(double at, long request, int number, Result result, double spent) {}
+    private record End(double at, long request, int number, AttemptOutcome result, double spent) {}
 
-    private final Bench bench = new Bench();
-    private final Settings settings =
-            Bench.settings(Bench.type("claim", Settings.Semantics.AT_MOST_ONCE, Settings.Scope.ALL));
+    private final BalancerFixture bench = new BalancerFixture();
+    private final Settings settings = BalancerFixture.settings(
+            BalancerFixture.type("claim", Settings.Semantics.AT_MOST_ONCE, Settings.Scope.ALL));
     private final Balancer balancer = new Balancer(settings, 11, bench);
     private final PriorityQueue<End> ends = new PriorityQueue<>((a, b) -> Double.compare(a.at(), b.at()));
     private final Map<Long, Integer> served = new HashMap<>();
@@ -41,7 +41,7 @@
                 finish(ends.poll(), hosts);
             }
             bench.now = at;
-            balancer.onRequest(at, Bench.request(next++, "claim", 800));
+            balancer.onRequest(at, BalancerFixture.request(next++, "claim", 800));
             take(hosts);
         }
         bench.now = until;
@@ -49,18 +49,23 @@
 
     private void finish(End e, Hosts hosts) {
         bench.now = e.at();
-        balancer.onOutcome(e.at(), e.request(), e.number(), e.result(), e.spent(), e.result() == Result.OK, null);
+        balancer.onOutcome(
+                e.at(), e.request(), e.number(), e.result(), e.spent(), e.result() == AttemptOutcome.OK, null);
         take(hosts);
     }
 
     private void take(Hosts hosts) {
         for (; seen < bench.sends.size(); seen++) {
-            Bench.Send s = bench.sends.get(seen);
+            BalancerFixture.Send s = bench.sends.get(seen);
             Reply r = hosts.reply(s.host(), s.at());
-            served.merge(s.host(), r.result() == Result.OK ? 1 : 0, Integer::sum);
+            served.merge(s.host(), r.result() == AttemptOutcome.OK ? 1 : 0, Integer::sum);
             double spent = r.result() == null ? 800 : r.after();
             ends.add(new End(
-                    s.at() + spent, s.request(), s.number(), r.result() == null ? Result.TIMEOUT : r.result(), spent));
+                    s.at() + spent,
+                    s.request(),
+                    s.number(),
+                    r.result() == null ? AttemptOutcome.TIMEOUT : r.result(),
+                    spent));
         }
     }
 
@@ -71,13 +76,13 @@
     }
 
     private static Reply ok() {
-        return new Reply(Result.OK, 100);
+        return new Reply(AttemptOutcome.OK, 100);
     }
 
     @Test
     void aZoneThatGoesSilentIsSparedAndTakenBackWhenItReturnsCold() {
         Set<Long> lost = Set.of(0L, 1L, 2L, 3L);
-        balancer.onMembership(bench.now, News.CACHED, Bench.hosts(15));
+        balancer.onMembership(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(15));
         play(3_000, 10, (h, t) -> ok());
         double silent = bench.now;
         play(4_000, 10, (h, t) -> lost.contains(h) ? new Reply(null, 0) : ok());
@@ -85,9 +90,9 @@
         assertThat(sentTo(lost, silent + 2_000, silent + 4_000)).isLessThan(even / 4);
         assertThat(bench.refused).isEmpty(); // eight hosts in twelve have room
         double back = bench.now;
-        List<HostEntry> cold = new ArrayList<>();
-        lost.forEach(h -> cold.add(Bench.host(h, Condition.READY, back)));
-        balancer.onMembership(bench.now, News.DELTA, cold);
+        List<EndpointEntry> cold = new ArrayList<>();
+        lost.forEach(h -> cold.add(BalancerFixture.host(h, Condition.READY, back)));
+        balancer.onMembership(bench.now, WatchEvent.DELTA, cold);
         play(12_000, 10, (h, t) -> ok());
         for (long h : lost) {
             // One proxy alone: 3 x 0.38 of a warm host's 12 in 1.5 s; and warm ones in the end.
@@ -102,8 +107,9 @@
     @Test
     void sixInTenReplacedInSevenSecondsWhileOneInFiveErrs() {
         SplittableRandom chance = new SplittableRandom(3);
-        balancer.onMembership(bench.now, News.CACHED, Bench.hosts(20));
-        Hosts hosts = (h, t) -> h % 100 >= 16 && h < 100 && chance.nextInt(2) == 0 ? new Reply(Result.ERROR, 10) : ok();
+        balancer.onMembership(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(20));
+        Hosts hosts = (h, t) ->
+                h % 100 >= 16 && h < 100 && chance.nextInt(2) == 0 ? new Reply(AttemptOutcome.ERROR, 10) : ok();
         play(3_000, 10, hosts);
         Map<Long, Double> drained = new HashMap<>();
         Set<Long> fresh = new HashSet<>();
@@ -113,10 +119,12 @@
             drained.put(old, bench.now);
             balancer.onMembership(
                     bench.now,
-                    News.DELTA,
-                    List.of(Bench.host(old, Condition.TERMINATING, 0), Bench.host(young, Condition.READY, bench.now)));
+                    WatchEvent.DELTA,
+                    List.of(
+                            BalancerFixture.host(old, Condition.TERMINATING, 0),
+                            BalancerFixture.host(young, Condition.READY, bench.now)));
             play(580, 10, hosts);
-            balancer.onMembership(bench.now, News.DELTA, List.of(Bench.host(old, Condition.GONE, 0)));
+            balancer.onMembership(bench.now, WatchEvent.DELTA, List.of(BalancerFixture.host(old, Condition.GONE, 0)));
         }
         double done = bench.now;
         play(9_000, 10, hosts);
@@ -138,11 +146,12 @@
      */
     @Test
     void aJamOfTheWarmHostsDoesNotShrinkWhatColdOnesAreLent() {
-        balancer.onMembership(bench.now, News.CACHED, Bench.hosts(15));
+        balancer.onMembership(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(15));
         play(10_000, 10, (h, t) -> ok());
         Set<Long> cold = Set.of(0L, 1L, 2L, 3L, 5L, 6L);
         double since = bench.now;
-        cold.forEach(h -> balancer.onMembership(since, News.DELTA, List.of(Bench.host(h, Condition.READY, since))));
+        cold.forEach(h -> balancer.onMembership(
+                since, WatchEvent.DELTA, List.of(BalancerFixture.host(h, Condition.READY, since))));
         play(4_000, 10, (h, t) -> cold.contains(h) ? ok() : new Reply(null, 0));
         // At most 1.5 times 0.3 to 0.65 of a warm host's 8.3 a second, 6 hosts, 4 s; a part is refused early.
         assertThat(sentTo(cold, since, since + 4_000)).isBetween(45L, 140L);
@@ -154,11 +163,11 @@
     @Test
     void rareErrorsOfSoundHostsAreNoFalseAlarm() {
         SplittableRandom chance = new SplittableRandom(5);
-        balancer.onMembership(bench.now, News.CACHED, Bench.hosts(15));
-        play(60_000, 10, (h, t) -> chance.nextInt(300) == 0 ? new Reply(Result.ERROR, 10) : ok());
+        balancer.onMembership(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(15));
+        play(60_000, 10, (h, t) -> chance.nextInt(300) == 0 ? new Reply(AttemptOutcome.ERROR, 10) : ok());
         assertThat(bench.logs).noneMatch(l -> l.contains("ejected"));
         assertThat(bench.refused).isEmpty();
-        for (HostEntry e : Bench.hosts(15)) {
+        for (EndpointEntry e : BalancerFixture.hosts(15)) {
             if ("a".equals(e.zone())) {
                 assertThat(served.get(e.id())).as("host %d", e.id()).isGreaterThan((int) next / 12 / 3);
             }
--- a/src/test/java/rillyard/balancer/RepeatWindowTest.java
+++ b/src/test/java/rillyard/balancer/IdempotencyWindowTest.java
@@ -9,14 +9,14 @@
 import rillyard.balancer.Settings.Semantics;
 
 /** Until when an attempt may be written that waits for its connection. */
-class RepeatWindowTest {
+class IdempotencyWindowTest {
     private static final double WINDOW = 300;
 
     private final List<Double> notAfter = new ArrayList<>();
-    private final Bench bench = new Bench();
+    private final BalancerFixture bench = new BalancerFixture();
 
     private Balancer balancer(Semantics semantics) {
-        Actions heard = new Actions() {
+        BalancerActions heard = new BalancerActions() {
             @Override
             public void send(long request, long host, double giveUpAfter, double latest) {
                 notAfter.add(latest);
@@ -45,9 +45,9 @@
             @Override
             public void log(String line) {}
         };
-        Balancer b = new Balancer(Bench.settings(Bench.type("c", semantics, Scope.ALL)), 1, heard);
+        Balancer b = new Balancer(BalancerFixture.settings(BalancerFixture.type("c", semantics, Scope.ALL)), 1, heard);
         b.onStart(bench.now);
-        b.onMembership(bench.now, News.FULL, Bench.hosts(4));
+        b.onMembership(bench.now, WatchEvent.FULL, BalancerFixture.hosts(4));
         return b;
     }
 
@@ -55,11 +55,11 @@
     void aRepeatHasTheRestOfTheFirstSendsWindow() {
         Balancer b = balancer(Semantics.DEDUPLICATED);
         double first = bench.now;
-        b.onRequest(bench.now, Bench.request(1, "c", 800));
+        b.onRequest(bench.now, BalancerFixture.request(1, "c", 800));
         bench.now += 100;
-        b.onOutcome(bench.now, 1, 0, Result.ERROR, 100, false, null);
+        b.onOutcome(bench.now, 1, 0, AttemptOutcome.ERROR, 100, false, null);
         bench.now += 50;
-        b.onOutcome(bench.now, 1, 1, Result.ERROR, 50, false, null);
+        b.onOutcome(bench.now, 1, 1, AttemptOutcome.ERROR, 50, false, null);
         assertThat(notAfter).hasSize(3);
         assertThat(notAfter.get(0)).isEqualTo(Double.POSITIVE_INFINITY);
         assertThat(notAfter.get(1))
@@ -70,18 +70,18 @@
     @Test
     void whatNeverRanOpensNoWindow() {
         Balancer b = balancer(Semantics.DEDUPLICATED);
-        b.onRequest(bench.now, Bench.request(1, "c", 800));
+        b.onRequest(bench.now, BalancerFixture.request(1, "c", 800));
         bench.now += 100;
-        b.onOutcome(bench.now, 1, 0, Result.CONNECT_FAILED, 100, false, null);
+        b.onOutcome(bench.now, 1, 0, AttemptOutcome.CONNECT_FAILED, 100, false, null);
         assertThat(notAfter).containsExactly(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY);
     }
 
     @Test
     void whatIsSafeToRepeatMayRunAtAnyTime() {
         Balancer b = balancer(Semantics.IDEMPOTENT);
-        b.onRequest(bench.now, Bench.request(1, "c", 800));
+        b.onRequest(bench.now, BalancerFixture.request(1, "c", 800));
         bench.now += 100;
-        b.onOutcome(bench.now, 1, 0, Result.ERROR, 100, false, null);
+        b.onOutcome(bench.now, 1, 0, AttemptOutcome.ERROR, 100, false, null);
         assertThat(notAfter).containsExactly(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY);
     }
 }
--- a/src/test/java/rillyard/balancer/JointRestartTest.java
+++ b/src/test/java/rillyard/balancer/JointRestartTest.java
@@ -26,27 +26,27 @@
     private record Event(double at, int proxy, Runnable what) {}
 
     private final PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingDouble(Event::at));
-    private final Bench[] benches = new Bench[PROXIES];
+    private final BalancerFixture[] benches = new BalancerFixture[PROXIES];
     private final Balancer[] proxies = new Balancer[PROXIES];
     private final double[] toldAt = new double[PROXIES];
     private final List<Double> calls = new ArrayList<>();
     private double freeAt;
 
     private static Settings settings() {
-        return Bench.settings(true, 4, true, Bench.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
+        return BalancerFixture.settings(true, 4, true, BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
     }
 
     /** A call comes: it is answered in its turn, or fails at once. */
     private void call(int proxy, double now) {
         calls.add(now);
         if (freeAt - now > WAITS) {
-            events.add(new Event(now, proxy, () -> proxies[proxy].onMembership(now, News.FAILED, null)));
+            events.add(new Event(now, proxy, () -> proxies[proxy].onMembership(now, WatchEvent.FAILED, null)));
             return;
         }
         freeAt = Math.max(freeAt, now) + CALL;
         double at = freeAt;
         events.add(new Event(at, proxy, () -> {
-            proxies[proxy].onMembership(at, News.FULL, Bench.hosts(HOSTS));
+            proxies[proxy].onMembership(at, WatchEvent.FULL, BalancerFixture.hosts(HOSTS));
             toldAt[proxy] = at;
         }));
     }
@@ -82,11 +82,11 @@
                 benches[proxy].now = at;
                 proxies[proxy] = new Balancer(settings(), 100 + proxy, benches[proxy]);
                 proxies[proxy].onStart(at);
-                proxies[proxy].onMembership(at, News.CACHED, Bench.hosts(HOSTS));
-                proxies[proxy].onRequest(at, Bench.request(1, SAFE, 800));
-                proxies[proxy].onOutcome(at, 1, 0, Result.OK, 1, true, null);
+                proxies[proxy].onMembership(at, WatchEvent.CACHED, BalancerFixture.hosts(HOSTS));
+                proxies[proxy].onRequest(at, BalancerFixture.request(1, SAFE, 800));
+                proxies[proxy].onOutcome(at, 1, 0, AttemptOutcome.OK, 1, true, null);
             }));
-            benches[p] = new Bench();
+            benches[p] = new BalancerFixture();
         }
         Event e;
         while ((e = events.poll()) != null) {
--- a/src/test/java/rillyard/balancer/PressureTest.java
+++ b/src/test/java/rillyard/balancer/LatencyPressureTest.java
@@ -8,31 +8,32 @@
 import rillyard.balancer.Settings.Semantics;
 
 /** When a proxy refuses: what tells of a jam of all, and what of some hosts only. */
-class PressureTest {
+class LatencyPressureTest {
     private static final String SAFE = "safe";
 
-    private final Bench bench = new Bench();
+    private final BalancerFixture bench = new BalancerFixture();
 
     private Balancer safe(int hosts) {
-        Balancer b = new Balancer(Bench.settings(Bench.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)), 7, bench);
-        b.onMembership(bench.now, News.CACHED, Bench.hosts(hosts));
+        Balancer b = new Balancer(
+                BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)), 7, bench);
+        b.onMembership(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(hosts));
         return b;
     }
 
     /** Two hosts of ten turn all away, or lose it: what is refused for that has room at the others. */
     @Test
     void someHostsThatTurnAwayOrLoseAreNoJamOfAll() {
-        for (Result lost : List.of(Result.FULL, Result.TIMEOUT)) {
+        for (AttemptOutcome lost : List.of(AttemptOutcome.FULL, AttemptOutcome.TIMEOUT)) {
             Balancer b = safe(10);
             for (int i = 0; i < 2_000; i++) {
-                b.onRequest(bench.now, Bench.request(i, SAFE, 800));
-                Bench.Send s = bench.last();
+                b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+                BalancerFixture.Send s = bench.last();
                 for (int tries = 1; s.host() < 2 && tries < 4; tries++) {
-                    b.onOutcome(bench.now, i, s.number(), lost, lost == Result.FULL ? 1 : 700, false, null);
+                    b.onOutcome(bench.now, i, s.number(), lost, lost == AttemptOutcome.FULL ? 1 : 700, false, null);
                     s = bench.last();
                 }
                 bench.now += 5;
-                b.onOutcome(bench.now, i, s.number(), Result.OK, 100, true, null);
+                b.onOutcome(bench.now, i, s.number(), AttemptOutcome.OK, 100, true, null);
             }
             assertThat(bench.refused).as("%s", lost).isEmpty();
             bench.sends.clear();
@@ -42,8 +43,8 @@
     /** What a quarter of the hosts may lose adds nothing to what the answers of the others tell. */
     @Test
     void aQuarterLostAddsNothingToWhatAnswersTell() {
-        Settings s = Bench.settings(Bench.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
-        Admission admission = new Admission(s, new java.util.SplittableRandom(1), bench);
+        Settings s = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
+        AdmissionController admission = new AdmissionController(s, new java.util.SplittableRandom(1), bench);
         for (int i = 0; i < 400; i++) {
             admission.answered(bench.now += 1, 0.25, i % 4 == 0);
             assertThat(admission.pressure(bench.now)).isLessThanOrEqualTo(0.25);
@@ -59,19 +60,25 @@
     void mostAttemptsWithoutAnAnswerAreAJam() {
         Balancer b = safe(10);
         for (int i = 0; i < 200; i++) {
-            b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
         }
         bench.now += 790;
-        List<Bench.Send> out = List.copyOf(bench.sends);
-        for (Bench.Send s : out) {
+        List<BalancerFixture.Send> out = List.copyOf(bench.sends);
+        for (BalancerFixture.Send s : out) {
             boolean ok = s.request() % 5 == 0;
             b.onOutcome(
-                    bench.now, s.request(), s.number(), ok ? Result.OK : Result.TIMEOUT, ok ? 100 : 790, true, null);
+                    bench.now,
+                    s.request(),
+                    s.number(),
+                    ok ? AttemptOutcome.OK : AttemptOutcome.TIMEOUT,
+                    ok ? 100 : 790,
+                    true,
+                    null);
         }
         int refused = bench.refused.size();
         for (int i = 1_000; i < 1_050; i++) {
             bench.now += 20;
-            b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
         }
         assertThat(bench.refused.size() - refused).isGreaterThan(20);
     }
@@ -81,10 +88,10 @@
     void noWorkIsBegunWhereTheQueueTakesMostOfTheAim() {
         Balancer b = safe(2);
         for (int i = 0; i < 100 && bench.refused.isEmpty(); i++) {
-            b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             if (bench.refused.isEmpty()) {
                 bench.now += 1; // pressure stays low: what refuses is the queue
-                b.onOutcome(bench.now, i, 0, Result.OK, i < 4 ? 360 : 100, true, Bench.held(5));
+                b.onOutcome(bench.now, i, 0, AttemptOutcome.OK, i < 4 ? 360 : 100, true, BalancerFixture.held(5));
             }
         }
         assertThat(bench.refused).isNotEmpty();
--- a/src/test/java/rillyard/balancer/ManyProxiesTest.java
+++ b/src/test/java/rillyard/balancer/ManyProxiesTest.java
@@ -7,7 +7,7 @@
 import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import rillyard.balancer.HostEntry.Condition;
+import rillyard.balancer.EndpointEntry.Condition;
 import rillyard.balancer.Settings.Scope;
 import rillyard.balancer.Settings.Semantics;
 
@@ -23,14 +23,14 @@
     private static final double RESTART = 20_000;
 
     private static Settings of(int position, String zone) {
-        Settings s = Bench.settings(Bench.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
+        Settings s = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
         return new Settings(
                 s.classes(), s.tenants(), s.limits(), s.rules(), s.fees(), false, zone, position, PROXIES, 1, false);
     }
 
-    private static Balancer start(Bench bench, int position, String zone, List<HostEntry> hosts) {
+    private static Balancer start(BalancerFixture bench, int position, String zone, List<EndpointEntry> hosts) {
         Balancer b = new Balancer(of(position, zone), 100 + position, bench);
-        b.onMembership(bench.now, News.CACHED, hosts);
+        b.onMembership(bench.now, WatchEvent.CACHED, hosts);
         return b;
     }
 
@@ -39,16 +39,19 @@
     void aProxyOfManyDrawsFromAPartOfALargeFleet() {
         int pairs = 0;
         for (int proxy = 0; proxy < PROXIES; proxy++) {
-            Bench bench = new Bench();
-            Balancer b = start(bench, proxy, null, Bench.hosts(60));
+            BalancerFixture bench = new BalancerFixture();
+            Balancer b = start(bench, proxy, null, BalancerFixture.hosts(60));
             for (int i = 0; i < 1_000; i++) {
-                b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+                b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
                 bench.now += 10;
                 if (i >= 10) {
-                    b.onOutcome(bench.now, bench.sends.get(i - 10).request(), 0, Result.OK, 100, true, null);
+                    b.onOutcome(bench.now, bench.sends.get(i - 10).request(), 0, AttemptOutcome.OK, 100, true, null);
                 }
             }
-            pairs += (int) bench.sends.stream().map(Bench.Send::host).distinct().count();
+            pairs += (int) bench.sends.stream()
+                    .map(BalancerFixture.Send::host)
+                    .distinct()
+                    .count();
         }
         assertThat(pairs).isBetween(PROXIES * 10, PROXIES * 20); // of 14 * 60
     }
@@ -62,19 +65,19 @@
         Settings s = of(3, null);
         Settings many =
                 new Settings(s.classes(), s.tenants(), s.limits(), s.rules(), s.fees(), false, null, 30, 100, 1, false);
-        Bench bench = new Bench();
+        BalancerFixture bench = new BalancerFixture();
         Balancer b = new Balancer(many, 7, bench);
-        b.onMembership(bench.now, News.CACHED, Bench.hosts(40));
+        b.onMembership(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(40));
         for (int i = 0; i < 2_000; i++) {
-            b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             bench.now += 2.5;
             if (i >= 60) {
-                b.onOutcome(bench.now, bench.sends.get(i - 60).request(), 0, Result.OK, 150, true, null);
+                b.onOutcome(bench.now, bench.sends.get(i - 60).request(), 0, AttemptOutcome.OK, 150, true, null);
             }
         }
         long used = bench.sends.stream()
                 .skip(1_000)
-                .map(Bench.Send::host)
+                .map(BalancerFixture.Send::host)
                 .distinct()
                 .count();
         assertThat(used).isEqualTo(40); // 24 at sixty proxies a host
@@ -83,15 +86,15 @@
     /** Five hosts of which one is idle: where own counts tie, its report is seen in most draws. */
     @Test
     void mostDrawsOfALightProxyMeetTheIdleHost() {
-        Bench bench = new Bench();
-        Balancer b = start(bench, 3, null, Bench.hosts(5));
+        BalancerFixture bench = new BalancerFixture();
+        Balancer b = start(bench, 3, null, BalancerFixture.hosts(5));
         int idle = 0;
         for (int i = 0; i < 1_000; i++) {
-            b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             long host = bench.last().host();
             idle += host == 2 ? 1 : 0;
             bench.now += 10;
-            b.onOutcome(bench.now, i, 0, Result.OK, 100, true, Bench.held(host == 2 ? 0 : 3));
+            b.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 100, true, BalancerFixture.held(host == 2 ? 0 : 3));
         }
         assertThat(idle).isGreaterThan(700);
     }
@@ -130,26 +133,26 @@
     private static double[] sentToTheColdHost(double gap, double spent, boolean silent, boolean zones) {
         double[] sent = new double[100];
         for (int p = 0; p < PROXIES; p++) {
-            Bench bench = new Bench();
+            BalancerFixture bench = new BalancerFixture();
             boolean told = p % 2 == 0; // as it starts itself: of the restart it knows from the list only
             bench.now = told ? RESTART : 1_000;
-            List<HostEntry> hosts = new ArrayList<>();
+            List<EndpointEntry> hosts = new ArrayList<>();
             for (long h = 0; h < HOSTS; h++) {
                 hosts.add(entry(h, told && h == COLD ? RESTART : 0));
             }
             Balancer b = start(bench, p, zones ? zone(p / 2) : null, hosts);
-            ArrayDeque<Bench.Send> out = new ArrayDeque<>();
+            ArrayDeque<BalancerFixture.Send> out = new ArrayDeque<>();
             for (int i = 0; bench.now < RESTART + 10_000; i++) {
                 if (!told && bench.now >= RESTART) {
                     told = true;
-                    b.onMembership(bench.now, News.DELTA, List.of(entry(COLD, RESTART)));
+                    b.onMembership(bench.now, WatchEvent.DELTA, List.of(entry(COLD, RESTART)));
                 }
                 while (!out.isEmpty() && out.peek().at() + 800 <= bench.now) {
-                    Bench.Send s = out.poll();
-                    b.onOutcome(bench.now, s.request(), s.number(), Result.TIMEOUT, 800, true, null);
+                    BalancerFixture.Send s = out.poll();
+                    b.onOutcome(bench.now, s.request(), s.number(), AttemptOutcome.TIMEOUT, 800, true, null);
                 }
                 int before = bench.sends.size();
-                b.onRequest(bench.now, Bench.request(i, SAFE, 800));
+                b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
                 double at = bench.now;
                 bench.now += gap;
                 if (bench.sends.size() == before) {
@@ -162,7 +165,14 @@
                 if (told && silent && !cold) {
                     out.add(bench.last());
                 } else {
-                    b.onOutcome(bench.now, i, 0, Result.OK, spent, true, Bench.held(told && cold ? 0 : 3));
+                    b.onOutcome(
+                            bench.now,
+                            i,
+                            0,
+                            AttemptOutcome.OK,
+                            spent,
+                            true,
+                            BalancerFixture.held(told && cold ? 0 : 3));
                 }
             }
         }
@@ -173,8 +183,8 @@
         return n % 2 == 0 ? "a" : "b";
     }
 
-    private static HostEntry entry(long id, double since) {
-        return new HostEntry(id, zone(id), "k", id / 4, Condition.READY, 1, since);
+    private static EndpointEntry entry(long id, double since) {
+        return new EndpointEntry(id, zone(id), "k", id / 4, Condition.READY, 1, since);
     }
 
     /** Half of three times the least capacity, over each 1.5 s, with a fifth and five requests for chance. */
--- a/src/test/java/rillyard/balancer/MeanHeldTest.java
+++ b/src/test/java/rillyard/balancer/MeanInFlightTest.java
@@ -8,16 +8,17 @@
 import rillyard.balancer.Settings.Semantics;
 
 /** What is believed of a host that has not been heard of for a while: it holds what others hold. */
-class MeanHeldTest {
+class MeanInFlightTest {
     private static final double HELD = 9;
     private static final double MS_PER_HELD = 50;
 
     private double now = 1_000;
-    private final Fleet fleet = new Fleet(Bench.settings(Bench.type("safe", Semantics.IDEMPOTENT, Scope.ALL)));
+    private final HostSet fleet =
+            new HostSet(BalancerFixture.settings(BalancerFixture.type("safe", Semantics.IDEMPOTENT, Scope.ALL)));
 
     private void jammed(HostState h) {
         fleet.queued(h, HELD, MS_PER_HELD * (HELD + 1));
-        fleet.reported(h, now += 5, Bench.held(HELD), true);
+        fleet.reported(h, now += 5, BalancerFixture.held(HELD), true);
     }
 
     /**
@@ -26,14 +27,14 @@
      */
     @Test
     void hostsThatTurnAwayTellNothingOfTheQueuesOfOthers() {
-        fleet.apply(now, News.CACHED, Bench.hosts(3), new SplittableRandom(1));
+        fleet.apply(now, WatchEvent.CACHED, BalancerFixture.hosts(3), new SplittableRandom(1));
         HostState busy = fleet.get(0);
         HostState limited = fleet.get(1);
         HostState quiet = fleet.get(2); // of busy's kind
         for (int i = 0; i < 400; i++) {
             jammed(busy);
-            fleet.reported(limited, now += 5, Bench.held(0), false);
-            fleet.reported(limited, now += 5, Bench.held(0), false);
+            fleet.reported(limited, now += 5, BalancerFixture.held(0), false);
+            fleet.reported(limited, now += 5, BalancerFixture.held(0), false);
         }
         assertThat(fleet.expectedAnswer(quiet, now)).isBetween(400.0, 600.0);
         assertThat(fleet.expectedAnswer(limited, now)).isZero(); // as it says itself
--- a/src/test/java/rillyard/balancer/RulesTest.java
+++ b/src/test/java/rillyard/balancer/RulesTest.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import rillyard.balancer.HostEntry.Condition;
+import rillyard.balancer.EndpointEntry.Condition;
 import rillyard.balancer.Settings.Scope;
 import rillyard.balancer.Settings.Semantics;
 
@@ -24,7 +24,7 @@
     private static final class Try {
         final long host;
         final double at;
-        Result result;
+        AttemptOutcome result;
 
         Try(long host, double at) {
             this.host = host;
@@ -33,7 +33,9 @@
 
         boolean mayHaveRun() {
             return result == null
-                    || !(result == Result.FULL || result == Result.CONNECT_FAILED || result == Result.MOOT);
+                    || !(result == AttemptOutcome.FULL
+                            || result == AttemptOutcome.CONNECT_FAILED
+                            || result == AttemptOutcome.MOOT);
         }
     }
 
@@ -44,12 +46,12 @@
         final List<Try> tries = new ArrayList<>();
     }
 
-    private final class World implements Actions {
+    private final class World implements BalancerActions {
         final Random random;
         final boolean parallel;
         final int maxAttempts;
         final Map<Long, Req> reqs = new HashMap<>();
-        final Map<Long, HostEntry> list = new HashMap<>();
+        final Map<Long, EndpointEntry> list = new HashMap<>();
         final Map<Long, List<Double>> coldSends = new HashMap<>();
         final List<Object[]> due = new ArrayList<>();
         final List<String> faults = new ArrayList<>();
@@ -71,7 +73,7 @@
         @Override
         public void send(long id, long host, double giveUpAfter, double notAfter) {
             Req r = reqs.get(id);
-            HostEntry h = list.get(host);
+            EndpointEntry h = list.get(host);
             if (r.ended) {
                 faults.add("rule 1: sent after the end");
             }
@@ -98,25 +100,26 @@
             double left = r.deadline - now;
             double p = random.nextDouble();
             double spent = Math.min(left, -60 * Math.log(1 - random.nextDouble()));
-            Result end =
-                    p < 0.5 && spent < left ? Result.OK : p < 0.6 ? Result.TIMEOUT : Result.values()[random.nextInt(7)];
-            if (end == Result.TIMEOUT || end == Result.OK && spent >= left) {
-                end = Result.TIMEOUT;
+            AttemptOutcome end = p < 0.5 && spent < left
+                    ? AttemptOutcome.OK
+                    : p < 0.6 ? AttemptOutcome.TIMEOUT : AttemptOutcome.values()[random.nextInt(7)];
+            if (end == AttemptOutcome.TIMEOUT || end == AttemptOutcome.OK && spent >= left) {
+                end = AttemptOutcome.TIMEOUT;
                 spent = left;
             }
-            Result result = end;
+            AttemptOutcome result = end;
             double took = spent;
             at(spent, () -> settle(id, r, t, number, result, took));
         }
 
-        private boolean repeatable(Req r, Try t, HostEntry h) {
+        private boolean repeatable(Req r, Try t, EndpointEntry h) {
             if (r.type.semantics() == Semantics.IDEMPOTENT) {
                 return true;
             }
             if (r.type.semantics() == Semantics.AT_MOST_ONCE || now - t.at >= WINDOW) {
                 return false;
             }
-            HostEntry first = list.get(t.host);
+            EndpointEntry first = list.get(t.host);
             return switch (r.type.scope()) {
                 case ALL -> true;
                 case ZONE -> first.zone().equals(h.zone());
@@ -124,14 +127,14 @@
             };
         }
 
-        private void settle(long id, Req r, Try t, int number, Result result, double spent) {
+        private void settle(long id, Req r, Try t, int number, AttemptOutcome result, double spent) {
             if (t.result != null) {
                 return;
             }
             t.result = result;
-            boolean over = r.ended || result == Result.OK;
+            boolean over = r.ended || result == AttemptOutcome.OK;
             r.ended |= over;
-            if (result == Result.OK) {
+            if (result == AttemptOutcome.OK) {
                 answered++;
             }
             LoadReport report = held(random.nextInt(9));
@@ -178,7 +181,7 @@
         public void cancel(long id, int attempt) {
             Req r = reqs.get(id);
             Try t = r.tries.get(attempt);
-            at(0, () -> settle(id, r, t, attempt, Result.CANCELLED, now - t.at));
+            at(0, () -> settle(id, r, t, attempt, AttemptOutcome.CANCELLED, now - t.at));
         }
 
         @Override
@@ -188,7 +191,7 @@
 
         @Override
         public void follow() {
-            at(50, () -> balancer.onMembership(now, News.FAILED, List.of()));
+            at(50, () -> balancer.onMembership(now, WatchEvent.FAILED, List.of()));
         }
 
         @Override
@@ -196,7 +199,7 @@
 
         void change(int hosts) {
             long id = random.nextInt(hosts);
-            HostEntry old = list.get(id);
+            EndpointEntry old = list.get(id);
             Condition c =
                     switch (random.nextInt(5)) {
                         case 0 -> Condition.TERMINATING;
@@ -204,43 +207,43 @@
                         default -> Condition.READY;
                     };
             double since = random.nextInt(3) == 0 ? now : old == null ? 0 : old.onlineSince();
-            HostEntry e = Bench.host(id, c, since);
+            EndpointEntry e = BalancerFixture.host(id, c, since);
             list.put(id, e);
             if (random.nextInt(4) > 0) {
-                balancer.onMembership(now, News.DELTA, List.of(e));
+                balancer.onMembership(now, WatchEvent.DELTA, List.of(e));
                 return;
             }
-            List<HostEntry> all = new ArrayList<>();
+            List<EndpointEntry> all = new ArrayList<>();
             for (long k : new java.util.TreeSet<>(list.keySet())) {
-                HostEntry h = list.get(k);
+                EndpointEntry h = list.get(k);
                 if (h.condition() == Condition.GONE) {
                     continue;
                 }
                 if (random.nextInt(10) == 0) {
-                    list.put(k, Bench.host(k, Condition.GONE, h.onlineSince()));
+                    list.put(k, BalancerFixture.host(k, Condition.GONE, h.onlineSince()));
                 } else {
                     all.add(h);
                 }
             }
-            balancer.onMembership(now, News.FULL, all);
+            balancer.onMembership(now, WatchEvent.FULL, all);
         }
 
         void run(int hosts, double length) {
-            Settings settings = Bench.settings(
+            Settings settings = BalancerFixture.settings(
                     parallel,
                     maxAttempts,
                     random.nextBoolean(),
-                    Bench.type("safe", Semantics.IDEMPOTENT, Scope.ALL),
-                    Bench.type("all", Semantics.DEDUPLICATED, Scope.ALL),
-                    Bench.type("zone", Semantics.DEDUPLICATED, Scope.ZONE),
-                    Bench.type("cell", Semantics.DEDUPLICATED, Scope.CELL),
-                    Bench.type("once", Semantics.AT_MOST_ONCE, Scope.ALL));
+                    BalancerFixture.type("safe", Semantics.IDEMPOTENT, Scope.ALL),
+                    BalancerFixture.type("all", Semantics.DEDUPLICATED, Scope.ALL),
+                    BalancerFixture.type("zone", Semantics.DEDUPLICATED, Scope.ZONE),
+                    BalancerFixture.type("cell", Semantics.DEDUPLICATED, Scope.CELL),
+                    BalancerFixture.type("once", Semantics.AT_MOST_ONCE, Scope.ALL));
             balancer = new Balancer(settings, random.nextLong(), this);
-            for (HostEntry e : Bench.hosts(hosts)) {
+            for (EndpointEntry e : BalancerFixture.hosts(hosts)) {
                 list.put(e.id(), e);
             }
             balancer.onStart(now);
-            balancer.onMembership(now, News.CACHED, new ArrayList<>(list.values()));
+            balancer.onMembership(now, WatchEvent.CACHED, new ArrayList<>(list.values()));
             double stop = now + length;
             arrive(settings, stop);
             for (double t = 100; t < length; t += 100 + random.nextInt(400)) {
@@ -277,7 +280,7 @@
             r.deadline = now + budget;
             long id = nextId++;
             reqs.put(id, r);
-            balancer.onRequest(now, Bench.request(id, r.type.name(), budget));
+            balancer.onRequest(now, BalancerFixture.request(id, r.type.name(), budget));
             // A client may leave early; what is out still ends.
             if (random.nextInt(30) == 0) {
                 at(random.nextInt(100), () -> {
--- a/src/test/java/rillyard/hostlist/TakenOutTest.java
+++ b/src/test/java/rillyard/hostlist/TakenOutTest.java
@@ -6,17 +6,17 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import rillyard.balancer.HostEntry;
-import rillyard.balancer.HostEntry.Condition;
+import rillyard.balancer.EndpointEntry;
+import rillyard.balancer.EndpointEntry.Condition;
 
 class TakenOutTest {
     private final TakenOut taken = new TakenOut();
 
-    private static HostEntry entry(Condition condition, double since) {
-        return new HostEntry(7, "z", "k", 3, condition, 1, since);
+    private static EndpointEntry entry(Condition condition, double since) {
+        return new EndpointEntry(7, "z", "k", 3, condition, 1, since);
     }
 
-    private HostEntry effective(Condition condition, double since) {
+    private EndpointEntry effective(Condition condition, double since) {
         return taken.effective("a", entry(condition, since));
     }
 
--- a/src/test/java/rillyard/adapter/JsonTreeTest.java
+++ b/src/test/java/rillyard/settings/JsonTreeReaderTest.java
@@ -1,4 +1,4 @@
-package rillyard.adapter;
+package rillyard.settings;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class JsonTreeTest {
+class JsonTreeReaderTest {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     @ParameterizedTest
@@ -31,24 +31,24 @@
             })
     void readsWhatTheMapperReads(String text) throws Exception {
         byte[] padded = ("##" + text + "##").getBytes(StandardCharsets.UTF_8);
-        assertThat(JsonTree.read(padded, 2, padded.length - 4)).isEqualTo(MAPPER.readTree(text));
-        assertThat(JsonTree.read(text)).isEqualTo(MAPPER.readTree(text));
+        assertThat(JsonTreeReader.read(padded, 2, padded.length - 4)).isEqualTo(MAPPER.readTree(text));
+        assertThat(JsonTreeReader.read(text)).isEqualTo(MAPPER.readTree(text));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"{", "[1,", "{\"a\"}", "{\"a\":}", "nul", "{\"a\":1]", "[1 2]", "'a'", "NaN", "]"})
     void turnsAwayWhatIsNoJson(String text) {
-        assertThatThrownBy(() -> JsonTree.read(text.getBytes(StandardCharsets.UTF_8)))
+        assertThatThrownBy(() -> JsonTreeReader.read(text.getBytes(StandardCharsets.UTF_8)))
                 .isInstanceOf(JsonProcessingException.class);
     }
 
     @Test
     void aNestWithoutEndIsTurnedAwayAndNoOverflowOfTheStack() {
-        assertThatThrownBy(() -> JsonTree.read("[".repeat(100_000))).isInstanceOf(JsonProcessingException.class);
+        assertThatThrownBy(() -> JsonTreeReader.read("[".repeat(100_000))).isInstanceOf(JsonProcessingException.class);
     }
 
     @Test
     void nothingButBlanksIsNoValue() throws Exception {
-        assertThat(JsonTree.read(" \n".getBytes(StandardCharsets.UTF_8))).isNull();
+        assertThat(JsonTreeReader.read(" \n".getBytes(StandardCharsets.UTF_8))).isNull();
     }
 }
--- a/src/test/java/rillyard/adapter/SettingsCheckTest.java
+++ b/src/test/java/rillyard/settings/SettingsValidatorTest.java
@@ -1,4 +1,4 @@
-package rillyard.adapter;
+package rillyard.settings;
 
 import static org.assertj.core.api.Assertions.assertThatCode;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -8,9 +8,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Settings that can't be used are told by their key; all others may be used. */
-class SettingsCheckTest {
+class SettingsValidatorTest {
     private static void check(String json) throws Exception {
-        SettingsCheck.check(JsonTree.read(json));
+        SettingsValidator.check(JsonTreeReader.read(json));
     }
 
     @ParameterizedTest
--- a/src/test/java/rillyard/adapter/AdapterTest.java
+++ b/src/test/java/rillyard/simulation/SimulatorSessionTest.java
@@ -1,4 +1,4 @@
-package rillyard.adapter;
+package rillyard.simulation;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -11,8 +11,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import rillyard.settings.MalformedInputException;
 
-class AdapterTest {
+class SimulatorSessionTest {
     private static final String CONF =
             "{\"balancers\":2,\"position\":0,\"zone\":\"z1\",\"novel\":[1],\"classes\":[{\"name\":\"c\","
                     + "\"aim\":100,\"deadline\":400,\"semantics\":\"idempotent\"}],"
@@ -21,7 +22,7 @@
 
     private static String run(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Adapter(
+        new SimulatorSession(
                         new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
                         out,
                         new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8))
--- a/src/test/java/rillyard/spread/WirePropertiesTest.java
+++ b/src/test/java/rillyard/spread/WirePropertiesTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
-import rillyard.balancer.Place;
+import rillyard.balancer.SubsetPosition;
 
 /** What goes over the wire, and pools from rates. */
 class WirePropertiesTest {
@@ -59,7 +59,7 @@
         }
         List<Integer> positions = new ArrayList<>();
         for (String name : names) {
-            Place p = new Pools().lay(name, names, rates);
+            SubsetPosition p = new Pools().lay(name, names, rates);
             positions.add(p.position());
             assertThat(p.of()).isEqualTo(n);
             assertThat(p.weight()).isBetween(1.0, 16.0);
--- a/src/test/java/rillyard/spread/net/FleetNewsTest.java
+++ b/src/test/java/rillyard/spread/net/FleetNewsTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import rillyard.balancer.Place;
-import rillyard.balancer.Result;
+import rillyard.balancer.AttemptOutcome;
+import rillyard.balancer.SubsetPosition;
 import rillyard.member.Fact;
 import rillyard.member.net.FleetFile;
 import rillyard.member.net.FleetMember;
@@ -32,7 +32,7 @@
         final List<String> left = new ArrayList<>();
         final List<String> back = new ArrayList<>();
         final List<String> lines = new ArrayList<>();
-        Place place;
+        SubsetPosition place;
 
         @Override
         public void leave(String host, double wait) {
@@ -45,7 +45,7 @@
         }
 
         @Override
-        public void place(Place p) {
+        public void place(SubsetPosition p) {
             place = p;
         }
 
@@ -107,23 +107,23 @@
         }
         while (heeded.get(4).left.isEmpty()) {
             for (int i = 0; i < 3; i++) {
-                news.get(i).ended("a", Result.ERROR, now());
-                news.get(i).ended("b", Result.OK, now());
-                news.get(i).ended("stranger", Result.ERROR, now());
+                news.get(i).ended("a", AttemptOutcome.ERROR, now());
+                news.get(i).ended("b", AttemptOutcome.OK, now());
+                news.get(i).ended("stranger", AttemptOutcome.ERROR, now());
             }
-            news.get(3).ended("a", Result.FULL, now()); // tells nothing
+            news.get(3).ended("a", AttemptOutcome.FULL, now()); // tells nothing
             stepAll();
         }
         assertThat(heeded.get(4).left).containsOnly("a");
         while (heeded.get(4).back.isEmpty()) {
-            news.get(0).ended("a", Result.OK, now());
-            news.get(1).ended("a", Result.OK, now());
+            news.get(0).ended("a", AttemptOutcome.OK, now());
+            news.get(1).ended("a", AttemptOutcome.OK, now());
             stepAll();
         }
         assertThat(heeded.get(4).back).containsOnly("a");
         assertThat(heeded.stream().flatMap(h -> h.left.stream())).containsOnly("a");
         while (heeded.get(0).place.weight() <= 1) {
-            news.get(0).ended("a", Result.OK, now()); // the only one that sends still
+            news.get(0).ended("a", AttemptOutcome.OK, now()); // the only one that sends still
             stepAll();
         }
         assertThat(heeded.get(0).place.of()).isEqualTo(5);
@@ -154,7 +154,7 @@
         FleetMember.Known known = ended.known();
         Fact fact = known.facts(FleetNews.RATE).get("p0");
         double age = known.age(fact);
-        news.get(0).ended("a", Result.ERROR, now());
+        news.get(0).ended("a", AttemptOutcome.ERROR, now());
         stepAll(); // while the proxy beside it drains
         assertThat(known.age(fact)).isGreaterThan(age);
     }
