--- a/src/main/java/rillyard/operator/Operations.java
+++ b/src/main/java/rillyard/admin/AdminOperations.java
@@ -1,15 +1,15 @@
-package rillyard.operator;
+package rillyard.admin;
 
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.Executor;
 
 /** What people on call and their tools may ask of a running proxy; called on the server's thread. */
-public interface Operations {
+public interface AdminOperations {
     /** Whether requests would be served now. */
     boolean ready();
 
     /** The figures, brought up to date. */
-    Figures figures();
+    ProxyMetrics figures();
 
     /**
      * Takes a host out.
--- a/src/main/java/rillyard/operator/OperatorCall.java
+++ b/src/main/java/rillyard/admin/AdminRequestHandler.java
@@ -1,4 +1,4 @@
-package rillyard.operator;
+package rillyard.admin;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -18,30 +18,30 @@
 import java.util.concurrent.Executor;
 
 /** One call on the second address: 2xx means yes, 4xx and 5xx no, with a line that says why. */
-final class OperatorCall extends SimpleChannelInboundHandler<FullHttpRequest> {
+final class AdminRequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     private static final int MAX_NAME = 128;
 
-    private record Reply(HttpResponseStatus status, String text) {}
+    private record AdminResponse(HttpResponseStatus status, String text) {}
 
-    private final Operations operations;
+    private final AdminOperations operations;
 
-    OperatorCall(Operations operations) {
+    AdminRequestHandler(AdminOperations operations) {
         this.operations = operations;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-        CompletionStage<Reply> reply = request.decoderResult().isFailure()
+        CompletionStage<AdminResponse> reply = request.decoderResult().isFailure()
                 ? reply(HttpResponseStatus.BAD_REQUEST, "not a request that can be read\n")
                 : carriedOut(request, ctx.channel().eventLoop());
         reply.whenComplete((r, failure) -> answer(
                 ctx,
                 failure == null
                         ? r
-                        : new Reply(HttpResponseStatus.INTERNAL_SERVER_ERROR, "not done: " + failure + "\n")));
+                        : new AdminResponse(HttpResponseStatus.INTERNAL_SERVER_ERROR, "not done: " + failure + "\n")));
     }
 
-    private static void answer(ChannelHandlerContext ctx, Reply reply) {
+    private static void answer(ChannelHandlerContext ctx, AdminResponse reply) {
         ByteBuf body = Unpooled.copiedBuffer(reply.text(), StandardCharsets.UTF_8);
         DefaultFullHttpResponse r = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, reply.status(), body);
         r.headers()
@@ -51,11 +51,11 @@
         ctx.writeAndFlush(r).addListener(ChannelFutureListener.CLOSE);
     }
 
-    private static CompletionStage<Reply> reply(HttpResponseStatus status, String why) {
-        return CompletableFuture.completedFuture(new Reply(status, why));
+    private static CompletionStage<AdminResponse> reply(HttpResponseStatus status, String why) {
+        return CompletableFuture.completedFuture(new AdminResponse(status, why));
     }
 
-    private CompletionStage<Reply> carriedOut(FullHttpRequest request, Executor files) {
+    private CompletionStage<AdminResponse> carriedOut(FullHttpRequest request, Executor files) {
         String path = request.uri();
         boolean post = path.startsWith("/_hosts/");
         if (!path.equals("/_ready")
@@ -85,8 +85,8 @@
         boolean out = path.endsWith("/detach");
         return (out ? operations.detach(host, files) : operations.attach(host, files))
                 .thenApply(known -> known
-                        ? new Reply(HttpResponseStatus.OK, host + (out ? " is out\n" : " may serve again\n"))
-                        : new Reply(HttpResponseStatus.NOT_FOUND, "no host of the id " + host + "\n"));
+                        ? new AdminResponse(HttpResponseStatus.OK, host + (out ? " is out\n" : " may serve again\n"))
+                        : new AdminResponse(HttpResponseStatus.NOT_FOUND, "no host of the id " + host + "\n"));
     }
 
     @Override
--- a/src/main/java/rillyard/operator/OperatorServer.java
+++ b/src/main/java/rillyard/admin/AdminServer.java
@@ -1,4 +1,4 @@
-package rillyard.operator;
+package rillyard.admin;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -20,7 +20,7 @@
  * Listens on the second address. It has a thread of its own: guards against calls that wait behind
  * requests while the proxy's loop is behind, which is when people on call ask. One call a connection.
  */
-public final class OperatorServer implements Closeable {
+public final class AdminServer implements Closeable {
     /** Connections open at a time; past it the oldest gives way, as it has had the longest time. */
     static final int MOST_OPEN = 16;
 
@@ -33,11 +33,11 @@
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("operator", true), NioIoHandler.newFactory());
     private final ArrayDeque<Channel> open = new ArrayDeque<>();
-    private final Operations operations;
+    private final AdminOperations operations;
     private Channel listener;
 
     /** One that carries out calls through {@code operations}. */
-    public OperatorServer(Operations operations) {
+    public AdminServer(AdminOperations operations) {
         this.operations = operations;
     }
 
@@ -75,7 +75,9 @@
         open.add(ch);
         ch.closeFuture().addListener(f -> open.remove(ch));
         ch.eventLoop().schedule(() -> ch.close(), CALL_MS, TimeUnit.MILLISECONDS);
-        ch.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY), new OperatorCall(operations));
+        ch.pipeline()
+                .addLast(
+                        new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY), new AdminRequestHandler(operations));
     }
 
     @Override
--- a/src/main/java/rillyard/operator/Figures.java
+++ b/src/main/java/rillyard/admin/ProxyMetrics.java
@@ -1,4 +1,4 @@
-package rillyard.operator;
+package rillyard.admin;
 
 import java.util.Collection;
 import java.util.Map;
@@ -10,9 +10,9 @@
  * Counts of one process, from 0 at its start. The proxy's loop adds, any thread may read. Written in
  * the plain form of statsd: {@code name:value|c} for a count, {@code |g} for a gauge.
  */
-public final class Figures {
+public final class ProxyMetrics {
     /** What came of a request. */
-    public enum End {
+    public enum RequestOutcome {
         COMPLETED,
         REJECTED,
         FAILED;
@@ -29,9 +29,9 @@
     private volatile int unavailable;
 
     /** {@code classes} are the classes of requests; others are not counted. */
-    public Figures(Collection<String> classes) {
+    public ProxyMetrics(Collection<String> classes) {
         for (String c : classes) {
-            AtomicLong[] ends = new AtomicLong[End.values().length];
+            AtomicLong[] ends = new AtomicLong[RequestOutcome.values().length];
             for (int i = 0; i < ends.length; i++) {
                 ends[i] = new AtomicLong();
             }
@@ -40,7 +40,7 @@
     }
 
     /** A request of this class has had its final answer. */
-    public void ended(String requestClass, End how) {
+    public void ended(String requestClass, RequestOutcome how) {
         AtomicLong[] ends = byClass.get(requestClass);
         if (ends != null) {
             ends[how.ordinal()].incrementAndGet();
@@ -66,7 +66,7 @@
     /** All of them, a line each. */
     public String text() {
         StringBuilder out = new StringBuilder(512);
-        for (End end : End.values()) {
+        for (RequestOutcome end : RequestOutcome.values()) {
             byClass.forEach((name, ends) -> line(out, end.figure + "." + name, ends[end.ordinal()].get(), 'c'));
         }
         line(out, "upstream_requests", attempts.get(), 'c');
--- a/src/main/java/rillyard/operator/package-info.java
+++ b/src/main/java/rillyard/admin/package-info.java
@@ -1,2 +1,2 @@
 /** The second address: readiness, figures and hosts out by hand, on a thread of its own. */
-package rillyard.operator;
+package rillyard.admin;
--- a/src/main/java/rillyard/cli/ProxyCommands.java
+++ b/src/main/java/rillyard/cli/ProxyCommands.java
@@ -8,9 +8,9 @@
 import rillyard.member.net.FleetFile;
 import rillyard.member.net.FleetMember;
 import rillyard.member.net.FleetSettings;
-import rillyard.proxy.Neighbours;
-import rillyard.proxy.Proxy;
-import rillyard.proxy.Rehearsal;
+import rillyard.proxy.ClientProxy;
+import rillyard.proxy.dispatch.PeerGossip;
+import rillyard.proxy.lifecycle.ClassArchiveTraining;
 import rillyard.settings.MalformedInputException;
 import rillyard.simulation.SimulatorSession;
 import rillyard.spread.SpreadSettings;
@@ -38,16 +38,16 @@
         @Override
         public Integer call() throws Exception {
             if (fleet == null) {
-                Proxy.run(System.getenv());
+                ClientProxy.run(System.getenv());
                 return Cli.DONE;
             }
             SecureRandom random = new SecureRandom();
             FleetSettings settings = FleetFile.read(fleet, System.getenv());
             FleetMember member = new FleetMember(settings, random.nextLong(), System.err);
-            Neighbours news = settings.spread() ? new FleetNews(member, SpreadSettings.USUAL, random.nextLong()) : null;
+            PeerGossip news = settings.spread() ? new FleetNews(member, SpreadSettings.USUAL, random.nextLong()) : null;
             member.start();
             Runtime.getRuntime().addShutdownHook(new Thread(member::close, "leave"));
-            Proxy.run(System.getenv(), news);
+            ClientProxy.run(System.getenv(), news);
             return Cli.DONE;
         }
     }
@@ -78,7 +78,7 @@
     static final class RehearseCommand implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
-            Rehearsal.run();
+            ClassArchiveTraining.run();
             return Cli.DONE;
         }
     }
--- a/src/main/java/rillyard/connections/IdleTimes.java
+++ b/src/main/java/rillyard/connections/IdleTimeoutPolicy.java
@@ -11,7 +11,7 @@
  * @param first nanoseconds for which a host's last idle connection is kept
  * @param spare nanoseconds for which any further one is kept: what the last burst needed
  */
-public record IdleTimes(long first, long spare) {
+public record IdleTimeoutPolicy(long first, long spare) {
     /** Nanoseconds for a proxy that is alone; shared by all that may connect to a host. */
     private static final long FIRST_ALONE = 30_000_000_000L;
 
@@ -26,11 +26,11 @@
      * For so many proxies, and hosts that close idle connections after {@code closedAfter} ns; fewer than one
      * proxy are taken for one.
      */
-    public static IdleTimes of(int proxies, long closedAfter) {
+    public static IdleTimeoutPolicy of(int proxies, long closedAfter) {
         int sharers = Math.max(1, proxies);
         long first = Math.max(FIRST_LEAST, FIRST_ALONE / sharers);
         long spare = Math.max(SPARE_LEAST, SPARE_ALONE / sharers);
-        return new IdleTimes(Math.min(first, closedAfter), Math.min(spare, closedAfter));
+        return new IdleTimeoutPolicy(Math.min(first, closedAfter), Math.min(spare, closedAfter));
     }
 
     /** Whether the oldest of {@code idle} connections to a host has stood idle for too long (ns). */
--- a/src/main/java/rillyard/hostlist/TakenOut.java
+++ b/src/main/java/rillyard/endpoints/DisabledHosts.java
@@ -1,4 +1,4 @@
-package rillyard.hostlist;
+package rillyard.endpoints;
 
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -12,7 +12,7 @@
  * have started in that moment, as hosts are restarted while they are out. Not safe for use from
  * several threads at once.
  */
-public final class TakenOut {
+public final class DisabledHosts {
     /** The most hosts that may be out: guards against a script that takes out names without end. */
     public static final int MOST = 4_096;
 
--- a/src/main/java/rillyard/hostlist/ListGuard.java
+++ b/src/main/java/rillyard/endpoints/EndpointListGuard.java
@@ -1,4 +1,4 @@
-package rillyard.hostlist;
+package rillyard.endpoints;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -14,7 +14,7 @@
  * A host that is really gone is left alone after its first failed connects, as any is. Not safe for use
  * from several threads at once.
  */
-public final class ListGuard {
+public final class EndpointListGuard {
     private final double leastShare;
     private final double hold;
     private final Map<String, Double> held = new LinkedHashMap<>();
@@ -27,7 +27,7 @@
      * @param hold for how long (ms, above 0) a host is used on that such a list lacks
      * @throws IllegalArgumentException if one is out of its range
      */
-    public ListGuard(double leastShare, double hold) {
+    public EndpointListGuard(double leastShare, double hold) {
         if (!(leastShare >= 0 && leastShare <= 1)) {
             throw new IllegalArgumentException("least share of hosts: expected 0 to 1, found " + leastShare);
         }
--- a/src/main/java/rillyard/succession/OutFolder.java
+++ b/src/main/java/rillyard/hotrestart/DisabledHostStore.java
@@ -1,4 +1,4 @@
-package rillyard.succession;
+package rillyard.hotrestart;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -22,9 +22,9 @@
  * ids of hosts may hold anything. A file is made, renamed or removed and never written, so what one
  * process does is seen whole or not at all by another, and a kill at any moment harms nothing.
  */
-public final class OutFolder {
+public final class DisabledHostStore {
     /** What the folder says: hosts out, and Unix time (ms) at which others were given back. */
-    public record State(Set<String> out, Map<String, Long> back) {}
+    public record Contents(Set<String> out, Map<String, Long> back) {}
 
     private static final String OUT = "out-";
     private static final String BACK = "back-";
@@ -40,7 +40,7 @@
      * @param folder the folder, made if it isn't there
      * @throws IOException if it can't be made
      */
-    public OutFolder(Path folder) throws IOException {
+    public DisabledHostStore(Path folder) throws IOException {
         this.folder = Files.createDirectories(folder);
     }
 
@@ -80,7 +80,7 @@
      * @param now Unix time (ms)
      * @throws IOException if the folder can't be read
      */
-    public State read(long now) throws IOException {
+    public Contents read(long now) throws IOException {
         Set<String> out = new HashSet<>();
         Map<String, Long> back = new HashMap<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
@@ -100,7 +100,7 @@
         } catch (DirectoryIteratorException e) {
             throw e.getCause();
         }
-        return new State(out, back);
+        return new Contents(out, back);
     }
 
     private static void readBack(Path file, String name, long now, Map<String, Long> back) throws IOException {
--- a/src/main/java/rillyard/succession/Succession.java
+++ b/src/main/java/rillyard/hotrestart/HotRestartLock.java
@@ -1,4 +1,4 @@
-package rillyard.succession;
+package rillyard.hotrestart;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -15,7 +15,7 @@
  * first has ended. The kernel drops locks with their process, so none is left by one that was
  * killed. Safe for use from several threads: the loop asks at the end, the second address follows.
  */
-public final class Succession implements Closeable {
+public final class HotRestartLock implements Closeable {
     private final FileChannel serving;
     private final FileChannel next;
     private FileLock inCharge;
@@ -27,7 +27,7 @@
      * @param folder where the processes meet, made if it isn't there
      * @throws IOException if the folder can't be used
      */
-    public Succession(Path folder) throws IOException {
+    public HotRestartLock(Path folder) throws IOException {
         Files.createDirectories(folder);
         serving = open(folder.resolve("serving"));
         next = open(folder.resolve("next"));
--- a/src/main/java/rillyard/proxy/Proxy.java
+++ b/src/main/java/rillyard/proxy/ClientProxy.java
@@ -13,13 +13,29 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import rillyard.gaps.Gaps;
-import rillyard.hostlist.ListGuard;
-import rillyard.operator.Figures;
+import rillyard.admin.ProxyMetrics;
+import rillyard.endpoints.EndpointListGuard;
+import rillyard.proxy.admin.ProxyAdmin;
+import rillyard.proxy.config.ConfigException;
+import rillyard.proxy.config.ProxyConfig;
+import rillyard.proxy.discovery.EndpointListOptions;
+import rillyard.proxy.discovery.EndpointWatch;
+import rillyard.proxy.dispatch.BalancerDriver;
+import rillyard.proxy.dispatch.PeerGossip;
+import rillyard.proxy.downstream.ClientListener;
+import rillyard.proxy.eventloop.StallAwareIoHandler;
+import rillyard.proxy.lifecycle.ConfigReload;
+import rillyard.proxy.lifecycle.StartupTimeline;
+import rillyard.proxy.lifecycle.Warmup;
+import rillyard.proxy.logging.ProxyLog;
+import rillyard.proxy.resources.BodyMemoryBudget;
+import rillyard.proxy.resources.DescriptorBudget;
+import rillyard.proxy.upstream.UpstreamPool;
+import rillyard.stall.StallDetector;
 import rillyard.trace.Trace;
 
 /** One client proxy: all of it on one event loop thread, from its start to its drain. */
-public final class Proxy {
+public final class ClientProxy {
     /** What the JVM takes of the memory limit besides bodies. */
     private static final long BASE_MB = 76;
 
@@ -49,41 +65,41 @@
 
     private static final long POLL_MS = 10;
 
-    private final Config config;
+    private final ProxyConfig config;
     private final MultiThreadIoEventLoopGroup group;
     private final EventLoop loop;
-    private final Front front;
-    private final Dispatcher dispatcher;
-    private final Discovery discovery;
+    private final ClientListener front;
+    private final BalancerDriver dispatcher;
+    private final EndpointWatch discovery;
     private final CountDownLatch ended = new CountDownLatch(1);
-    private final Log log;
-    private volatile Operator operator;
+    private final ProxyLog log;
+    private volatile ProxyAdmin operator;
     private InetSocketAddress operatorAddress;
     private long drainUntil;
     private long acceptUntil;
 
-    Proxy(Config config, Log log) {
+    public ClientProxy(ProxyConfig config, ProxyLog log) {
         this(config, log, null, null);
     }
 
     /** {@code guard} is null where whole lists are always believed, {@code neighbours} where nobody brings news. */
-    Proxy(Config config, Log log, ListGuard guard, Neighbours neighbours) {
+    ClientProxy(ProxyConfig config, ProxyLog log, EndpointListGuard guard, PeerGossip neighbours) {
         this.config = config;
         this.log = log;
-        Gaps gaps = new Gaps(System.nanoTime());
-        this.group = newGroup(TimedLooks.factory(gaps, this::late));
+        StallDetector gaps = new StallDetector(System.nanoTime());
+        this.group = newGroup(StallAwareIoHandler.factory(gaps, this::late));
         this.loop = (EventLoop) group.next();
-        Sockets sockets = new Sockets(config.sockets());
+        DescriptorBudget sockets = new DescriptorBudget(config.sockets());
         long bodies = Math.max(LEAST_BODIES_MB, Math.min(MOST_BODIES_MB, config.memoryMb() - BASE_MB));
-        BodyBudget budget = new BodyBudget(bodies << 20);
-        Upstreams upstreams = new Upstreams(group, config, sockets, log);
-        this.dispatcher = new Dispatcher(loop, config, upstreams, budget, log, guard, gaps, neighbours);
-        this.front = new Front(dispatcher, config, sockets, budget, log);
-        this.discovery = new Discovery(group, config, dispatcher, log);
+        BodyMemoryBudget budget = new BodyMemoryBudget(bodies << 20);
+        UpstreamPool upstreams = new UpstreamPool(group, config, sockets, log);
+        this.dispatcher = new BalancerDriver(loop, config, upstreams, budget, log, guard, gaps, neighbours);
+        this.front = new ClientListener(dispatcher, config, sockets, budget, log);
+        this.discovery = new EndpointWatch(group, config, dispatcher, log);
     }
 
     /** One event loop on a thread of its own. */
-    static MultiThreadIoEventLoopGroup newGroup(IoHandlerFactory sockets) {
+    public static MultiThreadIoEventLoopGroup newGroup(IoHandlerFactory sockets) {
         return new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop", true), sockets);
     }
 
@@ -112,7 +128,7 @@
      * @param neighbours brings it; null where nobody does
      * @throws ConfigException if there is no configuration to run with
      */
-    public static void run(Map<String, String> env, Neighbours neighbours) throws ConfigException {
+    public static void run(Map<String, String> env, PeerGossip neighbours) throws ConfigException {
         begin(env, WARM_UP_MS, neighbours).awaitEnd();
     }
 
@@ -121,14 +137,16 @@
      *
      * @throws ConfigException if there is no configuration to run with
      */
-    static Proxy begin(Map<String, String> env, long warmUp, Neighbours neighbours) throws ConfigException {
-        StartMarks.at("main");
+    public static ClientProxy begin(Map<String, String> env, long warmUp, PeerGossip neighbours)
+            throws ConfigException {
+        StartupTimeline.at("main");
         // Netty would look for two other libraries first, in a jar that holds neither.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        Config config = Config.load(env);
-        StartMarks.at("settings");
+        ProxyConfig config = ProxyConfig.load(env);
+        StartupTimeline.at("settings");
         Trace trace = Boolean.getBoolean(Trace.PROPERTY) ? new Trace(System.err) : null;
-        Proxy p = new Proxy(config, new Log(System.err, trace), ListOptions.guard(System.getProperties()), neighbours);
+        ClientProxy p = new ClientProxy(
+                config, new ProxyLog(System.err, trace), EndpointListOptions.guard(System.getProperties()), neighbours);
         // Before anything is taken: guards against a signal that finds it listening and without a drain.
         // An exit by SIGTERM is status 143 to the JVM, and a drain that is done is a success.
         Runtime.getRuntime()
@@ -139,7 +157,7 @@
                             Runtime.getRuntime().halt(0);
                         },
                         "drain"));
-        StartMarks.at("loop");
+        StartupTimeline.at("loop");
         p.front.warming(true);
         p.operate(env);
         p.watch();
@@ -149,11 +167,11 @@
         if (!follows) {
             p.listen();
         }
-        StartMarks.at("listening");
-        Reload.onHangUp(env, p, p.log);
-        StartMarks.at("warm-up");
+        StartupTimeline.at("listening");
+        ConfigReload.onHangUp(env, p, p.log);
+        StartupTimeline.at("warm-up");
         try {
-            new WarmUp(config).run(warmUp);
+            new Warmup(config).run(warmUp);
         } catch (Exception e) {
             p.log.failure("the warm-up failed", e); // a cold proxy serves too
         }
@@ -161,12 +179,12 @@
             p.listen();
         }
         p.ready();
-        StartMarks.at("ready");
+        StartupTimeline.at("ready");
         return p;
     }
 
     /** Listens and starts the watch. */
-    void start() throws ConfigException {
+    public void start() throws ConfigException {
         watch();
         listen();
     }
@@ -199,7 +217,7 @@
             return;
         }
         try {
-            Operator o = new Operator(Operator.folder(env, config), loop, front, dispatcher, log);
+            ProxyAdmin o = new ProxyAdmin(ProxyAdmin.folder(env, config), loop, front, dispatcher, log);
             operatorAddress = o.start(config.operator());
             operator = o;
         } catch (Exception e) {
@@ -225,11 +243,11 @@
     }
 
     /** The second address, null where there is none. */
-    InetSocketAddress operatorAddress() {
+    public InetSocketAddress operatorAddress() {
         return operatorAddress;
     }
 
-    InetSocketAddress address() {
+    public InetSocketAddress address() {
         return (InetSocketAddress) front.listener().localAddress();
     }
 
@@ -248,7 +266,7 @@
         return front.sockets().upstreams();
     }
 
-    Figures figures() {
+    ProxyMetrics figures() {
         return dispatcher.figures();
     }
 
@@ -268,7 +286,7 @@
     }
 
     /** Takes over what of a new configuration may change while requests are under way. */
-    void reload(Config fresh) {
+    public void reload(ProxyConfig fresh) {
         loop.execute(() -> discovery.moveTo(fresh.discovery()));
     }
 
@@ -330,7 +348,7 @@
     }
 
     /** Ends the loop at once. */
-    void stop() {
+    public void stop() {
         try {
             if (operator != null) {
                 operator.close();
--- a/src/main/java/rillyard/proxy/Operator.java
+++ b/src/main/java/rillyard/proxy/admin/ProxyAdmin.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.admin;
 
 import io.netty.channel.EventLoop;
 import java.io.Closeable;
@@ -9,42 +9,47 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.Executor;
-import rillyard.operator.Figures;
-import rillyard.operator.Operations;
-import rillyard.operator.OperatorServer;
-import rillyard.succession.OutFolder;
-import rillyard.succession.Succession;
+import rillyard.admin.AdminOperations;
+import rillyard.admin.AdminServer;
+import rillyard.admin.ProxyMetrics;
+import rillyard.hotrestart.DisabledHostStore;
+import rillyard.hotrestart.HotRestartLock;
+import rillyard.proxy.config.ProxyConfig;
+import rillyard.proxy.dispatch.BalancerDriver;
+import rillyard.proxy.downstream.ClientListener;
+import rillyard.proxy.logging.ProxyLog;
 
 /**
  * The second address of a proxy and the folder in which its processes meet. Files are touched on the
  * server's thread only, and what they say is applied on the proxy's loop, in the same order: guards
  * against a call that is undone by a look at the folder from before it.
  */
-final class Operator implements Operations, Closeable {
+public final class ProxyAdmin implements AdminOperations, Closeable {
     /** How often (ms) the folder is looked at: well within the grace of a drain. */
     private static final long LOOK_MS = 150;
 
-    private final OperatorServer server = new OperatorServer(this);
+    private final AdminServer server = new AdminServer(this);
     private final EventLoop loop;
-    private final Front front;
-    private final Dispatcher dispatcher;
-    private final Log log;
-    private final OutFolder folder;
-    private final Succession succession;
-    private OutFolder.State seen;
+    private final ClientListener front;
+    private final BalancerDriver dispatcher;
+    private final ProxyLog log;
+    private final DisabledHostStore folder;
+    private final HotRestartLock succession;
+    private DisabledHostStore.Contents seen;
     private volatile boolean listening;
 
-    Operator(Path folder, EventLoop loop, Front front, Dispatcher dispatcher, Log log) throws IOException {
+    public ProxyAdmin(Path folder, EventLoop loop, ClientListener front, BalancerDriver dispatcher, ProxyLog log)
+            throws IOException {
         this.loop = loop;
         this.front = front;
         this.dispatcher = dispatcher;
         this.log = log;
-        this.folder = new OutFolder(folder);
-        this.succession = new Succession(folder);
+        this.folder = new DisabledHostStore(folder);
+        this.succession = new HotRestartLock(folder);
     }
 
     /** The folder of a proxy: that of all of its processes on this machine, and of no other's. */
-    static Path folder(Map<String, String> env, Config config) {
+    public static Path folder(Map<String, String> env, ProxyConfig config) {
         String tmp = env.get("TMPDIR");
         String own = config.name() + "-" + config.listen().getAddress().getHostAddress() + "-"
                 + config.listen().getPort();
@@ -53,7 +58,7 @@
     }
 
     /** Takes over what other processes left, and listens; throws what the bind throws. */
-    InetSocketAddress start(InetSocketAddress at) throws Exception {
+    public InetSocketAddress start(InetSocketAddress at) throws Exception {
         look();
         InetSocketAddress bound = server.listen(at);
         server.every(LOOK_MS, this::upkeep);
@@ -61,18 +66,18 @@
     }
 
     /** Whether another process serves the same address. */
-    boolean hasPredecessor() {
+    public boolean hasPredecessor() {
         return !succession.inCharge();
     }
 
     /** This process serves now. */
-    void serving() throws IOException {
+    public void serving() throws IOException {
         succession.follow();
         listening = true;
     }
 
     /** Whether another process has come that serves, so that this one may go. */
-    boolean hasSuccessor() {
+    public boolean hasSuccessor() {
         try {
             return succession.followed();
         } catch (IOException e) {
@@ -93,7 +98,7 @@
     }
 
     private void look() throws IOException {
-        OutFolder.State now = folder.read(System.currentTimeMillis());
+        DisabledHostStore.Contents now = folder.read(System.currentTimeMillis());
         // Field by field: the equals of a record is linked at run time, which a start would pay for.
         if (seen == null || !now.out().equals(seen.out()) || !now.back().equals(seen.back())) {
             seen = now;
@@ -107,7 +112,7 @@
     }
 
     @Override
-    public Figures figures() {
+    public ProxyMetrics figures() {
         return dispatcher.figures();
     }
 
--- a/src/main/java/rillyard/proxy/Config.java
+++ b/src/main/java/rillyard/proxy/config/ProxyConfig.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.config;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -21,7 +21,7 @@
  * What the platform tells one client proxy; times are milliseconds. {@code operator} is the second
  * address, null where there is none.
  */
-record Config(
+public record ProxyConfig(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
@@ -38,7 +38,7 @@
      * Reads the file that {@code BALANCER_CONFIG} names. The other variables win over it, but for
      * discovery's address: the file is replaced while the process runs, its environment never is.
      */
-    static Config load(Map<String, String> env) throws ConfigException {
+    public static ProxyConfig load(Map<String, String> env) throws ConfigException {
         String file = env.get("BALANCER_CONFIG");
         if (file == null || file.isEmpty()) {
             throw new ConfigException("BALANCER_CONFIG is not set");
@@ -69,7 +69,7 @@
             }
         }
         JsonNode allowed = root.path("settings").path("limits");
-        return new Config(
+        return new ProxyConfig(
                 told(env, "BALANCER_NAME", root, "name"),
                 address(told(env, "BALANCER_LISTEN", root, "listen"), "listen"),
                 address(root.path("discovery").asText(env.getOrDefault("BALANCER_DISCOVERY", "")), "discovery"),
@@ -112,7 +112,7 @@
     }
 
     /** An {@code IP:port}, or null if it is none; names are not looked up: there is no DNS. */
-    static InetSocketAddress address(String s) {
+    public static InetSocketAddress address(String s) {
         int colon = s.lastIndexOf(':');
         byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(s.substring(0, colon));
         if (ip == null) {
--- a/src/main/java/rillyard/proxy/ListOptions.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointListOptions.java
@@ -1,33 +1,34 @@
-package rillyard.proxy;
+package rillyard.proxy.discovery;
 
 import java.util.Properties;
-import rillyard.hostlist.ListGuard;
+import rillyard.endpoints.EndpointListGuard;
+import rillyard.proxy.config.ConfigException;
 
 /** What {@code deploy/lists.jvm} asks for; without its properties a whole list is always believed. */
-final class ListOptions {
+public final class EndpointListOptions {
     /** For how long (ms) hosts are used on that a doubtful list lacks; not given is never. */
-    static final String HOLD = "rillyard.lists.hold_ms";
+    public static final String HOLD = "rillyard.lists.hold_ms";
 
     /** The share of the hosts in use that a list has to name so as not to be doubted. */
-    static final String LEAST_SHARE = "rillyard.lists.least_share";
+    public static final String LEAST_SHARE = "rillyard.lists.least_share";
 
     private static final String USUAL_SHARE = "0.5";
 
-    private ListOptions() {}
+    private EndpointListOptions() {}
 
     /**
      * The guard that is asked for, or null.
      *
      * @throws ConfigException if a property is no number or out of its range
      */
-    static ListGuard guard(Properties from) throws ConfigException {
+    public static EndpointListGuard guard(Properties from) throws ConfigException {
         if (from.getProperty(HOLD) == null) {
             return null;
         }
         double hold = number(HOLD, from.getProperty(HOLD));
         double share = number(LEAST_SHARE, from.getProperty(LEAST_SHARE, USUAL_SHARE));
         try {
-            return new ListGuard(share, hold);
+            return new EndpointListGuard(share, hold);
         } catch (IllegalArgumentException e) {
             throw new ConfigException("-D" + HOLD + ", -D" + LEAST_SHARE + ": " + e.getMessage());
         }
--- a/src/main/java/rillyard/proxy/Hosts.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointRegistry.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.discovery;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.net.InetSocketAddress;
@@ -12,46 +12,48 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import rillyard.balancer.EndpointEntry;
-import rillyard.hostlist.TakenOut;
+import rillyard.endpoints.DisabledHosts;
+import rillyard.proxy.config.ProxyConfig;
+import rillyard.proxy.upstream.UpstreamHost;
 
 /** The hosts that discovery has named, and the numbers by which the module knows them. */
-final class Hosts {
+public final class EndpointRegistry {
     /** One list of discovery's, checked whole before anything of it is applied. */
-    record News(long version, boolean full, List<Listed> hosts) {}
+    public record EndpointList(long version, boolean full, List<ListedEndpoint> hosts) {}
 
     /** One entry; an address may be absent where nothing is sent to it. */
-    record Listed(String name, InetSocketAddress address, EndpointEntry entry) {}
+    public record ListedEndpoint(String name, InetSocketAddress address, EndpointEntry entry) {}
 
     private static final Pattern HOST = Pattern.compile("host (\\d{1,19})");
 
-    private final Map<String, Host> byName = new HashMap<>();
-    private final Map<Long, Host> byId = new HashMap<>();
-    private final TakenOut out;
+    private final Map<String, UpstreamHost> byName = new HashMap<>();
+    private final Map<Long, UpstreamHost> byId = new HashMap<>();
+    private final DisabledHosts out;
     private final double unixOffset;
 
     /** {@code unixOffset} is Unix time less the module's clock. */
-    Hosts(double unixOffset, TakenOut out) {
+    public EndpointRegistry(double unixOffset, DisabledHosts out) {
         this.out = out;
         this.unixOffset = unixOffset;
     }
 
-    Host get(long id) {
+    public UpstreamHost get(long id) {
         return byId.get(id);
     }
 
     /** A line of the module's with the host's name: the people on call know hosts by names, the module by numbers. */
-    String named(String line) {
+    public String named(String line) {
         Matcher m = HOST.matcher(line);
-        Host h = m.find() ? byId.get(Long.parseLong(m.group(1))) : null;
+        UpstreamHost h = m.find() ? byId.get(Long.parseLong(m.group(1))) : null;
         return h == null ? line : m.replaceFirst("host " + Matcher.quoteReplacement(h.name));
     }
 
-    Collection<Host> all() {
+    public Collection<UpstreamHost> all() {
         return byId.values();
     }
 
-    boolean anySendable() {
-        for (Host h : byId.values()) {
+    public boolean anySendable() {
+        for (UpstreamHost h : byId.values()) {
             if (h.sendable) {
                 return true;
             }
@@ -64,15 +66,15 @@
      *
      * @throws IllegalArgumentException if it is not of that form; nothing has been changed then
      */
-    News read(JsonNode list) {
+    EndpointList read(JsonNode list) {
         JsonNode servers = list.path("servers");
         if (!list.isObject() || !servers.isArray() || !list.path("version").canConvertToLong()) {
             throw new IllegalArgumentException("not a list with version and servers");
         }
-        List<Listed> listed = new ArrayList<>(servers.size());
+        List<ListedEndpoint> listed = new ArrayList<>(servers.size());
         for (JsonNode s : servers) {
             String name = s.path("id").asText("");
-            InetSocketAddress address = Config.address(s.path("addr").asText(""));
+            InetSocketAddress address = ProxyConfig.address(s.path("addr").asText(""));
             EndpointEntry.Condition condition =
                     switch (s.path("state").asText("")) {
                         case "up" -> EndpointEntry.Condition.READY;
@@ -91,20 +93,20 @@
                     condition,
                     s.path("weight").asDouble(1),
                     started <= 0 ? 0 : Math.max(0, started - unixOffset));
-            listed.add(new Listed(name, address, entry));
+            listed.add(new ListedEndpoint(name, address, entry));
         }
-        return new News(list.path("version").asLong(), list.path("full").asBoolean(), listed);
+        return new EndpointList(list.path("version").asLong(), list.path("full").asBoolean(), listed);
     }
 
     /** Applies a list; returns the hosts to which nothing more may go as it was to go. */
-    Set<Host> apply(News news) {
-        Set<Host> cut = new HashSet<>();
-        Set<Host> named = new HashSet<>();
-        for (Listed p : news.hosts()) {
+    public Set<UpstreamHost> apply(EndpointList news) {
+        Set<UpstreamHost> cut = new HashSet<>();
+        Set<UpstreamHost> named = new HashSet<>();
+        for (ListedEndpoint p : news.hosts()) {
             EndpointEntry e = p.entry();
-            Host h = byName.get(p.name());
+            UpstreamHost h = byName.get(p.name());
             if (h == null) {
-                h = new Host(p.name(), e.id());
+                h = new UpstreamHost(p.name(), e.id());
                 byName.put(h.name, h);
                 byId.put(h.id, h);
             }
@@ -120,7 +122,7 @@
             }
         }
         if (news.full()) {
-            for (Host h : byId.values()) {
+            for (UpstreamHost h : byId.values()) {
                 if (!named.contains(h)) {
                     h.listed = false;
                     h.sendable = false;
@@ -132,9 +134,9 @@
     }
 
     /** The names of listed hosts that discovery called ready, whatever operators did to them. */
-    Set<String> inUse() {
+    public Set<String> inUse() {
         Set<String> names = new HashSet<>();
-        for (Host h : byId.values()) {
+        for (UpstreamHost h : byId.values()) {
             if (h.listed && h.told.condition() == EndpointEntry.Condition.READY) {
                 names.add(h.name);
             }
@@ -143,16 +145,16 @@
     }
 
     /** What was last told of a listed host, as if a list told it again. */
-    Listed asTold(String name) {
-        Host h = byName.get(name);
-        return new Listed(name, h.address, h.told);
+    public ListedEndpoint asTold(String name) {
+        UpstreamHost h = byName.get(name);
+        return new ListedEndpoint(name, h.address, h.told);
     }
 
     /** A listed host as a list would tell that it is gone. */
-    Listed asGone(String name) {
-        Host h = byName.get(name);
+    public ListedEndpoint asGone(String name) {
+        UpstreamHost h = byName.get(name);
         EndpointEntry t = h.told;
-        return new Listed(
+        return new ListedEndpoint(
                 name,
                 h.address,
                 new EndpointEntry(
@@ -166,40 +168,40 @@
     }
 
     /** The entries of a list as the module is to have them. */
-    List<EndpointEntry> effective(News news) {
+    public List<EndpointEntry> effective(EndpointList news) {
         return news.hosts().stream()
                 .map(l -> out.effective(l.name(), l.entry()))
                 .toList();
     }
 
-    private EndpointEntry effective(Host h) {
+    private EndpointEntry effective(UpstreamHost h) {
         return out.effective(h.name, h.told);
     }
 
     /** A listed host of this name, or null. */
-    Host listed(String name) {
-        Host h = byName.get(name);
+    public UpstreamHost listed(String name) {
+        UpstreamHost h = byName.get(name);
         return h != null && h.listed ? h : null;
     }
 
     /** What operators did to a listed host has changed; returns what the module is to be told. */
-    EndpointEntry changedByHand(Host h) {
+    public EndpointEntry changedByHand(UpstreamHost h) {
         EndpointEntry e = effective(h);
         h.sendable = e.condition() == EndpointEntry.Condition.READY;
         return e;
     }
 
     /** How many hosts are listed. */
-    int listedCount() {
+    public int listedCount() {
         int n = 0;
-        for (Host h : byId.values()) {
+        for (UpstreamHost h : byId.values()) {
             n += h.listed ? 1 : 0;
         }
         return n;
     }
 
     /** Guards against a fleet that churns for ever: a host that is gone and carries nothing is freed. */
-    void forgetGone() {
+    public void forgetGone() {
         byId.values().removeIf(h -> {
             boolean gone = !h.listed && h.calls == 0;
             if (gone) {
@@ -215,7 +217,7 @@
      * order in every client proxy and after a restart; two names that collide move on by one.
      */
     private long number(String name) {
-        Host known = byName.get(name);
+        UpstreamHost known = byName.get(name);
         if (known != null) {
             return known.id;
         }
--- a/src/main/java/rillyard/proxy/Discovery.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointWatch.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.discovery;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.netty.bootstrap.Bootstrap;
@@ -29,6 +29,9 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import rillyard.balancer.WatchEvent;
+import rillyard.proxy.config.ProxyConfig;
+import rillyard.proxy.dispatch.BalancerDriver;
+import rillyard.proxy.logging.ProxyLog;
 import rillyard.settings.JsonTreeReader;
 import rillyard.trace.TraceLine;
 
@@ -36,20 +39,20 @@
  * The watch on the list of hosts. It resumes from the last version that was applied, so that a
  * break loses no change.
  */
-final class Discovery {
+public final class EndpointWatch {
     /*
      * What a watch misses counts as told 6 s after it fell silent, or after a call for it went wrong. Within that
      * time a silent one is opened anew, and so is one after a wait, a connect and an answer's time that all went
      * as badly as they may. One after the other they may take longer: see docs/design/endings.md.
      */
 
-    static final int CONNECT_TIMEOUT_MS = 1_000;
+    public static final int CONNECT_TIMEOUT_MS = 1_000;
 
     /** A watch says something whole every 2 s; one that has not for longer than this (ns) is broken. */
-    static final long SILENCE_NANOS = 2_800_000_000L;
+    public static final long SILENCE_NANOS = 2_800_000_000L;
 
     /** How long (ns) a call may go without an answer: asked discovery has it wait 2 s at most. */
-    static final long UNANSWERED_NANOS = 2_400_000_000L;
+    public static final long UNANSWERED_NANOS = 2_400_000_000L;
 
     /**
      * First wait (ms) before a broken watch is opened anew where lists are pushed, doubled up to the last. Its
@@ -59,8 +62,8 @@
 
     private static final long BACKOFF_MAX_MS = 250;
 
-    private final Dispatcher dispatcher;
-    private final Log log;
+    private final BalancerDriver dispatcher;
+    private final ProxyLog log;
     private InetSocketAddress address;
     private final boolean asked;
     private final Bootstrap bootstrap;
@@ -70,7 +73,7 @@
     private Watch watch;
     private Future<?> reopening;
 
-    Discovery(EventLoopGroup loop, Config config, Dispatcher dispatcher, Log log) {
+    public EndpointWatch(EventLoopGroup loop, ProxyConfig config, BalancerDriver dispatcher, ProxyLog log) {
         this.dispatcher = dispatcher;
         this.log = log;
         this.address = config.discovery();
@@ -87,13 +90,13 @@
     }
 
     /** Starts the module with the list of the configuration, and the watch behind it. */
-    void start(JsonNode known) {
-        Hosts.News news;
+    public void start(JsonNode known) {
+        EndpointRegistry.EndpointList news;
         try {
             news = dispatcher.hosts().read(known);
             version = news.version();
         } catch (IllegalArgumentException e) {
-            news = new Hosts.News(0, true, List.of());
+            news = new EndpointRegistry.EndpointList(0, true, List.of());
         }
         dispatcher.start(news, this::open);
         if (!asked) {
@@ -105,7 +108,7 @@
      * Discovery has moved: watches it at its new address from the last version on. Guards against a
      * wait for the old one, which may stay open and say nothing more. Harmless where it has not moved.
      */
-    void moveTo(InetSocketAddress to) {
+    public void moveTo(InetSocketAddress to) {
         if (to.equals(address)) {
             return;
         }
@@ -145,14 +148,14 @@
      * Reads what the watch has waiting, ahead of all other sockets. Guards against requests that came before a list did and,
      * after a gap in this process's own time, would be read before it: they would go to hosts that drain by then.
      */
-    void readFirst() {
+    public void readFirst() {
         if (watch != null && watch.channel instanceof AbstractNioChannel c && c.isActive()) {
             c.unsafe().read();
         }
     }
 
     /** Ends a watch that has gone silent. */
-    void sweep() {
+    public void sweep() {
         if (watch != null && System.nanoTime() - watch.heardAt > (watch.good ? SILENCE_NANOS : UNANSWERED_NANOS)) {
             watch.broken("silent");
         }
@@ -168,9 +171,9 @@
         reopening = dispatcher.later(wait, this::open);
     }
 
-    private final class Watch extends ChannelInboundHandlerAdapter implements ListFrames.Sink {
+    private final class Watch extends ChannelInboundHandlerAdapter implements JsonObjectFramer.Listener {
         private final Channel channel;
-        private final ListFrames frames = new ListFrames();
+        private final JsonObjectFramer frames = new JsonObjectFramer();
         private long heardAt = System.nanoTime();
         private boolean good;
 
@@ -248,7 +251,7 @@
             if (watch != this) {
                 return; // broken by one before it, which came with it
             }
-            Hosts.News news;
+            EndpointRegistry.EndpointList news;
             try {
                 news = dispatcher.hosts().read(JsonTreeReader.read(bytes, 0, length));
             } catch (IOException | IllegalArgumentException e) {
@@ -265,7 +268,7 @@
             broken("can't be understood");
         }
 
-        private void apply(Hosts.News news) {
+        private void apply(EndpointRegistry.EndpointList news) {
             // A whole list that opens a watch is all that this discovery knows, whatever it counts from.
             if (news.version() < version && (good || !news.full())) {
                 log.line("watch: version " + news.version() + " is older than " + version + ", left out");
--- a/src/main/java/rillyard/proxy/ListFrames.java
+++ b/src/main/java/rillyard/proxy/discovery/JsonObjectFramer.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.discovery;
 
 import io.netty.buffer.ByteBuf;
 import java.util.Arrays;
@@ -9,9 +9,9 @@
  * begin where JSON has no place for one, no line ends within a string, and no line within a list is blank, as
  * the blank ones say that the watch is alive.
  */
-final class ListFrames {
+final class JsonObjectFramer {
     /** Hears what is whole. */
-    interface Sink {
+    interface Listener {
         /** One list, in the first {@code length} bytes; they are the caller's again afterwards. */
         void list(byte[] bytes, int length);
 
@@ -35,7 +35,7 @@
      *
      * @return why this is no sequence of lists, null as long as it may be one; nothing may be taken after that
      */
-    String take(ByteBuf in, Sink sink) {
+    String take(ByteBuf in, Listener sink) {
         while (in.isReadable()) {
             String wrong = take(in.readByte(), sink);
             if (wrong != null) {
@@ -45,7 +45,7 @@
         return null;
     }
 
-    private String take(byte b, Sink sink) {
+    private String take(byte b, Listener sink) {
         if (b == '\n' && !string) {
             return endOfLine(sink);
         }
@@ -60,7 +60,7 @@
         return append(b, sink);
     }
 
-    private String endOfLine(Sink sink) {
+    private String endOfLine(Listener sink) {
         boolean blank = !lineHasText;
         lineHasText = false;
         if (depth == 0) {
@@ -72,7 +72,7 @@
         return blank ? "a list without an end" : keep((byte) '\n');
     }
 
-    private String append(byte b, Sink sink) {
+    private String append(byte b, Listener sink) {
         lineHasText |= b > ' ' || b < 0;
         if (string) {
             if (b == '\n') {
--- a/src/main/java/rillyard/proxy/Dispatcher.java
+++ b/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.dispatch;
 
 import io.netty.buffer.PooledByteBufAllocator;
 import io.netty.channel.EventLoop;
@@ -12,6 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
+import rillyard.admin.ProxyMetrics;
 import rillyard.balancer.AttemptOutcome;
 import rillyard.balancer.Balancer;
 import rillyard.balancer.BalancerActions;
@@ -19,11 +20,18 @@
 import rillyard.balancer.IncomingRequest;
 import rillyard.balancer.LoadReport;
 import rillyard.balancer.Settings;
-import rillyard.gaps.Gaps;
-import rillyard.hostlist.ListGuard;
-import rillyard.hostlist.TakenOut;
-import rillyard.operator.Figures;
-import rillyard.succession.OutFolder;
+import rillyard.endpoints.DisabledHosts;
+import rillyard.endpoints.EndpointListGuard;
+import rillyard.hotrestart.DisabledHostStore;
+import rillyard.proxy.config.ProxyConfig;
+import rillyard.proxy.discovery.EndpointRegistry;
+import rillyard.proxy.logging.ProxyLog;
+import rillyard.proxy.resources.BodyMemoryBudget;
+import rillyard.proxy.resources.BufferedBody;
+import rillyard.proxy.upstream.UpstreamCall;
+import rillyard.proxy.upstream.UpstreamHost;
+import rillyard.proxy.upstream.UpstreamPool;
+import rillyard.stall.StallDetector;
 import rillyard.trace.Trace;
 import rillyard.trace.TraceLine.What;
 
@@ -32,42 +40,42 @@
  * came, and carries out what it asks for. What an action brings about at once waits in a queue
  * until the module has returned.
  */
-final class Dispatcher implements BalancerActions {
+public final class BalancerDriver implements BalancerActions {
     /** The module's clock begins here, so that a host that started before this process has a time. */
     private static final double CLOCK_START = 1e9;
 
-    private record Event(Exchange about, Runnable what) {}
+    private record Event(RequestExchange about, Runnable what) {}
 
     private final EventLoop loop;
-    private final Log log;
+    private final ProxyLog log;
     private final Settings settings;
-    private final Upstreams upstreams;
-    private final BodyBudget budget;
-    private final Hosts hosts;
-    private final ListGuard guard;
-    private final Gaps gaps;
-    private final Neighbours neighbours;
-    private final TakenOut takenOut = new TakenOut();
-    private final Figures figures;
+    private final UpstreamPool upstreams;
+    private final BodyMemoryBudget budget;
+    private final EndpointRegistry hosts;
+    private final EndpointListGuard guard;
+    private final StallDetector gaps;
+    private final PeerGossip neighbours;
+    private final DisabledHosts takenOut = new DisabledHosts();
+    private final ProxyMetrics figures;
     private final Balancer balancer;
     private final long startedAt = System.nanoTime();
-    private final Map<Long, Exchange> exchanges = new HashMap<>();
-    private final RecentIds ids = new RecentIds();
+    private final Map<Long, RequestExchange> exchanges = new HashMap<>();
+    private final RequestIdCache ids = new RequestIdCache();
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private final double unixOffset;
     private boolean running;
     private long nextId;
     private Runnable follow = () -> {};
 
-    Dispatcher(
+    public BalancerDriver(
             EventLoop loop,
-            Config config,
-            Upstreams upstreams,
-            BodyBudget budget,
-            Log log,
-            ListGuard guard,
-            Gaps gaps,
-            Neighbours neighbours) {
+            ProxyConfig config,
+            UpstreamPool upstreams,
+            BodyMemoryBudget budget,
+            ProxyLog log,
+            EndpointListGuard guard,
+            StallDetector gaps,
+            PeerGossip neighbours) {
         this.loop = loop;
         this.gaps = gaps;
         this.neighbours = neighbours;
@@ -77,18 +85,18 @@
         this.upstreams = upstreams;
         this.budget = budget;
         this.unixOffset = System.currentTimeMillis() - now();
-        this.hosts = new Hosts(unixOffset, takenOut);
-        this.figures = new Figures(
+        this.hosts = new EndpointRegistry(unixOffset, takenOut);
+        this.figures = new ProxyMetrics(
                 settings.classes().stream().map(Settings.RequestClass::name).toList());
         this.balancer = new Balancer(settings, config.seed(), this);
     }
 
-    double now() {
+    public double now() {
         return CLOCK_START + (System.nanoTime() - startedAt) / 1e6;
     }
 
     /** Since when what is read in this turn may have waited. */
-    Gaps gaps() {
+    public StallDetector gaps() {
         return gaps;
     }
 
@@ -96,10 +104,10 @@
      * Ends what is past its time after a gap of so many ns in this process's own time. Guards against clients
      * that wait for a word behind all that has piled up meanwhile.
      */
-    void endOverdue(long gap) {
+    public void endOverdue(long gap) {
         double now = now();
         int ended = 0;
-        for (Exchange e : new ArrayList<>(exchanges.values())) {
+        for (RequestExchange e : new ArrayList<>(exchanges.values())) {
             ended += e.endIfOverdue(now, gap / 1e6) ? 1 : 0;
         }
         if (ended > 0) {
@@ -109,28 +117,28 @@
     }
 
     /** Fails all that has no answer yet: the process ends. */
-    void failAll() {
-        new ArrayList<>(exchanges.values()).forEach(Exchange::failUnasked);
+    public void failAll() {
+        new ArrayList<>(exchanges.values()).forEach(RequestExchange::failUnasked);
     }
 
     /** Runs something on the loop after so many ms. */
-    Future<?> later(double delay, Runnable what) {
+    public Future<?> later(double delay, Runnable what) {
         return loop.schedule(what, Math.max(0, (long) (delay * 1e6)), TimeUnit.NANOSECONDS);
     }
 
-    Log log() {
+    ProxyLog log() {
         return log;
     }
 
-    Upstreams upstreams() {
+    UpstreamPool upstreams() {
         return upstreams;
     }
 
-    BodyBudget budget() {
+    BodyMemoryBudget budget() {
         return budget;
     }
 
-    Hosts hosts() {
+    public EndpointRegistry hosts() {
         return hosts;
     }
 
@@ -138,55 +146,56 @@
         return settings.limits().maxAttempts();
     }
 
-    Body newBody(long expected, boolean partial) {
-        return new Body(budget, PooledByteBufAllocator.DEFAULT, expected, partial);
+    public BufferedBody newBody(long expected, boolean partial) {
+        return new BufferedBody(budget, PooledByteBufAllocator.DEFAULT, expected, partial);
     }
 
     /** Requests that are not over, or whose attempts are not. */
-    int open() {
+    public int open() {
         return exchanges.size();
     }
 
-    long newId() {
+    public long newId() {
         return nextId++;
     }
 
     // --- events
 
     /** Starts the module with the list as it was last had; {@code follow} opens the watch. */
-    void start(Hosts.News known, Runnable follow) {
+    public void start(EndpointRegistry.EndpointList known, Runnable follow) {
         this.follow = follow;
         deliver(null, () -> balancer.onStart(now()));
         membership(rillyard.balancer.WatchEvent.CACHED, known);
     }
 
-    void membership(rillyard.balancer.WatchEvent kind, Hosts.News news) {
-        Hosts.News believed = guard == null ? news : doubted(news);
-        Set<Host> cut = hosts.apply(believed);
+    public void membership(rillyard.balancer.WatchEvent kind, EndpointRegistry.EndpointList news) {
+        EndpointRegistry.EndpointList believed = guard == null ? news : doubted(news);
+        Set<UpstreamHost> cut = hosts.apply(believed);
         tell(kind, hosts.effective(believed), cut);
         hosts.forgetGone();
     }
 
     /** The list, and with it what the guard has used on although the list lacks it. */
-    private Hosts.News doubted(Hosts.News news) {
+    private EndpointRegistry.EndpointList doubted(EndpointRegistry.EndpointList news) {
         if (!news.full()) {
             news.hosts().forEach(l -> guard.named(l.name()));
             return news;
         }
-        Set<String> named = news.hosts().stream().map(Hosts.Listed::name).collect(Collectors.toSet());
+        Set<String> named =
+                news.hosts().stream().map(EndpointRegistry.ListedEndpoint::name).collect(Collectors.toSet());
         Set<String> kept = guard.whole(now(), hosts.inUse(), named);
         if (kept.isEmpty()) {
             return news;
         }
         log.line("watch: a list of " + named.size() + " hosts lacks " + kept.size() + " in use: not believed for now");
-        List<Hosts.Listed> all = new ArrayList<>(news.hosts());
+        List<EndpointRegistry.ListedEndpoint> all = new ArrayList<>(news.hosts());
         kept.forEach(name -> all.add(hosts.asTold(name)));
-        return new Hosts.News(news.version(), true, all);
+        return new EndpointRegistry.EndpointList(news.version(), true, all);
     }
 
     /** Ends the use of hosts that a list lacked, once the doubt about it has lasted. */
     private void endDoubts() {
-        List<Hosts.Listed> gone = new ArrayList<>();
+        List<EndpointRegistry.ListedEndpoint> gone = new ArrayList<>();
         for (String name : guard.over(now())) {
             if (hosts.listed(name) != null) {
                 log.line("watch: " + name + " is gone: no list has named it again");
@@ -194,13 +203,13 @@
             }
         }
         if (!gone.isEmpty()) {
-            membership(rillyard.balancer.WatchEvent.DELTA, new Hosts.News(0, false, gone));
+            membership(rillyard.balancer.WatchEvent.DELTA, new EndpointRegistry.EndpointList(0, false, gone));
         }
     }
 
-    private void tell(rillyard.balancer.WatchEvent kind, List<EndpointEntry> entries, Iterable<Host> cut) {
+    private void tell(rillyard.balancer.WatchEvent kind, List<EndpointEntry> entries, Iterable<UpstreamHost> cut) {
         deliver(null, () -> balancer.onMembership(now(), kind, entries));
-        for (Host h : cut) {
+        for (UpstreamHost h : cut) {
             // Guards against a send to a host that drains or has moved while its connection comes up.
             for (UpstreamCall call : upstreams.cut(h)) {
                 call.moot();
@@ -209,12 +218,12 @@
     }
 
     /** Whether a host of this name is listed, or out by hand. */
-    boolean knows(String name) {
+    public boolean knows(String name) {
         return hosts.listed(name) != null || takenOut.contains(name);
     }
 
     /** Takes a host out by hand, or gives it back; false if no such host is known. */
-    boolean byHand(String name, boolean out) {
+    public boolean byHand(String name, boolean out) {
         if (!knows(name)) {
             return false;
         }
@@ -225,7 +234,7 @@
     }
 
     /** Takes over what another process of this proxy did by hand; times are Unix time (ms). */
-    void byHand(OutFolder.State elsewhere) {
+    public void byHand(DisabledHostStore.Contents elsewhere) {
         Map<String, Double> back = new HashMap<>();
         elsewhere.back().forEach((name, at) -> back.put(name, at - unixOffset));
         changedByHand(takenOut.adopt(elsewhere.out(), back));
@@ -233,10 +242,10 @@
 
     private void changedByHand(Set<String> names) {
         List<EndpointEntry> entries = new ArrayList<>();
-        List<Host> cut = new ArrayList<>();
+        List<UpstreamHost> cut = new ArrayList<>();
         for (String name : names) {
             log.line(() -> name + (takenOut.contains(name) ? " is out by hand" : " is back by hand"));
-            Host h = hosts.listed(name);
+            UpstreamHost h = hosts.listed(name);
             if (h != null) {
                 entries.add(hosts.changedByHand(h));
                 cut.add(h);
@@ -247,22 +256,22 @@
         }
     }
 
-    Figures figures() {
+    public ProxyMetrics figures() {
         return figures;
     }
 
-    void followFailed() {
+    public void followFailed() {
         deliver(null, () -> balancer.onMembership(now(), rillyard.balancer.WatchEvent.FAILED, null));
     }
 
-    void arrived(Exchange e, IncomingRequest arrival) {
+    public void arrived(RequestExchange e, IncomingRequest arrival) {
         exchanges.put(e.id, e);
         ids.opened(e.name);
         deliver(e, () -> balancer.onRequest(now(), arrival));
     }
 
     /** Writes an attempt down and tells neighbours, if that was asked for. */
-    void attemptEnded(Host h, AttemptOutcome result, double spent) {
+    void attemptEnded(UpstreamHost h, AttemptOutcome result, double spent) {
         if (neighbours != null) {
             neighbours.ended(h.name, result, now());
         }
@@ -278,26 +287,26 @@
     }
 
     /** Writes an answer of our own down, if that was asked for; {@code last} as {@link Trace#ended}. */
-    void traceEnd(Figures.End how, AttemptOutcome last) {
-        if (log.trace() != null && how != Figures.End.COMPLETED) {
-            log.trace().ended(how == Figures.End.REJECTED ? What.REFUSED : What.FAILED, last);
+    void traceEnd(ProxyMetrics.RequestOutcome how, AttemptOutcome last) {
+        if (log.trace() != null && how != ProxyMetrics.RequestOutcome.COMPLETED) {
+            log.trace().ended(how == ProxyMetrics.RequestOutcome.REJECTED ? What.REFUSED : What.FAILED, last);
         }
     }
 
-    void outcome(Exchange e, int number, AttemptOutcome result, double spent, boolean over, LoadReport report) {
+    void outcome(RequestExchange e, int number, AttemptOutcome result, double spent, boolean over, LoadReport report) {
         deliver(e, () -> balancer.onOutcome(now(), e.id, number, result, spent, over, report));
     }
 
     /** A request that was handed over while it came is whole; {@code budget} ms are left for it. */
-    void whole(Exchange e, double budget) {
+    void whole(RequestExchange e, double budget) {
         deliver(e, () -> balancer.onWhole(now(), e.id, budget));
     }
 
-    void clientGone(Exchange e) {
+    void clientGone(RequestExchange e) {
         deliver(e, () -> balancer.onClientGone(now(), e.id));
     }
 
-    private void deliver(Exchange about, Runnable what) {
+    private void deliver(RequestExchange about, Runnable what) {
         events.add(new Event(about, what));
         if (running) {
             return;
@@ -325,23 +334,23 @@
         }
     }
 
-    void forget(Exchange e) {
+    void forget(RequestExchange e) {
         if (exchanges.remove(e.id) != null) {
             ids.closed(e.name, System.nanoTime());
         }
     }
 
     /** Whether a request of this id is open, or was a moment ago. */
-    boolean known(String id) {
+    public boolean known(String id) {
         return ids.known(id, System.nanoTime());
     }
 
-    void sweep() {
+    public void sweep() {
         if (guard != null) {
             endDoubts();
         }
         if (neighbours != null) {
-            neighbours.step(now(), hosts.inUse(), new Heeding(this));
+            neighbours.step(now(), hosts.inUse(), new PeerGossipListener(this));
         }
         upstreams.sweep(hosts.all());
         hosts.forgetGone();
@@ -357,8 +366,8 @@
 
     @Override
     public void send(long request, long host, double giveUpAfter, double notAfter) {
-        Exchange e = exchanges.get(request);
-        Host h = hosts.get(host);
+        RequestExchange e = exchanges.get(request);
+        UpstreamHost h = hosts.get(host);
         if (e != null && h != null) {
             e.send(h, giveUpAfter, notAfter);
         } else {
@@ -368,7 +377,7 @@
 
     @Override
     public void refuse(long request, double coolDown) {
-        Exchange e = exchanges.get(request);
+        RequestExchange e = exchanges.get(request);
         if (e != null) {
             e.refuse(coolDown);
         }
@@ -376,7 +385,7 @@
 
     @Override
     public void fail(long request) {
-        Exchange e = exchanges.get(request);
+        RequestExchange e = exchanges.get(request);
         if (e != null) {
             e.fail();
         }
@@ -384,7 +393,7 @@
 
     @Override
     public void cancel(long request, int attempt) {
-        Exchange e = exchanges.get(request);
+        RequestExchange e = exchanges.get(request);
         if (e != null) {
             e.cancel(attempt);
         }
@@ -393,7 +402,7 @@
     @Override
     public void schedule(double delay, long token) {
         Runnable event = () -> deliver(exchanges.get(token), () -> balancer.onTimer(now(), token));
-        Exchange e = exchanges.get(token);
+        RequestExchange e = exchanges.get(token);
         if (e != null) {
             e.later(delay, event);
         } else if (token < 0) {
--- a/src/main/java/rillyard/proxy/Neighbours.java
+++ b/src/main/java/rillyard/proxy/dispatch/PeerGossip.java
@@ -1,13 +1,13 @@
-package rillyard.proxy;
+package rillyard.proxy.dispatch;
 
 import java.util.Set;
 import rillyard.balancer.AttemptOutcome;
 import rillyard.balancer.SubsetPosition;
 
 /** Whoever carries news of hosts between proxies, where somebody does. All calls are on the proxy's loop. */
-public interface Neighbours {
+public interface PeerGossip {
     /** What the others found out; hosts that are not listed are passed over. */
-    interface Heed {
+    interface Listener {
         /** Nothing goes to the host for so long (ms), then a trial. */
         void leave(String host, double wait);
 
@@ -25,5 +25,5 @@
     void ended(String host, AttemptOutcome result, double now);
 
     /** Some time has passed; {@code hosts} are listed. */
-    void step(double now, Set<String> hosts, Heed heed);
+    void step(double now, Set<String> hosts, Listener heed);
 }
--- a/src/main/java/rillyard/proxy/Heeding.java
+++ b/src/main/java/rillyard/proxy/dispatch/PeerGossipListener.java
@@ -1,10 +1,11 @@
-package rillyard.proxy;
+package rillyard.proxy.dispatch;
 
 import rillyard.balancer.Balancer;
 import rillyard.balancer.SubsetPosition;
+import rillyard.proxy.upstream.UpstreamHost;
 
 /** What neighbours found out goes to the module, of hosts that this proxy's own list names. */
-record Heeding(Dispatcher dispatcher) implements Neighbours.Heed {
+record PeerGossipListener(BalancerDriver dispatcher) implements PeerGossip.Listener {
     @Override
     public void leave(String host, double wait) {
         word(host, true, wait);
@@ -16,7 +17,7 @@
     }
 
     private void word(String host, boolean left, double wait) {
-        Host h = dispatcher.hosts().listed(host);
+        UpstreamHost h = dispatcher.hosts().listed(host);
         if (h != null) {
             dispatcher.tell((Balancer b) -> b.onFleetWord(dispatcher.now(), h.id, left, wait));
         }
--- a/src/main/java/rillyard/proxy/Exchange.java
+++ b/src/main/java/rillyard/proxy/dispatch/RequestExchange.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.dispatch;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -16,48 +16,52 @@
 import io.netty.util.concurrent.Future;
 import java.util.ArrayList;
 import java.util.List;
+import rillyard.admin.ProxyMetrics;
 import rillyard.balancer.AttemptOutcome;
 import rillyard.balancer.LoadReport;
-import rillyard.operator.Figures;
+import rillyard.proxy.downstream.ClientConnection;
+import rillyard.proxy.http.ProtocolHeaders;
+import rillyard.proxy.resources.BufferedBody;
+import rillyard.proxy.upstream.UpstreamHost;
 
 /**
  * One client request, from its last byte on. The only place that gives a final answer, and it
  * gives exactly one; holds the deadline, the request and its attempts.
  */
-final class Exchange {
+public final class RequestExchange {
     /** A client that takes nothing of its answer for so long (ns) has gone. */
-    static final long CLIENT_STALL = 30_000_000_000L;
+    public static final long CLIENT_STALL = 30_000_000_000L;
 
-    final long id;
+    public final long id;
     final String name;
     private final String type;
-    private final Dispatcher dispatcher;
+    private final BalancerDriver dispatcher;
     private final ClientConnection client;
     private final HttpRequest head;
-    private final Body body;
+    private final BufferedBody body;
     private double deadlineAt;
-    private final Upload upload;
+    private final StreamingUpload upload;
     private final double timeout;
     private final List<Runnable> whenWhole = new ArrayList<>(0);
-    private Attempt stream;
-    private final List<Attempt> attempts = new ArrayList<>(2);
+    private UpstreamAttempt stream;
+    private final List<UpstreamAttempt> attempts = new ArrayList<>(2);
     private final List<Future<?>> timers = new ArrayList<>(2);
     private int open;
     private AttemptOutcome last;
     private boolean mayHaveRun;
     private boolean answered;
 
-    Exchange(
+    public RequestExchange(
             long id,
             String name,
             String type,
-            Dispatcher dispatcher,
+            BalancerDriver dispatcher,
             ClientConnection client,
             HttpRequest head,
-            Body body,
+            BufferedBody body,
             double deadlineAt,
             double timeout,
-            Upload upload) {
+            StreamingUpload upload) {
         this.id = id;
         this.name = name;
         this.type = type;
@@ -69,7 +73,7 @@
         this.timeout = timeout;
         this.upload = upload;
         dispatcher.figures().pending(1);
-        Headers.dropHopByHop(head.headers());
+        ProtocolHeaders.dropHopByHop(head.headers());
         if (body != null) {
             head.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.size());
         }
@@ -104,7 +108,7 @@
     }
 
     /** Its last byte has come, and may have waited for so long (ms) in its socket. */
-    void uploaded(double waited) {
+    public void uploaded(double waited) {
         upload.last();
         double left = Math.max(0, timeout - waited);
         deadlineAt = dispatcher.now() + left;
@@ -117,7 +121,7 @@
     }
 
     /** The host hangs under a body that still comes: it can't have run, and the attempt is over. */
-    void hostTakesNothing() {
+    public void hostTakesNothing() {
         for (int i = 0; i < attempts.size(); i++) {
             if (attempts.get(i).open()) {
                 attempts.get(i).notSent();
@@ -143,8 +147,8 @@
         return !answered && now < notAfter && now < deadlineAt;
     }
 
-    void send(Host host, double giveUpAfter, double notAfter) {
-        Attempt a = new Attempt(this, dispatcher, host, attempts.size(), dispatcher.now());
+    void send(UpstreamHost host, double giveUpAfter, double notAfter) {
+        UpstreamAttempt a = new UpstreamAttempt(this, dispatcher, host, attempts.size(), dispatcher.now());
         attempts.add(a);
         open++;
         if (answered
@@ -166,7 +170,7 @@
     ChannelFuture writeTo(Channel channel) {
         HttpHeaders h = head.headers();
         double left = upload == null || upload.whole() ? deadlineAt - dispatcher.now() : timeout;
-        h.set(Headers.TIMEOUT_MS, Math.max(1, (long) left));
+        h.set(ProtocolHeaders.TIMEOUT_MS, Math.max(1, (long) left));
         if (upload != null) {
             ChannelFuture last = upload.begin(channel, head, h);
             hostTakesMore();
@@ -176,7 +180,7 @@
         if (blocks.size() <= 1) {
             ByteBuf bytes = blocks.isEmpty() ? Unpooled.EMPTY_BUFFER : blocks.get(0);
             return channel.writeAndFlush(new DefaultFullHttpRequest(
-                    HttpVersion.HTTP_1_1, head.method(), head.uri(), bytes, h, Headers.NONE));
+                    HttpVersion.HTTP_1_1, head.method(), head.uri(), bytes, h, ProtocolHeaders.NONE));
         }
         channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), h));
         for (ByteBuf b : blocks) {
@@ -185,7 +189,7 @@
         return channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
     }
 
-    void attemptEnded(Attempt a, AttemptOutcome result, double spent, LoadReport report) {
+    void attemptEnded(UpstreamAttempt a, AttemptOutcome result, double spent, LoadReport report) {
         open--;
         last = result;
         dispatcher.attemptEnded(a.host, result, spent);
@@ -207,30 +211,30 @@
 
     // --- the one final answer
 
-    void refuse(double coolDown) {
-        if (answer(Figures.End.REJECTED)) {
+    public void refuse(double coolDown) {
+        if (answer(ProxyMetrics.RequestOutcome.REJECTED)) {
             client.answer(503, coolDown);
             forgetIfDone();
         }
     }
 
     void fail() {
-        if (answer(Figures.End.FAILED)) {
+        if (answer(ProxyMetrics.RequestOutcome.FAILED)) {
             client.answer(dispatcher.now() >= deadlineAt ? 504 : 502, 0);
             forgetIfDone();
         }
     }
 
     /** Fails what the module has not ended, and tells it that there is nothing left to end. */
-    void failUnasked() {
+    public void failUnasked() {
         if (!answered) {
             fail();
             dispatcher.clientGone(this);
         }
     }
 
-    void served(HttpResponse reply, Body whole) {
-        if (answer(Figures.End.COMPLETED)) {
+    void served(HttpResponse reply, BufferedBody whole) {
+        if (answer(ProxyMetrics.RequestOutcome.COMPLETED)) {
             client.answer(reply, whole);
         } else if (whole != null) {
             whole.free();
@@ -238,7 +242,7 @@
     }
 
     /** An answer begins that is passed on as it comes; false if there is another one. */
-    boolean beginStream(Attempt a, HttpResponse reply, long length) {
+    boolean beginStream(UpstreamAttempt a, HttpResponse reply, long length) {
         if (answered) {
             return false;
         }
@@ -253,7 +257,7 @@
         return client.pass(bytes);
     }
 
-    void clientTakesMore() {
+    public void clientTakesMore() {
         if (stream != null) {
             stream.resumeStream();
         }
@@ -263,7 +267,9 @@
     void streamEnded(boolean whole) {
         stream = null;
         dispatcher.figures().pending(-1);
-        dispatcher.figures().ended(type, whole ? Figures.End.COMPLETED : Figures.End.FAILED);
+        dispatcher
+                .figures()
+                .ended(type, whole ? ProxyMetrics.RequestOutcome.COMPLETED : ProxyMetrics.RequestOutcome.FAILED);
         if (whole) {
             client.endAnswer();
         } else {
@@ -272,7 +278,7 @@
         forgetIfDone();
     }
 
-    private boolean answer(Figures.End how) {
+    private boolean answer(ProxyMetrics.RequestOutcome how) {
         if (answered) {
             return false;
         }
@@ -290,9 +296,9 @@
     // --- ends
 
     /** The client has gone before its answer. */
-    void clientGone() {
+    public void clientGone() {
         if (stream != null) {
-            Attempt a = stream;
+            UpstreamAttempt a = stream;
             stream = null;
             dispatcher.figures().pending(-1);
             a.abandonStream();
@@ -307,7 +313,7 @@
         // Whether or not attempts may be called off, none begins for a client that has gone: its connection may
         // come up later. And what was to follow of an upload never comes: no host waits for it.
         for (int i = 0; i < attempts.size(); i++) {
-            Attempt a = attempts.get(i);
+            UpstreamAttempt a = attempts.get(i);
             if (uploads() || !a.mayHaveRun()) {
                 a.cancel();
             }
@@ -316,7 +322,7 @@
     }
 
     /** The client has gone before anything was begun. */
-    void dropUnsent() {
+    public void dropUnsent() {
         over();
         forgetIfDone();
     }
--- a/src/main/java/rillyard/proxy/RecentIds.java
+++ b/src/main/java/rillyard/proxy/dispatch/RequestIdCache.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.dispatch;
 
 import java.util.ArrayDeque;
 import java.util.HashSet;
@@ -10,7 +10,7 @@
  * away, and would be blamed for it. An id is free again after {@link #KEEP_NANOS}, or sooner when
  * very many follow it. It does harm only to a client that uses an id twice, which none may.
  */
-final class RecentIds {
+final class RequestIdCache {
     private static final long KEEP_NANOS = 2_000_000_000L;
     private static final int MAX_CLOSED = 4_096;
 
--- a/src/main/java/rillyard/proxy/Upload.java
+++ b/src/main/java/rillyard/proxy/dispatch/StreamingUpload.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.dispatch;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -12,14 +12,16 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
+import rillyard.proxy.resources.BufferedBody;
+import rillyard.proxy.upstream.UpstreamConnection;
 
 /**
  * A request's body that is longer than may be held. What came first is held until a connection to a
  * host is up, and may go to another one until then; what follows goes on as it comes, as fast as the
  * host takes it, and is held nowhere. From its first byte on the request can't be sent again.
  */
-final class Upload {
-    private final Body start;
+public final class StreamingUpload {
+    private final BufferedBody start;
     private final long length;
     private Channel to;
     private ChannelPromise written;
@@ -27,7 +29,7 @@
     private boolean spent;
 
     /** {@code start} is what has come; {@code length} the whole length in bytes, -1 if not told. */
-    Upload(Body start, long length) {
+    public StreamingUpload(BufferedBody start, long length) {
         this.start = start;
         this.length = length;
     }
@@ -48,7 +50,7 @@
     }
 
     /** Whether more of it is to be read from the client now. */
-    boolean wanted() {
+    public boolean wanted() {
         return to != null && to.isWritable();
     }
 
@@ -74,7 +76,7 @@
     }
 
     /** More has come; the caller keeps its own reference. */
-    void take(ByteBuf bytes) {
+    public void take(ByteBuf bytes) {
         if (to == null) {
             start.append(bytes); // read before the client was paused: a few reads at the most
             return;
--- a/src/main/java/rillyard/proxy/Attempt.java
+++ b/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.dispatch;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -10,9 +10,14 @@
 import java.util.Locale;
 import rillyard.balancer.AttemptOutcome;
 import rillyard.balancer.LoadReport;
+import rillyard.proxy.http.ProtocolHeaders;
+import rillyard.proxy.resources.BufferedBody;
+import rillyard.proxy.upstream.LoadReportParser;
+import rillyard.proxy.upstream.UpstreamCall;
+import rillyard.proxy.upstream.UpstreamHost;
 
 /** One send of a request to a host; it ends with exactly one outcome. */
-final class Attempt extends UpstreamCall {
+public final class UpstreamAttempt extends UpstreamCall {
     /** A host may pause for so long (ns) within an answer that is passed on. */
     private static final long STREAM_STALL_NANOS = 10_000_000_000L;
 
@@ -24,8 +29,8 @@
 
     private static final double UNTOLD_MS = 30;
 
-    private final Exchange exchange;
-    private final Dispatcher dispatcher;
+    private final RequestExchange exchange;
+    private final BalancerDriver dispatcher;
     private final int number;
     private double sentAt;
     private final Runnable resume = this::resumeReading;
@@ -34,14 +39,14 @@
     private Future<?> tooLate;
     private LoadReport report;
     private HttpResponse head;
-    private Body body;
+    private BufferedBody body;
     private long length;
     private long passed;
     private boolean over;
     private boolean streams;
     private double headAt;
 
-    Attempt(Exchange exchange, Dispatcher dispatcher, Host host, int number, double sentAt) {
+    UpstreamAttempt(RequestExchange exchange, BalancerDriver dispatcher, UpstreamHost host, int number, double sentAt) {
         super(host);
         this.exchange = exchange;
         this.dispatcher = dispatcher;
@@ -80,17 +85,17 @@
     }
 
     @Override
-    boolean mayBegin() {
+    public boolean mayBegin() {
         return exchange.mayBegin(notAfter);
     }
 
     @Override
-    ChannelFuture write(Channel channel) {
+    public ChannelFuture write(Channel channel) {
         return exchange.writeTo(channel);
     }
 
     @Override
-    void writtenWhole() {
+    public void writtenWhole() {
         dispatcher.figures().attemptWritten();
         if (exchange.passesOn()) {
             sentAt = dispatcher.now(); // a host begins with the last byte
@@ -98,22 +103,22 @@
     }
 
     @Override
-    void writable() {
+    public void writable() {
         exchange.hostTakesMore();
     }
 
     @Override
-    long stallNanos() {
+    public long stallNanos() {
         return streams ? STREAM_STALL_NANOS : STALL_NANOS;
     }
 
     @Override
-    void notSent() {
+    public void notSent() {
         finish(AttemptOutcome.CONNECT_FAILED);
     }
 
     @Override
-    void moot() {
+    public void moot() {
         finish(AttemptOutcome.MOOT);
     }
 
@@ -127,8 +132,8 @@
     }
 
     @Override
-    void head(HttpResponse reply) {
-        report = Reports.read(reply.headers().get(Headers.SERVER_LOAD));
+    public void head(HttpResponse reply) {
+        report = LoadReportParser.read(reply.headers().get(ProtocolHeaders.SERVER_LOAD));
         int status = reply.status().code();
         if (status == 200) {
             if (!mayHaveRun()) {
@@ -139,28 +144,28 @@
             length = HttpUtil.getContentLength(reply, -1L);
             // Guards against an answer that is said to be larger than any may be, and goes on coming; and
             // against one whose end, for want of a length, looks like a connection that broke half way.
-            if (length > Body.MAX
+            if (length > BufferedBody.MAX
                     || (length < 0 && !HttpUtil.isTransferEncodingChunked(reply) && HttpUtil.isKeepAlive(reply))) {
                 broken();
                 return;
             }
             headAt = dispatcher.now();
-            if (length > Body.HELD) {
+            if (length > BufferedBody.HELD) {
                 stream();
             }
             return;
         }
         boolean turnedAway =
-                (status == 503 || status == 504) && "1".equals(reply.headers().get(Headers.NOT_PROCESSED));
+                (status == 503 || status == 504) && "1".equals(reply.headers().get(ProtocolHeaders.NOT_PROCESSED));
         connection().discardRest();
         finish(turnedAway ? AttemptOutcome.FULL : mayHaveRun() ? AttemptOutcome.ERROR : AttemptOutcome.CONNECT_FAILED);
     }
 
     @Override
-    void content(HttpContent part) {
+    public void content(HttpContent part) {
         int n = part.content().readableBytes();
         passed += n;
-        if (passed > Body.MAX) {
+        if (passed > BufferedBody.MAX) {
             broken(); // larger than any answer may be
             return;
         }
@@ -171,7 +176,7 @@
                 body = dispatcher.newBody(length, false);
             }
             body.append(part.content());
-            if (body.size() > Body.HELD
+            if (body.size() > BufferedBody.HELD
                     || (length < 0 && (body.size() > UNTOLD_HELD || dispatcher.now() - headAt > UNTOLD_MS))) {
                 stream();
                 return;
@@ -206,7 +211,7 @@
         endTimers();
         dispatcher.budget().forget(resume);
         if (body != null) {
-            Body first = body;
+            BufferedBody first = body;
             body = null;
             first.retained().forEach(this::pass);
             first.free();
@@ -231,20 +236,20 @@
     }
 
     @Override
-    void end() {
+    public void end() {
         if (streams) {
             dispatcher.upstreams().end(this);
             exchange.streamEnded(true);
             return;
         }
-        Body whole = body;
+        BufferedBody whole = body;
         body = null;
         exchange.served(head, whole);
         finish(AttemptOutcome.OK);
     }
 
     @Override
-    void broken() {
+    public void broken() {
         if (streams) {
             dispatcher.log().line(() -> describe(AttemptOutcome.RESET));
             dispatcher.upstreams().end(this);
--- a/src/main/java/rillyard/proxy/ClientConnection.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientConnection.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.downstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -28,12 +28,19 @@
 import java.util.ArrayDeque;
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
+import rillyard.admin.ProxyMetrics;
 import rillyard.balancer.IncomingRequest;
 import rillyard.balancer.Settings;
-import rillyard.operator.Figures;
+import rillyard.proxy.dispatch.BalancerDriver;
+import rillyard.proxy.dispatch.RequestExchange;
+import rillyard.proxy.dispatch.StreamingUpload;
+import rillyard.proxy.eventloop.PeekableSocketChannel;
+import rillyard.proxy.http.ProtocolHeaders;
+import rillyard.proxy.resources.BufferedBody;
+import rillyard.proxy.resources.DescriptorBudget;
 
 /** A connection of the application's: reads its requests one by one and writes their answers. */
-final class ClientConnection extends ChannelInboundHandlerAdapter implements Sockets.Idle {
+public final class ClientConnection extends ChannelInboundHandlerAdapter implements DescriptorBudget.IdleConnection {
     /** How long (ns) a head may take, of which clients are allowed 2 s. */
     private static final long SLOW_NANOS = 2_300_000_000L;
 
@@ -67,20 +74,20 @@
     /** A request that is whole so soon (ns) after a pause had been waiting in its socket. */
     private static final long JUST_NOW_NANOS = 20_000_000L;
 
-    private final Front front;
-    private final QuietChannel channel;
-    private final ClientDecoder decoder;
+    private final ClientListener front;
+    private final PeekableSocketChannel channel;
+    private final ClientRequestDecoder decoder;
     private final boolean overflow;
     private final Runnable resume = this::resumeReading;
     private final ArrayDeque<HttpObject> ahead = new ArrayDeque<>(0);
     private HttpRequest head;
-    private Body body;
+    private BufferedBody body;
     private long received;
     private boolean health;
     private double timeout;
     private String type;
-    private Exchange exchange;
-    private Upload upload;
+    private RequestExchange exchange;
+    private StreamingUpload upload;
     private boolean skipping;
     private long blockedSince;
     private boolean closing;
@@ -95,7 +102,8 @@
     private boolean used;
 
     /** {@code overflow} marks a connection beyond what is allowed: its request is refused. */
-    ClientConnection(Front front, QuietChannel channel, ClientDecoder decoder, boolean overflow) {
+    ClientConnection(
+            ClientListener front, PeekableSocketChannel channel, ClientRequestDecoder decoder, boolean overflow) {
         this.front = front;
         this.channel = channel;
         this.decoder = decoder;
@@ -109,7 +117,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        Exchange e = exchange;
+        RequestExchange e = exchange;
         exchange = null;
         endPause();
         dropRequest();
@@ -208,14 +216,14 @@
         head = request;
         received = 0;
         closing = !HttpUtil.isKeepAlive(request);
-        RequestForm.toOriginForm(request);
+        RequestValidator.toOriginForm(request);
         health = request.uri().equals("/_health");
         HttpMethod method = request.method();
         if (!request.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
             reject(505);
         } else if (!method.equals(HttpMethod.GET) && !method.equals(HttpMethod.POST)) {
             reject(405);
-        } else if (HttpUtil.getContentLength(request, 0L) > Body.MAX) {
+        } else if (HttpUtil.getContentLength(request, 0L) > BufferedBody.MAX) {
             reject(413);
         } else if (!health) {
             check(request);
@@ -233,21 +241,22 @@
      */
     private void check(HttpRequest request) {
         HttpHeaders h = request.headers();
-        String id = RequestForm.single(h, Headers.REQUEST_ID);
-        String named = RequestForm.single(h, Headers.CLASS);
-        type = named == null ? RequestForm.pathClass(request.uri()) : named;
+        String id = RequestValidator.single(h, ProtocolHeaders.REQUEST_ID);
+        String named = RequestValidator.single(h, ProtocolHeaders.CLASS);
+        type = named == null ? RequestValidator.pathClass(request.uri()) : named;
         Settings.RequestClass c = front.type(type);
         if (id == null
                 || id.isBlank()
-                || RequestForm.single(h, HttpHeaderNames.HOST) == null
-                || !RequestForm.onceAtMost(h, Headers.CLASS, Headers.TIMEOUT_MS, Headers.IDEMPOTENCY_KEY)) {
+                || RequestValidator.single(h, HttpHeaderNames.HOST) == null
+                || !RequestValidator.onceAtMost(
+                        h, ProtocolHeaders.CLASS, ProtocolHeaders.TIMEOUT_MS, ProtocolHeaders.IDEMPOTENCY_KEY)) {
             reject(400);
-        } else if (c == null || !type.equals(RequestForm.pathClass(request.uri()))) {
+        } else if (c == null || !type.equals(RequestValidator.pathClass(request.uri()))) {
             reject(404);
-        } else if (!RequestForm.fits(c, request)) {
+        } else if (!RequestValidator.fits(c, request)) {
             reject(400);
         } else {
-            timeout = RequestForm.timeout(h.get(Headers.TIMEOUT_MS), c);
+            timeout = RequestValidator.timeout(h.get(ProtocolHeaders.TIMEOUT_MS), c);
             if (Double.isNaN(timeout)) {
                 reject(400);
             } else if (front.dispatcher().known(id)) {
@@ -258,7 +267,7 @@
 
     private void append(ByteBuf bytes) {
         received += bytes.readableBytes();
-        if (received > Body.MAX || (health && received > Body.HELD)) {
+        if (received > BufferedBody.MAX || (health && received > BufferedBody.HELD)) {
             reject(413);
             return;
         }
@@ -273,7 +282,7 @@
             body = front.dispatcher().newBody(HttpUtil.getContentLength(head, -1L), true);
         }
         body.append(bytes);
-        if (body.size() > Body.HELD) {
+        if (body.size() > BufferedBody.HELD) {
             beginUpload();
             return;
         }
@@ -298,7 +307,7 @@
      */
     private void refuseForMemory() {
         front.refusedForMemory();
-        front.dispatcher().figures().ended(type, Figures.End.REJECTED);
+        front.dispatcher().figures().ended(type, ProxyMetrics.RequestOutcome.REJECTED);
         reject(503);
     }
 
@@ -322,21 +331,22 @@
         if (paused) {
             endPause();
         }
-        Dispatcher d = front.dispatcher();
+        BalancerDriver d = front.dispatcher();
         HttpRequest request = head;
-        Body start = body;
+        BufferedBody start = body;
         head = null;
         body = null;
-        String id = request.headers().get(Headers.REQUEST_ID);
+        String id = request.headers().get(ProtocolHeaders.REQUEST_ID);
         if (d.known(id)) {
             start.free();
             reject(409);
             return;
         }
         channel.config().setAutoRead(false);
-        upload = new Upload(start, HttpUtil.getContentLength(request, -1L));
+        upload = new StreamingUpload(start, HttpUtil.getContentLength(request, -1L));
         boolean room = !overflow && d.open() < front.maxOpen();
-        exchange = new Exchange(d.newId(), id, type, d, this, request, null, Double.POSITIVE_INFINITY, timeout, upload);
+        exchange = new RequestExchange(
+                d.newId(), id, type, d, this, request, null, Double.POSITIVE_INFINITY, timeout, upload);
         if (room) {
             d.arrived(exchange, arrival(request.headers(), exchange.id, Double.POSITIVE_INFINITY));
         } else {
@@ -347,7 +357,7 @@
     }
 
     /** The connection to the host takes more of the body. */
-    void readOn() {
+    public void readOn() {
         decoder.readAt = System.nanoTime(); // the pause was the host's, and no silence of the client's
         channel.config().setAutoRead(true);
     }
@@ -356,10 +366,10 @@
         return new IncomingRequest(
                 id,
                 type,
-                h.get(Headers.TENANT),
+                h.get(ProtocolHeaders.TENANT),
                 budget,
-                RequestForm.estimate(h.get(Headers.COST)),
-                "1".equals(h.get(Headers.RETRIED)));
+                RequestValidator.estimate(h.get(ProtocolHeaders.COST)),
+                "1".equals(h.get(ProtocolHeaders.RETRIED)));
     }
 
     private void complete() {
@@ -375,7 +385,7 @@
             return;
         }
         HttpRequest request = head;
-        Body whole = body;
+        BufferedBody whole = body;
         head = null;
         body = null;
         if (whole != null) {
@@ -386,10 +396,10 @@
             answer(front.ready() ? 200 : 503, 0);
             return;
         }
-        Dispatcher d = front.dispatcher();
+        BalancerDriver d = front.dispatcher();
         if (overflow || d.open() >= front.maxOpen()) {
             front.refusedForSockets();
-            d.figures().ended(type, Figures.End.REJECTED);
+            d.figures().ended(type, ProxyMetrics.RequestOutcome.REJECTED);
             free(whole);
             closing |= overflow;
             answer(503, 0);
@@ -397,13 +407,13 @@
         }
         // Time in our own queue comes off the client's budget: its last byte may have waited there.
         double budget = Math.max(0, timeout - waited() / 1e6);
-        String id = request.headers().get(Headers.REQUEST_ID);
+        String id = request.headers().get(ProtocolHeaders.REQUEST_ID);
         if (d.known(id)) { // it has come elsewhere while this one's body was on its way
             free(whole);
             reject(409);
             return;
         }
-        exchange = new Exchange(d.newId(), id, type, d, this, request, whole, d.now() + budget, budget, null);
+        exchange = new RequestExchange(d.newId(), id, type, d, this, request, whole, d.now() + budget, budget, null);
         if (channel.ended()) {
             // Guards against work for clients that left while the loop was behind: each send would be
             // called off at once, at the price of its connection, and the loop fall further behind.
@@ -423,7 +433,7 @@
         return Math.max(paused, now - channel.waitingSince());
     }
 
-    private static void free(Body b) {
+    private static void free(BufferedBody b) {
         if (b != null) {
             b.free();
         }
@@ -438,7 +448,7 @@
     // --- writing
 
     /** An answer of our own. */
-    void answer(int status, double coolDownMs) {
+    public void answer(int status, double coolDownMs) {
         DefaultFullHttpResponse r = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.EMPTY_BUFFER);
         r.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
@@ -450,13 +460,13 @@
     }
 
     /** A host's answer that has come whole. */
-    void answer(HttpResponse reply, Body whole) {
+    public void answer(HttpResponse reply, BufferedBody whole) {
         HttpHeaders h = reply.headers();
-        Headers.dropHopByHop(h);
+        ProtocolHeaders.dropHopByHop(h);
         h.set(HttpHeaderNames.CONTENT_LENGTH, whole == null ? 0 : whole.size());
         ByteBuf bytes = whole == null ? Unpooled.EMPTY_BUFFER : joined(whole);
-        DefaultFullHttpResponse r =
-                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, bytes, h, Headers.NONE);
+        DefaultFullHttpResponse r = new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1, HttpResponseStatus.OK, bytes, h, ProtocolHeaders.NONE);
         markClose(r);
         ChannelFuture written = channel.writeAndFlush(r);
         if (whole != null) {
@@ -466,9 +476,9 @@
     }
 
     /** The head of an answer that is passed on as it comes; {@code length} is -1 where it isn't told. */
-    void beginAnswer(HttpResponse reply, long length) {
+    public void beginAnswer(HttpResponse reply, long length) {
         HttpHeaders h = reply.headers();
-        Headers.dropHopByHop(h);
+        ProtocolHeaders.dropHopByHop(h);
         if (length >= 0) {
             h.set(HttpHeaderNames.CONTENT_LENGTH, length);
         } else {
@@ -481,17 +491,17 @@
     }
 
     /** Part of it; false if the connection takes no more for now. */
-    boolean pass(ByteBuf bytes) {
+    public boolean pass(ByteBuf bytes) {
         channel.writeAndFlush(new DefaultHttpContent(bytes));
         return channel.isWritable();
     }
 
-    void endAnswer() {
+    public void endAnswer() {
         answered(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
     }
 
     /** It broke half way: the client sees an end that is none. */
-    void cutAnswer() {
+    public void cutAnswer() {
         exchange = null;
         channel.close();
     }
@@ -504,7 +514,7 @@
         }
     }
 
-    private static ByteBuf joined(Body whole) {
+    private static ByteBuf joined(BufferedBody whole) {
         ByteBuf[] blocks = whole.retained().toArray(ByteBuf[]::new);
         return blocks.length == 1 ? blocks[0] : Unpooled.wrappedBuffer(blocks);
     }
@@ -572,7 +582,7 @@
     private void reject(int status) {
         rejected = true;
         if (exchange != null) { // its body goes wrong while it is passed on: no host gets the end of it
-            Exchange e = exchange;
+            RequestExchange e = exchange;
             exchange = null;
             upload = null;
             e.clientGone();
@@ -649,9 +659,9 @@
             } else {
                 reject(408);
             }
-        } else if (blockedSince != 0 && exchange != null && now - blockedSince > Exchange.CLIENT_STALL) {
+        } else if (blockedSince != 0 && exchange != null && now - blockedSince > RequestExchange.CLIENT_STALL) {
             channel.close();
-        } else if (writingSince != 0 && now - writingSince > Exchange.CLIENT_STALL) {
+        } else if (writingSince != 0 && now - writingSince > RequestExchange.CLIENT_STALL) {
             channel.close();
         } else if (!busy() && now - idleSince > IDLE_NANOS) {
             // Guards against connections that are kept for good and asked nothing: each holds a descriptor.
--- a/src/main/java/rillyard/proxy/Front.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientListener.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.downstream;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -14,26 +14,38 @@
 import java.util.Map;
 import java.util.Set;
 import rillyard.balancer.Settings;
+import rillyard.proxy.config.ProxyConfig;
+import rillyard.proxy.dispatch.BalancerDriver;
+import rillyard.proxy.eventloop.PeekableSocketChannel;
+import rillyard.proxy.logging.ProxyLog;
+import rillyard.proxy.resources.BodyMemoryBudget;
+import rillyard.proxy.resources.DescriptorBudget;
+import rillyard.proxy.upstream.UpstreamPool;
 
 /** The side that faces the application: listens, and knows all of its connections. */
-final class Front {
+public final class ClientListener {
     private static final int BACKLOG = 1_024;
 
-    private final Dispatcher dispatcher;
-    private final Sockets sockets;
-    private final BodyBudget budget;
-    private final Log log;
+    private final BalancerDriver dispatcher;
+    private final DescriptorBudget sockets;
+    private final BodyMemoryBudget budget;
+    private final ProxyLog log;
     private final int maxOpen;
     private final Map<String, Settings.RequestClass> types = new HashMap<>();
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
-    private volatile QuietChannel.Server listener;
+    private volatile PeekableSocketChannel.Server listener;
     private boolean draining;
     private volatile boolean warming;
     private volatile boolean readyAsOfLate;
     private long refusedForMemory;
     private long refusedForSockets;
 
-    Front(Dispatcher dispatcher, Config config, Sockets sockets, BodyBudget budget, Log log) {
+    public ClientListener(
+            BalancerDriver dispatcher,
+            ProxyConfig config,
+            DescriptorBudget sockets,
+            BodyMemoryBudget budget,
+            ProxyLog log) {
         this.dispatcher = dispatcher;
         this.sockets = sockets;
         this.budget = budget;
@@ -49,28 +61,28 @@
      * and its successor listens on the same one. Not so elsewhere: guards against two proxies that are
      * told the same address by mistake.
      */
-    void listen(EventLoopGroup loop, Config config) throws Exception {
+    public void listen(EventLoopGroup loop, ProxyConfig config) throws Exception {
         ServerBootstrap bootstrap = new ServerBootstrap();
         if (config.operator() != null) {
             bootstrap.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
         }
         bootstrap
                 .group(loop)
-                .channelFactory(() -> new QuietChannel.Server(dispatcher.gaps()))
+                .channelFactory(() -> new PeekableSocketChannel.Server(dispatcher.gaps()))
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, Upstreams.READS)
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Upstreams.MARKS)
-                .handler(new ChannelInitializer<QuietChannel.Server>() {
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, UpstreamPool.READS)
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, UpstreamPool.MARKS)
+                .handler(new ChannelInitializer<PeekableSocketChannel.Server>() {
                     @Override
-                    protected void initChannel(QuietChannel.Server ch) {
+                    protected void initChannel(PeekableSocketChannel.Server ch) {
                         listener = ch; // before the first accept, which may come ahead of the bind's end
                     }
                 })
-                .childHandler(new ChannelInitializer<QuietChannel>() {
+                .childHandler(new ChannelInitializer<PeekableSocketChannel>() {
                     @Override
-                    protected void initChannel(QuietChannel ch) {
+                    protected void initChannel(PeekableSocketChannel ch) {
                         accepted(ch);
                     }
                 })
@@ -78,13 +90,13 @@
                 .sync();
     }
 
-    Channel listener() {
+    public Channel listener() {
         return listener;
     }
 
-    private void accepted(QuietChannel ch) {
+    private void accepted(PeekableSocketChannel ch) {
         boolean overflow = !sockets.roomForClient();
-        ClientDecoder decoder = new ClientDecoder();
+        ClientRequestDecoder decoder = new ClientRequestDecoder();
         ClientConnection c = new ClientConnection(this, ch, decoder, overflow);
         sockets.clientOpened();
         // The end of the channel's future is the moment its descriptor is free; its handlers hear later.
@@ -113,8 +125,8 @@
      * A successor listens: takes what has been let in and lets nobody in any more. The close follows
      * the last accept at once: guards against connections that the kernel let in between the two.
      */
-    void closeListener() {
-        QuietChannel.Server open = listener;
+    public void closeListener() {
+        PeekableSocketChannel.Server open = listener;
         if (open != null && open.isOpen()) { // null where the end came before it listened
             open.acceptRest();
             open.close();
@@ -122,7 +134,7 @@
     }
 
     /** The client proxy goes: answers tell clients to move off, and idle connections are closed. */
-    void drain() {
+    public void drain() {
         draining = true;
         readyAsOfLate = false;
         for (ClientConnection c : new ArrayList<>(connections)) {
@@ -133,12 +145,12 @@
     }
 
     /** Answers from now on tell clients to move off; connections that are idle stay for that. */
-    void moveOff() {
+    public void moveOff() {
         draining = true;
         readyAsOfLate = false;
     }
 
-    int open() {
+    public int open() {
         return connections.size();
     }
 
@@ -147,7 +159,7 @@
     }
 
     /** Whether anything that was taken, or is being taken, has no answer yet. */
-    boolean busy() {
+    public boolean busy() {
         for (ClientConnection c : connections) {
             if (c.busy()) {
                 return true;
@@ -157,7 +169,7 @@
     }
 
     /** Has {@link #ready} say no for now; requests that come all the same are served. */
-    void warming(boolean on) {
+    public void warming(boolean on) {
         warming = on;
     }
 
@@ -167,11 +179,11 @@
     }
 
     /** As {@link #ready}, as of the last moment in which the loop had time; for other threads. */
-    boolean readyAsOfLate() {
+    public boolean readyAsOfLate() {
         return readyAsOfLate;
     }
 
-    void sweep() {
+    public void sweep() {
         readyAsOfLate = ready();
         long now = System.nanoTime();
         for (ClientConnection c : new ArrayList<>(connections)) {
@@ -191,19 +203,19 @@
         return types.get(name);
     }
 
-    Dispatcher dispatcher() {
+    BalancerDriver dispatcher() {
         return dispatcher;
     }
 
-    Sockets sockets() {
+    public DescriptorBudget sockets() {
         return sockets;
     }
 
-    BodyBudget budget() {
+    BodyMemoryBudget budget() {
         return budget;
     }
 
-    Log log() {
+    ProxyLog log() {
         return log;
     }
 
--- a/src/main/java/rillyard/proxy/ClientDecoder.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientRequestDecoder.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.downstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.CompositeByteBuf;
@@ -6,12 +6,14 @@
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.util.ReferenceCountUtil;
+import rillyard.proxy.eventloop.PeekableSocketChannel;
+import rillyard.proxy.upstream.UpstreamPool;
 
 /**
  * Takes what a client sends apart into requests. Tells whether part of one has come, and holds back what was
  * sent ahead of its time.
  */
-final class ClientDecoder extends HttpRequestDecoder {
+final class ClientRequestDecoder extends HttpRequestDecoder {
     /** Bytes sent ahead of their time past which no more is read, so that the end behind them is not seen. */
     private static final int HELD_BYTES = 32 * 1024;
 
@@ -33,8 +35,8 @@
     private ChannelHandlerContext context;
     private CompositeByteBuf held;
 
-    ClientDecoder() {
-        super(Upstreams.DECODER);
+    ClientRequestDecoder() {
+        super(UpstreamPool.DECODER);
     }
 
     @Override
@@ -89,7 +91,7 @@
             }
             return;
         }
-        ByteBuf read = ((QuietChannel) ctx.channel()).behindHeld((ByteBuf) msg);
+        ByteBuf read = ((PeekableSocketChannel) ctx.channel()).behindHeld((ByteBuf) msg);
         if (held != null) {
             held.addComponent(true, read);
             if (held.readableBytes() >= HELD_BYTES) {
--- a/src/main/java/rillyard/proxy/RequestForm.java
+++ b/src/main/java/rillyard/proxy/downstream/RequestValidator.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.downstream;
 
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
@@ -8,9 +8,10 @@
 import io.netty.util.AsciiString;
 import java.util.List;
 import rillyard.balancer.Settings;
+import rillyard.proxy.http.ProtocolHeaders;
 
 /** The form that requests have by the protocol, read from their heads. */
-final class RequestForm {
+final class RequestValidator {
     /** The longest time (ms) a client may ask for; longer ones are cut to it. */
     private static final double MAX_TIMEOUT_MS = 600_000;
 
@@ -19,7 +20,7 @@
 
     private static final int MAX_NAME = 128;
 
-    private RequestForm() {}
+    private RequestValidator() {}
 
     /** A header's value where it is there once and of a sane length, else null. */
     static String single(HttpHeaders h, AsciiString name) {
@@ -71,7 +72,10 @@
             case IDEMPOTENT ->
                 !post && HttpUtil.getContentLength(request, 0L) == 0 && !HttpUtil.isTransferEncodingChunked(request);
             case DEDUPLICATED ->
-                post && !request.headers().get(Headers.IDEMPOTENCY_KEY, "").isBlank();
+                post
+                        && !request.headers()
+                                .get(ProtocolHeaders.IDEMPOTENCY_KEY, "")
+                                .isBlank();
             case AT_MOST_ONCE -> post;
         };
     }
--- a/src/main/java/rillyard/proxy/QuietChannel.java
+++ b/src/main/java/rillyard/proxy/eventloop/PeekableSocketChannel.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.eventloop;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -9,15 +9,15 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.SocketChannel;
 import java.util.List;
-import rillyard.gaps.Gaps;
+import rillyard.stall.StallDetector;
 
 /** A socket that can be asked at once what the loop would hear of on its next turn only. */
-final class QuietChannel extends NioSocketChannel {
+public final class PeekableSocketChannel extends NioSocketChannel {
     /** Accepts such sockets. */
-    static final class Server extends NioServerSocketChannel {
-        private final Gaps gaps;
+    public static final class Server extends NioServerSocketChannel {
+        private final StallDetector gaps;
 
-        Server(Gaps gaps) {
+        public Server(StallDetector gaps) {
             this.gaps = gaps;
         }
 
@@ -28,16 +28,16 @@
                 gaps.accepted();
                 return 0;
             }
-            accepted.add(new QuietChannel(this, ch, gaps));
+            accepted.add(new PeekableSocketChannel(this, ch, gaps));
             return 1;
         }
 
         /** Accepts all that waits; on the loop. */
-        void acceptRest() {
+        public void acceptRest() {
             try {
                 SocketChannel ch;
                 while ((ch = javaChannel().accept()) != null) {
-                    pipeline().fireChannelRead(new QuietChannel(this, ch, gaps));
+                    pipeline().fireChannelRead(new PeekableSocketChannel(this, ch, gaps));
                 }
             } catch (IOException e) {
                 // out of descriptors, or closed: what waits can't be had
@@ -52,18 +52,18 @@
     private final ByteBuffer one = ByteBuffer.allocate(1);
     private boolean holding;
 
-    private final Gaps gaps;
+    private final StallDetector gaps;
     private final long acceptTurn;
     private final long acceptedSince;
 
     /** One that connects to a host: nobody asks it how long its bytes have waited. */
-    QuietChannel() {
+    public PeekableSocketChannel() {
         this.gaps = null;
         this.acceptTurn = 0;
         this.acceptedSince = 0;
     }
 
-    private QuietChannel(Channel parent, SocketChannel ch, Gaps gaps) {
+    private PeekableSocketChannel(Channel parent, SocketChannel ch, StallDetector gaps) {
         super(parent, ch);
         this.gaps = gaps;
         this.acceptTurn = gaps.turn();
@@ -71,7 +71,7 @@
     }
 
     /** Since when (ns) what is read in this turn may have waited, on a connection that was accepted. */
-    long waitingSince() {
+    public long waitingSince() {
         return gaps.since(acceptTurn, acceptedSince);
     }
 
@@ -79,19 +79,19 @@
      * Whether the connection is open and nothing has come on it. Guards against a write to a pooled
      * connection whose end waits in the kernel: the request would count as one that may have run.
      */
-    boolean quiet() {
+    public boolean quiet() {
         return peek() == 0;
     }
 
     /** Whether the other side has ended the connection; a byte that has come is held. */
-    boolean ended() {
+    public boolean ended() {
         int n = holding ? 1 : peek();
         holding = n > 0;
         return n < 0;
     }
 
     /** Whether a byte is held that belongs ahead of the next read. */
-    boolean holding() {
+    public boolean holding() {
         return holding;
     }
 
@@ -99,7 +99,7 @@
      * What was read, behind the byte that was held. Guards against a byte that is handed on at once:
      * the decoder is at work then, and can't be entered again.
      */
-    ByteBuf behindHeld(ByteBuf read) {
+    public ByteBuf behindHeld(ByteBuf read) {
         if (!holding) {
             return read;
         }
@@ -111,7 +111,7 @@
      * Ends the sending, takes out what has come, and closes. Guards against a close over unread bytes: it would
      * be a reset, which takes what was sent before with it, and tells the other side nothing of it.
      */
-    void endSending() {
+    public void endSending() {
         if (isActive()) {
             shutdownOutput();
             takeOut();
--- a/src/main/java/rillyard/proxy/TimedLooks.java
+++ b/src/main/java/rillyard/proxy/eventloop/StallAwareIoHandler.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.eventloop;
 
 import io.netty.channel.IoHandle;
 import io.netty.channel.IoHandler;
@@ -7,22 +7,22 @@
 import io.netty.channel.IoRegistration;
 import io.netty.channel.nio.NioIoHandler;
 import java.util.function.LongConsumer;
-import rillyard.gaps.Gaps;
+import rillyard.stall.StallDetector;
 
 /**
  * The loop's way to its sockets, with a look at the clock on either side of its wait. Where the loop or
  * its process stood still, what is overdue is ended before anything new is read.
  */
-final class TimedLooks implements IoHandler {
+public final class StallAwareIoHandler implements IoHandler {
     /** What is read later than this (ns) may be overdue; below it a turn's tasks find out soon enough. */
     private static final long LATE_NANOS = 20_000_000L;
 
     private final IoHandler sockets;
-    private final Gaps gaps;
+    private final StallDetector gaps;
     private final LongConsumer late;
     private final AfterLook afterLook = new AfterLook();
 
-    private TimedLooks(IoHandler sockets, Gaps gaps, LongConsumer late) {
+    private StallAwareIoHandler(IoHandler sockets, StallDetector gaps, LongConsumer late) {
         this.sockets = sockets;
         this.gaps = gaps;
         this.late = late;
@@ -33,9 +33,9 @@
      *
      * @param late told by how much (ns) a turn is late, before it reads anything
      */
-    static IoHandlerFactory factory(Gaps gaps, LongConsumer late) {
+    public static IoHandlerFactory factory(StallDetector gaps, LongConsumer late) {
         IoHandlerFactory nio = NioIoHandler.newFactory();
-        return executor -> new TimedLooks(nio.newHandler(executor), gaps, late);
+        return executor -> new StallAwareIoHandler(nio.newHandler(executor), gaps, late);
     }
 
     @Override
--- a/src/main/java/rillyard/proxy/Headers.java
+++ b/src/main/java/rillyard/proxy/http/ProtocolHeaders.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.http;
 
 import io.netty.handler.codec.http.DefaultHttpHeadersFactory;
 import io.netty.handler.codec.http.HttpHeaderNames;
@@ -8,18 +8,19 @@
 import java.util.Set;
 
 /** The headers of the protocol, as names whose hashes are made once, and which go no further. */
-final class Headers {
-    static final AsciiString REQUEST_ID = AsciiString.cached("X-Request-ID");
-    static final AsciiString CLASS = AsciiString.cached("X-Priority-Class");
-    static final AsciiString TENANT = AsciiString.cached("X-Tenant-Id");
-    static final AsciiString TIMEOUT_MS = AsciiString.cached("X-Timeout-Ms");
-    static final AsciiString RETRIED = AsciiString.cached("X-Retried");
-    static final AsciiString COST = AsciiString.cached("X-Cost");
-    static final AsciiString IDEMPOTENCY_KEY = AsciiString.cached("Idempotency-Key");
-    static final AsciiString SERVER_LOAD = AsciiString.cached("X-Server-Load");
-    static final AsciiString NOT_PROCESSED = AsciiString.cached("X-Not-Processed");
+public final class ProtocolHeaders {
+    public static final AsciiString REQUEST_ID = AsciiString.cached("X-Request-ID");
+    public static final AsciiString CLASS = AsciiString.cached("X-Priority-Class");
+    public static final AsciiString TENANT = AsciiString.cached("X-Tenant-Id");
+    public static final AsciiString TIMEOUT_MS = AsciiString.cached("X-Timeout-Ms");
+    public static final AsciiString RETRIED = AsciiString.cached("X-Retried");
+    public static final AsciiString COST = AsciiString.cached("X-Cost");
+    public static final AsciiString IDEMPOTENCY_KEY = AsciiString.cached("Idempotency-Key");
+    public static final AsciiString SERVER_LOAD = AsciiString.cached("X-Server-Load");
+    public static final AsciiString NOT_PROCESSED = AsciiString.cached("X-Not-Processed");
 
-    static final HttpHeaders NONE = DefaultHttpHeadersFactory.trailersFactory().newEmptyHeaders();
+    public static final HttpHeaders NONE =
+            DefaultHttpHeadersFactory.trailersFactory().newEmptyHeaders();
 
     private static final AsciiString[] HOP_BY_HOP = {
         HttpHeaderNames.CONNECTION,
@@ -35,9 +36,9 @@
     private static final Set<String> END_TO_END =
             Set.of("close", "host", "content-length", "x-request-id", "idempotency-key");
 
-    private Headers() {}
+    private ProtocolHeaders() {}
 
-    static void dropHopByHop(HttpHeaders headers) {
+    public static void dropHopByHop(HttpHeaders headers) {
         if (headers.contains(HttpHeaderNames.CONNECTION)) {
             for (String named : headers.getAll(HttpHeaderNames.CONNECTION)) {
                 for (String token : named.split(",", 16)) {
--- a/src/main/java/rillyard/proxy/Rehearsal.java
+++ b/src/main/java/rillyard/proxy/lifecycle/ClassArchiveTraining.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.lifecycle;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -9,13 +9,15 @@
 import java.util.Comparator;
 import java.util.Map;
 import java.util.stream.Stream;
+import rillyard.proxy.ClientProxy;
+import rillyard.proxy.config.ConfigException;
 
 /**
  * A start and a warm-up with nobody there. The build runs it to archive the classes that a proxy
  * loads: guards against a restart that leaves its clients alone for as long as a part of a core
  * takes to load and verify them all. Without the archive a proxy starts as well, only later.
  */
-public final class Rehearsal {
+public final class ClassArchiveTraining {
     private static final long MOST_MS = 30_000;
 
     private static final String CONFIG =
@@ -35,7 +37,7 @@
         "rules":{"cold":8700,"startCapacity":0.3,"fall":1500,"fallMultiple":3}}}
       """;
 
-    private Rehearsal() {}
+    private ClassArchiveTraining() {}
 
     private static void call(InetSocketAddress to, String what, String body) throws IOException {
         try (Socket s = new Socket(to.getAddress(), to.getPort())) {
@@ -52,7 +54,7 @@
         try {
             Path file = Files.writeString(folder.resolve("config.json"), CONFIG);
             Map<String, String> env = Map.of("BALANCER_CONFIG", file.toString(), "TMPDIR", folder.toString());
-            InetSocketAddress operator = Proxy.begin(env, MOST_MS, null).operatorAddress();
+            InetSocketAddress operator = ClientProxy.begin(env, MOST_MS, null).operatorAddress();
             call(operator, "GET /_ready", "");
             call(operator, "GET /_vars", "");
             call(operator, "POST /_hosts/detach", "a");
--- a/src/main/java/rillyard/proxy/Reload.java
+++ b/src/main/java/rillyard/proxy/lifecycle/ConfigReload.java
@@ -1,6 +1,10 @@
-package rillyard.proxy;
+package rillyard.proxy.lifecycle;
 
 import java.util.Map;
+import rillyard.proxy.ClientProxy;
+import rillyard.proxy.config.ConfigException;
+import rillyard.proxy.config.ProxyConfig;
+import rillyard.proxy.logging.ProxyLog;
 import sun.misc.Signal;
 
 /**
@@ -8,13 +12,13 @@
  * answer to that signal, which is to end. A file that can't be used leaves all as it is: a proxy
  * with an old configuration serves, one that ended does not.
  */
-final class Reload {
-    private Reload() {}
+public final class ConfigReload {
+    private ConfigReload() {}
 
-    static void onHangUp(Map<String, String> env, Proxy proxy, Log log) {
+    public static void onHangUp(Map<String, String> env, ClientProxy proxy, ProxyLog log) {
         Signal.handle(new Signal("HUP"), s -> {
             try {
-                proxy.reload(Config.load(env));
+                proxy.reload(ProxyConfig.load(env));
                 log.line("configuration reloaded");
             } catch (ConfigException | RuntimeException e) {
                 log.line("configuration not reloaded: " + e.getMessage());
--- a/src/main/java/rillyard/proxy/StartMarks.java
+++ b/src/main/java/rillyard/proxy/lifecycle/StartupTimeline.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.lifecycle;
 
 import java.io.FileInputStream;
 import java.io.IOException;
@@ -9,7 +9,7 @@
  * {@code rillyard.marks} is {@code true}; {@code measure start} asks for it. A mark itself takes
  * less than a millisecond.
  */
-final class StartMarks {
+public final class StartupTimeline {
     private static final boolean ON = Boolean.getBoolean("rillyard.marks");
 
     /** Where Linux tells user and system time of this process, in ticks, fields 14 and 15 of proc(5). */
@@ -17,10 +17,10 @@
 
     private static final long TICK_MS = 10;
 
-    private StartMarks() {}
+    private StartupTimeline() {}
 
     /** One line: {@code mark NAME}, the monotonic clock in ns, and CPU time in ms, -1 if not told. */
-    static void at(String name) {
+    public static void at(String name) {
         if (ON) {
             System.err.println("rillyard: mark " + name + " " + System.nanoTime() + " " + cpuMillis());
         }
--- a/src/main/java/rillyard/proxy/WarmUp.java
+++ b/src/main/java/rillyard/proxy/lifecycle/Warmup.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.lifecycle;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -36,6 +36,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import rillyard.balancer.Settings;
+import rillyard.proxy.ClientProxy;
+import rillyard.proxy.config.ProxyConfig;
+import rillyard.proxy.http.ProtocolHeaders;
+import rillyard.proxy.logging.ProxyLog;
 
 /**
  * Guards against the first seconds of a proxy that has part of a core: cold code takes ten times
@@ -43,7 +47,7 @@
  * requests from itself to itself, so that what every request needs is loaded and mostly compiled.
  * It costs those who wait for a proxy that restarts, so it ends when more of it gains less.
  */
-final class WarmUp {
+public final class Warmup {
     /**
      * Weighed against what comes after, in plays of days with restarts. With 40 a proxy is back a
      * second sooner, which gained on one day and lost more on another, where half a core can't follow
@@ -55,11 +59,11 @@
     private static final int HOSTS = 8;
     private static final byte[] BODY = new byte[600];
 
-    private final Config config;
+    private final ProxyConfig config;
     private final CountDownLatch left = new CountDownLatch(REQUESTS);
     private long sent;
 
-    WarmUp(Config config) {
+    public Warmup(ProxyConfig config) {
         this.config = config;
     }
 
@@ -67,12 +71,12 @@
      * Runs for as long as the requests take, and no longer than {@code most} ms; returns how many were
      * answered.
      */
-    int run(long most) throws Exception {
+    public int run(long most) throws Exception {
         if (config.settings().classes().isEmpty()) {
             return 0; // nothing could be sent, and nobody be served either
         }
-        Log silent = new Log(new PrintStream(OutputStream.nullOutputStream()));
-        EventLoopGroup group = Proxy.newGroup(NioIoHandler.newFactory());
+        ProxyLog silent = new ProxyLog(new PrintStream(OutputStream.nullOutputStream()));
+        EventLoopGroup group = ClientProxy.newGroup(NioIoHandler.newFactory());
         try {
             Channel hosts = new ServerBootstrap()
                     .group(group)
@@ -81,7 +85,7 @@
                     .bind(new InetSocketAddress(config.listen().getAddress(), 0))
                     .sync()
                     .channel();
-            Proxy proxy = new Proxy(copy((InetSocketAddress) hosts.localAddress()), silent);
+            ClientProxy proxy = new ClientProxy(copy((InetSocketAddress) hosts.localAddress()), silent);
             try {
                 proxy.start();
                 Bootstrap clients = new Bootstrap()
@@ -102,7 +106,7 @@
     }
 
     /** The same configuration, but for the addresses and the hosts. */
-    private Config copy(InetSocketAddress hosts) {
+    private ProxyConfig copy(InetSocketAddress hosts) {
         ObjectNode known =
                 JsonNodeFactory.instance.objectNode().put("version", 1).put("full", true);
         ArrayNode servers = known.putArray("servers");
@@ -113,7 +117,7 @@
                     .put("zone", config.settings().zone())
                     .put("state", "up");
         }
-        return new Config(
+        return new ProxyConfig(
                 config.name(),
                 new InetSocketAddress(config.listen().getAddress(), 0),
                 hosts,
@@ -149,7 +153,7 @@
                 FullHttpResponse r = new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(BODY));
                 r.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY.length);
-                r.headers().set(Headers.SERVER_LOAD, "rif=1,fail_rate=0");
+                r.headers().set(ProtocolHeaders.SERVER_LOAD, "rif=1,fail_rate=0");
                 ctx.writeAndFlush(r);
             }
             ReferenceCountUtil.release(msg);
@@ -186,14 +190,14 @@
                     safe ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(BODY));
             r.headers()
                     .set(HttpHeaderNames.HOST, "api.internal")
-                    .set(Headers.REQUEST_ID, Long.toHexString(sent))
-                    .set(Headers.CLASS, c.name())
-                    .set(Headers.TIMEOUT_MS, 10_000);
+                    .set(ProtocolHeaders.REQUEST_ID, Long.toHexString(sent))
+                    .set(ProtocolHeaders.CLASS, c.name())
+                    .set(ProtocolHeaders.TIMEOUT_MS, 10_000);
             if (!safe) {
                 r.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY.length);
             }
             if (c.semantics() == Settings.Semantics.DEDUPLICATED) {
-                r.headers().set(Headers.IDEMPOTENCY_KEY, Long.toHexString(sent));
+                r.headers().set(ProtocolHeaders.IDEMPOTENCY_KEY, Long.toHexString(sent));
             }
             ctx.writeAndFlush(r);
         }
--- a/src/main/java/rillyard/proxy/Log.java
+++ b/src/main/java/rillyard/proxy/logging/ProxyLog.java
@@ -1,11 +1,11 @@
-package rillyard.proxy;
+package rillyard.proxy.logging;
 
 import java.io.PrintStream;
 import java.util.function.Supplier;
 import rillyard.trace.Trace;
 
 /** Lines for the people on call, on standard error; at most so many a second, the rest is counted. */
-final class Log {
+public final class ProxyLog {
     private static final int MAX_PER_SECOND = 50;
 
     private final PrintStream out;
@@ -14,34 +14,34 @@
     private int written;
     private long dropped;
 
-    Log(PrintStream out) {
+    public ProxyLog(PrintStream out) {
         this(out, null);
     }
 
     /** {@code trace} is null where none was asked for. */
-    Log(PrintStream out, Trace trace) {
+    public ProxyLog(PrintStream out, Trace trace) {
         this.out = out;
         this.trace = trace;
     }
 
     /** Where every thing done to hosts and discovery is written down, or null. */
-    Trace trace() {
+    public Trace trace() {
         return trace;
     }
 
-    void line(String text) {
+    public void line(String text) {
         line(() -> text);
     }
 
     /** A line that is made only if it is written. */
-    void line(Supplier<String> text) {
+    public void line(Supplier<String> text) {
         if (admits()) {
             out.println("rillyard: " + text.get().replace('\n', ' ').replace('\r', ' '));
         }
     }
 
     /** A failure of our own code, with its stack. */
-    void failure(String what, Throwable t) {
+    public void failure(String what, Throwable t) {
         if (admits()) {
             out.println("rillyard: " + what);
             t.printStackTrace(out);
--- a/src/main/java/rillyard/proxy/BodyBudget.java
+++ b/src/main/java/rillyard/proxy/resources/BodyMemoryBudget.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.resources;
 
 import java.util.LinkedHashSet;
 import java.util.Set;
@@ -7,7 +7,7 @@
  * The one bound over all buffered bodies, of requests and of answers. What does not fit waits in
  * its socket: its reader is paused and resumed in order of waiting.
  */
-final class BodyBudget {
+public final class BodyMemoryBudget {
     /** Bodies up to this size may use all of the budget, larger ones leave a part to them. */
     static final int SMALL = 64 * 1024;
 
@@ -18,7 +18,7 @@
     private long used;
     private long incomplete;
 
-    BodyBudget(long limit) {
+    public BodyMemoryBudget(long limit) {
         this.limit = limit;
     }
 
@@ -50,21 +50,21 @@
     }
 
     /** Whether a body of this size must not grow now. */
-    boolean full(long size) {
+    public boolean full(long size) {
         return used >= limitFor(size);
     }
 
     /** Whether waiting would never end: requests that still come hold all that they may. */
-    boolean stuck() {
+    public boolean stuck() {
         return incomplete >= limitFor(Long.MAX_VALUE);
     }
 
     /** Runs {@code resume} once when bytes have been freed. */
-    void await(Runnable resume) {
+    public void await(Runnable resume) {
         waiting.add(resume);
     }
 
-    void forget(Runnable resume) {
+    public void forget(Runnable resume) {
         waiting.remove(resume);
     }
 }
--- a/src/main/java/rillyard/proxy/Body.java
+++ b/src/main/java/rillyard/proxy/resources/BufferedBody.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.resources;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
@@ -9,17 +9,17 @@
  * A buffered body. Bytes are copied into blocks of its own: slices of the read buffers would keep
  * whole read buffers alive for a few bytes each when a body comes slowly.
  */
-final class Body {
+public final class BufferedBody {
     /** The most that the protocol lets a body hold. */
-    static final long MAX = 32 << 20;
+    public static final long MAX = 32 << 20;
 
     /** The most of a body that is held whole; a longer one is passed on as it comes. */
-    static final long HELD = 64 * 1024;
+    public static final long HELD = 64 * 1024;
 
     private static final int BLOCK = 64 * 1024;
     private static final int FIRST = 512;
 
-    private final BodyBudget budget;
+    private final BodyMemoryBudget budget;
     private final ByteBufAllocator allocator;
     private final List<ByteBuf> blocks = new ArrayList<>(1);
     private final long expected;
@@ -27,14 +27,14 @@
     private boolean partial;
 
     /** {@code expected} is the length that was announced, or -1; {@code partial} marks a request's. */
-    Body(BodyBudget budget, ByteBufAllocator allocator, long expected, boolean partial) {
+    public BufferedBody(BodyMemoryBudget budget, ByteBufAllocator allocator, long expected, boolean partial) {
         this.budget = budget;
         this.allocator = allocator;
         this.expected = expected;
         this.partial = partial;
     }
 
-    void append(ByteBuf bytes) {
+    public void append(ByteBuf bytes) {
         int n = bytes.readableBytes();
         budget.charge(n, partial);
         size += n;
@@ -50,11 +50,11 @@
         }
     }
 
-    long size() {
+    public long size() {
         return size;
     }
 
-    void completed() {
+    public void completed() {
         if (partial) {
             partial = false;
             budget.completed(size);
@@ -62,7 +62,7 @@
     }
 
     /** The blocks, each retained for one write. */
-    List<ByteBuf> retained() {
+    public List<ByteBuf> retained() {
         List<ByteBuf> out = new ArrayList<>(blocks.size());
         for (ByteBuf b : blocks) {
             out.add(b.retainedDuplicate());
@@ -71,7 +71,7 @@
     }
 
     /** Gives the bytes back; harmless if done before. */
-    void free() {
+    public void free() {
         for (ByteBuf b : blocks) {
             b.release();
         }
--- a/src/main/java/rillyard/proxy/Sockets.java
+++ b/src/main/java/rillyard/proxy/resources/DescriptorBudget.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.resources;
 
 import java.util.LinkedHashSet;
 import java.util.Set;
@@ -7,9 +7,9 @@
  * The bound over all descriptors. Idle connections, oldest first, make room for new ones: clients'
  * for clients, and hosts' for either.
  */
-final class Sockets {
+public final class DescriptorBudget {
     /** A connection that carries nothing and may be closed to make room. */
-    interface Idle {
+    public interface IdleConnection {
         void closeIdle();
 
         /** Whether it has carried anything yet. */
@@ -35,20 +35,20 @@
     private final int limit;
     private final int keptLimit;
     private final int clientLimit;
-    private final Set<Idle> idleClients = new LinkedHashSet<>();
-    private final Set<Idle> unusedClients = new LinkedHashSet<>();
-    private final Set<Idle> idleUpstreams = new LinkedHashSet<>();
+    private final Set<IdleConnection> idleClients = new LinkedHashSet<>();
+    private final Set<IdleConnection> unusedClients = new LinkedHashSet<>();
+    private final Set<IdleConnection> idleUpstreams = new LinkedHashSet<>();
     private int clients;
     private int upstreams;
 
-    Sockets(int descriptors) {
+    public DescriptorBudget(int descriptors) {
         this.limit = Math.max(16, descriptors - RESERVED);
         this.keptLimit = Math.max(4, (int) (CLIENTS_KEPT * descriptors));
         this.clientLimit = Math.max(8, (int) (CLIENT_PART * limit));
     }
 
     /** Whether one more client may be accepted once something idle was closed. */
-    boolean roomForClient() {
+    public boolean roomForClient() {
         while (clients >= keptLimit && closeOldest(idleClients)) {
             // what has been of use and is idle makes room first
         }
@@ -61,7 +61,7 @@
     }
 
     /** Whether one more connection of any kind may be opened once something idle was closed. */
-    boolean room() {
+    public boolean room() {
         while (exhausted()) {
             if (!closeOldest(unusedClients) && !closeOldest(idleUpstreams) && !closeOldest(idleClients)) {
                 return false;
@@ -70,54 +70,54 @@
         return true;
     }
 
-    private static boolean closeOldest(Set<Idle> idle) {
+    private static boolean closeOldest(Set<IdleConnection> idle) {
         if (idle.isEmpty()) {
             return false;
         }
-        Idle oldest = idle.iterator().next();
+        IdleConnection oldest = idle.iterator().next();
         idle.remove(oldest);
         oldest.closeIdle();
         return true;
     }
 
     /** Whether not one more descriptor may be taken. */
-    boolean exhausted() {
+    public boolean exhausted() {
         return clients + upstreams >= limit;
     }
 
     /** Connections to hosts that are open or come up. */
-    int upstreams() {
+    public int upstreams() {
         return upstreams;
     }
 
-    void clientOpened() {
+    public void clientOpened() {
         clients++;
     }
 
-    void clientClosed(Idle c) {
+    public void clientClosed(IdleConnection c) {
         clients--;
         idleClients.remove(c);
         unusedClients.remove(c);
     }
 
-    void upstreamOpened() {
+    public void upstreamOpened() {
         upstreams++;
     }
 
-    void upstreamClosed() {
+    public void upstreamClosed() {
         upstreams--;
     }
 
-    void clientIdle(Idle c, boolean idle) {
+    public void clientIdle(IdleConnection c, boolean idle) {
         // Guards against a flood of connections that say nothing: they make room before those in use.
         mark(c.used() ? idleClients : unusedClients, c, idle);
     }
 
-    void upstreamIdle(Idle c, boolean idle) {
+    public void upstreamIdle(IdleConnection c, boolean idle) {
         mark(idleUpstreams, c, idle);
     }
 
-    private static void mark(Set<Idle> set, Idle c, boolean idle) {
+    private static void mark(Set<IdleConnection> set, IdleConnection c, boolean idle) {
         if (idle) {
             set.add(c);
         } else {
--- a/src/main/java/rillyard/proxy/IdleRisk.java
+++ b/src/main/java/rillyard/proxy/upstream/IdleResetStats.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.upstream;
 
 /**
  * How often a connection that stood idle for so long turned out to be gone once a request was on it.
@@ -7,7 +7,7 @@
  * such limit, as it is learned; it forgets, so that a limit that is gone costs new connections for
  * some seconds only. Resets that have nothing to do with idling meet short pauses as well.
  */
-final class IdleRisk {
+final class IdleResetStats {
     private static final int PAUSES = 16;
 
     /** Time constant (ns) at which what was seen is forgotten. */
--- a/src/main/java/rillyard/proxy/Reports.java
+++ b/src/main/java/rillyard/proxy/upstream/LoadReportParser.java
@@ -1,14 +1,14 @@
-package rillyard.proxy;
+package rillyard.proxy.upstream;
 
 import java.util.Arrays;
 import rillyard.balancer.LoadReport;
 
 /** Reads load reports: {@code inflight=7,queue=2,util=0.61}; what is not known is skipped. */
-final class Reports {
-    private Reports() {}
+public final class LoadReportParser {
+    private LoadReportParser() {}
 
     /** The report in {@code text}, or null where there is none that can be read. */
-    static LoadReport read(String text) {
+    public static LoadReport read(String text) {
         if (text == null) {
             return null;
         }
--- a/src/main/java/rillyard/proxy/UpstreamCall.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamCall.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.upstream;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -6,55 +6,55 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /** What one connection to a host carries at a time: an attempt of a request. */
-abstract class UpstreamCall {
+public abstract class UpstreamCall {
     /** Hosts pause for 0.1 s at most. */
-    static final long STALL_NANOS = 150_000_000L;
+    public static final long STALL_NANOS = 150_000_000L;
 
-    final Host host;
+    public final UpstreamHost host;
     private Channel connecting;
     private UpstreamConnection connection;
 
-    UpstreamCall(Host host) {
+    protected UpstreamCall(UpstreamHost host) {
         this.host = host;
         host.calls++; // until Upstreams.end
     }
 
     /** Whether it may still be written; asked once a connection has come up, which may be late. */
-    boolean mayBegin() {
+    public boolean mayBegin() {
         return true;
     }
 
     /** Writes all of it; the future is that of the last byte. */
-    abstract ChannelFuture write(Channel channel);
+    public abstract ChannelFuture write(Channel channel);
 
     /** The last byte has gone out. */
-    abstract void writtenWhole();
+    public abstract void writtenWhole();
 
     /** The last byte has not gone out: there was no connection, or it went away before. */
-    abstract void notSent();
+    public abstract void notSent();
 
     /** The host must not get it any more, and no byte of it has gone out. */
-    abstract void moot();
+    public abstract void moot();
 
     /** The head of the final answer. */
-    abstract void head(HttpResponse head);
+    public abstract void head(HttpResponse head);
 
     /** Part of the answer's body. */
-    abstract void content(HttpContent part);
+    public abstract void content(HttpContent part);
 
     /** More of the request would be taken by the connection. */
-    void writable() {}
+    public void writable() {}
 
     /** How long (ns) an answer that has begun may say nothing before it is held to have broken. */
-    long stallNanos() {
+    public long stallNanos() {
         return STALL_NANOS;
     }
 
     /** The answer is whole. */
-    abstract void end();
+    public abstract void end();
 
     /** The connection broke, or the answer is malformed; the last byte had been written. */
-    abstract void broken();
+    public abstract void broken();
 
     void connecting(Channel channel) {
         connecting = channel;
@@ -65,12 +65,12 @@
         connection = to;
     }
 
-    UpstreamConnection connection() {
+    public UpstreamConnection connection() {
         return connection;
     }
 
     /** Whether the last byte may have reached the host. */
-    boolean mayHaveRun() {
+    public boolean mayHaveRun() {
         return connection != null && connection.written();
     }
 
--- a/src/main/java/rillyard/proxy/UpstreamConnection.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamConnection.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.upstream;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -16,9 +16,11 @@
 import io.netty.util.ReferenceCountUtil;
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
+import rillyard.proxy.eventloop.PeekableSocketChannel;
+import rillyard.proxy.resources.DescriptorBudget;
 
 /** A connection to a host. It carries one call at a time and goes back to its pool in between. */
-final class UpstreamConnection extends ChannelInboundHandlerAdapter implements Sockets.Idle {
+public final class UpstreamConnection extends ChannelInboundHandlerAdapter implements DescriptorBudget.IdleConnection {
     /** Tells of bytes that came behind the end of an answer, and when the last ones came. */
     static final class Decoder extends HttpResponseDecoder {
         private boolean begun;
@@ -73,10 +75,10 @@
     /** A timer that fires later than this (ns) tells of a loop that has reads to catch up with. */
     private static final long LATE_NANOS = 10_000_000L;
 
-    private final Upstreams pool;
-    private final Host host;
+    private final UpstreamPool pool;
+    private final UpstreamHost host;
     private final InetSocketAddress address;
-    private final QuietChannel channel;
+    private final PeekableSocketChannel channel;
     private final Decoder decoder;
     private UpstreamCall call;
     private Reply reply = Reply.NONE;
@@ -87,7 +89,7 @@
     private long since;
     private long reusedAfter = -1;
 
-    UpstreamConnection(Upstreams pool, Host host, QuietChannel channel, Decoder decoder) {
+    UpstreamConnection(UpstreamPool pool, UpstreamHost host, PeekableSocketChannel channel, Decoder decoder) {
         this.pool = pool;
         this.host = host;
         this.address = host.address;
@@ -95,7 +97,7 @@
         this.decoder = decoder;
     }
 
-    Channel channel() {
+    public Channel channel() {
         return channel;
     }
 
@@ -221,7 +223,7 @@
     }
 
     /** The call has learned all it needs from the head; the connection may still be of use. */
-    void discardRest() {
+    public void discardRest() {
         if (call != null) {
             call = null;
             reply = Reply.UNWANTED;
@@ -314,12 +316,12 @@
     }
 
     /** Reads on after a pause of ours, which is none of the host's. */
-    void resumeReading() {
+    public void resumeReading() {
         decoder.readAt = System.nanoTime();
         channel.config().setAutoRead(true);
     }
 
-    void pauseReading() {
+    public void pauseReading() {
         channel.config().setAutoRead(false);
     }
 
--- a/src/main/java/rillyard/proxy/Host.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamHost.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.upstream;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -7,21 +7,21 @@
 import rillyard.balancer.EndpointEntry;
 
 /** A host as the sockets see it: where it listens, whether it may get work, its connections. */
-final class Host {
-    final String name;
-    final long id;
-    InetSocketAddress address;
-    boolean sendable;
-    boolean listed;
+public final class UpstreamHost {
+    public final String name;
+    public final long id;
+    public InetSocketAddress address;
+    public boolean sendable;
+    public boolean listed;
 
     /** What discovery last said of it, whatever operators did. */
-    EndpointEntry told;
+    public EndpointEntry told;
 
     final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>(2);
     final Set<UpstreamCall> connecting = new LinkedHashSet<>(2);
-    int calls;
+    public int calls;
 
-    Host(String name, long id) {
+    public UpstreamHost(String name, long id) {
         this.name = name;
         this.id = id;
     }
--- a/src/main/java/rillyard/proxy/Upstreams.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.upstream;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
@@ -16,11 +16,15 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.ToLongFunction;
-import rillyard.connections.IdleTimes;
+import rillyard.connections.IdleTimeoutPolicy;
+import rillyard.proxy.config.ProxyConfig;
+import rillyard.proxy.eventloop.PeekableSocketChannel;
+import rillyard.proxy.logging.ProxyLog;
+import rillyard.proxy.resources.DescriptorBudget;
 import rillyard.trace.TraceLine.What;
 
 /** The connections to hosts: opens them as needed, keeps the idle ones, ends them in time. */
-final class Upstreams {
+public final class UpstreamPool {
     /** Part of the host's idle time after which a connection is closed: well before the host does. */
     private static final double IDLE_PART = 0.7;
 
@@ -31,44 +35,45 @@
     private static final long DISCARD_NANOS = 500_000_000L;
 
     /** Small reads and marks bound what one connection holds in memory. */
-    static final AdaptiveRecvByteBufAllocator READS = new AdaptiveRecvByteBufAllocator(512, 2048, 16_384);
+    public static final AdaptiveRecvByteBufAllocator READS = new AdaptiveRecvByteBufAllocator(512, 2048, 16_384);
 
-    static final WriteBufferWaterMark MARKS = new WriteBufferWaterMark(16_384, 32_768);
+    public static final WriteBufferWaterMark MARKS = new WriteBufferWaterMark(16_384, 32_768);
 
-    static final HttpDecoderConfig DECODER = new HttpDecoderConfig()
+    public static final HttpDecoderConfig DECODER = new HttpDecoderConfig()
             .setMaxInitialLineLength(8_192)
             .setMaxHeaderSize(16_384)
             .setMaxChunkSize(16_384)
             .setInitialBufferSize(256);
 
     private final Bootstrap bootstrap;
-    private final Sockets sockets;
-    private final Log log;
-    private final IdleTimes idleTimes;
+    private final DescriptorBudget sockets;
+    private final ProxyLog log;
+    private final IdleTimeoutPolicy idleTimes;
     private final Set<UpstreamConnection> discarding = new HashSet<>();
-    private final IdleRisk risk = new IdleRisk();
+    private final IdleResetStats risk = new IdleResetStats();
     private long refused;
 
-    Upstreams(EventLoopGroup loop, Config config, Sockets sockets, Log log) {
+    public UpstreamPool(EventLoopGroup loop, ProxyConfig config, DescriptorBudget sockets, ProxyLog log) {
         this.sockets = sockets;
         this.log = log;
-        this.idleTimes = IdleTimes.of(config.settings().balancers(), (long) (IDLE_PART * config.connIdle() * 1e6));
+        this.idleTimes =
+                IdleTimeoutPolicy.of(config.settings().balancers(), (long) (IDLE_PART * config.connIdle() * 1e6));
         this.bootstrap = new Bootstrap()
                 .group(loop)
-                .channelFactory(QuietChannel::new)
+                .channelFactory(PeekableSocketChannel::new)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, config.connectTimeout()))
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, READS)
                 .option(ChannelOption.WRITE_BUFFER_WATER_MARK, MARKS)
-                .handler(new ChannelInitializer<QuietChannel>() {
+                .handler(new ChannelInitializer<PeekableSocketChannel>() {
                     @Override
-                    protected void initChannel(QuietChannel ch) {}
+                    protected void initChannel(PeekableSocketChannel ch) {}
                 });
     }
 
     /** Carries the call to its host on a quiet connection, or on a new one. */
-    void start(UpstreamCall call) {
-        Host host = call.host;
+    public void start(UpstreamCall call) {
+        UpstreamHost host = call.host;
         UpstreamConnection c;
         long now = System.nanoTime();
         while ((c = pick(host.idle, UpstreamConnection::since, now)) != null) {
@@ -96,7 +101,7 @@
      * end is on its way for so long, and a request that crosses it counts as one that may have run.
      * The cost is a connection or two more for each host, all of them in use.
      */
-    static <T> T pick(ArrayDeque<T> idle, ToLongFunction<T> since, long now) {
+    public static <T> T pick(ArrayDeque<T> idle, ToLongFunction<T> since, long now) {
         for (Iterator<T> newest = idle.descendingIterator(); newest.hasNext(); ) {
             T c = newest.next();
             if (now - since.applyAsLong(c) >= SETTLE_NANOS) {
@@ -106,9 +111,9 @@
         return idle.peekFirst();
     }
 
-    private void connect(UpstreamCall call, Host host) {
+    private void connect(UpstreamCall call, UpstreamHost host) {
         ChannelFuture f = bootstrap.connect(host.address);
-        QuietChannel channel = (QuietChannel) f.channel();
+        PeekableSocketChannel channel = (PeekableSocketChannel) f.channel();
         UpstreamConnection.Decoder decoder = new UpstreamConnection.Decoder(DECODER);
         UpstreamConnection c = new UpstreamConnection(this, host, channel, decoder);
         sockets.upstreamOpened();
@@ -131,7 +136,7 @@
         });
     }
 
-    private void traceConnect(ChannelFuture f, Host host) {
+    private void traceConnect(ChannelFuture f, UpstreamHost host) {
         if (log.trace() != null) {
             log.trace().did(f.isSuccess() ? What.CONNECTED : What.CONNECT_FAILED, host.name);
             if (f.isSuccess()) {
@@ -141,13 +146,13 @@
     }
 
     /** The call is over, whether or not it was ever started. */
-    void end(UpstreamCall call) {
+    public void end(UpstreamCall call) {
         call.host.calls--;
         call.host.connecting.remove(call);
         call.abandon();
     }
 
-    void idle(Host host, UpstreamConnection c) {
+    void idle(UpstreamHost host, UpstreamConnection c) {
         discarding.remove(c);
         host.idle.addLast(c);
         sockets.upstreamIdle(c, true);
@@ -162,18 +167,18 @@
         discarding.add(c);
     }
 
-    void malformed(Host host, Throwable cause) {
+    void malformed(UpstreamHost host, Throwable cause) {
         log.line(() -> host.name + " sent what is no answer: " + cause);
     }
 
-    void closed(Host host, UpstreamConnection c) {
+    void closed(UpstreamHost host, UpstreamConnection c) {
         discarding.remove(c);
         host.idle.remove(c);
         sockets.upstreamIdle(c, false);
     }
 
     /** Nothing new goes to the host as it was: returns the calls that had not got a connection. */
-    List<UpstreamCall> cut(Host host) {
+    public List<UpstreamCall> cut(UpstreamHost host) {
         for (UpstreamConnection c : new ArrayList<>(host.idle)) {
             if (!c.reusable()) {
                 c.channel().close();
@@ -185,9 +190,9 @@
     }
 
     /** Closes what has been idle for long. */
-    void sweep(Iterable<Host> hosts) {
+    public void sweep(Iterable<UpstreamHost> hosts) {
         long now = System.nanoTime();
-        for (Host h : hosts) {
+        for (UpstreamHost h : hosts) {
             UpstreamConnection c;
             while ((c = h.idle.peekFirst()) != null && idleTimes.over(h.idle.size(), now - c.since())) {
                 h.idle.pollFirst();
--- a/src/main/java/rillyard/spread/net/FleetNews.java
+++ b/src/main/java/rillyard/spread/net/FleetNews.java
@@ -12,7 +12,7 @@
 import rillyard.balancer.AttemptOutcome;
 import rillyard.balancer.SubsetPosition;
 import rillyard.member.net.FleetMember;
-import rillyard.proxy.Neighbours;
+import rillyard.proxy.dispatch.PeerGossip;
 import rillyard.spread.Ballot;
 import rillyard.spread.HostWords;
 import rillyard.spread.Pools;
@@ -21,7 +21,7 @@
 import rillyard.spread.Vote;
 
 /** Carries votes on hosts, and rates, between a proxy and the other members of its fleet, as facts. */
-public final class FleetNews implements Neighbours {
+public final class FleetNews implements PeerGossip {
     /** Kinds of the facts that hold votes. */
     static final int FIRST_KIND = 1;
 
@@ -52,7 +52,7 @@
     private double toldAt = Double.NEGATIVE_INFINITY;
     private int factsTold;
     private double laidAt = Double.NEGATIVE_INFINITY;
-    private Heed heed;
+    private Listener heed;
 
     /** The member is to be started by whoever made it. */
     public FleetNews(FleetMember member, SpreadSettings settings, long seed) {
@@ -72,7 +72,7 @@
     }
 
     @Override
-    public void step(double now, Set<String> hosts, Heed to) {
+    public void step(double now, Set<String> hosts, Listener to) {
         heed = to;
         if (!hosts.equals(listed)) {
             listed = Set.copyOf(hosts);
--- a/src/main/java/rillyard/gaps/Gaps.java
+++ b/src/main/java/rillyard/stall/StallDetector.java
@@ -1,4 +1,4 @@
-package rillyard.gaps;
+package rillyard.stall;
 
 /**
  * Since when what an event loop reads in a turn may have waited in its socket. A client counts the time
@@ -10,7 +10,7 @@
  * <p>Times are nanoseconds of one clock. A process that stands still before its alarm is due hides so
  * much of its gap: no more than the alarm is away, which for a proxy is its upkeep, four times a second.
  */
-public final class Gaps {
+public final class StallDetector {
     /**
      * A look that takes longer than this (ns) has slept: nothing was there when it began. Longer than the
      * scheduler commonly keeps a thread off a shared core, which looks the same; the price is that up to so
@@ -27,7 +27,7 @@
     private long backlogSince;
 
     /** {@code now} is when the loop starts. */
-    public Gaps(long now) {
+    public StallDetector(long now) {
         begunAt = now;
         looked = now;
         since = now;
--- a/src/test/java/rillyard/ArchitectureTest.java
+++ b/src/test/java/rillyard/ArchitectureTest.java
@@ -16,10 +16,10 @@
     private static final String[] DECISIONS = {
         "rillyard.balancer..",
         "rillyard.audit..",
-        "rillyard.hostlist..",
+        "rillyard.endpoints..",
         "rillyard.connections..",
         "rillyard.subset..",
-        "rillyard.gaps..",
+        "rillyard.stall..",
         "rillyard.member",
         "rillyard.check..",
         "rillyard.spread",
--- a/src/test/java/rillyard/connections/IdleTimesTest.java
+++ b/src/test/java/rillyard/connections/IdleTimeoutPolicyTest.java
@@ -4,12 +4,12 @@
 
 import org.junit.jupiter.api.Test;
 
-class IdleTimesTest {
+class IdleTimeoutPolicyTest {
     private static final long SECOND = 1_000_000_000L;
 
     @Test
     void aProxyAloneKeepsConnectionsForLong() {
-        IdleTimes alone = IdleTimes.of(1, 42 * SECOND);
+        IdleTimeoutPolicy alone = IdleTimeoutPolicy.of(1, 42 * SECOND);
         assertThat(alone.over(1, 29 * SECOND)).isFalse();
         assertThat(alone.over(5, 4 * SECOND)).isFalse();
         assertThat(alone.over(5, 5 * SECOND)).isTrue();
@@ -18,22 +18,22 @@
     /** What all proxies hold idle at a host, each with a burst of five a while ago, does not grow with them. */
     @Test
     void theMoreProxiesTheSoonerIdleConnectionsGo() {
-        IdleTimes many = IdleTimes.of(14, 42 * SECOND);
+        IdleTimeoutPolicy many = IdleTimeoutPolicy.of(14, 42 * SECOND);
         assertThat(many.over(5, SECOND / 2)).isTrue();
         assertThat(many.over(1, 2 * SECOND)).isFalse();
         assertThat(many.over(1, 3 * SECOND)).isTrue();
         for (int n = 1; n < 14; n++) {
-            assertThat(IdleTimes.of(n, 42 * SECOND).first()).isGreaterThanOrEqualTo(many.first());
-            assertThat(n * IdleTimes.of(n, 42 * SECOND).spare()).isLessThanOrEqualTo(5 * SECOND);
+            assertThat(IdleTimeoutPolicy.of(n, 42 * SECOND).first()).isGreaterThanOrEqualTo(many.first());
+            assertThat(n * IdleTimeoutPolicy.of(n, 42 * SECOND).spare()).isLessThanOrEqualTo(5 * SECOND);
         }
     }
 
     @Test
     void neverLongerThanTheHostKeepsThemNorShorterThanAPauseBetweenRequests() {
-        assertThat(IdleTimes.of(1, SECOND)).isEqualTo(new IdleTimes(SECOND, SECOND));
-        IdleTimes thousand = IdleTimes.of(1_000, 42 * SECOND);
+        assertThat(IdleTimeoutPolicy.of(1, SECOND)).isEqualTo(new IdleTimeoutPolicy(SECOND, SECOND));
+        IdleTimeoutPolicy thousand = IdleTimeoutPolicy.of(1_000, 42 * SECOND);
         assertThat(thousand.over(1, SECOND)).isFalse();
         assertThat(thousand.over(2, SECOND / 5)).isFalse();
-        assertThat(IdleTimes.of(0, 42 * SECOND)).isEqualTo(IdleTimes.of(1, 42 * SECOND));
+        assertThat(IdleTimeoutPolicy.of(0, 42 * SECOND)).isEqualTo(IdleTimeoutPolicy.of(1, 42 * SECOND));
     }
 }
--- a/src/test/java/rillyard/hostlist/TakenOutTest.java
+++ b/src/test/java/rillyard/endpoints/DisabledHostsTest.java
@@ -1,4 +1,4 @@
-package rillyard.hostlist;
+package rillyard.endpoints;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -9,8 +9,8 @@
 import rillyard.balancer.EndpointEntry;
 import rillyard.balancer.EndpointEntry.Condition;
 
-class TakenOutTest {
-    private final TakenOut taken = new TakenOut();
+class DisabledHostsTest {
+    private final DisabledHosts taken = new DisabledHosts();
 
     private static EndpointEntry entry(Condition condition, double since) {
         return new EndpointEntry(7, "z", "k", 3, condition, 1, since);
@@ -61,21 +61,21 @@
 
     @Test
     void isBounded() {
-        for (int i = 0; i < TakenOut.MOST; i++) {
+        for (int i = 0; i < DisabledHosts.MOST; i++) {
             taken.takeOut("h" + i);
         }
         assertThatThrownBy(() -> taken.takeOut("a")).hasMessageContaining("4096");
         assertThat(taken.takeOut("h1")).isFalse();
-        for (int i = 0; i < TakenOut.MOST; i++) {
+        for (int i = 0; i < DisabledHosts.MOST; i++) {
             taken.giveBack("h" + i, i);
             taken.takeOut("g" + i);
             taken.giveBack("g" + i, i);
         }
-        assertThat(taken.remembered()).isEqualTo(TakenOut.MOST);
-        for (int i = 0; i < TakenOut.MOST; i++) {
+        assertThat(taken.remembered()).isEqualTo(DisabledHosts.MOST);
+        for (int i = 0; i < DisabledHosts.MOST; i++) {
             taken.takeOut("h" + i);
         }
         taken.adopt(Set.of("a", "b"), Map.of());
-        assertThat(taken.size()).isLessThanOrEqualTo(TakenOut.MOST);
+        assertThat(taken.size()).isLessThanOrEqualTo(DisabledHosts.MOST);
     }
 }
--- a/src/test/java/rillyard/hostlist/ListGuardTest.java
+++ b/src/test/java/rillyard/endpoints/EndpointListGuardTest.java
@@ -1,4 +1,4 @@
-package rillyard.hostlist;
+package rillyard.endpoints;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatIllegalArgumentException;
@@ -6,10 +6,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class ListGuardTest {
+class EndpointListGuardTest {
     private static final Set<String> ALL = Set.of("a", "b", "c", "d", "e", "f");
 
-    private final ListGuard guard = new ListGuard(0.5, 1_000);
+    private final EndpointListGuard guard = new EndpointListGuard(0.5, 1_000);
 
     @Test
     void aListThatLacksFewIsBelievedAtOnce() {
@@ -65,10 +65,10 @@
     @Test
     void figuresOutOfRangeAreSaid() {
         for (double share : new double[] {-0.1, 1.1, Double.NaN}) {
-            assertThatIllegalArgumentException().isThrownBy(() -> new ListGuard(share, 1));
+            assertThatIllegalArgumentException().isThrownBy(() -> new EndpointListGuard(share, 1));
         }
         for (double hold : new double[] {0, -1, Double.NaN, Double.POSITIVE_INFINITY}) {
-            assertThatIllegalArgumentException().isThrownBy(() -> new ListGuard(0.5, hold));
+            assertThatIllegalArgumentException().isThrownBy(() -> new EndpointListGuard(0.5, hold));
         }
     }
 }
--- a/src/test/java/rillyard/succession/SuccessionTest.java
+++ b/src/test/java/rillyard/hotrestart/HotRestartLockTest.java
@@ -1,4 +1,4 @@
-package rillyard.succession;
+package rillyard.hotrestart;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,16 +10,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class SuccessionTest {
+class HotRestartLockTest {
     @TempDir
     Path tmp;
 
     @Test
     void theFirstIsInChargeUntilItEndsAndSeesWhoFollows() throws Exception {
         Path folder = tmp.resolve("deep/er");
-        Succession first = new Succession(folder);
+        HotRestartLock first = new HotRestartLock(folder);
         assertThat(first.inCharge()).isTrue();
-        Succession second = new Succession(folder);
+        HotRestartLock second = new HotRestartLock(folder);
         assertThat(second.inCharge()).isFalse();
         assertThat(first.followed()).isFalse(); // it does not listen yet
         second.follow();
@@ -29,7 +29,7 @@
         second.follow();
         assertThat(second.inCharge()).isTrue();
         assertThat(second.followed()).isFalse();
-        Succession third = new Succession(folder);
+        HotRestartLock third = new HotRestartLock(folder);
         third.follow();
         assertThat(second.followed()).isTrue();
         third.close();
@@ -39,8 +39,8 @@
 
     @Test
     void hostsOutAreSeenByTheOtherProcess() throws Exception {
-        OutFolder one = new OutFolder(tmp);
-        OutFolder other = new OutFolder(tmp);
+        DisabledHostStore one = new DisabledHostStore(tmp);
+        DisabledHostStore other = new DisabledHostStore(tmp);
         String odd = "../s-5be2a07c/ü \"";
         one.takeOut("a");
         one.takeOut("a");
@@ -48,26 +48,26 @@
         assertThat(other.read(1_000).out()).containsExactlyInAnyOrder("a", odd);
         other.giveBack("a", 5_000);
         other.giveBack("a", 6_000); // not out any more: the first call counts
-        assertThat(one.read(7_000)).isEqualTo(new OutFolder.State(Set.of(odd), Map.of("a", 5_000L)));
+        assertThat(one.read(7_000)).isEqualTo(new DisabledHostStore.Contents(Set.of(odd), Map.of("a", 5_000L)));
         one.takeOut("a");
-        assertThat(other.read(8_000)).isEqualTo(new OutFolder.State(Set.of("a", odd), Map.of()));
+        assertThat(other.read(8_000)).isEqualTo(new DisabledHostStore.Contents(Set.of("a", odd), Map.of()));
     }
 
     @Test
     void whatIsForeignIsLeftAloneAndWhatIsOldGoes() throws Exception {
-        OutFolder folder = new OutFolder(tmp);
+        DisabledHostStore folder = new DisabledHostStore(tmp);
         Files.createFile(tmp.resolve("out-%%"));
         Files.createFile(tmp.resolve("serving"));
         folder.takeOut("a");
         folder.giveBack("a", 1_000);
-        assertThat(folder.read(1_000_000)).isEqualTo(new OutFolder.State(Set.of(), Map.of()));
-        assertThat(folder.read(1_000)).isEqualTo(new OutFolder.State(Set.of(), Map.of()));
+        assertThat(folder.read(1_000_000)).isEqualTo(new DisabledHostStore.Contents(Set.of(), Map.of()));
+        assertThat(folder.read(1_000)).isEqualTo(new DisabledHostStore.Contents(Set.of(), Map.of()));
         assertThat(tmp.resolve("out-%%")).exists();
     }
 
     @Test
     void aTimeInTheFutureIsTakenForNow() throws Exception {
-        OutFolder folder = new OutFolder(tmp);
+        DisabledHostStore folder = new DisabledHostStore(tmp);
         folder.takeOut("a");
         folder.giveBack("a", 1_000);
         try (var files = Files.list(tmp)) {
@@ -78,7 +78,7 @@
 
     @Test
     void aFolderThatIsClearedAwayIsMadeAgain() throws Exception {
-        OutFolder folder = new OutFolder(tmp.resolve("own"));
+        DisabledHostStore folder = new DisabledHostStore(tmp.resolve("own"));
         Files.delete(tmp.resolve("own"));
         assertThat(folder.read(0).out()).isEmpty();
         folder.takeOut("a");
--- a/src/test/java/rillyard/proxy/OperatorTest.java
+++ b/src/test/java/rillyard/proxy/AdminEndpointTest.java
@@ -15,37 +15,37 @@
 
 /** The second address of a proxy: readiness, figures, hosts out by hand. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
-class OperatorTest {
+class AdminEndpointTest {
     @TempDir
     Path tmp;
 
-    private Rig rig(String... servers) throws Exception {
-        Rig rig = new Rig(c -> c.put("operator", "127.0.0.1:0"), servers);
+    private ProxyFixture rig(String... servers) throws Exception {
+        ProxyFixture rig = new ProxyFixture(c -> c.put("operator", "127.0.0.1:0"), servers);
         rig.proxy.operate(Map.of("TMPDIR", tmp.toString()));
         rig.proxy.ready();
         return rig;
     }
 
-    private static Peer.Message call(Rig rig, String what, String body) throws Exception {
-        try (Peer p = Peer.connect(rig.proxy.operatorAddress().getPort())) {
+    private static TestPeer.Message call(ProxyFixture rig, String what, String body) throws Exception {
+        try (TestPeer p = TestPeer.connect(rig.proxy.operatorAddress().getPort())) {
             p.write(what + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             return p.read();
         }
     }
 
-    private static int post(Rig rig, String path, String host) throws Exception {
+    private static int post(ProxyFixture rig, String path, String host) throws Exception {
         return call(rig, "POST /_hosts/" + path, host).status();
     }
 
     /** The figure once it has this value; a test that waits for another one runs out of time. */
-    private static void awaitFigure(Rig rig, String line) throws Exception {
+    private static void awaitFigure(ProxyFixture rig, String line) throws Exception {
         while (!call(rig, "GET /_vars", "").text().contains(line + "\n")) {
             Thread.sleep(10);
         }
     }
 
     private static String claim() {
-        return Rig.post("claim", 800, "", "x");
+        return ProxyFixture.post("claim", 800, "", "x");
     }
 
     @Test
@@ -57,12 +57,12 @@
                     }
                     return ScriptedServer.ok("x");
                 });
-                Rig rig = rig(Rig.server("a", good.port()))) {
+                ProxyFixture rig = rig(ProxyFixture.server("a", good.port()))) {
             for (int i = 0; i < 5; i++) {
                 assertThat(rig.call(claim()).status()).isEqualTo(200);
             }
-            try (Peer c = rig.client()) {
-                c.write(Rig.get("read", 5_000));
+            try (TestPeer c = rig.client()) {
+                c.write(ProxyFixture.get("read", 5_000));
                 good.requests.clear();
                 awaitFigure(rig, "proxy.pending:1|g");
                 answer.countDown();
@@ -74,7 +74,7 @@
                     .contains("proxy.rejected.claim:0|c\n", "proxy.failed.claim:0|c\n")
                     .contains("proxy.upstream_requests:6|c\n", "proxy.pending:0|g\n");
             awaitFigure(rig, "proxy.members:1|g");
-            rig.tell(2, true, Rig.server("a", good.port(), 0, "draining"));
+            rig.tell(2, true, ProxyFixture.server("a", good.port(), 0, "draining"));
             awaitFigure(rig, "proxy.members_unavailable:1|g");
             assertThat(rig.call(claim()).status()).isEqualTo(503);
             assertThat(call(rig, "GET /_vars", "").text()).contains("proxy.rejected.claim:1|c\n");
@@ -84,7 +84,7 @@
     @Test
     void failuresAreCounted() throws Exception {
         try (ScriptedServer bad = ScriptedServer.host(r -> ScriptedServer.status(500, ""));
-                Rig rig = rig(Rig.server("a", bad.port()))) {
+                ProxyFixture rig = rig(ProxyFixture.server("a", bad.port()))) {
             assertThat(rig.call(claim()).status()).isEqualTo(502);
             assertThat(call(rig, "GET /_vars", "").text())
                     .contains("proxy.failed.claim:1|c\n", "proxy.completed.claim:0|c\n");
@@ -95,15 +95,15 @@
     void aHostThatIsOutGetsNothingWhateverDiscoverySays() throws Exception {
         try (ScriptedServer a = ScriptedServer.host(r -> ScriptedServer.ok("a"));
                 ScriptedServer b = ScriptedServer.host(r -> ScriptedServer.ok("b"));
-                Rig rig = rig(Rig.server("a", a.port()), Rig.server("b", b.port()))) {
+                ProxyFixture rig = rig(ProxyFixture.server("a", a.port()), ProxyFixture.server("b", b.port()))) {
             assertThat(post(rig, "detach", "nobody")).isEqualTo(404);
             assertThat(post(rig, "attach", "nobody")).isEqualTo(404);
             assertThat(post(rig, "detach", "a")).isEqualTo(200);
             assertThat(post(rig, "detach", "a")).isEqualTo(200);
             for (int v = 2; v < 8; v++) {
-                rig.tell(v, true, Rig.server("a", a.port()), Rig.server("b", b.port()));
+                rig.tell(v, true, ProxyFixture.server("a", a.port()), ProxyFixture.server("b", b.port()));
                 if (v == 5) {
-                    rig.tell(v, true, Rig.server("b", b.port()));
+                    rig.tell(v, true, ProxyFixture.server("b", b.port()));
                 }
                 assertThat(rig.call(claim()).text()).isEqualTo("b");
             }
@@ -123,9 +123,9 @@
     void whatOneProcessDoesByHandHoldsInTheOther() throws Exception {
         try (ScriptedServer a = ScriptedServer.host(r -> ScriptedServer.ok("a"));
                 ScriptedServer b = ScriptedServer.host(r -> ScriptedServer.ok("b"));
-                Rig old = rig(Rig.server("a", a.port()), Rig.server("b", b.port()))) {
+                ProxyFixture old = rig(ProxyFixture.server("a", a.port()), ProxyFixture.server("b", b.port()))) {
             assertThat(post(old, "detach", "a")).isEqualTo(200);
-            try (Rig next = rig(Rig.server("a", a.port()), Rig.server("b", b.port()))) {
+            try (ProxyFixture next = rig(ProxyFixture.server("a", a.port()), ProxyFixture.server("b", b.port()))) {
                 for (int i = 0; i < 20; i++) {
                     assertThat(next.call(claim()).text()).isEqualTo("b");
                 }
@@ -139,10 +139,10 @@
 
     @Test
     void callersThatFinishNoCallAreInNobodysWay() throws Exception {
-        List<Peer> silent = new ArrayList<>();
-        try (Rig rig = rig()) {
+        List<TestPeer> silent = new ArrayList<>();
+        try (ProxyFixture rig = rig()) {
             for (int i = 0; i < 40; i++) {
-                Peer p = Peer.connect(rig.proxy.operatorAddress().getPort());
+                TestPeer p = TestPeer.connect(rig.proxy.operatorAddress().getPort());
                 p.write("GET /_vars HT");
                 silent.add(p);
             }
@@ -151,7 +151,7 @@
             open.countDown();
             assertThat(silent.get(0).read()).isNull(); // the oldest gave way
         } finally {
-            for (Peer p : silent) {
+            for (TestPeer p : silent) {
                 p.close();
             }
         }
@@ -159,7 +159,7 @@
 
     @Test
     void whatIsNoCallIsOwedANo() throws Exception {
-        try (Rig rig = rig()) {
+        try (ProxyFixture rig = rig()) {
             assertThat(call(rig, "GET /_hosts/detach", "a").status()).isEqualTo(405);
             assertThat(call(rig, "POST /_vars", "").status()).isEqualTo(405);
             assertThat(call(rig, "GET /_nothing", "").status()).isEqualTo(404);
@@ -173,7 +173,7 @@
     @Test
     void whatCantBeKeptIsNotDone() throws Exception {
         try (ScriptedServer a = ScriptedServer.host(r -> ScriptedServer.ok("a"));
-                Rig rig = rig(Rig.server("a", a.port()))) {
+                ProxyFixture rig = rig(ProxyFixture.server("a", a.port()))) {
             Path folder;
             try (var all = Files.list(tmp)) {
                 folder = all.findFirst().orElseThrow();
--- a/src/test/java/rillyard/proxy/OutcomesTest.java
+++ b/src/test/java/rillyard/proxy/AttemptOutcomeTest.java
@@ -10,17 +10,18 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
+import rillyard.proxy.upstream.UpstreamPool;
 
 /** Every way an attempt can end, told apart by what may be done next. */
-class OutcomesTest {
+class AttemptOutcomeTest {
     private static String claim() {
-        return Rig.post("claim", 800, "", "visit=1");
+        return ProxyFixture.post("claim", 800, "", "visit=1");
     }
 
     /** Sends an unsafe request to a host of this script; its one attempt decides the answer. */
-    private static Peer.Message claimAt(ScriptedServer host) throws Exception {
+    private static TestPeer.Message claimAt(ScriptedServer host) throws Exception {
         try (host;
-                Rig rig = new Rig(Rig.server("a", host.port()))) {
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
             return rig.call(claim());
         }
     }
@@ -39,12 +40,12 @@
         try (ScriptedServer host = ScriptedServer.host(
                         r -> "HTTP/1.1 200 OK\r\nX-Server-Load: rif=3,fail_rate=0.5\r\nX-Kept: yes\r\n"
                                 + "Content-Length: 5\r\n\r\nh\0llo");
-                Rig rig = new Rig(Rig.server("a", host.port()))) {
-            Peer.Message answer = rig.call(Rig.post("claim", 800, "X-Tenant-Id: acme\r\n", "visit=1"));
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
+            TestPeer.Message answer = rig.call(ProxyFixture.post("claim", 800, "X-Tenant-Id: acme\r\n", "visit=1"));
             assertThat(answer.status()).isEqualTo(200);
             assertThat(answer.text()).isEqualTo("h\0llo");
             assertThat(answer.header("X-Kept")).isEqualTo("yes");
-            Peer.Message seen = host.request();
+            TestPeer.Message seen = host.request();
             assertThat(seen.line()).isEqualTo("POST /claim HTTP/1.1");
             assertThat(seen.text()).isEqualTo("visit=1");
             assertThat(seen.header("X-Request-ID")).isNotBlank();
@@ -55,7 +56,7 @@
 
     @Test
     void refusedConnectNeverRan() throws Exception {
-        try (Rig rig = new Rig(Rig.server("a", Rig.freePort()))) {
+        try (ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", ProxyFixture.freePort()))) {
             assertThat(rig.call(claim()).status()).isEqualTo(503);
         }
     }
@@ -67,7 +68,7 @@
             for (int i = 0; i < 2; i++) { // a backlog of one holds two
                 filling.add(new Socket(InetAddress.getLoopbackAddress(), full.getLocalPort()));
             }
-            try (Rig rig = new Rig(Rig.server("a", full.getLocalPort()))) {
+            try (ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", full.getLocalPort()))) {
                 assertThat(rig.call(claim()).status()).isEqualTo(503);
             }
         } finally {
@@ -88,7 +89,7 @@
 
     @Test
     void endAfterTheLastByteMayHaveRun() throws Exception {
-        assertThat(claimAt(new ScriptedServer(Peer::read)).status()).isEqualTo(502);
+        assertThat(claimAt(new ScriptedServer(TestPeer::read)).status()).isEqualTo(502);
     }
 
     @Test
@@ -118,7 +119,8 @@
             };
             try (ScriptedServer a = ScriptedServer.host(reply);
                     ScriptedServer b = ScriptedServer.host(reply);
-                    Rig rig = new Rig(Rig.server("a", a.port()), Rig.server("b", b.port()))) {
+                    ProxyFixture rig =
+                            new ProxyFixture(ProxyFixture.server("a", a.port()), ProxyFixture.server("b", b.port()))) {
                 assertThat(rig.call(claim()).text()).isEqualTo("done");
                 assertThat(a.requests).hasSize(1);
                 assertThat(b.requests).hasSize(1);
@@ -131,8 +133,9 @@
         CountDownLatch ended = new CountDownLatch(1);
         ScriptedServer host = silent(ended);
         try (host;
-                Rig rig = new Rig(Rig.server("a", host.port()))) {
-            assertThat(rig.call(Rig.post("claim", 150, "", "x")).status()).isEqualTo(504);
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
+            assertThat(rig.call(ProxyFixture.post("claim", 150, "", "x")).status())
+                    .isEqualTo(504);
             ended.await(); // the time-out has closed the host's connection
         }
     }
@@ -143,20 +146,20 @@
         try (ScriptedServer a = ScriptedServer.host(error);
                 ScriptedServer b = ScriptedServer.host(error);
                 ScriptedServer other = ScriptedServer.host(error);
-                Rig rig = new Rig(
-                        Rig.server("a", a.port(), 1, "up"),
-                        Rig.server("b", b.port(), 1, "up"),
-                        Rig.server("c", other.port(), 2, "draining"))) {
-            rig.tell(2, false, Rig.server("c", other.port(), 2, "up"));
+                ProxyFixture rig = new ProxyFixture(
+                        ProxyFixture.server("a", a.port(), 1, "up"),
+                        ProxyFixture.server("b", b.port(), 1, "up"),
+                        ProxyFixture.server("c", other.port(), 2, "draining"))) {
+            rig.tell(2, false, ProxyFixture.server("c", other.port(), 2, "up"));
             for (int i = 0; i < 20; i++) {
-                rig.call(Rig.post("log", 1_200, "Idempotency-Key: k" + i + "\r\n", "x"));
+                rig.call(ProxyFixture.post("log", 1_200, "Idempotency-Key: k" + i + "\r\n", "x"));
             }
             java.util.Map<String, Boolean> cells = new java.util.HashMap<>();
-            for (Peer.Message m : other.requests) {
+            for (TestPeer.Message m : other.requests) {
                 cells.put(m.header("Idempotency-Key"), true);
             }
             for (ScriptedServer s : List.of(a, b)) {
-                for (Peer.Message m : s.requests) {
+                for (TestPeer.Message m : s.requests) {
                     assertThat(cells).doesNotContainKey(m.header("Idempotency-Key"));
                 }
             }
@@ -183,7 +186,7 @@
     @Test
     void surplusBytesNeverReachTheNextRequest() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("mine") + ScriptedServer.ok("stray"));
-                Rig rig = new Rig(Rig.server("a", host.port()))) {
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
             for (int i = 0; i < 5; i++) {
                 assertThat(rig.call(claim()).text()).isEqualTo("mine");
             }
@@ -193,8 +196,8 @@
     @Test
     void pooledConnectionThatEndedIsNotWrittenTo() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
-                Rig rig = new Rig(Rig.server("a", host.port()));
-                Peer client = rig.client()) {
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
+                TestPeer client = rig.client()) {
             client.write(claim());
             assertThat(client.read().status()).isEqualTo(200);
             // The request and the end of the connection it would be sent on come in the same turn.
@@ -210,16 +213,16 @@
     void connectionThatHasStoodIsTakenBeforeOneThatMayBeEnding() {
         long ms = 1_000_000;
         ArrayDeque<Long> idle = new ArrayDeque<>(List.of(10 * ms, 20 * ms, 95 * ms, 99 * ms));
-        assertThat(Upstreams.pick(idle, at -> at, 100 * ms)).isEqualTo(20 * ms);
-        assertThat(Upstreams.pick(idle, at -> at, 200 * ms)).isEqualTo(99 * ms);
-        assertThat(Upstreams.pick(idle, at -> at, 30 * ms)).isEqualTo(10 * ms); // none has stood
-        assertThat(Upstreams.pick(new ArrayDeque<Long>(), at -> at, 0)).isNull();
+        assertThat(UpstreamPool.pick(idle, at -> at, 100 * ms)).isEqualTo(20 * ms);
+        assertThat(UpstreamPool.pick(idle, at -> at, 200 * ms)).isEqualTo(99 * ms);
+        assertThat(UpstreamPool.pick(idle, at -> at, 30 * ms)).isEqualTo(10 * ms); // none has stood
+        assertThat(UpstreamPool.pick(new ArrayDeque<Long>(), at -> at, 0)).isNull();
     }
 
     @Test
     void connectionIsKeptForTheNextRequest() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
-                Rig rig = new Rig(Rig.server("a", host.port()))) {
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
             rig.call(claim());
             rig.call(claim());
             host.accepted();
@@ -232,9 +235,9 @@
         CountDownLatch ended = new CountDownLatch(1);
         ScriptedServer host = silent(ended);
         try (host;
-                Rig rig = new Rig(Rig.server("a", host.port()))) {
-            try (Peer c = rig.client()) {
-                c.write(Rig.post("claim", 600_000, "", "x"));
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
+            try (TestPeer c = rig.client()) {
+                c.write(ProxyFixture.post("claim", 600_000, "", "x"));
                 host.accepted();
             }
             ended.await();
@@ -250,9 +253,10 @@
                 p.awaitEnd();
             });
             try (host;
-                    Rig rig = new Rig(Rig.server("a", host.port()))) {
+                    ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
                 // With this deadline only the stall can end it before the test's own reads give up.
-                assertThat(rig.call(Rig.post("claim", 600_000, "", "x")).status())
+                assertThat(rig.call(ProxyFixture.post("claim", 600_000, "", "x"))
+                                .status())
                         .isEqualTo(502);
             }
         }
