--- a/src/test/java/rillyard/proxy/ClientSideTest.java
+++ b/src/test/java/rillyard/proxy/ClientConnectionTest.java
@@ -12,9 +12,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import rillyard.proxy.config.ConfigException;
+import rillyard.proxy.config.ProxyConfig;
 
 /** What clients may send, and what they get for it. */
-class ClientSideTest {
+class ClientConnectionTest {
     private static final ScriptedServer.Reply OK = r -> ScriptedServer.ok("x");
 
     /** Leaves 8 MB for bodies, which no limit goes below. */
@@ -44,13 +46,13 @@
     })
     void malformedRequestIsAnsweredAndItsConnectionEnds(int status, String request) throws Exception {
         try (ScriptedServer host = ScriptedServer.host(OK);
-                Rig rig = new Rig(Rig.server("a", host.port()));
-                Peer other = rig.client();
-                Peer c = rig.client()) {
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
+                TestPeer other = rig.client();
+                TestPeer c = rig.client()) {
             c.write(request);
             assertThat(c.read().status()).isEqualTo(status);
             assertThat(c.read()).isNull();
-            other.write(Rig.get("read", 800));
+            other.write(ProxyFixture.get("read", 800));
             assertThat(other.read().status()).isEqualTo(200);
             assertThat(host.requests).hasSize(1);
         }
@@ -58,9 +60,9 @@
 
     @Test
     void overlongHeadIsAnswered431() throws Exception {
-        try (Rig rig = new Rig();
-                Peer c = rig.client()) {
-            c.write(Rig.head("GET", "read", 800, "X-Long: " + "y".repeat(60_000) + "\r\n") + "\r\n");
+        try (ProxyFixture rig = new ProxyFixture();
+                TestPeer c = rig.client()) {
+            c.write(ProxyFixture.head("GET", "read", 800, "X-Long: " + "y".repeat(60_000) + "\r\n") + "\r\n");
             assertThat(c.read().status()).isEqualTo(431);
         }
     }
@@ -72,9 +74,9 @@
                     release.await();
                     return ScriptedServer.ok("mine");
                 });
-                Rig rig = new Rig(Rig.server("a", host.port()));
-                Peer first = rig.client()) {
-            String request = Rig.post("claim", 20_000, "", "x");
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
+                TestPeer first = rig.client()) {
+            String request = ProxyFixture.post("claim", 20_000, "", "x");
             first.write(request);
             host.request();
             assertThat(rig.call(request).status()).isEqualTo(409);
@@ -87,9 +89,9 @@
 
     @Test
     void clientThatSaysNothingOrHalfARequestIsLetGo() throws Exception {
-        try (Rig rig = new Rig();
-                Peer silent = rig.client();
-                Peer half = rig.client()) {
+        try (ProxyFixture rig = new ProxyFixture();
+                TestPeer silent = rig.client();
+                TestPeer half = rig.client()) {
             half.write("POST /claim HTTP/1.1\r\nX-Request-ID: a\r\n");
             assertThat(half.read().status()).isEqualTo(408);
             assertThat(silent.read()).isNull();
@@ -98,12 +100,12 @@
 
     @Test
     void drainEndsTheIdleConnectionsThatCameMeanwhile() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (ProxyFixture rig = new ProxyFixture()) {
             rig.proxy.drain();
-            try (Peer late = rig.client()) {
+            try (TestPeer late = rig.client()) {
                 late.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
                 assertThat(late.read().status()).isEqualTo(503);
-                try (Peer idle = rig.client()) {
+                try (TestPeer idle = rig.client()) {
                     rig.proxy.awaitEnd();
                     assertThat(rig.proxy.loop().submit(rig.proxy::clients).get())
                             .isZero();
@@ -116,22 +118,22 @@
     @Test
     void silentConnectionsMakeRoomBeforeThoseInUse() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(OK);
-                Rig rig = new Rig(limit("sockets", 64), Rig.server("a", host.port()));
-                Peer used = rig.client()) {
-            used.write(Rig.get("read", 800));
+                ProxyFixture rig = new ProxyFixture(limit("sockets", 64), ProxyFixture.server("a", host.port()));
+                TestPeer used = rig.client()) {
+            used.write(ProxyFixture.get("read", 800));
             assertThat(used.read().status()).isEqualTo(200);
-            List<Peer> silent = new ArrayList<>();
+            List<TestPeer> silent = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 silent.add(rig.client());
                 if (i % 8 == 0) { // so that it stands idle for a few connects only
-                    used.write(Rig.get("read", 800));
+                    used.write(ProxyFixture.get("read", 800));
                     assertThat(used.read().status()).isEqualTo(200);
                 }
             }
             silent.get(0).awaitEnd(); // the flood is above what may be held
-            used.write(Rig.get("read", 800));
+            used.write(ProxyFixture.get("read", 800));
             assertThat(used.read().status()).isEqualTo(200);
-            for (Peer p : silent) {
+            for (TestPeer p : silent) {
                 p.close();
             }
         }
@@ -139,9 +141,9 @@
 
     @Test
     void endlessBodyIsCutOffAfterItsAnswer() throws Exception {
-        try (Rig rig = new Rig();
-                Peer c = rig.client()) {
-            c.write(Rig.head("POST", "claim", 800, "") + "Content-Length: 60000000\r\n\r\n");
+        try (ProxyFixture rig = new ProxyFixture();
+                TestPeer c = rig.client()) {
+            c.write(ProxyFixture.head("POST", "claim", 800, "") + "Content-Length: 60000000\r\n\r\n");
             assertThat(c.read().status()).isEqualTo(413);
             byte[] part = new byte[1 << 20];
             assertThatThrownBy(() -> {
@@ -156,11 +158,11 @@
     @Test
     void pipelinedRequestsAreAnsweredInTheirOrder() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok(r.text()));
-                Rig rig = new Rig(Rig.server("a", host.port()));
-                Peer c = rig.client()) {
-            c.write(Rig.post("claim", 800, "", "one")
-                    + Rig.post("claim", 800, "", "two")
-                    + Rig.post("claim", 800, "Connection: close\r\n", "three"));
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
+                TestPeer c = rig.client()) {
+            c.write(ProxyFixture.post("claim", 800, "", "one")
+                    + ProxyFixture.post("claim", 800, "", "two")
+                    + ProxyFixture.post("claim", 800, "Connection: close\r\n", "three"));
             assertThat(c.read().text()).isEqualTo("one");
             assertThat(c.read().text()).isEqualTo("two");
             assertThat(c.read().text()).isEqualTo("three");
@@ -172,17 +174,17 @@
     void healthFollowsTheList() throws Exception {
         String health = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
         try (ScriptedServer host = ScriptedServer.host(OK);
-                Rig rig = new Rig();
-                Peer c = rig.client()) {
+                ProxyFixture rig = new ProxyFixture();
+                TestPeer c = rig.client()) {
             c.write(health);
             assertThat(c.read().status()).isEqualTo(503);
-            rig.tell(2, true, Rig.server("a", host.port()));
+            rig.tell(2, true, ProxyFixture.server("a", host.port()));
             int status = 0;
             while (status != 200) { // the list is on its way
                 c.write(health);
                 status = c.read().status();
             }
-            c.write(Rig.get("read", 800));
+            c.write(ProxyFixture.get("read", 800));
             assertThat(c.read().status()).isEqualTo(200);
         }
     }
@@ -190,15 +192,15 @@
     @Test
     void idleClientsMakeRoomForNewOnes() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(OK);
-                Rig rig = new Rig(limit("sockets", 64), Rig.server("a", host.port()))) {
-            Peer[] idle = new Peer[40];
+                ProxyFixture rig = new ProxyFixture(limit("sockets", 64), ProxyFixture.server("a", host.port()))) {
+            TestPeer[] idle = new TestPeer[40];
             for (int i = 0; i < idle.length; i++) {
                 idle[i] = rig.client();
-                idle[i].write(Rig.get("read", 800));
+                idle[i].write(ProxyFixture.get("read", 800));
                 assertThat(idle[i].read().status()).isEqualTo(200);
             }
             idle[0].awaitEnd(); // the oldest one had to go
-            for (Peer p : idle) {
+            for (TestPeer p : idle) {
                 p.close();
             }
         }
@@ -206,20 +208,20 @@
 
     @Test
     void configurationThatMakesNoSenseIsOnePlainLine() throws Exception {
-        assertThatThrownBy(() -> Config.load(Map.of())).hasMessageContaining("BALANCER_CONFIG");
-        assertThatThrownBy(() -> Config.load(Map.of("BALANCER_CONFIG", "/none")))
+        assertThatThrownBy(() -> ProxyConfig.load(Map.of())).hasMessageContaining("BALANCER_CONFIG");
+        assertThatThrownBy(() -> ProxyConfig.load(Map.of("BALANCER_CONFIG", "/none")))
                 .isInstanceOf(ConfigException.class);
-        java.nio.file.Path file = Rig.config(1, c -> c.put("listen", "nowhere"));
+        java.nio.file.Path file = ProxyFixture.config(1, c -> c.put("listen", "nowhere"));
         Map<String, String> env = Map.of("BALANCER_CONFIG", file.toString());
-        assertThatThrownBy(() -> Config.load(env)).hasMessage("listen is not IP:port: 'nowhere'");
+        assertThatThrownBy(() -> ProxyConfig.load(env)).hasMessage("listen is not IP:port: 'nowhere'");
         java.nio.file.Files.writeString(file, "{");
-        assertThatThrownBy(() -> Config.load(env))
+        assertThatThrownBy(() -> ProxyConfig.load(env))
                 .isInstanceOf(ConfigException.class)
                 .message()
                 .doesNotContain("\n");
         java.nio.file.Files.delete(file);
-        try (Rig rig = new Rig()) {
-            assertThatThrownBy(() -> new Rig(c -> c.put("listen", "127.0.0.1:" + rig.port)))
+        try (ProxyFixture rig = new ProxyFixture()) {
+            assertThatThrownBy(() -> new ProxyFixture(c -> c.put("listen", "127.0.0.1:" + rig.port)))
                     .isInstanceOf(ConfigException.class)
                     .hasMessageContaining("can't listen");
         }
@@ -232,13 +234,13 @@
                     release.await();
                     return ScriptedServer.ok("held");
                 });
-                Rig rig = new Rig(SMALL_MEMORY, Rig.server("a", host.port()))) {
+                ProxyFixture rig = new ProxyFixture(SMALL_MEMORY, ProxyFixture.server("a", host.port()))) {
             String body = "x".repeat(64 * 1024);
-            List<Peer> clients = new ArrayList<>();
+            List<TestPeer> clients = new ArrayList<>();
             for (int i = 0; i < 150; i++) { // 9.4 MB, and the budget is 8 MB
-                Peer c = rig.client();
+                TestPeer c = rig.client();
                 clients.add(c);
-                c.write(Rig.post("claim", 600_000, "", body));
+                c.write(ProxyFixture.post("claim", 600_000, "", body));
             }
             // Which of them finds none depends on the order in which they are read.
             long until = System.nanoTime() + 20_000_000_000L;
@@ -248,7 +250,7 @@
             release.countDown();
             int refused = 0;
             int served = 0;
-            for (Peer c : clients) {
+            for (TestPeer c : clients) {
                 int status = c.read().status();
                 served += status == 200 ? 1 : 0;
                 refused += status == 503 ? 1 : 0;
@@ -264,18 +266,18 @@
     @Test
     void requestOfAClientThatLeftWhileTheLoopWasBusyIsNotBegun() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(OK);
-                Rig rig = new Rig(Rig.server("a", host.port()));
-                Peer stays = rig.client()) {
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
+                TestPeer stays = rig.client()) {
             CountDownLatch open = rig.blockLoop();
             for (int i = 0; i < 20; i++) {
-                try (Peer leaves = rig.client()) {
-                    leaves.write(Rig.post("claim", 800, "", "left"));
+                try (TestPeer leaves = rig.client()) {
+                    leaves.write(ProxyFixture.post("claim", 800, "", "left"));
                 }
             }
-            stays.write(Rig.post("claim", 800, "", "stays"));
+            stays.write(ProxyFixture.post("claim", 800, "", "stays"));
             open.countDown();
             assertThat(stays.read().status()).isEqualTo(200);
-            assertThat(host.requests).extracting(Peer.Message::text).containsExactly("stays");
+            assertThat(host.requests).extracting(TestPeer.Message::text).containsExactly("stays");
         }
     }
 
@@ -285,12 +287,12 @@
         for (int size = 1_700; size < 2_100; size += 20) {
             String first = "x".repeat(size);
             try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok(r.text()));
-                    Rig rig = new Rig(Rig.server("a", host.port()));
-                    Peer c = rig.client()) {
+                    ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
+                    TestPeer c = rig.client()) {
                 CountDownLatch open = rig.blockLoop();
-                c.write(Rig.post("claim", 5_000, "", first) + Rig.post("claim", 5_000, "", "second"));
+                c.write(ProxyFixture.post("claim", 5_000, "", first) + ProxyFixture.post("claim", 5_000, "", "second"));
                 open.countDown();
-                Peer.Message answer = c.read();
+                TestPeer.Message answer = c.read();
                 assertThat(answer.status()).as(rig.log()).isEqualTo(200);
                 assertThat(answer.text()).isEqualTo(first);
                 assertThat(c.read().text()).isEqualTo("second");
@@ -301,19 +303,19 @@
     /** Guards against clients that ask once, keep their connection and so take all places. */
     @Test
     void connectionsThatWereOfUseMakeRoomForNewOnes() throws Exception {
-        List<Peer> kept = new ArrayList<>();
+        List<TestPeer> kept = new ArrayList<>();
         try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
-                Rig rig = new Rig(limit("sockets", 160), Rig.server("a", host.port()))) {
+                ProxyFixture rig = new ProxyFixture(limit("sockets", 160), ProxyFixture.server("a", host.port()))) {
             for (int i = 0; i < 60; i++) {
-                Peer c = rig.client();
+                TestPeer c = rig.client();
                 kept.add(c);
-                c.write(Rig.get("read", 60_000));
+                c.write(ProxyFixture.get("read", 60_000));
                 assertThat(c.read().status()).isEqualTo(200);
             }
             int open = rig.proxy.loop().submit(() -> rig.proxy.clients()).get();
             assertThat(open).isLessThanOrEqualTo(41); // a quarter, and the one that came last
         } finally {
-            for (Peer c : kept) {
+            for (TestPeer c : kept) {
                 c.close();
             }
         }
--- a/src/test/java/rillyard/proxy/EndingsTest.java
+++ b/src/test/java/rillyard/proxy/ConnectionEndTest.java
@@ -15,7 +15,7 @@
 
 /** The instants in which something ends while something is still owed; see docs/design/endings.md. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
-class EndingsTest {
+class ConnectionEndTest {
     private static final long FAR_NANOS = 20_000_000_000L;
 
     private static Consumer<ObjectNode> limits(Consumer<ObjectNode> change) {
@@ -23,7 +23,7 @@
     }
 
     /** Waits for something that is true on the proxy's loop, as it can be asked there only. */
-    private static void await(Rig rig, Callable<Boolean> what) throws Exception {
+    private static void await(ProxyFixture rig, Callable<Boolean> what) throws Exception {
         long until = System.nanoTime() + FAR_NANOS;
         while (!rig.proxy.loop().submit(what).get()) {
             assertThat(System.nanoTime()).as("time is up").isLessThan(until);
@@ -39,12 +39,12 @@
         }
     }
 
-    private static void awaitRequests(Rig rig, int n) throws Exception {
+    private static void awaitRequests(ProxyFixture rig, int n) throws Exception {
         await(rig, () -> rig.proxy.requests() == n);
     }
 
     /** Ends the watch and waits for the next, so that all that was told before has been applied. */
-    private static void awaitApplied(Rig rig) throws Exception {
+    private static void awaitApplied(ProxyFixture rig) throws Exception {
         rig.news.add("");
         while (!rig.watches.poll(20, TimeUnit.SECONDS).contains("since=2 ")) {
             continue;
@@ -64,7 +64,7 @@
         repeatAtALateConnection((rig, late, client) -> {
             CountDownLatch open = rig.blockLoop();
             late.makeRoom(); // it is up a second after it was begun: past the window of 750 ms
-            try (Peer host = late.accept()) {
+            try (TestPeer host = late.accept()) {
                 open.countDown();
                 assertThat(host.read()).isNull();
             }
@@ -73,23 +73,24 @@
     }
 
     private interface LateRepeat {
-        void check(Rig rig, LateConnect late, Peer client) throws Exception;
+        void check(ProxyFixture rig, LateConnectServer late, TestPeer client) throws Exception;
     }
 
     /** A keyed request has failed at one host, and the connection for its repeat at another is on its way. */
     private static void repeatAtALateConnection(LateRepeat then) throws Exception {
-        try (LateConnect late = new LateConnect()) {
-            Rig[] rig = new Rig[1];
+        try (LateConnectServer late = new LateConnectServer()) {
+            ProxyFixture[] rig = new ProxyFixture[1];
             ScriptedServer first = ScriptedServer.host(r -> {
-                rig[0].tell(2, false, Rig.server("b", late.port()));
+                rig[0].tell(2, false, ProxyFixture.server("b", late.port()));
                 awaitApplied(rig[0]); // the repeat has somewhere to go
                 return ScriptedServer.status(500, "");
             });
             try (first;
-                    Rig made = new Rig(limits(l -> l.put("connectTimeout", 15_000)), Rig.server("a", first.port()));
-                    Peer client = made.client()) {
+                    ProxyFixture made = new ProxyFixture(
+                            limits(l -> l.put("connectTimeout", 15_000)), ProxyFixture.server("a", first.port()));
+                    TestPeer client = made.client()) {
                 rig[0] = made;
-                client.write(Rig.post("log", 15_000, "Idempotency-Key: k\r\n", "x")); // its window is 750 ms
+                client.write(ProxyFixture.post("log", 15_000, "Idempotency-Key: k\r\n", "x")); // its window is 750 ms
                 first.request();
                 await(made, () -> made.proxy.hostConnections() == 2);
                 then.check(made, late, client);
@@ -99,12 +100,12 @@
 
     @Test
     void nothingBeginsForAClientThatLeftWhileItsConnectionWasComingUp() throws Exception {
-        try (LateConnect late = new LateConnect();
-                Rig rig = new Rig( // nothing else can end the attempt, and it may not be called off
+        try (LateConnectServer late = new LateConnectServer();
+                ProxyFixture rig = new ProxyFixture( // nothing else can end the attempt, and it may not be called off
                         limits(l -> l.put("connectTimeout", 600_000).put("cancel", false)),
-                        Rig.server("a", late.port()))) {
-            try (Peer client = rig.client()) {
-                client.write(Rig.post("claim", 600_000, "", "x"));
+                        ProxyFixture.server("a", late.port()))) {
+            try (TestPeer client = rig.client()) {
+                client.write(ProxyFixture.post("claim", 600_000, "", "x"));
                 awaitRequests(rig, 1);
             }
             awaitRequests(rig, 0);
@@ -120,12 +121,12 @@
             ended.countDown();
         });
         try (host;
-                Rig rig = new Rig(Rig.server("a", host.port()))) {
-            try (Peer client = rig.client()) {
-                client.write(Rig.post("claim", 600_000, "", "first"));
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
+            try (TestPeer client = rig.client()) {
+                client.write(ProxyFixture.post("claim", 600_000, "", "first"));
                 host.accepted();
-                client.write(Rig.post("claim", 600_000, "", "second"));
-                client.write(Rig.post("claim", 600_000, "", "third " + "x".repeat(10_000)));
+                client.write(ProxyFixture.post("claim", 600_000, "", "second"));
+                client.write(ProxyFixture.post("claim", 600_000, "", "third " + "x".repeat(10_000)));
             }
             ended.await(); // the first is called off
             awaitRequests(rig, 0);
@@ -142,9 +143,9 @@
             ended.countDown();
         });
         try (host;
-                Rig rig = new Rig(Rig.server("a", host.port()));
-                Peer client = rig.client()) {
-            client.write(Rig.post("claim", 600_000, "", "x"));
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
+                TestPeer client = rig.client()) {
+            client.write(ProxyFixture.post("claim", 600_000, "", "x"));
             host.accepted();
             client.reset();
             ended.await();
@@ -155,26 +156,26 @@
     @Test
     void aRequestBehindTheLastAnswerOfAConnectionIsSentNowhere() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok(r.text()));
-                Rig rig = new Rig(Rig.server("a", host.port()));
-                Peer client = rig.client()) {
-            client.write(Rig.post("claim", 20_000, "Connection: close\r\n", "last")
-                    + Rig.post("claim", 20_000, "", "behind"));
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
+                TestPeer client = rig.client()) {
+            client.write(ProxyFixture.post("claim", 20_000, "Connection: close\r\n", "last")
+                    + ProxyFixture.post("claim", 20_000, "", "behind"));
             assertThat(client.read().text()).isEqualTo("last");
             assertThat(client.read()).isNull();
             await(rig, () -> rig.proxy.clients() == 0);
-            assertThat(host.requests).extracting(Peer.Message::text).containsExactly("last");
+            assertThat(host.requests).extracting(TestPeer.Message::text).containsExactly("last");
         }
     }
 
     @Test
     void manyRequestsSentAheadAreAnsweredInOrderHoweverTheyAreCut() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok(r.text()));
-                Rig rig = new Rig(Rig.server("a", host.port()));
-                Peer client = rig.client()) {
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
+                TestPeer client = rig.client()) {
             int n = 200; // 60 kB: more than is held
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < n; i++) {
-                all.append(Rig.post("claim", 20_000, "", "r" + i + "x".repeat(150)));
+                all.append(ProxyFixture.post("claim", 20_000, "", "r" + i + "x".repeat(150)));
             }
             CountDownLatch open = rig.blockLoop();
             Thread writer = new Thread(() -> {
@@ -198,9 +199,9 @@
     @Test
     void aRequestThatCrossesTheEndOfAnIdleConnectionIsSentNowhereAndNoResetAnswersIt() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
-                Rig rig = new Rig(Rig.server("a", host.port()));
-                Peer client = rig.client()) {
-            client.write(Rig.post("claim", 800, "", "first"));
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
+                TestPeer client = rig.client()) {
+            client.write(ProxyFixture.post("claim", 800, "", "first"));
             assertThat(client.read().status()).isEqualTo(200);
             // The drain ends the sending, and the loop does nothing more until the client has written.
             CountDownLatch begin = rig.blockLoop();
@@ -209,32 +210,32 @@
             rig.proxy.loop().execute(() -> awaitQuietly(goOn));
             begin.countDown();
             assertThat(client.read()).as("the end of the sending").isNull();
-            client.write(Rig.post("claim", 800, "", "late"));
-            client.write(Rig.post("claim", 800, "", "later")); // fails where the first was answered by a reset
+            client.write(ProxyFixture.post("claim", 800, "", "late"));
+            client.write(ProxyFixture.post("claim", 800, "", "later")); // fails where the first was answered by a reset
             goOn.countDown();
             client.socket.shutdownOutput();
             rig.proxy.awaitEnd();
-            assertThat(host.requests).extracting(Peer.Message::text).containsExactly("first");
+            assertThat(host.requests).extracting(TestPeer.Message::text).containsExactly("first");
         }
     }
 
     @Test
     void aConnectionThatMakesRoomTakesNoAnswerWithIt() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
-                Rig rig =
-                        new Rig(c -> ((ObjectNode) c.get("limits")).put("sockets", 64), Rig.server("a", host.port()));
-                Peer client = rig.client()) {
-            client.write(Rig.post("claim", 20_000, "", "first"));
+                ProxyFixture rig = new ProxyFixture(
+                        c -> ((ObjectNode) c.get("limits")).put("sockets", 64), ProxyFixture.server("a", host.port()));
+                TestPeer client = rig.client()) {
+            client.write(ProxyFixture.post("claim", 20_000, "", "first"));
             host.request();
             await(rig, () -> rig.proxy.requests() == 0);
             // The answer lies unread at its client while others take its place.
-            Peer[] more = new Peer[40];
+            TestPeer[] more = new TestPeer[40];
             for (int i = 0; i < more.length; i++) {
                 more[i] = rig.client();
             }
             assertThat(client.read().text()).isEqualTo("x");
             assertThat(client.read()).isNull();
-            for (Peer p : more) {
+            for (TestPeer p : more) {
                 p.close();
             }
         }
@@ -249,14 +250,14 @@
                     never.await();
                     return "";
                 });
-                Rig rig = new Rig(
+                ProxyFixture rig = new ProxyFixture(
                         c -> ((ObjectNode) c.at("/settings/classes/1")).put("deadline", longest),
-                        Rig.server("a", host.port()));
-                Peer client = rig.client()) {
-            client.write(Rig.post("claim", 600_000, "", "x")); // far longer than a drain may take
+                        ProxyFixture.server("a", host.port()));
+                TestPeer client = rig.client()) {
+            client.write(ProxyFixture.post("claim", 600_000, "", "x")); // far longer than a drain may take
             host.request();
             rig.proxy.drain();
-            Peer.Message answer = client.read();
+            TestPeer.Message answer = client.read();
             assertThat(answer.status()).isEqualTo(502);
             assertThat(answer.header("Connection")).isEqualTo("close");
             rig.proxy.awaitEnd();
@@ -271,8 +272,9 @@
             p.write("HTTP/1.1 200 OK\r\nContent-Le");
         });
         try (host;
-                Rig rig = new Rig(Rig.server("a", host.port()))) {
-            assertThat(rig.call(Rig.post("claim", 20_000, "", "x")).status()).isEqualTo(502);
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
+            assertThat(rig.call(ProxyFixture.post("claim", 20_000, "", "x")).status())
+                    .isEqualTo(502);
         }
     }
 
@@ -286,9 +288,9 @@
             p.reset();
         });
         try (host;
-                Rig rig = new Rig(Rig.server("a", host.port()));
-                Peer client = rig.client()) {
-            client.write(Rig.post("claim", 20_000, "", "x"));
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
+                TestPeer client = rig.client()) {
+            client.write(ProxyFixture.post("claim", 20_000, "", "x"));
             assertThat(client.readHead()).contains("200");
             passed.countDown();
             boolean whole = false;
--- a/src/test/java/rillyard/proxy/DescriptorsIT.java
+++ b/src/test/java/rillyard/proxy/DescriptorLimitIT.java
@@ -17,7 +17,7 @@
 
 /** The built jar with as few descriptors as the platform gives, which the kernel holds it to. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
-class DescriptorsIT {
+class DescriptorLimitIT {
     private static final int DESCRIPTORS = 256;
 
     @TempDir
@@ -36,28 +36,29 @@
     /** Idle clients take all that they can get while discovery refuses: its return is seen all the same. */
     @Test
     void idleClientsKeepNeitherDiscoveryNorHostsNorSignalsFromTheirDescriptors() throws Exception {
-        int port = Rig.freePort();
+        int port = ProxyFixture.freePort();
         try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"))) {
             Path config = folder.resolve("config.json");
-            Files.move(Rig.config(port, c -> ((ObjectNode) c.get("limits")).put("sockets", DESCRIPTORS)), config);
-            List<Peer> idle = new ArrayList<>();
+            Files.move(
+                    ProxyFixture.config(port, c -> ((ObjectNode) c.get("limits")).put("sockets", DESCRIPTORS)), config);
+            List<TestPeer> idle = new ArrayList<>();
             try (ProxyProcess p =
                     ProxyProcess.launch(limited(), config, ProxyProcess.freeAddress(), folder.resolve("log"))) {
                 p.await(ProxyProcess.State.LISTENING);
                 for (int i = 0; i < 2 * DESCRIPTORS; i++) {
-                    idle.add(Peer.connect(p.address().getPort()));
+                    idle.add(TestPeer.connect(p.address().getPort()));
                 }
                 ScriptedServer discovery = new ScriptedServer(port, d -> {
                     d.read();
-                    String line = Rig.list(2, true, Rig.server("a", host.port())) + "\n";
+                    String line = ProxyFixture.list(2, true, ProxyFixture.server("a", host.port())) + "\n";
                     d.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length())
                             + "\r\n" + line + "\r\n");
                     d.awaitEnd();
                 });
                 try (discovery) {
                     p.await(ProxyProcess.State.READY);
-                    try (Peer c = Peer.connect(p.address().getPort())) {
-                        c.write(Rig.post("claim", 5_000, "", "x"));
+                    try (TestPeer c = TestPeer.connect(p.address().getPort())) {
+                        c.write(ProxyFixture.post("claim", 5_000, "", "x"));
                         assertThat(c.read().text()).isEqualTo("served");
                     }
                     p.process().terminate();
@@ -67,7 +68,7 @@
                         .contains("drained")
                         .doesNotContain("Exception");
             } finally {
-                for (Peer c : idle) {
+                for (TestPeer c : idle) {
                     c.close();
                 }
             }
--- a/src/test/java/rillyard/proxy/DiscoveryTest.java
+++ b/src/test/java/rillyard/proxy/EndpointWatchTest.java
@@ -9,23 +9,24 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
+import rillyard.proxy.discovery.EndpointWatch;
 
 /** What discovery says, how its watch breaks, and what that means for connections. */
-class DiscoveryTest {
+class EndpointWatchTest {
     private static String claim() {
-        return Rig.post("claim", 800, "", "x");
+        return ProxyFixture.post("claim", 800, "", "x");
     }
 
-    private static String watch(Rig rig) throws InterruptedException {
+    private static String watch(ProxyFixture rig) throws InterruptedException {
         return rig.watches.poll(20, TimeUnit.SECONDS);
     }
 
     @Test
     void brokenWatchResumesFromTheLastVersion() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
-                Rig rig = new Rig()) {
+                ProxyFixture rig = new ProxyFixture()) {
             assertThat(watch(rig)).contains("follow=1&since=1 ");
-            rig.tell(5, true, Rig.server("a", host.port()));
+            rig.tell(5, true, ProxyFixture.server("a", host.port()));
             rig.news.add("");
             assertThat(watch(rig)).contains("since=5 ");
             assertThat(rig.call(claim()).status()).isEqualTo(200);
@@ -35,7 +36,7 @@
     @Test
     void malformedLineKeepsTheLastGoodListAndIsAskedForAgain() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
-                Rig rig = new Rig(Rig.server("a", host.port()))) {
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
             for (String bad : new String[] {
                 "{\"version\":2,\"full\":true,\"serv\n",
                 "{\"version\":2,\"full\":true,\"servers\":[{\"id\":\"b\",\"state\":\"up\"}]}\n",
@@ -59,7 +60,7 @@
 
     @Test
     void silentWatchIsOpenedAnew() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (ProxyFixture rig = new ProxyFixture()) {
             assertThat(watch(rig)).isNotNull();
             assertThat(watch(rig)).contains("since=1 "); // nothing was said on the first one
         }
@@ -68,9 +69,9 @@
     @Test
     void indentedListIsOneList() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
-                Rig rig = new Rig()) {
+                ProxyFixture rig = new ProxyFixture()) {
             String list = new com.fasterxml.jackson.databind.ObjectMapper()
-                    .readTree(Rig.list(2, true, Rig.server("a", host.port())))
+                    .readTree(ProxyFixture.list(2, true, ProxyFixture.server("a", host.port())))
                     .toPrettyString();
             assertThat(list).contains("\n");
             rig.news.add(list + "\n");
@@ -84,7 +85,7 @@
     /** What never gets whole is no sign of life, however long bytes of it come. */
     @Test
     void endlessListIsSilence() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (ProxyFixture rig = new ProxyFixture()) {
             assertThat(watch(rig)).isNotNull();
             rig.news.add("{\"version\":2,\"servers\":[");
             String next = null;
@@ -102,9 +103,9 @@
     void theWorstOfEachStepStaysWithinTheTimeOfAChange() {
         long sweepMs = 250;
         long longestWaitMs = 2_100; // BalancerTest holds the module to it, and pushed lists wait for less
-        long silenceMs = Discovery.SILENCE_NANOS / 1_000_000;
-        long unansweredMs = Discovery.UNANSWERED_NANOS / 1_000_000;
-        assertThat(longestWaitMs + Discovery.CONNECT_TIMEOUT_MS + unansweredMs + sweepMs)
+        long silenceMs = EndpointWatch.SILENCE_NANOS / 1_000_000;
+        long unansweredMs = EndpointWatch.UNANSWERED_NANOS / 1_000_000;
+        assertThat(longestWaitMs + EndpointWatch.CONNECT_TIMEOUT_MS + unansweredMs + sweepMs)
                 .isLessThan(6_000);
         assertThat(silenceMs + sweepMs + longestWaitMs).isLessThan(6_000);
         assertThat(silenceMs).as("a watch says something every 2 s").isGreaterThan(2_000);
@@ -114,8 +115,8 @@
     @Test
     void lineInPiecesIsOneLine() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
-                Rig rig = new Rig()) {
-            String line = Rig.list(2, true, Rig.server("a", host.port())) + "\n";
+                ProxyFixture rig = new ProxyFixture()) {
+            String line = ProxyFixture.list(2, true, ProxyFixture.server("a", host.port())) + "\n";
             rig.news.add(line.substring(0, 30));
             rig.news.add(line.substring(30));
             rig.news.add("");
@@ -136,9 +137,13 @@
             });
             try (old;
                     ScriptedServer next = ScriptedServer.host(r -> ScriptedServer.ok("next"));
-                    Rig rig = new Rig(Rig.server("a", old.port()))) {
+                    ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", old.port()))) {
                 assertThat(rig.call(claim()).text()).isEqualTo("old");
-                rig.tell(2, false, Rig.server("a", old.port(), 0, state), Rig.server("b", next.port(), 0, "up"));
+                rig.tell(
+                        2,
+                        false,
+                        ProxyFixture.server("a", old.port(), 0, state),
+                        ProxyFixture.server("b", next.port(), 0, "up"));
                 ended.await();
                 for (int i = 0; i < 5; i++) {
                     assertThat(rig.call(claim()).text()).isEqualTo("next");
@@ -153,8 +158,8 @@
     void hostAbsentFromAFullListIsGone() throws Exception {
         try (ScriptedServer a = ScriptedServer.host(r -> ScriptedServer.ok("a"));
                 ScriptedServer b = ScriptedServer.host(r -> ScriptedServer.ok("b"));
-                Rig rig = new Rig(Rig.server("a", a.port()))) {
-            rig.tell(2, true, Rig.server("b", b.port()));
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", a.port()))) {
+            rig.tell(2, true, ProxyFixture.server("b", b.port()));
             rig.news.add("");
             watch(rig);
             watch(rig);
@@ -168,9 +173,9 @@
     void hostThatMovedIsReachedAtItsNewAddressOnly() throws Exception {
         try (ScriptedServer before = ScriptedServer.host(r -> ScriptedServer.ok("before"));
                 ScriptedServer after = ScriptedServer.host(r -> ScriptedServer.ok("after"));
-                Rig rig = new Rig(Rig.server("a", before.port()))) {
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", before.port()))) {
             assertThat(rig.call(claim()).text()).isEqualTo("before");
-            rig.tell(2, false, Rig.server("a", after.port()));
+            rig.tell(2, false, ProxyFixture.server("a", after.port()));
             rig.news.add("");
             watch(rig);
             watch(rig);
@@ -181,13 +186,13 @@
     @Test
     void askedDiscoveryIsAskedAgainByTheModuleWhenItsWatchEnds() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
-                Rig rig = new Rig(c -> {
+                ProxyFixture rig = new ProxyFixture(c -> {
                     ObjectNode settings = (ObjectNode) c.get("settings");
                     settings.put("membershipMode", "subscribe");
                     ((ObjectNode) settings.get("rules")).put("askWithin", 10_000);
                 })) {
             assertThat(watch(rig)).contains("since=1 ");
-            rig.tell(4, true, Rig.server("a", host.port()));
+            rig.tell(4, true, ProxyFixture.server("a", host.port()));
             rig.news.add("");
             assertThat(watch(rig)).contains("since=4 ");
             assertThat(rig.call(claim()).status()).isEqualTo(200);
@@ -197,17 +202,17 @@
     @Test
     void connectUnderWayIsGivenUpWhenItsHostDrains() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                Peer first = Peer.connect(full.getLocalPort());
-                Peer second = Peer.connect(full.getLocalPort());
-                Rig rig = new Rig(
+                TestPeer first = TestPeer.connect(full.getLocalPort());
+                TestPeer second = TestPeer.connect(full.getLocalPort());
+                ProxyFixture rig = new ProxyFixture(
                         // Nothing but the drain can end the connect before the test's reads give up.
                         c -> ((ObjectNode) c.get("settings").get("limits")).put("connectTimeout", 600_000),
-                        Rig.server("a", full.getLocalPort()));
-                Peer client = rig.client()) {
+                        ProxyFixture.server("a", full.getLocalPort()));
+                TestPeer client = rig.client()) {
             assertThat(first.socket.isConnected() && second.socket.isConnected())
                     .isTrue(); // it is full
-            client.write(Rig.post("claim", 600_000, "", "x"));
-            rig.tell(2, false, Rig.server("a", full.getLocalPort(), 0, "draining"));
+            client.write(ProxyFixture.post("claim", 600_000, "", "x"));
+            rig.tell(2, false, ProxyFixture.server("a", full.getLocalPort(), 0, "draining"));
             assertThat(client.read().status()).isEqualTo(503);
         }
     }
--- a/src/test/java/rillyard/proxy/GapTest.java
+++ b/src/test/java/rillyard/proxy/EventLoopStallTest.java
@@ -8,7 +8,7 @@
 
 /** A loop that stands still while requests come, and what it does first when it goes on. */
 @Timeout(60)
-class GapTest {
+class EventLoopStallTest {
     private static final int TIME_MS = 300;
 
     /** Stands still for longer than a request's time. */
@@ -20,15 +20,15 @@
     @Test
     void whatWaitedPastItsTimeIsRefusedAtOnceAndSentNowhere() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"));
-                Rig rig = new Rig(Rig.server("a", host.port()));
-                Peer kept = rig.client()) {
-            kept.write(Rig.get("read", 1_000));
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
+                TestPeer kept = rig.client()) {
+            kept.write(ProxyFixture.get("read", 1_000));
             assertThat(kept.read().text()).isEqualTo("served");
             host.request();
             CountDownLatch open = rig.blockLoop();
-            kept.write(Rig.post("claim", TIME_MS, "", "x"));
-            try (Peer fresh = rig.client()) { // waits unaccepted
-                fresh.write(Rig.post("claim", TIME_MS, "", "x"));
+            kept.write(ProxyFixture.post("claim", TIME_MS, "", "x"));
+            try (TestPeer fresh = rig.client()) { // waits unaccepted
+                fresh.write(ProxyFixture.post("claim", TIME_MS, "", "x"));
                 standStill(open, 2 * TIME_MS);
                 assertThat(kept.read().status()).isEqualTo(503);
                 assertThat(fresh.read().status()).isEqualTo(503);
@@ -40,13 +40,13 @@
     @Test
     void whatIsLeftOfItsTimeIsAllThatAHostIsTold() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"));
-                Rig rig = new Rig(Rig.server("a", host.port()));
-                Peer c = rig.client()) {
-            c.write(Rig.get("read", 1_000));
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
+                TestPeer c = rig.client()) {
+            c.write(ProxyFixture.get("read", 1_000));
             c.read();
             host.request();
             CountDownLatch open = rig.blockLoop();
-            c.write(Rig.get("read", 800));
+            c.write(ProxyFixture.get("read", 800));
             standStill(open, 400);
             assertThat(c.read().text()).isEqualTo("served");
             assertThat(Integer.parseInt(host.request().header("X-Timeout-Ms"))).isBetween(1, 400);
@@ -60,9 +60,9 @@
                     answer.await();
                     return ScriptedServer.ok("served");
                 });
-                Rig rig = new Rig(true, null, c -> {}, Rig.server("a", host.port()));
-                Peer c = rig.client()) {
-            c.write(Rig.post("claim", TIME_MS, "", "x"));
+                ProxyFixture rig = new ProxyFixture(true, null, c -> {}, ProxyFixture.server("a", host.port()));
+                TestPeer c = rig.client()) {
+            c.write(ProxyFixture.post("claim", TIME_MS, "", "x"));
             host.request();
             CountDownLatch open = rig.blockLoop();
             standStill(open, 2 * TIME_MS);
@@ -76,18 +76,18 @@
     void aListThatCameMeanwhileIsReadBeforeARequestThatCameSooner() throws Exception {
         try (ScriptedServer a = ScriptedServer.host(r -> ScriptedServer.ok("a"));
                 ScriptedServer b = ScriptedServer.host(r -> ScriptedServer.ok("b"));
-                Rig rig = new Rig(Rig.server("a", a.port()));
-                Peer c = rig.client()) {
-            rig.tell(2, true, Rig.server("b", b.port()));
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", a.port()));
+                TestPeer c = rig.client()) {
+            rig.tell(2, true, ProxyFixture.server("b", b.port()));
             String by;
             do { // until the watch is open and has been read
-                c.write(Rig.get("read", 2_000));
+                c.write(ProxyFixture.get("read", 2_000));
                 by = c.read().text();
             } while (!by.equals("b"));
             b.requests.clear();
             CountDownLatch open = rig.blockLoop();
-            c.write(Rig.get("read", 2_000));
-            rig.tell(3, true, Rig.server("a", a.port()), Rig.server("b", b.port(), 0, "draining"));
+            c.write(ProxyFixture.get("read", 2_000));
+            rig.tell(3, true, ProxyFixture.server("a", a.port()), ProxyFixture.server("b", b.port(), 0, "draining"));
             standStill(open, TIME_MS);
             assertThat(c.read().text()).isEqualTo("a");
             assertThat(b.requests).isEmpty();
--- a/src/test/java/rillyard/proxy/LossByClassTest.java
+++ b/src/test/java/rillyard/proxy/FailureRateByClassTest.java
@@ -6,11 +6,11 @@
 import org.junit.jupiter.api.Test;
 
 /** A host that never answers requests of one class and is quick with those of another. */
-class LossByClassTest {
+class FailureRateByClassTest {
     private static final int ROUNDS = 40;
 
     private static String log() {
-        return Rig.post("log", 250, "Idempotency-Key: " + System.nanoTime() + "\r\n", "x");
+        return ProxyFixture.post("log", 250, "Idempotency-Key: " + System.nanoTime() + "\r\n", "x");
     }
 
     @Test
@@ -31,18 +31,19 @@
         };
         try (ScriptedServer a = ScriptedServer.host(lossy);
                 ScriptedServer b = ScriptedServer.host(sound);
-                Rig rig = new Rig(Rig.server("a", a.port()), Rig.server("b", b.port()));
-                Peer claim = rig.client();
-                Peer one = rig.client();
-                Peer two = rig.client();
-                Peer three = rig.client()) {
+                ProxyFixture rig =
+                        new ProxyFixture(ProxyFixture.server("a", a.port()), ProxyFixture.server("b", b.port()));
+                TestPeer claim = rig.client();
+                TestPeer one = rig.client();
+                TestPeer two = rig.client();
+                TestPeer three = rig.client()) {
             for (int i = 0; i < ROUNDS; i++) {
-                claim.write(Rig.post("claim", 250, "", "x"));
+                claim.write(ProxyFixture.post("claim", 250, "", "x"));
                 // While it is out, so many logs that each host gets one: the lost claim is overtaken.
-                for (Peer p : new Peer[] {one, two, three}) {
+                for (TestPeer p : new TestPeer[] {one, two, three}) {
                     p.write(log());
                 }
-                for (Peer p : new Peer[] {one, two, three, claim}) {
+                for (TestPeer p : new TestPeer[] {one, two, three, claim}) {
                     p.read();
                 }
             }
--- a/src/test/java/rillyard/proxy/ReplaceIT.java
+++ b/src/test/java/rillyard/proxy/HotRestartIT.java
@@ -19,7 +19,7 @@
 
 /** The built jar, replaced by a second process under load. Discovery never answers. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
-class ReplaceIT {
+class HotRestartIT {
     private static final int CLIENTS = 8;
 
     @TempDir
@@ -47,12 +47,12 @@
         }
 
         private void run(InetSocketAddress to) {
-            Peer c = null;
+            TestPeer c = null;
             while (!over.get()) {
                 try {
-                    c = c == null ? Peer.connect(to.getPort()) : c;
-                    c.write(Rig.post("claim", 1_500, "", "x"));
-                    Peer.Message m = c.read();
+                    c = c == null ? TestPeer.connect(to.getPort()) : c;
+                    c.write(ProxyFixture.post("claim", 1_500, "", "x"));
+                    TestPeer.Message m = c.read();
                     if (m == null || m.status() != 200) {
                         lose(m == null ? "ended without an answer" : m.line());
                     } else {
@@ -89,7 +89,8 @@
             ScriptedServer discovery, String name, InetSocketAddress listen, int operator, String... known)
             throws Exception {
         Path config = folder.resolve(name + ".json");
-        Files.move(Rig.config(discovery.port(), c -> c.put("operator", "127.0.0.1:" + operator), known), config);
+        Files.move(
+                ProxyFixture.config(discovery.port(), c -> c.put("operator", "127.0.0.1:" + operator), known), config);
         Launch built = Launch.platform(Path.of("").toAbsolutePath())
                 .with("TMPDIR", folder.resolve("tmp").toString());
         return ProxyProcess.launch(built, config, listen, folder.resolve(name + ".log"));
@@ -100,7 +101,7 @@
     }
 
     private static int call(int operator, String what, String body) throws IOException {
-        try (Peer p = Peer.connect(operator)) {
+        try (TestPeer p = TestPeer.connect(operator)) {
             p.write(what + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             return p.read().status();
         }
@@ -125,17 +126,27 @@
         InetSocketAddress listen = ProxyProcess.freeAddress();
         int oldOperator = ProxyProcess.freeAddress().getPort();
         int newOperator = ProxyProcess.freeAddress().getPort();
-        try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
+        try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
                 ScriptedServer a = ScriptedServer.host(r -> ScriptedServer.ok("a"));
                 ScriptedServer b = ScriptedServer.host(r -> ScriptedServer.ok("b"));
                 ProxyProcess old = launch(
-                        silent, "old", listen, oldOperator, Rig.server("a", a.port()), Rig.server("b", b.port()))) {
+                        silent,
+                        "old",
+                        listen,
+                        oldOperator,
+                        ProxyFixture.server("a", a.port()),
+                        ProxyFixture.server("b", b.port()))) {
             awaitReady(oldOperator);
             try (Load load = new Load(listen)) {
                 load.awaitServed(200);
                 assertThat(call(oldOperator, "POST /_hosts/detach", "a")).isEqualTo(200);
                 try (ProxyProcess next = launch(
-                        silent, "next", listen, newOperator, Rig.server("a", a.port()), Rig.server("b", b.port()))) {
+                        silent,
+                        "next",
+                        listen,
+                        newOperator,
+                        ProxyFixture.server("a", a.port()),
+                        ProxyFixture.server("b", b.port()))) {
                     awaitReady(newOperator);
                     load.awaitServed(200);
                     a.requests.clear();
@@ -161,11 +172,11 @@
         InetSocketAddress listen = ProxyProcess.freeAddress();
         int oldOperator = ProxyProcess.freeAddress().getPort();
         int newOperator = ProxyProcess.freeAddress().getPort();
-        try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
+        try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
                 ScriptedServer a = ScriptedServer.host(r -> ScriptedServer.ok("a"));
-                ProxyProcess old = launch(silent, "old", listen, oldOperator, Rig.server("a", a.port()))) {
+                ProxyProcess old = launch(silent, "old", listen, oldOperator, ProxyFixture.server("a", a.port()))) {
             awaitReady(oldOperator);
-            try (ProxyProcess next = launch(silent, "next", listen, newOperator, Rig.server("a", a.port()))) {
+            try (ProxyProcess next = launch(silent, "next", listen, newOperator, ProxyFixture.server("a", a.port()))) {
                 awaitReady(newOperator);
                 next.process().kill();
             }
--- a/src/test/java/rillyard/proxy/DoubtfulListTest.java
+++ b/src/test/java/rillyard/proxy/IncompleteListTest.java
@@ -12,10 +12,12 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import rillyard.hostlist.ListGuard;
+import rillyard.endpoints.EndpointListGuard;
+import rillyard.proxy.config.ConfigException;
+import rillyard.proxy.discovery.EndpointListOptions;
 
 /** Whole lists with most hosts missing, where they are doubted and where they are not. */
-class DoubtfulListTest {
+class IncompleteListTest {
     private static final String[] NAMES = {"a", "b", "c", "d"};
     private static final double LONG_MS = 3_600_000;
 
@@ -41,25 +43,25 @@
     private String[] all() {
         String[] servers = new String[NAMES.length];
         for (int i = 0; i < NAMES.length; i++) {
-            servers[i] = Rig.server(NAMES[i], hosts.get(i).port());
+            servers[i] = ProxyFixture.server(NAMES[i], hosts.get(i).port());
         }
         return servers;
     }
 
     /** Who answers now, after the proxy has surely read what discovery said. */
-    private static Set<String> answering(Rig rig) throws Exception {
+    private static Set<String> answering(ProxyFixture rig) throws Exception {
         rig.news.add(""); // ends the watch; the next one is opened after all of it was read
         assertThat(rig.watches.poll(20, TimeUnit.SECONDS)).isNotNull();
         assertThat(rig.watches.poll(20, TimeUnit.SECONDS)).isNotNull();
         Set<String> who = new TreeSet<>();
         for (int i = 0; i < 5; i++) {
-            List<Peer> calls = new ArrayList<>();
+            List<TestPeer> calls = new ArrayList<>();
             for (int n = 0; n < 12; n++) {
-                Peer c = rig.client();
-                c.write(Rig.post("claim", 20_000, "", "x"));
+                TestPeer c = rig.client();
+                c.write(ProxyFixture.post("claim", 20_000, "", "x"));
                 calls.add(c);
             }
-            for (Peer c : calls) {
+            for (TestPeer c : calls) {
                 who.add(c.read().text());
                 c.close();
             }
@@ -69,7 +71,7 @@
 
     @Test
     void withTheGuardTheServiceGoesOnWithAllAndADrainIsObeyed() throws Exception {
-        try (Rig rig = new Rig(false, new ListGuard(0.5, LONG_MS), c -> {}, all())) {
+        try (ProxyFixture rig = new ProxyFixture(false, new EndpointListGuard(0.5, LONG_MS), c -> {}, all())) {
             // One is left of four, and one of the others was told to drain in the same breath.
             rig.tell(2, true, all()[0].replace("\"up\"", "\"draining\""));
             assertThat(answering(rig)).containsExactly("b", "c", "d");
@@ -81,7 +83,7 @@
 
     @Test
     void whatNoListNamesAgainIsGoneInTheEnd() throws Exception {
-        try (Rig rig = new Rig(false, new ListGuard(0.5, 1), c -> {}, all())) {
+        try (ProxyFixture rig = new ProxyFixture(false, new EndpointListGuard(0.5, 1), c -> {}, all())) {
             rig.tell(2, true, all()[0]);
             rig.news.add("");
             assertThat(rig.watches.poll(20, TimeUnit.SECONDS)).isNotNull();
@@ -92,7 +94,8 @@
                 Thread.onSpinWait();
             }
             for (int i = 0; i < 20; i++) {
-                assertThat(rig.call(Rig.post("claim", 800, "", "x")).text()).isEqualTo("a");
+                assertThat(rig.call(ProxyFixture.post("claim", 800, "", "x")).text())
+                        .isEqualTo("a");
             }
         }
     }
@@ -100,7 +103,7 @@
     /** The platform's rule, and what holds where no guard is asked for. */
     @Test
     void withoutTheGuardTheListIsBelieved() throws Exception {
-        try (Rig rig = new Rig(all())) {
+        try (ProxyFixture rig = new ProxyFixture(all())) {
             rig.tell(2, true, all()[0]);
             assertThat(answering(rig)).containsExactly("a");
         }
@@ -109,16 +112,16 @@
     @Test
     void theGuardIsAskedForByProperties() throws Exception {
         Properties p = new Properties();
-        assertThat(ListOptions.guard(p)).isNull();
-        p.setProperty(ListOptions.HOLD, "30000");
-        assertThat(ListOptions.guard(p)).isNotNull();
-        p.setProperty(ListOptions.LEAST_SHARE, "1.5");
-        assertThatThrownBy(() -> ListOptions.guard(p))
+        assertThat(EndpointListOptions.guard(p)).isNull();
+        p.setProperty(EndpointListOptions.HOLD, "30000");
+        assertThat(EndpointListOptions.guard(p)).isNotNull();
+        p.setProperty(EndpointListOptions.LEAST_SHARE, "1.5");
+        assertThatThrownBy(() -> EndpointListOptions.guard(p))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining("least_share")
                 .hasMessageContaining("expected 0 to 1, found 1.5");
-        p.setProperty(ListOptions.HOLD, "soon");
-        assertThatThrownBy(() -> ListOptions.guard(p))
+        p.setProperty(EndpointListOptions.HOLD, "soon");
+        assertThatThrownBy(() -> EndpointListOptions.guard(p))
                 .isInstanceOf(ConfigException.class)
                 .hasMessage("-Drillyard.lists.hold_ms: expected a number, found 'soon'");
     }
--- a/src/test/java/rillyard/proxy/JarIT.java
+++ b/src/test/java/rillyard/proxy/JarIT.java
@@ -40,22 +40,22 @@
 
     /** A proxy that is ready, with one host and a discovery that says nothing. */
     private static final class Running implements AutoCloseable {
-        final int port = Rig.freePort();
+        final int port = ProxyFixture.freePort();
         final Process process;
-        private final ScriptedServer discovery = new ScriptedServer(Peer::awaitEnd);
+        private final ScriptedServer discovery = new ScriptedServer(TestPeer::awaitEnd);
         private final Path config;
 
         Running(ScriptedServer host) throws Exception {
-            config = Rig.config(
-                    discovery.port(), c -> c.put("listen", "127.0.0.1:" + port), Rig.server("a", host.port()));
+            config = ProxyFixture.config(
+                    discovery.port(), c -> c.put("listen", "127.0.0.1:" + port), ProxyFixture.server("a", host.port()));
             process = start(config, "proxy");
             awaitReady();
         }
 
         /** The same configuration but for discovery's address, in a file of its own. */
         Path newConfig(ScriptedServer discovery, ScriptedServer host) throws IOException {
-            return Rig.config(
-                    discovery.port(), c -> c.put("listen", "127.0.0.1:" + port), Rig.server("a", host.port()));
+            return ProxyFixture.config(
+                    discovery.port(), c -> c.put("listen", "127.0.0.1:" + port), ProxyFixture.server("a", host.port()));
         }
 
         void signal(String name) throws Exception {
@@ -66,7 +66,7 @@
 
         private void awaitReady() throws Exception {
             for (int i = 0; i < 2_000; i++) {
-                try (Peer c = Peer.connect(port)) {
+                try (TestPeer c = TestPeer.connect(port)) {
                     c.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
                     if (c.read().status() == 200) {
                         return;
@@ -97,18 +97,18 @@
                     return ScriptedServer.ok("served");
                 });
                 Running proxy = new Running(host)) {
-            try (Peer held = Peer.connect(proxy.port);
-                    Peer idle = Peer.connect(proxy.port)) {
-                idle.write(Rig.post("claim", 800, "", "x"));
+            try (TestPeer held = TestPeer.connect(proxy.port);
+                    TestPeer idle = TestPeer.connect(proxy.port)) {
+                idle.write(ProxyFixture.post("claim", 800, "", "x"));
                 assertThat(idle.read().status()).isEqualTo(200);
                 host.request();
-                held.write(Rig.post("claim", 1_200, "", "slow"));
+                held.write(ProxyFixture.post("claim", 1_200, "", "slow"));
                 host.request();
                 proxy.process.toHandle().destroy(); // SIGTERM; the process's own method would close its streams
                 assertThat(idle.read()).isNull();
-                try (Peer late = Peer.connect(proxy.port)) {
-                    late.write(Rig.post("claim", 800, "", "x"));
-                    Peer.Message m = late.read();
+                try (TestPeer late = TestPeer.connect(proxy.port)) {
+                    late.write(ProxyFixture.post("claim", 800, "", "x"));
+                    TestPeer.Message m = late.read();
                     assertThat(m.status()).isEqualTo(200);
                     assertThat(m.header("Connection")).isEqualToIgnoringCase("close");
                 }
@@ -126,13 +126,13 @@
         try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("" + r.body().length));
                 Running proxy = new Running(host)) {
             byte[] most = new byte[(64 << 10) - 1];
-            List<Peer> clients = new ArrayList<>();
+            List<TestPeer> clients = new ArrayList<>();
             for (int i = 0; i < 400; i++) { // 25 MB at once, if all came in
-                Peer c = Peer.connect(proxy.port);
+                TestPeer c = TestPeer.connect(proxy.port);
                 clients.add(c);
                 Thread t = new Thread(() -> {
                     try {
-                        c.write(Rig.head("POST", "claim", 20_000, "")
+                        c.write(ProxyFixture.head("POST", "claim", 20_000, "")
                                 + "Content-Length: "
                                 + (most.length + 1)
                                 + "\r\n\r\n");
@@ -145,7 +145,7 @@
                 t.setDaemon(true);
                 t.start();
             }
-            for (Peer c : clients) {
+            for (TestPeer c : clients) {
                 assertThat(c.read().status()).isIn(200, 503);
                 c.close();
             }
@@ -170,7 +170,7 @@
         String log = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertThat(p.waitFor()).isZero();
         assertThat(log)
-                .contains("rillyard.proxy.Dispatcher source: shared objects file (top)")
+                .contains("rillyard.proxy.dispatch.BalancerDriver source: shared objects file (top)")
                 .contains("io.netty.handler.codec.http.HttpObjectDecoder source: shared objects file (top)")
                 .doesNotContain(
                         "picocli",
@@ -217,8 +217,8 @@
                     Files.writeString(proxy.config, file);
                 }
                 proxy.signal("HUP");
-                try (Peer client = Peer.connect(proxy.port)) {
-                    client.write(Rig.post("claim", 800, "", "x"));
+                try (TestPeer client = TestPeer.connect(proxy.port)) {
+                    client.write(ProxyFixture.post("claim", 800, "", "x"));
                     assertThat(client.read().text()).isEqualTo("served");
                 }
             }
--- a/src/test/java/rillyard/proxy/LateConnect.java
+++ b/src/test/java/rillyard/proxy/LateConnectServer.java
@@ -11,11 +11,11 @@
  * A host whose queue of connections is full: the next connect waits, and comes up some time after
  * {@link #makeRoom}, when the kernel of the one that connects asks again (1 s after the first time).
  */
-final class LateConnect implements AutoCloseable {
+final class LateConnectServer implements AutoCloseable {
     private final ServerSocket server;
     private final List<Socket> filling = new ArrayList<>();
 
-    LateConnect() throws IOException {
+    LateConnectServer() throws IOException {
         server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         for (int i = 0; i < 2; i++) { // a backlog of one holds two
             filling.add(new Socket(InetAddress.getLoopbackAddress(), server.getLocalPort()));
@@ -34,9 +34,9 @@
     }
 
     /** The connection that was late. */
-    Peer accept() throws IOException {
+    TestPeer accept() throws IOException {
         server.setSoTimeout(20_000);
-        return new Peer(server.accept());
+        return new TestPeer(server.accept());
     }
 
     @Override
--- a/src/test/java/rillyard/proxy/RefusalTest.java
+++ b/src/test/java/rillyard/proxy/LoadSheddingTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 /** What is refused, and for how long, seen from the application's side. */
-class RefusalTest {
+class LoadSheddingTest {
     private static String claim(int timeout) {
-        return Rig.post("claim", timeout, "", "visit=1");
+        return ProxyFixture.post("claim", timeout, "", "visit=1");
     }
 
     private static String report(int held) {
@@ -38,7 +38,7 @@
             return report(0);
         };
         try (ScriptedServer host = ScriptedServer.host(reply);
-                Rig rig = new Rig(Rig.server("a", host.port()))) {
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
             assertThat(rig.call(claim(60_000)).status()).isEqualTo(200);
             long until = System.nanoTime() + 30_000_000_000L;
             int status = 0;
@@ -59,7 +59,7 @@
             return ScriptedServer.ok("ok");
         };
         try (ScriptedServer host = ScriptedServer.host(slow);
-                Rig rig = new Rig(Rig.server("a", host.port()))) {
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
             for (int i = 0; i < 16; i++) {
                 rig.call(claim(800));
             }
@@ -83,26 +83,26 @@
             Thread.sleep(300); // about half are refused at three quarters of the aim
             return ScriptedServer.ok("ok");
         };
-        List<Peer> clients = new ArrayList<>();
+        List<TestPeer> clients = new ArrayList<>();
         try (ScriptedServer host = ScriptedServer.host(slow);
-                Rig rig = new Rig(Rig.server("a", host.port()))) {
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
             for (int i = 0; i < 8; i++) {
                 clients.add(rig.client());
             }
             int mixed = 0;
             for (int i = 0; i < 24; i++) {
-                for (Peer c : clients) {
+                for (TestPeer c : clients) {
                     c.write(claim(800));
                 }
                 Set<Integer> answers = new HashSet<>();
-                for (Peer c : clients) {
+                for (TestPeer c : clients) {
                     answers.add(c.read().status());
                 }
                 mixed += i >= 8 && answers.size() > 1 ? 1 : 0; // the first ones raise the pressure
             }
             assertThat(mixed).isLessThan(8); // of 16; chance for each mixes nearly all
         } finally {
-            for (Peer c : clients) {
+            for (TestPeer c : clients) {
                 c.close();
             }
         }
--- a/src/test/java/rillyard/proxy/PlatformRunIT.java
+++ b/src/test/java/rillyard/proxy/PlatformRunIT.java
@@ -44,7 +44,9 @@
 
     private ProxyProcess launch(Launch launch, ScriptedServer discovery) throws Exception {
         Path config = folder.resolve("config.json");
-        Files.move(Rig.config(discovery.port(), c -> {}, Rig.server("a", Rig.freePort())), config);
+        Files.move(
+                ProxyFixture.config(discovery.port(), c -> {}, ProxyFixture.server("a", ProxyFixture.freePort())),
+                config);
         return ProxyProcess.launch(launch, config, ProxyProcess.freeAddress(), folder.resolve("log"));
     }
 
@@ -76,7 +78,7 @@
     @ValueSource(strings = {"balancer.toml", "launcher.toml"})
     void itIsOneProcessThatTheShellHasBecome(String file) throws Exception {
         boolean launcher = file.startsWith("launcher") && Files.isExecutable(LAUNCHER);
-        try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
+        try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
                 ProxyProcess p = launch(shell(ROOT, file), silent)) {
             p.await(ProxyProcess.State.READY);
             assertThat(program(p)).isEqualTo(launcher ? "start" : "java");
@@ -91,7 +93,7 @@
         Files.createSymbolicLink(folder.resolve("deploy"), ROOT.resolve("deploy"));
         Files.createDirectory(folder.resolve("target"));
         Files.createSymbolicLink(folder.resolve("target/rillyard.jar"), ROOT.resolve("target/rillyard.jar"));
-        try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
+        try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
                 ProxyProcess p = launch(shell(folder, "launcher.toml"), silent)) {
             p.await(ProxyProcess.State.READY);
             assertThat(program(p)).isEqualTo("java");
@@ -102,7 +104,7 @@
     @Test
     void starvedOfItsCoreItGetsReadyAndThenRests() throws Exception {
         try (Neighbours neighbours = new Neighbours("0", 1 / 3.0);
-                ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
+                ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
                 ProxyProcess p = launch(shell(ROOT, "balancer.toml").on("0"), silent)) {
             p.await(ProxyProcess.State.READY);
             Map<String, Long> before = ticks(p);
--- a/src/test/java/rillyard/proxy/GapIT.java
+++ b/src/test/java/rillyard/proxy/ProcessPauseIT.java
@@ -23,7 +23,7 @@
 
 /** The built jar, which stands still (SIGSTOP) again and again while requests come. */
 @Timeout(120)
-class GapIT {
+class ProcessPauseIT {
     private static final Launch BUILT =
             Launch.platform(Path.of("").toAbsolutePath()).on("0");
     private static final int CLIENTS = 8;
@@ -42,9 +42,9 @@
         Path config = folder.resolve("config.json");
         String[] known = new String[hosts.length];
         for (int i = 0; i < hosts.length; i++) {
-            known[i] = Rig.server("h" + i, hosts[i].port());
+            known[i] = ProxyFixture.server("h" + i, hosts[i].port());
         }
-        Files.move(Rig.config(discovery.port(), c -> {}, known), config);
+        Files.move(ProxyFixture.config(discovery.port(), c -> {}, known), config);
         ProxyProcess p = ProxyProcess.launch(BUILT, config, ProxyProcess.freeAddress(), folder.resolve("log"));
         p.await(ProxyProcess.State.READY);
         return p;
@@ -79,17 +79,17 @@
 
     /** One client, one request after another on a kept connection, until told to end. */
     private static void ask(ProxyProcess p, Queue<Asked> seen, AtomicLong latest, AtomicInteger on) throws Exception {
-        Peer c = Peer.connect(p.address().getPort());
+        TestPeer c = TestPeer.connect(p.address().getPort());
         try {
             while (on.get() > 0) {
                 long sent = System.nanoTime();
                 latest.set(sent);
-                c.write(Rig.post("claim", TIME_MS, "", "x"));
-                Peer.Message m = c.read();
+                c.write(ProxyFixture.post("claim", TIME_MS, "", "x"));
+                TestPeer.Message m = c.read();
                 seen.add(new Asked(sent, System.nanoTime(), m != null));
                 if (m == null || "close".equals(m.header("Connection"))) {
                     c.close();
-                    c = Peer.connect(p.address().getPort());
+                    c = TestPeer.connect(p.address().getPort());
                 }
             }
         } finally {
@@ -107,9 +107,9 @@
         List<Gap> gaps = new ArrayList<>();
         long zero = System.nanoTime();
         ExecutorService clients = Executors.newCachedThreadPool();
-        try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
+        try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
                 ScriptedServer host = new ScriptedServer(peer -> {
-                    Peer.Message m;
+                    TestPeer.Message m;
                     while ((m = peer.read()) != null) {
                         if (count.incrementAndGet() % 3 == 0) {
                             peer.awaitEnd(); // hangs under this one
@@ -156,26 +156,26 @@
     /** More new connections than a loop accepts in one turn, and a reload, come while it stands still. */
     @Test
     void aBurstAndAReloadInAGapAreServed() throws Exception {
-        try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
+        try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
                 ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"));
                 ProxyProcess p = launch(silent, host)) {
             for (int round = 0; round < 3; round++) {
-                List<Peer> burst = new ArrayList<>();
+                List<TestPeer> burst = new ArrayList<>();
                 try {
                     p.process().pause();
                     p.process().signal("HUP");
                     for (int i = 0; i < BURST; i++) {
-                        Peer c = Peer.connect(p.address().getPort());
-                        c.write(Rig.post("claim", TIME_MS, "", "x"));
+                        TestPeer c = TestPeer.connect(p.address().getPort());
+                        c.write(ProxyFixture.post("claim", TIME_MS, "", "x"));
                         burst.add(c);
                     }
                     Thread.sleep(300); // the gap itself
                     p.process().resume();
-                    for (Peer c : burst) {
+                    for (TestPeer c : burst) {
                         assertThat(c.read()).isNotNull();
                     }
                 } finally {
-                    for (Peer c : burst) {
+                    for (TestPeer c : burst) {
                         c.close();
                     }
                 }
@@ -186,12 +186,12 @@
     /** SIGTERM and new connections come while it stands still, for longer than it would accept them. */
     @Test
     void aDrainThatBeginsInAGapAnswersWhatCameInIt() throws Exception {
-        try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
+        try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
                 ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"));
                 ProxyProcess p = launch(silent, host)) {
-            List<Peer> waiting = new ArrayList<>();
-            try (Peer kept = Peer.connect(p.address().getPort())) {
-                kept.write(Rig.post("claim", TIME_MS, "", "x"));
+            List<TestPeer> waiting = new ArrayList<>();
+            try (TestPeer kept = TestPeer.connect(p.address().getPort())) {
+                kept.write(ProxyFixture.post("claim", TIME_MS, "", "x"));
                 assertThat(kept.read().text()).isEqualTo("served");
                 p.process().terminate();
                 while (!Files.readString(folder.resolve("log")).contains("draining")) {
@@ -199,17 +199,17 @@
                 }
                 p.process().pause();
                 for (int i = 0; i < BURST; i++) {
-                    Peer c = Peer.connect(p.address().getPort());
-                    c.write(Rig.post("claim", 2 * TIME_MS, "", "x"));
+                    TestPeer c = TestPeer.connect(p.address().getPort());
+                    c.write(ProxyFixture.post("claim", 2 * TIME_MS, "", "x"));
                     waiting.add(c);
                 }
                 Thread.sleep(1_000); // past the time for which new connections are accepted
                 p.process().resume();
-                for (Peer c : waiting) {
+                for (TestPeer c : waiting) {
                     assertThat(c.read()).isNotNull();
                 }
             } finally {
-                for (Peer c : waiting) {
+                for (TestPeer c : waiting) {
                     c.close();
                 }
             }
--- a/src/test/java/rillyard/proxy/Rig.java
+++ b/src/test/java/rillyard/proxy/ProxyFixture.java
@@ -15,11 +15,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
-import rillyard.hostlist.ListGuard;
+import rillyard.endpoints.EndpointListGuard;
+import rillyard.proxy.config.ProxyConfig;
+import rillyard.proxy.logging.ProxyLog;
 import rillyard.trace.Trace;
 
 /** A client proxy on loopback, with a discovery that says what the test has it say. */
-final class Rig implements AutoCloseable {
+public final class ProxyFixture implements AutoCloseable {
     /** Ids of requests: none twice, whichever thread asks, as a second one is a conflict (409). */
     private static final AtomicLong IDS = new AtomicLong(System.nanoTime());
 
@@ -42,21 +44,22 @@
     final BlockingQueue<String> watches = new LinkedBlockingQueue<>();
     private final AtomicReference<Thread> watcher = new AtomicReference<>();
     final ScriptedServer discovery;
-    final Proxy proxy;
+    final ClientProxy proxy;
     final int port;
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
 
-    Rig(String... servers) throws Exception {
+    public ProxyFixture(String... servers) throws Exception {
         this(c -> {}, servers);
     }
 
     /** {@code servers} are entries as {@link #server} makes them; {@code change} edits the rest. */
-    Rig(Consumer<ObjectNode> change, String... servers) throws Exception {
+    public ProxyFixture(Consumer<ObjectNode> change, String... servers) throws Exception {
         this(false, null, change, servers);
     }
 
     /** {@code traced} has the log hold the trace as well; {@code guard} may be null. */
-    Rig(boolean traced, ListGuard guard, Consumer<ObjectNode> change, String... servers) throws Exception {
+    ProxyFixture(boolean traced, EndpointListGuard guard, Consumer<ObjectNode> change, String... servers)
+            throws Exception {
         discovery = new ScriptedServer(peer -> {
             String request = peer.read().line();
             Thread before = watcher.getAndSet(Thread.currentThread());
@@ -75,9 +78,9 @@
         });
         Path file = config(discovery.port(), change, servers);
         PrintStream out = new PrintStream(log, true, StandardCharsets.UTF_8);
-        proxy = new Proxy(
-                Config.load(Map.of("BALANCER_CONFIG", file.toString())),
-                new Log(out, traced ? new Trace(out) : null),
+        proxy = new ClientProxy(
+                ProxyConfig.load(Map.of("BALANCER_CONFIG", file.toString())),
+                new ProxyLog(out, traced ? new Trace(out) : null),
                 guard,
                 null);
         Files.delete(file);
@@ -86,7 +89,7 @@
     }
 
     /** Writes a configuration to a file of its own. */
-    static Path config(int discoveryPort, Consumer<ObjectNode> change, String... servers) throws IOException {
+    public static Path config(int discoveryPort, Consumer<ObjectNode> change, String... servers) throws IOException {
         ObjectNode c = JSON.createObjectNode();
         c.put("name", "n0").put("listen", "127.0.0.1:0").put("discovery", "127.0.0.1:" + discoveryPort);
         c.put("seed", "8c1f30d27a5be964");
@@ -97,7 +100,7 @@
         return Files.write(Files.createTempFile("rillyard", ".json"), JSON.writeValueAsBytes(c));
     }
 
-    static String server(String id, int port) {
+    public static String server(String id, int port) {
         return server(id, port, 0, "up");
     }
 
@@ -115,13 +118,13 @@
         news.add(list(version, full, servers) + "\n");
     }
 
-    Peer client() throws IOException {
-        return Peer.connect(port);
+    public TestPeer client() throws IOException {
+        return TestPeer.connect(port);
     }
 
     /** One request on a connection of its own. */
-    Peer.Message call(String request) throws IOException {
-        try (Peer c = client()) {
+    public TestPeer.Message call(String request) throws IOException {
+        try (TestPeer c = client()) {
             c.write(request);
             return c.read();
         }
@@ -131,7 +134,7 @@
         return head("GET", type, timeout, "") + "\r\n";
     }
 
-    static String post(String type, int timeout, String headers, String body) {
+    public static String post(String type, int timeout, String headers, String body) {
         return head("POST", type, timeout, headers) + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
--- a/src/test/java/rillyard/proxy/TraceTest.java
+++ b/src/test/java/rillyard/proxy/ProxyTraceTest.java
@@ -10,8 +10,8 @@
 import rillyard.trace.TraceLine.What;
 
 /** What a proxy writes down of itself where that is asked for. */
-class TraceTest {
-    private static List<TraceLine> lines(Rig rig) {
+class ProxyTraceTest {
+    private static List<TraceLine> lines(ProxyFixture rig) {
         return rig.log().lines().map(TraceLine::read).filter(Objects::nonNull).toList();
     }
 
@@ -22,18 +22,19 @@
 
     @Test
     void connectionsAttemptsAndRefusalsAreToldWithTheirHostsAndResults() throws Exception {
-        String fresh = Rig.server("a", 0)
+        String fresh = ProxyFixture.server("a", 0)
                 .replace("\"started_ms\":0", "\"started_ms\":" + (System.currentTimeMillis() - 5_000));
         try (ScriptedServer full = new ScriptedServer(p -> {
                     p.read();
                     p.write(ScriptedServer.status(503, "X-Not-Processed: 1\r\nConnection: close\r\n"));
                 });
-                Rig rig = new Rig(
+                ProxyFixture rig = new ProxyFixture(
                         true,
                         null,
-                        TraceTest::ableFromTheStart,
+                        ProxyTraceTest::ableFromTheStart,
                         fresh.replace("127.0.0.1:0", "127.0.0.1:" + full.port()))) {
-            assertThat(rig.call(Rig.post("claim", 800, "", "x")).status()).isEqualTo(503);
+            assertThat(rig.call(ProxyFixture.post("claim", 800, "", "x")).status())
+                    .isEqualTo(503);
             List<TraceLine> told = lines(rig);
             assertThat(told)
                     .extracting(TraceLine::what)
@@ -53,8 +54,9 @@
     @Test
     void withoutBeingAskedNothingIsWritten() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
-                Rig rig = new Rig(Rig.server("a", host.port()))) {
-            assertThat(rig.call(Rig.post("claim", 800, "", "x")).status()).isEqualTo(200);
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
+            assertThat(rig.call(ProxyFixture.post("claim", 800, "", "x")).status())
+                    .isEqualTo(200);
             assertThat(lines(rig)).isEmpty();
         }
     }
--- a/src/test/java/rillyard/proxy/RestartIT.java
+++ b/src/test/java/rillyard/proxy/RestartIT.java
@@ -32,7 +32,7 @@
 
     private ProxyProcess launch(ScriptedServer discovery, String... known) throws Exception {
         Path config = folder.resolve("config.json");
-        Files.move(Rig.config(discovery.port(), c -> {}, known), config);
+        Files.move(ProxyFixture.config(discovery.port(), c -> {}, known), config);
         return ProxyProcess.launch(BUILT, config, ProxyProcess.freeAddress(), folder.resolve("log"));
     }
 
@@ -44,8 +44,8 @@
     @ParameterizedTest
     @ValueSource(strings = {"loop", "listening", "warm-up"})
     void aTermDuringTheStartEndsItInOrder(String mark) throws Exception {
-        try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
-                ProxyProcess p = launch(silent, Rig.server("a", Rig.freePort()))) {
+        try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
+                ProxyProcess p = launch(silent, ProxyFixture.server("a", ProxyFixture.freePort()))) {
             while (!log().contains("mark " + mark + " ") && p.process().alive()) {
                 Thread.sleep(1);
             }
@@ -58,15 +58,15 @@
     @Test
     void aSecondTermChangesNothingForWhatIsUnderWay() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
+        try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
                 ScriptedServer host = ScriptedServer.host(r -> {
                     answer.await();
                     return ScriptedServer.ok("served");
                 });
-                ProxyProcess p = launch(silent, Rig.server("a", host.port()))) {
+                ProxyProcess p = launch(silent, ProxyFixture.server("a", host.port()))) {
             p.await(ProxyProcess.State.READY);
-            try (Peer held = Peer.connect(p.address().getPort())) {
-                held.write(Rig.post("claim", 1_500, "", "x"));
+            try (TestPeer held = TestPeer.connect(p.address().getPort())) {
+                held.write(ProxyFixture.post("claim", 1_500, "", "x"));
                 host.request();
                 p.process().terminate();
                 p.process().terminate();
@@ -79,11 +79,15 @@
 
     @Test
     void aKnownListOfHostsThatAreAllGoneEndsEachRequestInTime() throws Exception {
-        try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
-                ProxyProcess p = launch(silent, Rig.server("a", Rig.freePort()), Rig.server("b", Rig.freePort()))) {
+        try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
+                ProxyProcess p = launch(
+                        silent,
+                        ProxyFixture.server("a", ProxyFixture.freePort()),
+                        ProxyFixture.server("b", ProxyFixture.freePort()))) {
             p.await(ProxyProcess.State.READY);
-            for (String request : new String[] {Rig.get("read", 300), Rig.post("claim", 300, "", "x")}) {
-                try (Peer c = Peer.connect(p.address().getPort())) {
+            for (String request :
+                    new String[] {ProxyFixture.get("read", 300), ProxyFixture.post("claim", 300, "", "x")}) {
+                try (TestPeer c = TestPeer.connect(p.address().getPort())) {
                     long sent = System.nanoTime();
                     c.write(request);
                     assertThat(c.read().status()).isIn(502, 503, 504);
@@ -95,22 +99,22 @@
 
     @Test
     void aThousandClientsAtOnceDuringTheWarmUpKeepNobodyFromBeingServedAfter() throws Exception {
-        try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
+        try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
                 ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"));
-                ProxyProcess p = launch(silent, Rig.server("a", host.port()))) {
+                ProxyProcess p = launch(silent, ProxyFixture.server("a", host.port()))) {
             p.await(ProxyProcess.State.LISTENING);
-            List<Peer> crowd = new ArrayList<>();
+            List<TestPeer> crowd = new ArrayList<>();
             try {
                 for (int i = 0; i < 1_000; i++) {
-                    crowd.add(Peer.connect(p.address().getPort()));
+                    crowd.add(TestPeer.connect(p.address().getPort()));
                 }
                 p.await(ProxyProcess.State.READY);
-                try (Peer c = Peer.connect(p.address().getPort())) {
-                    c.write(Rig.post("claim", 1_500, "", "x"));
+                try (TestPeer c = TestPeer.connect(p.address().getPort())) {
+                    c.write(ProxyFixture.post("claim", 1_500, "", "x"));
                     assertThat(c.read().text()).isEqualTo("served");
                 }
             } finally {
-                for (Peer c : crowd) {
+                for (TestPeer c : crowd) {
                     c.close();
                 }
             }
@@ -148,7 +152,7 @@
             assertThat(c.await()).isZero();
         }
         assertThat(Files.readString(out))
-                .contains("rillyard.proxy.Dispatcher source: file:")
+                .contains("rillyard.proxy.dispatch.BalancerDriver source: file:")
                 .contains("rillyard: drained");
     }
 }
--- a/src/test/java/rillyard/proxy/ScriptedServer.java
+++ b/src/test/java/rillyard/proxy/ScriptedServer.java
@@ -8,23 +8,23 @@
 import java.util.concurrent.TimeUnit;
 
 /** A host or a discovery that does to each connection what the test's script says. */
-final class ScriptedServer implements AutoCloseable {
+public final class ScriptedServer implements AutoCloseable {
     /** What happens on one connection; the connection is closed after it. */
-    interface Script {
-        void serve(Peer peer) throws Exception;
+    public interface Script {
+        void serve(TestPeer peer) throws Exception;
     }
 
     /** The answer to one request. */
-    interface Reply {
-        String to(Peer.Message request) throws Exception;
+    public interface Reply {
+        String to(TestPeer.Message request) throws Exception;
     }
 
     private final ServerSocket server;
     private final Script script;
-    private final BlockingQueue<Peer> accepted = new LinkedBlockingQueue<>();
-    final BlockingQueue<Peer.Message> requests = new LinkedBlockingQueue<>();
+    private final BlockingQueue<TestPeer> accepted = new LinkedBlockingQueue<>();
+    final BlockingQueue<TestPeer.Message> requests = new LinkedBlockingQueue<>();
 
-    ScriptedServer(Script script) throws IOException {
+    public ScriptedServer(Script script) throws IOException {
         this(0, script);
     }
 
@@ -36,10 +36,10 @@
     }
 
     /** A host that answers each request on a kept connection. */
-    static ScriptedServer host(Reply reply) throws IOException {
+    public static ScriptedServer host(Reply reply) throws IOException {
         ScriptedServer[] self = new ScriptedServer[1];
         self[0] = new ScriptedServer(peer -> {
-            Peer.Message m;
+            TestPeer.Message m;
             while ((m = peer.read()) != null) {
                 self[0].requests.add(m);
                 peer.write(reply.to(m));
@@ -48,20 +48,20 @@
         return self[0];
     }
 
-    static String ok(String body) {
+    public static String ok(String body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    static String status(int code, String headers) {
+    public static String status(int code, String headers) {
         return "HTTP/1.1 " + code + " X\r\nContent-Length: 0\r\n" + headers + "\r\n";
     }
 
-    int port() {
+    public int port() {
         return server.getLocalPort();
     }
 
     /** The next connection that came. */
-    Peer accepted() throws InterruptedException {
+    TestPeer accepted() throws InterruptedException {
         return accepted.poll(20, TimeUnit.SECONDS);
     }
 
@@ -70,13 +70,13 @@
         return !accepted.isEmpty();
     }
 
-    Peer.Message request() throws InterruptedException {
+    TestPeer.Message request() throws InterruptedException {
         return requests.poll(20, TimeUnit.SECONDS);
     }
 
     private void accept() throws Exception {
         while (true) {
-            Peer p = new Peer(server.accept());
+            TestPeer p = new TestPeer(server.accept());
             accepted.add(p);
             thread(() -> {
                 try (p) {
@@ -105,7 +105,7 @@
     @Override
     public void close() throws IOException {
         server.close();
-        for (Peer p : accepted) {
+        for (TestPeer p : accepted) {
             p.close();
         }
     }
--- a/src/test/java/rillyard/proxy/ColdRampIT.java
+++ b/src/test/java/rillyard/proxy/SlowStartIT.java
@@ -26,7 +26,7 @@
  * it, counted in each window of the settings against what the settings allow and little more than chance.
  */
 @Timeout(value = 180, unit = TimeUnit.SECONDS)
-class ColdRampIT {
+class SlowStartIT {
     private static final Launch BUILT = Launch.platform(Path.of("").toAbsolutePath());
     private static final int WARM_HOSTS = 5;
     private static final double COLD_MS = 8_700;
@@ -59,7 +59,7 @@
 
     private static String entry(String id, int port, long startedMs) throws IOException {
         ObjectMapper json = new ObjectMapper();
-        return ((ObjectNode) json.readTree(Rig.server(id, port)))
+        return ((ObjectNode) json.readTree(ProxyFixture.server(id, port)))
                 .put("started_ms", startedMs)
                 .toString();
     }
@@ -84,7 +84,7 @@
     private ProxyProcess launch(int number, int of, int discovery, String... known) throws Exception {
         Path config = folder.resolve("config-" + number + ".json");
         Files.move(
-                Rig.config(
+                ProxyFixture.config(
                         discovery,
                         c -> {
                             c.put("seed", Long.toHexString(SEED * (number + 1)));
@@ -101,9 +101,9 @@
     private Thread clients(ProxyProcess proxy, int number, CountDownLatch end) {
         Thread t = new Thread(() -> {
             Random random = new Random(SEED + number);
-            try (Peer c = Peer.connect(proxy.address().getPort())) {
+            try (TestPeer c = TestPeer.connect(proxy.address().getPort())) {
                 while (!end.await((long) (-Math.log(1 - random.nextDouble()) * 1_000 / RATE), TimeUnit.MILLISECONDS)) {
-                    c.write(Rig.get("read", 800));
+                    c.write(ProxyFixture.get("read", 800));
                     c.read();
                 }
             } catch (Exception e) {
@@ -125,7 +125,7 @@
             ScriptedServer discovery = kept(discovery(told, list));
             List<String> warm = new ArrayList<>();
             for (int i = 0; i < WARM_HOSTS; i++) {
-                warm.add(Rig.server(
+                warm.add(ProxyFixture.server(
                         "warm" + i,
                         kept(ScriptedServer.host(r -> ScriptedServer.ok("w"))).port()));
             }
@@ -146,7 +146,7 @@
             List<ProxyProcess> begun = new ArrayList<>();
             long startedMs = System.currentTimeMillis();
             warm.add(entry("cold", cold.port(), startedMs));
-            list[0] = Rig.list(2, true, warm.toArray(String[]::new));
+            list[0] = ProxyFixture.list(2, true, warm.toArray(String[]::new));
             for (int i = 0; i < fresh; i++) {
                 begun.add(launch(i, processes, discovery.port(), warm.toArray(String[]::new)));
             }
--- a/src/test/java/rillyard/proxy/LongBodyTest.java
+++ b/src/test/java/rillyard/proxy/StreamingBodyTest.java
@@ -15,7 +15,7 @@
 
 /** Bodies that are longer than may be held, in both directions. */
 @Timeout(value = 90, unit = TimeUnit.SECONDS)
-class LongBodyTest {
+class StreamingBodyTest {
     private static final int MIB = 1 << 20;
 
     private static byte[] noise(int length) {
@@ -29,11 +29,11 @@
     }
 
     private static String claim() {
-        return Rig.post("claim", 800, "", "x");
+        return ProxyFixture.post("claim", 800, "", "x");
     }
 
     private static String upload(int length) {
-        return Rig.head("POST", "claim", 800, "") + "Content-Length: " + length + "\r\n\r\n";
+        return ProxyFixture.head("POST", "claim", 800, "") + "Content-Length: " + length + "\r\n\r\n";
     }
 
     /** A host that reads a head and nothing more, and tells when its connection has ended. */
@@ -57,8 +57,8 @@
                     p.write(Arrays.copyOfRange(body, 10, body.length));
                     p.awaitEnd();
                 });
-                Rig rig = new Rig(Rig.server("a", host.port()));
-                Peer c = rig.client()) {
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
+                TestPeer c = rig.client()) {
             c.write(claim());
             assertThat(c.readHead()).contains("200 OK").containsIgnoringCase("content-length: 100000");
             assertThat(c.exactly(10)).isEqualTo(Arrays.copyOf(body, 10));
@@ -83,8 +83,8 @@
                     p.write("\r\n0\r\n\r\n");
                     p.awaitEnd();
                 });
-                Rig rig = new Rig(Rig.server("a", host.port()));
-                Peer c = rig.client()) {
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
+                TestPeer c = rig.client()) {
             c.write(claim());
             assertThat(c.readHead()).containsIgnoringCase("transfer-encoding: chunked");
             assertThat(c.readLine()).isNotEmpty(); // the first chunk has come while the host waits
@@ -110,8 +110,8 @@
                     }
                     p.awaitEnd();
                 });
-                Rig rig = new Rig(c -> {}, Rig.server("a", host.port()));
-                Peer c = rig.client()) {
+                ProxyFixture rig = new ProxyFixture(c -> {}, ProxyFixture.server("a", host.port()));
+                TestPeer c = rig.client()) {
             c.socket.setReceiveBufferSize(64 * 1024);
             c.write(claim());
             c.readHead();
@@ -139,9 +139,9 @@
                     p.write(head(200_000));
                     p.write(noise(100_000));
                 });
-                Rig rig = new Rig(Rig.server("a", host.port()));
-                Peer c = rig.client()) {
-            c.write(Rig.post("log", 1_200, "Idempotency-Key: k\r\n", "x"));
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
+                TestPeer c = rig.client()) {
+            c.write(ProxyFixture.post("log", 1_200, "Idempotency-Key: k\r\n", "x"));
             c.readHead();
             assertThat(c.socket.getInputStream().readAllBytes().length).isLessThan(200_000);
             assertThat(asked.get()).isEqualTo(1); // it has its answer: nothing more is sent for it
@@ -164,8 +164,8 @@
                             head.toLowerCase(Locale.ROOT).contains("content-length: 3145728") ? "whole" : head));
                     p.awaitEnd();
                 });
-                Rig rig = new Rig(Rig.server("a", host.port()));
-                Peer c = rig.client()) {
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
+                TestPeer c = rig.client()) {
             c.write(upload(body.length));
             c.socket.getOutputStream().write(body, 0, 2 * MIB);
             half.await();
@@ -184,14 +184,15 @@
                     p.readHead();
                     p.exactly(200_000);
                 });
-                Rig rig = new Rig(Rig.server("a", host.port()), Rig.server("b", host.port()));
-                Peer c = rig.client()) {
+                ProxyFixture rig =
+                        new ProxyFixture(ProxyFixture.server("a", host.port()), ProxyFixture.server("b", host.port()));
+                TestPeer c = rig.client()) {
             c.write(upload(MIB));
             c.write(noise(MIB / 2));
             assertThat(c.read().status()).isEqualTo(503); // it never ran: harmless to ask again
             assertThat(connections.get()).isEqualTo(1);
             c.write(noise(MIB / 2));
-            c.write(Rig.head("GET", "read", 800, "") + "\r\n"); // behind the rest of what was refused
+            c.write(ProxyFixture.head("GET", "read", 800, "") + "\r\n"); // behind the rest of what was refused
             assertThat(c.read()).isNotNull();
         }
     }
@@ -207,9 +208,11 @@
                     p.write(ScriptedServer.ok("late"));
                     p.awaitEnd();
                 });
-                Rig rig = new Rig(Rig.server("a", host.port()), Rig.server("b", host.port()));
-                Peer c = rig.client()) {
-            c.write(Rig.head("POST", "log", 1_200, "Idempotency-Key: k\r\n") + "Content-Length: " + MIB + "\r\n\r\n");
+                ProxyFixture rig =
+                        new ProxyFixture(ProxyFixture.server("a", host.port()), ProxyFixture.server("b", host.port()));
+                TestPeer c = rig.client()) {
+            c.write(ProxyFixture.head("POST", "log", 1_200, "Idempotency-Key: k\r\n") + "Content-Length: " + MIB
+                    + "\r\n\r\n");
             c.write(noise(MIB));
             assertThat(c.read().text()).isEqualTo("late");
             assertThat(heads.get()).isEqualTo(1);
@@ -222,8 +225,8 @@
                     p.readHead();
                     new CountDownLatch(1).await(); // takes what its kernel takes
                 });
-                Rig rig = new Rig(Rig.server("a", host.port()));
-                Peer c = rig.client()) {
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
+                TestPeer c = rig.client()) {
             Thread writer = new Thread(() -> {
                 try {
                     c.write(upload(32 * MIB));
@@ -241,8 +244,8 @@
 
     @Test
     void aLongRequestThatNobodyMayTakeIsRefusedAtOnce() throws Exception {
-        try (Rig rig = new Rig();
-                Peer c = rig.client()) {
+        try (ProxyFixture rig = new ProxyFixture();
+                TestPeer c = rig.client()) {
             c.write(upload(MIB));
             c.write(noise(100_000));
             assertThat(c.read().status()).isEqualTo(503);
@@ -253,8 +256,8 @@
     void aLongRequestWhoseClientGoesNeverRuns() throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
         try (ScriptedServer host = hanging(ended);
-                Rig rig = new Rig(Rig.server("a", host.port()))) {
-            try (Peer c = rig.client()) {
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
+            try (TestPeer c = rig.client()) {
                 c.write(upload(MIB));
                 c.write(noise(100_000));
                 host.accepted();
@@ -267,8 +270,8 @@
     void aLongRequestThatFallsSilentIsEnded() throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
         try (ScriptedServer host = hanging(ended);
-                Rig rig = new Rig(Rig.server("a", host.port()));
-                Peer c = rig.client()) {
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
+                TestPeer c = rig.client()) {
             c.write(upload(MIB));
             c.write(noise(100_000));
             assertThat(c.read().status()).isEqualTo(408);
@@ -278,7 +281,7 @@
 
     @Test
     void whatIsTooLongIsRejected() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (ProxyFixture rig = new ProxyFixture()) {
             assertThat(rig.call(upload(32 * MIB + 1)).status()).isEqualTo(413);
         }
     }
@@ -286,8 +289,8 @@
     @Test
     void aHeadMayTakeTwoSeconds() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
-                Rig rig = new Rig(Rig.server("a", host.port()));
-                Peer c = rig.client()) {
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
+                TestPeer c = rig.client()) {
             String request = claim();
             c.write(request.substring(0, 30));
             Thread.sleep(1_950);
@@ -299,7 +302,7 @@
     @Test
     void aTargetInAbsoluteFormGoesOnInOriginForm() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok(r.line() + r.header("Host")));
-                Rig rig = new Rig(Rig.server("a", host.port()))) {
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
             assertThat(rig.call(claim().replace("POST /claim ", "POST HTTP://other.internal/claim?a=/b "))
                             .text())
                     .isEqualTo("POST /claim?a=/b HTTP/1.1other.internal");
@@ -317,8 +320,8 @@
                     p.write(noise(99_999));
                     p.awaitEnd();
                 });
-                Rig rig = new Rig(Rig.server("a", host.port()));
-                Peer c = rig.client()) {
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
+                TestPeer c = rig.client()) {
             c.write(claim());
             c.readHead();
             String during = figures(rig);
@@ -332,7 +335,7 @@
         }
     }
 
-    private static String figures(Rig rig) {
+    private static String figures(ProxyFixture rig) {
         return rig.proxy.figures().text();
     }
 }
--- a/src/test/java/rillyard/proxy/Peer.java
+++ b/src/test/java/rillyard/proxy/TestPeer.java
@@ -11,17 +11,17 @@
 import java.util.Locale;
 
 /** One end of a connection, spoken byte by byte: a client's, a host's or discovery's. */
-final class Peer implements AutoCloseable {
+public final class TestPeer implements AutoCloseable {
     /** Reads give up after this long: a test that waits for ever is a failure too. */
     private static final int READ_TIMEOUT_MS = 20_000;
 
     /** A message as it came: its head without the blank line, and its body. */
-    record Message(String head, byte[] body) {
+    public record Message(String head, byte[] body) {
         String line() {
             return head.split("\r\n", 2)[0];
         }
 
-        int status() {
+        public int status() {
             return Integer.parseInt(line().split(" ")[1]);
         }
 
@@ -34,7 +34,7 @@
             return null;
         }
 
-        String text() {
+        public String text() {
             return new String(body, StandardCharsets.UTF_8);
         }
     }
@@ -42,20 +42,20 @@
     final Socket socket;
     private final InputStream in;
 
-    Peer(Socket socket) throws IOException {
+    public TestPeer(Socket socket) throws IOException {
         this.socket = socket;
         socket.setSoTimeout(READ_TIMEOUT_MS);
         socket.setTcpNoDelay(true);
         this.in = socket.getInputStream();
     }
 
-    static Peer connect(int port) throws IOException {
+    static TestPeer connect(int port) throws IOException {
         Socket s = new Socket();
         s.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-        return new Peer(s);
+        return new TestPeer(s);
     }
 
-    void write(String text) throws IOException {
+    public void write(String text) throws IOException {
         write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
@@ -64,7 +64,7 @@
     }
 
     /** The next message, whole; null if the connection ended before its first byte. */
-    Message read() throws IOException {
+    public Message read() throws IOException {
         String head = readHead();
         if (head == null) {
             return null;
@@ -101,7 +101,7 @@
         }
     }
 
-    String readLine() throws IOException {
+    public String readLine() throws IOException {
         StringBuilder line = new StringBuilder();
         int b;
         while ((b = in.read()) != '\n') {
@@ -124,7 +124,7 @@
     }
 
     /** Waits for the other side to end the connection, by whatever means. */
-    void awaitEnd() throws IOException {
+    public void awaitEnd() throws IOException {
         try {
             byte[] rest = new byte[8_192];
             while (in.read(rest) >= 0) {
@@ -136,7 +136,7 @@
     }
 
     /** Ends the connection by a reset. */
-    void reset() throws IOException {
+    public void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
     }
--- a/src/test/java/rillyard/proxy/ThreadsIT.java
+++ b/src/test/java/rillyard/proxy/ThreadCountIT.java
@@ -19,7 +19,7 @@
 
 /** The built jar makes its threads before it is ready, and none of them ends while it serves. */
 @Timeout(120)
-class ThreadsIT {
+class ThreadCountIT {
     private static final int REQUESTS = 10_000;
     private static final int BURST = 200;
 
@@ -62,36 +62,36 @@
 
     @Test
     void theSameThreadsFromReadyOn() throws Exception {
-        try (ScriptedServer silent = new ScriptedServer(Peer::awaitEnd);
+        try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
                 ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"))) {
             Path config = folder.resolve("config.json");
-            Files.move(Rig.config(silent.port(), c -> {}, Rig.server("a", host.port())), config);
+            Files.move(ProxyFixture.config(silent.port(), c -> {}, ProxyFixture.server("a", host.port())), config);
             Launch built = Launch.platform(Path.of("").toAbsolutePath());
             try (ProxyProcess p =
                     ProxyProcess.launch(built, config, ProxyProcess.freeAddress(), folder.resolve("log"))) {
                 p.await(ProxyProcess.State.READY);
                 Map<String, String> ready = threads(p);
                 assertThat(ready).containsValue("C1 CompilerThre");
-                try (Peer c = Peer.connect(p.address().getPort())) {
+                try (TestPeer c = TestPeer.connect(p.address().getPort())) {
                     for (int i = 0; i < REQUESTS; i++) {
-                        c.write(Rig.get("read", 1_500));
+                        c.write(ProxyFixture.get("read", 1_500));
                         c.read();
                     }
                 }
                 assertThat(threads(p)).as("after %d requests", REQUESTS).isEqualTo(ready);
                 p.process().signal("HUP");
-                List<Peer> burst = new ArrayList<>();
+                List<TestPeer> burst = new ArrayList<>();
                 try {
                     for (int i = 0; i < BURST; i++) {
-                        Peer c = Peer.connect(p.address().getPort());
+                        TestPeer c = TestPeer.connect(p.address().getPort());
                         burst.add(c);
-                        c.write(Rig.get("read", 1_500));
+                        c.write(ProxyFixture.get("read", 1_500));
                     }
-                    for (Peer c : burst) {
+                    for (TestPeer c : burst) {
                         assertThat(c.read()).isNotNull();
                     }
                 } finally {
-                    for (Peer c : burst) {
+                    for (TestPeer c : burst) {
                         c.close();
                     }
                 }
--- a/src/test/java/rillyard/proxy/HostTableTest.java
+++ b/src/test/java/rillyard/proxy/discovery/EndpointRegistryTest.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,11 +10,14 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
+import rillyard.proxy.ProxyFixture;
+import rillyard.proxy.ScriptedServer;
+import rillyard.proxy.TestPeer;
 
 /** Hosts hold so many connections: what the proxy keeps of them, and what it does where there is none. */
-class HostTableTest {
+class EndpointRegistryTest {
     private static String claim() {
-        return Rig.post("claim", 800, "", "visit=1");
+        return ProxyFixture.post("claim", 800, "", "visit=1");
     }
 
     /** Where many proxies share the hosts' tables, what a burst needed is given back soon after it. */
@@ -30,15 +33,16 @@
                     p.awaitEnd();
                     ended.countDown();
                 });
-                Rig rig = new Rig(
-                        c -> ((ObjectNode) c.path("settings")).put("balancers", 14), Rig.server("a", host.port()))) {
-            List<Peer> clients = new ArrayList<>();
+                ProxyFixture rig = new ProxyFixture(
+                        c -> ((ObjectNode) c.path("settings")).put("balancers", 14),
+                        ProxyFixture.server("a", host.port()))) {
+            List<TestPeer> clients = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
-                Peer c = rig.client();
-                c.write(Rig.post("claim", 20_000, "", "visit=1"));
+                TestPeer c = rig.client();
+                c.write(ProxyFixture.post("claim", 20_000, "", "visit=1"));
                 clients.add(c);
             }
-            for (Peer c : clients) {
+            for (TestPeer c : clients) {
                 assertThat(c.read().status()).isEqualTo(200);
                 c.close();
             }
@@ -65,7 +69,8 @@
                     Thread.sleep(20); // its work: so that others find it busier than the full one
                     return ScriptedServer.ok("roomy");
                 });
-                Rig rig = new Rig(Rig.server("a", tight.port()), Rig.server("b", roomy.port()))) {
+                ProxyFixture rig = new ProxyFixture(
+                        ProxyFixture.server("a", tight.port()), ProxyFixture.server("b", roomy.port()))) {
             for (int i = 0; i < 5; i++) {
                 assertThat(together(rig, 8)).hasSize(8).containsOnly("roomy");
             }
@@ -81,17 +86,17 @@
     }
 
     /** What so many requests at once were served with. */
-    private static List<String> together(Rig rig, int n) throws Exception {
-        List<Peer> clients = new ArrayList<>();
+    private static List<String> together(ProxyFixture rig, int n) throws Exception {
+        List<TestPeer> clients = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            Peer c = rig.client();
+            TestPeer c = rig.client();
             c.write(claim());
             clients.add(c);
         }
         List<String> texts = new ArrayList<>();
-        for (Peer c : clients) {
+        for (TestPeer c : clients) {
             try (c) {
-                Peer.Message m = c.read();
+                TestPeer.Message m = c.read();
                 texts.add(m.status() == 200 ? m.text() : "status " + m.status());
             }
         }
--- a/src/test/java/rillyard/proxy/ListFramesTest.java
+++ b/src/test/java/rillyard/proxy/discovery/JsonObjectFramerTest.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -21,10 +21,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Lists in any form and cut anywhere are the same lists; what is none is told at once. */
-class ListFramesTest {
+class JsonObjectFramerTest {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private static final class Heard implements ListFrames.Sink {
+    private static final class Heard implements JsonObjectFramer.Listener {
         final List<JsonNode> lists = new ArrayList<>();
         int blanks;
 
@@ -44,7 +44,7 @@
     }
 
     private static String feed(Heard heard, String text, int cut) {
-        ListFrames frames = new ListFrames();
+        JsonObjectFramer frames = new JsonObjectFramer();
         byte[] all = text.getBytes(StandardCharsets.UTF_8);
         for (int from = 0; from < all.length; from += cut) {
             String wrong = frames.take(Unpooled.wrappedBuffer(all, from, Math.min(cut, all.length - from)), heard);
@@ -105,7 +105,7 @@
 
     @Test
     void aListWithoutEndIsBounded() {
-        ListFrames frames = new ListFrames();
+        JsonObjectFramer frames = new JsonObjectFramer();
         byte[] part = " ".repeat(1 << 20).getBytes(StandardCharsets.US_ASCII);
         Heard heard = new Heard();
         assertThat(frames.take(Unpooled.wrappedBuffer("{".getBytes(StandardCharsets.US_ASCII)), heard))
--- a/src/test/java/rillyard/proxy/QuietChannelTest.java
+++ b/src/test/java/rillyard/proxy/eventloop/PeekableSocketChannelTest.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.eventloop;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -14,23 +14,25 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import rillyard.proxy.ClientProxy;
+import rillyard.proxy.TestPeer;
 
 /** A close over bytes that nobody has read. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
-class QuietChannelTest {
+class PeekableSocketChannelTest {
     @Test
     void whatWasSentArrivesAlthoughBytesLieUnreadAtTheClose() throws Exception {
-        MultiThreadIoEventLoopGroup group = Proxy.newGroup(NioIoHandler.newFactory());
+        MultiThreadIoEventLoopGroup group = ClientProxy.newGroup(NioIoHandler.newFactory());
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            QuietChannel channel = (QuietChannel) new Bootstrap()
+            PeekableSocketChannel channel = (PeekableSocketChannel) new Bootstrap()
                     .group(group)
-                    .channelFactory(QuietChannel::new)
+                    .channelFactory(PeekableSocketChannel::new)
                     .option(ChannelOption.AUTO_READ, false)
                     .handler(new ChannelInboundHandlerAdapter())
                     .connect(server.getLocalSocketAddress())
                     .sync()
                     .channel();
-            try (Peer peer = new Peer(server.accept())) {
+            try (TestPeer peer = new TestPeer(server.accept())) {
                 channel.writeAndFlush(Unpooled.copiedBuffer("answer\n", CharsetUtil.US_ASCII))
                         .sync();
                 peer.write("a request that crosses the close");
--- a/src/test/java/rillyard/proxy/WarmUpTest.java
+++ b/src/test/java/rillyard/proxy/lifecycle/WarmupTest.java
@@ -1,4 +1,4 @@
-package rillyard.proxy;
+package rillyard.proxy.lifecycle;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,16 +7,18 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
+import rillyard.proxy.ProxyFixture;
+import rillyard.proxy.config.ProxyConfig;
 
-class WarmUpTest {
+class WarmupTest {
     private static final long MOST_MS = 30_000;
 
     /** What is sent before a proxy is ready is paid by each restart: counted, so that it doesn't grow unseen. */
     @Test
     void fewRequestsAreSentAllAreAnsweredAndNothingIsLeftBehind() throws Exception {
-        Path file = Rig.config(1, c -> {}, Rig.server("a", 1));
+        Path file = ProxyFixture.config(1, c -> {}, ProxyFixture.server("a", 1));
         Set<Thread> before = Thread.getAllStackTraces().keySet();
-        int answered = new WarmUp(Config.load(Map.of("BALANCER_CONFIG", file.toString()))).run(MOST_MS);
+        int answered = new Warmup(ProxyConfig.load(Map.of("BALANCER_CONFIG", file.toString()))).run(MOST_MS);
         Files.delete(file);
         assertThat(answered).isBetween(20, 200);
         for (Thread t : Thread.getAllStackTraces().keySet()) {
@@ -29,9 +31,10 @@
 
     @Test
     void aServiceWithoutClassesHasNothingToSendAndIsNotHeldUpForLong() throws Exception {
-        Path file = Rig.config(1, c -> c.withObject("/settings").putArray("classes"), Rig.server("a", 1));
+        Path file =
+                ProxyFixture.config(1, c -> c.withObject("/settings").putArray("classes"), ProxyFixture.server("a", 1));
         long from = System.nanoTime();
-        int answered = new WarmUp(Config.load(Map.of("BALANCER_CONFIG", file.toString()))).run(MOST_MS);
+        int answered = new Warmup(ProxyConfig.load(Map.of("BALANCER_CONFIG", file.toString()))).run(MOST_MS);
         Files.delete(file);
         assertThat(answered).isZero();
         assertThat(System.nanoTime() - from).isLessThan(MOST_MS * 1_000_000 / 2);
--- a/src/test/java/rillyard/proxy/IdleRiskTest.java
+++ b/src/test/java/rillyard/proxy/upstream/IdleResetStatsTest.java
@@ -1,16 +1,18 @@
-package rillyard.proxy;
+package rillyard.proxy.upstream;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
+import rillyard.proxy.ProxyFixture;
+import rillyard.proxy.ScriptedServer;
 
 /** What is learned of connections that stood idle. */
-class IdleRiskTest {
+class IdleResetStatsTest {
     private static final long MS = 1_000_000;
 
     @Test
     void longPausesThatBreakAreAvoidedUntilForgotten() {
-        IdleRisk risk = new IdleRisk();
+        IdleResetStats risk = new IdleResetStats();
         long now = 1_000_000 * MS;
         for (int i = 0; i < 40; i++) {
             risk.used(5 * MS, i % 20 == 0, now);
@@ -34,10 +36,10 @@
             p.reset();
         });
         try (host;
-                Rig rig = new Rig(Rig.server("a", host.port()))) {
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
             int broken = 0;
             for (int i = 0; i < 24; i++) {
-                broken += rig.call(Rig.post("claim", 5_000, "", "x")).status() == 200 ? 0 : 1;
+                broken += rig.call(ProxyFixture.post("claim", 5_000, "", "x")).status() == 200 ? 0 : 1;
                 Thread.sleep(70); // the pause itself; a longer one is as good
             }
             assertThat(broken).isBetween(1, 9);
--- a/src/test/java/rillyard/spread/net/FleetNewsTest.java
+++ b/src/test/java/rillyard/spread/net/FleetNewsTest.java
@@ -19,7 +19,7 @@
 import rillyard.member.Fact;
 import rillyard.member.net.FleetFile;
 import rillyard.member.net.FleetMember;
-import rillyard.proxy.Neighbours;
+import rillyard.proxy.dispatch.PeerGossip;
 import rillyard.spread.SpreadSettings;
 
 /** Five members over sockets that tell each other what they saw of hosts. */
@@ -28,7 +28,7 @@
     private static final Set<String> HOSTS = Set.of("a", "b");
 
     /** What one proxy was told to heed. */
-    private static final class Heeded implements Neighbours.Heed {
+    private static final class Heeded implements PeerGossip.Listener {
         final List<String> left = new ArrayList<>();
         final List<String> back = new ArrayList<>();
         final List<String> lines = new ArrayList<>();
--- a/src/test/java/rillyard/gaps/GapsTest.java
+++ b/src/test/java/rillyard/stall/StallDetectorTest.java
@@ -1,12 +1,12 @@
-package rillyard.gaps;
+package rillyard.stall;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
 
-class GapsTest {
+class StallDetectorTest {
     private static final long MS = 1_000_000;
-    private final Gaps gaps = new Gaps(0);
+    private final StallDetector gaps = new StallDetector(0);
 
     private void look(long from, long alarm, long to) {
         gaps.looking(from * MS, alarm * MS);
