--- a/src/main/java/rillyard/cli/FleetCommand.java
+++ b/src/main/java/rillyard/cli/FleetCommand.java
@@ -7,8 +7,8 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import rillyard.member.net.FleetFile;
-import rillyard.member.net.FleetSettings;
+import rillyard.membership.net.FleetConfig;
+import rillyard.membership.net.FleetConfigReader;
 
 @Command(
         name = "fleet",
@@ -38,7 +38,7 @@
 
         @Override
         public Integer call() throws Exception {
-            FleetSettings s = FleetFile.read(file, System.getenv());
+            FleetConfig s = FleetConfigReader.read(file, System.getenv());
             PrintWriter out = spec.commandLine().getOut();
             out.println(s.card().name() + " at " + s.card().at() + ", zone "
                     + s.card().zone() + ", region " + s.card().region() + ", "
--- a/src/main/java/rillyard/cli/MembersCommand.java
+++ b/src/main/java/rillyard/cli/MembersCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import rillyard.member.net.AdminClient;
+import rillyard.membership.net.MemberAdminClient;
 
 @Command(
         name = "members",
@@ -43,7 +43,7 @@
     @Override
     public Integer call() throws Exception {
         PrintWriter out = spec.commandLine().getOut();
-        JsonNode view = AdminClient.ask(admin);
+        JsonNode view = MemberAdminClient.ask(admin);
         if (json) {
             out.println(view);
         } else {
@@ -54,7 +54,7 @@
             Ending ending = new Ending(end::countDown);
             Map<String, String> before = beliefs(view);
             while (!end.await(EVERY_MS, TimeUnit.MILLISECONDS)) {
-                Map<String, String> now = beliefs(AdminClient.ask(admin));
+                Map<String, String> now = beliefs(MemberAdminClient.ask(admin));
                 changes(before, now).forEach(out::println);
                 before = now;
             }
--- a/src/main/java/rillyard/cli/ProxyCommands.java
+++ b/src/main/java/rillyard/cli/ProxyCommands.java
@@ -5,16 +5,16 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import rillyard.member.net.FleetFile;
-import rillyard.member.net.FleetMember;
-import rillyard.member.net.FleetSettings;
+import rillyard.membership.net.FleetConfig;
+import rillyard.membership.net.FleetConfigReader;
+import rillyard.membership.net.FleetMember;
+import rillyard.outlier.FleetOutlierSettings;
+import rillyard.outlier.net.ObservationGossip;
 import rillyard.proxy.ClientProxy;
 import rillyard.proxy.dispatch.PeerGossip;
 import rillyard.proxy.lifecycle.ClassArchiveTraining;
 import rillyard.settings.MalformedInputException;
 import rillyard.simulation.SimulatorSession;
-import rillyard.spread.SpreadSettings;
-import rillyard.spread.net.FleetNews;
 
 /** What the platform starts, for their help; given alone they are run before the parser is loaded. */
 final class ProxyCommands {
@@ -42,9 +42,11 @@
                 return Cli.DONE;
             }
             SecureRandom random = new SecureRandom();
-            FleetSettings settings = FleetFile.read(fleet, System.getenv());
+            FleetConfig settings = FleetConfigReader.read(fleet, System.getenv());
             FleetMember member = new FleetMember(settings, random.nextLong(), System.err);
-            PeerGossip news = settings.spread() ? new FleetNews(member, SpreadSettings.USUAL, random.nextLong()) : null;
+            PeerGossip news = settings.spread()
+                    ? new ObservationGossip(member, FleetOutlierSettings.USUAL, random.nextLong())
+                    : null;
             member.start();
             Runtime.getRuntime().addShutdownHook(new Thread(member::close, "leave"));
             ClientProxy.run(System.getenv(), news);
--- a/src/main/java/rillyard/cli/SubsetCommand.java
+++ b/src/main/java/rillyard/cli/SubsetCommand.java
@@ -7,9 +7,9 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import rillyard.subset.Schemes;
-import rillyard.subset.SubsetFigures;
 import rillyard.subset.SubsetSize;
+import rillyard.subset.SubsetStatistics;
+import rillyard.subset.SubsettingAlgorithm;
 
 @Command(
         name = "subset",
@@ -81,10 +81,10 @@
             out.println("| way | hosts each | instances a host: least, mean, most | connections a host, most |"
                     + " neighbours alike | shared by two | moved when a host goes | when an instance comes |");
             out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
-            for (Schemes way : Schemes.values()) {
+            for (SubsettingAlgorithm way : SubsettingAlgorithm.values()) {
                 try {
                     SubsetSize s = SubsetSize.largest(way, instances, hosts, cap, each, reserve);
-                    row(out, way, s, SubsetFigures.of(way, instances, hosts, s.hosts()));
+                    row(out, way, s, SubsetStatistics.of(way, instances, hosts, s.hosts()));
                     any = true;
                 } catch (SubsetSize.TooManyException e) {
                     out.println("| " + way.word() + " | none: " + e.getMessage() + " | | | | | | |");
@@ -93,7 +93,7 @@
             return any ? Cli.DONE : Cli.FAILED;
         }
 
-        private void row(PrintWriter out, Schemes way, SubsetSize s, SubsetFigures f) {
+        private void row(PrintWriter out, SubsettingAlgorithm way, SubsetSize s, SubsetStatistics f) {
             out.println(String.format(
                     Locale.ROOT,
                     "| %s | %d | %d, %.0f, %d | %d of %d | %d | %.2f | %.2f | %.2f |",
--- a/src/main/java/rillyard/spread/measure/Evenness.java
+++ b/src/main/java/rillyard/imbalance/Evenness.java
@@ -1,4 +1,4 @@
-package rillyard.spread.measure;
+package rillyard.imbalance;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/rillyard/spread/measure/Herd.java
+++ b/src/main/java/rillyard/imbalance/Herd.java
@@ -1,4 +1,4 @@
-package rillyard.spread.measure;
+package rillyard.imbalance;
 
 import java.util.List;
 
@@ -21,4 +21,4 @@
         double probability,
         int proxies,
         int allProxies,
-        List<Mark> before) {}
+        List<TimelineEvent> before) {}
--- a/src/main/java/rillyard/spread/measure/Herds.java
+++ b/src/main/java/rillyard/imbalance/HerdDetector.java
@@ -1,4 +1,4 @@
-package rillyard.spread.measure;
+package rillyard.imbalance;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -13,7 +13,7 @@
  * of first attempts. Each stretch looked at is a test; the bound on its probability is cut by their number (Bonferroni),
  * so that a whole run of uniform load raises a false alarm with a probability of {@link #FALSE_ALARM} at most.
  */
-final class Herds {
+final class HerdDetector {
     /** A host that gets more than so many times its share is herded to. */
     static final double TIMES = 3;
 
@@ -27,13 +27,13 @@
 
     private static final int MOST_MARKS = 4;
 
-    private final List<Arrival> first;
-    private final HostTimes hosts;
-    private final List<Mark> marks;
+    private final List<HostArrival> first;
+    private final HostAvailability hosts;
+    private final List<TimelineEvent> marks;
 
     /** Arrivals and marks in the order of their times. */
-    Herds(List<Arrival> arrivals, HostTimes hosts, List<Mark> marks) {
-        this.first = arrivals.stream().filter(Arrival::first).toList();
+    HerdDetector(List<HostArrival> arrivals, HostAvailability hosts, List<TimelineEvent> marks) {
+        this.first = arrivals.stream().filter(HostArrival::first).toList();
         this.hosts = hosts;
         this.marks = marks;
     }
@@ -90,11 +90,11 @@
             return;
         }
         // The stretch begins with one of the host's arrivals: that one is given, the others are by chance.
-        double p = Chance.atLeast(count - 1, all - 1, share);
+        double p = MultinomialBaseline.atLeast(count - 1, all - 1, share);
         if (p < bound) {
             Set<String> part = new HashSet<>();
             Set<String> any = new HashSet<>();
-            for (Arrival a : first.subList(firstIndex, lastIndex)) {
+            for (HostArrival a : first.subList(firstIndex, lastIndex)) {
                 any.add(a.proxy());
                 if (a.host().equals(host)) {
                     part.add(a.proxy());
@@ -104,16 +104,16 @@
         }
     }
 
-    private List<Mark> before(String host, long from) {
-        List<Mark> out = new ArrayList<>();
-        for (Mark m : marks) {
+    private List<TimelineEvent> before(String host, long from) {
+        List<TimelineEvent> out = new ArrayList<>();
+        for (TimelineEvent m : marks) {
             if (m.at() <= from
                     && m.at() > from - BEFORE
                     && (m.host().isEmpty() || m.host().equals(host))) {
                 out.add(m);
             }
         }
-        out.sort(Comparator.comparingLong(Mark::at).reversed());
+        out.sort(Comparator.comparingLong(TimelineEvent::at).reversed());
         return List.copyOf(out.subList(0, Math.min(MOST_MARKS, out.size())));
     }
 
--- a/src/main/java/rillyard/spread/measure/Arrival.java
+++ b/src/main/java/rillyard/imbalance/HostArrival.java
@@ -1,4 +1,4 @@
-package rillyard.spread.measure;
+package rillyard.imbalance;
 
 /**
  * A request that came to a host. Times are microseconds of any one clock.
@@ -8,4 +8,4 @@
  * @param waited before it ran; all of its stay where it never ran
  * @param lasted from its coming until the host was done with it
  */
-public record Arrival(long at, String host, String proxy, boolean first, long waited, long lasted) {}
+public record HostArrival(long at, String host, String proxy, boolean first, long waited, long lasted) {}
--- a/src/main/java/rillyard/spread/measure/HostTimes.java
+++ b/src/main/java/rillyard/imbalance/HostAvailability.java
@@ -1,4 +1,4 @@
-package rillyard.spread.measure;
+package rillyard.imbalance;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 
 /** When each host was there to be sent to, and what share of the load it could bear. Times are microseconds. */
-public final class HostTimes {
+public final class HostAvailability {
     private record Span(long from, long until) {}
 
     private record Host(double weight, List<Span> spans) {}
--- a/src/main/java/rillyard/spread/measure/IdleHost.java
+++ b/src/main/java/rillyard/imbalance/IdleHost.java
@@ -1,4 +1,4 @@
-package rillyard.spread.measure;
+package rillyard.imbalance;
 
 /**
  * A host that got nothing for a while in which others queued, by more than chance explains. Times are microseconds.
--- a/src/main/java/rillyard/spread/measure/IdleHosts.java
+++ b/src/main/java/rillyard/imbalance/IdleHostDetector.java
@@ -1,4 +1,4 @@
-package rillyard.spread.measure;
+package rillyard.imbalance;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -7,15 +7,15 @@
 import java.util.Map;
 
 /** Finds hosts that got nothing while others queued. */
-final class IdleHosts {
+final class IdleHostDetector {
     /** Work that waited longer than that (us) queued. */
     private static final long QUEUED = 5_000;
 
-    private final List<Arrival> arrivals;
-    private final HostTimes hosts;
+    private final List<HostArrival> arrivals;
+    private final HostAvailability hosts;
 
     /** Arrivals in the order of their times. */
-    IdleHosts(List<Arrival> arrivals, HostTimes hosts) {
+    IdleHostDetector(List<HostArrival> arrivals, HostAvailability hosts) {
         this.arrivals = arrivals;
         this.hosts = hosts;
     }
@@ -42,8 +42,8 @@
                 pause(e.getKey(), from, until, least, pauses);
             }
         }
-        double bound =
-                Herds.FALSE_ALARM / Math.max(1, arrivals.size() + hosts.spans().size());
+        double bound = HerdDetector.FALSE_ALARM
+                / Math.max(1, arrivals.size() + hosts.spans().size());
         pauses.removeIf(p -> p.queued() == 0 || p.probability() >= bound);
         pauses.sort(Comparator.comparingLong(IdleHost::from));
         return pauses;
@@ -56,13 +56,14 @@
         int missed = 0;
         int queued = 0;
         for (int i = after(from); i < arrivals.size() && arrivals.get(i).at() < until; i++) {
-            Arrival a = arrivals.get(i);
+            HostArrival a = arrivals.get(i);
             if (!a.host().equals(host)) {
                 missed++;
                 queued += a.waited() > QUEUED ? 1 : 0;
             }
         }
-        to.add(new IdleHost(host, from, until, missed, queued, Chance.none(missed, hosts.share(host, from))));
+        to.add(new IdleHost(
+                host, from, until, missed, queued, MultinomialBaseline.none(missed, hosts.share(host, from))));
     }
 
     /** The first arrival after a time. */
--- a/src/main/java/rillyard/spread/measure/Spread.java
+++ b/src/main/java/rillyard/imbalance/ImbalanceReport.java
@@ -1,4 +1,4 @@
-package rillyard.spread.measure;
+package rillyard.imbalance;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -13,7 +13,7 @@
  * @param answerTime the median stay at a host (us), the unit in which herds are looked for
  * @param windows evenness window by window, those without any host left out
  */
-public record Spread(long answerTime, List<Evenness> windows, List<Herd> herds, List<IdleHost> idle) {
+public record ImbalanceReport(long answerTime, List<Evenness> windows, List<Herd> herds, List<IdleHost> idle) {
     /** The shortest answer time (us) that herds are looked for in: less is below what clocks and loops tell apart. */
     private static final long LEAST_ANSWER = 5_000;
 
@@ -23,21 +23,22 @@
     private static final int SHOWN = 8;
 
     /** Looks at a run whose arrivals and marks are in no order; {@code window} is microseconds. */
-    public static Spread of(List<Arrival> arrivals, HostTimes hosts, List<Mark> marks, long window) {
-        List<Arrival> sorted = new ArrayList<>(arrivals);
-        sorted.sort(Comparator.comparingLong(Arrival::at));
-        List<Mark> known = new ArrayList<>(marks);
-        known.sort(Comparator.comparingLong(Mark::at));
-        long[] stays = sorted.stream().mapToLong(Arrival::lasted).sorted().toArray();
+    public static ImbalanceReport of(
+            List<HostArrival> arrivals, HostAvailability hosts, List<TimelineEvent> marks, long window) {
+        List<HostArrival> sorted = new ArrayList<>(arrivals);
+        sorted.sort(Comparator.comparingLong(HostArrival::at));
+        List<TimelineEvent> known = new ArrayList<>(marks);
+        known.sort(Comparator.comparingLong(TimelineEvent::at));
+        long[] stays = sorted.stream().mapToLong(HostArrival::lasted).sorted().toArray();
         long answer = stays.length == 0 ? LEAST_ANSWER : Math.max(LEAST_ANSWER, stays[stays.length / 2]);
-        return new Spread(
+        return new ImbalanceReport(
                 answer,
                 windows(sorted, hosts, window),
-                new Herds(sorted, hosts, known).find(answer),
-                new IdleHosts(sorted, hosts).find(IDLE));
+                new HerdDetector(sorted, hosts, known).find(answer),
+                new IdleHostDetector(sorted, hosts).find(IDLE));
     }
 
-    private static List<Evenness> windows(List<Arrival> sorted, HostTimes hosts, long window) {
+    private static List<Evenness> windows(List<HostArrival> sorted, HostAvailability hosts, long window) {
         List<Evenness> out = new ArrayList<>();
         int i = 0;
         while (i < sorted.size()) {
--- a/src/main/java/rillyard/spread/measure/Chance.java
+++ b/src/main/java/rillyard/imbalance/MultinomialBaseline.java
@@ -1,10 +1,10 @@
-package rillyard.spread.measure;
+package rillyard.imbalance;
 
 import org.apache.commons.statistics.distribution.BinomialDistribution;
 
 /** What pure chance would give where each request goes to a host by its share alone. */
-final class Chance {
-    private Chance() {}
+final class MultinomialBaseline {
+    private MultinomialBaseline() {}
 
     /** The probability that so many, or more, of {@code all} go to a host of this share. */
     static double atLeast(int count, int all, double share) {
--- a/src/main/java/rillyard/spread/measure/Mark.java
+++ b/src/main/java/rillyard/imbalance/TimelineEvent.java
@@ -1,4 +1,4 @@
-package rillyard.spread.measure;
+package rillyard.imbalance;
 
 /**
  * Something that proxies may have had in common.
@@ -7,4 +7,4 @@
  * @param host whom it is about; empty for all
  * @param what in words
  */
-public record Mark(long at, String host, String what) {}
+public record TimelineEvent(long at, String host, String what) {}
--- a/src/main/java/rillyard/member/Facts.java
+++ b/src/main/java/rillyard/membership/AttributeStore.java
@@ -1,4 +1,4 @@
-package rillyard.member;
+package rillyard.membership;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -16,7 +16,7 @@
  * said it, until it ends; the owner says it again in time. One that ended is kept until its member is forgotten, so that no
  * older one is believed after it. Bounded by the members that are kept, times the kinds.
  */
-final class Facts {
+final class AttributeStore {
     /** An owner says a fact again when this share of its time is over: two of its tellings may get lost. */
     private static final double AGAIN = 1 / 3.0;
 
@@ -28,7 +28,7 @@
     private record Key(String owner, int kind) {}
 
     /** A fact, and when (ms) its owner said it. */
-    private record Held(Fact fact, double bornAt) {
+    private record StoredAttribute(MemberAttribute fact, double bornAt) {
         double age(double now) {
             return Math.max(0, now - bornAt);
         }
@@ -38,22 +38,22 @@
         }
 
         /** As it is passed on at a time. */
-        Fact at(double now) {
-            return new Fact(
+        MemberAttribute at(double now) {
+            return new MemberAttribute(
                     fact.owner(),
                     fact.start(),
                     fact.kind(),
                     fact.version(),
-                    Math.min(Fact.MAX_MS, age(now)),
+                    Math.min(MemberAttribute.MAX_MS, age(now)),
                     fact.lasts(),
                     fact.value());
         }
     }
 
-    private final Map<Key, Held> held = new HashMap<>();
+    private final Map<Key, StoredAttribute> held = new HashMap<>();
     private final Set<Integer> ownKinds = new TreeSet<>();
-    private final Turns<Key> turns =
-            new Turns<>(Comparator.comparing(Key::owner).thenComparingInt(Key::kind));
+    private final BroadcastQueue<Key> turns =
+            new BroadcastQueue<>(Comparator.comparing(Key::owner).thenComparingInt(Key::kind));
     /** Those of the turns that are worth a datagram of their own: they say something new. */
     private final Set<Key> urgent = new HashSet<>();
 
@@ -64,8 +64,8 @@
      * @param unixNow this machine's Unix time (ms)
      * @return whether it is said; not if this member has said so many that nobody would believe one more
      */
-    boolean say(Update self, int kind, byte[] value, double lasts, boolean again, long unixNow, double now) {
-        Held before = held.get(new Key(self.card().name(), kind));
+    boolean say(MemberUpdate self, int kind, byte[] value, double lasts, boolean again, long unixNow, double now) {
+        StoredAttribute before = held.get(new Key(self.card().name(), kind));
         long version = before == null ? 0 : before.fact.version() + 1;
         if (!possible(version, self.life().start(), unixNow)) {
             return false;
@@ -75,24 +75,27 @@
         } else {
             ownKinds.remove(kind);
         }
-        take(new Fact(self.card().name(), self.life().start(), kind, version, 0, lasts, value), now, true);
+        take(new MemberAttribute(self.card().name(), self.life().start(), kind, version, 0, lasts, value), now, true);
         return true;
     }
 
     /** What this member says of itself it says again in time. */
-    void tick(Update self, double now) {
+    void tick(MemberUpdate self, double now) {
         for (int kind : ownKinds) {
-            Held h = held.get(new Key(self.card().name(), kind));
-            Fact f = h.fact;
+            StoredAttribute h = held.get(new Key(self.card().name(), kind));
+            MemberAttribute f = h.fact;
             if (!f.withdrawn() && h.age(now) >= f.lasts() * AGAIN) {
-                take(new Fact(f.owner(), f.start(), kind, f.version() + 1, 0, f.lasts(), f.value()), now, false);
+                take(
+                        new MemberAttribute(f.owner(), f.start(), kind, f.version() + 1, 0, f.lasts(), f.value()),
+                        now,
+                        false);
             }
         }
     }
 
-    private void take(Fact f, double now, boolean isNew) {
+    private void take(MemberAttribute f, double now, boolean isNew) {
         Key key = new Key(f.owner(), f.kind());
-        held.put(key, new Held(f, now - f.age()));
+        held.put(key, new StoredAttribute(f, now - f.age()));
         turns.add(key);
         if (isNew) {
             urgent.add(key);
@@ -112,13 +115,13 @@
      * @param life of its owner as this member holds it, null where it is unknown or gone
      * @param unixNow this machine's Unix time (ms)
      */
-    void heard(Fact f, Update self, Life life, long unixNow, double now) {
+    void heard(MemberAttribute f, MemberUpdate self, Incarnation life, long unixNow, double now) {
         boolean own = f.owner().equals(self.card().name());
-        Life of = own ? self.life() : life;
+        Incarnation of = own ? self.life() : life;
         if (of == null || of.start() != f.start() || !possible(f.version(), f.start(), unixNow)) {
             return;
         }
-        Held h = held.get(new Key(f.owner(), f.kind()));
+        StoredAttribute h = held.get(new Key(f.owner(), f.kind()));
         boolean sameLife = h != null && h.fact.start() == f.start();
         if (own) {
             ownComesBack(f, h, now);
@@ -131,7 +134,7 @@
     }
 
     /** Somebody has one of this member's name that it never said: the member has the last word. */
-    private void ownComesBack(Fact f, Held said, double now) {
+    private void ownComesBack(MemberAttribute f, StoredAttribute said, double now) {
         if (said == null
                 || f.version() > said.fact.version()
                 || f.version() == said.fact.version() && !Arrays.equals(f.value(), said.fact.value())) {
@@ -139,7 +142,14 @@
             double lasts = said == null ? f.lasts() : said.fact.lasts();
             double age = said == null ? 0 : said.age(now); // it was said then, and may end by itself
             take(
-                    new Fact(f.owner(), f.start(), f.kind(), f.version() + 1, Math.min(Fact.MAX_MS, age), lasts, value),
+                    new MemberAttribute(
+                            f.owner(),
+                            f.start(),
+                            f.kind(),
+                            f.version() + 1,
+                            Math.min(MemberAttribute.MAX_MS, age),
+                            lasts,
+                            value),
                     now,
                     true);
         }
@@ -147,8 +157,8 @@
 
     /** Whether an owner of that start can have said so many: guards against made-up versions that none could follow. */
     private static boolean possible(long version, long start, long unixNow) {
-        double lived = unixNow + Credence.CLOCKS_APART - start;
-        return version < Math.min(Fact.MAX_VERSION, FIRST + lived / 1_000 * MOST_A_SECOND);
+        double lived = unixNow + IncarnationValidator.CLOCKS_APART - start;
+        return version < Math.min(MemberAttribute.MAX_VERSION, FIRST + lived / 1_000 * MOST_A_SECOND);
     }
 
     /** Whether there are facts that are worth a datagram of their own. */
@@ -157,12 +167,12 @@
     }
 
     /** Facts to pass on, least told first, as far as the room (bytes) goes. */
-    List<Fact> pick(int room, int transmits, double now) {
-        List<Fact> out = new ArrayList<>();
+    List<MemberAttribute> pick(int room, int transmits, double now) {
+        List<MemberAttribute> out = new ArrayList<>();
         List<Key> over = new ArrayList<>();
         int[] left = {room};
-        List<Key> told = turns.offer(transmits, () -> left[0] >= Fact.LEAST_SIZE, key -> {
-            Held h = held.get(key);
+        List<Key> told = turns.offer(transmits, () -> left[0] >= MemberAttribute.LEAST_SIZE, key -> {
+            StoredAttribute h = held.get(key);
             if (h.over(now)) {
                 over.add(key);
                 return false;
@@ -179,12 +189,12 @@
     }
 
     /** The facts of a kind that hold now, by owner; those whose owner is not present in that life are left out. */
-    Map<String, Fact> holding(int kind, Update self, Map<String, Belief> beliefs, double now) {
-        Map<String, Fact> out = new TreeMap<>();
-        for (Held h : held.values()) {
-            Fact f = h.fact;
+    Map<String, MemberAttribute> holding(int kind, MemberUpdate self, Map<String, MemberState> beliefs, double now) {
+        Map<String, MemberAttribute> out = new TreeMap<>();
+        for (StoredAttribute h : held.values()) {
+            MemberAttribute f = h.fact;
             if (f.kind() == kind && !f.withdrawn() && !h.over(now)) {
-                Belief b = beliefs.get(f.owner());
+                MemberState b = beliefs.get(f.owner());
                 boolean own = f.owner().equals(self.card().name());
                 if (own || b != null && b.status().present() && b.word.life().start() == f.start()) {
                     out.put(f.owner(), h.at(now));
@@ -196,7 +206,7 @@
 
     /** The owner, another member, is forgotten. */
     void forget(String owner) {
-        for (int kind = 0; kind <= Fact.MAX_KIND; kind++) {
+        for (int kind = 0; kind <= MemberAttribute.MAX_KIND; kind++) {
             Key key = new Key(owner, kind);
             if (held.remove(key) != null) {
                 drop(key);
--- a/src/main/java/rillyard/member/Turns.java
+++ b/src/main/java/rillyard/membership/BroadcastQueue.java
@@ -1,4 +1,4 @@
-package rillyard.member;
+package rillyard.membership;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -14,36 +14,37 @@
  * What is to be passed on, and how often it has been: the least told first, each only so often. Kept in that order, as
  * thousands join at once and each datagram takes ten.
  */
-final class Turns<K> {
-    private static final class Turn<K> {
+final class BroadcastQueue<K> {
+    private static final class Entry<K> {
         final K key;
         int told;
 
-        Turn(K key) {
+        Entry(K key) {
             this.key = key;
         }
     }
 
-    private final Map<K, Turn<K>> turns = new HashMap<>();
-    private final TreeSet<Turn<K>> order;
+    private final Map<K, Entry<K>> turns = new HashMap<>();
+    private final TreeSet<Entry<K>> order;
     private final Comparator<K> ties;
 
     /** Of two that were told alike the first by {@code ties} comes first. */
-    Turns(Comparator<K> ties) {
+    BroadcastQueue(Comparator<K> ties) {
         this.ties = ties;
-        this.order = new TreeSet<>(Comparator.<Turn<K>>comparingInt(t -> t.told).thenComparing(t -> t.key, ties));
+        this.order =
+                new TreeSet<>(Comparator.<Entry<K>>comparingInt(t -> t.told).thenComparing(t -> t.key, ties));
     }
 
     /** There is something new about this: its turns begin anew. */
     void add(K key) {
         remove(key);
-        Turn<K> t = new Turn<>(key);
+        Entry<K> t = new Entry<>(key);
         turns.put(key, t);
         order.add(t);
     }
 
     void remove(K key) {
-        Turn<K> t = turns.remove(key);
+        Entry<K> t = turns.remove(key);
         if (t != null) {
             order.remove(t);
         }
@@ -62,8 +63,8 @@
      * @return those that have left
      */
     List<K> offer(int times, BooleanSupplier more, Predicate<K> taken) {
-        List<Turn<K>> told = new ArrayList<>(10);
-        for (Turn<K> t : order) {
+        List<Entry<K>> told = new ArrayList<>(10);
+        for (Entry<K> t : order) {
             if (!more.getAsBoolean()) {
                 break;
             }
@@ -72,7 +73,7 @@
             }
         }
         List<K> left = new ArrayList<>();
-        for (Turn<K> t : told) {
+        for (Entry<K> t : told) {
             order.remove(t);
             t.told++;
             if (t.told < times) {
@@ -88,7 +89,7 @@
     /** What is waiting, and how often it was told. */
     String state() {
         StringBuilder s = new StringBuilder();
-        Map<K, Turn<K>> sorted = new TreeMap<>(ties);
+        Map<K, Entry<K>> sorted = new TreeMap<>(ties);
         sorted.putAll(turns);
         sorted.values().forEach(t -> s.append("; tell ").append(t.key).append(t.told));
         return s.toString();
--- a/src/main/java/rillyard/member/Errands.java
+++ b/src/main/java/rillyard/membership/IndirectProbes.java
@@ -1,4 +1,4 @@
-package rillyard.member;
+package rillyard.membership;
 
 import java.util.ArrayList;
 import java.util.Iterator;
@@ -7,17 +7,17 @@
 import java.util.Map;
 
 /** Questions put to members for others that got no answer themselves. Bounded; each ends with its answer or a no. */
-final class Errands {
+final class IndirectProbes {
     /** Part of what is left of the asker's probe after which it is told that there is no answer here either. */
     private static final double NO_AFTER = 0.8;
 
     /** One question: under which number the asker knows it, who and where that is, when it is told no. */
-    record Errand(int sequence, String asker, Endpoint askerAt, double noAt) {}
+    record IndirectProbe(int sequence, String asker, MemberAddress askerAt, double noAt) {}
 
-    private final Map<Integer, Errand> open = new LinkedHashMap<>();
-    private final MemberSettings settings;
+    private final Map<Integer, IndirectProbe> open = new LinkedHashMap<>();
+    private final MembershipSettings settings;
 
-    Errands(MemberSettings settings) {
+    IndirectProbes(MembershipSettings settings) {
         this.settings = settings;
     }
 
@@ -26,21 +26,21 @@
     }
 
     /** Takes one on, asked under a number of our own. */
-    void take(int own, Message m, Endpoint askerAt, double now) {
+    void take(int own, Message m, MemberAddress askerAt, double now) {
         double noAt = now + NO_AFTER * (settings.interval() - settings.timeout());
-        open.put(own, new Errand(m.sequence(), m.sender().card().name(), askerAt, noAt));
+        open.put(own, new IndirectProbe(m.sequence(), m.sender().card().name(), askerAt, noAt));
     }
 
     /** The errand that an answer to this number of ours ends, or null. */
-    Errand answered(int own) {
+    IndirectProbe answered(int own) {
         return open.remove(own);
     }
 
     /** Ends those whose askers are to be told no. */
-    List<Errand> overdue(double now) {
-        List<Errand> out = new ArrayList<>(0);
-        for (Iterator<Errand> i = open.values().iterator(); i.hasNext(); ) {
-            Errand e = i.next();
+    List<IndirectProbe> overdue(double now) {
+        List<IndirectProbe> out = new ArrayList<>(0);
+        for (Iterator<IndirectProbe> i = open.values().iterator(); i.hasNext(); ) {
+            IndirectProbe e = i.next();
             if (now >= e.noAt()) {
                 out.add(e);
                 i.remove();
--- a/src/main/java/rillyard/member/LocalHealth.java
+++ b/src/main/java/rillyard/membership/LocalHealth.java
@@ -1,4 +1,4 @@
-package rillyard.member;
+package rillyard.membership;
 
 /**
  * How much this member trusts itself (Lifeguard, 3.1): the worse it does, the longer it waits for others,
--- a/src/main/java/rillyard/member/Identity.java
+++ b/src/main/java/rillyard/membership/LocalMember.java
@@ -1,7 +1,7 @@
-package rillyard.member;
+package rillyard.membership;
 
 /** Who a member is: its word about itself, and what is said under its name by others. */
-final class Identity {
+final class LocalMember {
     /** What a word under this name asks for. */
     enum Claim {
         NOTHING,
@@ -12,17 +12,17 @@
     }
 
     private final double askEvery;
-    private Update word;
+    private MemberUpdate word;
     private boolean silent;
     private double askedAt = Double.NEGATIVE_INFINITY;
 
     /** One that has just started; {@code askEvery} (ms) is how often it asks for a namesake at most. */
-    Identity(Card card, long start, double askEvery) {
+    LocalMember(MemberIdentity card, long start, double askEvery) {
         this.askEvery = askEvery;
-        this.word = new Update(card, new Life(start, 0), Status.ALIVE, Update.by(card.name()));
+        this.word = new MemberUpdate(card, new Incarnation(start, 0), MemberStatus.ALIVE, MemberUpdate.by(card.name()));
     }
 
-    Update word() {
+    MemberUpdate word() {
         return word;
     }
 
@@ -37,7 +37,7 @@
 
     /** It goes: this is its last word. */
     void leave() {
-        word = new Update(word.card(), word.life(), Status.LEFT, word.by());
+        word = new MemberUpdate(word.card(), word.life(), MemberStatus.LEFT, word.by());
     }
 
     void fallSilent() {
@@ -45,16 +45,16 @@
     }
 
     /** A process of this name speaks itself: the one that started later has the name. Returns whether that is this one. */
-    boolean outlives(Update other, long unixNow) {
-        if (other.life().start() > word.life().start() && Credence.possible(other.life(), null, unixNow)) {
+    boolean outlives(MemberUpdate other, long unixNow) {
+        if (other.life().start() > word.life().start() && IncarnationValidator.possible(other.life(), null, unixNow)) {
             silent = true;
         }
         return other.life().start() < word.life().start();
     }
 
     /** Others hold this member for ill or dead, or remember a life of its name before this one: it speaks up. */
-    Claim heard(Update u, double now, long unixNow) {
-        if (!Credence.possible(u.life(), word.life(), unixNow)) {
+    Claim heard(MemberUpdate u, double now, long unixNow) {
+        if (!IncarnationValidator.possible(u.life(), word.life(), unixNow)) {
             return Claim.NOTHING; // nobody but itself can have said so
         }
         // A life before this one may have had a later start: this machine's clock was set back in between. One at
@@ -69,10 +69,10 @@
             return Claim.ASK;
         }
         boolean later = u.life().compareTo(word.life()) > 0;
-        if (!later && (u.status() == Status.ALIVE || !u.life().equals(word.life()))) {
+        if (!later && (u.status() == MemberStatus.ALIVE || !u.life().equals(word.life()))) {
             return Claim.NOTHING;
         }
-        word = new Update(word.card(), (later ? u.life() : word.life()).next(), Status.ALIVE, word.by());
+        word = new MemberUpdate(word.card(), (later ? u.life() : word.life()).next(), MemberStatus.ALIVE, word.by());
         return Claim.SPOKEN_UP;
     }
 
--- a/src/main/java/rillyard/member/LoopHealth.java
+++ b/src/main/java/rillyard/membership/LoopHealth.java
@@ -1,4 +1,4 @@
-package rillyard.member;
+package rillyard.membership;
 
 /** How late a member's own steps come, over the last while: how ill its process is, as it can tell itself. */
 public final class LoopHealth {
--- a/src/main/java/rillyard/member/Endpoint.java
+++ b/src/main/java/rillyard/membership/MemberAddress.java
@@ -1,8 +1,8 @@
-package rillyard.member;
+package rillyard.membership;
 
 /** Where a member is reached: an IPv4 address, its first byte the highest, and a port from 1 to 65535. */
-public record Endpoint(int ip, int port) {
-    public Endpoint {
+public record MemberAddress(int ip, int port) {
+    public MemberAddress {
         if (port < 1 || port > 65_535) {
             throw new IllegalArgumentException("port " + port + ", expected 1 to 65535");
         }
--- a/src/main/java/rillyard/member/Fact.java
+++ b/src/main/java/rillyard/membership/MemberAttribute.java
@@ -1,4 +1,4 @@
-package rillyard.member;
+package rillyard.membership;
 
 import java.util.Arrays;
 
@@ -13,7 +13,8 @@
  * @param lasts ms from then until it ends by itself, 0 to {@link #MAX_MS}
  * @param value of at most {@link #MAX_VALUE} bytes; none where the owner takes it back
  */
-public record Fact(String owner, long start, int kind, long version, double age, double lasts, byte[] value) {
+public record MemberAttribute(
+        String owner, long start, int kind, long version, double age, double lasts, byte[] value) {
     public static final int MAX_KIND = 15;
     public static final int MAX_VALUE = 32;
 
@@ -23,8 +24,8 @@
     /** Versions have 32 bits on the wire. */
     static final long MAX_VERSION = 0xFFFFFFFFL;
 
-    public Fact {
-        if (!Card.isName(owner)
+    public MemberAttribute {
+        if (!MemberIdentity.isName(owner)
                 || kind < 0
                 || kind > MAX_KIND
                 || value.length > MAX_VALUE
@@ -57,7 +58,7 @@
 
     @Override
     public boolean equals(Object o) {
-        return o instanceof Fact f
+        return o instanceof MemberAttribute f
                 && owner.equals(f.owner)
                 && start == f.start
                 && kind == f.kind
--- a/src/main/java/rillyard/member/Card.java
+++ b/src/main/java/rillyard/membership/MemberIdentity.java
@@ -1,4 +1,4 @@
-package rillyard.member;
+package rillyard.membership;
 
 /**
  * Who a member is.
@@ -7,10 +7,10 @@
  * @param zone number of its zone, 0 to 255, as all settings of the fleet have it
  * @param region number of its region, 0 to 255
  */
-public record Card(String name, Endpoint at, int zone, int region) {
+public record MemberIdentity(String name, MemberAddress at, int zone, int region) {
     public static final int MAX_NAME = 16;
 
-    public Card {
+    public MemberIdentity {
         if (!isName(name)) {
             throw new IllegalArgumentException(
                     "name '" + name + "', expected 1 to " + MAX_NAME + " printable ASCII characters");
--- a/src/main/java/rillyard/member/Belief.java
+++ b/src/main/java/rillyard/membership/MemberState.java
@@ -1,23 +1,23 @@
-package rillyard.member;
+package rillyard.membership;
 
 import java.util.HashSet;
 import java.util.Set;
 
 /** What is believed of one member, and since when. */
-final class Belief {
+final class MemberState {
     /** More than that change nothing. */
     private static final int MOST_ACCUSERS = 8;
 
-    Update word;
+    MemberUpdate word;
     double since;
-    /** By whose word, as {@link Change#by}. */
+    /** By whose word, as {@link MembershipEvent#by}. */
     String by = "";
     /** When a suspect is asked again. */
     double askAt;
     /** Who suspects it, by number: independent words shorten the time that it has to speak up. */
     private Set<Integer> accusers = Set.of();
 
-    Belief(Update word, double since) {
+    MemberState(MemberUpdate word, double since) {
         this.word = word;
         this.since = since;
     }
@@ -42,7 +42,7 @@
         accusers = Set.of();
     }
 
-    Status status() {
+    MemberStatus status() {
         return word.status();
     }
 }
--- a/src/main/java/rillyard/member/Status.java
+++ b/src/main/java/rillyard/membership/MemberStatus.java
@@ -1,7 +1,7 @@
-package rillyard.member;
+package rillyard.membership;
 
 /** What is believed of a member. Of two words of one life the later in this order holds. */
-public enum Status {
+public enum MemberStatus {
     ALIVE,
     /** It did not answer; unless it speaks up in time it is dead. */
     SUSPECT,
--- a/src/main/java/rillyard/member/Roster.java
+++ b/src/main/java/rillyard/membership/MemberTable.java
@@ -1,4 +1,4 @@
-package rillyard.member;
+package rillyard.membership;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -12,12 +12,12 @@
 import java.util.random.RandomGenerator;
 
 /** The other members that are known, and in which order they are probed: a random one, dealt anew each round. */
-final class Roster {
-    private final Map<String, Belief> beliefs = new HashMap<>();
+final class MemberTable {
+    private final Map<String, MemberState> beliefs = new HashMap<>();
     private final List<String> round = new ArrayList<>();
     private final List<String> all = new ArrayList<>();
     /** Those that are suspected, in the order in which they came to be: asked for many times an interval. */
-    private final Set<Belief> suspects = new LinkedHashSet<>();
+    private final Set<MemberState> suspects = new LinkedHashSet<>();
 
     private final RandomGenerator random;
     private int next;
@@ -25,20 +25,20 @@
     private int present;
     private int digest;
 
-    Roster(RandomGenerator random) {
+    MemberTable(RandomGenerator random) {
         this.random = random;
     }
 
-    Map<String, Belief> beliefs() {
+    Map<String, MemberState> beliefs() {
         return beliefs;
     }
 
     /** Suspects as of now; they may be changed meanwhile. */
-    List<Belief> suspects() {
+    List<MemberState> suspects() {
         return suspects.isEmpty() ? List.of() : new ArrayList<>(suspects);
     }
 
-    Belief get(String name) {
+    MemberState get(String name) {
         return beliefs.get(name);
     }
 
@@ -47,7 +47,7 @@
         return present;
     }
 
-    void add(Belief b) {
+    void add(MemberState b) {
         String name = b.word.card().name();
         beliefs.put(name, b);
         all.add(name);
@@ -57,15 +57,15 @@
         mark(b);
     }
 
-    private void mark(Belief b) {
-        if (b.status() == Status.SUSPECT) {
+    private void mark(MemberState b) {
+        if (b.status() == MemberStatus.SUSPECT) {
             suspects.add(b);
         } else {
             suspects.remove(b);
         }
     }
 
-    private void count(Update u, int sign) {
+    private void count(MemberUpdate u, int sign) {
         if (u.status().present()) {
             present += sign;
             digest += sign * mark(u);
@@ -73,7 +73,7 @@
     }
 
     /** A number for one who is present, by name and start: words that change often don't change it. */
-    static int mark(Update u) {
+    static int mark(MemberUpdate u) {
         int h = u.card().name().hashCode() * 31 + Long.hashCode(u.life().start());
         h = (h ^ h >>> 16) * 0x85EBCA6B;
         return h ^ h >>> 13;
@@ -84,7 +84,7 @@
         return digest;
     }
 
-    void set(Belief b, Update word, double now) {
+    void set(MemberState b, MemberUpdate word, double now) {
         count(b.word, -1);
         count(word, 1);
         b.word = word;
@@ -96,8 +96,8 @@
     /** Forgets members that have been dead or gone since before {@code until}; returns their names. */
     List<String> forget(double until) {
         List<String> gone = new ArrayList<>();
-        for (Iterator<Belief> i = beliefs.values().iterator(); i.hasNext(); ) {
-            Belief b = i.next();
+        for (Iterator<MemberState> i = beliefs.values().iterator(); i.hasNext(); ) {
+            MemberState b = i.next();
             if (!b.status().present() && b.since < until) {
                 i.remove();
                 gone.add(b.word.card().name());
@@ -112,7 +112,7 @@
     }
 
     /** The member to probe next, null if there is none. */
-    Belief nextToProbe() {
+    MemberState nextToProbe() {
         for (int looked = 0; looked <= round.size(); looked++) {
             if (next >= round.size()) {
                 shuffle();
@@ -121,7 +121,7 @@
             if (round.isEmpty()) {
                 return null;
             }
-            Belief b = beliefs.get(round.get(next++));
+            MemberState b = beliefs.get(round.get(next++));
             if (b.status().present()) {
                 return b;
             }
@@ -139,11 +139,11 @@
     }
 
     /** Up to so many others at random, without this one, and without suspects unless these are asked for. */
-    List<Belief> some(int n, String without, boolean suspects) {
-        List<Belief> out = new ArrayList<>(n);
+    List<MemberState> some(int n, String without, boolean suspects) {
+        List<MemberState> out = new ArrayList<>(n);
         for (int looked = 0; looked < 3 * n + 8 && out.size() < n && !all.isEmpty(); looked++) {
-            Belief b = beliefs.get(all.get(random.nextInt(all.size())));
-            if ((suspects ? b.status().present() : b.status() == Status.ALIVE)
+            MemberState b = beliefs.get(all.get(random.nextInt(all.size())));
+            if ((suspects ? b.status().present() : b.status() == MemberStatus.ALIVE)
                     && !b.word.card().name().equals(without)
                     && !out.contains(b)) {
                 out.add(b);
@@ -153,10 +153,10 @@
     }
 
     /** One that is believed dead, at random; null if the draw finds none. */
-    Belief someDead() {
+    MemberState someDead() {
         for (int looked = 0; looked < 16 && !all.isEmpty(); looked++) {
-            Belief b = beliefs.get(all.get(random.nextInt(all.size())));
-            if (b.status() == Status.DEAD) {
+            MemberState b = beliefs.get(all.get(random.nextInt(all.size())));
+            if (b.status() == MemberStatus.DEAD) {
                 return b;
             }
         }
@@ -177,12 +177,12 @@
     }
 
     /** The next words in turn that fit into the room: page after page the whole table. */
-    List<Update> page(int room) {
-        List<Update> out = new ArrayList<>(12);
+    List<MemberUpdate> page(int room) {
+        List<MemberUpdate> out = new ArrayList<>(12);
         int left = room;
         for (int i = 0; i < all.size(); i++) {
-            Update u = beliefs.get(all.get(cursor % all.size())).word;
-            left -= Codec.size(u);
+            MemberUpdate u = beliefs.get(all.get(cursor % all.size())).word;
+            left -= MessageCodec.size(u);
             if (left < 0) {
                 break;
             }
--- a/src/main/java/rillyard/member/Update.java
+++ b/src/main/java/rillyard/membership/MemberUpdate.java
@@ -1,4 +1,4 @@
-package rillyard.member;
+package rillyard.membership;
 
 /**
  * One word about a member.
@@ -8,12 +8,12 @@
  * @param status what it is held for
  * @param by a number for who first said so, made from its name; independent words are counted by it
  */
-public record Update(Card card, Life life, Status status, int by) {
+public record MemberUpdate(MemberIdentity card, Incarnation life, MemberStatus status, int by) {
     /** Whether this word holds against another about the same member. */
-    boolean overrides(Update other) {
+    boolean overrides(MemberUpdate other) {
         int c = life.compareTo(other.life);
         return c > 0
-                ? status != Status.SUSPECT || other.status.present()
+                ? status != MemberStatus.SUSPECT || other.status.present()
                 : c == 0 && status.compareTo(other.status) > 0;
     }
 
--- a/src/main/java/rillyard/member/Membership.java
+++ b/src/main/java/rillyard/membership/Membership.java
@@ -1,24 +1,24 @@
-package rillyard.member;
+package rillyard.membership;
 
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
 import java.util.random.RandomGenerator;
-import rillyard.member.Message.Kind;
+import rillyard.membership.Message.Kind;
 
 /**
  * One member of the fleet, and what it believes of the others. Feed it messages and the time; it answers
- * through {@link Out}. Times are ms since its process started, by a clock that never goes back. Not safe
+ * through {@link Output}. Times are ms since its process started, by a clock that never goes back. Not safe
  * for use from several threads at once.
  */
 public final class Membership {
     /** What it does. */
-    public interface Out {
+    public interface Output {
         /** Sends a message; it may get lost. */
-        void send(Endpoint to, Message message);
+        void send(MemberAddress to, Message message);
 
         /** A belief has changed. */
-        void changed(Change change);
+        void changed(MembershipEvent change);
     }
 
     /** Datagrams with all that is known for one who joins: some 300 members; the rest comes by and by. */
@@ -38,18 +38,18 @@
 
     private static final double TELLS = 2.5;
 
-    private final MemberSettings settings;
-    private final Out out;
-    private final List<Endpoint> seeds;
+    private final MembershipSettings settings;
+    private final Output out;
+    private final List<MemberAddress> seeds;
     private final RandomGenerator random;
-    private final Roster roster;
-    private final Gossip gossip = new Gossip();
-    private final Facts facts = new Facts();
-    private final Outbox outbox;
+    private final MemberTable roster;
+    private final UpdateQueue gossip = new UpdateQueue();
+    private final AttributeStore facts = new AttributeStore();
+    private final MessageAssembler outbox;
     private final LocalHealth health = new LocalHealth();
-    private final Errands errands;
+    private final IndirectProbes errands;
     private final long started;
-    private final Identity identity;
+    private final LocalMember identity;
     private Probe probe;
     private int sequence;
     private double lastTick = Double.NaN;
@@ -66,20 +66,25 @@
      * @param random its only source of chance
      */
     public Membership(
-            MemberSettings settings, Card card, long start, List<Endpoint> seeds, RandomGenerator random, Out out) {
+            MembershipSettings settings,
+            MemberIdentity card,
+            long start,
+            List<MemberAddress> seeds,
+            RandomGenerator random,
+            Output out) {
         this.settings = settings;
         this.out = out;
         this.seeds = List.copyOf(seeds);
         this.random = random;
-        this.roster = new Roster(random);
-        this.outbox = new Outbox(settings, roster, gossip, facts, out);
-        this.errands = new Errands(settings);
+        this.roster = new MemberTable(random);
+        this.outbox = new MessageAssembler(settings, roster, gossip, facts, out);
+        this.errands = new IndirectProbes(settings);
         this.started = start;
-        this.identity = new Identity(card, start, settings.interval());
+        this.identity = new LocalMember(card, start, settings.interval());
     }
 
     /** What this member says of itself. */
-    public Update self() {
+    public MemberUpdate self() {
         return identity.word();
     }
 
@@ -89,9 +94,9 @@
     }
 
     /** What is believed of all others, in the order of their names. */
-    public List<Seen> seen() {
+    public List<MemberSnapshot> seen() {
         return roster.beliefs().values().stream()
-                .map(b -> new Seen(b.word, b.since, b.by))
+                .map(b -> new MemberSnapshot(b.word, b.since, b.by))
                 .sorted(Comparator.comparing(s -> s.word().card().name()))
                 .toList();
     }
@@ -107,16 +112,16 @@
     }
 
     /** All others that are known, in no order. */
-    public List<Update> others() {
+    public List<MemberUpdate> others() {
         return roster.beliefs().values().stream().map(b -> b.word).toList();
     }
 
     /**
      * Says something of this member to all.
      *
-     * @param kind 0 to {@link Fact#MAX_KIND}; a fact of each
-     * @param value of 1 to {@link Fact#MAX_VALUE} bytes, or none to take it back
-     * @param lasts ms after which it ends where no more is heard of it, 1,000 to {@link Fact#MAX_MS}
+     * @param kind 0 to {@link MemberAttribute#MAX_KIND}; a fact of each
+     * @param value of 1 to {@link MemberAttribute#MAX_VALUE} bytes, or none to take it back
+     * @param lasts ms after which it ends where no more is heard of it, 1,000 to {@link MemberAttribute#MAX_MS}
      * @param again whether it is said again from time to time, until it is said otherwise; else it ends by itself
      * @return whether it is said; not where this member says more than ten a second for long
      * @throws IllegalArgumentException if one of these is out of its range
@@ -129,7 +134,7 @@
     }
 
     /** The facts of a kind that hold now, by owner: what members that are present have said, this one among them. */
-    public Map<String, Fact> facts(double now, int kind) {
+    public Map<String, MemberAttribute> facts(double now, int kind) {
         return facts.holding(kind, self(), roster.beliefs(), now);
     }
 
@@ -208,7 +213,7 @@
      * lost: by those who accuse it, by a few of the others, and by whoever has not heard its word when that should
      * long be round. Guards against the one in hundreds whom the word passed by.
      */
-    private void suspected(Belief b, double now) {
+    private void suspected(MemberState b, double now) {
         if (now >= b.askAt) {
             b.askAt = now + settings.interval();
             boolean late = now - b.since >= settings.leastSuspicion(present()) / 2;
@@ -216,13 +221,14 @@
                 send(Kind.PING, ++sequence, b.word.card().at(), b.word.card().name(), null);
             }
         }
-        if (now - b.since >= Suspicion.time(settings, present(), b.accusers().size())) {
-            believe(b, new Update(b.word.card(), b.word.life(), Status.DEAD, self().by()), now, "its time");
+        if (now - b.since
+                >= SuspicionTimeout.time(settings, present(), b.accusers().size())) {
+            believe(b, new MemberUpdate(b.word.card(), b.word.life(), MemberStatus.DEAD, self().by()), now, "its time");
         }
     }
 
     private void begin(double now) {
-        Belief b = roster.nextToProbe();
+        MemberState b = roster.nextToProbe();
         if (b != null) {
             probe = new Probe(++sequence, b.word.card(), now, health.factor(), settings);
             send(Kind.PING, probe.sequence, probe.target.at(), probe.target.name(), null);
@@ -231,7 +237,7 @@
 
     private void goOn(double now) {
         if (probe.asksHelp(now)) {
-            for (Belief helper : roster.some(settings.helpers(), probe.target.name(), false)) {
+            for (MemberState helper : roster.some(settings.helpers(), probe.target.name(), false)) {
                 probe.helpers++;
                 send(Kind.ASK_FOR_ME, probe.sequence, helper.word.card().at(), probe.target.name(), probe.target.at());
             }
@@ -250,20 +256,20 @@
         }
         // Helpers that say nothing tell of this member's own hearing; those that say no speak for it.
         health.worse(p.helpers == 0 ? 1 : Math.max(0, p.helpers - p.nacks));
-        Belief b = roster.get(p.target.name());
+        MemberState b = roster.get(p.target.name());
         if (b != null && b.status().present()) {
-            heard(new Update(b.word.card(), b.word.life(), Status.SUSPECT, self().by()), now, "a probe");
+            heard(new MemberUpdate(b.word.card(), b.word.life(), MemberStatus.SUSPECT, self().by()), now, "a probe");
         }
     }
 
     /** Asks one who is held dead, or a seed that nobody is known at: after a break all are to be one again. */
     private void reachOut() {
-        Belief dead = roster.someDead();
+        MemberState dead = roster.someDead();
         if (dead != null) {
             send(Kind.PING, ++sequence, dead.word.card().at(), dead.word.card().name(), null);
         }
         if (!seeds.isEmpty()) {
-            Endpoint seed = seeds.get(random.nextInt(seeds.size()));
+            MemberAddress seed = seeds.get(random.nextInt(seeds.size()));
             boolean known = seed.equals(self().card().at())
                     || roster.beliefs().values().stream()
                             .anyMatch(b ->
@@ -280,16 +286,16 @@
             return;
         }
         identity.leave();
-        for (Belief b : roster.some(FAREWELLS, "", false)) {
+        for (MemberState b : roster.some(FAREWELLS, "", false)) {
             send(Kind.NEWS, 0, b.word.card().at(), "", null);
         }
         identity.fallSilent();
     }
 
     /** A message has come from an address. */
-    public void received(double now, Endpoint from, Message m) {
+    public void received(double now, MemberAddress from, Message m) {
         latest = now;
-        Update sender = m.sender();
+        MemberUpdate sender = m.sender();
         if (over() || !sender.card().at().equals(from)) { // who speaks for another place is not believed
             return;
         }
@@ -299,16 +305,16 @@
         }
         boolean fresh = roster.get(sender.card().name()) == null;
         heard(sender, now, sender.card().name());
-        for (Update u : m.news()) {
+        for (MemberUpdate u : m.news()) {
             heard(u, now, "#" + u.by());
         }
-        for (Fact f : m.facts()) {
-            Belief b = roster.get(f.owner());
+        for (MemberAttribute f : m.facts()) {
+            MemberState b = roster.get(f.owner());
             facts.heard(f, self(), b == null || !b.status().present() ? null : b.word.life(), unix(now), now);
         }
         answer(now, from, m);
         boolean joins = fresh
-                && sender.status() == Status.ALIVE
+                && sender.status() == MemberStatus.ALIVE
                 && roster.get(sender.card().name()) != null;
         if (joins) {
             outbox.pages(self(), from, WELCOME);
@@ -318,7 +324,7 @@
         }
     }
 
-    private void answer(double now, Endpoint from, Message m) {
+    private void answer(double now, MemberAddress from, Message m) {
         switch (m.kind()) {
             case PING -> {
                 if (m.target().isEmpty() || m.target().equals(self().card().name())) {
@@ -332,7 +338,7 @@
                 }
             }
             case ACK -> {
-                Errands.Errand e = errands.answered(m.sequence());
+                IndirectProbes.IndirectProbe e = errands.answered(m.sequence());
                 if (e != null) {
                     send(Kind.ACK, e.sequence(), e.askerAt(), e.asker(), null);
                 } else if (probe != null && probe.sequence == m.sequence()) {
@@ -349,15 +355,16 @@
     }
 
     /** A process of this member's own name speaks. */
-    private void namesake(double now, Update other) {
+    private void namesake(double now, MemberUpdate other) {
         if (identity.outlives(other, unix(now))) {
             send(Kind.NEWS, 0, other.card().at(), "", null);
         } else if (over()) {
-            out.changed(new Change(now, other, Status.ALIVE, other.card().name()));
+            out.changed(new MembershipEvent(
+                    now, other, MemberStatus.ALIVE, other.card().name()));
         }
     }
 
-    private void aboutSelf(Update u, double now) {
+    private void aboutSelf(MemberUpdate u, double now) {
         switch (identity.heard(u, now, unix(now))) {
             case SPOKEN_UP -> health.worse(1);
             case ASK -> send(Kind.PING, ++sequence, u.card().at(), self().card().name(), null);
@@ -370,25 +377,25 @@
         return started + (long) now;
     }
 
-    private void heard(Update u, double now, String by) {
+    private void heard(MemberUpdate u, double now, String by) {
         if (identity.isName(u.card().name())) {
             aboutSelf(u, now);
             return;
         }
-        Belief b = roster.get(u.card().name());
-        if (!Credence.possible(u.life(), b == null ? null : b.word.life(), unix(now))) {
+        MemberState b = roster.get(u.card().name());
+        if (!IncarnationValidator.possible(u.life(), b == null ? null : b.word.life(), unix(now))) {
             return;
         }
         if (b == null) {
             if (u.status().present() && roster.beliefs().size() < settings.most()) {
-                b = new Belief(u, now);
+                b = new MemberState(u, now);
                 roster.add(b);
                 told(b, now, null, by);
             }
         } else if (u.overrides(b.word)) {
             believe(b, u, now, by);
-        } else if (b.status() == Status.SUSPECT
-                && u.status() == Status.SUSPECT
+        } else if (b.status() == MemberStatus.SUSPECT
+                && u.status() == MemberStatus.SUSPECT
                 && u.life().equals(b.word.life())
                 && b.accused(u.by())) {
             b.word = u; // passed on as well: it is another's independent word
@@ -396,24 +403,24 @@
         }
     }
 
-    private void believe(Belief b, Update u, double now, String by) {
-        Status before = b.status();
+    private void believe(MemberState b, MemberUpdate u, double now, String by) {
+        MemberStatus before = b.status();
         roster.set(b, u, now);
         told(b, now, before, by);
     }
 
-    private void told(Belief b, double now, Status before, String by) {
+    private void told(MemberState b, double now, MemberStatus before, String by) {
         b.by = by;
-        if (b.status() == Status.SUSPECT) {
+        if (b.status() == MemberStatus.SUSPECT) {
             b.accused(b.word.by());
         }
         gossip.changed(b.word.card().name());
         if (b.status() != before) {
-            out.changed(new Change(now, b.word, before, by));
+            out.changed(new MembershipEvent(now, b.word, before, by));
         }
     }
 
-    private void send(Kind kind, int seq, Endpoint to, String target, Endpoint targetAt) {
+    private void send(Kind kind, int seq, MemberAddress to, String target, MemberAddress targetAt) {
         outbox.send(self(), latest, kind, seq, to, target, targetAt);
     }
 }
--- a/src/main/java/rillyard/member/Change.java
+++ b/src/main/java/rillyard/membership/MembershipEvent.java
@@ -1,4 +1,4 @@
-package rillyard.member;
+package rillyard.membership;
 
 /**
  * A belief that changed.
@@ -8,4 +8,4 @@
  * @param before what was believed, null where the member was not known
  * @param by who says so: the member itself, another's number as {@code #NUMBER}, or this member's clock
  */
-public record Change(double at, Update now, Status before, String by) {}
+public record MembershipEvent(double at, MemberUpdate now, MemberStatus before, String by) {}
--- a/src/main/java/rillyard/member/MemberSettings.java
+++ b/src/main/java/rillyard/membership/MembershipSettings.java
@@ -1,4 +1,4 @@
-package rillyard.member;
+package rillyard.membership;
 
 /**
  * How the fleet watches itself; the same for all members. Times are ms.
@@ -11,9 +11,9 @@
  * @param spread how often a word is passed on, in doublings of the members, 1 to 10
  * @param forget for how long a member that is dead or has left is remembered, 10,000 to 3,600,000
  * @param most members that are kept at all, 2 to 100,000
- * @param room bytes of a datagram, 128 to {@link Codec#MAX_BYTES}
+ * @param room bytes of a datagram, 128 to {@link MessageCodec#MAX_BYTES}
  */
-public record MemberSettings(
+public record MembershipSettings(
         double interval,
         double timeout,
         int helpers,
@@ -24,10 +24,10 @@
         int most,
         int room) {
     /** As they hold where nothing else is told. */
-    public static final MemberSettings USUAL =
-            new MemberSettings(500, 150, 3, 4, 4, 3, 600_000, 20_000, Codec.MAX_BYTES);
+    public static final MembershipSettings USUAL =
+            new MembershipSettings(500, 150, 3, 4, 4, 3, 600_000, 20_000, MessageCodec.MAX_BYTES);
 
-    public MemberSettings {
+    public MembershipSettings {
         check("interval", interval, 100, 60_000);
         check("timeout", timeout, 10, interval / 2);
         check("helpers", helpers, 1, 10);
@@ -36,7 +36,7 @@
         check("spread", spread, 1, 10);
         check("forget", forget, 10_000, 3_600_000);
         check("most", most, 2, 100_000);
-        check("room", room, 128, Codec.MAX_BYTES);
+        check("room", room, 128, MessageCodec.MAX_BYTES);
     }
 
     private static void check(String what, double value, double least, double most) {
--- a/src/main/java/rillyard/member/Message.java
+++ b/src/main/java/rillyard/membership/Message.java
@@ -1,4 +1,4 @@
-package rillyard.member;
+package rillyard.membership;
 
 import java.util.List;
 
@@ -9,7 +9,7 @@
  * @param sender the sender's word about itself
  * @param target for a question, whom it is for; empty for anybody at that address, and in answers
  * @param targetAt where the target is, for {@link Kind#ASK_FOR_ME}; else null
- * @param digest of the members that the sender holds present, as {@link Roster#digest}
+ * @param digest of the members that the sender holds present, as {@link MemberTable#digest}
  * @param news words about others
  * @param facts that members say of themselves
  */
@@ -17,14 +17,20 @@
         Kind kind,
         int sequence,
         int digest,
-        Update sender,
+        MemberUpdate sender,
         String target,
-        Endpoint targetAt,
-        List<Update> news,
-        List<Fact> facts) {
+        MemberAddress targetAt,
+        List<MemberUpdate> news,
+        List<MemberAttribute> facts) {
     /** Without facts. */
     public Message(
-            Kind kind, int sequence, int digest, Update sender, String target, Endpoint targetAt, List<Update> news) {
+            Kind kind,
+            int sequence,
+            int digest,
+            MemberUpdate sender,
+            String target,
+            MemberAddress targetAt,
+            List<MemberUpdate> news) {
         this(kind, sequence, digest, sender, target, targetAt, news, List.of());
     }
 
--- a/src/main/java/rillyard/member/Outbox.java
+++ b/src/main/java/rillyard/membership/MessageAssembler.java
@@ -1,11 +1,11 @@
-package rillyard.member;
+package rillyard.membership;
 
 import java.util.ArrayList;
 import java.util.List;
-import rillyard.member.Message.Kind;
+import rillyard.membership.Message.Kind;
 
 /** Fills datagrams: first what the question is about, then news, facts, and whatever else there is room for. */
-final class Outbox {
+final class MessageAssembler {
     /** Names that a datagram may be filled up with. */
     private static final int FILL = 12;
 
@@ -15,13 +15,18 @@
     /** This share of a datagram is kept for facts that are new, so that much news can't crowd them out. */
     private static final double KEPT = 0.25;
 
-    private final MemberSettings settings;
-    private final Roster roster;
-    private final Gossip gossip;
-    private final Facts facts;
-    private final Membership.Out out;
+    private final MembershipSettings settings;
+    private final MemberTable roster;
+    private final UpdateQueue gossip;
+    private final AttributeStore facts;
+    private final Membership.Output out;
 
-    Outbox(MemberSettings settings, Roster roster, Gossip gossip, Facts facts, Membership.Out out) {
+    MessageAssembler(
+            MembershipSettings settings,
+            MemberTable roster,
+            UpdateQueue gossip,
+            AttributeStore facts,
+            Membership.Output out) {
         this.settings = settings;
         this.roster = roster;
         this.gossip = gossip;
@@ -30,35 +35,43 @@
     }
 
     /** A number for all that the member and its roster hold present. */
-    int digest(Update self) {
-        return roster.digest() + Roster.mark(self);
+    int digest(MemberUpdate self) {
+        return roster.digest() + MemberTable.mark(self);
     }
 
     /** Sends a message with as much news as there is room for. */
-    void send(Update self, double now, Kind kind, int sequence, Endpoint to, String target, Endpoint targetAt) {
+    void send(
+            MemberUpdate self,
+            double now,
+            Kind kind,
+            int sequence,
+            MemberAddress to,
+            String target,
+            MemberAddress targetAt) {
         List<String> first = new ArrayList<>(1);
-        Belief about = target.isEmpty() ? null : roster.get(target);
+        MemberState about = target.isEmpty() ? null : roster.get(target);
         if (about != null
-                && (about.status() != Status.ALIVE || !about.word.card().at().equals(to))) {
+                && (about.status() != MemberStatus.ALIVE
+                        || !about.word.card().at().equals(to))) {
             first.add(target); // it hears first what is believed of it, or who has its name now
         }
-        int room = settings.room() - Codec.emptySize(self, target, targetAt != null);
+        int room = settings.room() - MessageCodec.emptySize(self, target, targetAt != null);
         int transmits = settings.transmits(roster.present() + 1);
         int kept = facts.urgent() ? (int) (KEPT * room) : 0;
-        List<Update> news = gossip.pick(roster.beliefs(), first, room - kept, transmits);
-        room -= news.stream().mapToInt(Codec::size).sum();
-        List<Fact> told = facts.pick(room, (int) Math.ceil(FACTS * transmits), now);
-        room -= told.stream().mapToInt(Fact::size).sum();
+        List<MemberUpdate> news = gossip.pick(roster.beliefs(), first, room - kept, transmits);
+        room -= news.stream().mapToInt(MessageCodec::size).sum();
+        List<MemberAttribute> told = facts.pick(room, (int) Math.ceil(FACTS * transmits), now);
+        room -= told.stream().mapToInt(MemberAttribute::size).sum();
         gossip.fill(roster.beliefs(), news, room, roster.fill(FILL));
         out.send(to, new Message(kind, sequence, digest(self), self, target, targetAt, news, told));
     }
 
     /** Tells what is held of all, as far as so many datagrams go. */
-    void pages(Update self, Endpoint to, int most) {
-        int room = settings.room() - Codec.emptySize(self, "", false);
+    void pages(MemberUpdate self, MemberAddress to, int most) {
+        int room = settings.room() - MessageCodec.emptySize(self, "", false);
         int told = 0;
         for (int i = 0; i < most && told < roster.beliefs().size(); i++) {
-            List<Update> page = roster.page(room);
+            List<MemberUpdate> page = roster.page(room);
             told += page.size();
             out.send(to, new Message(Kind.NEWS, 0, digest(self), self, "", null, page, List.of()));
         }
--- a/src/main/java/rillyard/member/Codec.java
+++ b/src/main/java/rillyard/membership/MessageCodec.java
@@ -1,4 +1,4 @@
-package rillyard.member;
+package rillyard.membership;
 
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
@@ -12,7 +12,7 @@
  * (2), address (4), port (2), zone, region, name's length and name. A fact: 64 and its kind, owner's length and name, start (6),
  * version (4), age and end (2 each, in 100 ms), value's length and value.
  */
-public final class Codec {
+public final class MessageCodec {
     /** A platform may carry no more. */
     public static final int MAX_BYTES = 256;
 
@@ -28,15 +28,15 @@
     /** The unit (ms) of the times of facts. */
     private static final double UNIT = 100;
 
-    private Codec() {}
+    private MessageCodec() {}
 
     /** The bytes that a word takes. */
-    static int size(Update u) {
+    static int size(MemberUpdate u) {
         return WORD + u.card().name().length();
     }
 
     /** The bytes that a message without news takes. */
-    static int emptySize(Update sender, String target, boolean withAddress) {
+    static int emptySize(MemberUpdate sender, String target, boolean withAddress) {
         return 11 + size(sender) + target.length() + (withAddress ? 6 : 0);
     }
 
@@ -53,13 +53,13 @@
         if (m.kind() == Message.Kind.ASK_FOR_ME) {
             put(b, m.targetAt());
         }
-        for (Update u : m.news()) {
+        for (MemberUpdate u : m.news()) {
             put(b, u);
             if (b.position() > room) {
                 break;
             }
         }
-        for (Fact f : m.facts()) {
+        for (MemberAttribute f : m.facts()) {
             if (b.position() <= room) {
                 put(b, f);
             }
@@ -72,7 +72,7 @@
         return out;
     }
 
-    private static void put(ByteBuffer b, Update u) {
+    private static void put(ByteBuffer b, MemberUpdate u) {
         b.put((byte) u.status().ordinal()).putShort((short) u.by());
         putStart(b, u.life().start());
         b.putShort((short) u.life().incarnation());
@@ -81,7 +81,7 @@
         put(b, u.card().name());
     }
 
-    private static void put(ByteBuffer b, Fact f) {
+    private static void put(ByteBuffer b, MemberAttribute f) {
         b.put((byte) (FACT + f.kind()));
         put(b, f.owner());
         putStart(b, f.start());
@@ -93,7 +93,7 @@
         b.putShort((short) (start >> 32)).putInt((int) start);
     }
 
-    private static void put(ByteBuffer b, Endpoint e) {
+    private static void put(ByteBuffer b, MemberAddress e) {
         b.putInt(e.ip()).putShort((short) e.port());
     }
 
@@ -119,17 +119,17 @@
             Message.Kind kind = value(Message.Kind.values(), b.get());
             int sequence = b.getInt();
             int digest = b.getInt();
-            Update sender = word(b);
-            if (sender.status() != Status.ALIVE && sender.status() != Status.LEFT) {
+            MemberUpdate sender = word(b);
+            if (sender.status() != MemberStatus.ALIVE && sender.status() != MemberStatus.LEFT) {
                 throw new IllegalArgumentException("a sender that calls itself " + sender.status());
             }
             String target = text(b);
-            if (!target.isEmpty() && !Card.isName(target)) {
+            if (!target.isEmpty() && !MemberIdentity.isName(target)) {
                 throw new IllegalArgumentException("a target that is no name");
             }
-            Endpoint at = kind == Message.Kind.ASK_FOR_ME ? endpoint(b) : null;
-            List<Update> news = new ArrayList<>();
-            List<Fact> facts = new ArrayList<>();
+            MemberAddress at = kind == Message.Kind.ASK_FOR_ME ? endpoint(b) : null;
+            List<MemberUpdate> news = new ArrayList<>();
+            List<MemberAttribute> facts = new ArrayList<>();
             while (b.hasRemaining()) {
                 if (b.get(b.position()) >= FACT) {
                     facts.add(fact(b));
@@ -150,18 +150,18 @@
         return all[ordinal];
     }
 
-    private static Update word(ByteBuffer b) {
-        Status status = value(Status.values(), b.get());
+    private static MemberUpdate word(ByteBuffer b) {
+        MemberStatus status = value(MemberStatus.values(), b.get());
         int by = b.getShort() & 0xFFFF;
         long start = start(b);
-        Life life = new Life(start, b.getShort() & 0xFFFF);
-        Endpoint at = endpoint(b);
+        Incarnation life = new Incarnation(start, b.getShort() & 0xFFFF);
+        MemberAddress at = endpoint(b);
         int zone = b.get() & 255;
         int region = b.get() & 255;
-        return new Update(new Card(text(b), at, zone, region), life, status, by);
+        return new MemberUpdate(new MemberIdentity(text(b), at, zone, region), life, status, by);
     }
 
-    private static Fact fact(ByteBuffer b) {
+    private static MemberAttribute fact(ByteBuffer b) {
         int kind = b.get() - FACT;
         String owner = text(b);
         long start = start(b);
@@ -169,26 +169,28 @@
         double age = UNIT * (b.getShort() & 0xFFFF);
         double lasts = UNIT * (b.getShort() & 0xFFFF);
         int n = b.get();
-        if (n < 0 || n > Fact.MAX_VALUE) {
-            throw new IllegalArgumentException("a value of " + n + " bytes, expected " + Fact.MAX_VALUE + " at most");
+        if (n < 0 || n > MemberAttribute.MAX_VALUE) {
+            throw new IllegalArgumentException(
+                    "a value of " + n + " bytes, expected " + MemberAttribute.MAX_VALUE + " at most");
         }
         byte[] value = new byte[n];
         b.get(value);
-        return new Fact(owner, start, kind, version, age, lasts, value);
+        return new MemberAttribute(owner, start, kind, version, age, lasts, value);
     }
 
     private static long start(ByteBuffer b) {
         return (b.getShort() & 0xFFFFL) << 32 | b.getInt() & 0xFFFFFFFFL;
     }
 
-    private static Endpoint endpoint(ByteBuffer b) {
-        return new Endpoint(b.getInt(), b.getShort() & 0xFFFF);
+    private static MemberAddress endpoint(ByteBuffer b) {
+        return new MemberAddress(b.getInt(), b.getShort() & 0xFFFF);
     }
 
     private static String text(ByteBuffer b) {
         int n = b.get();
-        if (n < 0 || n > Card.MAX_NAME) {
-            throw new IllegalArgumentException("a name of " + n + " bytes, expected " + Card.MAX_NAME + " at most");
+        if (n < 0 || n > MemberIdentity.MAX_NAME) {
+            throw new IllegalArgumentException(
+                    "a name of " + n + " bytes, expected " + MemberIdentity.MAX_NAME + " at most");
         }
         byte[] s = new byte[n];
         b.get(s);
--- a/src/main/java/rillyard/member/Probe.java
+++ b/src/main/java/rillyard/membership/Probe.java
@@ -1,9 +1,9 @@
-package rillyard.member;
+package rillyard.membership;
 
 /** One question to one member, and what came of it. */
 final class Probe {
     final int sequence;
-    final Card target;
+    final MemberIdentity target;
     private final double helpAt;
     private final double overAt;
     private final double pause;
@@ -14,7 +14,7 @@
     boolean answered;
 
     /** {@code factor} stretches its times, where this member does not trust itself. */
-    Probe(int sequence, Card target, double now, int factor, MemberSettings s) {
+    Probe(int sequence, MemberIdentity target, double now, int factor, MembershipSettings s) {
         this.sequence = sequence;
         this.target = target;
         this.pause = factor * s.timeout();
--- a/src/main/java/rillyard/member/Suspicion.java
+++ b/src/main/java/rillyard/membership/SuspicionTimeout.java
@@ -1,17 +1,17 @@
-package rillyard.member;
+package rillyard.membership;
 
 /**
  * How long a suspect has to speak up (Lifeguard, 3.2): long while one member alone says so, who may be the
  * one that is ill; the shorter, the more say so independently.
  */
-final class Suspicion {
+final class SuspicionTimeout {
     /** So many words besides the first bring it down to the least. */
     private static final int ENOUGH = 3;
 
-    private Suspicion() {}
+    private SuspicionTimeout() {}
 
     /** The time (ms) from the first word to death, with so many independent ones in a fleet of {@code members}. */
-    static double time(MemberSettings s, int members, int accusers) {
+    static double time(MembershipSettings s, int members, int accusers) {
         double least = s.leastSuspicion(members);
         double most = least * s.suspicionMost();
         int enough = Math.max(1, Math.min(ENOUGH, members - 2));
--- a/src/main/java/rillyard/member/Gossip.java
+++ b/src/main/java/rillyard/membership/UpdateQueue.java
@@ -1,4 +1,4 @@
-package rillyard.member;
+package rillyard.membership;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /** The words to pass on: the newest of each member. Bounded by the members that are kept. */
-final class Gossip {
-    private final Turns<String> turns = new Turns<>(Comparator.<String>naturalOrder());
+final class UpdateQueue {
+    private final BroadcastQueue<String> turns = new BroadcastQueue<>(Comparator.<String>naturalOrder());
 
     /** There is a new word about this member. */
     void changed(String name) {
@@ -36,39 +36,39 @@
      * @param room bytes that are left
      * @param transmits how often a word is passed on
      */
-    List<Update> pick(Map<String, Belief> beliefs, List<String> first, int room, int transmits) {
-        Page page = new Page(room);
+    List<MemberUpdate> pick(Map<String, MemberState> beliefs, List<String> first, int room, int transmits) {
+        Selection page = new Selection(room);
         first.forEach(name -> page.add(beliefs.get(name)));
-        turns.offer(transmits, () -> page.left >= Codec.LEAST_WORD, name -> page.add(beliefs.get(name)));
+        turns.offer(transmits, () -> page.left >= MessageCodec.LEAST_WORD, name -> page.add(beliefs.get(name)));
         return page.words;
     }
 
     /** Adds words about these, where there is room left, in their order. */
-    void fill(Map<String, Belief> beliefs, List<Update> out, int room, List<String> fill) {
-        Page page = new Page(room);
+    void fill(Map<String, MemberState> beliefs, List<MemberUpdate> out, int room, List<String> fill) {
+        Selection page = new Selection(room);
         out.forEach(u -> page.names.add(u.card().name()));
         fill.forEach(name -> page.add(beliefs.get(name)));
         out.addAll(page.words);
     }
 
     /** Words that go into one datagram, none about one member twice. */
-    private static final class Page {
-        final List<Update> words = new ArrayList<>(10);
+    private static final class Selection {
+        final List<MemberUpdate> words = new ArrayList<>(10);
         final Set<String> names = new HashSet<>();
         int left;
 
-        Page(int room) {
+        Selection(int room) {
             this.left = room;
         }
 
-        boolean add(Belief b) {
+        boolean add(MemberState b) {
             if (b == null
-                    || Codec.size(b.word) > left
+                    || MessageCodec.size(b.word) > left
                     || !names.add(b.word.card().name())) {
                 return false;
             }
             words.add(b.word);
-            left -= Codec.size(b.word);
+            left -= MessageCodec.size(b.word);
             return true;
         }
     }
--- a/src/main/java/rillyard/member/net/Seal.java
+++ b/src/main/java/rillyard/membership/net/DatagramCipher.java
@@ -1,4 +1,4 @@
-package rillyard.member.net;
+package rillyard.membership.net;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -10,7 +10,7 @@
 import javax.crypto.Mac;
 import javax.crypto.spec.GCMParameterSpec;
 import javax.crypto.spec.SecretKeySpec;
-import rillyard.member.Endpoint;
+import rillyard.membership.MemberAddress;
 
 /**
  * Datagrams sealed with a key of the group (AES-256-GCM of the JDK). Each sender's key is made from the
@@ -21,7 +21,7 @@
  * <p>The first key seals; all of them open, so that a fleet changes its key in two rounds: the new one second
  * everywhere, then first. Not safe for use from several threads at once.
  */
-final class Seal {
+final class DatagramCipher {
     /** What a seal adds to a datagram: its mark, the nonce, the tag. */
     static final int BYTES = 1 + 12 + 16;
 
@@ -33,16 +33,16 @@
     private static final int WINDOW = 64;
 
     /** What was opened of one sender: its start, the newest count, and which of those before it. */
-    private static final class Opened {
+    private static final class ReplayWindow {
         long start = -1;
         long newest;
         long before;
     }
 
-    private record Sender(List<SecretKeySpec> keys, Opened opened) {}
+    private record SenderState(List<SecretKeySpec> keys, ReplayWindow opened) {}
 
     private final List<byte[]> keys;
-    private final Map<Endpoint, Sender> senders;
+    private final Map<MemberAddress, SenderState> senders;
     private final SecretKeySpec own;
     private final long start;
     private long count;
@@ -55,7 +55,7 @@
      * @param start of this process, Unix time (ms)
      * @param most senders that are remembered; guards against made-up addresses without end
      */
-    Seal(List<byte[]> keys, Endpoint self, long start, int most) {
+    DatagramCipher(List<byte[]> keys, MemberAddress self, long start, int most) {
         if (keys.isEmpty() || keys.size() > 2 || keys.stream().anyMatch(k -> k.length != KEY_BYTES)) {
             throw new IllegalArgumentException("expected one or two keys of " + KEY_BYTES + " bytes");
         }
@@ -66,13 +66,13 @@
             private static final long serialVersionUID = 1;
 
             @Override
-            protected boolean removeEldestEntry(Map.Entry<Endpoint, Sender> eldest) {
+            protected boolean removeEldestEntry(Map.Entry<MemberAddress, SenderState> eldest) {
                 return size() > most;
             }
         };
     }
 
-    private static SecretKeySpec derived(byte[] key, Endpoint at) {
+    private static SecretKeySpec derived(byte[] key, MemberAddress at) {
         try {
             Mac mac = Mac.getInstance("HmacSHA256");
             mac.init(new SecretKeySpec(key, "HmacSHA256"));
@@ -107,17 +107,17 @@
      *
      * @throws IllegalArgumentException if it is not sealed by a member at that address, or was opened before
      */
-    byte[] open(Endpoint from, byte[] sealed) {
+    byte[] open(MemberAddress from, byte[] sealed) {
         if (sealed.length < BYTES || sealed[0] != MARK) {
             throw new IllegalArgumentException("not sealed");
         }
         ByteBuffer nonce = ByteBuffer.wrap(sealed, 1, 12);
         long began = get48(nonce);
         long number = get48(nonce);
-        Sender known = senders.get(from);
-        Sender s = known != null
+        SenderState known = senders.get(from);
+        SenderState s = known != null
                 ? known
-                : new Sender(keys.stream().map(k -> derived(k, from)).toList(), new Opened());
+                : new SenderState(keys.stream().map(k -> derived(k, from)).toList(), new ReplayWindow());
         if (known != null && replayed(s.opened, began, number)) {
             throw new IllegalArgumentException("opened before, or of an older process");
         }
@@ -137,7 +137,7 @@
         throw new IllegalArgumentException("sealed by no key of this fleet for that address");
     }
 
-    private static boolean replayed(Opened o, long began, long number) {
+    private static boolean replayed(ReplayWindow o, long began, long number) {
         if (began != o.start) {
             return began < o.start;
         }
@@ -145,7 +145,7 @@
         return behind >= WINDOW || behind >= 0 && (o.before >>> behind & 1) == 1;
     }
 
-    private static void opened(Opened o, long began, long number) {
+    private static void opened(ReplayWindow o, long began, long number) {
         if (began != o.start) {
             o.start = began;
             o.newest = number;
--- a/src/main/java/rillyard/member/net/FleetSettings.java
+++ b/src/main/java/rillyard/membership/net/FleetConfig.java
@@ -1,11 +1,11 @@
-package rillyard.member.net;
+package rillyard.membership.net;
 
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.List;
-import rillyard.member.Card;
-import rillyard.member.Endpoint;
-import rillyard.member.MemberSettings;
+import rillyard.membership.MemberAddress;
+import rillyard.membership.MemberIdentity;
+import rillyard.membership.MembershipSettings;
 
 /**
  * One member's settings.
@@ -19,11 +19,11 @@
  * @param spread whether proxies tell each other which hosts fail, and how much each sends
  * @param clockRate ms that pass in one on the clock that decisions are fed with; 1 but in trials of bad clocks
  */
-public record FleetSettings(
+public record FleetConfig(
         InetSocketAddress listen,
-        Card card,
-        List<Endpoint> seeds,
-        MemberSettings member,
+        MemberIdentity card,
+        List<MemberAddress> seeds,
+        MembershipSettings member,
         List<byte[]> keys,
         Path history,
         InetSocketAddress admin,
--- a/src/main/java/rillyard/member/net/FleetFile.java
+++ b/src/main/java/rillyard/membership/net/FleetConfigReader.java
@@ -1,4 +1,4 @@
-package rillyard.member.net;
+package rillyard.membership.net;
 
 import java.io.IOException;
 import java.net.Inet4Address;
@@ -15,47 +15,47 @@
 import rillyard.input.Addresses;
 import rillyard.input.InvalidFileException;
 import rillyard.input.TomlTable;
-import rillyard.member.Card;
-import rillyard.member.Codec;
-import rillyard.member.Endpoint;
-import rillyard.member.MemberSettings;
+import rillyard.membership.MemberAddress;
+import rillyard.membership.MemberIdentity;
+import rillyard.membership.MembershipSettings;
+import rillyard.membership.MessageCodec;
 
 /** Reads {@code deploy/fleet.toml}. */
-public final class FleetFile {
-    private FleetFile() {}
+public final class FleetConfigReader {
+    private FleetConfigReader() {}
 
     /**
      * Reads a file; where it names no member, {@code BALANCER_NAME} does.
      *
      * @throws InvalidFileException with all findings, by line
      */
-    public static FleetSettings read(Path file, Map<String, String> environment) throws InvalidFileException {
+    public static FleetConfig read(Path file, Map<String, String> environment) throws InvalidFileException {
         TomlTable root = TomlTable.read(file);
         TomlTable self = root.table("self");
         String name = self.text("name", environment.getOrDefault("BALANCER_NAME", ""));
-        Endpoint listen = endpoint(self, "listen", self.text("listen"));
-        Endpoint advertise = self.has("advertise") ? endpoint(self, "advertise", self.text("advertise")) : listen;
-        Card card = null;
+        MemberAddress listen = endpoint(self, "listen", self.text("listen"));
+        MemberAddress advertise = self.has("advertise") ? endpoint(self, "advertise", self.text("advertise")) : listen;
+        MemberIdentity card = null;
         try {
-            card = new Card(
+            card = new MemberIdentity(
                     name, advertise, (int) self.whole("zone", 0, 0, 255), (int) self.whole("region", 0, 0, 255));
         } catch (IllegalArgumentException e) {
             self.error("name", e.getMessage());
         }
         String history = self.text("history", null);
         InetSocketAddress admin = self.has("admin") ? address(endpoint(self, "admin", self.text("admin"))) : null;
-        List<Endpoint> seeds = new ArrayList<>();
+        List<MemberAddress> seeds = new ArrayList<>();
         for (String s : root.text("seeds", "").split("[,\\s]+")) {
             if (!s.isEmpty()) {
                 seeds.add(endpoint(root, "seeds", s));
             }
         }
         List<byte[]> keys = keys(root);
-        MemberSettings member = member(root.table("membership"), keys.isEmpty() ? 0 : Seal.BYTES);
+        MembershipSettings member = member(root.table("membership"), keys.isEmpty() ? 0 : DatagramCipher.BYTES);
         boolean spread = root.table("spread").flag("news", false);
         double clockRate = root.table("test").number("clock_rate", 1, 0.01, 100);
         root.finish();
-        return new FleetSettings(
+        return new FleetConfig(
                 address(listen),
                 card,
                 seeds,
@@ -96,15 +96,15 @@
         }
     }
 
-    private static MemberSettings member(TomlTable t, int seal) {
-        MemberSettings u = MemberSettings.USUAL;
+    private static MembershipSettings member(TomlTable t, int seal) {
+        MembershipSettings u = MembershipSettings.USUAL;
         double interval = t.number("interval_ms", u.interval(), 100, 60_000);
         double timeout = t.number("timeout_ms", Math.min(u.timeout(), interval / 2), 10, 30_000);
         if (timeout > interval / 2) {
             t.error("timeout_ms", "found " + timeout + ", expected at most half of interval_ms, " + interval / 2);
             timeout = interval / 2;
         }
-        return new MemberSettings(
+        return new MembershipSettings(
                 interval,
                 timeout,
                 (int) t.whole("helpers", u.helpers(), 1, 10),
@@ -113,11 +113,11 @@
                 (int) t.whole("spread", u.spread(), 1, 10),
                 1_000 * t.number("forget_s", u.forget() / 1_000, 10, 3_600),
                 (int) t.whole("most", u.most(), 2, 100_000),
-                (int) t.whole("datagram_bytes", u.room(), 128 + seal, Codec.MAX_BYTES) - seal);
+                (int) t.whole("datagram_bytes", u.room(), 128 + seal, MessageCodec.MAX_BYTES) - seal);
     }
 
     /** An {@code IPv4:port}; names are not looked up. */
-    private static Endpoint endpoint(TomlTable t, String key, String s) {
+    private static MemberAddress endpoint(TomlTable t, String key, String s) {
         InetSocketAddress a = Addresses.parse(s);
         if (a != null && a.getPort() > 0 && a.getAddress() instanceof Inet4Address) {
             return endpoint(a);
@@ -125,15 +125,15 @@
         if (!s.isEmpty()) { // that it is missing is told already
             t.error(key, "found '" + s + "', expected IPv4:port, as 10.1.0.4:7400");
         }
-        return new Endpoint(0x7F000001, 1);
+        return new MemberAddress(0x7F000001, 1);
     }
 
     /** The endpoint of an IPv4 address. */
-    static Endpoint endpoint(InetSocketAddress a) {
-        return new Endpoint(ByteBuffer.wrap(a.getAddress().getAddress()).getInt(), a.getPort());
+    static MemberAddress endpoint(InetSocketAddress a) {
+        return new MemberAddress(ByteBuffer.wrap(a.getAddress().getAddress()).getInt(), a.getPort());
     }
 
-    static InetSocketAddress address(Endpoint e) {
+    static InetSocketAddress address(MemberAddress e) {
         try {
             byte[] ip = {(byte) (e.ip() >> 24), (byte) (e.ip() >> 16), (byte) (e.ip() >> 8), (byte) e.ip()};
             return new InetSocketAddress(InetAddress.getByAddress(ip), e.port());
--- a/src/main/java/rillyard/member/net/FleetMember.java
+++ b/src/main/java/rillyard/membership/net/FleetMember.java
@@ -1,4 +1,4 @@
-package rillyard.member.net;
+package rillyard.membership.net;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -24,13 +24,13 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
-import rillyard.member.Change;
-import rillyard.member.Codec;
-import rillyard.member.Endpoint;
-import rillyard.member.Fact;
-import rillyard.member.LoopHealth;
-import rillyard.member.Membership;
-import rillyard.member.Message;
+import rillyard.membership.LoopHealth;
+import rillyard.membership.MemberAddress;
+import rillyard.membership.MemberAttribute;
+import rillyard.membership.Membership;
+import rillyard.membership.MembershipEvent;
+import rillyard.membership.Message;
+import rillyard.membership.MessageCodec;
 
 /** This process's membership of the fleet: one socket, one thread, the decisions of {@link Membership}. */
 public final class FleetMember implements AutoCloseable {
@@ -51,50 +51,51 @@
      * @param followed facts of the kinds that are followed, by owner
      * @param at nanoseconds of this JVM's clock when it held them
      */
-    public record Known(String self, List<String> present, Map<Integer, Map<String, Fact>> followed, long at) {
+    public record FleetSnapshot(
+            String self, List<String> present, Map<Integer, Map<String, MemberAttribute>> followed, long at) {
         /** The facts of a kind that is followed. */
-        public Map<String, Fact> facts(int kind) {
+        public Map<String, MemberAttribute> facts(int kind) {
             return followed.getOrDefault(kind, Map.of());
         }
 
         /** How old a fact of these is by now (ms), also where this member has ended and holds nothing newer. */
-        public double age(Fact f) {
+        public double age(MemberAttribute f) {
             return f.age() + (System.nanoTime() - at) / 1e6;
         }
     }
 
-    private final FleetSettings settings;
+    private final FleetConfig settings;
     private final PrintStream log;
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("fleet", true), NioIoHandler.newFactory());
     private final long startedUnix = System.currentTimeMillis();
     private final long startedAt = System.nanoTime();
     private final Membership member;
-    private final History history;
-    private final Seal seal;
+    private final MembershipEventLog history;
+    private final DatagramCipher seal;
     private volatile Channel channel; // set on the loop, before the first datagram
-    private final Costs costs = new Costs();
+    private final ResourceUsage costs = new ResourceUsage();
     private final LoopHealth loopHealth = new LoopHealth();
     private LoopHealth.Level said = LoopHealth.Level.WELL;
     private double nextStep = Double.NaN;
     private int[] followed = {};
     private double copiedAt = Double.NEGATIVE_INFINITY;
-    private volatile Known known;
+    private volatile FleetSnapshot known;
 
     /**
      * Makes one; {@link #start} has it join.
      *
      * @throws IOException if its history can't be written
      */
-    public FleetMember(FleetSettings settings, long seed, PrintStream log) throws IOException {
+    public FleetMember(FleetConfig settings, long seed, PrintStream log) throws IOException {
         this.settings = settings;
         this.log = log;
         this.history = settings.history() == null
                 ? null
-                : new History(settings.history(), settings.card().name());
+                : new MembershipEventLog(settings.history(), settings.card().name());
         this.seal = settings.keys().isEmpty()
                 ? null
-                : new Seal(
+                : new DatagramCipher(
                         settings.keys(),
                         settings.card().at(),
                         startedUnix,
@@ -105,8 +106,8 @@
                 startedUnix,
                 settings.seeds(),
                 new SplittableRandom(seed),
-                new Doing());
-        this.known = new Known(settings.card().name(), List.of(), Map.of(), startedAt);
+                new SocketOutput());
+        this.known = new FleetSnapshot(settings.card().name(), List.of(), Map.of(), startedAt);
     }
 
     /** Facts of these kinds are to be found in {@link #known}; to be called before {@link #start}. */
@@ -115,7 +116,7 @@
     }
 
     /** What it knew a moment ago; may be asked on any thread. */
-    public Known known() {
+    public FleetSnapshot known() {
         return known;
     }
 
@@ -142,7 +143,7 @@
             return;
         }
         copiedAt = now;
-        Map<Integer, Map<String, Fact>> facts = new HashMap<>();
+        Map<Integer, Map<String, MemberAttribute>> facts = new HashMap<>();
         for (int kind : followed) {
             facts.put(kind, member.facts(now, kind));
         }
@@ -150,7 +151,7 @@
         member.others().stream()
                 .filter(u -> u.status().present())
                 .forEach(u -> present.add(u.card().name()));
-        known = new Known(settings.card().name(), List.copyOf(present), Map.copyOf(facts), System.nanoTime());
+        known = new FleetSnapshot(settings.card().name(), List.copyOf(present), Map.copyOf(facts), System.nanoTime());
     }
 
     /**
@@ -164,8 +165,8 @@
                     .group(group)
                     .channel(NioDatagramChannel.class)
                     // A byte more than any datagram may have: a longer one is seen to be longer, and turned away.
-                    .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(Codec.MAX_BYTES + 1))
-                    .handler(new Incoming())
+                    .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MessageCodec.MAX_BYTES + 1))
+                    .handler(new DatagramHandler())
                     .bind(settings.listen())
                     .sync();
         } catch (Exception e) {
@@ -174,7 +175,8 @@
         }
         if (settings.admin() != null) {
             try {
-                new Admin(() -> View.of(member, startedUnix, now(), costs)).listen(group, settings.admin());
+                new MemberAdminServer(() -> MembershipView.of(member, startedUnix, now(), costs))
+                        .listen(group, settings.admin());
             } catch (IOException e) {
                 close();
                 throw e;
@@ -183,7 +185,7 @@
         if (history != null) {
             history.line(
                     startedUnix,
-                    new Change(0, member.self(), null, settings.card().name()));
+                    new MembershipEvent(0, member.self(), null, settings.card().name()));
         }
         long step = (long) (settings.member().interval() / STEPS * 1e6);
         channel.eventLoop().scheduleWithFixedDelay(this::tick, 0, step, TimeUnit.NANOSECONDS);
@@ -229,7 +231,7 @@
         }
     }
 
-    private final class Incoming extends SimpleChannelInboundHandler<DatagramPacket> {
+    private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         public void handlerAdded(ChannelHandlerContext ctx) {
             channel = ctx.channel();
@@ -245,8 +247,8 @@
             try {
                 InetSocketAddress sender = p.sender();
                 if (sender.getAddress() instanceof Inet4Address) {
-                    Endpoint from = FleetFile.endpoint(sender);
-                    member.received(now(), from, Codec.decode(seal == null ? bytes : seal.open(from, bytes)));
+                    MemberAddress from = FleetConfigReader.endpoint(sender);
+                    member.received(now(), from, MessageCodec.decode(seal == null ? bytes : seal.open(from, bytes)));
                 }
             } catch (IllegalArgumentException e) {
                 if (costs.turnedAway++ % 1_000 == 0) {
@@ -265,18 +267,18 @@
         }
     }
 
-    private final class Doing implements Membership.Out {
+    private final class SocketOutput implements Membership.Output {
         @Override
-        public void send(Endpoint to, Message m) {
-            byte[] plain = Codec.encode(m, settings.member().room());
+        public void send(MemberAddress to, Message m) {
+            byte[] plain = MessageCodec.encode(m, settings.member().room());
             ByteBuf bytes = Unpooled.wrappedBuffer(seal == null ? plain : seal.seal(plain));
             costs.sent++;
             costs.sentBytes += bytes.readableBytes();
-            channel.writeAndFlush(new DatagramPacket(bytes, FleetFile.address(to)), channel.voidPromise());
+            channel.writeAndFlush(new DatagramPacket(bytes, FleetConfigReader.address(to)), channel.voidPromise());
         }
 
         @Override
-        public void changed(Change c) {
+        public void changed(MembershipEvent c) {
             if (history == null) {
                 return;
             }
--- a/src/main/java/rillyard/member/net/AdminClient.java
+++ b/src/main/java/rillyard/membership/net/MemberAdminClient.java
@@ -1,4 +1,4 @@
-package rillyard.member.net;
+package rillyard.membership.net;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -7,13 +7,13 @@
 import java.net.Socket;
 
 /** Asks a member what it holds. */
-public final class AdminClient {
+public final class MemberAdminClient {
     private static final int WAIT_MS = 3_000;
 
     /** Some 300 bytes for each of 100,000 members. */
     private static final int MOST_BYTES = 64 << 20;
 
-    private AdminClient() {}
+    private MemberAdminClient() {}
 
     /**
      * Asks.
--- a/src/main/java/rillyard/member/net/Admin.java
+++ b/src/main/java/rillyard/membership/net/MemberAdminServer.java
@@ -1,4 +1,4 @@
-package rillyard.member.net;
+package rillyard.membership.net;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -14,7 +14,7 @@
 import java.util.function.Supplier;
 
 /** Tells whoever connects what this member holds: one line, and the connection ends. It takes nothing in. */
-final class Admin {
+final class MemberAdminServer {
     /** Connections at a time; past it one that comes is ended at once. */
     private static final int MOST_OPEN = 8;
 
@@ -25,7 +25,7 @@
     private int open;
 
     /** {@code view} is asked on the loop. */
-    Admin(Supplier<String> view) {
+    MemberAdminServer(Supplier<String> view) {
         this.view = view;
     }
 
--- a/src/main/java/rillyard/member/net/History.java
+++ b/src/main/java/rillyard/membership/net/MembershipEventLog.java
@@ -1,4 +1,4 @@
-package rillyard.member.net;
+package rillyard.membership.net;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -7,25 +7,25 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
-import rillyard.member.Change;
-import rillyard.member.Update;
+import rillyard.membership.MemberUpdate;
+import rillyard.membership.MembershipEvent;
 
 /** What one process believed and since when, a JSON object a line; each line is out at once. */
-final class History implements AutoCloseable {
+final class MembershipEventLog implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final Writer out;
     private final String member;
 
     /** Goes on where the file has lines of an earlier process of that name. */
-    History(Path file, String member) throws IOException {
+    MembershipEventLog(Path file, String member) throws IOException {
         this.out = Files.newBufferedWriter(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
         this.member = member;
     }
 
     /** {@code unixMs} is when; an IOException costs the line, never the member. */
-    void line(long unixMs, Change c) throws IOException {
-        Update u = c.now();
+    void line(long unixMs, MembershipEvent c) throws IOException {
+        MemberUpdate u = c.now();
         ObjectNode n = JSON.createObjectNode();
         n.put("at", unixMs)
                 .put("member", member)
--- a/src/main/java/rillyard/member/net/View.java
+++ b/src/main/java/rillyard/membership/net/MembershipView.java
@@ -1,4 +1,4 @@
-package rillyard.member.net;
+package rillyard.membership.net;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -6,17 +6,17 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import rillyard.member.Fact;
-import rillyard.member.LoopHealth;
-import rillyard.member.Membership;
-import rillyard.member.Seen;
-import rillyard.member.Update;
+import rillyard.membership.LoopHealth;
+import rillyard.membership.MemberAttribute;
+import rillyard.membership.MemberSnapshot;
+import rillyard.membership.MemberUpdate;
+import rillyard.membership.Membership;
 
 /** All that a member holds, as a JSON object on one line. */
-final class View {
+final class MembershipView {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private View() {}
+    private MembershipView() {}
 
     /**
      * Writes it.
@@ -24,19 +24,19 @@
      * @param startedUnix when this process started, Unix time (ms)
      * @param now ms since then
      */
-    static String of(Membership m, long startedUnix, double now, Costs costs) {
-        Map<String, Fact> health = m.facts(now, LoopHealth.FACT);
+    static String of(Membership m, long startedUnix, double now, ResourceUsage costs) {
+        Map<String, MemberAttribute> health = m.facts(now, LoopHealth.FACT);
         Map<String, String> names = new HashMap<>();
-        List<Seen> seen = m.seen();
+        List<MemberSnapshot> seen = m.seen();
         seen.forEach(s -> names.put(
-                "#" + Update.by(s.word().card().name()), s.word().card().name()));
+                "#" + MemberUpdate.by(s.word().card().name()), s.word().card().name()));
         names.put("#" + m.self().by(), m.self().card().name());
         ObjectNode n = JSON.createObjectNode();
         n.put("at", startedUnix + (long) now).put("over", m.over()).put("present", m.present());
         n.put("distrust", m.distrust());
         n.set("self", word(m.self(), health));
         ArrayNode members = n.putArray("members");
-        for (Seen s : seen) {
+        for (MemberSnapshot s : seen) {
             ObjectNode o = word(s.word(), health);
             o.put("since", startedUnix + (long) s.since()).put("by", names.getOrDefault(s.by(), s.by()));
             members.add(o);
@@ -52,7 +52,7 @@
         return n.toString();
     }
 
-    private static ObjectNode word(Update u, Map<String, Fact> health) {
+    private static ObjectNode word(MemberUpdate u, Map<String, MemberAttribute> health) {
         ObjectNode o = JSON.createObjectNode();
         o.put("name", u.card().name())
                 .put("address", u.card().at().toString())
@@ -61,7 +61,7 @@
                 .put("status", u.status().name())
                 .put("start", u.life().start());
         o.put("incarnation", u.life().incarnation());
-        Fact f = health.get(u.card().name());
+        MemberAttribute f = health.get(u.card().name());
         int level = f == null ? 0 : f.value()[0];
         // Members say it when it changes: who has never been anything else has said nothing.
         boolean known = level >= 0 && level < LoopHealth.Level.values().length;
--- a/src/main/java/rillyard/member/net/Costs.java
+++ b/src/main/java/rillyard/membership/net/ResourceUsage.java
@@ -1,7 +1,7 @@
-package rillyard.member.net;
+package rillyard.membership.net;
 
 /** What membership has cost this process so far; used on the fleet's thread only. */
-final class Costs {
+final class ResourceUsage {
     long sent;
     long sentBytes;
     long received;
--- a/src/main/java/rillyard/member/net/package-info.java
+++ b/src/main/java/rillyard/membership/net/package-info.java
@@ -1,2 +1,2 @@
 /** Membership on datagrams: settings, the socket and its clock, a history of what was believed. */
-package rillyard.member.net;
+package rillyard.membership.net;
--- a/src/main/java/rillyard/check/Model.java
+++ b/src/main/java/rillyard/modelcheck/Model.java
@@ -1,4 +1,4 @@
-package rillyard.check;
+package rillyard.modelcheck;
 
 import java.util.List;
 
--- a/src/main/java/rillyard/check/Checker.java
+++ b/src/main/java/rillyard/modelcheck/ModelChecker.java
@@ -1,4 +1,4 @@
-package rillyard.check;
+package rillyard.modelcheck;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -12,7 +12,7 @@
  * Walks all states of a model, nearest first, so that the first breach found has a shortest history. States
  * are known by 128 bits of their text: two that differ and look alike are as good as impossible.
  */
-public final class Checker<A> {
+public final class ModelChecker<A> {
     private record Seen(long high, long low) {}
 
     private static final class Node<A> {
@@ -56,7 +56,7 @@
     private final Model<A> model;
     private final LongTupleHashFunction hash = LongTupleHashFunction.xx128();
 
-    public Checker(Model<A> model) {
+    public ModelChecker(Model<A> model) {
         this.model = model;
     }
 
--- a/src/main/java/rillyard/check/package-info.java
+++ b/src/main/java/rillyard/modelcheck/package-info.java
@@ -1,2 +1,2 @@
 /** A model checker: every order of the actions of a model to a depth, its invariants and its fair ends. */
-package rillyard.check;
+package rillyard.modelcheck;
--- a/src/main/java/rillyard/spread/HostWords.java
+++ b/src/main/java/rillyard/outlier/FleetOutlierDetector.java
@@ -1,4 +1,4 @@
-package rillyard.spread;
+package rillyard.outlier;
 
 import java.util.HashMap;
 import java.util.List;
@@ -13,8 +13,8 @@
  * itself by the same rule from nearly the same votes; nobody has to be asked. What the others say only takes from a host.
  * Times are ms of this proxy's clock. Not safe for use from several threads at once.
  */
-public final class HostWords {
-    /** What it decides; hosts by {@link Vote#number}. */
+public final class FleetOutlierDetector {
+    /** What it decides; hosts by {@link HostObservation#number}. */
     public interface Out {
         /** The host gets nothing for so long (ms), then a trial. */
         void leave(int host, double wait, int failed, int served);
@@ -32,14 +32,14 @@
         boolean again;
     }
 
-    private final SpreadSettings settings;
+    private final FleetOutlierSettings settings;
     private final RandomGenerator random;
     private final Out out;
-    private final Sightings own = new Sightings();
+    private final LocalObservations own = new LocalObservations();
     private final Map<Integer, Word> words = new HashMap<>();
 
     /** {@code random} is its only source of chance. */
-    public HostWords(SpreadSettings settings, RandomGenerator random, Out out) {
+    public FleetOutlierDetector(FleetOutlierSettings settings, RandomGenerator random, Out out) {
         this.settings = settings;
         this.random = random;
         this.out = out;
@@ -62,7 +62,7 @@
      * @param hosts that are listed
      * @return this proxy's own votes, for the others; those that matter most come first
      */
-    public List<Vote> step(List<List<Vote>> others, int proxies, int hosts, double now) {
+    public List<HostObservation> step(List<List<HostObservation>> others, int proxies, int hosts, double now) {
         // Each that uses a part of the hosts is taken for one of many alike: so many use each host.
         double users =
                 Math.max(settings.quorum(), (double) proxies * own.used(settings.habit(), now) / Math.max(1, hosts));
@@ -71,8 +71,8 @@
         others.forEach(votes -> votes.stream()
                 .filter(v -> v.failed() && v.age() < settings.window())
                 .forEach(v -> spokenOf.add(v.host())));
-        List<Vote> mine = own.votes(spokenOf::contains, settings.window(), now);
-        Map<Integer, Vote> seen = mine.stream().collect(Collectors.toMap(Vote::host, v -> v));
+        List<HostObservation> mine = own.votes(spokenOf::contains, settings.window(), now);
+        Map<Integer, HostObservation> seen = mine.stream().collect(Collectors.toMap(HostObservation::host, v -> v));
         for (int host : spokenOf) {
             Word w = words.computeIfAbsent(host, h -> new Word());
             decide(host, w, seen.get(host), others, users, now);
@@ -93,10 +93,12 @@
         return over;
     }
 
-    private void decide(int host, Word w, Vote mine, List<List<Vote>> others, double users, double now) {
-        Tally tally = mine != null && now - mine.age() > w.since ? Tally.NONE.plus(mine) : Tally.NONE;
-        for (List<Vote> votes : others) {
-            for (Vote v : votes) {
+    private void decide(
+            int host, Word w, HostObservation mine, List<List<HostObservation>> others, double users, double now) {
+        ObservationCount tally =
+                mine != null && now - mine.age() > w.since ? ObservationCount.NONE.plus(mine) : ObservationCount.NONE;
+        for (List<HostObservation> votes : others) {
+            for (HostObservation v : votes) {
                 if (v.host() == host && v.age() < settings.window() && now - v.age() > w.since) {
                     tally = tally.plus(v);
                     break; // one voice a proxy, whatever it says twice
@@ -111,7 +113,7 @@
         }
     }
 
-    private void here(int host, Word w, Tally tally, Vote mine, double users, double now) {
+    private void here(int host, Word w, ObservationCount tally, HostObservation mine, double users, double now) {
         boolean byOthers = tally.failed() > (mine != null && mine.failed() ? 1 : 0);
         w.accusedFrom = !byOthers ? Double.NaN : Double.isNaN(w.accusedFrom) ? now + tally.youngest() : w.accusedFrom;
         // Guards against late news: who was served there after the last failure that anybody tells of believes its own
@@ -123,7 +125,7 @@
         }
     }
 
-    private void away(int host, Word w, Tally tally, double users, double now) {
+    private void away(int host, Word w, ObservationCount tally, double users, double now) {
         if (tally.serves(settings)) {
             turn(w, false, now);
             out.comeBack(host, settings.ramp() * random.nextDouble());
--- a/src/main/java/rillyard/spread/SpreadSettings.java
+++ b/src/main/java/rillyard/outlier/FleetOutlierSettings.java
@@ -1,4 +1,4 @@
-package rillyard.spread;
+package rillyard.outlier;
 
 /**
  * How proxies hold together about hosts. Times are in ms.
@@ -14,7 +14,7 @@
  * @param ramp time over which they come back, each at an instant of its own
  * @param forget time after which a host that nobody speaks of is as any other
  */
-public record SpreadSettings(
+public record FleetOutlierSettings(
         double window,
         int quorum,
         double share,
@@ -25,6 +25,6 @@
         double ramp,
         double forget) {
     /** Reasons and figures: {@code docs/design/even-load.md}. */
-    public static final SpreadSettings USUAL =
-            new SpreadSettings(4_000, 3, 2 / 3.0, 1_000, 2, 2, 30_000, 2_000, 20_000);
+    public static final FleetOutlierSettings USUAL =
+            new FleetOutlierSettings(4_000, 3, 2 / 3.0, 1_000, 2, 2, 30_000, 2_000, 20_000);
 }
--- a/src/main/java/rillyard/spread/Vote.java
+++ b/src/main/java/rillyard/outlier/HostObservation.java
@@ -1,4 +1,4 @@
-package rillyard.spread;
+package rillyard.outlier;
 
 import net.openhft.hashing.LongHashFunction;
 
@@ -9,16 +9,16 @@
  * @param failed whether the last attempt that told anything failed
  * @param age ms since then, 0 to {@link #MAX_AGE}
  */
-public record Vote(int host, boolean failed, double age) {
+public record HostObservation(int host, boolean failed, double age) {
     /** The oldest (ms) that fits on the wire; nobody counts one so old. */
-    public static final double MAX_AGE = 127 * Ballot.AGE_STEP;
+    public static final double MAX_AGE = 127 * ObservationCodec.AGE_STEP;
 
     /**
      * Checks the age.
      *
      * @throws IllegalArgumentException if it is out of its range
      */
-    public Vote {
+    public HostObservation {
         if (!(age >= 0 && age <= MAX_AGE)) {
             throw new IllegalArgumentException("a vote of " + age + " ms, expected 0 to " + MAX_AGE);
         }
--- a/src/main/java/rillyard/spread/Sightings.java
+++ b/src/main/java/rillyard/outlier/LocalObservations.java
@@ -1,4 +1,4 @@
-package rillyard.spread;
+package rillyard.outlier;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -8,7 +8,7 @@
 import java.util.function.IntPredicate;
 
 /** What this proxy last saw of each host that it uses. Bounded by the hosts that its list names and a time. */
-final class Sightings {
+final class LocalObservations {
     private record Seen(boolean failed, double at) {}
 
     private final Map<Integer, Seen> last = new HashMap<>();
@@ -35,17 +35,17 @@
      * Its votes of a window: the hosts that failed, newest first, then those of {@code accused} hosts that served it.
      * Guards against a host that loses one request in ten being judged by those it lost alone.
      */
-    List<Vote> votes(IntPredicate accused, double window, double now) {
-        List<Vote> votes = new ArrayList<>();
+    List<HostObservation> votes(IntPredicate accused, double window, double now) {
+        List<HostObservation> votes = new ArrayList<>();
         last.forEach((host, s) -> {
             if (now - s.at < window && (s.failed || accused.test(host))) {
-                votes.add(new Vote(host, s.failed, Math.max(0, now - s.at)));
+                votes.add(new HostObservation(host, s.failed, Math.max(0, now - s.at)));
             }
         });
-        votes.sort(Comparator.comparing(Vote::failed)
+        votes.sort(Comparator.comparing(HostObservation::failed)
                 .reversed()
-                .thenComparingDouble(Vote::age)
-                .thenComparingInt(Vote::host));
+                .thenComparingDouble(HostObservation::age)
+                .thenComparingInt(HostObservation::host));
         return votes;
     }
 }
--- a/src/main/java/rillyard/spread/Ballot.java
+++ b/src/main/java/rillyard/outlier/ObservationCodec.java
@@ -1,11 +1,11 @@
-package rillyard.spread;
+package rillyard.outlier;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
 
 /** A proxy's votes as the values of its facts: five bytes a vote, the host's number, and whether it failed with the age. */
-public final class Ballot {
+public final class ObservationCodec {
     /** ms in one step of an age on the wire. */
     static final double AGE_STEP = 50;
 
@@ -17,15 +17,15 @@
 
     private static final int FAILED = 0x80;
 
-    private Ballot() {}
+    private ObservationCodec() {}
 
     /** Votes as values, six in each, and no more values than {@code most}: those that are first in the list. */
-    public static List<byte[]> encode(List<Vote> votes, int most) {
+    public static List<byte[]> encode(List<HostObservation> votes, int most) {
         List<byte[]> values = new ArrayList<>();
         for (int i = 0; i < votes.size() && values.size() < most; i += IN_A_FACT) {
-            List<Vote> some = votes.subList(i, Math.min(votes.size(), i + IN_A_FACT));
+            List<HostObservation> some = votes.subList(i, Math.min(votes.size(), i + IN_A_FACT));
             ByteBuffer b = ByteBuffer.allocate(some.size() * VOTE);
-            for (Vote v : some) {
+            for (HostObservation v : some) {
                 b.putInt(v.host()).put((byte) ((v.failed() ? FAILED : 0) | (int) (v.age() / AGE_STEP)));
             }
             values.add(b.array());
@@ -39,18 +39,18 @@
      * @param since ms since it was said: each vote is older by that; those that get too old to fit are left out
      * @throws IllegalArgumentException if it is none
      */
-    public static List<Vote> decode(byte[] value, double since) {
+    public static List<HostObservation> decode(byte[] value, double since) {
         if (value.length == 0 || value.length % VOTE != 0 || value.length > IN_A_FACT * VOTE || !(since >= 0)) {
             throw new IllegalArgumentException(
                     "no votes: " + value.length + " bytes said " + since + " ms ago, expected 5 to 30 in steps of 5");
         }
-        List<Vote> votes = new ArrayList<>();
+        List<HostObservation> votes = new ArrayList<>();
         for (ByteBuffer b = ByteBuffer.wrap(value); b.hasRemaining(); ) {
             int host = b.getInt();
             int rest = b.get();
             double age = (rest & ~FAILED & 0xFF) * AGE_STEP + since;
-            if (age <= Vote.MAX_AGE) {
-                votes.add(new Vote(host, (rest & FAILED) != 0, age));
+            if (age <= HostObservation.MAX_AGE) {
+                votes.add(new HostObservation(host, (rest & FAILED) != 0, age));
             }
         }
         return votes;
--- a/src/main/java/rillyard/spread/Tally.java
+++ b/src/main/java/rillyard/outlier/ObservationCount.java
@@ -1,4 +1,4 @@
-package rillyard.spread;
+package rillyard.outlier;
 
 /**
  * What those who saw a host lately say of it, one voice a proxy.
@@ -7,13 +7,13 @@
  * @param served proxies whose last sight of it was an answer
  * @param youngest age (ms) of the newest failure; infinite without one
  */
-record Tally(int failed, int served, double youngest) {
-    static final Tally NONE = new Tally(0, 0, Double.POSITIVE_INFINITY);
+record ObservationCount(int failed, int served, double youngest) {
+    static final ObservationCount NONE = new ObservationCount(0, 0, Double.POSITIVE_INFINITY);
 
-    Tally plus(Vote v) {
+    ObservationCount plus(HostObservation v) {
         return v.failed()
-                ? new Tally(failed + 1, served, Math.min(youngest, v.age()))
-                : new Tally(failed, served + 1, youngest);
+                ? new ObservationCount(failed + 1, served, Math.min(youngest, v.age()))
+                : new ObservationCount(failed, served + 1, youngest);
     }
 
     int voices() {
@@ -21,12 +21,12 @@
     }
 
     /** Whether so many say that it fails, and they are more than that share of all; one who was served counts from the start. */
-    boolean fails(SpreadSettings s) {
+    boolean fails(FleetOutlierSettings s) {
         return failed >= s.quorum() && failed >= s.share() * (voices() + 1);
     }
 
     /** Whether so many were served that it is well again, and at least twice those who were not. */
-    boolean serves(SpreadSettings s) {
+    boolean serves(FleetOutlierSettings s) {
         return served >= s.back() && served >= 2 * failed;
     }
 }
--- a/src/main/java/rillyard/spread/net/FleetNews.java
+++ b/src/main/java/rillyard/outlier/net/ObservationGossip.java
@@ -1,4 +1,4 @@
-package rillyard.spread.net;
+package rillyard.outlier.net;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -11,17 +11,17 @@
 import java.util.stream.Collectors;
 import rillyard.balancer.AttemptOutcome;
 import rillyard.balancer.SubsetPosition;
-import rillyard.member.net.FleetMember;
+import rillyard.membership.net.FleetMember;
+import rillyard.outlier.FleetOutlierDetector;
+import rillyard.outlier.FleetOutlierSettings;
+import rillyard.outlier.HostObservation;
+import rillyard.outlier.ObservationCodec;
 import rillyard.proxy.dispatch.PeerGossip;
-import rillyard.spread.Ballot;
-import rillyard.spread.HostWords;
-import rillyard.spread.Pools;
-import rillyard.spread.Rate;
-import rillyard.spread.SpreadSettings;
-import rillyard.spread.Vote;
+import rillyard.subset.RequestRate;
+import rillyard.subset.SubsetPlanner;
 
 /** Carries votes on hosts, and rates, between a proxy and the other members of its fleet, as facts. */
-public final class FleetNews implements PeerGossip {
+public final class ObservationGossip implements PeerGossip {
     /** Kinds of the facts that hold votes. */
     static final int FIRST_KIND = 1;
 
@@ -42,22 +42,22 @@
     private static final double LAY_EACH = 1_000;
 
     private final FleetMember member;
-    private final HostWords words;
-    private final Pools pools = new Pools();
-    private final Rate rate = new Rate();
+    private final FleetOutlierDetector words;
+    private final SubsetPlanner pools = new SubsetPlanner();
+    private final RequestRate rate = new RequestRate();
     private final Set<String> strangers = new HashSet<>();
     private final Map<Integer, String> names = new HashMap<>();
     private Set<String> listed = Set.of();
-    private Set<Vote> told = Set.of();
+    private Set<HostObservation> told = Set.of();
     private double toldAt = Double.NEGATIVE_INFINITY;
     private int factsTold;
     private double laidAt = Double.NEGATIVE_INFINITY;
     private Listener heed;
 
     /** The member is to be started by whoever made it. */
-    public FleetNews(FleetMember member, SpreadSettings settings, long seed) {
+    public ObservationGossip(FleetMember member, FleetOutlierSettings settings, long seed) {
         this.member = member;
-        this.words = new HostWords(settings, new SplittableRandom(seed), new Decided());
+        this.words = new FleetOutlierDetector(settings, new SplittableRandom(seed), new Decided());
         member.follow(FIRST_KIND, FIRST_KIND + 1, FIRST_KIND + 2, RATE);
     }
 
@@ -65,8 +65,8 @@
     public void ended(String host, AttemptOutcome result, double now) {
         rate.counted(now);
         switch (result) {
-            case OK -> words.ended(Vote.number(host), false, now);
-            case ERROR, TIMEOUT, RESET, CONNECT_FAILED -> words.ended(Vote.number(host), true, now);
+            case OK -> words.ended(HostObservation.number(host), false, now);
+            case ERROR, TIMEOUT, RESET, CONNECT_FAILED -> words.ended(HostObservation.number(host), true, now);
             case FULL, CANCELLED, MOOT -> {} // a full host is busy, and the others tell nothing of it
         }
     }
@@ -77,10 +77,10 @@
         if (!hosts.equals(listed)) {
             listed = Set.copyOf(hosts);
             names.clear();
-            listed.forEach(h -> names.put(Vote.number(h), h));
+            listed.forEach(h -> names.put(HostObservation.number(h), h));
         }
-        FleetMember.Known known = member.known();
-        List<Vote> mine = words.step(votes(known), known.present().size(), listed.size(), now);
+        FleetMember.FleetSnapshot known = member.known();
+        List<HostObservation> mine = words.step(votes(known), known.present().size(), listed.size(), now);
         tell(mine, now);
         byte[] news = rate.news(now);
         if (news != null) {
@@ -93,15 +93,15 @@
     }
 
     /** What the others saw of hosts that this proxy's own list names: nobody's word brings it another. */
-    private List<List<Vote>> votes(FleetMember.Known known) {
-        Map<String, List<Vote>> byOwner = new HashMap<>();
+    private List<List<HostObservation>> votes(FleetMember.FleetSnapshot known) {
+        Map<String, List<HostObservation>> byOwner = new HashMap<>();
         for (int kind = FIRST_KIND; kind < FIRST_KIND + KINDS; kind++) {
             known.facts(kind).forEach((owner, fact) -> {
                 if (owner.equals(known.self())) {
                     return;
                 }
                 try {
-                    for (Vote v : Ballot.decode(fact.value(), known.age(fact))) {
+                    for (HostObservation v : ObservationCodec.decode(fact.value(), known.age(fact))) {
                         if (names.containsKey(v.host())) {
                             byOwner.computeIfAbsent(owner, o -> new ArrayList<>())
                                     .add(v);
@@ -115,10 +115,11 @@
         return List.copyOf(byOwner.values());
     }
 
-    private void tell(List<Vote> mine, double now) {
+    private void tell(List<HostObservation> mine, double now) {
         // What is said of which host, whenever it was seen.
-        Set<Vote> said =
-                mine.stream().map(v -> new Vote(v.host(), v.failed(), 0)).collect(Collectors.toSet());
+        Set<HostObservation> said = mine.stream()
+                .map(v -> new HostObservation(v.host(), v.failed(), 0))
+                .collect(Collectors.toSet());
         boolean renewed =
                 !mine.isEmpty() && now - toldAt >= RENEW && mine.stream().anyMatch(v -> v.age() < now - toldAt);
         if (said.equals(told) && !renewed) {
@@ -126,18 +127,18 @@
         }
         told = said;
         toldAt = now;
-        List<byte[]> values = Ballot.encode(mine, KINDS);
+        List<byte[]> values = ObservationCodec.encode(mine, KINDS);
         for (int i = 0; i < Math.max(values.size(), factsTold); i++) {
             member.say(FIRST_KIND + i, i < values.size() ? values.get(i) : new byte[0], VOTES_LAST, false);
         }
         factsTold = values.size();
     }
 
-    private void lay(FleetMember.Known known) {
+    private void lay(FleetMember.FleetSnapshot known) {
         Map<String, Double> rates = new HashMap<>();
         known.facts(RATE).forEach((owner, fact) -> {
             try {
-                rates.put(owner, Rate.read(fact.value()));
+                rates.put(owner, RequestRate.read(fact.value()));
             } catch (IllegalArgumentException e) {
                 strange(owner, e);
             }
@@ -155,7 +156,7 @@
         }
     }
 
-    private final class Decided implements HostWords.Out {
+    private final class Decided implements FleetOutlierDetector.Out {
         @Override
         public void leave(int host, double wait, int failed, int served) {
             String name = names.get(host);
--- a/src/main/java/rillyard/spread/net/package-info.java
+++ b/src/main/java/rillyard/outlier/net/package-info.java
@@ -1,2 +1,2 @@
 /** Carries what proxies saw of hosts, and their rates, between them as facts of membership. */
-package rillyard.spread.net;
+package rillyard.outlier.net;
--- a/src/main/java/rillyard/spread/Rate.java
+++ b/src/main/java/rillyard/subset/RequestRate.java
@@ -1,9 +1,9 @@
-package rillyard.spread;
+package rillyard.subset;
 
 import java.nio.ByteBuffer;
 
 /** This proxy's own attempts a second over some thirty seconds, repeats among them, and how it is told. */
-public final class Rate {
+public final class RequestRate {
     /** Time constant (ms). */
     private static final double MEMORY = 30_000;
 
--- a/src/main/java/rillyard/subset/Mix.java
+++ b/src/main/java/rillyard/subset/SplitMix64.java
@@ -1,10 +1,10 @@
 package rillyard.subset;
 
 /** The finisher of SplitMix64 (Steele, Lea, Flood 2014): spreads numbers that are near each other. */
-final class Mix {
+final class SplitMix64 {
     private static final long GOLDEN = 0x9E3779B97F4A7C15L;
 
-    private Mix() {}
+    private SplitMix64() {}
 
     static long of(long a, long b) {
         return finish(finish(a + GOLDEN) ^ (b * GOLDEN));
--- a/src/main/java/rillyard/spread/Pools.java
+++ b/src/main/java/rillyard/subset/SubsetPlanner.java
@@ -1,15 +1,16 @@
-package rillyard.spread;
+package rillyard.subset;
 
 import java.util.Collection;
 import java.util.Map;
 import rillyard.balancer.SubsetPosition;
+import rillyard.outlier.HostObservation;
 
 /**
  * Lays this proxy's pool from the names and rates of all. Where pools are of one size whatever is sent from them, a proxy
  * with ten times the traffic loads a few hosts with it; so size goes with the rate. The order is by a scramble of names, so
  * that proxies of one kind, which are often numbered in a row, don't lie side by side.
  */
-public final class Pools {
+public final class SubsetPlanner {
     /** The largest weight: past it nearly all hosts are in the pool of any fleet that this is for. */
     private static final double MOST = 16;
 
@@ -29,10 +30,10 @@
      * @param rates requests a second, by name; those not known are left out of the mean
      */
     public SubsetPosition lay(String self, Collection<String> names, Map<String, Double> rates) {
-        int own = Vote.number(self);
+        int own = HostObservation.number(self);
         int position = 0;
         for (String n : names) {
-            int other = Vote.number(n);
+            int other = HostObservation.number(n);
             position += other < own || other == own && n.compareTo(self) < 0 ? 1 : 0;
         }
         double mean = rates.values().stream().mapToDouble(d -> d).average().orElse(0);
--- a/src/main/java/rillyard/subset/SubsetSize.java
+++ b/src/main/java/rillyard/subset/SubsetSize.java
@@ -32,7 +32,8 @@
      * @throws IllegalArgumentException if a figure is out of its range
      * @throws TooManyException if subsets of {@link #LEAST} hosts are too much; says what would do
      */
-    public static SubsetSize largest(Subsetting way, int instances, int hosts, int cap, int each, double reserve)
+    public static SubsetSize largest(
+            SubsettingStrategy way, int instances, int hosts, int cap, int each, double reserve)
             throws TooManyException {
         if (instances < 1 || hosts < LEAST || cap < 1 || each < 1 || !(reserve >= 0 && reserve < 1)) {
             throw new IllegalArgumentException("expected instances, cap and connections each of 1 or more, " + LEAST
@@ -41,12 +42,12 @@
         long room = (long) Math.floor(cap * (1 - reserve) + 1e-9);
         int size = (int) Math.min(hosts, room * hosts / ((long) instances * each));
         for (; size >= LEAST; size--) {
-            int most = SubsetFigures.most(way, instances, hosts, size);
+            int most = SubsetStatistics.most(way, instances, hosts, size);
             if ((long) most * each <= room) {
                 return new SubsetSize(size, most, (long) most * each);
             }
         }
-        long needed = (long) SubsetFigures.most(way, instances, hosts, LEAST) * each;
+        long needed = (long) SubsetStatistics.most(way, instances, hosts, LEAST) * each;
         throw new TooManyException(instances + " instances with " + LEAST + " hosts each put up to " + needed
                 + " connections on a host, and "
                 + room + " of " + cap + " may be used: expected a cap of "
--- a/src/main/java/rillyard/subset/SubsetFigures.java
+++ b/src/main/java/rillyard/subset/SubsetStatistics.java
@@ -24,7 +24,7 @@
  * @param movedByInstance hosts that the others take up anew when one instance more comes, for each host that
  *     it takes; 0 is the least
  */
-public record SubsetFigures(
+public record SubsetStatistics(
         int size,
         int least,
         int most,
@@ -43,7 +43,7 @@
      * @param hosts 1 or more
      * @param size 1 or more
      */
-    public static SubsetFigures of(Subsetting way, int instances, int hosts, int size) {
+    public static SubsetStatistics of(SubsettingStrategy way, int instances, int hosts, int size) {
         List<Long> all = hosts(hosts);
         List<Set<Long>> now = layOut(way, instances, all, size);
         Map<Long, Integer> load = load(now);
@@ -53,7 +53,7 @@
         int byHost = hosts == 1 ? 0 : taken(now, layOut(way, instances, fewer, size));
         int byInstance = taken(now, layOut(way, instances + 1, all, size));
         int places = now.get(0).size();
-        return new SubsetFigures(
+        return new SubsetStatistics(
                 places,
                 all.stream().mapToInt(h -> load.getOrDefault(h, 0)).min().orElse(0),
                 load.values().stream().mapToInt(n -> n).max().orElse(0),
@@ -65,7 +65,7 @@
     }
 
     /** Instances of the host that has the most, without the rest of the figures. */
-    static int most(Subsetting way, int instances, int hosts, int size) {
+    static int most(SubsettingStrategy way, int instances, int hosts, int size) {
         return Collections.max(load(way.all(instances, hosts(hosts), size)).values());
     }
 
@@ -79,7 +79,7 @@
         return load;
     }
 
-    private static List<Set<Long>> layOut(Subsetting way, int instances, List<Long> hosts, int size) {
+    private static List<Set<Long>> layOut(SubsettingStrategy way, int instances, List<Long> hosts, int size) {
         return way.all(instances, hosts, size).stream()
                 .<Set<Long>>map(HashSet::new)
                 .toList();
--- a/src/main/java/rillyard/subset/Schemes.java
+++ b/src/main/java/rillyard/subset/SubsettingAlgorithm.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 
 /** The ways that were weighed; see {@code docs/design/many-instances.md}. */
-public enum Schemes implements Subsetting {
+public enum SubsettingAlgorithm implements SubsettingStrategy {
     /**
      * A stretch of the ring of hosts that begins at the instance's part of it, as the aperture of Finagle has
      * it. Even, but neighbours share nearly all, and one instance more moves the beginnings of all.
@@ -118,7 +118,7 @@
     /** The hosts in an order that {@code salt} picks and that doesn't depend on which others there are. */
     private static List<Long> ordered(List<Long> hosts, long salt) {
         List<Long> out = new ArrayList<>(hosts);
-        out.sort(Comparator.comparingLong((Long h) -> Mix.of(salt, h)).thenComparing(Comparator.naturalOrder()));
+        out.sort(Comparator.comparingLong((Long h) -> SplitMix64.of(salt, h)).thenComparing(Comparator.naturalOrder()));
         return out;
     }
 
--- a/src/main/java/rillyard/subset/Subsetting.java
+++ b/src/main/java/rillyard/subset/SubsettingStrategy.java
@@ -7,7 +7,7 @@
  * A way to give each instance its hosts. Every instance computes its own, from what all of them know, and
  * comes to the same result.
  */
-public interface Subsetting {
+public interface SubsettingStrategy {
     /**
      * The hosts of one instance.
      *
--- a/src/main/java/rillyard/trial/Expense.java
+++ b/src/main/java/rillyard/trial/Expense.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import rillyard.member.net.AdminClient;
+import rillyard.membership.net.MemberAdminClient;
 
 /** What membership costs the processes of a trial, from one look at them to the next. */
 final class Expense {
@@ -23,7 +23,7 @@
         Map<String, JsonNode> out = new HashMap<>();
         for (TrialMember m : fleet.members()) {
             try {
-                out.put(m.name(), AdminClient.ask(fleet.admin(m)));
+                out.put(m.name(), MemberAdminClient.ask(fleet.admin(m)));
             } catch (IOException e) {
                 // it has ended, or stands still: it is left out
             }
--- a/src/main/java/rillyard/trial/TrialResult.java
+++ b/src/main/java/rillyard/trial/TrialResult.java
@@ -8,7 +8,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import rillyard.spread.measure.Spread;
+import rillyard.imbalance.ImbalanceReport;
 
 /** What came of a trial. */
 public final class TrialResult {
@@ -28,7 +28,7 @@
     private final Beliefs beliefs;
     private final String expense;
     private TrialAudit audit;
-    private Spread spread;
+    private ImbalanceReport spread;
     private long zero;
 
     TrialResult(TrialPlan plan, long begun, List<Done> done, Set<String> living, Beliefs beliefs, String expense) {
@@ -46,14 +46,14 @@
     }
 
     /** The audit of what clients asked for, and how the hosts were loaded; times of the latter count from {@code zero} (us). */
-    void served(TrialAudit a, Spread s, long zero) {
+    void served(TrialAudit a, ImbalanceReport s, long zero) {
         this.audit = a;
         this.spread = s;
         this.zero = zero;
     }
 
     /** How the hosts were loaded; null where clients asked for nothing. */
-    public Spread spread() {
+    public ImbalanceReport spread() {
         return spread;
     }
 
--- a/src/main/java/rillyard/trial/TrialSpread.java
+++ b/src/main/java/rillyard/trial/TrialSpread.java
@@ -5,16 +5,16 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import rillyard.imbalance.HostArrival;
+import rillyard.imbalance.HostAvailability;
+import rillyard.imbalance.ImbalanceReport;
+import rillyard.imbalance.TimelineEvent;
 import rillyard.input.InvalidFileException;
 import rillyard.ledger.ClientTry;
 import rillyard.ledger.HostNews;
 import rillyard.ledger.HostRun;
 import rillyard.ledger.LedgerReader;
 import rillyard.ledger.Told;
-import rillyard.spread.measure.Arrival;
-import rillyard.spread.measure.HostTimes;
-import rillyard.spread.measure.Mark;
-import rillyard.spread.measure.Spread;
 
 /** How evenly the processes of a trial together loaded the hosts, from both ledgers. */
 final class TrialSpread {
@@ -22,10 +22,10 @@
 
     private final TrialPlan plan;
     private final Map<String, Integer> clients = new HashMap<>();
-    private final List<Arrival> arrivals = new ArrayList<>();
-    private final List<Mark> marks = new ArrayList<>();
+    private final List<HostArrival> arrivals = new ArrayList<>();
+    private final List<TimelineEvent> marks = new ArrayList<>();
     private final Map<String, HostNews> up = new HashMap<>();
-    private final HostTimes times = new HostTimes();
+    private final HostAvailability times = new HostAvailability();
     private long last;
 
     private TrialSpread(TrialPlan plan) {
@@ -33,7 +33,7 @@
     }
 
     /** Reads them. A host is there from its start until it drains, stops or is killed. */
-    static Spread of(Path clients, Path hosts, TrialPlan plan, List<TrialResult.Done> done)
+    static ImbalanceReport of(Path clients, Path hosts, TrialPlan plan, List<TrialResult.Done> done)
             throws InvalidFileException {
         TrialSpread s = new TrialSpread(plan);
         LedgerReader.read(clients, "clients", line -> {
@@ -47,14 +47,14 @@
             } else if (line instanceof HostNews n) {
                 s.heard(n);
             } else if (line instanceof Told t && t.watcher() == 0) {
-                s.marks.add(new Mark(t.at(), t.host(), "discovery has " + t.host() + " " + t.state()));
+                s.marks.add(new TimelineEvent(t.at(), t.host(), "discovery has " + t.host() + " " + t.state()));
             }
         });
         s.up.forEach((host, n) -> s.times.add(host, n.capacity(), n.at(), s.last));
         for (TrialResult.Done d : done) {
-            s.marks.add(new Mark(d.at() * 1_000, "", d.fault().words() + (d.begin() ? "" : " ends")));
+            s.marks.add(new TimelineEvent(d.at() * 1_000, "", d.fault().words() + (d.begin() ? "" : " ends")));
         }
-        return Spread.of(s.arrivals, s.times, s.marks, WINDOW_US);
+        return ImbalanceReport.of(s.arrivals, s.times, s.marks, WINDOW_US);
     }
 
     private void arrived(HostRun r) {
@@ -62,7 +62,8 @@
         Integer client = clients.get(r.id());
         String proxy = client == null ? "?" : plan.serving(client).name();
         long waited = (r.started() == 0 ? r.ended() : r.started()) - r.received();
-        arrivals.add(new Arrival(r.received(), r.host(), proxy, r.attempt() == 0, waited, r.ended() - r.received()));
+        arrivals.add(
+                new HostArrival(r.received(), r.host(), proxy, r.attempt() == 0, waited, r.ended() - r.received()));
     }
 
     private void heard(HostNews n) {
@@ -76,7 +77,7 @@
             }
             default -> {}
         }
-        marks.add(new Mark(
+        marks.add(new TimelineEvent(
                 n.at(),
                 n.host(),
                 n.host() + " "
--- a/src/test/java/rillyard/ArchitectureTest.java
+++ b/src/test/java/rillyard/ArchitectureTest.java
@@ -20,10 +20,10 @@
         "rillyard.connections..",
         "rillyard.subset..",
         "rillyard.stall..",
-        "rillyard.member",
-        "rillyard.check..",
-        "rillyard.spread",
-        "rillyard.spread.measure"
+        "rillyard.membership",
+        "rillyard.modelcheck..",
+        "rillyard.outlier",
+        "rillyard.imbalance"
     };
 
     @ArchTest
@@ -80,9 +80,9 @@
                     "rillyard.process..",
                     "rillyard.measure..",
                     "rillyard.subset..",
-                    "rillyard.member..",
+                    "rillyard.membership..",
                     "rillyard.trial..",
-                    "rillyard.spread..",
+                    "rillyard.outlier..",
                     "org.apache.commons.statistics..",
                     "picocli..",
                     "org.HdrHistogram..",
--- a/src/test/java/rillyard/spread/measure/SpreadTest.java
+++ b/src/test/java/rillyard/imbalance/ImbalanceReportTest.java
@@ -1,4 +1,4 @@
-package rillyard.spread.measure;
+package rillyard.imbalance;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
@@ -10,16 +10,16 @@
 import org.junit.jupiter.api.Test;
 
 /** Runs of uniform load by seeds, and what is planted in them. */
-class SpreadTest {
+class ImbalanceReportTest {
     private static final int HOSTS = 40;
     private static final int PROXIES = 200;
     private static final long SECONDS = 20;
     private static final long RATE = 300;
     private static final long S = 1_000_000;
 
-    private static List<Arrival> uniform(long seed) {
+    private static List<HostArrival> uniform(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<Arrival> out = new ArrayList<>();
+        List<HostArrival> out = new ArrayList<>();
         double at = 0;
         while ((at += random.nextExponential() * S / RATE) < SECONDS * S) {
             out.add(arrival(
@@ -28,12 +28,12 @@
         return out;
     }
 
-    private static Arrival arrival(long at, int host, int proxy, long waited) {
-        return new Arrival(at, "s-" + host, "m" + proxy, true, waited, 20_000 + waited);
+    private static HostArrival arrival(long at, int host, int proxy, long waited) {
+        return new HostArrival(at, "s-" + host, "m" + proxy, true, waited, 20_000 + waited);
     }
 
-    private static HostTimes all() {
-        HostTimes t = new HostTimes();
+    private static HostAvailability all() {
+        HostAvailability t = new HostAvailability();
         for (int h = 0; h < HOSTS; h++) {
             t.add("s-" + h, 1, 0, SECONDS * S);
         }
@@ -45,7 +45,7 @@
         int herds = 0;
         int idle = 0;
         for (long seed = 1; seed <= 300; seed++) {
-            Spread s = Spread.of(uniform(seed), all(), List.of(), S);
+            ImbalanceReport s = ImbalanceReport.of(uniform(seed), all(), List.of(), S);
             herds += s.herds().isEmpty() ? 0 : 1;
             idle += s.idle().isEmpty() ? 0 : 1;
         }
@@ -56,15 +56,15 @@
 
     @Test
     void aHerdThatIsOverAtOnceIsFoundWithWhoTookPartAndWhatCameBefore() {
-        List<Arrival> arrivals = uniform(5);
+        List<HostArrival> arrivals = uniform(5);
         for (int p = 0; p < 30; p++) {
             arrivals.add(arrival(10 * S + p * 500, 7, p, 0));
         }
-        List<Mark> marks = List.of(
-                new Mark(3 * S, "", "a list"),
-                new Mark(10 * S - 40_000, "s-7", "s-7 started"),
-                new Mark(10 * S - 30_000, "s-8", "s-8 started"));
-        List<Herd> herds = Spread.of(arrivals, all(), marks, S).herds();
+        List<TimelineEvent> marks = List.of(
+                new TimelineEvent(3 * S, "", "a list"),
+                new TimelineEvent(10 * S - 40_000, "s-7", "s-7 started"),
+                new TimelineEvent(10 * S - 30_000, "s-8", "s-8 started"));
+        List<Herd> herds = ImbalanceReport.of(arrivals, all(), marks, S).herds();
         assertThat(herds).hasSize(1);
         Herd h = herds.get(0);
         assertThat(h.host()).isEqualTo("s-7");
@@ -76,8 +76,8 @@
 
     @Test
     void aHerdOfFourTimesTheShareForSecondsIsFoundAndOneOfTwiceIsNone() {
-        List<Arrival> four = uniform(6);
-        List<Arrival> twice = uniform(6);
+        List<HostArrival> four = uniform(6);
+        List<HostArrival> twice = uniform(6);
         SplittableRandom random = new SplittableRandom(9);
         long each = HOSTS * S / RATE; // between two arrivals at one host
         for (long at = 8 * S; at < 12 * S; at += each / 3) {
@@ -86,29 +86,30 @@
         for (long at = 8 * S; at < 12 * S; at += each) {
             twice.add(arrival(at, 3, random.nextInt(PROXIES), 0));
         }
-        assertThat(Spread.of(four, all(), List.of(), S).herds()).isNotEmpty().allMatch(h -> h.host()
-                .equals("s-3"));
-        assertThat(Spread.of(twice, all(), List.of(), S).herds()).isEmpty();
+        assertThat(ImbalanceReport.of(four, all(), List.of(), S).herds())
+                .isNotEmpty()
+                .allMatch(h -> h.host().equals("s-3"));
+        assertThat(ImbalanceReport.of(twice, all(), List.of(), S).herds()).isEmpty();
     }
 
     @Test
     void repeatedAttemptsMakeNoHerd() {
-        List<Arrival> arrivals = uniform(5);
+        List<HostArrival> arrivals = uniform(5);
         for (int p = 0; p < 30; p++) {
-            arrivals.add(new Arrival(10 * S + p * 500, "s-7", "m" + p, false, 0, 20_000));
+            arrivals.add(new HostArrival(10 * S + p * 500, "s-7", "m" + p, false, 0, 20_000));
         }
-        assertThat(Spread.of(arrivals, all(), List.of(), S).herds()).isEmpty();
+        assertThat(ImbalanceReport.of(arrivals, all(), List.of(), S).herds()).isEmpty();
     }
 
     @Test
     void aHostThatGetsNothingWhileOthersQueueIsIdleUnlessItIsDown() {
-        List<Arrival> without = uniform(7);
+        List<HostArrival> without = uniform(7);
         without.removeIf(a -> a.host().equals("s-4") && a.at() > 5 * S && a.at() < 8 * S);
-        List<IdleHost> idle = Spread.of(without, all(), List.of(), S).idle();
+        List<IdleHost> idle = ImbalanceReport.of(without, all(), List.of(), S).idle();
         assertThat(idle).hasSize(1);
         assertThat(idle.get(0).host()).isEqualTo("s-4");
         assertThat(idle.get(0).until() - idle.get(0).from()).isGreaterThan(3 * S - 100_000);
-        HostTimes down = new HostTimes();
+        HostAvailability down = new HostAvailability();
         for (int h = 0; h < HOSTS; h++) {
             if (h == 4) {
                 down.add("s-4", 1, 0, 5 * S);
@@ -117,18 +118,18 @@
                 down.add("s-" + h, 1, 0, SECONDS * S);
             }
         }
-        assertThat(Spread.of(without, down, List.of(), S).idle()).isEmpty();
-        HostTimes early = new HostTimes();
+        assertThat(ImbalanceReport.of(without, down, List.of(), S).idle()).isEmpty();
+        HostAvailability early = new HostAvailability();
         for (int h = 0; h < HOSTS; h++) {
             early.add("s-" + h, 1, -60 * S, SECONDS * S + 60 * S);
         }
-        assertThat(Spread.of(without, early, List.of(), S).idle())
+        assertThat(ImbalanceReport.of(without, early, List.of(), S).idle())
                 .as("before the first and after the last")
                 .hasSize(1);
-        List<Arrival> calm = without.stream()
-                .map(a -> new Arrival(a.at(), a.host(), a.proxy(), true, 0, 20_000))
+        List<HostArrival> calm = without.stream()
+                .map(a -> new HostArrival(a.at(), a.host(), a.proxy(), true, 0, 20_000))
                 .toList();
-        assertThat(Spread.of(calm, all(), List.of(), S).idle())
+        assertThat(ImbalanceReport.of(calm, all(), List.of(), S).idle())
                 .as("where nobody queues")
                 .isEmpty();
     }
@@ -148,9 +149,9 @@
 
     @Test
     void chanceIsThatOfABinomial() {
-        assertThat(Chance.atLeast(2, 2, 0.5)).isCloseTo(0.25, within(1e-12));
-        assertThat(Chance.atLeast(0, 5, 0.1)).isEqualTo(1);
-        assertThat(Chance.atLeast(6, 5, 0.1)).isZero();
-        assertThat(Chance.none(3, 0.5)).isCloseTo(0.125, within(1e-12));
+        assertThat(MultinomialBaseline.atLeast(2, 2, 0.5)).isCloseTo(0.25, within(1e-12));
+        assertThat(MultinomialBaseline.atLeast(0, 5, 0.1)).isEqualTo(1);
+        assertThat(MultinomialBaseline.atLeast(6, 5, 0.1)).isZero();
+        assertThat(MultinomialBaseline.none(3, 0.5)).isCloseTo(0.125, within(1e-12));
     }
 }
--- a/src/test/java/rillyard/member/FactsTest.java
+++ b/src/test/java/rillyard/membership/AttributeStoreTest.java
@@ -1,4 +1,4 @@
-package rillyard.member;
+package rillyard.membership;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What members say of themselves, over whole fleets on a virtual clock; the seeds stand in the calls. */
-class FactsTest {
+class AttributeStoreTest {
     private static final double S = 1_000;
     private static final int KIND = 3;
 
@@ -27,8 +27,8 @@
 
     /** What member {@code by} holds of member {@code i}; -1 for nothing. */
     private static int held(VirtualFleet f, int by, int i) {
-        Map<String, Fact> facts = f.node(by).member.facts(f.now - f.node(by).startedAt, KIND);
-        Fact fact = facts.get("m" + i);
+        Map<String, MemberAttribute> facts = f.node(by).member.facts(f.now - f.node(by).startedAt, KIND);
+        MemberAttribute fact = facts.get("m" + i);
         return fact == null ? -1 : fact.value()[0];
     }
 
@@ -61,7 +61,8 @@
         f.node(4).member.say(f.now - f.node(4).startedAt, KIND, new byte[] {1}, 9 * S, false);
         assertThat(f.until(5 * S, () -> allHold(f, 4, 1))).as("time (ms)").isBetween(0.0, 5 * S);
         f.run(4 * S); // past a third of its time, at which one that is said again would be
-        Fact held = f.node(7).member.facts(f.now - f.node(7).startedAt, KIND).get("m4");
+        MemberAttribute held =
+                f.node(7).member.facts(f.now - f.node(7).startedAt, KIND).get("m4");
         assertThat(held.age()).isGreaterThan(4 * S);
         assertThat(held.version()).isZero();
         assertThat(f.until(10 * S, () -> allHold(f, 4, -1))).as("time (ms)").isBetween(0.0, 6 * S);
@@ -111,16 +112,18 @@
         f.run(5 * S);
         long start = f.node(4).member.self().life().start();
         for (int i = 0; i < 20; i++) {
-            tell(f, i, new Fact("m4", start, KIND, 0, 0, 30 * S, new byte[] {1})); // late by 10 s
-            tell(f, i, new Fact("m4", start, KIND, Fact.MAX_VERSION, 0, 30 * S, new byte[] {9})); // nobody could follow
-            tell(f, i, new Fact("m4", start - 1, KIND, 500, 0, 30 * S, new byte[] {9}));
-            tell(f, i, new Fact("m99", start, KIND, 0, 0, 30 * S, new byte[] {9}));
+            tell(f, i, new MemberAttribute("m4", start, KIND, 0, 0, 30 * S, new byte[] {1})); // late by 10 s
+            tell(f, i, new MemberAttribute("m4", start, KIND, MemberAttribute.MAX_VERSION, 0, 30 * S, new byte[] {9
+            })); // nobody could follow
+            tell(f, i, new MemberAttribute("m4", start - 1, KIND, 500, 0, 30 * S, new byte[] {9}));
+            tell(f, i, new MemberAttribute("m99", start, KIND, 0, 0, 30 * S, new byte[] {9}));
         }
         assertThat(allHold(f, 4, 2)).isTrue();
         assertThat(f.node(7).member.facts(f.now, KIND)).containsOnlyKeys("m4");
         // One that could be: its owner hears of it, and has the last word.
-        tell(f, 7, new Fact("m4", start, KIND, 900, 0, 30 * S, new byte[] {9}));
-        tell(f, 7, new Fact("m5", f.node(5).member.self().life().start(), KIND, 900, 0, 30 * S, new byte[] {9}));
+        tell(f, 7, new MemberAttribute("m4", start, KIND, 900, 0, 30 * S, new byte[] {9}));
+        tell(f, 7, new MemberAttribute("m5", f.node(5).member.self().life().start(), KIND, 900, 0, 30 * S, new byte[] {9
+        }));
         assertThat(f.until(20 * S, () -> allHold(f, 4, 2) && allHold(f, 5, -1)))
                 .as("time (ms)")
                 .isNotNegative();
@@ -128,7 +131,7 @@
         assertThat(allHold(f, 4, 2) && allHold(f, 5, -1)).isTrue();
     }
 
-    private static void tell(VirtualFleet f, int i, Fact fact) {
+    private static void tell(VirtualFleet f, int i, MemberAttribute fact) {
         VirtualFleet.Node liar = f.node(0);
         if (i != 0) {
             f.node(i)
@@ -161,16 +164,20 @@
 
     @Test
     void bytesAreWhatWasWrittenOrTurnedAway() {
-        Fact fact = new Fact("m4", 1_700_000_000_000L, 15, Fact.MAX_VERSION, 1_200, Fact.MAX_MS, new byte[] {1, 2, 3});
-        Update self = joined(5, 2).node(0).member.self();
+        MemberAttribute fact = new MemberAttribute(
+                "m4", 1_700_000_000_000L, 15, MemberAttribute.MAX_VERSION, 1_200, MemberAttribute.MAX_MS, new byte[] {
+                    1, 2, 3
+                });
+        MemberUpdate self = joined(5, 2).node(0).member.self();
         Message m = new Message(Message.Kind.NEWS, 1, 2, self, "", null, List.of(), List.of(fact, fact));
-        byte[] bytes = Codec.encode(m, Codec.MAX_BYTES);
-        assertThat(bytes).hasSize(Codec.emptySize(self, "", false) + 2 * fact.size());
-        assertThat(Codec.decode(bytes)).isEqualTo(m);
+        byte[] bytes = MessageCodec.encode(m, MessageCodec.MAX_BYTES);
+        assertThat(bytes).hasSize(MessageCodec.emptySize(self, "", false) + 2 * fact.size());
+        assertThat(MessageCodec.decode(bytes)).isEqualTo(m);
         byte[] cut = java.util.Arrays.copyOf(bytes, bytes.length - 1);
-        assertThatThrownBy(() -> Codec.decode(cut)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> MessageCodec.decode(cut)).isInstanceOf(IllegalArgumentException.class);
         bytes[bytes.length - 2 * fact.size()] = 80; // the kind after the last
-        assertThatThrownBy(() -> Codec.decode(bytes)).isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> new Fact("m", 0, 0, 0, 0, 0, new byte[33])).hasMessageContaining("32 bytes at most");
+        assertThatThrownBy(() -> MessageCodec.decode(bytes)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> new MemberAttribute("m", 0, 0, 0, 0, 0, new byte[33]))
+                .hasMessageContaining("32 bytes at most");
     }
 }
--- a/src/test/java/rillyard/member/MemberModel.java
+++ b/src/test/java/rillyard/membership/MembershipModel.java
@@ -1,4 +1,4 @@
-package rillyard.member;
+package rillyard.membership;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,10 +9,10 @@
 import java.util.TreeMap;
 import java.util.function.BiPredicate;
 import java.util.function.UnaryOperator;
-import rillyard.check.Model;
+import rillyard.modelcheck.Model;
 
 /** Three members that know each other, and all that a network and a bounded number of restarts do to them. */
-final class MemberModel implements Model<String> {
+final class MembershipModel implements Model<String> {
     private static final int MEMBERS = 3;
     private static final double STEP = 250;
     private static final int IN_FLIGHT = 6;
@@ -21,7 +21,7 @@
     private static final int JOIN_STEPS = 12;
     private static final int FAIR_STEPS = 240;
 
-    private record Flying(String from, Endpoint source, Endpoint to, Message message) {
+    private record Flying(String from, MemberAddress source, MemberAddress to, Message message) {
         @Override
         public String toString() {
             return message.kind() + " of " + from + " to m" + (to.ip() - 1) + " "
@@ -41,12 +41,12 @@
      * @param change what becomes of each message on its way
      * @param passes which messages of which sender are sent at all, once all know each other
      */
-    MemberModel(UnaryOperator<Message> change, BiPredicate<String, Message> passes) {
+    MembershipModel(UnaryOperator<Message> change, BiPredicate<String, Message> passes) {
         this.change = change;
         this.passes = passes;
     }
 
-    MemberModel() {
+    MembershipModel() {
         this(m -> m, (from, m) -> true);
     }
 
@@ -59,8 +59,8 @@
         private final Map<String, Membership> members = new TreeMap<>();
         private final Map<String, Double> startedAt = new HashMap<>();
         private final List<Flying> flying = new ArrayList<>();
-        private final Map<String, Set<Life>> spoken = new HashMap<>();
-        private Map<String, Life> before = new HashMap<>();
+        private final Map<String, Set<Incarnation>> spoken = new HashMap<>();
+        private Map<String, Incarnation> before = new HashMap<>();
         private double now;
         private boolean joined;
         private int restarts;
@@ -78,16 +78,16 @@
             joined = true;
         }
 
-        private Endpoint at(int i) {
-            return new Endpoint(1 + i, 1);
+        private MemberAddress at(int i) {
+            return new MemberAddress(1 + i, 1);
         }
 
         private void begin(int i, long start) {
             String name = "m" + i;
             startedAt.put(name, now);
-            Membership.Out out = new Membership.Out() {
+            Membership.Output out = new Membership.Output() {
                 @Override
-                public void send(Endpoint to, Message m) {
+                public void send(MemberAddress to, Message m) {
                     spoken.computeIfAbsent(name, n -> new HashSet<>())
                             .add(m.sender().life());
                     if ((!joined || passes.test(name, m)) && flying.size() < IN_FLIGHT * (now == 0 ? 100 : 1)) {
@@ -96,13 +96,19 @@
                 }
 
                 @Override
-                public void changed(Change c) {}
+                public void changed(MembershipEvent c) {}
             };
-            List<Endpoint> seeds = List.of(at(0), at(1), at(2));
+            List<MemberAddress> seeds = List.of(at(0), at(1), at(2));
             // Chance is taken away: each draw is its least.
             members.put(
                     name,
-                    new Membership(MemberSettings.USUAL, new Card(name, at(i), 0, 0), start, seeds, () -> 0L, out));
+                    new Membership(
+                            MembershipSettings.USUAL,
+                            new MemberIdentity(name, at(i), 0, 0),
+                            start,
+                            seeds,
+                            () -> 0L,
+                            out));
         }
 
         private double time(String name) {
@@ -160,17 +166,17 @@
         }
 
         /** The lives that each holds of the others. */
-        private Map<String, Life> lives() {
-            Map<String, Life> all = new HashMap<>();
+        private Map<String, Incarnation> lives() {
+            Map<String, Incarnation> all = new HashMap<>();
             members.forEach((name, m) ->
                     m.others().forEach(u -> all.put(name + ":" + u.card().name(), u.life())));
             return all;
         }
 
         private void check() {
-            Map<String, Life> after = lives();
+            Map<String, Incarnation> after = lives();
             after.forEach((who, life) -> {
-                Life old = before.get(who);
+                Incarnation old = before.get(who);
                 if (old != null && life.compareTo(old) < 0) {
                     broken = "an older life has overridden a newer one: " + who;
                 }
@@ -202,8 +208,8 @@
             }
             deliverAll();
             for (Map.Entry<String, Membership> e : members.entrySet()) {
-                for (Update u : e.getValue().others()) {
-                    if (u.status() != Status.ALIVE) {
+                for (MemberUpdate u : e.getValue().others()) {
+                    if (u.status() != MemberStatus.ALIVE) {
                         return "a live process that is heard stays " + u.status() + ": "
                                 + u.card().name() + " to " + e.getKey();
                     }
--- a/src/test/java/rillyard/member/MemberModelTest.java
+++ b/src/test/java/rillyard/membership/MembershipModelTest.java
@@ -1,21 +1,21 @@
-package rillyard.member;
+package rillyard.membership;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import rillyard.check.Checker;
-import rillyard.member.Message.Kind;
+import rillyard.membership.Message.Kind;
+import rillyard.modelcheck.ModelChecker;
 
 /** Every order of messages, losses, doubles, restarts and time, over the very classes; -Drillyard.check.depth for more. */
-class MemberModelTest {
-    private static final int DEPTH = Integer.getInteger("rillyard.check.depth", 7);
-    private static final int STATES = Integer.getInteger("rillyard.check.states", 40_000);
+class MembershipModelTest {
+    private static final int DEPTH = Integer.getInteger("rillyard.modelcheck.depth", 7);
+    private static final int STATES = Integer.getInteger("rillyard.modelcheck.states", 40_000);
     private static final int FAIR_EVERY = 100;
 
     @Test
     void noOrderOfThingsBreaksWhatMembersMayRelyOn() {
-        Checker.Result<String> r = new Checker<>(new MemberModel()).walk(DEPTH, STATES, FAIR_EVERY);
+        ModelChecker.Result<String> r = new ModelChecker<>(new MembershipModel()).walk(DEPTH, STATES, FAIR_EVERY);
         System.out.println("membership model: " + r);
         assertThat(r.breach()).as(r.toString()).isNull();
         assertThat(r.states()).isGreaterThan(20_000);
@@ -24,7 +24,7 @@
     /** Planted: members that make their word about another count for more than its own; m0 is cut off. */
     @Test
     void oneWhoSpeaksForAnothersIncarnationIsFoundByTheShortestHistory() {
-        MemberModel planted = new MemberModel(
+        MembershipModel planted = new MembershipModel(
                 m -> new Message(
                         m.kind(),
                         m.sequence(),
@@ -33,12 +33,12 @@
                         m.target(),
                         m.targetAt(),
                         m.news().stream()
-                                .map(u -> u.status() == Status.SUSPECT
-                                        ? new Update(u.card(), u.life().next(), u.status(), u.by())
+                                .map(u -> u.status() == MemberStatus.SUSPECT
+                                        ? new MemberUpdate(u.card(), u.life().next(), u.status(), u.by())
                                         : u)
                                 .toList()),
                 (from, m) -> !from.equals("m0") && !m.target().equals("m0"));
-        Checker.Result<String> r = new Checker<>(planted).walk(8, STATES, 0);
+        ModelChecker.Result<String> r = new ModelChecker<>(planted).walk(8, STATES, 0);
         assertThat(r.breach()).as(r.toString()).startsWith("somebody has spoken for another's incarnation");
         assertThat(r.history()).hasSizeLessThanOrEqualTo(8).contains("time");
     }
@@ -46,17 +46,17 @@
     /** Planted: m1 and m2 never ask m0 again, and its own questions get lost. */
     @Test
     void oneWhoStaysDeadAlthoughItLivesIsFound() {
-        MemberModel planted = new MemberModel(
+        MembershipModel planted = new MembershipModel(
                 m -> m, (from, m) -> !(m.kind() == Kind.PING && m.target().equals("m0")) && !from.equals("m0"));
-        Checker.Result<String> r = new Checker<>(planted).walk(2, STATES, 1);
+        ModelChecker.Result<String> r = new ModelChecker<>(planted).walk(2, STATES, 1);
         assertThat(r.breach()).as(r.toString()).startsWith("a live process that is heard stays DEAD");
         assertThat(r.history()).hasSize(1);
     }
 
     @Test
     void theWalkIsAlikeEachTime() {
-        Checker.Result<String> one = new Checker<>(new MemberModel()).walk(3, STATES, 0);
-        Checker.Result<String> two = new Checker<>(new MemberModel()).walk(3, STATES, 0);
+        ModelChecker.Result<String> one = new ModelChecker<>(new MembershipModel()).walk(3, STATES, 0);
+        ModelChecker.Result<String> two = new ModelChecker<>(new MembershipModel()).walk(3, STATES, 0);
         assertThat(one).isEqualTo(two);
         assertThat(one.whole()).isTrue();
         assertThat(List.of(one.depth())).containsExactly(3);
--- a/src/test/java/rillyard/member/MembershipPropertiesTest.java
+++ b/src/test/java/rillyard/membership/MembershipPropertiesTest.java
@@ -1,4 +1,4 @@
-package rillyard.member;
+package rillyard.membership;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -51,7 +51,7 @@
             @ForAll("steps") List<Step> steps) {
         VirtualFleet f = new VirtualFleet(seed, members);
         assertThat(f.untilAgreed(30 * S)).as("joined").isNotNegative();
-        Map<String, Life> spoken = new HashMap<>();
+        Map<String, Incarnation> spoken = new HashMap<>();
         for (Step s : steps) {
             happens(f, s, s.who() % members);
             f.run(s.ms());
@@ -105,8 +105,8 @@
 
     private static void noLifeThatWasNotSpoken(VirtualFleet f) {
         for (VirtualFleet.Node n : f.nodes.values()) {
-            for (Update u : n.member.others()) {
-                Life own = f.nodes.get(u.card().name()).member.self().life();
+            for (MemberUpdate u : n.member.others()) {
+                Incarnation own = f.nodes.get(u.card().name()).member.self().life();
                 assertThat(u.life())
                         .as("%s, as %s holds it", u.card().name(), n.name)
                         .isLessThanOrEqualTo(own);
@@ -114,10 +114,10 @@
         }
     }
 
-    private static void noOwnLifeGoesBack(VirtualFleet f, Map<String, Life> spoken) {
+    private static void noOwnLifeGoesBack(VirtualFleet f, Map<String, Incarnation> spoken) {
         for (VirtualFleet.Node n : f.nodes.values()) {
-            Life now = n.member.self().life();
-            Life before = spoken.put(n.name, now);
+            Incarnation now = n.member.self().life();
+            Incarnation before = spoken.put(n.name, now);
             assertThat(before == null || before.compareTo(now) <= 0).as(n.name).isTrue();
         }
     }
--- a/src/test/java/rillyard/member/MemberFiguresTest.java
+++ b/src/test/java/rillyard/membership/MembershipStatisticsTest.java
@@ -1,4 +1,4 @@
-package rillyard.member;
+package rillyard.membership;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.junit.jupiter.api.Assumptions.assumeTrue;
@@ -14,7 +14,7 @@
 
 /** The figures of membership on a virtual clock in docs/PERFORMANCE.md; asked for by rillyard.figures, the members. */
 @EnabledIfSystemProperty(named = "rillyard.figures", matches = "\\d+")
-class MemberFiguresTest {
+class MembershipStatisticsTest {
     private static final double S = 1_000;
     private static final int KILLED = 7;
 
@@ -41,7 +41,7 @@
             String cost = String.format(
                     Locale.ROOT, "%.1f datagrams, %.0f bytes a second a member", f.sent / share, f.sentBytes / share);
             f.kill(KILLED);
-            double held = f.until(60 * S, () -> f.allHold("m" + KILLED, Status.DEAD));
+            double held = f.until(60 * S, () -> f.allHold("m" + KILLED, MemberStatus.DEAD));
             System.out.printf(
                     Locale.ROOT,
                     "%d members, loss %.2f, seed %d: joined %.1f s, false deaths %d of %d members in %.0f s, killed one held"
@@ -71,18 +71,19 @@
         long before = used();
         SplittableRandom random = new SplittableRandom(1);
         ArrayList<Message> sent = new ArrayList<>();
-        ArrayList<Endpoint> to = new ArrayList<>();
-        Membership.Out out = new Membership.Out() {
+        ArrayList<MemberAddress> to = new ArrayList<>();
+        Membership.Output out = new Membership.Output() {
             @Override
-            public void send(Endpoint at, Message m) {
+            public void send(MemberAddress at, Message m) {
                 to.add(at);
-                sent.add(Codec.decode(Codec.encode(m, Codec.MAX_BYTES)));
+                sent.add(MessageCodec.decode(MessageCodec.encode(m, MessageCodec.MAX_BYTES)));
             }
 
             @Override
-            public void changed(Change c) {}
+            public void changed(MembershipEvent c) {}
         };
-        Membership one = new Membership(MemberSettings.USUAL, other(0).card(), START, List.of(), random.split(), out);
+        Membership one =
+                new Membership(MembershipSettings.USUAL, other(0).card(), START, List.of(), random.split(), out);
         for (int i = 1; i < members; i++) {
             one.received(0, other(i).card().at(), new Message(Message.Kind.NEWS, 0, 0, other(i), "", null, List.of()));
         }
@@ -98,17 +99,17 @@
                 step++) { // 75 minutes, until the words of the join are told, the last ten of which count
             now += 50;
             List<Message> questions = List.copyOf(sent);
-            List<Endpoint> asked = List.copyOf(to);
+            List<MemberAddress> asked = List.copyOf(to);
             sent.clear();
             to.clear();
             long from = System.nanoTime();
             for (int q = 0; q < questions.size(); q++) {
                 if (questions.get(q).kind() == Message.Kind.PING) {
-                    Update who = other(asked.get(q).ip() - IP);
+                    MemberUpdate who = other(asked.get(q).ip() - IP);
                     one.received(
                             now,
                             asked.get(q),
-                            Codec.decode(Codec.encode(
+                            MessageCodec.decode(MessageCodec.encode(
                                     new Message(
                                             Message.Kind.ACK,
                                             questions.get(q).sequence(),
@@ -117,17 +118,17 @@
                                             "m0",
                                             null,
                                             List.of()),
-                                    Codec.MAX_BYTES)));
+                                    MessageCodec.MAX_BYTES)));
                 }
             }
             if (step % 10 == 0) { // it is probed as often as it probes
-                Update who = other(1 + random.nextInt(members - 1));
+                MemberUpdate who = other(1 + random.nextInt(members - 1));
                 one.received(
                         now,
                         who.card().at(),
-                        Codec.decode(Codec.encode(
+                        MessageCodec.decode(MessageCodec.encode(
                                 new Message(Message.Kind.PING, step, one.digest(), who, "m0", null, List.of()),
-                                Codec.MAX_BYTES)));
+                                MessageCodec.MAX_BYTES)));
             }
             one.tick(now);
             if (step >= 78_000) {
@@ -151,12 +152,12 @@
     private static final int IP = 0x0A000000;
     private static final long START = 1_700_000_000_000L;
 
-    private static Update other(int i) {
-        return new Update(
-                new Card("m" + i, new Endpoint(IP + i, 4_000), i % 3, 0),
-                new Life(START, 0),
-                Status.ALIVE,
-                Update.by("m" + i));
+    private static MemberUpdate other(int i) {
+        return new MemberUpdate(
+                new MemberIdentity("m" + i, new MemberAddress(IP + i, 4_000), i % 3, 0),
+                new Incarnation(START, 0),
+                MemberStatus.ALIVE,
+                MemberUpdate.by("m" + i));
     }
 
     private static long used() {
--- a/src/test/java/rillyard/member/MembershipTest.java
+++ b/src/test/java/rillyard/membership/MembershipTest.java
@@ -1,4 +1,4 @@
-package rillyard.member;
+package rillyard.membership;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -31,7 +31,7 @@
         VirtualFleet f = joined(2, 50);
         f.loss = loss;
         f.kill(7);
-        assertThat(f.until(40 * S, () -> f.allHold("m7", Status.DEAD)))
+        assertThat(f.until(40 * S, () -> f.allHold("m7", MemberStatus.DEAD)))
                 .as("time (ms)")
                 .isBetween(0.0, 40 * S);
         f.run(60 * S);
@@ -53,7 +53,8 @@
         VirtualFleet f = joined(4, 40);
         f.stop(5, 10 * S);
         f.run(10 * S);
-        assertThat(f.node(6).member.others()).anyMatch(u -> u.card().name().equals("m5") && u.status() == Status.DEAD);
+        assertThat(f.node(6).member.others())
+                .anyMatch(u -> u.card().name().equals("m5") && u.status() == MemberStatus.DEAD);
         assertThat(f.untilAgreed(10 * S)).as("agreed").isNotNegative();
         assertThat(f.deaths).containsOnly("m5");
         f.run(20 * S);
@@ -131,8 +132,8 @@
         VirtualFleet f = joined(seed, 200);
         VirtualFleet.Node one = f.node(9);
         f.links = (a, b) -> !a.equals("m9") && !b.equals("m9") || a.equals("m4") || b.equals("m4");
-        Update m4 = f.node(4).member.self();
-        Update suspect = new Update(m4.card(), m4.life(), Status.SUSPECT, Update.by("m5"));
+        MemberUpdate m4 = f.node(4).member.self();
+        MemberUpdate suspect = new MemberUpdate(m4.card(), m4.life(), MemberStatus.SUSPECT, MemberUpdate.by("m5"));
         one.member.received(
                 f.now,
                 f.node(5).at,
@@ -140,7 +141,7 @@
         assertThat(one.member.others()).contains(suspect);
         f.run(40 * S);
         assertThat(one.changes.stream()
-                        .filter(c -> c.now().status() == Status.DEAD)
+                        .filter(c -> c.now().status() == MemberStatus.DEAD)
                         .map(c -> c.now().card().name()))
                 .doesNotContain("m4");
         assertThat(f.node(4).member.self().life().incarnation()).isPositive();
@@ -185,17 +186,17 @@
     @Test
     void aNewLifeUnderTheOldNameAndAddressIsHeldAtOnceAndAnOldWordChangesNothing() {
         VirtualFleet f = joined(8, 20);
-        Update old = f.node(4).member.self();
+        MemberUpdate old = f.node(4).member.self();
         f.kill(4);
         f.run(1 * S);
         f.start(4);
         assertThat(f.untilAgreed(10 * S)).as("agreed").isNotNegative();
         f.run(30 * S);
-        Update now = f.node(4).member.self();
+        MemberUpdate now = f.node(4).member.self();
         assertThat(now.life().start()).isGreaterThan(old.life().start());
         Membership other = f.node(5).member;
-        for (Status s : Status.values()) {
-            Update late = new Update(old.card(), old.life(), s, old.by());
+        for (MemberStatus s : MemberStatus.values()) {
+            MemberUpdate late = new MemberUpdate(old.card(), old.life(), s, old.by());
             other.received(
                     f.now,
                     f.node(6).at,
@@ -231,11 +232,15 @@
         VirtualFleet.Node victim = f.node(1);
         for (int round = 0; round < 50; round++) {
             for (VirtualFleet.Node n : f.nodes.values()) {
-                Update dead = new Update(
-                        victim.member.self().card(), victim.member.self().life(), Status.DEAD, 1);
-                Update end =
-                        new Update(dead.card(), new Life(dead.life().start(), Life.MAX_INCARNATION), Status.DEAD, 1);
-                Update future = new Update(dead.card(), new Life(Life.MAX_START, 0), Status.DEAD, 1);
+                MemberUpdate dead = new MemberUpdate(
+                        victim.member.self().card(), victim.member.self().life(), MemberStatus.DEAD, 1);
+                MemberUpdate end = new MemberUpdate(
+                        dead.card(),
+                        new Incarnation(dead.life().start(), Incarnation.MAX_INCARNATION),
+                        MemberStatus.DEAD,
+                        1);
+                MemberUpdate future =
+                        new MemberUpdate(dead.card(), new Incarnation(Incarnation.MAX_START, 0), MemberStatus.DEAD, 1);
                 if (n != liar) {
                     n.member.received(
                             f.now - n.startedAt,
@@ -250,16 +255,16 @@
                                     Message.Kind.NEWS,
                                     0,
                                     0,
-                                    new Update(
+                                    new MemberUpdate(
                                             f.node(2).member.self().card(),
-                                            new Life(
+                                            new Incarnation(
                                                     f.node(2)
                                                             .member
                                                             .self()
                                                             .life()
                                                             .start(),
                                                     9),
-                                            Status.LEFT,
+                                            MemberStatus.LEFT,
                                             1),
                                     "",
                                     null,
@@ -292,8 +297,9 @@
     void aLaterProcessOfTheSameNameSilencesTheOldOneThatWakes() {
         VirtualFleet f = joined(11, 10);
         Membership old = f.node(2).member;
-        Card moved = new Card("m2", new Endpoint(0x7F00FF01, 4_000), 0, 0);
-        Update later = new Update(moved, new Life(old.self().life().start() + 20_000, 0), Status.ALIVE, 1);
+        MemberIdentity moved = new MemberIdentity("m2", new MemberAddress(0x7F00FF01, 4_000), 0, 0);
+        MemberUpdate later =
+                new MemberUpdate(moved, new Incarnation(old.self().life().start() + 20_000, 0), MemberStatus.ALIVE, 1);
         old.received(f.now, moved.at(), new Message(Message.Kind.PING, 1, 0, later, "", null, List.of()));
         assertThat(old.over()).isTrue();
     }
--- a/src/test/java/rillyard/member/CodecTest.java
+++ b/src/test/java/rillyard/membership/MessageCodecTest.java
@@ -1,4 +1,4 @@
-package rillyard.member;
+package rillyard.membership;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -10,14 +10,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-class CodecTest {
+class MessageCodecTest {
     private static final long SEED = 20_261_201;
     private static final int HOSTILE = 1_000_000;
 
-    private static Update word(String name, Status status) {
-        return new Update(
-                new Card(name, new Endpoint(0xC0A80001, 65_535), 255, 7),
-                new Life(Life.MAX_START, Life.MAX_INCARNATION),
+    private static MemberUpdate word(String name, MemberStatus status) {
+        return new MemberUpdate(
+                new MemberIdentity(name, new MemberAddress(0xC0A80001, 65_535), 255, 7),
+                new Incarnation(Incarnation.MAX_START, Incarnation.MAX_INCARNATION),
                 status,
                 65_535);
     }
@@ -27,29 +27,30 @@
                 kind,
                 -5,
                 77,
-                word("a", Status.ALIVE),
+                word("a", MemberStatus.ALIVE),
                 "sixteen-letters!",
-                kind == Message.Kind.ASK_FOR_ME ? new Endpoint(1, 1) : null,
-                List.of(word("b", Status.SUSPECT), word("c", Status.DEAD), word("d", Status.LEFT)));
+                kind == Message.Kind.ASK_FOR_ME ? new MemberAddress(1, 1) : null,
+                List.of(word("b", MemberStatus.SUSPECT), word("c", MemberStatus.DEAD), word("d", MemberStatus.LEFT)));
     }
 
     @ParameterizedTest
     @EnumSource(Message.Kind.class)
     void whatIsWrittenIsReadAlikeAtTheEndsOfAllRanges(Message.Kind kind) {
         Message m = message(kind);
-        assertThat(Codec.decode(Codec.encode(m, Codec.MAX_BYTES))).isEqualTo(m);
-        int words = m.news().stream().mapToInt(Codec::size).sum();
-        assertThat(Codec.encode(m, Codec.MAX_BYTES))
-                .hasSize(Codec.emptySize(m.sender(), m.target(), m.targetAt() != null) + words);
+        assertThat(MessageCodec.decode(MessageCodec.encode(m, MessageCodec.MAX_BYTES)))
+                .isEqualTo(m);
+        int words = m.news().stream().mapToInt(MessageCodec::size).sum();
+        assertThat(MessageCodec.encode(m, MessageCodec.MAX_BYTES))
+                .hasSize(MessageCodec.emptySize(m.sender(), m.target(), m.targetAt() != null) + words);
     }
 
     @Test
     void whatIsCutOffAnywhereWithinAWordIsTurnedAway() {
-        Message m = new Message(Message.Kind.PING, 1, 2, word("a", Status.ALIVE), "b", null, List.of());
-        byte[] whole = Codec.encode(m, Codec.MAX_BYTES);
+        Message m = new Message(Message.Kind.PING, 1, 2, word("a", MemberStatus.ALIVE), "b", null, List.of());
+        byte[] whole = MessageCodec.encode(m, MessageCodec.MAX_BYTES);
         for (int n = 0; n < whole.length; n++) {
             byte[] part = Arrays.copyOf(whole, n);
-            assertThatThrownBy(() -> Codec.decode(part)).isInstanceOf(IllegalArgumentException.class);
+            assertThatThrownBy(() -> MessageCodec.decode(part)).isInstanceOf(IllegalArgumentException.class);
         }
     }
 
@@ -60,7 +61,7 @@
         VirtualFleet f = new VirtualFleet(SEED, 3);
         f.run(5_000);
         VirtualFleet.Node n = f.node(0);
-        byte[] good = Codec.encode(
+        byte[] good = MessageCodec.encode(
                 new Message(
                         Message.Kind.PING,
                         1,
@@ -69,9 +70,9 @@
                         "m0",
                         null,
                         List.of(f.node(2).member.self()),
-                        List.of(new Fact(
+                        List.of(new MemberAttribute(
                                 "m1", f.node(1).member.self().life().start(), 3, 1, 0, 60_000, new byte[] {1}))),
-                Codec.MAX_BYTES);
+                MessageCodec.MAX_BYTES);
         int read = 0;
         for (int i = 0; i < HOSTILE; i++) {
             byte[] b = good.clone();
@@ -84,7 +85,7 @@
                 }
             }
             try {
-                Message m = Codec.decode(b);
+                Message m = MessageCodec.decode(b);
                 read++;
                 n.member.received(f.now, m.sender().card().at(), m);
             } catch (IllegalArgumentException e) {
@@ -93,6 +94,6 @@
         }
         assertThat(read).as("seed %d", SEED).isBetween(1, HOSTILE / 2);
         assertThat(n.member.others()).hasSizeLessThanOrEqualTo(f.settings.most());
-        assertThat(n.member.self().life().incarnation()).isLessThan(Life.MAX_INCARNATION);
+        assertThat(n.member.self().life().incarnation()).isLessThan(Incarnation.MAX_INCARNATION);
     }
 }
--- a/src/test/java/rillyard/member/VirtualFleet.java
+++ b/src/test/java/rillyard/membership/VirtualFleet.java
@@ -1,4 +1,4 @@
-package rillyard.member;
+package rillyard.membership;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -22,21 +22,21 @@
     private record Event(double at, long order, Runnable what) {}
 
     /** One process. */
-    final class Node implements Membership.Out {
+    final class Node implements Membership.Output {
         final String name;
         final double startedAt = now;
-        final Endpoint at;
+        final MemberAddress at;
         final Membership member;
-        final List<Change> changes = new ArrayList<>();
+        final List<MembershipEvent> changes = new ArrayList<>();
         double stoppedUntil;
         boolean dead;
 
         Node(String name, int index) {
             this.name = name;
-            this.at = new Endpoint(0x7F000001 + index, 4_000);
+            this.at = new MemberAddress(0x7F000001 + index, 4_000);
             this.member = new Membership(
                     settings,
-                    new Card(name, at, index % 3, 0),
+                    new MemberIdentity(name, at, index % 3, 0),
                     BEGIN + (long) now + clock,
                     seeds,
                     random.split(),
@@ -57,8 +57,8 @@
         }
 
         @Override
-        public void send(Endpoint to, Message m) {
-            byte[] bytes = Codec.encode(m, Codec.MAX_BYTES);
+        public void send(MemberAddress to, Message m) {
+            byte[] bytes = MessageCodec.encode(m, MessageCodec.MAX_BYTES);
             sent++;
             sentBytes += bytes.length;
             int copies = random.nextDouble() < loss ? 0 : random.nextDouble() < doubled ? 2 : 1;
@@ -67,7 +67,7 @@
             }
         }
 
-        private void deliver(Endpoint to, byte[] bytes) {
+        private void deliver(MemberAddress to, byte[] bytes) {
             Node n = byAddress.get(to);
             if (n == null || n.dead || !links.test(name, n.name)) {
                 return;
@@ -75,35 +75,37 @@
             if (now < n.stoppedUntil) {
                 after(n.stoppedUntil - now + 0.1, () -> deliver(to, bytes)); // it lies in its socket
             } else {
-                n.member.received(n.time(), at, shared(Codec.decode(bytes)));
+                n.member.received(n.time(), at, shared(MessageCodec.decode(bytes)));
             }
         }
 
         @Override
-        public void changed(Change c) {
+        public void changed(MembershipEvent c) {
             if (large) {
                 deaths.addAll(
-                        c.now().status() == Status.DEAD ? List.of(c.now().card().name()) : List.of());
+                        c.now().status() == MemberStatus.DEAD
+                                ? List.of(c.now().card().name())
+                                : List.of());
                 return;
             }
             changes.add(c);
             history.add(name + " holds " + c.now().card().name() + " " + c.now().status() + " at " + (long) now);
-            if (c.now().status() == Status.DEAD) {
+            if (c.now().status() == MemberStatus.DEAD) {
                 deaths.add(c.now().card().name());
             }
         }
     }
 
-    final MemberSettings settings;
+    final MembershipSettings settings;
     final SplittableRandom random;
     final List<String> history = new ArrayList<>();
     /** Names that anyone came to hold dead, once for each who did. */
     final List<String> deaths = new ArrayList<>();
 
     final Map<String, Node> nodes = new LinkedHashMap<>();
-    private final Map<Endpoint, Node> byAddress = new HashMap<>();
-    private final List<Endpoint> seeds = new ArrayList<>();
-    private final Map<Update, Update> words = new HashMap<>();
+    private final Map<MemberAddress, Node> byAddress = new HashMap<>();
+    private final List<MemberAddress> seeds = new ArrayList<>();
+    private final Map<MemberUpdate, MemberUpdate> words = new HashMap<>();
     /** No histories are kept then. */
     private final boolean large;
 
@@ -122,15 +124,15 @@
     BiPredicate<String, String> links = (from, to) -> true;
 
     VirtualFleet(long seed, int members) {
-        this(seed, members, MemberSettings.USUAL);
+        this(seed, members, MembershipSettings.USUAL);
     }
 
-    VirtualFleet(long seed, int members, MemberSettings settings) {
+    VirtualFleet(long seed, int members, MembershipSettings settings) {
         this.random = new SplittableRandom(seed);
         this.settings = settings;
         this.large = members > 500;
         for (int i = 0; i < Math.min(3, members); i++) {
-            seeds.add(new Endpoint(0x7F000001 + i, 4_000));
+            seeds.add(new MemberAddress(0x7F000001 + i, 4_000));
         }
         for (int i = 0; i < members; i++) {
             start(i);
@@ -176,12 +178,12 @@
         if (!large) {
             return m;
         }
-        List<Update> news = m.news().stream().map(this::shared).toList();
+        List<MemberUpdate> news = m.news().stream().map(this::shared).toList();
         return new Message(
                 m.kind(), m.sequence(), m.digest(), shared(m.sender()), m.target(), m.targetAt(), news, m.facts());
     }
 
-    private Update shared(Update u) {
+    private MemberUpdate shared(MemberUpdate u) {
         return words.computeIfAbsent(u, w -> w);
     }
 
@@ -215,7 +217,7 @@
     }
 
     /** Whether all that live hold this of one member. */
-    boolean allHold(String name, Status status) {
+    boolean allHold(String name, MemberStatus status) {
         return nodes.values().stream()
                 .filter(n -> !n.dead && !n.name.equals(name))
                 .allMatch(n ->
@@ -228,10 +230,10 @@
         for (Node n : nodes.values()) {
             if (!n.dead) {
                 Set<String> held = new HashSet<>();
-                for (Update u : n.member.others()) {
-                    if (u.status() == Status.SUSPECT) {
+                for (MemberUpdate u : n.member.others()) {
+                    if (u.status() == MemberStatus.SUSPECT) {
                         return false;
-                    } else if (u.status() == Status.ALIVE) {
+                    } else if (u.status() == MemberStatus.ALIVE) {
                         held.add(u.card().name());
                     }
                 }
--- a/src/test/java/rillyard/member/net/FleetFileTest.java
+++ b/src/test/java/rillyard/membership/net/FleetConfigReaderTest.java
@@ -1,4 +1,4 @@
-package rillyard.member.net;
+package rillyard.membership.net;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -11,20 +11,21 @@
 import org.junit.jupiter.api.io.TempDir;
 import rillyard.input.InvalidFileException;
 
-class FleetFileTest {
+class FleetConfigReaderTest {
     @TempDir
     Path folder;
 
-    private FleetSettings read(String text) throws Exception {
-        return FleetFile.read(Files.writeString(folder.resolve("fleet.toml"), text), Map.of("BALANCER_NAME", "app-17"));
+    private FleetConfig read(String text) throws Exception {
+        return FleetConfigReader.read(
+                Files.writeString(folder.resolve("fleet.toml"), text), Map.of("BALANCER_NAME", "app-17"));
     }
 
     @Test
     void theFileUnderDeployIsRight() throws Exception {
-        FleetSettings s = FleetFile.read(Path.of("deploy/fleet.toml"), Map.of("BALANCER_NAME", "app-17"));
+        FleetConfig s = FleetConfigReader.read(Path.of("deploy/fleet.toml"), Map.of("BALANCER_NAME", "app-17"));
         assertThat(s.card().name()).isEqualTo("app-17");
         assertThat(s.seeds()).hasSize(3);
-        assertThat(s.member()).isEqualTo(rillyard.member.MemberSettings.USUAL);
+        assertThat(s.member()).isEqualTo(rillyard.membership.MembershipSettings.USUAL);
         assertThat(s.history()).isNull();
         assertThat(s.spread()).as("news of hosts").isFalse();
         assertThat(read("[self]\nlisten = \"127.0.0.1:7400\"\n[spread]\nnews = true\n")
@@ -34,7 +35,7 @@
 
     @Test
     void othersAreToldTheAddressThatIsAdvertised() throws Exception {
-        FleetSettings s = read("[self]\nlisten = \"127.0.0.1:7400\"\nadvertise = \"10.9.8.7:65535\"\n");
+        FleetConfig s = read("[self]\nlisten = \"127.0.0.1:7400\"\nadvertise = \"10.9.8.7:65535\"\n");
         assertThat(s.card().at()).hasToString("10.9.8.7:65535");
         assertThat(s.listen().getPort()).isEqualTo(7400);
     }
@@ -49,7 +50,7 @@
                 .hasMessageContaining("expected mode 600");
         Files.setPosixFilePermissions(key, PosixFilePermissions.fromString("rw-------"));
         assertThat(read(text).keys()).hasSize(2);
-        assertThat(read(text).member().room()).isEqualTo(256 - Seal.BYTES);
+        assertThat(read(text).member().room()).isEqualTo(256 - DatagramCipher.BYTES);
         Files.writeString(key, "xy".repeat(32));
         assertThatThrownBy(() -> read(text)).hasMessageContaining("key_file");
     }
