--- a/src/test/java/rillyard/member/net/AdminTest.java
+++ b/src/test/java/rillyard/membership/net/MemberAdminServerTest.java
@@ -1,4 +1,4 @@
-package rillyard.member.net;
+package rillyard.membership.net;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -24,18 +24,18 @@
 
 /** Two members over sockets, asked what they hold. */
 @Timeout(30)
-class AdminTest {
+class MemberAdminServerTest {
     @TempDir
     Path folder;
 
-    private FleetSettings settings(String name, int port, int seed, int admin) throws Exception {
+    private FleetConfig settings(String name, int port, int seed, int admin) throws Exception {
         Path file = folder.resolve(name + ".toml");
         Files.writeString(
                 file,
                 "seeds = \"127.0.0.1:" + seed + "\"\n[self]\nname = \"" + name + "\"\nlisten = \"127.0.0.1:" + port
                         + "\"\nadmin = \"127.0.0.1:" + admin
                         + "\"\n[membership]\ninterval_ms = 100\ntimeout_ms = 40\n");
-        return FleetFile.read(file, Map.of());
+        return FleetConfigReader.read(file, Map.of());
     }
 
     private static int[] freePorts() throws IOException {
@@ -56,9 +56,9 @@
             a.start();
             try (FleetMember b = new FleetMember(settings("b", p[1], p[0], p[3]), 2, System.err)) {
                 b.start();
-                JsonNode view = AdminClient.ask(admin);
+                JsonNode view = MemberAdminClient.ask(admin);
                 while (view.path("present").asInt() < 2) {
-                    view = AdminClient.ask(admin);
+                    view = MemberAdminClient.ask(admin);
                 }
                 JsonNode of = view.path("members").path(0);
                 assertThat(of.path("name").asText()).isEqualTo("b");
@@ -79,7 +79,7 @@
                 assertThat(rc).as(out.toString()).isEqualTo(Cli.DONE);
                 assertThat(out.toString()).contains("a holds 2 present", "ALIVE", "datagrams");
             }
-            while (!AdminClient.ask(admin)
+            while (!MemberAdminClient.ask(admin)
                     .path("members")
                     .path(0)
                     .path("status")
@@ -87,9 +87,9 @@
                     .equals("LEFT")) {
                 Thread.onSpinWait();
             }
-            assertThat(AdminClient.ask(admin).path("present").asInt()).isEqualTo(1);
+            assertThat(MemberAdminClient.ask(admin).path("present").asInt()).isEqualTo(1);
         }
-        assertThatThrownBy(() -> AdminClient.ask(admin))
+        assertThatThrownBy(() -> MemberAdminClient.ask(admin))
                 .isInstanceOf(IOException.class)
                 .hasMessageContaining("no answer");
     }
@@ -107,7 +107,7 @@
             JsonNode view = null;
             while (view == null) {
                 try {
-                    view = AdminClient.ask(admin);
+                    view = MemberAdminClient.ask(admin);
                 } catch (IOException e) {
                     Thread.sleep(5); // full for the moment
                 }
--- a/src/test/java/rillyard/spread/HostWordsTest.java
+++ b/src/test/java/rillyard/outlier/FleetOutlierDetectorTest.java
@@ -1,4 +1,4 @@
-package rillyard.spread;
+package rillyard.outlier;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Many proxies decide on one host from each other's votes, each for itself. */
-class HostWordsTest {
+class FleetOutlierDetectorTest {
     private static final double LATE = 1_000;
 
     @Test
@@ -19,7 +19,7 @@
         int[] sizes = {20, 200};
         for (int k = 0; k < 2; k++) {
             // The host's whole traffic is the same: 12 a second.
-            FleetOfWords f = new FleetOfWords(sizes[k], LATE, 12.0 / sizes[k], 7);
+            ObservationFleet f = new ObservationFleet(sizes[k], LATE, 12.0 / sizes[k], 7);
             f.run(4_000, 0);
             f.run(8_000, 1);
             assertThat(f.left()).as("of " + sizes[k]).isEqualTo(sizes[k]);
@@ -35,7 +35,7 @@
     void aHostThatLosesSomeIsLeftByNobody(double fails, int most) {
         int left = 0;
         for (int seed = 0; seed < 20; seed++) {
-            FleetOfWords f = new FleetOfWords(40, LATE, 0.3, seed);
+            ObservationFleet f = new ObservationFleet(40, LATE, 0.3, seed);
             f.run(60_000, fails);
             left += f.proxies.stream().anyMatch(p -> !p.leaves.isEmpty()) ? 1 : 0;
         }
@@ -44,7 +44,7 @@
 
     @Test
     void trialsOfAllTogetherComeAtAStatedPaceAndTheReturnIsSpread() {
-        FleetOfWords f = new FleetOfWords(100, LATE, 0.3, 3);
+        ObservationFleet f = new ObservationFleet(100, LATE, 0.3, 3);
         f.run(4_000, 0);
         f.run(6_000, 1);
         int before = f.sent;
@@ -62,12 +62,12 @@
 
     @Test
     void theirPaceHoldsWhereHalfBelieveInHalfTheFleet() {
-        FleetOfWords right = new FleetOfWords(100, LATE, 0.3, 4);
-        FleetOfWords half = new FleetOfWords(100, LATE, 0.3, 4);
+        ObservationFleet right = new ObservationFleet(100, LATE, 0.3, 4);
+        ObservationFleet half = new ObservationFleet(100, LATE, 0.3, 4);
         half.halfAreWrong = true;
         int[] trials = new int[2];
         int k = 0;
-        for (FleetOfWords f : List.of(right, half)) {
+        for (ObservationFleet f : List.of(right, half)) {
             f.run(4_000, 0);
             f.run(10_000, 1);
             int before = f.sent;
@@ -80,10 +80,14 @@
 
     @Test
     void oneOrTwoThatLieMoveNobody() {
-        int host = FleetOfWords.HOST;
+        int host = ObservationFleet.HOST;
         List<Double> leaves = new ArrayList<>();
-        HostWords words = new HostWords(SpreadSettings.USUAL, new SplittableRandom(1), out(leaves));
-        List<Vote> lie = List.of(new Vote(host, true, 0), new Vote(host, true, 0), new Vote(host, true, 0));
+        FleetOutlierDetector words =
+                new FleetOutlierDetector(FleetOutlierSettings.USUAL, new SplittableRandom(1), out(leaves));
+        List<HostObservation> lie = List.of(
+                new HostObservation(host, true, 0),
+                new HostObservation(host, true, 0),
+                new HostObservation(host, true, 0));
         for (double now = 1e6; now < 1e6 + 60_000; now += 250) {
             words.step(List.of(lie, lie), 100, 1, now);
         }
@@ -97,9 +101,10 @@
     @Test
     void threeThatLieMoveNobodyWhileTwoWereServed() {
         List<Double> leaves = new ArrayList<>();
-        HostWords words = new HostWords(SpreadSettings.USUAL, new SplittableRandom(1), out(leaves));
-        List<Vote> lie = List.of(new Vote(FleetOfWords.HOST, true, 0));
-        List<Vote> served = List.of(new Vote(FleetOfWords.HOST, false, 500));
+        FleetOutlierDetector words =
+                new FleetOutlierDetector(FleetOutlierSettings.USUAL, new SplittableRandom(1), out(leaves));
+        List<HostObservation> lie = List.of(new HostObservation(ObservationFleet.HOST, true, 0));
+        List<HostObservation> served = List.of(new HostObservation(ObservationFleet.HOST, false, 500));
         for (double now = 1e6; now < 1e6 + 60_000; now += 250) {
             words.step(List.of(lie, served, lie, served, lie), 100, 1, now);
         }
@@ -109,10 +114,11 @@
     @Test
     void whoWasServedAfterTheLastFailureBelievesItsOwnEyes() {
         List<Double> leaves = new ArrayList<>();
-        HostWords words = new HostWords(SpreadSettings.USUAL, new SplittableRandom(1), out(leaves));
-        List<Vote> old = List.of(new Vote(FleetOfWords.HOST, true, 3_000));
+        FleetOutlierDetector words =
+                new FleetOutlierDetector(FleetOutlierSettings.USUAL, new SplittableRandom(1), out(leaves));
+        List<HostObservation> old = List.of(new HostObservation(ObservationFleet.HOST, true, 3_000));
         for (double now = 1e6; now < 1e6 + 5_000; now += 250) {
-            words.ended(FleetOfWords.HOST, false, now - 100);
+            words.ended(ObservationFleet.HOST, false, now - 100);
             words.step(List.of(old, old, old, old, old, old), 100, 1, now);
         }
         assertThat(leaves).isEmpty();
@@ -121,8 +127,10 @@
     @Test
     void whatIsPastTheWindowCountsForNothing() {
         List<Double> leaves = new ArrayList<>();
-        HostWords words = new HostWords(SpreadSettings.USUAL, new SplittableRandom(1), out(leaves));
-        List<Vote> old = List.of(new Vote(FleetOfWords.HOST, true, SpreadSettings.USUAL.window()));
+        FleetOutlierDetector words =
+                new FleetOutlierDetector(FleetOutlierSettings.USUAL, new SplittableRandom(1), out(leaves));
+        List<HostObservation> old =
+                List.of(new HostObservation(ObservationFleet.HOST, true, FleetOutlierSettings.USUAL.window()));
         for (double now = 1e6; now < 1e6 + 5_000; now += 250) {
             words.step(List.of(old, old, old, old, old, old), 100, 1, now);
         }
@@ -132,39 +140,40 @@
     @Test
     void whoIsCutOffFromAllNewsTriesAHostThatItLeftBeforeItsTurnAmongAll() {
         List<Double> backs = new ArrayList<>();
-        HostWords words = new HostWords(SpreadSettings.USUAL, new SplittableRandom(1), new HostWords.Out() {
-            @Override
-            public void leave(int host, double wait, int failed, int served) {}
-
-            @Override
-            public void comeBack(int host, double wait) {
-                backs.add(wait);
-            }
-        });
-        List<Vote> failed = List.of(new Vote(FleetOfWords.HOST, true, 0));
+        FleetOutlierDetector words = new FleetOutlierDetector(
+                FleetOutlierSettings.USUAL, new SplittableRandom(1), new FleetOutlierDetector.Out() {
+                    @Override
+                    public void leave(int host, double wait, int failed, int served) {}
+
+                    @Override
+                    public void comeBack(int host, double wait) {
+                        backs.add(wait);
+                    }
+                });
+        List<HostObservation> failed = List.of(new HostObservation(ObservationFleet.HOST, true, 0));
         double now = 1e6;
         for (; now < 1e6 + 3_000; now += 250) {
             words.step(List.of(failed, failed, failed), 10_000, 1, now);
         }
-        for (double cut = now; now < cut + SpreadSettings.USUAL.forget() - 1_000; now += 250) {
+        for (double cut = now; now < cut + FleetOutlierSettings.USUAL.forget() - 1_000; now += 250) {
             words.step(List.of(), 1, 1, now);
         }
         assertThat(backs).isEmpty();
         words.step(List.of(), 1, 1, now + 2_000);
-        assertThat(backs).hasSize(1).allMatch(wait -> wait <= SpreadSettings.USUAL.ramp());
+        assertThat(backs).hasSize(1).allMatch(wait -> wait <= FleetOutlierSettings.USUAL.ramp());
     }
 
     @Test
     void newsFiveSecondsLateLeavesAHostThatIsWellForNoLongerThanItsTrialsTake() {
-        FleetOfWords f = new FleetOfWords(100, 5_000, 0.3, 9);
+        ObservationFleet f = new ObservationFleet(100, 5_000, 0.3, 9);
         f.run(4_000, 0);
         f.run(3_000, 1);
         f.run(40_000, 0);
         assertThat(f.left()).as("still away 40 s after it was well again").isZero();
     }
 
-    private static HostWords.Out out(List<Double> leaves) {
-        return new HostWords.Out() {
+    private static FleetOutlierDetector.Out out(List<Double> leaves) {
+        return new FleetOutlierDetector.Out() {
             @Override
             public void leave(int host, double wait, int failed, int served) {
                 leaves.add(wait);
--- a/src/test/java/rillyard/spread/WirePropertiesTest.java
+++ b/src/test/java/rillyard/outlier/ObservationCodecPropertiesTest.java
@@ -1,4 +1,4 @@
-package rillyard.spread;
+package rillyard.outlier;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -13,36 +13,40 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 import rillyard.balancer.SubsetPosition;
+import rillyard.subset.RequestRate;
+import rillyard.subset.SubsetPlanner;
 
 /** What goes over the wire, and pools from rates. */
-class WirePropertiesTest {
+class ObservationCodecPropertiesTest {
     @Property
     void votesComeBackAsTheyWereSaidAndOlder(
             @ForAll @Size(max = 40) List<Integer> hosts,
             @ForAll @DoubleRange(max = 4_000) double age,
             @ForAll @DoubleRange(max = 2_000) double since) {
-        List<Vote> votes = hosts.stream().map(h -> new Vote(h, h % 2 == 0, age)).toList();
-        List<byte[]> values = Ballot.encode(votes, 3);
+        List<HostObservation> votes =
+                hosts.stream().map(h -> new HostObservation(h, h % 2 == 0, age)).toList();
+        List<byte[]> values = ObservationCodec.encode(votes, 3);
         assertThat(values).hasSizeLessThanOrEqualTo(3).allMatch(v -> v.length <= 32);
-        List<Vote> back = new ArrayList<>();
-        values.forEach(v -> back.addAll(Ballot.decode(v, since)));
+        List<HostObservation> back = new ArrayList<>();
+        values.forEach(v -> back.addAll(ObservationCodec.decode(v, since)));
         assertThat(back).hasSize(Math.min(18, votes.size()));
         for (int i = 0; i < back.size(); i++) {
             assertThat(back.get(i).host()).isEqualTo(votes.get(i).host());
             assertThat(back.get(i).failed()).isEqualTo(votes.get(i).failed());
-            assertThat(back.get(i).age()).isBetween(age + since - Ballot.AGE_STEP, age + since);
+            assertThat(back.get(i).age()).isBetween(age + since - ObservationCodec.AGE_STEP, age + since);
         }
     }
 
     @Property
     void hostileBytesAreVotesInRangeOrTurnedAway(@ForAll @Size(max = 40) byte[] bytes, @ForAll double since) {
         try {
-            assertThat(Ballot.decode(bytes, since)).allMatch(v -> v.age() >= 0 && v.age() <= Vote.MAX_AGE);
+            assertThat(ObservationCodec.decode(bytes, since))
+                    .allMatch(v -> v.age() >= 0 && v.age() <= HostObservation.MAX_AGE);
         } catch (IllegalArgumentException e) {
             assertThat(e).hasMessageStartingWith("no votes");
         }
         try {
-            assertThat(Rate.read(bytes)).isBetween(0.0, 1e6);
+            assertThat(RequestRate.read(bytes)).isBetween(0.0, 1e6);
         } catch (IllegalArgumentException e) {
             assertThat(e).hasMessageStartingWith("no rate");
         }
@@ -59,7 +63,7 @@
         }
         List<Integer> positions = new ArrayList<>();
         for (String name : names) {
-            SubsetPosition p = new Pools().lay(name, names, rates);
+            SubsetPosition p = new SubsetPlanner().lay(name, names, rates);
             positions.add(p.position());
             assertThat(p.of()).isEqualTo(n);
             assertThat(p.weight()).isBetween(1.0, 16.0);
@@ -69,7 +73,7 @@
 
     @Test
     void aPoolStaysWhereChangesAreNotWorthNewConnections() {
-        Pools pools = new Pools();
+        SubsetPlanner pools = new SubsetPlanner();
         assertThat(pools.lay("m0", List.of("m0", "m1"), Map.of("m0", 2.0, "m1", 1.0))
                         .weight())
                 .isEqualTo(2 / 1.5);
@@ -81,7 +85,7 @@
 
     @Test
     void aRateIsToldWhenItHasChangedAndNotOtherwise() {
-        Rate r = new Rate();
+        RequestRate r = new RequestRate();
         assertThat(r.news(1e6)).isNull();
         double now = 1e6;
         int told = 0;
@@ -94,7 +98,7 @@
         for (int i = 0; i < 600; i++, now += 50) {
             r.counted(now);
         }
-        assertThat(Rate.read(r.news(now))).isBetween(10.0, 22.0);
-        assertThatThrownBy(() -> Rate.read(new byte[3])).hasMessageContaining("3 bytes");
+        assertThat(RequestRate.read(r.news(now))).isBetween(10.0, 22.0);
+        assertThatThrownBy(() -> RequestRate.read(new byte[3])).hasMessageContaining("3 bytes");
     }
 }
--- a/src/test/java/rillyard/spread/FleetOfWords.java
+++ b/src/test/java/rillyard/outlier/ObservationFleet.java
@@ -1,4 +1,4 @@
-package rillyard.spread;
+package rillyard.outlier;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,13 +7,13 @@
 import java.util.SplittableRandom;
 
 /** Proxies that use one host and hear each other's votes late, on a virtual clock. */
-final class FleetOfWords {
-    static final int HOST = Vote.number("s-20");
+final class ObservationFleet {
+    static final int HOST = HostObservation.number("s-20");
     private static final double STEP = 250;
 
     /** One proxy: when it may send to the host, and what it did. */
-    final class Proxy implements HostWords.Out {
-        final HostWords words = new HostWords(SpreadSettings.USUAL, random.split(), this);
+    final class Proxy implements FleetOutlierDetector.Out {
+        final FleetOutlierDetector words = new FleetOutlierDetector(FleetOutlierSettings.USUAL, random.split(), this);
         final List<double[]> leaves = new ArrayList<>(); // when, until
         final List<Double> backs = new ArrayList<>();
         double notBefore;
@@ -34,7 +34,7 @@
         }
     }
 
-    private record Heard(double at, List<Vote> votes) {}
+    private record Heard(double at, List<HostObservation> votes) {}
 
     final SplittableRandom random;
     final List<Proxy> proxies = new ArrayList<>();
@@ -53,7 +53,7 @@
     private final double began = now;
 
     /** {@code late} ms until votes are heard; each proxy sends the host {@code each} requests a second. */
-    FleetOfWords(int proxies, double late, double each, long seed) {
+    ObservationFleet(int proxies, double late, double each, long seed) {
         this.random = new SplittableRandom(seed);
         this.late = late;
         this.each = each;
@@ -79,22 +79,22 @@
                 }
             }
             for (Proxy p : proxies) {
-                List<List<Vote>> others = new ArrayList<>();
+                List<List<HostObservation>> others = new ArrayList<>();
                 said.forEach((who, all) -> {
                     if (who != p) {
                         for (int i = all.size() - 1; i >= 0; i--) {
                             Heard h = all.get(i);
                             if (now - h.at >= late) {
                                 others.add(h.votes.stream()
-                                        .filter(v -> v.age() + now - h.at <= Vote.MAX_AGE)
-                                        .map(v -> new Vote(v.host(), v.failed(), v.age() + now - h.at))
+                                        .filter(v -> v.age() + now - h.at <= HostObservation.MAX_AGE)
+                                        .map(v -> new HostObservation(v.host(), v.failed(), v.age() + now - h.at))
                                         .toList());
                                 break;
                             }
                         }
                     }
                 });
-                List<Vote> mine = p.words.step(
+                List<HostObservation> mine = p.words.step(
                         others,
                         halfAreWrong && proxies.indexOf(p) % 2 == 0 ? proxies.size() / 2 : proxies.size(),
                         1,
--- a/src/test/java/rillyard/spread/net/FleetNewsTest.java
+++ b/src/test/java/rillyard/outlier/net/ObservationGossipTest.java
@@ -1,4 +1,4 @@
-package rillyard.spread.net;
+package rillyard.outlier.net;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -16,15 +16,15 @@
 import org.junit.jupiter.api.io.TempDir;
 import rillyard.balancer.AttemptOutcome;
 import rillyard.balancer.SubsetPosition;
-import rillyard.member.Fact;
-import rillyard.member.net.FleetFile;
-import rillyard.member.net.FleetMember;
+import rillyard.membership.MemberAttribute;
+import rillyard.membership.net.FleetConfigReader;
+import rillyard.membership.net.FleetMember;
+import rillyard.outlier.FleetOutlierSettings;
 import rillyard.proxy.dispatch.PeerGossip;
-import rillyard.spread.SpreadSettings;
 
 /** Five members over sockets that tell each other what they saw of hosts. */
 @Timeout(60)
-class FleetNewsTest {
+class ObservationGossipTest {
     private static final Set<String> HOSTS = Set.of("a", "b");
 
     /** What one proxy was told to heed. */
@@ -59,7 +59,7 @@
     Path folder;
 
     private final List<FleetMember> members = new ArrayList<>();
-    private final List<FleetNews> news = new ArrayList<>();
+    private final List<ObservationGossip> news = new ArrayList<>();
     private final List<Heeded> heeded = new ArrayList<>();
 
     private static double now() {
@@ -79,8 +79,8 @@
                     file,
                     "seeds = \"127.0.0.1:" + seed + "\"\n[self]\nname = \"p" + i + "\"\nlisten = \"127.0.0.1:" + port
                             + "\"\n[membership]\ninterval_ms = 100\ntimeout_ms = 40\n");
-            FleetMember m = new FleetMember(FleetFile.read(file, Map.of()), i, System.err);
-            news.add(new FleetNews(m, SpreadSettings.USUAL, i));
+            FleetMember m = new FleetMember(FleetConfigReader.read(file, Map.of()), i, System.err);
+            news.add(new ObservationGossip(m, FleetOutlierSettings.USUAL, i));
             heeded.add(new Heeded());
             members.add(m);
             m.start();
@@ -133,7 +133,7 @@
     void whatCantBeReadIsToldOnceAndPassedOver() throws Exception {
         start(2);
         while (heeded.get(0).lines.stream().noneMatch(l -> l.contains("p1 says what can't be read"))) {
-            members.get(1).say(FleetNews.FIRST_KIND, new byte[] {1, 2, 3}, 60_000, true);
+            members.get(1).say(ObservationGossip.FIRST_KIND, new byte[] {1, 2, 3}, 60_000, true);
             stepAll();
         }
         stepAll();
@@ -145,14 +145,14 @@
     @Test
     void aMemberThatHasLeftSaysNothingMoreAndWhatItHeldGetsOlder() throws Exception {
         start(1);
-        members.get(0).say(FleetNews.RATE, new byte[] {0, 0, 0, 0}, 60_000, true);
-        while (members.get(0).known().facts(FleetNews.RATE).isEmpty()) {
+        members.get(0).say(ObservationGossip.RATE, new byte[] {0, 0, 0, 0}, 60_000, true);
+        while (members.get(0).known().facts(ObservationGossip.RATE).isEmpty()) {
             stepAll();
         }
         FleetMember ended = members.remove(0);
         ended.close();
-        FleetMember.Known known = ended.known();
-        Fact fact = known.facts(FleetNews.RATE).get("p0");
+        FleetMember.FleetSnapshot known = ended.known();
+        MemberAttribute fact = known.facts(ObservationGossip.RATE).get("p0");
         double age = known.age(fact);
         news.get(0).ended("a", AttemptOutcome.ERROR, now());
         stepAll(); // while the proxy beside it drains
--- a/src/test/java/rillyard/proxy/JarIT.java
+++ b/src/test/java/rillyard/proxy/JarIT.java
@@ -189,7 +189,7 @@
                         "rillyard.process",
                         "rillyard.measure",
                         "rillyard.subset",
-                        "rillyard.member",
+                        "rillyard.membership",
                         "rillyard.trial")
                 // Each of these took a part of every start: a mapper with calendars and locales, the
                 // recorder's events, libraries for logs that are not there.
--- a/src/test/java/rillyard/subset/SubsettingTest.java
+++ b/src/test/java/rillyard/subset/SubsettingTest.java
@@ -16,12 +16,12 @@
 
 class SubsettingTest {
     private static List<Long> hosts(int n) {
-        return LongStream.range(0, n).map(i -> Mix.of(9, i)).boxed().toList();
+        return LongStream.range(0, n).map(i -> SplitMix64.of(9, i)).boxed().toList();
     }
 
     @ParameterizedTest
-    @EnumSource(Schemes.class)
-    void everyInstanceHasItsNumberOfHostsAndNoneTwice(Schemes way) {
+    @EnumSource(SubsettingAlgorithm.class)
+    void everyInstanceHasItsNumberOfHostsAndNoneTwice(SubsettingAlgorithm way) {
         for (int n : new int[] {0, 1, 2, 7, 20}) {
             for (int size : new int[] {0, 1, 2, 3, 19, 20, 21}) {
                 for (int i = 0; i < 13; i++) {
@@ -38,8 +38,8 @@
 
     /** Nobody coordinates: what one knows in another order must come to the same. */
     @ParameterizedTest
-    @EnumSource(Schemes.class)
-    void theOrderInWhichHostsWereHeardOfDoesNotCount(Schemes way) {
+    @EnumSource(SubsettingAlgorithm.class)
+    void theOrderInWhichHostsWereHeardOfDoesNotCount(SubsettingAlgorithm way) {
         List<Long> mixed = new ArrayList<>(hosts(20));
         Collections.shuffle(mixed, new Random(3));
         for (int i = 0; i < 30; i++) {
@@ -49,8 +49,8 @@
 
     @Test
     void lotsAreNearlyEvenWhereChanceIsNot() {
-        SubsetFigures lots = SubsetFigures.of(Schemes.LOTS, 2_000, 20, 3);
-        SubsetFigures chance = SubsetFigures.of(Schemes.RENDEZVOUS, 2_000, 20, 3);
+        SubsetStatistics lots = SubsetStatistics.of(SubsettingAlgorithm.LOTS, 2_000, 20, 3);
+        SubsetStatistics chance = SubsetStatistics.of(SubsettingAlgorithm.RENDEZVOUS, 2_000, 20, 3);
         assertThat(lots.mean()).isEqualTo(300);
         assertThat(lots.most() - lots.least()).isLessThan((chance.most() - chance.least()) / 2);
         assertThat(lots.most()).isLessThan(330);
@@ -60,49 +60,55 @@
 
     @Test
     void aHostThatGoesMovesFewInLotsAndAllWhereLotsAreShuffled() {
-        assertThat(SubsetFigures.of(Schemes.RENDEZVOUS, 2_000, 20, 3).movedByHost())
+        assertThat(SubsetStatistics.of(SubsettingAlgorithm.RENDEZVOUS, 2_000, 20, 3)
+                        .movedByHost())
                 .isEqualTo(1);
-        double lots = SubsetFigures.of(Schemes.LOTS, 2_000, 20, 3).movedByHost();
-        double shuffled = SubsetFigures.of(Schemes.SHUFFLED, 2_000, 20, 3).movedByHost();
+        double lots =
+                SubsetStatistics.of(SubsettingAlgorithm.LOTS, 2_000, 20, 3).movedByHost();
+        double shuffled =
+                SubsetStatistics.of(SubsettingAlgorithm.SHUFFLED, 2_000, 20, 3).movedByHost();
         assertThat(lots).isBetween(1.0, 8.0);
         assertThat(shuffled).isGreaterThan(2 * lots);
     }
 
     @Test
     void oneInstanceMoreMovesNobodyInLotsAndManyOnTheRing() {
-        assertThat(SubsetFigures.of(Schemes.LOTS, 2_000, 200, 10).movedByInstance())
+        assertThat(SubsetStatistics.of(SubsettingAlgorithm.LOTS, 2_000, 200, 10).movedByInstance())
                 .isZero();
-        assertThat(SubsetFigures.of(Schemes.RING, 2_000, 200, 10).movedByInstance())
+        assertThat(SubsetStatistics.of(SubsettingAlgorithm.RING, 2_000, 200, 10).movedByInstance())
                 .isGreaterThan(1);
     }
 
     @ParameterizedTest
     @EnumSource(
-            value = Schemes.class,
+            value = SubsettingAlgorithm.class,
             names = {"RING", "LOTS", "BOUNDED"})
-    void theBoundOfAHostIsKept(Schemes way) throws Exception {
+    void theBoundOfAHostIsKept(SubsettingAlgorithm way) throws Exception {
         SubsetSize s = SubsetSize.largest(way, 300, 20, 400, 4, 0.1);
         assertThat(s.connections()).isLessThanOrEqualTo(360);
         assertThat(s.hosts()).isGreaterThanOrEqualTo(SubsetSize.LEAST);
-        int more = SubsetFigures.of(way, 300, 20, s.hosts() + 1).most();
+        int more = SubsetStatistics.of(way, 300, 20, s.hosts() + 1).most();
         assertThat(4 * more).as("one host more would be too much").isGreaterThan(360);
     }
 
     @Test
     void whatHostsCannotBearIsSaidWithWhatWouldDo() {
-        assertThatThrownBy(() -> SubsetSize.largest(Schemes.LOTS, 2_000, 20, 100, 1, 0.1))
+        assertThatThrownBy(() -> SubsetSize.largest(SubsettingAlgorithm.LOTS, 2_000, 20, 100, 1, 0.1))
                 .isInstanceOf(SubsetSize.TooManyException.class)
                 .hasMessageContaining("90 of 100 may be used: expected a cap of ");
-        assertThatIllegalArgumentException().isThrownBy(() -> SubsetSize.largest(Schemes.LOTS, 0, 20, 100, 1, 0.1));
-        assertThatIllegalArgumentException().isThrownBy(() -> SubsetSize.largest(Schemes.LOTS, 1, 20, 100, 1, 1));
+        assertThatIllegalArgumentException()
+                .isThrownBy(() -> SubsetSize.largest(SubsettingAlgorithm.LOTS, 0, 20, 100, 1, 0.1));
+        assertThatIllegalArgumentException()
+                .isThrownBy(() -> SubsetSize.largest(SubsettingAlgorithm.LOTS, 1, 20, 100, 1, 1));
     }
 
     @Test
     void theCapOfACapThatJustDoesIsTheOneSaid() throws Exception {
-        int needed = SubsetFigures.of(Schemes.LOTS, 2_000, 20, 2).most();
-        assertThat(SubsetSize.largest(Schemes.LOTS, 2_000, 20, needed, 1, 0).connections())
+        int needed = SubsetStatistics.of(SubsettingAlgorithm.LOTS, 2_000, 20, 2).most();
+        assertThat(SubsetSize.largest(SubsettingAlgorithm.LOTS, 2_000, 20, needed, 1, 0)
+                        .connections())
                 .isEqualTo(needed);
-        assertThatThrownBy(() -> SubsetSize.largest(Schemes.LOTS, 2_000, 20, needed - 1, 1, 0))
+        assertThatThrownBy(() -> SubsetSize.largest(SubsettingAlgorithm.LOTS, 2_000, 20, needed - 1, 1, 0))
                 .hasMessageContaining("a cap of " + needed + " or more");
     }
 }
