--- a/src/main/java/rillyard/audit/EffectRule.java
+++ b/src/main/java/rillyard/audit/AtMostOnceRule.java
@@ -5,28 +5,30 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
-import rillyard.ledger.ClientTry;
-import rillyard.ledger.HostRun;
-import rillyard.ledger.Outcome;
+import rillyard.requestlog.ClientAttempt;
+import rillyard.requestlog.ClientOutcome;
+import rillyard.requestlog.HostExecution;
 
 /** No effect twice, and none refused that may have run. */
-final class EffectRule {
+final class AtMostOnceRule {
     private final Evidence evidence;
     private final AuditSettings settings;
 
-    EffectRule(Evidence evidence, AuditSettings settings) {
+    AtMostOnceRule(Evidence evidence, AuditSettings settings) {
         this.evidence = evidence;
         this.settings = settings;
     }
 
-    void check(Consumer<Breach> to) {
+    void check(Consumer<Violation> to) {
         Set<String> seen = new HashSet<>();
-        for (List<ClientTry> tries : evidence.byRequest().values()) {
-            List<HostRun> ran = new ArrayList<>();
+        for (List<ClientAttempt> tries : evidence.byRequest().values()) {
+            List<HostExecution> ran = new ArrayList<>();
             Set<String> ids = new HashSet<>();
-            for (ClientTry t : tries) {
+            for (ClientAttempt t : tries) {
                 if (ids.add(t.id())) {
-                    evidence.byId(t.id()).stream().filter(HostRun::mayHaveRun).forEach(ran::add);
+                    evidence.byId(t.id()).stream()
+                            .filter(HostExecution::mayHaveRun)
+                            .forEach(ran::add);
                 }
                 checkRefusal(t, to);
             }
@@ -38,16 +40,17 @@
                 once(
                         runs.get(0).type(),
                         "id " + id,
-                        runs.stream().filter(HostRun::mayHaveRun).toList(),
+                        runs.stream().filter(HostExecution::mayHaveRun).toList(),
                         to);
             }
         });
         evidence.byKey().forEach((key, runs) -> {
-            List<HostRun> effects = runs.stream().filter(HostRun::effect).toList();
+            List<HostExecution> effects =
+                    runs.stream().filter(HostExecution::effect).toList();
             if (effects.size() > 1) {
-                HostRun second = effects.get(1);
-                to.accept(new Breach(
-                        Breach.Rule.EFFECT,
+                HostExecution second = effects.get(1);
+                to.accept(new Violation(
+                        Violation.Rule.EFFECT,
                         second.received(),
                         "key " + second.key() + " had its effect " + effects.size() + " times",
                         evidence.history(second.id())));
@@ -55,28 +58,28 @@
         });
     }
 
-    private void once(String type, String what, List<HostRun> ran, Consumer<Breach> to) {
+    private void once(String type, String what, List<HostExecution> ran, Consumer<Violation> to) {
         if (ran.size() > 1 && settings.type(type).semantics() == AuditSettings.Semantics.AT_MOST_ONCE) {
-            HostRun second = ran.get(1);
-            to.accept(new Breach(
-                    Breach.Rule.EFFECT,
+            HostExecution second = ran.get(1);
+            to.accept(new Violation(
+                    Violation.Rule.EFFECT,
                     second.received(),
                     what + " of " + type + " may have run " + ran.size() + " times",
                     evidence.history(second.id())));
         }
     }
 
-    private void checkRefusal(ClientTry t, Consumer<Breach> to) {
+    private void checkRefusal(ClientAttempt t, Consumer<Violation> to) {
         AuditSettings.RequestClass c = settings.type(t.type());
         boolean harmless = c.semantics() == AuditSettings.Semantics.IDEMPOTENT
                 || (c.semantics() == AuditSettings.Semantics.DEDUPLICATED && c.scope() == AuditSettings.Scope.ALL);
-        if (t.outcome() != Outcome.REFUSED || harmless) {
+        if (t.outcome() != ClientOutcome.REFUSED || harmless) {
             return;
         }
-        for (HostRun r : evidence.byId(t.id())) {
+        for (HostExecution r : evidence.byId(t.id())) {
             if (r.mayHaveRun()) {
-                to.accept(new Breach(
-                        Breach.Rule.EFFECT,
+                to.accept(new Violation(
+                        Violation.Rule.EFFECT,
                         t.ended(),
                         "id " + t.id() + " of " + t.type() + " was refused and may have run at " + r.host(),
                         evidence.history(t.id())));
--- a/src/main/java/rillyard/audit/Audit.java
+++ b/src/main/java/rillyard/audit/Audit.java
@@ -6,11 +6,11 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import rillyard.input.InvalidFileException;
-import rillyard.ledger.ClientTry;
-import rillyard.ledger.LedgerLine;
-import rillyard.ledger.LedgerReader;
-import rillyard.ledger.Outcome;
+import rillyard.config.InvalidConfigException;
+import rillyard.requestlog.ClientAttempt;
+import rillyard.requestlog.ClientOutcome;
+import rillyard.requestlog.LogRecord;
+import rillyard.requestlog.RequestLogReader;
 
 /** Lays both ledgers beside each other. */
 public final class Audit {
@@ -22,7 +22,7 @@
      * @param breaches in the order of their times
      * @param doubts why the ledgers prove less than they should; empty as a rule
      */
-    public record Verdict(int tries, int runs, List<Breach> breaches, List<String> doubts) {
+    public record Verdict(int tries, int runs, List<Violation> breaches, List<String> doubts) {
         /** Copies the lists. */
         public Verdict {
             breaches = List.copyOf(breaches);
@@ -47,34 +47,34 @@
     /**
      * Reads both ledgers and judges them.
      *
-     * @throws InvalidFileException at the first line that is none of a ledger
+     * @throws InvalidConfigException at the first line that is none of a ledger
      */
-    public static Verdict of(Path clients, Path hosts, AuditSettings settings) throws InvalidFileException {
+    public static Verdict of(Path clients, Path hosts, AuditSettings settings) throws InvalidConfigException {
         Audit a = new Audit(settings);
-        if (!LedgerReader.read(clients, "clients", a::add)) {
+        if (!RequestLogReader.read(clients, "clients", a::add)) {
             a.doubts.add(clients + " was not closed: its last lines may be missing");
         }
-        if (!LedgerReader.read(hosts, "hosts", a::add)) {
+        if (!RequestLogReader.read(hosts, "hosts", a::add)) {
             a.doubts.add(hosts + " was not closed: its last lines may be missing");
         }
         return a.judge();
     }
 
     /** Takes a line of either ledger. */
-    public void add(LedgerLine line) {
+    public void add(LogRecord line) {
         evidence.add(line);
     }
 
     /** Judges what was taken. */
     public Verdict judge() {
         evidence.sort();
-        List<Breach> found = new ArrayList<>();
-        new AnswerRule(evidence, settings).check(found::add);
-        new EffectRule(evidence, settings).check(found::add);
-        new KeyedRule(evidence, settings).check(found::add);
-        new DrainRule(evidence, settings).check(found::add);
-        new ColdRule(evidence, settings).check(found::add);
-        found.sort(Comparator.comparingLong(Breach::at));
+        List<Violation> found = new ArrayList<>();
+        new SingleResponseRule(evidence, settings).check(found::add);
+        new AtMostOnceRule(evidence, settings).check(found::add);
+        new IdempotencyKeyRule(evidence, settings).check(found::add);
+        new DrainingRule(evidence, settings).check(found::add);
+        new SlowStartRule(evidence, settings).check(found::add);
+        found.sort(Comparator.comparingLong(Violation::at));
         if (evidence.tries.isEmpty()) {
             doubts.add("no client sent anything: nothing was proved");
         } else if (strangers()) {
@@ -94,11 +94,11 @@
 
     private boolean strangers() {
         boolean served = false;
-        for (ClientTry t : evidence.tries) {
+        for (ClientAttempt t : evidence.tries) {
             if (!evidence.byId(t.id()).isEmpty()) {
                 return false;
             }
-            served |= t.outcome() == Outcome.SERVED;
+            served |= t.outcome() == ClientOutcome.SERVED;
         }
         return served || !evidence.runs.isEmpty();
     }
--- a/src/main/java/rillyard/audit/AuditSettings.java
+++ b/src/main/java/rillyard/audit/AuditSettings.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.Map;
-import rillyard.input.InvalidFileException;
+import rillyard.config.InvalidConfigException;
 
 /**
  * The figures of the rules, in microseconds.
@@ -59,21 +59,21 @@
      * Reads the platform's settings from a file that holds them, or that holds them under
      * {@code settings}, as a proxy's configuration does.
      *
-     * @throws InvalidFileException if it holds none
+     * @throws InvalidConfigException if it holds none
      */
-    public static AuditSettings read(Path file) throws InvalidFileException {
+    public static AuditSettings read(Path file) throws InvalidConfigException {
         JsonNode root;
         try {
             root = new ObjectMapper().readTree(Files.readAllBytes(file));
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 0 : e.getLocation().getLineNr();
-            throw new InvalidFileException(file.toString(), line, "not JSON: " + e.getOriginalMessage());
+            throw new InvalidConfigException(file.toString(), line, "not JSON: " + e.getOriginalMessage());
         } catch (IOException e) {
-            throw new InvalidFileException(file.toString(), 0, "can't be read: " + e);
+            throw new InvalidConfigException(file.toString(), 0, "can't be read: " + e);
         }
         JsonNode settings = root.has("settings") ? root.get("settings") : root;
         if (!settings.path("classes").isArray() || settings.path("classes").isEmpty()) {
-            throw new InvalidFileException(
+            throw new InvalidConfigException(
                     file.toString(), 0, "expected settings with a list of classes that is not empty");
         }
         return of(settings);
--- a/src/main/java/rillyard/audit/DrainRule.java
+++ b/src/main/java/rillyard/audit/DrainingRule.java
@@ -5,15 +5,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import rillyard.ledger.HostRun;
-import rillyard.ledger.Told;
+import rillyard.requestlog.HostExecution;
+import rillyard.requestlog.WatchNotification;
 
 /**
  * Nothing new to a host that drains or is gone, past the grace. A change counts as told when the
  * last watch that was open has been told, and at the latest after its time: the ledgers don't say
  * which watch a request's sender had, so the latest is what all of them are held to.
  */
-final class DrainRule {
+final class DrainingRule {
     private static final class Span {
         final long changed;
         long told;
@@ -27,12 +27,12 @@
     private final Evidence evidence;
     private final AuditSettings settings;
 
-    DrainRule(Evidence evidence, AuditSettings settings) {
+    DrainingRule(Evidence evidence, AuditSettings settings) {
         this.evidence = evidence;
         this.settings = settings;
     }
 
-    void check(Consumer<Breach> to) {
+    void check(Consumer<Violation> to) {
         spans().forEach((host, spans) -> {
             for (Span s : spans) {
                 long counted = s.changed + settings.toldAtLatest();
@@ -42,10 +42,10 @@
         });
     }
 
-    private void check(String host, Span s, long from, long told, Consumer<Breach> to) {
+    private void check(String host, Span s, long from, long told, Consumer<Violation> to) {
         int count = 0;
-        HostRun first = null;
-        for (HostRun r : evidence.byHost(host)) {
+        HostExecution first = null;
+        for (HostExecution r : evidence.byHost(host)) {
             if (r.received() > from && r.received() < s.until) {
                 first = first == null ? r : first;
                 count++;
@@ -53,7 +53,7 @@
         }
         if (first != null) {
             List<String> history = new ArrayList<>();
-            for (Told t : evidence.told) {
+            for (WatchNotification t : evidence.told) {
                 if (t.host().equals(host)) {
                     history.add((t.watcher() == 0 ? "discovery has " : "watch " + t.watcher() + " is told ")
                             + host + " " + t.state() + " " + (t.at() - first.received()) / 1_000
@@ -61,8 +61,8 @@
                 }
             }
             history.addAll(evidence.history(first.id()));
-            to.accept(new Breach(
-                    Breach.Rule.DRAIN,
+            to.accept(new Violation(
+                    Violation.Rule.DRAIN,
                     first.received(),
                     "host " + host + " drains or is gone, and got " + count + " requests past the grace, the"
                             + " first, id " + first.id() + ", " + (first.received() - told) / 1_000
@@ -73,7 +73,7 @@
 
     private Map<String, List<Span>> spans() {
         Map<String, List<Span>> all = new HashMap<>();
-        for (Told t : evidence.told) {
+        for (WatchNotification t : evidence.told) {
             List<Span> spans = all.computeIfAbsent(t.host(), h -> new ArrayList<>());
             Span last = spans.isEmpty() ? null : spans.get(spans.size() - 1);
             boolean open = last != null && last.until == Long.MAX_VALUE;
--- a/src/main/java/rillyard/audit/Evidence.java
+++ b/src/main/java/rillyard/audit/Evidence.java
@@ -6,100 +6,100 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import rillyard.ledger.ClientTry;
-import rillyard.ledger.HostNews;
-import rillyard.ledger.HostRun;
-import rillyard.ledger.LedgerLine;
-import rillyard.ledger.Surplus;
-import rillyard.ledger.Told;
+import rillyard.requestlog.ClientAttempt;
+import rillyard.requestlog.HostEvent;
+import rillyard.requestlog.HostExecution;
+import rillyard.requestlog.LogRecord;
+import rillyard.requestlog.UnexpectedResponse;
+import rillyard.requestlog.WatchNotification;
 
 /** All lines of both ledgers, found by what they are about. Takes some hundred bytes a line. */
 final class Evidence {
-    final List<ClientTry> tries = new ArrayList<>();
-    final List<Surplus> surplus = new ArrayList<>();
-    final List<HostRun> runs = new ArrayList<>();
-    final List<HostNews> news = new ArrayList<>();
-    final List<Told> told = new ArrayList<>();
-    private final Map<String, List<HostRun>> runsById = new HashMap<>();
-    private final Map<String, List<HostRun>> runsByKey = new HashMap<>();
-    private final Map<String, List<HostRun>> runsByHost = new HashMap<>();
-    private final Map<Long, List<ClientTry>> triesByRequest = new HashMap<>();
+    final List<ClientAttempt> tries = new ArrayList<>();
+    final List<UnexpectedResponse> surplus = new ArrayList<>();
+    final List<HostExecution> runs = new ArrayList<>();
+    final List<HostEvent> news = new ArrayList<>();
+    final List<WatchNotification> told = new ArrayList<>();
+    private final Map<String, List<HostExecution>> runsById = new HashMap<>();
+    private final Map<String, List<HostExecution>> runsByKey = new HashMap<>();
+    private final Map<String, List<HostExecution>> runsByHost = new HashMap<>();
+    private final Map<Long, List<ClientAttempt>> triesByRequest = new HashMap<>();
     private final Map<String, Long> requestById = new HashMap<>();
 
-    void add(LedgerLine line) {
-        if (line instanceof ClientTry t) {
+    void add(LogRecord line) {
+        if (line instanceof ClientAttempt t) {
             tries.add(t);
             triesByRequest.computeIfAbsent(t.request(), k -> new ArrayList<>(1)).add(t);
             requestById.put(t.id(), t.request());
-        } else if (line instanceof Surplus s) {
+        } else if (line instanceof UnexpectedResponse s) {
             surplus.add(s);
-        } else if (line instanceof HostRun r) {
+        } else if (line instanceof HostExecution r) {
             runs.add(r);
             put(runsById, r.id(), r);
             put(runsByHost, r.host(), r);
             if (r.key() != null) {
                 put(runsByKey, r.type() + "/" + r.key(), r);
             }
-        } else if (line instanceof HostNews n) {
+        } else if (line instanceof HostEvent n) {
             news.add(n);
-        } else if (line instanceof Told t) {
+        } else if (line instanceof WatchNotification t) {
             told.add(t);
         }
     }
 
     /** Puts all in the order of the times: ledgers are in the order of the ends. */
     void sort() {
-        Comparator<HostRun> received = Comparator.comparingLong(HostRun::received);
+        Comparator<HostExecution> received = Comparator.comparingLong(HostExecution::received);
         runs.sort(received);
         runsById.values().forEach(l -> l.sort(received));
         runsByKey.values().forEach(l -> l.sort(received));
         runsByHost.values().forEach(l -> l.sort(received));
-        triesByRequest.values().forEach(l -> l.sort(Comparator.comparingInt(ClientTry::number)));
-        news.sort(Comparator.comparingLong(HostNews::at));
-        told.sort(Comparator.comparingLong(Told::at));
+        triesByRequest.values().forEach(l -> l.sort(Comparator.comparingInt(ClientAttempt::number)));
+        news.sort(Comparator.comparingLong(HostEvent::at));
+        told.sort(Comparator.comparingLong(WatchNotification::at));
     }
 
-    private static void put(Map<String, List<HostRun>> to, String key, HostRun r) {
+    private static void put(Map<String, List<HostExecution>> to, String key, HostExecution r) {
         to.computeIfAbsent(key, k -> new ArrayList<>(1)).add(r);
     }
 
-    List<HostRun> byId(String id) {
+    List<HostExecution> byId(String id) {
         return runsById.getOrDefault(id, List.of());
     }
 
-    Map<String, List<HostRun>> byId() {
+    Map<String, List<HostExecution>> byId() {
         return runsById;
     }
 
-    Map<String, List<HostRun>> byKey() {
+    Map<String, List<HostExecution>> byKey() {
         return runsByKey;
     }
 
-    List<HostRun> byHost(String host) {
+    List<HostExecution> byHost(String host) {
         return runsByHost.getOrDefault(host, List.of());
     }
 
-    Map<Long, List<ClientTry>> byRequest() {
+    Map<Long, List<ClientAttempt>> byRequest() {
         return triesByRequest;
     }
 
     /** All that is known of the request that an id belongs to. */
     List<String> history(String id) {
         Long request = requestById.get(id);
-        List<ClientTry> of = request == null ? List.of() : triesByRequest.getOrDefault(request, List.of());
-        List<HostRun> ran = new ArrayList<>();
+        List<ClientAttempt> of = request == null ? List.of() : triesByRequest.getOrDefault(request, List.of());
+        List<HostExecution> ran = new ArrayList<>();
         if (of.isEmpty()) {
             ran.addAll(byId(id));
         }
-        of.stream().map(ClientTry::id).distinct().forEach(i -> ran.addAll(byId(i)));
+        of.stream().map(ClientAttempt::id).distinct().forEach(i -> ran.addAll(byId(i)));
         return history(of, ran);
     }
 
     /** Lines for a reader, in the order of the times, which count in ms from the first. */
-    static List<String> history(List<ClientTry> tries, List<HostRun> runs) {
+    static List<String> history(List<ClientAttempt> tries, List<HostExecution> runs) {
         record At(long at, String text) {}
         List<At> all = new ArrayList<>();
-        for (ClientTry t : tries) {
+        for (ClientAttempt t : tries) {
             all.add(new At(
                     t.sent(),
                     "client " + t.client() + " sends try " + t.number() + " of request "
@@ -111,7 +111,7 @@
                     "client has try " + t.number() + " end: " + t.outcome()
                             + (t.status() == 0 ? "" : " " + t.status())));
         }
-        for (HostRun r : runs) {
+        for (HostExecution r : runs) {
             all.add(new At(
                     r.received(),
                     "host " + r.host() + " (cell " + r.cell() + ") receives id " + r.id() + ", the " + (r.attempt() + 1)
--- a/src/main/java/rillyard/audit/KeyedRule.java
+++ b/src/main/java/rillyard/audit/IdempotencyKeyRule.java
@@ -2,26 +2,26 @@
 
 import java.util.List;
 import java.util.function.Consumer;
-import rillyard.ledger.HostRun;
+import rillyard.requestlog.HostExecution;
 
 /** A keyed request that may have run goes again only to hosts that know its key, while they do. */
-final class KeyedRule {
+final class IdempotencyKeyRule {
     private final Evidence evidence;
     private final AuditSettings settings;
 
-    KeyedRule(Evidence evidence, AuditSettings settings) {
+    IdempotencyKeyRule(Evidence evidence, AuditSettings settings) {
         this.evidence = evidence;
         this.settings = settings;
     }
 
-    void check(Consumer<Breach> to) {
-        for (List<HostRun> runs : evidence.byId().values()) {
+    void check(Consumer<Violation> to) {
+        for (List<HostExecution> runs : evidence.byId().values()) {
             AuditSettings.RequestClass c = settings.type(runs.get(0).type());
             if (c.semantics() != AuditSettings.Semantics.DEDUPLICATED) {
                 continue;
             }
-            HostRun first = null;
-            for (HostRun r : runs) {
+            HostExecution first = null;
+            for (HostExecution r : runs) {
                 if (first != null) {
                     check(c, first, r, to);
                 } else if (r.mayHaveRun()) {
@@ -31,7 +31,7 @@
         }
     }
 
-    private void check(AuditSettings.RequestClass c, HostRun first, HostRun again, Consumer<Breach> to) {
+    private void check(AuditSettings.RequestClass c, HostExecution first, HostExecution again, Consumer<Violation> to) {
         boolean group =
                 switch (c.scope()) {
                     case ALL -> true;
@@ -40,8 +40,8 @@
                 };
         long late = again.received() - first.received() - c.window() - settings.socketSlack();
         if (!group || late > 0) {
-            to.accept(new Breach(
-                    Breach.Rule.KEYED,
+            to.accept(new Violation(
+                    Violation.Rule.KEYED,
                     again.received(),
                     "id " + again.id() + " of " + c.name() + " came again "
                             + (group
--- a/src/main/java/rillyard/audit/ColdRule.java
+++ b/src/main/java/rillyard/audit/SlowStartRule.java
@@ -3,35 +3,35 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.function.Consumer;
-import rillyard.ledger.HostNews;
-import rillyard.ledger.HostRun;
+import rillyard.requestlog.HostEvent;
+import rillyard.requestlog.HostExecution;
 
 /**
  * No cold host pushed over: the work that reaches it within any window stays under so many times its
  * capacity within that window. Chance is allowed for by three standard deviations of the work, as if
  * requests came on their own: 3 sqrt(sum of squares), Campbell's theorem for a Poisson process.
  */
-final class ColdRule {
+final class SlowStartRule {
     private static final double DEVIATIONS = 3;
 
     private final Evidence evidence;
     private final AuditSettings settings;
 
-    ColdRule(Evidence evidence, AuditSettings settings) {
+    SlowStartRule(Evidence evidence, AuditSettings settings) {
         this.evidence = evidence;
         this.settings = settings;
     }
 
-    void check(Consumer<Breach> to) {
-        for (HostNews n : evidence.news) {
-            if (n.what() == HostNews.What.STARTED && n.cold() && n.startShare() < 1) {
+    void check(Consumer<Violation> to) {
+        for (HostEvent n : evidence.news) {
+            if (n.what() == HostEvent.Kind.STARTED && n.cold() && n.startShare() < 1) {
                 check(n, to);
             }
         }
     }
 
-    private void check(HostNews start, Consumer<Breach> to) {
-        List<HostRun> runs = evidence.byHost(start.host()).stream()
+    private void check(HostEvent start, Consumer<Violation> to) {
+        List<HostExecution> runs = evidence.byHost(start.host()).stream()
                 .filter(r -> r.received() >= start.at() && r.received() < start.at() + start.coldMicros())
                 .toList();
         double work = 0;
@@ -50,8 +50,8 @@
             double budget = settings.fallMultiple() * capacity(start, now - settings.fall(), now);
             double most = budget + DEVIATIONS * Math.sqrt(Math.max(0, squares));
             if (work > most) {
-                to.accept(new Breach(
-                        Breach.Rule.COLD,
+                to.accept(new Violation(
+                        Violation.Rule.COLD,
                         now,
                         String.format(
                                 Locale.ROOT,
@@ -71,7 +71,7 @@
     }
 
     /** Work that the host can do between two times: its share rises evenly while it gets warm. */
-    private static double capacity(HostNews start, long from, long to) {
+    private static double capacity(HostEvent start, long from, long to) {
         // A window that began before the host did has its whole length, at the share of the start.
         double a = from - start.at();
         double b = to - start.at();
--- a/src/main/java/rillyard/audit/Breach.java
+++ b/src/main/java/rillyard/audit/Violation.java
@@ -10,7 +10,7 @@
  * @param what what happened, on one line
  * @param history what led to it, line by line, in the order of the times
  */
-public record Breach(Rule rule, long at, String what, List<String> history) {
+public record Violation(Rule rule, long at, String what, List<String> history) {
     /** The rules, and the ways in which they break. */
     public enum Rule {
         /** Exactly one final answer, in time. */
@@ -26,7 +26,7 @@
     }
 
     /** Copies the history. */
-    public Breach {
+    public Violation {
         history = List.copyOf(history);
     }
 }
--- a/src/main/java/rillyard/measure/Neighbours.java
+++ b/src/main/java/rillyard/benchmark/CpuContention.java
@@ -1,4 +1,4 @@
-package rillyard.measure;
+package rillyard.benchmark;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -10,7 +10,7 @@
  * in slices of some ms. One that mostly sleeps is favoured when it wakes, so this is true to a
  * start, which is all work, and kinder than a quota to what comes after it.
  */
-public final class Neighbours implements AutoCloseable {
+public final class CpuContention implements AutoCloseable {
     private final List<Process> all = new ArrayList<>();
 
     /**
@@ -20,7 +20,7 @@
      * @param share the part of the core to be left, from above 0 to 1; rounded to one over a whole number
      * @throws IOException if one can't be started, as where {@code taskset} is missing
      */
-    public Neighbours(String core, double share) throws IOException {
+    public CpuContention(String core, double share) throws IOException {
         int n = (int) Math.round(1 / share) - 1;
         for (int i = 0; i < n; i++) {
             all.add(new ProcessBuilder("/usr/bin/taskset", "-c", core, "/bin/sh", "-c", "while :; do :; done").start());
--- a/src/main/java/rillyard/measure/FleetCount.java
+++ b/src/main/java/rillyard/benchmark/FleetTraceStatistics.java
@@ -1,4 +1,4 @@
-package rillyard.measure;
+package rillyard.benchmark;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -12,13 +12,13 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.ToIntFunction;
-import rillyard.trace.TraceLine;
+import rillyard.trace.TraceEvent;
 
 /**
  * Counts over a whole fleet what its proxies' traces tell; what one proxy does is seen there only. Keeps
  * every line until it has been counted, as logs are put together by time: some 200 bytes for each.
  */
-public final class FleetCount {
+public final class FleetTraceStatistics {
     /** What the proxies together did to one host. */
     static final class HostCount {
         int connects;
@@ -46,7 +46,7 @@
     /** Results of attempts of which nothing came to the host. */
     private static final Set<String> UNSENT = Set.of("CONNECT_FAILED", "MOOT");
 
-    private record Told(String proxy, int number, TraceLine line) {}
+    private record Told(String proxy, int number, TraceEvent line) {}
 
     private final long window;
     private final long coldWindow;
@@ -66,7 +66,7 @@
      * @param window the length (ms) of a row of the timetable
      * @param coldWindow the stretch (ms) over which work at a cold host is summed
      */
-    public FleetCount(long window, long coldWindow) {
+    public FleetTraceStatistics(long window, long coldWindow) {
         this.window = window;
         this.coldWindow = coldWindow;
     }
@@ -82,7 +82,7 @@
         String line;
         while ((line = log.readLine()) != null) {
             try {
-                TraceLine t = TraceLine.read(line);
+                TraceEvent t = TraceEvent.read(line);
                 if (t != null) {
                     any = true;
                     told.add(new Told(proxy, told.size(), t));
@@ -100,11 +100,11 @@
     }
 
     /** Sums up in the order of time, whatever the order of the logs; to be called once. */
-    FleetCount sum() {
+    FleetTraceStatistics sum() {
         told.sort(Comparator.comparingLong((Told t) -> t.line().at()).thenComparingInt(Told::number));
         Map<String, Map<String, Integer>> open = new HashMap<>(); // by proxy and host
         for (Told t : told) {
-            TraceLine l = t.line();
+            TraceEvent l = t.line();
             Map<String, Integer> mine = open.computeIfAbsent(t.proxy(), p -> new HashMap<>());
             switch (l.what()) {
                 case STARTED -> {
@@ -193,9 +193,9 @@
         Map<Long, int[]> rows = new TreeMap<>();
         long first = told.isEmpty() ? 0 : told.get(0).line().at();
         for (Told t : told) {
-            TraceLine l = t.line();
+            TraceEvent l = t.line();
             int[] row = rows.computeIfAbsent((l.at() - first) / window, w -> new int[5]);
-            if (l.what() == TraceLine.What.ATTEMPT) {
+            if (l.what() == TraceEvent.Kind.ATTEMPT) {
                 row[0]++;
                 switch (l.how()) {
                     case "OK" -> row[1]++;
@@ -203,7 +203,7 @@
                     case "CANCELLED", "MOOT" -> {} // given up, not lost
                     default -> row[3]++;
                 }
-            } else if (l.what() == TraceLine.What.REFUSED) {
+            } else if (l.what() == TraceEvent.Kind.REFUSED) {
                 row[4]++;
             }
         }
@@ -214,7 +214,7 @@
     private static String words(Map<String, Integer> counts) {
         StringBuilder s = new StringBuilder();
         counts.forEach((how, n) -> s.append(s.isEmpty() ? "" : ", ")
-                .append(how.equals(TraceLine.NONE) ? "none" : how)
+                .append(how.equals(TraceEvent.NONE) ? "none" : how)
                 .append(' ')
                 .append(n));
         return s.isEmpty() ? "none" : s.toString();
--- a/src/main/java/rillyard/measure/Baseline.java
+++ b/src/main/java/rillyard/benchmark/ProxyOverheadBenchmark.java
@@ -1,4 +1,4 @@
-package rillyard.measure;
+package rillyard.benchmark;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -12,15 +12,15 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.function.Supplier;
-import rillyard.process.Child;
-import rillyard.process.Launch;
-import rillyard.process.ProxyProcess;
+import rillyard.childprocess.ChildProcess;
+import rillyard.childprocess.LaunchCommand;
+import rillyard.childprocess.ProxyProcess;
 
 /**
  * What the proxy costs beside going straight to the hosts, and what the generator costs itself; and
  * the highest rate that one core of the generator holds on schedule.
  */
-public final class Baseline {
+public final class ProxyOverheadBenchmark {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String HOSTS =
             """
@@ -46,7 +46,7 @@
     private int runs;
 
     /** Files go to the folder, figures to {@code out}. */
-    public Baseline(Path folder, PrintStream out) {
+    public ProxyOverheadBenchmark(Path folder, PrintStream out) {
         this.folder = folder;
         this.out = out;
     }
@@ -63,11 +63,12 @@
      * @throws Exception if a process could not be started
      */
     public void addedByProxy(int[] rates, int pairs, int seconds) throws Exception {
-        try (Child hosts = hosts()) {
+        try (ChildProcess hosts = hosts()) {
             Path ready = folder.resolve("ready.json");
             hosts.awaitFile(ready);
             String direct = addresses(ready);
-            Launch launch = Launch.self().with(List.of("@deploy/proxy.jvm")).on("1");
+            LaunchCommand launch =
+                    LaunchCommand.self().with(List.of("@deploy/proxy.jvm")).on("1");
             try (ProxyProcess proxy =
                     ProxyProcess.launch(launch, ready, ProxyProcess.freeAddress(), folder.resolve("proxy.log"))) {
                 proxy.await(ProxyProcess.State.READY);
@@ -138,7 +139,7 @@
      * @throws Exception if a process could not be started
      */
     public void highestRate(int from, int step, int most, int seconds) throws Exception {
-        try (Child hosts = hosts()) {
+        try (ChildProcess hosts = hosts()) {
             Path ready = folder.resolve("ready.json");
             hosts.awaitFile(ready);
             String direct = addresses(ready);
@@ -159,12 +160,12 @@
         }
     }
 
-    private Child hosts() throws IOException {
+    private ChildProcess hosts() throws IOException {
         Path ready = folder.resolve("ready.json");
         Files.deleteIfExists(ready);
         Path timetable = Files.writeString(folder.resolve("hosts.toml"), HOSTS);
-        return Child.start(
-                Launch.self().on("2-5"),
+        return ChildProcess.start(
+                LaunchCommand.self().on("2-5"),
                 folder.resolve("hosts.log"),
                 null,
                 "stand-in",
@@ -183,8 +184,8 @@
                 "seed = " + ++runs + "\n[clients]\ncount = 100\n[[shape]]\nkind = \"poisson\"\nfor_s = " + seconds
                         + "\nrate = " + rate + "\n");
         Path json = folder.resolve("run-" + runs + ".json");
-        try (Child load = Child.start(
-                Launch.self().with(List.of("@deploy/load.jvm")).on("0"),
+        try (ChildProcess load = ChildProcess.start(
+                LaunchCommand.self().with(List.of("@deploy/load.jvm")).on("0"),
                 json,
                 null,
                 "load",
--- a/src/main/java/rillyard/measure/Starts.java
+++ b/src/main/java/rillyard/benchmark/StartupBenchmark.java
@@ -1,4 +1,4 @@
-package rillyard.measure;
+package rillyard.benchmark;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.PrintStream;
@@ -11,16 +11,16 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
-import rillyard.demo.WarmUp;
-import rillyard.ledger.Ledger;
-import rillyard.load.LoadPlan;
-import rillyard.load.LoadPlanReader;
-import rillyard.process.Launch;
-import rillyard.standin.StandIn;
-import rillyard.standin.StandInPlanReader;
+import rillyard.childprocess.LaunchCommand;
+import rillyard.demo.JvmWarmup;
+import rillyard.loadgen.LoadPlan;
+import rillyard.loadgen.LoadPlanReader;
+import rillyard.requestlog.RequestLogWriter;
+import rillyard.testserver.TestCluster;
+import rillyard.testserver.TestClusterPlanReader;
 
 /** What a start costs, from exec to the first thousand answers, in turn for several builds. */
-public final class Starts {
+public final class StartupBenchmark {
     private static final String CORE = "1";
     private static final int[] FIRST = {1, 10, 100, 1_000};
     private static final String HOSTS =
@@ -52,7 +52,7 @@
     private final PrintStream out;
 
     /** Files go to the folder, figures to {@code out}. */
-    public Starts(Path folder, PrintStream out) {
+    public StartupBenchmark(Path folder, PrintStream out) {
         this.folder = folder;
         this.out = out;
     }
@@ -67,25 +67,26 @@
      */
     public void run(Map<String, Path> builds, List<String> options, int starts, double share) throws Exception {
         LoadPlan plan = LoadPlanReader.parse("starts", PLAN, folder);
-        Map<String, List<StartRun>> runs = new LinkedHashMap<>();
-        WarmUp.run();
-        try (StandIn hosts = new StandIn(
-                StandInPlanReader.parse("starts", HOSTS, 0),
+        Map<String, List<StartupRun>> runs = new LinkedHashMap<>();
+        JvmWarmup.run();
+        try (TestCluster hosts = new TestCluster(
+                TestClusterPlanReader.parse("starts", HOSTS, 0),
                 new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0),
                 2,
-                Ledger.none(),
+                RequestLogWriter.none(),
                 System.err)) {
             hosts.start();
             Path config = folder.resolve("ready.json");
             new ObjectMapper().writeValue(config.toFile(), hosts.ready());
             for (int i = 0; i < starts; i++) {
                 for (Map.Entry<String, Path> b : builds.entrySet()) {
-                    try (Neighbours neighbours = new Neighbours(CORE, share)) {
+                    try (CpuContention neighbours = new CpuContention(CORE, share)) {
                         neighbours.checkRunning();
-                        Launch launch = Launch.platform(b.getValue().toAbsolutePath())
+                        LaunchCommand launch = LaunchCommand.platform(
+                                        b.getValue().toAbsolutePath())
                                 .on(CORE)
                                 .with(options);
-                        StartRun r = StartRun.of(launch, config.toAbsolutePath(), plan, folder);
+                        StartupRun r = StartupRun.of(launch, config.toAbsolutePath(), plan, folder);
                         runs.computeIfAbsent(b.getKey(), k -> new ArrayList<>()).add(r);
                         line(b.getKey(), i + 1, r);
                     }
@@ -95,7 +96,7 @@
         runs.forEach(this::summary);
     }
 
-    private void line(String build, int number, StartRun r) {
+    private void line(String build, int number, StartupRun r) {
         out.printf(
                 Locale.ROOT,
                 "%-8s %2d  listening %5.0f/%4.0f ms  ready %5.0f/%4.0f ms  %3d MB  first %s ms%n",
@@ -117,7 +118,7 @@
         return s.toString();
     }
 
-    private void summary(String build, List<StartRun> all) {
+    private void summary(String build, List<StartupRun> all) {
         out.printf("%n%s, %d starts: least, median, greatest%n", build, all.size());
         row("exec to listening, wall ms", all, r -> r.listening().wall());
         row("exec to listening, CPU ms", all, r -> r.listening().cpu());
@@ -135,7 +136,7 @@
         row("CPU a request after ready, us", all, r -> 1e3 * r.loadCpu() / r.latencies().length);
     }
 
-    private void row(String what, List<StartRun> all, ToDoubleFunction<StartRun> of) {
+    private void row(String what, List<StartupRun> all, ToDoubleFunction<StartupRun> of) {
         double[] v = all.stream().mapToDouble(of).sorted().toArray();
         out.printf(Locale.ROOT, "  %-32s %8.1f %8.1f %8.1f%n", what, v[0], v[v.length / 2], v[v.length - 1]);
     }
--- a/src/main/java/rillyard/measure/StartRun.java
+++ b/src/main/java/rillyard/benchmark/StartupRun.java
@@ -1,4 +1,4 @@
-package rillyard.measure;
+package rillyard.benchmark;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -9,15 +9,15 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import rillyard.ledger.ClientTry;
-import rillyard.ledger.Ledger;
-import rillyard.ledger.LedgerHead;
-import rillyard.ledger.LedgerReader;
-import rillyard.ledger.UnixClock;
-import rillyard.load.LoadPlan;
-import rillyard.load.LoadRun;
-import rillyard.process.Launch;
-import rillyard.process.ProxyProcess;
+import rillyard.childprocess.LaunchCommand;
+import rillyard.childprocess.ProxyProcess;
+import rillyard.loadgen.LoadPlan;
+import rillyard.loadgen.LoadRun;
+import rillyard.requestlog.ClientAttempt;
+import rillyard.requestlog.LogHeader;
+import rillyard.requestlog.RequestLogReader;
+import rillyard.requestlog.RequestLogWriter;
+import rillyard.requestlog.UnixClock;
 
 /**
  * One start of a proxy and its first requests.
@@ -30,7 +30,7 @@
  *     which the schedule had each be sent
  * @param loadCpu what the proxy took for them, ms
  */
-record StartRun(
+record StartupRun(
         Map<String, Mark> marks, Mark listening, Mark ready, long resident, double[] latencies, double loadCpu) {
     /** Milliseconds from exec. */
     record Mark(double wall, double cpu) {}
@@ -38,10 +38,10 @@
     private static final String MARK = "rillyard: mark ";
 
     /** Starts one, sends it the plan's requests, and ends it. */
-    static StartRun of(Launch launch, Path config, LoadPlan plan, Path folder) throws Exception {
+    static StartupRun of(LaunchCommand launch, Path config, LoadPlan plan, Path folder) throws Exception {
         Path log = folder.resolve("proxy.log");
         Path clients = folder.resolve("clients.jsonl");
-        Launch marked = launch.with(List.of("-Drillyard.marks=true"));
+        LaunchCommand marked = launch.with(List.of("-Drillyard.marks=true"));
         long exec = System.nanoTime();
         try (ProxyProcess p = ProxyProcess.launch(marked, config, ProxyProcess.freeAddress(), log)) {
             p.await(ProxyProcess.State.LISTENING);
@@ -49,11 +49,12 @@
             p.await(ProxyProcess.State.READY);
             Mark ready = now(exec, p);
             long resident = p.residentKb();
-            try (Ledger ledger = Ledger.open(clients, new LedgerHead("clients", UnixClock.micros(), plan.seed()))) {
+            try (RequestLogWriter ledger =
+                    RequestLogWriter.open(clients, new LogHeader("clients", UnixClock.micros(), plan.seed()))) {
                 new LoadRun(plan, List.of(p.address()), ledger, null).run();
             }
             double cpu = p.cpu().toNanos() / 1e6 - ready.cpu();
-            return new StartRun(marks(log, exec), listening, ready, resident, latencies(clients), cpu);
+            return new StartupRun(marks(log, exec), listening, ready, resident, latencies(clients), cpu);
         }
     }
 
@@ -73,14 +74,14 @@
     }
 
     private static double[] latencies(Path clients) throws Exception {
-        List<ClientTry> first = new ArrayList<>();
-        LedgerReader.read(clients, "clients", l -> {
-            if (l instanceof ClientTry t && t.number() == 0) {
+        List<ClientAttempt> first = new ArrayList<>();
+        RequestLogReader.read(clients, "clients", l -> {
+            if (l instanceof ClientAttempt t && t.number() == 0) {
                 first.add(t);
             }
         });
         return first.stream()
-                .sorted(Comparator.comparingLong(ClientTry::intended))
+                .sorted(Comparator.comparingLong(ClientAttempt::intended))
                 .mapToDouble(t -> (t.ended() - t.intended()) / 1e3)
                 .toArray();
     }
--- a/src/main/java/rillyard/process/Child.java
+++ b/src/main/java/rillyard/childprocess/ChildProcess.java
@@ -1,4 +1,4 @@
-package rillyard.process;
+package rillyard.childprocess;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -7,12 +7,12 @@
 import java.util.concurrent.TimeUnit;
 
 /** A process of this program's; it ends by SIGTERM, and by force if that takes too long. */
-public final class Child implements AutoCloseable {
+public final class ChildProcess implements AutoCloseable {
     private static final int END_S = 30;
 
     private final Process process;
 
-    private Child(Process process) {
+    private ChildProcess(Process process) {
         this.process = process;
     }
 
@@ -23,7 +23,8 @@
      * @param errors gets its standard error; null for this process's own
      * @throws IOException if it could not be started
      */
-    public static Child start(Launch launch, Path out, Path errors, String... command) throws IOException {
+    public static ChildProcess start(LaunchCommand launch, Path out, Path errors, String... command)
+            throws IOException {
         ProcessBuilder b = launch.builder(command).redirectOutput(out.toFile());
         if (errors == null) {
             b.redirectError(ProcessBuilder.Redirect.INHERIT);
@@ -32,7 +33,7 @@
         } else {
             b.redirectError(errors.toFile());
         }
-        return new Child(b.start());
+        return new ChildProcess(b.start());
     }
 
     public boolean alive() {
--- a/src/main/java/rillyard/process/Launch.java
+++ b/src/main/java/rillyard/childprocess/LaunchCommand.java
@@ -1,4 +1,4 @@
-package rillyard.process;
+package rillyard.childprocess;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -18,7 +18,7 @@
  * @param environment variables besides those of this process, whose {@code BALANCER_} ones it never
  *     gets
  */
-public record Launch(
+public record LaunchCommand(
         Path java,
         Path folder,
         String cores,
@@ -27,15 +27,15 @@
         Map<String, String> environment) {
     private static final Path TASKSET = Path.of("/usr/bin/taskset");
 
-    public Launch {
+    public LaunchCommand {
         options = List.copyOf(options);
         program = List.copyOf(program);
         environment = Map.copyOf(environment);
     }
 
     /** This very program, on the JVM and class path of this process. */
-    public static Launch self() {
-        return new Launch(
+    public static LaunchCommand self() {
+        return new LaunchCommand(
                 Path.of(System.getProperty("java.home"), "bin", "java"),
                 null,
                 null,
@@ -50,8 +50,8 @@
      *
      * @param root the folder that holds {@code deploy} and {@code target}
      */
-    public static Launch platform(Path root) {
-        return new Launch(
+    public static LaunchCommand platform(Path root) {
+        return new LaunchCommand(
                 Path.of(System.getProperty("java.home"), "bin", "java"),
                 root,
                 null,
@@ -61,22 +61,22 @@
     }
 
     /** The same on these cores only; on all where {@code taskset} is missing. */
-    public Launch on(String cores) {
-        return new Launch(java, folder, cores, options, program, environment);
+    public LaunchCommand on(String cores) {
+        return new LaunchCommand(java, folder, cores, options, program, environment);
     }
 
     /** The same with further options of the JVM, ahead of those it has. */
-    public Launch with(List<String> options) {
+    public LaunchCommand with(List<String> options) {
         List<String> all = new ArrayList<>(options);
         all.addAll(this.options);
-        return new Launch(java, folder, cores, all, program, environment);
+        return new LaunchCommand(java, folder, cores, all, program, environment);
     }
 
     /** The same with a further variable. */
-    public Launch with(String variable, String value) {
+    public LaunchCommand with(String variable, String value) {
         Map<String, String> all = new HashMap<>(environment);
         all.put(variable, value);
-        return new Launch(java, folder, cores, options, program, all);
+        return new LaunchCommand(java, folder, cores, options, program, all);
     }
 
     /** The process to be, for a command of this program. */
--- a/src/main/java/rillyard/process/ProxyProcess.java
+++ b/src/main/java/rillyard/childprocess/ProxyProcess.java
@@ -1,4 +1,4 @@
-package rillyard.process;
+package rillyard.childprocess;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -31,11 +31,11 @@
             "GET /_health HTTP/1.1\r\nHost: proxy\r\nConnection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] YES = "HTTP/1.1 200".getBytes(StandardCharsets.US_ASCII);
 
-    private final Child process;
+    private final ChildProcess process;
     private final InetSocketAddress address;
     private final Path log;
 
-    private ProxyProcess(Child process, InetSocketAddress address, Path log) {
+    private ProxyProcess(ChildProcess process, InetSocketAddress address, Path log) {
         this.process = process;
         this.address = address;
         this.log = log;
@@ -49,7 +49,8 @@
      * @throws IOException if it does not come up; holds the end of its log
      */
     public static ProxyProcess start(Path config, Path log) throws IOException, InterruptedException {
-        Launch launch = Launch.self().with(List.of("-XX:+UseSerialGC", "-Xmx64m", "-XX:MaxDirectMemorySize=140m"));
+        LaunchCommand launch =
+                LaunchCommand.self().with(List.of("-XX:+UseSerialGC", "-Xmx64m", "-XX:MaxDirectMemorySize=140m"));
         IOException failure = null;
         for (int i = 0; i < STARTS; i++) { // another may take the free port first
             ProxyProcess p = launch(launch, config, freeAddress(), log);
@@ -70,11 +71,11 @@
      * @param listen where it is to listen
      * @throws IOException if the process could not be started
      */
-    public static ProxyProcess launch(Launch launch, Path config, InetSocketAddress listen, Path log)
+    public static ProxyProcess launch(LaunchCommand launch, Path config, InetSocketAddress listen, Path log)
             throws IOException {
-        Launch told = launch.with("BALANCER_CONFIG", config.toString())
+        LaunchCommand told = launch.with("BALANCER_CONFIG", config.toString())
                 .with("BALANCER_LISTEN", listen.getAddress().getHostAddress() + ":" + listen.getPort());
-        return new ProxyProcess(Child.start(told, log, log, "proxy"), listen, log);
+        return new ProxyProcess(ChildProcess.start(told, log, log, "proxy"), listen, log);
     }
 
     /** An address of loopback that was free a moment ago. */
@@ -151,7 +152,7 @@
     }
 
     /** The process itself, to be ended in other ways than {@link #close}. */
-    public Child process() {
+    public ChildProcess process() {
         return process;
     }
 
--- a/src/main/java/rillyard/cli/AuditCommand.java
+++ b/src/main/java/rillyard/cli/AuditCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Option;
 import rillyard.audit.Audit;
 import rillyard.audit.AuditSettings;
-import rillyard.audit.Breach;
+import rillyard.audit.Violation;
 
 @Command(
         name = "audit",
@@ -16,7 +16,7 @@
             "Ends with 0 if the rules were kept and the ledgers prove it, else with 1."
         },
         mixinStandardHelpOptions = true,
-        versionProvider = Version.class)
+        versionProvider = VersionProvider.class)
 final class AuditCommand implements Callable<Integer> {
     @Option(names = "--clients", required = true, description = "The ledger of 'load'.")
     private Path clients;
@@ -45,7 +45,7 @@
 
     static void print(Audit.Verdict v, int most, PrintStream out) {
         for (int i = 0; i < Math.min(most, v.breaches().size()); i++) {
-            Breach b = v.breaches().get(i);
+            Violation b = v.breaches().get(i);
             out.println("BROKEN " + b.rule() + ": " + b.what());
             b.history().forEach(h -> out.println("    " + h));
         }
@@ -53,7 +53,7 @@
             out.println((v.breaches().size() - most) + " more");
         }
         v.doubts().forEach(d -> out.println("NOT PROVED: " + d));
-        for (Breach.Rule rule : Breach.Rule.values()) {
+        for (Violation.Rule rule : Violation.Rule.values()) {
             long n = v.breaches().stream().filter(b -> b.rule() == rule).count();
             out.printf("%-7s %s%n", rule, n == 0 ? "kept" : n + " times broken");
         }
--- a/src/main/java/rillyard/cli/MeasureCommand.java
+++ b/src/main/java/rillyard/cli/BenchmarkCommand.java
@@ -13,23 +13,23 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import rillyard.measure.Baseline;
-import rillyard.measure.FleetCount;
-import rillyard.measure.Starts;
+import rillyard.benchmark.FleetTraceStatistics;
+import rillyard.benchmark.ProxyOverheadBenchmark;
+import rillyard.benchmark.StartupBenchmark;
 
 @Command(
         name = "measure",
         description = "Repeats the measurements of docs/PERFORMANCE.md on this machine.",
         mixinStandardHelpOptions = true,
-        versionProvider = Version.class,
+        versionProvider = VersionProvider.class,
         synopsisSubcommandLabel = "WHAT",
         subcommands = {
-            MeasureCommand.Proxy.class,
-            MeasureCommand.Generator.class,
-            MeasureCommand.Start.class,
-            MeasureCommand.Fleet.class
+            BenchmarkCommand.Proxy.class,
+            BenchmarkCommand.Generator.class,
+            BenchmarkCommand.Start.class,
+            BenchmarkCommand.Fleet.class
         })
-final class MeasureCommand implements Callable<Integer> {
+final class BenchmarkCommand implements Callable<Integer> {
     @Override
     public Integer call() {
         System.err.println("rillyard: say what to measure: proxy, generator, start or fleet");
@@ -40,7 +40,7 @@
             name = "proxy",
             description = "What the proxy adds, in pairs in turn: latency, and CPU a request beside the generator's.",
             mixinStandardHelpOptions = true,
-            versionProvider = Version.class)
+            versionProvider = VersionProvider.class)
     static final class Proxy implements Callable<Integer> {
         @Option(
                 names = "--rates",
@@ -57,7 +57,8 @@
         @Override
         public Integer call() throws Exception {
             Path folder = Files.createTempDirectory("rillyard-measure");
-            new Baseline(folder, System.out).addedByProxy(Baseline.rates(rates), pairs, seconds);
+            new ProxyOverheadBenchmark(folder, System.out)
+                    .addedByProxy(ProxyOverheadBenchmark.rates(rates), pairs, seconds);
             return Cli.DONE;
         }
     }
@@ -66,7 +67,7 @@
             name = "start",
             description = "What a start costs: wall and CPU time to each mark, and the first requests' latency.",
             mixinStandardHelpOptions = true,
-            versionProvider = Version.class)
+            versionProvider = VersionProvider.class)
     static final class Start implements Callable<Integer> {
         @Option(names = "--starts", defaultValue = "10", description = "Starts of each build (${DEFAULT-VALUE}).")
         private int starts;
@@ -107,7 +108,7 @@
                 }
             }
             Path folder = Files.createTempDirectory("rillyard-measure");
-            new Starts(folder, System.out).run(builds, options, starts, cores);
+            new StartupBenchmark(folder, System.out).run(builds, options, starts, cores);
             return Cli.DONE;
         }
     }
@@ -119,7 +120,7 @@
                 "Reads their logs, written with -Drillyard.trace=true, one file for each proxy."
             },
             mixinStandardHelpOptions = true,
-            versionProvider = Version.class)
+            versionProvider = VersionProvider.class)
     static final class Fleet implements Callable<Integer> {
         @Option(
                 names = "--window",
@@ -142,7 +143,7 @@
                 System.err.println("rillyard: expected --window and --cold-window of 1 ms or more");
                 return Cli.USAGE;
             }
-            FleetCount count = new FleetCount(window, coldWindow);
+            FleetTraceStatistics count = new FleetTraceStatistics(window, coldWindow);
             for (Path log : logs) {
                 if (!Files.isRegularFile(log) || !Files.isReadable(log)) {
                     System.err.println("rillyard: " + log + ": expected a log that can be read");
@@ -168,7 +169,7 @@
             name = "generator",
             description = "The highest rate that one core of the generator holds on schedule.",
             mixinStandardHelpOptions = true,
-            versionProvider = Version.class)
+            versionProvider = VersionProvider.class)
     static final class Generator implements Callable<Integer> {
         @Option(names = "--from", defaultValue = "5000", description = "First rate (${DEFAULT-VALUE}).")
         private int from;
@@ -185,7 +186,7 @@
         @Override
         public Integer call() throws Exception {
             Path folder = Files.createTempDirectory("rillyard-measure");
-            new Baseline(folder, System.out).highestRate(from, step, most, seconds);
+            new ProxyOverheadBenchmark(folder, System.out).highestRate(from, step, most, seconds);
             return Cli.DONE;
         }
     }
--- a/src/main/java/rillyard/cli/Cli.java
+++ b/src/main/java/rillyard/cli/Cli.java
@@ -4,28 +4,28 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.HelpCommand;
-import rillyard.input.InvalidFileException;
+import rillyard.config.InvalidConfigException;
 
 /** All commands, with {@code --help} and {@code --version} on each. */
 @Command(
         name = "rillyard",
         description = "A client-side load-balancing proxy, and what rehearses it.",
         mixinStandardHelpOptions = true,
-        versionProvider = Version.class,
+        versionProvider = VersionProvider.class,
         synopsisSubcommandLabel = "COMMAND",
         subcommands = {
             ProxyCommands.ProxyCommand.class,
             ProxyCommands.AdapterCommand.class,
             ProxyCommands.RehearseCommand.class,
-            StandInCommand.class,
+            TestClusterCommand.class,
             LoadCommand.class,
             AuditCommand.class,
             DemoCommand.class,
-            MeasureCommand.class,
+            BenchmarkCommand.class,
             SubsetCommand.class,
             FleetCommand.class,
             MembersCommand.class,
-            TrialCommand.class,
+            FaultInjectionCommand.class,
             HelpCommand.class
         })
 public final class Cli {
@@ -52,7 +52,7 @@
         line.setErr(err);
         line.setCaseInsensitiveEnumValuesAllowed(true);
         line.setExecutionExceptionHandler((e, command, result) -> {
-            if (e instanceof InvalidFileException) {
+            if (e instanceof InvalidConfigException) {
                 err.println(e.getMessage());
                 return USAGE;
             }
--- a/src/main/java/rillyard/cli/DemoCommand.java
+++ b/src/main/java/rillyard/cli/DemoCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Option;
 import rillyard.audit.Audit;
 import rillyard.demo.Demo;
-import rillyard.load.ReportTable;
+import rillyard.loadgen.ReportTable;
 
 @Command(
         name = "demo",
@@ -15,7 +15,7 @@
             "Ends with 0 only if no rule was broken."
         },
         mixinStandardHelpOptions = true,
-        versionProvider = Version.class)
+        versionProvider = VersionProvider.class)
 final class DemoCommand implements Callable<Integer> {
     @Option(names = "--keep", description = "A folder that gets the ledgers and the report.")
     private Path keep;
--- a/src/main/java/rillyard/cli/TrialCommand.java
+++ b/src/main/java/rillyard/cli/FaultInjectionCommand.java
@@ -7,20 +7,20 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import rillyard.process.Launch;
-import rillyard.trial.Nemesis;
-import rillyard.trial.Trial;
-import rillyard.trial.TrialPlanReader;
-import rillyard.trial.TrialResult;
+import rillyard.childprocess.LaunchCommand;
+import rillyard.faultinjection.FaultInjectionPlanReader;
+import rillyard.faultinjection.FaultInjectionResult;
+import rillyard.faultinjection.FaultInjectionRun;
+import rillyard.faultinjection.RandomFaultSchedule;
 
 @Command(
         name = "trial",
         description = "Starts many processes of this program, with faults between them.",
         mixinStandardHelpOptions = true,
-        versionProvider = Version.class,
+        versionProvider = VersionProvider.class,
         synopsisSubcommandLabel = "WHAT",
-        subcommands = TrialCommand.Run.class)
-final class TrialCommand implements Callable<Integer> {
+        subcommands = FaultInjectionCommand.Run.class)
+final class FaultInjectionCommand implements Callable<Integer> {
     @Override
     public Integer call() {
         System.err.println("rillyard: say what of trials: run");
@@ -35,7 +35,7 @@
                 "rule of the proxies was broken."
             },
             mixinStandardHelpOptions = true,
-            versionProvider = Version.class)
+            versionProvider = VersionProvider.class)
     static final class Run implements Callable<Integer> {
         @Parameters(paramLabel = "PLAN", description = "TOML: processes, zones, and faults by their times.")
         private Path plan;
@@ -53,14 +53,14 @@
                 names = "--nemesis",
                 split = ",",
                 description = "Draws faults besides those of the plan: ${COMPLETION-CANDIDATES}.")
-        private Set<Nemesis.Kind> nemesis = Set.of();
+        private Set<RandomFaultSchedule.Kind> nemesis = Set.of();
 
         @Option(names = "--seed", defaultValue = "1", description = "What they are drawn from (${DEFAULT-VALUE}).")
         private long seed;
 
         @Override
         public Integer call() throws Exception {
-            var read = TrialPlanReader.read(plan);
+            var read = FaultInjectionPlanReader.read(plan);
             if (Files.exists(out)) {
                 System.err.println("rillyard: " + out + " is there already, expected a new folder");
                 return Cli.USAGE;
@@ -73,9 +73,10 @@
             }
             if (!nemesis.isEmpty()) {
                 System.out.println("nemesis of seed " + seed);
-                read = read.with(Nemesis.draw(read, nemesis, seed));
+                read = read.with(RandomFaultSchedule.draw(read, nemesis, seed));
             }
-            TrialResult result = new Trial(read, out, System.out).run(Launch.platform(build.toAbsolutePath()));
+            FaultInjectionResult result =
+                    new FaultInjectionRun(read, out, System.out).run(LaunchCommand.platform(build.toAbsolutePath()));
             String report = result.report();
             Files.writeString(out.resolve("report.txt"), report);
             System.out.print(report);
--- a/src/main/java/rillyard/cli/FleetCommand.java
+++ b/src/main/java/rillyard/cli/FleetCommand.java
@@ -14,7 +14,7 @@
         name = "fleet",
         description = "Settings of the processes that form a fleet.",
         mixinStandardHelpOptions = true,
-        versionProvider = Version.class,
+        versionProvider = VersionProvider.class,
         synopsisSubcommandLabel = "WHAT",
         subcommands = FleetCommand.Check.class)
 final class FleetCommand implements Callable<Integer> {
@@ -28,7 +28,7 @@
             name = "check",
             description = "Reads a file as `proxy --fleet` would, and tells all that is wrong with it, by line.",
             mixinStandardHelpOptions = true,
-            versionProvider = Version.class)
+            versionProvider = VersionProvider.class)
     static final class Check implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
--- a/src/main/java/rillyard/cli/Ending.java
+++ b/src/main/java/rillyard/cli/GracefulShutdown.java
@@ -4,7 +4,7 @@
  * Has SIGINT and SIGTERM end a command in order: what is to be done first is done, then the process
  * goes. Without it the JVM ends while ledgers lack their last lines.
  */
-final class Ending {
+final class GracefulShutdown {
     private static final long MOST_MS = 20_000;
 
     private final Thread main = Thread.currentThread();
@@ -12,7 +12,7 @@
     private volatile boolean signalled;
 
     /** {@code first} is run at the signal, on a thread of its own; then the command is waited for. */
-    Ending(Runnable first) {
+    GracefulShutdown(Runnable first) {
         hook = new Thread(
                 () -> {
                     signalled = true;
--- a/src/main/java/rillyard/cli/LoadCommand.java
+++ b/src/main/java/rillyard/cli/LoadCommand.java
@@ -8,29 +8,29 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import rillyard.demo.WarmUp;
-import rillyard.ledger.Ledger;
-import rillyard.ledger.LedgerHead;
-import rillyard.ledger.UnixClock;
-import rillyard.load.LoadPlan;
-import rillyard.load.LoadPlanReader;
-import rillyard.load.LoadRun;
-import rillyard.load.Marks;
-import rillyard.load.Report;
-import rillyard.load.ReportFiles;
-import rillyard.load.ReportTable;
+import rillyard.demo.JvmWarmup;
+import rillyard.loadgen.LoadPlan;
+import rillyard.loadgen.LoadPlanReader;
+import rillyard.loadgen.LoadRun;
+import rillyard.loadgen.ReportFiles;
+import rillyard.loadgen.ReportTable;
+import rillyard.loadgen.RunReport;
+import rillyard.loadgen.TimelineEvents;
+import rillyard.requestlog.LogHeader;
+import rillyard.requestlog.RequestLogWriter;
+import rillyard.requestlog.UnixClock;
 
 @Command(
         name = "load",
         description = "Sends a plan's requests on its schedule, whatever the target does, and reports.",
         mixinStandardHelpOptions = true,
-        versionProvider = Version.class)
+        versionProvider = VersionProvider.class)
 final class LoadCommand implements Callable<Integer> {
     @Option(
             names = "--target",
             required = true,
             split = ",",
-            converter = Addresses.class,
+            converter = SocketAddressConverter.class,
             description = "Where requests go, IP:port; several are taken in turn.")
     private List<InetSocketAddress> targets;
 
@@ -59,20 +59,21 @@
     public Integer call() throws Exception {
         LoadPlan plan = LoadPlanReader.read(planFile);
         if (!cold) {
-            WarmUp.run();
+            JvmWarmup.run();
         }
         if (report != null) {
             Files.createDirectories(report);
         }
-        LedgerHead head = new LedgerHead("clients", UnixClock.micros(), plan.seed());
-        Report r;
+        LogHeader head = new LogHeader("clients", UnixClock.micros(), plan.seed());
+        RunReport r;
         LoadRun run;
-        Ending ending;
-        try (Ledger ledger = ledgerFile == null ? Ledger.none() : Ledger.open(ledgerFile, head)) {
+        GracefulShutdown ending;
+        try (RequestLogWriter ledger =
+                ledgerFile == null ? RequestLogWriter.none() : RequestLogWriter.open(ledgerFile, head)) {
             run = new LoadRun(plan, targets, ledger, json ? null : System.out);
-            ending = new Ending(run::interrupt);
+            ending = new GracefulShutdown(run::interrupt);
             run.run();
-            r = run.report(marks == null ? List.of() : Marks.read(marks, run.startedMicros()));
+            r = run.report(marks == null ? List.of() : TimelineEvents.read(marks, run.startedMicros()));
         }
         if (report != null) {
             ReportFiles.write(report, r, "Load: " + planFile.getFileName());
--- a/src/main/java/rillyard/cli/MembersCommand.java
+++ b/src/main/java/rillyard/cli/MembersCommand.java
@@ -20,7 +20,7 @@
         description =
                 "Shows what one process of a fleet holds of the others: who lives, since when, by whose word, and what it costs.",
         mixinStandardHelpOptions = true,
-        versionProvider = Version.class)
+        versionProvider = VersionProvider.class)
 final class MembersCommand implements Callable<Integer> {
     private static final int EVERY_MS = 1_000;
 
@@ -30,7 +30,7 @@
     @Option(
             names = "--admin",
             required = true,
-            converter = Addresses.class,
+            converter = SocketAddressConverter.class,
             description = "The process's `admin` of its fleet.toml, IP:port.")
     private InetSocketAddress admin;
 
@@ -51,7 +51,7 @@
         }
         if (watch) {
             CountDownLatch end = new CountDownLatch(1);
-            Ending ending = new Ending(end::countDown);
+            GracefulShutdown ending = new GracefulShutdown(end::countDown);
             Map<String, String> before = beliefs(view);
             while (!end.await(EVERY_MS, TimeUnit.MILLISECONDS)) {
                 Map<String, String> now = beliefs(MemberAdminClient.ask(admin));
--- a/src/main/java/rillyard/cli/ProxyCommands.java
+++ b/src/main/java/rillyard/cli/ProxyCommands.java
@@ -28,7 +28,7 @@
                         + " BALANCER_DISCOVERY win over it. SIGHUP reads the file again."
             },
             mixinStandardHelpOptions = true,
-            versionProvider = Version.class)
+            versionProvider = VersionProvider.class)
     static final class ProxyCommand implements Callable<Integer> {
         @Option(
                 names = "--fleet",
@@ -58,7 +58,7 @@
             name = "adapter",
             description = "Runs the decisions on the simulator's wire, on standard input and output.",
             mixinStandardHelpOptions = true,
-            versionProvider = Version.class)
+            versionProvider = VersionProvider.class)
     static final class AdapterCommand implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
@@ -76,7 +76,7 @@
             name = "rehearse",
             description = "Starts and warms up with nobody there; the build records what is loaded.",
             mixinStandardHelpOptions = true,
-            versionProvider = Version.class)
+            versionProvider = VersionProvider.class)
     static final class RehearseCommand implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
--- a/src/main/java/rillyard/cli/Addresses.java
+++ b/src/main/java/rillyard/cli/SocketAddressConverter.java
@@ -5,10 +5,10 @@
 import picocli.CommandLine.TypeConversionException;
 
 /** Reads {@code IP:port}; names are not looked up. */
-final class Addresses implements ITypeConverter<InetSocketAddress> {
+final class SocketAddressConverter implements ITypeConverter<InetSocketAddress> {
     @Override
     public InetSocketAddress convert(String s) {
-        InetSocketAddress address = rillyard.input.Addresses.parse(s);
+        InetSocketAddress address = rillyard.config.SocketAddresses.parse(s);
         if (address != null) {
             return address;
         }
--- a/src/main/java/rillyard/cli/SubsetCommand.java
+++ b/src/main/java/rillyard/cli/SubsetCommand.java
@@ -15,7 +15,7 @@
         name = "subset",
         description = "What instances of a fleet would hold of its hosts.",
         mixinStandardHelpOptions = true,
-        versionProvider = Version.class,
+        versionProvider = VersionProvider.class,
         synopsisSubcommandLabel = "WHAT",
         subcommands = SubsetCommand.Plan.class)
 final class SubsetCommand implements Callable<Integer> {
@@ -32,7 +32,7 @@
                 "comes to by each way of subsetting. Ends with 1 if even two hosts each are too much."
             },
             mixinStandardHelpOptions = true,
-            versionProvider = Version.class)
+            versionProvider = VersionProvider.class)
     static final class Plan implements Callable<Integer> {
         /** Instances times hosts; more take longer than anyone waits, as every subset is laid out. */
         private static final long MOST = 10_000_000;
--- a/src/main/java/rillyard/cli/StandInCommand.java
+++ b/src/main/java/rillyard/cli/TestClusterCommand.java
@@ -11,26 +11,26 @@
 import java.util.concurrent.TimeUnit;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import rillyard.demo.WarmUp;
-import rillyard.ledger.Ledger;
-import rillyard.ledger.LedgerHead;
-import rillyard.ledger.UnixClock;
-import rillyard.standin.StandIn;
-import rillyard.standin.StandInPlan;
-import rillyard.standin.StandInPlanReader;
+import rillyard.demo.JvmWarmup;
+import rillyard.requestlog.LogHeader;
+import rillyard.requestlog.RequestLogWriter;
+import rillyard.requestlog.UnixClock;
+import rillyard.testserver.TestCluster;
+import rillyard.testserver.TestClusterPlan;
+import rillyard.testserver.TestClusterPlanReader;
 
 @Command(
         name = "stand-in",
         description = "Runs hosts and a discovery that stand in for the real ones, until SIGINT or SIGTERM.",
         mixinStandardHelpOptions = true,
-        versionProvider = Version.class)
-final class StandInCommand implements Callable<Integer> {
+        versionProvider = VersionProvider.class)
+final class TestClusterCommand implements Callable<Integer> {
     @Option(names = "--hosts", description = "How many hosts there are, where the timetable names none (8).")
     private int hosts;
 
     @Option(
             names = "--listen",
-            converter = Addresses.class,
+            converter = SocketAddressConverter.class,
             defaultValue = "127.0.0.1:0",
             description = "Where discovery listens; hosts have free ports of that address (${DEFAULT-VALUE}).")
     private InetSocketAddress listen;
@@ -58,17 +58,18 @@
             System.err.println("--hosts takes 1 to 10000, --threads 1 to 256");
             return Cli.USAGE;
         }
-        StandInPlan plan = timetable == null
-                ? StandInPlanReader.standard(hosts == 0 ? 8 : hosts)
-                : StandInPlanReader.read(timetable, hosts);
+        TestClusterPlan plan = timetable == null
+                ? TestClusterPlanReader.standard(hosts == 0 ? 8 : hosts)
+                : TestClusterPlanReader.read(timetable, hosts);
         if (!cold) {
-            WarmUp.run();
+            JvmWarmup.run();
         }
         CountDownLatch end = new CountDownLatch(1);
-        Ending ending = new Ending(end::countDown);
-        LedgerHead head = new LedgerHead("hosts", UnixClock.micros(), plan.seed());
-        try (Ledger ledger = ledgerFile == null ? Ledger.none() : Ledger.open(ledgerFile, head);
-                StandIn standIn = new StandIn(plan, listen, threads, ledger, System.err)) {
+        GracefulShutdown ending = new GracefulShutdown(end::countDown);
+        LogHeader head = new LogHeader("hosts", UnixClock.micros(), plan.seed());
+        try (RequestLogWriter ledger =
+                        ledgerFile == null ? RequestLogWriter.none() : RequestLogWriter.open(ledgerFile, head);
+                TestCluster standIn = new TestCluster(plan, listen, threads, ledger, System.err)) {
             standIn.start();
             standIn.startTimetable();
             if (readyFile != null) {
--- a/src/main/java/rillyard/cli/Version.java
+++ b/src/main/java/rillyard/cli/VersionProvider.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine.IVersionProvider;
 
 /** The version that the build wrote into the jar. */
-final class Version implements IVersionProvider {
+final class VersionProvider implements IVersionProvider {
     @Override
     public String[] getVersion() {
         String v = Cli.class.getPackage().getImplementationVersion();
--- a/src/main/java/rillyard/input/Finding.java
+++ b/src/main/java/rillyard/config/ConfigProblem.java
@@ -1,4 +1,4 @@
-package rillyard.input;
+package rillyard.config;
 
 /**
  * One thing that is wrong in a file.
@@ -7,7 +7,7 @@
  * @param line the line, from 1; 0 where the file as a whole is meant
  * @param message what was found and what is allowed, on one line
  */
-public record Finding(String file, int line, String message) {
+public record ConfigProblem(String file, int line, String message) {
     @Override
     public String toString() {
         return line > 0 ? file + ":" + line + ": " + message : file + ": " + message;
--- a/src/main/java/rillyard/input/Nearest.java
+++ b/src/main/java/rillyard/config/DidYouMean.java
@@ -1,13 +1,13 @@
-package rillyard.input;
+package rillyard.config;
 
 import java.util.Collection;
 
 /** The known name that a mistyped one was most likely meant to be. */
-public final class Nearest {
+public final class DidYouMean {
     /** More edits than this part of the word make it another word. */
     private static final double MOST_EDITS = 0.4;
 
-    private Nearest() {}
+    private DidYouMean() {}
 
     /** The known name with the fewest edits, or null if none is near. */
     public static String to(String word, Collection<String> known) {
--- a/src/main/java/rillyard/input/Addresses.java
+++ b/src/main/java/rillyard/config/SocketAddresses.java
@@ -1,4 +1,4 @@
-package rillyard.input;
+package rillyard.config;
 
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
@@ -6,8 +6,8 @@
 import java.net.UnknownHostException;
 
 /** Addresses as people write them. */
-public final class Addresses {
-    private Addresses() {}
+public final class SocketAddresses {
+    private SocketAddresses() {}
 
     /** An {@code IP:port} with a port from 0 to 65535, or null if it is none; names are not looked up. */
     public static InetSocketAddress parse(String s) {
--- a/src/main/java/rillyard/input/TomlLines.java
+++ b/src/main/java/rillyard/config/TomlLines.java
@@ -1,4 +1,4 @@
-package rillyard.input;
+package rillyard.config;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/rillyard/input/TomlTable.java
+++ b/src/main/java/rillyard/config/TomlTable.java
@@ -1,4 +1,4 @@
-package rillyard.input;
+package rillyard.config;
 
 import com.fasterxml.jackson.core.JsonLocation;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -26,7 +26,8 @@
  * findings then.
  */
 public final class TomlTable {
-    private record Source(String file, Map<String, Integer> lines, List<Finding> findings, List<TomlTable> tables) {}
+    private record Source(
+            String file, Map<String, Integer> lines, List<ConfigProblem> findings, List<TomlTable> tables) {}
 
     private final Source source;
     private final String path;
@@ -43,22 +44,22 @@
     /**
      * Reads a file.
      *
-     * @throws InvalidFileException if it can't be read or is no TOML
+     * @throws InvalidConfigException if it can't be read or is no TOML
      */
-    public static TomlTable read(Path file) throws InvalidFileException {
+    public static TomlTable read(Path file) throws InvalidConfigException {
         try {
             return parse(file.toString(), Files.readString(file, StandardCharsets.UTF_8));
         } catch (IOException e) {
-            throw new InvalidFileException(file.toString(), 0, "can't be read: " + e);
+            throw new InvalidConfigException(file.toString(), 0, "can't be read: " + e);
         }
     }
 
     /**
      * Reads a text; {@code name} stands for it in findings.
      *
-     * @throws InvalidFileException if it is no TOML
+     * @throws InvalidConfigException if it is no TOML
      */
-    public static TomlTable parse(String name, String text) throws InvalidFileException {
+    public static TomlTable parse(String name, String text) throws InvalidConfigException {
         try {
             JsonNode root = new TomlMapper().readTree(text);
             ObjectNode table = root instanceof ObjectNode o ? o : JsonNodeFactory.instance.objectNode();
@@ -66,7 +67,7 @@
         } catch (JsonProcessingException e) {
             JsonLocation at = e.getLocation();
             int line = at == null ? 0 : Math.max(0, at.getLineNr());
-            throw new InvalidFileException(name, line, "not TOML: " + e.getOriginalMessage());
+            throw new InvalidConfigException(name, line, "not TOML: " + e.getOriginalMessage());
         }
     }
 
@@ -93,7 +94,7 @@
     /** Adds a finding at a key. */
     public void error(String key, String message) {
         String where = path.isEmpty() ? key : path.replaceAll("\\.(\\d+)", "[$1]") + "." + key;
-        source.findings.add(new Finding(source.file, line(key), where + ": " + message));
+        source.findings.add(new ConfigProblem(source.file, line(key), where + ": " + message));
     }
 
     private JsonNode get(String key) {
@@ -139,7 +140,7 @@
         for (E e : type.getEnumConstants()) {
             names.add(name(e));
         }
-        String near = Nearest.to(s, names);
+        String near = DidYouMean.to(s, names);
         error(
                 key,
                 "found '" + s + "', expected one of " + String.join(", ", names)
@@ -252,13 +253,13 @@
     /**
      * Ends the reading of the whole file.
      *
-     * @throws InvalidFileException if there is any finding, unknown keys included
+     * @throws InvalidConfigException if there is any finding, unknown keys included
      */
-    public void finish() throws InvalidFileException {
+    public void finish() throws InvalidConfigException {
         for (TomlTable t : source.tables) {
             t.node.fieldNames().forEachRemaining(k -> {
                 if (!t.known.contains(k)) {
-                    String near = Nearest.to(k, t.known);
+                    String near = DidYouMean.to(k, t.known);
                     t.error(
                             k,
                             "unknown key"
@@ -270,8 +271,8 @@
             });
         }
         if (!source.findings.isEmpty()) {
-            throw new InvalidFileException(source.findings.stream()
-                    .sorted(Comparator.comparingInt(Finding::line))
+            throw new InvalidConfigException(source.findings.stream()
+                    .sorted(Comparator.comparingInt(ConfigProblem::line))
                     .toList());
         }
     }
--- a/src/main/java/rillyard/demo/Demo.java
+++ b/src/main/java/rillyard/demo/Demo.java
@@ -12,19 +12,19 @@
 import java.util.stream.Stream;
 import rillyard.audit.Audit;
 import rillyard.audit.AuditSettings;
-import rillyard.ledger.Ledger;
-import rillyard.ledger.LedgerHead;
-import rillyard.ledger.UnixClock;
-import rillyard.load.LoadPlan;
-import rillyard.load.LoadPlanReader;
-import rillyard.load.LoadRun;
-import rillyard.load.Marks;
-import rillyard.load.Report;
-import rillyard.load.ReportFiles;
-import rillyard.process.ProxyProcess;
-import rillyard.standin.StandIn;
-import rillyard.standin.StandInPlan;
-import rillyard.standin.StandInPlanReader;
+import rillyard.childprocess.ProxyProcess;
+import rillyard.loadgen.LoadPlan;
+import rillyard.loadgen.LoadPlanReader;
+import rillyard.loadgen.LoadRun;
+import rillyard.loadgen.ReportFiles;
+import rillyard.loadgen.RunReport;
+import rillyard.loadgen.TimelineEvents;
+import rillyard.requestlog.LogHeader;
+import rillyard.requestlog.RequestLogWriter;
+import rillyard.requestlog.UnixClock;
+import rillyard.testserver.TestCluster;
+import rillyard.testserver.TestClusterPlan;
+import rillyard.testserver.TestClusterPlanReader;
 
 /** A surge over eight hosts, one of which hangs and one of which drains, through one proxy. */
 public final class Demo {
@@ -65,7 +65,7 @@
       """;
 
     /** What came of it. */
-    public record Result(Report report, Audit.Verdict verdict) {}
+    public record Result(RunReport report, Audit.Verdict verdict) {}
 
     private final PrintStream out;
     private final String timetable;
@@ -100,18 +100,19 @@
     }
 
     private Result run(Path folder, PrintStream progress) throws Exception {
-        StandInPlan hosts = StandInPlanReader.parse("demo", timetable, 0);
+        TestClusterPlan hosts = TestClusterPlanReader.parse("demo", timetable, 0);
         LoadPlan load = LoadPlanReader.parse("demo", plan, folder);
         Path clientsFile = folder.resolve("clients.jsonl");
         Path hostsFile = folder.resolve("hosts.jsonl");
         Path ready = folder.resolve("ready.json");
         progress.println("rillyard: warming up");
-        WarmUp.run();
+        JvmWarmup.run();
         long now = UnixClock.micros();
         LoadRun run;
-        try (Ledger hostLedger = Ledger.open(hostsFile, new LedgerHead("hosts", now, hosts.seed()));
-                Ledger clientLedger = Ledger.open(clientsFile, new LedgerHead("clients", now, load.seed()));
-                StandIn standIn = new StandIn(
+        try (RequestLogWriter hostLedger = RequestLogWriter.open(hostsFile, new LogHeader("hosts", now, hosts.seed()));
+                RequestLogWriter clientLedger =
+                        RequestLogWriter.open(clientsFile, new LogHeader("clients", now, load.seed()));
+                TestCluster standIn = new TestCluster(
                         hosts,
                         new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0),
                         2,
@@ -128,7 +129,7 @@
                 run.run();
             }
         }
-        Report report = run.report(Marks.read(hostsFile, run.startedMicros()));
+        RunReport report = run.report(TimelineEvents.read(hostsFile, run.startedMicros()));
         ReportFiles.write(folder, report, "Demo: a surge over eight hosts");
         run.writeHistograms(folder);
         return new Result(report, Audit.of(clientsFile, hostsFile, AuditSettings.read(ready)));
--- a/src/main/java/rillyard/demo/WarmUp.java
+++ b/src/main/java/rillyard/demo/JvmWarmup.java
@@ -4,20 +4,20 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.List;
-import rillyard.ledger.Ledger;
-import rillyard.load.LoadPlan;
-import rillyard.load.LoadPlanReader;
-import rillyard.load.LoadRun;
-import rillyard.standin.StandIn;
-import rillyard.standin.StandInPlan;
-import rillyard.standin.StandInPlanReader;
+import rillyard.loadgen.LoadPlan;
+import rillyard.loadgen.LoadPlanReader;
+import rillyard.loadgen.LoadRun;
+import rillyard.requestlog.RequestLogWriter;
+import rillyard.testserver.TestCluster;
+import rillyard.testserver.TestClusterPlan;
+import rillyard.testserver.TestClusterPlanReader;
 
 /**
  * Guards against the first second of a generator or a stand-in: cold code takes some ten times as
  * long, a schedule can't be kept, and what is measured is the JVM. Each sends requests through the
  * very same classes to stand-ins in its own process first; nothing of that is counted.
  */
-public final class WarmUp {
+public final class JvmWarmup {
     private static final String HOSTS =
             """
       [hosts]
@@ -47,7 +47,7 @@
       to = 4000
       """;
 
-    private WarmUp() {}
+    private JvmWarmup() {}
 
     /**
      * Runs for two and a half seconds.
@@ -55,11 +55,11 @@
      * @throws Exception if loopback can't be used
      */
     public static void run() throws Exception {
-        StandInPlan hosts = StandInPlanReader.parse("warm-up", HOSTS, 0);
+        TestClusterPlan hosts = TestClusterPlanReader.parse("warm-up", HOSTS, 0);
         LoadPlan load = LoadPlanReader.parse("warm-up", PLAN, Path.of("."));
         InetSocketAddress any = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0);
-        try (Ledger ledger = Ledger.none();
-                StandIn standIn = new StandIn(hosts, any, 1, ledger, System.err)) {
+        try (RequestLogWriter ledger = RequestLogWriter.none();
+                TestCluster standIn = new TestCluster(hosts, any, 1, ledger, System.err)) {
             standIn.start();
             new LoadRun(load, List.of(standIn.address("s-0"), standIn.address("s-1")), ledger, null).run();
         }
--- a/src/main/java/rillyard/trial/Starving.java
+++ b/src/main/java/rillyard/faultinjection/CpuThrottle.java
@@ -1,22 +1,22 @@
-package rillyard.trial;
+package rillyard.faultinjection;
 
 import java.io.IOException;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
-import rillyard.process.Child;
+import rillyard.childprocess.ChildProcess;
 
 /**
  * Gives processes a share of their core only: each stands still for the rest of every {@value #PERIOD_MS} ms, as
  * under a quota of processor time that is used up.
  */
-final class Starving implements AutoCloseable {
+final class CpuThrottle implements AutoCloseable {
     /** The period (ms) that quotas of processor time usually have. */
     private static final int PERIOD_MS = 100;
 
-    private final Map<Child, Thread> threads = new ConcurrentHashMap<>();
+    private final Map<ChildProcess, Thread> threads = new ConcurrentHashMap<>();
 
     /** Has it stand still for this share of its time until {@link #end}. */
-    void begin(Child child, double share) {
+    void begin(ChildProcess child, double share) {
         Thread t = new Thread(() -> starve(child, share), "starve-" + child.pid());
         t.setDaemon(true);
         if (threads.putIfAbsent(child, t) == null) {
@@ -24,7 +24,7 @@
         }
     }
 
-    private void starve(Child child, double share) {
+    private void starve(ChildProcess child, double share) {
         try {
             while (child.alive() && threads.containsKey(child)) {
                 child.pause();
@@ -40,7 +40,7 @@
     }
 
     /** Has it run as before; returns once it does. */
-    void end(Child child) throws InterruptedException {
+    void end(ChildProcess child) throws InterruptedException {
         Thread t = threads.remove(child);
         if (t != null) {
             t.join();
@@ -49,7 +49,7 @@
 
     @Override
     public void close() {
-        for (Child c : threads.keySet()) {
+        for (ChildProcess c : threads.keySet()) {
             try {
                 end(c);
             } catch (InterruptedException e) {
--- a/src/main/java/rillyard/trial/LinkFaults.java
+++ b/src/main/java/rillyard/faultinjection/DatagramFaults.java
@@ -1,33 +1,33 @@
-package rillyard.trial;
+package rillyard.faultinjection;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 
 /** Decides what becomes of a datagram between two processes, by the faults that are under way. */
-final class LinkFaults {
-    private final List<Fault> active = new ArrayList<>();
+final class DatagramFaults {
+    private final List<InjectedFault> active = new ArrayList<>();
     private final SplittableRandom random;
 
-    LinkFaults(long seed) {
+    DatagramFaults(long seed) {
         this.random = new SplittableRandom(seed);
     }
 
-    void begin(Fault f) {
+    void begin(InjectedFault f) {
         active.add(f);
     }
 
-    void end(Fault f) {
+    void end(InjectedFault f) {
         active.remove(f);
     }
 
     /** For how long (ms) each copy is held that arrives; none where it is lost. */
-    double[] copies(TrialMember from, TrialMember to) {
+    double[] copies(FleetProcess from, FleetProcess to) {
         int copies = 1;
         double late = 0;
-        for (Fault f : active) {
+        for (InjectedFault f : active) {
             if (f.touches(from, to)) {
-                boolean met = f.kind() == Fault.Kind.DELAY || random.nextDouble() < f.share();
+                boolean met = f.kind() == InjectedFault.Kind.DELAY || random.nextDouble() < f.share();
                 if (met) {
                     switch (f.kind()) {
                         case LOSE -> {
--- a/src/main/java/rillyard/trial/Relays.java
+++ b/src/main/java/rillyard/faultinjection/DatagramNetwork.java
@@ -1,4 +1,4 @@
-package rillyard.trial;
+package rillyard.faultinjection;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -22,14 +22,14 @@
  * The network between the processes of a trial: one socket for each, its public address. It knows who sends
  * by the source, and passes on from the sender's own socket, so that the receiver sees the public address.
  */
-final class Relays implements AutoCloseable {
+final class DatagramNetwork implements AutoCloseable {
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("relays", true), NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
-    private final LinkFaults faults;
-    private final List<TrialMember> members;
+    private final DatagramFaults faults;
+    private final List<FleetProcess> members;
     private final List<InetSocketAddress> own;
-    private final Map<InetSocketAddress, TrialMember> bySource = new HashMap<>();
+    private final Map<InetSocketAddress, FleetProcess> bySource = new HashMap<>();
     private final Channel[] sockets;
 
     /**
@@ -38,13 +38,13 @@
      * @param own where the processes themselves listen, in the order of {@code members}
      * @throws IOException if a socket can't be had
      */
-    Relays(List<TrialMember> members, List<InetSocketAddress> own, LinkFaults faults) throws IOException {
+    DatagramNetwork(List<FleetProcess> members, List<InetSocketAddress> own, DatagramFaults faults) throws IOException {
         this.members = members;
         this.own = own;
         this.faults = faults;
         this.sockets = new Channel[members.size()];
         try {
-            for (TrialMember m : members) {
+            for (FleetProcess m : members) {
                 bySource.put(own.get(m.index()), m);
                 sockets[m.index()] = new Bootstrap()
                         .group(loop)
@@ -61,15 +61,15 @@
     }
 
     /** Where the others reach this one. */
-    InetSocketAddress address(TrialMember m) {
+    InetSocketAddress address(FleetProcess m) {
         return (InetSocketAddress) sockets[m.index()].localAddress();
     }
 
-    void begin(Fault f) {
+    void begin(InjectedFault f) {
         loop.execute(() -> faults.begin(f));
     }
 
-    void end(Fault f) {
+    void end(InjectedFault f) {
         loop.execute(() -> faults.end(f));
     }
 
@@ -79,15 +79,15 @@
     }
 
     private final class Passing extends SimpleChannelInboundHandler<DatagramPacket> {
-        private final TrialMember to;
+        private final FleetProcess to;
 
-        Passing(TrialMember to) {
+        Passing(FleetProcess to) {
             this.to = to;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket p) {
-            TrialMember from = bySource.get(p.sender());
+            FleetProcess from = bySource.get(p.sender());
             if (from == null || !members.contains(from)) {
                 return; // no process of this trial
             }
--- a/src/main/java/rillyard/trial/TrialPlan.java
+++ b/src/main/java/rillyard/faultinjection/FaultInjectionPlan.java
@@ -1,8 +1,8 @@
-package rillyard.trial;
+package rillyard.faultinjection;
 
 import java.util.List;
-import rillyard.load.LoadPlan;
-import rillyard.standin.StandInPlan;
+import rillyard.loadgen.LoadPlan;
+import rillyard.testserver.TestClusterPlan;
 
 /**
  * What a trial starts and does.
@@ -17,7 +17,7 @@
  * @param load what clients ask of the processes, client k of number k modulo the processes; null for nothing
  * @param clocks processes whose clocks go wrong
  */
-public record TrialPlan(
+public record FaultInjectionPlan(
         long seed,
         int processes,
         int zones,
@@ -25,36 +25,36 @@
         double lasts,
         String membership,
         boolean news,
-        StandInPlan hosts,
+        TestClusterPlan hosts,
         LoadPlan load,
         List<Clock> clocks,
-        List<Fault> faults) {
+        List<InjectedFault> faults) {
     /** Copies the lists. */
-    public TrialPlan {
+    public FaultInjectionPlan {
         clocks = List.copyOf(clocks);
         faults = List.copyOf(faults);
     }
 
     /** Processes whose clock passes so many ms in one. */
-    record Clock(Group on, double rate) {}
+    record Clock(ProcessPattern on, double rate) {}
 
-    List<TrialMember> members() {
+    List<FleetProcess> members() {
         return java.util.stream.IntStream.range(0, processes)
                 .mapToObj(this::member)
                 .toList();
     }
 
-    TrialMember member(int index) {
-        return TrialMember.of(index, zones, regions);
+    FleetProcess member(int index) {
+        return FleetProcess.of(index, zones, regions);
     }
 
-    /** The process that serves a client: {@link rillyard.load.LoadRun} gives each the target of its number. */
-    TrialMember serving(int client) {
+    /** The process that serves a client: {@link rillyard.loadgen.LoadRun} gives each the target of its number. */
+    FleetProcess serving(int client) {
         return member(client % processes);
     }
 
     /** The rate of a process's clock, 1 as a rule. */
-    double clockRate(TrialMember m) {
+    double clockRate(FleetProcess m) {
         return clocks.stream()
                 .filter(c -> c.on().has(m))
                 .mapToDouble(Clock::rate)
@@ -63,10 +63,11 @@
     }
 
     /** The same with these faults besides. */
-    public TrialPlan with(List<Fault> more) {
-        List<Fault> all = new java.util.ArrayList<>(faults);
+    public FaultInjectionPlan with(List<InjectedFault> more) {
+        List<InjectedFault> all = new java.util.ArrayList<>(faults);
         all.addAll(more);
-        all.sort(java.util.Comparator.comparingDouble(Fault::at));
-        return new TrialPlan(seed, processes, zones, regions, lasts, membership, news, hosts, load, clocks, all);
+        all.sort(java.util.Comparator.comparingDouble(InjectedFault::at));
+        return new FaultInjectionPlan(
+                seed, processes, zones, regions, lasts, membership, news, hosts, load, clocks, all);
     }
 }
--- a/src/main/java/rillyard/trial/TrialPlanReader.java
+++ b/src/main/java/rillyard/faultinjection/FaultInjectionPlanReader.java
@@ -1,4 +1,4 @@
-package rillyard.trial;
+package rillyard.faultinjection;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -8,37 +8,37 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import rillyard.input.InvalidFileException;
-import rillyard.input.TomlTable;
-import rillyard.load.LoadClass;
-import rillyard.load.LoadPlan;
-import rillyard.load.LoadPlanReader;
-import rillyard.standin.ClassSpec;
-import rillyard.standin.StandInPlan;
-import rillyard.standin.StandInPlanReader;
+import rillyard.config.InvalidConfigException;
+import rillyard.config.TomlTable;
+import rillyard.loadgen.LoadClass;
+import rillyard.loadgen.LoadPlan;
+import rillyard.loadgen.LoadPlanReader;
+import rillyard.testserver.RequestClassSpec;
+import rillyard.testserver.TestClusterPlan;
+import rillyard.testserver.TestClusterPlanReader;
 
 /** Reads the plan of a trial. */
-public final class TrialPlanReader {
+public final class FaultInjectionPlanReader {
     private static final int MOST = 1_000;
     private static final int HOSTS = 4;
 
-    private TrialPlanReader() {}
+    private FaultInjectionPlanReader() {}
 
     /**
      * Reads a file.
      *
-     * @throws InvalidFileException with all findings, by line
+     * @throws InvalidConfigException with all findings, by line
      */
-    public static TrialPlan read(Path file) throws InvalidFileException {
+    public static FaultInjectionPlan read(Path file) throws InvalidConfigException {
         return read(TomlTable.read(file), file.toAbsolutePath().getParent());
     }
 
     /** Reads a text; {@code name} stands for it in findings, files that it names are looked up in {@code in}. */
-    public static TrialPlan parse(String name, String text, Path in) throws InvalidFileException {
+    public static FaultInjectionPlan parse(String name, String text, Path in) throws InvalidConfigException {
         return read(TomlTable.parse(name, text), in);
     }
 
-    private static TrialPlan read(TomlTable root, Path beside) throws InvalidFileException {
+    private static FaultInjectionPlan read(TomlTable root, Path beside) throws InvalidConfigException {
         long seed = root.whole("seed", 1, 0, Long.MAX_VALUE);
         int processes = (int) root.whole("processes", 12, 2, MOST);
         int zones = (int) root.whole("zones", 1, 1, 200);
@@ -54,34 +54,36 @@
                 m.number("interval_ms", 500, 100, 60_000),
                 m.number("timeout_ms", 150, 10, 30_000));
         boolean news = root.flag("news", false);
-        List<Fault> faults = new ArrayList<>();
+        List<InjectedFault> faults = new ArrayList<>();
         for (TomlTable t : root.tables("fault")) {
             faults.add(fault(t, lasts));
         }
-        List<TrialPlan.Clock> clocks = new ArrayList<>();
+        List<FaultInjectionPlan.Clock> clocks = new ArrayList<>();
         for (TomlTable t : root.tables("clock")) {
-            clocks.add(new TrialPlan.Clock(group(t, "on"), t.number("rate", 1, 0.01, 100)));
+            clocks.add(new FaultInjectionPlan.Clock(group(t, "on"), t.number("rate", 1, 0.01, 100)));
         }
-        StandInPlan served =
-                hosts == null ? StandInPlanReader.standard(HOSTS) : StandInPlanReader.read(beside.resolve(hosts), 0);
+        TestClusterPlan served = hosts == null
+                ? TestClusterPlanReader.standard(HOSTS)
+                : TestClusterPlanReader.read(beside.resolve(hosts), 0);
         if (asked != null) {
             checkClasses(root, served, asked);
         }
         root.finish();
-        faults.sort(Comparator.comparingDouble(Fault::at));
-        return new TrialPlan(seed, processes, zones, regions, lasts, membership, news, served, asked, clocks, faults);
+        faults.sort(Comparator.comparingDouble(InjectedFault::at));
+        return new FaultInjectionPlan(
+                seed, processes, zones, regions, lasts, membership, news, served, asked, clocks, faults);
     }
 
     /** What clients ask for has to be what hosts serve: a proxy turns all else away, and nothing would be shown. */
-    private static void checkClasses(TomlTable root, StandInPlan hosts, LoadPlan load) {
-        Map<String, ClassSpec.Semantics> served = new HashMap<>();
+    private static void checkClasses(TomlTable root, TestClusterPlan hosts, LoadPlan load) {
+        Map<String, RequestClassSpec.Semantics> served = new HashMap<>();
         hosts.classes().forEach(c -> served.put(c.name(), c.semantics()));
         for (LoadClass c : load.classes()) {
-            ClassSpec.Semantics asked =
+            RequestClassSpec.Semantics asked =
                     switch (c.semantics()) {
-                        case IDEMPOTENT -> ClassSpec.Semantics.IDEMPOTENT;
-                        case KEYED, KEYED_EVERYWHERE -> ClassSpec.Semantics.DEDUPLICATED;
-                        case AT_MOST_ONCE -> ClassSpec.Semantics.AT_MOST_ONCE;
+                        case IDEMPOTENT -> RequestClassSpec.Semantics.IDEMPOTENT;
+                        case KEYED, KEYED_EVERYWHERE -> RequestClassSpec.Semantics.DEDUPLICATED;
+                        case AT_MOST_ONCE -> RequestClassSpec.Semantics.AT_MOST_ONCE;
                     };
             if (served.get(c.name()) != asked) {
                 root.error(
@@ -92,13 +94,14 @@
         }
     }
 
-    private static Fault fault(TomlTable t, double lasts) {
-        Fault.Kind kind = t.choice("kind", Fault.Kind.class, Fault.Kind.KILL);
+    private static InjectedFault fault(TomlTable t, double lasts) {
+        InjectedFault.Kind kind = t.choice("kind", InjectedFault.Kind.class, InjectedFault.Kind.KILL);
         double at = 1_000 * t.number("at_s", 0, 0, lasts / 1_000);
-        Fault.Place place = kind.place;
-        Group on = group(t, "on");
-        Group to = place == Fault.Place.DATAGRAMS ? group(t, "to") : on;
-        HostGroup hosts = place == Fault.Place.CONNECTIONS ? new HostGroup(t.text("hosts", "all")) : HostGroup.NONE;
+        InjectedFault.Place place = kind.place;
+        ProcessPattern on = group(t, "on");
+        ProcessPattern to = place == InjectedFault.Place.DATAGRAMS ? group(t, "to") : on;
+        HostPattern hosts =
+                place == InjectedFault.Place.CONNECTIONS ? new HostPattern(t.text("hosts", "all")) : HostPattern.NONE;
         double forMs = kind.lasting() ? 1_000 * t.number("for_s", 5, 0.05, 3_600) : 0;
         double share =
                 switch (kind) {
@@ -106,17 +109,19 @@
                     case STARVE -> t.number("share", 0.9, 0.1, 0.99);
                     default -> 0;
                 };
-        double late = kind == Fault.Kind.DELAY || kind == Fault.Kind.SLOW ? t.number("late_ms", 50, 0, 60_000) : 0;
-        boolean oneWay = place == Fault.Place.DATAGRAMS && t.flag("one_way", false);
-        return new Fault(at, kind, on, to, hosts, oneWay, forMs, share, late);
+        double late = kind == InjectedFault.Kind.DELAY || kind == InjectedFault.Kind.SLOW
+                ? t.number("late_ms", 50, 0, 60_000)
+                : 0;
+        boolean oneWay = place == InjectedFault.Place.DATAGRAMS && t.flag("one_way", false);
+        return new InjectedFault(at, kind, on, to, hosts, oneWay, forMs, share, late);
     }
 
-    private static Group group(TomlTable t, String key) {
+    private static ProcessPattern group(TomlTable t, String key) {
         try {
-            return new Group(t.text(key, "all"));
+            return new ProcessPattern(t.text(key, "all"));
         } catch (IllegalArgumentException e) {
             t.error(key, e.getMessage());
-            return new Group("all");
+            return new ProcessPattern("all");
         }
     }
 }
--- a/src/main/java/rillyard/trial/TrialResult.java
+++ b/src/main/java/rillyard/faultinjection/FaultInjectionResult.java
@@ -1,4 +1,4 @@
-package rillyard.trial;
+package rillyard.faultinjection;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -11,9 +11,9 @@
 import rillyard.imbalance.ImbalanceReport;
 
 /** What came of a trial. */
-public final class TrialResult {
+public final class FaultInjectionResult {
     /** A part of the timetable that was carried out: a fault that began, or ended. */
-    record Done(long at, Fault fault, boolean begin) {}
+    record Done(long at, InjectedFault fault, boolean begin) {}
 
     /** A member that was held dead by one who could have heard it. */
     public record FalseDeath(String by, String about, double atSeconds) {}
@@ -21,17 +21,23 @@
     /** So long (ms) after a fault beliefs may still come of it. */
     private static final long AFTERMATH_MS = 15_000;
 
-    private final TrialPlan plan;
+    private final FaultInjectionPlan plan;
     private final long begun;
     private final List<Done> done;
     private final Set<String> living;
-    private final Beliefs beliefs;
+    private final MembershipTimeline beliefs;
     private final String expense;
-    private TrialAudit audit;
+    private FaultInjectionAudit audit;
     private ImbalanceReport spread;
     private long zero;
 
-    TrialResult(TrialPlan plan, long begun, List<Done> done, Set<String> living, Beliefs beliefs, String expense) {
+    FaultInjectionResult(
+            FaultInjectionPlan plan,
+            long begun,
+            List<Done> done,
+            Set<String> living,
+            MembershipTimeline beliefs,
+            String expense) {
         this.plan = plan;
         this.begun = begun;
         this.done = List.copyOf(done);
@@ -46,7 +52,7 @@
     }
 
     /** The audit of what clients asked for, and how the hosts were loaded; times of the latter count from {@code zero} (us). */
-    void served(TrialAudit a, ImbalanceReport s, long zero) {
+    void served(FaultInjectionAudit a, ImbalanceReport s, long zero) {
         this.audit = a;
         this.spread = s;
         this.zero = zero;
@@ -58,7 +64,7 @@
     }
 
     /** The audit of what clients asked for; null where they asked for nothing. */
-    public TrialAudit audit() {
+    public FaultInjectionAudit audit() {
         return audit;
     }
 
@@ -99,7 +105,7 @@
     /** Deaths of members that ran, and were cut off from nobody that has to do with it, at the time and just before. */
     public List<FalseDeath> falseDeaths() {
         List<FalseDeath> out = new ArrayList<>();
-        for (Beliefs.Belief b : beliefs.all()) {
+        for (MembershipTimeline.Belief b : beliefs.all()) {
             if (b.status().equals("DEAD") && b.at() >= begun && !excused(b)) {
                 out.add(new FalseDeath(b.member(), b.about(), (b.at() - begun) / 1e3));
             }
@@ -107,21 +113,23 @@
         return out;
     }
 
-    private boolean excused(Beliefs.Belief b) {
-        TrialMember by = member(b.member());
-        TrialMember about = member(b.about());
+    private boolean excused(MembershipTimeline.Belief b) {
+        FleetProcess by = member(b.member());
+        FleetProcess about = member(b.about());
         for (Done d : done) {
-            Fault f = d.fault();
-            boolean forGood = f.kind() == Fault.Kind.KILL || f.kind() == Fault.Kind.TERM;
+            InjectedFault f = d.fault();
+            boolean forGood = f.kind() == InjectedFault.Kind.KILL || f.kind() == InjectedFault.Kind.TERM;
             boolean over = !forGood && b.at() > d.at() + f.lasts() + AFTERMATH_MS;
             if (d.begin() && d.at() <= b.at() && !over) {
-                boolean away = f.place() == Fault.Place.PROCESSES && f.kind() != Fault.Kind.STARVE && f.on().has(about);
+                boolean away = f.place() == InjectedFault.Place.PROCESSES
+                        && f.kind() != InjectedFault.Kind.STARVE
+                        && f.on().has(about);
                 // Under a cut, who can hear each other must not hold each other dead; after it words of both sides mix.
                 boolean apart = f.touches(by, about) || f.touches(about, by);
-                boolean mixed = f.place() == Fault.Place.DATAGRAMS
+                boolean mixed = f.place() == InjectedFault.Place.DATAGRAMS
                         && b.at() > d.at() + f.lasts()
                         && (f.on().has(about) || f.to().has(about));
-                boolean cut = f.kind() == Fault.Kind.LOSE && f.share() > 0.9 && (apart || mixed);
+                boolean cut = f.kind() == InjectedFault.Kind.LOSE && f.share() > 0.9 && (apart || mixed);
                 if (away || cut) {
                     return true;
                 }
@@ -130,7 +138,7 @@
         return false;
     }
 
-    private TrialMember member(String name) {
+    private FleetProcess member(String name) {
         return plan.member(Integer.parseInt(name.substring(1)));
     }
 
@@ -138,12 +146,12 @@
     public String report() {
         StringBuilder s = new StringBuilder();
         for (Done d : done) {
-            Fault f = d.fault();
-            if (!d.begin() || f.place() != Fault.Place.PROCESSES || f.kind() == Fault.Kind.STARVE) {
+            InjectedFault f = d.fault();
+            if (!d.begin() || f.place() != InjectedFault.Place.PROCESSES || f.kind() == InjectedFault.Kind.STARVE) {
                 continue;
             }
-            for (TrialMember m : plan.members()) {
-                if (f.on().has(m) && f.kind() != Fault.Kind.RESTART) {
+            for (FleetProcess m : plan.members()) {
+                if (f.on().has(m) && f.kind() != InjectedFault.Kind.RESTART) {
                     List<Double> after = heldGoneAfter(m.name(), (d.at() - begun) / 1e3);
                     s.append(String.format(
                             Locale.ROOT,
--- a/src/main/java/rillyard/trial/Trial.java
+++ b/src/main/java/rillyard/faultinjection/FaultInjectionRun.java
@@ -1,4 +1,4 @@
-package rillyard.trial;
+package rillyard.faultinjection;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -13,18 +13,18 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.stream.Collectors;
-import rillyard.ledger.Ledger;
-import rillyard.ledger.LedgerHead;
-import rillyard.ledger.UnixClock;
-import rillyard.load.LoadRun;
-import rillyard.load.Marks;
-import rillyard.load.Report;
-import rillyard.load.ReportFiles;
-import rillyard.process.Launch;
-import rillyard.process.ProxyProcess;
+import rillyard.childprocess.LaunchCommand;
+import rillyard.childprocess.ProxyProcess;
+import rillyard.loadgen.LoadRun;
+import rillyard.loadgen.ReportFiles;
+import rillyard.loadgen.RunReport;
+import rillyard.loadgen.TimelineEvents;
+import rillyard.requestlog.LogHeader;
+import rillyard.requestlog.RequestLogWriter;
+import rillyard.requestlog.UnixClock;
 
 /** Runs a plan: starts the processes, carries the timetable out, and tells what they believed. */
-public final class Trial {
+public final class FaultInjectionRun {
     /** All have to have found each other after so long (ms) and a share for each process. */
     private static final long JOIN_MS = 30_000;
 
@@ -37,14 +37,14 @@
     private static final String HOSTS = "hosts.jsonl";
 
     /** One thing to do at its time. */
-    private record Step(double at, Fault fault, boolean begin) {}
+    private record Step(double at, InjectedFault fault, boolean begin) {}
 
-    private final TrialPlan plan;
+    private final FaultInjectionPlan plan;
     private final Path folder;
     private final PrintStream out;
 
     /** Files go to the folder, progress to {@code out}. */
-    public Trial(TrialPlan plan, Path folder, PrintStream out) {
+    public FaultInjectionRun(FaultInjectionPlan plan, Path folder, PrintStream out) {
         this.plan = plan;
         this.folder = folder;
         this.out = out;
@@ -56,18 +56,19 @@
      * @param launch how the processes are started
      * @throws Exception if they can't be started, or don't find each other
      */
-    public TrialResult run(Launch launch) throws Exception {
+    public FaultInjectionResult run(LaunchCommand launch) throws Exception {
         out.println("seed " + plan.seed() + ", " + plan.processes() + " processes in " + plan.zones() + " zones");
         plan.faults().forEach(f -> out.println("  " + f));
         Files.createDirectories(folder);
         long now = UnixClock.micros();
-        LedgerHead head = new LedgerHead("clients", now, plan.seed());
-        TrialResult result;
+        LogHeader head = new LogHeader("clients", now, plan.seed());
+        FaultInjectionResult result;
         Path config;
         LoadRun load;
-        try (Ledger hosts = Ledger.open(file(HOSTS), new LedgerHead("hosts", now, plan.seed()));
-                Ledger clients = plan.load() == null ? Ledger.none() : Ledger.open(file(CLIENTS), head);
-                TrialFleet fleet = new TrialFleet(plan, launch, folder, hosts)) {
+        try (RequestLogWriter hosts = RequestLogWriter.open(file(HOSTS), new LogHeader("hosts", now, plan.seed()));
+                RequestLogWriter clients =
+                        plan.load() == null ? RequestLogWriter.none() : RequestLogWriter.open(file(CLIENTS), head);
+                ProcessFleet fleet = new ProcessFleet(plan, launch, folder, hosts)) {
             config = fleet.config();
             load = plan.load() == null ? null : new LoadRun(plan.load(), fleet.serving(), true, clients, null);
             Thread end = new Thread(fleet::killAll, "trial-end");
@@ -89,20 +90,20 @@
         return result;
     }
 
-    private void audit(TrialResult result, LoadRun load, Path config) throws Exception {
+    private void audit(FaultInjectionResult result, LoadRun load, Path config) throws Exception {
         result.served(
-                TrialAudit.of(file(CLIENTS), file(HOSTS), config, plan, result.done()),
-                TrialSpread.of(file(CLIENTS), file(HOSTS), plan, result.done()),
+                FaultInjectionAudit.of(file(CLIENTS), file(HOSTS), config, plan, result.done()),
+                RunImbalance.of(file(CLIENTS), file(HOSTS), plan, result.done()),
                 load.startedMicros());
-        List<Report.Mark> marks = new ArrayList<>(Marks.read(file(HOSTS), load.startedMicros()));
-        for (TrialResult.Done d : result.done()) {
-            String where = d.fault().place() == Fault.Place.PROCESSES ? "processes" : "network";
-            marks.add(new Report.Mark(
+        List<RunReport.Mark> marks = new ArrayList<>(TimelineEvents.read(file(HOSTS), load.startedMicros()));
+        for (FaultInjectionResult.Done d : result.done()) {
+            String where = d.fault().place() == InjectedFault.Place.PROCESSES ? "processes" : "network";
+            marks.add(new RunReport.Mark(
                     (d.at() - load.startedMicros() / 1_000) / 1e3,
                     where,
                     d.fault().words() + (d.begin() ? "" : " ends")));
         }
-        marks.sort(Comparator.comparingDouble(Report.Mark::at));
+        marks.sort(Comparator.comparingDouble(RunReport.Mark::at));
         ReportFiles.write(
                 folder, load.report(marks), "Trial of " + plan.processes() + " processes, seed " + plan.seed());
     }
@@ -111,17 +112,17 @@
         return folder.resolve(name);
     }
 
-    private TrialResult run(TrialFleet fleet, LoadRun load) throws Exception {
+    private FaultInjectionResult run(ProcessFleet fleet, LoadRun load) throws Exception {
         long from = System.currentTimeMillis();
         startAll(fleet);
-        Set<String> all = fleet.members().stream().map(TrialMember::name).collect(Collectors.toSet());
+        Set<String> all = fleet.members().stream().map(FleetProcess::name).collect(Collectors.toSet());
         awaitAgreement(fleet, all, JOIN_MS + plan.processes() * JOIN_EACH_MS);
         out.printf(Locale.ROOT, "all have found each other after %.1f s%n", (System.currentTimeMillis() - from) / 1e3);
-        Expense expense = new Expense(fleet);
+        ResourceUsage expense = new ResourceUsage(fleet);
         Thread asking = load == null ? null : asking(load);
         fleet.hosts.startTimetable();
         long begun = System.currentTimeMillis();
-        List<TrialResult.Done> done = new ArrayList<>();
+        List<FaultInjectionResult.Done> done = new ArrayList<>();
         try {
             carryOut(fleet, begun, done);
             awaitEnd(fleet, all, begun + (long) plan.lasts());
@@ -134,7 +135,7 @@
                 asking.join();
             }
         }
-        return new TrialResult(plan, begun, done, living(all, fleet), read(fleet), expense.words());
+        return new FaultInjectionResult(plan, begun, done, living(all, fleet), read(fleet), expense.words());
     }
 
     private static Thread asking(LoadRun load) {
@@ -152,12 +153,12 @@
     }
 
     /** Starts them, some at a time: all at once they are so slow that they take each other for dead. */
-    private void startAll(TrialFleet fleet) throws Exception {
+    private void startAll(ProcessFleet fleet) throws Exception {
         int atOnce = Math.max(4, STARTS_A_CORE * Runtime.getRuntime().availableProcessors());
-        Deque<TrialMember> starting = new ArrayDeque<>();
+        Deque<FleetProcess> starting = new ArrayDeque<>();
         long shown = System.nanoTime();
         int started = 0;
-        for (TrialMember m : fleet.members()) {
+        for (FleetProcess m : fleet.members()) {
             while (starting.size() >= atOnce) {
                 starting.removeIf(s -> ProxyProcess.state(fleet.serving().get(s.index())) == ProxyProcess.State.READY);
                 checkAlive(fleet, starting);
@@ -178,25 +179,26 @@
         }
     }
 
-    private static void checkAlive(TrialFleet fleet, Iterable<TrialMember> members) throws IOException {
-        for (TrialMember m : members) {
+    private static void checkAlive(ProcessFleet fleet, Iterable<FleetProcess> members) throws IOException {
+        for (FleetProcess m : members) {
             if (!fleet.child(m).alive()) {
                 throw new IOException(m.name() + " ended by itself; see its log");
             }
         }
     }
 
-    private static Beliefs read(TrialFleet fleet) throws IOException {
-        return Beliefs.read(fleet.members().stream().map(fleet::history).toList());
+    private static MembershipTimeline read(ProcessFleet fleet) throws IOException {
+        return MembershipTimeline.read(
+                fleet.members().stream().map(fleet::history).toList());
     }
 
-    private static Set<String> living(Set<String> all, TrialFleet fleet) {
+    private static Set<String> living(Set<String> all, ProcessFleet fleet) {
         Set<String> living = new HashSet<>(all);
         fleet.members().stream().filter(m -> !fleet.child(m).alive()).forEach(m -> living.remove(m.name()));
         return living;
     }
 
-    private static void awaitAgreement(TrialFleet fleet, Set<String> living, long mostMs) throws Exception {
+    private static void awaitAgreement(ProcessFleet fleet, Set<String> living, long mostMs) throws Exception {
         long until = System.nanoTime() + mostMs * 1_000_000;
         while (read(fleet).agreedSince(living) < 0) {
             checkAlive(fleet, fleet.members());
@@ -208,20 +210,20 @@
     }
 
     /** Each look reads all histories anew: the larger they are together, the seldomer. */
-    private static void pause(TrialFleet fleet) throws InterruptedException {
+    private static void pause(ProcessFleet fleet) throws InterruptedException {
         Thread.sleep(POLL_MS * Math.max(1, fleet.members().size() / 20));
     }
 
     /** Waits until those that live agree, all faults being done, and no longer than until {@code most}. */
-    private static void awaitEnd(TrialFleet fleet, Set<String> all, long most) throws Exception {
+    private static void awaitEnd(ProcessFleet fleet, Set<String> all, long most) throws Exception {
         while (System.currentTimeMillis() < most && read(fleet).agreedSince(living(all, fleet)) < 0) {
             pause(fleet);
         }
     }
 
-    private void carryOut(TrialFleet fleet, long begun, List<TrialResult.Done> done) throws Exception {
+    private void carryOut(ProcessFleet fleet, long begun, List<FaultInjectionResult.Done> done) throws Exception {
         List<Step> steps = new ArrayList<>();
-        for (Fault f : plan.faults()) {
+        for (InjectedFault f : plan.faults()) {
             steps.add(new Step(f.at(), f, true));
             if (f.lasts() > 0) {
                 steps.add(new Step(f.at() + f.lasts(), f, false));
@@ -232,12 +234,12 @@
             Thread.sleep(Math.max(0, begun + (long) s.at() - System.currentTimeMillis()));
             long at = System.currentTimeMillis();
             carryOut(fleet, s);
-            done.add(new TrialResult.Done(at, s.fault(), s.begin()));
+            done.add(new FaultInjectionResult.Done(at, s.fault(), s.begin()));
         }
     }
 
-    private static void carryOut(TrialFleet fleet, Step s) throws Exception {
-        Fault f = s.fault();
+    private static void carryOut(ProcessFleet fleet, Step s) throws Exception {
+        InjectedFault f = s.fault();
         switch (f.place()) {
             case DATAGRAMS -> {
                 if (s.begin()) {
@@ -254,17 +256,17 @@
                 }
             }
             case PROCESSES -> {
-                for (TrialMember m : fleet.members()) {
+                for (FleetProcess m : fleet.members()) {
                     if (f.on().has(m) && s.begin()) {
                         fleet.begin(f, m);
                     } else if (f.on().has(m)) {
                         fleet.end(f, m);
                     }
                 }
-                if (f.kind() == Fault.Kind.RESTART) {
+                if (f.kind() == InjectedFault.Kind.RESTART) {
                     // Guards against kills that wait behind the starts of others: they would come seconds after their
                     // time.
-                    for (TrialMember m : fleet.members()) {
+                    for (FleetProcess m : fleet.members()) {
                         if (f.on().has(m)) {
                             fleet.start(m);
                         }
--- a/src/main/java/rillyard/trial/HostGroup.java
+++ b/src/main/java/rillyard/faultinjection/HostPattern.java
@@ -1,18 +1,18 @@
-package rillyard.trial;
+package rillyard.faultinjection;
 
 import java.util.List;
 
 /** Some hosts of a trial, in words: {@code all}, {@code zone:a}, {@code s-2}, by commas; or {@code discovery}. */
-final class HostGroup {
+final class HostPattern {
     /** No host: for faults that are none of theirs. */
-    static final HostGroup NONE = new HostGroup("none");
+    static final HostPattern NONE = new HostPattern("none");
 
     /** What {@code discovery} is called where it is called. */
     static final String DISCOVERY = "discovery";
 
     private final List<String> words;
 
-    HostGroup(String words) {
+    HostPattern(String words) {
         this.words = List.of(words.split("\\s*,\\s*"));
     }
 
--- a/src/main/java/rillyard/trial/Fault.java
+++ b/src/main/java/rillyard/faultinjection/InjectedFault.java
@@ -1,4 +1,4 @@
-package rillyard.trial;
+package rillyard.faultinjection;
 
 import java.util.Locale;
 
@@ -8,18 +8,18 @@
  * @param at ms from the start of the timetable
  * @param on which processes; for datagrams those that send them
  * @param to for datagrams those that they are for; else unused
- * @param hosts for connections those that are called; else {@link HostGroup#NONE}
+ * @param hosts for connections those that are called; else {@link HostPattern#NONE}
  * @param oneWay for datagrams whether those the other way are left alone
  * @param lasts ms; 0 for what happens at one instant
  * @param share of the datagrams that are lost, or doubled; of its time that a starved process stands still
  * @param lateMs the longest that datagrams are held, each for a time of its own; for how long all bytes are
  */
-public record Fault(
+public record InjectedFault(
         double at,
         Kind kind,
-        Group on,
-        Group to,
-        HostGroup hosts,
+        ProcessPattern on,
+        ProcessPattern to,
+        HostPattern hosts,
         boolean oneWay,
         double lasts,
         double share,
@@ -66,7 +66,7 @@
     }
 
     /** Whether it touches a datagram of this process to that one. */
-    boolean touches(TrialMember from, TrialMember to) {
+    boolean touches(FleetProcess from, FleetProcess to) {
         return place() == Place.DATAGRAMS
                 && (on.has(from) && this.to.has(to) || !oneWay && on.has(to) && this.to.has(from));
     }
--- a/src/main/java/rillyard/trial/Room.java
+++ b/src/main/java/rillyard/faultinjection/MachineCapacity.java
@@ -1,11 +1,11 @@
-package rillyard.trial;
+package rillyard.faultinjection;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 
 /** Whether a machine has what a trial takes; where it can't be told, nothing is refused. */
-final class Room {
+final class MachineCapacity {
     /** What a process takes (KiB): some 70 MB resident, and room for what it grows by. */
     private static final long EACH_KB = 90_000;
 
@@ -14,7 +14,7 @@
 
     private static final long SPARE = 500;
 
-    private Room() {}
+    private MachineCapacity() {}
 
     /**
      * Checks memory, and this process's descriptors.
--- a/src/main/java/rillyard/trial/Beliefs.java
+++ b/src/main/java/rillyard/faultinjection/MembershipTimeline.java
@@ -1,4 +1,4 @@
-package rillyard.trial;
+package rillyard.faultinjection;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -15,7 +15,7 @@
 import java.util.TreeMap;
 
 /** What all processes of a trial believed of each other, in the order in which they came to. */
-final class Beliefs {
+final class MembershipTimeline {
     /**
      * One change of one process's belief.
      *
@@ -35,7 +35,7 @@
 
     private final List<Belief> all;
 
-    Beliefs(List<Belief> all) {
+    MembershipTimeline(List<Belief> all) {
         this.all = new ArrayList<>(all);
         this.all.sort(Comparator.comparingLong(Belief::at));
     }
@@ -45,7 +45,7 @@
      *
      * @throws IOException if one can't be read, or holds a whole line that is none
      */
-    static Beliefs read(List<Path> histories) throws IOException {
+    static MembershipTimeline read(List<Path> histories) throws IOException {
         ObjectMapper json = new ObjectMapper();
         List<Belief> all = new ArrayList<>();
         for (Path file : histories) {
@@ -75,7 +75,7 @@
                         line));
             }
         }
-        return new Beliefs(all);
+        return new MembershipTimeline(all);
     }
 
     /** Writes all lines into one file. */
--- a/src/main/java/rillyard/trial/TrialFleet.java
+++ b/src/main/java/rillyard/faultinjection/ProcessFleet.java
@@ -1,4 +1,4 @@
-package rillyard.trial;
+package rillyard.faultinjection;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -15,13 +15,13 @@
 import java.util.ArrayList;
 import java.util.HexFormat;
 import java.util.List;
-import rillyard.ledger.Ledger;
-import rillyard.process.Child;
-import rillyard.process.Launch;
-import rillyard.standin.StandIn;
+import rillyard.childprocess.ChildProcess;
+import rillyard.childprocess.LaunchCommand;
+import rillyard.requestlog.RequestLogWriter;
+import rillyard.testserver.TestCluster;
 
 /** The processes of a trial and what they need: hosts, a folder, addresses of its own and relays before each. */
-final class TrialFleet implements AutoCloseable {
+final class ProcessFleet implements AutoCloseable {
     /** Processes that all others may ask for the way in. */
     private static final int SEEDS = 3;
 
@@ -32,20 +32,20 @@
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final TrialPlan plan;
+    private final FaultInjectionPlan plan;
     private final Path folder;
-    private final Launch launch;
-    private final List<TrialMember> members;
+    private final LaunchCommand launch;
+    private final List<FleetProcess> members;
     private final List<InetSocketAddress> own = new ArrayList<>();
     private final List<InetSocketAddress> admin = new ArrayList<>();
     private final List<InetSocketAddress> serving = new ArrayList<>();
-    private final Child[] children;
+    private final ChildProcess[] children;
     private final Path key;
     private boolean over;
-    final StandIn hosts;
-    final Relays relays;
-    final HostRelays ways = new HostRelays();
-    final Starving starving = new Starving();
+    final TestCluster hosts;
+    final DatagramNetwork relays;
+    final TcpRelays ways = new TcpRelays();
+    final CpuThrottle starving = new CpuThrottle();
 
     /**
      * Takes addresses and starts the hosts; processes are started by {@link #start}.
@@ -53,15 +53,15 @@
      * @param ledger of the hosts; stays open behind the fleet
      * @throws IOException if memory or descriptors won't do for so many, or an address can't be had
      */
-    TrialFleet(TrialPlan plan, Launch launch, Path folder, Ledger ledger) throws Exception {
+    ProcessFleet(FaultInjectionPlan plan, LaunchCommand launch, Path folder, RequestLogWriter ledger) throws Exception {
         this.plan = plan;
         this.folder = folder;
         this.launch = launch;
         this.members = plan.members();
-        this.children = new Child[members.size()];
-        Room.check(members.size(), plan.hosts().hosts().size());
+        this.children = new ChildProcess[members.size()];
+        MachineCapacity.check(members.size(), plan.hosts().hosts().size());
         long pid = ProcessHandle.current().pid();
-        for (TrialMember m : members) {
+        for (FleetProcess m : members) {
             // A network of this trial's own, and ports that no connection is given by itself: what is free now is free
             // still
             // when the process starts, and when it starts again.
@@ -71,8 +71,8 @@
             serving.add(free(address, FIRST_PORT, false));
             admin.add(free(address, serving.get(m.index()).getPort() + 1, false));
         }
-        this.relays = new Relays(members, own, new LinkFaults(plan.seed()));
-        this.hosts = new StandIn(
+        this.relays = new DatagramNetwork(members, own, new DatagramFaults(plan.seed()));
+        this.hosts = new TestCluster(
                 plan.hosts(),
                 new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0),
                 2,
@@ -86,7 +86,7 @@
         Files.writeString(key, HexFormat.of().formatHex(bytes));
         Files.setPosixFilePermissions(key, PosixFilePermissions.fromString("rw-------"));
         JSON.writeValue(config().toFile(), hosts.ready());
-        for (TrialMember m : members) {
+        for (FleetProcess m : members) {
             configure(m);
         }
     }
@@ -109,10 +109,10 @@
     }
 
     /** Opens a process's ways to discovery and to all hosts, and writes its configuration. */
-    private void configure(TrialMember m) throws Exception {
+    private void configure(FleetProcess m) throws Exception {
         InetAddress address = own.get(m.index()).getAddress();
         ObjectNode c = hosts.ready();
-        InetSocketAddress discovery = ways.open(m, address, HostGroup.DISCOVERY, "", hosts.discovery());
+        InetSocketAddress discovery = ways.open(m, address, HostPattern.DISCOVERY, "", hosts.discovery());
         c.put("name", m.name()).put("listen", text(serving.get(m.index()))).put("discovery", text(discovery));
         for (var s : c.path("known").path("servers")) {
             String host = s.path("id").asText();
@@ -134,7 +134,7 @@
         return folder.resolve("config.json");
     }
 
-    List<TrialMember> members() {
+    List<FleetProcess> members() {
         return members;
     }
 
@@ -144,21 +144,21 @@
     }
 
     /** Where a process tells what it holds. */
-    InetSocketAddress admin(TrialMember m) {
+    InetSocketAddress admin(FleetProcess m) {
         return admin.get(m.index());
     }
 
-    Path history(TrialMember m) {
+    Path history(FleetProcess m) {
         return folder.resolve(m.name() + ".history");
     }
 
     /** Starts a process, also again under its old name and addresses. */
-    synchronized void start(TrialMember m) throws IOException {
+    synchronized void start(FleetProcess m) throws IOException {
         if (over) {
             throw new IOException("the trial is over, " + m.name() + " is not started");
         }
         StringBuilder seeds = new StringBuilder();
-        for (TrialMember s : members.subList(0, Math.min(SEEDS, members.size()))) {
+        for (FleetProcess s : members.subList(0, Math.min(SEEDS, members.size()))) {
             seeds.append(seeds.isEmpty() ? "" : ",").append(text(relays.address(s)));
         }
         Path settings = folder.resolve(m.name() + ".toml");
@@ -174,17 +174,18 @@
                         + "\n[membership]\n" + plan.membership());
         Path log = folder.resolve(m.name() + ".log");
         Path config = folder.resolve(m.name() + ".json");
-        Launch told = launch.with("BALANCER_CONFIG", config.toAbsolutePath().toString());
-        children[m.index()] = Child.start(
+        LaunchCommand told =
+                launch.with("BALANCER_CONFIG", config.toAbsolutePath().toString());
+        children[m.index()] = ChildProcess.start(
                 told, log, log, "proxy", "--fleet", settings.toAbsolutePath().toString());
     }
 
-    Child child(TrialMember m) {
+    ChildProcess child(FleetProcess m) {
         return children[m.index()];
     }
 
     /** Begins what is done to a process; what lasts does until {@link #end}, who is restarted is to be started. */
-    void begin(Fault f, TrialMember m) throws IOException, InterruptedException {
+    void begin(InjectedFault f, FleetProcess m) throws IOException, InterruptedException {
         switch (f.kind()) {
             case KILL -> child(m).kill();
             case TERM -> child(m).terminate();
@@ -195,8 +196,8 @@
         }
     }
 
-    void end(Fault f, TrialMember m) throws IOException, InterruptedException {
-        if (f.kind() == Fault.Kind.STARVE) {
+    void end(InjectedFault f, FleetProcess m) throws IOException, InterruptedException {
+        if (f.kind() == InjectedFault.Kind.STARVE) {
             starving.end(child(m));
         } else if (child(m).alive()) {
             child(m).resume();
@@ -204,13 +205,13 @@
     }
 
     private static String text(InetSocketAddress a) {
-        return HostRelays.text(a);
+        return TcpRelays.text(a);
     }
 
     /** Ends every process, by force: what they believed is written down already. None is started after. */
     synchronized void killAll() {
         over = true;
-        for (Child c : children) {
+        for (ChildProcess c : children) {
             if (c != null) {
                 try {
                     c.kill();
--- a/src/main/java/rillyard/trial/Group.java
+++ b/src/main/java/rillyard/faultinjection/ProcessPattern.java
@@ -1,10 +1,10 @@
-package rillyard.trial;
+package rillyard.faultinjection;
 
 import java.util.ArrayList;
 import java.util.List;
 
 /** Some processes of a trial, in words: {@code all}, {@code zone:1}, {@code region:0}, {@code m3}, {@code m10-m19}, by commas. */
-final class Group {
+final class ProcessPattern {
     private record Part(int zone, int region, int first, int last) {}
 
     private final String words;
@@ -15,7 +15,7 @@
      *
      * @throws IllegalArgumentException if they are none of these; says what was expected
      */
-    Group(String words) {
+    ProcessPattern(String words) {
         this.words = words;
         for (String w : words.split(",")) {
             String s = w.strip();
@@ -34,7 +34,7 @@
         }
     }
 
-    boolean has(TrialMember m) {
+    boolean has(FleetProcess m) {
         return parts.stream()
                 .anyMatch(p -> m.index() >= p.first
                         && m.index() <= p.last
--- a/src/main/java/rillyard/trial/Nemesis.java
+++ b/src/main/java/rillyard/faultinjection/RandomFaultSchedule.java
@@ -1,4 +1,4 @@
-package rillyard.trial;
+package rillyard.faultinjection;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 
 /** Draws a timetable of faults from a seed; the same seed, plan and kinds give the same. */
-public final class Nemesis {
+public final class RandomFaultSchedule {
     /** What it may do. */
     public enum Kind {
         /** Datagrams lost, doubled, late; zones cut off, one way or both. */
@@ -32,44 +32,44 @@
     /** At most this share of all processes is killed for good. */
     private static final double LOST = 0.25;
 
-    private final TrialPlan plan;
+    private final FaultInjectionPlan plan;
     private final SplittableRandom random;
     private final List<Kind> kinds;
     private int lost;
 
-    private Nemesis(TrialPlan plan, Set<Kind> kinds, long seed) {
+    private RandomFaultSchedule(FaultInjectionPlan plan, Set<Kind> kinds, long seed) {
         this.plan = plan;
         this.random = new SplittableRandom(seed);
         this.kinds = kinds.stream().sorted().toList();
     }
 
     /** The faults, in the order of their times. */
-    public static List<Fault> draw(TrialPlan plan, Set<Kind> kinds, long seed) {
-        Nemesis n = new Nemesis(plan, kinds, seed);
-        List<Fault> out = new ArrayList<>();
+    public static List<InjectedFault> draw(FaultInjectionPlan plan, Set<Kind> kinds, long seed) {
+        RandomFaultSchedule n = new RandomFaultSchedule(plan, kinds, seed);
+        List<InjectedFault> out = new ArrayList<>();
         double until = plan.lasts() * (1 - QUIET);
         double at = n.random.nextExponential() * EVERY_MS;
         while (at < until && !n.kinds.isEmpty()) {
             out.add(n.fault(at, until));
             at += n.random.nextExponential() * EVERY_MS;
         }
-        out.sort(Comparator.comparingDouble(Fault::at));
+        out.sort(Comparator.comparingDouble(InjectedFault::at));
         return List.copyOf(out);
     }
 
-    private Fault fault(double at, double until) {
+    private InjectedFault fault(double at, double until) {
         double lasts = Math.min(
                 SHORTEST_MS + random.nextDouble() * (LONGEST_MS - SHORTEST_MS), Math.max(SHORTEST_MS, until - at));
         return switch (kinds.get(random.nextInt(kinds.size()))) {
             case LINKS -> link(at, lasts);
             case PAUSES -> {
                 boolean starve = random.nextBoolean();
-                yield new Fault(
+                yield new InjectedFault(
                         at,
-                        starve ? Fault.Kind.STARVE : Fault.Kind.STOP,
+                        starve ? InjectedFault.Kind.STARVE : InjectedFault.Kind.STOP,
                         one(),
-                        new Group("all"),
-                        HostGroup.NONE,
+                        new ProcessPattern("all"),
+                        HostPattern.NONE,
                         false,
                         lasts,
                         starve ? 0.5 + 0.4 * random.nextDouble() : 0,
@@ -79,22 +79,35 @@
                 boolean forGood = lost + 1 <= LOST * plan.processes() && random.nextInt(3) == 0;
                 lost += forGood ? 1 : 0;
                 // Those that end for good are counted from the end, so that none of them is stopped or started again.
-                Group who = forGood ? new Group("m" + (plan.processes() - lost)) : one();
-                yield new Fault(
-                        at, forGood ? Fault.Kind.KILL : Fault.Kind.RESTART, who, who, HostGroup.NONE, false, 0, 0, 0);
+                ProcessPattern who = forGood ? new ProcessPattern("m" + (plan.processes() - lost)) : one();
+                yield new InjectedFault(
+                        at,
+                        forGood ? InjectedFault.Kind.KILL : InjectedFault.Kind.RESTART,
+                        who,
+                        who,
+                        HostPattern.NONE,
+                        false,
+                        0,
+                        0,
+                        0);
             }
             case HOSTS -> {
-                Fault.Kind[] how = {Fault.Kind.SILENT, Fault.Kind.RESET, Fault.Kind.SLOW, Fault.Kind.REFUSED};
+                InjectedFault.Kind[] how = {
+                    InjectedFault.Kind.SILENT,
+                    InjectedFault.Kind.RESET,
+                    InjectedFault.Kind.SLOW,
+                    InjectedFault.Kind.REFUSED
+                };
                 var hosts = plan.hosts().hosts();
-                HostGroup which = new HostGroup(
+                HostPattern which = new HostPattern(
                         random.nextInt(5) == 0
-                                ? HostGroup.DISCOVERY
+                                ? HostPattern.DISCOVERY
                                 : hosts.get(random.nextInt(hosts.size())).id());
-                yield new Fault(
+                yield new InjectedFault(
                         at,
                         how[random.nextInt(how.length)],
                         some(),
-                        new Group("all"),
+                        new ProcessPattern("all"),
                         which,
                         false,
                         lasts,
@@ -104,53 +117,64 @@
         };
     }
 
-    private Fault link(double at, double lasts) {
-        Group on = some();
+    private InjectedFault link(double at, double lasts) {
+        ProcessPattern on = some();
         return switch (random.nextInt(4)) {
             case 0 ->
-                new Fault(
+                new InjectedFault(
                         at,
-                        Fault.Kind.DOUBLE,
+                        InjectedFault.Kind.DOUBLE,
                         on,
-                        new Group("all"),
-                        HostGroup.NONE,
+                        new ProcessPattern("all"),
+                        HostPattern.NONE,
                         false,
                         lasts,
                         random.nextDouble(),
                         0);
             case 1 ->
-                new Fault(
+                new InjectedFault(
                         at,
-                        Fault.Kind.DELAY,
+                        InjectedFault.Kind.DELAY,
                         on,
-                        new Group("all"),
-                        HostGroup.NONE,
+                        new ProcessPattern("all"),
+                        HostPattern.NONE,
                         false,
                         lasts,
                         0,
                         5 + random.nextInt(60));
             case 2 ->
-                new Fault(
+                new InjectedFault(
                         at,
-                        Fault.Kind.LOSE,
+                        InjectedFault.Kind.LOSE,
                         on,
-                        new Group("all"),
-                        HostGroup.NONE,
+                        new ProcessPattern("all"),
+                        HostPattern.NONE,
                         false,
                         lasts,
                         0.3 * random.nextDouble(),
                         0);
             default ->
-                new Fault(at, Fault.Kind.LOSE, on, new Group("all"), HostGroup.NONE, random.nextBoolean(), lasts, 1, 0);
+                new InjectedFault(
+                        at,
+                        InjectedFault.Kind.LOSE,
+                        on,
+                        new ProcessPattern("all"),
+                        HostPattern.NONE,
+                        random.nextBoolean(),
+                        lasts,
+                        1,
+                        0);
         };
     }
 
     /** One that is not among those that may end for good. */
-    private Group one() {
-        return new Group("m" + random.nextInt(Math.max(1, (int) (plan.processes() * (1 - LOST)))));
+    private ProcessPattern one() {
+        return new ProcessPattern("m" + random.nextInt(Math.max(1, (int) (plan.processes() * (1 - LOST)))));
     }
 
-    private Group some() {
-        return plan.zones() > 1 && random.nextBoolean() ? new Group("zone:" + random.nextInt(plan.zones())) : one();
+    private ProcessPattern some() {
+        return plan.zones() > 1 && random.nextBoolean()
+                ? new ProcessPattern("zone:" + random.nextInt(plan.zones()))
+                : one();
     }
 }
--- a/src/main/java/rillyard/trial/LinkTarget.java
+++ b/src/main/java/rillyard/faultinjection/RelayTarget.java
@@ -1,4 +1,4 @@
-package rillyard.trial;
+package rillyard.faultinjection;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelFuture;
@@ -11,10 +11,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import rillyard.timing.Loops;
+import rillyard.scheduling.EventLoops;
 
 /** A host, or discovery, with all ways to it. While it refuses, so do they. All on one event loop. */
-final class LinkTarget {
+final class RelayTarget {
     /** So long (ms) after a target refused it is called again. One asks for all ways, whatever their number. */
     private static final long LOOK_MS = 50;
 
@@ -22,10 +22,10 @@
     final String zone;
     private final InetSocketAddress at;
     private final EventLoop loop;
-    private final List<HostLink> links = new ArrayList<>();
+    private final List<TcpRelay> links = new ArrayList<>();
     private boolean down;
 
-    LinkTarget(String host, String zone, InetSocketAddress at, EventLoop loop) {
+    RelayTarget(String host, String zone, InetSocketAddress at, EventLoop loop) {
         this.host = host;
         this.zone = zone;
         this.at = at;
@@ -33,13 +33,13 @@
     }
 
     /** One more way to it; to be called on the loop. */
-    void add(HostLink link) {
+    void add(TcpRelay link) {
         links.add(link);
     }
 
     /** Faults have begun or ended. */
     void changed() {
-        links.forEach(HostLink::changed);
+        links.forEach(TcpRelay::changed);
     }
 
     /** Whether it refused when it was called last. */
@@ -51,7 +51,7 @@
     ChannelFuture call(InetAddress from) {
         return new Bootstrap()
                 .group(loop)
-                .channel(Loops.connecting())
+                .channel(EventLoops.connecting())
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.AUTO_READ, false)
                 .handler(new ChannelInboundHandlerAdapter())
--- a/src/main/java/rillyard/trial/LinkedPair.java
+++ b/src/main/java/rillyard/faultinjection/RelayedConnection.java
@@ -1,4 +1,4 @@
-package rillyard.trial;
+package rillyard.faultinjection;
 
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
@@ -8,15 +8,15 @@
 import java.util.concurrent.TimeUnit;
 
 /** A connection of a process's and the one to its host that goes with it. */
-final class LinkedPair {
+final class RelayedConnection {
     private final SocketChannel front;
-    private final HostLink link;
+    private final TcpRelay link;
     private final Passing there;
     private SocketChannel back;
     private Passing here;
     private boolean connecting;
 
-    LinkedPair(SocketChannel front, HostLink link) {
+    RelayedConnection(SocketChannel front, TcpRelay link) {
         this.front = front;
         this.link = link;
         this.there = new Passing(front);
@@ -42,7 +42,7 @@
     }
 
     /** Goes on, or ends, as the faults that are under way now have it. */
-    void changed(HostLinks.Way way) {
+    void changed(ConnectionFaults.Way way) {
         if (way.reset()) {
             reset();
         } else if (!way.silent() && back == null) {
@@ -146,7 +146,7 @@
             if (to() != null && !busy && !link.way().silent()) { // its end would be a sign of life where nothing passes
                 to().close();
             }
-            link.closed(LinkedPair.this);
+            link.closed(RelayedConnection.this);
         }
 
         @Override
--- a/src/main/java/rillyard/trial/Expense.java
+++ b/src/main/java/rillyard/faultinjection/ResourceUsage.java
@@ -1,4 +1,4 @@
-package rillyard.trial;
+package rillyard.faultinjection;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
@@ -10,18 +10,18 @@
 import rillyard.membership.net.MemberAdminClient;
 
 /** What membership costs the processes of a trial, from one look at them to the next. */
-final class Expense {
-    private final TrialFleet fleet;
+final class ResourceUsage {
+    private final ProcessFleet fleet;
     private final Map<String, JsonNode> first;
 
-    Expense(TrialFleet fleet) {
+    ResourceUsage(ProcessFleet fleet) {
         this.fleet = fleet;
         this.first = look();
     }
 
     private Map<String, JsonNode> look() {
         Map<String, JsonNode> out = new HashMap<>();
-        for (TrialMember m : fleet.members()) {
+        for (FleetProcess m : fleet.members()) {
             try {
                 out.put(m.name(), MemberAdminClient.ask(fleet.admin(m)));
             } catch (IOException e) {
--- a/src/main/java/rillyard/trial/HostLink.java
+++ b/src/main/java/rillyard/faultinjection/TcpRelay.java
@@ -1,4 +1,4 @@
-package rillyard.trial;
+package rillyard.faultinjection;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -12,22 +12,22 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import rillyard.timing.Loops;
+import rillyard.scheduling.EventLoops;
 
 /** One process's way to one host: a listener of its own and the connections on it. All on one event loop. */
-final class HostLink {
+final class TcpRelay {
     /** So long (ms) after its port was still held the way tries to listen again. */
     private static final long AGAIN_MS = 20;
 
-    private final TrialMember from;
-    private final LinkTarget target;
+    private final FleetProcess from;
+    private final RelayTarget target;
     private final EventLoop loop;
-    private final HostLinks faults;
-    private final Set<LinkedPair> pairs = new LinkedHashSet<>();
+    private final ConnectionFaults faults;
+    private final Set<RelayedConnection> pairs = new LinkedHashSet<>();
     private InetSocketAddress address;
     private Channel listener;
 
-    HostLink(TrialMember from, LinkTarget target, EventLoop loop, HostLinks faults) {
+    TcpRelay(FleetProcess from, RelayTarget target, EventLoop loop, ConnectionFaults faults) {
         this.from = from;
         this.target = target;
         this.loop = loop;
@@ -50,7 +50,7 @@
     private ServerBootstrap listen() {
         return new ServerBootstrap()
                 .group(loop)
-                .channel(Loops.listening())
+                .channel(EventLoops.listening())
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.AUTO_READ, false)
@@ -62,13 +62,13 @@
                 });
     }
 
-    HostLinks.Way way() {
+    ConnectionFaults.Way way() {
         return faults.way(from, target.host, target.zone);
     }
 
     /** Faults have begun or ended, or the host refuses, or is back. */
     void changed() {
-        HostLinks.Way way = way();
+        ConnectionFaults.Way way = way();
         boolean listening = !way.refused() && !target.down();
         if (!listening && listener != null) {
             listener.close();
@@ -83,18 +83,18 @@
                     })
                     .channel();
         }
-        for (LinkedPair p : Set.copyOf(pairs)) {
+        for (RelayedConnection p : Set.copyOf(pairs)) {
             p.changed(way);
         }
     }
 
     private void accepted(SocketChannel ch) {
-        HostLinks.Way way = way();
+        ConnectionFaults.Way way = way();
         if (way.reset() || way.refused()) {
-            LinkedPair.reset(ch);
+            RelayedConnection.reset(ch);
             return;
         }
-        LinkedPair pair = new LinkedPair(ch, this);
+        RelayedConnection pair = new RelayedConnection(ch, this);
         pairs.add(pair);
         if (!way.silent()) {
             connect(pair);
@@ -102,14 +102,14 @@
     }
 
     /** One side of a connection has ended. */
-    void closed(LinkedPair pair) {
+    void closed(RelayedConnection pair) {
         if (pair.over()) {
             pairs.remove(pair);
         }
     }
 
     /** Calls the host for a connection. */
-    void connect(LinkedPair pair) {
+    void connect(RelayedConnection pair) {
         pair.connecting();
         target.call(address.getAddress()).addListener((ChannelFutureListener) f -> {
             if (f.isSuccess()) {
--- a/src/main/java/rillyard/trial/HostRelays.java
+++ b/src/main/java/rillyard/faultinjection/TcpRelays.java
@@ -1,4 +1,4 @@
-package rillyard.trial;
+package rillyard.faultinjection;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -8,14 +8,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import rillyard.timing.Loops;
+import rillyard.scheduling.EventLoops;
 
 /** The ways from each process of a trial to each host, and to discovery: a listener for each pair. */
-final class HostRelays implements AutoCloseable {
-    private final EventLoopGroup group = Loops.group(1, "host-relays");
+final class TcpRelays implements AutoCloseable {
+    private final EventLoopGroup group = EventLoops.group(1, "host-relays");
     private final EventLoop loop = group.next();
-    private final HostLinks faults = new HostLinks();
-    private final Map<InetSocketAddress, LinkTarget> targets = new HashMap<>();
+    private final ConnectionFaults faults = new ConnectionFaults();
+    private final Map<InetSocketAddress, RelayTarget> targets = new HashMap<>();
     /** By the process's address and the host's: what a process is told instead. */
     private final Map<InetAddress, Map<String, String>> told = new HashMap<>();
 
@@ -27,9 +27,9 @@
      * @throws Exception what the bind throws
      */
     synchronized InetSocketAddress open(
-            TrialMember from, InetAddress own, String host, String zone, InetSocketAddress target) throws Exception {
-        LinkTarget called = targets.computeIfAbsent(target, t -> new LinkTarget(host, zone, t, loop));
-        HostLink link = new HostLink(from, called, loop, faults);
+            FleetProcess from, InetAddress own, String host, String zone, InetSocketAddress target) throws Exception {
+        RelayTarget called = targets.computeIfAbsent(target, t -> new RelayTarget(host, zone, t, loop));
+        TcpRelay link = new TcpRelay(from, called, loop, faults);
         link.open(own);
         told.computeIfAbsent(own, a -> new HashMap<>()).put(text(target), text(link.address()));
         return link.address();
@@ -40,21 +40,21 @@
         return told.getOrDefault(caller, Map.of()).getOrDefault(address, address);
     }
 
-    void begin(Fault f) {
+    void begin(InjectedFault f) {
         loop.execute(() -> {
             faults.begin(f);
-            targets().forEach(LinkTarget::changed);
+            targets().forEach(RelayTarget::changed);
         });
     }
 
-    void end(Fault f) {
+    void end(InjectedFault f) {
         loop.execute(() -> {
             faults.end(f);
-            targets().forEach(LinkTarget::changed);
+            targets().forEach(RelayTarget::changed);
         });
     }
 
-    private synchronized List<LinkTarget> targets() {
+    private synchronized List<RelayTarget> targets() {
         return List.copyOf(targets.values());
     }
 
--- a/src/main/java/rillyard/trial/package-info.java
+++ b/src/main/java/rillyard/faultinjection/package-info.java
@@ -1,2 +1,2 @@
 /** Trials of many processes of this program, with faults between them. */
-package rillyard.trial;
+package rillyard.faultinjection;
--- a/src/main/java/rillyard/load/ClientSpec.java
+++ b/src/main/java/rillyard/loadgen/ClientSpec.java
@@ -1,4 +1,4 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 /**
  * How clients behave.
--- a/src/main/java/rillyard/load/HistogramFiles.java
+++ b/src/main/java/rillyard/loadgen/HistogramFiles.java
@@ -1,4 +1,4 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -13,11 +13,11 @@
 
     private HistogramFiles() {}
 
-    static void write(Path folder, Tally tally) throws IOException {
+    static void write(Path folder, RunStatistics tally) throws IOException {
         write(folder.resolve("latency.hgrm"), tally.total().latency);
         write(folder.resolve("service.hgrm"), tally.total().service);
         write(folder.resolve("lateness.hgrm"), tally.lateness());
-        for (Tally.Row r : tally.rows()) {
+        for (RunStatistics.ClassStatistics r : tally.rows()) {
             String name = r.tenant == null ? r.type.name() : r.type.name() + "." + r.tenant;
             write(folder.resolve("latency." + name + ".hgrm"), r.latency);
         }
--- a/src/main/java/rillyard/load/HttpConnection.java
+++ b/src/main/java/rillyard/loadgen/HttpConnection.java
@@ -1,4 +1,4 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
@@ -12,7 +12,7 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
-import rillyard.ledger.Outcome;
+import rillyard.requestlog.ClientOutcome;
 
 /** One connection of a client. */
 final class HttpConnection extends ChannelInboundHandlerAdapter {
@@ -92,7 +92,7 @@
             return;
         }
         if (part.decoderResult().isFailure()) {
-            end(new Transport.End(Outcome.GARBLED, 0, 0), false);
+            end(new Transport.AttemptResult(ClientOutcome.GARBLED, 0, 0), false);
             return;
         }
         if (part instanceof HttpResponse r) {
@@ -106,14 +106,14 @@
             return;
         }
         if (part instanceof HttpContent c && !exchange.body(c)) {
-            end(new Transport.End(Outcome.GARBLED, 0, 0), false);
+            end(new Transport.AttemptResult(ClientOutcome.GARBLED, 0, 0), false);
         } else if (part instanceof LastHttpContent) {
-            Transport.End e = exchange.answered();
-            end(e, keep && e.outcome() != Outcome.GARBLED);
+            Transport.AttemptResult e = exchange.answered();
+            end(e, keep && e.outcome() != ClientOutcome.GARBLED);
         }
     }
 
-    private void end(Transport.End e, boolean keepIt) {
+    private void end(Transport.AttemptResult e, boolean keepIt) {
         HttpExchange ended = exchange;
         exchange = null;
         lastId = ended.request().id();
@@ -130,8 +130,10 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         if (exchange != null && !exchange.over()) {
-            Outcome how = !written ? Outcome.UNREACHABLE : used && !exchange.begun() ? Outcome.STALE : Outcome.BROKEN;
-            end(new Transport.End(how, 0, 0), false);
+            ClientOutcome how = !written
+                    ? ClientOutcome.UNREACHABLE
+                    : used && !exchange.begun() ? ClientOutcome.STALE : ClientOutcome.BROKEN;
+            end(new Transport.AttemptResult(how, 0, 0), false);
         }
     }
 
--- a/src/main/java/rillyard/load/HttpExchange.java
+++ b/src/main/java/rillyard/loadgen/HttpExchange.java
@@ -1,4 +1,4 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
@@ -8,17 +8,17 @@
 import io.netty.handler.codec.http.HttpResponse;
 import java.nio.charset.StandardCharsets;
 import java.util.zip.CRC32;
-import rillyard.ledger.Outcome;
+import rillyard.requestlog.ClientOutcome;
 
 /** One try on its way: the request's bytes, and the check of the answer. */
-final class HttpExchange implements Transport.Sent {
+final class HttpExchange implements Transport.PendingAttempt {
     /** What of an answer is kept for the check. */
     private static final int KEPT = 256;
 
     /** A larger answer is none. */
     private static final long MOST_ANSWER = 4 << 20;
 
-    private final Transport.Try request;
+    private final Transport.OutgoingRequest request;
     private final Transport.Listener listener;
     private final boolean verify;
     private Channel channel;
@@ -27,13 +27,13 @@
     private long length;
     private boolean over;
 
-    HttpExchange(Transport.Try request, Transport.Listener listener, boolean verify) {
+    HttpExchange(Transport.OutgoingRequest request, Transport.Listener listener, boolean verify) {
         this.request = request;
         this.listener = listener;
         this.verify = verify;
     }
 
-    Transport.Try request() {
+    Transport.OutgoingRequest request() {
         return request;
     }
 
@@ -51,7 +51,7 @@
         channel.close();
     }
 
-    void end(Transport.End e) {
+    void end(Transport.AttemptResult e) {
         if (!over) {
             over = true;
             listener.ended(e);
@@ -120,15 +120,16 @@
     }
 
     /** The answer is whole. */
-    Transport.End answered() {
+    Transport.AttemptResult answered() {
         int status = head.status().code();
         if (status == 200) {
-            return new Transport.End(!verify || mine() ? Outcome.SERVED : Outcome.GARBLED, status, 0);
+            return new Transport.AttemptResult(
+                    !verify || mine() ? ClientOutcome.SERVED : ClientOutcome.GARBLED, status, 0);
         }
         if (status == 429 || status == 503) {
-            return new Transport.End(Outcome.REFUSED, status, retryAfter());
+            return new Transport.AttemptResult(ClientOutcome.REFUSED, status, retryAfter());
         }
-        return new Transport.End(Outcome.FAILED, status, 0);
+        return new Transport.AttemptResult(ClientOutcome.FAILED, status, 0);
     }
 
     /** Whether the answer names this request and the body that was sent with it. */
--- a/src/main/java/rillyard/load/HttpTransport.java
+++ b/src/main/java/rillyard/loadgen/HttpTransport.java
@@ -1,4 +1,4 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelFuture;
@@ -16,8 +16,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import rillyard.ledger.Outcome;
-import rillyard.timing.Loops;
+import rillyard.requestlog.ClientOutcome;
+import rillyard.scheduling.EventLoops;
 
 /**
  * Tries over HTTP/1.1, as the operators' app sends them: one at a time on a connection, which its
@@ -63,7 +63,7 @@
         this.surplus = surplus;
         this.bootstrap = new Bootstrap()
                 .group(loop)
-                .channel(Loops.connecting())
+                .channel(EventLoops.connecting())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<SocketChannel>() {
@@ -74,7 +74,7 @@
     }
 
     @Override
-    public Sent send(Try t, Listener listener) {
+    public PendingAttempt send(OutgoingRequest t, Listener listener) {
         HttpExchange e = new HttpExchange(t, listener, verify);
         ArrayDeque<HttpConnection> kept = idle.get(t.client());
         HttpConnection c;
@@ -104,7 +104,7 @@
                 c.run(e);
             } else {
                 // Never from within send: a refused connection may be known at once.
-                loop.execute(() -> e.end(new End(Outcome.UNREACHABLE, 0, 0)));
+                loop.execute(() -> e.end(new AttemptResult(ClientOutcome.UNREACHABLE, 0, 0)));
             }
         });
     }
--- a/src/main/java/rillyard/load/LoadClass.java
+++ b/src/main/java/rillyard/loadgen/LoadClass.java
@@ -1,4 +1,4 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 /**
  * A class of requests as clients send them.
--- a/src/main/java/rillyard/load/Generator.java
+++ b/src/main/java/rillyard/loadgen/LoadGenerator.java
@@ -1,42 +1,48 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
-import rillyard.ledger.ClientTry;
-import rillyard.ledger.Ledger;
-import rillyard.ledger.Outcome;
-import rillyard.timing.Timers;
+import rillyard.requestlog.ClientAttempt;
+import rillyard.requestlog.ClientOutcome;
+import rillyard.requestlog.RequestLogWriter;
+import rillyard.scheduling.Scheduler;
 
 /**
  * Sends what the schedule says when it says so, whatever becomes of what was sent before. Knows no
  * sockets; all on one thread, on whatever clock it is given.
  */
-final class Generator implements Call.Host {
+final class LoadGenerator implements LogicalRequest.Context {
     /** What is due within this time (ns) is sent in the same turn: a timer is no finer. */
     private static final long TURN = 20_000;
 
     private final LoadPlan plan;
-    private final Schedule schedule;
-    private final Timers timers;
+    private final RequestSchedule schedule;
+    private final Scheduler timers;
     private final Transport transport;
-    private final Ledger ledger;
-    private final Tally tally;
+    private final RequestLogWriter ledger;
+    private final RunStatistics tally;
     private final SplittableRandom names;
     private final SplittableRandom random;
-    private final Set<Call> open = new LinkedHashSet<>();
+    private final Set<LogicalRequest> open = new LinkedHashSet<>();
     private final Runnable whenDone;
-    private Arrival next;
+    private ScheduledRequest next;
     private long startedAt;
     private long number;
     private boolean stopped;
 
     /** {@code whenDone} is run once, when the last request is over. */
-    Generator(LoadPlan plan, Timers timers, Transport transport, Ledger ledger, Tally tally, Runnable whenDone) {
+    LoadGenerator(
+            LoadPlan plan,
+            Scheduler timers,
+            Transport transport,
+            RequestLogWriter ledger,
+            RunStatistics tally,
+            Runnable whenDone) {
         this.plan = plan;
-        this.schedule = new Schedule(plan);
+        this.schedule = new RequestSchedule(plan);
         this.timers = timers;
         this.transport = transport;
         this.ledger = ledger;
@@ -69,8 +75,8 @@
         }
     }
 
-    private void send(Arrival a, long now) {
-        Call c = new Call(number++, a, startedAt + a.at(), this);
+    private void send(ScheduledRequest a, long now) {
+        LogicalRequest c = new LogicalRequest(number++, a, startedAt + a.at(), this);
         tally.arrived(c, now);
         if (open.size() >= plan.maxOpen()) {
             c.notSent();
@@ -86,7 +92,7 @@
             return;
         }
         stopped = true;
-        for (Call c : new ArrayList<>(open)) {
+        for (LogicalRequest c : new ArrayList<>(open)) {
             c.leave();
         }
         doneIfEmpty();
@@ -110,7 +116,7 @@
     // --- what calls need
 
     @Override
-    public Timers timers() {
+    public Scheduler timers() {
         return timers;
     }
 
@@ -141,13 +147,13 @@
     }
 
     @Override
-    public void tried(Call call, ClientTry line) {
+    public void tried(LogicalRequest call, ClientAttempt line) {
         ledger.append(line);
         tally.tried(line);
     }
 
     @Override
-    public void over(Call call, Outcome outcome, long endedAt) {
+    public void over(LogicalRequest call, ClientOutcome outcome, long endedAt) {
         tally.over(call, outcome, endedAt);
         if (open.remove(call)) {
             doneIfEmpty();
--- a/src/main/java/rillyard/load/LoadPlan.java
+++ b/src/main/java/rillyard/loadgen/LoadPlan.java
@@ -1,4 +1,4 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import java.util.List;
 
@@ -17,8 +17,8 @@
  */
 public record LoadPlan(
         long seed,
-        List<Shape> shapes,
-        Trace trace,
+        List<RateProfile> shapes,
+        RecordedTrace trace,
         List<LoadClass> classes,
         List<Tenant> tenants,
         ClientSpec clients,
@@ -40,6 +40,6 @@
     public double seconds() {
         return trace != null
                 ? trace.seconds()
-                : shapes.stream().mapToDouble(Shape::seconds).sum();
+                : shapes.stream().mapToDouble(RateProfile::seconds).sum();
     }
 }
--- a/src/main/java/rillyard/load/LoadPlanReader.java
+++ b/src/main/java/rillyard/loadgen/LoadPlanReader.java
@@ -1,12 +1,12 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import rillyard.input.InvalidFileException;
-import rillyard.input.TomlTable;
+import rillyard.config.InvalidConfigException;
+import rillyard.config.TomlTable;
 
 /** Reads a plan from TOML. What is left out has its default; an error names its line. */
 public final class LoadPlanReader {
@@ -27,19 +27,19 @@
     /**
      * Reads a file; a trace is looked up beside it.
      *
-     * @throws InvalidFileException with all findings
+     * @throws InvalidConfigException with all findings
      */
-    public static LoadPlan read(Path file) throws InvalidFileException {
+    public static LoadPlan read(Path file) throws InvalidConfigException {
         Path beside = file.toAbsolutePath().getParent();
         return read(TomlTable.read(file), beside);
     }
 
     /** Reads a text; {@code name} stands for it in findings, and traces are looked up in {@code in}. */
-    public static LoadPlan parse(String name, String text, Path in) throws InvalidFileException {
+    public static LoadPlan parse(String name, String text, Path in) throws InvalidConfigException {
         return read(TomlTable.parse(name, text), in);
     }
 
-    private static LoadPlan read(TomlTable root, Path beside) throws InvalidFileException {
+    private static LoadPlan read(TomlTable root, Path beside) throws InvalidConfigException {
         long seed = root.whole("seed", 1, 0, Long.MAX_VALUE);
         int maxOpen = (int) root.whole("max_open", 20_000, 1, 1_000_000);
         double lateness = root.number("lateness_ms", 5, 0.01, 60_000);
@@ -47,7 +47,7 @@
         List<LoadClass> classes = classes(root);
         List<LoadPlan.Tenant> tenants = tenants(root);
         ClientSpec clients = clients(root.table("clients"));
-        List<Shape> shapes = new ArrayList<>();
+        List<RateProfile> shapes = new ArrayList<>();
         for (TomlTable t : root.tables("shape")) {
             shapes.add(shape(t));
         }
@@ -64,30 +64,30 @@
         TraceReader.Form form = t.choice("form", TraceReader.Form.class, TraceReader.Form.CSV);
         double speed = t.number("speed", 1, 0.001, 10_000);
         root.finish();
-        Trace trace = traced ? TraceReader.read(beside.resolve(file), form, classes, speed) : null;
+        RecordedTrace trace = traced ? TraceReader.read(beside.resolve(file), form, classes, speed) : null;
         return new LoadPlan(seed, shapes, trace, classes, tenants, clients, maxOpen, lateness, verify);
     }
 
-    private static Shape shape(TomlTable t) {
+    private static RateProfile shape(TomlTable t) {
         Kind kind = t.choice("kind", Kind.class, Kind.POISSON);
         double s = t.number("for_s", 10, 0.001, MOST_SECONDS);
         boolean random = t.flag("random", kind != Kind.STEADY);
         return switch (kind) {
-            case STEADY, POISSON -> new Shape.Steady(s, rate(t, "rate"), random);
-            case RAMP -> new Shape.Ramp(s, rate(t, "from"), rate(t, "to"), random);
+            case STEADY, POISSON -> new RateProfile.Steady(s, rate(t, "rate"), random);
+            case RAMP -> new RateProfile.Ramp(s, rate(t, "from"), rate(t, "to"), random);
             case WAVE ->
-                new Shape.Wave(
+                new RateProfile.Wave(
                         s,
                         rate(t, "rate"),
                         t.number("swing", 0.3, 0, 1),
                         t.number("period_s", 60, 0.01, MOST_SECONDS),
                         random);
-            case STEP -> new Shape.Step(s, t.numbers("rates", new double[] {100}, 0, MOST_RATE), random);
+            case STEP -> new RateProfile.Step(s, t.numbers("rates", new double[] {100}, 0, MOST_RATE), random);
             case SURGE -> surge(t, s, random);
         };
     }
 
-    private static Shape surge(TomlTable t, double s, boolean random) {
+    private static RateProfile surge(TomlTable t, double s, boolean random) {
         double at = t.number("at_s", s / 4, 0, MOST_SECONDS);
         double rise = t.number("rise_s", s / 8, 0, MOST_SECONDS);
         double hold = t.number("hold_s", s / 4, 0, MOST_SECONDS);
@@ -98,7 +98,7 @@
                     "found " + s + ", expected no less than at_s, rise_s, hold_s and fall_s" + " together, "
                             + (at + rise + hold + fall));
         }
-        return new Shape.Surge(s, rate(t, "base"), rate(t, "peak"), at, rise, hold, fall, random);
+        return new RateProfile.Surge(s, rate(t, "base"), rate(t, "peak"), at, rise, hold, fall, random);
     }
 
     private static double rate(TomlTable t, String key) {
--- a/src/main/java/rillyard/load/LoadRun.java
+++ b/src/main/java/rillyard/loadgen/LoadRun.java
@@ -1,4 +1,4 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -11,25 +11,25 @@
 import java.util.Locale;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import rillyard.ledger.Ledger;
-import rillyard.ledger.Surplus;
-import rillyard.ledger.UnixClock;
-import rillyard.timing.LoopTimers;
-import rillyard.timing.Loops;
+import rillyard.requestlog.RequestLogWriter;
+import rillyard.requestlog.UnexpectedResponse;
+import rillyard.requestlog.UnixClock;
+import rillyard.scheduling.EventLoopScheduler;
+import rillyard.scheduling.EventLoops;
 
 /** One run of a plan against targets, on one event loop thread. */
 public final class LoadRun {
     private static final long SECOND = 1_000_000_000L;
 
     private final LoadPlan plan;
-    private final Ledger ledger;
-    private final Tally tally;
-    private final EventLoopGroup group = Loops.group(1, "load");
+    private final RequestLogWriter ledger;
+    private final RunStatistics tally;
+    private final EventLoopGroup group = EventLoops.group(1, "load");
     private final EventLoop loop = group.next();
     private final CountDownLatch done = new CountDownLatch(1);
     private final PrintStream progress;
     private final HttpTransport transport;
-    private final Generator generator;
+    private final LoadGenerator generator;
     private volatile boolean interrupted;
     private volatile long startedMicros;
     private double cpuSeconds;
@@ -43,23 +43,29 @@
      * @param ledger stays open behind the run
      * @param progress gets a line a second, or null for none
      */
-    public LoadRun(LoadPlan plan, List<InetSocketAddress> targets, Ledger ledger, PrintStream progress) {
+    public LoadRun(LoadPlan plan, List<InetSocketAddress> targets, RequestLogWriter ledger, PrintStream progress) {
         this(plan, targets, false, ledger, progress);
     }
 
     /** As above; with {@code own} each client has the target of its number, as an app beside its proxy. */
-    public LoadRun(LoadPlan plan, List<InetSocketAddress> targets, boolean own, Ledger ledger, PrintStream progress) {
+    public LoadRun(
+            LoadPlan plan,
+            List<InetSocketAddress> targets,
+            boolean own,
+            RequestLogWriter ledger,
+            PrintStream progress) {
         this.plan = plan;
         this.ledger = ledger;
         this.progress = progress;
-        this.tally = new Tally(plan.seconds());
+        this.tally = new RunStatistics(plan.seconds());
         this.transport = new HttpTransport(loop, targets, own, plan.clients().idleMs(), plan.verify(), this::surplus);
-        this.generator = new Generator(plan, new LoopTimers(loop), transport, ledger, tally, done::countDown);
+        this.generator =
+                new LoadGenerator(plan, new EventLoopScheduler(loop), transport, ledger, tally, done::countDown);
     }
 
     private void surplus(String id) {
         tally.surplus();
-        ledger.append(new Surplus(UnixClock.micros(), id));
+        ledger.append(new UnexpectedResponse(UnixClock.micros(), id));
     }
 
     /**
@@ -116,7 +122,7 @@
     private void show() {
         long offered = tally.offered();
         long over = tally.over();
-        Tally.Row all = tally.total();
+        RunStatistics.ClassStatistics all = tally.total();
         progress.printf(
                 Locale.ROOT,
                 "%5.0f s  sent %6d/s  answered %6d/s  open %5d  in aim %6.2f %%  p99 %8.2f ms%n",
@@ -131,8 +137,8 @@
     }
 
     /** What came of it; to be asked once {@link #run} has returned. */
-    public Report report(List<Report.Mark> marks) {
-        return Report.of(plan, tally, interrupted, cpuSeconds, transport.opened(), marks);
+    public RunReport report(List<RunReport.Mark> marks) {
+        return RunReport.of(plan, tally, interrupted, cpuSeconds, transport.opened(), marks);
     }
 
     /** Writes the histograms; to be asked once {@link #run} has returned. */
--- a/src/main/java/rillyard/load/Call.java
+++ b/src/main/java/rillyard/loadgen/LogicalRequest.java
@@ -1,19 +1,19 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import java.util.random.RandomGenerator;
-import rillyard.ledger.ClientTry;
-import rillyard.ledger.Outcome;
-import rillyard.ledger.UnixClock;
-import rillyard.timing.Timers;
+import rillyard.requestlog.ClientAttempt;
+import rillyard.requestlog.ClientOutcome;
+import rillyard.requestlog.UnixClock;
+import rillyard.scheduling.Scheduler;
 
 /**
  * One request of a client, over all of its tries: when each is given up, whether there is another,
  * and when. Knows no sockets, and runs on whatever clock it is given.
  */
-final class Call implements Transport.Listener {
+final class LogicalRequest implements Transport.Listener {
     /** What a call needs and reports to. */
-    interface Host {
-        Timers timers();
+    interface Context {
+        Scheduler timers();
 
         Transport transport();
 
@@ -25,16 +25,16 @@
         String name(int digits);
 
         /** A try has ended. */
-        void tried(Call call, ClientTry line);
+        void tried(LogicalRequest call, ClientAttempt line);
 
         /** The request is over with this outcome. */
-        void over(Call call, Outcome outcome, long endedAt);
+        void over(LogicalRequest call, ClientOutcome outcome, long endedAt);
     }
 
     final long number;
-    final Arrival arrival;
+    final ScheduledRequest arrival;
     final long intended;
-    private final Host host;
+    private final Context host;
     private final String key;
     private final long deadline;
     private final boolean heeds;
@@ -44,12 +44,12 @@
     private int retries;
     private long sentAt;
     private long timeoutNanos;
-    private Transport.Sent sent;
-    private Timers.Timer timer;
+    private Transport.PendingAttempt sent;
+    private Scheduler.ScheduledTask timer;
     private boolean over;
 
     /** {@code intended} is when the schedule has it be sent, on the clock of the timers. */
-    Call(long number, Arrival arrival, long intended, Host host) {
+    LogicalRequest(long number, ScheduledRequest arrival, long intended, Context host) {
         this.number = number;
         this.arrival = arrival;
         this.intended = intended;
@@ -79,13 +79,13 @@
         sentAt = host.timers().now();
         firstSent = sentAt;
         id = host.name(16);
-        end(Outcome.NOT_SENT, 0, 0, false);
+        end(ClientOutcome.NOT_SENT, 0, 0, false);
     }
 
     /** The run is over: leaves, if it is still under way. */
     void leave() {
         if (!over) {
-            giveUp(Outcome.ABANDONED, false);
+            giveUp(ClientOutcome.ABANDONED, false);
         }
     }
 
@@ -101,7 +101,7 @@
         timeoutNanos = Math.max(1_000_000, c.announced() ? patience : left);
         sent = host.transport()
                 .send(
-                        new Transport.Try(
+                        new Transport.OutgoingRequest(
                                 id,
                                 key,
                                 arrival.type(),
@@ -114,15 +114,16 @@
                         this);
         if (host.random().nextDouble() < c.impatient()) {
             long leaves = (long) (host.random().nextDouble() * patience);
-            timer = host.timers().at(sentAt + leaves, () -> giveUp(Outcome.ABANDONED, true));
+            timer = host.timers().at(sentAt + leaves, () -> giveUp(ClientOutcome.ABANDONED, true));
         } else if (c.announced() || patience >= left) {
-            timer = host.timers().at(sentAt + patience + nanos(c.graceMs()), () -> giveUp(Outcome.UNANSWERED, true));
+            timer = host.timers()
+                    .at(sentAt + patience + nanos(c.graceMs()), () -> giveUp(ClientOutcome.UNANSWERED, true));
         } else {
-            timer = host.timers().at(sentAt + patience, () -> giveUp(Outcome.ABANDONED, true));
+            timer = host.timers().at(sentAt + patience, () -> giveUp(ClientOutcome.ABANDONED, true));
         }
     }
 
-    private void giveUp(Outcome how, boolean mayRetry) {
+    private void giveUp(ClientOutcome how, boolean mayRetry) {
         if (sent != null) {
             sent.abandon();
             sent = null;
@@ -134,7 +135,7 @@
     }
 
     @Override
-    public void ended(Transport.End e) {
+    public void ended(Transport.AttemptResult e) {
         if (over || sent == null) {
             return;
         }
@@ -143,13 +144,13 @@
         end(e.outcome(), e.status(), e.retryAfter(), true);
     }
 
-    private void end(Outcome outcome, int status, long retryAfter, boolean mayRetry) {
+    private void end(ClientOutcome outcome, int status, long retryAfter, boolean mayRetry) {
         long now = host.timers().now();
         tries++;
         long wait = mayRetry ? waitBeforeNext(outcome, retryAfter, now) : -1;
         host.tried(
                 this,
-                new ClientTry(
+                new ClientAttempt(
                         number,
                         tries - 1,
                         id,
@@ -167,7 +168,7 @@
                         wait < 0));
         if (wait < 0) {
             finish(outcome);
-        } else if (outcome == Outcome.STALE) {
+        } else if (outcome == ClientOutcome.STALE) {
             attempt(id, false, true); // the same one once more, as it was not taken
         } else {
             retries++;
@@ -176,12 +177,12 @@
     }
 
     /** How long (ns) until the next try, or below 0 if there is none. */
-    private long waitBeforeNext(Outcome outcome, long retryAfter, long now) {
+    private long waitBeforeNext(ClientOutcome outcome, long retryAfter, long now) {
         ClientSpec c = host.clients();
-        if (outcome == Outcome.SERVED || outcome == Outcome.NOT_SENT || tries >= c.attempts()) {
+        if (outcome == ClientOutcome.SERVED || outcome == ClientOutcome.NOT_SENT || tries >= c.attempts()) {
             return -1;
         }
-        if (outcome == Outcome.STALE) {
+        if (outcome == ClientOutcome.STALE) {
             return 0;
         }
         if (retries >= c.retries() || !mayRepeat(outcome, now)) {
@@ -195,8 +196,8 @@
     }
 
     /** What clients may send again: all that was not taken, and of the rest what does no harm. */
-    private boolean mayRepeat(Outcome outcome, long now) {
-        if (outcome == Outcome.REFUSED || outcome == Outcome.UNREACHABLE) {
+    private boolean mayRepeat(ClientOutcome outcome, long now) {
+        if (outcome == ClientOutcome.REFUSED || outcome == ClientOutcome.UNREACHABLE) {
             return true;
         }
         LoadClass t = arrival.type();
@@ -207,7 +208,7 @@
         };
     }
 
-    private void finish(Outcome outcome) {
+    private void finish(ClientOutcome outcome) {
         over = true;
         host.over(this, outcome, host.timers().now());
     }
--- a/src/main/java/rillyard/load/Shape.java
+++ b/src/main/java/rillyard/loadgen/RateProfile.java
@@ -1,4 +1,4 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 /**
  * How the rate of arrivals goes over a stretch of time. A shape is its cumulative rate: how many
@@ -6,7 +6,7 @@
  * reaches them (the time change of an inhomogeneous Poisson process; Çinlar 1975, section 4.7), so
  * that all shapes share one source of chance.
  */
-public sealed interface Shape {
+public sealed interface RateProfile {
     /** How long it lasts (s). */
     double seconds();
 
@@ -48,7 +48,7 @@
     }
 
     /** The same rate all the time; evenly spaced, or as a Poisson process. */
-    record Steady(double seconds, double rate, boolean random) implements Shape {
+    record Steady(double seconds, double rate, boolean random) implements RateProfile {
         @Override
         public double expected(double t) {
             return rate * t;
@@ -61,7 +61,7 @@
     }
 
     /** From one rate to another in a straight line. */
-    record Ramp(double seconds, double from, double to, boolean random) implements Shape {
+    record Ramp(double seconds, double from, double to, boolean random) implements RateProfile {
         @Override
         public double expected(double t) {
             return from * t + (to - from) * t * t / (2 * seconds);
@@ -76,7 +76,7 @@
     /** A base rate that rises to a peak, holds, and falls back, in straight lines. */
     record Surge(
             double seconds, double base, double peak, double at, double rise, double hold, double fall, boolean random)
-            implements Shape {
+            implements RateProfile {
         @Override
         public double expected(double t) {
             double up = clamp(t - at, rise);
@@ -104,7 +104,7 @@
     }
 
     /** A sine around a mean; {@code swing} is its amplitude as a share of the mean, at most 1. */
-    record Wave(double seconds, double mean, double swing, double period, boolean random) implements Shape {
+    record Wave(double seconds, double mean, double swing, double period, boolean random) implements RateProfile {
         @Override
         public double expected(double t) {
             double w = 2 * Math.PI / period;
@@ -118,7 +118,7 @@
     }
 
     /** One rate after another, each for as long. */
-    record Step(double seconds, double[] rates, boolean random) implements Shape {
+    record Step(double seconds, double[] rates, boolean random) implements RateProfile {
         /** Copies the rates. */
         public Step {
             rates = rates.clone();
--- a/src/main/java/rillyard/load/Trace.java
+++ b/src/main/java/rillyard/loadgen/RecordedTrace.java
@@ -1,4 +1,4 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import java.util.List;
 
@@ -8,9 +8,9 @@
  * @param entries in the order of their times, one at least
  * @param speed how much faster than recorded
  */
-public record Trace(List<Entry> entries, double speed) {
+public record RecordedTrace(List<RecordedRequest> entries, double speed) {
     /** Copies the list. */
-    public Trace {
+    public RecordedTrace {
         entries = List.copyOf(entries);
     }
 
@@ -23,10 +23,10 @@
      * @param client who sent it, or null where that is not known
      * @param routeKey what it was about, or null
      */
-    public record Entry(long micros, LoadClass type, String tenant, String client, String routeKey) {}
+    public record RecordedRequest(long micros, LoadClass type, String tenant, String client, String routeKey) {}
 
     /** When an entry is to be sent: nanoseconds from the first one. */
-    long at(Entry e) {
+    long at(RecordedRequest e) {
         return (long) ((e.micros() - entries.get(0).micros()) * 1_000 / speed);
     }
 
--- a/src/main/java/rillyard/load/ReportFiles.java
+++ b/src/main/java/rillyard/loadgen/ReportFiles.java
@@ -1,4 +1,4 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
@@ -10,7 +10,7 @@
     private ReportFiles() {}
 
     /** Writes both into a folder that is there. */
-    public static void write(Path folder, Report r, String title) throws IOException {
+    public static void write(Path folder, RunReport r, String title) throws IOException {
         Files.writeString(
                 folder.resolve("report.json"),
                 new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(r) + "\n");
--- a/src/main/java/rillyard/load/ReportHtml.java
+++ b/src/main/java/rillyard/loadgen/ReportHtml.java
@@ -1,4 +1,4 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import java.util.List;
 import java.util.Locale;
@@ -21,7 +21,7 @@
     private ReportHtml() {}
 
     /** The page. */
-    public static String of(Report r, String title) {
+    public static String of(RunReport r, String title) {
         StringBuilder s = new StringBuilder(32_768);
         s.append("<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
                 .append(escape(title))
@@ -49,7 +49,7 @@
         return s.append("</body></html>\n").toString();
     }
 
-    private static void table(StringBuilder s, Report r) {
+    private static void table(StringBuilder s, RunReport r) {
         s.append("<table><tr>");
         for (String h : List.of(
                 "class, tenant",
@@ -81,7 +81,7 @@
                         r.total().service().max()));
     }
 
-    private static void row(StringBuilder s, Report.Row r, String mark) {
+    private static void row(StringBuilder s, RunReport.Row r, String mark) {
         double n = Math.max(1, r.offered()) / 100.0;
         s.append("<tr")
                 .append(mark)
@@ -109,14 +109,14 @@
         s.append("</tr>");
     }
 
-    private static void plots(StringBuilder s, Report r) {
+    private static void plots(StringBuilder s, RunReport r) {
         double width = r.stretchSeconds();
         double end = Math.max(width, r.series().size() * width);
         SvgPlot latency = new SvgPlot("latency, ms (logarithmic), by when requests were to be sent", end, true);
-        latency.line("p50", "#2c7fb8", points(r, Report.Point::p50));
-        latency.line("p90", "#41ae76", points(r, Report.Point::p90));
-        latency.line("p99", "#e6862a", points(r, Report.Point::p99));
-        latency.line("max", "#bbbbbb", points(r, Report.Point::max));
+        latency.line("p50", "#2c7fb8", points(r, RunReport.Point::p50));
+        latency.line("p90", "#41ae76", points(r, RunReport.Point::p90));
+        latency.line("p99", "#e6862a", points(r, RunReport.Point::p99));
+        latency.line("max", "#bbbbbb", points(r, RunReport.Point::max));
         SvgPlot rate = new SvgPlot("requests a second", end, false);
         rate.line("offered", "#222222", points(r, p -> p.offered() / width));
         rate.line("in aim", "#41ae76", points(r, p -> p.inAim() / width));
@@ -130,18 +130,18 @@
         }
     }
 
-    private static double[][] points(Report r, ToDoubleFunction<Report.Point> value) {
+    private static double[][] points(RunReport r, ToDoubleFunction<RunReport.Point> value) {
         return r.series().stream()
                 .map(p -> new double[] {p.at() + r.stretchSeconds() / 2, value.applyAsDouble(p)})
                 .toArray(double[][]::new);
     }
 
-    private static void marks(StringBuilder s, List<Report.Mark> marks) {
+    private static void marks(StringBuilder s, List<RunReport.Mark> marks) {
         if (marks.isEmpty()) {
             return;
         }
         s.append("<h2>What happened to hosts</h2><table><tr><th>s</th><th>host</th><th>what</th></tr>");
-        for (Report.Mark m : marks) {
+        for (RunReport.Mark m : marks) {
             s.append("<tr><td>")
                     .append(format("%.2f", m.at()))
                     .append("</td><td>")
--- a/src/main/java/rillyard/load/ReportTable.java
+++ b/src/main/java/rillyard/loadgen/ReportTable.java
@@ -1,4 +1,4 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import java.util.Locale;
 
@@ -11,7 +11,7 @@
     private ReportTable() {}
 
     /** The table, the generator's own lateness and what makes the run invalid. */
-    public static String of(Report r) {
+    public static String of(RunReport r) {
         StringBuilder s = new StringBuilder();
         s.append(String.format(
                 HEAD,
@@ -64,7 +64,7 @@
         return s.toString();
     }
 
-    private static String line(Report.Row r) {
+    private static String line(RunReport.Row r) {
         double n = Math.max(1, r.offered()) / 100.0;
         return String.format(
                 Locale.ROOT,
