--- a/src/main/java/rillyard/load/Schedule.java
+++ b/src/main/java/rillyard/loadgen/RequestSchedule.java
@@ -1,4 +1,4 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import java.util.Iterator;
 import java.util.List;
@@ -6,22 +6,22 @@
 import java.util.SplittableRandom;
 
 /** The arrivals of a plan, one by one in the order of their times; knows no clock. */
-public final class Schedule implements Iterator<Arrival> {
+public final class RequestSchedule implements Iterator<ScheduledRequest> {
     private final LoadPlan plan;
     private final SplittableRandom gaps;
     private final SplittableRandom marks;
-    private final Weights classes;
-    private final Weights tenants;
-    private final Weights clients;
-    private final Iterator<Trace.Entry> trace;
+    private final WeightedSampler classes;
+    private final WeightedSampler tenants;
+    private final WeightedSampler clients;
+    private final Iterator<RecordedTrace.RecordedRequest> trace;
     private int shape;
     private double shapeFrom;
     private double within;
     private double count;
-    private Arrival next;
+    private ScheduledRequest next;
 
     /** The same plan gives the same arrivals. */
-    public Schedule(LoadPlan plan) {
+    public RequestSchedule(LoadPlan plan) {
         this.plan = plan;
         SplittableRandom seed = new SplittableRandom(plan.seed());
         this.gaps = seed.split();
@@ -30,13 +30,14 @@
                 weights(plan.classes().stream().mapToDouble(LoadClass::share).toArray());
         this.tenants = weights(
                 plan.tenants().stream().mapToDouble(LoadPlan.Tenant::share).toArray());
-        this.clients = Weights.zipf(plan.clients().count(), plan.clients().skew());
+        this.clients =
+                WeightedSampler.zipf(plan.clients().count(), plan.clients().skew());
         this.trace = plan.trace() == null ? null : plan.trace().entries().iterator();
         this.next = trace == null ? shaped() : traced();
     }
 
-    private static Weights weights(double[] shares) {
-        return shares.length == 0 ? null : new Weights(shares);
+    private static WeightedSampler weights(double[] shares) {
+        return shares.length == 0 ? null : new WeightedSampler(shares);
     }
 
     @Override
@@ -45,19 +46,19 @@
     }
 
     @Override
-    public Arrival next() {
+    public ScheduledRequest next() {
         if (next == null) {
             throw new NoSuchElementException();
         }
-        Arrival a = next;
+        ScheduledRequest a = next;
         next = trace == null ? shaped() : traced();
         return a;
     }
 
-    private Arrival shaped() {
-        List<Shape> shapes = plan.shapes();
+    private ScheduledRequest shaped() {
+        List<RateProfile> shapes = plan.shapes();
         while (shape < shapes.size()) {
-            Shape s = shapes.get(shape);
+            RateProfile s = shapes.get(shape);
             count += s.random() ? gaps.nextExponential() : 1;
             double at = s.when(count, within);
             if (!Double.isNaN(at)) {
@@ -73,23 +74,23 @@
         return null;
     }
 
-    private Arrival marked(long at) {
+    private ScheduledRequest marked(long at) {
         LoadClass type = plan.classes().get(classes.draw(marks));
         String tenant =
                 tenants == null ? null : plan.tenants().get(tenants.draw(marks)).name();
         int client = clients.draw(marks);
         String key = type.keys() == 0 ? null : "k" + marks.nextInt(type.keys());
-        return new Arrival(at, type, tenant, client, key);
+        return new ScheduledRequest(at, type, tenant, client, key);
     }
 
-    private Arrival traced() {
+    private ScheduledRequest traced() {
         if (!trace.hasNext()) {
             return null;
         }
-        Trace.Entry e = trace.next();
+        RecordedTrace.RecordedRequest e = trace.next();
         int client = e.client() == null
                 ? clients.draw(marks)
                 : Math.floorMod(e.client().hashCode(), plan.clients().count());
-        return new Arrival(plan.trace().at(e), e.type(), e.tenant(), client, e.routeKey());
+        return new ScheduledRequest(plan.trace().at(e), e.type(), e.tenant(), client, e.routeKey());
     }
 }
--- a/src/main/java/rillyard/load/Report.java
+++ b/src/main/java/rillyard/loadgen/RunReport.java
@@ -1,4 +1,4 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import com.fasterxml.jackson.annotation.JsonInclude;
 import java.util.ArrayList;
@@ -24,7 +24,7 @@
  * @param marks what happened to hosts meanwhile, where a ledger of theirs was given
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
-public record Report(
+public record RunReport(
         boolean valid,
         String invalidBecause,
         boolean interrupted,
@@ -96,11 +96,16 @@
     /** Something that happened to a host; {@code at} in seconds from the start. */
     public record Mark(double at, String host, String what) {}
 
-    static Report of(
-            LoadPlan plan, Tally tally, boolean interrupted, double cpuSeconds, long connections, List<Mark> marks) {
+    static RunReport of(
+            LoadPlan plan,
+            RunStatistics tally,
+            boolean interrupted,
+            double cpuSeconds,
+            long connections,
+            List<Mark> marks) {
         String because = null;
         Quantiles lateness = Quantiles.of(tally.lateness());
-        Tally.Row all = tally.total();
+        RunStatistics.ClassStatistics all = tally.total();
         if (lateness.p99() > plan.latenessMs()) {
             because = "one send of a hundred was more than " + lateness.p99() + " ms late, expected "
                     + plan.latenessMs() + " at most: the generator could not keep its schedule";
@@ -112,10 +117,10 @@
         List<Row> rows = new ArrayList<>();
         tally.rows().forEach(r -> rows.add(row(r, seconds)));
         List<Point> series = new ArrayList<>();
-        for (Tally.Stretch s : tally.stretches()) {
+        for (RunStatistics.IntervalStatistics s : tally.stretches()) {
             series.add(point(series.size() * tally.stretchSeconds(), s));
         }
-        return new Report(
+        return new RunReport(
                 because == null,
                 because,
                 interrupted,
@@ -132,7 +137,7 @@
                 List.copyOf(marks));
     }
 
-    private static Row row(Tally.Row r, double seconds) {
+    private static Row row(RunStatistics.ClassStatistics r, double seconds) {
         return new Row(
                 r.type == null ? "all" : r.type.name(),
                 r.tenant,
@@ -150,7 +155,7 @@
                 Quantiles.of(r.service));
     }
 
-    private static Point point(double at, Tally.Stretch s) {
+    private static Point point(double at, RunStatistics.IntervalStatistics s) {
         Quantiles q = Quantiles.of(s.latency);
         return new Point(at, s.offered, s.inAim, s.late, s.refused, s.failed, q.p50(), q.p90(), q.p99(), q.max());
     }
--- a/src/main/java/rillyard/load/Tally.java
+++ b/src/main/java/rillyard/loadgen/RunStatistics.java
@@ -1,15 +1,15 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import rillyard.ledger.ClientTry;
-import rillyard.ledger.Outcome;
+import rillyard.requestlog.ClientAttempt;
+import rillyard.requestlog.ClientOutcome;
 
 /** Counts what came of a run: by class and tenant, and over time. Used on one thread. */
-final class Tally {
+final class RunStatistics {
     /** Times are recorded in microseconds, to three digits, up to an hour. */
     static final long MOST_MICROS = 3_600_000_000L;
 
@@ -17,7 +17,7 @@
     private static final int STRETCHES = 300;
 
     /** Figures of one class and tenant; {@code tenant} is null where there are none. */
-    static final class Row {
+    static final class ClassStatistics {
         final LoadClass type;
         final String tenant;
         final Histogram latency = new Histogram(MOST_MICROS, 3);
@@ -32,12 +32,12 @@
         long notSent;
         long tries;
 
-        Row(LoadClass type, String tenant) {
+        ClassStatistics(LoadClass type, String tenant) {
             this.type = type;
             this.tenant = tenant;
         }
 
-        void add(Row o) {
+        void add(ClassStatistics o) {
             latency.add(o.latency);
             service.add(o.service);
             offered += o.offered;
@@ -53,7 +53,7 @@
     }
 
     /** Figures of one stretch of time, by when requests were to be sent. */
-    static final class Stretch {
+    static final class IntervalStatistics {
         final Histogram latency = new Histogram(2);
         long offered;
         long inAim;
@@ -62,8 +62,8 @@
         long failed;
     }
 
-    private final Map<String, Row> rows = new TreeMap<>();
-    private final List<Stretch> stretches = new ArrayList<>();
+    private final Map<String, ClassStatistics> rows = new TreeMap<>();
+    private final List<IntervalStatistics> stretches = new ArrayList<>();
     private final Histogram lateness = new Histogram(MOST_MICROS, 3);
     private final long width;
     private long startedAt;
@@ -72,7 +72,7 @@
     private long over;
     private long surplus;
 
-    Tally(double seconds) {
+    RunStatistics(double seconds) {
         width = 1_000_000_000L * (long) Math.max(1, Math.ceil(seconds / STRETCHES));
     }
 
@@ -84,14 +84,14 @@
         endedAt = at;
     }
 
-    void arrived(Call c, long now) {
+    void arrived(LogicalRequest c, long now) {
         offered++;
         lateness.recordValue(Math.max(0, Math.min(MOST_MICROS, (now - c.intended) / 1_000)));
         row(c).offered++;
         stretch(c).offered++;
     }
 
-    void tried(ClientTry line) {
+    void tried(ClientAttempt line) {
         rows.get(name(line.type(), line.tenant())).tries++;
     }
 
@@ -100,10 +100,10 @@
         surplus++;
     }
 
-    void over(Call c, Outcome outcome, long at) {
+    void over(LogicalRequest c, ClientOutcome outcome, long at) {
         over++;
-        Row r = row(c);
-        Stretch s = stretch(c);
+        ClassStatistics r = row(c);
+        IntervalStatistics s = stretch(c);
         switch (outcome) {
             case SERVED -> {
                 long micros = Math.min(MOST_MICROS, Math.max(0, (at - c.intended) / 1_000));
@@ -124,9 +124,9 @@
             }
             default -> {
                 s.failed++;
-                if (outcome == Outcome.NOT_SENT) {
+                if (outcome == ClientOutcome.NOT_SENT) {
                     r.notSent++;
-                } else if (outcome == Outcome.ABANDONED) {
+                } else if (outcome == ClientOutcome.ABANDONED) {
                     r.abandoned++;
                 } else if (outcome.lost()) {
                     r.lost++;
@@ -137,35 +137,36 @@
         }
     }
 
-    private Row row(Call c) {
+    private ClassStatistics row(LogicalRequest c) {
         return rows.computeIfAbsent(
-                name(c.arrival.type().name(), c.arrival.tenant()), n -> new Row(c.arrival.type(), c.arrival.tenant()));
+                name(c.arrival.type().name(), c.arrival.tenant()),
+                n -> new ClassStatistics(c.arrival.type(), c.arrival.tenant()));
     }
 
     private static String name(String type, String tenant) {
         return tenant == null ? type : type + " " + tenant;
     }
 
-    private Stretch stretch(Call c) {
+    private IntervalStatistics stretch(LogicalRequest c) {
         int i = (int) Math.max(0, (c.intended - startedAt) / width);
         while (stretches.size() <= i) {
-            stretches.add(new Stretch());
+            stretches.add(new IntervalStatistics());
         }
         return stretches.get(i);
     }
 
-    List<Row> rows() {
+    List<ClassStatistics> rows() {
         return List.copyOf(rows.values());
     }
 
     /** All rows in one. */
-    Row total() {
-        Row all = new Row(null, null);
+    ClassStatistics total() {
+        ClassStatistics all = new ClassStatistics(null, null);
         rows.values().forEach(all::add);
         return all;
     }
 
-    List<Stretch> stretches() {
+    List<IntervalStatistics> stretches() {
         return List.copyOf(stretches);
     }
 
--- a/src/main/java/rillyard/load/Arrival.java
+++ b/src/main/java/rillyard/loadgen/ScheduledRequest.java
@@ -1,4 +1,4 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 /**
  * One request that is to be sent.
@@ -9,4 +9,4 @@
  * @param client number of its client, from 0
  * @param routeKey what it is about, or null
  */
-public record Arrival(long at, LoadClass type, String tenant, int client, String routeKey) {}
+public record ScheduledRequest(long at, LoadClass type, String tenant, int client, String routeKey) {}
--- a/src/main/java/rillyard/load/SvgPlot.java
+++ b/src/main/java/rillyard/loadgen/SvgPlot.java
@@ -1,4 +1,4 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import java.util.ArrayList;
 import java.util.List;
--- /dev/null
+++ b/src/main/java/rillyard/loadgen/TimelineEvents.java
@@ -0,0 +1,40 @@
+package rillyard.loadgen;
+
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import rillyard.config.InvalidConfigException;
+import rillyard.requestlog.HostEvent;
+import rillyard.requestlog.RequestLogReader;
+
+/** What happened to hosts during a run, from their ledger. */
+public final class TimelineEvents {
+    /** More marks than this hide the plot. */
+    private static final int MOST = 200;
+
+    private TimelineEvents() {}
+
+    /**
+     * Reads the ledger of hosts; {@code from} is the start of the run, microseconds of Unix time.
+     *
+     * @throws InvalidConfigException if it is none
+     */
+    public static List<RunReport.Mark> read(Path hosts, long from) throws InvalidConfigException {
+        List<RunReport.Mark> out = new ArrayList<>();
+        RequestLogReader.read(hosts, "hosts", line -> {
+            if (line instanceof HostEvent n && n.at() >= from && out.size() < MOST) {
+                out.add(new RunReport.Mark((n.at() - from) / 1e6, n.host(), words(n)));
+            }
+        });
+        return out;
+    }
+
+    private static String words(HostEvent n) {
+        return switch (n.what()) {
+            case FAULT -> n.detail();
+            case FAULT_ENDED -> n.detail() + " ends";
+            default -> n.what().name().toLowerCase(Locale.ROOT);
+        };
+    }
+}
--- a/src/main/java/rillyard/load/TraceReader.java
+++ b/src/main/java/rillyard/loadgen/TraceReader.java
@@ -1,4 +1,4 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -20,8 +20,8 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
-import rillyard.input.Finding;
-import rillyard.input.InvalidFileException;
+import rillyard.config.ConfigProblem;
+import rillyard.config.InvalidConfigException;
 
 /**
  * Reads recorded requests. Three forms are known:
@@ -60,8 +60,8 @@
 
     private final String file;
     private final Map<String, LoadClass> classes;
-    private final List<Trace.Entry> entries = new ArrayList<>();
-    private final List<Finding> findings = new ArrayList<>();
+    private final List<RecordedTrace.RecordedRequest> entries = new ArrayList<>();
+    private final List<ConfigProblem> findings = new ArrayList<>();
     private int leftOut;
     private int line;
 
@@ -73,20 +73,21 @@
     /**
      * Reads a file; entries may stand in any order.
      *
-     * @throws InvalidFileException with the lines that can't be used, or if none can
+     * @throws InvalidConfigException with the lines that can't be used, or if none can
      */
-    public static Trace read(Path file, Form form, List<LoadClass> classes, double speed) throws InvalidFileException {
+    public static RecordedTrace read(Path file, Form form, List<LoadClass> classes, double speed)
+            throws InvalidConfigException {
         TraceReader r = new TraceReader(file.toString(), classes);
         try (BufferedReader in = Files.newBufferedReader(file)) {
             r.read(in, form);
         } catch (IOException e) {
-            throw new InvalidFileException(file.toString(), r.line, "can't be read: " + e);
+            throw new InvalidConfigException(file.toString(), r.line, "can't be read: " + e);
         }
         if (!r.findings.isEmpty()) {
-            throw new InvalidFileException(r.findings);
+            throw new InvalidConfigException(r.findings);
         }
         if (r.entries.isEmpty()) {
-            throw new InvalidFileException(
+            throw new InvalidConfigException(
                     file.toString(),
                     0,
                     "expected one request at least"
@@ -94,8 +95,8 @@
                                     ? "; all " + r.leftOut + " are of classes that the plan does not name"
                                     : ""));
         }
-        r.entries.sort(Comparator.comparingLong(Trace.Entry::micros));
-        return new Trace(r.entries, speed);
+        r.entries.sort(Comparator.comparingLong(RecordedTrace.RecordedRequest::micros));
+        return new RecordedTrace(r.entries, speed);
     }
 
     private void read(BufferedReader in, Form form) throws IOException {
@@ -192,7 +193,7 @@
             wrong("class: found '" + type + "', expected one of " + String.join(", ", classes.keySet()));
             return;
         }
-        entries.add(new Trace.Entry((long) (1_000 * ms), c, tenant, client, key));
+        entries.add(new RecordedTrace.RecordedRequest((long) (1_000 * ms), c, tenant, client, key));
     }
 
     private void httplog(String text) {
@@ -219,7 +220,7 @@
         if (c == null) {
             leftOut++;
         } else {
-            entries.add(new Trace.Entry(micros, c, null, m.group(1), null));
+            entries.add(new RecordedTrace.RecordedRequest(micros, c, null, m.group(1), null));
         }
     }
 
@@ -229,6 +230,6 @@
     }
 
     private void wrong(String message) {
-        findings.add(new Finding(file, line, message));
+        findings.add(new ConfigProblem(file, line, message));
     }
 }
--- a/src/main/java/rillyard/load/Transport.java
+++ b/src/main/java/rillyard/loadgen/Transport.java
@@ -1,6 +1,6 @@
-package rillyard.load;
+package rillyard.loadgen;
 
-import rillyard.ledger.Outcome;
+import rillyard.requestlog.ClientOutcome;
 
 /** Carries tries to the target. All calls are made on the generator's thread. */
 interface Transport {
@@ -11,7 +11,7 @@
      * @param retried whether it repeats one that has failed or was refused
      * @param fresh whether it needs a connection of its own
      */
-    record Try(
+    record OutgoingRequest(
             String id,
             String key,
             LoadClass type,
@@ -23,18 +23,18 @@
             boolean fresh) {}
 
     /** How it ended; {@code retryAfter} in microseconds, 0 without one. */
-    record End(Outcome outcome, int status, long retryAfter) {}
+    record AttemptResult(ClientOutcome outcome, int status, long retryAfter) {}
 
     /** Hears of the end, once, and never from within {@link #send}. */
     interface Listener {
-        void ended(End end);
+        void ended(AttemptResult end);
     }
 
     /** A try that is under way. */
-    interface Sent {
+    interface PendingAttempt {
         /** Gives it up: its connection is closed, and nothing is heard of it any more. */
         void abandon();
     }
 
-    Sent send(Try t, Listener listener);
+    PendingAttempt send(OutgoingRequest t, Listener listener);
 }
--- a/src/main/java/rillyard/load/Weights.java
+++ b/src/main/java/rillyard/loadgen/WeightedSampler.java
@@ -1,14 +1,14 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import java.util.Arrays;
 import java.util.random.RandomGenerator;
 
 /** Draws an index in proportion to weights. */
-final class Weights {
+final class WeightedSampler {
     private final double[] sums;
 
     /** Weights are 0 or more, one of them above 0. */
-    Weights(double[] weights) {
+    WeightedSampler(double[] weights) {
         sums = weights.clone();
         for (int i = 1; i < sums.length; i++) {
             sums[i] += sums[i - 1];
@@ -16,12 +16,12 @@
     }
 
     /** Zipf's weights, 1 / k^skew. */
-    static Weights zipf(int count, double skew) {
+    static WeightedSampler zipf(int count, double skew) {
         double[] w = new double[count];
         for (int i = 0; i < count; i++) {
             w[i] = Math.pow(i + 1, -skew);
         }
-        return new Weights(w);
+        return new WeightedSampler(w);
     }
 
     int draw(RandomGenerator random) {
--- a/src/main/java/rillyard/load/package-info.java
+++ b/src/main/java/rillyard/loadgen/package-info.java
@@ -4,4 +4,4 @@
  * which the schedule had a request be sent (Gil Tene's "coordinated omission"), so a target that
  * stalls shows as late answers, not as a gap. Nothing in the proxy may use this package.
  */
-package rillyard.load;
+package rillyard.loadgen;
--- a/src/main/java/rillyard/membership/net/FleetConfigReader.java
+++ b/src/main/java/rillyard/membership/net/FleetConfigReader.java
@@ -12,9 +12,9 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
-import rillyard.input.Addresses;
-import rillyard.input.InvalidFileException;
-import rillyard.input.TomlTable;
+import rillyard.config.InvalidConfigException;
+import rillyard.config.SocketAddresses;
+import rillyard.config.TomlTable;
 import rillyard.membership.MemberAddress;
 import rillyard.membership.MemberIdentity;
 import rillyard.membership.MembershipSettings;
@@ -27,9 +27,9 @@
     /**
      * Reads a file; where it names no member, {@code BALANCER_NAME} does.
      *
-     * @throws InvalidFileException with all findings, by line
+     * @throws InvalidConfigException with all findings, by line
      */
-    public static FleetConfig read(Path file, Map<String, String> environment) throws InvalidFileException {
+    public static FleetConfig read(Path file, Map<String, String> environment) throws InvalidConfigException {
         TomlTable root = TomlTable.read(file);
         TomlTable self = root.table("self");
         String name = self.text("name", environment.getOrDefault("BALANCER_NAME", ""));
@@ -118,7 +118,7 @@
 
     /** An {@code IPv4:port}; names are not looked up. */
     private static MemberAddress endpoint(TomlTable t, String key, String s) {
-        InetSocketAddress a = Addresses.parse(s);
+        InetSocketAddress a = SocketAddresses.parse(s);
         if (a != null && a.getPort() > 0 && a.getAddress() instanceof Inet4Address) {
             return endpoint(a);
         }
--- a/src/main/java/rillyard/outlier/HostObservation.java
+++ b/src/main/java/rillyard/outlier/HostObservation.java
@@ -1,6 +1,6 @@
 package rillyard.outlier;
 
-import net.openhft.hashing.LongHashFunction;
+import rillyard.subset.NameHash;
 
 /**
  * What one proxy last saw of one host.
@@ -29,6 +29,6 @@
      * fleets; they are then left and taken back together.
      */
     public static int number(String name) {
-        return (int) LongHashFunction.xx3().hashChars(name);
+        return NameHash.of(name);
     }
 }
--- a/src/main/java/rillyard/proxy/ClientProxy.java
+++ b/src/main/java/rillyard/proxy/ClientProxy.java
@@ -32,7 +32,7 @@
 import rillyard.proxy.resources.DescriptorBudget;
 import rillyard.proxy.upstream.UpstreamPool;
 import rillyard.stall.StallDetector;
-import rillyard.trace.Trace;
+import rillyard.trace.ProxyTrace;
 
 /** One client proxy: all of it on one event loop thread, from its start to its drain. */
 public final class ClientProxy {
@@ -144,7 +144,7 @@
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         ProxyConfig config = ProxyConfig.load(env);
         StartupTimeline.at("settings");
-        Trace trace = Boolean.getBoolean(Trace.PROPERTY) ? new Trace(System.err) : null;
+        ProxyTrace trace = Boolean.getBoolean(ProxyTrace.PROPERTY) ? new ProxyTrace(System.err) : null;
         ClientProxy p = new ClientProxy(
                 config, new ProxyLog(System.err, trace), EndpointListOptions.guard(System.getProperties()), neighbours);
         // Before anything is taken: guards against a signal that finds it listening and without a drain.
--- a/src/main/java/rillyard/proxy/discovery/EndpointWatch.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointWatch.java
@@ -33,7 +33,7 @@
 import rillyard.proxy.dispatch.BalancerDriver;
 import rillyard.proxy.logging.ProxyLog;
 import rillyard.settings.JsonTreeReader;
-import rillyard.trace.TraceLine;
+import rillyard.trace.TraceEvent;
 
 /**
  * The watch on the list of hosts. It resumes from the last version that was applied, so that a
@@ -130,7 +130,7 @@
             old.channel.close();
         }
         if (log.trace() != null) {
-            log.trace().did(TraceLine.What.LIST, TraceLine.NONE);
+            log.trace().did(TraceEvent.Kind.LIST, TraceEvent.NONE);
         }
         ChannelFuture f = bootstrap.connect(address);
         Watch w = new Watch(f.channel());
--- a/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
+++ b/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
@@ -32,8 +32,8 @@
 import rillyard.proxy.upstream.UpstreamHost;
 import rillyard.proxy.upstream.UpstreamPool;
 import rillyard.stall.StallDetector;
-import rillyard.trace.Trace;
-import rillyard.trace.TraceLine.What;
+import rillyard.trace.ProxyTrace;
+import rillyard.trace.TraceEvent.Kind;
 
 /**
  * Runs the module on the event loop: hands it one event at a time, in the order in which they
@@ -286,10 +286,10 @@
         }
     }
 
-    /** Writes an answer of our own down, if that was asked for; {@code last} as {@link Trace#ended}. */
+    /** Writes an answer of our own down, if that was asked for; {@code last} as {@link ProxyTrace#ended}. */
     void traceEnd(ProxyMetrics.RequestOutcome how, AttemptOutcome last) {
         if (log.trace() != null && how != ProxyMetrics.RequestOutcome.COMPLETED) {
-            log.trace().ended(how == ProxyMetrics.RequestOutcome.REJECTED ? What.REFUSED : What.FAILED, last);
+            log.trace().ended(how == ProxyMetrics.RequestOutcome.REJECTED ? Kind.REFUSED : Kind.FAILED, last);
         }
     }
 
--- a/src/main/java/rillyard/proxy/logging/ProxyLog.java
+++ b/src/main/java/rillyard/proxy/logging/ProxyLog.java
@@ -2,14 +2,14 @@
 
 import java.io.PrintStream;
 import java.util.function.Supplier;
-import rillyard.trace.Trace;
+import rillyard.trace.ProxyTrace;
 
 /** Lines for the people on call, on standard error; at most so many a second, the rest is counted. */
 public final class ProxyLog {
     private static final int MAX_PER_SECOND = 50;
 
     private final PrintStream out;
-    private final Trace trace;
+    private final ProxyTrace trace;
     private long second;
     private int written;
     private long dropped;
@@ -19,13 +19,13 @@
     }
 
     /** {@code trace} is null where none was asked for. */
-    public ProxyLog(PrintStream out, Trace trace) {
+    public ProxyLog(PrintStream out, ProxyTrace trace) {
         this.out = out;
         this.trace = trace;
     }
 
     /** Where every thing done to hosts and discovery is written down, or null. */
-    public Trace trace() {
+    public ProxyTrace trace() {
         return trace;
     }
 
--- a/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
@@ -21,7 +21,7 @@
 import rillyard.proxy.eventloop.PeekableSocketChannel;
 import rillyard.proxy.logging.ProxyLog;
 import rillyard.proxy.resources.DescriptorBudget;
-import rillyard.trace.TraceLine.What;
+import rillyard.trace.TraceEvent.Kind;
 
 /** The connections to hosts: opens them as needed, keeps the idle ones, ends them in time. */
 public final class UpstreamPool {
@@ -138,9 +138,9 @@
 
     private void traceConnect(ChannelFuture f, UpstreamHost host) {
         if (log.trace() != null) {
-            log.trace().did(f.isSuccess() ? What.CONNECTED : What.CONNECT_FAILED, host.name);
+            log.trace().did(f.isSuccess() ? Kind.CONNECTED : Kind.CONNECT_FAILED, host.name);
             if (f.isSuccess()) {
-                f.channel().closeFuture().addListener(x -> log.trace().did(What.CLOSED, host.name));
+                f.channel().closeFuture().addListener(x -> log.trace().did(Kind.CLOSED, host.name));
             }
         }
     }
--- a/src/main/java/rillyard/ledger/ClientTry.java
+++ b/src/main/java/rillyard/requestlog/ClientAttempt.java
@@ -1,4 +1,4 @@
-package rillyard.ledger;
+package rillyard.requestlog;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -23,7 +23,7 @@
  * @param retryAfter what {@code Retry-After} said, 0 without one
  * @param last whether the request ended with it
  */
-public record ClientTry(
+public record ClientAttempt(
         long request,
         int number,
         String id,
@@ -35,11 +35,11 @@
         long sent,
         long ended,
         long timeout,
-        Outcome outcome,
+        ClientOutcome outcome,
         int status,
         long retryAfter,
         boolean last)
-        implements LedgerLine {
+        implements LogRecord {
     static final String KIND = "try";
 
     @Override
@@ -72,20 +72,20 @@
         g.writeEndObject();
     }
 
-    static ClientTry read(JsonNode n) {
-        return new ClientTry(
-                Fields.whole(n, "request"),
-                (int) Fields.whole(n, "try"),
-                Fields.text(n, "id"),
-                Fields.textOrNull(n, "key"),
-                Fields.text(n, "class"),
-                Fields.textOrNull(n, "tenant"),
-                (int) Fields.whole(n, "client"),
-                Fields.whole(n, "intended"),
-                Fields.whole(n, "sent"),
-                Fields.whole(n, "ended"),
-                Fields.whole(n, "timeout"),
-                Fields.choice(n, "outcome", Outcome.class),
+    static ClientAttempt read(JsonNode n) {
+        return new ClientAttempt(
+                JsonFields.whole(n, "request"),
+                (int) JsonFields.whole(n, "try"),
+                JsonFields.text(n, "id"),
+                JsonFields.textOrNull(n, "key"),
+                JsonFields.text(n, "class"),
+                JsonFields.textOrNull(n, "tenant"),
+                (int) JsonFields.whole(n, "client"),
+                JsonFields.whole(n, "intended"),
+                JsonFields.whole(n, "sent"),
+                JsonFields.whole(n, "ended"),
+                JsonFields.whole(n, "timeout"),
+                JsonFields.choice(n, "outcome", ClientOutcome.class),
                 n.path("status").asInt(0),
                 n.path("retry_after").asLong(0),
                 n.path("last").asBoolean(true));
--- a/src/main/java/rillyard/ledger/Outcome.java
+++ b/src/main/java/rillyard/requestlog/ClientOutcome.java
@@ -1,7 +1,7 @@
-package rillyard.ledger;
+package rillyard.requestlog;
 
 /** How a client's try ended, as the client saw it. */
-public enum Outcome {
+public enum ClientOutcome {
     /** A whole answer 200 that was made for this request. */
     SERVED,
     /** 429 or 503: trying again is harmless. */
--- a/src/main/java/rillyard/ledger/RunResult.java
+++ b/src/main/java/rillyard/requestlog/ExecutionResult.java
@@ -1,7 +1,7 @@
-package rillyard.ledger;
+package rillyard.requestlog;
 
 /** What became of a request that a host received. */
-public enum RunResult {
+public enum ExecutionResult {
     /** It ran and was answered. */
     DONE(true, true),
     /** It was answered with an error, before it ran. */
@@ -26,7 +26,7 @@
     private final boolean mayHaveRun;
     private final boolean effect;
 
-    RunResult(boolean mayHaveRun, boolean effect) {
+    ExecutionResult(boolean mayHaveRun, boolean effect) {
         this.mayHaveRun = mayHaveRun;
         this.effect = effect;
     }
--- a/src/main/java/rillyard/ledger/HostNews.java
+++ b/src/main/java/rillyard/requestlog/HostEvent.java
@@ -1,4 +1,4 @@
-package rillyard.ledger;
+package rillyard.requestlog;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -15,13 +15,13 @@
  * @param startShare share of the capacity with which a cold host begins; 1 for a warm one
  * @param coldMicros how long it takes to become warm
  */
-public record HostNews(
-        long at, String host, What what, String detail, double capacity, double startShare, long coldMicros)
-        implements LedgerLine {
+public record HostEvent(
+        long at, String host, Kind what, String detail, double capacity, double startShare, long coldMicros)
+        implements LogRecord {
     static final String KIND = "host";
 
     /** What can happen. */
-    public enum What {
+    public enum Kind {
         STARTED,
         DRAINING,
         STOPPED,
@@ -36,7 +36,7 @@
     }
 
     /** News that says nothing of the capacity. */
-    public HostNews(long at, String host, What what, String detail) {
+    public HostEvent(long at, String host, Kind what, String detail) {
         this(at, host, what, detail, 0, 1, 0);
     }
 
@@ -50,7 +50,7 @@
         if (detail != null) {
             g.writeStringField("detail", detail);
         }
-        if (what == What.STARTED) {
+        if (what == Kind.STARTED) {
             g.writeNumberField("capacity", capacity);
             g.writeNumberField("start_share", startShare);
             g.writeNumberField("cold", coldMicros);
@@ -58,12 +58,12 @@
         g.writeEndObject();
     }
 
-    static HostNews read(JsonNode n) {
-        return new HostNews(
-                Fields.whole(n, "at"),
-                Fields.text(n, "host"),
-                Fields.choice(n, "what", What.class),
-                Fields.textOrNull(n, "detail"),
+    static HostEvent read(JsonNode n) {
+        return new HostEvent(
+                JsonFields.whole(n, "at"),
+                JsonFields.text(n, "host"),
+                JsonFields.choice(n, "what", Kind.class),
+                JsonFields.textOrNull(n, "detail"),
                 n.path("capacity").asDouble(0),
                 n.path("start_share").asDouble(1),
                 n.path("cold").asLong(0));
--- a/src/main/java/rillyard/ledger/HostRun.java
+++ b/src/main/java/rillyard/requestlog/HostExecution.java
@@ -1,4 +1,4 @@
-package rillyard.ledger;
+package rillyard.requestlog;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -21,7 +21,7 @@
  * @param work what it costs in core time of a warm host, in microseconds
  * @param result what became of it
  */
-public record HostRun(
+public record HostExecution(
         String id,
         String key,
         String type,
@@ -33,8 +33,8 @@
         long started,
         long ended,
         long work,
-        RunResult result)
-        implements LedgerLine {
+        ExecutionResult result)
+        implements LogRecord {
     static final String KIND = "run";
 
     /** Whether the one who sent it must take it to have had its effect. */
@@ -68,19 +68,19 @@
         g.writeEndObject();
     }
 
-    static HostRun read(JsonNode n) {
-        return new HostRun(
-                Fields.text(n, "id"),
-                Fields.textOrNull(n, "key"),
-                Fields.text(n, "class"),
-                Fields.text(n, "host"),
-                Fields.whole(n, "cell"),
-                Fields.text(n, "zone"),
-                (int) Fields.whole(n, "attempt"),
-                Fields.whole(n, "received"),
-                Fields.whole(n, "started"),
-                Fields.whole(n, "ended"),
-                Fields.whole(n, "work"),
-                Fields.choice(n, "result", RunResult.class));
+    static HostExecution read(JsonNode n) {
+        return new HostExecution(
+                JsonFields.text(n, "id"),
+                JsonFields.textOrNull(n, "key"),
+                JsonFields.text(n, "class"),
+                JsonFields.text(n, "host"),
+                JsonFields.whole(n, "cell"),
+                JsonFields.text(n, "zone"),
+                (int) JsonFields.whole(n, "attempt"),
+                JsonFields.whole(n, "received"),
+                JsonFields.whole(n, "started"),
+                JsonFields.whole(n, "ended"),
+                JsonFields.whole(n, "work"),
+                JsonFields.choice(n, "result", ExecutionResult.class));
     }
 }
--- a/src/main/java/rillyard/ledger/Fields.java
+++ b/src/main/java/rillyard/requestlog/JsonFields.java
@@ -1,11 +1,11 @@
-package rillyard.ledger;
+package rillyard.requestlog;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Arrays;
 
 /** Checked reading of the fields of a line. */
-final class Fields {
-    private Fields() {}
+final class JsonFields {
+    private JsonFields() {}
 
     static String text(JsonNode n, String key) {
         JsonNode v = n.path(key);
--- a/src/main/java/rillyard/ledger/LedgerHead.java
+++ b/src/main/java/rillyard/requestlog/LogHeader.java
@@ -1,4 +1,4 @@
-package rillyard.ledger;
+package rillyard.requestlog;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -11,7 +11,7 @@
  * @param at microseconds of Unix time at which it was begun
  * @param seed the seed of the run
  */
-public record LedgerHead(String of, long at, long seed) implements LedgerLine {
+public record LogHeader(String of, long at, long seed) implements LogRecord {
     static final String KIND = "head";
 
     /** The form of the lines; a reader turns away any other. */
@@ -28,10 +28,10 @@
         g.writeEndObject();
     }
 
-    static LedgerHead read(JsonNode n) {
-        if (Fields.whole(n, "version") != VERSION) {
+    static LogHeader read(JsonNode n) {
+        if (JsonFields.whole(n, "version") != VERSION) {
             throw new IllegalArgumentException("version: found " + n.path("version") + ", expected " + VERSION);
         }
-        return new LedgerHead(Fields.text(n, "of"), Fields.whole(n, "at"), Fields.whole(n, "seed"));
+        return new LogHeader(JsonFields.text(n, "of"), JsonFields.whole(n, "at"), JsonFields.whole(n, "seed"));
     }
 }
--- a/src/main/java/rillyard/ledger/LedgerEnd.java
+++ b/src/main/java/rillyard/requestlog/LogTrailer.java
@@ -1,4 +1,4 @@
-package rillyard.ledger;
+package rillyard.requestlog;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -11,7 +11,7 @@
  * @param at microseconds of Unix time
  * @param lines how many lines stand before it
  */
-public record LedgerEnd(long at, long lines) implements LedgerLine {
+public record LogTrailer(long at, long lines) implements LogRecord {
     static final String KIND = "end";
 
     @Override
@@ -23,7 +23,7 @@
         g.writeEndObject();
     }
 
-    static LedgerEnd read(JsonNode n) {
-        return new LedgerEnd(Fields.whole(n, "at"), Fields.whole(n, "lines"));
+    static LogTrailer read(JsonNode n) {
+        return new LogTrailer(JsonFields.whole(n, "at"), JsonFields.whole(n, "lines"));
     }
 }
--- a/src/main/java/rillyard/ledger/LedgerReader.java
+++ b/src/main/java/rillyard/requestlog/RequestLogReader.java
@@ -1,4 +1,4 @@
-package rillyard.ledger;
+package rillyard.requestlog;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -7,22 +7,22 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.function.Consumer;
-import rillyard.input.InvalidFileException;
+import rillyard.config.InvalidConfigException;
 
 /** Reads a ledger line by line, in memory that doesn't grow with it. */
-public final class LedgerReader {
+public final class RequestLogReader {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private LedgerReader() {}
+    private RequestLogReader() {}
 
     /**
      * Hands each line behind the head to {@code to}.
      *
      * @param of what the head must say: {@code clients} or {@code hosts}
      * @return whether the ledger was closed in order; one that was not may lack its last lines
-     * @throws InvalidFileException at the first line that is none
+     * @throws InvalidConfigException at the first line that is none
      */
-    public static boolean read(Path file, String of, Consumer<LedgerLine> to) throws InvalidFileException {
+    public static boolean read(Path file, String of, Consumer<LogRecord> to) throws InvalidConfigException {
         int number = 0;
         boolean ended = false;
         try (BufferedReader in = Files.newBufferedReader(file)) {
@@ -32,25 +32,25 @@
                 if (text.isBlank()) {
                     continue;
                 }
-                LedgerLine line = LedgerLine.read(JSON.readTree(text));
-                if (number == 1 && !(line instanceof LedgerHead h && h.of().equals(of))) {
+                LogRecord line = LogRecord.read(JSON.readTree(text));
+                if (number == 1 && !(line instanceof LogHeader h && h.of().equals(of))) {
                     throw new IllegalArgumentException("expected the head of a ledger of " + of + ", found " + text);
                 }
-                ended = line instanceof LedgerEnd;
+                ended = line instanceof LogTrailer;
                 if (number > 1 && !ended) {
                     to.accept(line);
                 }
             }
         } catch (JsonProcessingException e) {
-            throw new InvalidFileException(
+            throw new InvalidConfigException(
                     file.toString(), number, "expected a JSON object: " + e.getOriginalMessage());
         } catch (IllegalArgumentException e) {
-            throw new InvalidFileException(file.toString(), number, e.getMessage());
+            throw new InvalidConfigException(file.toString(), number, e.getMessage());
         } catch (IOException e) {
-            throw new InvalidFileException(file.toString(), number, "can't be read: " + e);
+            throw new InvalidConfigException(file.toString(), number, "can't be read: " + e);
         }
         if (number == 0) {
-            throw new InvalidFileException(file.toString(), 0, "empty, expected a ledger of " + of);
+            throw new InvalidConfigException(file.toString(), 0, "empty, expected a ledger of " + of);
         }
         return ended;
     }
--- a/src/main/java/rillyard/ledger/Ledger.java
+++ b/src/main/java/rillyard/requestlog/RequestLogWriter.java
@@ -1,4 +1,4 @@
-package rillyard.ledger;
+package rillyard.requestlog;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -17,7 +17,7 @@
  * only, so that a slow disk does not hold up an event loop until {@value #BLOCKS} blocks wait; from
  * there on it does, since a ledger with a hole in it proves nothing. Safe for several threads.
  */
-public final class Ledger implements AutoCloseable {
+public final class RequestLogWriter implements AutoCloseable {
     private static final int BLOCK = 64 * 1024;
     private static final int BLOCKS = 256;
     private static final byte[] END = new byte[0];
@@ -31,7 +31,7 @@
     private long lines;
     private boolean closed;
 
-    private Ledger(OutputStream out) throws IOException {
+    private RequestLogWriter(OutputStream out) throws IOException {
         this.out = out;
         this.generator = new JsonFactory().createGenerator(block);
         generator.setPrettyPrinter(new MinimalPrettyPrinter("\n"));
@@ -41,16 +41,16 @@
     }
 
     /** Begins a ledger in a file, in place of what is there. */
-    public static Ledger open(Path file, LedgerHead head) throws IOException {
-        Ledger l = new Ledger(Files.newOutputStream(file));
+    public static RequestLogWriter open(Path file, LogHeader head) throws IOException {
+        RequestLogWriter l = new RequestLogWriter(Files.newOutputStream(file));
         l.append(head);
         return l;
     }
 
     /** A ledger that keeps nothing, and costs nothing. */
-    public static Ledger none() {
+    public static RequestLogWriter none() {
         try {
-            Ledger l = new Ledger(OutputStream.nullOutputStream());
+            RequestLogWriter l = new RequestLogWriter(OutputStream.nullOutputStream());
             l.close();
             return l;
         } catch (IOException e) {
@@ -59,7 +59,7 @@
     }
 
     /** Adds a line; without effect once the ledger is closed. */
-    public synchronized void append(LedgerLine line) {
+    public synchronized void append(LogRecord line) {
         if (closed) {
             return;
         }
@@ -143,7 +143,7 @@
             if (closed) {
                 return;
             }
-            append(new LedgerEnd(UnixClock.micros(), lines));
+            append(new LogTrailer(UnixClock.micros(), lines));
             closed = true;
             hand();
             put(END);
--- a/src/main/java/rillyard/ledger/Surplus.java
+++ b/src/main/java/rillyard/requestlog/UnexpectedResponse.java
@@ -1,4 +1,4 @@
-package rillyard.ledger;
+package rillyard.requestlog;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -10,7 +10,7 @@
  * @param at microseconds of Unix time
  * @param id id of the request that was answered last on that connection
  */
-public record Surplus(long at, String id) implements LedgerLine {
+public record UnexpectedResponse(long at, String id) implements LogRecord {
     static final String KIND = "surplus";
 
     @Override
@@ -22,7 +22,7 @@
         g.writeEndObject();
     }
 
-    static Surplus read(JsonNode n) {
-        return new Surplus(Fields.whole(n, "at"), Fields.text(n, "id"));
+    static UnexpectedResponse read(JsonNode n) {
+        return new UnexpectedResponse(JsonFields.whole(n, "at"), JsonFields.text(n, "id"));
     }
 }
--- a/src/main/java/rillyard/ledger/UnixClock.java
+++ b/src/main/java/rillyard/requestlog/UnixClock.java
@@ -1,4 +1,4 @@
-package rillyard.ledger;
+package rillyard.requestlog;
 
 import java.time.Instant;
 
--- a/src/main/java/rillyard/ledger/Told.java
+++ b/src/main/java/rillyard/requestlog/WatchNotification.java
@@ -1,4 +1,4 @@
-package rillyard.ledger;
+package rillyard.requestlog;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -13,7 +13,7 @@
  * @param state {@code up}, {@code draining} or {@code removed}
  * @param version discovery's version of the list
  */
-public record Told(long at, long watcher, String host, String state, long version) implements LedgerLine {
+public record WatchNotification(long at, long watcher, String host, String state, long version) implements LogRecord {
     static final String KIND = "told";
 
     @Override
@@ -28,12 +28,12 @@
         g.writeEndObject();
     }
 
-    static Told read(JsonNode n) {
-        return new Told(
-                Fields.whole(n, "at"),
-                Fields.whole(n, "watcher"),
-                Fields.text(n, "host"),
-                Fields.text(n, "state"),
-                Fields.whole(n, "version"));
+    static WatchNotification read(JsonNode n) {
+        return new WatchNotification(
+                JsonFields.whole(n, "at"),
+                JsonFields.whole(n, "watcher"),
+                JsonFields.text(n, "host"),
+                JsonFields.text(n, "state"),
+                JsonFields.whole(n, "version"));
     }
 }
--- a/src/main/java/rillyard/ledger/package-info.java
+++ b/src/main/java/rillyard/requestlog/package-info.java
@@ -3,4 +3,4 @@
  * stand-ins' says what hosts received and ran. Both are JSON lines, stamped in microseconds of Unix
  * time, so that the auditor can lay one beside the other.
  */
-package rillyard.ledger;
+package rillyard.requestlog;
--- a/src/main/java/rillyard/timing/LoopTimers.java
+++ b/src/main/java/rillyard/scheduling/EventLoopScheduler.java
@@ -1,15 +1,15 @@
-package rillyard.timing;
+package rillyard.scheduling;
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
 /** Timers of an event loop; to be used on its thread only. */
-public final class LoopTimers implements Timers {
+public final class EventLoopScheduler implements Scheduler {
     private final EventLoop loop;
 
     /** The timers of this loop. */
-    public LoopTimers(EventLoop loop) {
+    public EventLoopScheduler(EventLoop loop) {
         this.loop = loop;
     }
 
@@ -19,7 +19,7 @@
     }
 
     @Override
-    public Timer at(long at, Runnable what) {
+    public ScheduledTask at(long at, Runnable what) {
         Future<?> f = loop.schedule(what, Math.max(0, at - now()), TimeUnit.NANOSECONDS);
         return () -> f.cancel(false);
     }
--- a/src/main/java/rillyard/timing/Loops.java
+++ b/src/main/java/rillyard/scheduling/EventLoops.java
@@ -1,4 +1,4 @@
-package rillyard.timing;
+package rillyard.scheduling;
 
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.IoHandlerFactory;
@@ -19,7 +19,7 @@
  * some thousand sends a second can't bear; epoll waits in nanoseconds. Elsewhere than on Linux the
  * selector has to do, and timers are up to a millisecond late.
  */
-public final class Loops {
+public final class EventLoops {
     private static final boolean EPOLL;
 
     static {
@@ -30,7 +30,7 @@
         EPOLL = Epoll.isAvailable();
     }
 
-    private Loops() {}
+    private EventLoops() {}
 
     /** So many loops, each on a daemon thread of its own. */
     public static EventLoopGroup group(int threads, String name) {
--- a/src/main/java/rillyard/timing/Timers.java
+++ b/src/main/java/rillyard/scheduling/Scheduler.java
@@ -1,20 +1,20 @@
-package rillyard.timing;
+package rillyard.scheduling;
 
 /** A clock, and things that happen when it reads so much; all on one thread. */
-public interface Timers {
+public interface Scheduler {
     /** Nanoseconds from a point of no meaning; never goes back. */
     long now();
 
     /** Runs something when the clock reads {@code at} (ns), in the next turn if that is past. */
-    Timer at(long at, Runnable what);
+    ScheduledTask at(long at, Runnable what);
 
     /** Runs something after {@code delay} ns. */
-    default Timer after(long delay, Runnable what) {
+    default ScheduledTask after(long delay, Runnable what) {
         return at(now() + delay, what);
     }
 
     /** Something that is to happen. */
-    interface Timer {
+    interface ScheduledTask {
         /** Has it not happen; without effect once it has. */
         void cancel();
     }
--- a/src/main/java/rillyard/timing/package-info.java
+++ b/src/main/java/rillyard/scheduling/package-info.java
@@ -1,2 +1,2 @@
 /** Time as the stand-ins and the generator need it: on an event loop to some microseconds, or virtual. */
-package rillyard.timing;
+package rillyard.scheduling;
--- /dev/null
+++ b/src/main/java/rillyard/subset/NameHash.java
@@ -0,0 +1,13 @@
+package rillyard.subset;
+
+import net.openhft.hashing.LongHashFunction;
+
+/** Hashes of names that are the same in every process of the fleet (XXH3). */
+public final class NameHash {
+    private NameHash() {}
+
+    /** Returns 32 bits of the name's hash. Two of 1,000 names share a hash once in some 9,000 fleets. */
+    public static int of(String name) {
+        return (int) LongHashFunction.xx3().hashChars(name);
+    }
+}
--- a/src/main/java/rillyard/subset/SubsetPlanner.java
+++ b/src/main/java/rillyard/subset/SubsetPlanner.java
@@ -3,7 +3,6 @@
 import java.util.Collection;
 import java.util.Map;
 import rillyard.balancer.SubsetPosition;
-import rillyard.outlier.HostObservation;
 
 /**
  * Lays this proxy's pool from the names and rates of all. Where pools are of one size whatever is sent from them, a proxy
@@ -30,10 +29,10 @@
      * @param rates requests a second, by name; those not known are left out of the mean
      */
     public SubsetPosition lay(String self, Collection<String> names, Map<String, Double> rates) {
-        int own = HostObservation.number(self);
+        int own = NameHash.of(self);
         int position = 0;
         for (String n : names) {
-            int other = HostObservation.number(n);
+            int other = NameHash.of(n);
             position += other < own || other == own && n.compareTo(self) < 0 ? 1 : 0;
         }
         double mean = rates.values().stream().mapToDouble(d -> d).average().orElse(0);
--- a/src/main/java/rillyard/standin/HostFaults.java
+++ b/src/main/java/rillyard/testserver/ActiveFaults.java
@@ -1,24 +1,24 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.random.RandomGenerator;
 
 /** What is wrong with a host at present. Faults of one kind don't add up: the latest holds. */
-final class HostFaults {
-    private final Map<Fault.Kind, Fault> active = new EnumMap<>(Fault.Kind.class);
+final class ActiveFaults {
+    private final Map<HostFault.Kind, HostFault> active = new EnumMap<>(HostFault.Kind.class);
     private final RandomGenerator random;
 
-    HostFaults(RandomGenerator random) {
+    ActiveFaults(RandomGenerator random) {
         this.random = random;
     }
 
-    void begin(Fault f) {
+    void begin(HostFault f) {
         active.put(f.kind(), f);
     }
 
     /** Ends a fault; false if another of its kind has taken its place. */
-    boolean end(Fault f) {
+    boolean end(HostFault f) {
         return active.remove(f.kind(), f);
     }
 
@@ -26,13 +26,13 @@
         active.clear();
     }
 
-    boolean has(Fault.Kind kind) {
+    boolean has(HostFault.Kind kind) {
         return active.containsKey(kind);
     }
 
     /** Whether a fault of this kind meets the request at hand: a draw of chance by its share. */
-    boolean meets(Fault.Kind kind) {
-        Fault f = active.get(kind);
+    boolean meets(HostFault.Kind kind) {
+        HostFault f = active.get(kind);
         return f != null && (f.size() >= 1 || random.nextDouble() < f.size());
     }
 }
--- a/src/main/java/rillyard/standin/AddressView.java
+++ b/src/main/java/rillyard/testserver/AdvertisedAddresses.java
@@ -1,12 +1,12 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 import java.net.InetAddress;
 
 /** Where each caller of discovery is told that a host is: with a relay between them each has its own way there. */
 @FunctionalInterface
-public interface AddressView {
+public interface AdvertisedAddresses {
     /** All are told where the hosts are. */
-    AddressView SAME = (caller, address) -> address;
+    AdvertisedAddresses SAME = (caller, address) -> address;
 
     /**
      * The address to tell.
--- a/src/main/java/rillyard/standin/DiscoveryServer.java
+++ b/src/main/java/rillyard/testserver/DiscoveryServer.java
@@ -1,4 +1,4 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -29,10 +29,10 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
-import rillyard.ledger.Ledger;
-import rillyard.ledger.Told;
-import rillyard.ledger.UnixClock;
-import rillyard.timing.Loops;
+import rillyard.requestlog.RequestLogWriter;
+import rillyard.requestlog.UnixClock;
+import rillyard.requestlog.WatchNotification;
+import rillyard.scheduling.EventLoops;
 
 /** Discovery: the list, and watches on it. All of it on one event loop. */
 final class DiscoveryServer {
@@ -40,16 +40,16 @@
     private static final long BLANK_MS = 2_000;
 
     private final EventLoop loop;
-    private final Catalog catalog;
-    private final Ledger ledger;
-    private final AddressView view;
+    private final EndpointCatalog catalog;
+    private final RequestLogWriter ledger;
+    private final AdvertisedAddresses view;
     private final Set<Watch> watches = new LinkedHashSet<>();
     private Channel listener;
     private long watchers;
     private boolean stale;
     private boolean silent;
 
-    DiscoveryServer(EventLoop loop, Catalog catalog, Ledger ledger, AddressView view) {
+    DiscoveryServer(EventLoop loop, EndpointCatalog catalog, RequestLogWriter ledger, AdvertisedAddresses view) {
         this.loop = loop;
         this.catalog = catalog;
         this.ledger = ledger;
@@ -60,7 +60,7 @@
     InetSocketAddress start(InetSocketAddress at) throws Exception {
         listener = new ServerBootstrap()
                 .group(loop)
-                .channel(Loops.listening())
+                .channel(EventLoops.listening())
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel ch) {
@@ -79,9 +79,9 @@
     }
 
     /** Takes a change over and tells it, unless discovery is stale or silent; to be called on the loop. */
-    void change(Catalog.Entry e) {
-        Catalog.Change c = catalog.change(e);
-        ledger.append(new Told(UnixClock.micros(), 0, e.spec().id(), e.state(), c.version()));
+    void change(EndpointCatalog.Entry e) {
+        EndpointCatalog.Change c = catalog.change(e);
+        ledger.append(new WatchNotification(UnixClock.micros(), 0, e.spec().id(), e.state(), c.version()));
         tell();
     }
 
@@ -92,13 +92,13 @@
     }
 
     /** The entry of a host, or null; to be called on the loop. */
-    Catalog.Entry get(String id) {
+    EndpointCatalog.Entry get(String id) {
         return catalog.get(id);
     }
 
     /** Begins or ends a fault; what was held back is told at its end. To be called on the loop. */
-    void fault(Fault.Kind kind, boolean on) {
-        if (kind == Fault.Kind.DISCOVERY_STALE) {
+    void fault(HostFault.Kind kind, boolean on) {
+        if (kind == HostFault.Kind.DISCOVERY_STALE) {
             stale = on;
         } else {
             silent = on;
@@ -143,8 +143,9 @@
             }
             begun = true;
             write(catalog.since(version, told(channel)));
-            for (Catalog.Entry e : catalog.entriesSince(version)) {
-                ledger.append(new Told(UnixClock.micros(), number, e.spec().id(), e.state(), catalog.version()));
+            for (EndpointCatalog.Entry e : catalog.entriesSince(version)) {
+                ledger.append(new WatchNotification(
+                        UnixClock.micros(), number, e.spec().id(), e.state(), catalog.version()));
             }
             version = catalog.version();
         }
--- a/src/main/java/rillyard/standin/Catalog.java
+++ b/src/main/java/rillyard/testserver/EndpointCatalog.java
@@ -1,4 +1,4 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -10,7 +10,7 @@
 import java.util.function.UnaryOperator;
 
 /** The list of hosts and the changes that made it, by version. Used on discovery's loop only. */
-final class Catalog {
+final class EndpointCatalog {
     /** Changes kept for those that ask for what came after a version; past it they get the whole list. */
     private static final int KEPT = 1_000;
 
@@ -27,7 +27,7 @@
     private long version = 1;
 
     /** The list at the start, which has version 1. */
-    Catalog(List<Entry> initial) {
+    EndpointCatalog(List<Entry> initial) {
         initial.forEach(e -> entries.put(e.spec().id(), e));
     }
 
--- a/src/main/java/rillyard/standin/ControlServer.java
+++ b/src/main/java/rillyard/testserver/FaultControlServer.java
@@ -1,4 +1,4 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -20,27 +20,27 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import rillyard.input.InvalidFileException;
-import rillyard.timing.Loops;
+import rillyard.config.InvalidConfigException;
+import rillyard.scheduling.EventLoops;
 
 /**
  * Faults on demand: {@code POST /faults} takes {@code [[fault]]} tables as a timetable holds them and
  * begins them at once, or says what is wrong with them and begins none. Its answer comes when the last
  * one has begun.
  */
-final class ControlServer {
+final class FaultControlServer {
     private static final int MOST = 64 * 1024;
 
-    private final StandIn standIn;
+    private final TestCluster standIn;
 
-    ControlServer(StandIn standIn) {
+    FaultControlServer(TestCluster standIn) {
         this.standIn = standIn;
     }
 
     InetSocketAddress start(EventLoopGroup loop, InetSocketAddress at) throws Exception {
         return (InetSocketAddress) new ServerBootstrap()
                 .group(loop)
-                .channel(Loops.listening())
+                .channel(EventLoops.listening())
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel ch) {
@@ -61,22 +61,22 @@
                 return;
             }
             try {
-                List<Fault> faults =
-                        StandInPlanReader.faults("faults", r.content().toString(StandardCharsets.UTF_8));
-                for (Fault f : faults) {
+                List<HostFault> faults =
+                        TestClusterPlanReader.faults("faults", r.content().toString(StandardCharsets.UTF_8));
+                for (HostFault f : faults) {
                     if (!f.kind().ofDiscovery() && standIn.address(f.host()) == null) {
                         respond(ctx, HttpResponseStatus.BAD_REQUEST, "no host '" + f.host() + "'\n");
                         return;
                     }
                 }
                 begin(ctx, faults);
-            } catch (InvalidFileException e) {
+            } catch (InvalidConfigException e) {
                 respond(ctx, HttpResponseStatus.BAD_REQUEST, e.getMessage() + "\n");
             }
         }
 
         /** Answers when the last has begun: what the caller sends next may be on another loop. */
-        private void begin(ChannelHandlerContext ctx, List<Fault> faults) {
+        private void begin(ChannelHandlerContext ctx, List<HostFault> faults) {
             PromiseCombiner all = new PromiseCombiner(ctx.executor());
             faults.forEach(f -> all.add(standIn.begin(f)));
             Promise<Void> begun = ctx.executor().newPromise();
--- a/src/main/java/rillyard/standin/HostConnection.java
+++ b/src/main/java/rillyard/testserver/HostConnection.java
@@ -1,4 +1,4 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelFutureListener;
@@ -13,7 +13,7 @@
 import io.netty.util.ReferenceCountUtil;
 import java.io.IOException;
 import java.util.zip.CRC32;
-import rillyard.ledger.RunResult;
+import rillyard.requestlog.ExecutionResult;
 
 /** One connection to a host: it carries one request at a time. */
 final class HostConnection extends ChannelInboundHandlerAdapter {
@@ -124,32 +124,32 @@
         HttpRequest r = head;
         head = null;
         if (r.uri().equals("/ping")) {
-            answer(Answer.text(channel.alloc(), 200, ""));
+            answer(HostResponse.text(channel.alloc(), 200, ""));
             return;
         }
         if (r.uri().equals("/_load")) {
             String load = host.load();
             answer(
                     load == null
-                            ? Answer.status(channel.alloc(), 404, false, false)
-                            : Answer.text(channel.alloc(), 200, load));
+                            ? HostResponse.status(channel.alloc(), 404, false, false)
+                            : HostResponse.text(channel.alloc(), 200, load));
             return;
         }
         HttpHeaders h = r.headers();
         String id = h.get("X-Request-ID");
-        ClassSpec spec = host.fleet().type(type(r.uri()));
+        RequestClassSpec spec = host.fleet().type(type(r.uri()));
         if (id == null || spec == null) {
             refuse(404, false, false);
             return;
         }
         String key = h.get("Idempotency-Key");
-        if (spec.semantics() == ClassSpec.Semantics.DEDUPLICATED && key == null) {
+        if (spec.semantics() == RequestClassSpec.Semantics.DEDUPLICATED && key == null) {
             refuse(400, false, false);
             return;
         }
         long now = host.timers.now();
         long until = now + (long) (timeout(h.get("X-Timeout-Ms"), spec.deadlineMs()) * 1e6);
-        exchange = new Exchange(new Received(id, key, spec, r.uri(), length, crc.getValue(), firstByte, until));
+        exchange = new Exchange(new HostRequest(id, key, spec, r.uri(), length, crc.getValue(), firstByte, until));
         if (turnedAway) {
             exchange.turnAway(503, true);
         } else if (now < readyAt) {
@@ -179,7 +179,7 @@
 
     private void refuse(int status, boolean unseen, boolean close) {
         head = null;
-        var written = channel.writeAndFlush(Answer.status(channel.alloc(), status, unseen, close));
+        var written = channel.writeAndFlush(HostResponse.status(channel.alloc(), status, unseen, close));
         if (close) {
             written.addListener(ChannelFutureListener.CLOSE);
         } else {
@@ -215,17 +215,17 @@
 
     /** One request, from its last byte to the line in the ledger, which it writes exactly once. */
     private final class Exchange {
-        private final Received request;
+        private final HostRequest request;
         private final int attempt;
-        private final HostWork.Job job;
+        private final HostQueue.Job job;
         private boolean fresh;
         private boolean hung;
         private boolean over;
 
-        Exchange(Received request) {
+        Exchange(HostRequest request) {
             this.request = request;
             this.attempt = host.fleet().attempt(request.id());
-            this.job = new HostWork.Job(request.spec().work().draw(host.random) * 1e6) {
+            this.job = new HostQueue.Job(request.spec().work().draw(host.random) * 1e6) {
                 @Override
                 boolean starts() {
                     return Exchange.this.starts();
@@ -242,13 +242,13 @@
             if (over) {
                 return;
             }
-            if (host.faults.meets(Fault.Kind.ERRORS)) {
-                ledger(host.timers.now(), RunResult.ERROR);
-                answer(Answer.status(channel.alloc(), 500, false, false));
-            } else if (request.spec().semantics() != ClassSpec.Semantics.DEDUPLICATED) {
+            if (host.faults.meets(HostFault.Kind.ERRORS)) {
+                ledger(host.timers.now(), ExecutionResult.ERROR);
+                answer(HostResponse.status(channel.alloc(), 500, false, false));
+            } else if (request.spec().semantics() != RequestClassSpec.Semantics.DEDUPLICATED) {
                 offer();
             } else {
-                KeyMemory memory = host.fleet().memory(request.spec(), host.spec);
+                IdempotencyKeyStore memory = host.fleet().memory(request.spec(), host.spec);
                 switch (memory.seen(
                         request.key(), host.timers.now(), () -> host.loop().execute(this::begin))) {
                     case NEW -> {
@@ -256,12 +256,12 @@
                         offer();
                     }
                     case DONE -> {
-                        if (host.faults.meets(Fault.Kind.HANG)) {
+                        if (host.faults.meets(HostFault.Kind.HANG)) {
                             hung = true;
                             return;
                         }
-                        ledger(0, RunResult.REMEMBERED);
-                        answer(Answer.good(channel.alloc(), request, host.spec.id(), host.load()));
+                        ledger(0, ExecutionResult.REMEMBERED);
+                        answer(HostResponse.good(channel.alloc(), request, host.spec.id(), host.load()));
                     }
                     case RUNNING -> {
                         // the answer of the first one is this one's too
@@ -278,7 +278,7 @@
 
         void turnAway(int status, boolean close) {
             forgetKey();
-            ledger(0, RunResult.TURNED_AWAY);
+            ledger(0, ExecutionResult.TURNED_AWAY);
             refuse(status, true, close);
         }
 
@@ -300,19 +300,19 @@
             if (over) {
                 return;
             }
-            if (host.faults.meets(Fault.Kind.HANG)) {
+            if (host.faults.meets(HostFault.Kind.HANG)) {
                 hung = true; // written down when its connection ends, or the stand-in does
-            } else if (host.faults.meets(Fault.Kind.RESET)) {
-                ledger(job.startedAt(), RunResult.RESET);
-                ByteBuf whole = Answer.good(channel.alloc(), request, host.spec.id(), host.load());
+            } else if (host.faults.meets(HostFault.Kind.RESET)) {
+                ledger(job.startedAt(), ExecutionResult.RESET);
+                ByteBuf whole = HostResponse.good(channel.alloc(), request, host.spec.id(), host.load());
                 channel.writeAndFlush(whole.readSlice(whole.readableBytes() / 2))
                         .addListener(f -> reset());
-            } else if (host.faults.meets(Fault.Kind.GARBLE)) {
-                ledger(job.startedAt(), RunResult.GARBLED);
-                channel.writeAndFlush(Answer.spoilt(channel.alloc(), host.random.nextInt()));
+            } else if (host.faults.meets(HostFault.Kind.GARBLE)) {
+                ledger(job.startedAt(), ExecutionResult.GARBLED);
+                channel.writeAndFlush(HostResponse.spoilt(channel.alloc(), host.random.nextInt()));
             } else {
-                ledger(job.startedAt(), RunResult.DONE);
-                answer(Answer.good(channel.alloc(), request, host.spec.id(), host.load()));
+                ledger(job.startedAt(), ExecutionResult.DONE);
+                answer(HostResponse.good(channel.alloc(), request, host.spec.id(), host.load()));
             }
         }
 
@@ -320,20 +320,20 @@
         void left() {
             if (host.work.withdraw(job) || (!job.running() && !hung)) {
                 forgetKey();
-                ledger(0, RunResult.DROPPED);
+                ledger(0, ExecutionResult.DROPPED);
             } else {
-                ledger(job.startedAt(), hung ? RunResult.HUNG : RunResult.LEFT);
+                ledger(job.startedAt(), hung ? ExecutionResult.HUNG : ExecutionResult.LEFT);
             }
         }
 
         void killed() {
             if (hung) {
-                ledger(job.startedAt(), RunResult.HUNG);
+                ledger(job.startedAt(), ExecutionResult.HUNG);
                 return;
             }
             boolean ran = job.running();
             forgetKey(); // what a dead host had not finished had no effect that anybody remembers
-            ledger(ran ? job.startedAt() : 0, ran ? RunResult.KILLED : RunResult.DROPPED);
+            ledger(ran ? job.startedAt() : 0, ran ? ExecutionResult.KILLED : ExecutionResult.DROPPED);
         }
 
         private void forgetKey() {
@@ -343,7 +343,7 @@
             }
         }
 
-        private void ledger(long startedAt, RunResult result) {
+        private void ledger(long startedAt, ExecutionResult result) {
             if (!over) {
                 over = true;
                 host.ran(request, attempt, startedAt, job.work, result);
--- a/src/main/java/rillyard/standin/Fleet.java
+++ b/src/main/java/rillyard/testserver/HostContext.java
@@ -1,27 +1,27 @@
-package rillyard.standin;
+package rillyard.testserver;
 
-import rillyard.ledger.Ledger;
+import rillyard.requestlog.RequestLogWriter;
 
 /** What a host needs of the stand-in it belongs to. */
-interface Fleet {
-    StandInPlan plan();
+interface HostContext {
+    TestClusterPlan plan();
 
-    Ledger ledger();
+    RequestLogWriter ledger();
 
     /** The class of this name, or null. */
-    ClassSpec type(String name);
+    RequestClassSpec type(String name);
 
     /** The memory of keys of a class that a host shares. */
-    KeyMemory memory(ClassSpec type, HostSpec host);
+    IdempotencyKeyStore memory(RequestClassSpec type, HostSpec host);
 
     /** How many times this id has come before, at whatever host. */
     int attempt(String id);
 
     /** The host is to drain, and to stop when the fault's time is up. */
-    void draining(HostServer host, Fault f);
+    void draining(HostServer host, HostFault f);
 
     /** The host has died. */
-    void stopped(HostServer host, Fault f);
+    void stopped(HostServer host, HostFault f);
 
     /** The host listens again. */
     void restarted(HostServer host);
--- a/src/main/java/rillyard/standin/Fault.java
+++ b/src/main/java/rillyard/testserver/HostFault.java
@@ -1,4 +1,4 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 import java.util.Locale;
 
@@ -14,7 +14,8 @@
  *     stopped; below 0 for never
  * @param newId whether that host has a new id
  */
-public record Fault(double atMs, double forMs, Kind kind, String host, double size, double restartMs, boolean newId) {
+public record HostFault(
+        double atMs, double forMs, Kind kind, String host, double size, double restartMs, boolean newId) {
 
     /** What can go wrong. */
     public enum Kind {
--- a/src/main/java/rillyard/standin/HostWork.java
+++ b/src/main/java/rillyard/testserver/HostQueue.java
@@ -1,16 +1,16 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.Set;
-import rillyard.timing.Timers;
+import rillyard.scheduling.Scheduler;
 
 /**
  * The cores of a host and the queue before them: first come, first served. Knows no sockets; runs on
  * whatever clock it is given, on one thread.
  */
-final class HostWork {
+final class HostQueue {
     /** A piece of work. */
     abstract static class Job {
         final double work;
@@ -18,7 +18,7 @@
         private double left;
         private long resumedAt;
         private double rate;
-        private Timers.Timer timer;
+        private Scheduler.ScheduledTask timer;
         private boolean queued;
         private boolean running;
 
@@ -45,7 +45,7 @@
     }
 
     private final HostSpec spec;
-    private final Timers timers;
+    private final Scheduler timers;
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
     private final Set<Job> running = new LinkedHashSet<>();
     private double slow = 1;
@@ -56,7 +56,7 @@
     private long countedAt;
     private long usedFrom;
 
-    HostWork(HostSpec spec, Timers timers) {
+    HostQueue(HostSpec spec, Scheduler timers) {
         this.spec = spec;
         this.timers = timers;
         this.countedAt = timers.now();
--- a/src/main/java/rillyard/standin/Received.java
+++ b/src/main/java/rillyard/testserver/HostRequest.java
@@ -1,4 +1,4 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 /**
  * A request that has come whole.
@@ -12,5 +12,5 @@
  * @param firstByte when its first byte came, nanoseconds of the host's clock
  * @param until when its client stops waiting, on the same clock
  */
-record Received(
-        String id, String key, ClassSpec spec, String path, long length, long crc, long firstByte, long until) {}
+record HostRequest(
+        String id, String key, RequestClassSpec spec, String path, long length, long crc, long firstByte, long until) {}
--- a/src/main/java/rillyard/standin/Answer.java
+++ b/src/main/java/rillyard/testserver/HostResponse.java
@@ -1,4 +1,4 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
@@ -12,18 +12,18 @@
  *
  * and is filled up with spaces to the size that the class asks for.
  */
-public final class Answer {
+public final class HostResponse {
     private static final byte[] NOISE =
             "\u0001\u0002 this is no answer \u0003\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
-    private Answer() {}
+    private HostResponse() {}
 
     /** The body of a good answer. */
     public static String body(String id, String host, long length, long crc) {
         return "id=" + id + " host=" + host + " len=" + length + " crc=" + Long.toHexString(crc);
     }
 
-    static ByteBuf good(ByteBufAllocator alloc, Received r, String host, String load) {
+    static ByteBuf good(ByteBufAllocator alloc, HostRequest r, String host, String load) {
         String body = body(r.id(), host, r.length(), r.crc());
         int size = Math.max(body.length(), r.spec().answerBytes());
         String head = "HTTP/1.1 200 OK\r\nContent-Length: " + size + "\r\n"
--- a/src/main/java/rillyard/standin/HostServer.java
+++ b/src/main/java/rillyard/testserver/HostServer.java
@@ -1,4 +1,4 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -17,13 +17,13 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import rillyard.ledger.HostNews;
-import rillyard.ledger.HostRun;
-import rillyard.ledger.RunResult;
-import rillyard.ledger.UnixClock;
-import rillyard.timing.LoopTimers;
-import rillyard.timing.Loops;
-import rillyard.timing.Timers;
+import rillyard.requestlog.ExecutionResult;
+import rillyard.requestlog.HostEvent;
+import rillyard.requestlog.HostExecution;
+import rillyard.requestlog.UnixClock;
+import rillyard.scheduling.EventLoopScheduler;
+import rillyard.scheduling.EventLoops;
+import rillyard.scheduling.Scheduler;
 
 /** One host: its listener, its connections, its work, its faults. All of it on one event loop. */
 final class HostServer {
@@ -32,11 +32,11 @@
 
     final HostSpec spec;
     final SplittableRandom random;
-    final HostFaults faults;
-    final HostWork work;
-    final Timers timers;
+    final ActiveFaults faults;
+    final HostQueue work;
+    final Scheduler timers;
     private final EventLoop loop;
-    private final Fleet fleet;
+    private final HostContext fleet;
     private final Set<HostConnection> connections = new LinkedHashSet<>();
     private Channel listener;
     private InetSocketAddress address;
@@ -45,21 +45,21 @@
     private long loadAt;
     private Future<?> sweeping;
 
-    HostServer(HostSpec spec, EventLoop loop, Fleet fleet, long seed) {
+    HostServer(HostSpec spec, EventLoop loop, HostContext fleet, long seed) {
         this.spec = spec;
         this.loop = loop;
         this.fleet = fleet;
-        this.timers = new LoopTimers(loop);
+        this.timers = new EventLoopScheduler(loop);
         this.random = new SplittableRandom(seed);
-        this.faults = new HostFaults(random.split());
-        this.work = new HostWork(spec, timers);
+        this.faults = new ActiveFaults(random.split());
+        this.work = new HostQueue(spec, timers);
     }
 
     EventLoop loop() {
         return loop;
     }
 
-    Fleet fleet() {
+    HostContext fleet() {
         return fleet;
     }
 
@@ -92,7 +92,7 @@
     private ChannelFuture listen(InetSocketAddress at) {
         return new ServerBootstrap()
                 .group(loop)
-                .channel(Loops.listening())
+                .channel(EventLoops.listening())
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.SO_BACKLOG, 1_024)
                 .childOption(ChannelOption.TCP_NODELAY, true)
@@ -112,10 +112,10 @@
             sweeping = loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
         }
         fleet.ledger()
-                .append(new HostNews(
+                .append(new HostEvent(
                         UnixClock.micros(),
                         spec.id(),
-                        HostNews.What.STARTED,
+                        HostEvent.Kind.STARTED,
                         null,
                         spec.cores() * spec.speed(),
                         cold ? spec.startShare() : 1,
@@ -131,13 +131,13 @@
         if (!full && spec.handshakeWorkMs() > 0) {
             work.force(handshake());
         }
-        if (faults.has(Fault.Kind.PAUSE)) {
+        if (faults.has(HostFault.Kind.PAUSE)) {
             ch.config().setAutoRead(false);
         }
     }
 
-    private HostWork.Job handshake() {
-        return new HostWork.Job(spec.handshakeWorkMs() * 1e6) {
+    private HostQueue.Job handshake() {
+        return new HostQueue.Job(spec.handshakeWorkMs() * 1e6) {
             @Override
             boolean starts() {
                 return true;
@@ -150,8 +150,8 @@
 
     // --- faults; all on the loop
 
-    void begin(Fault f) {
-        fleet.ledger().append(new HostNews(UnixClock.micros(), spec.id(), HostNews.What.FAULT, f.words()));
+    void begin(HostFault f) {
+        fleet.ledger().append(new HostEvent(UnixClock.micros(), spec.id(), HostEvent.Kind.FAULT, f.words()));
         switch (f.kind()) {
             case PAUSE -> {
                 faults.begin(f);
@@ -166,20 +166,20 @@
             case DRAIN -> fleet.draining(this, f);
             default -> faults.begin(f);
         }
-        if (f.forMs() > 0 && f.kind() != Fault.Kind.KILL && f.kind() != Fault.Kind.DRAIN) {
+        if (f.forMs() > 0 && f.kind() != HostFault.Kind.KILL && f.kind() != HostFault.Kind.DRAIN) {
             timers.after((long) (f.forMs() * 1e6), () -> end(f));
         }
     }
 
-    private void end(Fault f) {
+    private void end(HostFault f) {
         if (!faults.end(f)) {
             return;
         }
-        fleet.ledger().append(new HostNews(UnixClock.micros(), spec.id(), HostNews.What.FAULT_ENDED, f.words()));
-        if (f.kind() == Fault.Kind.PAUSE) {
+        fleet.ledger().append(new HostEvent(UnixClock.micros(), spec.id(), HostEvent.Kind.FAULT_ENDED, f.words()));
+        if (f.kind() == HostFault.Kind.PAUSE) {
             work.resume();
             reading(true);
-        } else if (f.kind() == Fault.Kind.SLOW) {
+        } else if (f.kind() == HostFault.Kind.SLOW) {
             work.slow(1);
         }
     }
@@ -193,23 +193,23 @@
         }
     }
 
-    private void kill(Fault f) {
+    private void kill(HostFault f) {
         if (!up) {
             return;
         }
-        down(HostNews.What.KILLED);
+        down(HostEvent.Kind.KILLED);
         fleet.stopped(this, f);
     }
 
     /** Ends the host: its listener, its connections, what it runs. */
-    void down(HostNews.What how) {
+    void down(HostEvent.Kind how) {
         if (!up) {
             return;
         }
         up = false;
         sweeping.cancel(false);
         sweeping = null;
-        fleet.ledger().append(new HostNews(UnixClock.micros(), spec.id(), how, null));
+        fleet.ledger().append(new HostEvent(UnixClock.micros(), spec.id(), how, null));
         listener.close();
         for (HostConnection c : new ArrayList<>(connections)) {
             c.kill();
@@ -239,7 +239,7 @@
     }
 
     private void sweep() {
-        if (!faults.has(Fault.Kind.PAUSE)) {
+        if (!faults.has(HostFault.Kind.PAUSE)) {
             for (HostConnection c : new ArrayList<>(connections)) {
                 c.closeIfIdle((long) (spec.idleMs() * 1e6));
             }
@@ -275,9 +275,9 @@
     }
 
     /** Writes down what became of a request; {@code startedAt} 0 if it never ran. */
-    void ran(Received r, int attempt, long startedAt, double workNanos, RunResult result) {
+    void ran(HostRequest r, int attempt, long startedAt, double workNanos, ExecutionResult result) {
         fleet.ledger()
-                .append(new HostRun(
+                .append(new HostExecution(
                         r.id(),
                         r.key(),
                         r.spec().name(),
--- a/src/main/java/rillyard/standin/HostSpec.java
+++ b/src/main/java/rillyard/testserver/HostSpec.java
@@ -1,4 +1,4 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 /**
  * What a host can do.
--- a/src/main/java/rillyard/standin/KeyMemory.java
+++ b/src/main/java/rillyard/testserver/IdempotencyKeyStore.java
@@ -1,4 +1,4 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 import java.util.ArrayList;
 import java.util.Iterator;
@@ -12,7 +12,7 @@
  * the threads of several hosts. Keys past their window make room, so that it holds as many as come
  * within one.
  */
-final class KeyMemory {
+final class IdempotencyKeyStore {
     private static final class Entry {
         final long until;
         boolean done;
@@ -25,7 +25,7 @@
 
     /** What a key is to a host that receives it. */
     enum Known {
-        /** New: the request runs, and {@link KeyMemory#done} is to follow. */
+        /** New: the request runs, and {@link IdempotencyKeyStore#done} is to follow. */
         NEW,
         /** Answered before. */
         DONE,
@@ -37,7 +37,7 @@
     private final Map<String, Entry> keys = new LinkedHashMap<>();
 
     /** {@code window} in ns. */
-    KeyMemory(long window) {
+    IdempotencyKeyStore(long window) {
         this.window = window;
     }
 
--- a/src/main/java/rillyard/standin/ReadyFile.java
+++ b/src/main/java/rillyard/testserver/ReadyFile.java
@@ -1,4 +1,4 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -15,7 +15,10 @@
     private ReadyFile() {}
 
     static ObjectNode of(
-            StandInPlan plan, List<Catalog.Entry> entries, InetSocketAddress discovery, InetSocketAddress control) {
+            TestClusterPlan plan,
+            List<EndpointCatalog.Entry> entries,
+            InetSocketAddress discovery,
+            InetSocketAddress control) {
         ObjectNode root = JSON.createObjectNode();
         root.put("name", "n0")
                 .put("listen", "127.0.0.1:0")
@@ -30,22 +33,22 @@
         return root;
     }
 
-    private static JsonNode list(List<Catalog.Entry> entries) {
+    private static JsonNode list(List<EndpointCatalog.Entry> entries) {
         try {
-            return JSON.readTree(new Catalog(entries).all(UnaryOperator.identity()));
+            return JSON.readTree(new EndpointCatalog(entries).all(UnaryOperator.identity()));
         } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
             throw new IllegalStateException(e); // never: it was made as JSON
         }
     }
 
-    private static ObjectNode settings(StandInPlan plan) {
+    private static ObjectNode settings(TestClusterPlan plan) {
         ObjectNode s = JSON.createObjectNode();
         s.put("balancers", 1).put("position", 0).put("membershipMode", "automatic");
         s.put("zone", plan.hosts().get(0).zone());
         ArrayNode zones = s.putArray("zones");
         plan.hosts().stream().map(HostSpec::zone).distinct().forEach(zones::add);
         ArrayNode classes = s.putArray("classes");
-        for (ClassSpec c : plan.classes()) {
+        for (RequestClassSpec c : plan.classes()) {
             classes.addObject()
                     .put("name", c.name())
                     .put("aim", c.aimMs())
@@ -56,7 +59,7 @@
                     .put("value", c.worth());
         }
         HostSpec first = plan.hosts().get(0);
-        StandInPlan.Rules r = plan.rules();
+        TestClusterPlan.Rules r = plan.rules();
         s.putObject("limits")
                 .put("cancel", true)
                 .put("connIdle", first.idleMs())
--- a/src/main/java/rillyard/standin/ClassSpec.java
+++ b/src/main/java/rillyard/testserver/RequestClassSpec.java
@@ -1,4 +1,4 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 import java.util.Locale;
 
@@ -15,7 +15,7 @@
  * @param work its work
  * @param answerBytes size of an answer
  */
-public record ClassSpec(
+public record RequestClassSpec(
         String name,
         Semantics semantics,
         Scope scope,
--- a/src/main/java/rillyard/standin/ServiceTime.java
+++ b/src/main/java/rillyard/testserver/ServiceTime.java
@@ -1,4 +1,4 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 import java.util.Arrays;
 import java.util.random.RandomGenerator;
--- a/src/main/java/rillyard/standin/StandIn.java
+++ b/src/main/java/rillyard/testserver/TestCluster.java
@@ -1,4 +1,4 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.netty.channel.EventLoop;
@@ -14,13 +14,13 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
-import rillyard.ledger.HostNews;
-import rillyard.ledger.Ledger;
-import rillyard.ledger.UnixClock;
-import rillyard.timing.Loops;
+import rillyard.requestlog.HostEvent;
+import rillyard.requestlog.RequestLogWriter;
+import rillyard.requestlog.UnixClock;
+import rillyard.scheduling.EventLoops;
 
 /** Hosts, discovery and a control port, all in this process, until it is closed. */
-public final class StandIn implements AutoCloseable {
+public final class TestCluster implements AutoCloseable {
     /** Ids whose attempts are counted; the oldest make room. */
     private static final int IDS = 65_536;
 
@@ -29,16 +29,16 @@
 
     private static final long LOOK_MS = 10;
 
-    private final StandInPlan plan;
-    private final Ledger ledger;
-    private final AddressView view;
+    private final TestClusterPlan plan;
+    private final RequestLogWriter ledger;
+    private final AdvertisedAddresses view;
     private final PrintStream errors;
     private final InetSocketAddress listen;
     private final EventLoopGroup loops;
-    private final EventLoopGroup control = Loops.group(1, "stand-in-control");
-    private final Map<String, ClassSpec> classes = new HashMap<>();
+    private final EventLoopGroup control = EventLoops.group(1, "stand-in-control");
+    private final Map<String, RequestClassSpec> classes = new HashMap<>();
     private final Map<String, HostServer> hosts = new ConcurrentHashMap<>();
-    private final Map<String, KeyMemory> memories = new ConcurrentHashMap<>();
+    private final Map<String, IdempotencyKeyStore> memories = new ConcurrentHashMap<>();
     private final Map<String, Integer> attempts = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
@@ -48,7 +48,7 @@
         }
     };
     private final SplittableRandom seeds;
-    private final Fleet fleet = new Belongings();
+    private final HostContext fleet = new Belongings();
     private DiscoveryServer discovery;
     private InetSocketAddress discoveryAddress;
     private InetSocketAddress controlAddress;
@@ -62,24 +62,25 @@
      * @param threads event loops for the hosts
      * @param errors where failures of our own code go
      */
-    public StandIn(StandInPlan plan, InetSocketAddress listen, int threads, Ledger ledger, PrintStream errors) {
-        this(plan, listen, threads, ledger, errors, AddressView.SAME);
+    public TestCluster(
+            TestClusterPlan plan, InetSocketAddress listen, int threads, RequestLogWriter ledger, PrintStream errors) {
+        this(plan, listen, threads, ledger, errors, AdvertisedAddresses.SAME);
     }
 
     /** As above, with addresses told to each caller as {@code view} has them. */
-    public StandIn(
-            StandInPlan plan,
+    public TestCluster(
+            TestClusterPlan plan,
             InetSocketAddress listen,
             int threads,
-            Ledger ledger,
+            RequestLogWriter ledger,
             PrintStream errors,
-            AddressView view) {
+            AdvertisedAddresses view) {
         this.plan = plan;
         this.view = view;
         this.listen = listen;
         this.ledger = ledger;
         this.errors = errors;
-        this.loops = Loops.group(threads, "stand-in");
+        this.loops = EventLoops.group(threads, "stand-in");
         this.seeds = new SplittableRandom(plan.seed());
         plan.classes().forEach(c -> classes.put(c.name(), c));
     }
@@ -92,15 +93,15 @@
     public void start() throws Exception {
         try {
             InetSocketAddress any = new InetSocketAddress(listen.getAddress(), 0);
-            List<Catalog.Entry> entries = new ArrayList<>();
+            List<EndpointCatalog.Entry> entries = new ArrayList<>();
             for (HostSpec s : plan.hosts()) {
                 HostServer h = host(s, loops.next());
                 h.start(any, s.startsCold());
                 entries.add(entry(h, "up", s.startsCold()));
             }
-            discovery = new DiscoveryServer(control.next(), new Catalog(entries), ledger, view);
+            discovery = new DiscoveryServer(control.next(), new EndpointCatalog(entries), ledger, view);
             discoveryAddress = discovery.start(listen);
-            controlAddress = new ControlServer(this).start(control, any);
+            controlAddress = new FaultControlServer(this).start(control, any);
         } catch (Exception e) {
             close();
             throw e;
@@ -118,11 +119,11 @@
         return h;
     }
 
-    private void plan(Fault f) {
+    private void plan(HostFault f) {
         control.next().schedule(() -> timely(f), (long) (f.atMs() * 1e6), TimeUnit.NANOSECONDS);
     }
 
-    private void timely(Fault f) {
+    private void timely(HostFault f) {
         begin(f).addListener((Future<Object> begun) -> {
             if (!begun.isSuccess()) {
                 errors.println("rillyard: the fault " + f.words() + " has not begun: "
@@ -137,7 +138,7 @@
      * @return done once it has begun, on the loop of its host or of discovery: what is read there later
      *     meets it. Fails with {@link IllegalArgumentException} if there is no such host
      */
-    public Future<?> begin(Fault f) {
+    public Future<?> begin(HostFault f) {
         if (f.kind().ofDiscovery()) {
             return discovery.loop().submit(() -> discoveryFault(f));
         }
@@ -147,8 +148,8 @@
                 : h.loop().submit(() -> h.begin(f));
     }
 
-    private void discoveryFault(Fault f) {
-        note(HostNews.What.FAULT, f);
+    private void discoveryFault(HostFault f) {
+        note(HostEvent.Kind.FAULT, f);
         discovery.fault(f.kind(), true);
         if (f.forMs() > 0) {
             discovery
@@ -156,20 +157,20 @@
                     .schedule(
                             () -> {
                                 discovery.fault(f.kind(), false);
-                                note(HostNews.What.FAULT_ENDED, f);
+                                note(HostEvent.Kind.FAULT_ENDED, f);
                             },
                             (long) (f.forMs() * 1e6),
                             TimeUnit.NANOSECONDS);
         }
     }
 
-    private void note(HostNews.What what, Fault f) {
-        ledger.append(new HostNews(UnixClock.micros(), "discovery", what, f.words()));
+    private void note(HostEvent.Kind what, HostFault f) {
+        ledger.append(new HostEvent(UnixClock.micros(), "discovery", what, f.words()));
     }
 
-    private static Catalog.Entry entry(HostServer h, String state, boolean started) {
+    private static EndpointCatalog.Entry entry(HostServer h, String state, boolean started) {
         InetSocketAddress a = h.address();
-        return new Catalog.Entry(
+        return new EndpointCatalog.Entry(
                 h.spec,
                 a.getAddress().getHostAddress() + ":" + a.getPort(),
                 state,
@@ -178,20 +179,20 @@
 
     /** Has discovery hear of a host's state after its notice. */
     private void hear(HostServer h, String state, boolean started) {
-        Catalog.Entry e = entry(h, state, started);
+        EndpointCatalog.Entry e = entry(h, state, started);
         discovery
                 .loop()
                 .schedule(
                         () -> {
-                            Catalog.Entry had = discovery.get(e.spec().id());
+                            EndpointCatalog.Entry had = discovery.get(e.spec().id());
                             long since = started || had == null ? e.startedMs() : had.startedMs();
-                            discovery.change(new Catalog.Entry(e.spec(), e.address(), state, since));
+                            discovery.change(new EndpointCatalog.Entry(e.spec(), e.address(), state, since));
                         },
                         (long) (plan.noticeMs() * 1e6),
                         TimeUnit.NANOSECONDS);
     }
 
-    private void stop(HostServer h, Fault f, long until) {
+    private void stop(HostServer h, HostFault f, long until) {
         if (!h.up()) {
             return;
         }
@@ -200,11 +201,11 @@
             h.timers.after(LOOK_MS * 1_000_000, () -> stop(h, f, until));
             return;
         }
-        h.down(HostNews.What.STOPPED);
+        h.down(HostEvent.Kind.STOPPED);
         fleet.stopped(h, f);
     }
 
-    private void replace(HostServer h, Fault f) {
+    private void replace(HostServer h, HostFault f) {
         if (closed) {
             return;
         }
@@ -231,7 +232,7 @@
     }
 
     /** What is to be had from it. */
-    public StandInPlan plan() {
+    public TestClusterPlan plan() {
         return plan;
     }
 
@@ -251,7 +252,7 @@
      * {@code --ready-file} holds, with {@code hosts} and {@code control} besides.
      */
     public ObjectNode ready() {
-        List<Catalog.Entry> entries = new ArrayList<>();
+        List<EndpointCatalog.Entry> entries = new ArrayList<>();
         for (HostSpec s : plan.hosts()) {
             HostServer h = hosts.get(s.id());
             if (h != null) {
@@ -269,31 +270,31 @@
         }
         closed = true;
         for (HostServer h : hosts.values()) {
-            h.loop().submit(() -> h.down(HostNews.What.STOPPED)).syncUninterruptibly();
+            h.loop().submit(() -> h.down(HostEvent.Kind.STOPPED)).syncUninterruptibly();
         }
         loops.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS).syncUninterruptibly();
         control.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS).syncUninterruptibly();
         ledger.flush();
     }
 
-    private final class Belongings implements Fleet {
+    private final class Belongings implements HostContext {
         @Override
-        public StandInPlan plan() {
+        public TestClusterPlan plan() {
             return plan;
         }
 
         @Override
-        public Ledger ledger() {
+        public RequestLogWriter ledger() {
             return ledger;
         }
 
         @Override
-        public ClassSpec type(String name) {
+        public RequestClassSpec type(String name) {
             return classes.get(name);
         }
 
         @Override
-        public KeyMemory memory(ClassSpec type, HostSpec host) {
+        public IdempotencyKeyStore memory(RequestClassSpec type, HostSpec host) {
             String group =
                     switch (type.scope()) {
                         case ALL -> "";
@@ -301,7 +302,7 @@
                         case CELL -> Long.toString(host.cell());
                     };
             return memories.computeIfAbsent(
-                    type.name() + "/" + group, k -> new KeyMemory((long) (type.windowMs() * 1e6)));
+                    type.name() + "/" + group, k -> new IdempotencyKeyStore((long) (type.windowMs() * 1e6)));
         }
 
         @Override
@@ -312,14 +313,14 @@
         }
 
         @Override
-        public void draining(HostServer h, Fault f) {
-            ledger.append(new HostNews(UnixClock.micros(), h.spec.id(), HostNews.What.DRAINING, null));
+        public void draining(HostServer h, HostFault f) {
+            ledger.append(new HostEvent(UnixClock.micros(), h.spec.id(), HostEvent.Kind.DRAINING, null));
             hear(h, "draining", false);
             h.timers.after((long) (f.forMs() * 1e6), () -> stop(h, f, h.timers.now() + STOP_MS * 1_000_000));
         }
 
         @Override
-        public void stopped(HostServer h, Fault f) {
+        public void stopped(HostServer h, HostFault f) {
             hear(h, "removed", false);
             if (f.restartMs() >= 0) {
                 h.timers.after((long) (f.restartMs() * 1e6), () -> replace(h, f));
--- a/src/main/java/rillyard/standin/StandInPlan.java
+++ b/src/main/java/rillyard/testserver/TestClusterPlan.java
@@ -1,4 +1,4 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 import java.util.List;
 
@@ -14,18 +14,18 @@
  * @param rules figures of the rules, for the proxy's settings and the auditor
  * @param faults what goes wrong, in the order of its times
  */
-public record StandInPlan(
+public record TestClusterPlan(
         long seed,
         List<HostSpec> hosts,
-        List<ClassSpec> classes,
+        List<RequestClassSpec> classes,
         List<String> reportFields,
         double reportPeriodMs,
         double noticeMs,
         Rules rules,
-        List<Fault> faults) {
+        List<HostFault> faults) {
 
     /** Copies the lists. */
-    public StandInPlan {
+    public TestClusterPlan {
         hosts = List.copyOf(hosts);
         classes = List.copyOf(classes);
         reportFields = List.copyOf(reportFields);
--- a/src/main/java/rillyard/standin/StandInPlanReader.java
+++ b/src/main/java/rillyard/testserver/TestClusterPlanReader.java
@@ -1,4 +1,4 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -6,11 +6,11 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import rillyard.input.InvalidFileException;
-import rillyard.input.TomlTable;
+import rillyard.config.InvalidConfigException;
+import rillyard.config.TomlTable;
 
 /** Reads a timetable: hosts, classes, rules and faults, in TOML. What is left out has its default. */
-public final class StandInPlanReader {
+public final class TestClusterPlanReader {
     private static final HostSpec DEFAULT =
             new HostSpec("", "z1", "std", 0, 4, 1, 64, 1_000, 0, 0, 60_000, 8_000, 0.3, false);
 
@@ -25,13 +25,13 @@
         TABLE
     }
 
-    private StandInPlanReader() {}
+    private TestClusterPlanReader() {}
 
     /** The plan without a file: so many hosts in cells of four, three classes, no faults. */
-    public static StandInPlan standard(int hosts) {
+    public static TestClusterPlan standard(int hosts) {
         try {
             return read(TomlTable.parse("standard", ""), hosts);
-        } catch (InvalidFileException e) {
+        } catch (InvalidConfigException e) {
             throw new IllegalStateException(e); // never: there is nothing to read
         }
     }
@@ -40,36 +40,36 @@
      * Reads a file.
      *
      * @param hosts how many hosts there are if the file names none; 0 leaves that to the file
-     * @throws InvalidFileException with all findings
+     * @throws InvalidConfigException with all findings
      */
-    public static StandInPlan read(Path file, int hosts) throws InvalidFileException {
+    public static TestClusterPlan read(Path file, int hosts) throws InvalidConfigException {
         return read(TomlTable.read(file), hosts);
     }
 
     /** Reads a text; {@code name} stands for it in findings. */
-    public static StandInPlan parse(String name, String text, int hosts) throws InvalidFileException {
+    public static TestClusterPlan parse(String name, String text, int hosts) throws InvalidConfigException {
         return read(TomlTable.parse(name, text), hosts);
     }
 
     /** Reads faults alone, whose hosts the caller has to know. */
-    static List<Fault> faults(String name, String text) throws InvalidFileException {
+    static List<HostFault> faults(String name, String text) throws InvalidConfigException {
         TomlTable root = TomlTable.parse(name, text);
-        List<Fault> faults = faults(root, null);
+        List<HostFault> faults = faults(root, null);
         root.finish();
         return faults;
     }
 
-    private static StandInPlan read(TomlTable root, int count) throws InvalidFileException {
+    private static TestClusterPlan read(TomlTable root, int count) throws InvalidConfigException {
         long seed = root.whole("seed", 1, 0, Long.MAX_VALUE);
         List<HostSpec> hosts = hosts(root, count);
-        List<ClassSpec> classes = classes(root);
+        List<RequestClassSpec> classes = classes(root);
         TomlTable discovery = root.table("discovery");
         double notice = discovery.number("notice_ms", 100, 0, 60_000);
         TomlTable report = root.table("report");
         List<String> fields = fields(report);
         double period = report.number("period_ms", 100, 0, 60_000);
         TomlTable r = root.table("rules");
-        StandInPlan.Rules rules = new StandInPlan.Rules(
+        TestClusterPlan.Rules rules = new TestClusterPlan.Rules(
                 r.number("drain_grace_ms", 500, 0, 60_000),
                 r.number("fall_ms", 1_500, 1, 60_000),
                 r.number("fall_multiple", 3, 1, 100),
@@ -77,9 +77,9 @@
                 (int) r.whole("max_attempts", 6, 1, 100));
         Set<String> ids = new HashSet<>();
         hosts.forEach(h -> ids.add(h.id()));
-        List<Fault> faults = faults(root, ids);
+        List<HostFault> faults = faults(root, ids);
         root.finish();
-        return new StandInPlan(seed, hosts, classes, fields, period, notice, rules, faults);
+        return new TestClusterPlan(seed, hosts, classes, fields, period, notice, rules, faults);
     }
 
     private static List<String> fields(TomlTable report) {
@@ -160,8 +160,8 @@
                 t.flag("starts_cold", d.startsCold()));
     }
 
-    private static List<ClassSpec> classes(TomlTable root) {
-        List<ClassSpec> out = new ArrayList<>();
+    private static List<RequestClassSpec> classes(TomlTable root) {
+        List<RequestClassSpec> out = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (TomlTable t : root.tables("class")) {
             String name = t.text("name");
@@ -175,10 +175,10 @@
             if (deadline < aim) {
                 t.error("deadline_ms", "found " + deadline + ", expected no less than aim_ms, " + aim);
             }
-            out.add(new ClassSpec(
+            out.add(new RequestClassSpec(
                     name,
-                    t.choice("semantics", ClassSpec.Semantics.class, ClassSpec.Semantics.AT_MOST_ONCE),
-                    t.choice("scope", ClassSpec.Scope.class, ClassSpec.Scope.CELL),
+                    t.choice("semantics", RequestClassSpec.Semantics.class, RequestClassSpec.Semantics.AT_MOST_ONCE),
+                    t.choice("scope", RequestClassSpec.Scope.class, RequestClassSpec.Scope.CELL),
                     aim,
                     deadline,
                     t.number("window_ms", 750, 0, 3_600_000),
@@ -189,14 +189,39 @@
         return out.isEmpty() ? standardClasses() : out;
     }
 
-    private static List<ClassSpec> standardClasses() {
+    private static List<RequestClassSpec> standardClasses() {
         ServiceTime work = new ServiceTime.Lognormal(12, 0.6);
         return List.of(
-                new ClassSpec("list", ClassSpec.Semantics.IDEMPOTENT, ClassSpec.Scope.ALL, 400, 800, 0, 1, work, 1_024),
-                new ClassSpec(
-                        "log", ClassSpec.Semantics.DEDUPLICATED, ClassSpec.Scope.CELL, 400, 1_200, 750, 5, work, 128),
-                new ClassSpec(
-                        "claim", ClassSpec.Semantics.AT_MOST_ONCE, ClassSpec.Scope.ALL, 400, 800, 0, 8, work, 128));
+                new RequestClassSpec(
+                        "list",
+                        RequestClassSpec.Semantics.IDEMPOTENT,
+                        RequestClassSpec.Scope.ALL,
+                        400,
+                        800,
+                        0,
+                        1,
+                        work,
+                        1_024),
+                new RequestClassSpec(
+                        "log",
+                        RequestClassSpec.Semantics.DEDUPLICATED,
+                        RequestClassSpec.Scope.CELL,
+                        400,
+                        1_200,
+                        750,
+                        5,
+                        work,
+                        128),
+                new RequestClassSpec(
+                        "claim",
+                        RequestClassSpec.Semantics.AT_MOST_ONCE,
+                        RequestClassSpec.Scope.ALL,
+                        400,
+                        800,
+                        0,
+                        8,
+                        work,
+                        128));
     }
 
     private static ServiceTime work(TomlTable t) {
@@ -215,10 +240,10 @@
         };
     }
 
-    private static List<Fault> faults(TomlTable root, Set<String> ids) {
-        List<Fault> out = new ArrayList<>();
+    private static List<HostFault> faults(TomlTable root, Set<String> ids) {
+        List<HostFault> out = new ArrayList<>();
         for (TomlTable t : root.tables("fault")) {
-            Fault.Kind kind = t.choice("kind", Fault.Kind.class, Fault.Kind.HANG);
+            HostFault.Kind kind = t.choice("kind", HostFault.Kind.class, HostFault.Kind.HANG);
             if (!t.has("kind")) {
                 t.error("kind", "is missing, expected what goes wrong");
             }
@@ -226,12 +251,12 @@
             if (!host.isEmpty() && ids != null && !ids.contains(host)) {
                 t.error("host", "there is no host '" + host + "'");
             }
-            boolean slow = kind == Fault.Kind.SLOW;
+            boolean slow = kind == HostFault.Kind.SLOW;
             double forMs = 1_000 * t.number("for_s", 0, 0, 86_400);
-            if (kind == Fault.Kind.PAUSE && forMs == 0) {
+            if (kind == HostFault.Kind.PAUSE && forMs == 0) {
                 t.error("for_s", "expected how long the pause lasts, above 0");
             }
-            out.add(new Fault(
+            out.add(new HostFault(
                     1_000 * t.number("at_s", 0, 0, 86_400),
                     forMs,
                     kind,
@@ -240,7 +265,7 @@
                     1_000 * t.number("restart_s", -0.001, -0.001, 86_400),
                     t.flag("new_id", false)));
         }
-        out.sort(Comparator.comparingDouble(Fault::atMs));
+        out.sort(Comparator.comparingDouble(HostFault::atMs));
         return out;
     }
 }
--- a/src/main/java/rillyard/standin/package-info.java
+++ b/src/main/java/rillyard/testserver/package-info.java
@@ -3,4 +3,4 @@
  * protocol, take as long as they are told to, fail on a timetable, and write down all that they ran.
  * Nothing in the proxy may use this package.
  */
-package rillyard.standin;
+package rillyard.testserver;
--- a/src/main/java/rillyard/trace/Trace.java
+++ b/src/main/java/rillyard/trace/ProxyTrace.java
@@ -7,34 +7,34 @@
  * as a log line for each attempt, so it is for finding causes and not for service. Not safe for use from
  * several threads at once.
  */
-public final class Trace {
+public final class ProxyTrace {
     /** The property that asks for it, by {@code true}; without it nothing of this package is loaded. */
     public static final String PROPERTY = "rillyard.trace";
 
     private final PrintStream out;
 
     /** Lines go to {@code out}, which flushes each of them: a killed process keeps what it wrote. */
-    public Trace(PrintStream out) {
+    public ProxyTrace(PrintStream out) {
         this.out = out;
-        write(TraceLine.What.STARTED, TraceLine.NONE, TraceLine.NONE, 0, false);
+        write(TraceEvent.Kind.STARTED, TraceEvent.NONE, TraceEvent.NONE, 0, false);
     }
 
-    /** Something that concerns a host, or {@link TraceLine#NONE}, and has no result of its own. */
-    public void did(TraceLine.What what, String host) {
-        write(what, host, TraceLine.NONE, 0, false);
+    /** Something that concerns a host, or {@link TraceEvent#NONE}, and has no result of its own. */
+    public void did(TraceEvent.Kind what, String host) {
+        write(what, host, TraceEvent.NONE, 0, false);
     }
 
     /** An attempt has ended, {@code spent} ms after it was sent to a host that was cold then, or not. */
     public void attempt(String host, Enum<?> result, double spent, boolean cold) {
-        write(TraceLine.What.ATTEMPT, host, result.name(), Math.round(spent), cold);
+        write(TraceEvent.Kind.ATTEMPT, host, result.name(), Math.round(spent), cold);
     }
 
     /** A request got its final answer from this proxy; {@code last} is null where nothing was sent. */
-    public void ended(TraceLine.What what, Enum<?> last) {
-        write(what, TraceLine.NONE, last == null ? TraceLine.NONE : last.name(), 0, false);
+    public void ended(TraceEvent.Kind what, Enum<?> last) {
+        write(what, TraceEvent.NONE, last == null ? TraceEvent.NONE : last.name(), 0, false);
     }
 
-    private void write(TraceLine.What what, String host, String how, long spent, boolean cold) {
-        out.println(new TraceLine(System.currentTimeMillis(), what, host, how, spent, cold).text());
+    private void write(TraceEvent.Kind what, String host, String how, long spent, boolean cold) {
+        out.println(new TraceEvent(System.currentTimeMillis(), what, host, how, spent, cold).text());
     }
 }
--- a/src/main/java/rillyard/trace/TraceLine.java
+++ b/src/main/java/rillyard/trace/TraceEvent.java
@@ -13,7 +13,7 @@
  * @param spent how long (ms) it took, where that is of interest
  * @param cold whether the host was cold when the work was sent
  */
-public record TraceLine(long at, What what, String host, String how, long spent, boolean cold) {
+public record TraceEvent(long at, Kind what, String host, String how, long spent, boolean cold) {
     /** No host, or nothing to tell. */
     public static final String NONE = "-";
 
@@ -25,7 +25,7 @@
     private static final Pattern SPACE = Pattern.compile("[\\s\\p{Cntrl}]");
 
     /** What a proxy does that others may feel. */
-    public enum What {
+    public enum Kind {
         /** The process has begun: whatever it had open before is closed. */
         STARTED,
         /** A connection to a host is up. */
@@ -68,7 +68,7 @@
      * @throws IllegalArgumentException if it begins as one and is not whole, as the last one of a process
      *     that was killed may be
      */
-    public static TraceLine read(String line) {
+    public static TraceEvent read(String line) {
         int from = line.indexOf(MARK);
         if (from < 0) {
             return null;
@@ -77,9 +77,9 @@
         if (f.length != FIELDS || !(f[5].equals("cold") || f[5].equals("warm"))) {
             throw new IllegalArgumentException("expected " + FIELDS + " fields behind '" + MARK + "': " + line);
         }
-        return new TraceLine(
+        return new TraceEvent(
                 Long.parseLong(f[0]),
-                What.valueOf(f[1].toUpperCase(Locale.ROOT)),
+                Kind.valueOf(f[1].toUpperCase(Locale.ROOT)),
                 f[2],
                 f[3],
                 Long.parseLong(f[4]),
--- a/src/test/java/rillyard/ArchitectureTest.java
+++ b/src/test/java/rillyard/ArchitectureTest.java
@@ -69,19 +69,19 @@
             .should()
             .dependOnClassesThat()
             .resideInAnyPackage(
-                    "rillyard.load..",
-                    "rillyard.standin..",
+                    "rillyard.loadgen..",
+                    "rillyard.testserver..",
                     "rillyard.audit..",
                     "rillyard.demo..",
-                    "rillyard.ledger..",
-                    "rillyard.timing..",
-                    "rillyard.input..",
+                    "rillyard.requestlog..",
+                    "rillyard.scheduling..",
+                    "rillyard.config..",
                     "rillyard.cli..",
-                    "rillyard.process..",
-                    "rillyard.measure..",
+                    "rillyard.childprocess..",
+                    "rillyard.benchmark..",
                     "rillyard.subset..",
                     "rillyard.membership..",
-                    "rillyard.trial..",
+                    "rillyard.faultinjection..",
                     "rillyard.outlier..",
                     "org.apache.commons.statistics..",
                     "picocli..",
@@ -93,8 +93,8 @@
     @ArchTest
     static final ArchRule WHAT_MAKES_LOAD_AND_WHAT_BEARS_IT_ARE_APART = noClasses()
             .that()
-            .resideInAPackage("rillyard.load..")
+            .resideInAPackage("rillyard.loadgen..")
             .should()
             .dependOnClassesThat()
-            .resideInAPackage("rillyard.standin..");
+            .resideInAPackage("rillyard.testserver..");
 }
--- a/src/test/java/rillyard/audit/AuditTest.java
+++ b/src/test/java/rillyard/audit/AuditTest.java
@@ -7,14 +7,14 @@
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import rillyard.ledger.ClientTry;
-import rillyard.ledger.HostNews;
-import rillyard.ledger.HostRun;
-import rillyard.ledger.LedgerLine;
-import rillyard.ledger.Outcome;
-import rillyard.ledger.RunResult;
-import rillyard.ledger.Surplus;
-import rillyard.ledger.Told;
+import rillyard.requestlog.ClientAttempt;
+import rillyard.requestlog.ClientOutcome;
+import rillyard.requestlog.ExecutionResult;
+import rillyard.requestlog.HostEvent;
+import rillyard.requestlog.HostExecution;
+import rillyard.requestlog.LogRecord;
+import rillyard.requestlog.UnexpectedResponse;
+import rillyard.requestlog.WatchNotification;
 
 /** Every kind of breach is planted and must be found; what is allowed must not be. */
 class AuditTest {
@@ -31,7 +31,7 @@
     private static final long MS = 1_000;
     private static final long START = 1_000_000_000L;
 
-    private final List<LedgerLine> lines = new ArrayList<>();
+    private final List<LogRecord> lines = new ArrayList<>();
     private int requests;
 
     /** A good request, so that the ledgers have one in common. */
@@ -53,16 +53,17 @@
         assertThat(v.clean()).isTrue();
     }
 
-    private Breach broken(Breach.Rule rule, String what) throws Exception {
+    private Violation broken(Violation.Rule rule, String what) throws Exception {
         Audit.Verdict v = judge();
         assertThat(v.clean()).isFalse();
-        List<Breach> all = v.breaches().stream().filter(b -> b.rule() == rule).toList();
+        List<Violation> all =
+                v.breaches().stream().filter(b -> b.rule() == rule).toList();
         assertThat(all).as("%s in %s", rule, v.breaches()).hasSize(1);
         assertThat(all.get(0).what()).contains(what);
         return all.get(0);
     }
 
-    private void tried(String type, String id, long ms, long tookMs, Outcome o) {
+    private void tried(String type, String id, long ms, long tookMs, ClientOutcome o) {
         tried(requests++, 0, type, id, null, ms, tookMs, o, true);
     }
 
@@ -74,29 +75,29 @@
             String key,
             long ms,
             long tookMs,
-            Outcome o,
+            ClientOutcome o,
             boolean last) {
         long sent = START + ms * MS;
-        int status = o == Outcome.SERVED ? 200 : o == Outcome.REFUSED ? 503 : 0;
-        lines.add(new ClientTry(
+        int status = o == ClientOutcome.SERVED ? 200 : o == ClientOutcome.REFUSED ? 503 : 0;
+        lines.add(new ClientAttempt(
                 request, number, id, key, type, null, 1, sent, sent, sent + tookMs * MS, 400 * MS, o, status, 0, last));
     }
 
-    private HostRun ran(String type, String id, String key, String host, long cell, long ms, RunResult r) {
+    private HostExecution ran(String type, String id, String key, String host, long cell, long ms, ExecutionResult r) {
         long at = START + ms * MS;
-        HostRun run =
-                new HostRun(id, key, type, host, cell, "z", 0, at, r.mayHaveRun() ? at + 1 : 0, at + 5 * MS, 5 * MS, r);
+        HostExecution run = new HostExecution(
+                id, key, type, host, cell, "z", 0, at, r.mayHaveRun() ? at + 1 : 0, at + 5 * MS, 5 * MS, r);
         lines.add(run);
         return run;
     }
 
-    private void ran(String type, String id, String host, long ms, RunResult r) {
+    private void ran(String type, String id, String host, long ms, ExecutionResult r) {
         ran(type, id, null, host, 0, ms, r);
     }
 
     private void served(String type, String id, long ms) {
-        tried(type, id, ms, 10, Outcome.SERVED);
-        ran(type, id, "s-1", ms + 1, RunResult.DONE);
+        tried(type, id, ms, 10, ClientOutcome.SERVED);
+        ran(type, id, "s-1", ms + 1, ExecutionResult.DONE);
     }
 
     // --- rule 1
@@ -104,80 +105,80 @@
     @Test
     void whatIsServedRefusedFailedOrAbandonedInOrderIsNoBreach() throws Exception {
         served("list", "a", 0);
-        tried("claim", "b", 0, 5, Outcome.REFUSED);
-        tried("claim", "c", 0, 400, Outcome.FAILED);
-        ran("claim", "c", "s-1", 1, RunResult.HUNG);
-        tried("list", "d", 0, 3, Outcome.ABANDONED);
-        tried("list", "e", 0, 3, Outcome.UNREACHABLE);
+        tried("claim", "b", 0, 5, ClientOutcome.REFUSED);
+        tried("claim", "c", 0, 400, ClientOutcome.FAILED);
+        ran("claim", "c", "s-1", 1, ExecutionResult.HUNG);
+        tried("list", "d", 0, 3, ClientOutcome.ABANDONED);
+        tried("list", "e", 0, 3, ClientOutcome.UNREACHABLE);
         clean();
     }
 
     @Test
     void aRequestWithoutAnAnswerIsFound() throws Exception {
-        tried("list", "a", 0, 470, Outcome.UNANSWERED);
-        assertThat(broken(Breach.Rule.ANSWER, "id a was lost: UNANSWERED").history())
+        tried("list", "a", 0, 470, ClientOutcome.UNANSWERED);
+        assertThat(broken(Violation.Rule.ANSWER, "id a was lost: UNANSWERED").history())
                 .anyMatch(h -> h.contains("client 1 sends try 0"))
                 .anyMatch(h -> h.contains("UNANSWERED"));
     }
 
     @Test
     void aConnectionThatEndsWithoutTheAnswerIsFound() throws Exception {
-        tried("list", "a", 0, 5, Outcome.BROKEN);
-        broken(Breach.Rule.ANSWER, "id a was lost: BROKEN");
+        tried("list", "a", 0, 5, ClientOutcome.BROKEN);
+        broken(Violation.Rule.ANSWER, "id a was lost: BROKEN");
     }
 
     @Test
     void anAnswerThatIsSpoiltIsFound() throws Exception {
-        tried("list", "a", 0, 5, Outcome.GARBLED);
-        broken(Breach.Rule.ANSWER, "id a was lost: GARBLED");
+        tried("list", "a", 0, 5, ClientOutcome.GARBLED);
+        broken(Violation.Rule.ANSWER, "id a was lost: GARBLED");
     }
 
     @Test
     void aLateAnswerIsFoundPastTheSlackAndNotBefore() throws Exception {
-        tried("list", "in", 0, 469, Outcome.FAILED);
+        tried("list", "in", 0, 469, ClientOutcome.FAILED);
         clean();
-        tried("list", "out", 0, 475, Outcome.FAILED);
-        broken(Breach.Rule.ANSWER, "id out was answered 5 ms too late");
+        tried("list", "out", 0, 475, ClientOutcome.FAILED);
+        broken(Violation.Rule.ANSWER, "id out was answered 5 ms too late");
     }
 
     @Test
     void aSecondAnswerIsFound() throws Exception {
         served("list", "a", 0);
-        lines.add(new Surplus(START + 20 * MS, "a"));
-        broken(Breach.Rule.ANSWER, "more came behind the one answer to id a");
+        lines.add(new UnexpectedResponse(START + 20 * MS, "a"));
+        broken(Violation.Rule.ANSWER, "more came behind the one answer to id a");
     }
 
     @Test
     void anAnswerThatNoHostMadeIsFound() throws Exception {
-        tried("list", "a", 0, 5, Outcome.SERVED);
-        ran("list", "a", "s-1", 1, RunResult.GARBLED);
-        broken(Breach.Rule.ANSWER, "id a was served with what no host made for it");
+        tried("list", "a", 0, 5, ClientOutcome.SERVED);
+        ran("list", "a", "s-1", 1, ExecutionResult.GARBLED);
+        broken(Violation.Rule.ANSWER, "id a was served with what no host made for it");
     }
 
     @Test
     void aTryThatEndsTwiceIsFound() throws Exception {
         long r = requests++;
-        tried(r, 0, "list", "a", null, 0, 5, Outcome.REFUSED, false);
-        tried(r, 0, "list", "a", null, 0, 9, Outcome.REFUSED, true);
-        broken(Breach.Rule.ANSWER, "has two ends of try 0");
+        tried(r, 0, "list", "a", null, 0, 5, ClientOutcome.REFUSED, false);
+        tried(r, 0, "list", "a", null, 0, 9, ClientOutcome.REFUSED, true);
+        broken(Violation.Rule.ANSWER, "has two ends of try 0");
     }
 
     @Test
     void aRequestThatNeverEndsIsFound() throws Exception {
-        tried(requests++, 0, "list", "a", null, 0, 5, Outcome.REFUSED, false);
-        broken(Breach.Rule.ANSWER, "has no final answer");
+        tried(requests++, 0, "list", "a", null, 0, 5, ClientOutcome.REFUSED, false);
+        broken(Violation.Rule.ANSWER, "has no final answer");
     }
 
     @Test
     void aConnectionThatEndsBetweenRequestsIsNoBreachUnlessTheRequestWasPassedOn() throws Exception {
         long r = requests++;
-        tried(r, 0, "claim", "a", null, 0, 5, Outcome.STALE, false);
-        tried(r, 1, "claim", "a", null, 6, 9, Outcome.SERVED, true);
-        ran("claim", "a", "s-1", 8, RunResult.DONE);
+        tried(r, 0, "claim", "a", null, 0, 5, ClientOutcome.STALE, false);
+        tried(r, 1, "claim", "a", null, 6, 9, ClientOutcome.SERVED, true);
+        ran("claim", "a", "s-1", 8, ExecutionResult.DONE);
         clean();
-        tried(requests++, 0, "list", "b", null, 0, 5, Outcome.STALE, true);
-        ran("list", "b", "s-1", 1, RunResult.DONE);
-        broken(Breach.Rule.ANSWER, "id b was taken and passed on");
+        tried(requests++, 0, "list", "b", null, 0, 5, ClientOutcome.STALE, true);
+        ran("list", "b", "s-1", 1, ExecutionResult.DONE);
+        broken(Violation.Rule.ANSWER, "id b was taken and passed on");
     }
 
     // --- rule 2
@@ -185,8 +186,8 @@
     @Test
     void anUnsafeRequestThatRunsTwiceIsFound() throws Exception {
         served("claim", "a", 0);
-        ran("claim", "a", "s-2", 100, RunResult.DONE);
-        assertThat(broken(Breach.Rule.EFFECT, "may have run 2 times").history())
+        ran("claim", "a", "s-2", 100, ExecutionResult.DONE);
+        assertThat(broken(Violation.Rule.EFFECT, "may have run 2 times").history())
                 .anyMatch(h -> h.contains("host s-1"))
                 .anyMatch(h -> h.contains("host s-2"));
     }
@@ -194,96 +195,96 @@
     @Test
     void anUnsafeRequestMayComeAgainWhereItNeverRan() throws Exception {
         served("claim", "a", 0);
-        ran("claim", "a", "s-2", 0, RunResult.TURNED_AWAY);
-        ran("claim", "a", "s-3", 0, RunResult.DROPPED);
+        ran("claim", "a", "s-2", 0, ExecutionResult.TURNED_AWAY);
+        ran("claim", "a", "s-3", 0, ExecutionResult.DROPPED);
         clean();
     }
 
     @Test
     void anUnsafeRequestThatIsSentAgainAfterAnErrorIsFound() throws Exception {
         served("claim", "a", 5);
-        ran("claim", "a", "s-2", 0, RunResult.ERROR);
-        broken(Breach.Rule.EFFECT, "may have run 2 times");
+        ran("claim", "a", "s-2", 0, ExecutionResult.ERROR);
+        broken(Violation.Rule.EFFECT, "may have run 2 times");
     }
 
     @Test
     void anUnsafeRequestThatRanAndIsTriedAgainUnderAnotherIdIsFound() throws Exception {
         long r = requests++;
-        tried(r, 0, "claim", "a", null, 0, 5, Outcome.UNREACHABLE, false);
-        tried(r, 1, "claim", "b", null, 6, 9, Outcome.SERVED, true);
-        ran("claim", "a", "s-1", 1, RunResult.DONE);
-        ran("claim", "b", "s-1", 7, RunResult.DONE);
-        broken(Breach.Rule.EFFECT, "may have run 2 times");
+        tried(r, 0, "claim", "a", null, 0, 5, ClientOutcome.UNREACHABLE, false);
+        tried(r, 1, "claim", "b", null, 6, 9, ClientOutcome.SERVED, true);
+        ran("claim", "a", "s-1", 1, ExecutionResult.DONE);
+        ran("claim", "b", "s-1", 7, ExecutionResult.DONE);
+        broken(Violation.Rule.EFFECT, "may have run 2 times");
     }
 
     @Test
     void aRefusalOfWhatRanIsFound() throws Exception {
-        tried("claim", "a", 0, 5, Outcome.REFUSED);
-        ran("claim", "a", "s-1", 1, RunResult.LEFT);
-        broken(Breach.Rule.EFFECT, "id a of claim was refused and may have run at s-1");
+        tried("claim", "a", 0, 5, ClientOutcome.REFUSED);
+        ran("claim", "a", "s-1", 1, ExecutionResult.LEFT);
+        broken(Violation.Rule.EFFECT, "id a of claim was refused and may have run at s-1");
     }
 
     @Test
     void aRefusalOfAKeyThatOnlyItsCellKnowsIsFoundAndOneThatAllKnowIsNot() throws Exception {
-        tried("everywhere", "a", 0, 5, Outcome.REFUSED);
-        ran("everywhere", "a", "s-1", 1, RunResult.LEFT);
-        tried("list", "b", 0, 5, Outcome.REFUSED);
-        ran("list", "b", "s-1", 1, RunResult.LEFT);
+        tried("everywhere", "a", 0, 5, ClientOutcome.REFUSED);
+        ran("everywhere", "a", "s-1", 1, ExecutionResult.LEFT);
+        tried("list", "b", 0, 5, ClientOutcome.REFUSED);
+        ran("list", "b", "s-1", 1, ExecutionResult.LEFT);
         clean();
-        tried("log", "c", 0, 5, Outcome.REFUSED);
-        ran("log", "c", "s-1", 1, RunResult.LEFT);
-        broken(Breach.Rule.EFFECT, "id c of log was refused");
+        tried("log", "c", 0, 5, ClientOutcome.REFUSED);
+        ran("log", "c", "s-1", 1, ExecutionResult.LEFT);
+        broken(Violation.Rule.EFFECT, "id c of log was refused");
     }
 
     @Test
     void aKeyThatHasItsEffectTwiceIsFound() throws Exception {
-        ran("log", "a", "k", "s-1", 0, 0, RunResult.DONE);
-        ran("log", "b", "k", "s-9", 2, 900, RunResult.DONE);
-        broken(Breach.Rule.EFFECT, "key k had its effect 2 times");
+        ran("log", "a", "k", "s-1", 0, 0, ExecutionResult.DONE);
+        ran("log", "b", "k", "s-9", 2, 900, ExecutionResult.DONE);
+        broken(Violation.Rule.EFFECT, "key k had its effect 2 times");
     }
 
     @Test
     void aStrangersUnsafeRequestThatRunsTwiceIsFound() throws Exception {
-        ran("claim", "x", "s-1", 0, RunResult.DONE);
-        ran("claim", "x", "s-2", 5, RunResult.RESET);
-        broken(Breach.Rule.EFFECT, "id x of claim may have run 2 times");
+        ran("claim", "x", "s-1", 0, ExecutionResult.DONE);
+        ran("claim", "x", "s-2", 5, ExecutionResult.RESET);
+        broken(Violation.Rule.EFFECT, "id x of claim may have run 2 times");
     }
 
     // --- keyed
 
     @Test
     void aKeyedRequestMayComeAgainInItsCellWithinItsWindow() throws Exception {
-        tried("log", "a", 0, 300, Outcome.SERVED);
-        ran("log", "a", "k", "s-1", 3, 1, RunResult.HUNG);
-        ran("log", "a", "k", "s-2", 3, 700, RunResult.REMEMBERED);
+        tried("log", "a", 0, 300, ClientOutcome.SERVED);
+        ran("log", "a", "k", "s-1", 3, 1, ExecutionResult.HUNG);
+        ran("log", "a", "k", "s-2", 3, 700, ExecutionResult.REMEMBERED);
         clean();
     }
 
     @Test
     void aKeyedRequestOutsideOfItsCellIsFound() throws Exception {
-        ran("log", "a", "k", "s-1", 3, 0, RunResult.KILLED);
-        ran("log", "a", "k", "s-9", 4, 100, RunResult.DONE);
-        broken(Breach.Rule.KEYED, "outside of its cell, at s-9");
+        ran("log", "a", "k", "s-1", 3, 0, ExecutionResult.KILLED);
+        ran("log", "a", "k", "s-9", 4, 100, ExecutionResult.DONE);
+        broken(Violation.Rule.KEYED, "outside of its cell, at s-9");
     }
 
     @Test
     void aKeyedRequestMayLeaveItsCellWhereItNeverRan() throws Exception {
-        ran("log", "a", "k", "s-1", 3, 0, RunResult.TURNED_AWAY);
-        ran("log", "a", "k", "s-9", 4, 100, RunResult.DONE);
+        ran("log", "a", "k", "s-1", 3, 0, ExecutionResult.TURNED_AWAY);
+        ran("log", "a", "k", "s-9", 4, 100, ExecutionResult.DONE);
         clean();
     }
 
     @Test
     void aKeyedRequestPastItsWindowIsFound() throws Exception {
-        ran("log", "a", "k", "s-1", 3, 0, RunResult.KILLED);
-        ran("log", "a", "k", "s-2", 3, 810, RunResult.DONE);
-        broken(Breach.Rule.KEYED, "10 ms past its window");
+        ran("log", "a", "k", "s-1", 3, 0, ExecutionResult.KILLED);
+        ran("log", "a", "k", "s-2", 3, 810, ExecutionResult.DONE);
+        broken(Violation.Rule.KEYED, "10 ms past its window");
     }
 
     // --- drains
 
     private void told(long ms, long watcher, String host, String state) {
-        lines.add(new Told(START + ms * MS, watcher, host, state, 1));
+        lines.add(new WatchNotification(START + ms * MS, watcher, host, state, 1));
     }
 
     @Test
@@ -293,7 +294,7 @@
         served("list", "in", 745);
         clean();
         served("list", "out", 760);
-        assertThat(broken(Breach.Rule.DRAIN, "got 1 requests past the grace, the first, id out")
+        assertThat(broken(Violation.Rule.DRAIN, "got 1 requests past the grace, the first, id out")
                         .history())
                 .anyMatch(h -> h.contains("watch 1 is told s-1 draining"));
     }
@@ -315,21 +316,21 @@
         served("list", "a", 6_400);
         clean();
         served("list", "b", 6_700);
-        broken(Breach.Rule.DRAIN, "id b");
+        broken(Violation.Rule.DRAIN, "id b");
     }
 
     // --- cold hosts
 
     private void cold(double capacity) {
-        lines.add(new HostNews(START, "cold", HostNews.What.STARTED, null, capacity, 0.25, 8_000 * MS));
+        lines.add(new HostEvent(START, "cold", HostEvent.Kind.STARTED, null, capacity, 0.25, 8_000 * MS));
     }
 
     /** Requests of 10 ms of work each to the cold host, so many ms apart. */
     private void flood(int count, int apart) {
         for (int i = 0; i < count; i++) {
             long at = START + (100L + (long) i * apart) * MS;
-            lines.add(
-                    new HostRun("f" + i, null, "list", "cold", 0, "z", 0, at, at + 1, at + 2, 10 * MS, RunResult.DONE));
+            lines.add(new HostExecution(
+                    "f" + i, null, "list", "cold", 0, "z", 0, at, at + 1, at + 2, 10 * MS, ExecutionResult.DONE));
         }
     }
 
@@ -344,7 +345,7 @@
     void aColdHostThatIsPushedOverIsFound() throws Exception {
         cold(4);
         flood(1_600, 1);
-        broken(Breach.Rule.COLD, "host cold, cold for ");
+        broken(Violation.Rule.COLD, "host cold, cold for ");
     }
 
     @Test
@@ -352,15 +353,15 @@
         cold(1); // three quarters of a ms a ms, for 1.5 s: 1,125 ms
         for (int i = 0; i < 200; i++) {
             long at = START + (100 + i / 50) * MS;
-            lines.add(
-                    new HostRun("f" + i, null, "list", "cold", 0, "z", 0, at, at + 1, at + 2, 10 * MS, RunResult.DONE));
+            lines.add(new HostExecution(
+                    "f" + i, null, "list", "cold", 0, "z", 0, at, at + 1, at + 2, 10 * MS, ExecutionResult.DONE));
         }
-        broken(Breach.Rule.COLD, "1500 ms, in ");
+        broken(Violation.Rule.COLD, "1500 ms, in ");
     }
 
     @Test
     void aWarmHostMayBeSentWhatever() throws Exception {
-        lines.add(new HostNews(START, "cold", HostNews.What.STARTED, null, 4, 1, 0));
+        lines.add(new HostEvent(START, "cold", HostEvent.Kind.STARTED, null, 4, 1, 0));
         flood(1_600, 1);
         clean();
     }
@@ -372,10 +373,10 @@
         lines.clear();
         assertThat(judge().clean()).isFalse();
         assertThat(judge().doubts()).anyMatch(d -> d.contains("nothing was proved"));
-        tried("list", "a", 0, 5, Outcome.SERVED);
-        ran("list", "other", "s-1", 0, RunResult.DONE);
+        tried("list", "a", 0, 5, ClientOutcome.SERVED);
+        ran("list", "other", "s-1", 0, ExecutionResult.DONE);
         assertThat(judge().doubts()).anyMatch(d -> d.contains("of two runs"));
-        tried("new", "b", 0, 5, Outcome.REFUSED);
+        tried("new", "b", 0, 5, ClientOutcome.REFUSED);
         assertThat(judge().doubts()).anyMatch(d -> d.contains("name no class new"));
     }
 }
--- a/src/test/java/rillyard/measure/FleetCountTest.java
+++ b/src/test/java/rillyard/benchmark/FleetTraceStatisticsTest.java
@@ -1,4 +1,4 @@
-package rillyard.measure;
+package rillyard.benchmark;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,19 +10,19 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import rillyard.trace.TraceLine;
-import rillyard.trace.TraceLine.What;
+import rillyard.trace.TraceEvent;
+import rillyard.trace.TraceEvent.Kind;
 
 /** Logs of several proxies, put together by time. */
-class FleetCountTest {
-    private final FleetCount count = new FleetCount(1_000, 500);
+class FleetTraceStatisticsTest {
+    private final FleetTraceStatistics count = new FleetTraceStatistics(1_000, 500);
 
-    private static String did(long at, What what, String host) {
-        return new TraceLine(at, what, host, TraceLine.NONE, 0, false).text() + "\n";
+    private static String did(long at, Kind what, String host) {
+        return new TraceEvent(at, what, host, TraceEvent.NONE, 0, false).text() + "\n";
     }
 
     private static String attempt(long sent, long spent, String host, String how, boolean cold) {
-        return new TraceLine(sent + spent, What.ATTEMPT, host, how, spent, cold).text() + "\n";
+        return new TraceEvent(sent + spent, Kind.ATTEMPT, host, how, spent, cold).text() + "\n";
     }
 
     private void log(String proxy, String text) throws IOException {
@@ -31,10 +31,10 @@
 
     @Test
     void connectionsOfAllProxiesStandOpenTogether() throws Exception {
-        log("n1", did(0, What.STARTED, "-") + did(10, What.CONNECTED, "a") + did(40, What.CLOSED, "a"));
-        log("n2", did(0, What.STARTED, "-") + did(20, What.CONNECTED, "a") + did(30, What.CONNECT_FAILED, "a"));
-        log("n3", did(0, What.STARTED, "-") + did(50, What.CONNECTED, "a"));
-        FleetCount.HostCount a = count.sum().host("a");
+        log("n1", did(0, Kind.STARTED, "-") + did(10, Kind.CONNECTED, "a") + did(40, Kind.CLOSED, "a"));
+        log("n2", did(0, Kind.STARTED, "-") + did(20, Kind.CONNECTED, "a") + did(30, Kind.CONNECT_FAILED, "a"));
+        log("n3", did(0, Kind.STARTED, "-") + did(50, Kind.CONNECTED, "a"));
+        FleetTraceStatistics.HostCount a = count.sum().host("a");
         assertThat(a.connects).isEqualTo(3);
         assertThat(a.failedConnects).isEqualTo(1);
         assertThat(a.mostOpen).isEqualTo(2);
@@ -45,11 +45,11 @@
     void aProxyThatStartsAnewHasNothingOpen() throws Exception {
         log(
                 "n1",
-                did(0, What.STARTED, "-")
-                        + did(1, What.CONNECTED, "a")
-                        + did(2, What.CONNECTED, "b")
-                        + did(3, What.STARTED, "-")
-                        + did(4, What.CONNECTED, "a"));
+                did(0, Kind.STARTED, "-")
+                        + did(1, Kind.CONNECTED, "a")
+                        + did(2, Kind.CONNECTED, "b")
+                        + did(3, Kind.STARTED, "-")
+                        + did(4, Kind.CONNECTED, "a"));
         assertThat(count.sum().host("a").mostOpen).isEqualTo(1);
         assertThat(count.host("b").open).isZero();
         assertThat(count.starts()).isEqualTo(2);
@@ -66,7 +66,7 @@
                         + attempt(500, 1, "a", "OK", true)
                         + attempt(510, 1, "a", "OK", false));
         log("n2", attempt(250, 700, "a", "OK", true) + attempt(2_000, 1, "a", "OK", true));
-        FleetCount.HostCount a = count.sum().host("a");
+        FleetTraceStatistics.HostCount a = count.sum().host("a");
         assertThat(a.attempts).isEqualTo(8);
         assertThat(a.coldSends).hasSize(5);
         assertThat(a.mostCold(500)).isEqualTo(3); // 0, 250, 499; and 250, 499, 500
@@ -76,8 +76,8 @@
     void refusalsAreCountedByWhatCameBefore() throws Exception {
         log(
                 "n1",
-                new TraceLine(5, What.REFUSED, "-", "FULL", 0, false).text() + "\n" + did(6, What.REFUSED, "-")
-                        + "something else\n" + did(7, What.LIST, "-").substring(0, 30));
+                new TraceEvent(5, Kind.REFUSED, "-", "FULL", 0, false).text() + "\n" + did(6, Kind.REFUSED, "-")
+                        + "something else\n" + did(7, Kind.LIST, "-").substring(0, 30));
         assertThat(count.sum().refusedAfter()).isEqualTo(Map.of("FULL", 1, "-", 1));
         assertThat(count.torn()).isEqualTo(1);
     }
@@ -89,7 +89,7 @@
                 attempt(0, 5, "a", "OK", false)
                         + attempt(1_500, 5, "a", "FULL", false)
                         + attempt(1_500, 6, "b", "RESET", false)
-                        + did(1_600, What.REFUSED, "-"));
+                        + did(1_600, Kind.REFUSED, "-"));
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         count.print(new PrintStream(bytes, true, StandardCharsets.UTF_8));
         assertThat(bytes.toString(StandardCharsets.UTF_8))
--- a/src/test/java/rillyard/cli/UsageIT.java
+++ b/src/test/java/rillyard/cli/UsageIT.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import rillyard.ledger.LedgerReader;
-import rillyard.process.ProxyProcess;
+import rillyard.childprocess.ProxyProcess;
+import rillyard.requestlog.RequestLogReader;
 
 /** The built jar as the pages say to use it, each command a process of its own. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
@@ -139,8 +139,8 @@
         signal(standIn, "INT");
         standIn.waitFor();
         int[] lines = new int[2];
-        assertThat(LedgerReader.read(clients, "clients", l -> lines[0]++)).isTrue();
-        assertThat(LedgerReader.read(folder.resolve("hosts.jsonl"), "hosts", l -> lines[1]++))
+        assertThat(RequestLogReader.read(clients, "clients", l -> lines[0]++)).isTrue();
+        assertThat(RequestLogReader.read(folder.resolve("hosts.jsonl"), "hosts", l -> lines[1]++))
                 .isTrue();
         assertThat(lines[0]).isGreaterThan(100);
         assertThat(lines[1]).isGreaterThan(100);
--- a/src/test/java/rillyard/input/TomlTableTest.java
+++ b/src/test/java/rillyard/config/TomlTableTest.java
@@ -1,4 +1,4 @@
-package rillyard.input;
+package rillyard.config;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.catchThrowableOfType;
@@ -11,7 +11,7 @@
         DARK_BLUE
     }
 
-    private static TomlTable parse(String text) throws InvalidFileException {
+    private static TomlTable parse(String text) throws InvalidConfigException {
         return TomlTable.parse("f.toml", text);
     }
 
@@ -59,9 +59,9 @@
             inner.whole("x", 0, 0, 9);
             inner.whole("count", 0, 0, 9);
         }
-        InvalidFileException e = catchThrowableOfType(InvalidFileException.class, t::finish);
+        InvalidConfigException e = catchThrowableOfType(InvalidConfigException.class, t::finish);
         assertThat(e.findings())
-                .extracting(Finding::toString)
+                .extracting(ConfigProblem::toString)
                 .containsExactly(
                         "f.toml:2: count: found 12, expected a whole number from 0 to 10",
                         "f.toml:7: colour: found 'reed', expected one of red, dark-blue; did you mean 'red'?",
@@ -72,7 +72,7 @@
 
     @Test
     void aTextThatIsNoTomlNamesItsLine() {
-        InvalidFileException e = catchThrowableOfType(InvalidFileException.class, () -> parse("a = 1\nb = = 2\n"));
+        InvalidConfigException e = catchThrowableOfType(InvalidConfigException.class, () -> parse("a = 1\nb = = 2\n"));
         assertThat(e.findings()).hasSize(1);
         assertThat(e.findings().get(0).line()).isEqualTo(2);
         assertThat(e.getMessage()).startsWith("f.toml:2: not TOML: ");
@@ -84,17 +84,17 @@
         TomlTable a = t.table("a");
         assertThat(a.text("id")).isEmpty();
         assertThat(a.tables("hosts")).isEmpty();
-        InvalidFileException e = catchThrowableOfType(InvalidFileException.class, t::finish);
-        assertThat(e.findings()).extracting(Finding::line).containsExactly(1, 2);
+        InvalidConfigException e = catchThrowableOfType(InvalidConfigException.class, t::finish);
+        assertThat(e.findings()).extracting(ConfigProblem::line).containsExactly(1, 2);
     }
 
     @Test
     void theNearestNameIsFoundAndAFarOneIsNot() {
         java.util.List<String> names = java.util.List.of("balance", "bind", "maxconn");
-        assertThat(Nearest.to("maxcon", names)).isEqualTo("maxconn");
-        assertThat(Nearest.to("balence", names)).isEqualTo("balance");
-        assertThat(Nearest.to("timeout", names)).isNull();
-        assertThat(Nearest.distance("kitten", "sitting")).isEqualTo(3);
-        assertThat(Nearest.distance("hnag", "hang")).isEqualTo(1);
+        assertThat(DidYouMean.to("maxcon", names)).isEqualTo("maxconn");
+        assertThat(DidYouMean.to("balence", names)).isEqualTo("balance");
+        assertThat(DidYouMean.to("timeout", names)).isNull();
+        assertThat(DidYouMean.distance("kitten", "sitting")).isEqualTo(3);
+        assertThat(DidYouMean.distance("hnag", "hang")).isEqualTo(1);
     }
 }
--- a/src/test/java/rillyard/demo/FoundTest.java
+++ b/src/test/java/rillyard/demo/DemoAuditTest.java
@@ -13,30 +13,30 @@
 import org.junit.jupiter.api.io.TempDir;
 import rillyard.audit.Audit;
 import rillyard.audit.AuditSettings;
-import rillyard.audit.Breach;
-import rillyard.ledger.Ledger;
-import rillyard.ledger.LedgerHead;
-import rillyard.load.LoadPlanReader;
-import rillyard.load.LoadRun;
-import rillyard.standin.StandIn;
-import rillyard.standin.StandInPlanReader;
+import rillyard.audit.Violation;
+import rillyard.loadgen.LoadPlanReader;
+import rillyard.loadgen.LoadRun;
+import rillyard.requestlog.LogHeader;
+import rillyard.requestlog.RequestLogWriter;
+import rillyard.testserver.TestCluster;
+import rillyard.testserver.TestClusterPlanReader;
 
 /**
  * Real runs in which rules are broken, as no proxy stands between: clients that go on sending to a
  * host that drains, flood a cold one, are cut off, and repeat what must not be repeated.
  */
-class FoundTest {
+class DemoAuditTest {
     @TempDir
     Path folder;
 
-    private Set<Breach.Rule> broken(String hosts, String plan) throws Exception {
+    private Set<Violation.Rule> broken(String hosts, String plan) throws Exception {
         Path h = folder.resolve("h");
         Path c = folder.resolve("c");
         AuditSettings settings;
-        try (Ledger hostLedger = Ledger.open(h, new LedgerHead("hosts", 1, 1));
-                Ledger ledger = Ledger.open(c, new LedgerHead("clients", 1, 1));
-                StandIn s = new StandIn(
-                        StandInPlanReader.parse("h", hosts, 0),
+        try (RequestLogWriter hostLedger = RequestLogWriter.open(h, new LogHeader("hosts", 1, 1));
+                RequestLogWriter ledger = RequestLogWriter.open(c, new LogHeader("clients", 1, 1));
+                TestCluster s = new TestCluster(
+                        TestClusterPlanReader.parse("h", hosts, 0),
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         1,
                         hostLedger,
@@ -50,7 +50,7 @@
         }
         Audit.Verdict v = Audit.of(c, h, settings);
         assertThat(v.doubts()).isEmpty();
-        return v.breaches().stream().map(Breach::rule).collect(Collectors.toSet());
+        return v.breaches().stream().map(Violation::rule).collect(Collectors.toSet());
     }
 
     private static String plan(String more, int rate) {
@@ -69,19 +69,19 @@
                                 + "[[fault]]\nkind = 'drain'\nhost = 's-0'\nfor_s = 60\n",
                         // What counts is what discovery has to tell, and nobody watches: 6 s at the latest.
                         plan("", 100).replace("for_s = 1.5", "for_s = 7")))
-                .containsExactly(Breach.Rule.DRAIN);
+                .containsExactly(Violation.Rule.DRAIN);
     }
 
     @Test
     void aFloodToAColdHostIsFound() throws Exception {
         assertThat(broken("[hosts]\ncores = 1\nqueue = 1000\nstarts_cold = true\n", plan("", 500)))
-                .contains(Breach.Rule.COLD);
+                .contains(Violation.Rule.COLD);
     }
 
     @Test
     void answersThatAreCutOffAreFound() throws Exception {
         assertThat(broken("[[fault]]\nkind = 'reset'\nhost = 's-0'\nsize = 0.3\n", plan("", 100)))
-                .containsExactly(Breach.Rule.ANSWER);
+                .containsExactly(Violation.Rule.ANSWER);
     }
 
     @Test
@@ -89,6 +89,6 @@
         assertThat(broken(
                         "[[fault]]\nkind = 'errors'\nhost = 's-0'\nsize = 0.5\n",
                         plan("[[class]]\nname = 'claim'\nsemantics = 'keyed-everywhere'\n", 100)))
-                .containsExactly(Breach.Rule.EFFECT);
+                .containsExactly(Violation.Rule.EFFECT);
     }
 }
--- a/src/test/java/rillyard/demo/DemoTest.java
+++ b/src/test/java/rillyard/demo/DemoTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import rillyard.audit.Audit;
 import rillyard.audit.AuditSettings;
-import rillyard.audit.Breach;
+import rillyard.audit.Violation;
 
 /** The whole in one: stand-ins, a proxy in a process of its own, load, audit; shorter than the demo. */
 class DemoTest {
@@ -61,7 +61,7 @@
         AuditSettings s = AuditSettings.read(folder.resolve("ready.json"));
         AuditSettings patient = new AuditSettings(
                 s.classes(), s.answerSlack(), s.drainGrace(), s.toldAtLatest(), 1_000_000, s.fall(), s.fallMultiple());
-        List<Breach> breaches = Audit.of(folder.resolve("clients.jsonl"), folder.resolve("hosts.jsonl"), patient)
+        List<Violation> breaches = Audit.of(folder.resolve("clients.jsonl"), folder.resolve("hosts.jsonl"), patient)
                 .breaches();
         assertThat(breaches).isEmpty();
         assertThat(r.verdict().tries()).isGreaterThan(300);
--- a/src/test/java/rillyard/trial/TrialIT.java
+++ b/src/test/java/rillyard/faultinjection/FaultInjectionIT.java
@@ -1,4 +1,4 @@
-package rillyard.trial;
+package rillyard.faultinjection;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -6,11 +6,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import rillyard.process.Launch;
+import rillyard.childprocess.LaunchCommand;
 
 /** Twelve processes of the built jar, one killed, one stopped for a while, a zone cut off from the others. */
 @Timeout(150)
-class TrialIT {
+class FaultInjectionIT {
     private static final String PLAN =
             """
       seed = 7
@@ -39,9 +39,10 @@
 
     @Test
     void beliefsFollowAKillAStopAndACutAndAreOneAgain() throws Exception {
-        Launch built = Launch.platform(Path.of("").toAbsolutePath());
-        TrialResult r =
-                new Trial(TrialPlanReader.parse("plan", PLAN, folder), folder.resolve("trial"), System.out).run(built);
+        LaunchCommand built = LaunchCommand.platform(Path.of("").toAbsolutePath());
+        FaultInjectionResult r = new FaultInjectionRun(
+                        FaultInjectionPlanReader.parse("plan", PLAN, folder), folder.resolve("trial"), System.out)
+                .run(built);
         assertThat(r.living()).hasSize(11).doesNotContain("m5");
         assertThat(r.heldGoneAfter("m5", 1)).as(r.report()).hasSize(11);
         assertThat(r.heldGoneAfter("m7", 1)).as(r.report()).hasSize(10);
--- a/src/test/java/rillyard/trial/TrialServingIT.java
+++ b/src/test/java/rillyard/faultinjection/FaultInjectionServingIT.java
@@ -1,4 +1,4 @@
-package rillyard.trial;
+package rillyard.faultinjection;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,14 +10,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import rillyard.ledger.ClientTry;
-import rillyard.ledger.HostRun;
-import rillyard.ledger.LedgerReader;
-import rillyard.process.Launch;
+import rillyard.childprocess.LaunchCommand;
+import rillyard.requestlog.ClientAttempt;
+import rillyard.requestlog.HostExecution;
+import rillyard.requestlog.RequestLogReader;
 
 /** Six processes of the built jar serve their clients while their ways to hosts break, and they are halted. */
 @Timeout(150)
-class TrialServingIT {
+class FaultInjectionServingIT {
     private static final String PLAN =
             """
       seed = 3
@@ -71,9 +71,10 @@
         Files.writeString(
                 folder.resolve("load.toml"),
                 "seed = 3\n[clients]\ncount = 60\n[[shape]]\nkind = \"poisson\"\nfor_s = 18\nrate = 150\n");
-        Launch built = Launch.platform(Path.of("").toAbsolutePath());
+        LaunchCommand built = LaunchCommand.platform(Path.of("").toAbsolutePath());
         Path out = folder.resolve("trial");
-        TrialResult r = new Trial(TrialPlanReader.parse("plan", PLAN, folder), out, System.out).run(built);
+        FaultInjectionResult r =
+                new FaultInjectionRun(FaultInjectionPlanReader.parse("plan", PLAN, folder), out, System.out).run(built);
         assertThat(r.living()).hasSize(6);
         assertThat(r.good()).as(r.report()).isTrue();
         assertThat(r.audit().verdict().tries()).isGreaterThan(2_000);
@@ -99,14 +100,14 @@
         long from = time(r, true) + 300;
         long until = time(r, false);
         Set<String> zone1 = new HashSet<>();
-        LedgerReader.read(out.resolve("clients.jsonl"), "clients", l -> {
-            if (l instanceof ClientTry t && t.client() % 6 % 2 == 1) {
+        RequestLogReader.read(out.resolve("clients.jsonl"), "clients", l -> {
+            if (l instanceof ClientAttempt t && t.client() % 6 % 2 == 1) {
                 zone1.add(t.id());
             }
         });
         int[] received = {0, 0};
-        LedgerReader.read(out.resolve("hosts.jsonl"), "hosts", l -> {
-            if (l instanceof HostRun h
+        RequestLogReader.read(out.resolve("hosts.jsonl"), "hosts", l -> {
+            if (l instanceof HostExecution h
                     && h.host().equals("s-2")
                     && h.received() / 1_000 > from
                     && h.received() / 1_000 < until) {
@@ -117,9 +118,9 @@
         assertThat(received[1]).as("by the zone that is reset").isZero();
     }
 
-    private static long time(TrialResult r, boolean begin) {
+    private static long time(FaultInjectionResult r, boolean begin) {
         return r.done().stream()
-                .filter(d -> d.fault().kind() == Fault.Kind.RESET && d.begin() == begin)
+                .filter(d -> d.fault().kind() == InjectedFault.Kind.RESET && d.begin() == begin)
                 .findFirst()
                 .orElseThrow()
                 .at();
--- a/src/test/java/rillyard/trial/HostNewsIT.java
+++ b/src/test/java/rillyard/faultinjection/ObservationGossipIT.java
@@ -1,4 +1,4 @@
-package rillyard.trial;
+package rillyard.faultinjection;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -9,11 +9,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import rillyard.process.Launch;
+import rillyard.childprocess.LaunchCommand;
 
 /** Ten processes that tell each other which hosts fail, three of them cut off from the others' news. */
 @Timeout(150)
-class HostNewsIT {
+class ObservationGossipIT {
     private static final String PLAN =
             """
       seed = 5
@@ -53,8 +53,9 @@
                 folder.resolve("load.toml"),
                 "seed = 5\n[clients]\ncount = 100\n[[shape]]\nkind = \"poisson\"\nfor_s = 24\nrate = 120\n");
         Path out = folder.resolve("trial");
-        TrialResult r = new Trial(TrialPlanReader.parse("plan", PLAN, folder), out, System.out)
-                .run(Launch.platform(Path.of("").toAbsolutePath()));
+        FaultInjectionResult r = new FaultInjectionRun(
+                        FaultInjectionPlanReader.parse("plan", PLAN, folder), out, System.out)
+                .run(LaunchCommand.platform(Path.of("").toAbsolutePath()));
         assertThat(r.good()).as(r.report()).isTrue();
         for (int i = 0; i < 10; i++) {
             List<String> said = new ArrayList<>();
--- a/src/test/java/rillyard/trial/HostRelaysTest.java
+++ b/src/test/java/rillyard/faultinjection/TcpRelaysTest.java
@@ -1,4 +1,4 @@
-package rillyard.trial;
+package rillyard.faultinjection;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -21,11 +21,11 @@
 
 /** A host that sends back what it gets, called by two processes on ways of their own. */
 @Timeout(30)
-class HostRelaysTest {
-    private static final TrialMember A = TrialMember.of(0, 2, 1);
-    private static final TrialMember B = TrialMember.of(1, 2, 1);
+class TcpRelaysTest {
+    private static final FleetProcess A = FleetProcess.of(0, 2, 1);
+    private static final FleetProcess B = FleetProcess.of(1, 2, 1);
 
-    private final HostRelays relays = new HostRelays();
+    private final TcpRelays relays = new TcpRelays();
     /** Connections that ended with not a byte on them. */
     private final AtomicInteger empty = new AtomicInteger();
 
@@ -76,8 +76,17 @@
         host.close();
     }
 
-    private static Fault fault(Fault.Kind kind, double lateMs) {
-        return new Fault(0, kind, new Group("m0"), new Group("all"), new HostGroup("zone:a"), false, 1_000, 0, lateMs);
+    private static InjectedFault fault(InjectedFault.Kind kind, double lateMs) {
+        return new InjectedFault(
+                0,
+                kind,
+                new ProcessPattern("m0"),
+                new ProcessPattern("all"),
+                new HostPattern("zone:a"),
+                false,
+                1_000,
+                0,
+                lateMs);
     }
 
     private static int echo(Socket s) throws IOException {
@@ -96,7 +105,7 @@
         try (Socket open = call(wayA);
                 Socket other = call(wayB)) {
             assertThat(echo(open)).isEqualTo(7);
-            Fault f = fault(Fault.Kind.SILENT, 0);
+            InjectedFault f = fault(InjectedFault.Kind.SILENT, 0);
             relays.begin(f);
             try (Socket fresh = call(wayA)) {
                 assertThatThrownBy(() -> echo(fresh)).isInstanceOf(SocketTimeoutException.class);
@@ -116,7 +125,7 @@
         try (Socket open = call(wayA);
                 Socket other = call(wayB)) {
             assertThat(echo(open)).isEqualTo(7);
-            relays.begin(fault(Fault.Kind.RESET, 0));
+            relays.begin(fault(InjectedFault.Kind.RESET, 0));
             assertThatThrownBy(() -> open.getInputStream().read()).hasMessageContaining("reset");
             assertThatThrownBy(() -> {
                         try (Socket fresh = call(wayA)) {
@@ -133,7 +142,7 @@
     void refusalLeavesWhatIsOpenAndEnds() throws Exception {
         try (Socket open = call(wayA)) {
             assertThat(echo(open)).isEqualTo(7);
-            Fault f = fault(Fault.Kind.REFUSED, 0);
+            InjectedFault f = fault(InjectedFault.Kind.REFUSED, 0);
             relays.begin(f);
             awaitRefusal(wayA);
             assertThat(echo(open)).isEqualTo(7);
@@ -164,7 +173,7 @@
         InetSocketAddress at = (InetSocketAddress) host.getLocalSocketAddress();
         List<InetSocketAddress> ways = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            TrialMember m = TrialMember.of(10 + i, 1, 1);
+            FleetProcess m = FleetProcess.of(10 + i, 1, 1);
             ways.add(relays.open(m, InetAddress.getByName("127.0.0." + (10 + i)), "s-0", "a", at));
         }
         host.close();
@@ -181,7 +190,7 @@
 
     @Test
     void slowBytesComeLaterAndInOrder() throws Exception {
-        relays.begin(fault(Fault.Kind.SLOW, 60));
+        relays.begin(fault(InjectedFault.Kind.SLOW, 60));
         try (Socket s = call(wayA)) {
             s.setSoTimeout(10_000);
             long from = System.nanoTime();
--- a/src/test/java/rillyard/load/GeneratorTest.java
+++ b/src/test/java/rillyard/loadgen/LoadGeneratorTest.java
@@ -1,4 +1,4 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
@@ -8,21 +8,21 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import rillyard.ledger.Ledger;
-import rillyard.timing.VirtualTimers;
+import rillyard.requestlog.RequestLogWriter;
+import rillyard.scheduling.VirtualScheduler;
 
 /** Whole plans on a virtual clock. */
-class GeneratorTest {
+class LoadGeneratorTest {
     private static final String CLIENTS = "[clients]\nretries = 0\ntry_share = [1, 1]\n"
             + "[[class]]\nname = 'c'\nsemantics = 'idempotent'\naim_ms = 400\ndeadline_ms = 60000\n";
 
-    private final VirtualTimers timers = new VirtualTimers();
+    private final VirtualScheduler timers = new VirtualScheduler();
     private final long zero = timers.now();
 
-    private Tally play(String plan, FakeTransport transport) throws Exception {
+    private RunStatistics play(String plan, FakeTransport transport) throws Exception {
         LoadPlan p = LoadPlanReader.parse("p", plan, Path.of("."));
-        Tally tally = new Tally(p.seconds());
-        Generator g = new Generator(p, timers, transport, Ledger.none(), tally, () -> {});
+        RunStatistics tally = new RunStatistics(p.seconds());
+        LoadGenerator g = new LoadGenerator(p, timers, transport, RequestLogWriter.none(), tally, () -> {});
         g.start();
         timers.drain();
         assertThat(g.open()).isZero();
@@ -36,11 +36,12 @@
             double s = (timers.now() - zero) / 1e9;
             return FakeTransport.Fate.served(s < 5 || s >= 7 ? 1 : 1 + 1_000 * (7 - s));
         });
-        Tally tally = play("max_open = 100000\n" + CLIENTS + "[[shape]]\nkind = 'steady'\nfor_s = 12\nrate = 500\n", t);
-        Tally.Row all = tally.total();
+        RunStatistics tally =
+                play("max_open = 100000\n" + CLIENTS + "[[shape]]\nkind = 'steady'\nfor_s = 12\nrate = 500\n", t);
+        RunStatistics.ClassStatistics all = tally.total();
         assertThat(all.offered).isEqualTo(6_000);
         for (double x = 0.1; x < 2; x += 0.1) {
-            long later = all.latency.getCountBetweenValues((long) (1e6 * x), Tally.MOST_MICROS);
+            long later = all.latency.getCountBetweenValues((long) (1e6 * x), RunStatistics.MOST_MICROS);
             assertThat(later).isCloseTo(Math.round(500 * (2 - x)), within(4L));
         }
     }
@@ -54,7 +55,7 @@
             drawn.add(ms);
             return FakeTransport.Fate.served(ms);
         });
-        Tally tally = play(CLIENTS + "[[shape]]\nkind = 'poisson'\nfor_s = 60\nrate = 1000\n", t);
+        RunStatistics tally = play(CLIENTS + "[[shape]]\nkind = 'poisson'\nfor_s = 60\nrate = 1000\n", t);
         drawn.sort(null);
         for (double p : new double[] {50, 90, 99, 99.9}) {
             double injected = drawn.get((int) Math.ceil(p / 100 * drawn.size()) - 1);
@@ -67,10 +68,10 @@
     void pastItsBoundNothingIsSentAndTheRunIsInvalid() throws Exception {
         FakeTransport t = new FakeTransport(timers, x -> FakeTransport.Fate.silence());
         String plan = "max_open = 50\n" + CLIENTS + "[[shape]]\nkind = 'steady'\nfor_s = 1\nrate = 200\n";
-        Tally tally = play(plan, t);
+        RunStatistics tally = play(plan, t);
         assertThat(t.tries).hasSize(50);
         assertThat(tally.total().notSent).isEqualTo(150);
-        Report r = Report.of(LoadPlanReader.parse("p", plan, Path.of(".")), tally, false, 0, 0, List.of());
+        RunReport r = RunReport.of(LoadPlanReader.parse("p", plan, Path.of(".")), tally, false, 0, 0, List.of());
         assertThat(r.valid()).isFalse();
         assertThat(r.invalidBecause()).contains("150 requests were not sent");
         assertThat(r.total().offered())
@@ -91,8 +92,8 @@
             return FakeTransport.Fate.served(1);
         });
         String plan = CLIENTS + "[[shape]]\nkind = 'steady'\nfor_s = 1\nrate = 500\n";
-        Tally tally = play(plan, t);
-        Report r = Report.of(LoadPlanReader.parse("p", plan, Path.of(".")), tally, false, 0, 0, List.of());
+        RunStatistics tally = play(plan, t);
+        RunReport r = RunReport.of(LoadPlanReader.parse("p", plan, Path.of(".")), tally, false, 0, 0, List.of());
         assertThat(r.valid()).isFalse();
         assertThat(r.invalidBecause()).contains("could not keep its schedule");
         assertThat(r.lateness().max()).isBetween(450.0, 550.0);
@@ -104,9 +105,9 @@
         FakeTransport t = new FakeTransport(timers, x -> FakeTransport.Fate.silence());
         LoadPlan p = LoadPlanReader.parse(
                 "p", CLIENTS + "[[shape]]\nkind = 'steady'\nfor_s = 10\nrate = 100\n", Path.of("."));
-        Tally tally = new Tally(p.seconds());
+        RunStatistics tally = new RunStatistics(p.seconds());
         boolean[] done = new boolean[1];
-        Generator g = new Generator(p, timers, t, Ledger.none(), tally, () -> done[0] = true);
+        LoadGenerator g = new LoadGenerator(p, timers, t, RequestLogWriter.none(), tally, () -> done[0] = true);
         g.start();
         timers.passMs(995);
         g.stop();
--- a/src/test/java/rillyard/load/LoadPlanReaderTest.java
+++ b/src/test/java/rillyard/loadgen/LoadPlanReaderTest.java
@@ -1,20 +1,20 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.catchThrowableOfType;
 
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
-import rillyard.input.Finding;
-import rillyard.input.InvalidFileException;
+import rillyard.config.ConfigProblem;
+import rillyard.config.InvalidConfigException;
 
 class LoadPlanReaderTest {
-    private static LoadPlan parse(String text) throws InvalidFileException {
+    private static LoadPlan parse(String text) throws InvalidConfigException {
         return LoadPlanReader.parse("p.toml", text, Path.of("."));
     }
 
-    private static InvalidFileException fails(String text) {
-        return catchThrowableOfType(InvalidFileException.class, () -> parse(text));
+    private static InvalidConfigException fails(String text) {
+        return catchThrowableOfType(InvalidConfigException.class, () -> parse(text));
     }
 
     @Test
@@ -46,19 +46,19 @@
             """);
         assertThat(p.shapes())
                 .containsExactly(
-                        new Shape.Steady(10, 5, false),
-                        new Shape.Steady(10, 5, true),
-                        new Shape.Ramp(10, 1, 2, true),
-                        new Shape.Surge(8, 1, 2, 2, 1, 2, 1, true),
-                        new Shape.Wave(10, 5, 0.3, 60, true),
-                        new Shape.Step(10, new double[] {1, 2}, false));
+                        new RateProfile.Steady(10, 5, false),
+                        new RateProfile.Steady(10, 5, true),
+                        new RateProfile.Ramp(10, 1, 2, true),
+                        new RateProfile.Surge(8, 1, 2, 2, 1, 2, 1, true),
+                        new RateProfile.Wave(10, 5, 0.3, 60, true),
+                        new RateProfile.Step(10, new double[] {1, 2}, false));
         assertThat(p.seconds()).isEqualTo(58);
         assertThat(p.classes()).hasSize(3);
     }
 
     @Test
     void everyErrorNamesItsLineInOnePass() {
-        InvalidFileException e = fails(
+        InvalidConfigException e = fails(
                 """
             max_opne = 5
             [clients]
@@ -77,7 +77,7 @@
             base = 5
             at_s = 5
             """);
-        assertThat(e.findings()).extracting(Finding::line).containsExactly(1, 3, 7, 9, 11, 12, 14);
+        assertThat(e.findings()).extracting(ConfigProblem::line).containsExactly(1, 3, 7, 9, 11, 12, 14);
         assertThat(e.getMessage())
                 .contains("p.toml:1: max_opne: unknown key; did you mean 'max_open'?")
                 .contains("p.toml:12: shape[0].peak: is missing, expected requests a second");
--- a/src/test/java/rillyard/load/LoadRunTest.java
+++ b/src/test/java/rillyard/loadgen/LoadRunTest.java
@@ -1,4 +1,4 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
@@ -16,16 +16,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import rillyard.ledger.ClientTry;
-import rillyard.ledger.HostRun;
-import rillyard.ledger.Ledger;
-import rillyard.ledger.LedgerHead;
-import rillyard.ledger.LedgerLine;
-import rillyard.ledger.LedgerReader;
-import rillyard.ledger.Outcome;
-import rillyard.ledger.RunResult;
-import rillyard.standin.StandIn;
-import rillyard.standin.StandInPlanReader;
+import rillyard.requestlog.ClientAttempt;
+import rillyard.requestlog.ClientOutcome;
+import rillyard.requestlog.ExecutionResult;
+import rillyard.requestlog.HostExecution;
+import rillyard.requestlog.LogHeader;
+import rillyard.requestlog.LogRecord;
+import rillyard.requestlog.RequestLogReader;
+import rillyard.requestlog.RequestLogWriter;
+import rillyard.testserver.TestCluster;
+import rillyard.testserver.TestClusterPlanReader;
 
 /** The generator against stand-ins and against targets that are none, on loopback. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
@@ -47,10 +47,11 @@
     }
 
     /** Plays a plan against one stand-in host. */
-    private Report play(String hosts, String plan) throws Exception {
-        try (Ledger hostLedger = Ledger.open(folder.resolve("h"), new LedgerHead("hosts", 1, 1));
-                Ledger ledger = Ledger.open(folder.resolve("c"), new LedgerHead("clients", 1, 1));
-                StandIn s = new StandIn(StandInPlanReader.parse("h", hosts, 0), ANY, 1, hostLedger, System.err)) {
+    private RunReport play(String hosts, String plan) throws Exception {
+        try (RequestLogWriter hostLedger = RequestLogWriter.open(folder.resolve("h"), new LogHeader("hosts", 1, 1));
+                RequestLogWriter ledger = RequestLogWriter.open(folder.resolve("c"), new LogHeader("clients", 1, 1));
+                TestCluster s =
+                        new TestCluster(TestClusterPlanReader.parse("h", hosts, 0), ANY, 1, hostLedger, System.err)) {
             s.start();
             LoadRun run = new LoadRun(LoadPlanReader.parse("p", plan, folder), List.of(s.address("s-0")), ledger, null);
             s.startTimetable();
@@ -59,9 +60,9 @@
         }
     }
 
-    private <T extends LedgerLine> List<T> ledger(String of, Class<T> kind) throws Exception {
+    private <T extends LogRecord> List<T> ledger(String of, Class<T> kind) throws Exception {
         List<T> out = new ArrayList<>();
-        boolean whole = LedgerReader.read(folder.resolve(of.substring(0, 1)), of, l -> {
+        boolean whole = RequestLogReader.read(folder.resolve(of.substring(0, 1)), of, l -> {
             if (kind.isInstance(l)) {
                 out.add(kind.cast(l));
             }
@@ -73,7 +74,7 @@
     @Test
     void aPauseOfTwoSecondsIsTwoSecondsOfLateAnswersAndNoGap() throws Exception {
         int rate = 300;
-        Report r = play(
+        RunReport r = play(
                 hosts(
                         "{ dist = 'constant', mean_ms = 1 }",
                         "[[fault]]\nkind = 'pause'\nhost = 's-0'\nat_s = 1\nfor_s = 2\n"),
@@ -81,7 +82,7 @@
                         + "[[shape]]\nkind = 'steady'\nfor_s = 4\nrate = " + rate + "\n");
         assertThat(r.total().offered()).isEqualTo(4 * rate);
         assertThat(r.total().inAim() + r.total().late()).isEqualTo(4 * rate);
-        List<ClientTry> tries = ledger("clients", ClientTry.class);
+        List<ClientAttempt> tries = ledger("clients", ClientAttempt.class);
         for (double x = 0.2; x < 2; x += 0.2) {
             double seconds = x;
             long later = tries.stream()
@@ -105,14 +106,14 @@
                 + "[[shape]]\nkind = 'poisson'\nfor_s = 2.5\nrate = 500\n";
         List<String> seen = new ArrayList<>();
         for (int i = 0; i < RUNS; i++) {
-            Report r = play(hosts, plan);
+            RunReport r = play(hosts, plan);
             // What the hosts drew is in their ledger: the generator must see these very times.
-            double[] drawn = ledger("hosts", HostRun.class).stream()
+            double[] drawn = ledger("hosts", HostExecution.class).stream()
                     .mapToDouble(h -> h.work() / 1_000.0)
                     .sorted()
                     .toArray();
             assertThat((long) drawn.length).isEqualTo(r.total().offered());
-            Report.Quantiles q = r.total().service();
+            RunReport.Quantiles q = r.total().service();
             if (near(q.p50(), at(drawn, 0.5))
                     && near(q.p90(), at(drawn, 0.9))
                     && near(q.p99(), at(drawn, 0.99))
@@ -140,9 +141,9 @@
     }
 
     /** Plays a plan against a target that does to each connection what it is told to. */
-    private Report against(Target target, String plan) throws Exception {
+    private RunReport against(Target target, String plan) throws Exception {
         try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-                Ledger ledger = Ledger.open(folder.resolve("c"), new LedgerHead("clients", 1, 1))) {
+                RequestLogWriter ledger = RequestLogWriter.open(folder.resolve("c"), new LogHeader("clients", 1, 1))) {
             Thread t = new Thread(() -> {
                 while (!server.isClosed()) {
                     try {
@@ -169,46 +170,46 @@
             "max_open = 2000\n[[class]]\nname = 'c'\nsemantics = 'idempotent'\naim_ms = 100\ndeadline_ms = 300\n"
                     + "[[shape]]\nkind = 'poisson'\nfor_s = 1\nrate = 300\n";
 
-    private void assertAllEnded(Report r, Outcome only) throws Exception {
+    private void assertAllEnded(RunReport r, ClientOutcome only) throws Exception {
         assertThat(r.total().offered()).isGreaterThan(200);
         assertThat(r.total().inAim() + r.total().late()).isZero();
-        List<ClientTry> tries = ledger("clients", ClientTry.class);
-        assertThat(tries.stream().filter(ClientTry::last).count())
+        List<ClientAttempt> tries = ledger("clients", ClientAttempt.class);
+        assertThat(tries.stream().filter(ClientAttempt::last).count())
                 .isEqualTo(r.total().offered());
-        assertThat(tries.stream().map(ClientTry::outcome).filter(o -> o == only))
+        assertThat(tries.stream().map(ClientAttempt::outcome).filter(o -> o == only))
                 .isNotEmpty();
         assertThat(tries).allMatch(t -> t.number() < 6);
     }
 
     @Test
     void aTargetThatResetsEverything() throws Exception {
-        Report r = against(
+        RunReport r = against(
                 s -> {
                     s.setSoLinger(true, 0);
                     s.close();
                 },
                 SHORT);
-        assertAllEnded(r, r.total().lost() > 0 ? Outcome.BROKEN : Outcome.UNREACHABLE);
+        assertAllEnded(r, r.total().lost() > 0 ? ClientOutcome.BROKEN : ClientOutcome.UNREACHABLE);
         assertThat(r.total().lost() + r.total().failed()).isEqualTo(r.total().offered());
     }
 
     @Test
     void aTargetThatAnswersGarbage() throws Exception {
-        Report r = against(
+        RunReport r = against(
                 s -> {
                     s.getOutputStream().write("garbage\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
                     s.getOutputStream().flush();
                 },
                 SHORT);
-        assertAllEnded(r, Outcome.GARBLED);
+        assertAllEnded(r, ClientOutcome.GARBLED);
         assertThat(r.total().lost()).isEqualTo(r.total().offered());
     }
 
     @Test
     void aTargetThatTakesAllAndAnswersNothing() throws Exception {
         List<Socket> held = new ArrayList<>();
-        Report r = against(held::add, SHORT);
-        assertAllEnded(r, Outcome.UNANSWERED);
+        RunReport r = against(held::add, SHORT);
+        assertAllEnded(r, ClientOutcome.UNANSWERED);
         assertThat(r.total().lost() + r.total().notSent() + r.total().failed())
                 .isEqualTo(r.total().offered());
     }
@@ -219,8 +220,8 @@
         try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = s.getLocalPort();
         }
-        Report r;
-        try (Ledger ledger = Ledger.open(folder.resolve("c"), new LedgerHead("clients", 1, 1))) {
+        RunReport r;
+        try (RequestLogWriter ledger = RequestLogWriter.open(folder.resolve("c"), new LogHeader("clients", 1, 1))) {
             LoadRun run = new LoadRun(
                     LoadPlanReader.parse("p", SHORT, folder),
                     List.of(new InetSocketAddress(InetAddress.getLoopbackAddress(), port)),
@@ -229,13 +230,13 @@
             run.run();
             r = run.report(List.of());
         }
-        assertAllEnded(r, Outcome.UNREACHABLE);
+        assertAllEnded(r, ClientOutcome.UNREACHABLE);
         assertThat(r.total().failed()).isEqualTo(r.total().offered());
     }
 
     @Test
     void anAnswerForAnotherRequestIsNoneOfOurs() throws Exception {
-        Report r = against(
+        RunReport r = against(
                 s -> {
                     s.getInputStream().read(new byte[4_096]);
                     s.getOutputStream()
@@ -243,31 +244,31 @@
                                     .getBytes(StandardCharsets.US_ASCII));
                 },
                 SHORT);
-        assertAllEnded(r, Outcome.GARBLED);
+        assertAllEnded(r, ClientOutcome.GARBLED);
     }
 
     @Test
     void aClientThatAbandonsClosesItsConnectionAndItsLateAnswerIsNotCounted() throws Exception {
-        Report r = play(
+        RunReport r = play(
                 hosts("{ dist = 'constant', mean_ms = 400 }", ""),
                 "[[class]]\nname = 'c'\nsemantics = 'at-most-once'\naim_ms = 400\ndeadline_ms = 500\nbody_bytes = 0\n"
                         + "[clients]\nretries = 0\nannounced = false\ntry_share = [0.2, 0.2]\n"
                         + "[[shape]]\nkind = 'steady'\nfor_s = 1\nrate = 50\n");
         assertThat(r.total().abandoned()).isEqualTo(50);
         assertThat(r.total().latency().count()).isZero();
-        assertThat(ledger("clients", ClientTry.class)).allMatch(t -> t.outcome() == Outcome.ABANDONED);
+        assertThat(ledger("clients", ClientAttempt.class)).allMatch(t -> t.outcome() == ClientOutcome.ABANDONED);
         // The host saw each connection end while the request ran.
-        List<HostRun> runs = ledger("hosts", HostRun.class);
-        assertThat(runs).hasSize(50).allMatch(h -> h.result() == RunResult.LEFT);
+        List<HostExecution> runs = ledger("hosts", HostExecution.class);
+        assertThat(runs).hasSize(50).allMatch(h -> h.result() == ExecutionResult.LEFT);
     }
 
     @Test
     void anInterruptedRunReportsWhatItHasAndItsLedgerIsWhole() throws Exception {
-        Report r;
-        try (Ledger hostLedger = Ledger.none();
-                Ledger ledger = Ledger.open(folder.resolve("c"), new LedgerHead("clients", 1, 1));
-                StandIn s = new StandIn(
-                        StandInPlanReader.parse("h", hosts("{ dist = 'constant', mean_ms = 5 }", ""), 0),
+        RunReport r;
+        try (RequestLogWriter hostLedger = RequestLogWriter.none();
+                RequestLogWriter ledger = RequestLogWriter.open(folder.resolve("c"), new LogHeader("clients", 1, 1));
+                TestCluster s = new TestCluster(
+                        TestClusterPlanReader.parse("h", hosts("{ dist = 'constant', mean_ms = 5 }", ""), 0),
                         ANY,
                         1,
                         hostLedger,
@@ -293,15 +294,15 @@
         assertThat(r.interrupted()).isTrue();
         assertThat(r.total().inAim() + r.total().late()).isGreaterThan(50);
         assertThat(ReportTable.of(r)).contains("interrupted");
-        assertThat(ledger("clients", ClientTry.class).stream()
-                        .filter(ClientTry::last)
+        assertThat(ledger("clients", ClientAttempt.class).stream()
+                        .filter(ClientAttempt::last)
                         .count())
                 .isEqualTo(r.total().offered());
     }
 
     @Test
     void theReportIsAPageOfItsOwnAndHistogramsAreWritten() throws Exception {
-        Report r = play(
+        RunReport r = play(
                 hosts("{ dist = 'constant', mean_ms = 2 }", ""),
                 CLASS + "[[tenant]]\nname = 't1'\n" + "[[shape]]\nkind = 'poisson'\nfor_s = 1\nrate = 100\n");
         ReportFiles.write(folder, r, "a <title>");
--- a/src/test/java/rillyard/load/CallTest.java
+++ b/src/test/java/rillyard/loadgen/LogicalRequestTest.java
@@ -1,4 +1,4 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -9,52 +9,55 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rillyard.ledger.ClientTry;
-import rillyard.ledger.Ledger;
-import rillyard.ledger.LedgerHead;
-import rillyard.ledger.LedgerReader;
-import rillyard.ledger.Outcome;
-import rillyard.timing.VirtualTimers;
+import rillyard.requestlog.ClientAttempt;
+import rillyard.requestlog.ClientOutcome;
+import rillyard.requestlog.LogHeader;
+import rillyard.requestlog.RequestLogReader;
+import rillyard.requestlog.RequestLogWriter;
+import rillyard.scheduling.VirtualScheduler;
 
 /** The app that is modelled, on a virtual clock: when it gives up, comes back, and stops asking. */
-class CallTest {
+class LogicalRequestTest {
     private static final String CLIENTS = "[clients]\ncount = 1\ntry_share = [0.5, 0.5]\nheeding = 1\n";
     private static final String ONE = "[[shape]]\nkind = 'steady'\nfor_s = 1\nrate = 1\n";
 
     @TempDir
     Path folder;
 
-    private final VirtualTimers timers = new VirtualTimers();
+    private final VirtualScheduler timers = new VirtualScheduler();
     private FakeTransport transport;
-    private Tally tally;
+    private RunStatistics tally;
 
     /** Plays one request whose tries have these fates, and returns what the ledger says. */
-    private List<ClientTry> play(String semantics, String clients, FakeTransport.Fate... fates) throws Exception {
+    private List<ClientAttempt> play(String semantics, String clients, FakeTransport.Fate... fates) throws Exception {
         Iterator<FakeTransport.Fate> next = List.of(fates).iterator();
         String type = "[[class]]\nname = 'c'\nsemantics = '" + semantics + "'\naim_ms = 400\ndeadline_ms = 1000\n"
                 + "window_ms = 300\n";
         LoadPlan plan = LoadPlanReader.parse("p", CLIENTS + clients + type + ONE, folder);
         transport = new FakeTransport(timers, t -> next.next());
-        tally = new Tally(plan.seconds());
+        tally = new RunStatistics(plan.seconds());
         boolean[] done = new boolean[1];
         Path file = folder.resolve("c.jsonl");
-        try (Ledger l = Ledger.open(file, new LedgerHead("clients", 1, 1))) {
-            new Generator(plan, timers, transport, l, tally, () -> done[0] = true).start();
+        try (RequestLogWriter l = RequestLogWriter.open(file, new LogHeader("clients", 1, 1))) {
+            new LoadGenerator(plan, timers, transport, l, tally, () -> done[0] = true).start();
             timers.drain();
         }
         assertThat(done[0]).isTrue();
-        List<ClientTry> out = new ArrayList<>();
-        LedgerReader.read(file, "clients", x -> out.add((ClientTry) x));
-        assertThat(out.stream().filter(ClientTry::last)).hasSize(1);
+        List<ClientAttempt> out = new ArrayList<>();
+        RequestLogReader.read(file, "clients", x -> out.add((ClientAttempt) x));
+        assertThat(out.stream().filter(ClientAttempt::last)).hasSize(1);
         return out;
     }
 
-    private List<Outcome> outcomes(String semantics, String clients, FakeTransport.Fate... fates) throws Exception {
-        return play(semantics, clients, fates).stream().map(ClientTry::outcome).toList();
+    private List<ClientOutcome> outcomes(String semantics, String clients, FakeTransport.Fate... fates)
+            throws Exception {
+        return play(semantics, clients, fates).stream()
+                .map(ClientAttempt::outcome)
+                .toList();
     }
 
     private static FakeTransport.Fate failed() {
-        return FakeTransport.Fate.of(1, Outcome.FAILED, 502);
+        return FakeTransport.Fate.of(1, ClientOutcome.FAILED, 502);
     }
 
     private static FakeTransport.Fate refused() {
@@ -65,54 +68,56 @@
     void whatIsSafeIsTriedAgainThreeTimesAndWhatIsNotOnlyWhenRefused() throws Exception {
         assertThat(outcomes("idempotent", "", failed(), failed(), failed(), failed()))
                 .hasSize(4)
-                .containsOnly(Outcome.FAILED);
-        assertThat(outcomes("at-most-once", "", failed())).containsExactly(Outcome.FAILED);
-        assertThat(outcomes("keyed", "", failed())).containsExactly(Outcome.FAILED);
+                .containsOnly(ClientOutcome.FAILED);
+        assertThat(outcomes("at-most-once", "", failed())).containsExactly(ClientOutcome.FAILED);
+        assertThat(outcomes("keyed", "", failed())).containsExactly(ClientOutcome.FAILED);
         assertThat(outcomes("keyed-everywhere", "", failed(), FakeTransport.Fate.served(1)))
-                .containsExactly(Outcome.FAILED, Outcome.SERVED);
+                .containsExactly(ClientOutcome.FAILED, ClientOutcome.SERVED);
         assertThat(outcomes("at-most-once", "", refused(), refused(), FakeTransport.Fate.served(1)))
-                .containsExactly(Outcome.REFUSED, Outcome.REFUSED, Outcome.SERVED);
-        FakeTransport.Fate gone = FakeTransport.Fate.of(1, Outcome.UNREACHABLE, 0);
+                .containsExactly(ClientOutcome.REFUSED, ClientOutcome.REFUSED, ClientOutcome.SERVED);
+        FakeTransport.Fate gone = FakeTransport.Fate.of(1, ClientOutcome.UNREACHABLE, 0);
         assertThat(outcomes("at-most-once", "", gone, FakeTransport.Fate.served(1)))
-                .containsExactly(Outcome.UNREACHABLE, Outcome.SERVED);
+                .containsExactly(ClientOutcome.UNREACHABLE, ClientOutcome.SERVED);
     }
 
     @Test
     void everyTryHasItsOwnIdAndAllHaveTheOneKey() throws Exception {
-        List<ClientTry> tries = play("keyed", "", refused(), FakeTransport.Fate.served(1));
-        assertThat(tries).extracting(ClientTry::id).doesNotHaveDuplicates();
-        assertThat(tries).extracting(ClientTry::key).doesNotContainNull();
+        List<ClientAttempt> tries = play("keyed", "", refused(), FakeTransport.Fate.served(1));
+        assertThat(tries).extracting(ClientAttempt::id).doesNotHaveDuplicates();
+        assertThat(tries).extracting(ClientAttempt::key).doesNotContainNull();
         assertThat(tries.get(0).key()).isEqualTo(tries.get(1).key());
-        assertThat(transport.tries).extracting(Transport.Try::retried).containsExactly(false, true);
+        assertThat(transport.tries)
+                .extracting(Transport.OutgoingRequest::retried)
+                .containsExactly(false, true);
     }
 
     @Test
     void aKeyIsNotSentAgainPastItsWindow() throws Exception {
-        FakeTransport.Fate late = FakeTransport.Fate.of(301, Outcome.FAILED, 502);
-        assertThat(outcomes("keyed-everywhere", "", late)).containsExactly(Outcome.FAILED);
+        FakeTransport.Fate late = FakeTransport.Fate.of(301, ClientOutcome.FAILED, 502);
+        assertThat(outcomes("keyed-everywhere", "", late)).containsExactly(ClientOutcome.FAILED);
     }
 
     @Test
     void aConnectionThatHadGoneHasTheSameRequestSentOnceMoreOnANewOne() throws Exception {
-        List<ClientTry> tries =
-                play("at-most-once", "", FakeTransport.Fate.of(1, Outcome.STALE, 0), FakeTransport.Fate.served(1));
-        assertThat(tries).extracting(ClientTry::outcome).containsExactly(Outcome.STALE, Outcome.SERVED);
+        List<ClientAttempt> tries = play(
+                "at-most-once", "", FakeTransport.Fate.of(1, ClientOutcome.STALE, 0), FakeTransport.Fate.served(1));
+        assertThat(tries).extracting(ClientAttempt::outcome).containsExactly(ClientOutcome.STALE, ClientOutcome.SERVED);
         assertThat(tries.get(0).id()).isEqualTo(tries.get(1).id());
-        assertThat(transport.tries).extracting(Transport.Try::fresh).containsExactly(false, true);
+        assertThat(transport.tries).extracting(Transport.OutgoingRequest::fresh).containsExactly(false, true);
     }
 
     @Test
     void noRequestIsSentMoreThanSixTimes() throws Exception {
-        FakeTransport.Fate stale = FakeTransport.Fate.of(1, Outcome.STALE, 0);
+        FakeTransport.Fate stale = FakeTransport.Fate.of(1, ClientOutcome.STALE, 0);
         assertThat(outcomes("idempotent", "", stale, refused(), stale, refused(), stale, refused()))
                 .hasSize(6);
     }
 
     @Test
     void aTryIsGivenUpAtItsShareOfTheDeadlineAndTheGraceBehindIt() throws Exception {
-        List<ClientTry> tries =
+        List<ClientAttempt> tries =
                 play("idempotent", "grace_ms = 70\n", FakeTransport.Fate.silence(), FakeTransport.Fate.silence());
-        assertThat(tries).extracting(ClientTry::outcome).containsOnly(Outcome.UNANSWERED);
+        assertThat(tries).extracting(ClientAttempt::outcome).containsOnly(ClientOutcome.UNANSWERED);
         assertThat(tries.get(0).timeout()).isEqualTo(500_000);
         assertThat(tries.get(0).ended() - tries.get(0).sent()).isEqualTo(570_000);
         assertThat(tries.get(1).timeout()).isEqualTo(430_000); // what was left of the deadline
@@ -122,8 +127,8 @@
 
     @Test
     void aClientThatDoesNotSayWhenLeavesBefore() throws Exception {
-        List<ClientTry> tries = play("at-most-once", "announced = false\n", FakeTransport.Fate.served(501));
-        assertThat(tries.get(0).outcome()).isEqualTo(Outcome.ABANDONED);
+        List<ClientAttempt> tries = play("at-most-once", "announced = false\n", FakeTransport.Fate.served(501));
+        assertThat(tries.get(0).outcome()).isEqualTo(ClientOutcome.ABANDONED);
         assertThat(tries.get(0).timeout()).isEqualTo(1_000_000);
         assertThat(tries.get(0).ended() - tries.get(0).sent()).isEqualTo(500_000);
         assertThat(tally.total().abandoned).isEqualTo(1);
@@ -149,7 +154,7 @@
     @Test
     void nobodyComesBackPastTheDeadline() throws Exception {
         assertThat(outcomes("idempotent", "", FakeTransport.Fate.refused(1, 1_500)))
-                .containsExactly(Outcome.REFUSED);
+                .containsExactly(ClientOutcome.REFUSED);
         assertThat(Files.exists(folder.resolve("c.jsonl"))).isTrue();
     }
 
@@ -158,7 +163,7 @@
         play("idempotent", "", refused(), FakeTransport.Fate.served(300));
         assertThat(tally.total().latency.getMaxValue()).isBetween(301_000L, 301_200L);
         assertThat(tally.total().inAim).isEqualTo(1);
-        play("idempotent", "", FakeTransport.Fate.of(200, Outcome.FAILED, 500), FakeTransport.Fate.served(201));
+        play("idempotent", "", FakeTransport.Fate.of(200, ClientOutcome.FAILED, 500), FakeTransport.Fate.served(201));
         assertThat(tally.total().late).isEqualTo(1);
     }
 }
--- a/src/test/java/rillyard/load/ShapeTest.java
+++ b/src/test/java/rillyard/loadgen/RateProfileTest.java
@@ -1,4 +1,4 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
@@ -7,21 +7,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-class ShapeTest {
-    static Stream<Shape> all() {
+class RateProfileTest {
+    static Stream<RateProfile> all() {
         return Stream.of(
-                new Shape.Steady(10, 200, false),
-                new Shape.Ramp(10, 0, 300, true),
-                new Shape.Ramp(10, 300, 20, true),
-                new Shape.Surge(20, 100, 900, 3, 2, 5, 4, true),
-                new Shape.Surge(20, 100, 900, 0, 0, 5, 0, true),
-                new Shape.Wave(30, 100, 1, 7, true),
-                new Shape.Step(9, new double[] {10, 0, 500}, true));
+                new RateProfile.Steady(10, 200, false),
+                new RateProfile.Ramp(10, 0, 300, true),
+                new RateProfile.Ramp(10, 300, 20, true),
+                new RateProfile.Surge(20, 100, 900, 3, 2, 5, 4, true),
+                new RateProfile.Surge(20, 100, 900, 0, 0, 5, 0, true),
+                new RateProfile.Wave(30, 100, 1, 7, true),
+                new RateProfile.Step(9, new double[] {10, 0, 500}, true));
     }
 
     @ParameterizedTest
     @MethodSource("all")
-    void theCumulativeRateIsTheIntegralOfTheRate(Shape s) {
+    void theCumulativeRateIsTheIntegralOfTheRate(RateProfile s) {
         double sum = 0;
         int steps = 200_000;
         double dt = s.seconds() / steps;
@@ -36,7 +36,7 @@
 
     @ParameterizedTest
     @MethodSource("all")
-    void theTimeOfAnArrivalIsWhereTheCumulativeRateReachesIt(Shape s) {
+    void theTimeOfAnArrivalIsWhereTheCumulativeRateReachesIt(RateProfile s) {
         double from = 0;
         double total = s.expected(s.seconds());
         for (double n = 0.5; n < total; n += 1.7) {
--- a/src/test/java/rillyard/load/ScheduleTest.java
+++ b/src/test/java/rillyard/loadgen/RequestScheduleTest.java
@@ -1,4 +1,4 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
@@ -10,10 +10,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class ScheduleTest {
-    private static List<Arrival> arrivals(String plan) throws Exception {
-        List<Arrival> out = new ArrayList<>();
-        new Schedule(LoadPlanReader.parse("p", plan, Path.of("."))).forEachRemaining(out::add);
+class RequestScheduleTest {
+    private static List<ScheduledRequest> arrivals(String plan) throws Exception {
+        List<ScheduledRequest> out = new ArrayList<>();
+        new RequestSchedule(LoadPlanReader.parse("p", plan, Path.of("."))).forEachRemaining(out::add);
         return out;
     }
 
@@ -47,10 +47,10 @@
 
     @Test
     void arrivalsComeInOrderAtTheRatesOfTheShapesOneAfterTheOther() throws Exception {
-        List<Arrival> all = arrivals(TWO);
+        List<ScheduledRequest> all = arrivals(TWO);
         int[] perSecond = new int[20];
         long before = 0;
-        for (Arrival a : all) {
+        for (ScheduledRequest a : all) {
             assertThat(a.at()).isGreaterThanOrEqualTo(before);
             before = a.at();
             perSecond[(int) (a.at() / 1_000_000_000L)]++;
@@ -64,7 +64,7 @@
 
     @Test
     void steadyArrivalsAreEvenlySpaced() throws Exception {
-        List<Arrival> all = arrivals("[[shape]]\nkind = 'steady'\nfor_s = 2\nrate = 100\n");
+        List<ScheduledRequest> all = arrivals("[[shape]]\nkind = 'steady'\nfor_s = 2\nrate = 100\n");
         assertThat(all).hasSize(200);
         for (int i = 1; i < all.size(); i++) {
             assertThat(all.get(i).at() - all.get(i - 1).at()).isCloseTo(10_000_000L, within(1_000L));
@@ -74,8 +74,8 @@
     @Test
     void classesTenantsAndClientsHaveTheirShares() throws Exception {
         Map<String, Integer> counts = new HashMap<>();
-        List<Arrival> all = arrivals(TWO);
-        for (Arrival a : all) {
+        List<ScheduledRequest> all = arrivals(TWO);
+        for (ScheduledRequest a : all) {
             counts.merge(a.type().name(), 1, Integer::sum);
             counts.merge(a.tenant(), 1, Integer::sum);
             counts.merge("c" + a.client(), 1, Integer::sum);
