--- a/src/test/java/rillyard/load/TraceReaderTest.java
+++ b/src/test/java/rillyard/loadgen/TraceReaderTest.java
@@ -1,4 +1,4 @@
-package rillyard.load;
+package rillyard.loadgen;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.catchThrowableOfType;
@@ -9,8 +9,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rillyard.input.Finding;
-import rillyard.input.InvalidFileException;
+import rillyard.config.ConfigProblem;
+import rillyard.config.InvalidConfigException;
 
 class TraceReaderTest {
     private static final List<LoadClass> CLASSES = List.of(
@@ -20,40 +20,43 @@
     @TempDir
     Path folder;
 
-    private Trace read(TraceReader.Form form, String text) throws Exception {
+    private RecordedTrace read(TraceReader.Form form, String text) throws Exception {
         Path f = Files.writeString(folder.resolve("t"), text);
         return TraceReader.read(f, form, CLASSES, 2);
     }
 
-    private InvalidFileException fails(TraceReader.Form form, String text) {
-        return catchThrowableOfType(InvalidFileException.class, () -> read(form, text));
+    private InvalidConfigException fails(TraceReader.Form form, String text) {
+        return catchThrowableOfType(InvalidConfigException.class, () -> read(form, text));
     }
 
     @Test
     void csvInAnyOrderOfColumnsAndLines() throws Exception {
-        Trace t = read(TraceReader.Form.CSV, "class,time_ms,tenant\nclaim,1500.5,t1\nlist,1000,\n\nlist,3000,t2\n");
+        RecordedTrace t =
+                read(TraceReader.Form.CSV, "class,time_ms,tenant\nclaim,1500.5,t1\nlist,1000,\n\nlist,3000,t2\n");
         assertThat(t.entries()).extracting(e -> e.type().name()).containsExactly("list", "claim", "list");
-        assertThat(t.entries()).extracting(Trace.Entry::tenant).containsExactly(null, "t1", "t2");
+        assertThat(t.entries())
+                .extracting(RecordedTrace.RecordedRequest::tenant)
+                .containsExactly(null, "t1", "t2");
         assertThat(t.at(t.entries().get(1))).isEqualTo(250_250_000L); // at twice the speed
         assertThat(t.seconds()).isEqualTo(1.0);
     }
 
     @Test
     void jsonLines() throws Exception {
-        Trace t = read(
+        RecordedTrace t = read(
                 TraceReader.Form.JSONL,
                 "{\"time_ms\":5,\"class\":\"list\",\"client\":\"c1\",\"route_key\":\"r\"}\n"
                         + "{\"time_ms\":6.5,\"class\":\"claim\"}\n");
         assertThat(t.entries())
                 .containsExactly(
-                        new Trace.Entry(5_000, CLASSES.get(0), null, "c1", "r"),
-                        new Trace.Entry(6_500, CLASSES.get(1), null, null, null));
+                        new RecordedTrace.RecordedRequest(5_000, CLASSES.get(0), null, "c1", "r"),
+                        new RecordedTrace.RecordedRequest(6_500, CLASSES.get(1), null, null, null));
     }
 
     @Test
     void linesOfHttplog() throws Exception {
         String before = "Nov 30 08:14:14 lb haproxy[14389]: ";
-        Trace t = read(
+        RecordedTrace t = read(
                 TraceReader.Form.HAPROXY,
                 before + "10.0.1.2:33317 [30/Nov/2026:08:14:14.655] http-in static/srv1 10/0/30/69/109 "
                         + "200 2750 - - ---- 1/1/1/1/0 0/0 {1wt.eu} {} \"GET /list?x=1 HTTP/1.1\"\n"
@@ -64,7 +67,9 @@
                         + before + "10.0.1.5:33320 [30/Nov/2026:08:14:16.000] http-in http-in/<NOSRV> "
                         + "-1/-1/-1/-1/2 400 187 - - PR-- 0/0/0/0/0 0/0 \"<BADREQ>\"\n");
         assertThat(t.entries()).extracting(e -> e.type().name()).containsExactly("claim", "list");
-        assertThat(t.entries()).extracting(Trace.Entry::client).containsExactly("10.0.1.3", "10.0.1.2");
+        assertThat(t.entries())
+                .extracting(RecordedTrace.RecordedRequest::client)
+                .containsExactly("10.0.1.3", "10.0.1.2");
         assertThat(t.seconds()).isEqualTo(0.25);
     }
 
@@ -74,11 +79,11 @@
                 .contains(":1: expected column names with 'time_ms' among them");
         assertThat(fails(TraceReader.Form.CSV, "class,time_ms\nlist,x\nlist\nlsit,4\nlist,-1\nlist,NaN\n")
                         .findings())
-                .extracting(Finding::line)
+                .extracting(ConfigProblem::line)
                 .containsExactly(2, 3, 4, 5, 6);
         assertThat(fails(TraceReader.Form.JSONL, "{\"class\":\"list\"}\n[1]\n{\n")
                         .findings())
-                .extracting(Finding::line)
+                .extracting(ConfigProblem::line)
                 .containsExactly(1, 2, 3);
         assertThat(fails(TraceReader.Form.HAPROXY, "nothing of that kind\n").findings())
                 .hasSize(1);
@@ -89,9 +94,9 @@
     void aScheduleSendsTheTraceAtItsTimes() throws Exception {
         Files.writeString(folder.resolve("t.csv"), "time_ms,class,client\n1000,list,a\n1400,claim,b\n1500,list,a\n");
         LoadPlan plan = LoadPlanReader.parse("p", "[trace]\nfile = 't.csv'\nspeed = 0.5\n", folder);
-        List<Arrival> all = new ArrayList<>();
-        new Schedule(plan).forEachRemaining(all::add);
-        assertThat(all).extracting(Arrival::at).containsExactly(0L, 800_000_000L, 1_000_000_000L);
+        List<ScheduledRequest> all = new ArrayList<>();
+        new RequestSchedule(plan).forEachRemaining(all::add);
+        assertThat(all).extracting(ScheduledRequest::at).containsExactly(0L, 800_000_000L, 1_000_000_000L);
         assertThat(all.get(0).client()).isEqualTo(all.get(2).client());
     }
 }
--- a/src/test/java/rillyard/membership/net/FleetConfigReaderTest.java
+++ b/src/test/java/rillyard/membership/net/FleetConfigReaderTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rillyard.input.InvalidFileException;
+import rillyard.config.InvalidConfigException;
 
 class FleetConfigReaderTest {
     @TempDir
@@ -72,7 +72,7 @@
     void allThatIsWrongIsToldByLine() {
         assertThatThrownBy(() -> read("seeds = \"10.1.0.4\"\n[self]\nname = \"more than sixteen letters\"\n"
                         + "listen = \"host:1\"\nzone = 300\n[membership]\ntimeout_ms = 400\nintervall_ms = 1\n"))
-                .isInstanceOf(InvalidFileException.class)
+                .isInstanceOf(InvalidConfigException.class)
                 .hasMessageContaining("fleet.toml:1")
                 .hasMessageContaining("expected IPv4:port")
                 .hasMessageContaining("fleet.toml:3")
--- a/src/test/java/rillyard/proxy/DescriptorLimitIT.java
+++ b/src/test/java/rillyard/proxy/DescriptorLimitIT.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import rillyard.process.Launch;
-import rillyard.process.ProxyProcess;
+import rillyard.childprocess.LaunchCommand;
+import rillyard.childprocess.ProxyProcess;
 
 /** The built jar with as few descriptors as the platform gives, which the kernel holds it to. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
@@ -23,14 +23,14 @@
     @TempDir
     Path folder;
 
-    private static Launch limited() {
-        Launch built = Launch.platform(Path.of("").toAbsolutePath());
+    private static LaunchCommand limited() {
+        LaunchCommand built = LaunchCommand.platform(Path.of("").toAbsolutePath());
         List<String> options = new ArrayList<>();
         options.add("-c");
         options.add("ulimit -n " + DESCRIPTORS + "; exec \"$0\" \"$@\"");
         options.add(built.java().toString());
         options.addAll(built.options());
-        return new Launch(Path.of("/bin/sh"), built.folder(), null, options, built.program(), Map.of());
+        return new LaunchCommand(Path.of("/bin/sh"), built.folder(), null, options, built.program(), Map.of());
     }
 
     /** Idle clients take all that they can get while discovery refuses: its return is seen all the same. */
--- a/src/test/java/rillyard/proxy/HotRestartIT.java
+++ b/src/test/java/rillyard/proxy/HotRestartIT.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import rillyard.process.Launch;
-import rillyard.process.ProxyProcess;
+import rillyard.childprocess.LaunchCommand;
+import rillyard.childprocess.ProxyProcess;
 
 /** The built jar, replaced by a second process under load. Discovery never answers. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
@@ -91,7 +91,7 @@
         Path config = folder.resolve(name + ".json");
         Files.move(
                 ProxyFixture.config(discovery.port(), c -> c.put("operator", "127.0.0.1:" + operator), known), config);
-        Launch built = Launch.platform(Path.of("").toAbsolutePath())
+        LaunchCommand built = LaunchCommand.platform(Path.of("").toAbsolutePath())
                 .with("TMPDIR", folder.resolve("tmp").toString());
         return ProxyProcess.launch(built, config, listen, folder.resolve(name + ".log"));
     }
--- a/src/test/java/rillyard/proxy/JarIT.java
+++ b/src/test/java/rillyard/proxy/JarIT.java
@@ -178,19 +178,19 @@
                         "dataformat.toml",
                         "channel.epoll",
                         "rillyard.cli",
-                        "rillyard.load",
+                        "rillyard.loadgen",
                         "rillyard.trace.",
-                        "rillyard.standin",
+                        "rillyard.testserver",
                         "rillyard.audit",
                         "rillyard.demo",
-                        "rillyard.ledger",
-                        "rillyard.timing",
-                        "rillyard.input",
-                        "rillyard.process",
-                        "rillyard.measure",
+                        "rillyard.requestlog",
+                        "rillyard.scheduling",
+                        "rillyard.config",
+                        "rillyard.childprocess",
+                        "rillyard.benchmark",
                         "rillyard.subset",
                         "rillyard.membership",
-                        "rillyard.trial")
+                        "rillyard.faultinjection")
                 // Each of these took a part of every start: a mapper with calendars and locales, the
                 // recorder's events, libraries for logs that are not there.
                 .doesNotContain("databind.ObjectMapper ", "jdk.jfr.internal.EventClassBuilder", "Slf4JLogger");
--- a/src/test/java/rillyard/proxy/PlatformRunIT.java
+++ b/src/test/java/rillyard/proxy/PlatformRunIT.java
@@ -18,9 +18,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import rillyard.measure.Neighbours;
-import rillyard.process.Launch;
-import rillyard.process.ProxyProcess;
+import rillyard.benchmark.CpuContention;
+import rillyard.childprocess.LaunchCommand;
+import rillyard.childprocess.ProxyProcess;
 
 /** The texts of {@code run} under deploy, started as a platform does: by the shell, also on part of a core. */
 @Timeout(value = 180, unit = java.util.concurrent.TimeUnit.SECONDS)
@@ -34,15 +34,15 @@
     @TempDir
     Path folder;
 
-    private static Launch shell(Path root, String file) throws IOException {
+    private static LaunchCommand shell(Path root, String file) throws IOException {
         String run = new TomlMapper()
                 .readTree(ROOT.resolve("deploy").resolve(file).toFile())
                 .get("run")
                 .asText();
-        return new Launch(Path.of("/bin/sh"), root, null, List.of("-c"), List.of(run), Map.of());
+        return new LaunchCommand(Path.of("/bin/sh"), root, null, List.of("-c"), List.of(run), Map.of());
     }
 
-    private ProxyProcess launch(Launch launch, ScriptedServer discovery) throws Exception {
+    private ProxyProcess launch(LaunchCommand launch, ScriptedServer discovery) throws Exception {
         Path config = folder.resolve("config.json");
         Files.move(
                 ProxyFixture.config(discovery.port(), c -> {}, ProxyFixture.server("a", ProxyFixture.freePort())),
@@ -103,7 +103,7 @@
     /** A start that is starved: a third of one core for all of its threads, and none of them may spin. */
     @Test
     void starvedOfItsCoreItGetsReadyAndThenRests() throws Exception {
-        try (Neighbours neighbours = new Neighbours("0", 1 / 3.0);
+        try (CpuContention neighbours = new CpuContention("0", 1 / 3.0);
                 ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
                 ProxyProcess p = launch(shell(ROOT, "balancer.toml").on("0"), silent)) {
             p.await(ProxyProcess.State.READY);
--- a/src/test/java/rillyard/proxy/ProcessPauseIT.java
+++ b/src/test/java/rillyard/proxy/ProcessPauseIT.java
@@ -18,14 +18,14 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import rillyard.process.Launch;
-import rillyard.process.ProxyProcess;
+import rillyard.childprocess.LaunchCommand;
+import rillyard.childprocess.ProxyProcess;
 
 /** The built jar, which stands still (SIGSTOP) again and again while requests come. */
 @Timeout(120)
 class ProcessPauseIT {
-    private static final Launch BUILT =
-            Launch.platform(Path.of("").toAbsolutePath()).on("0");
+    private static final LaunchCommand BUILT =
+            LaunchCommand.platform(Path.of("").toAbsolutePath()).on("0");
     private static final int CLIENTS = 8;
     private static final int TIME_MS = 1_500;
 
--- a/src/test/java/rillyard/proxy/ProxyFixture.java
+++ b/src/test/java/rillyard/proxy/ProxyFixture.java
@@ -18,7 +18,7 @@
 import rillyard.endpoints.EndpointListGuard;
 import rillyard.proxy.config.ProxyConfig;
 import rillyard.proxy.logging.ProxyLog;
-import rillyard.trace.Trace;
+import rillyard.trace.ProxyTrace;
 
 /** A client proxy on loopback, with a discovery that says what the test has it say. */
 public final class ProxyFixture implements AutoCloseable {
@@ -80,7 +80,7 @@
         PrintStream out = new PrintStream(log, true, StandardCharsets.UTF_8);
         proxy = new ClientProxy(
                 ProxyConfig.load(Map.of("BALANCER_CONFIG", file.toString())),
-                new ProxyLog(out, traced ? new Trace(out) : null),
+                new ProxyLog(out, traced ? new ProxyTrace(out) : null),
                 guard,
                 null);
         Files.delete(file);
--- a/src/test/java/rillyard/proxy/ProxyTraceTest.java
+++ b/src/test/java/rillyard/proxy/ProxyTraceTest.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import java.util.Objects;
 import org.junit.jupiter.api.Test;
-import rillyard.trace.TraceLine;
-import rillyard.trace.TraceLine.What;
+import rillyard.trace.TraceEvent;
+import rillyard.trace.TraceEvent.Kind;
 
 /** What a proxy writes down of itself where that is asked for. */
 class ProxyTraceTest {
-    private static List<TraceLine> lines(ProxyFixture rig) {
-        return rig.log().lines().map(TraceLine::read).filter(Objects::nonNull).toList();
+    private static List<TraceEvent> lines(ProxyFixture rig) {
+        return rig.log().lines().map(TraceEvent::read).filter(Objects::nonNull).toList();
     }
 
     /** A cold host that can do all of its work: it is told as cold, and lent without a wait. */
@@ -35,18 +35,18 @@
                         fresh.replace("127.0.0.1:0", "127.0.0.1:" + full.port()))) {
             assertThat(rig.call(ProxyFixture.post("claim", 800, "", "x")).status())
                     .isEqualTo(503);
-            List<TraceLine> told = lines(rig);
+            List<TraceEvent> told = lines(rig);
             assertThat(told)
-                    .extracting(TraceLine::what)
-                    .startsWith(What.STARTED)
-                    .contains(What.LIST, What.CONNECTED, What.ATTEMPT, What.REFUSED);
+                    .extracting(TraceEvent::what)
+                    .startsWith(Kind.STARTED)
+                    .contains(Kind.LIST, Kind.CONNECTED, Kind.ATTEMPT, Kind.REFUSED);
             assertThat(told)
-                    .filteredOn(t -> t.what() == What.ATTEMPT)
+                    .filteredOn(t -> t.what() == Kind.ATTEMPT)
                     .isNotEmpty()
                     .allMatch(t -> t.host().equals("a") && t.how().equals("FULL") && t.cold());
             assertThat(told)
-                    .filteredOn(t -> t.what() == What.REFUSED)
-                    .extracting(TraceLine::how)
+                    .filteredOn(t -> t.what() == Kind.REFUSED)
+                    .extracting(TraceEvent::how)
                     .containsExactly("FULL");
         }
     }
--- a/src/test/java/rillyard/proxy/RestartIT.java
+++ b/src/test/java/rillyard/proxy/RestartIT.java
@@ -14,15 +14,15 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import rillyard.process.Child;
-import rillyard.process.Launch;
-import rillyard.process.ProxyProcess;
+import rillyard.childprocess.ChildProcess;
+import rillyard.childprocess.LaunchCommand;
+import rillyard.childprocess.ProxyProcess;
 
 /** The built jar at its start and its end, with what goes wrong there. Discovery never answers. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class RestartIT {
-    private static final Launch BUILT =
-            Launch.platform(Path.of("").toAbsolutePath()).with(List.of("-Drillyard.marks=true"));
+    private static final LaunchCommand BUILT =
+            LaunchCommand.platform(Path.of("").toAbsolutePath()).with(List.of("-Drillyard.marks=true"));
 
     /** Far more than the 0.3 s that the requests have, and far less than a hang. */
     private static final long MUCH_NANOS = 5_000_000_000L;
@@ -140,7 +140,7 @@
             }
             default -> assertThat(archive).doesNotExist();
         }
-        Launch launch = new Launch(
+        LaunchCommand launch = new LaunchCommand(
                 BUILT.java(),
                 BUILT.folder(),
                 null,
@@ -148,7 +148,7 @@
                 List.of("-jar", jar.toString()),
                 BUILT.environment());
         Path out = folder.resolve("out");
-        try (Child c = Child.start(launch, out, out, "rehearse")) {
+        try (ChildProcess c = ChildProcess.start(launch, out, out, "rehearse")) {
             assertThat(c.await()).isZero();
         }
         assertThat(Files.readString(out))
--- a/src/test/java/rillyard/proxy/SlowStartIT.java
+++ b/src/test/java/rillyard/proxy/SlowStartIT.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import rillyard.process.Launch;
-import rillyard.process.ProxyProcess;
+import rillyard.childprocess.LaunchCommand;
+import rillyard.childprocess.ProxyProcess;
 
 /**
  * Many processes of the built program before one host that has just started: what all of them together send
@@ -27,7 +27,8 @@
  */
 @Timeout(value = 180, unit = TimeUnit.SECONDS)
 class SlowStartIT {
-    private static final Launch BUILT = Launch.platform(Path.of("").toAbsolutePath());
+    private static final LaunchCommand BUILT =
+            LaunchCommand.platform(Path.of("").toAbsolutePath());
     private static final int WARM_HOSTS = 5;
     private static final double COLD_MS = 8_700;
     private static final double FROM = 0.3;
--- a/src/test/java/rillyard/proxy/ThreadCountIT.java
+++ b/src/test/java/rillyard/proxy/ThreadCountIT.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import rillyard.process.Launch;
-import rillyard.process.ProxyProcess;
+import rillyard.childprocess.LaunchCommand;
+import rillyard.childprocess.ProxyProcess;
 
 /** The built jar makes its threads before it is ready, and none of them ends while it serves. */
 @Timeout(120)
@@ -66,7 +66,7 @@
                 ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"))) {
             Path config = folder.resolve("config.json");
             Files.move(ProxyFixture.config(silent.port(), c -> {}, ProxyFixture.server("a", host.port())), config);
-            Launch built = Launch.platform(Path.of("").toAbsolutePath());
+            LaunchCommand built = LaunchCommand.platform(Path.of("").toAbsolutePath());
             try (ProxyProcess p =
                     ProxyProcess.launch(built, config, ProxyProcess.freeAddress(), folder.resolve("log"))) {
                 p.await(ProxyProcess.State.READY);
--- a/src/test/java/rillyard/ledger/LedgerTest.java
+++ b/src/test/java/rillyard/requestlog/RequestLogTest.java
@@ -1,4 +1,4 @@
-package rillyard.ledger;
+package rillyard.requestlog;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -9,17 +9,19 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rillyard.input.InvalidFileException;
+import rillyard.config.InvalidConfigException;
 
-class LedgerTest {
-    private static final List<LedgerLine> LINES = List.of(
-            new ClientTry(7, 1, "ab", "k", "claim", "t", 3, 10, 11, 12, 400_000, Outcome.REFUSED, 503, 9, false),
-            new ClientTry(8, 0, "ac", null, "list", null, 3, 10, 11, 12, 400_000, Outcome.SERVED, 200, 0, true),
-            new Surplus(5, "ab"),
-            new HostRun("ab", "k", "claim", "s-1", 2, "z1", 1, 10, 11, 12, 13, RunResult.DONE),
-            new HostNews(4, "s-1", HostNews.What.STARTED, null, 3.5, 0.25, 8_000),
-            new HostNews(4, "s-1", HostNews.What.FAULT, "slow x4"),
-            new Told(6, 1, "s-1", "draining", 4));
+class RequestLogTest {
+    private static final List<LogRecord> LINES = List.of(
+            new ClientAttempt(
+                    7, 1, "ab", "k", "claim", "t", 3, 10, 11, 12, 400_000, ClientOutcome.REFUSED, 503, 9, false),
+            new ClientAttempt(
+                    8, 0, "ac", null, "list", null, 3, 10, 11, 12, 400_000, ClientOutcome.SERVED, 200, 0, true),
+            new UnexpectedResponse(5, "ab"),
+            new HostExecution("ab", "k", "claim", "s-1", 2, "z1", 1, 10, 11, 12, 13, ExecutionResult.DONE),
+            new HostEvent(4, "s-1", HostEvent.Kind.STARTED, null, 3.5, 0.25, 8_000),
+            new HostEvent(4, "s-1", HostEvent.Kind.FAULT, "slow x4"),
+            new WatchNotification(6, 1, "s-1", "draining", 4));
 
     @TempDir
     Path folder;
@@ -28,17 +30,17 @@
         return folder.resolve("l.jsonl");
     }
 
-    private static LedgerHead head() {
-        return new LedgerHead("hosts", 1, 42);
+    private static LogHeader head() {
+        return new LogHeader("hosts", 1, 42);
     }
 
     @Test
     void whatIsWrittenIsRead() throws Exception {
-        try (Ledger l = Ledger.open(file(), head())) {
+        try (RequestLogWriter l = RequestLogWriter.open(file(), head())) {
             LINES.forEach(l::append);
         }
-        List<LedgerLine> read = new ArrayList<>();
-        assertThat(LedgerReader.read(file(), "hosts", read::add)).isTrue();
+        List<LogRecord> read = new ArrayList<>();
+        assertThat(RequestLogReader.read(file(), "hosts", read::add)).isTrue();
         assertThat(read).isEqualTo(LINES);
     }
 
@@ -46,7 +48,7 @@
     void manyThreadsWriteWholeLinesOnly() throws Exception {
         int threads = 8;
         int each = 5_000;
-        try (Ledger l = Ledger.open(file(), head())) {
+        try (RequestLogWriter l = RequestLogWriter.open(file(), head())) {
             List<Thread> all = new ArrayList<>();
             for (int i = 0; i < threads; i++) {
                 Thread t = new Thread(() -> {
@@ -62,25 +64,25 @@
             }
         }
         int[] count = new int[1];
-        assertThat(LedgerReader.read(file(), "hosts", x -> count[0]++)).isTrue();
+        assertThat(RequestLogReader.read(file(), "hosts", x -> count[0]++)).isTrue();
         assertThat(count[0]).isEqualTo(threads * each);
     }
 
     @Test
     void aLedgerThatWasFlushedAndNotClosedSaysSo() throws Exception {
-        Ledger l = Ledger.open(file(), head());
+        RequestLogWriter l = RequestLogWriter.open(file(), head());
         l.append(LINES.get(0));
         l.flush();
         long until = System.nanoTime() + 20_000_000_000L;
         while (Files.size(file()) == 0 && System.nanoTime() < until) {
             Thread.onSpinWait();
         }
-        List<LedgerLine> read = new ArrayList<>();
-        assertThat(LedgerReader.read(file(), "hosts", read::add)).isFalse();
+        List<LogRecord> read = new ArrayList<>();
+        assertThat(RequestLogReader.read(file(), "hosts", read::add)).isFalse();
         assertThat(read).containsExactly(LINES.get(0));
         l.close();
         l.append(LINES.get(1)); // without effect
-        assertThat(LedgerReader.read(file(), "hosts", x -> {})).isTrue();
+        assertThat(RequestLogReader.read(file(), "hosts", x -> {})).isTrue();
     }
 
     @Test
@@ -96,8 +98,8 @@
             {head + "{\"k\":\"told\",\"at\":1,\"wat", ":2: expected a JSON object"}
         }) {
             Files.writeString(file(), c[0]);
-            assertThatThrownBy(() -> LedgerReader.read(file(), "hosts", x -> {}))
-                    .isInstanceOf(InvalidFileException.class)
+            assertThatThrownBy(() -> RequestLogReader.read(file(), "hosts", x -> {}))
+                    .isInstanceOf(InvalidConfigException.class)
                     .hasMessageContaining(file() + c[1]);
         }
     }
--- a/src/test/java/rillyard/timing/VirtualTimers.java
+++ b/src/test/java/rillyard/scheduling/VirtualScheduler.java
@@ -1,11 +1,11 @@
-package rillyard.timing;
+package rillyard.scheduling;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
 /** A clock that a test moves. */
-public final class VirtualTimers implements Timers {
-    private static final class Due implements Timer {
+public final class VirtualScheduler implements Scheduler {
+    private static final class Due implements ScheduledTask {
         final long at;
         final long order;
         final Runnable what;
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public Timer at(long at, Runnable what) {
+    public ScheduledTask at(long at, Runnable what) {
         Due d = new Due(Math.max(now, at), order++, what);
         due.add(d);
         return d;
--- a/src/test/java/rillyard/standin/CatalogTest.java
+++ b/src/test/java/rillyard/testserver/EndpointCatalogTest.java
@@ -1,4 +1,4 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,10 +8,10 @@
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 
-class CatalogTest {
-    private static Catalog.Entry entry(String id, String state) {
-        HostSpec spec = StandInPlanReader.standard(1).hosts().get(0).named(id);
-        return new Catalog.Entry(spec, "127.0.0.1:1", state, 0);
+class EndpointCatalogTest {
+    private static EndpointCatalog.Entry entry(String id, String state) {
+        HostSpec spec = TestClusterPlanReader.standard(1).hosts().get(0).named(id);
+        return new EndpointCatalog.Entry(spec, "127.0.0.1:1", state, 0);
     }
 
     private static JsonNode json(String line) throws Exception {
@@ -20,7 +20,7 @@
 
     @Test
     void tellsTheWholeListOrWhatChangedSince() throws Exception {
-        Catalog c = new Catalog(List.of(entry("a", "up"), entry("b", "up")));
+        EndpointCatalog c = new EndpointCatalog(List.of(entry("a", "up"), entry("b", "up")));
         assertThat(json(c.since(0, UnaryOperator.identity())).path("full").asBoolean())
                 .isTrue();
         assertThat(json(c.since(0, UnaryOperator.identity())).path("servers")).hasSize(2);
@@ -38,7 +38,7 @@
 
     @Test
     void whoAsksForMoreThanIsKeptGetsTheWholeList() throws Exception {
-        Catalog c = new Catalog(List.of(entry("a", "up")));
+        EndpointCatalog c = new EndpointCatalog(List.of(entry("a", "up")));
         for (int i = 0; i < 1_500; i++) {
             c.change(entry("a", i % 2 == 0 ? "draining" : "up"));
         }
--- a/src/test/java/rillyard/standin/HostWorkTest.java
+++ b/src/test/java/rillyard/testserver/HostQueueTest.java
@@ -1,30 +1,30 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import rillyard.timing.VirtualTimers;
+import rillyard.scheduling.VirtualScheduler;
 
-class HostWorkTest {
-    private final VirtualTimers timers = new VirtualTimers();
+class HostQueueTest {
+    private final VirtualScheduler timers = new VirtualScheduler();
     private final long zero = timers.now();
     private final List<String> ends = new ArrayList<>();
 
-    private HostWork host(int cores, int queue, double coldMs) {
-        HostWork w = new HostWork(
+    private HostQueue host(int cores, int queue, double coldMs) {
+        HostQueue w = new HostQueue(
                 new HostSpec("s", "z", "k", 0, cores, 1, queue, 10, 0, 0, 1e6, coldMs, 0.25, false), timers);
         w.started(coldMs > 0);
         return w;
     }
 
-    private HostWork.Job job(String name, double ms) {
+    private HostQueue.Job job(String name, double ms) {
         return job(name, ms, true);
     }
 
-    private HostWork.Job job(String name, double ms, boolean starts) {
-        return new HostWork.Job(ms * 1e6) {
+    private HostQueue.Job job(String name, double ms, boolean starts) {
+        return new HostQueue.Job(ms * 1e6) {
             @Override
             boolean starts() {
                 return starts;
@@ -39,7 +39,7 @@
 
     @Test
     void firstComeFirstServedOnSoManyCoresAndNoMoreThanTheQueueHolds() {
-        HostWork w = host(2, 2, 0);
+        HostQueue w = host(2, 2, 0);
         assertThat(w.offer(job("a", 10))).isTrue();
         assertThat(w.offer(job("b", 30))).isTrue();
         assertThat(w.offer(job("c", 10))).isTrue();
@@ -53,7 +53,7 @@
 
     @Test
     void aPauseMovesAllEndsByItsLength() {
-        HostWork w = host(1, 10, 0);
+        HostQueue w = host(1, 10, 0);
         w.offer(job("a", 10));
         timers.passMs(4);
         w.pause();
@@ -67,7 +67,7 @@
 
     @Test
     void aColdHostIsSlowAtFirstAndWarmAtTheEnd() {
-        HostWork w = host(1, 10, 1_000);
+        HostQueue w = host(1, 10, 1_000);
         assertThat(w.warmth()).isEqualTo(0.25);
         w.offer(job("a", 10));
         timers.passMs(500);
@@ -81,7 +81,7 @@
 
     @Test
     void aSlowHostTakesSoManyTimesAsLong() {
-        HostWork w = host(1, 10, 0);
+        HostQueue w = host(1, 10, 0);
         w.slow(5);
         w.offer(job("a", 10));
         timers.drain();
@@ -93,8 +93,8 @@
 
     @Test
     void whatIsWithdrawnOrNotToRunTakesNoCore() {
-        HostWork w = host(1, 10, 0);
-        HostWork.Job gone = job("b", 10);
+        HostQueue w = host(1, 10, 0);
+        HostQueue.Job gone = job("b", 10);
         w.offer(job("a", 10));
         w.offer(gone);
         w.offer(job("c", 10, false));
@@ -107,7 +107,7 @@
 
     @Test
     void aHostThatIsKilledFinishesNothing() {
-        HostWork w = host(1, 10, 0);
+        HostQueue w = host(1, 10, 0);
         w.offer(job("a", 10));
         w.offer(job("b", 10));
         w.kill();
@@ -120,7 +120,7 @@
 
     @Test
     void utilisationIsTheShareOfTheCoresInUse() {
-        HostWork w = host(2, 10, 0);
+        HostQueue w = host(2, 10, 0);
         w.offer(job("a", 50));
         timers.passMs(100);
         assertThat(w.utilisation()).isBetween(0.249, 0.251);
--- a/src/test/java/rillyard/standin/KeyMemoryTest.java
+++ b/src/test/java/rillyard/testserver/IdempotencyKeyStoreTest.java
@@ -1,26 +1,26 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-class KeyMemoryTest {
-    private final KeyMemory memory = new KeyMemory(100);
+class IdempotencyKeyStoreTest {
+    private final IdempotencyKeyStore memory = new IdempotencyKeyStore(100);
     private final AtomicInteger woken = new AtomicInteger();
 
-    private KeyMemory.Known seen(String key, long now) {
+    private IdempotencyKeyStore.Known seen(String key, long now) {
         return memory.seen(key, now, woken::incrementAndGet);
     }
 
     @Test
     void aKeyIsNewOnceThenKnownUntilItsWindowIsPast() {
-        assertThat(seen("a", 0)).isEqualTo(KeyMemory.Known.NEW);
-        assertThat(seen("a", 10)).isEqualTo(KeyMemory.Known.RUNNING);
+        assertThat(seen("a", 0)).isEqualTo(IdempotencyKeyStore.Known.NEW);
+        assertThat(seen("a", 10)).isEqualTo(IdempotencyKeyStore.Known.RUNNING);
         memory.done("a");
         assertThat(woken).hasValue(1);
-        assertThat(seen("a", 99)).isEqualTo(KeyMemory.Known.DONE);
-        assertThat(seen("a", 100)).isEqualTo(KeyMemory.Known.NEW);
+        assertThat(seen("a", 99)).isEqualTo(IdempotencyKeyStore.Known.DONE);
+        assertThat(seen("a", 100)).isEqualTo(IdempotencyKeyStore.Known.NEW);
     }
 
     @Test
@@ -29,7 +29,7 @@
         seen("a", 1);
         memory.forget("a");
         assertThat(woken).hasValue(1);
-        assertThat(seen("a", 2)).isEqualTo(KeyMemory.Known.NEW);
+        assertThat(seen("a", 2)).isEqualTo(IdempotencyKeyStore.Known.NEW);
     }
 
     @Test
--- a/src/test/java/rillyard/standin/RawClient.java
+++ b/src/test/java/rillyard/testserver/RawClient.java
@@ -1,4 +1,4 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/src/test/java/rillyard/standin/ServiceTimeTest.java
+++ b/src/test/java/rillyard/testserver/ServiceTimeTest.java
@@ -1,4 +1,4 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
--- a/src/test/java/rillyard/standin/StandInPlanReaderTest.java
+++ b/src/test/java/rillyard/testserver/TestClusterPlanReaderTest.java
@@ -1,16 +1,16 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.catchThrowableOfType;
 
 import org.junit.jupiter.api.Test;
-import rillyard.input.Finding;
-import rillyard.input.InvalidFileException;
+import rillyard.config.ConfigProblem;
+import rillyard.config.InvalidConfigException;
 
-class StandInPlanReaderTest {
+class TestClusterPlanReaderTest {
     @Test
     void hostsHaveWhatTheFileSaysOfAllAndOfEach() throws Exception {
-        StandInPlan p = StandInPlanReader.parse(
+        TestClusterPlan p = TestClusterPlanReader.parse(
                 "t",
                 """
             [hosts]
@@ -38,14 +38,16 @@
         assertThat(p.hosts()).extracting(HostSpec::cores).containsExactly(8, 2);
         assertThat(p.hosts()).extracting(HostSpec::cell).containsExactly(0L, 7L);
         assertThat(p.classes().get(0).work()).isEqualTo(new ServiceTime.Exponential(5));
-        assertThat(p.faults()).extracting(Fault::kind).containsExactly(Fault.Kind.DISCOVERY_SILENT, Fault.Kind.SLOW);
+        assertThat(p.faults())
+                .extracting(HostFault::kind)
+                .containsExactly(HostFault.Kind.DISCOVERY_SILENT, HostFault.Kind.SLOW);
     }
 
     @Test
     void everyErrorNamesItsLine() {
-        InvalidFileException e = catchThrowableOfType(
-                InvalidFileException.class,
-                () -> StandInPlanReader.parse(
+        InvalidConfigException e = catchThrowableOfType(
+                InvalidConfigException.class,
+                () -> TestClusterPlanReader.parse(
                         "t.toml",
                         """
                 [hosts]
@@ -58,7 +60,7 @@
                 host = "s-99"
                 """,
                         4));
-        assertThat(e.findings()).extracting(Finding::line).containsExactly(2, 4, 5, 6, 8);
+        assertThat(e.findings()).extracting(ConfigProblem::line).containsExactly(2, 4, 5, 6, 8);
         assertThat(e.getMessage())
                 .contains("t.toml:2: hosts.coers: unknown key; did you mean 'cores'?")
                 .contains("t.toml:8: fault[0].host: there is no host 's-99'");
@@ -66,7 +68,7 @@
 
     @Test
     void withoutAFileHostsAreInCellsOfFour() {
-        assertThat(StandInPlanReader.standard(6).hosts())
+        assertThat(TestClusterPlanReader.standard(6).hosts())
                 .extracting(HostSpec::cell)
                 .containsExactly(0L, 0L, 0L, 0L, 1L, 1L);
     }
--- a/src/test/java/rillyard/standin/StandInTest.java
+++ b/src/test/java/rillyard/testserver/TestClusterTest.java
@@ -1,4 +1,4 @@
-package rillyard.standin;
+package rillyard.testserver;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -18,17 +18,17 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rillyard.ledger.HostNews;
-import rillyard.ledger.HostRun;
-import rillyard.ledger.Ledger;
-import rillyard.ledger.LedgerHead;
-import rillyard.ledger.LedgerLine;
-import rillyard.ledger.LedgerReader;
-import rillyard.ledger.RunResult;
-import rillyard.ledger.Told;
+import rillyard.requestlog.ExecutionResult;
+import rillyard.requestlog.HostEvent;
+import rillyard.requestlog.HostExecution;
+import rillyard.requestlog.LogHeader;
+import rillyard.requestlog.LogRecord;
+import rillyard.requestlog.RequestLogReader;
+import rillyard.requestlog.RequestLogWriter;
+import rillyard.requestlog.WatchNotification;
 
 /** Stand-ins on loopback, spoken to byte by byte; what they did is read from their ledger. */
-class StandInTest {
+class TestClusterTest {
     private static final String HOSTS =
             """
       [hosts]
@@ -56,14 +56,14 @@
     @TempDir
     Path folder;
 
-    private Ledger ledger;
-    private StandIn standIn;
+    private RequestLogWriter ledger;
+    private TestCluster standIn;
 
     @BeforeEach
     void start() throws Exception {
-        ledger = Ledger.open(file(), new LedgerHead("hosts", 1, 1));
-        standIn = new StandIn(
-                StandInPlanReader.parse("t", HOSTS, 0),
+        ledger = RequestLogWriter.open(file(), new LogHeader("hosts", 1, 1));
+        standIn = new TestCluster(
+                TestClusterPlanReader.parse("t", HOSTS, 0),
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 1,
                 ledger,
@@ -86,10 +86,10 @@
     }
 
     /** Ends the stand-in and reads what it wrote down. */
-    private <T extends LedgerLine> List<T> ledger(Class<T> kind) throws Exception {
+    private <T extends LogRecord> List<T> ledger(Class<T> kind) throws Exception {
         stop();
         List<T> out = new ArrayList<>();
-        assertThat(LedgerReader.read(file(), "hosts", l -> {
+        assertThat(RequestLogReader.read(file(), "hosts", l -> {
                     if (kind.isInstance(l)) {
                         out.add(kind.cast(l));
                     }
@@ -125,7 +125,7 @@
             c.write("GET /list HTTP/1.1\r\nHost: h\r\n\r\n"); // no id
             assertThat(c.answer()).startsWith("HTTP/1.1 404");
         }
-        assertThat(ledger(HostRun.class)).extracting(HostRun::id).containsExactly("a1", "a2");
+        assertThat(ledger(HostExecution.class)).extracting(HostExecution::id).containsExactly("a1", "a2");
     }
 
     @Test
@@ -136,9 +136,9 @@
                 assertThat(c.answer()).contains("id=b" + i);
             }
         }
-        assertThat(ledger(HostRun.class))
-                .extracting(HostRun::result)
-                .containsExactly(RunResult.DONE, RunResult.REMEMBERED);
+        assertThat(ledger(HostExecution.class))
+                .extracting(HostExecution::result)
+                .containsExactly(ExecutionResult.DONE, ExecutionResult.REMEMBERED);
     }
 
     @Test
@@ -158,8 +158,8 @@
         assertThat(answers)
                 .filteredOn(a -> a.startsWith("HTTP/1.1 503") && a.contains("X-Not-Processed: 1"))
                 .hasSize(2);
-        assertThat(ledger(HostRun.class))
-                .filteredOn(r -> r.result() == RunResult.TURNED_AWAY)
+        assertThat(ledger(HostExecution.class))
+                .filteredOn(r -> r.result() == ExecutionResult.TURNED_AWAY)
                 .hasSize(2)
                 .allMatch(r -> !r.mayHaveRun());
     }
@@ -175,10 +175,10 @@
             awaitLoad(host(0), "inflight=2");
         }
         awaitLoad(host(0), "inflight=0");
-        List<HostRun> runs = ledger(HostRun.class);
-        assertThat(runs).extracting(HostRun::id).containsExactlyInAnyOrder("d0", "d1");
-        for (HostRun r : runs) {
-            assertThat(r.result()).isEqualTo(r.id().equals("d0") ? RunResult.LEFT : RunResult.DROPPED);
+        List<HostExecution> runs = ledger(HostExecution.class);
+        assertThat(runs).extracting(HostExecution::id).containsExactlyInAnyOrder("d0", "d1");
+        for (HostExecution r : runs) {
+            assertThat(r.result()).isEqualTo(r.id().equals("d0") ? ExecutionResult.LEFT : ExecutionResult.DROPPED);
         }
     }
 
@@ -213,7 +213,9 @@
                     })
                     .isInstanceOf(IOException.class);
         }
-        assertThat(ledger(HostRun.class)).extracting(HostRun::result).containsExactly(RunResult.ERROR, RunResult.RESET);
+        assertThat(ledger(HostExecution.class))
+                .extracting(HostExecution::result)
+                .containsExactly(ExecutionResult.ERROR, ExecutionResult.RESET);
     }
 
     @Test
@@ -253,9 +255,9 @@
             hung.socket.setSoTimeout(50);
             assertThatThrownBy(hung::answer).isInstanceOf(java.net.SocketTimeoutException.class);
         }
-        List<HostRun> runs = ledger(HostRun.class);
-        assertThat(runs).anyMatch(r -> r.id().equals("f0") && r.result() == RunResult.HUNG && r.mayHaveRun());
-        assertThat(runs).anyMatch(r -> r.id().equals("f1") && r.result() == RunResult.DONE);
+        List<HostExecution> runs = ledger(HostExecution.class);
+        assertThat(runs).anyMatch(r -> r.id().equals("f0") && r.result() == ExecutionResult.HUNG && r.mayHaveRun());
+        assertThat(runs).anyMatch(r -> r.id().equals("f1") && r.result() == ExecutionResult.DONE);
     }
 
     @Test
@@ -277,7 +279,8 @@
                 assertThat(again.answer()).contains("host=s-0+1");
             }
         }
-        assertThat(ledger(HostRun.class)).anyMatch(r -> r.id().equals("g0") && r.result() == RunResult.KILLED);
+        assertThat(ledger(HostExecution.class))
+                .anyMatch(r -> r.id().equals("g0") && r.result() == ExecutionResult.KILLED);
     }
 
     /** The next state of a host that the watch is told. */
@@ -309,9 +312,9 @@
             assertThat(c.answer()).contains("id=h0"); // it has what it had, and finishes it
             assertThat(told(watch, "s-0")).isEqualTo("removed");
         }
-        assertThat(ledger(Told.class))
+        assertThat(ledger(WatchNotification.class))
                 .filteredOn(t -> t.watcher() == 1 && t.host().equals("s-0"))
-                .extracting(Told::state)
+                .extracting(WatchNotification::state)
                 .containsExactly("up", "draining", "removed");
     }
 
@@ -324,15 +327,15 @@
             faulty("kill", 0, "");
             assertThat(told(watch, "s-0")).isEqualTo("removed");
         }
-        List<LedgerLine> lines = ledger(LedgerLine.class);
+        List<LogRecord> lines = ledger(LogRecord.class);
         int ends = -1;
         int told = -1;
         for (int i = 0; i < lines.size(); i++) {
-            if (lines.get(i) instanceof HostNews n
+            if (lines.get(i) instanceof HostEvent n
                     && n.host().equals("discovery")
-                    && n.what() == HostNews.What.FAULT_ENDED) {
+                    && n.what() == HostEvent.Kind.FAULT_ENDED) {
                 ends = i;
-            } else if (lines.get(i) instanceof Told t
+            } else if (lines.get(i) instanceof WatchNotification t
                     && t.watcher() > 0
                     && t.host().equals("s-0")) {
                 told = i;
@@ -361,9 +364,9 @@
             }
             assertThat(list.path("servers")).hasSize(2);
         }
-        assertThat(ledger(HostNews.class))
-                .filteredOn(n -> n.host().equals("s-1") && n.what() == HostNews.What.STARTED)
-                .extracting(HostNews::cold)
+        assertThat(ledger(HostEvent.class))
+                .filteredOn(n -> n.host().equals("s-1") && n.what() == HostEvent.Kind.STARTED)
+                .extracting(HostEvent::cold)
                 .containsExactly(false, true);
     }
 
@@ -388,8 +391,8 @@
             c.write(RawClient.request("list", "i1", null, null));
             assertThat(c.answer()).contains("id=i1");
         }
-        for (HostRun r : ledger(HostRun.class)) {
-            assertThat(r.result()).isEqualTo(r.id().equals("i0") ? RunResult.GARBLED : RunResult.DONE);
+        for (HostExecution r : ledger(HostExecution.class)) {
+            assertThat(r.result()).isEqualTo(r.id().equals("i0") ? ExecutionResult.GARBLED : ExecutionResult.DONE);
             if (r.id().equals("i1")) {
                 assertThat(r.ended() - r.started()).isGreaterThanOrEqualTo(399_000);
             }
@@ -399,9 +402,9 @@
     @Test
     void aNewConnectionWaitsForItsHandshakeAndCostsTheHostWork() throws Exception {
         stop();
-        ledger = Ledger.open(file(), new LedgerHead("hosts", 1, 1));
-        standIn = new StandIn(
-                StandInPlanReader.parse(
+        ledger = RequestLogWriter.open(file(), new LogHeader("hosts", 1, 1));
+        standIn = new TestCluster(
+                TestClusterPlanReader.parse(
                         "t", HOSTS.replace("[hosts]", "[hosts]\nhandshake_ms = 150\nhandshake_work_ms = 60"), 0),
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 1,
@@ -414,9 +417,9 @@
                 assertThat(c.answer()).contains("id=j" + i);
             }
         }
-        List<HostRun> runs = ledger(HostRun.class);
+        List<HostExecution> runs = ledger(HostExecution.class);
         assertThat(runs.get(0).started() - runs.get(0).received()).isGreaterThan(100_000);
-        assertThat(runs).extracting(HostRun::result).containsOnly(RunResult.DONE);
+        assertThat(runs).extracting(HostExecution::result).containsOnly(ExecutionResult.DONE);
     }
 
     @Test
--- /dev/null
+++ b/src/test/java/rillyard/trace/TraceEventTest.java
@@ -0,0 +1,57 @@
+package rillyard.trace;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatIllegalArgumentException;
+
+import java.io.ByteArrayOutputStream;
+import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import rillyard.trace.TraceEvent.Kind;
+
+class TraceEventTest {
+    @Test
+    void isReadAsItWasWrittenWhateverStandsBeforeIt() {
+        TraceEvent l = new TraceEvent(1_764_604_800_123L, Kind.ATTEMPT, "s-1", "FULL", 12, true);
+        assertThat(TraceEvent.read(l.text())).isEqualTo(l);
+        assertThat(TraceEvent.read("12.5 n3 | " + l.text())).isEqualTo(l);
+    }
+
+    @Test
+    void otherLinesAreNoneAndTornOnesAreSaid() {
+        assertThat(TraceEvent.read("rillyard: draining")).isNull();
+        String whole = new TraceEvent(1, Kind.CLOSED, "s-1", TraceEvent.NONE, 0, false).text();
+        for (int n = "rillyard: trace ".length(); n < whole.length(); n++) {
+            String torn = whole.substring(0, n);
+            assertThatIllegalArgumentException().as(torn).isThrownBy(() -> TraceEvent.read(torn));
+        }
+        assertThatIllegalArgumentException().isThrownBy(() -> TraceEvent.read(whole.replace("closed", "shut")));
+    }
+
+    @Test
+    void aNameFromOutsideMakesNeitherFieldsNorLines() {
+        String text = new TraceEvent(1, Kind.CLOSED, "a b\nrillyard: trace 1 list", TraceEvent.NONE, 0, false).text();
+        assertThat(text).doesNotContain("\n");
+        assertThat(TraceEvent.read(text).host()).isEqualTo("a_b_rillyard:_trace_1_list");
+    }
+
+    @Test
+    void aTraceSaysWhatWasDone() {
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+        ProxyTrace t = new ProxyTrace(new PrintStream(bytes, true, StandardCharsets.UTF_8));
+        t.did(Kind.CONNECTED, "s-1");
+        t.attempt("s-1", Kind.LIST, 11.6, true); // any enum's name does
+        t.ended(Kind.REFUSED, null);
+        List<TraceEvent> lines = bytes.toString(StandardCharsets.UTF_8)
+                .lines()
+                .map(TraceEvent::read)
+                .toList();
+        assertThat(lines)
+                .extracting(TraceEvent::what)
+                .containsExactly(Kind.STARTED, Kind.CONNECTED, Kind.ATTEMPT, Kind.REFUSED);
+        assertThat(lines.get(2).spent()).isEqualTo(12);
+        assertThat(lines.get(2).cold()).isTrue();
+        assertThat(lines.get(3).how()).isEqualTo(TraceEvent.NONE);
+    }
+}
