--- a/src/main/java/rillyard/admin/AdminRequestHandler.java
+++ b/src/main/java/rillyard/admin/AdminRequestHandler.java
@@ -34,10 +34,10 @@
         CompletionStage<AdminResponse> reply = request.decoderResult().isFailure()
                 ? reply(HttpResponseStatus.BAD_REQUEST, "not a request that can be read\n")
                 : carriedOut(request, ctx.channel().eventLoop());
-        reply.whenComplete((r, failure) -> answer(
+        reply.whenComplete((response, failure) -> answer(
                 ctx,
                 failure == null
-                        ? r
+                        ? response
                         : new AdminResponse(HttpResponseStatus.INTERNAL_SERVER_ERROR, "not done: " + failure + "\n")));
     }
 
--- a/src/main/java/rillyard/admin/AdminServer.java
+++ b/src/main/java/rillyard/admin/AdminServer.java
@@ -53,8 +53,8 @@
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel ch) {
-                        accepted(ch);
+                    protected void initChannel(SocketChannel channel) {
+                        accepted(channel);
                     }
                 })
                 .bind(at)
@@ -68,14 +68,14 @@
         group.scheduleWithFixedDelay(what, millis, millis, TimeUnit.MILLISECONDS);
     }
 
-    private void accepted(SocketChannel ch) {
+    private void accepted(SocketChannel channel) {
         if (open.size() >= MOST_OPEN) {
             open.poll().close();
         }
-        open.add(ch);
-        ch.closeFuture().addListener(f -> open.remove(ch));
-        ch.eventLoop().schedule(() -> ch.close(), CALL_MS, TimeUnit.MILLISECONDS);
-        ch.pipeline()
+        open.add(channel);
+        channel.closeFuture().addListener(f -> open.remove(channel));
+        channel.eventLoop().schedule(() -> channel.close(), CALL_MS, TimeUnit.MILLISECONDS);
+        channel.pipeline()
                 .addLast(
                         new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY), new AdminRequestHandler(operations));
     }
--- a/src/main/java/rillyard/audit/AtMostOnceRule.java
+++ b/src/main/java/rillyard/audit/AtMostOnceRule.java
@@ -24,13 +24,13 @@
         for (List<ClientAttempt> tries : evidence.byRequest().values()) {
             List<HostExecution> ran = new ArrayList<>();
             Set<String> ids = new HashSet<>();
-            for (ClientAttempt t : tries) {
-                if (ids.add(t.id())) {
-                    evidence.byId(t.id()).stream()
+            for (ClientAttempt attempt : tries) {
+                if (ids.add(attempt.id())) {
+                    evidence.byId(attempt.id()).stream()
                             .filter(HostExecution::mayHaveRun)
                             .forEach(ran::add);
                 }
-                checkRefusal(t, to);
+                checkRefusal(attempt, to);
             }
             seen.addAll(ids);
             once(tries.get(0).type(), "request " + tries.get(0).request(), ran, to);
@@ -69,20 +69,22 @@
         }
     }
 
-    private void checkRefusal(ClientAttempt t, Consumer<Violation> to) {
-        AuditSettings.RequestClass c = settings.type(t.type());
-        boolean harmless = c.semantics() == AuditSettings.Semantics.IDEMPOTENT
-                || (c.semantics() == AuditSettings.Semantics.DEDUPLICATED && c.scope() == AuditSettings.Scope.ALL);
-        if (t.outcome() != ClientOutcome.REFUSED || harmless) {
+    private void checkRefusal(ClientAttempt attempt, Consumer<Violation> to) {
+        AuditSettings.RequestClass requestClass = settings.type(attempt.type());
+        boolean harmless = requestClass.semantics() == AuditSettings.Semantics.IDEMPOTENT
+                || (requestClass.semantics() == AuditSettings.Semantics.DEDUPLICATED
+                        && requestClass.scope() == AuditSettings.Scope.ALL);
+        if (attempt.outcome() != ClientOutcome.REFUSED || harmless) {
             return;
         }
-        for (HostExecution r : evidence.byId(t.id())) {
-            if (r.mayHaveRun()) {
+        for (HostExecution execution : evidence.byId(attempt.id())) {
+            if (execution.mayHaveRun()) {
                 to.accept(new Violation(
                         Violation.Rule.EFFECT,
-                        t.ended(),
-                        "id " + t.id() + " of " + t.type() + " was refused and may have run at " + r.host(),
-                        evidence.history(t.id())));
+                        attempt.ended(),
+                        "id " + attempt.id() + " of " + attempt.type() + " was refused and may have run at "
+                                + execution.host(),
+                        evidence.history(attempt.id())));
                 return;
             }
         }
--- a/src/main/java/rillyard/audit/Audit.java
+++ b/src/main/java/rillyard/audit/Audit.java
@@ -50,14 +50,14 @@
      * @throws InvalidConfigException at the first line that is none of a ledger
      */
     public static Verdict of(Path clients, Path hosts, AuditSettings settings) throws InvalidConfigException {
-        Audit a = new Audit(settings);
-        if (!RequestLogReader.read(clients, "clients", a::add)) {
-            a.doubts.add(clients + " was not closed: its last lines may be missing");
+        Audit audit = new Audit(settings);
+        if (!RequestLogReader.read(clients, "clients", audit::add)) {
+            audit.doubts.add(clients + " was not closed: its last lines may be missing");
         }
-        if (!RequestLogReader.read(hosts, "hosts", a::add)) {
-            a.doubts.add(hosts + " was not closed: its last lines may be missing");
+        if (!RequestLogReader.read(hosts, "hosts", audit::add)) {
+            audit.doubts.add(hosts + " was not closed: its last lines may be missing");
         }
-        return a.judge();
+        return audit.judge();
     }
 
     /** Takes a line of either ledger. */
@@ -81,9 +81,9 @@
             doubts.add("the ledgers have no request in common: they are of two runs");
         }
         Set<String> unknown = new HashSet<>();
-        evidence.tries.forEach(t -> {
-            if (!settings.classes().containsKey(t.type())) {
-                unknown.add(t.type());
+        evidence.tries.forEach(attempt -> {
+            if (!settings.classes().containsKey(attempt.type())) {
+                unknown.add(attempt.type());
             }
         });
         if (!unknown.isEmpty()) {
@@ -94,11 +94,11 @@
 
     private boolean strangers() {
         boolean served = false;
-        for (ClientAttempt t : evidence.tries) {
-            if (!evidence.byId(t.id()).isEmpty()) {
+        for (ClientAttempt attempt : evidence.tries) {
+            if (!evidence.byId(attempt.id()).isEmpty()) {
                 return false;
             }
-            served |= t.outcome() == ClientOutcome.SERVED;
+            served |= attempt.outcome() == ClientOutcome.SERVED;
         }
         return served || !evidence.runs.isEmpty();
     }
--- a/src/main/java/rillyard/audit/AuditSettings.java
+++ b/src/main/java/rillyard/audit/AuditSettings.java
@@ -82,27 +82,27 @@
     /** Reads settings that are parsed already. */
     public static AuditSettings of(JsonNode settings) {
         Map<String, RequestClass> classes = new HashMap<>();
-        for (JsonNode c : settings.path("classes")) {
+        for (JsonNode node : settings.path("classes")) {
             Semantics semantics =
-                    switch (c.path("semantics").asText()) {
+                    switch (node.path("semantics").asText()) {
                         case "idempotent" -> Semantics.IDEMPOTENT;
                         case "deduplicated" -> Semantics.DEDUPLICATED;
                         default -> Semantics.AT_MOST_ONCE; // the strictest, where a name is new
                     };
             Scope scope =
-                    switch (c.path("keyScope").asText()) {
+                    switch (node.path("keyScope").asText()) {
                         case "all" -> Scope.ALL;
                         case "zone" -> Scope.ZONE;
                         default -> Scope.CELL;
                     };
-            String name = c.path("name").asText();
+            String name = node.path("name").asText();
             classes.put(
                     name,
                     new RequestClass(
                             name,
                             semantics,
                             scope,
-                            micros(c.path("repeatWindow").asDouble(0))));
+                            micros(node.path("repeatWindow").asDouble(0))));
         }
         JsonNode rules = settings.path("rules");
         return new AuditSettings(
--- a/src/main/java/rillyard/audit/DrainingRule.java
+++ b/src/main/java/rillyard/audit/DrainingRule.java
@@ -34,29 +34,31 @@
 
     void check(Consumer<Violation> to) {
         spans().forEach((host, spans) -> {
-            for (Span s : spans) {
-                long counted = s.changed + settings.toldAtLatest();
-                long told = s.told == 0 ? counted : Math.min(counted, s.told);
-                check(host, s, told + settings.drainGrace() + settings.socketSlack(), told, to);
+            for (Span span : spans) {
+                long counted = span.changed + settings.toldAtLatest();
+                long told = span.told == 0 ? counted : Math.min(counted, span.told);
+                check(host, span, told + settings.drainGrace() + settings.socketSlack(), told, to);
             }
         });
     }
 
-    private void check(String host, Span s, long from, long told, Consumer<Violation> to) {
+    private void check(String host, Span span, long from, long told, Consumer<Violation> to) {
         int count = 0;
         HostExecution first = null;
-        for (HostExecution r : evidence.byHost(host)) {
-            if (r.received() > from && r.received() < s.until) {
-                first = first == null ? r : first;
+        for (HostExecution execution : evidence.byHost(host)) {
+            if (execution.received() > from && execution.received() < span.until) {
+                first = first == null ? execution : first;
                 count++;
             }
         }
         if (first != null) {
             List<String> history = new ArrayList<>();
-            for (WatchNotification t : evidence.told) {
-                if (t.host().equals(host)) {
-                    history.add((t.watcher() == 0 ? "discovery has " : "watch " + t.watcher() + " is told ")
-                            + host + " " + t.state() + " " + (t.at() - first.received()) / 1_000
+            for (WatchNotification notification : evidence.told) {
+                if (notification.host().equals(host)) {
+                    history.add((notification.watcher() == 0
+                                    ? "discovery has "
+                                    : "watch " + notification.watcher() + " is told ")
+                            + host + " " + notification.state() + " " + (notification.at() - first.received()) / 1_000
                             + " ms from the request");
                 }
             }
@@ -73,20 +75,22 @@
 
     private Map<String, List<Span>> spans() {
         Map<String, List<Span>> all = new HashMap<>();
-        for (WatchNotification t : evidence.told) {
-            List<Span> spans = all.computeIfAbsent(t.host(), h -> new ArrayList<>());
+        for (WatchNotification notification : evidence.told) {
+            List<Span> spans = all.computeIfAbsent(notification.host(), h -> new ArrayList<>());
             Span last = spans.isEmpty() ? null : spans.get(spans.size() - 1);
             boolean open = last != null && last.until == Long.MAX_VALUE;
-            if (t.state().equals("up")) {
-                if (t.watcher() == 0 && open) {
-                    last.until = t.at();
+            if (notification.state().equals("up")) {
+                if (notification.watcher() == 0 && open) {
+                    last.until = notification.at();
                 }
-            } else if (t.watcher() == 0 && !open) {
-                spans.add(new Span(t.at()));
-            } else if (t.watcher() != 0 && open && t.state().equals("draining")) {
-                last.told = t.at();
-            } else if (t.watcher() != 0 && open && last.told == 0) {
-                last.told = t.at();
+            } else if (notification.watcher() == 0 && !open) {
+                spans.add(new Span(notification.at()));
+            } else if (notification.watcher() != 0
+                    && open
+                    && notification.state().equals("draining")) {
+                last.told = notification.at();
+            } else if (notification.watcher() != 0 && open && last.told == 0) {
+                last.told = notification.at();
             }
         }
         return all;
--- a/src/main/java/rillyard/audit/Evidence.java
+++ b/src/main/java/rillyard/audit/Evidence.java
@@ -27,23 +27,25 @@
     private final Map<String, Long> requestById = new HashMap<>();
 
     void add(LogRecord line) {
-        if (line instanceof ClientAttempt t) {
-            tries.add(t);
-            triesByRequest.computeIfAbsent(t.request(), k -> new ArrayList<>(1)).add(t);
-            requestById.put(t.id(), t.request());
-        } else if (line instanceof UnexpectedResponse s) {
-            surplus.add(s);
-        } else if (line instanceof HostExecution r) {
-            runs.add(r);
-            put(runsById, r.id(), r);
-            put(runsByHost, r.host(), r);
-            if (r.key() != null) {
-                put(runsByKey, r.type() + "/" + r.key(), r);
+        if (line instanceof ClientAttempt attempt) {
+            tries.add(attempt);
+            triesByRequest
+                    .computeIfAbsent(attempt.request(), k -> new ArrayList<>(1))
+                    .add(attempt);
+            requestById.put(attempt.id(), attempt.request());
+        } else if (line instanceof UnexpectedResponse response) {
+            surplus.add(response);
+        } else if (line instanceof HostExecution execution) {
+            runs.add(execution);
+            put(runsById, execution.id(), execution);
+            put(runsByHost, execution.host(), execution);
+            if (execution.key() != null) {
+                put(runsByKey, execution.type() + "/" + execution.key(), execution);
             }
-        } else if (line instanceof HostEvent n) {
-            news.add(n);
-        } else if (line instanceof WatchNotification t) {
-            told.add(t);
+        } else if (line instanceof HostEvent event) {
+            news.add(event);
+        } else if (line instanceof WatchNotification notification) {
+            told.add(notification);
         }
     }
 
@@ -59,8 +61,8 @@
         told.sort(Comparator.comparingLong(WatchNotification::at));
     }
 
-    private static void put(Map<String, List<HostExecution>> to, String key, HostExecution r) {
-        to.computeIfAbsent(key, k -> new ArrayList<>(1)).add(r);
+    private static void put(Map<String, List<HostExecution>> to, String key, HostExecution execution) {
+        to.computeIfAbsent(key, k -> new ArrayList<>(1)).add(execution);
     }
 
     List<HostExecution> byId(String id) {
@@ -99,27 +101,27 @@
     static List<String> history(List<ClientAttempt> tries, List<HostExecution> runs) {
         record At(long at, String text) {}
         List<At> all = new ArrayList<>();
-        for (ClientAttempt t : tries) {
+        for (ClientAttempt attempt : tries) {
             all.add(new At(
-                    t.sent(),
-                    "client " + t.client() + " sends try " + t.number() + " of request "
-                            + t.request() + " (" + t.type() + "), id " + t.id()
-                            + (t.key() == null ? "" : ", key " + t.key())
-                            + ", waits " + t.timeout() / 1_000 + " ms"));
+                    attempt.sent(),
+                    "client " + attempt.client() + " sends try " + attempt.number() + " of request "
+                            + attempt.request() + " (" + attempt.type() + "), id " + attempt.id()
+                            + (attempt.key() == null ? "" : ", key " + attempt.key())
+                            + ", waits " + attempt.timeout() / 1_000 + " ms"));
             all.add(new At(
-                    t.ended(),
-                    "client has try " + t.number() + " end: " + t.outcome()
-                            + (t.status() == 0 ? "" : " " + t.status())));
+                    attempt.ended(),
+                    "client has try " + attempt.number() + " end: " + attempt.outcome()
+                            + (attempt.status() == 0 ? "" : " " + attempt.status())));
         }
-        for (HostExecution r : runs) {
+        for (HostExecution execution : runs) {
             all.add(new At(
-                    r.received(),
-                    "host " + r.host() + " (cell " + r.cell() + ") receives id " + r.id() + ", the " + (r.attempt() + 1)
-                            + ". time it comes"));
-            if (r.started() != 0) {
-                all.add(new At(r.started(), "host " + r.host() + " begins to run it"));
+                    execution.received(),
+                    "host " + execution.host() + " (cell " + execution.cell() + ") receives id " + execution.id()
+                            + ", the " + (execution.attempt() + 1) + ". time it comes"));
+            if (execution.started() != 0) {
+                all.add(new At(execution.started(), "host " + execution.host() + " begins to run it"));
             }
-            all.add(new At(r.ended(), "host " + r.host() + " is done with it: " + r.result()));
+            all.add(new At(execution.ended(), "host " + execution.host() + " is done with it: " + execution.result()));
         }
         all.sort(Comparator.comparingLong(At::at));
         long zero = all.isEmpty() ? 0 : all.get(0).at();
--- a/src/main/java/rillyard/audit/IdempotencyKeyRule.java
+++ b/src/main/java/rillyard/audit/IdempotencyKeyRule.java
@@ -16,37 +16,39 @@
 
     void check(Consumer<Violation> to) {
         for (List<HostExecution> runs : evidence.byId().values()) {
-            AuditSettings.RequestClass c = settings.type(runs.get(0).type());
-            if (c.semantics() != AuditSettings.Semantics.DEDUPLICATED) {
+            AuditSettings.RequestClass requestClass = settings.type(runs.get(0).type());
+            if (requestClass.semantics() != AuditSettings.Semantics.DEDUPLICATED) {
                 continue;
             }
             HostExecution first = null;
-            for (HostExecution r : runs) {
+            for (HostExecution execution : runs) {
                 if (first != null) {
-                    check(c, first, r, to);
-                } else if (r.mayHaveRun()) {
-                    first = r;
+                    check(requestClass, first, execution, to);
+                } else if (execution.mayHaveRun()) {
+                    first = execution;
                 }
             }
         }
     }
 
-    private void check(AuditSettings.RequestClass c, HostExecution first, HostExecution again, Consumer<Violation> to) {
+    private void check(
+            AuditSettings.RequestClass requestClass, HostExecution first, HostExecution again, Consumer<Violation> to) {
         boolean group =
-                switch (c.scope()) {
+                switch (requestClass.scope()) {
                     case ALL -> true;
                     case ZONE -> first.zone().equals(again.zone());
                     case CELL -> first.cell() == again.cell();
                 };
-        long late = again.received() - first.received() - c.window() - settings.socketSlack();
+        long late = again.received() - first.received() - requestClass.window() - settings.socketSlack();
         if (!group || late > 0) {
             to.accept(new Violation(
                     Violation.Rule.KEYED,
                     again.received(),
-                    "id " + again.id() + " of " + c.name() + " came again "
+                    "id " + again.id() + " of " + requestClass.name() + " came again "
                             + (group
                                     ? late / 1_000 + " ms past its window"
-                                    : "outside of its " + c.scope().name().toLowerCase(java.util.Locale.ROOT) + ", at "
+                                    : "outside of its "
+                                            + requestClass.scope().name().toLowerCase(java.util.Locale.ROOT) + ", at "
                                             + again.host()),
                     evidence.history(again.id())));
         }
--- a/src/main/java/rillyard/audit/SingleResponseRule.java
+++ b/src/main/java/rillyard/audit/SingleResponseRule.java
@@ -21,62 +21,69 @@
     void check(Consumer<Violation> to) {
         for (List<ClientAttempt> tries : evidence.byRequest().values()) {
             for (int i = 0; i < tries.size(); i++) {
-                ClientAttempt t = tries.get(i);
-                if (t.number() != i) {
+                ClientAttempt attempt = tries.get(i);
+                if (attempt.number() != i) {
                     to.accept(breach(
-                            t,
-                            "request " + t.request() + " has two ends of try " + t.number() + ", or none of try " + i));
+                            attempt,
+                            "request " + attempt.request() + " has two ends of try " + attempt.number()
+                                    + ", or none of try " + i));
                 }
-                check(t, to);
+                check(attempt, to);
             }
             ClientAttempt last = tries.get(tries.size() - 1);
             if (!last.last()) {
                 to.accept(breach(last, "request " + last.request() + " has no final answer in the ledger"));
             }
         }
-        for (UnexpectedResponse s : evidence.surplus) {
+        for (UnexpectedResponse response : evidence.surplus) {
             to.accept(new Violation(
                     Violation.Rule.ANSWER,
-                    s.at(),
-                    "more came behind the one answer to id " + s.id(),
-                    evidence.history(s.id())));
+                    response.at(),
+                    "more came behind the one answer to id " + response.id(),
+                    evidence.history(response.id())));
         }
     }
 
-    private void check(ClientAttempt t, Consumer<Violation> to) {
-        ClientOutcome o = t.outcome();
-        long due = t.sent() + t.timeout() + settings.answerSlack() + settings.socketSlack();
-        if (o.lost()) {
-            to.accept(breach(t, "id " + t.id() + " was lost: " + o));
-        } else if (answered(o) && t.ended() > due) {
-            to.accept(breach(t, "id " + t.id() + " was answered " + (t.ended() - due) / 1_000 + " ms too late: " + o));
-        } else if (o == ClientOutcome.SERVED && !made(t.id())) {
-            to.accept(breach(t, "id " + t.id() + " was served with what no host made for it"));
-        } else if (o == ClientOutcome.STALE && received(t)) {
+    private void check(ClientAttempt attempt, Consumer<Violation> to) {
+        ClientOutcome outcome = attempt.outcome();
+        long due = attempt.sent() + attempt.timeout() + settings.answerSlack() + settings.socketSlack();
+        if (outcome.lost()) {
+            to.accept(breach(attempt, "id " + attempt.id() + " was lost: " + outcome));
+        } else if (answered(outcome) && attempt.ended() > due) {
             to.accept(breach(
-                    t, "id " + t.id() + " was taken and passed on, and its connection ended" + " without an answer"));
+                    attempt,
+                    "id " + attempt.id() + " was answered " + (attempt.ended() - due) / 1_000 + " ms too late: "
+                            + outcome));
+        } else if (outcome == ClientOutcome.SERVED && !made(attempt.id())) {
+            to.accept(breach(attempt, "id " + attempt.id() + " was served with what no host made for it"));
+        } else if (outcome == ClientOutcome.STALE && received(attempt)) {
+            to.accept(breach(
+                    attempt,
+                    "id " + attempt.id() + " was taken and passed on, and its connection ended"
+                            + " without an answer"));
         }
     }
 
-    private static boolean answered(ClientOutcome o) {
-        return o == ClientOutcome.SERVED || o == ClientOutcome.REFUSED || o == ClientOutcome.FAILED;
+    private static boolean answered(ClientOutcome outcome) {
+        return outcome == ClientOutcome.SERVED || outcome == ClientOutcome.REFUSED || outcome == ClientOutcome.FAILED;
     }
 
     private boolean made(String id) {
-        for (HostExecution r : evidence.byId(id)) {
-            if (r.result() == ExecutionResult.DONE || r.result() == ExecutionResult.REMEMBERED) {
+        for (HostExecution execution : evidence.byId(id)) {
+            if (execution.result() == ExecutionResult.DONE || execution.result() == ExecutionResult.REMEMBERED) {
                 return true;
             }
         }
         return false;
     }
 
-    private boolean received(ClientAttempt t) {
-        return evidence.byId(t.id()).stream()
-                .anyMatch(r -> r.received() <= t.ended() && r.result() != ExecutionResult.TURNED_AWAY);
+    private boolean received(ClientAttempt attempt) {
+        return evidence.byId(attempt.id()).stream()
+                .anyMatch(execution ->
+                        execution.received() <= attempt.ended() && execution.result() != ExecutionResult.TURNED_AWAY);
     }
 
-    private Violation breach(ClientAttempt t, String what) {
-        return new Violation(Violation.Rule.ANSWER, t.ended(), what, evidence.history(t.id()));
+    private Violation breach(ClientAttempt attempt, String what) {
+        return new Violation(Violation.Rule.ANSWER, attempt.ended(), what, evidence.history(attempt.id()));
     }
 }
--- a/src/main/java/rillyard/audit/SlowStartRule.java
+++ b/src/main/java/rillyard/audit/SlowStartRule.java
@@ -23,16 +23,17 @@
     }
 
     void check(Consumer<Violation> to) {
-        for (HostEvent n : evidence.news) {
-            if (n.what() == HostEvent.Kind.STARTED && n.cold() && n.startShare() < 1) {
-                check(n, to);
+        for (HostEvent event : evidence.news) {
+            if (event.what() == HostEvent.Kind.STARTED && event.cold() && event.startShare() < 1) {
+                check(event, to);
             }
         }
     }
 
     private void check(HostEvent start, Consumer<Violation> to) {
         List<HostExecution> runs = evidence.byHost(start.host()).stream()
-                .filter(r -> r.received() >= start.at() && r.received() < start.at() + start.coldMicros())
+                .filter(execution ->
+                        execution.received() >= start.at() && execution.received() < start.at() + start.coldMicros())
                 .toList();
         double work = 0;
         double squares = 0;
--- a/src/main/java/rillyard/benchmark/CpuContention.java
+++ b/src/main/java/rillyard/benchmark/CpuContention.java
@@ -33,8 +33,8 @@
      * @throws IllegalStateException if one has ended by itself
      */
     public void checkRunning() {
-        for (Process p : all) {
-            if (!p.isAlive()) {
+        for (Process process : all) {
+            if (!process.isAlive()) {
                 throw new IllegalStateException("a busy neighbour has ended by itself");
             }
         }
--- a/src/main/java/rillyard/benchmark/FleetTraceStatistics.java
+++ b/src/main/java/rillyard/benchmark/FleetTraceStatistics.java
@@ -82,10 +82,10 @@
         String line;
         while ((line = log.readLine()) != null) {
             try {
-                TraceEvent t = TraceEvent.read(line);
-                if (t != null) {
+                TraceEvent event = TraceEvent.read(line);
+                if (event != null) {
                     any = true;
-                    told.add(new Told(proxy, told.size(), t));
+                    told.add(new Told(proxy, told.size(), event));
                 }
             } catch (IllegalArgumentException e) {
                 torn++;
@@ -104,37 +104,37 @@
         told.sort(Comparator.comparingLong((Told t) -> t.line().at()).thenComparingInt(Told::number));
         Map<String, Map<String, Integer>> open = new HashMap<>(); // by proxy and host
         for (Told t : told) {
-            TraceEvent l = t.line();
+            TraceEvent event = t.line();
             Map<String, Integer> mine = open.computeIfAbsent(t.proxy(), p -> new HashMap<>());
-            switch (l.what()) {
+            switch (event.what()) {
                 case STARTED -> {
                     starts++;
                     mine.forEach((h, n) -> host(h).open -= n);
                     mine.clear();
                 }
                 case CONNECTED -> {
-                    HostCount h = host(l.host());
-                    h.connects++;
-                    h.open++;
-                    h.mostOpen = Math.max(h.mostOpen, h.open);
-                    mine.merge(l.host(), 1, Integer::sum);
+                    HostCount counts = host(event.host());
+                    counts.connects++;
+                    counts.open++;
+                    counts.mostOpen = Math.max(counts.mostOpen, counts.open);
+                    mine.merge(event.host(), 1, Integer::sum);
                 }
-                case CONNECT_FAILED -> host(l.host()).failedConnects++;
+                case CONNECT_FAILED -> host(event.host()).failedConnects++;
                 case CLOSED -> {
-                    host(l.host()).open--;
-                    mine.merge(l.host(), -1, Integer::sum);
+                    host(event.host()).open--;
+                    mine.merge(event.host(), -1, Integer::sum);
                 }
                 case ATTEMPT -> {
-                    HostCount h = host(l.host());
-                    h.attempts++;
-                    h.turnedAway += l.how().equals("FULL") ? 1 : 0;
-                    if (l.cold() && !UNSENT.contains(l.how())) {
-                        h.coldSends.add(l.at() - l.spent());
+                    HostCount hostCount = host(event.host());
+                    hostCount.attempts++;
+                    hostCount.turnedAway += event.how().equals("FULL") ? 1 : 0;
+                    if (event.cold() && !UNSENT.contains(event.how())) {
+                        hostCount.coldSends.add(event.at() - event.spent());
                     }
-                    attempts.merge(l.how(), 1, Integer::sum);
+                    attempts.merge(event.how(), 1, Integer::sum);
                 }
-                case REFUSED -> refused.merge(l.how(), 1, Integer::sum);
-                case FAILED -> failed.merge(l.how(), 1, Integer::sum);
+                case REFUSED -> refused.merge(event.how(), 1, Integer::sum);
+                case FAILED -> failed.merge(event.how(), 1, Integer::sum);
                 case LIST -> lists++;
             }
         }
@@ -168,8 +168,8 @@
         out.println("| calls for the list | " + lists + " |");
         out.println("| torn lines | " + torn + " |");
         out.println("\n| of " + hosts.size() + " hosts, each | mean | most |\n| --- | --- | --- |");
-        row(out, "connections opened", h -> h.connects);
-        row(out, "connects that failed", h -> h.failedConnects);
+        row(out, "connections opened", counts -> counts.connects);
+        row(out, "connects that failed", hostCount -> hostCount.failedConnects);
         row(out, "open at once", h -> h.mostOpen);
         row(out, "attempts", h -> h.attempts);
         row(out, "turned away", h -> h.turnedAway);
@@ -193,17 +193,17 @@
         Map<Long, int[]> rows = new TreeMap<>();
         long first = told.isEmpty() ? 0 : told.get(0).line().at();
         for (Told t : told) {
-            TraceEvent l = t.line();
-            int[] row = rows.computeIfAbsent((l.at() - first) / window, w -> new int[5]);
-            if (l.what() == TraceEvent.Kind.ATTEMPT) {
+            TraceEvent event = t.line();
+            int[] row = rows.computeIfAbsent((event.at() - first) / window, w -> new int[5]);
+            if (event.what() == TraceEvent.Kind.ATTEMPT) {
                 row[0]++;
-                switch (l.how()) {
+                switch (event.how()) {
                     case "OK" -> row[1]++;
                     case "FULL" -> row[2]++;
                     case "CANCELLED", "MOOT" -> {} // given up, not lost
                     default -> row[3]++;
                 }
-            } else if (l.what() == TraceEvent.Kind.REFUSED) {
+            } else if (event.what() == TraceEvent.Kind.REFUSED) {
                 row[4]++;
             }
         }
@@ -212,11 +212,11 @@
     }
 
     private static String words(Map<String, Integer> counts) {
-        StringBuilder s = new StringBuilder();
-        counts.forEach((how, n) -> s.append(s.isEmpty() ? "" : ", ")
+        StringBuilder out = new StringBuilder();
+        counts.forEach((how, n) -> out.append(out.isEmpty() ? "" : ", ")
                 .append(how.equals(TraceEvent.NONE) ? "none" : how)
                 .append(' ')
                 .append(n));
-        return s.isEmpty() ? "none" : s.toString();
+        return out.isEmpty() ? "none" : out.toString();
     }
 }
--- a/src/main/java/rillyard/benchmark/ProxyOverheadBenchmark.java
+++ b/src/main/java/rillyard/benchmark/ProxyOverheadBenchmark.java
@@ -83,21 +83,21 @@
                 for (int rate : rates) {
                     List<double[]> rows = new ArrayList<>();
                     for (int i = 0; i < pairs; i++) {
-                        Run a = load(proxy::cpu, direct, rate, seconds);
+                        Run run = load(proxy::cpu, direct, rate, seconds);
                         Run b = load(proxy::cpu, proxied, rate, seconds);
                         double[] row = {
-                            a.p50,
-                            a.p99,
+                            run.p50,
+                            run.p99,
                             b.p50,
                             b.p99,
-                            b.p50 - a.p50,
-                            b.p99 - a.p99,
+                            b.p50 - run.p50,
+                            b.p99 - run.p99,
                             b.loadMicros,
                             b.proxyMicros,
                             b.loadMicros / b.proxyMicros
                         };
                         rows.add(row);
-                        print(rate, Integer.toString(i + 1), row, a.valid && b.valid, b.served);
+                        print(rate, Integer.toString(i + 1), row, run.valid && b.valid, b.served);
                     }
                     double[] middle = new double[9];
                     for (int k = 0; k < middle.length; k++) {
@@ -146,16 +146,16 @@
             out.printf("%8s %9s %9s %11s %s%n", "rate 1/s", "p50 ms", "p99", "us/request", "");
             int failures = 0;
             for (int rate = from; rate <= most && failures < 2; rate += step) {
-                Run r = load(hosts::cpu, direct, rate, seconds);
-                failures += r.valid ? 0 : 1;
+                Run run = load(hosts::cpu, direct, rate, seconds);
+                failures += run.valid ? 0 : 1;
                 out.printf(
                         Locale.ROOT,
                         "%8d %9.3f %9.3f %11.1f %s%n",
                         rate,
-                        r.p50,
-                        r.p99,
-                        r.loadMicros,
-                        r.valid ? "on schedule" : "INVALID");
+                        run.p50,
+                        run.p99,
+                        run.loadMicros,
+                        run.valid ? "on schedule" : "INVALID");
             }
         }
     }
@@ -197,14 +197,14 @@
             double before = bearer.get().toNanos() / 1e3;
             load.await();
             double cpu = bearer.get().toNanos() / 1e3 - before;
-            JsonNode r = JSON.readTree(json.toFile());
-            JsonNode all = r.path("total");
+            JsonNode node = JSON.readTree(json.toFile());
+            JsonNode all = node.path("total");
             double offered = all.path("offered").asDouble();
             return new Run(
-                    r.path("valid").asBoolean(),
+                    node.path("valid").asBoolean(),
                     all.path("latency").path("p50").asDouble(),
                     all.path("latency").path("p99").asDouble(),
-                    1e6 * r.path("cpuSeconds").asDouble() / offered,
+                    1e6 * node.path("cpuSeconds").asDouble() / offered,
                     cpu / offered,
                     (all.path("inAim").asDouble() + all.path("late").asDouble()) / offered);
         }
@@ -214,7 +214,7 @@
         List<String> all = new ArrayList<>();
         JSON.readTree(ready.toFile())
                 .path("hosts")
-                .forEach(h -> all.add(h.path("addr").asText()));
+                .forEach(node -> all.add(node.path("addr").asText()));
         return String.join(",", all);
     }
 
--- a/src/main/java/rillyard/benchmark/StartupBenchmark.java
+++ b/src/main/java/rillyard/benchmark/StartupBenchmark.java
@@ -86,9 +86,9 @@
                                         b.getValue().toAbsolutePath())
                                 .on(CORE)
                                 .with(options);
-                        StartupRun r = StartupRun.of(launch, config.toAbsolutePath(), plan, folder);
-                        runs.computeIfAbsent(b.getKey(), k -> new ArrayList<>()).add(r);
-                        line(b.getKey(), i + 1, r);
+                        StartupRun run = StartupRun.of(launch, config.toAbsolutePath(), plan, folder);
+                        runs.computeIfAbsent(b.getKey(), k -> new ArrayList<>()).add(run);
+                        line(b.getKey(), i + 1, run);
                     }
                 }
             }
@@ -96,32 +96,34 @@
         runs.forEach(this::summary);
     }
 
-    private void line(String build, int number, StartupRun r) {
+    private void line(String build, int number, StartupRun run) {
         out.printf(
                 Locale.ROOT,
                 "%-8s %2d  listening %5.0f/%4.0f ms  ready %5.0f/%4.0f ms  %3d MB  first %s ms%n",
                 build,
                 number,
-                r.listening().wall(),
-                r.listening().cpu(),
-                r.ready().wall(),
-                r.ready().cpu(),
-                r.resident() >> 10,
-                latencies(n -> r.latency(n, 0.99)));
+                run.listening().wall(),
+                run.listening().cpu(),
+                run.ready().wall(),
+                run.ready().cpu(),
+                run.resident() >> 10,
+                latencies(n -> run.latency(n, 0.99)));
     }
 
     private static String latencies(ToDoubleFunction<Integer> of) {
-        StringBuilder s = new StringBuilder();
+        StringBuilder out = new StringBuilder();
         for (int n : FIRST) {
-            s.append(String.format(Locale.ROOT, " %d: %.0f", n, of.applyAsDouble(n)));
+            out.append(String.format(Locale.ROOT, " %d: %.0f", n, of.applyAsDouble(n)));
         }
-        return s.toString();
+        return out.toString();
     }
 
     private void summary(String build, List<StartupRun> all) {
         out.printf("%n%s, %d starts: least, median, greatest%n", build, all.size());
-        row("exec to listening, wall ms", all, r -> r.listening().wall());
-        row("exec to listening, CPU ms", all, r -> r.listening().cpu());
+        row("exec to listening, wall ms", all, run -> run.listening().wall());
+        row("exec to listening, CPU ms", all, startupRun -> startupRun
+                .listening()
+                .cpu());
         row("exec to ready, wall ms", all, r -> r.ready().wall());
         row("exec to ready, CPU ms", all, r -> r.ready().cpu());
         for (String mark : all.get(0).marks().keySet()) {
--- a/src/main/java/rillyard/benchmark/StartupRun.java
+++ b/src/main/java/rillyard/benchmark/StartupRun.java
@@ -43,23 +43,23 @@
         Path clients = folder.resolve("clients.jsonl");
         LaunchCommand marked = launch.with(List.of("-Drillyard.marks=true"));
         long exec = System.nanoTime();
-        try (ProxyProcess p = ProxyProcess.launch(marked, config, ProxyProcess.freeAddress(), log)) {
-            p.await(ProxyProcess.State.LISTENING);
-            Mark listening = now(exec, p);
-            p.await(ProxyProcess.State.READY);
-            Mark ready = now(exec, p);
-            long resident = p.residentKb();
+        try (ProxyProcess proxy = ProxyProcess.launch(marked, config, ProxyProcess.freeAddress(), log)) {
+            proxy.await(ProxyProcess.State.LISTENING);
+            Mark listening = now(exec, proxy);
+            proxy.await(ProxyProcess.State.READY);
+            Mark ready = now(exec, proxy);
+            long resident = proxy.residentKb();
             try (RequestLogWriter ledger =
                     RequestLogWriter.open(clients, new LogHeader("clients", UnixClock.micros(), plan.seed()))) {
-                new LoadRun(plan, List.of(p.address()), ledger, null).run();
+                new LoadRun(plan, List.of(proxy.address()), ledger, null).run();
             }
-            double cpu = p.cpu().toNanos() / 1e6 - ready.cpu();
+            double cpu = proxy.cpu().toNanos() / 1e6 - ready.cpu();
             return new StartupRun(marks(log, exec), listening, ready, resident, latencies(clients), cpu);
         }
     }
 
-    private static Mark now(long exec, ProxyProcess p) {
-        return new Mark((System.nanoTime() - exec) / 1e6, p.cpu().toNanos() / 1e6);
+    private static Mark now(long exec, ProxyProcess proxy) {
+        return new Mark((System.nanoTime() - exec) / 1e6, proxy.cpu().toNanos() / 1e6);
     }
 
     private static Map<String, Mark> marks(Path log, long exec) throws IOException {
@@ -75,14 +75,14 @@
 
     private static double[] latencies(Path clients) throws Exception {
         List<ClientAttempt> first = new ArrayList<>();
-        RequestLogReader.read(clients, "clients", l -> {
-            if (l instanceof ClientAttempt t && t.number() == 0) {
-                first.add(t);
+        RequestLogReader.read(clients, "clients", line -> {
+            if (line instanceof ClientAttempt attempt && attempt.number() == 0) {
+                first.add(attempt);
             }
         });
         return first.stream()
                 .sorted(Comparator.comparingLong(ClientAttempt::intended))
-                .mapToDouble(t -> (t.ended() - t.intended()) / 1e3)
+                .mapToDouble(clientAttempt -> (clientAttempt.ended() - clientAttempt.intended()) / 1e3)
                 .toArray();
     }
 
--- a/src/main/java/rillyard/childprocess/ChildProcess.java
+++ b/src/main/java/rillyard/childprocess/ChildProcess.java
@@ -25,15 +25,15 @@
      */
     public static ChildProcess start(LaunchCommand launch, Path out, Path errors, String... command)
             throws IOException {
-        ProcessBuilder b = launch.builder(command).redirectOutput(out.toFile());
+        ProcessBuilder builder = launch.builder(command).redirectOutput(out.toFile());
         if (errors == null) {
-            b.redirectError(ProcessBuilder.Redirect.INHERIT);
+            builder.redirectError(ProcessBuilder.Redirect.INHERIT);
         } else if (errors.equals(out)) {
-            b.redirectErrorStream(true);
+            builder.redirectErrorStream(true);
         } else {
-            b.redirectError(errors.toFile());
+            builder.redirectError(errors.toFile());
         }
-        return new ChildProcess(b.start());
+        return new ChildProcess(builder.start());
     }
 
     public boolean alive() {
--- a/src/main/java/rillyard/childprocess/LaunchCommand.java
+++ b/src/main/java/rillyard/childprocess/LaunchCommand.java
@@ -89,12 +89,12 @@
         line.addAll(options);
         line.addAll(program);
         line.addAll(List.of(command));
-        ProcessBuilder b = new ProcessBuilder(line);
+        ProcessBuilder builder = new ProcessBuilder(line);
         if (folder != null) {
-            b.directory(folder.toFile());
+            builder.directory(folder.toFile());
         }
-        b.environment().keySet().removeIf(k -> k.startsWith("BALANCER_"));
-        b.environment().putAll(environment);
-        return b;
+        builder.environment().keySet().removeIf(k -> k.startsWith("BALANCER_"));
+        builder.environment().putAll(environment);
+        return builder;
     }
 }
--- a/src/main/java/rillyard/childprocess/ProxyProcess.java
+++ b/src/main/java/rillyard/childprocess/ProxyProcess.java
@@ -53,12 +53,12 @@
                 LaunchCommand.self().with(List.of("-XX:+UseSerialGC", "-Xmx64m", "-XX:MaxDirectMemorySize=140m"));
         IOException failure = null;
         for (int i = 0; i < STARTS; i++) { // another may take the free port first
-            ProxyProcess p = launch(launch, config, freeAddress(), log);
+            ProxyProcess proxy = launch(launch, config, freeAddress(), log);
             try {
-                p.await(State.READY);
-                return p;
+                proxy.await(State.READY);
+                return proxy;
             } catch (IOException e) {
-                p.close();
+                proxy.close();
                 failure = e;
             }
         }
@@ -81,8 +81,8 @@
     /** An address of loopback that was free a moment ago. */
     public static InetSocketAddress freeAddress() throws IOException {
         InetAddress here = InetAddress.getByName("127.0.0.1");
-        try (ServerSocket s = new ServerSocket(0, 1, here)) {
-            return new InetSocketAddress(here, s.getLocalPort());
+        try (ServerSocket server = new ServerSocket(0, 1, here)) {
+            return new InetSocketAddress(here, server.getLocalPort());
         }
     }
 
@@ -107,12 +107,12 @@
 
     /** How far the proxy at an address has come. */
     public static State state(InetSocketAddress address) {
-        try (Socket s = new Socket()) {
-            s.connect(address, ASK_MS);
-            s.setSoTimeout(ASK_MS);
+        try (Socket socket = new Socket()) {
+            socket.connect(address, ASK_MS);
+            socket.setSoTimeout(ASK_MS);
             try {
-                s.getOutputStream().write(ASK);
-                byte[] head = s.getInputStream().readNBytes(YES.length);
+                socket.getOutputStream().write(ASK);
+                byte[] head = socket.getInputStream().readNBytes(YES.length);
                 return java.util.Arrays.equals(head, YES) ? State.READY : State.LISTENING;
             } catch (IOException e) {
                 return State.LISTENING;
--- a/src/main/java/rillyard/cli/AuditCommand.java
+++ b/src/main/java/rillyard/cli/AuditCommand.java
@@ -38,27 +38,27 @@
 
     @Override
     public Integer call() throws Exception {
-        Audit.Verdict v = Audit.of(clients, hosts, AuditSettings.read(settings));
-        print(v, most, System.out);
-        return v.clean() ? Cli.DONE : Cli.FAILED;
+        Audit.Verdict verdict = Audit.of(clients, hosts, AuditSettings.read(settings));
+        print(verdict, most, System.out);
+        return verdict.clean() ? Cli.DONE : Cli.FAILED;
     }
 
-    static void print(Audit.Verdict v, int most, PrintStream out) {
-        for (int i = 0; i < Math.min(most, v.breaches().size()); i++) {
-            Violation b = v.breaches().get(i);
-            out.println("BROKEN " + b.rule() + ": " + b.what());
-            b.history().forEach(h -> out.println("    " + h));
+    static void print(Audit.Verdict verdict, int most, PrintStream out) {
+        for (int i = 0; i < Math.min(most, verdict.breaches().size()); i++) {
+            Violation violation = verdict.breaches().get(i);
+            out.println("BROKEN " + violation.rule() + ": " + violation.what());
+            violation.history().forEach(h -> out.println("    " + h));
         }
-        if (v.breaches().size() > most) {
-            out.println((v.breaches().size() - most) + " more");
+        if (verdict.breaches().size() > most) {
+            out.println((verdict.breaches().size() - most) + " more");
         }
-        v.doubts().forEach(d -> out.println("NOT PROVED: " + d));
+        verdict.doubts().forEach(d -> out.println("NOT PROVED: " + d));
         for (Violation.Rule rule : Violation.Rule.values()) {
-            long n = v.breaches().stream().filter(b -> b.rule() == rule).count();
+            long n = verdict.breaches().stream().filter(b -> b.rule() == rule).count();
             out.printf("%-7s %s%n", rule, n == 0 ? "kept" : n + " times broken");
         }
-        out.println("audit: " + v.tries() + " tries of clients and " + v.runs()
-                + " receipts of hosts, " + v.breaches().size() + " breaches"
-                + (v.doubts().isEmpty() ? "" : ", not proved"));
+        out.println("audit: " + verdict.tries() + " tries of clients and " + verdict.runs()
+                + " receipts of hosts, " + verdict.breaches().size() + " breaches"
+                + (verdict.doubts().isEmpty() ? "" : ", not proved"));
     }
 }
--- a/src/main/java/rillyard/cli/BenchmarkCommand.java
+++ b/src/main/java/rillyard/cli/BenchmarkCommand.java
@@ -152,8 +152,9 @@
             }
             for (Path log : logs) {
                 // Logs hold what peers sent: a byte that is no UTF-8 must not end the count, as a strict reader would.
-                try (BufferedReader r = new BufferedReader(new InputStreamReader(Files.newInputStream(log), UTF_8))) {
-                    count.read(log.toAbsolutePath().normalize().toString(), r); // names alike on all machines are usual
+                try (BufferedReader in = new BufferedReader(new InputStreamReader(Files.newInputStream(log), UTF_8))) {
+                    count.read(
+                            log.toAbsolutePath().normalize().toString(), in); // names alike on all machines are usual
                 }
             }
             if (count.empty()) {
--- a/src/main/java/rillyard/cli/DemoCommand.java
+++ b/src/main/java/rillyard/cli/DemoCommand.java
@@ -22,10 +22,10 @@
 
     @Override
     public Integer call() throws Exception {
-        Demo.Result r = new Demo(System.out).run(keep);
-        System.out.print(ReportTable.of(r.report()));
-        AuditCommand.print(r.verdict(), 5, System.out);
-        Audit.Verdict v = r.verdict();
-        return v.clean() ? Cli.DONE : Cli.FAILED;
+        Demo.Result result = new Demo(System.out).run(keep);
+        System.out.print(ReportTable.of(result.report()));
+        AuditCommand.print(result.verdict(), 5, System.out);
+        Audit.Verdict verdict = result.verdict();
+        return verdict.clean() ? Cli.DONE : Cli.FAILED;
     }
 }
--- a/src/main/java/rillyard/cli/FleetCommand.java
+++ b/src/main/java/rillyard/cli/FleetCommand.java
@@ -38,11 +38,11 @@
 
         @Override
         public Integer call() throws Exception {
-            FleetConfig s = FleetConfigReader.read(file, System.getenv());
+            FleetConfig config = FleetConfigReader.read(file, System.getenv());
             PrintWriter out = spec.commandLine().getOut();
-            out.println(s.card().name() + " at " + s.card().at() + ", zone "
-                    + s.card().zone() + ", region " + s.card().region() + ", "
-                    + s.seeds().size() + " seeds");
+            out.println(config.card().name() + " at " + config.card().at() + ", zone "
+                    + config.card().zone() + ", region " + config.card().region() + ", "
+                    + config.seeds().size() + " seeds");
             return Cli.DONE;
         }
     }
--- a/src/main/java/rillyard/cli/LoadCommand.java
+++ b/src/main/java/rillyard/cli/LoadCommand.java
@@ -65,7 +65,7 @@
             Files.createDirectories(report);
         }
         LogHeader head = new LogHeader("clients", UnixClock.micros(), plan.seed());
-        RunReport r;
+        RunReport runReport;
         LoadRun run;
         GracefulShutdown ending;
         try (RequestLogWriter ledger =
@@ -73,18 +73,18 @@
             run = new LoadRun(plan, targets, ledger, json ? null : System.out);
             ending = new GracefulShutdown(run::interrupt);
             run.run();
-            r = run.report(marks == null ? List.of() : TimelineEvents.read(marks, run.startedMicros()));
+            runReport = run.report(marks == null ? List.of() : TimelineEvents.read(marks, run.startedMicros()));
         }
         if (report != null) {
-            ReportFiles.write(report, r, "Load: " + planFile.getFileName());
+            ReportFiles.write(report, runReport, "Load: " + planFile.getFileName());
             run.writeHistograms(report);
         }
         System.out.print(
                 json
-                        ? new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(r) + "\n"
-                        : ReportTable.of(r));
+                        ? new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(runReport) + "\n"
+                        : ReportTable.of(runReport));
         System.out.flush();
         ending.over();
-        return r.valid() ? Cli.DONE : Cli.FAILED;
+        return runReport.valid() ? Cli.DONE : Cli.FAILED;
     }
 }
--- a/src/main/java/rillyard/cli/MembersCommand.java
+++ b/src/main/java/rillyard/cli/MembersCommand.java
@@ -76,11 +76,11 @@
                 "%-16s %-21s %4s %6s %-7s %-7s %9s  %s%n",
                 "name", "address", "zone", "region", "status", "loop", "for s", "by");
         row(self, "-", "itself", out);
-        for (JsonNode m : view.path("members")) {
+        for (JsonNode node : view.path("members")) {
             row(
-                    m,
-                    String.format(Locale.ROOT, "%.1f", (at - m.path("since").asLong()) / 1e3),
-                    m.path("by").asText(),
+                    node,
+                    String.format(Locale.ROOT, "%.1f", (at - node.path("since").asLong()) / 1e3),
+                    node.path("by").asText(),
                     out);
         }
         JsonNode c = view.path("costs");
@@ -98,26 +98,26 @@
                 c.path("busy_ms").asLong() / up / 10);
     }
 
-    private static void row(JsonNode m, String seconds, String by, PrintWriter out) {
+    private static void row(JsonNode node, String seconds, String by, PrintWriter out) {
         out.printf(
                 "%-16s %-21s %4d %6d %-7s %-7s %9s  %s%n",
-                m.path("name").asText(),
-                m.path("address").asText(),
-                m.path("zone").asInt(),
-                m.path("region").asInt(),
-                m.path("status").asText(),
-                m.path("loop").asText(),
+                node.path("name").asText(),
+                node.path("address").asText(),
+                node.path("zone").asInt(),
+                node.path("region").asInt(),
+                node.path("status").asText(),
+                node.path("loop").asText(),
                 seconds,
                 by);
     }
 
     private static Map<String, String> beliefs(JsonNode view) {
         Map<String, String> out = new TreeMap<>();
-        for (JsonNode m : view.path("members")) {
+        for (JsonNode node : view.path("members")) {
             out.put(
-                    m.path("name").asText(),
-                    m.path("status").asText() + ", loop " + m.path("loop").asText() + ", by "
-                            + m.path("by").asText());
+                    node.path("name").asText(),
+                    node.path("status").asText() + ", loop " + node.path("loop").asText() + ", by "
+                            + node.path("by").asText());
         }
         return out;
     }
--- a/src/main/java/rillyard/cli/SubsetCommand.java
+++ b/src/main/java/rillyard/cli/SubsetCommand.java
@@ -83,8 +83,8 @@
             out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
             for (SubsettingAlgorithm way : SubsettingAlgorithm.values()) {
                 try {
-                    SubsetSize s = SubsetSize.largest(way, instances, hosts, cap, each, reserve);
-                    row(out, way, s, SubsetStatistics.of(way, instances, hosts, s.hosts()));
+                    SubsetSize size = SubsetSize.largest(way, instances, hosts, cap, each, reserve);
+                    row(out, way, size, SubsetStatistics.of(way, instances, hosts, size.hosts()));
                     any = true;
                 } catch (SubsetSize.TooManyException e) {
                     out.println("| " + way.word() + " | none: " + e.getMessage() + " | | | | | | |");
@@ -93,21 +93,21 @@
             return any ? Cli.DONE : Cli.FAILED;
         }
 
-        private void row(PrintWriter out, SubsettingAlgorithm way, SubsetSize s, SubsetStatistics f) {
+        private void row(PrintWriter out, SubsettingAlgorithm way, SubsetSize size, SubsetStatistics statistics) {
             out.println(String.format(
                     Locale.ROOT,
                     "| %s | %d | %d, %.0f, %d | %d of %d | %d | %.2f | %.2f | %.2f |",
                     way.word(),
-                    s.hosts(),
-                    f.least(),
-                    f.mean(),
-                    f.most(),
-                    s.connections(),
+                    size.hosts(),
+                    statistics.least(),
+                    statistics.mean(),
+                    statistics.most(),
+                    size.connections(),
                     cap,
-                    f.twins(),
-                    f.shared(),
-                    f.movedByHost(),
-                    f.movedByInstance()));
+                    statistics.twins(),
+                    statistics.shared(),
+                    statistics.movedByHost(),
+                    statistics.movedByInstance()));
         }
     }
 }
--- a/src/main/java/rillyard/cli/TestClusterCommand.java
+++ b/src/main/java/rillyard/cli/TestClusterCommand.java
@@ -94,7 +94,7 @@
         Files.move(beside, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
     }
 
-    private static String text(InetSocketAddress a) {
-        return a.getAddress().getHostAddress() + ":" + a.getPort();
+    private static String text(InetSocketAddress address) {
+        return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 }
--- a/src/main/java/rillyard/config/TomlLines.java
+++ b/src/main/java/rillyard/config/TomlLines.java
@@ -26,9 +26,9 @@
 
     /** The line of each path, from 1. */
     static Map<String, Integer> of(String text) {
-        TomlLines l = new TomlLines(text);
-        l.scan();
-        return l.lines;
+        TomlLines lines = new TomlLines(text);
+        lines.scan();
+        return lines.lines;
     }
 
     private void scan() {
--- a/src/main/java/rillyard/config/TomlTable.java
+++ b/src/main/java/rillyard/config/TomlTable.java
@@ -104,15 +104,15 @@
 
     /** A text, or the default. */
     public String text(String key, String otherwise) {
-        JsonNode v = get(key);
-        if (v == null) {
+        JsonNode node = get(key);
+        if (node == null) {
             return otherwise;
         }
-        if (!v.isTextual() || v.asText().isBlank()) {
-            error(key, "found " + v + ", expected a text that is not empty");
+        if (!node.isTextual() || node.asText().isBlank()) {
+            error(key, "found " + node + ", expected a text that is not empty");
             return otherwise;
         }
-        return v.asText();
+        return node.asText();
     }
 
     /** A text that must be there; empty where it is not, which is a finding. */
@@ -154,64 +154,64 @@
 
     /** True or false, or the default. */
     public boolean flag(String key, boolean otherwise) {
-        JsonNode v = get(key);
-        if (v == null) {
+        JsonNode node = get(key);
+        if (node == null) {
             return otherwise;
         }
-        if (!v.isBoolean()) {
-            error(key, "found " + v + ", expected true or false");
+        if (!node.isBoolean()) {
+            error(key, "found " + node + ", expected true or false");
             return otherwise;
         }
-        return v.asBoolean();
+        return node.asBoolean();
     }
 
     /** A finite number within a range, ends included, or the default. */
     public double number(String key, double otherwise, double least, double most) {
-        JsonNode v = get(key);
-        if (v == null) {
+        JsonNode node = get(key);
+        if (node == null) {
             return otherwise;
         }
-        return inRange(key, v, least, most) ? v.asDouble() : otherwise;
+        return inRange(key, node, least, most) ? node.asDouble() : otherwise;
     }
 
     /** A whole number within a range, ends included, or the default. */
     public long whole(String key, long otherwise, long least, long most) {
-        JsonNode v = get(key);
-        if (v == null) {
+        JsonNode node = get(key);
+        if (node == null) {
             return otherwise;
         }
-        if (!v.isIntegralNumber() || !v.canConvertToLong() || v.asLong() < least || v.asLong() > most) {
-            error(key, "found " + v + ", expected a whole number from " + least + " to " + most);
+        if (!node.isIntegralNumber() || !node.canConvertToLong() || node.asLong() < least || node.asLong() > most) {
+            error(key, "found " + node + ", expected a whole number from " + least + " to " + most);
             return otherwise;
         }
-        return v.asLong();
+        return node.asLong();
     }
 
     /** Numbers within a range, or the default. */
     public double[] numbers(String key, double[] otherwise, double least, double most) {
-        JsonNode v = get(key);
-        if (v == null) {
+        JsonNode node = get(key);
+        if (node == null) {
             return otherwise.clone();
         }
-        if (!v.isArray() || v.isEmpty()) {
-            error(key, "found " + v + ", expected a list of numbers");
+        if (!node.isArray() || node.isEmpty()) {
+            error(key, "found " + node + ", expected a list of numbers");
             return otherwise.clone();
         }
-        double[] out = new double[v.size()];
+        double[] out = new double[node.size()];
         for (int i = 0; i < out.length; i++) {
-            if (!inRange(key, v.get(i), least, most)) {
+            if (!inRange(key, node.get(i), least, most)) {
                 return otherwise.clone();
             }
-            out[i] = v.get(i).asDouble();
+            out[i] = node.get(i).asDouble();
         }
         return out;
     }
 
-    private boolean inRange(String key, JsonNode v, double least, double most) {
-        if (v.isNumber() && v.asDouble() >= least && v.asDouble() <= most) {
+    private boolean inRange(String key, JsonNode node, double least, double most) {
+        if (node.isNumber() && node.asDouble() >= least && node.asDouble() <= most) {
             return true;
         }
-        error(key, "found " + v + ", expected a number from " + plain(least) + " to " + plain(most));
+        error(key, "found " + node + ", expected a number from " + plain(least) + " to " + plain(most));
         return false;
     }
 
@@ -221,30 +221,30 @@
 
     /** A table within this one; an empty one where the key is absent. */
     public TomlTable table(String key) {
-        JsonNode v = get(key);
-        if (v != null && !v.isObject()) {
-            error(key, "found " + v + ", expected a table");
+        JsonNode node = get(key);
+        if (node != null && !node.isObject()) {
+            error(key, "found " + node + ", expected a table");
         }
         String at = path.isEmpty() ? key : path + "." + key;
-        return new TomlTable(source, at, v instanceof ObjectNode o ? o : JsonNodeFactory.instance.objectNode());
+        return new TomlTable(source, at, node instanceof ObjectNode o ? o : JsonNodeFactory.instance.objectNode());
     }
 
     /** The tables of an array of tables; none where the key is absent. */
     public List<TomlTable> tables(String key) {
-        JsonNode v = get(key);
+        JsonNode node = get(key);
         List<TomlTable> out = new ArrayList<>();
-        if (v == null) {
+        if (node == null) {
             return out;
         }
-        if (!v.isArray()) {
-            error(key, "found " + v + ", expected tables, each headed [[" + key + "]]");
+        if (!node.isArray()) {
+            error(key, "found " + node + ", expected tables, each headed [[" + key + "]]");
             return out;
         }
-        for (int i = 0; i < v.size(); i++) {
-            if (v.get(i) instanceof ObjectNode o) {
+        for (int i = 0; i < node.size(); i++) {
+            if (node.get(i) instanceof ObjectNode o) {
                 out.add(new TomlTable(source, (path.isEmpty() ? key : path + "." + key) + "." + i, o));
             } else {
-                error(key, "found " + v.get(i) + ", expected a table");
+                error(key, "found " + node.get(i) + ", expected a table");
             }
         }
         return out;
@@ -256,17 +256,19 @@
      * @throws InvalidConfigException if there is any finding, unknown keys included
      */
     public void finish() throws InvalidConfigException {
-        for (TomlTable t : source.tables) {
-            t.node.fieldNames().forEachRemaining(k -> {
-                if (!t.known.contains(k)) {
-                    String near = DidYouMean.to(k, t.known);
-                    t.error(
+        for (TomlTable table : source.tables) {
+            table.node.fieldNames().forEachRemaining(k -> {
+                if (!table.known.contains(k)) {
+                    String near = DidYouMean.to(k, table.known);
+                    table.error(
                             k,
                             "unknown key"
                                     + (near != null
                                             ? "; did you mean '" + near + "'?"
                                             : ", expected one of "
-                                                    + t.known.stream().sorted().collect(Collectors.joining(", "))));
+                                                    + table.known.stream()
+                                                            .sorted()
+                                                            .collect(Collectors.joining(", "))));
                 }
             });
         }
--- a/src/main/java/rillyard/demo/Demo.java
+++ b/src/main/java/rillyard/demo/Demo.java
@@ -137,8 +137,8 @@
 
     private static void delete(Path folder) throws IOException {
         try (Stream<Path> all = Files.walk(folder)) {
-            for (Path p : all.sorted(Comparator.reverseOrder()).toList()) {
-                Files.deleteIfExists(p);
+            for (Path path : all.sorted(Comparator.reverseOrder()).toList()) {
+                Files.deleteIfExists(path);
             }
         }
     }
--- a/src/main/java/rillyard/faultinjection/ConnectionFaults.java
+++ b/src/main/java/rillyard/faultinjection/ConnectionFaults.java
@@ -14,12 +14,12 @@
 
     private final List<InjectedFault> active = new ArrayList<>();
 
-    void begin(InjectedFault f) {
-        active.add(f);
+    void begin(InjectedFault fault) {
+        active.add(fault);
     }
 
-    void end(InjectedFault f) {
-        active.remove(f);
+    void end(InjectedFault fault) {
+        active.remove(fault);
     }
 
     /** How this process's connections to this host fare now. */
@@ -28,12 +28,12 @@
         boolean reset = false;
         boolean silent = false;
         double late = 0;
-        for (InjectedFault f : active) {
-            if (f.on().has(from) && f.hosts().has(host, zone)) {
-                refused |= f.kind() == InjectedFault.Kind.REFUSED;
-                reset |= f.kind() == InjectedFault.Kind.RESET;
-                silent |= f.kind() == InjectedFault.Kind.SILENT;
-                late += f.kind() == InjectedFault.Kind.SLOW ? f.lateMs() : 0;
+        for (InjectedFault fault : active) {
+            if (fault.on().has(from) && fault.hosts().has(host, zone)) {
+                refused |= fault.kind() == InjectedFault.Kind.REFUSED;
+                reset |= fault.kind() == InjectedFault.Kind.RESET;
+                silent |= fault.kind() == InjectedFault.Kind.SILENT;
+                late += fault.kind() == InjectedFault.Kind.SLOW ? fault.lateMs() : 0;
             }
         }
         return new Way(refused, reset, silent, late);
--- a/src/main/java/rillyard/faultinjection/CpuThrottle.java
+++ b/src/main/java/rillyard/faultinjection/CpuThrottle.java
@@ -17,10 +17,10 @@
 
     /** Has it stand still for this share of its time until {@link #end}. */
     void begin(ChildProcess child, double share) {
-        Thread t = new Thread(() -> starve(child, share), "starve-" + child.pid());
-        t.setDaemon(true);
-        if (threads.putIfAbsent(child, t) == null) {
-            t.start();
+        Thread thread = new Thread(() -> starve(child, share), "starve-" + child.pid());
+        thread.setDaemon(true);
+        if (threads.putIfAbsent(child, thread) == null) {
+            thread.start();
         }
     }
 
@@ -41,17 +41,17 @@
 
     /** Has it run as before; returns once it does. */
     void end(ChildProcess child) throws InterruptedException {
-        Thread t = threads.remove(child);
-        if (t != null) {
-            t.join();
+        Thread thread = threads.remove(child);
+        if (thread != null) {
+            thread.join();
         }
     }
 
     @Override
     public void close() {
-        for (ChildProcess c : threads.keySet()) {
+        for (ChildProcess process : threads.keySet()) {
             try {
-                end(c);
+                end(process);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/src/main/java/rillyard/faultinjection/DatagramFaults.java
+++ b/src/main/java/rillyard/faultinjection/DatagramFaults.java
@@ -13,28 +13,28 @@
         this.random = new SplittableRandom(seed);
     }
 
-    void begin(InjectedFault f) {
-        active.add(f);
+    void begin(InjectedFault fault) {
+        active.add(fault);
     }
 
-    void end(InjectedFault f) {
-        active.remove(f);
+    void end(InjectedFault fault) {
+        active.remove(fault);
     }
 
     /** For how long (ms) each copy is held that arrives; none where it is lost. */
     double[] copies(FleetProcess from, FleetProcess to) {
         int copies = 1;
         double late = 0;
-        for (InjectedFault f : active) {
-            if (f.touches(from, to)) {
-                boolean met = f.kind() == InjectedFault.Kind.DELAY || random.nextDouble() < f.share();
+        for (InjectedFault fault : active) {
+            if (fault.touches(from, to)) {
+                boolean met = fault.kind() == InjectedFault.Kind.DELAY || random.nextDouble() < fault.share();
                 if (met) {
-                    switch (f.kind()) {
+                    switch (fault.kind()) {
                         case LOSE -> {
                             return new double[0];
                         }
                         case DOUBLE -> copies = 2;
-                        default -> late = Math.max(late, f.lateMs());
+                        default -> late = Math.max(late, fault.lateMs());
                     }
                 }
             }
--- a/src/main/java/rillyard/faultinjection/DatagramNetwork.java
+++ b/src/main/java/rillyard/faultinjection/DatagramNetwork.java
@@ -44,12 +44,12 @@
         this.faults = faults;
         this.sockets = new Channel[members.size()];
         try {
-            for (FleetProcess m : members) {
-                bySource.put(own.get(m.index()), m);
-                sockets[m.index()] = new Bootstrap()
+            for (FleetProcess process : members) {
+                bySource.put(own.get(process.index()), process);
+                sockets[process.index()] = new Bootstrap()
                         .group(loop)
                         .channel(NioDatagramChannel.class)
-                        .handler(new Passing(m))
+                        .handler(new Passing(process))
                         .bind(InetAddress.getByName("127.0.0.1"), 0)
                         .sync()
                         .channel();
@@ -61,16 +61,16 @@
     }
 
     /** Where the others reach this one. */
-    InetSocketAddress address(FleetProcess m) {
-        return (InetSocketAddress) sockets[m.index()].localAddress();
+    InetSocketAddress address(FleetProcess process) {
+        return (InetSocketAddress) sockets[process.index()].localAddress();
     }
 
-    void begin(InjectedFault f) {
-        loop.execute(() -> faults.begin(f));
+    void begin(InjectedFault fault) {
+        loop.execute(() -> faults.begin(fault));
     }
 
-    void end(InjectedFault f) {
-        loop.execute(() -> faults.end(f));
+    void end(InjectedFault fault) {
+        loop.execute(() -> faults.end(fault));
     }
 
     @Override
@@ -86,13 +86,13 @@
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket p) {
-            FleetProcess from = bySource.get(p.sender());
+        protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
+            FleetProcess from = bySource.get(packet.sender());
             if (from == null || !members.contains(from)) {
                 return; // no process of this trial
             }
             for (double held : faults.copies(from, to)) {
-                DatagramPacket copy = new DatagramPacket(p.content().retainedDuplicate(), own.get(to.index()));
+                DatagramPacket copy = new DatagramPacket(packet.content().retainedDuplicate(), own.get(to.index()));
                 Channel out = sockets[from.index()];
                 if (held < 0.5) {
                     out.writeAndFlush(copy, out.voidPromise());
--- a/src/main/java/rillyard/faultinjection/FaultInjectionAudit.java
+++ b/src/main/java/rillyard/faultinjection/FaultInjectionAudit.java
@@ -26,61 +26,64 @@
         Audit audit = new Audit(AuditSettings.read(config));
         int[] notOwed = {0};
         boolean whole = RequestLogReader.read(clients, "clients", line -> {
-            if (line instanceof ClientAttempt t && hit(t, plan, done)) {
+            if (line instanceof ClientAttempt attempt && hit(attempt, plan, done)) {
                 notOwed[0]++;
-                audit.add(abandoned(t));
+                audit.add(abandoned(attempt));
             } else {
                 audit.add(line);
             }
         });
         whole &= RequestLogReader.read(hosts, "hosts", audit::add);
-        Audit.Verdict v = audit.judge();
+        Audit.Verdict verdict = audit.judge();
         if (!whole) {
-            List<String> doubts = new java.util.ArrayList<>(v.doubts());
+            List<String> doubts = new java.util.ArrayList<>(verdict.doubts());
             doubts.add("a ledger was not closed: its last lines may be missing");
-            v = new Audit.Verdict(v.tries(), v.runs(), v.breaches(), doubts);
+            verdict = new Audit.Verdict(verdict.tries(), verdict.runs(), verdict.breaches(), doubts);
         }
-        return new FaultInjectionAudit(v, notOwed[0]);
+        return new FaultInjectionAudit(verdict, notOwed[0]);
     }
 
     /** Whether its process was killed or stood still while it was under way. */
-    private static boolean hit(ClientAttempt t, FaultInjectionPlan plan, List<FaultInjectionResult.Done> done) {
-        FleetProcess own = plan.serving(t.client());
+    private static boolean hit(ClientAttempt attempt, FaultInjectionPlan plan, List<FaultInjectionResult.Done> done) {
+        FleetProcess own = plan.serving(attempt.client());
         for (FaultInjectionResult.Done d : done) {
-            InjectedFault f = d.fault();
-            boolean halts = f.place() == InjectedFault.Place.PROCESSES
-                    && f.kind() != InjectedFault.Kind.TERM
-                    && f.on().has(own);
+            InjectedFault fault = d.fault();
+            boolean halts = fault.place() == InjectedFault.Place.PROCESSES
+                    && fault.kind() != InjectedFault.Kind.TERM
+                    && fault.on().has(own);
             long from = d.at() * 1_000;
-            long until = from + (long) (f.lasts() * 1_000) + AFTER_US;
-            if (d.begin() && halts && t.sent() <= until && t.ended() >= from) {
+            long until = from + (long) (fault.lasts() * 1_000) + AFTER_US;
+            if (d.begin() && halts && attempt.sent() <= until && attempt.ended() >= from) {
                 return true;
             }
         }
         return false;
     }
 
-    private static ClientAttempt abandoned(ClientAttempt t) {
-        ClientOutcome o = t.outcome() == ClientOutcome.SERVED
-                        || t.outcome() == ClientOutcome.REFUSED && t.ended() <= t.sent() + t.timeout()
-                ? t.outcome()
+    private static ClientAttempt abandoned(ClientAttempt attempt) {
+        ClientOutcome outcome = attempt.outcome() == ClientOutcome.SERVED
+                        || attempt.outcome() == ClientOutcome.REFUSED
+                                && attempt.ended() <= attempt.sent() + attempt.timeout()
+                ? attempt.outcome()
                 : ClientOutcome.ABANDONED;
-        long ended = o == ClientOutcome.SERVED ? Math.min(t.ended(), t.sent() + t.timeout()) : t.ended();
+        long ended = outcome == ClientOutcome.SERVED
+                ? Math.min(attempt.ended(), attempt.sent() + attempt.timeout())
+                : attempt.ended();
         return new ClientAttempt(
-                t.request(),
-                t.number(),
-                t.id(),
-                t.key(),
-                t.type(),
-                t.tenant(),
-                t.client(),
-                t.intended(),
-                t.sent(),
+                attempt.request(),
+                attempt.number(),
+                attempt.id(),
+                attempt.key(),
+                attempt.type(),
+                attempt.tenant(),
+                attempt.client(),
+                attempt.intended(),
+                attempt.sent(),
                 ended,
-                t.timeout(),
-                o,
-                t.status(),
-                t.retryAfter(),
-                t.last());
+                attempt.timeout(),
+                outcome,
+                attempt.status(),
+                attempt.retryAfter(),
+                attempt.last());
     }
 }
--- a/src/main/java/rillyard/faultinjection/FaultInjectionPlan.java
+++ b/src/main/java/rillyard/faultinjection/FaultInjectionPlan.java
@@ -54,9 +54,9 @@
     }
 
     /** The rate of a process's clock, 1 as a rule. */
-    double clockRate(FleetProcess m) {
+    double clockRate(FleetProcess process) {
         return clocks.stream()
-                .filter(c -> c.on().has(m))
+                .filter(clock -> clock.on().has(process))
                 .mapToDouble(Clock::rate)
                 .findFirst()
                 .orElse(1);
--- a/src/main/java/rillyard/faultinjection/FaultInjectionPlanReader.java
+++ b/src/main/java/rillyard/faultinjection/FaultInjectionPlanReader.java
@@ -47,16 +47,16 @@
         String load = root.text("load", null);
         LoadPlan asked = load == null ? null : LoadPlanReader.read(beside.resolve(load));
         double lasts = 1_000 * root.number("for_s", asked == null ? 30 : asked.seconds(), 1, 3_600);
-        TomlTable m = root.table("membership");
+        TomlTable table = root.table("membership");
         String membership = String.format(
                 Locale.ROOT,
                 "interval_ms = %s%ntimeout_ms = %s%n",
-                m.number("interval_ms", 500, 100, 60_000),
-                m.number("timeout_ms", 150, 10, 30_000));
+                table.number("interval_ms", 500, 100, 60_000),
+                table.number("timeout_ms", 150, 10, 30_000));
         boolean news = root.flag("news", false);
         List<InjectedFault> faults = new ArrayList<>();
-        for (TomlTable t : root.tables("fault")) {
-            faults.add(fault(t, lasts));
+        for (TomlTable tomlTable : root.tables("fault")) {
+            faults.add(fault(tomlTable, lasts));
         }
         List<FaultInjectionPlan.Clock> clocks = new ArrayList<>();
         for (TomlTable t : root.tables("clock")) {
@@ -77,50 +77,51 @@
     /** What clients ask for has to be what hosts serve: a proxy turns all else away, and nothing would be shown. */
     private static void checkClasses(TomlTable root, TestClusterPlan hosts, LoadPlan load) {
         Map<String, RequestClassSpec.Semantics> served = new HashMap<>();
-        hosts.classes().forEach(c -> served.put(c.name(), c.semantics()));
-        for (LoadClass c : load.classes()) {
+        hosts.classes().forEach(spec -> served.put(spec.name(), spec.semantics()));
+        for (LoadClass requestClass : load.classes()) {
             RequestClassSpec.Semantics asked =
-                    switch (c.semantics()) {
+                    switch (requestClass.semantics()) {
                         case IDEMPOTENT -> RequestClassSpec.Semantics.IDEMPOTENT;
                         case KEYED, KEYED_EVERYWHERE -> RequestClassSpec.Semantics.DEDUPLICATED;
                         case AT_MOST_ONCE -> RequestClassSpec.Semantics.AT_MOST_ONCE;
                     };
-            if (served.get(c.name()) != asked) {
+            if (served.get(requestClass.name()) != asked) {
                 root.error(
                         "load",
-                        "asks for class '" + c.name() + "', " + asked + "; expected one of the hosts': "
+                        "asks for class '" + requestClass.name() + "', " + asked + "; expected one of the hosts': "
                                 + new TreeMap<>(served));
             }
         }
     }
 
-    private static InjectedFault fault(TomlTable t, double lasts) {
-        InjectedFault.Kind kind = t.choice("kind", InjectedFault.Kind.class, InjectedFault.Kind.KILL);
-        double at = 1_000 * t.number("at_s", 0, 0, lasts / 1_000);
+    private static InjectedFault fault(TomlTable table, double lasts) {
+        InjectedFault.Kind kind = table.choice("kind", InjectedFault.Kind.class, InjectedFault.Kind.KILL);
+        double at = 1_000 * table.number("at_s", 0, 0, lasts / 1_000);
         InjectedFault.Place place = kind.place;
-        ProcessPattern on = group(t, "on");
-        ProcessPattern to = place == InjectedFault.Place.DATAGRAMS ? group(t, "to") : on;
-        HostPattern hosts =
-                place == InjectedFault.Place.CONNECTIONS ? new HostPattern(t.text("hosts", "all")) : HostPattern.NONE;
-        double forMs = kind.lasting() ? 1_000 * t.number("for_s", 5, 0.05, 3_600) : 0;
+        ProcessPattern on = group(table, "on");
+        ProcessPattern to = place == InjectedFault.Place.DATAGRAMS ? group(table, "to") : on;
+        HostPattern hosts = place == InjectedFault.Place.CONNECTIONS
+                ? new HostPattern(table.text("hosts", "all"))
+                : HostPattern.NONE;
+        double forMs = kind.lasting() ? 1_000 * table.number("for_s", 5, 0.05, 3_600) : 0;
         double share =
                 switch (kind) {
-                    case LOSE, DOUBLE -> t.number("share", 1, 0, 1);
-                    case STARVE -> t.number("share", 0.9, 0.1, 0.99);
+                    case LOSE, DOUBLE -> table.number("share", 1, 0, 1);
+                    case STARVE -> table.number("share", 0.9, 0.1, 0.99);
                     default -> 0;
                 };
         double late = kind == InjectedFault.Kind.DELAY || kind == InjectedFault.Kind.SLOW
-                ? t.number("late_ms", 50, 0, 60_000)
+                ? table.number("late_ms", 50, 0, 60_000)
                 : 0;
-        boolean oneWay = place == InjectedFault.Place.DATAGRAMS && t.flag("one_way", false);
+        boolean oneWay = place == InjectedFault.Place.DATAGRAMS && table.flag("one_way", false);
         return new InjectedFault(at, kind, on, to, hosts, oneWay, forMs, share, late);
     }
 
-    private static ProcessPattern group(TomlTable t, String key) {
+    private static ProcessPattern group(TomlTable table, String key) {
         try {
-            return new ProcessPattern(t.text(key, "all"));
+            return new ProcessPattern(table.text(key, "all"));
         } catch (IllegalArgumentException e) {
-            t.error(key, e.getMessage());
+            table.error(key, e.getMessage());
             return new ProcessPattern("all");
         }
     }
--- a/src/main/java/rillyard/faultinjection/FaultInjectionResult.java
+++ b/src/main/java/rillyard/faultinjection/FaultInjectionResult.java
@@ -52,9 +52,9 @@
     }
 
     /** The audit of what clients asked for, and how the hosts were loaded; times of the latter count from {@code zero} (us). */
-    void served(FaultInjectionAudit a, ImbalanceReport s, long zero) {
-        this.audit = a;
-        this.spread = s;
+    void served(FaultInjectionAudit audit, ImbalanceReport report, long zero) {
+        this.audit = audit;
+        this.spread = report;
         this.zero = zero;
     }
 
@@ -105,31 +105,31 @@
     /** Deaths of members that ran, and were cut off from nobody that has to do with it, at the time and just before. */
     public List<FalseDeath> falseDeaths() {
         List<FalseDeath> out = new ArrayList<>();
-        for (MembershipTimeline.Belief b : beliefs.all()) {
-            if (b.status().equals("DEAD") && b.at() >= begun && !excused(b)) {
-                out.add(new FalseDeath(b.member(), b.about(), (b.at() - begun) / 1e3));
+        for (MembershipTimeline.Belief belief : beliefs.all()) {
+            if (belief.status().equals("DEAD") && belief.at() >= begun && !excused(belief)) {
+                out.add(new FalseDeath(belief.member(), belief.about(), (belief.at() - begun) / 1e3));
             }
         }
         return out;
     }
 
-    private boolean excused(MembershipTimeline.Belief b) {
-        FleetProcess by = member(b.member());
-        FleetProcess about = member(b.about());
+    private boolean excused(MembershipTimeline.Belief belief) {
+        FleetProcess by = member(belief.member());
+        FleetProcess about = member(belief.about());
         for (Done d : done) {
-            InjectedFault f = d.fault();
-            boolean forGood = f.kind() == InjectedFault.Kind.KILL || f.kind() == InjectedFault.Kind.TERM;
-            boolean over = !forGood && b.at() > d.at() + f.lasts() + AFTERMATH_MS;
-            if (d.begin() && d.at() <= b.at() && !over) {
-                boolean away = f.place() == InjectedFault.Place.PROCESSES
-                        && f.kind() != InjectedFault.Kind.STARVE
-                        && f.on().has(about);
+            InjectedFault fault = d.fault();
+            boolean forGood = fault.kind() == InjectedFault.Kind.KILL || fault.kind() == InjectedFault.Kind.TERM;
+            boolean over = !forGood && belief.at() > d.at() + fault.lasts() + AFTERMATH_MS;
+            if (d.begin() && d.at() <= belief.at() && !over) {
+                boolean away = fault.place() == InjectedFault.Place.PROCESSES
+                        && fault.kind() != InjectedFault.Kind.STARVE
+                        && fault.on().has(about);
                 // Under a cut, who can hear each other must not hold each other dead; after it words of both sides mix.
-                boolean apart = f.touches(by, about) || f.touches(about, by);
-                boolean mixed = f.place() == InjectedFault.Place.DATAGRAMS
-                        && b.at() > d.at() + f.lasts()
-                        && (f.on().has(about) || f.to().has(about));
-                boolean cut = f.kind() == InjectedFault.Kind.LOSE && f.share() > 0.9 && (apart || mixed);
+                boolean apart = fault.touches(by, about) || fault.touches(about, by);
+                boolean mixed = fault.place() == InjectedFault.Place.DATAGRAMS
+                        && belief.at() > d.at() + fault.lasts()
+                        && (fault.on().has(about) || fault.to().has(about));
+                boolean cut = fault.kind() == InjectedFault.Kind.LOSE && fault.share() > 0.9 && (apart || mixed);
                 if (away || cut) {
                     return true;
                 }
@@ -144,37 +144,41 @@
 
     /** The result in words, faults among them. */
     public String report() {
-        StringBuilder s = new StringBuilder();
+        StringBuilder out = new StringBuilder();
         for (Done d : done) {
-            InjectedFault f = d.fault();
-            if (!d.begin() || f.place() != InjectedFault.Place.PROCESSES || f.kind() == InjectedFault.Kind.STARVE) {
+            InjectedFault fault = d.fault();
+            if (!d.begin()
+                    || fault.place() != InjectedFault.Place.PROCESSES
+                    || fault.kind() == InjectedFault.Kind.STARVE) {
                 continue;
             }
-            for (FleetProcess m : plan.members()) {
-                if (f.on().has(m) && f.kind() != InjectedFault.Kind.RESTART) {
-                    List<Double> after = heldGoneAfter(m.name(), (d.at() - begun) / 1e3);
-                    s.append(String.format(
+            for (FleetProcess process : plan.members()) {
+                if (fault.on().has(process) && fault.kind() != InjectedFault.Kind.RESTART) {
+                    List<Double> after = heldGoneAfter(process.name(), (d.at() - begun) / 1e3);
+                    out.append(String.format(
                             Locale.ROOT,
                             "%s: held gone by %d of %d living",
-                            f,
+                            fault,
                             after.size(),
-                            living.size() - (living.contains(m.name()) ? 1 : 0)));
+                            living.size() - (living.contains(process.name()) ? 1 : 0)));
                     if (!after.isEmpty()) {
-                        s.append(String.format(
+                        out.append(String.format(
                                 Locale.ROOT,
                                 ", after %.2f s (median), %.2f s (99th percentile), %.2f s (last)",
                                 after.get(after.size() / 2),
                                 after.get((int) Math.ceil(0.99 * after.size()) - 1),
                                 after.get(after.size() - 1)));
                     }
-                    s.append(" [").append(m.name()).append("]\n");
+                    out.append(" [").append(process.name()).append("]\n");
                 }
             }
         }
-        s.append("false deaths: ").append(falseDeaths().size()).append('\n');
-        falseDeaths().stream().limit(10).forEach(f -> s.append("  ").append(f).append('\n'));
+        out.append("false deaths: ").append(falseDeaths().size()).append('\n');
+        falseDeaths().stream()
+                .limit(10)
+                .forEach(death -> out.append("  ").append(death).append('\n'));
         double agreed = agreedSeconds();
-        s.append(
+        out.append(
                 Double.isNaN(agreed)
                         ? "in the end they do not agree\n"
                         : String.format(
@@ -184,16 +188,16 @@
                                 agreed));
         for (Map.Entry<String, Set<String>> e : beliefs.present(Long.MAX_VALUE).entrySet()) {
             if (living.contains(e.getKey()) && !e.getValue().equals(living)) {
-                s.append("  ")
+                out.append("  ")
                         .append(e.getKey())
                         .append(" holds ")
                         .append(e.getValue().size())
                         .append(" present\n");
             }
         }
-        s.append(expense);
+        out.append(expense);
         if (audit != null) {
-            s.append(String.format(
+            out.append(String.format(
                     Locale.ROOT,
                     "%d tries, %d of them owed no answer (their process was halted under them), "
                             + "%d receipts of hosts: %d broken rules%n",
@@ -201,18 +205,18 @@
                     audit.notOwed(),
                     audit.verdict().runs(),
                     audit.verdict().breaches().size()));
-            audit.verdict().breaches().stream().limit(10).forEach(b -> s.append("  ")
-                    .append(b.rule())
+            audit.verdict().breaches().stream().limit(10).forEach(violation -> out.append("  ")
+                    .append(violation.rule())
                     .append(": ")
-                    .append(b.what())
+                    .append(violation.what())
                     .append('\n'));
             audit.verdict()
                     .doubts()
-                    .forEach(d -> s.append("  doubt: ").append(d).append('\n'));
+                    .forEach(d -> out.append("  doubt: ").append(d).append('\n'));
         }
         if (spread != null) {
-            s.append(spread.words(zero));
+            out.append(spread.words(zero));
         }
-        return s.toString();
+        return out.toString();
     }
 }
--- a/src/main/java/rillyard/faultinjection/FaultInjectionRun.java
+++ b/src/main/java/rillyard/faultinjection/FaultInjectionRun.java
@@ -58,7 +58,7 @@
      */
     public FaultInjectionResult run(LaunchCommand launch) throws Exception {
         out.println("seed " + plan.seed() + ", " + plan.processes() + " processes in " + plan.zones() + " zones");
-        plan.faults().forEach(f -> out.println("  " + f));
+        plan.faults().forEach(fault -> out.println("  " + fault));
         Files.createDirectories(folder);
         long now = UnixClock.micros();
         LogHeader head = new LogHeader("clients", now, plan.seed());
@@ -96,12 +96,12 @@
                 RunImbalance.of(file(CLIENTS), file(HOSTS), plan, result.done()),
                 load.startedMicros());
         List<RunReport.Mark> marks = new ArrayList<>(TimelineEvents.read(file(HOSTS), load.startedMicros()));
-        for (FaultInjectionResult.Done d : result.done()) {
-            String where = d.fault().place() == InjectedFault.Place.PROCESSES ? "processes" : "network";
+        for (FaultInjectionResult.Done done : result.done()) {
+            String where = done.fault().place() == InjectedFault.Place.PROCESSES ? "processes" : "network";
             marks.add(new RunReport.Mark(
-                    (d.at() - load.startedMicros() / 1_000) / 1e3,
+                    (done.at() - load.startedMicros() / 1_000) / 1e3,
                     where,
-                    d.fault().words() + (d.begin() ? "" : " ends")));
+                    done.fault().words() + (done.begin() ? "" : " ends")));
         }
         marks.sort(Comparator.comparingDouble(RunReport.Mark::at));
         ReportFiles.write(
@@ -139,7 +139,7 @@
     }
 
     private static Thread asking(LoadRun load) {
-        Thread t = new Thread(
+        Thread thread = new Thread(
                 () -> {
                     try {
                         load.run();
@@ -148,8 +148,8 @@
                     }
                 },
                 "clients");
-        t.start();
-        return t;
+        thread.start();
+        return thread;
     }
 
     /** Starts them, some at a time: all at once they are so slow that they take each other for dead. */
@@ -158,14 +158,15 @@
         Deque<FleetProcess> starting = new ArrayDeque<>();
         long shown = System.nanoTime();
         int started = 0;
-        for (FleetProcess m : fleet.members()) {
+        for (FleetProcess process : fleet.members()) {
             while (starting.size() >= atOnce) {
-                starting.removeIf(s -> ProxyProcess.state(fleet.serving().get(s.index())) == ProxyProcess.State.READY);
+                starting.removeIf(fleetProcess ->
+                        ProxyProcess.state(fleet.serving().get(fleetProcess.index())) == ProxyProcess.State.READY);
                 checkAlive(fleet, starting);
                 Thread.sleep(START_POLL_MS);
             }
-            fleet.start(m);
-            starting.add(m);
+            fleet.start(process);
+            starting.add(process);
             started++;
             if (System.nanoTime() - shown > SHOW_NANOS) {
                 shown = System.nanoTime();
@@ -180,9 +181,9 @@
     }
 
     private static void checkAlive(ProcessFleet fleet, Iterable<FleetProcess> members) throws IOException {
-        for (FleetProcess m : members) {
-            if (!fleet.child(m).alive()) {
-                throw new IOException(m.name() + " ended by itself; see its log");
+        for (FleetProcess process : members) {
+            if (!fleet.child(process).alive()) {
+                throw new IOException(process.name() + " ended by itself; see its log");
             }
         }
     }
@@ -194,7 +195,9 @@
 
     private static Set<String> living(Set<String> all, ProcessFleet fleet) {
         Set<String> living = new HashSet<>(all);
-        fleet.members().stream().filter(m -> !fleet.child(m).alive()).forEach(m -> living.remove(m.name()));
+        fleet.members().stream()
+                .filter(process -> !fleet.child(process).alive())
+                .forEach(fleetProcess -> living.remove(fleetProcess.name()));
         return living;
     }
 
@@ -223,52 +226,52 @@
 
     private void carryOut(ProcessFleet fleet, long begun, List<FaultInjectionResult.Done> done) throws Exception {
         List<Step> steps = new ArrayList<>();
-        for (InjectedFault f : plan.faults()) {
-            steps.add(new Step(f.at(), f, true));
-            if (f.lasts() > 0) {
-                steps.add(new Step(f.at() + f.lasts(), f, false));
+        for (InjectedFault fault : plan.faults()) {
+            steps.add(new Step(fault.at(), fault, true));
+            if (fault.lasts() > 0) {
+                steps.add(new Step(fault.at() + fault.lasts(), fault, false));
             }
         }
         steps.sort(Comparator.comparingDouble(Step::at));
-        for (Step s : steps) {
-            Thread.sleep(Math.max(0, begun + (long) s.at() - System.currentTimeMillis()));
+        for (Step step : steps) {
+            Thread.sleep(Math.max(0, begun + (long) step.at() - System.currentTimeMillis()));
             long at = System.currentTimeMillis();
-            carryOut(fleet, s);
-            done.add(new FaultInjectionResult.Done(at, s.fault(), s.begin()));
+            carryOut(fleet, step);
+            done.add(new FaultInjectionResult.Done(at, step.fault(), step.begin()));
         }
     }
 
-    private static void carryOut(ProcessFleet fleet, Step s) throws Exception {
-        InjectedFault f = s.fault();
-        switch (f.place()) {
+    private static void carryOut(ProcessFleet fleet, Step step) throws Exception {
+        InjectedFault fault = step.fault();
+        switch (fault.place()) {
             case DATAGRAMS -> {
-                if (s.begin()) {
-                    fleet.relays.begin(f);
+                if (step.begin()) {
+                    fleet.relays.begin(fault);
                 } else {
-                    fleet.relays.end(f);
+                    fleet.relays.end(fault);
                 }
             }
             case CONNECTIONS -> {
-                if (s.begin()) {
-                    fleet.ways.begin(f);
+                if (step.begin()) {
+                    fleet.ways.begin(fault);
                 } else {
-                    fleet.ways.end(f);
+                    fleet.ways.end(fault);
                 }
             }
             case PROCESSES -> {
-                for (FleetProcess m : fleet.members()) {
-                    if (f.on().has(m) && s.begin()) {
-                        fleet.begin(f, m);
-                    } else if (f.on().has(m)) {
-                        fleet.end(f, m);
+                for (FleetProcess process : fleet.members()) {
+                    if (fault.on().has(process) && step.begin()) {
+                        fleet.begin(fault, process);
+                    } else if (fault.on().has(process)) {
+                        fleet.end(fault, process);
                     }
                 }
-                if (f.kind() == InjectedFault.Kind.RESTART) {
+                if (fault.kind() == InjectedFault.Kind.RESTART) {
                     // Guards against kills that wait behind the starts of others: they would come seconds after their
                     // time.
-                    for (FleetProcess m : fleet.members()) {
-                        if (f.on().has(m)) {
-                            fleet.start(m);
+                    for (FleetProcess fleetProcess : fleet.members()) {
+                        if (fault.on().has(fleetProcess)) {
+                            fleet.start(fleetProcess);
                         }
                     }
                 }
--- a/src/main/java/rillyard/faultinjection/MembershipTimeline.java
+++ b/src/main/java/rillyard/faultinjection/MembershipTimeline.java
@@ -59,19 +59,19 @@
                 if (line.isEmpty()) {
                     continue;
                 }
-                JsonNode n = json.readTree(line);
-                if (!n.path("at").canConvertToLong()
-                        || !n.hasNonNull("member")
-                        || !n.hasNonNull("about")
-                        || !n.hasNonNull("status")) {
+                JsonNode node = json.readTree(line);
+                if (!node.path("at").canConvertToLong()
+                        || !node.hasNonNull("member")
+                        || !node.hasNonNull("about")
+                        || !node.hasNonNull("status")) {
                     throw new IOException(
                             file + ":" + number + ": expected at, member, about and status, found " + line);
                 }
                 all.add(new Belief(
-                        n.path("at").asLong(),
-                        n.path("member").asText(),
-                        n.path("about").asText(),
-                        n.path("status").asText(),
+                        node.path("at").asLong(),
+                        node.path("member").asText(),
+                        node.path("about").asText(),
+                        node.path("status").asText(),
                         line));
             }
         }
@@ -90,9 +90,12 @@
     /** When each of the observers first held this one gone, at or after a time; those that never did are left out. */
     Map<String, Long> heldGone(String about, long from, Set<String> observers) {
         Map<String, Long> first = new TreeMap<>();
-        for (Belief b : all) {
-            if (b.at >= from && b.about.equals(about) && !b.present() && observers.contains(b.member)) {
-                first.putIfAbsent(b.member, b.at);
+        for (Belief belief : all) {
+            if (belief.at >= from
+                    && belief.about.equals(about)
+                    && !belief.present()
+                    && observers.contains(belief.member)) {
+                first.putIfAbsent(belief.member, belief.at);
             }
         }
         return first;
@@ -101,24 +104,24 @@
     /** What each process holds present at a time, itself among them. */
     Map<String, Set<String>> present(long at) {
         Map<String, Set<String>> held = new HashMap<>();
-        for (Belief b : all) {
-            if (b.at > at) {
+        for (Belief belief : all) {
+            if (belief.at > at) {
                 break;
             }
-            apply(held, b);
+            apply(held, belief);
         }
         return held;
     }
 
-    private static void apply(Map<String, Set<String>> held, Belief b) {
-        Set<String> of = held.computeIfAbsent(b.member, m -> new HashSet<>());
-        if (b.about.equals(b.member)) {
+    private static void apply(Map<String, Set<String>> held, Belief belief) {
+        Set<String> of = held.computeIfAbsent(belief.member, m -> new HashSet<>());
+        if (belief.about.equals(belief.member)) {
             of.clear();
-            of.add(b.member);
-        } else if (b.present()) {
-            of.add(b.about);
+            of.add(belief.member);
+        } else if (belief.present()) {
+            of.add(belief.about);
         } else {
-            of.remove(b.about);
+            of.remove(belief.about);
         }
     }
 
@@ -127,17 +130,17 @@
         Map<String, Set<String>> held = new HashMap<>();
         Set<String> wrong = new HashSet<>(living);
         long since = -1;
-        for (Belief b : all) {
-            apply(held, b);
-            if (living.contains(b.member)) {
+        for (Belief belief : all) {
+            apply(held, belief);
+            if (living.contains(belief.member)) {
                 boolean before = wrong.isEmpty();
-                if (held.get(b.member).equals(living)) {
-                    wrong.remove(b.member);
+                if (held.get(belief.member).equals(living)) {
+                    wrong.remove(belief.member);
                 } else {
-                    wrong.add(b.member);
+                    wrong.add(belief.member);
                 }
                 if (wrong.isEmpty() && !before) {
-                    since = b.at;
+                    since = belief.at;
                 }
             }
         }
--- a/src/main/java/rillyard/faultinjection/ProcessFleet.java
+++ b/src/main/java/rillyard/faultinjection/ProcessFleet.java
@@ -61,15 +61,17 @@
         this.children = new ChildProcess[members.size()];
         MachineCapacity.check(members.size(), plan.hosts().hosts().size());
         long pid = ProcessHandle.current().pid();
-        for (FleetProcess m : members) {
+        for (FleetProcess process : members) {
             // A network of this trial's own, and ports that no connection is given by itself: what is free now is free
             // still
             // when the process starts, and when it starts again.
-            byte[] ip = {127, (byte) (10 + pid % 200), (byte) (m.index() / 250), (byte) (1 + m.index() % 250)};
+            byte[] ip = {
+                127, (byte) (10 + pid % 200), (byte) (process.index() / 250), (byte) (1 + process.index() % 250)
+            };
             InetAddress address = InetAddress.getByAddress(ip);
             own.add(free(address, FIRST_PORT, true));
             serving.add(free(address, FIRST_PORT, false));
-            admin.add(free(address, serving.get(m.index()).getPort() + 1, false));
+            admin.add(free(address, serving.get(process.index()).getPort() + 1, false));
         }
         this.relays = new DatagramNetwork(members, own, new DatagramFaults(plan.seed()));
         this.hosts = new TestCluster(
@@ -86,8 +88,8 @@
         Files.writeString(key, HexFormat.of().formatHex(bytes));
         Files.setPosixFilePermissions(key, PosixFilePermissions.fromString("rw-------"));
         JSON.writeValue(config().toFile(), hosts.ready());
-        for (FleetProcess m : members) {
-            configure(m);
+        for (FleetProcess fleetProcess : members) {
+            configure(fleetProcess);
         }
     }
 
@@ -109,24 +111,27 @@
     }
 
     /** Opens a process's ways to discovery and to all hosts, and writes its configuration. */
-    private void configure(FleetProcess m) throws Exception {
-        InetAddress address = own.get(m.index()).getAddress();
-        ObjectNode c = hosts.ready();
-        InetSocketAddress discovery = ways.open(m, address, HostPattern.DISCOVERY, "", hosts.discovery());
-        c.put("name", m.name()).put("listen", text(serving.get(m.index()))).put("discovery", text(discovery));
-        for (var s : c.path("known").path("servers")) {
-            String host = s.path("id").asText();
-            InetSocketAddress way = ways.open(m, address, host, s.path("zone").asText(), hosts.address(host));
-            ((ObjectNode) s).put("addr", text(way));
+    private void configure(FleetProcess process) throws Exception {
+        InetAddress address = own.get(process.index()).getAddress();
+        ObjectNode config = hosts.ready();
+        InetSocketAddress discovery = ways.open(process, address, HostPattern.DISCOVERY, "", hosts.discovery());
+        config.put("name", process.name())
+                .put("listen", text(serving.get(process.index())))
+                .put("discovery", text(discovery));
+        for (var node : config.path("known").path("servers")) {
+            String host = node.path("id").asText();
+            InetSocketAddress way =
+                    ways.open(process, address, host, node.path("zone").asText(), hosts.address(host));
+            ((ObjectNode) node).put("addr", text(way));
         }
-        ObjectNode settings = (ObjectNode) c.path("settings");
-        settings.put("balancers", members.size()).put("position", m.index());
+        ObjectNode settings = (ObjectNode) config.path("settings");
+        settings.put("balancers", members.size()).put("position", process.index());
         settings.put(
                 "zone",
                 settings.path("zones")
-                        .path(m.zone() % settings.path("zones").size())
+                        .path(process.zone() % settings.path("zones").size())
                         .asText());
-        JSON.writeValue(folder.resolve(m.name() + ".json").toFile(), c);
+        JSON.writeValue(folder.resolve(process.name() + ".json").toFile(), config);
     }
 
     /** The configuration of a proxy before these hosts, for the auditor. */
@@ -144,77 +149,78 @@
     }
 
     /** Where a process tells what it holds. */
-    InetSocketAddress admin(FleetProcess m) {
-        return admin.get(m.index());
+    InetSocketAddress admin(FleetProcess process) {
+        return admin.get(process.index());
     }
 
-    Path history(FleetProcess m) {
-        return folder.resolve(m.name() + ".history");
+    Path history(FleetProcess process) {
+        return folder.resolve(process.name() + ".history");
     }
 
     /** Starts a process, also again under its old name and addresses. */
-    synchronized void start(FleetProcess m) throws IOException {
+    synchronized void start(FleetProcess process) throws IOException {
         if (over) {
-            throw new IOException("the trial is over, " + m.name() + " is not started");
+            throw new IOException("the trial is over, " + process.name() + " is not started");
         }
         StringBuilder seeds = new StringBuilder();
-        for (FleetProcess s : members.subList(0, Math.min(SEEDS, members.size()))) {
-            seeds.append(seeds.isEmpty() ? "" : ",").append(text(relays.address(s)));
+        for (FleetProcess fleetProcess : members.subList(0, Math.min(SEEDS, members.size()))) {
+            seeds.append(seeds.isEmpty() ? "" : ",").append(text(relays.address(fleetProcess)));
         }
-        Path settings = folder.resolve(m.name() + ".toml");
+        Path settings = folder.resolve(process.name() + ".toml");
         Files.writeString(
                 settings,
                 "key_file = \"" + key.toAbsolutePath() + "\"\nseeds = \"" + seeds
-                        + "\"\n[self]\nname = \"" + m.name() + "\"\nlisten = \"" + text(own.get(m.index()))
+                        + "\"\n[self]\nname = \"" + process.name() + "\"\nlisten = \"" + text(own.get(process.index()))
                         + "\"\nadvertise = \""
-                        + text(relays.address(m)) + "\"\nzone = " + m.zone() + "\nregion = " + m.region()
-                        + "\nadmin = \"" + text(admin.get(m.index())) + "\"\nhistory = \""
-                        + history(m).toAbsolutePath() + "\"\n[spread]\nnews = " + plan.news()
-                        + "\n[test]\nclock_rate = " + plan.clockRate(m)
+                        + text(relays.address(process)) + "\"\nzone = " + process.zone() + "\nregion = "
+                        + process.region()
+                        + "\nadmin = \"" + text(admin.get(process.index())) + "\"\nhistory = \""
+                        + history(process).toAbsolutePath() + "\"\n[spread]\nnews = " + plan.news()
+                        + "\n[test]\nclock_rate = " + plan.clockRate(process)
                         + "\n[membership]\n" + plan.membership());
-        Path log = folder.resolve(m.name() + ".log");
-        Path config = folder.resolve(m.name() + ".json");
+        Path log = folder.resolve(process.name() + ".log");
+        Path config = folder.resolve(process.name() + ".json");
         LaunchCommand told =
                 launch.with("BALANCER_CONFIG", config.toAbsolutePath().toString());
-        children[m.index()] = ChildProcess.start(
+        children[process.index()] = ChildProcess.start(
                 told, log, log, "proxy", "--fleet", settings.toAbsolutePath().toString());
     }
 
-    ChildProcess child(FleetProcess m) {
-        return children[m.index()];
+    ChildProcess child(FleetProcess process) {
+        return children[process.index()];
     }
 
     /** Begins what is done to a process; what lasts does until {@link #end}, who is restarted is to be started. */
-    void begin(InjectedFault f, FleetProcess m) throws IOException, InterruptedException {
-        switch (f.kind()) {
-            case KILL -> child(m).kill();
-            case TERM -> child(m).terminate();
-            case STOP -> child(m).pause();
-            case STARVE -> starving.begin(child(m), f.share());
-            case RESTART -> child(m).kill(); // started again once all that the fault is about are down
-            default -> throw new IllegalArgumentException(f.kind() + " is done to no process");
+    void begin(InjectedFault fault, FleetProcess process) throws IOException, InterruptedException {
+        switch (fault.kind()) {
+            case KILL -> child(process).kill();
+            case TERM -> child(process).terminate();
+            case STOP -> child(process).pause();
+            case STARVE -> starving.begin(child(process), fault.share());
+            case RESTART -> child(process).kill(); // started again once all that the fault is about are down
+            default -> throw new IllegalArgumentException(fault.kind() + " is done to no process");
         }
     }
 
-    void end(InjectedFault f, FleetProcess m) throws IOException, InterruptedException {
-        if (f.kind() == InjectedFault.Kind.STARVE) {
-            starving.end(child(m));
-        } else if (child(m).alive()) {
-            child(m).resume();
+    void end(InjectedFault fault, FleetProcess process) throws IOException, InterruptedException {
+        if (fault.kind() == InjectedFault.Kind.STARVE) {
+            starving.end(child(process));
+        } else if (child(process).alive()) {
+            child(process).resume();
         }
     }
 
-    private static String text(InetSocketAddress a) {
-        return TcpRelays.text(a);
+    private static String text(InetSocketAddress address) {
+        return TcpRelays.text(address);
     }
 
     /** Ends every process, by force: what they believed is written down already. None is started after. */
     synchronized void killAll() {
         over = true;
-        for (ChildProcess c : children) {
-            if (c != null) {
+        for (ChildProcess process : children) {
+            if (process != null) {
                 try {
-                    c.kill();
+                    process.kill();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
--- a/src/main/java/rillyard/faultinjection/ProcessPattern.java
+++ b/src/main/java/rillyard/faultinjection/ProcessPattern.java
@@ -34,12 +34,12 @@
         }
     }
 
-    boolean has(FleetProcess m) {
+    boolean has(FleetProcess process) {
         return parts.stream()
-                .anyMatch(p -> m.index() >= p.first
-                        && m.index() <= p.last
-                        && (p.zone < 0 || p.zone == m.zone())
-                        && (p.region < 0 || p.region == m.region()));
+                .anyMatch(part -> process.index() >= part.first
+                        && process.index() <= part.last
+                        && (part.zone < 0 || part.zone == process.zone())
+                        && (part.region < 0 || part.region == process.region()));
     }
 
     @Override
--- a/src/main/java/rillyard/faultinjection/RandomFaultSchedule.java
+++ b/src/main/java/rillyard/faultinjection/RandomFaultSchedule.java
@@ -45,13 +45,13 @@
 
     /** The faults, in the order of their times. */
     public static List<InjectedFault> draw(FaultInjectionPlan plan, Set<Kind> kinds, long seed) {
-        RandomFaultSchedule n = new RandomFaultSchedule(plan, kinds, seed);
+        RandomFaultSchedule schedule = new RandomFaultSchedule(plan, kinds, seed);
         List<InjectedFault> out = new ArrayList<>();
         double until = plan.lasts() * (1 - QUIET);
-        double at = n.random.nextExponential() * EVERY_MS;
-        while (at < until && !n.kinds.isEmpty()) {
-            out.add(n.fault(at, until));
-            at += n.random.nextExponential() * EVERY_MS;
+        double at = schedule.random.nextExponential() * EVERY_MS;
+        while (at < until && !schedule.kinds.isEmpty()) {
+            out.add(schedule.fault(at, until));
+            at += schedule.random.nextExponential() * EVERY_MS;
         }
         out.sort(Comparator.comparingDouble(InjectedFault::at));
         return List.copyOf(out);
--- a/src/main/java/rillyard/faultinjection/RelayTarget.java
+++ b/src/main/java/rillyard/faultinjection/RelayTarget.java
@@ -74,9 +74,9 @@
     }
 
     private void look() {
-        call(at.getAddress()).addListener((ChannelFutureListener) f -> {
-            if (f.isSuccess()) {
-                f.channel().close();
+        call(at.getAddress()).addListener((ChannelFutureListener) future -> {
+            if (future.isSuccess()) {
+                future.channel().close();
                 down = false;
                 changed();
             } else {
--- a/src/main/java/rillyard/faultinjection/RelayedConnection.java
+++ b/src/main/java/rillyard/faultinjection/RelayedConnection.java
@@ -26,13 +26,13 @@
         connecting = true;
     }
 
-    void connected(SocketChannel ch) {
-        back = ch;
+    void connected(SocketChannel channel) {
+        back = channel;
         if (!front.isActive()) {
-            ch.close();
+            channel.close();
             return;
         }
-        here = new Passing(ch);
+        here = new Passing(channel);
         goOn();
     }
 
@@ -65,10 +65,10 @@
         }
     }
 
-    static void reset(SocketChannel ch) {
-        if (ch.isOpen()) {
-            ch.config().setSoLinger(0);
-            ch.close();
+    static void reset(SocketChannel channel) {
+        if (channel.isOpen()) {
+            channel.config().setSoLinger(0);
+            channel.close();
         }
     }
 
--- a/src/main/java/rillyard/faultinjection/ResourceUsage.java
+++ b/src/main/java/rillyard/faultinjection/ResourceUsage.java
@@ -21,9 +21,9 @@
 
     private Map<String, JsonNode> look() {
         Map<String, JsonNode> out = new HashMap<>();
-        for (FleetProcess m : fleet.members()) {
+        for (FleetProcess process : fleet.members()) {
             try {
-                out.put(m.name(), MemberAdminClient.ask(fleet.admin(m)));
+                out.put(process.name(), MemberAdminClient.ask(fleet.admin(process)));
             } catch (IOException e) {
                 // it has ended, or stands still: it is left out
             }
--- a/src/main/java/rillyard/faultinjection/RunImbalance.java
+++ b/src/main/java/rillyard/faultinjection/RunImbalance.java
@@ -35,52 +35,63 @@
     /** Reads them. A host is there from its start until it drains, stops or is killed. */
     static ImbalanceReport of(Path clients, Path hosts, FaultInjectionPlan plan, List<FaultInjectionResult.Done> done)
             throws InvalidConfigException {
-        RunImbalance s = new RunImbalance(plan);
+        RunImbalance imbalance = new RunImbalance(plan);
         RequestLogReader.read(clients, "clients", line -> {
-            if (line instanceof ClientAttempt t) {
-                s.clients.put(t.id(), t.client());
+            if (line instanceof ClientAttempt attempt) {
+                imbalance.clients.put(attempt.id(), attempt.client());
             }
         });
         RequestLogReader.read(hosts, "hosts", line -> {
-            if (line instanceof HostExecution r) {
-                s.arrived(r);
-            } else if (line instanceof HostEvent n) {
-                s.heard(n);
-            } else if (line instanceof WatchNotification t && t.watcher() == 0) {
-                s.marks.add(new TimelineEvent(t.at(), t.host(), "discovery has " + t.host() + " " + t.state()));
+            if (line instanceof HostExecution execution) {
+                imbalance.arrived(execution);
+            } else if (line instanceof HostEvent event) {
+                imbalance.heard(event);
+            } else if (line instanceof WatchNotification notification && notification.watcher() == 0) {
+                imbalance.marks.add(new TimelineEvent(
+                        notification.at(),
+                        notification.host(),
+                        "discovery has " + notification.host() + " " + notification.state()));
             }
         });
-        s.up.forEach((host, n) -> s.times.add(host, n.capacity(), n.at(), s.last));
+        imbalance.up.forEach(
+                (host, hostEvent) -> imbalance.times.add(host, hostEvent.capacity(), hostEvent.at(), imbalance.last));
         for (FaultInjectionResult.Done d : done) {
-            s.marks.add(new TimelineEvent(d.at() * 1_000, "", d.fault().words() + (d.begin() ? "" : " ends")));
+            imbalance.marks.add(new TimelineEvent(d.at() * 1_000, "", d.fault().words() + (d.begin() ? "" : " ends")));
         }
-        return ImbalanceReport.of(s.arrivals, s.times, s.marks, WINDOW_US);
+        return ImbalanceReport.of(imbalance.arrivals, imbalance.times, imbalance.marks, WINDOW_US);
     }
 
-    private void arrived(HostExecution r) {
-        last = Math.max(last, r.received());
-        Integer client = clients.get(r.id());
+    private void arrived(HostExecution execution) {
+        last = Math.max(last, execution.received());
+        Integer client = clients.get(execution.id());
         String proxy = client == null ? "?" : plan.serving(client).name();
-        long waited = (r.started() == 0 ? r.ended() : r.started()) - r.received();
-        arrivals.add(
-                new HostArrival(r.received(), r.host(), proxy, r.attempt() == 0, waited, r.ended() - r.received()));
+        long waited = (execution.started() == 0 ? execution.ended() : execution.started()) - execution.received();
+        arrivals.add(new HostArrival(
+                execution.received(),
+                execution.host(),
+                proxy,
+                execution.attempt() == 0,
+                waited,
+                execution.ended() - execution.received()));
     }
 
-    private void heard(HostEvent n) {
-        switch (n.what()) {
-            case STARTED -> up.put(n.host(), n);
+    private void heard(HostEvent event) {
+        switch (event.what()) {
+            case STARTED -> up.put(event.host(), event);
             case DRAINING, STOPPED, KILLED -> {
-                HostEvent began = up.remove(n.host());
+                HostEvent began = up.remove(event.host());
                 if (began != null) {
-                    times.add(n.host(), began.capacity(), began.at(), n.at());
+                    times.add(event.host(), began.capacity(), began.at(), event.at());
                 }
             }
             default -> {}
         }
         marks.add(new TimelineEvent(
-                n.at(),
-                n.host(),
-                n.host() + " "
-                        + (n.detail() == null ? n.what().name().toLowerCase(java.util.Locale.ROOT) : n.detail())));
+                event.at(),
+                event.host(),
+                event.host() + " "
+                        + (event.detail() == null
+                                ? event.what().name().toLowerCase(java.util.Locale.ROOT)
+                                : event.detail())));
     }
 }
--- a/src/main/java/rillyard/faultinjection/TcpRelay.java
+++ b/src/main/java/rillyard/faultinjection/TcpRelay.java
@@ -56,8 +56,8 @@
                 .childOption(ChannelOption.AUTO_READ, false)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel ch) {
-                        accepted(ch);
+                    protected void initChannel(SocketChannel channel) {
+                        accepted(channel);
                     }
                 });
     }
@@ -83,18 +83,18 @@
                     })
                     .channel();
         }
-        for (RelayedConnection p : Set.copyOf(pairs)) {
-            p.changed(way);
+        for (RelayedConnection connection : Set.copyOf(pairs)) {
+            connection.changed(way);
         }
     }
 
-    private void accepted(SocketChannel ch) {
+    private void accepted(SocketChannel channel) {
         ConnectionFaults.Way way = way();
         if (way.reset() || way.refused()) {
-            RelayedConnection.reset(ch);
+            RelayedConnection.reset(channel);
             return;
         }
-        RelayedConnection pair = new RelayedConnection(ch, this);
+        RelayedConnection pair = new RelayedConnection(channel, this);
         pairs.add(pair);
         if (!way.silent()) {
             connect(pair);
@@ -111,9 +111,9 @@
     /** Calls the host for a connection. */
     void connect(RelayedConnection pair) {
         pair.connecting();
-        target.call(address.getAddress()).addListener((ChannelFutureListener) f -> {
-            if (f.isSuccess()) {
-                pair.connected((SocketChannel) f.channel());
+        target.call(address.getAddress()).addListener((ChannelFutureListener) future -> {
+            if (future.isSuccess()) {
+                pair.connected((SocketChannel) future.channel());
             } else {
                 pair.reset();
                 target.refused();
--- a/src/main/java/rillyard/faultinjection/TcpRelays.java
+++ b/src/main/java/rillyard/faultinjection/TcpRelays.java
@@ -28,7 +28,7 @@
      */
     synchronized InetSocketAddress open(
             FleetProcess from, InetAddress own, String host, String zone, InetSocketAddress target) throws Exception {
-        RelayTarget called = targets.computeIfAbsent(target, t -> new RelayTarget(host, zone, t, loop));
+        RelayTarget called = targets.computeIfAbsent(target, address -> new RelayTarget(host, zone, address, loop));
         TcpRelay link = new TcpRelay(from, called, loop, faults);
         link.open(own);
         told.computeIfAbsent(own, a -> new HashMap<>()).put(text(target), text(link.address()));
@@ -40,16 +40,16 @@
         return told.getOrDefault(caller, Map.of()).getOrDefault(address, address);
     }
 
-    void begin(InjectedFault f) {
+    void begin(InjectedFault fault) {
         loop.execute(() -> {
-            faults.begin(f);
+            faults.begin(fault);
             targets().forEach(RelayTarget::changed);
         });
     }
 
-    void end(InjectedFault f) {
+    void end(InjectedFault fault) {
         loop.execute(() -> {
-            faults.end(f);
+            faults.end(fault);
             targets().forEach(RelayTarget::changed);
         });
     }
@@ -58,8 +58,8 @@
         return List.copyOf(targets.values());
     }
 
-    static String text(InetSocketAddress a) {
-        return a.getAddress().getHostAddress() + ":" + a.getPort();
+    static String text(InetSocketAddress address) {
+        return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     @Override
--- a/src/main/java/rillyard/hotrestart/DisabledHostStore.java
+++ b/src/main/java/rillyard/hotrestart/DisabledHostStore.java
@@ -84,15 +84,15 @@
         Set<String> out = new HashSet<>();
         Map<String, Long> back = new HashMap<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
-            for (Path p : files) {
-                String file = p.getFileName().toString();
+            for (Path path : files) {
+                String file = path.getFileName().toString();
                 if (file.startsWith(OUT)) {
                     String name = name(file, OUT);
                     if (name != null) {
                         out.add(name);
                     }
                 } else if (file.startsWith(BACK)) {
-                    readBack(p, name(file, BACK), now, back);
+                    readBack(path, name(file, BACK), now, back);
                 }
             }
         } catch (NoSuchFileException e) {
--- a/src/main/java/rillyard/imbalance/HerdDetector.java
+++ b/src/main/java/rillyard/imbalance/HerdDetector.java
@@ -94,10 +94,10 @@
         if (p < bound) {
             Set<String> part = new HashSet<>();
             Set<String> any = new HashSet<>();
-            for (HostArrival a : first.subList(firstIndex, lastIndex)) {
-                any.add(a.proxy());
-                if (a.host().equals(host)) {
-                    part.add(a.proxy());
+            for (HostArrival arrival : first.subList(firstIndex, lastIndex)) {
+                any.add(arrival.proxy());
+                if (arrival.host().equals(host)) {
+                    part.add(arrival.proxy());
                 }
             }
             found.add(new Herd(host, from, until, count, expected, p, part.size(), any.size(), before(host, from)));
@@ -106,11 +106,11 @@
 
     private List<TimelineEvent> before(String host, long from) {
         List<TimelineEvent> out = new ArrayList<>();
-        for (TimelineEvent m : marks) {
-            if (m.at() <= from
-                    && m.at() > from - BEFORE
-                    && (m.host().isEmpty() || m.host().equals(host))) {
-                out.add(m);
+        for (TimelineEvent event : marks) {
+            if (event.at() <= from
+                    && event.at() > from - BEFORE
+                    && (event.host().isEmpty() || event.host().equals(host))) {
+                out.add(event);
             }
         }
         out.sort(Comparator.comparingLong(TimelineEvent::at).reversed());
@@ -124,15 +124,15 @@
         List<Herd> out = new ArrayList<>();
         String host = "";
         long until = 0;
-        for (Herd h : sorted) {
-            boolean overlaps = h.host().equals(host) && h.from() < until;
-            until = overlaps ? Math.max(until, h.until()) : h.until();
-            host = h.host();
+        for (Herd herd : sorted) {
+            boolean overlaps = herd.host().equals(host) && herd.from() < until;
+            until = overlaps ? Math.max(until, herd.until()) : herd.until();
+            host = herd.host();
             int last = out.size() - 1;
             if (!overlaps) {
-                out.add(h);
-            } else if (h.probability() < out.get(last).probability()) {
-                out.set(last, h);
+                out.add(herd);
+            } else if (herd.probability() < out.get(last).probability()) {
+                out.set(last, herd);
             }
         }
         out.sort(Comparator.comparingLong(Herd::from));
--- a/src/main/java/rillyard/imbalance/HostAvailability.java
+++ b/src/main/java/rillyard/imbalance/HostAvailability.java
@@ -27,7 +27,7 @@
     /** Whether it was there all of the time from one to the other. */
     boolean there(String host, long from, long until) {
         Host h = hosts.get(host);
-        return h != null && h.spans.stream().anyMatch(s -> s.from <= from && until <= s.until);
+        return h != null && h.spans.stream().anyMatch(span -> span.from <= from && until <= span.until);
     }
 
     /** The shares of the load, which sum up to 1, of those that were there all of the time. */
@@ -61,8 +61,11 @@
     /** Names and spans, by host. */
     Map<String, List<long[]>> spans() {
         Map<String, List<long[]>> out = new TreeMap<>();
-        hosts.forEach((h, v) -> out.put(
-                h, v.spans.stream().map(s -> new long[] {s.from, s.until}).toList()));
+        hosts.forEach((h, host) -> out.put(
+                h,
+                host.spans.stream()
+                        .map(span -> new long[] {span.from, span.until})
+                        .toList()));
         return out;
     }
 }
--- a/src/main/java/rillyard/imbalance/IdleHostDetector.java
+++ b/src/main/java/rillyard/imbalance/IdleHostDetector.java
@@ -23,8 +23,8 @@
     /** All pauses of at least so long (us) while the host was there, in the order of their times. */
     List<IdleHost> find(long least) {
         Map<String, List<Long>> byHost = new HashMap<>();
-        arrivals.forEach(
-                a -> byHost.computeIfAbsent(a.host(), h -> new ArrayList<>()).add(a.at()));
+        arrivals.forEach(arrival ->
+                byHost.computeIfAbsent(arrival.host(), h -> new ArrayList<>()).add(arrival.at()));
         List<IdleHost> pauses = new ArrayList<>();
         // Before the first request came and after the last nobody is idle.
         long began = arrivals.isEmpty() ? 0 : arrivals.get(0).at();
@@ -44,7 +44,7 @@
         }
         double bound = HerdDetector.FALSE_ALARM
                 / Math.max(1, arrivals.size() + hosts.spans().size());
-        pauses.removeIf(p -> p.queued() == 0 || p.probability() >= bound);
+        pauses.removeIf(host -> host.queued() == 0 || host.probability() >= bound);
         pauses.sort(Comparator.comparingLong(IdleHost::from));
         return pauses;
     }
@@ -56,10 +56,10 @@
         int missed = 0;
         int queued = 0;
         for (int i = after(from); i < arrivals.size() && arrivals.get(i).at() < until; i++) {
-            HostArrival a = arrivals.get(i);
-            if (!a.host().equals(host)) {
+            HostArrival arrival = arrivals.get(i);
+            if (!arrival.host().equals(host)) {
                 missed++;
-                queued += a.waited() > QUEUED ? 1 : 0;
+                queued += arrival.waited() > QUEUED ? 1 : 0;
             }
         }
         to.add(new IdleHost(
--- a/src/main/java/rillyard/imbalance/ImbalanceReport.java
+++ b/src/main/java/rillyard/imbalance/ImbalanceReport.java
@@ -57,9 +57,10 @@
 
     /** In words; times count from {@code zero} (us). */
     public String words(long zero) {
-        StringBuilder s = new StringBuilder();
-        List<Evenness> full = windows.stream().filter(e -> e.requests() > 0).toList();
-        s.append(String.format(
+        StringBuilder out = new StringBuilder();
+        List<Evenness> full =
+                windows.stream().filter(evenness -> evenness.requests() > 0).toList();
+        out.append(String.format(
                 Locale.ROOT,
                 "load of hosts, %d windows, median: largest over mean %.2f, least %.2f, variation %.2f"
                         + " (chance %.2f), Jain %.3f%n",
@@ -69,39 +70,42 @@
                 median(full, Evenness::variation),
                 median(full, Evenness::chanceVariation),
                 median(full, Evenness::jain)));
-        s.append(String.format(Locale.ROOT, "herds: %d (answer time %.1f ms)%n", herds.size(), answerTime / 1e3));
+        out.append(String.format(Locale.ROOT, "herds: %d (answer time %.1f ms)%n", herds.size(), answerTime / 1e3));
         herds.stream()
                 .sorted(Comparator.comparingDouble(Herd::probability))
                 .limit(SHOWN)
-                .forEach(h -> {
-                    s.append(String.format(
+                .forEach(herd -> {
+                    out.append(String.format(
                             Locale.ROOT,
                             "  %.3f s to %.3f s: %s got %d first attempts for %.1f, from %d of %d proxies",
-                            (h.from() - zero) / 1e6,
-                            (h.until() - zero) / 1e6,
-                            h.host(),
-                            h.count(),
-                            h.expected(),
-                            h.proxies(),
-                            h.allProxies()));
-                    h.before()
-                            .forEach(m -> s.append(String.format(
-                                    Locale.ROOT, "; %.0f ms after: %s", (h.from() - m.at()) / 1e3, m.what())));
-                    s.append('\n');
+                            (herd.from() - zero) / 1e6,
+                            (herd.until() - zero) / 1e6,
+                            herd.host(),
+                            herd.count(),
+                            herd.expected(),
+                            herd.proxies(),
+                            herd.allProxies()));
+                    herd.before()
+                            .forEach(event -> out.append(String.format(
+                                    Locale.ROOT,
+                                    "; %.0f ms after: %s",
+                                    (herd.from() - event.at()) / 1e3,
+                                    event.what())));
+                    out.append('\n');
                 });
-        s.append("idle hosts: ").append(idle.size()).append('\n');
+        out.append("idle hosts: ").append(idle.size()).append('\n');
         idle.stream()
                 .sorted(Comparator.comparingDouble(IdleHost::probability))
                 .limit(SHOWN)
-                .forEach(h -> s.append(String.format(
+                .forEach(host -> out.append(String.format(
                         Locale.ROOT,
                         "  %.1f s to %.1f s: %s got nothing while %d went elsewhere, %d of them queued%n",
-                        (h.from() - zero) / 1e6,
-                        (h.until() - zero) / 1e6,
-                        h.host(),
-                        h.missed(),
-                        h.queued())));
-        return s.toString();
+                        (host.from() - zero) / 1e6,
+                        (host.until() - zero) / 1e6,
+                        host.host(),
+                        host.missed(),
+                        host.queued())));
+        return out.toString();
     }
 
     private static double median(List<Evenness> windows, java.util.function.ToDoubleFunction<Evenness> what) {
--- a/src/main/java/rillyard/loadgen/HistogramFiles.java
+++ b/src/main/java/rillyard/loadgen/HistogramFiles.java
@@ -17,15 +17,17 @@
         write(folder.resolve("latency.hgrm"), tally.total().latency);
         write(folder.resolve("service.hgrm"), tally.total().service);
         write(folder.resolve("lateness.hgrm"), tally.lateness());
-        for (RunStatistics.ClassStatistics r : tally.rows()) {
-            String name = r.tenant == null ? r.type.name() : r.type.name() + "." + r.tenant;
-            write(folder.resolve("latency." + name + ".hgrm"), r.latency);
+        for (RunStatistics.ClassStatistics statistics : tally.rows()) {
+            String name = statistics.tenant == null
+                    ? statistics.type.name()
+                    : statistics.type.name() + "." + statistics.tenant;
+            write(folder.resolve("latency." + name + ".hgrm"), statistics.latency);
         }
     }
 
-    private static void write(Path file, Histogram h) throws IOException {
+    private static void write(Path file, Histogram histogram) throws IOException {
         try (PrintStream out = new PrintStream(Files.newOutputStream(file), false, StandardCharsets.UTF_8)) {
-            h.outputPercentileDistribution(out, TICKS, 1_000.0);
+            histogram.outputPercentileDistribution(out, TICKS, 1_000.0);
             if (out.checkError()) {
                 throw new IOException(file + " can't be written");
             }
--- a/src/main/java/rillyard/loadgen/HttpConnection.java
+++ b/src/main/java/rillyard/loadgen/HttpConnection.java
@@ -58,16 +58,16 @@
         return exchange == null && idleSince != 0 ? now - idleSince : 0;
     }
 
-    void run(HttpExchange e) {
-        exchange = e;
-        e.channel(channel);
+    void run(HttpExchange httpExchange) {
+        exchange = httpExchange;
+        httpExchange.channel(channel);
         keep = false;
         written = false;
-        ChannelFuture f = channel.writeAndFlush(e.bytes(channel.alloc()));
-        if (f.isDone()) {
-            written = f.isSuccess();
+        ChannelFuture future = channel.writeAndFlush(httpExchange.bytes(channel.alloc()));
+        if (future.isDone()) {
+            written = future.isSuccess();
         } else {
-            f.addListener(x -> written = f.isSuccess());
+            future.addListener(x -> written = future.isSuccess());
         }
     }
 
@@ -95,25 +95,25 @@
             end(new Transport.AttemptResult(ClientOutcome.GARBLED, 0, 0), false);
             return;
         }
-        if (part instanceof HttpResponse r) {
-            skipping = r.status().code() < 200; // 1xx go ahead of the answer
+        if (part instanceof HttpResponse response) {
+            skipping = response.status().code() < 200; // 1xx go ahead of the answer
             if (!skipping) {
-                exchange.head(r);
-                keep = HttpUtil.isKeepAlive(r);
+                exchange.head(response);
+                keep = HttpUtil.isKeepAlive(response);
             }
         }
         if (skipping || !exchange.begun()) {
             return;
         }
-        if (part instanceof HttpContent c && !exchange.body(c)) {
+        if (part instanceof HttpContent content && !exchange.body(content)) {
             end(new Transport.AttemptResult(ClientOutcome.GARBLED, 0, 0), false);
         } else if (part instanceof LastHttpContent) {
-            Transport.AttemptResult e = exchange.answered();
-            end(e, keep && e.outcome() != ClientOutcome.GARBLED);
+            Transport.AttemptResult result = exchange.answered();
+            end(result, keep && result.outcome() != ClientOutcome.GARBLED);
         }
     }
 
-    private void end(Transport.AttemptResult e, boolean keepIt) {
+    private void end(Transport.AttemptResult result, boolean keepIt) {
         HttpExchange ended = exchange;
         exchange = null;
         lastId = ended.request().id();
@@ -124,7 +124,7 @@
         } else {
             channel.close();
         }
-        ended.end(e);
+        ended.end(result);
     }
 
     @Override
--- a/src/main/java/rillyard/loadgen/HttpExchange.java
+++ b/src/main/java/rillyard/loadgen/HttpExchange.java
@@ -51,41 +51,41 @@
         channel.close();
     }
 
-    void end(Transport.AttemptResult e) {
+    void end(Transport.AttemptResult result) {
         if (!over) {
             over = true;
-            listener.ended(e);
+            listener.ended(result);
         }
     }
 
     /** The whole request. */
     ByteBuf bytes(ByteBufAllocator alloc) {
-        LoadClass t = request.type();
-        boolean get = t.semantics() == LoadClass.Semantics.IDEMPOTENT;
-        StringBuilder s = new StringBuilder(320);
-        s.append(get ? "GET /" : "POST /").append(t.name()).append(" HTTP/1.1\r\nHost: api.internal\r\n");
-        header(s, "X-Request-ID", request.id());
-        header(s, "X-Priority-Class", t.name());
-        header(s, "X-Tenant-Id", request.tenant());
-        header(s, "X-Route-Key", request.routeKey());
-        header(s, "X-Timeout-Ms", Long.toString(request.timeoutMs()));
-        header(s, "X-Retried", request.retried() ? "1" : null);
-        header(s, "Idempotency-Key", request.key());
+        LoadClass requestClass = request.type();
+        boolean get = requestClass.semantics() == LoadClass.Semantics.IDEMPOTENT;
+        StringBuilder out = new StringBuilder(320);
+        out.append(get ? "GET /" : "POST /").append(requestClass.name()).append(" HTTP/1.1\r\nHost: api.internal\r\n");
+        header(out, "X-Request-ID", request.id());
+        header(out, "X-Priority-Class", requestClass.name());
+        header(out, "X-Tenant-Id", request.tenant());
+        header(out, "X-Route-Key", request.routeKey());
+        header(out, "X-Timeout-Ms", Long.toString(request.timeoutMs()));
+        header(out, "X-Retried", request.retried() ? "1" : null);
+        header(out, "Idempotency-Key", request.key());
         if (!get) {
-            header(s, "Content-Length", Integer.toString(t.bodyBytes()));
+            header(out, "Content-Length", Integer.toString(requestClass.bodyBytes()));
         }
-        s.append("\r\n");
-        ByteBuf b = alloc.buffer(s.length() + t.bodyBytes());
-        b.writeCharSequence(s, StandardCharsets.US_ASCII);
+        out.append("\r\n");
+        ByteBuf buffer = alloc.buffer(out.length() + requestClass.bodyBytes());
+        buffer.writeCharSequence(out, StandardCharsets.US_ASCII);
         if (!get) {
-            b.writeBytes(payload());
+            buffer.writeBytes(payload());
         }
-        return b;
+        return buffer;
     }
 
-    private static void header(StringBuilder s, String name, String value) {
+    private static void header(StringBuilder out, String name, String value) {
         if (value != null) {
-            s.append(name).append(": ").append(value).append("\r\n");
+            out.append(name).append(": ").append(value).append("\r\n");
         }
     }
 
@@ -100,8 +100,8 @@
     }
 
     /** The answer's head has come. */
-    void head(HttpResponse h) {
-        head = h;
+    void head(HttpResponse response) {
+        head = response;
     }
 
     boolean begun() {
@@ -109,12 +109,12 @@
     }
 
     /** A part of the body has come; false if there is too much of it. */
-    boolean body(HttpContent c) {
-        ByteBuf b = c.content();
-        length += b.readableBytes();
-        int n = Math.min(b.readableBytes(), KEPT - body.length());
+    boolean body(HttpContent content) {
+        ByteBuf buffer = content.content();
+        length += buffer.readableBytes();
+        int n = Math.min(buffer.readableBytes(), KEPT - body.length());
         if (n > 0) {
-            body.append(b.toString(b.readerIndex(), n, StandardCharsets.US_ASCII));
+            body.append(buffer.toString(buffer.readerIndex(), n, StandardCharsets.US_ASCII));
         }
         return length <= MOST_ANSWER;
     }
--- a/src/main/java/rillyard/loadgen/HttpTransport.java
+++ b/src/main/java/rillyard/loadgen/HttpTransport.java
@@ -68,58 +68,61 @@
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel ch) {}
+                    protected void initChannel(SocketChannel channel) {}
                 });
         loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
     @Override
-    public PendingAttempt send(OutgoingRequest t, Listener listener) {
-        HttpExchange e = new HttpExchange(t, listener, verify);
-        ArrayDeque<HttpConnection> kept = idle.get(t.client());
-        HttpConnection c;
-        while (!t.fresh() && kept != null && (c = kept.pollLast()) != null) {
-            if (c.usable()) {
-                c.run(e);
-                return e;
+    public PendingAttempt send(OutgoingRequest request, Listener listener) {
+        HttpExchange exchange = new HttpExchange(request, listener, verify);
+        ArrayDeque<HttpConnection> kept = idle.get(request.client());
+        HttpConnection connection;
+        while (!request.fresh() && kept != null && (connection = kept.pollLast()) != null) {
+            if (connection.usable()) {
+                connection.run(exchange);
+                return exchange;
             }
-            c.close();
+            connection.close();
         }
-        connect(e);
-        return e;
+        connect(exchange);
+        return exchange;
     }
 
-    private void connect(HttpExchange e) {
-        ChannelFuture f = bootstrap.connect(targets.get((own ? e.request().client() : turn++) % targets.size()));
+    private void connect(HttpExchange exchange) {
+        ChannelFuture future =
+                bootstrap.connect(targets.get((own ? exchange.request().client() : turn++) % targets.size()));
         opened++;
-        e.channel(f.channel());
-        f.addListener(x -> {
-            if (e.over()) {
-                f.channel().close();
-            } else if (f.isSuccess()) {
-                HttpConnection c = new HttpConnection(
-                        this, (SocketChannel) f.channel(), e.request().client());
-                open.add(c);
-                c.begin();
-                c.run(e);
+        exchange.channel(future.channel());
+        future.addListener(x -> {
+            if (exchange.over()) {
+                future.channel().close();
+            } else if (future.isSuccess()) {
+                HttpConnection connection = new HttpConnection(
+                        this,
+                        (SocketChannel) future.channel(),
+                        exchange.request().client());
+                open.add(connection);
+                connection.begin();
+                connection.run(exchange);
             } else {
                 // Never from within send: a refused connection may be known at once.
-                loop.execute(() -> e.end(new AttemptResult(ClientOutcome.UNREACHABLE, 0, 0)));
+                loop.execute(() -> exchange.end(new AttemptResult(ClientOutcome.UNREACHABLE, 0, 0)));
             }
         });
     }
 
-    void idle(HttpConnection c) {
-        idle.computeIfAbsent(c.client(), k -> new ArrayDeque<>(2)).addLast(c);
+    void idle(HttpConnection connection) {
+        idle.computeIfAbsent(connection.client(), k -> new ArrayDeque<>(2)).addLast(connection);
     }
 
-    void closed(HttpConnection c) {
-        open.remove(c);
-        ArrayDeque<HttpConnection> kept = idle.get(c.client());
+    void closed(HttpConnection connection) {
+        open.remove(connection);
+        ArrayDeque<HttpConnection> kept = idle.get(connection.client());
         if (kept != null) {
-            kept.remove(c);
+            kept.remove(connection);
             if (kept.isEmpty()) {
-                idle.remove(c.client());
+                idle.remove(connection.client());
             }
         }
     }
@@ -131,9 +134,9 @@
     private void sweep() {
         long now = System.nanoTime();
         for (Iterator<HttpConnection> i = new ArrayList<>(open).iterator(); i.hasNext(); ) {
-            HttpConnection c = i.next();
-            if (c.idleFor(now) > idleNanos) {
-                c.close();
+            HttpConnection connection = i.next();
+            if (connection.idleFor(now) > idleNanos) {
+                connection.close();
             }
         }
     }
--- a/src/main/java/rillyard/loadgen/LoadGenerator.java
+++ b/src/main/java/rillyard/loadgen/LoadGenerator.java
@@ -75,15 +75,15 @@
         }
     }
 
-    private void send(ScheduledRequest a, long now) {
-        LogicalRequest c = new LogicalRequest(number++, a, startedAt + a.at(), this);
-        tally.arrived(c, now);
+    private void send(ScheduledRequest request, long now) {
+        LogicalRequest logicalRequest = new LogicalRequest(number++, request, startedAt + request.at(), this);
+        tally.arrived(logicalRequest, now);
         if (open.size() >= plan.maxOpen()) {
-            c.notSent();
+            logicalRequest.notSent();
             return;
         }
-        open.add(c);
-        c.begin();
+        open.add(logicalRequest);
+        logicalRequest.begin();
     }
 
     /** Sends nothing more, and leaves what is under way. */
@@ -92,8 +92,8 @@
             return;
         }
         stopped = true;
-        for (LogicalRequest c : new ArrayList<>(open)) {
-            c.leave();
+        for (LogicalRequest request : new ArrayList<>(open)) {
+            request.leave();
         }
         doneIfEmpty();
     }
@@ -137,13 +137,13 @@
 
     @Override
     public String name(int digits) {
-        StringBuilder s = new StringBuilder(digits);
-        while (s.length() < digits) {
+        StringBuilder out = new StringBuilder(digits);
+        while (out.length() < digits) {
             String hex = Long.toHexString(names.nextLong());
-            s.append("0".repeat(16 - hex.length())).append(hex);
+            out.append("0".repeat(16 - hex.length())).append(hex);
         }
-        s.setLength(digits);
-        return s.toString();
+        out.setLength(digits);
+        return out.toString();
     }
 
     @Override
--- a/src/main/java/rillyard/loadgen/LoadPlanReader.java
+++ b/src/main/java/rillyard/loadgen/LoadPlanReader.java
@@ -48,8 +48,8 @@
         List<LoadPlan.Tenant> tenants = tenants(root);
         ClientSpec clients = clients(root.table("clients"));
         List<RateProfile> shapes = new ArrayList<>();
-        for (TomlTable t : root.tables("shape")) {
-            shapes.add(shape(t));
+        for (TomlTable table : root.tables("shape")) {
+            shapes.add(shape(table));
         }
         boolean traced = root.has("trace");
         if (traced == !shapes.isEmpty()) {
@@ -59,84 +59,86 @@
                             ? "found besides [[shape]], expected one of the two"
                             : "expected a [[shape]] at least, or a [trace]");
         }
-        TomlTable t = root.table("trace");
-        String file = traced ? t.text("file") : "";
-        TraceReader.Form form = t.choice("form", TraceReader.Form.class, TraceReader.Form.CSV);
-        double speed = t.number("speed", 1, 0.001, 10_000);
+        TomlTable tomlTable = root.table("trace");
+        String file = traced ? tomlTable.text("file") : "";
+        TraceReader.Form form = tomlTable.choice("form", TraceReader.Form.class, TraceReader.Form.CSV);
+        double speed = tomlTable.number("speed", 1, 0.001, 10_000);
         root.finish();
         RecordedTrace trace = traced ? TraceReader.read(beside.resolve(file), form, classes, speed) : null;
         return new LoadPlan(seed, shapes, trace, classes, tenants, clients, maxOpen, lateness, verify);
     }
 
-    private static RateProfile shape(TomlTable t) {
-        Kind kind = t.choice("kind", Kind.class, Kind.POISSON);
-        double s = t.number("for_s", 10, 0.001, MOST_SECONDS);
-        boolean random = t.flag("random", kind != Kind.STEADY);
+    private static RateProfile shape(TomlTable table) {
+        Kind kind = table.choice("kind", Kind.class, Kind.POISSON);
+        double s = table.number("for_s", 10, 0.001, MOST_SECONDS);
+        boolean random = table.flag("random", kind != Kind.STEADY);
         return switch (kind) {
-            case STEADY, POISSON -> new RateProfile.Steady(s, rate(t, "rate"), random);
-            case RAMP -> new RateProfile.Ramp(s, rate(t, "from"), rate(t, "to"), random);
+            case STEADY, POISSON -> new RateProfile.Steady(s, rate(table, "rate"), random);
+            case RAMP -> new RateProfile.Ramp(s, rate(table, "from"), rate(table, "to"), random);
             case WAVE ->
                 new RateProfile.Wave(
                         s,
-                        rate(t, "rate"),
-                        t.number("swing", 0.3, 0, 1),
-                        t.number("period_s", 60, 0.01, MOST_SECONDS),
+                        rate(table, "rate"),
+                        table.number("swing", 0.3, 0, 1),
+                        table.number("period_s", 60, 0.01, MOST_SECONDS),
                         random);
-            case STEP -> new RateProfile.Step(s, t.numbers("rates", new double[] {100}, 0, MOST_RATE), random);
-            case SURGE -> surge(t, s, random);
+            case STEP -> new RateProfile.Step(s, table.numbers("rates", new double[] {100}, 0, MOST_RATE), random);
+            case SURGE -> surge(table, s, random);
         };
     }
 
-    private static RateProfile surge(TomlTable t, double s, boolean random) {
-        double at = t.number("at_s", s / 4, 0, MOST_SECONDS);
-        double rise = t.number("rise_s", s / 8, 0, MOST_SECONDS);
-        double hold = t.number("hold_s", s / 4, 0, MOST_SECONDS);
-        double fall = t.number("fall_s", s / 8, 0, MOST_SECONDS);
+    private static RateProfile surge(TomlTable table, double s, boolean random) {
+        double at = table.number("at_s", s / 4, 0, MOST_SECONDS);
+        double rise = table.number("rise_s", s / 8, 0, MOST_SECONDS);
+        double hold = table.number("hold_s", s / 4, 0, MOST_SECONDS);
+        double fall = table.number("fall_s", s / 8, 0, MOST_SECONDS);
         if (at + rise + hold + fall > s + 1e-9) {
-            t.error(
+            table.error(
                     "for_s",
                     "found " + s + ", expected no less than at_s, rise_s, hold_s and fall_s" + " together, "
                             + (at + rise + hold + fall));
         }
-        return new RateProfile.Surge(s, rate(t, "base"), rate(t, "peak"), at, rise, hold, fall, random);
+        return new RateProfile.Surge(s, rate(table, "base"), rate(table, "peak"), at, rise, hold, fall, random);
     }
 
-    private static double rate(TomlTable t, String key) {
-        if (!t.has(key)) {
-            t.error(key, "is missing, expected requests a second");
+    private static double rate(TomlTable table, String key) {
+        if (!table.has(key)) {
+            table.error(key, "is missing, expected requests a second");
         }
-        return t.number(key, 1, 0, MOST_RATE);
+        return table.number(key, 1, 0, MOST_RATE);
     }
 
     private static List<LoadClass> classes(TomlTable root) {
         List<LoadClass> out = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (TomlTable t : root.tables("class")) {
-            String name = t.text("name");
+        for (TomlTable table : root.tables("class")) {
+            String name = table.text("name");
             if (!name.matches("[A-Za-z0-9._-]{1,64}")) {
-                t.error("name", "found '" + name + "', expected 1 to 64 letters, digits, dots, - or _");
+                table.error("name", "found '" + name + "', expected 1 to 64 letters, digits, dots, - or _");
             } else if (!names.add(name)) {
-                t.error("name", "'" + name + "' is another class's too");
+                table.error("name", "'" + name + "' is another class's too");
             }
-            double aim = t.number("aim_ms", 400, 1, 3_600_000);
-            double deadline = t.number("deadline_ms", 2 * aim, 1, 3_600_000);
+            double aim = table.number("aim_ms", 400, 1, 3_600_000);
+            double deadline = table.number("deadline_ms", 2 * aim, 1, 3_600_000);
             if (deadline < aim) {
-                t.error("deadline_ms", "found " + deadline + ", expected no less than aim_ms, " + aim);
+                table.error("deadline_ms", "found " + deadline + ", expected no less than aim_ms, " + aim);
             }
-            LoadClass.Semantics s = t.choice("semantics", LoadClass.Semantics.class, LoadClass.Semantics.AT_MOST_ONCE);
-            int body = (int) t.whole("body_bytes", s == LoadClass.Semantics.IDEMPOTENT ? 0 : 200, 0, 65_536);
-            if (s == LoadClass.Semantics.IDEMPOTENT && body > 0) {
-                t.error("body_bytes", "found " + body + ", expected 0 for a class that is sent with GET");
+            LoadClass.Semantics semantics =
+                    table.choice("semantics", LoadClass.Semantics.class, LoadClass.Semantics.AT_MOST_ONCE);
+            int body =
+                    (int) table.whole("body_bytes", semantics == LoadClass.Semantics.IDEMPOTENT ? 0 : 200, 0, 65_536);
+            if (semantics == LoadClass.Semantics.IDEMPOTENT && body > 0) {
+                table.error("body_bytes", "found " + body + ", expected 0 for a class that is sent with GET");
             }
             out.add(new LoadClass(
                     name,
-                    t.number("share", 1, 0, 1e9),
-                    s,
+                    table.number("share", 1, 0, 1e9),
+                    semantics,
                     aim,
                     deadline,
-                    t.number("window_ms", 750, 0, 3_600_000),
+                    table.number("window_ms", 750, 0, 3_600_000),
                     body,
-                    (int) t.whole("keys", 0, 0, 100_000_000)));
+                    (int) table.whole("keys", 0, 0, 100_000_000)));
         }
         if (out.isEmpty()) {
             return standardClasses();
@@ -156,12 +158,12 @@
 
     private static List<LoadPlan.Tenant> tenants(TomlTable root) {
         List<LoadPlan.Tenant> out = new ArrayList<>();
-        for (TomlTable t : root.tables("tenant")) {
-            String name = t.text("name");
+        for (TomlTable table : root.tables("tenant")) {
+            String name = table.text("name");
             if (!name.matches("[A-Za-z0-9._-]{1,64}")) {
-                t.error("name", "found '" + name + "', expected 1 to 64 letters, digits, dots, - or _");
+                table.error("name", "found '" + name + "', expected 1 to 64 letters, digits, dots, - or _");
             }
-            out.add(new LoadPlan.Tenant(name, t.number("share", 1, 0, 1e9)));
+            out.add(new LoadPlan.Tenant(name, table.number("share", 1, 0, 1e9)));
         }
         if (!out.isEmpty() && out.stream().mapToDouble(LoadPlan.Tenant::share).sum() <= 0) {
             root.error("tenant", "expected a share above 0 at one tenant at least");
@@ -169,26 +171,26 @@
         return out;
     }
 
-    private static ClientSpec clients(TomlTable t) {
-        double[] share = t.numbers("try_share", new double[] {0.5, 0.6}, 0.01, 1);
+    private static ClientSpec clients(TomlTable table) {
+        double[] share = table.numbers("try_share", new double[] {0.5, 0.6}, 0.01, 1);
         if (share.length != 2 || share[0] > share[1]) {
-            t.error("try_share", "expected two shares of the deadline, the lower one first");
+            table.error("try_share", "expected two shares of the deadline, the lower one first");
             share = new double[] {0.5, 0.6};
         }
         return new ClientSpec(
-                (int) t.whole("count", 100, 1, 1_000_000),
-                t.number("skew", 0.8, 0, 5),
-                (int) t.whole("retries", 3, 0, 100),
-                (int) t.whole("attempts", 6, 1, 100),
-                t.number("pause_ms", 0, 0, 60_000),
-                t.number("growth", 1, 1, 10),
+                (int) table.whole("count", 100, 1, 1_000_000),
+                table.number("skew", 0.8, 0, 5),
+                (int) table.whole("retries", 3, 0, 100),
+                (int) table.whole("attempts", 6, 1, 100),
+                table.number("pause_ms", 0, 0, 60_000),
+                table.number("growth", 1, 1, 10),
                 share[0],
                 share[1],
-                t.flag("announced", true),
-                t.number("impatient", 0, 0, 1),
-                t.number("heeding", 0.5, 0, 1),
-                t.number("most_retry_after_ms", 2_000, 0, 3_600_000),
-                t.number("grace_ms", 70, 0, 60_000),
-                t.number("idle_ms", 1_500, 1, 3_600_000));
+                table.flag("announced", true),
+                table.number("impatient", 0, 0, 1),
+                table.number("heeding", 0.5, 0, 1),
+                table.number("most_retry_after_ms", 2_000, 0, 3_600_000),
+                table.number("grace_ms", 70, 0, 60_000),
+                table.number("idle_ms", 1_500, 1, 3_600_000));
     }
 }
--- a/src/main/java/rillyard/loadgen/LogicalRequest.java
+++ b/src/main/java/rillyard/loadgen/LogicalRequest.java
@@ -90,15 +90,15 @@
     }
 
     private void attempt(String as, boolean retried, boolean fresh) {
-        ClientSpec c = host.clients();
+        ClientSpec spec = host.clients();
         id = as;
         sentAt = host.timers().now();
         long left = deadline - sentAt;
-        double share = c.leastShare()
-                + (c.mostShare() - c.leastShare()) * host.random().nextDouble();
+        double share = spec.leastShare()
+                + (spec.mostShare() - spec.leastShare()) * host.random().nextDouble();
         long patience =
                 Math.max(1_000_000, Math.min(left, nanos(share * arrival.type().deadlineMs())));
-        timeoutNanos = Math.max(1_000_000, c.announced() ? patience : left);
+        timeoutNanos = Math.max(1_000_000, spec.announced() ? patience : left);
         sent = host.transport()
                 .send(
                         new Transport.OutgoingRequest(
@@ -112,12 +112,12 @@
                                 retried,
                                 fresh),
                         this);
-        if (host.random().nextDouble() < c.impatient()) {
+        if (host.random().nextDouble() < spec.impatient()) {
             long leaves = (long) (host.random().nextDouble() * patience);
             timer = host.timers().at(sentAt + leaves, () -> giveUp(ClientOutcome.ABANDONED, true));
-        } else if (c.announced() || patience >= left) {
+        } else if (spec.announced() || patience >= left) {
             timer = host.timers()
-                    .at(sentAt + patience + nanos(c.graceMs()), () -> giveUp(ClientOutcome.UNANSWERED, true));
+                    .at(sentAt + patience + nanos(spec.graceMs()), () -> giveUp(ClientOutcome.UNANSWERED, true));
         } else {
             timer = host.timers().at(sentAt + patience, () -> giveUp(ClientOutcome.ABANDONED, true));
         }
@@ -135,13 +135,13 @@
     }
 
     @Override
-    public void ended(Transport.AttemptResult e) {
+    public void ended(Transport.AttemptResult result) {
         if (over || sent == null) {
             return;
         }
         sent = null;
         timer.cancel();
-        end(e.outcome(), e.status(), e.retryAfter(), true);
+        end(result.outcome(), result.status(), result.retryAfter(), true);
     }
 
     private void end(ClientOutcome outcome, int status, long retryAfter, boolean mayRetry) {
@@ -178,19 +178,19 @@
 
     /** How long (ns) until the next try, or below 0 if there is none. */
     private long waitBeforeNext(ClientOutcome outcome, long retryAfter, long now) {
-        ClientSpec c = host.clients();
-        if (outcome == ClientOutcome.SERVED || outcome == ClientOutcome.NOT_SENT || tries >= c.attempts()) {
+        ClientSpec spec = host.clients();
+        if (outcome == ClientOutcome.SERVED || outcome == ClientOutcome.NOT_SENT || tries >= spec.attempts()) {
             return -1;
         }
         if (outcome == ClientOutcome.STALE) {
             return 0;
         }
-        if (retries >= c.retries() || !mayRepeat(outcome, now)) {
+        if (retries >= spec.retries() || !mayRepeat(outcome, now)) {
             return -1;
         }
-        long wait = nanos(c.pauseMs() * Math.pow(c.growth(), retries));
+        long wait = nanos(spec.pauseMs() * Math.pow(spec.growth(), retries));
         if (retryAfter > 0 && heeds) {
-            wait = Math.max(wait, Math.min(1_000 * retryAfter, nanos(c.mostRetryAfterMs())));
+            wait = Math.max(wait, Math.min(1_000 * retryAfter, nanos(spec.mostRetryAfterMs())));
         }
         return now + wait < deadline - 1_000_000 ? wait : -1;
     }
@@ -200,10 +200,10 @@
         if (outcome == ClientOutcome.REFUSED || outcome == ClientOutcome.UNREACHABLE) {
             return true;
         }
-        LoadClass t = arrival.type();
-        return switch (t.semantics()) {
+        LoadClass requestClass = arrival.type();
+        return switch (requestClass.semantics()) {
             case IDEMPOTENT -> true;
-            case KEYED_EVERYWHERE -> now - firstSent < nanos(t.windowMs());
+            case KEYED_EVERYWHERE -> now - firstSent < nanos(requestClass.windowMs());
             case KEYED, AT_MOST_ONCE -> false;
         };
     }
--- a/src/main/java/rillyard/loadgen/RateProfile.java
+++ b/src/main/java/rillyard/loadgen/RateProfile.java
@@ -146,10 +146,10 @@
 
         @Override
         public boolean equals(Object o) {
-            return o instanceof Step s
-                    && s.seconds == seconds
-                    && s.random == random
-                    && java.util.Arrays.equals(s.rates, rates);
+            return o instanceof Step step
+                    && step.seconds == seconds
+                    && step.random == random
+                    && java.util.Arrays.equals(step.rates, rates);
         }
 
         @Override
--- a/src/main/java/rillyard/loadgen/RecordedTrace.java
+++ b/src/main/java/rillyard/loadgen/RecordedTrace.java
@@ -26,8 +26,8 @@
     public record RecordedRequest(long micros, LoadClass type, String tenant, String client, String routeKey) {}
 
     /** When an entry is to be sent: nanoseconds from the first one. */
-    long at(RecordedRequest e) {
-        return (long) ((e.micros() - entries.get(0).micros()) * 1_000 / speed);
+    long at(RecordedRequest request) {
+        return (long) ((request.micros() - entries.get(0).micros()) * 1_000 / speed);
     }
 
     double seconds() {
--- a/src/main/java/rillyard/loadgen/ReportFiles.java
+++ b/src/main/java/rillyard/loadgen/ReportFiles.java
@@ -10,10 +10,10 @@
     private ReportFiles() {}
 
     /** Writes both into a folder that is there. */
-    public static void write(Path folder, RunReport r, String title) throws IOException {
+    public static void write(Path folder, RunReport report, String title) throws IOException {
         Files.writeString(
                 folder.resolve("report.json"),
-                new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(r) + "\n");
-        Files.writeString(folder.resolve("report.html"), ReportHtml.of(r, title));
+                new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(report) + "\n");
+        Files.writeString(folder.resolve("report.html"), ReportHtml.of(report, title));
     }
 }
--- a/src/main/java/rillyard/loadgen/ReportHtml.java
+++ b/src/main/java/rillyard/loadgen/ReportHtml.java
@@ -21,36 +21,40 @@
     private ReportHtml() {}
 
     /** The page. */
-    public static String of(RunReport r, String title) {
-        StringBuilder s = new StringBuilder(32_768);
-        s.append("<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
+    public static String of(RunReport report, String title) {
+        StringBuilder out = new StringBuilder(32_768);
+        out.append("<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
                 .append(escape(title))
                 .append("</title><style>")
                 .append(STYLE)
                 .append("</style></head><body>");
-        s.append("<h1>").append(escape(title)).append("</h1>");
-        s.append("<p>")
-                .append(format("%.1f s, seed %d, %d connections opened", r.seconds(), r.seed(), r.connections()))
+        out.append("<h1>").append(escape(title)).append("</h1>");
+        out.append("<p>")
+                .append(format(
+                        "%.1f s, seed %d, %d connections opened",
+                        report.seconds(), report.seed(), report.connections()))
                 .append(format(
                         ". Own sends late by p50 %.3f, p99 %.3f, max %.2f ms.",
-                        r.lateness().p50(), r.lateness().p99(), r.lateness().max()))
+                        report.lateness().p50(),
+                        report.lateness().p99(),
+                        report.lateness().max()))
                 .append("</p>");
-        if (!r.valid()) {
-            s.append("<p class=\"bad\">Invalid run: ")
-                    .append(escape(r.invalidBecause()))
+        if (!report.valid()) {
+            out.append("<p class=\"bad\">Invalid run: ")
+                    .append(escape(report.invalidBecause()))
                     .append("</p>");
         }
-        if (r.interrupted()) {
-            s.append("<p class=\"bad\">Interrupted: what was under way was left.</p>");
+        if (report.interrupted()) {
+            out.append("<p class=\"bad\">Interrupted: what was under way was left.</p>");
         }
-        table(s, r);
-        plots(s, r);
-        marks(s, r.marks());
-        return s.append("</body></html>\n").toString();
+        table(out, report);
+        plots(out, report);
+        marks(out, report.marks());
+        return out.append("</body></html>\n").toString();
     }
 
-    private static void table(StringBuilder s, RunReport r) {
-        s.append("<table><tr>");
+    private static void table(StringBuilder out, RunReport report) {
+        out.append("<table><tr>");
         for (String h : List.of(
                 "class, tenant",
                 "offered",
@@ -67,90 +71,90 @@
                 "p99.9",
                 "max",
                 "tries")) {
-            s.append("<th>").append(h).append("</th>");
+            out.append("<th>").append(h).append("</th>");
         }
-        s.append("</tr>");
-        r.rows().forEach(row -> row(s, row, ""));
-        row(s, r.total(), " class=\"all\"");
-        s.append("</table><p>Latency counts from the time at which the schedule had the request be sent.")
+        out.append("</tr>");
+        report.rows().forEach(row -> row(out, row, ""));
+        row(out, report.total(), " class=\"all\"");
+        out.append("</table><p>Latency counts from the time at which the schedule had the request be sent.")
                 .append(format(
                         " From the real send: p50 %.2f, p99 %.2f, p99.9 %.2f, max %.2f ms.</p>",
-                        r.total().service().p50(),
-                        r.total().service().p99(),
-                        r.total().service().p999(),
-                        r.total().service().max()));
+                        report.total().service().p50(),
+                        report.total().service().p99(),
+                        report.total().service().p999(),
+                        report.total().service().max()));
     }
 
-    private static void row(StringBuilder s, RunReport.Row r, String mark) {
-        double n = Math.max(1, r.offered()) / 100.0;
-        s.append("<tr")
+    private static void row(StringBuilder out, RunReport.Row row, String mark) {
+        double n = Math.max(1, row.offered()) / 100.0;
+        out.append("<tr")
                 .append(mark)
                 .append("><td>")
-                .append(escape(r.tenant() == null ? r.type() : r.type() + ", " + r.tenant()))
+                .append(escape(row.tenant() == null ? row.type() : row.type() + ", " + row.tenant()))
                 .append("</td>");
         for (String cell : new String[] {
-            Long.toString(r.offered()),
-            format("%.1f", r.rate()),
-            format("%.2f", r.inAim() / n),
-            format("%.2f", r.late() / n),
-            format("%.2f", r.refused() / n),
-            Long.toString(r.failed()),
-            Long.toString(r.lost()),
-            Long.toString(r.abandoned()),
-            format("%.2f", r.latency().p50()),
-            format("%.2f", r.latency().p90()),
-            format("%.2f", r.latency().p99()),
-            format("%.2f", r.latency().p999()),
-            format("%.2f", r.latency().max()),
-            format("%.2f", r.triesPerRequest())
+            Long.toString(row.offered()),
+            format("%.1f", row.rate()),
+            format("%.2f", row.inAim() / n),
+            format("%.2f", row.late() / n),
+            format("%.2f", row.refused() / n),
+            Long.toString(row.failed()),
+            Long.toString(row.lost()),
+            Long.toString(row.abandoned()),
+            format("%.2f", row.latency().p50()),
+            format("%.2f", row.latency().p90()),
+            format("%.2f", row.latency().p99()),
+            format("%.2f", row.latency().p999()),
+            format("%.2f", row.latency().max()),
+            format("%.2f", row.triesPerRequest())
         }) {
-            s.append("<td>").append(cell).append("</td>");
+            out.append("<td>").append(cell).append("</td>");
         }
-        s.append("</tr>");
+        out.append("</tr>");
     }
 
-    private static void plots(StringBuilder s, RunReport r) {
-        double width = r.stretchSeconds();
-        double end = Math.max(width, r.series().size() * width);
+    private static void plots(StringBuilder out, RunReport report) {
+        double width = report.stretchSeconds();
+        double end = Math.max(width, report.series().size() * width);
         SvgPlot latency = new SvgPlot("latency, ms (logarithmic), by when requests were to be sent", end, true);
-        latency.line("p50", "#2c7fb8", points(r, RunReport.Point::p50));
-        latency.line("p90", "#41ae76", points(r, RunReport.Point::p90));
-        latency.line("p99", "#e6862a", points(r, RunReport.Point::p99));
-        latency.line("max", "#bbbbbb", points(r, RunReport.Point::max));
+        latency.line("p50", "#2c7fb8", points(report, RunReport.Point::p50));
+        latency.line("p90", "#41ae76", points(report, RunReport.Point::p90));
+        latency.line("p99", "#e6862a", points(report, RunReport.Point::p99));
+        latency.line("max", "#bbbbbb", points(report, RunReport.Point::max));
         SvgPlot rate = new SvgPlot("requests a second", end, false);
-        rate.line("offered", "#222222", points(r, p -> p.offered() / width));
-        rate.line("in aim", "#41ae76", points(r, p -> p.inAim() / width));
+        rate.line("offered", "#222222", points(report, point -> point.offered() / width));
+        rate.line("in aim", "#41ae76", points(report, p -> p.inAim() / width));
         SvgPlot rest = new SvgPlot("not in aim, a second", end, false);
-        rest.line("late", "#e6862a", points(r, p -> p.late() / width));
-        rest.line("refused", "#2c7fb8", points(r, p -> p.refused() / width));
-        rest.line("failed, lost, left", "#c0392b", points(r, p -> p.failed() / width));
-        for (SvgPlot p : List.of(latency, rate, rest)) {
-            r.marks().forEach(m -> p.mark(m.at(), m.host() + " " + m.what()));
-            s.append(p.svg());
+        rest.line("late", "#e6862a", points(report, p -> p.late() / width));
+        rest.line("refused", "#2c7fb8", points(report, p -> p.refused() / width));
+        rest.line("failed, lost, left", "#c0392b", points(report, p -> p.failed() / width));
+        for (SvgPlot plot : List.of(latency, rate, rest)) {
+            report.marks().forEach(mark -> plot.mark(mark.at(), mark.host() + " " + mark.what()));
+            out.append(plot.svg());
         }
     }
 
-    private static double[][] points(RunReport r, ToDoubleFunction<RunReport.Point> value) {
-        return r.series().stream()
-                .map(p -> new double[] {p.at() + r.stretchSeconds() / 2, value.applyAsDouble(p)})
+    private static double[][] points(RunReport report, ToDoubleFunction<RunReport.Point> value) {
+        return report.series().stream()
+                .map(point -> new double[] {point.at() + report.stretchSeconds() / 2, value.applyAsDouble(point)})
                 .toArray(double[][]::new);
     }
 
-    private static void marks(StringBuilder s, List<RunReport.Mark> marks) {
+    private static void marks(StringBuilder out, List<RunReport.Mark> marks) {
         if (marks.isEmpty()) {
             return;
         }
-        s.append("<h2>What happened to hosts</h2><table><tr><th>s</th><th>host</th><th>what</th></tr>");
-        for (RunReport.Mark m : marks) {
-            s.append("<tr><td>")
-                    .append(format("%.2f", m.at()))
+        out.append("<h2>What happened to hosts</h2><table><tr><th>s</th><th>host</th><th>what</th></tr>");
+        for (RunReport.Mark mark : marks) {
+            out.append("<tr><td>")
+                    .append(format("%.2f", mark.at()))
                     .append("</td><td>")
-                    .append(escape(m.host()))
+                    .append(escape(mark.host()))
                     .append("</td><td>")
-                    .append(escape(m.what()))
+                    .append(escape(mark.what()))
                     .append("</td></tr>");
         }
-        s.append("</table>");
+        out.append("</table>");
     }
 
     static String format(String f, Object... args) {
--- a/src/main/java/rillyard/loadgen/ReportTable.java
+++ b/src/main/java/rillyard/loadgen/ReportTable.java
@@ -11,9 +11,9 @@
     private ReportTable() {}
 
     /** The table, the generator's own lateness and what makes the run invalid. */
-    public static String of(RunReport r) {
-        StringBuilder s = new StringBuilder();
-        s.append(String.format(
+    public static String of(RunReport report) {
+        StringBuilder out = new StringBuilder();
+        out.append(String.format(
                 HEAD,
                 "class, tenant",
                 "offered",
@@ -30,59 +30,59 @@
                 "p99.9",
                 "max",
                 "tries"));
-        r.rows().forEach(row -> s.append(line(row)));
-        if (r.rows().size() > 1) {
-            s.append(line(r.total()));
+        report.rows().forEach(row -> out.append(line(row)));
+        if (report.rows().size() > 1) {
+            out.append(line(report.total()));
         }
-        s.append(String.format(
+        out.append(String.format(
                 Locale.ROOT,
                 "service time from the real send: p50 %.2f  p99 %.2f  p99.9 %.2f  max %.2f ms%n",
-                r.total().service().p50(),
-                r.total().service().p99(),
-                r.total().service().p999(),
-                r.total().service().max()));
-        s.append(String.format(
+                report.total().service().p50(),
+                report.total().service().p99(),
+                report.total().service().p999(),
+                report.total().service().max()));
+        out.append(String.format(
                 Locale.ROOT,
                 "%.1f s, %d connections opened; own sends late by p50 %.3f  p99 %.3f  max %.2f ms%n",
-                r.seconds(),
-                r.connections(),
-                r.lateness().p50(),
-                r.lateness().p99(),
-                r.lateness().max()));
-        if (r.total().notSent() > 0) {
-            s.append(r.total().notSent()).append(" requests were not sent\n");
+                report.seconds(),
+                report.connections(),
+                report.lateness().p50(),
+                report.lateness().p99(),
+                report.lateness().max()));
+        if (report.total().notSent() > 0) {
+            out.append(report.total().notSent()).append(" requests were not sent\n");
         }
-        if (r.surplus() > 0) {
-            s.append(r.surplus()).append(" times more came than the one answer\n");
+        if (report.surplus() > 0) {
+            out.append(report.surplus()).append(" times more came than the one answer\n");
         }
-        if (r.interrupted()) {
-            s.append("interrupted: what was under way was left\n");
+        if (report.interrupted()) {
+            out.append("interrupted: what was under way was left\n");
         }
-        if (!r.valid()) {
-            s.append("INVALID: ").append(r.invalidBecause()).append('\n');
+        if (!report.valid()) {
+            out.append("INVALID: ").append(report.invalidBecause()).append('\n');
         }
-        return s.toString();
+        return out.toString();
     }
 
-    private static String line(RunReport.Row r) {
-        double n = Math.max(1, r.offered()) / 100.0;
+    private static String line(RunReport.Row row) {
+        double n = Math.max(1, row.offered()) / 100.0;
         return String.format(
                 Locale.ROOT,
                 LINE,
-                r.tenant() == null ? r.type() : r.type() + ", " + r.tenant(),
-                r.offered(),
-                r.rate(),
-                r.inAim() / n,
-                r.late() / n,
-                r.refused() / n,
-                r.failed(),
-                r.lost(),
-                r.abandoned(),
-                r.latency().p50(),
-                r.latency().p90(),
-                r.latency().p99(),
-                r.latency().p999(),
-                r.latency().max(),
-                r.triesPerRequest());
+                row.tenant() == null ? row.type() : row.type() + ", " + row.tenant(),
+                row.offered(),
+                row.rate(),
+                row.inAim() / n,
+                row.late() / n,
+                row.refused() / n,
+                row.failed(),
+                row.lost(),
+                row.abandoned(),
+                row.latency().p50(),
+                row.latency().p90(),
+                row.latency().p99(),
+                row.latency().p999(),
+                row.latency().max(),
+                row.triesPerRequest());
     }
 }
--- a/src/main/java/rillyard/loadgen/RequestSchedule.java
+++ b/src/main/java/rillyard/loadgen/RequestSchedule.java
@@ -50,24 +50,24 @@
         if (next == null) {
             throw new NoSuchElementException();
         }
-        ScheduledRequest a = next;
+        ScheduledRequest request = next;
         next = trace == null ? shaped() : traced();
-        return a;
+        return request;
     }
 
     private ScheduledRequest shaped() {
         List<RateProfile> shapes = plan.shapes();
         while (shape < shapes.size()) {
-            RateProfile s = shapes.get(shape);
-            count += s.random() ? gaps.nextExponential() : 1;
-            double at = s.when(count, within);
+            RateProfile profile = shapes.get(shape);
+            count += profile.random() ? gaps.nextExponential() : 1;
+            double at = profile.when(count, within);
             if (!Double.isNaN(at)) {
                 within = at;
                 return marked((long) (1e9 * (shapeFrom + at)));
             }
             // What is left of the gap is not carried over: the next shape begins on its own.
             shape++;
-            shapeFrom += s.seconds();
+            shapeFrom += profile.seconds();
             within = 0;
             count = 0;
         }
@@ -87,10 +87,11 @@
         if (!trace.hasNext()) {
             return null;
         }
-        RecordedTrace.RecordedRequest e = trace.next();
-        int client = e.client() == null
+        RecordedTrace.RecordedRequest request = trace.next();
+        int client = request.client() == null
                 ? clients.draw(marks)
-                : Math.floorMod(e.client().hashCode(), plan.clients().count());
-        return new ScheduledRequest(plan.trace().at(e), e.type(), e.tenant(), client, e.routeKey());
+                : Math.floorMod(request.client().hashCode(), plan.clients().count());
+        return new ScheduledRequest(
+                plan.trace().at(request), request.type(), request.tenant(), client, request.routeKey());
     }
 }
--- a/src/main/java/rillyard/loadgen/RunReport.java
+++ b/src/main/java/rillyard/loadgen/RunReport.java
@@ -42,19 +42,19 @@
 
     /** Quantiles in ms; all 0 where nothing was recorded. */
     public record Quantiles(long count, double mean, double p50, double p90, double p99, double p999, double max) {
-        static Quantiles of(Histogram h) {
+        static Quantiles of(Histogram histogram) {
             return new Quantiles(
-                    h.getTotalCount(),
-                    round(h.getTotalCount() == 0 ? 0 : h.getMean()),
-                    at(h, 50),
-                    at(h, 90),
-                    at(h, 99),
-                    at(h, 99.9),
-                    round(h.getMaxValue()));
+                    histogram.getTotalCount(),
+                    round(histogram.getTotalCount() == 0 ? 0 : histogram.getMean()),
+                    at(histogram, 50),
+                    at(histogram, 90),
+                    at(histogram, 99),
+                    at(histogram, 99.9),
+                    round(histogram.getMaxValue()));
         }
 
-        private static double at(Histogram h, double percentile) {
-            return round(h.getValueAtPercentile(percentile));
+        private static double at(Histogram histogram, double percentile) {
+            return round(histogram.getValueAtPercentile(percentile));
         }
 
         private static double round(double micros) {
@@ -115,10 +115,10 @@
         }
         double seconds = Math.max(1e-9, tally.seconds());
         List<Row> rows = new ArrayList<>();
-        tally.rows().forEach(r -> rows.add(row(r, seconds)));
+        tally.rows().forEach(statistics -> rows.add(row(statistics, seconds)));
         List<Point> series = new ArrayList<>();
-        for (RunStatistics.IntervalStatistics s : tally.stretches()) {
-            series.add(point(series.size() * tally.stretchSeconds(), s));
+        for (RunStatistics.IntervalStatistics intervalStatistics : tally.stretches()) {
+            series.add(point(series.size() * tally.stretchSeconds(), intervalStatistics));
         }
         return new RunReport(
                 because == null,
@@ -137,26 +137,36 @@
                 List.copyOf(marks));
     }
 
-    private static Row row(RunStatistics.ClassStatistics r, double seconds) {
+    private static Row row(RunStatistics.ClassStatistics statistics, double seconds) {
         return new Row(
-                r.type == null ? "all" : r.type.name(),
-                r.tenant,
-                r.offered,
-                Math.round(100 * r.offered / seconds) / 100.0,
-                r.inAim,
-                r.late,
-                r.refused,
-                r.failed,
-                r.lost,
-                r.abandoned,
-                r.notSent,
-                r.offered == 0 ? 0 : Math.round(1_000.0 * r.tries / r.offered) / 1_000.0,
-                Quantiles.of(r.latency),
-                Quantiles.of(r.service));
+                statistics.type == null ? "all" : statistics.type.name(),
+                statistics.tenant,
+                statistics.offered,
+                Math.round(100 * statistics.offered / seconds) / 100.0,
+                statistics.inAim,
+                statistics.late,
+                statistics.refused,
+                statistics.failed,
+                statistics.lost,
+                statistics.abandoned,
+                statistics.notSent,
+                statistics.offered == 0 ? 0 : Math.round(1_000.0 * statistics.tries / statistics.offered) / 1_000.0,
+                Quantiles.of(statistics.latency),
+                Quantiles.of(statistics.service));
     }
 
-    private static Point point(double at, RunStatistics.IntervalStatistics s) {
-        Quantiles q = Quantiles.of(s.latency);
-        return new Point(at, s.offered, s.inAim, s.late, s.refused, s.failed, q.p50(), q.p90(), q.p99(), q.max());
+    private static Point point(double at, RunStatistics.IntervalStatistics statistics) {
+        Quantiles quantiles = Quantiles.of(statistics.latency);
+        return new Point(
+                at,
+                statistics.offered,
+                statistics.inAim,
+                statistics.late,
+                statistics.refused,
+                statistics.failed,
+                quantiles.p50(),
+                quantiles.p90(),
+                quantiles.p99(),
+                quantiles.max());
     }
 }
--- a/src/main/java/rillyard/loadgen/RunStatistics.java
+++ b/src/main/java/rillyard/loadgen/RunStatistics.java
@@ -37,18 +37,18 @@
             this.tenant = tenant;
         }
 
-        void add(ClassStatistics o) {
-            latency.add(o.latency);
-            service.add(o.service);
-            offered += o.offered;
-            inAim += o.inAim;
-            late += o.late;
-            refused += o.refused;
-            failed += o.failed;
-            lost += o.lost;
-            abandoned += o.abandoned;
-            notSent += o.notSent;
-            tries += o.tries;
+        void add(ClassStatistics statistics) {
+            latency.add(statistics.latency);
+            service.add(statistics.service);
+            offered += statistics.offered;
+            inAim += statistics.inAim;
+            late += statistics.late;
+            refused += statistics.refused;
+            failed += statistics.failed;
+            lost += statistics.lost;
+            abandoned += statistics.abandoned;
+            notSent += statistics.notSent;
+            tries += statistics.tries;
         }
     }
 
@@ -84,11 +84,11 @@
         endedAt = at;
     }
 
-    void arrived(LogicalRequest c, long now) {
+    void arrived(LogicalRequest request, long now) {
         offered++;
-        lateness.recordValue(Math.max(0, Math.min(MOST_MICROS, (now - c.intended) / 1_000)));
-        row(c).offered++;
-        stretch(c).offered++;
+        lateness.recordValue(Math.max(0, Math.min(MOST_MICROS, (now - request.intended) / 1_000)));
+        row(request).offered++;
+        stretch(request).offered++;
     }
 
     void tried(ClientAttempt line) {
@@ -100,55 +100,55 @@
         surplus++;
     }
 
-    void over(LogicalRequest c, ClientOutcome outcome, long at) {
+    void over(LogicalRequest request, ClientOutcome outcome, long at) {
         over++;
-        ClassStatistics r = row(c);
-        IntervalStatistics s = stretch(c);
+        ClassStatistics statistics = row(request);
+        IntervalStatistics intervalStatistics = stretch(request);
         switch (outcome) {
             case SERVED -> {
-                long micros = Math.min(MOST_MICROS, Math.max(0, (at - c.intended) / 1_000));
-                r.latency.recordValue(micros);
-                r.service.recordValue(Math.min(MOST_MICROS, Math.max(0, (at - c.firstSent()) / 1_000)));
-                s.latency.recordValue(micros);
-                if (micros <= 1_000 * c.arrival.type().aimMs()) {
-                    r.inAim++;
-                    s.inAim++;
+                long micros = Math.min(MOST_MICROS, Math.max(0, (at - request.intended) / 1_000));
+                statistics.latency.recordValue(micros);
+                statistics.service.recordValue(Math.min(MOST_MICROS, Math.max(0, (at - request.firstSent()) / 1_000)));
+                intervalStatistics.latency.recordValue(micros);
+                if (micros <= 1_000 * request.arrival.type().aimMs()) {
+                    statistics.inAim++;
+                    intervalStatistics.inAim++;
                 } else {
-                    r.late++;
-                    s.late++;
+                    statistics.late++;
+                    intervalStatistics.late++;
                 }
             }
             case REFUSED -> {
-                r.refused++;
-                s.refused++;
+                statistics.refused++;
+                intervalStatistics.refused++;
             }
             default -> {
-                s.failed++;
+                intervalStatistics.failed++;
                 if (outcome == ClientOutcome.NOT_SENT) {
-                    r.notSent++;
+                    statistics.notSent++;
                 } else if (outcome == ClientOutcome.ABANDONED) {
-                    r.abandoned++;
+                    statistics.abandoned++;
                 } else if (outcome.lost()) {
-                    r.lost++;
+                    statistics.lost++;
                 } else {
-                    r.failed++;
+                    statistics.failed++;
                 }
             }
         }
     }
 
-    private ClassStatistics row(LogicalRequest c) {
+    private ClassStatistics row(LogicalRequest request) {
         return rows.computeIfAbsent(
-                name(c.arrival.type().name(), c.arrival.tenant()),
-                n -> new ClassStatistics(c.arrival.type(), c.arrival.tenant()));
+                name(request.arrival.type().name(), request.arrival.tenant()),
+                n -> new ClassStatistics(request.arrival.type(), request.arrival.tenant()));
     }
 
     private static String name(String type, String tenant) {
         return tenant == null ? type : type + " " + tenant;
     }
 
-    private IntervalStatistics stretch(LogicalRequest c) {
-        int i = (int) Math.max(0, (c.intended - startedAt) / width);
+    private IntervalStatistics stretch(LogicalRequest request) {
+        int i = (int) Math.max(0, (request.intended - startedAt) / width);
         while (stretches.size() <= i) {
             stretches.add(new IntervalStatistics());
         }
