--- a/src/main/java/rillyard/loadgen/SvgPlot.java
+++ b/src/main/java/rillyard/loadgen/SvgPlot.java
@@ -42,8 +42,8 @@
     String svg() {
         double high = 0;
         double low = Double.MAX_VALUE;
-        for (Line l : lines) {
-            for (double[] p : l.points()) {
+        for (Line line : lines) {
+            for (double[] p : line.points()) {
                 high = Math.max(high, p[1]);
                 low = p[1] > 0 ? Math.min(low, p[1]) : low;
             }
@@ -51,44 +51,44 @@
         high = high == 0 ? 1 : high;
         double from = logarithmic ? Math.pow(10, Math.floor(Math.log10(Math.min(low, high)))) : 0;
         double to = logarithmic ? Math.pow(10, Math.ceil(Math.log10(high) + 1e-9)) : 1.05 * high;
-        StringBuilder s = new StringBuilder(8_192);
-        s.append(ReportHtml.format(
+        StringBuilder out = new StringBuilder(8_192);
+        out.append(ReportHtml.format(
                 "<svg viewBox=\"0 0 %d %d\" font-family=\"sans-serif\" font-size=\"11\">", WIDTH, HEIGHT));
-        s.append(ReportHtml.format(
+        out.append(ReportHtml.format(
                 "<text x=\"%d\" y=\"15\" font-weight=\"600\">%s</text>", LEFT, ReportHtml.escape(title)));
-        legend(s);
-        axes(s, from, to);
-        for (Mark m : marks) {
-            s.append(ReportHtml.format(
+        legend(out);
+        axes(out, from, to);
+        for (Mark mark : marks) {
+            out.append(ReportHtml.format(
                     "<line x1=\"%1$.1f\" x2=\"%1$.1f\" y1=\"%2$d\" y2=\"%3$d\" stroke=\"#c0392b\" stroke-dasharray=\"3 3\"><title>%4$s</title></line>",
-                    x(m.at()), TOP, HEIGHT - BOTTOM, ReportHtml.escape(m.text())));
+                    x(mark.at()), TOP, HEIGHT - BOTTOM, ReportHtml.escape(mark.text())));
         }
         for (Line l : lines) {
-            s.append("<polyline fill=\"none\" stroke=\"")
+            out.append("<polyline fill=\"none\" stroke=\"")
                     .append(l.colour())
                     .append("\" stroke-width=\"1.5\" points=\"");
             for (double[] p : l.points()) {
                 if (!logarithmic || p[1] > 0) {
-                    s.append(ReportHtml.format("%.1f,%.1f ", x(p[0]), y(p[1], from, to)));
+                    out.append(ReportHtml.format("%.1f,%.1f ", x(p[0]), y(p[1], from, to)));
                 }
             }
-            s.append("\"/>");
+            out.append("\"/>");
         }
-        return s.append("</svg>\n").toString();
+        return out.append("</svg>\n").toString();
     }
 
-    private void legend(StringBuilder s) {
+    private void legend(StringBuilder out) {
         int x = WIDTH - RIGHT;
         for (int i = lines.size() - 1; i >= 0; i--) {
-            Line l = lines.get(i);
-            s.append(ReportHtml.format(
+            Line line = lines.get(i);
+            out.append(ReportHtml.format(
                     "<text x=\"%d\" y=\"15\" text-anchor=\"end\" fill=\"%s\">%s</text>",
-                    x, l.colour(), ReportHtml.escape(l.name())));
-            x -= 14 + 6 * l.name().length();
+                    x, line.colour(), ReportHtml.escape(line.name())));
+            x -= 14 + 6 * line.name().length();
         }
     }
 
-    private void axes(StringBuilder s, double from, double to) {
+    private void axes(StringBuilder out, double from, double to) {
         List<Double> levels = new ArrayList<>();
         if (logarithmic) {
             for (double v = from; v <= to * 1.001; v *= 10) {
@@ -102,16 +102,16 @@
         }
         for (double v : levels) {
             double y = y(v, from, to);
-            s.append(ReportHtml.format(
+            out.append(ReportHtml.format(
                     "<line x1=\"%d\" x2=\"%d\" y1=\"%3$.1f\" y2=\"%3$.1f\" stroke=\"#e4e4e4\"/>",
                     LEFT, WIDTH - RIGHT, y));
-            s.append(ReportHtml.format(
+            out.append(ReportHtml.format(
                     "<text x=\"%d\" y=\"%.1f\" text-anchor=\"end\" fill=\"#666\">%s</text>",
                     LEFT - 6, y + 4, v == Math.rint(v) ? Long.toString((long) v) : Double.toString(v)));
         }
         double step = nice(end / 8);
         for (double t = 0; t <= end; t += step) {
-            s.append(ReportHtml.format(
+            out.append(ReportHtml.format(
                     "<text x=\"%.1f\" y=\"%d\" text-anchor=\"middle\" fill=\"#666\">%.4g s</text>",
                     x(t), HEIGHT - 8, t));
         }
--- a/src/main/java/rillyard/loadgen/TimelineEvents.java
+++ b/src/main/java/rillyard/loadgen/TimelineEvents.java
@@ -23,18 +23,18 @@
     public static List<RunReport.Mark> read(Path hosts, long from) throws InvalidConfigException {
         List<RunReport.Mark> out = new ArrayList<>();
         RequestLogReader.read(hosts, "hosts", line -> {
-            if (line instanceof HostEvent n && n.at() >= from && out.size() < MOST) {
-                out.add(new RunReport.Mark((n.at() - from) / 1e6, n.host(), words(n)));
+            if (line instanceof HostEvent event && event.at() >= from && out.size() < MOST) {
+                out.add(new RunReport.Mark((event.at() - from) / 1e6, event.host(), words(event)));
             }
         });
         return out;
     }
 
-    private static String words(HostEvent n) {
-        return switch (n.what()) {
-            case FAULT -> n.detail();
-            case FAULT_ENDED -> n.detail() + " ends";
-            default -> n.what().name().toLowerCase(Locale.ROOT);
+    private static String words(HostEvent event) {
+        return switch (event.what()) {
+            case FAULT -> event.detail();
+            case FAULT_ENDED -> event.detail() + " ends";
+            default -> event.what().name().toLowerCase(Locale.ROOT);
         };
     }
 }
--- a/src/main/java/rillyard/loadgen/TraceReader.java
+++ b/src/main/java/rillyard/loadgen/TraceReader.java
@@ -67,7 +67,7 @@
 
     private TraceReader(String file, List<LoadClass> classes) {
         this.file = file;
-        this.classes = classes.stream().collect(Collectors.toMap(LoadClass::name, c -> c));
+        this.classes = classes.stream().collect(Collectors.toMap(LoadClass::name, requestClass -> requestClass));
     }
 
     /**
@@ -77,26 +77,26 @@
      */
     public static RecordedTrace read(Path file, Form form, List<LoadClass> classes, double speed)
             throws InvalidConfigException {
-        TraceReader r = new TraceReader(file.toString(), classes);
+        TraceReader reader = new TraceReader(file.toString(), classes);
         try (BufferedReader in = Files.newBufferedReader(file)) {
-            r.read(in, form);
+            reader.read(in, form);
         } catch (IOException e) {
-            throw new InvalidConfigException(file.toString(), r.line, "can't be read: " + e);
+            throw new InvalidConfigException(file.toString(), reader.line, "can't be read: " + e);
         }
-        if (!r.findings.isEmpty()) {
-            throw new InvalidConfigException(r.findings);
+        if (!reader.findings.isEmpty()) {
+            throw new InvalidConfigException(reader.findings);
         }
-        if (r.entries.isEmpty()) {
+        if (reader.entries.isEmpty()) {
             throw new InvalidConfigException(
                     file.toString(),
                     0,
                     "expected one request at least"
-                            + (r.leftOut > 0
-                                    ? "; all " + r.leftOut + " are of classes that the plan does not name"
+                            + (reader.leftOut > 0
+                                    ? "; all " + reader.leftOut + " are of classes that the plan does not name"
                                     : ""));
         }
-        r.entries.sort(Comparator.comparingLong(RecordedTrace.RecordedRequest::micros));
-        return new RecordedTrace(r.entries, speed);
+        reader.entries.sort(Comparator.comparingLong(RecordedTrace.RecordedRequest::micros));
+        return new RecordedTrace(reader.entries, speed);
     }
 
     private void read(BufferedReader in, Form form) throws IOException {
@@ -158,23 +158,23 @@
     }
 
     private void json(String text) {
-        JsonNode n;
+        JsonNode node;
         try {
-            n = JSON.readTree(text);
+            node = JSON.readTree(text);
         } catch (JsonProcessingException e) {
             wrong("expected a JSON object: " + e.getOriginalMessage());
             return;
         }
-        if (!n.isObject()) {
+        if (!node.isObject()) {
             wrong("expected a JSON object, found " + text);
             return;
         }
         entry(
-                n.path("time_ms").asText(),
-                n.path("class").asText(),
-                n.hasNonNull("tenant") ? n.get("tenant").asText() : null,
-                n.hasNonNull("client") ? n.get("client").asText() : null,
-                n.hasNonNull("route_key") ? n.get("route_key").asText() : null);
+                node.path("time_ms").asText(),
+                node.path("class").asText(),
+                node.hasNonNull("tenant") ? node.get("tenant").asText() : null,
+                node.hasNonNull("client") ? node.get("client").asText() : null,
+                node.hasNonNull("route_key") ? node.get("route_key").asText() : null);
     }
 
     private void entry(String time, String type, String tenant, String client, String key) {
@@ -188,39 +188,39 @@
             wrong("time_ms: found '" + time + "', expected milliseconds from 0");
             return;
         }
-        LoadClass c = classes.get(type);
-        if (c == null) {
+        LoadClass requestClass = classes.get(type);
+        if (requestClass == null) {
             wrong("class: found '" + type + "', expected one of " + String.join(", ", classes.keySet()));
             return;
         }
-        entries.add(new RecordedTrace.RecordedRequest((long) (1_000 * ms), c, tenant, client, key));
+        entries.add(new RecordedTrace.RecordedRequest((long) (1_000 * ms), requestClass, tenant, client, key));
     }
 
     private void httplog(String text) {
-        Matcher m = HTTPLOG.matcher(text);
-        if (!m.find()) {
+        Matcher matcher = HTTPLOG.matcher(text);
+        if (!matcher.find()) {
             wrong("expected a line of HAProxy's option httplog");
             return;
         }
-        if (m.group(5) == null) {
+        if (matcher.group(5) == null) {
             leftOut++; // what the proxy could not read can't be sent again
             return;
         }
         long micros;
         try {
-            micros = LocalDateTime.parse(m.group(3), DATE)
+            micros = LocalDateTime.parse(matcher.group(3), DATE)
                             .toInstant(ZoneOffset.UTC)
                             .toEpochMilli()
                     * 1_000;
         } catch (DateTimeParseException e) {
-            wrong("found '" + m.group(3) + "', expected an accept date as 06/Feb/2009:12:14:14.655");
+            wrong("found '" + matcher.group(3) + "', expected an accept date as 06/Feb/2009:12:14:14.655");
             return;
         }
-        LoadClass c = classes.get(firstPart(m.group(5)));
-        if (c == null) {
+        LoadClass requestClass = classes.get(firstPart(matcher.group(5)));
+        if (requestClass == null) {
             leftOut++;
         } else {
-            entries.add(new RecordedTrace.RecordedRequest(micros, c, null, m.group(1), null));
+            entries.add(new RecordedTrace.RecordedRequest(micros, requestClass, null, matcher.group(1), null));
         }
     }
 
--- a/src/main/java/rillyard/loadgen/Transport.java
+++ b/src/main/java/rillyard/loadgen/Transport.java
@@ -36,5 +36,5 @@
         void abandon();
     }
 
-    PendingAttempt send(OutgoingRequest t, Listener listener);
+    PendingAttempt send(OutgoingRequest request, Listener listener);
 }
--- a/src/main/java/rillyard/membership/AttributeStore.java
+++ b/src/main/java/rillyard/membership/AttributeStore.java
@@ -82,20 +82,27 @@
     /** What this member says of itself it says again in time. */
     void tick(MemberUpdate self, double now) {
         for (int kind : ownKinds) {
-            StoredAttribute h = held.get(new Key(self.card().name(), kind));
-            MemberAttribute f = h.fact;
-            if (!f.withdrawn() && h.age(now) >= f.lasts() * AGAIN) {
+            StoredAttribute attribute = held.get(new Key(self.card().name(), kind));
+            MemberAttribute memberAttribute = attribute.fact;
+            if (!memberAttribute.withdrawn() && attribute.age(now) >= memberAttribute.lasts() * AGAIN) {
                 take(
-                        new MemberAttribute(f.owner(), f.start(), kind, f.version() + 1, 0, f.lasts(), f.value()),
+                        new MemberAttribute(
+                                memberAttribute.owner(),
+                                memberAttribute.start(),
+                                kind,
+                                memberAttribute.version() + 1,
+                                0,
+                                memberAttribute.lasts(),
+                                memberAttribute.value()),
                         now,
                         false);
             }
         }
     }
 
-    private void take(MemberAttribute f, double now, boolean isNew) {
-        Key key = new Key(f.owner(), f.kind());
-        held.put(key, new StoredAttribute(f, now - f.age()));
+    private void take(MemberAttribute attribute, double now, boolean isNew) {
+        Key key = new Key(attribute.owner(), attribute.kind());
+        held.put(key, new StoredAttribute(attribute, now - attribute.age()));
         turns.add(key);
         if (isNew) {
             urgent.add(key);
@@ -115,38 +122,40 @@
      * @param life of its owner as this member holds it, null where it is unknown or gone
      * @param unixNow this machine's Unix time (ms)
      */
-    void heard(MemberAttribute f, MemberUpdate self, Incarnation life, long unixNow, double now) {
-        boolean own = f.owner().equals(self.card().name());
+    void heard(MemberAttribute attribute, MemberUpdate self, Incarnation life, long unixNow, double now) {
+        boolean own = attribute.owner().equals(self.card().name());
         Incarnation of = own ? self.life() : life;
-        if (of == null || of.start() != f.start() || !possible(f.version(), f.start(), unixNow)) {
+        if (of == null
+                || of.start() != attribute.start()
+                || !possible(attribute.version(), attribute.start(), unixNow)) {
             return;
         }
-        StoredAttribute h = held.get(new Key(f.owner(), f.kind()));
-        boolean sameLife = h != null && h.fact.start() == f.start();
+        StoredAttribute storedAttribute = held.get(new Key(attribute.owner(), attribute.kind()));
+        boolean sameLife = storedAttribute != null && storedAttribute.fact.start() == attribute.start();
         if (own) {
-            ownComesBack(f, h, now);
-        } else if (!sameLife || f.version() > h.fact.version()) {
-            take(f, now, !sameLife || !Arrays.equals(h.fact.value(), f.value()));
-            if (f.age() >= f.lasts() && !f.withdrawn()) {
-                drop(new Key(f.owner(), f.kind())); // over already: not passed on
+            ownComesBack(attribute, storedAttribute, now);
+        } else if (!sameLife || attribute.version() > storedAttribute.fact.version()) {
+            take(attribute, now, !sameLife || !Arrays.equals(storedAttribute.fact.value(), attribute.value()));
+            if (attribute.age() >= attribute.lasts() && !attribute.withdrawn()) {
+                drop(new Key(attribute.owner(), attribute.kind())); // over already: not passed on
             }
         }
     }
 
     /** Somebody has one of this member's name that it never said: the member has the last word. */
-    private void ownComesBack(MemberAttribute f, StoredAttribute said, double now) {
+    private void ownComesBack(MemberAttribute attribute, StoredAttribute said, double now) {
         if (said == null
-                || f.version() > said.fact.version()
-                || f.version() == said.fact.version() && !Arrays.equals(f.value(), said.fact.value())) {
+                || attribute.version() > said.fact.version()
+                || attribute.version() == said.fact.version() && !Arrays.equals(attribute.value(), said.fact.value())) {
             byte[] value = said == null ? new byte[0] : said.fact.value();
-            double lasts = said == null ? f.lasts() : said.fact.lasts();
+            double lasts = said == null ? attribute.lasts() : said.fact.lasts();
             double age = said == null ? 0 : said.age(now); // it was said then, and may end by itself
             take(
                     new MemberAttribute(
-                            f.owner(),
-                            f.start(),
-                            f.kind(),
-                            f.version() + 1,
+                            attribute.owner(),
+                            attribute.start(),
+                            attribute.kind(),
+                            attribute.version() + 1,
                             Math.min(MemberAttribute.MAX_MS, age),
                             lasts,
                             value),
@@ -172,16 +181,16 @@
         List<Key> over = new ArrayList<>();
         int[] left = {room};
         List<Key> told = turns.offer(transmits, () -> left[0] >= MemberAttribute.LEAST_SIZE, key -> {
-            StoredAttribute h = held.get(key);
-            if (h.over(now)) {
+            StoredAttribute attribute = held.get(key);
+            if (attribute.over(now)) {
                 over.add(key);
                 return false;
             }
-            if (h.fact.size() > left[0]) {
+            if (attribute.fact.size() > left[0]) {
                 return false;
             }
-            left[0] -= h.fact.size();
-            return out.add(h.at(now));
+            left[0] -= attribute.fact.size();
+            return out.add(attribute.at(now));
         });
         urgent.removeAll(told);
         over.forEach(this::drop);
@@ -191,13 +200,16 @@
     /** The facts of a kind that hold now, by owner; those whose owner is not present in that life are left out. */
     Map<String, MemberAttribute> holding(int kind, MemberUpdate self, Map<String, MemberState> beliefs, double now) {
         Map<String, MemberAttribute> out = new TreeMap<>();
-        for (StoredAttribute h : held.values()) {
-            MemberAttribute f = h.fact;
-            if (f.kind() == kind && !f.withdrawn() && !h.over(now)) {
-                MemberState b = beliefs.get(f.owner());
-                boolean own = f.owner().equals(self.card().name());
-                if (own || b != null && b.status().present() && b.word.life().start() == f.start()) {
-                    out.put(f.owner(), h.at(now));
+        for (StoredAttribute attribute : held.values()) {
+            MemberAttribute memberAttribute = attribute.fact;
+            if (memberAttribute.kind() == kind && !memberAttribute.withdrawn() && !attribute.over(now)) {
+                MemberState member = beliefs.get(memberAttribute.owner());
+                boolean own = memberAttribute.owner().equals(self.card().name());
+                if (own
+                        || member != null
+                                && member.status().present()
+                                && member.word.life().start() == memberAttribute.start()) {
+                    out.put(memberAttribute.owner(), attribute.at(now));
                 }
             }
         }
@@ -216,11 +228,11 @@
 
     /** All that is held, in words; times count from {@code now}. */
     String state(double now) {
-        StringBuilder s = new StringBuilder();
+        StringBuilder out = new StringBuilder();
         held.entrySet().stream()
                 .sorted(Map.Entry.comparingByKey(
                         Comparator.comparing(Key::owner).thenComparingInt(Key::kind)))
-                .forEach(e -> s.append("; fact ").append(e.getValue().at(now)).append(urgent.contains(e.getKey())));
-        return s.append(turns.state()).toString();
+                .forEach(e -> out.append("; fact ").append(e.getValue().at(now)).append(urgent.contains(e.getKey())));
+        return out.append(turns.state()).toString();
     }
 }
--- a/src/main/java/rillyard/membership/BroadcastQueue.java
+++ b/src/main/java/rillyard/membership/BroadcastQueue.java
@@ -31,22 +31,22 @@
     /** Of two that were told alike the first by {@code ties} comes first. */
     BroadcastQueue(Comparator<K> ties) {
         this.ties = ties;
-        this.order =
-                new TreeSet<>(Comparator.<Entry<K>>comparingInt(t -> t.told).thenComparing(t -> t.key, ties));
+        this.order = new TreeSet<>(
+                Comparator.<Entry<K>>comparingInt(entry -> entry.told).thenComparing(t -> t.key, ties));
     }
 
     /** There is something new about this: its turns begin anew. */
     void add(K key) {
         remove(key);
-        Entry<K> t = new Entry<>(key);
-        turns.put(key, t);
-        order.add(t);
+        Entry<K> entry = new Entry<>(key);
+        turns.put(key, entry);
+        order.add(entry);
     }
 
     void remove(K key) {
-        Entry<K> t = turns.remove(key);
-        if (t != null) {
-            order.remove(t);
+        Entry<K> entry = turns.remove(key);
+        if (entry != null) {
+            order.remove(entry);
         }
     }
 
@@ -64,12 +64,12 @@
      */
     List<K> offer(int times, BooleanSupplier more, Predicate<K> taken) {
         List<Entry<K>> told = new ArrayList<>(10);
-        for (Entry<K> t : order) {
+        for (Entry<K> entry : order) {
             if (!more.getAsBoolean()) {
                 break;
             }
-            if (taken.test(t.key)) {
-                told.add(t);
+            if (taken.test(entry.key)) {
+                told.add(entry);
             }
         }
         List<K> left = new ArrayList<>();
@@ -88,10 +88,10 @@
 
     /** What is waiting, and how often it was told. */
     String state() {
-        StringBuilder s = new StringBuilder();
+        StringBuilder out = new StringBuilder();
         Map<K, Entry<K>> sorted = new TreeMap<>(ties);
         sorted.putAll(turns);
-        sorted.values().forEach(t -> s.append("; tell ").append(t.key).append(t.told));
-        return s.toString();
+        sorted.values().forEach(entry -> out.append("; tell ").append(entry.key).append(entry.told));
+        return out.toString();
     }
 }
--- a/src/main/java/rillyard/membership/IndirectProbes.java
+++ b/src/main/java/rillyard/membership/IndirectProbes.java
@@ -26,9 +26,11 @@
     }
 
     /** Takes one on, asked under a number of our own. */
-    void take(int own, Message m, MemberAddress askerAt, double now) {
+    void take(int own, Message message, MemberAddress askerAt, double now) {
         double noAt = now + NO_AFTER * (settings.interval() - settings.timeout());
-        open.put(own, new IndirectProbe(m.sequence(), m.sender().card().name(), askerAt, noAt));
+        open.put(
+                own,
+                new IndirectProbe(message.sequence(), message.sender().card().name(), askerAt, noAt));
     }
 
     /** The errand that an answer to this number of ours ends, or null. */
@@ -40,9 +42,9 @@
     List<IndirectProbe> overdue(double now) {
         List<IndirectProbe> out = new ArrayList<>(0);
         for (Iterator<IndirectProbe> i = open.values().iterator(); i.hasNext(); ) {
-            IndirectProbe e = i.next();
-            if (now >= e.noAt()) {
-                out.add(e);
+            IndirectProbe probe = i.next();
+            if (now >= probe.noAt()) {
+                out.add(probe);
                 i.remove();
             }
         }
@@ -54,8 +56,9 @@
     }
 
     String state(double now) {
-        StringBuilder s = new StringBuilder();
-        open.values().forEach(e -> s.append("; for ").append(e.asker()).append(e.noAt() - now));
-        return s.toString();
+        StringBuilder out = new StringBuilder();
+        open.values()
+                .forEach(probe -> out.append("; for ").append(probe.asker()).append(probe.noAt() - now));
+        return out.toString();
     }
 }
--- a/src/main/java/rillyard/membership/LocalMember.java
+++ b/src/main/java/rillyard/membership/LocalMember.java
@@ -53,26 +53,27 @@
     }
 
     /** Others hold this member for ill or dead, or remember a life of its name before this one: it speaks up. */
-    Claim heard(MemberUpdate u, double now, long unixNow) {
-        if (!IncarnationValidator.possible(u.life(), word.life(), unixNow)) {
+    Claim heard(MemberUpdate update, double now, long unixNow) {
+        if (!IncarnationValidator.possible(update.life(), word.life(), unixNow)) {
             return Claim.NOTHING; // nobody but itself can have said so
         }
         // A life before this one may have had a later start: this machine's clock was set back in between. One at
         // another address may be a process that took the name over.
-        if (u.life().start() > word.life().start()
-                && !u.card().at().equals(word.card().at())
-                && u.status().present()) {
+        if (update.life().start() > word.life().start()
+                && !update.card().at().equals(word.card().at())
+                && update.status().present()) {
             if (now - askedAt < askEvery) {
                 return Claim.NOTHING;
             }
             askedAt = now;
             return Claim.ASK;
         }
-        boolean later = u.life().compareTo(word.life()) > 0;
-        if (!later && (u.status() == MemberStatus.ALIVE || !u.life().equals(word.life()))) {
+        boolean later = update.life().compareTo(word.life()) > 0;
+        if (!later && (update.status() == MemberStatus.ALIVE || !update.life().equals(word.life()))) {
             return Claim.NOTHING;
         }
-        word = new MemberUpdate(word.card(), (later ? u.life() : word.life()).next(), MemberStatus.ALIVE, word.by());
+        word = new MemberUpdate(
+                word.card(), (later ? update.life() : word.life()).next(), MemberStatus.ALIVE, word.by());
         return Claim.SPOKEN_UP;
     }
 
--- a/src/main/java/rillyard/membership/MemberAttribute.java
+++ b/src/main/java/rillyard/membership/MemberAttribute.java
@@ -58,14 +58,14 @@
 
     @Override
     public boolean equals(Object o) {
-        return o instanceof MemberAttribute f
-                && owner.equals(f.owner)
-                && start == f.start
-                && kind == f.kind
-                && version == f.version
-                && age == f.age
-                && lasts == f.lasts
-                && Arrays.equals(value, f.value);
+        return o instanceof MemberAttribute attribute
+                && owner.equals(attribute.owner)
+                && start == attribute.start
+                && kind == attribute.kind
+                && version == attribute.version
+                && age == attribute.age
+                && lasts == attribute.lasts
+                && Arrays.equals(value, attribute.value);
     }
 
     @Override
--- a/src/main/java/rillyard/membership/MemberTable.java
+++ b/src/main/java/rillyard/membership/MemberTable.java
@@ -47,34 +47,35 @@
         return present;
     }
 
-    void add(MemberState b) {
-        String name = b.word.card().name();
-        beliefs.put(name, b);
+    void add(MemberState member) {
+        String name = member.word.card().name();
+        beliefs.put(name, member);
         all.add(name);
         // At a random place, so that those who join together are not probed together for ever.
         round.add(round.isEmpty() ? 0 : random.nextInt(round.size() + 1), name);
-        count(b.word, 1);
-        mark(b);
+        count(member.word, 1);
+        mark(member);
     }
 
-    private void mark(MemberState b) {
-        if (b.status() == MemberStatus.SUSPECT) {
-            suspects.add(b);
+    private void mark(MemberState member) {
+        if (member.status() == MemberStatus.SUSPECT) {
+            suspects.add(member);
         } else {
-            suspects.remove(b);
+            suspects.remove(member);
         }
     }
 
-    private void count(MemberUpdate u, int sign) {
-        if (u.status().present()) {
+    private void count(MemberUpdate update, int sign) {
+        if (update.status().present()) {
             present += sign;
-            digest += sign * mark(u);
+            digest += sign * mark(update);
         }
     }
 
     /** A number for one who is present, by name and start: words that change often don't change it. */
-    static int mark(MemberUpdate u) {
-        int h = u.card().name().hashCode() * 31 + Long.hashCode(u.life().start());
+    static int mark(MemberUpdate update) {
+        int h = update.card().name().hashCode() * 31
+                + Long.hashCode(update.life().start());
         h = (h ^ h >>> 16) * 0x85EBCA6B;
         return h ^ h >>> 13;
     }
@@ -84,23 +85,23 @@
         return digest;
     }
 
-    void set(MemberState b, MemberUpdate word, double now) {
-        count(b.word, -1);
+    void set(MemberState member, MemberUpdate word, double now) {
+        count(member.word, -1);
         count(word, 1);
-        b.word = word;
-        b.since = now;
-        b.acquit();
-        mark(b);
+        member.word = word;
+        member.since = now;
+        member.acquit();
+        mark(member);
     }
 
     /** Forgets members that have been dead or gone since before {@code until}; returns their names. */
     List<String> forget(double until) {
         List<String> gone = new ArrayList<>();
         for (Iterator<MemberState> i = beliefs.values().iterator(); i.hasNext(); ) {
-            MemberState b = i.next();
-            if (!b.status().present() && b.since < until) {
+            MemberState member = i.next();
+            if (!member.status().present() && member.since < until) {
                 i.remove();
-                gone.add(b.word.card().name());
+                gone.add(member.word.card().name());
             }
         }
         if (!gone.isEmpty()) {
@@ -121,9 +122,9 @@
             if (round.isEmpty()) {
                 return null;
             }
-            MemberState b = beliefs.get(round.get(next++));
-            if (b.status().present()) {
-                return b;
+            MemberState member = beliefs.get(round.get(next++));
+            if (member.status().present()) {
+                return member;
             }
         }
         return null;
@@ -142,11 +143,11 @@
     List<MemberState> some(int n, String without, boolean suspects) {
         List<MemberState> out = new ArrayList<>(n);
         for (int looked = 0; looked < 3 * n + 8 && out.size() < n && !all.isEmpty(); looked++) {
-            MemberState b = beliefs.get(all.get(random.nextInt(all.size())));
-            if ((suspects ? b.status().present() : b.status() == MemberStatus.ALIVE)
-                    && !b.word.card().name().equals(without)
-                    && !out.contains(b)) {
-                out.add(b);
+            MemberState member = beliefs.get(all.get(random.nextInt(all.size())));
+            if ((suspects ? member.status().present() : member.status() == MemberStatus.ALIVE)
+                    && !member.word.card().name().equals(without)
+                    && !out.contains(member)) {
+                out.add(member);
             }
         }
         return out;
@@ -155,9 +156,9 @@
     /** One that is believed dead, at random; null if the draw finds none. */
     MemberState someDead() {
         for (int looked = 0; looked < 16 && !all.isEmpty(); looked++) {
-            MemberState b = beliefs.get(all.get(random.nextInt(all.size())));
-            if (b.status() == MemberStatus.DEAD) {
-                return b;
+            MemberState member = beliefs.get(all.get(random.nextInt(all.size())));
+            if (member.status() == MemberStatus.DEAD) {
+                return member;
             }
         }
         return null;
@@ -165,15 +166,15 @@
 
     /** What is believed, and whose turn it is. */
     String state(double now) {
-        StringBuilder s = new StringBuilder();
-        new TreeMap<>(beliefs).values().forEach(b -> s.append("; ")
-                .append(b.word)
-                .append(now - b.since)
+        StringBuilder out = new StringBuilder();
+        new TreeMap<>(beliefs).values().forEach(member -> out.append("; ")
+                .append(member.word)
+                .append(now - member.since)
                 .append(' ')
-                .append(b.askAt - now)
-                .append(new TreeSet<>(b.accusers())));
-        suspects.forEach(b -> s.append(b.word.card().name()));
-        return s + "; " + round + next + " " + all + cursor;
+                .append(member.askAt - now)
+                .append(new TreeSet<>(member.accusers())));
+        suspects.forEach(memberState -> out.append(memberState.word.card().name()));
+        return out + "; " + round + next + " " + all + cursor;
     }
 
     /** The next words in turn that fit into the room: page after page the whole table. */
@@ -181,12 +182,12 @@
         List<MemberUpdate> out = new ArrayList<>(12);
         int left = room;
         for (int i = 0; i < all.size(); i++) {
-            MemberUpdate u = beliefs.get(all.get(cursor % all.size())).word;
-            left -= MessageCodec.size(u);
+            MemberUpdate update = beliefs.get(all.get(cursor % all.size())).word;
+            left -= MessageCodec.size(update);
             if (left < 0) {
                 break;
             }
-            out.add(u);
+            out.add(update);
             cursor = (cursor + 1) % all.size();
         }
         return out;
--- a/src/main/java/rillyard/membership/Membership.java
+++ b/src/main/java/rillyard/membership/Membership.java
@@ -96,8 +96,9 @@
     /** What is believed of all others, in the order of their names. */
     public List<MemberSnapshot> seen() {
         return roster.beliefs().values().stream()
-                .map(b -> new MemberSnapshot(b.word, b.since, b.by))
-                .sorted(Comparator.comparing(s -> s.word().card().name()))
+                .map(member -> new MemberSnapshot(member.word, member.since, member.by))
+                .sorted(Comparator.comparing(
+                        memberSnapshot -> memberSnapshot.word().card().name()))
                 .toList();
     }
 
@@ -113,7 +114,7 @@
 
     /** All others that are known, in no order. */
     public List<MemberUpdate> others() {
-        return roster.beliefs().values().stream().map(b -> b.word).toList();
+        return roster.beliefs().values().stream().map(member -> member.word).toList();
     }
 
     /**
@@ -140,8 +141,8 @@
 
     /** All that its next steps depend on but chance, in words; times in it count from {@code now}. */
     String state(double now) {
-        StringBuilder s = new StringBuilder().append(identity.state(now)).append(health.factor());
-        s.append(' ')
+        StringBuilder out = new StringBuilder().append(identity.state(now)).append(health.factor());
+        out.append(' ')
                 .append(now - lastTick)
                 .append(' ')
                 .append(now - reachedOutAt)
@@ -149,8 +150,8 @@
                 .append(now - pagedAt)
                 .append(' ')
                 .append(now - toldAt);
-        s.append(probe == null ? " -" : probe.state(now, sequence));
-        return s.append(errands.state(now))
+        out.append(probe == null ? " -" : probe.state(now, sequence));
+        return out.append(errands.state(now))
                 .append(gossip.state())
                 .append(facts.state(now))
                 .append(roster.state(now))
@@ -173,19 +174,22 @@
             stoodStill(now, gap);
         }
         lastTick = now;
-        errands.overdue(now).forEach(e -> send(Kind.NACK, e.sequence(), e.askerAt(), e.asker(), null));
+        errands.overdue(now)
+                .forEach(indirectProbe -> send(
+                        Kind.NACK, indirectProbe.sequence(), indirectProbe.askerAt(), indirectProbe.asker(), null));
         if (probe != null) {
             goOn(now);
         }
         if (probe == null) {
             begin(now);
         }
-        roster.suspects().forEach(b -> suspected(b, now));
+        roster.suspects().forEach(member -> suspected(member, now));
         facts.tick(self(), now);
         if ((!gossip.isEmpty() || facts.urgent()) && now - toldAt >= settings.interval() / TELLS) {
             toldAt = now;
             roster.some(TELL, "", true)
-                    .forEach(b -> send(Kind.NEWS, 0, b.word.card().at(), "", null));
+                    .forEach(memberState ->
+                            send(Kind.NEWS, 0, memberState.word.card().at(), "", null));
         }
         if (now - reachedOutAt >= 2 * settings.interval()) {
             reachedOutAt = now;
@@ -205,7 +209,7 @@
         probe = null;
         errands.clear();
         health.worse(2);
-        roster.suspects().forEach(b -> b.since += gap);
+        roster.suspects().forEach(member -> member.since += gap);
     }
 
     /**
@@ -213,24 +217,33 @@
      * lost: by those who accuse it, by a few of the others, and by whoever has not heard its word when that should
      * long be round. Guards against the one in hundreds whom the word passed by.
      */
-    private void suspected(MemberState b, double now) {
-        if (now >= b.askAt) {
-            b.askAt = now + settings.interval();
-            boolean late = now - b.since >= settings.leastSuspicion(present()) / 2;
-            if (late || b.accusers().contains(self().by()) || random.nextDouble() * present() < ASK_SUSPECT) {
-                send(Kind.PING, ++sequence, b.word.card().at(), b.word.card().name(), null);
+    private void suspected(MemberState member, double now) {
+        if (now >= member.askAt) {
+            member.askAt = now + settings.interval();
+            boolean late = now - member.since >= settings.leastSuspicion(present()) / 2;
+            if (late || member.accusers().contains(self().by()) || random.nextDouble() * present() < ASK_SUSPECT) {
+                send(
+                        Kind.PING,
+                        ++sequence,
+                        member.word.card().at(),
+                        member.word.card().name(),
+                        null);
             }
         }
-        if (now - b.since
-                >= SuspicionTimeout.time(settings, present(), b.accusers().size())) {
-            believe(b, new MemberUpdate(b.word.card(), b.word.life(), MemberStatus.DEAD, self().by()), now, "its time");
+        if (now - member.since
+                >= SuspicionTimeout.time(settings, present(), member.accusers().size())) {
+            believe(
+                    member,
+                    new MemberUpdate(member.word.card(), member.word.life(), MemberStatus.DEAD, self().by()),
+                    now,
+                    "its time");
         }
     }
 
     private void begin(double now) {
-        MemberState b = roster.nextToProbe();
-        if (b != null) {
-            probe = new Probe(++sequence, b.word.card(), now, health.factor(), settings);
+        MemberState member = roster.nextToProbe();
+        if (member != null) {
+            probe = new Probe(++sequence, member.word.card(), now, health.factor(), settings);
             send(Kind.PING, probe.sequence, probe.target.at(), probe.target.name(), null);
         }
     }
@@ -256,9 +269,12 @@
         }
         // Helpers that say nothing tell of this member's own hearing; those that say no speak for it.
         health.worse(p.helpers == 0 ? 1 : Math.max(0, p.helpers - p.nacks));
-        MemberState b = roster.get(p.target.name());
-        if (b != null && b.status().present()) {
-            heard(new MemberUpdate(b.word.card(), b.word.life(), MemberStatus.SUSPECT, self().by()), now, "a probe");
+        MemberState member = roster.get(p.target.name());
+        if (member != null && member.status().present()) {
+            heard(
+                    new MemberUpdate(member.word.card(), member.word.life(), MemberStatus.SUSPECT, self().by()),
+                    now,
+                    "a probe");
         }
     }
 
@@ -272,8 +288,8 @@
             MemberAddress seed = seeds.get(random.nextInt(seeds.size()));
             boolean known = seed.equals(self().card().at())
                     || roster.beliefs().values().stream()
-                            .anyMatch(b ->
-                                    b.status().present() && b.word.card().at().equals(seed));
+                            .anyMatch(member -> member.status().present()
+                                    && member.word.card().at().equals(seed));
             if (!known) {
                 send(Kind.PING, ++sequence, seed, "", null);
             }
@@ -286,16 +302,16 @@
             return;
         }
         identity.leave();
-        for (MemberState b : roster.some(FAREWELLS, "", false)) {
-            send(Kind.NEWS, 0, b.word.card().at(), "", null);
+        for (MemberState member : roster.some(FAREWELLS, "", false)) {
+            send(Kind.NEWS, 0, member.word.card().at(), "", null);
         }
         identity.fallSilent();
     }
 
     /** A message has come from an address. */
-    public void received(double now, MemberAddress from, Message m) {
+    public void received(double now, MemberAddress from, Message message) {
         latest = now;
-        MemberUpdate sender = m.sender();
+        MemberUpdate sender = message.sender();
         if (over() || !sender.card().at().equals(from)) { // who speaks for another place is not believed
             return;
         }
@@ -305,48 +321,61 @@
         }
         boolean fresh = roster.get(sender.card().name()) == null;
         heard(sender, now, sender.card().name());
-        for (MemberUpdate u : m.news()) {
-            heard(u, now, "#" + u.by());
+        for (MemberUpdate update : message.news()) {
+            heard(update, now, "#" + update.by());
         }
-        for (MemberAttribute f : m.facts()) {
-            MemberState b = roster.get(f.owner());
-            facts.heard(f, self(), b == null || !b.status().present() ? null : b.word.life(), unix(now), now);
+        for (MemberAttribute attribute : message.facts()) {
+            MemberState member = roster.get(attribute.owner());
+            facts.heard(
+                    attribute,
+                    self(),
+                    member == null || !member.status().present() ? null : member.word.life(),
+                    unix(now),
+                    now);
         }
-        answer(now, from, m);
+        answer(now, from, message);
         boolean joins = fresh
                 && sender.status() == MemberStatus.ALIVE
                 && roster.get(sender.card().name()) != null;
         if (joins) {
             outbox.pages(self(), from, WELCOME);
-        } else if (m.kind() != Kind.NEWS && m.digest() != digest() && now - pagedAt >= settings.interval()) {
+        } else if (message.kind() != Kind.NEWS
+                && message.digest() != digest()
+                && now - pagedAt >= settings.interval()) {
             pagedAt = now;
             outbox.pages(self(), from, PAGES);
         }
     }
 
-    private void answer(double now, MemberAddress from, Message m) {
-        switch (m.kind()) {
+    private void answer(double now, MemberAddress from, Message message) {
+        switch (message.kind()) {
             case PING -> {
-                if (m.target().isEmpty() || m.target().equals(self().card().name())) {
-                    send(Kind.ACK, m.sequence(), from, m.sender().card().name(), null);
+                if (message.target().isEmpty()
+                        || message.target().equals(self().card().name())) {
+                    send(
+                            Kind.ACK,
+                            message.sequence(),
+                            from,
+                            message.sender().card().name(),
+                            null);
                 }
             }
             case ASK_FOR_ME -> {
-                if (errands.room() && !m.target().equals(self().card().name())) {
-                    errands.take(++sequence, m, from, now);
-                    send(Kind.PING, sequence, m.targetAt(), m.target(), null);
+                if (errands.room() && !message.target().equals(self().card().name())) {
+                    errands.take(++sequence, message, from, now);
+                    send(Kind.PING, sequence, message.targetAt(), message.target(), null);
                 }
             }
             case ACK -> {
-                IndirectProbes.IndirectProbe e = errands.answered(m.sequence());
-                if (e != null) {
-                    send(Kind.ACK, e.sequence(), e.askerAt(), e.asker(), null);
-                } else if (probe != null && probe.sequence == m.sequence()) {
+                IndirectProbes.IndirectProbe indirectProbe = errands.answered(message.sequence());
+                if (indirectProbe != null) {
+                    send(Kind.ACK, indirectProbe.sequence(), indirectProbe.askerAt(), indirectProbe.asker(), null);
+                } else if (probe != null && probe.sequence == message.sequence()) {
                     probe.answered = true;
                 }
             }
             case NACK -> {
-                if (probe != null && probe.sequence == m.sequence()) {
+                if (probe != null && probe.sequence == message.sequence()) {
                     probe.nacks++;
                 }
             }
@@ -364,10 +393,11 @@
         }
     }
 
-    private void aboutSelf(MemberUpdate u, double now) {
-        switch (identity.heard(u, now, unix(now))) {
+    private void aboutSelf(MemberUpdate update, double now) {
+        switch (identity.heard(update, now, unix(now))) {
             case SPOKEN_UP -> health.worse(1);
-            case ASK -> send(Kind.PING, ++sequence, u.card().at(), self().card().name(), null);
+            case ASK ->
+                send(Kind.PING, ++sequence, update.card().at(), self().card().name(), null);
             case NOTHING -> {}
         }
     }
@@ -377,46 +407,46 @@
         return started + (long) now;
     }
 
-    private void heard(MemberUpdate u, double now, String by) {
-        if (identity.isName(u.card().name())) {
-            aboutSelf(u, now);
+    private void heard(MemberUpdate update, double now, String by) {
+        if (identity.isName(update.card().name())) {
+            aboutSelf(update, now);
             return;
         }
-        MemberState b = roster.get(u.card().name());
-        if (!IncarnationValidator.possible(u.life(), b == null ? null : b.word.life(), unix(now))) {
+        MemberState member = roster.get(update.card().name());
+        if (!IncarnationValidator.possible(update.life(), member == null ? null : member.word.life(), unix(now))) {
             return;
         }
-        if (b == null) {
-            if (u.status().present() && roster.beliefs().size() < settings.most()) {
-                b = new MemberState(u, now);
-                roster.add(b);
-                told(b, now, null, by);
+        if (member == null) {
+            if (update.status().present() && roster.beliefs().size() < settings.most()) {
+                member = new MemberState(update, now);
+                roster.add(member);
+                told(member, now, null, by);
             }
-        } else if (u.overrides(b.word)) {
-            believe(b, u, now, by);
-        } else if (b.status() == MemberStatus.SUSPECT
-                && u.status() == MemberStatus.SUSPECT
-                && u.life().equals(b.word.life())
-                && b.accused(u.by())) {
-            b.word = u; // passed on as well: it is another's independent word
-            gossip.changed(u.card().name());
+        } else if (update.overrides(member.word)) {
+            believe(member, update, now, by);
+        } else if (member.status() == MemberStatus.SUSPECT
+                && update.status() == MemberStatus.SUSPECT
+                && update.life().equals(member.word.life())
+                && member.accused(update.by())) {
+            member.word = update; // passed on as well: it is another's independent word
+            gossip.changed(update.card().name());
         }
     }
 
-    private void believe(MemberState b, MemberUpdate u, double now, String by) {
-        MemberStatus before = b.status();
-        roster.set(b, u, now);
-        told(b, now, before, by);
+    private void believe(MemberState member, MemberUpdate update, double now, String by) {
+        MemberStatus before = member.status();
+        roster.set(member, update, now);
+        told(member, now, before, by);
     }
 
-    private void told(MemberState b, double now, MemberStatus before, String by) {
-        b.by = by;
-        if (b.status() == MemberStatus.SUSPECT) {
-            b.accused(b.word.by());
+    private void told(MemberState member, double now, MemberStatus before, String by) {
+        member.by = by;
+        if (member.status() == MemberStatus.SUSPECT) {
+            member.accused(member.word.by());
         }
-        gossip.changed(b.word.card().name());
-        if (b.status() != before) {
-            out.changed(new MembershipEvent(now, b.word, before, by));
+        gossip.changed(member.word.card().name());
+        if (member.status() != before) {
+            out.changed(new MembershipEvent(now, member.word, before, by));
         }
     }
 
--- a/src/main/java/rillyard/membership/MessageCodec.java
+++ b/src/main/java/rillyard/membership/MessageCodec.java
@@ -31,8 +31,8 @@
     private MessageCodec() {}
 
     /** The bytes that a word takes. */
-    static int size(MemberUpdate u) {
-        return WORD + u.card().name().length();
+    static int size(MemberUpdate update) {
+        return WORD + update.card().name().length();
     }
 
     /** The bytes that a message without news takes. */
@@ -45,60 +45,65 @@
      *
      * @throws IllegalArgumentException if it does not fit into {@code room} bytes
      */
-    public static byte[] encode(Message m, int room) {
-        ByteBuffer b = ByteBuffer.allocate(4 * MAX_BYTES);
-        b.put(VERSION).put((byte) m.kind().ordinal()).putInt(m.sequence()).putInt(m.digest());
-        put(b, m.sender());
-        put(b, m.target());
-        if (m.kind() == Message.Kind.ASK_FOR_ME) {
-            put(b, m.targetAt());
+    public static byte[] encode(Message message, int room) {
+        ByteBuffer buffer = ByteBuffer.allocate(4 * MAX_BYTES);
+        buffer.put(VERSION)
+                .put((byte) message.kind().ordinal())
+                .putInt(message.sequence())
+                .putInt(message.digest());
+        put(buffer, message.sender());
+        put(buffer, message.target());
+        if (message.kind() == Message.Kind.ASK_FOR_ME) {
+            put(buffer, message.targetAt());
         }
-        for (MemberUpdate u : m.news()) {
-            put(b, u);
-            if (b.position() > room) {
+        for (MemberUpdate update : message.news()) {
+            put(buffer, update);
+            if (buffer.position() > room) {
                 break;
             }
         }
-        for (MemberAttribute f : m.facts()) {
-            if (b.position() <= room) {
-                put(b, f);
+        for (MemberAttribute attribute : message.facts()) {
+            if (buffer.position() <= room) {
+                put(buffer, attribute);
             }
         }
-        if (b.position() > room) {
+        if (buffer.position() > room) {
             throw new IllegalArgumentException("a datagram of more than " + room + " bytes");
         }
-        byte[] out = new byte[b.position()];
-        b.flip().get(out);
+        byte[] out = new byte[buffer.position()];
+        buffer.flip().get(out);
         return out;
     }
 
-    private static void put(ByteBuffer b, MemberUpdate u) {
-        b.put((byte) u.status().ordinal()).putShort((short) u.by());
-        putStart(b, u.life().start());
-        b.putShort((short) u.life().incarnation());
-        put(b, u.card().at());
-        b.put((byte) u.card().zone()).put((byte) u.card().region());
-        put(b, u.card().name());
+    private static void put(ByteBuffer buffer, MemberUpdate update) {
+        buffer.put((byte) update.status().ordinal()).putShort((short) update.by());
+        putStart(buffer, update.life().start());
+        buffer.putShort((short) update.life().incarnation());
+        put(buffer, update.card().at());
+        buffer.put((byte) update.card().zone()).put((byte) update.card().region());
+        put(buffer, update.card().name());
     }
 
-    private static void put(ByteBuffer b, MemberAttribute f) {
-        b.put((byte) (FACT + f.kind()));
-        put(b, f.owner());
-        putStart(b, f.start());
-        b.putInt((int) f.version()).putShort((short) (f.age() / UNIT)).putShort((short) (f.lasts() / UNIT));
-        b.put((byte) f.value().length).put(f.value());
+    private static void put(ByteBuffer buffer, MemberAttribute attribute) {
+        buffer.put((byte) (FACT + attribute.kind()));
+        put(buffer, attribute.owner());
+        putStart(buffer, attribute.start());
+        buffer.putInt((int) attribute.version())
+                .putShort((short) (attribute.age() / UNIT))
+                .putShort((short) (attribute.lasts() / UNIT));
+        buffer.put((byte) attribute.value().length).put(attribute.value());
     }
 
-    private static void putStart(ByteBuffer b, long start) {
-        b.putShort((short) (start >> 32)).putInt((int) start);
+    private static void putStart(ByteBuffer buffer, long start) {
+        buffer.putShort((short) (start >> 32)).putInt((int) start);
     }
 
-    private static void put(ByteBuffer b, MemberAddress e) {
-        b.putInt(e.ip()).putShort((short) e.port());
+    private static void put(ByteBuffer buffer, MemberAddress address) {
+        buffer.putInt(address.ip()).putShort((short) address.port());
     }
 
-    private static void put(ByteBuffer b, String s) {
-        b.put((byte) s.length()).put(s.getBytes(StandardCharsets.US_ASCII));
+    private static void put(ByteBuffer buffer, String s) {
+        buffer.put((byte) s.length()).put(s.getBytes(StandardCharsets.US_ASCII));
     }
 
     /**
@@ -110,31 +115,31 @@
         if (bytes.length > MAX_BYTES) {
             throw new IllegalArgumentException(bytes.length + " bytes, expected " + MAX_BYTES + " at most");
         }
-        ByteBuffer b = ByteBuffer.wrap(bytes);
+        ByteBuffer buffer = ByteBuffer.wrap(bytes);
         try {
-            byte version = b.get();
+            byte version = buffer.get();
             if (version != VERSION) {
                 throw new IllegalArgumentException("version " + version + ", expected " + VERSION);
             }
-            Message.Kind kind = value(Message.Kind.values(), b.get());
-            int sequence = b.getInt();
-            int digest = b.getInt();
-            MemberUpdate sender = word(b);
+            Message.Kind kind = value(Message.Kind.values(), buffer.get());
+            int sequence = buffer.getInt();
+            int digest = buffer.getInt();
+            MemberUpdate sender = word(buffer);
             if (sender.status() != MemberStatus.ALIVE && sender.status() != MemberStatus.LEFT) {
                 throw new IllegalArgumentException("a sender that calls itself " + sender.status());
             }
-            String target = text(b);
+            String target = text(buffer);
             if (!target.isEmpty() && !MemberIdentity.isName(target)) {
                 throw new IllegalArgumentException("a target that is no name");
             }
-            MemberAddress at = kind == Message.Kind.ASK_FOR_ME ? endpoint(b) : null;
+            MemberAddress at = kind == Message.Kind.ASK_FOR_ME ? endpoint(buffer) : null;
             List<MemberUpdate> news = new ArrayList<>();
             List<MemberAttribute> facts = new ArrayList<>();
-            while (b.hasRemaining()) {
-                if (b.get(b.position()) >= FACT) {
-                    facts.add(fact(b));
+            while (buffer.hasRemaining()) {
+                if (buffer.get(buffer.position()) >= FACT) {
+                    facts.add(fact(buffer));
                 } else {
-                    news.add(word(b));
+                    news.add(word(buffer));
                 }
             }
             return new Message(kind, sequence, digest, sender, target, at, List.copyOf(news), List.copyOf(facts));
@@ -150,50 +155,50 @@
         return all[ordinal];
     }
 
-    private static MemberUpdate word(ByteBuffer b) {
-        MemberStatus status = value(MemberStatus.values(), b.get());
-        int by = b.getShort() & 0xFFFF;
-        long start = start(b);
-        Incarnation life = new Incarnation(start, b.getShort() & 0xFFFF);
-        MemberAddress at = endpoint(b);
-        int zone = b.get() & 255;
-        int region = b.get() & 255;
-        return new MemberUpdate(new MemberIdentity(text(b), at, zone, region), life, status, by);
+    private static MemberUpdate word(ByteBuffer buffer) {
+        MemberStatus status = value(MemberStatus.values(), buffer.get());
+        int by = buffer.getShort() & 0xFFFF;
+        long start = start(buffer);
+        Incarnation life = new Incarnation(start, buffer.getShort() & 0xFFFF);
+        MemberAddress at = endpoint(buffer);
+        int zone = buffer.get() & 255;
+        int region = buffer.get() & 255;
+        return new MemberUpdate(new MemberIdentity(text(buffer), at, zone, region), life, status, by);
     }
 
-    private static MemberAttribute fact(ByteBuffer b) {
-        int kind = b.get() - FACT;
-        String owner = text(b);
-        long start = start(b);
-        long version = b.getInt() & 0xFFFFFFFFL;
-        double age = UNIT * (b.getShort() & 0xFFFF);
-        double lasts = UNIT * (b.getShort() & 0xFFFF);
-        int n = b.get();
+    private static MemberAttribute fact(ByteBuffer buffer) {
+        int kind = buffer.get() - FACT;
+        String owner = text(buffer);
+        long start = start(buffer);
+        long version = buffer.getInt() & 0xFFFFFFFFL;
+        double age = UNIT * (buffer.getShort() & 0xFFFF);
+        double lasts = UNIT * (buffer.getShort() & 0xFFFF);
+        int n = buffer.get();
         if (n < 0 || n > MemberAttribute.MAX_VALUE) {
             throw new IllegalArgumentException(
                     "a value of " + n + " bytes, expected " + MemberAttribute.MAX_VALUE + " at most");
         }
         byte[] value = new byte[n];
-        b.get(value);
+        buffer.get(value);
         return new MemberAttribute(owner, start, kind, version, age, lasts, value);
     }
 
-    private static long start(ByteBuffer b) {
-        return (b.getShort() & 0xFFFFL) << 32 | b.getInt() & 0xFFFFFFFFL;
+    private static long start(ByteBuffer buffer) {
+        return (buffer.getShort() & 0xFFFFL) << 32 | buffer.getInt() & 0xFFFFFFFFL;
     }
 
-    private static MemberAddress endpoint(ByteBuffer b) {
-        return new MemberAddress(b.getInt(), b.getShort() & 0xFFFF);
+    private static MemberAddress endpoint(ByteBuffer buffer) {
+        return new MemberAddress(buffer.getInt(), buffer.getShort() & 0xFFFF);
     }
 
-    private static String text(ByteBuffer b) {
-        int n = b.get();
+    private static String text(ByteBuffer buffer) {
+        int n = buffer.get();
         if (n < 0 || n > MemberIdentity.MAX_NAME) {
             throw new IllegalArgumentException(
                     "a name of " + n + " bytes, expected " + MemberIdentity.MAX_NAME + " at most");
         }
         byte[] s = new byte[n];
-        b.get(s);
+        buffer.get(s);
         return new String(s, StandardCharsets.US_ASCII);
     }
 }
--- a/src/main/java/rillyard/membership/Probe.java
+++ b/src/main/java/rillyard/membership/Probe.java
@@ -14,13 +14,13 @@
     boolean answered;
 
     /** {@code factor} stretches its times, where this member does not trust itself. */
-    Probe(int sequence, MemberIdentity target, double now, int factor, MembershipSettings s) {
+    Probe(int sequence, MemberIdentity target, double now, int factor, MembershipSettings settings) {
         this.sequence = sequence;
         this.target = target;
-        this.pause = factor * s.timeout();
+        this.pause = factor * settings.timeout();
         this.helpAt = now + pause;
         this.againAt = helpAt;
-        this.overAt = now + factor * s.interval();
+        this.overAt = now + factor * settings.interval();
     }
 
     /**
--- a/src/main/java/rillyard/membership/SuspicionTimeout.java
+++ b/src/main/java/rillyard/membership/SuspicionTimeout.java
@@ -11,9 +11,9 @@
     private SuspicionTimeout() {}
 
     /** The time (ms) from the first word to death, with so many independent ones in a fleet of {@code members}. */
-    static double time(MembershipSettings s, int members, int accusers) {
-        double least = s.leastSuspicion(members);
-        double most = least * s.suspicionMost();
+    static double time(MembershipSettings settings, int members, int accusers) {
+        double least = settings.leastSuspicion(members);
+        double most = least * settings.suspicionMost();
         int enough = Math.max(1, Math.min(ENOUGH, members - 2));
         double part = Math.log(Math.max(1, accusers)) / Math.log(enough + 1.0);
         return Math.max(least, most - (most - least) * part);
--- a/src/main/java/rillyard/membership/UpdateQueue.java
+++ b/src/main/java/rillyard/membership/UpdateQueue.java
@@ -46,7 +46,7 @@
     /** Adds words about these, where there is room left, in their order. */
     void fill(Map<String, MemberState> beliefs, List<MemberUpdate> out, int room, List<String> fill) {
         Selection page = new Selection(room);
-        out.forEach(u -> page.names.add(u.card().name()));
+        out.forEach(update -> page.names.add(update.card().name()));
         fill.forEach(name -> page.add(beliefs.get(name)));
         out.addAll(page.words);
     }
@@ -61,14 +61,14 @@
             this.left = room;
         }
 
-        boolean add(MemberState b) {
-            if (b == null
-                    || MessageCodec.size(b.word) > left
-                    || !names.add(b.word.card().name())) {
+        boolean add(MemberState member) {
+            if (member == null
+                    || MessageCodec.size(member.word) > left
+                    || !names.add(member.word.card().name())) {
                 return false;
             }
-            words.add(b.word);
-            left -= MessageCodec.size(b.word);
+            words.add(member.word);
+            left -= MessageCodec.size(member.word);
             return true;
         }
     }
--- a/src/main/java/rillyard/membership/net/DatagramCipher.java
+++ b/src/main/java/rillyard/membership/net/DatagramCipher.java
@@ -115,20 +115,20 @@
         long began = get48(nonce);
         long number = get48(nonce);
         SenderState known = senders.get(from);
-        SenderState s = known != null
+        SenderState state = known != null
                 ? known
                 : new SenderState(keys.stream().map(k -> derived(k, from)).toList(), new ReplayWindow());
-        if (known != null && replayed(s.opened, began, number)) {
+        if (known != null && replayed(state.opened, began, number)) {
             throw new IllegalArgumentException("opened before, or of an older process");
         }
-        for (SecretKeySpec key : s.keys) {
+        for (SecretKeySpec key : state.keys) {
             try {
                 Cipher c = Cipher.getInstance("AES/GCM/NoPadding");
                 c.init(Cipher.DECRYPT_MODE, key, new GCMParameterSpec(TAG_BITS, sealed, 1, 12));
                 c.updateAAD(sealed, 0, 1);
                 byte[] plain = c.doFinal(sealed, 13, sealed.length - 13);
-                senders.put(from, s); // only who holds a key takes a place
-                opened(s.opened, began, number);
+                senders.put(from, state); // only who holds a key takes a place
+                opened(state.opened, began, number);
                 return plain;
             } catch (GeneralSecurityException e) {
                 // another key, or none of ours
@@ -137,33 +137,33 @@
         throw new IllegalArgumentException("sealed by no key of this fleet for that address");
     }
 
-    private static boolean replayed(ReplayWindow o, long began, long number) {
-        if (began != o.start) {
-            return began < o.start;
+    private static boolean replayed(ReplayWindow window, long began, long number) {
+        if (began != window.start) {
+            return began < window.start;
         }
-        long behind = o.newest - number;
-        return behind >= WINDOW || behind >= 0 && (o.before >>> behind & 1) == 1;
+        long behind = window.newest - number;
+        return behind >= WINDOW || behind >= 0 && (window.before >>> behind & 1) == 1;
     }
 
-    private static void opened(ReplayWindow o, long began, long number) {
-        if (began != o.start) {
-            o.start = began;
-            o.newest = number;
-            o.before = 1;
-        } else if (number > o.newest) {
-            long ahead = number - o.newest;
-            o.before = (ahead >= WINDOW ? 0 : o.before << ahead) | 1;
-            o.newest = number;
+    private static void opened(ReplayWindow window, long began, long number) {
+        if (began != window.start) {
+            window.start = began;
+            window.newest = number;
+            window.before = 1;
+        } else if (number > window.newest) {
+            long ahead = number - window.newest;
+            window.before = (ahead >= WINDOW ? 0 : window.before << ahead) | 1;
+            window.newest = number;
         } else {
-            o.before |= 1L << o.newest - number;
+            window.before |= 1L << window.newest - number;
         }
     }
 
-    private static void put48(ByteBuffer b, long v) {
-        b.putShort((short) (v >> 32)).putInt((int) v);
+    private static void put48(ByteBuffer buffer, long v) {
+        buffer.putShort((short) (v >> 32)).putInt((int) v);
     }
 
-    private static long get48(ByteBuffer b) {
-        return (b.getShort() & 0xFFFFL) << 32 | b.getInt() & 0xFFFFFFFFL;
+    private static long get48(ByteBuffer buffer) {
+        return (buffer.getShort() & 0xFFFFL) << 32 | buffer.getInt() & 0xFFFFFFFFL;
     }
 }
--- a/src/main/java/rillyard/membership/net/FleetConfigReader.java
+++ b/src/main/java/rillyard/membership/net/FleetConfigReader.java
@@ -96,47 +96,53 @@
         }
     }
 
-    private static MembershipSettings member(TomlTable t, int seal) {
-        MembershipSettings u = MembershipSettings.USUAL;
-        double interval = t.number("interval_ms", u.interval(), 100, 60_000);
-        double timeout = t.number("timeout_ms", Math.min(u.timeout(), interval / 2), 10, 30_000);
+    private static MembershipSettings member(TomlTable table, int seal) {
+        MembershipSettings settings = MembershipSettings.USUAL;
+        double interval = table.number("interval_ms", settings.interval(), 100, 60_000);
+        double timeout = table.number("timeout_ms", Math.min(settings.timeout(), interval / 2), 10, 30_000);
         if (timeout > interval / 2) {
-            t.error("timeout_ms", "found " + timeout + ", expected at most half of interval_ms, " + interval / 2);
+            table.error("timeout_ms", "found " + timeout + ", expected at most half of interval_ms, " + interval / 2);
             timeout = interval / 2;
         }
         return new MembershipSettings(
                 interval,
                 timeout,
-                (int) t.whole("helpers", u.helpers(), 1, 10),
-                t.number("suspicion", u.suspicion(), 1, 20),
-                t.number("suspicion_most", u.suspicionMost(), 1, 20),
-                (int) t.whole("spread", u.spread(), 1, 10),
-                1_000 * t.number("forget_s", u.forget() / 1_000, 10, 3_600),
-                (int) t.whole("most", u.most(), 2, 100_000),
-                (int) t.whole("datagram_bytes", u.room(), 128 + seal, MessageCodec.MAX_BYTES) - seal);
+                (int) table.whole("helpers", settings.helpers(), 1, 10),
+                table.number("suspicion", settings.suspicion(), 1, 20),
+                table.number("suspicion_most", settings.suspicionMost(), 1, 20),
+                (int) table.whole("spread", settings.spread(), 1, 10),
+                1_000 * table.number("forget_s", settings.forget() / 1_000, 10, 3_600),
+                (int) table.whole("most", settings.most(), 2, 100_000),
+                (int) table.whole("datagram_bytes", settings.room(), 128 + seal, MessageCodec.MAX_BYTES) - seal);
     }
 
     /** An {@code IPv4:port}; names are not looked up. */
-    private static MemberAddress endpoint(TomlTable t, String key, String s) {
-        InetSocketAddress a = SocketAddresses.parse(s);
-        if (a != null && a.getPort() > 0 && a.getAddress() instanceof Inet4Address) {
-            return endpoint(a);
+    private static MemberAddress endpoint(TomlTable table, String key, String s) {
+        InetSocketAddress address = SocketAddresses.parse(s);
+        if (address != null && address.getPort() > 0 && address.getAddress() instanceof Inet4Address) {
+            return endpoint(address);
         }
         if (!s.isEmpty()) { // that it is missing is told already
-            t.error(key, "found '" + s + "', expected IPv4:port, as 10.1.0.4:7400");
+            table.error(key, "found '" + s + "', expected IPv4:port, as 10.1.0.4:7400");
         }
         return new MemberAddress(0x7F000001, 1);
     }
 
     /** The endpoint of an IPv4 address. */
-    static MemberAddress endpoint(InetSocketAddress a) {
-        return new MemberAddress(ByteBuffer.wrap(a.getAddress().getAddress()).getInt(), a.getPort());
+    static MemberAddress endpoint(InetSocketAddress address) {
+        return new MemberAddress(
+                ByteBuffer.wrap(address.getAddress().getAddress()).getInt(), address.getPort());
     }
 
-    static InetSocketAddress address(MemberAddress e) {
+    static InetSocketAddress address(MemberAddress address) {
         try {
-            byte[] ip = {(byte) (e.ip() >> 24), (byte) (e.ip() >> 16), (byte) (e.ip() >> 8), (byte) e.ip()};
-            return new InetSocketAddress(InetAddress.getByAddress(ip), e.port());
+            byte[] ip = {
+                (byte) (address.ip() >> 24),
+                (byte) (address.ip() >> 16),
+                (byte) (address.ip() >> 8),
+                (byte) address.ip()
+            };
+            return new InetSocketAddress(InetAddress.getByAddress(ip), address.port());
         } catch (UnknownHostException x) {
             throw new IllegalStateException(x); // four bytes are an address
         }
--- a/src/main/java/rillyard/membership/net/FleetMember.java
+++ b/src/main/java/rillyard/membership/net/FleetMember.java
@@ -59,8 +59,8 @@
         }
 
         /** How old a fact of these is by now (ms), also where this member has ended and holds nothing newer. */
-        public double age(MemberAttribute f) {
-            return f.age() + (System.nanoTime() - at) / 1e6;
+        public double age(MemberAttribute attribute) {
+            return attribute.age() + (System.nanoTime() - at) / 1e6;
         }
     }
 
@@ -149,8 +149,8 @@
         }
         List<String> present = new ArrayList<>(List.of(settings.card().name()));
         member.others().stream()
-                .filter(u -> u.status().present())
-                .forEach(u -> present.add(u.card().name()));
+                .filter(update -> update.status().present())
+                .forEach(memberUpdate -> present.add(memberUpdate.card().name()));
         known = new FleetSnapshot(settings.card().name(), List.copyOf(present), Map.copyOf(facts), System.nanoTime());
     }
 
@@ -238,22 +238,22 @@
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket p) {
-            byte[] bytes = new byte[p.content().readableBytes()];
-            p.content().readBytes(bytes);
+        protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
+            byte[] bytes = new byte[packet.content().readableBytes()];
+            packet.content().readBytes(bytes);
             long began = System.nanoTime();
             costs.received++;
             costs.receivedBytes += bytes.length;
             try {
-                InetSocketAddress sender = p.sender();
+                InetSocketAddress sender = packet.sender();
                 if (sender.getAddress() instanceof Inet4Address) {
                     MemberAddress from = FleetConfigReader.endpoint(sender);
                     member.received(now(), from, MessageCodec.decode(seal == null ? bytes : seal.open(from, bytes)));
                 }
             } catch (IllegalArgumentException e) {
                 if (costs.turnedAway++ % 1_000 == 0) {
-                    log.println("rillyard: fleet: datagram from " + p.sender() + " turned away, " + costs.turnedAway
-                            + " so far: " + e.getMessage());
+                    log.println("rillyard: fleet: datagram from " + packet.sender() + " turned away, "
+                            + costs.turnedAway + " so far: " + e.getMessage());
                 }
             }
             costs.busySince(began);
@@ -269,8 +269,8 @@
 
     private final class SocketOutput implements Membership.Output {
         @Override
-        public void send(MemberAddress to, Message m) {
-            byte[] plain = MessageCodec.encode(m, settings.member().room());
+        public void send(MemberAddress to, Message message) {
+            byte[] plain = MessageCodec.encode(message, settings.member().room());
             ByteBuf bytes = Unpooled.wrappedBuffer(seal == null ? plain : seal.seal(plain));
             costs.sent++;
             costs.sentBytes += bytes.readableBytes();
@@ -278,12 +278,12 @@
         }
 
         @Override
-        public void changed(MembershipEvent c) {
+        public void changed(MembershipEvent event) {
             if (history == null) {
                 return;
             }
             try {
-                history.line(startedUnix + (long) c.at(), c);
+                history.line(startedUnix + (long) event.at(), event);
             } catch (IOException e) {
                 log.println("rillyard: fleet: a line of the history is lost: " + e);
             }
--- a/src/main/java/rillyard/membership/net/MemberAdminClient.java
+++ b/src/main/java/rillyard/membership/net/MemberAdminClient.java
@@ -22,23 +22,25 @@
      */
     public static JsonNode ask(InetSocketAddress at) throws IOException {
         byte[] bytes;
-        try (Socket s = new Socket()) {
-            s.connect(at, WAIT_MS);
-            s.setSoTimeout(WAIT_MS);
-            bytes = s.getInputStream().readNBytes(MOST_BYTES);
+        try (Socket socket = new Socket()) {
+            socket.connect(at, WAIT_MS);
+            socket.setSoTimeout(WAIT_MS);
+            bytes = socket.getInputStream().readNBytes(MOST_BYTES);
         } catch (IOException e) {
             throw new IOException("no answer from " + at + ": " + e.getMessage(), e);
         }
-        JsonNode n = null;
+        JsonNode node = null;
         try {
-            n = new ObjectMapper().readTree(bytes);
+            node = new ObjectMapper().readTree(bytes);
         } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
             // said below
         }
-        if (n == null || !n.path("self").isObject() || !n.path("members").isArray()) {
+        if (node == null
+                || !node.path("self").isObject()
+                || !node.path("members").isArray()) {
             throw new IOException(
                     at + " is no member's `admin` address: " + bytes.length + " bytes that are no view of a fleet");
         }
-        return n;
+        return node;
     }
 }
--- a/src/main/java/rillyard/membership/net/MemberAdminServer.java
+++ b/src/main/java/rillyard/membership/net/MemberAdminServer.java
@@ -41,8 +41,8 @@
                     .channel(NioServerSocketChannel.class)
                     .childHandler(new ChannelInitializer<SocketChannel>() {
                         @Override
-                        protected void initChannel(SocketChannel ch) {
-                            called(ch);
+                        protected void initChannel(SocketChannel channel) {
+                            called(channel);
                         }
                     })
                     .bind(at)
@@ -52,16 +52,17 @@
         }
     }
 
-    private void called(SocketChannel ch) {
+    private void called(SocketChannel channel) {
         if (open >= MOST_OPEN) {
-            ch.close();
+            channel.close();
             return;
         }
         open++;
-        ch.closeFuture().addListener(f -> open--);
-        ch.eventLoop().schedule(() -> ch.close(), CALL_MS, TimeUnit.MILLISECONDS);
+        channel.closeFuture().addListener(f -> open--);
+        channel.eventLoop().schedule(() -> channel.close(), CALL_MS, TimeUnit.MILLISECONDS);
         // Registration is not over yet: what is written now would be lost.
-        ch.eventLoop().execute(() -> ch.writeAndFlush(Unpooled.copiedBuffer(view.get() + "\n", StandardCharsets.UTF_8))
-                .addListener(ChannelFutureListener.CLOSE));
+        channel.eventLoop()
+                .execute(() -> channel.writeAndFlush(Unpooled.copiedBuffer(view.get() + "\n", StandardCharsets.UTF_8))
+                        .addListener(ChannelFutureListener.CLOSE));
     }
 }
--- a/src/main/java/rillyard/membership/net/MembershipEventLog.java
+++ b/src/main/java/rillyard/membership/net/MembershipEventLog.java
@@ -24,17 +24,17 @@
     }
 
     /** {@code unixMs} is when; an IOException costs the line, never the member. */
-    void line(long unixMs, MembershipEvent c) throws IOException {
-        MemberUpdate u = c.now();
-        ObjectNode n = JSON.createObjectNode();
-        n.put("at", unixMs)
+    void line(long unixMs, MembershipEvent event) throws IOException {
+        MemberUpdate update = event.now();
+        ObjectNode node = JSON.createObjectNode();
+        node.put("at", unixMs)
                 .put("member", member)
-                .put("about", u.card().name())
-                .put("status", u.status().name());
-        n.put("before", c.before() == null ? null : c.before().name())
-                .put("start", u.life().start());
-        n.put("incarnation", u.life().incarnation()).put("by", c.by());
-        out.write(JSON.writeValueAsString(n));
+                .put("about", update.card().name())
+                .put("status", update.status().name());
+        node.put("before", event.before() == null ? null : event.before().name())
+                .put("start", update.life().start());
+        node.put("incarnation", update.life().incarnation()).put("by", event.by());
+        out.write(JSON.writeValueAsString(node));
         out.write('\n');
         out.flush();
     }
--- a/src/main/java/rillyard/membership/net/MembershipView.java
+++ b/src/main/java/rillyard/membership/net/MembershipView.java
@@ -24,24 +24,26 @@
      * @param startedUnix when this process started, Unix time (ms)
      * @param now ms since then
      */
-    static String of(Membership m, long startedUnix, double now, ResourceUsage costs) {
-        Map<String, MemberAttribute> health = m.facts(now, LoopHealth.FACT);
+    static String of(Membership membership, long startedUnix, double now, ResourceUsage costs) {
+        Map<String, MemberAttribute> health = membership.facts(now, LoopHealth.FACT);
         Map<String, String> names = new HashMap<>();
-        List<MemberSnapshot> seen = m.seen();
-        seen.forEach(s -> names.put(
-                "#" + MemberUpdate.by(s.word().card().name()), s.word().card().name()));
-        names.put("#" + m.self().by(), m.self().card().name());
-        ObjectNode n = JSON.createObjectNode();
-        n.put("at", startedUnix + (long) now).put("over", m.over()).put("present", m.present());
-        n.put("distrust", m.distrust());
-        n.set("self", word(m.self(), health));
-        ArrayNode members = n.putArray("members");
-        for (MemberSnapshot s : seen) {
-            ObjectNode o = word(s.word(), health);
-            o.put("since", startedUnix + (long) s.since()).put("by", names.getOrDefault(s.by(), s.by()));
+        List<MemberSnapshot> seen = membership.seen();
+        seen.forEach(member -> names.put(
+                "#" + MemberUpdate.by(member.word().card().name()),
+                member.word().card().name()));
+        names.put("#" + membership.self().by(), membership.self().card().name());
+        ObjectNode node = JSON.createObjectNode();
+        node.put("at", startedUnix + (long) now).put("over", membership.over()).put("present", membership.present());
+        node.put("distrust", membership.distrust());
+        node.set("self", word(membership.self(), health));
+        ArrayNode members = node.putArray("members");
+        for (MemberSnapshot memberSnapshot : seen) {
+            ObjectNode o = word(memberSnapshot.word(), health);
+            o.put("since", startedUnix + (long) memberSnapshot.since())
+                    .put("by", names.getOrDefault(memberSnapshot.by(), memberSnapshot.by()));
             members.add(o);
         }
-        n.putObject("costs")
+        node.putObject("costs")
                 .put("datagrams_sent", costs.sent)
                 .put("bytes_sent", costs.sentBytes)
                 .put("datagrams_received", costs.received)
@@ -49,20 +51,20 @@
                 .put("turned_away", costs.turnedAway)
                 .put("busy_ms", costs.busyNanos / 1_000_000)
                 .put("up_ms", (long) now);
-        return n.toString();
+        return node.toString();
     }
 
-    private static ObjectNode word(MemberUpdate u, Map<String, MemberAttribute> health) {
+    private static ObjectNode word(MemberUpdate update, Map<String, MemberAttribute> health) {
         ObjectNode o = JSON.createObjectNode();
-        o.put("name", u.card().name())
-                .put("address", u.card().at().toString())
-                .put("zone", u.card().zone());
-        o.put("region", u.card().region())
-                .put("status", u.status().name())
-                .put("start", u.life().start());
-        o.put("incarnation", u.life().incarnation());
-        MemberAttribute f = health.get(u.card().name());
-        int level = f == null ? 0 : f.value()[0];
+        o.put("name", update.card().name())
+                .put("address", update.card().at().toString())
+                .put("zone", update.card().zone());
+        o.put("region", update.card().region())
+                .put("status", update.status().name())
+                .put("start", update.life().start());
+        o.put("incarnation", update.life().incarnation());
+        MemberAttribute attribute = health.get(update.card().name());
+        int level = attribute == null ? 0 : attribute.value()[0];
         // Members say it when it changes: who has never been anything else has said nothing.
         boolean known = level >= 0 && level < LoopHealth.Level.values().length;
         o.put("loop", known ? LoopHealth.Level.values()[level].name() : "unknown");
--- a/src/main/java/rillyard/modelcheck/ModelChecker.java
+++ b/src/main/java/rillyard/modelcheck/ModelChecker.java
@@ -41,15 +41,15 @@
         /** The result in words, a line for each action of the history. */
         @Override
         public String toString() {
-            StringBuilder s = new StringBuilder(states + " states, " + steps + " steps, depth " + depth
+            StringBuilder out = new StringBuilder(states + " states, " + steps + " steps, depth " + depth
                     + (whole ? "" : ", cut short by its limit of states"));
             if (breach != null) {
-                s.append("\nbroken: ").append(breach);
+                out.append("\nbroken: ").append(breach);
                 for (int i = 0; i < history.size(); i++) {
-                    s.append("\n  ").append(i + 1).append(". ").append(history.get(i));
+                    out.append("\n  ").append(i + 1).append(". ").append(history.get(i));
                 }
             }
-            return s.toString();
+            return out.toString();
         }
     }
 
@@ -117,8 +117,8 @@
 
     private static <A> List<A> history(Node<A> to) {
         List<A> all = new ArrayList<>();
-        for (Node<A> n = to; n.before != null; n = n.before) {
-            all.add(n.action);
+        for (Node<A> node = to; node.before != null; node = node.before) {
+            all.add(node.action);
         }
         Collections.reverse(all);
         return all;
--- a/src/main/java/rillyard/outlier/FleetOutlierDetector.java
+++ b/src/main/java/rillyard/outlier/FleetOutlierDetector.java
@@ -48,9 +48,9 @@
     /** An attempt of this proxy's own has told whether a host serves. */
     public void ended(int host, boolean failed, double now) {
         own.ended(host, failed, now);
-        Word w = words.get(host);
-        if (w != null && w.left && failed) {
-            w.again = true;
+        Word word = words.get(host);
+        if (word != null && word.left && failed) {
+            word.again = true;
         }
     }
 
@@ -69,13 +69,13 @@
         Set<Integer> spokenOf = new TreeSet<>(words.keySet());
         spokenOf.addAll(own.failing(settings.window(), now));
         others.forEach(votes -> votes.stream()
-                .filter(v -> v.failed() && v.age() < settings.window())
-                .forEach(v -> spokenOf.add(v.host())));
+                .filter(observation -> observation.failed() && observation.age() < settings.window())
+                .forEach(hostObservation -> spokenOf.add(hostObservation.host())));
         List<HostObservation> mine = own.votes(spokenOf::contains, settings.window(), now);
         Map<Integer, HostObservation> seen = mine.stream().collect(Collectors.toMap(HostObservation::host, v -> v));
         for (int host : spokenOf) {
-            Word w = words.computeIfAbsent(host, h -> new Word());
-            decide(host, w, seen.get(host), others, users, now);
+            Word word = words.computeIfAbsent(host, h -> new Word());
+            decide(host, word, seen.get(host), others, users, now);
         }
         words.entrySet().removeIf(e -> forgotten(e.getKey(), e.getValue(), now));
         return mine;
@@ -85,61 +85,65 @@
      * Whether nobody has told of a failure there for so long. Guards against a proxy that is cut off from the others' news and
      * waits on for its turn among all of them: it tries a host that it has left.
      */
-    private boolean forgotten(int host, Word w, double now) {
-        boolean over = now - w.heardAt > settings.forget();
-        if (over && w.left) {
+    private boolean forgotten(int host, Word word, double now) {
+        boolean over = now - word.heardAt > settings.forget();
+        if (over && word.left) {
             out.comeBack(host, settings.ramp() * random.nextDouble());
         }
         return over;
     }
 
     private void decide(
-            int host, Word w, HostObservation mine, List<List<HostObservation>> others, double users, double now) {
-        ObservationCount tally =
-                mine != null && now - mine.age() > w.since ? ObservationCount.NONE.plus(mine) : ObservationCount.NONE;
+            int host, Word word, HostObservation mine, List<List<HostObservation>> others, double users, double now) {
+        ObservationCount tally = mine != null && now - mine.age() > word.since
+                ? ObservationCount.NONE.plus(mine)
+                : ObservationCount.NONE;
         for (List<HostObservation> votes : others) {
-            for (HostObservation v : votes) {
-                if (v.host() == host && v.age() < settings.window() && now - v.age() > w.since) {
-                    tally = tally.plus(v);
+            for (HostObservation observation : votes) {
+                if (observation.host() == host
+                        && observation.age() < settings.window()
+                        && now - observation.age() > word.since) {
+                    tally = tally.plus(observation);
                     break; // one voice a proxy, whatever it says twice
                 }
             }
         }
-        w.heardAt = tally.failed() > 0 || w.heardAt == 0 ? now : w.heardAt;
-        if (w.left) {
-            away(host, w, tally, users, now);
+        word.heardAt = tally.failed() > 0 || word.heardAt == 0 ? now : word.heardAt;
+        if (word.left) {
+            away(host, word, tally, users, now);
         } else {
-            here(host, w, tally, mine, users, now);
+            here(host, word, tally, mine, users, now);
         }
     }
 
-    private void here(int host, Word w, ObservationCount tally, HostObservation mine, double users, double now) {
+    private void here(int host, Word word, ObservationCount tally, HostObservation mine, double users, double now) {
         boolean byOthers = tally.failed() > (mine != null && mine.failed() ? 1 : 0);
-        w.accusedFrom = !byOthers ? Double.NaN : Double.isNaN(w.accusedFrom) ? now + tally.youngest() : w.accusedFrom;
+        word.accusedFrom =
+                !byOthers ? Double.NaN : Double.isNaN(word.accusedFrom) ? now + tally.youngest() : word.accusedFrom;
         // Guards against late news: who was served there after the last failure that anybody tells of believes its own
         // eyes.
         boolean knowsBetter = mine != null && !mine.failed() && mine.age() < tally.youngest();
-        if (tally.fails(settings) && now - w.accusedFrom >= settings.hold() && !knowsBetter) {
-            turn(w, true, now);
+        if (tally.fails(settings) && now - word.accusedFrom >= settings.hold() && !knowsBetter) {
+            turn(word, true, now);
             out.leave(host, untilTrial(users), tally.failed(), tally.served());
         }
     }
 
-    private void away(int host, Word w, ObservationCount tally, double users, double now) {
+    private void away(int host, Word word, ObservationCount tally, double users, double now) {
         if (tally.serves(settings)) {
-            turn(w, false, now);
+            turn(word, false, now);
             out.comeBack(host, settings.ramp() * random.nextDouble());
-        } else if (w.again) {
+        } else if (word.again) {
             out.leave(host, untilTrial(users), tally.failed(), tally.served());
         }
-        w.again = false;
+        word.again = false;
     }
 
     /** Only what is seen from now on counts for the next turn. */
-    private static void turn(Word w, boolean left, double now) {
-        w.left = left;
-        w.since = now;
-        w.accusedFrom = Double.NaN;
+    private static void turn(Word word, boolean left, double now) {
+        word.left = left;
+        word.since = now;
+        word.accusedFrom = Double.NaN;
     }
 
     /**
--- a/src/main/java/rillyard/outlier/LocalObservations.java
+++ b/src/main/java/rillyard/outlier/LocalObservations.java
@@ -19,7 +19,7 @@
 
     /** How many hosts it used within so many ms. */
     int used(double habit, double now) {
-        last.values().removeIf(s -> now - s.at >= habit);
+        last.values().removeIf(seen -> now - seen.at >= habit);
         return last.size();
     }
 
@@ -37,9 +37,9 @@
      */
     List<HostObservation> votes(IntPredicate accused, double window, double now) {
         List<HostObservation> votes = new ArrayList<>();
-        last.forEach((host, s) -> {
-            if (now - s.at < window && (s.failed || accused.test(host))) {
-                votes.add(new HostObservation(host, s.failed, Math.max(0, now - s.at)));
+        last.forEach((host, seen) -> {
+            if (now - seen.at < window && (seen.failed || accused.test(host))) {
+                votes.add(new HostObservation(host, seen.failed, Math.max(0, now - seen.at)));
             }
         });
         votes.sort(Comparator.comparing(HostObservation::failed)
--- a/src/main/java/rillyard/outlier/ObservationCodec.java
+++ b/src/main/java/rillyard/outlier/ObservationCodec.java
@@ -24,11 +24,12 @@
         List<byte[]> values = new ArrayList<>();
         for (int i = 0; i < votes.size() && values.size() < most; i += IN_A_FACT) {
             List<HostObservation> some = votes.subList(i, Math.min(votes.size(), i + IN_A_FACT));
-            ByteBuffer b = ByteBuffer.allocate(some.size() * VOTE);
-            for (HostObservation v : some) {
-                b.putInt(v.host()).put((byte) ((v.failed() ? FAILED : 0) | (int) (v.age() / AGE_STEP)));
+            ByteBuffer buffer = ByteBuffer.allocate(some.size() * VOTE);
+            for (HostObservation observation : some) {
+                buffer.putInt(observation.host())
+                        .put((byte) ((observation.failed() ? FAILED : 0) | (int) (observation.age() / AGE_STEP)));
             }
-            values.add(b.array());
+            values.add(buffer.array());
         }
         return values;
     }
@@ -45,9 +46,9 @@
                     "no votes: " + value.length + " bytes said " + since + " ms ago, expected 5 to 30 in steps of 5");
         }
         List<HostObservation> votes = new ArrayList<>();
-        for (ByteBuffer b = ByteBuffer.wrap(value); b.hasRemaining(); ) {
-            int host = b.getInt();
-            int rest = b.get();
+        for (ByteBuffer buffer = ByteBuffer.wrap(value); buffer.hasRemaining(); ) {
+            int host = buffer.getInt();
+            int rest = buffer.get();
             double age = (rest & ~FAILED & 0xFF) * AGE_STEP + since;
             if (age <= HostObservation.MAX_AGE) {
                 votes.add(new HostObservation(host, (rest & FAILED) != 0, age));
--- a/src/main/java/rillyard/outlier/ObservationCount.java
+++ b/src/main/java/rillyard/outlier/ObservationCount.java
@@ -10,9 +10,9 @@
 record ObservationCount(int failed, int served, double youngest) {
     static final ObservationCount NONE = new ObservationCount(0, 0, Double.POSITIVE_INFINITY);
 
-    ObservationCount plus(HostObservation v) {
-        return v.failed()
-                ? new ObservationCount(failed + 1, served, Math.min(youngest, v.age()))
+    ObservationCount plus(HostObservation observation) {
+        return observation.failed()
+                ? new ObservationCount(failed + 1, served, Math.min(youngest, observation.age()))
                 : new ObservationCount(failed, served + 1, youngest);
     }
 
@@ -21,12 +21,12 @@
     }
 
     /** Whether so many say that it fails, and they are more than that share of all; one who was served counts from the start. */
-    boolean fails(FleetOutlierSettings s) {
-        return failed >= s.quorum() && failed >= s.share() * (voices() + 1);
+    boolean fails(FleetOutlierSettings settings) {
+        return failed >= settings.quorum() && failed >= settings.share() * (voices() + 1);
     }
 
     /** Whether so many were served that it is well again, and at least twice those who were not. */
-    boolean serves(FleetOutlierSettings s) {
-        return served >= s.back() && served >= 2 * failed;
+    boolean serves(FleetOutlierSettings settings) {
+        return served >= settings.back() && served >= 2 * failed;
     }
 }
--- a/src/main/java/rillyard/outlier/net/ObservationGossip.java
+++ b/src/main/java/rillyard/outlier/net/ObservationGossip.java
@@ -101,10 +101,10 @@
                     return;
                 }
                 try {
-                    for (HostObservation v : ObservationCodec.decode(fact.value(), known.age(fact))) {
-                        if (names.containsKey(v.host())) {
+                    for (HostObservation observation : ObservationCodec.decode(fact.value(), known.age(fact))) {
+                        if (names.containsKey(observation.host())) {
                             byOwner.computeIfAbsent(owner, o -> new ArrayList<>())
-                                    .add(v);
+                                    .add(observation);
                         }
                     }
                 } catch (IllegalArgumentException e) {
@@ -118,10 +118,11 @@
     private void tell(List<HostObservation> mine, double now) {
         // What is said of which host, whenever it was seen.
         Set<HostObservation> said = mine.stream()
-                .map(v -> new HostObservation(v.host(), v.failed(), 0))
+                .map(observation -> new HostObservation(observation.host(), observation.failed(), 0))
                 .collect(Collectors.toSet());
-        boolean renewed =
-                !mine.isEmpty() && now - toldAt >= RENEW && mine.stream().anyMatch(v -> v.age() < now - toldAt);
+        boolean renewed = !mine.isEmpty()
+                && now - toldAt >= RENEW
+                && mine.stream().anyMatch(hostObservation -> hostObservation.age() < now - toldAt);
         if (said.equals(told) && !renewed) {
             return;
         }
@@ -143,10 +144,15 @@
                 strange(owner, e);
             }
         });
-        SubsetPosition p = known.present().isEmpty() ? null : pools.lay(known.self(), known.present(), rates);
-        if (p != null) {
-            heed.place(p);
-            heed.log(String.format(Locale.ROOT, "fleet: pool %d of %d, weight %.2f", p.position(), p.of(), p.weight()));
+        SubsetPosition position = known.present().isEmpty() ? null : pools.lay(known.self(), known.present(), rates);
+        if (position != null) {
+            heed.place(position);
+            heed.log(String.format(
+                    Locale.ROOT,
+                    "fleet: pool %d of %d, weight %.2f",
+                    position.position(),
+                    position.of(),
+                    position.weight()));
         }
     }
 
--- a/src/main/java/rillyard/proxy/ClientProxy.java
+++ b/src/main/java/rillyard/proxy/ClientProxy.java
@@ -145,42 +145,42 @@
         ProxyConfig config = ProxyConfig.load(env);
         StartupTimeline.at("settings");
         ProxyTrace trace = Boolean.getBoolean(ProxyTrace.PROPERTY) ? new ProxyTrace(System.err) : null;
-        ClientProxy p = new ClientProxy(
+        ClientProxy proxy = new ClientProxy(
                 config, new ProxyLog(System.err, trace), EndpointListOptions.guard(System.getProperties()), neighbours);
         // Before anything is taken: guards against a signal that finds it listening and without a drain.
         // An exit by SIGTERM is status 143 to the JVM, and a drain that is done is a success.
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
-                            p.drain();
-                            p.awaitEnd();
+                            proxy.drain();
+                            proxy.awaitEnd();
                             Runtime.getRuntime().halt(0);
                         },
                         "drain"));
         StartupTimeline.at("loop");
-        p.front.warming(true);
-        p.operate(env);
-        p.watch();
+        proxy.front.warming(true);
+        proxy.operate(env);
+        proxy.watch();
         // Guards against requests that meet cold code while a process that is warm takes them all. One
         // that has nobody before it listens at once: a slow answer is better than none.
-        boolean follows = p.hasPredecessor();
+        boolean follows = proxy.hasPredecessor();
         if (!follows) {
-            p.listen();
+            proxy.listen();
         }
         StartupTimeline.at("listening");
-        ConfigReload.onHangUp(env, p, p.log);
+        ConfigReload.onHangUp(env, proxy, proxy.log);
         StartupTimeline.at("warm-up");
         try {
             new Warmup(config).run(warmUp);
         } catch (Exception e) {
-            p.log.failure("the warm-up failed", e); // a cold proxy serves too
+            proxy.log.failure("the warm-up failed", e); // a cold proxy serves too
         }
         if (follows) {
-            p.listen();
+            proxy.listen();
         }
-        p.ready();
+        proxy.ready();
         StartupTimeline.at("ready");
-        return p;
+        return proxy;
     }
 
     /** Listens and starts the watch. */
@@ -217,9 +217,9 @@
             return;
         }
         try {
-            ProxyAdmin o = new ProxyAdmin(ProxyAdmin.folder(env, config), loop, front, dispatcher, log);
-            operatorAddress = o.start(config.operator());
-            operator = o;
+            ProxyAdmin admin = new ProxyAdmin(ProxyAdmin.folder(env, config), loop, front, dispatcher, log);
+            operatorAddress = admin.start(config.operator());
+            operator = admin;
         } catch (Exception e) {
             throw new ConfigException("can't listen for operators on " + config.operator() + ": " + e);
         }
@@ -294,8 +294,8 @@
     void drain() {
         loop.execute(() -> {
             double longest = 0;
-            for (var c : config.settings().classes()) {
-                longest = Math.max(longest, c.deadline());
+            for (var requestClass : config.settings().classes()) {
+                longest = Math.max(longest, requestClass.deadline());
             }
             long now = System.nanoTime();
             boolean succeeded = operator != null && operator.hasSuccessor();
--- a/src/main/java/rillyard/proxy/config/ProxyConfig.java
+++ b/src/main/java/rillyard/proxy/config/ProxyConfig.java
@@ -63,9 +63,10 @@
         }
         JsonNode limits = root.path("limits");
         for (String key : new String[] {"memory_mb", "sockets"}) {
-            JsonNode n = limits.path(key);
-            if (!n.isMissingNode() && !n.isNull() && !(n.canConvertToInt() && n.asInt() > 0)) {
-                throw new ConfigException(file + ": limits." + key + ": expected a whole number above 0, found " + n);
+            JsonNode node = limits.path(key);
+            if (!node.isMissingNode() && !node.isNull() && !(node.canConvertToInt() && node.asInt() > 0)) {
+                throw new ConfigException(
+                        file + ": limits." + key + ": expected a whole number above 0, found " + node);
             }
         }
         JsonNode allowed = root.path("settings").path("limits");
--- a/src/main/java/rillyard/proxy/discovery/EndpointRegistry.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointRegistry.java
@@ -43,9 +43,9 @@
 
     /** A line of the module's with the host's name: the people on call know hosts by names, the module by numbers. */
     public String named(String line) {
-        Matcher m = HOST.matcher(line);
-        UpstreamHost h = m.find() ? byId.get(Long.parseLong(m.group(1))) : null;
-        return h == null ? line : m.replaceFirst("host " + Matcher.quoteReplacement(h.name));
+        Matcher matcher = HOST.matcher(line);
+        UpstreamHost host = matcher.find() ? byId.get(Long.parseLong(matcher.group(1))) : null;
+        return host == null ? line : matcher.replaceFirst("host " + Matcher.quoteReplacement(host.name));
     }
 
     public Collection<UpstreamHost> all() {
@@ -53,8 +53,8 @@
     }
 
     public boolean anySendable() {
-        for (UpstreamHost h : byId.values()) {
-            if (h.sendable) {
+        for (UpstreamHost host : byId.values()) {
+            if (host.sendable) {
                 return true;
             }
         }
@@ -72,11 +72,11 @@
             throw new IllegalArgumentException("not a list with version and servers");
         }
         List<ListedEndpoint> listed = new ArrayList<>(servers.size());
-        for (JsonNode s : servers) {
-            String name = s.path("id").asText("");
-            InetSocketAddress address = ProxyConfig.address(s.path("addr").asText(""));
+        for (JsonNode node : servers) {
+            String name = node.path("id").asText("");
+            InetSocketAddress address = ProxyConfig.address(node.path("addr").asText(""));
             EndpointEntry.Condition condition =
-                    switch (s.path("state").asText("")) {
+                    switch (node.path("state").asText("")) {
                         case "up" -> EndpointEntry.Condition.READY;
                         case "removed" -> EndpointEntry.Condition.GONE;
                         default -> EndpointEntry.Condition.TERMINATING; // nothing new goes to a state not known
@@ -84,14 +84,14 @@
             if (name.isEmpty() || (address == null && condition == EndpointEntry.Condition.READY)) {
                 throw new IllegalArgumentException("an entry without id or address");
             }
-            double started = s.path("started_ms").asDouble(0);
+            double started = node.path("started_ms").asDouble(0);
             EndpointEntry entry = new EndpointEntry(
                     number(name),
-                    s.path("zone").asText(""),
-                    s.path("kind").asText(""),
-                    s.path("cell").asLong(0),
+                    node.path("zone").asText(""),
+                    node.path("kind").asText(""),
+                    node.path("cell").asLong(0),
                     condition,
-                    s.path("weight").asDouble(1),
+                    node.path("weight").asDouble(1),
                     started <= 0 ? 0 : Math.max(0, started - unixOffset));
             listed.add(new ListedEndpoint(name, address, entry));
         }
@@ -102,31 +102,31 @@
     public Set<UpstreamHost> apply(EndpointList news) {
         Set<UpstreamHost> cut = new HashSet<>();
         Set<UpstreamHost> named = new HashSet<>();
-        for (ListedEndpoint p : news.hosts()) {
-            EndpointEntry e = p.entry();
-            UpstreamHost h = byName.get(p.name());
-            if (h == null) {
-                h = new UpstreamHost(p.name(), e.id());
-                byName.put(h.name, h);
-                byId.put(h.id, h);
+        for (ListedEndpoint listed : news.hosts()) {
+            EndpointEntry entry = listed.entry();
+            UpstreamHost host = byName.get(listed.name());
+            if (host == null) {
+                host = new UpstreamHost(listed.name(), entry.id());
+                byName.put(host.name, host);
+                byId.put(host.id, host);
             }
-            named.add(h);
-            h.listed = e.condition() != EndpointEntry.Condition.GONE;
-            h.told = e;
-            h.sendable = effective(h).condition() == EndpointEntry.Condition.READY;
-            if (!h.sendable || !p.address().equals(h.address)) {
-                cut.add(h);
+            named.add(host);
+            host.listed = entry.condition() != EndpointEntry.Condition.GONE;
+            host.told = entry;
+            host.sendable = effective(host).condition() == EndpointEntry.Condition.READY;
+            if (!host.sendable || !listed.address().equals(host.address)) {
+                cut.add(host);
             }
-            if (p.address() != null) {
-                h.address = p.address();
+            if (listed.address() != null) {
+                host.address = listed.address();
             }
         }
         if (news.full()) {
-            for (UpstreamHost h : byId.values()) {
-                if (!named.contains(h)) {
-                    h.listed = false;
-                    h.sendable = false;
-                    cut.add(h);
+            for (UpstreamHost upstreamHost : byId.values()) {
+                if (!named.contains(upstreamHost)) {
+                    upstreamHost.listed = false;
+                    upstreamHost.sendable = false;
+                    cut.add(upstreamHost);
                 }
             }
         }
@@ -136,9 +136,9 @@
     /** The names of listed hosts that discovery called ready, whatever operators did to them. */
     public Set<String> inUse() {
         Set<String> names = new HashSet<>();
-        for (UpstreamHost h : byId.values()) {
-            if (h.listed && h.told.condition() == EndpointEntry.Condition.READY) {
-                names.add(h.name);
+        for (UpstreamHost host : byId.values()) {
+            if (host.listed && host.told.condition() == EndpointEntry.Condition.READY) {
+                names.add(host.name);
             }
         }
         return names;
@@ -146,67 +146,67 @@
 
     /** What was last told of a listed host, as if a list told it again. */
     public ListedEndpoint asTold(String name) {
-        UpstreamHost h = byName.get(name);
-        return new ListedEndpoint(name, h.address, h.told);
+        UpstreamHost host = byName.get(name);
+        return new ListedEndpoint(name, host.address, host.told);
     }
 
     /** A listed host as a list would tell that it is gone. */
     public ListedEndpoint asGone(String name) {
-        UpstreamHost h = byName.get(name);
-        EndpointEntry t = h.told;
+        UpstreamHost host = byName.get(name);
+        EndpointEntry entry = host.told;
         return new ListedEndpoint(
                 name,
-                h.address,
+                host.address,
                 new EndpointEntry(
-                        t.id(),
-                        t.zone(),
-                        t.kind(),
-                        t.cell(),
+                        entry.id(),
+                        entry.zone(),
+                        entry.kind(),
+                        entry.cell(),
                         EndpointEntry.Condition.GONE,
-                        t.capacityHint(),
-                        t.onlineSince()));
+                        entry.capacityHint(),
+                        entry.onlineSince()));
     }
 
     /** The entries of a list as the module is to have them. */
     public List<EndpointEntry> effective(EndpointList news) {
         return news.hosts().stream()
-                .map(l -> out.effective(l.name(), l.entry()))
+                .map(listed -> out.effective(listed.name(), listed.entry()))
                 .toList();
     }
 
-    private EndpointEntry effective(UpstreamHost h) {
-        return out.effective(h.name, h.told);
+    private EndpointEntry effective(UpstreamHost host) {
+        return out.effective(host.name, host.told);
     }
 
     /** A listed host of this name, or null. */
     public UpstreamHost listed(String name) {
-        UpstreamHost h = byName.get(name);
-        return h != null && h.listed ? h : null;
+        UpstreamHost host = byName.get(name);
+        return host != null && host.listed ? host : null;
     }
 
     /** What operators did to a listed host has changed; returns what the module is to be told. */
-    public EndpointEntry changedByHand(UpstreamHost h) {
-        EndpointEntry e = effective(h);
-        h.sendable = e.condition() == EndpointEntry.Condition.READY;
-        return e;
+    public EndpointEntry changedByHand(UpstreamHost host) {
+        EndpointEntry entry = effective(host);
+        host.sendable = entry.condition() == EndpointEntry.Condition.READY;
+        return entry;
     }
 
     /** How many hosts are listed. */
     public int listedCount() {
         int n = 0;
-        for (UpstreamHost h : byId.values()) {
-            n += h.listed ? 1 : 0;
+        for (UpstreamHost host : byId.values()) {
+            n += host.listed ? 1 : 0;
         }
         return n;
     }
 
     /** Guards against a fleet that churns for ever: a host that is gone and carries nothing is freed. */
     public void forgetGone() {
-        byId.values().removeIf(h -> {
-            boolean gone = !h.listed && h.calls == 0;
+        byId.values().removeIf(host -> {
+            boolean gone = !host.listed && host.calls == 0;
             if (gone) {
-                byName.remove(h.name);
-                out.forget(h.name);
+                byName.remove(host.name);
+                out.forget(host.name);
             }
             return gone;
         });
--- a/src/main/java/rillyard/proxy/discovery/EndpointWatch.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointWatch.java
@@ -85,7 +85,7 @@
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel ch) {}
+                    protected void initChannel(SocketChannel channel) {}
                 });
     }
 
@@ -132,11 +132,11 @@
         if (log.trace() != null) {
             log.trace().did(TraceEvent.Kind.LIST, TraceEvent.NONE);
         }
-        ChannelFuture f = bootstrap.connect(address);
-        Watch w = new Watch(f.channel());
+        ChannelFuture future = bootstrap.connect(address);
+        Watch w = new Watch(future.channel());
         watch = w;
-        f.addListener(x -> {
-            if (f.isSuccess()) {
+        future.addListener(x -> {
+            if (future.isSuccess()) {
                 w.begin();
             } else {
                 w.broken("can't be reached");
--- a/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
+++ b/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
@@ -107,8 +107,8 @@
     public void endOverdue(long gap) {
         double now = now();
         int ended = 0;
-        for (RequestExchange e : new ArrayList<>(exchanges.values())) {
-            ended += e.endIfOverdue(now, gap / 1e6) ? 1 : 0;
+        for (RequestExchange exchange : new ArrayList<>(exchanges.values())) {
+            ended += exchange.endIfOverdue(now, gap / 1e6) ? 1 : 0;
         }
         if (ended > 0) {
             int n = ended;
@@ -178,7 +178,7 @@
     /** The list, and with it what the guard has used on although the list lacks it. */
     private EndpointRegistry.EndpointList doubted(EndpointRegistry.EndpointList news) {
         if (!news.full()) {
-            news.hosts().forEach(l -> guard.named(l.name()));
+            news.hosts().forEach(listed -> guard.named(listed.name()));
             return news;
         }
         Set<String> named =
@@ -209,9 +209,9 @@
 
     private void tell(rillyard.balancer.WatchEvent kind, List<EndpointEntry> entries, Iterable<UpstreamHost> cut) {
         deliver(null, () -> balancer.onMembership(now(), kind, entries));
-        for (UpstreamHost h : cut) {
+        for (UpstreamHost host : cut) {
             // Guards against a send to a host that drains or has moved while its connection comes up.
-            for (UpstreamCall call : upstreams.cut(h)) {
+            for (UpstreamCall call : upstreams.cut(host)) {
                 call.moot();
             }
         }
@@ -245,10 +245,10 @@
         List<UpstreamHost> cut = new ArrayList<>();
         for (String name : names) {
             log.line(() -> name + (takenOut.contains(name) ? " is out by hand" : " is back by hand"));
-            UpstreamHost h = hosts.listed(name);
-            if (h != null) {
-                entries.add(hosts.changedByHand(h));
-                cut.add(h);
+            UpstreamHost host = hosts.listed(name);
+            if (host != null) {
+                entries.add(hosts.changedByHand(host));
+                cut.add(host);
             }
         }
         if (!entries.isEmpty()) {
@@ -264,22 +264,22 @@
         deliver(null, () -> balancer.onMembership(now(), rillyard.balancer.WatchEvent.FAILED, null));
     }
 
-    public void arrived(RequestExchange e, IncomingRequest arrival) {
-        exchanges.put(e.id, e);
-        ids.opened(e.name);
-        deliver(e, () -> balancer.onRequest(now(), arrival));
+    public void arrived(RequestExchange exchange, IncomingRequest arrival) {
+        exchanges.put(exchange.id, exchange);
+        ids.opened(exchange.name);
+        deliver(exchange, () -> balancer.onRequest(now(), arrival));
     }
 
     /** Writes an attempt down and tells neighbours, if that was asked for. */
-    void attemptEnded(UpstreamHost h, AttemptOutcome result, double spent) {
+    void attemptEnded(UpstreamHost host, AttemptOutcome result, double spent) {
         if (neighbours != null) {
-            neighbours.ended(h.name, result, now());
+            neighbours.ended(host.name, result, now());
         }
         if (log.trace() != null) {
-            double age = now() - spent - h.told.onlineSince();
+            double age = now() - spent - host.told.onlineSince();
             log.trace()
                     .attempt(
-                            h.name,
+                            host.name,
                             result,
                             spent,
                             age >= 0 && age < settings.rules().cold());
@@ -293,17 +293,23 @@
         }
     }
 
-    void outcome(RequestExchange e, int number, AttemptOutcome result, double spent, boolean over, LoadReport report) {
-        deliver(e, () -> balancer.onOutcome(now(), e.id, number, result, spent, over, report));
+    void outcome(
+            RequestExchange exchange,
+            int number,
+            AttemptOutcome result,
+            double spent,
+            boolean over,
+            LoadReport report) {
+        deliver(exchange, () -> balancer.onOutcome(now(), exchange.id, number, result, spent, over, report));
     }
 
     /** A request that was handed over while it came is whole; {@code budget} ms are left for it. */
-    void whole(RequestExchange e, double budget) {
-        deliver(e, () -> balancer.onWhole(now(), e.id, budget));
+    void whole(RequestExchange exchange, double budget) {
+        deliver(exchange, () -> balancer.onWhole(now(), exchange.id, budget));
     }
 
-    void clientGone(RequestExchange e) {
-        deliver(e, () -> balancer.onClientGone(now(), e.id));
+    void clientGone(RequestExchange exchange) {
+        deliver(exchange, () -> balancer.onClientGone(now(), exchange.id));
     }
 
     private void deliver(RequestExchange about, Runnable what) {
@@ -313,30 +319,30 @@
         }
         running = true;
         try {
-            Event e;
-            while ((e = events.poll()) != null) {
-                handle(e);
+            Event event;
+            while ((event = events.poll()) != null) {
+                handle(event);
             }
         } finally {
             running = false;
         }
     }
 
-    private void handle(Event e) {
+    private void handle(Event event) {
         try {
-            e.what().run();
+            event.what().run();
         } catch (RuntimeException x) {
             // Guards against one event that ends the process: it costs its own request only.
             log.failure("the module failed on an event", x);
-            if (e.about() != null) {
-                e.about().failUnasked();
+            if (event.about() != null) {
+                event.about().failUnasked();
             }
         }
     }
 
-    void forget(RequestExchange e) {
-        if (exchanges.remove(e.id) != null) {
-            ids.closed(e.name, System.nanoTime());
+    void forget(RequestExchange exchange) {
+        if (exchanges.remove(exchange.id) != null) {
+            ids.closed(exchange.name, System.nanoTime());
         }
     }
 
@@ -366,10 +372,10 @@
 
     @Override
     public void send(long request, long host, double giveUpAfter, double notAfter) {
-        RequestExchange e = exchanges.get(request);
-        UpstreamHost h = hosts.get(host);
-        if (e != null && h != null) {
-            e.send(h, giveUpAfter, notAfter);
+        RequestExchange exchange = exchanges.get(request);
+        UpstreamHost upstreamHost = hosts.get(host);
+        if (exchange != null && upstreamHost != null) {
+            exchange.send(upstreamHost, giveUpAfter, notAfter);
         } else {
             throw new IllegalStateException("send of " + request + " to " + host + ": not known");
         }
@@ -377,34 +383,34 @@
 
     @Override
     public void refuse(long request, double coolDown) {
-        RequestExchange e = exchanges.get(request);
-        if (e != null) {
-            e.refuse(coolDown);
+        RequestExchange exchange = exchanges.get(request);
+        if (exchange != null) {
+            exchange.refuse(coolDown);
         }
     }
 
     @Override
     public void fail(long request) {
-        RequestExchange e = exchanges.get(request);
-        if (e != null) {
-            e.fail();
+        RequestExchange exchange = exchanges.get(request);
+        if (exchange != null) {
+            exchange.fail();
         }
     }
 
     @Override
     public void cancel(long request, int attempt) {
-        RequestExchange e = exchanges.get(request);
-        if (e != null) {
-            e.cancel(attempt);
+        RequestExchange exchange = exchanges.get(request);
+        if (exchange != null) {
+            exchange.cancel(attempt);
         }
     }
 
     @Override
     public void schedule(double delay, long token) {
         Runnable event = () -> deliver(exchanges.get(token), () -> balancer.onTimer(now(), token));
-        RequestExchange e = exchanges.get(token);
-        if (e != null) {
-            e.later(delay, event);
+        RequestExchange exchange = exchanges.get(token);
+        if (exchange != null) {
+            exchange.later(delay, event);
         } else if (token < 0) {
             later(delay, event);
         }
--- a/src/main/java/rillyard/proxy/dispatch/PeerGossip.java
+++ b/src/main/java/rillyard/proxy/dispatch/PeerGossip.java
@@ -15,7 +15,7 @@
         void comeBack(String host, double wait);
 
         /** Where this proxy's pool lies from now on. */
-        void place(SubsetPosition p);
+        void place(SubsetPosition position);
 
         /** Tells the people on call. */
         void log(String line);
--- a/src/main/java/rillyard/proxy/dispatch/PeerGossipListener.java
+++ b/src/main/java/rillyard/proxy/dispatch/PeerGossipListener.java
@@ -17,15 +17,15 @@
     }
 
     private void word(String host, boolean left, double wait) {
-        UpstreamHost h = dispatcher.hosts().listed(host);
-        if (h != null) {
-            dispatcher.tell((Balancer b) -> b.onFleetWord(dispatcher.now(), h.id, left, wait));
+        UpstreamHost upstreamHost = dispatcher.hosts().listed(host);
+        if (upstreamHost != null) {
+            dispatcher.tell((Balancer balancer) -> balancer.onFleetWord(dispatcher.now(), upstreamHost.id, left, wait));
         }
     }
 
     @Override
-    public void place(SubsetPosition p) {
-        dispatcher.tell(b -> b.onPlace(p));
+    public void place(SubsetPosition position) {
+        dispatcher.tell(balancer -> balancer.onPlace(position));
     }
 
     @Override
--- a/src/main/java/rillyard/proxy/dispatch/RequestExchange.java
+++ b/src/main/java/rillyard/proxy/dispatch/RequestExchange.java
@@ -148,8 +148,8 @@
     }
 
     void send(UpstreamHost host, double giveUpAfter, double notAfter) {
-        UpstreamAttempt a = new UpstreamAttempt(this, dispatcher, host, attempts.size(), dispatcher.now());
-        attempts.add(a);
+        UpstreamAttempt attempt = new UpstreamAttempt(this, dispatcher, host, attempts.size(), dispatcher.now());
+        attempts.add(attempt);
         open++;
         if (answered
                 || !host.sendable
@@ -157,9 +157,9 @@
                 || attempts.size() > dispatcher.maxAttempts()
                 || giveUpAfter < 0
                 || dispatcher.now() >= deadlineAt) {
-            a.moot();
+            attempt.moot();
         } else {
-            a.start(giveUpAfter, notAfter);
+            attempt.start(giveUpAfter, notAfter);
         }
     }
 
@@ -168,11 +168,11 @@
     }
 
     ChannelFuture writeTo(Channel channel) {
-        HttpHeaders h = head.headers();
+        HttpHeaders headers = head.headers();
         double left = upload == null || upload.whole() ? deadlineAt - dispatcher.now() : timeout;
-        h.set(ProtocolHeaders.TIMEOUT_MS, Math.max(1, (long) left));
+        headers.set(ProtocolHeaders.TIMEOUT_MS, Math.max(1, (long) left));
         if (upload != null) {
-            ChannelFuture last = upload.begin(channel, head, h);
+            ChannelFuture last = upload.begin(channel, head, headers);
             hostTakesMore();
             return last;
         }
@@ -180,21 +180,21 @@
         if (blocks.size() <= 1) {
             ByteBuf bytes = blocks.isEmpty() ? Unpooled.EMPTY_BUFFER : blocks.get(0);
             return channel.writeAndFlush(new DefaultFullHttpRequest(
-                    HttpVersion.HTTP_1_1, head.method(), head.uri(), bytes, h, ProtocolHeaders.NONE));
+                    HttpVersion.HTTP_1_1, head.method(), head.uri(), bytes, headers, ProtocolHeaders.NONE));
         }
-        channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), h));
-        for (ByteBuf b : blocks) {
-            channel.write(new DefaultHttpContent(b));
+        channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), headers));
+        for (ByteBuf buffer : blocks) {
+            channel.write(new DefaultHttpContent(buffer));
         }
         return channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
     }
 
-    void attemptEnded(UpstreamAttempt a, AttemptOutcome result, double spent, LoadReport report) {
+    void attemptEnded(UpstreamAttempt attempt, AttemptOutcome result, double spent, LoadReport report) {
         open--;
         last = result;
-        dispatcher.attemptEnded(a.host, result, spent);
-        if (upload != null && stream != a) {
-            upload.detached(a.connection());
+        dispatcher.attemptEnded(attempt.host, result, spent);
+        if (upload != null && stream != attempt) {
+            upload.detached(attempt.connection());
             mayHaveRun |= !result.neverRan();
             if (upload.spent() && open == 0 && !answered) {
                 // Nothing is left to send: what never ran is refused, what may have run has failed.
@@ -205,7 +205,7 @@
                 }
             }
         }
-        dispatcher.outcome(this, a.number(), result, spent, answered, report);
+        dispatcher.outcome(this, attempt.number(), result, spent, answered, report);
         forgetIfDone();
     }
 
@@ -242,12 +242,12 @@
     }
 
     /** An answer begins that is passed on as it comes; false if there is another one. */
-    boolean beginStream(UpstreamAttempt a, HttpResponse reply, long length) {
+    boolean beginStream(UpstreamAttempt attempt, HttpResponse reply, long length) {
         if (answered) {
             return false;
         }
         answered = true;
-        stream = a;
+        stream = attempt;
         client.beginAnswer(reply, length);
         return true;
     }
@@ -298,10 +298,10 @@
     /** The client has gone before its answer. */
     public void clientGone() {
         if (stream != null) {
-            UpstreamAttempt a = stream;
+            UpstreamAttempt attempt = stream;
             stream = null;
             dispatcher.figures().pending(-1);
-            a.abandonStream();
+            attempt.abandonStream();
             forgetIfDone();
             return;
         }
@@ -313,9 +313,9 @@
         // Whether or not attempts may be called off, none begins for a client that has gone: its connection may
         // come up later. And what was to follow of an upload never comes: no host waits for it.
         for (int i = 0; i < attempts.size(); i++) {
-            UpstreamAttempt a = attempts.get(i);
-            if (uploads() || !a.mayHaveRun()) {
-                a.cancel();
+            UpstreamAttempt upstreamAttempt = attempts.get(i);
+            if (uploads() || !upstreamAttempt.mayHaveRun()) {
+                upstreamAttempt.cancel();
             }
         }
         forgetIfDone();
--- a/src/main/java/rillyard/proxy/dispatch/StreamingUpload.java
+++ b/src/main/java/rillyard/proxy/dispatch/StreamingUpload.java
@@ -63,8 +63,8 @@
             headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
         channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), headers));
-        for (ByteBuf b : start.retained()) {
-            channel.write(new DefaultHttpContent(b));
+        for (ByteBuf buffer : start.retained()) {
+            channel.write(new DefaultHttpContent(buffer));
         }
         to = channel;
         written = channel.newPromise();
--- a/src/main/java/rillyard/proxy/downstream/ClientConnection.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientConnection.java
@@ -117,15 +117,15 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        RequestExchange e = exchange;
+        RequestExchange requestExchange = exchange;
         exchange = null;
         endPause();
         dropRequest();
         while (!ahead.isEmpty()) {
             ReferenceCountUtil.release(ahead.poll());
         }
-        if (e != null) {
-            e.clientGone();
+        if (requestExchange != null) {
+            requestExchange.clientGone();
         }
     }
 
@@ -240,23 +240,23 @@
      * ids of any length that we would keep. It does harm if the protocol gains a form not known here.
      */
     private void check(HttpRequest request) {
-        HttpHeaders h = request.headers();
-        String id = RequestValidator.single(h, ProtocolHeaders.REQUEST_ID);
-        String named = RequestValidator.single(h, ProtocolHeaders.CLASS);
+        HttpHeaders headers = request.headers();
+        String id = RequestValidator.single(headers, ProtocolHeaders.REQUEST_ID);
+        String named = RequestValidator.single(headers, ProtocolHeaders.CLASS);
         type = named == null ? RequestValidator.pathClass(request.uri()) : named;
-        Settings.RequestClass c = front.type(type);
+        Settings.RequestClass requestClass = front.type(type);
         if (id == null
                 || id.isBlank()
-                || RequestValidator.single(h, HttpHeaderNames.HOST) == null
+                || RequestValidator.single(headers, HttpHeaderNames.HOST) == null
                 || !RequestValidator.onceAtMost(
-                        h, ProtocolHeaders.CLASS, ProtocolHeaders.TIMEOUT_MS, ProtocolHeaders.IDEMPOTENCY_KEY)) {
+                        headers, ProtocolHeaders.CLASS, ProtocolHeaders.TIMEOUT_MS, ProtocolHeaders.IDEMPOTENCY_KEY)) {
             reject(400);
-        } else if (c == null || !type.equals(RequestValidator.pathClass(request.uri()))) {
+        } else if (requestClass == null || !type.equals(RequestValidator.pathClass(request.uri()))) {
             reject(404);
-        } else if (!RequestValidator.fits(c, request)) {
+        } else if (!RequestValidator.fits(requestClass, request)) {
             reject(400);
         } else {
-            timeout = RequestValidator.timeout(h.get(ProtocolHeaders.TIMEOUT_MS), c);
+            timeout = RequestValidator.timeout(headers.get(ProtocolHeaders.TIMEOUT_MS), requestClass);
             if (Double.isNaN(timeout)) {
                 reject(400);
             } else if (front.dispatcher().known(id)) {
@@ -331,24 +331,24 @@
         if (paused) {
             endPause();
         }
-        BalancerDriver d = front.dispatcher();
+        BalancerDriver driver = front.dispatcher();
         HttpRequest request = head;
         BufferedBody start = body;
         head = null;
         body = null;
         String id = request.headers().get(ProtocolHeaders.REQUEST_ID);
-        if (d.known(id)) {
+        if (driver.known(id)) {
             start.free();
             reject(409);
             return;
         }
         channel.config().setAutoRead(false);
         upload = new StreamingUpload(start, HttpUtil.getContentLength(request, -1L));
-        boolean room = !overflow && d.open() < front.maxOpen();
+        boolean room = !overflow && driver.open() < front.maxOpen();
         exchange = new RequestExchange(
-                d.newId(), id, type, d, this, request, null, Double.POSITIVE_INFINITY, timeout, upload);
+                driver.newId(), id, type, driver, this, request, null, Double.POSITIVE_INFINITY, timeout, upload);
         if (room) {
-            d.arrived(exchange, arrival(request.headers(), exchange.id, Double.POSITIVE_INFINITY));
+            driver.arrived(exchange, arrival(request.headers(), exchange.id, Double.POSITIVE_INFINITY));
         } else {
             front.refusedForSockets();
             closing |= overflow;
@@ -362,14 +362,14 @@
         channel.config().setAutoRead(true);
     }
 
-    private IncomingRequest arrival(HttpHeaders h, long id, double budget) {
+    private IncomingRequest arrival(HttpHeaders headers, long id, double budget) {
         return new IncomingRequest(
                 id,
                 type,
-                h.get(ProtocolHeaders.TENANT),
+                headers.get(ProtocolHeaders.TENANT),
                 budget,
-                RequestValidator.estimate(h.get(ProtocolHeaders.COST)),
-                "1".equals(h.get(ProtocolHeaders.RETRIED)));
+                RequestValidator.estimate(headers.get(ProtocolHeaders.COST)),
+                "1".equals(headers.get(ProtocolHeaders.RETRIED)));
     }
 
     private void complete() {
@@ -396,10 +396,10 @@
             answer(front.ready() ? 200 : 503, 0);
             return;
         }
-        BalancerDriver d = front.dispatcher();
-        if (overflow || d.open() >= front.maxOpen()) {
+        BalancerDriver driver = front.dispatcher();
+        if (overflow || driver.open() >= front.maxOpen()) {
             front.refusedForSockets();
-            d.figures().ended(type, ProxyMetrics.RequestOutcome.REJECTED);
+            driver.figures().ended(type, ProxyMetrics.RequestOutcome.REJECTED);
             free(whole);
             closing |= overflow;
             answer(503, 0);
@@ -408,12 +408,13 @@
         // Time in our own queue comes off the client's budget: its last byte may have waited there.
         double budget = Math.max(0, timeout - waited() / 1e6);
         String id = request.headers().get(ProtocolHeaders.REQUEST_ID);
-        if (d.known(id)) { // it has come elsewhere while this one's body was on its way
+        if (driver.known(id)) { // it has come elsewhere while this one's body was on its way
             free(whole);
             reject(409);
             return;
         }
-        exchange = new RequestExchange(d.newId(), id, type, d, this, request, whole, d.now() + budget, budget, null);
+        exchange = new RequestExchange(
+                driver.newId(), id, type, driver, this, request, whole, driver.now() + budget, budget, null);
         if (channel.ended()) {
             // Guards against work for clients that left while the loop was behind: each send would be
             // called off at once, at the price of its connection, and the loop fall further behind.
@@ -423,7 +424,7 @@
             return;
         }
         decoder.receiving |= channel.holding();
-        d.arrived(exchange, arrival(request.headers(), exchange.id, budget));
+        driver.arrived(exchange, arrival(request.headers(), exchange.id, budget));
     }
 
     /** For how long (ns) the last byte read may have waited for us: in its socket, and before that unaccepted. */
@@ -433,9 +434,9 @@
         return Math.max(paused, now - channel.waitingSince());
     }
 
-    private static void free(BufferedBody b) {
-        if (b != null) {
-            b.free();
+    private static void free(BufferedBody body) {
+        if (body != null) {
+            body.free();
         }
     }
 
@@ -461,12 +462,12 @@
 
     /** A host's answer that has come whole. */
     public void answer(HttpResponse reply, BufferedBody whole) {
-        HttpHeaders h = reply.headers();
-        ProtocolHeaders.dropHopByHop(h);
-        h.set(HttpHeaderNames.CONTENT_LENGTH, whole == null ? 0 : whole.size());
+        HttpHeaders headers = reply.headers();
+        ProtocolHeaders.dropHopByHop(headers);
+        headers.set(HttpHeaderNames.CONTENT_LENGTH, whole == null ? 0 : whole.size());
         ByteBuf bytes = whole == null ? Unpooled.EMPTY_BUFFER : joined(whole);
         DefaultFullHttpResponse r = new DefaultFullHttpResponse(
-                HttpVersion.HTTP_1_1, HttpResponseStatus.OK, bytes, h, ProtocolHeaders.NONE);
+                HttpVersion.HTTP_1_1, HttpResponseStatus.OK, bytes, headers, ProtocolHeaders.NONE);
         markClose(r);
         ChannelFuture written = channel.writeAndFlush(r);
         if (whole != null) {
@@ -477,15 +478,15 @@
 
     /** The head of an answer that is passed on as it comes; {@code length} is -1 where it isn't told. */
     public void beginAnswer(HttpResponse reply, long length) {
-        HttpHeaders h = reply.headers();
-        ProtocolHeaders.dropHopByHop(h);
+        HttpHeaders headers = reply.headers();
+        ProtocolHeaders.dropHopByHop(headers);
         if (length >= 0) {
-            h.set(HttpHeaderNames.CONTENT_LENGTH, length);
+            headers.set(HttpHeaderNames.CONTENT_LENGTH, length);
         } else {
-            h.remove(HttpHeaderNames.CONTENT_LENGTH);
-            h.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+            headers.remove(HttpHeaderNames.CONTENT_LENGTH);
+            headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
-        DefaultHttpResponse r = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, h);
+        DefaultHttpResponse r = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, headers);
         markClose(r);
         channel.writeAndFlush(r);
     }
@@ -519,10 +520,10 @@
         return blocks.length == 1 ? blocks[0] : Unpooled.wrappedBuffer(blocks);
     }
 
-    private void markClose(HttpResponse r) {
+    private void markClose(HttpResponse response) {
         closing |= front.draining();
         if (closing) {
-            r.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
     }
 
@@ -582,10 +583,10 @@
     private void reject(int status) {
         rejected = true;
         if (exchange != null) { // its body goes wrong while it is passed on: no host gets the end of it
-            RequestExchange e = exchange;
+            RequestExchange requestExchange = exchange;
             exchange = null;
             upload = null;
-            e.clientGone();
+            requestExchange.clientGone();
         }
         decoder.deaf = true;
         endPause();
--- a/src/main/java/rillyard/proxy/downstream/ClientListener.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientListener.java
@@ -51,8 +51,8 @@
         this.budget = budget;
         this.log = log;
         this.maxOpen = config.maxOpen();
-        for (Settings.RequestClass c : config.settings().classes()) {
-            types.put(c.name(), c);
+        for (Settings.RequestClass requestClass : config.settings().classes()) {
+            types.put(requestClass.name(), requestClass);
         }
     }
 
@@ -82,8 +82,8 @@
                 })
                 .childHandler(new ChannelInitializer<PeekableSocketChannel>() {
                     @Override
-                    protected void initChannel(PeekableSocketChannel ch) {
-                        accepted(ch);
+                    protected void initChannel(PeekableSocketChannel channel) {
+                        accepted(channel);
                     }
                 })
                 .bind(config.listen())
@@ -94,28 +94,28 @@
         return listener;
     }
 
-    private void accepted(PeekableSocketChannel ch) {
+    private void accepted(PeekableSocketChannel channel) {
         boolean overflow = !sockets.roomForClient();
         ClientRequestDecoder decoder = new ClientRequestDecoder();
-        ClientConnection c = new ClientConnection(this, ch, decoder, overflow);
+        ClientConnection connection = new ClientConnection(this, channel, decoder, overflow);
         sockets.clientOpened();
         // The end of the channel's future is the moment its descriptor is free; its handlers hear later.
-        ch.closeFuture().addListener(f -> closed(c));
-        ch.pipeline().addLast(decoder, new HttpResponseEncoder(), c);
+        channel.closeFuture().addListener(f -> closed(connection));
+        channel.pipeline().addLast(decoder, new HttpResponseEncoder(), connection);
         if (sockets.exhausted()) {
             // Guards against accepts that fail again and again: the rest waits in the backlog.
             listener.config().setAutoRead(false);
         }
     }
 
-    void opened(ClientConnection c) {
-        connections.add(c);
-        sockets.clientIdle(c, true);
+    void opened(ClientConnection connection) {
+        connections.add(connection);
+        sockets.clientIdle(connection, true);
     }
 
-    private void closed(ClientConnection c) {
-        connections.remove(c);
-        sockets.clientClosed(c);
+    private void closed(ClientConnection connection) {
+        connections.remove(connection);
+        sockets.clientClosed(connection);
         if (!sockets.exhausted() && listener.isOpen()) {
             listener.config().setAutoRead(true);
         }
@@ -137,9 +137,9 @@
     public void drain() {
         draining = true;
         readyAsOfLate = false;
-        for (ClientConnection c : new ArrayList<>(connections)) {
-            if (!c.busy()) {
-                c.endIdle();
+        for (ClientConnection connection : new ArrayList<>(connections)) {
+            if (!connection.busy()) {
+                connection.endIdle();
             }
         }
     }
@@ -160,8 +160,8 @@
 
     /** Whether anything that was taken, or is being taken, has no answer yet. */
     public boolean busy() {
-        for (ClientConnection c : connections) {
-            if (c.busy()) {
+        for (ClientConnection connection : connections) {
+            if (connection.busy()) {
                 return true;
             }
         }
@@ -186,8 +186,8 @@
     public void sweep() {
         readyAsOfLate = ready();
         long now = System.nanoTime();
-        for (ClientConnection c : new ArrayList<>(connections)) {
-            c.sweep(now);
+        for (ClientConnection connection : new ArrayList<>(connections)) {
+            connection.sweep(now);
         }
     }
 
--- a/src/main/java/rillyard/proxy/downstream/RequestValidator.java
+++ b/src/main/java/rillyard/proxy/downstream/RequestValidator.java
@@ -23,14 +23,14 @@
     private RequestValidator() {}
 
     /** A header's value where it is there once and of a sane length, else null. */
-    static String single(HttpHeaders h, AsciiString name) {
-        List<String> all = h.getAll(name);
+    static String single(HttpHeaders headers, AsciiString name) {
+        List<String> all = headers.getAll(name);
         return all.size() == 1 && all.get(0).length() <= MAX_NAME ? all.get(0) : null;
     }
 
-    static boolean onceAtMost(HttpHeaders h, AsciiString... names) {
+    static boolean onceAtMost(HttpHeaders headers, AsciiString... names) {
         for (AsciiString name : names) {
-            if (h.contains(name) && single(h, name) == null) {
+            if (headers.contains(name) && single(headers, name) == null) {
                 return false;
             }
         }
@@ -38,9 +38,9 @@
     }
 
     /** The wait a client states, NaN if it is no number. Without one it is that of the class. */
-    static double timeout(String s, Settings.RequestClass c) {
+    static double timeout(String s, Settings.RequestClass requestClass) {
         if (s == null) {
-            return c.deadline();
+            return requestClass.deadline();
         }
         if (s.isEmpty() || s.length() > TIMEOUT_DIGITS) {
             return Double.NaN;
@@ -66,9 +66,9 @@
     }
 
     /** Whether a request has the form that its class asks for, and so may be repeated as it may. */
-    static boolean fits(Settings.RequestClass c, HttpRequest request) {
+    static boolean fits(Settings.RequestClass requestClass, HttpRequest request) {
         boolean post = request.method().equals(HttpMethod.POST);
-        return switch (c.semantics()) {
+        return switch (requestClass.semantics()) {
             case IDEMPOTENT ->
                 !post && HttpUtil.getContentLength(request, 0L) == 0 && !HttpUtil.isTransferEncodingChunked(request);
             case DEDUPLICATED ->
--- a/src/main/java/rillyard/proxy/eventloop/PeekableSocketChannel.java
+++ b/src/main/java/rillyard/proxy/eventloop/PeekableSocketChannel.java
@@ -23,21 +23,21 @@
 
         @Override
         protected int doReadMessages(List<Object> accepted) throws Exception {
-            SocketChannel ch = javaChannel().accept();
-            if (ch == null) {
+            SocketChannel channel = javaChannel().accept();
+            if (channel == null) {
                 gaps.accepted();
                 return 0;
             }
-            accepted.add(new PeekableSocketChannel(this, ch, gaps));
+            accepted.add(new PeekableSocketChannel(this, channel, gaps));
             return 1;
         }
 
         /** Accepts all that waits; on the loop. */
         public void acceptRest() {
             try {
-                SocketChannel ch;
-                while ((ch = javaChannel().accept()) != null) {
-                    pipeline().fireChannelRead(new PeekableSocketChannel(this, ch, gaps));
+                SocketChannel channel;
+                while ((channel = javaChannel().accept()) != null) {
+                    pipeline().fireChannelRead(new PeekableSocketChannel(this, channel, gaps));
                 }
             } catch (IOException e) {
                 // out of descriptors, or closed: what waits can't be had
@@ -63,8 +63,8 @@
         this.acceptedSince = 0;
     }
 
-    private PeekableSocketChannel(Channel parent, SocketChannel ch, StallDetector gaps) {
-        super(parent, ch);
+    private PeekableSocketChannel(Channel parent, SocketChannel channel, StallDetector gaps) {
+        super(parent, channel);
         this.gaps = gaps;
         this.acceptTurn = gaps.turn();
         this.acceptedSince = gaps.accepting();
--- a/src/main/java/rillyard/proxy/lifecycle/ClassArchiveTraining.java
+++ b/src/main/java/rillyard/proxy/lifecycle/ClassArchiveTraining.java
@@ -40,11 +40,11 @@
     private ClassArchiveTraining() {}
 
     private static void call(InetSocketAddress to, String what, String body) throws IOException {
-        try (Socket s = new Socket(to.getAddress(), to.getPort())) {
+        try (Socket socket = new Socket(to.getAddress(), to.getPort())) {
             String request =
                     what + " HTTP/1.1\r\nHost: operator\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
-            s.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
-            s.getInputStream().readAllBytes();
+            socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
+            socket.getInputStream().readAllBytes();
         }
     }
 
@@ -61,8 +61,8 @@
             call(operator, "POST /_hosts/attach", "a");
         } finally {
             try (Stream<Path> all = Files.walk(folder)) {
-                for (Path p : all.sorted(Comparator.reverseOrder()).toList()) {
-                    Files.delete(p);
+                for (Path path : all.sorted(Comparator.reverseOrder()).toList()) {
+                    Files.delete(path);
                 }
             }
         }
--- a/src/main/java/rillyard/proxy/lifecycle/Warmup.java
+++ b/src/main/java/rillyard/proxy/lifecycle/Warmup.java
@@ -139,8 +139,8 @@
     private static ChannelInitializer<SocketChannel> pipeline(Part decoder, Part encoder, Part end) {
         return new ChannelInitializer<>() {
             @Override
-            protected void initChannel(SocketChannel ch) {
-                ch.pipeline().addLast(decoder.make(), encoder.make(), end.make());
+            protected void initChannel(SocketChannel channel) {
+                channel.pipeline().addLast(decoder.make(), encoder.make(), end.make());
             }
         };
     }
@@ -150,11 +150,11 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object msg) {
             if (msg instanceof LastHttpContent) {
-                FullHttpResponse r = new DefaultFullHttpResponse(
+                FullHttpResponse response = new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(BODY));
-                r.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY.length);
-                r.headers().set(ProtocolHeaders.SERVER_LOAD, "rif=1,fail_rate=0");
-                ctx.writeAndFlush(r);
+                response.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY.length);
+                response.headers().set(ProtocolHeaders.SERVER_LOAD, "rif=1,fail_rate=0");
+                ctx.writeAndFlush(response);
             }
             ReferenceCountUtil.release(msg);
         }
@@ -181,25 +181,25 @@
                 return;
             }
             var classes = config.settings().classes();
-            Settings.RequestClass c = classes.get((int) (sent++ % classes.size()));
-            boolean safe = c.semantics() == Settings.Semantics.IDEMPOTENT;
-            FullHttpRequest r = new DefaultFullHttpRequest(
+            Settings.RequestClass requestClass = classes.get((int) (sent++ % classes.size()));
+            boolean safe = requestClass.semantics() == Settings.Semantics.IDEMPOTENT;
+            FullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
                     safe ? HttpMethod.GET : HttpMethod.POST,
-                    "/" + c.name(),
+                    "/" + requestClass.name(),
                     safe ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(BODY));
-            r.headers()
+            request.headers()
                     .set(HttpHeaderNames.HOST, "api.internal")
                     .set(ProtocolHeaders.REQUEST_ID, Long.toHexString(sent))
-                    .set(ProtocolHeaders.CLASS, c.name())
+                    .set(ProtocolHeaders.CLASS, requestClass.name())
                     .set(ProtocolHeaders.TIMEOUT_MS, 10_000);
             if (!safe) {
-                r.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY.length);
+                request.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY.length);
             }
-            if (c.semantics() == Settings.Semantics.DEDUPLICATED) {
-                r.headers().set(ProtocolHeaders.IDEMPOTENCY_KEY, Long.toHexString(sent));
+            if (requestClass.semantics() == Settings.Semantics.DEDUPLICATED) {
+                request.headers().set(ProtocolHeaders.IDEMPOTENCY_KEY, Long.toHexString(sent));
             }
-            ctx.writeAndFlush(r);
+            ctx.writeAndFlush(request);
         }
     }
 }
--- a/src/main/java/rillyard/proxy/logging/ProxyLog.java
+++ b/src/main/java/rillyard/proxy/logging/ProxyLog.java
@@ -41,10 +41,10 @@
     }
 
     /** A failure of our own code, with its stack. */
-    public void failure(String what, Throwable t) {
+    public void failure(String what, Throwable cause) {
         if (admits()) {
             out.println("rillyard: " + what);
-            t.printStackTrace(out);
+            cause.printStackTrace(out);
         }
     }
 
--- a/src/main/java/rillyard/proxy/resources/BufferedBody.java
+++ b/src/main/java/rillyard/proxy/resources/BufferedBody.java
@@ -64,16 +64,16 @@
     /** The blocks, each retained for one write. */
     public List<ByteBuf> retained() {
         List<ByteBuf> out = new ArrayList<>(blocks.size());
-        for (ByteBuf b : blocks) {
-            out.add(b.retainedDuplicate());
+        for (ByteBuf buffer : blocks) {
+            out.add(buffer.retainedDuplicate());
         }
         return out;
     }
 
     /** Gives the bytes back; harmless if done before. */
     public void free() {
-        for (ByteBuf b : blocks) {
-            b.release();
+        for (ByteBuf buffer : blocks) {
+            buffer.release();
         }
         blocks.clear();
         long freed = size;
--- a/src/main/java/rillyard/proxy/resources/DescriptorBudget.java
+++ b/src/main/java/rillyard/proxy/resources/DescriptorBudget.java
@@ -94,10 +94,10 @@
         clients++;
     }
 
-    public void clientClosed(IdleConnection c) {
+    public void clientClosed(IdleConnection connection) {
         clients--;
-        idleClients.remove(c);
-        unusedClients.remove(c);
+        idleClients.remove(connection);
+        unusedClients.remove(connection);
     }
 
     public void upstreamOpened() {
@@ -108,20 +108,20 @@
         upstreams--;
     }
 
-    public void clientIdle(IdleConnection c, boolean idle) {
+    public void clientIdle(IdleConnection connection, boolean idle) {
         // Guards against a flood of connections that say nothing: they make room before those in use.
-        mark(c.used() ? idleClients : unusedClients, c, idle);
+        mark(connection.used() ? idleClients : unusedClients, connection, idle);
     }
 
-    public void upstreamIdle(IdleConnection c, boolean idle) {
-        mark(idleUpstreams, c, idle);
+    public void upstreamIdle(IdleConnection connection, boolean idle) {
+        mark(idleUpstreams, connection, idle);
     }
 
-    private static void mark(Set<IdleConnection> set, IdleConnection c, boolean idle) {
+    private static void mark(Set<IdleConnection> set, IdleConnection connection, boolean idle) {
         if (idle) {
-            set.add(c);
+            set.add(connection);
         } else {
-            set.remove(c);
+            set.remove(connection);
         }
     }
 }
--- a/src/main/java/rillyard/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamConnection.java
@@ -194,11 +194,11 @@
             return;
         }
         if (call != null) {
-            UpstreamCall c = call;
-            c.content(part);
-            if (last && call == c) {
+            UpstreamCall upstreamCall = call;
+            upstreamCall.content(part);
+            if (last && call == upstreamCall) {
                 finished();
-                c.end();
+                upstreamCall.end();
             }
         } else {
             unwanted += part.content().readableBytes();
@@ -253,18 +253,18 @@
     }
 
     private void lost() {
-        UpstreamCall c = call;
+        UpstreamCall upstreamCall = call;
         boolean sent = written;
         call = null;
         channel.close();
-        if (c != null) {
+        if (upstreamCall != null) {
             if (!decoder.begun) {
                 reused(true);
             }
             if (sent) {
-                c.broken();
+                upstreamCall.broken();
             } else {
-                c.notSent();
+                upstreamCall.notSent();
             }
         }
     }
--- a/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
@@ -67,23 +67,23 @@
                 .option(ChannelOption.WRITE_BUFFER_WATER_MARK, MARKS)
                 .handler(new ChannelInitializer<PeekableSocketChannel>() {
                     @Override
-                    protected void initChannel(PeekableSocketChannel ch) {}
+                    protected void initChannel(PeekableSocketChannel channel) {}
                 });
     }
 
     /** Carries the call to its host on a quiet connection, or on a new one. */
     public void start(UpstreamCall call) {
         UpstreamHost host = call.host;
-        UpstreamConnection c;
+        UpstreamConnection connection;
         long now = System.nanoTime();
-        while ((c = pick(host.idle, UpstreamConnection::since, now)) != null) {
-            host.idle.remove(c);
-            sockets.upstreamIdle(c, false);
-            if (c.alive() && c.reusable() && !risk.risky(now - c.since(), now)) {
-                c.run(call);
+        while ((connection = pick(host.idle, UpstreamConnection::since, now)) != null) {
+            host.idle.remove(connection);
+            sockets.upstreamIdle(connection, false);
+            if (connection.alive() && connection.reusable() && !risk.risky(now - connection.since(), now)) {
+                connection.run(call);
                 return;
             }
-            c.channel().close();
+            connection.channel().close();
         }
         if (!sockets.room()) {
             if (refused++ % 100 == 0) {
@@ -112,35 +112,35 @@
     }
 
     private void connect(UpstreamCall call, UpstreamHost host) {
-        ChannelFuture f = bootstrap.connect(host.address);
-        PeekableSocketChannel channel = (PeekableSocketChannel) f.channel();
+        ChannelFuture future = bootstrap.connect(host.address);
+        PeekableSocketChannel channel = (PeekableSocketChannel) future.channel();
         UpstreamConnection.Decoder decoder = new UpstreamConnection.Decoder(DECODER);
-        UpstreamConnection c = new UpstreamConnection(this, host, channel, decoder);
+        UpstreamConnection connection = new UpstreamConnection(this, host, channel, decoder);
         sockets.upstreamOpened();
         channel.closeFuture().addListener(x -> sockets.upstreamClosed());
         call.connecting(channel);
         host.connecting.add(call);
-        f.addListener(x -> {
-            traceConnect(f, host);
+        future.addListener(x -> {
+            traceConnect(future, host);
             if (!host.connecting.remove(call)) {
                 channel.close(); // given up meanwhile
-            } else if (!f.isSuccess()) {
+            } else if (!future.isSuccess()) {
                 call.notSent();
             } else if (!call.mayBegin()) {
                 channel.close();
                 call.moot();
             } else {
-                channel.pipeline().addLast(decoder, new HttpRequestEncoder(), c);
-                c.run(call);
+                channel.pipeline().addLast(decoder, new HttpRequestEncoder(), connection);
+                connection.run(call);
             }
         });
     }
 
-    private void traceConnect(ChannelFuture f, UpstreamHost host) {
+    private void traceConnect(ChannelFuture future, UpstreamHost host) {
         if (log.trace() != null) {
-            log.trace().did(f.isSuccess() ? Kind.CONNECTED : Kind.CONNECT_FAILED, host.name);
-            if (f.isSuccess()) {
-                f.channel().closeFuture().addListener(x -> log.trace().did(Kind.CLOSED, host.name));
+            log.trace().did(future.isSuccess() ? Kind.CONNECTED : Kind.CONNECT_FAILED, host.name);
+            if (future.isSuccess()) {
+                future.channel().closeFuture().addListener(x -> log.trace().did(Kind.CLOSED, host.name));
             }
         }
     }
@@ -152,10 +152,10 @@
         call.abandon();
     }
 
-    void idle(UpstreamHost host, UpstreamConnection c) {
-        discarding.remove(c);
-        host.idle.addLast(c);
-        sockets.upstreamIdle(c, true);
+    void idle(UpstreamHost host, UpstreamConnection connection) {
+        discarding.remove(connection);
+        host.idle.addLast(connection);
+        sockets.upstreamIdle(connection, true);
     }
 
     /** What came of the use of a connection that had stood idle. */
@@ -163,25 +163,25 @@
         risk.used(idleNanos, broke, System.nanoTime());
     }
 
-    void discarding(UpstreamConnection c) {
-        discarding.add(c);
+    void discarding(UpstreamConnection connection) {
+        discarding.add(connection);
     }
 
     void malformed(UpstreamHost host, Throwable cause) {
         log.line(() -> host.name + " sent what is no answer: " + cause);
     }
 
-    void closed(UpstreamHost host, UpstreamConnection c) {
-        discarding.remove(c);
-        host.idle.remove(c);
-        sockets.upstreamIdle(c, false);
+    void closed(UpstreamHost host, UpstreamConnection connection) {
+        discarding.remove(connection);
+        host.idle.remove(connection);
+        sockets.upstreamIdle(connection, false);
     }
 
     /** Nothing new goes to the host as it was: returns the calls that had not got a connection. */
     public List<UpstreamCall> cut(UpstreamHost host) {
-        for (UpstreamConnection c : new ArrayList<>(host.idle)) {
-            if (!c.reusable()) {
-                c.channel().close();
+        for (UpstreamConnection connection : new ArrayList<>(host.idle)) {
+            if (!connection.reusable()) {
+                connection.channel().close();
             }
         }
         List<UpstreamCall> unsent = new ArrayList<>(host.connecting);
@@ -192,16 +192,17 @@
     /** Closes what has been idle for long. */
     public void sweep(Iterable<UpstreamHost> hosts) {
         long now = System.nanoTime();
-        for (UpstreamHost h : hosts) {
-            UpstreamConnection c;
-            while ((c = h.idle.peekFirst()) != null && idleTimes.over(h.idle.size(), now - c.since())) {
-                h.idle.pollFirst();
-                c.channel().close();
+        for (UpstreamHost host : hosts) {
+            UpstreamConnection connection;
+            while ((connection = host.idle.peekFirst()) != null
+                    && idleTimes.over(host.idle.size(), now - connection.since())) {
+                host.idle.pollFirst();
+                connection.channel().close();
             }
         }
-        for (UpstreamConnection c : new ArrayList<>(discarding)) {
-            if (now - c.since() > DISCARD_NANOS) {
-                c.channel().close();
+        for (UpstreamConnection upstreamConnection : new ArrayList<>(discarding)) {
+            if (now - upstreamConnection.since() > DISCARD_NANOS) {
+                upstreamConnection.channel().close();
             }
         }
     }
--- a/src/main/java/rillyard/requestlog/ClientAttempt.java
+++ b/src/main/java/rillyard/requestlog/ClientAttempt.java
@@ -43,51 +43,51 @@
     static final String KIND = "try";
 
     @Override
-    public void write(JsonGenerator g) throws IOException {
-        g.writeStartObject();
-        g.writeStringField("k", KIND);
-        g.writeNumberField("request", request);
-        g.writeNumberField("try", number);
-        g.writeStringField("id", id);
+    public void write(JsonGenerator json) throws IOException {
+        json.writeStartObject();
+        json.writeStringField("k", KIND);
+        json.writeNumberField("request", request);
+        json.writeNumberField("try", number);
+        json.writeStringField("id", id);
         if (key != null) {
-            g.writeStringField("key", key);
+            json.writeStringField("key", key);
         }
-        g.writeStringField("class", type);
+        json.writeStringField("class", type);
         if (tenant != null) {
-            g.writeStringField("tenant", tenant);
+            json.writeStringField("tenant", tenant);
         }
-        g.writeNumberField("client", client);
-        g.writeNumberField("intended", intended);
-        g.writeNumberField("sent", sent);
-        g.writeNumberField("ended", ended);
-        g.writeNumberField("timeout", timeout);
-        g.writeStringField("outcome", outcome.name());
+        json.writeNumberField("client", client);
+        json.writeNumberField("intended", intended);
+        json.writeNumberField("sent", sent);
+        json.writeNumberField("ended", ended);
+        json.writeNumberField("timeout", timeout);
+        json.writeStringField("outcome", outcome.name());
         if (status != 0) {
-            g.writeNumberField("status", status);
+            json.writeNumberField("status", status);
         }
         if (retryAfter != 0) {
-            g.writeNumberField("retry_after", retryAfter);
+            json.writeNumberField("retry_after", retryAfter);
         }
-        g.writeBooleanField("last", last);
-        g.writeEndObject();
+        json.writeBooleanField("last", last);
+        json.writeEndObject();
     }
 
-    static ClientAttempt read(JsonNode n) {
+    static ClientAttempt read(JsonNode node) {
         return new ClientAttempt(
-                JsonFields.whole(n, "request"),
-                (int) JsonFields.whole(n, "try"),
-                JsonFields.text(n, "id"),
-                JsonFields.textOrNull(n, "key"),
-                JsonFields.text(n, "class"),
-                JsonFields.textOrNull(n, "tenant"),
-                (int) JsonFields.whole(n, "client"),
-                JsonFields.whole(n, "intended"),
-                JsonFields.whole(n, "sent"),
-                JsonFields.whole(n, "ended"),
-                JsonFields.whole(n, "timeout"),
-                JsonFields.choice(n, "outcome", ClientOutcome.class),
-                n.path("status").asInt(0),
-                n.path("retry_after").asLong(0),
-                n.path("last").asBoolean(true));
+                JsonFields.whole(node, "request"),
+                (int) JsonFields.whole(node, "try"),
+                JsonFields.text(node, "id"),
+                JsonFields.textOrNull(node, "key"),
+                JsonFields.text(node, "class"),
+                JsonFields.textOrNull(node, "tenant"),
+                (int) JsonFields.whole(node, "client"),
+                JsonFields.whole(node, "intended"),
+                JsonFields.whole(node, "sent"),
+                JsonFields.whole(node, "ended"),
+                JsonFields.whole(node, "timeout"),
+                JsonFields.choice(node, "outcome", ClientOutcome.class),
+                node.path("status").asInt(0),
+                node.path("retry_after").asLong(0),
+                node.path("last").asBoolean(true));
     }
 }
--- a/src/main/java/rillyard/requestlog/HostEvent.java
+++ b/src/main/java/rillyard/requestlog/HostEvent.java
@@ -41,31 +41,31 @@
     }
 
     @Override
-    public void write(JsonGenerator g) throws IOException {
-        g.writeStartObject();
-        g.writeStringField("k", KIND);
-        g.writeNumberField("at", at);
-        g.writeStringField("host", host);
-        g.writeStringField("what", what.name());
+    public void write(JsonGenerator json) throws IOException {
+        json.writeStartObject();
+        json.writeStringField("k", KIND);
+        json.writeNumberField("at", at);
+        json.writeStringField("host", host);
+        json.writeStringField("what", what.name());
         if (detail != null) {
-            g.writeStringField("detail", detail);
+            json.writeStringField("detail", detail);
         }
         if (what == Kind.STARTED) {
-            g.writeNumberField("capacity", capacity);
-            g.writeNumberField("start_share", startShare);
-            g.writeNumberField("cold", coldMicros);
+            json.writeNumberField("capacity", capacity);
+            json.writeNumberField("start_share", startShare);
+            json.writeNumberField("cold", coldMicros);
         }
-        g.writeEndObject();
+        json.writeEndObject();
     }
 
-    static HostEvent read(JsonNode n) {
+    static HostEvent read(JsonNode node) {
         return new HostEvent(
-                JsonFields.whole(n, "at"),
-                JsonFields.text(n, "host"),
-                JsonFields.choice(n, "what", Kind.class),
-                JsonFields.textOrNull(n, "detail"),
-                n.path("capacity").asDouble(0),
-                n.path("start_share").asDouble(1),
-                n.path("cold").asLong(0));
+                JsonFields.whole(node, "at"),
+                JsonFields.text(node, "host"),
+                JsonFields.choice(node, "what", Kind.class),
+                JsonFields.textOrNull(node, "detail"),
+                node.path("capacity").asDouble(0),
+                node.path("start_share").asDouble(1),
+                node.path("cold").asLong(0));
     }
 }
--- a/src/main/java/rillyard/requestlog/HostExecution.java
+++ b/src/main/java/rillyard/requestlog/HostExecution.java
@@ -48,39 +48,39 @@
     }
 
     @Override
-    public void write(JsonGenerator g) throws IOException {
-        g.writeStartObject();
-        g.writeStringField("k", KIND);
-        g.writeStringField("id", id);
+    public void write(JsonGenerator json) throws IOException {
+        json.writeStartObject();
+        json.writeStringField("k", KIND);
+        json.writeStringField("id", id);
         if (key != null) {
-            g.writeStringField("key", key);
+            json.writeStringField("key", key);
         }
-        g.writeStringField("class", type);
-        g.writeStringField("host", host);
-        g.writeNumberField("cell", cell);
-        g.writeStringField("zone", zone);
-        g.writeNumberField("attempt", attempt);
-        g.writeNumberField("received", received);
-        g.writeNumberField("started", started);
-        g.writeNumberField("ended", ended);
-        g.writeNumberField("work", work);
-        g.writeStringField("result", result.name());
-        g.writeEndObject();
+        json.writeStringField("class", type);
+        json.writeStringField("host", host);
+        json.writeNumberField("cell", cell);
+        json.writeStringField("zone", zone);
+        json.writeNumberField("attempt", attempt);
+        json.writeNumberField("received", received);
+        json.writeNumberField("started", started);
+        json.writeNumberField("ended", ended);
+        json.writeNumberField("work", work);
+        json.writeStringField("result", result.name());
+        json.writeEndObject();
     }
 
-    static HostExecution read(JsonNode n) {
+    static HostExecution read(JsonNode node) {
         return new HostExecution(
-                JsonFields.text(n, "id"),
-                JsonFields.textOrNull(n, "key"),
-                JsonFields.text(n, "class"),
-                JsonFields.text(n, "host"),
-                JsonFields.whole(n, "cell"),
-                JsonFields.text(n, "zone"),
-                (int) JsonFields.whole(n, "attempt"),
-                JsonFields.whole(n, "received"),
-                JsonFields.whole(n, "started"),
-                JsonFields.whole(n, "ended"),
-                JsonFields.whole(n, "work"),
-                JsonFields.choice(n, "result", ExecutionResult.class));
+                JsonFields.text(node, "id"),
+                JsonFields.textOrNull(node, "key"),
+                JsonFields.text(node, "class"),
+                JsonFields.text(node, "host"),
+                JsonFields.whole(node, "cell"),
+                JsonFields.text(node, "zone"),
+                (int) JsonFields.whole(node, "attempt"),
+                JsonFields.whole(node, "received"),
+                JsonFields.whole(node, "started"),
+                JsonFields.whole(node, "ended"),
+                JsonFields.whole(node, "work"),
+                JsonFields.choice(node, "result", ExecutionResult.class));
     }
 }
--- a/src/main/java/rillyard/requestlog/JsonFields.java
+++ b/src/main/java/rillyard/requestlog/JsonFields.java
@@ -7,28 +7,28 @@
 final class JsonFields {
     private JsonFields() {}
 
-    static String text(JsonNode n, String key) {
-        JsonNode v = n.path(key);
+    static String text(JsonNode node, String key) {
+        JsonNode v = node.path(key);
         if (!v.isTextual()) {
             throw new IllegalArgumentException(key + ": found " + found(v) + ", expected a text");
         }
         return v.asText();
     }
 
-    static String textOrNull(JsonNode n, String key) {
-        return n.hasNonNull(key) ? text(n, key) : null;
+    static String textOrNull(JsonNode node, String key) {
+        return node.hasNonNull(key) ? text(node, key) : null;
     }
 
-    static long whole(JsonNode n, String key) {
-        JsonNode v = n.path(key);
+    static long whole(JsonNode node, String key) {
+        JsonNode v = node.path(key);
         if (!v.isIntegralNumber() || !v.canConvertToLong()) {
             throw new IllegalArgumentException(key + ": found " + found(v) + ", expected a whole number");
         }
         return v.asLong();
     }
 
-    static <E extends Enum<E>> E choice(JsonNode n, String key, Class<E> type) {
-        String s = text(n, key);
+    static <E extends Enum<E>> E choice(JsonNode node, String key, Class<E> type) {
+        String s = text(node, key);
         for (E e : type.getEnumConstants()) {
             if (e.name().equals(s)) {
                 return e;
@@ -38,7 +38,7 @@
                 key + ": found '" + s + "', expected one of " + Arrays.toString(type.getEnumConstants()));
     }
 
-    private static String found(JsonNode v) {
-        return v.isMissingNode() ? "nothing" : v.toString();
+    private static String found(JsonNode node) {
+        return node.isMissingNode() ? "nothing" : node.toString();
     }
 }
--- a/src/main/java/rillyard/requestlog/LogHeader.java
+++ b/src/main/java/rillyard/requestlog/LogHeader.java
@@ -18,20 +18,20 @@
     static final int VERSION = 1;
 
     @Override
-    public void write(JsonGenerator g) throws IOException {
-        g.writeStartObject();
-        g.writeStringField("k", KIND);
-        g.writeNumberField("version", VERSION);
-        g.writeStringField("of", of);
-        g.writeNumberField("at", at);
-        g.writeNumberField("seed", seed);
-        g.writeEndObject();
+    public void write(JsonGenerator json) throws IOException {
+        json.writeStartObject();
+        json.writeStringField("k", KIND);
+        json.writeNumberField("version", VERSION);
+        json.writeStringField("of", of);
+        json.writeNumberField("at", at);
+        json.writeNumberField("seed", seed);
+        json.writeEndObject();
     }
 
-    static LogHeader read(JsonNode n) {
-        if (JsonFields.whole(n, "version") != VERSION) {
-            throw new IllegalArgumentException("version: found " + n.path("version") + ", expected " + VERSION);
+    static LogHeader read(JsonNode node) {
+        if (JsonFields.whole(node, "version") != VERSION) {
+            throw new IllegalArgumentException("version: found " + node.path("version") + ", expected " + VERSION);
         }
-        return new LogHeader(JsonFields.text(n, "of"), JsonFields.whole(n, "at"), JsonFields.whole(n, "seed"));
+        return new LogHeader(JsonFields.text(node, "of"), JsonFields.whole(node, "at"), JsonFields.whole(node, "seed"));
     }
 }
--- a/src/main/java/rillyard/requestlog/LogRecord.java
+++ b/src/main/java/rillyard/requestlog/LogRecord.java
@@ -8,25 +8,25 @@
 public sealed interface LogRecord
         permits LogHeader, LogTrailer, ClientAttempt, UnexpectedResponse, HostExecution, HostEvent, WatchNotification {
     /** Writes the object. */
-    void write(JsonGenerator g) throws IOException;
+    void write(JsonGenerator json) throws IOException;
 
     /**
      * The line that an object holds.
      *
      * @throws IllegalArgumentException if it is none; the message says what was expected
      */
-    static LogRecord read(JsonNode n) {
-        return switch (JsonFields.text(n, "k")) {
-            case LogHeader.KIND -> LogHeader.read(n);
-            case LogTrailer.KIND -> LogTrailer.read(n);
-            case ClientAttempt.KIND -> ClientAttempt.read(n);
-            case UnexpectedResponse.KIND -> UnexpectedResponse.read(n);
-            case HostExecution.KIND -> HostExecution.read(n);
-            case HostEvent.KIND -> HostEvent.read(n);
-            case WatchNotification.KIND -> WatchNotification.read(n);
+    static LogRecord read(JsonNode node) {
+        return switch (JsonFields.text(node, "k")) {
+            case LogHeader.KIND -> LogHeader.read(node);
+            case LogTrailer.KIND -> LogTrailer.read(node);
+            case ClientAttempt.KIND -> ClientAttempt.read(node);
+            case UnexpectedResponse.KIND -> UnexpectedResponse.read(node);
+            case HostExecution.KIND -> HostExecution.read(node);
+            case HostEvent.KIND -> HostEvent.read(node);
+            case WatchNotification.KIND -> WatchNotification.read(node);
             default ->
                 throw new IllegalArgumentException(
-                        "k: found " + n.path("k") + ", expected head, try, surplus, run, host, told or end");
+                        "k: found " + node.path("k") + ", expected head, try, surplus, run, host, told or end");
         };
     }
 }
--- a/src/main/java/rillyard/requestlog/LogTrailer.java
+++ b/src/main/java/rillyard/requestlog/LogTrailer.java
@@ -15,15 +15,15 @@
     static final String KIND = "end";
 
     @Override
-    public void write(JsonGenerator g) throws IOException {
-        g.writeStartObject();
-        g.writeStringField("k", KIND);
-        g.writeNumberField("at", at);
-        g.writeNumberField("lines", lines);
-        g.writeEndObject();
+    public void write(JsonGenerator json) throws IOException {
+        json.writeStartObject();
+        json.writeStringField("k", KIND);
+        json.writeNumberField("at", at);
+        json.writeNumberField("lines", lines);
+        json.writeEndObject();
     }
 
-    static LogTrailer read(JsonNode n) {
-        return new LogTrailer(JsonFields.whole(n, "at"), JsonFields.whole(n, "lines"));
+    static LogTrailer read(JsonNode node) {
+        return new LogTrailer(JsonFields.whole(node, "at"), JsonFields.whole(node, "lines"));
     }
 }
--- a/src/main/java/rillyard/requestlog/RequestLogReader.java
+++ b/src/main/java/rillyard/requestlog/RequestLogReader.java
@@ -33,7 +33,8 @@
                     continue;
                 }
                 LogRecord line = LogRecord.read(JSON.readTree(text));
-                if (number == 1 && !(line instanceof LogHeader h && h.of().equals(of))) {
+                if (number == 1
+                        && !(line instanceof LogHeader header && header.of().equals(of))) {
                     throw new IllegalArgumentException("expected the head of a ledger of " + of + ", found " + text);
                 }
                 ended = line instanceof LogTrailer;
--- a/src/main/java/rillyard/requestlog/RequestLogWriter.java
+++ b/src/main/java/rillyard/requestlog/RequestLogWriter.java
@@ -42,17 +42,17 @@
 
     /** Begins a ledger in a file, in place of what is there. */
     public static RequestLogWriter open(Path file, LogHeader head) throws IOException {
-        RequestLogWriter l = new RequestLogWriter(Files.newOutputStream(file));
-        l.append(head);
-        return l;
+        RequestLogWriter writer = new RequestLogWriter(Files.newOutputStream(file));
+        writer.append(head);
+        return writer;
     }
 
     /** A ledger that keeps nothing, and costs nothing. */
     public static RequestLogWriter none() {
         try {
-            RequestLogWriter l = new RequestLogWriter(OutputStream.nullOutputStream());
-            l.close();
-            return l;
+            RequestLogWriter writer = new RequestLogWriter(OutputStream.nullOutputStream());
+            writer.close();
+            return writer;
         } catch (IOException e) {
             throw new UncheckedIOException(e); // never: there is nothing that could fail
         }
--- a/src/main/java/rillyard/requestlog/UnexpectedResponse.java
+++ b/src/main/java/rillyard/requestlog/UnexpectedResponse.java
@@ -14,15 +14,15 @@
     static final String KIND = "surplus";
 
     @Override
-    public void write(JsonGenerator g) throws IOException {
-        g.writeStartObject();
-        g.writeStringField("k", KIND);
-        g.writeNumberField("at", at);
-        g.writeStringField("id", id);
-        g.writeEndObject();
+    public void write(JsonGenerator json) throws IOException {
+        json.writeStartObject();
+        json.writeStringField("k", KIND);
+        json.writeNumberField("at", at);
+        json.writeStringField("id", id);
+        json.writeEndObject();
     }
 
-    static UnexpectedResponse read(JsonNode n) {
-        return new UnexpectedResponse(JsonFields.whole(n, "at"), JsonFields.text(n, "id"));
+    static UnexpectedResponse read(JsonNode node) {
+        return new UnexpectedResponse(JsonFields.whole(node, "at"), JsonFields.text(node, "id"));
     }
 }
--- a/src/main/java/rillyard/requestlog/WatchNotification.java
+++ b/src/main/java/rillyard/requestlog/WatchNotification.java
@@ -17,23 +17,23 @@
     static final String KIND = "told";
 
     @Override
-    public void write(JsonGenerator g) throws IOException {
-        g.writeStartObject();
-        g.writeStringField("k", KIND);
-        g.writeNumberField("at", at);
-        g.writeNumberField("watcher", watcher);
-        g.writeStringField("host", host);
-        g.writeStringField("state", state);
-        g.writeNumberField("version", version);
-        g.writeEndObject();
+    public void write(JsonGenerator json) throws IOException {
+        json.writeStartObject();
+        json.writeStringField("k", KIND);
+        json.writeNumberField("at", at);
+        json.writeNumberField("watcher", watcher);
+        json.writeStringField("host", host);
+        json.writeStringField("state", state);
+        json.writeNumberField("version", version);
+        json.writeEndObject();
     }
 
-    static WatchNotification read(JsonNode n) {
+    static WatchNotification read(JsonNode node) {
         return new WatchNotification(
-                JsonFields.whole(n, "at"),
-                JsonFields.whole(n, "watcher"),
-                JsonFields.text(n, "host"),
-                JsonFields.text(n, "state"),
-                JsonFields.whole(n, "version"));
+                JsonFields.whole(node, "at"),
+                JsonFields.whole(node, "watcher"),
+                JsonFields.text(node, "host"),
+                JsonFields.text(node, "state"),
+                JsonFields.whole(node, "version"));
     }
 }
--- a/src/main/java/rillyard/settings/JsonTreeReader.java
+++ b/src/main/java/rillyard/settings/JsonTreeReader.java
@@ -29,8 +29,8 @@
      *     deep (1,000 levels, the parser's own bound)
      */
     public static JsonNode read(byte[] text, int from, int length) throws IOException {
-        try (JsonParser p = PARSERS.createParser(text, from, length)) {
-            return p.nextToken() == null ? null : value(p);
+        try (JsonParser parser = PARSERS.createParser(text, from, length)) {
+            return parser.nextToken() == null ? null : value(parser);
         }
     }
 
@@ -41,44 +41,44 @@
 
     /** Reads a string as {@link #read(byte[], int, int)} reads bytes. */
     static JsonNode read(String text) throws IOException {
-        try (JsonParser p = PARSERS.createParser(text)) {
-            return p.nextToken() == null ? null : value(p);
+        try (JsonParser parser = PARSERS.createParser(text)) {
+            return parser.nextToken() == null ? null : value(parser);
         }
     }
 
-    private static JsonNode value(JsonParser p) throws IOException {
-        return switch (p.currentToken()) {
-            case START_OBJECT -> object(p);
-            case START_ARRAY -> array(p);
-            case VALUE_STRING -> NODES.textNode(p.getText());
+    private static JsonNode value(JsonParser parser) throws IOException {
+        return switch (parser.currentToken()) {
+            case START_OBJECT -> object(parser);
+            case START_ARRAY -> array(parser);
+            case VALUE_STRING -> NODES.textNode(parser.getText());
             case VALUE_NUMBER_INT ->
-                switch (p.getNumberType()) {
-                    case INT -> NODES.numberNode(p.getIntValue());
-                    case LONG -> NODES.numberNode(p.getLongValue());
-                    default -> NODES.numberNode(p.getBigIntegerValue());
+                switch (parser.getNumberType()) {
+                    case INT -> NODES.numberNode(parser.getIntValue());
+                    case LONG -> NODES.numberNode(parser.getLongValue());
+                    default -> NODES.numberNode(parser.getBigIntegerValue());
                 };
-            case VALUE_NUMBER_FLOAT -> NODES.numberNode(p.getDoubleValue());
+            case VALUE_NUMBER_FLOAT -> NODES.numberNode(parser.getDoubleValue());
             case VALUE_TRUE -> NODES.booleanNode(true);
             case VALUE_FALSE -> NODES.booleanNode(false);
             default -> NODES.nullNode();
         };
     }
 
-    private static ObjectNode object(JsonParser p) throws IOException {
+    private static ObjectNode object(JsonParser parser) throws IOException {
         ObjectNode o = NODES.objectNode();
-        while (p.nextToken() == JsonToken.FIELD_NAME) {
-            String name = p.currentName();
-            p.nextToken();
-            o.set(name, value(p)); // the last of two with one name, as the mapper has it
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            String name = parser.currentName();
+            parser.nextToken();
+            o.set(name, value(parser)); // the last of two with one name, as the mapper has it
         }
         return o;
     }
 
-    private static ArrayNode array(JsonParser p) throws IOException {
-        ArrayNode a = NODES.arrayNode();
-        while (p.nextToken() != JsonToken.END_ARRAY) {
-            a.add(value(p));
+    private static ArrayNode array(JsonParser parser) throws IOException {
+        ArrayNode node = NODES.arrayNode();
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+            node.add(value(parser));
         }
-        return a;
+        return node;
     }
 }
--- a/src/main/java/rillyard/settings/SettingsReader.java
+++ b/src/main/java/rillyard/settings/SettingsReader.java
@@ -33,8 +33,8 @@
             throw new MalformedInputException("malformed conf: not a JSON object");
         }
         List<Settings.RequestClass> classes = new ArrayList<>();
-        for (JsonNode c : root.path("classes")) {
-            classes.add(requestClass(c));
+        for (JsonNode node : root.path("classes")) {
+            classes.add(requestClass(node));
         }
         List<Settings.Tenant> tenants = new ArrayList<>();
         for (JsonNode t : root.path("tenants")) {
@@ -73,28 +73,28 @@
                 root.path("worthBy").asText("request").equals("work"));
     }
 
-    private static Settings.RequestClass requestClass(JsonNode c) {
-        double deadline = c.path("deadline").asDouble(1000);
+    private static Settings.RequestClass requestClass(JsonNode node) {
+        double deadline = node.path("deadline").asDouble(1000);
         Settings.Semantics semantics =
-                switch (c.path("semantics").asText()) {
+                switch (node.path("semantics").asText()) {
                     case "idempotent" -> Settings.Semantics.IDEMPOTENT;
                     case "deduplicated" -> Settings.Semantics.DEDUPLICATED;
                     default -> Settings.Semantics.AT_MOST_ONCE; // the strictest, where a name is new
                 };
         Settings.Scope scope =
-                switch (c.path("keyScope").asText()) {
+                switch (node.path("keyScope").asText()) {
                     case "all" -> Settings.Scope.ALL;
                     case "zone" -> Settings.Scope.ZONE;
                     default -> Settings.Scope.CELL;
                 };
         return new Settings.RequestClass(
-                c.path("name").asText(),
-                Math.max(1, c.path("aim").asDouble(deadline)),
+                node.path("name").asText(),
+                Math.max(1, node.path("aim").asDouble(deadline)),
                 deadline,
                 semantics,
                 scope,
-                c.path("repeatWindow").asDouble(0),
-                c.path("value").asDouble(1),
-                c.path("lateWorth").asDouble(0));
+                node.path("repeatWindow").asDouble(0),
+                node.path("value").asDouble(1),
+                node.path("lateWorth").asDouble(0));
     }
 }
--- a/src/main/java/rillyard/settings/SettingsValidator.java
+++ b/src/main/java/rillyard/settings/SettingsValidator.java
@@ -54,34 +54,34 @@
     private static void classes(JsonNode classes) {
         Set<String> names = new HashSet<>();
         for (int i = 0; i < classes.size(); i++) {
-            JsonNode c = classes.get(i);
+            JsonNode node = classes.get(i);
             String where = "classes[" + i + "].";
-            JsonNode name = c.path("name");
+            JsonNode name = node.path("name");
             if (!name.isTextual() || name.asText().isBlank() || !names.add(name.asText())) {
                 throw wrong(where + "name", "a name that no other class has", name);
             }
-            time(c, where, "deadline", 1);
-            time(c, where, "aim", 0);
-            time(c, where, "repeatWindow", 0);
-            number(c, where, "value", 0, MOST);
-            number(c, where, "lateWorth", 0, MOST);
+            time(node, where, "deadline", 1);
+            time(node, where, "aim", 0);
+            time(node, where, "repeatWindow", 0);
+            number(node, where, "value", 0, MOST);
+            number(node, where, "lateWorth", 0, MOST);
         }
     }
 
     private static JsonNode object(JsonNode parent, String key) {
-        JsonNode n = parent.path(key);
-        if (!absent(n) && !n.isObject()) {
-            throw wrong(key, "an object", n);
+        JsonNode node = parent.path(key);
+        if (!absent(node) && !node.isObject()) {
+            throw wrong(key, "an object", node);
         }
-        return n;
+        return node;
     }
 
     private static JsonNode list(JsonNode parent, String key) {
-        JsonNode n = parent.path(key);
-        if (!absent(n) && !n.isArray()) {
-            throw wrong(key, "a list", n);
+        JsonNode node = parent.path(key);
+        if (!absent(node) && !node.isArray()) {
+            throw wrong(key, "a list", node);
         }
-        return n;
+        return node;
     }
 
     private static void time(JsonNode parent, String where, String key, double least) {
@@ -90,21 +90,21 @@
 
     private static void whole(JsonNode parent, String where, String key, double least, double most) {
         number(parent, where, key, least, most);
-        JsonNode n = parent.path(key);
-        if (!absent(n) && n.asDouble() != Math.rint(n.asDouble())) {
-            throw wrong(where + key, "a whole number", n);
+        JsonNode node = parent.path(key);
+        if (!absent(node) && node.asDouble() != Math.rint(node.asDouble())) {
+            throw wrong(where + key, "a whole number", node);
         }
     }
 
     private static void number(JsonNode parent, String where, String key, double least, double most) {
-        JsonNode n = parent.path(key);
-        if (!absent(n) && !(n.isNumber() && n.asDouble() >= least && n.asDouble() <= most)) {
-            throw wrong(where + key, String.format(Locale.ROOT, "a number from %.0f to %.0f", least, most), n);
+        JsonNode node = parent.path(key);
+        if (!absent(node) && !(node.isNumber() && node.asDouble() >= least && node.asDouble() <= most)) {
+            throw wrong(where + key, String.format(Locale.ROOT, "a number from %.0f to %.0f", least, most), node);
         }
     }
 
-    private static boolean absent(JsonNode n) {
-        return n.isMissingNode() || n.isNull();
+    private static boolean absent(JsonNode node) {
+        return node.isMissingNode() || node.isNull();
     }
 
     private static MalformedInputException wrong(String key, String expected, JsonNode found) {
--- a/src/main/java/rillyard/simulation/SimulatorSession.java
+++ b/src/main/java/rillyard/simulation/SimulatorSession.java
@@ -97,10 +97,10 @@
         } else if (line.named("membership")) {
             membership();
         } else if (line.named("gone")) {
-            Balancer b = instance();
+            Balancer balancer = instance();
             long id = line.number("txn");
-            if (b != null) {
-                b.onClientGone(now, id);
+            if (balancer != null) {
+                balancer.onClientGone(now, id);
             }
         } else if (line.named("retire")) {
             instances.remove(line.number("who"));
@@ -120,25 +120,25 @@
     }
 
     private void outcome() {
-        Balancer b = instance();
+        Balancer balancer = instance();
         long id = line.number("txn");
         int number = (int) line.number("sendNo");
         AttemptOutcome result = result((int) line.number("reason"));
         double spent = line.decimal("spent", 0);
         boolean over = line.flag("terminal");
-        if (b != null) {
+        if (balancer != null) {
             // A reason that is not known proves nothing: as an error, it may have run.
-            b.onOutcome(now, id, number, result == null ? AttemptOutcome.ERROR : result, spent, over, load());
+            balancer.onOutcome(now, id, number, result == null ? AttemptOutcome.ERROR : result, spent, over, load());
         }
     }
 
     private void inbound() {
-        Balancer b = instance();
+        Balancer balancer = instance();
         long id = line.number("txn");
         String type = line.string("class");
         double budget = line.decimal("budget");
-        if (b != null) {
-            b.onRequest(
+        if (balancer != null) {
+            balancer.onRequest(
                     now,
                     new IncomingRequest(
                             id,
@@ -151,10 +151,10 @@
     }
 
     private void wake() {
-        Balancer b = instance();
+        Balancer balancer = instance();
         long token = line.number("token");
-        if (b != null) {
-            b.onTimer(now, token);
+        if (balancer != null) {
+            balancer.onTimer(now, token);
         }
     }
 
@@ -190,7 +190,7 @@
     }
 
     private void membership() {
-        Balancer b = instance();
+        Balancer balancer = instance();
         WatchEvent how =
                 switch (line.string("how")) {
                     case "delta" -> WatchEvent.DELTA;
@@ -199,7 +199,7 @@
                     case "failed" -> WatchEvent.FAILED;
                     default -> null;
                 };
-        if (b == null || how == null) {
+        if (balancer == null || how == null) {
             return;
         }
         List<EndpointEntry> entries = List.of();
@@ -209,7 +209,7 @@
                 throw line.malformed("no ledger with this number has come");
             }
         }
-        b.onMembership(now, how, entries);
+        balancer.onMembership(now, how, entries);
     }
 
     private LoadReport load() {
--- a/src/main/java/rillyard/subset/SubsetPlanner.java
+++ b/src/main/java/rillyard/subset/SubsetPlanner.java
@@ -48,7 +48,7 @@
         return next;
     }
 
-    private static double part(SubsetPosition p) {
-        return (double) p.position() / p.of();
+    private static double part(SubsetPosition position) {
+        return (double) position.position() / position.of();
     }
 }
--- a/src/main/java/rillyard/testserver/ActiveFaults.java
+++ b/src/main/java/rillyard/testserver/ActiveFaults.java
@@ -13,13 +13,13 @@
         this.random = random;
     }
 
-    void begin(HostFault f) {
-        active.put(f.kind(), f);
+    void begin(HostFault fault) {
+        active.put(fault.kind(), fault);
     }
 
     /** Ends a fault; false if another of its kind has taken its place. */
-    boolean end(HostFault f) {
-        return active.remove(f.kind(), f);
+    boolean end(HostFault fault) {
+        return active.remove(fault.kind(), fault);
     }
 
     void clear() {
@@ -32,7 +32,7 @@
 
     /** Whether a fault of this kind meets the request at hand: a draw of chance by its share. */
     boolean meets(HostFault.Kind kind) {
-        HostFault f = active.get(kind);
-        return f != null && (f.size() >= 1 || random.nextDouble() < f.size());
+        HostFault fault = active.get(kind);
+        return fault != null && (fault.size() >= 1 || random.nextDouble() < fault.size());
     }
 }
--- a/src/main/java/rillyard/testserver/DiscoveryServer.java
+++ b/src/main/java/rillyard/testserver/DiscoveryServer.java
@@ -63,8 +63,8 @@
                 .channel(EventLoops.listening())
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel ch) {
-                        ch.pipeline().addLast(new HttpServerCodec(), new Caller());
+                    protected void initChannel(SocketChannel channel) {
+                        channel.pipeline().addLast(new HttpServerCodec(), new Caller());
                     }
                 })
                 .bind(at)
@@ -79,9 +79,9 @@
     }
 
     /** Takes a change over and tells it, unless discovery is stale or silent; to be called on the loop. */
-    void change(EndpointCatalog.Entry e) {
-        EndpointCatalog.Change c = catalog.change(e);
-        ledger.append(new WatchNotification(UnixClock.micros(), 0, e.spec().id(), e.state(), c.version()));
+    void change(EndpointCatalog.Entry entry) {
+        EndpointCatalog.Change change = catalog.change(entry);
+        ledger.append(new WatchNotification(UnixClock.micros(), 0, entry.spec().id(), entry.state(), change.version()));
         tell();
     }
 
@@ -108,8 +108,8 @@
 
     private void blank() {
         if (!silent) {
-            for (Watch w : watches) {
-                w.write("");
+            for (Watch watch : watches) {
+                watch.write("");
             }
         }
     }
@@ -143,9 +143,9 @@
             }
             begun = true;
             write(catalog.since(version, told(channel)));
-            for (EndpointCatalog.Entry e : catalog.entriesSince(version)) {
+            for (EndpointCatalog.Entry entry : catalog.entriesSince(version)) {
                 ledger.append(new WatchNotification(
-                        UnixClock.micros(), number, e.spec().id(), e.state(), catalog.version()));
+                        UnixClock.micros(), number, entry.spec().id(), entry.state(), catalog.version()));
             }
             version = catalog.version();
         }
@@ -162,8 +162,8 @@
                     ctx.close();
                     return;
                 }
-                if (msg instanceof HttpRequest r) {
-                    head = r;
+                if (msg instanceof HttpRequest request) {
+                    head = request;
                 }
                 if (msg instanceof LastHttpContent && head != null && watch == null && !silent) {
                     asked(ctx, head);
@@ -173,8 +173,8 @@
             }
         }
 
-        private void asked(ChannelHandlerContext ctx, HttpRequest r) {
-            QueryStringDecoder q = new QueryStringDecoder(r.uri());
+        private void asked(ChannelHandlerContext ctx, HttpRequest request) {
+            QueryStringDecoder q = new QueryStringDecoder(request.uri());
             if (!q.path().equals("/catalog/members")) {
                 respond(ctx, HttpResponseStatus.NOT_FOUND, "");
                 return;
