--- a/src/main/java/rillyard/testserver/EndpointCatalog.java
+++ b/src/main/java/rillyard/testserver/EndpointCatalog.java
@@ -28,7 +28,7 @@
 
     /** The list at the start, which has version 1. */
     EndpointCatalog(List<Entry> initial) {
-        initial.forEach(e -> entries.put(e.spec().id(), e));
+        initial.forEach(entry -> entries.put(entry.spec().id(), entry));
     }
 
     long version() {
@@ -36,18 +36,18 @@
     }
 
     /** Takes a change over; state {@code removed} takes the entry off the list. */
-    Change change(Entry e) {
-        if (e.state().equals("removed")) {
-            entries.remove(e.spec().id());
+    Change change(Entry entry) {
+        if (entry.state().equals("removed")) {
+            entries.remove(entry.spec().id());
         } else {
-            entries.put(e.spec().id(), e);
+            entries.put(entry.spec().id(), entry);
         }
-        Change c = new Change(++version, e);
-        changes.add(c);
+        Change change = new Change(++version, entry);
+        changes.add(change);
         if (changes.size() > KEPT) {
             changes.remove(0);
         }
-        return c;
+        return change;
     }
 
     /** The entry of a host, or null. */
@@ -59,7 +59,7 @@
     List<Entry> entriesSince(long since) {
         if (!whole(since)) {
             return changes.stream()
-                    .filter(c -> c.version() > since)
+                    .filter(change -> change.version() > since)
                     .map(Change::entry)
                     .toList();
         }
@@ -81,21 +81,21 @@
     }
 
     private String line(boolean full, Iterable<Entry> told, UnaryOperator<String> address) {
-        ObjectNode n = JSON.createObjectNode().put("version", version).put("full", full);
-        ArrayNode servers = n.putArray("servers");
-        told.forEach(e -> put(servers, e, address));
-        return n.toString();
+        ObjectNode node = JSON.createObjectNode().put("version", version).put("full", full);
+        ArrayNode servers = node.putArray("servers");
+        told.forEach(entry -> put(servers, entry, address));
+        return node.toString();
     }
 
-    private static void put(ArrayNode servers, Entry e, UnaryOperator<String> address) {
+    private static void put(ArrayNode servers, Entry entry, UnaryOperator<String> address) {
         servers.addObject()
-                .put("id", e.spec().id())
-                .put("addr", address.apply(e.address()))
-                .put("zone", e.spec().zone())
-                .put("kind", e.spec().kind())
-                .put("cell", e.spec().cell())
-                .put("state", e.state())
-                .put("weight", e.spec().cores() * e.spec().speed())
-                .put("started_ms", e.startedMs());
+                .put("id", entry.spec().id())
+                .put("addr", address.apply(entry.address()))
+                .put("zone", entry.spec().zone())
+                .put("kind", entry.spec().kind())
+                .put("cell", entry.spec().cell())
+                .put("state", entry.state())
+                .put("weight", entry.spec().cores() * entry.spec().speed())
+                .put("started_ms", entry.startedMs());
     }
 }
--- a/src/main/java/rillyard/testserver/FaultControlServer.java
+++ b/src/main/java/rillyard/testserver/FaultControlServer.java
@@ -43,8 +43,8 @@
                 .channel(EventLoops.listening())
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel ch) {
-                        ch.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST), new Caller());
+                    protected void initChannel(SocketChannel channel) {
+                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST), new Caller());
                     }
                 })
                 .bind(at)
@@ -55,17 +55,17 @@
 
     private final class Caller extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest r) {
-            if (!r.uri().equals("/faults") || !r.method().equals(HttpMethod.POST)) {
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
+            if (!request.uri().equals("/faults") || !request.method().equals(HttpMethod.POST)) {
                 respond(ctx, HttpResponseStatus.NOT_FOUND, "POST /faults takes [[fault]] tables\n");
                 return;
             }
             try {
                 List<HostFault> faults =
-                        TestClusterPlanReader.faults("faults", r.content().toString(StandardCharsets.UTF_8));
-                for (HostFault f : faults) {
-                    if (!f.kind().ofDiscovery() && standIn.address(f.host()) == null) {
-                        respond(ctx, HttpResponseStatus.BAD_REQUEST, "no host '" + f.host() + "'\n");
+                        TestClusterPlanReader.faults("faults", request.content().toString(StandardCharsets.UTF_8));
+                for (HostFault fault : faults) {
+                    if (!fault.kind().ofDiscovery() && standIn.address(fault.host()) == null) {
+                        respond(ctx, HttpResponseStatus.BAD_REQUEST, "no host '" + fault.host() + "'\n");
                         return;
                     }
                 }
@@ -78,7 +78,7 @@
         /** Answers when the last has begun: what the caller sends next may be on another loop. */
         private void begin(ChannelHandlerContext ctx, List<HostFault> faults) {
             PromiseCombiner all = new PromiseCombiner(ctx.executor());
-            faults.forEach(f -> all.add(standIn.begin(f)));
+            faults.forEach(fault -> all.add(standIn.begin(fault)));
             Promise<Void> begun = ctx.executor().newPromise();
             all.finish(begun);
             begun.addListener(f -> {
--- a/src/main/java/rillyard/testserver/HostConnection.java
+++ b/src/main/java/rillyard/testserver/HostConnection.java
@@ -101,19 +101,19 @@
             refuse(400, false, true); // not a request, or a second one before the first is answered
             return;
         }
-        if (part instanceof HttpRequest r) {
-            head = r;
+        if (part instanceof HttpRequest request) {
+            head = request;
             crc = new CRC32();
             length = 0;
         }
-        if (part instanceof HttpContent c && head != null) {
-            ByteBuf b = c.content();
-            length += b.readableBytes();
+        if (part instanceof HttpContent content && head != null) {
+            ByteBuf buffer = content.content();
+            length += buffer.readableBytes();
             if (length > MOST_BODY) {
                 refuse(413, false, true);
                 return;
             }
-            crc.update(b.nioBuffer());
+            crc.update(buffer.nioBuffer());
             if (part instanceof LastHttpContent) {
                 complete();
             }
@@ -121,13 +121,13 @@
     }
 
     private void complete() {
-        HttpRequest r = head;
+        HttpRequest request = head;
         head = null;
-        if (r.uri().equals("/ping")) {
+        if (request.uri().equals("/ping")) {
             answer(HostResponse.text(channel.alloc(), 200, ""));
             return;
         }
-        if (r.uri().equals("/_load")) {
+        if (request.uri().equals("/_load")) {
             String load = host.load();
             answer(
                     load == null
@@ -135,21 +135,22 @@
                             : HostResponse.text(channel.alloc(), 200, load));
             return;
         }
-        HttpHeaders h = r.headers();
-        String id = h.get("X-Request-ID");
-        RequestClassSpec spec = host.fleet().type(type(r.uri()));
+        HttpHeaders headers = request.headers();
+        String id = headers.get("X-Request-ID");
+        RequestClassSpec spec = host.fleet().type(type(request.uri()));
         if (id == null || spec == null) {
             refuse(404, false, false);
             return;
         }
-        String key = h.get("Idempotency-Key");
+        String key = headers.get("Idempotency-Key");
         if (spec.semantics() == RequestClassSpec.Semantics.DEDUPLICATED && key == null) {
             refuse(400, false, false);
             return;
         }
         long now = host.timers.now();
-        long until = now + (long) (timeout(h.get("X-Timeout-Ms"), spec.deadlineMs()) * 1e6);
-        exchange = new Exchange(new HostRequest(id, key, spec, r.uri(), length, crc.getValue(), firstByte, until));
+        long until = now + (long) (timeout(headers.get("X-Timeout-Ms"), spec.deadlineMs()) * 1e6);
+        exchange =
+                new Exchange(new HostRequest(id, key, spec, request.uri(), length, crc.getValue(), firstByte, until));
         if (turnedAway) {
             exchange.turnAway(503, true);
         } else if (now < readyAt) {
--- a/src/main/java/rillyard/testserver/HostContext.java
+++ b/src/main/java/rillyard/testserver/HostContext.java
@@ -18,14 +18,14 @@
     int attempt(String id);
 
     /** The host is to drain, and to stop when the fault's time is up. */
-    void draining(HostServer host, HostFault f);
+    void draining(HostServer host, HostFault fault);
 
     /** The host has died. */
-    void stopped(HostServer host, HostFault f);
+    void stopped(HostServer host, HostFault fault);
 
     /** The host listens again. */
     void restarted(HostServer host);
 
     /** A failure of our own code. */
-    void failed(String what, Throwable t);
+    void failed(String what, Throwable cause);
 }
--- a/src/main/java/rillyard/testserver/HostQueue.java
+++ b/src/main/java/rillyard/testserver/HostQueue.java
@@ -79,65 +79,65 @@
     }
 
     /** Takes a job; false if the queue is full. */
-    boolean offer(Job j) {
+    boolean offer(Job job) {
         if (!paused && running.size() < spec.cores()) {
-            begin(j);
+            begin(job);
             return true;
         }
         if (queue.size() >= spec.queue()) {
             return false;
         }
-        put(j);
+        put(job);
         return true;
     }
 
     /** Takes a job whether or not there is room. */
-    void force(Job j) {
+    void force(Job job) {
         if (!paused && running.size() < spec.cores()) {
-            begin(j);
+            begin(job);
         } else {
-            put(j);
+            put(job);
         }
     }
 
-    private void put(Job j) {
-        j.queued = true;
-        queue.addLast(j);
+    private void put(Job job) {
+        job.queued = true;
+        queue.addLast(job);
     }
 
     /** Takes a job that waits out of the queue; false if it doesn't wait. */
-    boolean withdraw(Job j) {
-        if (!j.queued) {
+    boolean withdraw(Job job) {
+        if (!job.queued) {
             return false;
         }
-        j.queued = false;
-        return queue.remove(j);
+        job.queued = false;
+        return queue.remove(job);
     }
 
-    private void begin(Job j) {
-        j.queued = false;
-        if (!j.starts()) {
+    private void begin(Job job) {
+        job.queued = false;
+        if (!job.starts()) {
             return;
         }
         count();
-        j.running = true;
-        j.startedAt = timers.now();
-        j.left = j.work;
-        running.add(j);
-        run(j);
+        job.running = true;
+        job.startedAt = timers.now();
+        job.left = job.work;
+        running.add(job);
+        run(job);
     }
 
-    private void run(Job j) {
-        j.resumedAt = timers.now();
-        j.rate = spec.speed() * warmth() / slow;
-        j.timer = timers.at(j.resumedAt + (long) (j.left / j.rate), () -> finish(j));
+    private void run(Job job) {
+        job.resumedAt = timers.now();
+        job.rate = spec.speed() * warmth() / slow;
+        job.timer = timers.at(job.resumedAt + (long) (job.left / job.rate), () -> finish(job));
     }
 
-    private void finish(Job j) {
+    private void finish(Job job) {
         count();
-        running.remove(j);
-        j.running = false;
-        j.finished();
+        running.remove(job);
+        job.running = false;
+        job.finished();
         fill();
     }
 
@@ -154,9 +154,9 @@
         }
         count();
         paused = true;
-        for (Job j : running) {
-            j.timer.cancel();
-            j.left = Math.max(0, j.left - (timers.now() - j.resumedAt) * j.rate);
+        for (Job job : running) {
+            job.timer.cancel();
+            job.left = Math.max(0, job.left - (timers.now() - job.resumedAt) * job.rate);
         }
     }
 
@@ -167,8 +167,8 @@
         }
         count();
         paused = false;
-        for (Job j : new ArrayList<>(running)) {
-            run(j);
+        for (Job job : new ArrayList<>(running)) {
+            run(job);
         }
         fill();
     }
@@ -181,9 +181,9 @@
     /** All work is lost: nothing of it finishes. */
     void kill() {
         count();
-        for (Job j : running) {
-            j.timer.cancel();
-            j.running = false;
+        for (Job job : running) {
+            job.timer.cancel();
+            job.running = false;
         }
         running.clear();
         queue.clear();
--- a/src/main/java/rillyard/testserver/HostResponse.java
+++ b/src/main/java/rillyard/testserver/HostResponse.java
@@ -23,49 +23,52 @@
         return "id=" + id + " host=" + host + " len=" + length + " crc=" + Long.toHexString(crc);
     }
 
-    static ByteBuf good(ByteBufAllocator alloc, HostRequest r, String host, String load) {
-        String body = body(r.id(), host, r.length(), r.crc());
-        int size = Math.max(body.length(), r.spec().answerBytes());
+    static ByteBuf good(ByteBufAllocator alloc, HostRequest request, String host, String load) {
+        String body = body(request.id(), host, request.length(), request.crc());
+        int size = Math.max(body.length(), request.spec().answerBytes());
         String head = "HTTP/1.1 200 OK\r\nContent-Length: " + size + "\r\n"
                 + (load == null ? "" : "X-Server-Load: " + load + "\r\n") + "\r\n";
-        ByteBuf b = alloc.buffer(head.length() + size);
-        b.writeCharSequence(head, StandardCharsets.US_ASCII);
-        b.writeCharSequence(body, StandardCharsets.US_ASCII);
+        ByteBuf buffer = alloc.buffer(head.length() + size);
+        buffer.writeCharSequence(head, StandardCharsets.US_ASCII);
+        buffer.writeCharSequence(body, StandardCharsets.US_ASCII);
         for (int i = body.length(); i < size; i++) {
-            b.writeByte(' ');
+            buffer.writeByte(' ');
         }
-        return b;
+        return buffer;
     }
 
     static ByteBuf status(ByteBufAllocator alloc, int status, boolean unseen, boolean close) {
         String head = "HTTP/1.1 " + status + " X\r\nContent-Length: 0\r\n"
                 + (unseen ? "X-Not-Processed: 1\r\n" : "")
                 + (close ? "Connection: close\r\n" : "") + "\r\n";
-        ByteBuf b = alloc.buffer(head.length());
-        b.writeCharSequence(head, StandardCharsets.US_ASCII);
-        return b;
+        ByteBuf buffer = alloc.buffer(head.length());
+        buffer.writeCharSequence(head, StandardCharsets.US_ASCII);
+        return buffer;
     }
 
     static ByteBuf text(ByteBufAllocator alloc, int status, String text) {
         byte[] body = text.getBytes(StandardCharsets.UTF_8);
         String head = "HTTP/1.1 " + status + " X\r\nContent-Length: " + body.length + "\r\n\r\n";
-        ByteBuf b = alloc.buffer(head.length() + body.length);
-        b.writeCharSequence(head, StandardCharsets.US_ASCII);
-        b.writeBytes(body);
-        return b;
+        ByteBuf buffer = alloc.buffer(head.length() + body.length);
+        buffer.writeCharSequence(head, StandardCharsets.US_ASCII);
+        buffer.writeBytes(body);
+        return buffer;
     }
 
     /** One of four that can't be read as an answer: noise, no end of a line, a wrong length, no length. */
     static ByteBuf spoilt(ByteBufAllocator alloc, int which) {
-        ByteBuf b = alloc.buffer(64);
+        ByteBuf buffer = alloc.buffer(64);
         switch (which & 3) {
-            case 0 -> b.writeBytes(NOISE);
-            case 1 -> b.writeCharSequence("HTTP/1.1 200 OK\r\nContent-Length: 12\r\nX-Half", StandardCharsets.US_ASCII);
+            case 0 -> buffer.writeBytes(NOISE);
+            case 1 ->
+                buffer.writeCharSequence("HTTP/1.1 200 OK\r\nContent-Length: 12\r\nX-Half", StandardCharsets.US_ASCII);
             case 2 ->
-                b.writeCharSequence("HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nspoilt", StandardCharsets.US_ASCII);
+                buffer.writeCharSequence(
+                        "HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nspoilt", StandardCharsets.US_ASCII);
             default ->
-                b.writeCharSequence("HTTP/1.1 2x0 OK\r\nContent-Length: 6\r\n\r\nspoilt", StandardCharsets.US_ASCII);
+                buffer.writeCharSequence(
+                        "HTTP/1.1 2x0 OK\r\nContent-Length: 6\r\n\r\nspoilt", StandardCharsets.US_ASCII);
         }
-        return b;
+        return buffer;
     }
 }
--- a/src/main/java/rillyard/testserver/HostServer.java
+++ b/src/main/java/rillyard/testserver/HostServer.java
@@ -77,9 +77,9 @@
     /** Listens, cold, where it did before, or another did that has stopped; to be called on the loop. */
     void restart(InetSocketAddress at) {
         address = at;
-        listen(at).addListener((ChannelFuture f) -> {
-            if (f.isSuccess()) {
-                listener = f.channel();
+        listen(at).addListener((ChannelFuture future) -> {
+            if (future.isSuccess()) {
+                listener = future.channel();
                 began(true);
                 fleet.restarted(this);
             } else {
@@ -98,8 +98,8 @@
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel ch) {
-                        accepted(ch);
+                    protected void initChannel(SocketChannel channel) {
+                        accepted(channel);
                     }
                 })
                 .bind(at);
@@ -122,17 +122,17 @@
                         cold ? (long) (1_000 * spec.coldMs()) : 0));
     }
 
-    private void accepted(SocketChannel ch) {
+    private void accepted(SocketChannel channel) {
         boolean full = connections.size() >= spec.connections();
-        HostConnection c = new HostConnection(this, ch, full);
-        connections.add(c);
-        ch.closeFuture().addListener(f -> connections.remove(c));
-        ch.pipeline().addLast(new HostConnection.FirstByte(c), new HttpRequestDecoder(), c);
+        HostConnection connection = new HostConnection(this, channel, full);
+        connections.add(connection);
+        channel.closeFuture().addListener(f -> connections.remove(connection));
+        channel.pipeline().addLast(new HostConnection.FirstByte(connection), new HttpRequestDecoder(), connection);
         if (!full && spec.handshakeWorkMs() > 0) {
             work.force(handshake());
         }
         if (faults.has(HostFault.Kind.PAUSE)) {
-            ch.config().setAutoRead(false);
+            channel.config().setAutoRead(false);
         }
     }
 
@@ -150,36 +150,36 @@
 
     // --- faults; all on the loop
 
-    void begin(HostFault f) {
-        fleet.ledger().append(new HostEvent(UnixClock.micros(), spec.id(), HostEvent.Kind.FAULT, f.words()));
-        switch (f.kind()) {
+    void begin(HostFault fault) {
+        fleet.ledger().append(new HostEvent(UnixClock.micros(), spec.id(), HostEvent.Kind.FAULT, fault.words()));
+        switch (fault.kind()) {
             case PAUSE -> {
-                faults.begin(f);
+                faults.begin(fault);
                 work.pause();
                 reading(false);
             }
             case SLOW -> {
-                faults.begin(f);
-                work.slow(f.size());
+                faults.begin(fault);
+                work.slow(fault.size());
             }
-            case KILL -> kill(f);
-            case DRAIN -> fleet.draining(this, f);
-            default -> faults.begin(f);
+            case KILL -> kill(fault);
+            case DRAIN -> fleet.draining(this, fault);
+            default -> faults.begin(fault);
         }
-        if (f.forMs() > 0 && f.kind() != HostFault.Kind.KILL && f.kind() != HostFault.Kind.DRAIN) {
-            timers.after((long) (f.forMs() * 1e6), () -> end(f));
+        if (fault.forMs() > 0 && fault.kind() != HostFault.Kind.KILL && fault.kind() != HostFault.Kind.DRAIN) {
+            timers.after((long) (fault.forMs() * 1e6), () -> end(fault));
         }
     }
 
-    private void end(HostFault f) {
-        if (!faults.end(f)) {
+    private void end(HostFault fault) {
+        if (!faults.end(fault)) {
             return;
         }
-        fleet.ledger().append(new HostEvent(UnixClock.micros(), spec.id(), HostEvent.Kind.FAULT_ENDED, f.words()));
-        if (f.kind() == HostFault.Kind.PAUSE) {
+        fleet.ledger().append(new HostEvent(UnixClock.micros(), spec.id(), HostEvent.Kind.FAULT_ENDED, fault.words()));
+        if (fault.kind() == HostFault.Kind.PAUSE) {
             work.resume();
             reading(true);
-        } else if (f.kind() == HostFault.Kind.SLOW) {
+        } else if (fault.kind() == HostFault.Kind.SLOW) {
             work.slow(1);
         }
     }
@@ -188,17 +188,17 @@
         if (listener.isOpen()) {
             listener.config().setAutoRead(on);
         }
-        for (HostConnection c : connections) {
-            c.reading(on);
+        for (HostConnection connection : connections) {
+            connection.reading(on);
         }
     }
 
-    private void kill(HostFault f) {
+    private void kill(HostFault fault) {
         if (!up) {
             return;
         }
         down(HostEvent.Kind.KILLED);
-        fleet.stopped(this, f);
+        fleet.stopped(this, fault);
     }
 
     /** Ends the host: its listener, its connections, what it runs. */
@@ -211,8 +211,8 @@
         sweeping = null;
         fleet.ledger().append(new HostEvent(UnixClock.micros(), spec.id(), how, null));
         listener.close();
-        for (HostConnection c : new ArrayList<>(connections)) {
-            c.kill();
+        for (HostConnection connection : new ArrayList<>(connections)) {
+            connection.kill();
         }
         work.kill();
         faults.clear();
@@ -224,14 +224,14 @@
 
     /** Ends the connections that carry nothing, as a host does that is about to stop. */
     void closeIdle() {
-        for (HostConnection c : new ArrayList<>(connections)) {
-            c.closeIfIdle(0);
+        for (HostConnection connection : new ArrayList<>(connections)) {
+            connection.closeIfIdle(0);
         }
     }
 
     boolean busy() {
-        for (HostConnection c : connections) {
-            if (c.busy()) {
+        for (HostConnection connection : connections) {
+            if (connection.busy()) {
                 return true;
             }
         }
@@ -240,8 +240,8 @@
 
     private void sweep() {
         if (!faults.has(HostFault.Kind.PAUSE)) {
-            for (HostConnection c : new ArrayList<>(connections)) {
-                c.closeIfIdle((long) (spec.idleMs() * 1e6));
+            for (HostConnection connection : new ArrayList<>(connections)) {
+                connection.closeIfIdle((long) (spec.idleMs() * 1e6));
             }
         }
     }
@@ -256,7 +256,7 @@
         }
         long now = timers.now();
         if (load == null || now - loadAt >= fleet.plan().reportPeriodMs() * 1e6) {
-            StringBuilder s = new StringBuilder();
+            StringBuilder out = new StringBuilder();
             for (String f : fields) {
                 double v =
                         switch (f) {
@@ -265,27 +265,27 @@
                             case "util", "busy" -> work.utilisation();
                             default -> 0;
                         };
-                s.append(s.isEmpty() ? "" : ",").append(f).append('=');
-                s.append(v == Math.rint(v) ? Long.toString((long) v) : String.format(Locale.ROOT, "%.3f", v));
+                out.append(out.isEmpty() ? "" : ",").append(f).append('=');
+                out.append(v == Math.rint(v) ? Long.toString((long) v) : String.format(Locale.ROOT, "%.3f", v));
             }
-            load = s.toString();
+            load = out.toString();
             loadAt = now;
         }
         return load;
     }
 
     /** Writes down what became of a request; {@code startedAt} 0 if it never ran. */
-    void ran(HostRequest r, int attempt, long startedAt, double workNanos, ExecutionResult result) {
+    void ran(HostRequest request, int attempt, long startedAt, double workNanos, ExecutionResult result) {
         fleet.ledger()
                 .append(new HostExecution(
-                        r.id(),
-                        r.key(),
-                        r.spec().name(),
+                        request.id(),
+                        request.key(),
+                        request.spec().name(),
                         spec.id(),
                         spec.cell(),
                         spec.zone(),
                         attempt,
-                        UnixClock.micros(r.firstByte()),
+                        UnixClock.micros(request.firstByte()),
                         startedAt == 0 ? 0 : UnixClock.micros(startedAt),
                         UnixClock.micros(timers.now()),
                         (long) (workNanos / 1_000),
--- a/src/main/java/rillyard/testserver/IdempotencyKeyStore.java
+++ b/src/main/java/rillyard/testserver/IdempotencyKeyStore.java
@@ -46,16 +46,16 @@
         for (Iterator<Entry> i = keys.values().iterator(); i.hasNext() && i.next().until <= now; ) {
             i.remove();
         }
-        Entry e = keys.get(key);
-        if (e == null || e.until <= now) {
+        Entry entry = keys.get(key);
+        if (entry == null || entry.until <= now) {
             keys.put(key, new Entry(now + window));
             return Known.NEW;
         }
-        if (e.done) {
+        if (entry.done) {
             return Known.DONE;
         }
-        e.waiting = new ArrayList<>(e.waiting);
-        e.waiting.add(later);
+        entry.waiting = new ArrayList<>(entry.waiting);
+        entry.waiting.add(later);
         return Known.RUNNING;
     }
 
@@ -63,13 +63,13 @@
     void done(String key) {
         List<Runnable> waiting;
         synchronized (this) {
-            Entry e = keys.get(key);
-            if (e == null) {
+            Entry entry = keys.get(key);
+            if (entry == null) {
                 return;
             }
-            e.done = true;
-            waiting = e.waiting;
-            e.waiting = List.of();
+            entry.done = true;
+            waiting = entry.waiting;
+            entry.waiting = List.of();
         }
         waiting.forEach(Runnable::run);
     }
@@ -78,8 +78,8 @@
     void forget(String key) {
         List<Runnable> waiting;
         synchronized (this) {
-            Entry e = keys.remove(key);
-            waiting = e == null ? List.of() : e.waiting;
+            Entry entry = keys.remove(key);
+            waiting = entry == null ? List.of() : entry.waiting;
         }
         waiting.forEach(Runnable::run);
     }
--- a/src/main/java/rillyard/testserver/ReadyFile.java
+++ b/src/main/java/rillyard/testserver/ReadyFile.java
@@ -29,7 +29,7 @@
         root.set("settings", settings(plan));
         root.put("control", text(control));
         ArrayNode hosts = root.putArray("hosts");
-        entries.forEach(e -> hosts.addObject().put("id", e.spec().id()).put("addr", e.address()));
+        entries.forEach(entry -> hosts.addObject().put("id", entry.spec().id()).put("addr", entry.address()));
         return root;
     }
 
@@ -48,23 +48,23 @@
         ArrayNode zones = s.putArray("zones");
         plan.hosts().stream().map(HostSpec::zone).distinct().forEach(zones::add);
         ArrayNode classes = s.putArray("classes");
-        for (RequestClassSpec c : plan.classes()) {
+        for (RequestClassSpec spec : plan.classes()) {
             classes.addObject()
-                    .put("name", c.name())
-                    .put("aim", c.aimMs())
-                    .put("deadline", c.deadlineMs())
-                    .put("semantics", c.semantics().setting())
-                    .put("keyScope", c.scope().setting())
-                    .put("repeatWindow", c.windowMs())
-                    .put("value", c.worth());
+                    .put("name", spec.name())
+                    .put("aim", spec.aimMs())
+                    .put("deadline", spec.deadlineMs())
+                    .put("semantics", spec.semantics().setting())
+                    .put("keyScope", spec.scope().setting())
+                    .put("repeatWindow", spec.windowMs())
+                    .put("value", spec.worth());
         }
         HostSpec first = plan.hosts().get(0);
-        TestClusterPlan.Rules r = plan.rules();
+        TestClusterPlan.Rules rules = plan.rules();
         s.putObject("limits")
                 .put("cancel", true)
                 .put("connIdle", first.idleMs())
-                .put("connectTimeout", r.connectTimeoutMs())
-                .put("maxAttempts", r.maxAttempts())
+                .put("connectTimeout", rules.connectTimeoutMs())
+                .put("maxAttempts", rules.maxAttempts())
                 .put("maxOpen", 20_000)
                 .put("parallelTries", true)
                 .put("probes", true)
@@ -77,16 +77,16 @@
         plan.reportFields().forEach(fields::add);
         s.putObject("rules")
                 .put("answerSlack", 20.0)
-                .put("drainGrace", r.drainGraceMs())
+                .put("drainGrace", rules.drainGraceMs())
                 .put("cold", first.coldMs())
                 .put("startCapacity", first.startShare())
-                .put("fall", r.fallMs())
-                .put("fallMultiple", r.fallMultiple());
+                .put("fall", rules.fallMs())
+                .put("fallMultiple", rules.fallMultiple());
         s.putArray("tenants");
         return s;
     }
 
-    private static String text(InetSocketAddress a) {
-        return a.getAddress().getHostAddress() + ":" + a.getPort();
+    private static String text(InetSocketAddress address) {
+        return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 }
--- a/src/main/java/rillyard/testserver/ServiceTime.java
+++ b/src/main/java/rillyard/testserver/ServiceTime.java
@@ -84,7 +84,7 @@
 
         @Override
         public boolean equals(Object o) {
-            return o instanceof Empirical e && Arrays.equals(sorted, e.sorted);
+            return o instanceof Empirical empirical && Arrays.equals(sorted, empirical.sorted);
         }
 
         @Override
--- a/src/main/java/rillyard/testserver/TestCluster.java
+++ b/src/main/java/rillyard/testserver/TestCluster.java
@@ -82,7 +82,7 @@
         this.errors = errors;
         this.loops = EventLoops.group(threads, "stand-in");
         this.seeds = new SplittableRandom(plan.seed());
-        plan.classes().forEach(c -> classes.put(c.name(), c));
+        plan.classes().forEach(spec -> classes.put(spec.name(), spec));
     }
 
     /**
@@ -94,10 +94,10 @@
         try {
             InetSocketAddress any = new InetSocketAddress(listen.getAddress(), 0);
             List<EndpointCatalog.Entry> entries = new ArrayList<>();
-            for (HostSpec s : plan.hosts()) {
-                HostServer h = host(s, loops.next());
-                h.start(any, s.startsCold());
-                entries.add(entry(h, "up", s.startsCold()));
+            for (HostSpec hostSpec : plan.hosts()) {
+                HostServer hostServer = host(hostSpec, loops.next());
+                hostServer.start(any, hostSpec.startsCold());
+                entries.add(entry(hostServer, "up", hostSpec.startsCold()));
             }
             discovery = new DiscoveryServer(control.next(), new EndpointCatalog(entries), ledger, view);
             discoveryAddress = discovery.start(listen);
@@ -113,20 +113,20 @@
         plan.faults().forEach(this::plan);
     }
 
-    private HostServer host(HostSpec s, EventLoop loop) {
-        HostServer h = new HostServer(s, loop, fleet, seeds.nextLong());
-        hosts.put(s.id(), h);
-        return h;
+    private HostServer host(HostSpec host, EventLoop loop) {
+        HostServer hostServer = new HostServer(host, loop, fleet, seeds.nextLong());
+        hosts.put(host.id(), hostServer);
+        return hostServer;
     }
 
-    private void plan(HostFault f) {
-        control.next().schedule(() -> timely(f), (long) (f.atMs() * 1e6), TimeUnit.NANOSECONDS);
+    private void plan(HostFault fault) {
+        control.next().schedule(() -> timely(fault), (long) (fault.atMs() * 1e6), TimeUnit.NANOSECONDS);
     }
 
-    private void timely(HostFault f) {
-        begin(f).addListener((Future<Object> begun) -> {
+    private void timely(HostFault fault) {
+        begin(fault).addListener((Future<Object> begun) -> {
             if (!begun.isSuccess()) {
-                errors.println("rillyard: the fault " + f.words() + " has not begun: "
+                errors.println("rillyard: the fault " + fault.words() + " has not begun: "
                         + begun.cause().getMessage());
             }
         });
@@ -138,48 +138,48 @@
      * @return done once it has begun, on the loop of its host or of discovery: what is read there later
      *     meets it. Fails with {@link IllegalArgumentException} if there is no such host
      */
-    public Future<?> begin(HostFault f) {
-        if (f.kind().ofDiscovery()) {
-            return discovery.loop().submit(() -> discoveryFault(f));
+    public Future<?> begin(HostFault fault) {
+        if (fault.kind().ofDiscovery()) {
+            return discovery.loop().submit(() -> discoveryFault(fault));
         }
-        HostServer h = hosts.get(f.host());
-        return h == null
-                ? control.next().newFailedFuture(new IllegalArgumentException("no host '" + f.host() + "'"))
-                : h.loop().submit(() -> h.begin(f));
+        HostServer host = hosts.get(fault.host());
+        return host == null
+                ? control.next().newFailedFuture(new IllegalArgumentException("no host '" + fault.host() + "'"))
+                : host.loop().submit(() -> host.begin(fault));
     }
 
-    private void discoveryFault(HostFault f) {
-        note(HostEvent.Kind.FAULT, f);
-        discovery.fault(f.kind(), true);
-        if (f.forMs() > 0) {
+    private void discoveryFault(HostFault fault) {
+        note(HostEvent.Kind.FAULT, fault);
+        discovery.fault(fault.kind(), true);
+        if (fault.forMs() > 0) {
             discovery
                     .loop()
                     .schedule(
                             () -> {
-                                discovery.fault(f.kind(), false);
-                                note(HostEvent.Kind.FAULT_ENDED, f);
+                                discovery.fault(fault.kind(), false);
+                                note(HostEvent.Kind.FAULT_ENDED, fault);
                             },
-                            (long) (f.forMs() * 1e6),
+                            (long) (fault.forMs() * 1e6),
                             TimeUnit.NANOSECONDS);
         }
     }
 
-    private void note(HostEvent.Kind what, HostFault f) {
-        ledger.append(new HostEvent(UnixClock.micros(), "discovery", what, f.words()));
+    private void note(HostEvent.Kind what, HostFault fault) {
+        ledger.append(new HostEvent(UnixClock.micros(), "discovery", what, fault.words()));
     }
 
-    private static EndpointCatalog.Entry entry(HostServer h, String state, boolean started) {
-        InetSocketAddress a = h.address();
+    private static EndpointCatalog.Entry entry(HostServer host, String state, boolean started) {
+        InetSocketAddress address = host.address();
         return new EndpointCatalog.Entry(
-                h.spec,
-                a.getAddress().getHostAddress() + ":" + a.getPort(),
+                host.spec,
+                address.getAddress().getHostAddress() + ":" + address.getPort(),
                 state,
                 started ? System.currentTimeMillis() : 0);
     }
 
     /** Has discovery hear of a host's state after its notice. */
-    private void hear(HostServer h, String state, boolean started) {
-        EndpointCatalog.Entry e = entry(h, state, started);
+    private void hear(HostServer host, String state, boolean started) {
+        EndpointCatalog.Entry e = entry(host, state, started);
         discovery
                 .loop()
                 .schedule(
@@ -192,33 +192,33 @@
                         TimeUnit.NANOSECONDS);
     }
 
-    private void stop(HostServer h, HostFault f, long until) {
-        if (!h.up()) {
+    private void stop(HostServer host, HostFault fault, long until) {
+        if (!host.up()) {
             return;
         }
-        h.closeIdle();
-        if (h.busy() && h.timers.now() < until) {
-            h.timers.after(LOOK_MS * 1_000_000, () -> stop(h, f, until));
+        host.closeIdle();
+        if (host.busy() && host.timers.now() < until) {
+            host.timers.after(LOOK_MS * 1_000_000, () -> stop(host, fault, until));
             return;
         }
-        h.down(HostEvent.Kind.STOPPED);
-        fleet.stopped(h, f);
+        host.down(HostEvent.Kind.STOPPED);
+        fleet.stopped(host, fault);
     }
 
-    private void replace(HostServer h, HostFault f) {
+    private void replace(HostServer hostServer, HostFault fault) {
         if (closed) {
             return;
         }
-        if (!f.newId()) {
-            h.restart(h.address());
+        if (!fault.newId()) {
+            hostServer.restart(hostServer.address());
             return;
         }
         String id;
         synchronized (this) {
-            id = h.spec.id().replaceFirst("\\+\\d+$", "") + "+" + ++replaced;
+            id = hostServer.spec.id().replaceFirst("\\+\\d+$", "") + "+" + ++replaced;
         }
-        hosts.remove(h.spec.id());
-        host(h.spec.named(id), h.loop()).restart(h.address());
+        hosts.remove(hostServer.spec.id());
+        host(hostServer.spec.named(id), hostServer.loop()).restart(hostServer.address());
     }
 
     /** Where discovery listens. */
@@ -243,8 +243,8 @@
 
     /** The host's address, or null if there is no such host. */
     public InetSocketAddress address(String id) {
-        HostServer h = host(id);
-        return h == null ? null : h.address();
+        HostServer hostServer = host(id);
+        return hostServer == null ? null : hostServer.address();
     }
 
     /**
@@ -253,10 +253,10 @@
      */
     public ObjectNode ready() {
         List<EndpointCatalog.Entry> entries = new ArrayList<>();
-        for (HostSpec s : plan.hosts()) {
-            HostServer h = hosts.get(s.id());
-            if (h != null) {
-                entries.add(entry(h, "up", false));
+        for (HostSpec host : plan.hosts()) {
+            HostServer hostServer = hosts.get(host.id());
+            if (hostServer != null) {
+                entries.add(entry(hostServer, "up", false));
             }
         }
         return ReadyFile.of(plan, entries, discoveryAddress, controlAddress);
@@ -269,8 +269,8 @@
             return;
         }
         closed = true;
-        for (HostServer h : hosts.values()) {
-            h.loop().submit(() -> h.down(HostEvent.Kind.STOPPED)).syncUninterruptibly();
+        for (HostServer host : hosts.values()) {
+            host.loop().submit(() -> host.down(HostEvent.Kind.STOPPED)).syncUninterruptibly();
         }
         loops.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS).syncUninterruptibly();
         control.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS).syncUninterruptibly();
@@ -313,29 +313,30 @@
         }
 
         @Override
-        public void draining(HostServer h, HostFault f) {
-            ledger.append(new HostEvent(UnixClock.micros(), h.spec.id(), HostEvent.Kind.DRAINING, null));
-            hear(h, "draining", false);
-            h.timers.after((long) (f.forMs() * 1e6), () -> stop(h, f, h.timers.now() + STOP_MS * 1_000_000));
+        public void draining(HostServer host, HostFault fault) {
+            ledger.append(new HostEvent(UnixClock.micros(), host.spec.id(), HostEvent.Kind.DRAINING, null));
+            hear(host, "draining", false);
+            host.timers.after(
+                    (long) (fault.forMs() * 1e6), () -> stop(host, fault, host.timers.now() + STOP_MS * 1_000_000));
         }
 
         @Override
-        public void stopped(HostServer h, HostFault f) {
-            hear(h, "removed", false);
-            if (f.restartMs() >= 0) {
-                h.timers.after((long) (f.restartMs() * 1e6), () -> replace(h, f));
+        public void stopped(HostServer host, HostFault fault) {
+            hear(host, "removed", false);
+            if (fault.restartMs() >= 0) {
+                host.timers.after((long) (fault.restartMs() * 1e6), () -> replace(host, fault));
             }
         }
 
         @Override
-        public void restarted(HostServer h) {
-            hear(h, "up", true);
+        public void restarted(HostServer host) {
+            hear(host, "up", true);
         }
 
         @Override
-        public void failed(String what, Throwable t) {
+        public void failed(String what, Throwable cause) {
             errors.println("rillyard: " + what);
-            t.printStackTrace(errors);
+            cause.printStackTrace(errors);
         }
     }
 }
--- a/src/main/java/rillyard/testserver/TestClusterPlanReader.java
+++ b/src/main/java/rillyard/testserver/TestClusterPlanReader.java
@@ -68,15 +68,15 @@
         TomlTable report = root.table("report");
         List<String> fields = fields(report);
         double period = report.number("period_ms", 100, 0, 60_000);
-        TomlTable r = root.table("rules");
+        TomlTable table = root.table("rules");
         TestClusterPlan.Rules rules = new TestClusterPlan.Rules(
-                r.number("drain_grace_ms", 500, 0, 60_000),
-                r.number("fall_ms", 1_500, 1, 60_000),
-                r.number("fall_multiple", 3, 1, 100),
-                r.number("connect_timeout_ms", 200, 1, 60_000),
-                (int) r.whole("max_attempts", 6, 1, 100));
+                table.number("drain_grace_ms", 500, 0, 60_000),
+                table.number("fall_ms", 1_500, 1, 60_000),
+                table.number("fall_multiple", 3, 1, 100),
+                table.number("connect_timeout_ms", 200, 1, 60_000),
+                (int) table.whole("max_attempts", 6, 1, 100));
         Set<String> ids = new HashSet<>();
-        hosts.forEach(h -> ids.add(h.id()));
+        hosts.forEach(host -> ids.add(host.id()));
         List<HostFault> faults = faults(root, ids);
         root.finish();
         return new TestClusterPlan(seed, hosts, classes, fields, period, notice, rules, faults);
@@ -107,16 +107,16 @@
         Set<String> ids = new HashSet<>();
         List<TomlTable> named = root.tables("host");
         for (int i = 0; i < named.size(); i++) {
-            TomlTable t = named.get(i);
-            String id = t.text("id");
+            TomlTable table = named.get(i);
+            String id = table.text("id");
             if (!id.matches("[A-Za-z0-9._-]{1,64}")) {
-                t.error("id", "found '" + id + "', expected 1 to 64 letters, digits, dots, - or _");
+                table.error("id", "found '" + id + "', expected 1 to 64 letters, digits, dots, - or _");
             } else if (!ids.add(id)) {
-                t.error("id", "'" + id + "' is another host's too");
+                table.error("id", "'" + id + "' is another host's too");
             }
-            HostSpec h = host(t, defaults.named(id));
-            long c = t.whole("cell", i / cell, 0, Integer.MAX_VALUE);
-            out.add(inCell(h, c));
+            HostSpec hostSpec = host(table, defaults.named(id));
+            long c = table.whole("cell", i / cell, 0, Integer.MAX_VALUE);
+            out.add(inCell(hostSpec, c));
         }
         for (int i = 0; named.isEmpty() && i < number; i++) {
             out.add(inCell(defaults.named("s-" + i), i / cell));
@@ -124,67 +124,68 @@
         return out;
     }
 
-    private static HostSpec inCell(HostSpec h, long cell) {
+    private static HostSpec inCell(HostSpec host, long cell) {
         return new HostSpec(
-                h.id(),
-                h.zone(),
-                h.kind(),
+                host.id(),
+                host.zone(),
+                host.kind(),
                 cell,
-                h.cores(),
-                h.speed(),
-                h.queue(),
-                h.connections(),
-                h.handshakeMs(),
-                h.handshakeWorkMs(),
-                h.idleMs(),
-                h.coldMs(),
-                h.startShare(),
-                h.startsCold());
+                host.cores(),
+                host.speed(),
+                host.queue(),
+                host.connections(),
+                host.handshakeMs(),
+                host.handshakeWorkMs(),
+                host.idleMs(),
+                host.coldMs(),
+                host.startShare(),
+                host.startsCold());
     }
 
-    private static HostSpec host(TomlTable t, HostSpec d) {
+    private static HostSpec host(TomlTable table, HostSpec host) {
         return new HostSpec(
-                d.id(),
-                t.text("zone", d.zone()),
-                t.text("kind", d.kind()),
-                d.cell(),
-                (int) t.whole("cores", d.cores(), 1, 100_000),
-                t.number("speed", d.speed(), 0.001, 1_000),
-                (int) t.whole("queue", d.queue(), 0, 1_000_000),
-                (int) t.whole("connections", d.connections(), 1, 1_000_000),
-                t.number("handshake_ms", d.handshakeMs(), 0, 60_000),
-                t.number("handshake_work_ms", d.handshakeWorkMs(), 0, 60_000),
-                t.number("idle_ms", d.idleMs(), 1, 3_600_000),
-                t.number("cold_ms", d.coldMs(), 0, 3_600_000),
-                t.number("start_share", d.startShare(), 0.01, 1),
-                t.flag("starts_cold", d.startsCold()));
+                host.id(),
+                table.text("zone", host.zone()),
+                table.text("kind", host.kind()),
+                host.cell(),
+                (int) table.whole("cores", host.cores(), 1, 100_000),
+                table.number("speed", host.speed(), 0.001, 1_000),
+                (int) table.whole("queue", host.queue(), 0, 1_000_000),
+                (int) table.whole("connections", host.connections(), 1, 1_000_000),
+                table.number("handshake_ms", host.handshakeMs(), 0, 60_000),
+                table.number("handshake_work_ms", host.handshakeWorkMs(), 0, 60_000),
+                table.number("idle_ms", host.idleMs(), 1, 3_600_000),
+                table.number("cold_ms", host.coldMs(), 0, 3_600_000),
+                table.number("start_share", host.startShare(), 0.01, 1),
+                table.flag("starts_cold", host.startsCold()));
     }
 
     private static List<RequestClassSpec> classes(TomlTable root) {
         List<RequestClassSpec> out = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (TomlTable t : root.tables("class")) {
-            String name = t.text("name");
+        for (TomlTable table : root.tables("class")) {
+            String name = table.text("name");
             if (!name.matches("[A-Za-z0-9._-]{1,64}")) {
-                t.error("name", "found '" + name + "', expected 1 to 64 letters, digits, dots, - or _");
+                table.error("name", "found '" + name + "', expected 1 to 64 letters, digits, dots, - or _");
             } else if (!names.add(name)) {
-                t.error("name", "'" + name + "' is another class's too");
+                table.error("name", "'" + name + "' is another class's too");
             }
-            double aim = t.number("aim_ms", 400, 1, 3_600_000);
-            double deadline = t.number("deadline_ms", 2 * aim, 1, 3_600_000);
+            double aim = table.number("aim_ms", 400, 1, 3_600_000);
+            double deadline = table.number("deadline_ms", 2 * aim, 1, 3_600_000);
             if (deadline < aim) {
-                t.error("deadline_ms", "found " + deadline + ", expected no less than aim_ms, " + aim);
+                table.error("deadline_ms", "found " + deadline + ", expected no less than aim_ms, " + aim);
             }
             out.add(new RequestClassSpec(
                     name,
-                    t.choice("semantics", RequestClassSpec.Semantics.class, RequestClassSpec.Semantics.AT_MOST_ONCE),
-                    t.choice("scope", RequestClassSpec.Scope.class, RequestClassSpec.Scope.CELL),
+                    table.choice(
+                            "semantics", RequestClassSpec.Semantics.class, RequestClassSpec.Semantics.AT_MOST_ONCE),
+                    table.choice("scope", RequestClassSpec.Scope.class, RequestClassSpec.Scope.CELL),
                     aim,
                     deadline,
-                    t.number("window_ms", 750, 0, 3_600_000),
-                    t.number("worth", 1, 0, 1e9),
-                    work(t.table("work")),
-                    (int) t.whole("answer_bytes", 256, 0, 65_536)));
+                    table.number("window_ms", 750, 0, 3_600_000),
+                    table.number("worth", 1, 0, 1e9),
+                    work(table.table("work")),
+                    (int) table.whole("answer_bytes", 256, 0, 65_536)));
         }
         return out.isEmpty() ? standardClasses() : out;
     }
@@ -224,13 +225,13 @@
                         128));
     }
 
-    private static ServiceTime work(TomlTable t) {
-        Shape shape = t.choice("dist", Shape.class, Shape.LOGNORMAL);
-        double mean = t.number("mean_ms", 12, 0.001, 60_000);
-        double cv = t.number("cv", 0.6, 0.01, 10);
-        double[] table = t.numbers("table_ms", new double[] {10, 10}, 0, 60_000);
-        if (shape == Shape.TABLE && (!t.has("table_ms") || table.length < 2)) {
-            t.error("table_ms", "expected two times or more for the distribution 'table'");
+    private static ServiceTime work(TomlTable tomlTable) {
+        Shape shape = tomlTable.choice("dist", Shape.class, Shape.LOGNORMAL);
+        double mean = tomlTable.number("mean_ms", 12, 0.001, 60_000);
+        double cv = tomlTable.number("cv", 0.6, 0.01, 10);
+        double[] table = tomlTable.numbers("table_ms", new double[] {10, 10}, 0, 60_000);
+        if (shape == Shape.TABLE && (!tomlTable.has("table_ms") || table.length < 2)) {
+            tomlTable.error("table_ms", "expected two times or more for the distribution 'table'");
         }
         return switch (shape) {
             case CONSTANT -> new ServiceTime.Constant(mean);
@@ -242,28 +243,28 @@
 
     private static List<HostFault> faults(TomlTable root, Set<String> ids) {
         List<HostFault> out = new ArrayList<>();
-        for (TomlTable t : root.tables("fault")) {
-            HostFault.Kind kind = t.choice("kind", HostFault.Kind.class, HostFault.Kind.HANG);
-            if (!t.has("kind")) {
-                t.error("kind", "is missing, expected what goes wrong");
+        for (TomlTable table : root.tables("fault")) {
+            HostFault.Kind kind = table.choice("kind", HostFault.Kind.class, HostFault.Kind.HANG);
+            if (!table.has("kind")) {
+                table.error("kind", "is missing, expected what goes wrong");
             }
-            String host = kind.ofDiscovery() ? "" : t.text("host");
+            String host = kind.ofDiscovery() ? "" : table.text("host");
             if (!host.isEmpty() && ids != null && !ids.contains(host)) {
-                t.error("host", "there is no host '" + host + "'");
+                table.error("host", "there is no host '" + host + "'");
             }
             boolean slow = kind == HostFault.Kind.SLOW;
-            double forMs = 1_000 * t.number("for_s", 0, 0, 86_400);
+            double forMs = 1_000 * table.number("for_s", 0, 0, 86_400);
             if (kind == HostFault.Kind.PAUSE && forMs == 0) {
-                t.error("for_s", "expected how long the pause lasts, above 0");
+                table.error("for_s", "expected how long the pause lasts, above 0");
             }
             out.add(new HostFault(
-                    1_000 * t.number("at_s", 0, 0, 86_400),
+                    1_000 * table.number("at_s", 0, 0, 86_400),
                     forMs,
                     kind,
                     host,
-                    slow ? t.number("size", 4, 1, 1_000) : t.number("size", 1, 0, 1),
-                    1_000 * t.number("restart_s", -0.001, -0.001, 86_400),
-                    t.flag("new_id", false)));
+                    slow ? table.number("size", 4, 1, 1_000) : table.number("size", 1, 0, 1),
+                    1_000 * table.number("restart_s", -0.001, -0.001, 86_400),
+                    table.flag("new_id", false)));
         }
         out.sort(Comparator.comparingDouble(HostFault::atMs));
         return out;
--- a/src/test/java/rillyard/audit/AuditTest.java
+++ b/src/test/java/rillyard/audit/AuditTest.java
@@ -41,30 +41,31 @@
     }
 
     private Audit.Verdict judge() throws Exception {
-        Audit a = new Audit(AuditSettings.of(new ObjectMapper().readTree(SETTINGS)));
-        lines.forEach(a::add);
-        return a.judge();
+        Audit audit = new Audit(AuditSettings.of(new ObjectMapper().readTree(SETTINGS)));
+        lines.forEach(audit::add);
+        return audit.judge();
     }
 
     private void clean() throws Exception {
-        Audit.Verdict v = judge();
-        assertThat(v.breaches()).isEmpty();
-        assertThat(v.doubts()).isEmpty();
-        assertThat(v.clean()).isTrue();
+        Audit.Verdict verdict = judge();
+        assertThat(verdict.breaches()).isEmpty();
+        assertThat(verdict.doubts()).isEmpty();
+        assertThat(verdict.clean()).isTrue();
     }
 
     private Violation broken(Violation.Rule rule, String what) throws Exception {
-        Audit.Verdict v = judge();
-        assertThat(v.clean()).isFalse();
-        List<Violation> all =
-                v.breaches().stream().filter(b -> b.rule() == rule).toList();
-        assertThat(all).as("%s in %s", rule, v.breaches()).hasSize(1);
+        Audit.Verdict verdict = judge();
+        assertThat(verdict.clean()).isFalse();
+        List<Violation> all = verdict.breaches().stream()
+                .filter(violation -> violation.rule() == rule)
+                .toList();
+        assertThat(all).as("%s in %s", rule, verdict.breaches()).hasSize(1);
         assertThat(all.get(0).what()).contains(what);
         return all.get(0);
     }
 
-    private void tried(String type, String id, long ms, long tookMs, ClientOutcome o) {
-        tried(requests++, 0, type, id, null, ms, tookMs, o, true);
+    private void tried(String type, String id, long ms, long tookMs, ClientOutcome outcome) {
+        tried(requests++, 0, type, id, null, ms, tookMs, outcome, true);
     }
 
     private void tried(
@@ -75,24 +76,39 @@
             String key,
             long ms,
             long tookMs,
-            ClientOutcome o,
+            ClientOutcome outcome,
             boolean last) {
         long sent = START + ms * MS;
-        int status = o == ClientOutcome.SERVED ? 200 : o == ClientOutcome.REFUSED ? 503 : 0;
+        int status = outcome == ClientOutcome.SERVED ? 200 : outcome == ClientOutcome.REFUSED ? 503 : 0;
         lines.add(new ClientAttempt(
-                request, number, id, key, type, null, 1, sent, sent, sent + tookMs * MS, 400 * MS, o, status, 0, last));
-    }
-
-    private HostExecution ran(String type, String id, String key, String host, long cell, long ms, ExecutionResult r) {
+                request,
+                number,
+                id,
+                key,
+                type,
+                null,
+                1,
+                sent,
+                sent,
+                sent + tookMs * MS,
+                400 * MS,
+                outcome,
+                status,
+                0,
+                last));
+    }
+
+    private HostExecution ran(
+            String type, String id, String key, String host, long cell, long ms, ExecutionResult result) {
         long at = START + ms * MS;
         HostExecution run = new HostExecution(
-                id, key, type, host, cell, "z", 0, at, r.mayHaveRun() ? at + 1 : 0, at + 5 * MS, 5 * MS, r);
+                id, key, type, host, cell, "z", 0, at, result.mayHaveRun() ? at + 1 : 0, at + 5 * MS, 5 * MS, result);
         lines.add(run);
         return run;
     }
 
-    private void ran(String type, String id, String host, long ms, ExecutionResult r) {
-        ran(type, id, null, host, 0, ms, r);
+    private void ran(String type, String id, String host, long ms, ExecutionResult result) {
+        ran(type, id, null, host, 0, ms, result);
     }
 
     private void served(String type, String id, long ms) {
--- a/src/test/java/rillyard/balancer/BalancerFixture.java
+++ b/src/test/java/rillyard/balancer/BalancerFixture.java
@@ -17,8 +17,8 @@
     int follows;
     private final java.util.Map<Long, Integer> numbers = new java.util.HashMap<>();
 
-    static Settings.RequestClass type(String name, Settings.Semantics s, Settings.Scope scope) {
-        return new Settings.RequestClass(name, 400, 800, s, scope, 300, 1, 0);
+    static Settings.RequestClass type(String name, Settings.Semantics semantics, Settings.Scope scope) {
+        return new Settings.RequestClass(name, 400, 800, semantics, scope, 300, 1, 0);
     }
 
     static Settings settings(Settings.RequestClass... classes) {
--- a/src/test/java/rillyard/balancer/BalancerTest.java
+++ b/src/test/java/rillyard/balancer/BalancerTest.java
@@ -18,10 +18,10 @@
     private long next;
 
     private Balancer balancer(Settings settings, List<EndpointEntry> hosts) {
-        Balancer b = new Balancer(settings, 7, bench);
-        b.onStart(bench.now);
-        b.onMembership(bench.now, WatchEvent.CACHED, hosts);
-        return b;
+        Balancer balancer = new Balancer(settings, 7, bench);
+        balancer.onStart(bench.now);
+        balancer.onMembership(bench.now, WatchEvent.CACHED, hosts);
+        return balancer;
     }
 
     private Balancer safe(int hosts) {
@@ -30,26 +30,26 @@
                 BalancerFixture.hosts(hosts));
     }
 
-    private void serve(Balancer b, long id, double spent) {
-        b.onRequest(bench.now, BalancerFixture.request(id, SAFE, 800));
-        BalancerFixture.Send s = bench.last();
+    private void serve(Balancer balancer, long id, double spent) {
+        balancer.onRequest(bench.now, BalancerFixture.request(id, SAFE, 800));
+        BalancerFixture.Send send = bench.last();
         bench.now += spent;
-        b.onOutcome(bench.now, id, s.number(), AttemptOutcome.OK, spent, true, null);
+        balancer.onOutcome(bench.now, id, send.number(), AttemptOutcome.OK, spent, true, null);
     }
 
     @Test
     void refusesAtOnceWithoutHosts() {
-        Balancer b = safe(0);
-        b.onRequest(bench.now, BalancerFixture.request(1, SAFE, 800));
+        Balancer balancer = safe(0);
+        balancer.onRequest(bench.now, BalancerFixture.request(1, SAFE, 800));
         assertThat(bench.refused).containsExactly(1L);
     }
 
     @Test
     void spreadsOpenRequestsByOwnCount() {
-        Balancer b = safe(4);
+        Balancer balancer = safe(4);
         Map<Long, Integer> counts = new HashMap<>();
         for (int i = 0; i < 40; i++) {
-            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+            balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             counts.merge(bench.last().host(), 1, Integer::sum);
         }
         assertThat(counts.values()).allSatisfy(n -> assertThat(n).isBetween(7, 13));
@@ -57,41 +57,41 @@
 
     @Test
     void leavesOutHostThatIsSilent() {
-        Balancer b = safe(4);
+        Balancer balancer = safe(4);
         for (int i = 0; i < 200; i++) {
-            serve(b, i, 10);
+            serve(balancer, i, 10);
         }
-        b.onRequest(bench.now, BalancerFixture.request(1_000, SAFE, 800));
+        balancer.onRequest(bench.now, BalancerFixture.request(1_000, SAFE, 800));
         long silent = bench.last().host();
         bench.now += 300;
         for (int i = 2_000; i < 2_100; i++) {
-            serve(b, i, 1);
+            serve(balancer, i, 1);
             assertThat(bench.last().host()).isNotEqualTo(silent);
         }
     }
 
     @Test
     void ejectsFastFailingHostAndTriesItAgain() {
-        Balancer b = safe(5);
+        Balancer balancer = safe(5);
         long bad = 2;
         int first = 0;
         int later = 0;
         int trials = 0;
         for (int i = 0; i < 2_000; i++) {
             bench.now += 5;
-            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+            balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             for (int k = 0; k < 3; k++) {
-                BalancerFixture.Send s = bench.last();
-                if (s.request() != i || s.number() != k) {
+                BalancerFixture.Send send = bench.last();
+                if (send.request() != i || send.number() != k) {
                     break;
                 }
-                boolean fails = s.host() == bad && bench.now < 7_000;
-                if (s.host() == bad) {
+                boolean fails = send.host() == bad && bench.now < 7_000;
+                if (send.host() == bad) {
                     first += i < 100 ? 1 : 0;
                     later += i >= 100 && bench.now < 7_000 ? 1 : 0;
                     trials += bench.now >= 7_000 ? 1 : 0;
                 }
-                b.onOutcome(bench.now, i, k, fails ? AttemptOutcome.ERROR : AttemptOutcome.OK, 1, !fails, null);
+                balancer.onOutcome(bench.now, i, k, fails ? AttemptOutcome.ERROR : AttemptOutcome.OK, 1, !fails, null);
             }
         }
         assertThat(first).isLessThan(8);
@@ -101,19 +101,19 @@
 
     @Test
     void keepsServingAndLeavesFewOutWhenEveryHostFails() {
-        Balancer b = safe(3);
+        Balancer balancer = safe(3);
         for (int i = 0; i < 60; i++) {
-            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
-            b.onOutcome(bench.now, i, 0, AttemptOutcome.ERROR, 1, true, null);
+            balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+            balancer.onOutcome(bench.now, i, 0, AttemptOutcome.ERROR, 1, true, null);
         }
         int before = bench.sends.size();
-        b.onRequest(bench.now, BalancerFixture.request(100, SAFE, 800));
+        balancer.onRequest(bench.now, BalancerFixture.request(100, SAFE, 800));
         assertThat(bench.sends).hasSizeGreaterThan(before);
-        b.onOutcome(bench.now, 100, 0, AttemptOutcome.OK, 1, true, null);
+        balancer.onOutcome(bench.now, 100, 0, AttemptOutcome.OK, 1, true, null);
         assertThat(bench.logs).filteredOn(l -> l.endsWith("ejected")).hasSize(1);
         bench.now += 20_000;
         for (int i = 200; i < 260; i++) {
-            serve(b, i, 5);
+            serve(balancer, i, 5);
         }
         assertThat(bench.logs).filteredOn(l -> l.endsWith("readmitted")).hasSize(1);
     }
@@ -121,12 +121,12 @@
     /** Full hosts are busy, not broken: none is ejected, and what piles up is refused early. */
     @Test
     void fullHostsAreNotEjected() {
-        Balancer b = safe(4);
+        Balancer balancer = safe(4);
         for (int i = 0; i < 60; i++) {
             bench.now += 20;
-            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+            balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             for (int k = 0; k < 4 && bench.last().request() == i && bench.last().number() == k; k++) {
-                b.onOutcome(bench.now, i, k, AttemptOutcome.FULL, 1, false, null);
+                balancer.onOutcome(bench.now, i, k, AttemptOutcome.FULL, 1, false, null);
             }
         }
         assertThat(bench.logs).noneMatch(l -> l.contains("ejected"));
@@ -136,24 +136,25 @@
 
     @Test
     void sendsNothingToDrainingHost() {
-        Balancer b = safe(3);
-        b.onMembership(bench.now, WatchEvent.DELTA, List.of(BalancerFixture.host(1, Condition.TERMINATING, 0)));
+        Balancer balancer = safe(3);
+        balancer.onMembership(bench.now, WatchEvent.DELTA, List.of(BalancerFixture.host(1, Condition.TERMINATING, 0)));
         for (int i = 0; i < 60; i++) {
-            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+            balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             assertThat(bench.last().host()).isNotEqualTo(1);
         }
     }
 
     @Test
     void thinsRestartedHostIntoThePool() {
-        Balancer b = safe(6);
+        Balancer balancer = safe(6);
         for (int i = 0; i < 1_000; i++) {
-            serve(b, i, 4);
+            serve(balancer, i, 4);
         }
-        b.onMembership(bench.now, WatchEvent.DELTA, List.of(BalancerFixture.host(3, Condition.READY, bench.now)));
+        balancer.onMembership(
+                bench.now, WatchEvent.DELTA, List.of(BalancerFixture.host(3, Condition.READY, bench.now)));
         int cold = 0;
         for (int i = 1_000; i < 1_500; i++) {
-            serve(b, i, 4);
+            serve(balancer, i, 4);
             cold += bench.last().host() == 3 ? 1 : 0;
         }
         // An even share would be 83; the host has 30 to 50 parts in 100 of its capacity.
@@ -176,25 +177,25 @@
 
     @Test
     void refusesEarlyInOverloadAndRecovers() {
-        Balancer b = safe(4);
+        Balancer balancer = safe(4);
         for (int i = 0; i < 60; i++) {
-            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+            balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
         }
         bench.now += 790;
         for (int i = 0; i < 60; i++) {
-            b.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 790, true, null);
+            balancer.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 790, true, null);
         }
         int sent = bench.sends.size();
         for (int i = 1_000; i < 1_050; i++) {
             bench.now += 20; // what comes in the same moment meets the same answer
-            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+            balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
         }
         assertThat(bench.refused).hasSizeGreaterThan(20);
         assertThat(bench.sends).hasSizeGreaterThan(sent);
         bench.now += 60_000;
         int refused = bench.refused.size();
         for (int i = 2_000; i < 2_050; i++) {
-            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+            balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
         }
         assertThat(bench.refused).hasSize(refused);
     }
@@ -202,17 +203,17 @@
     /** Between two time-outs of a light proxy a jam must not be forgotten (incident i6d1b83). */
     @Test
     void jamIsRememberedBetweenTimeouts() {
-        Balancer b = safe(4);
+        Balancer balancer = safe(4);
         for (int i = 0; i < 60; i++) {
-            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+            balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
         }
         bench.now += 790;
         for (int i = 0; i < 60; i++) {
-            b.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 790, true, null);
+            balancer.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 790, true, null);
         }
         bench.now += 3_000;
         for (int i = 1_000; i < 1_100; i++) {
-            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+            balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
         }
         assertThat(bench.refused).hasSizeGreaterThan(60);
     }
@@ -250,11 +251,11 @@
     void sameSeedAndEventsGiveTheSameActions() {
         BalancerFixture other = new BalancerFixture();
         for (BalancerFixture each : List.of(bench, other)) {
-            Balancer b = new Balancer(
+            Balancer balancer = new Balancer(
                     BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)), 3, each);
-            b.onMembership(each.now, WatchEvent.FULL, BalancerFixture.hosts(9));
+            balancer.onMembership(each.now, WatchEvent.FULL, BalancerFixture.hosts(9));
             for (int i = 0; i < 100; i++) {
-                b.onRequest(each.now, BalancerFixture.request(i, SAFE, 800));
+                balancer.onRequest(each.now, BalancerFixture.request(i, SAFE, 800));
             }
         }
         assertThat(other.sends).isEqualTo(bench.sends);
@@ -263,22 +264,23 @@
     /** Guards against a few heavy requests that make every queue look too long to begin. */
     @Test
     void heavyAnswersDoNotMakeQueuesLookLong() {
-        Balancer b = safe(3);
+        Balancer balancer = safe(3);
         for (int i = 0; i < 120; i++) {
-            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
-            BalancerFixture.Send s = bench.last();
+            balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+            BalancerFixture.Send send = bench.last();
             double spent = i % 10 == 9 ? 780 : 60;
             bench.now += spent;
-            b.onOutcome(bench.now, i, s.number(), AttemptOutcome.OK, spent, true, BalancerFixture.held(10));
+            balancer.onOutcome(bench.now, i, send.number(), AttemptOutcome.OK, spent, true, BalancerFixture.held(10));
         }
         // A mean of 132 ms for 11 held makes a queue of 25 too long for the aim; a median of 60 does not.
         int refused = bench.refused.size();
         bench.now += 15_000; // pressure fades
         for (int i = 200; i < 203; i++) {
-            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
-            b.onOutcome(bench.now, i, bench.last().number(), AttemptOutcome.OK, 60, true, BalancerFixture.held(25));
+            balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+            balancer.onOutcome(
+                    bench.now, i, bench.last().number(), AttemptOutcome.OK, 60, true, BalancerFixture.held(25));
         }
-        b.onRequest(bench.now, BalancerFixture.request(900, SAFE, 800));
+        balancer.onRequest(bench.now, BalancerFixture.request(900, SAFE, 800));
         assertThat(bench.refused).hasSize(refused);
     }
 
@@ -312,25 +314,26 @@
     /** Guards against a jam's flood of retries that pushes a cold host over (i8a3c58). */
     @Test
     void jamSendsAColdHostNoMoreThanWarmOnesServe() {
-        Balancer b = safe(5);
+        Balancer balancer = safe(5);
         int cold = 0;
         int served = 0;
         for (int i = 0; i < 4_000; i++) {
             bench.now += 1;
             if (i == 2_000) {
-                b.onMembership(
+                balancer.onMembership(
                         bench.now,
                         WatchEvent.DELTA,
                         List.of(BalancerFixture.host(3, EndpointEntry.Condition.READY, bench.now)));
             }
             int before = bench.sends.size();
-            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+            balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             for (int k = before; k < bench.sends.size(); k++) {
-                BalancerFixture.Send s = bench.sends.get(k);
+                BalancerFixture.Send send = bench.sends.get(k);
                 boolean ok = k % 10 == 0; // hosts serve a tenth of what comes
-                cold += i >= 2_000 && s.host() == 3 ? 1 : 0;
+                cold += i >= 2_000 && send.host() == 3 ? 1 : 0;
                 served += i >= 2_000 && ok ? 1 : 0;
-                b.onOutcome(bench.now, i, s.number(), ok ? AttemptOutcome.OK : AttemptOutcome.FULL, 2, ok, null);
+                balancer.onOutcome(
+                        bench.now, i, send.number(), ok ? AttemptOutcome.OK : AttemptOutcome.FULL, 2, ok, null);
             }
         }
         // A warm host serves a fifth of that, and a cold one may get at most three times as much.
@@ -340,9 +343,19 @@
     /** Guards against many proxies that together use up the hosts' connections (if1c0a3). */
     @Test
     void manyProxiesOnFewHostsKeepSmallPools() {
-        Settings s = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
+        Settings settings = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
         Settings many = new Settings(
-                s.classes(), s.tenants(), s.limits(), s.rules(), s.fees(), false, "a", 17, 1_500, 1, false);
+                settings.classes(),
+                settings.tenants(),
+                settings.limits(),
+                settings.rules(),
+                settings.fees(),
+                false,
+                "a",
+                17,
+                1_500,
+                1,
+                false);
         Balancer b = balancer(many, BalancerFixture.hosts(40));
         for (int i = 0; i < 500; i++) {
             serve(b, i, 10);
@@ -356,19 +369,19 @@
 
     @Test
     void reportOfALongQueueIsNotBelievedForLongerThanTheQueueLasts() {
-        Balancer b = safe(2);
+        Balancer balancer = safe(2);
         for (int i = 0; bench.refused.isEmpty(); i++) {
-            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+            balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             if (bench.refused.isEmpty()) { // each answer takes 300 ms behind nine others
                 bench.now += 300;
-                b.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 300, true, BalancerFixture.held(9));
+                balancer.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 300, true, BalancerFixture.held(9));
             }
             assertThat(i).isLessThan(100);
         }
         int before = bench.sends.size();
         bench.now += 2_400; // six aims: nobody was asked, and nothing newer was heard
         for (int i = 0; i < 20; i++) {
-            b.onRequest(bench.now, BalancerFixture.request(1_000 + i, SAFE, 800));
+            balancer.onRequest(bench.now, BalancerFixture.request(1_000 + i, SAFE, 800));
         }
         assertThat(bench.sends.size() - before).isGreaterThan(5);
     }
@@ -378,42 +391,42 @@
         Settings settings = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
         HostSet fleet = new HostSet(settings);
         fleet.apply(bench.now, WatchEvent.FULL, BalancerFixture.hosts(1), new java.util.SplittableRandom(1));
-        HostState h = fleet.get(0);
-        fleet.queued(h, 9, 100); // 10 ms for each request held
-        fleet.reported(h, bench.now, BalancerFixture.held(0), true);
-        assertThat(fleet.expectedAnswer(h, bench.now)).isZero();
-        h.inFlight = 20; // the report is older than these
-        assertThat(fleet.expectedAnswer(h, bench.now)).isGreaterThanOrEqualTo(200);
-        h.inFlight = 0;
-        fleet.reported(h, bench.now, BalancerFixture.held(14), true);
-        assertThat(fleet.expectedAnswer(h, bench.now)).isGreaterThanOrEqualTo(140);
-        assertThat(fleet.expectedAnswer(h, bench.now + 150)).isZero();
+        HostState host = fleet.get(0);
+        fleet.queued(host, 9, 100); // 10 ms for each request held
+        fleet.reported(host, bench.now, BalancerFixture.held(0), true);
+        assertThat(fleet.expectedAnswer(host, bench.now)).isZero();
+        host.inFlight = 20; // the report is older than these
+        assertThat(fleet.expectedAnswer(host, bench.now)).isGreaterThanOrEqualTo(200);
+        host.inFlight = 0;
+        fleet.reported(host, bench.now, BalancerFixture.held(14), true);
+        assertThat(fleet.expectedAnswer(host, bench.now)).isGreaterThanOrEqualTo(140);
+        assertThat(fleet.expectedAnswer(host, bench.now + 150)).isZero();
     }
 
     @Test
     void aRequestThatStillComesIsNoSilenceAndHidesNone() {
-        Settings s = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.AT_MOST_ONCE, Scope.ALL));
+        Settings settings = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.AT_MOST_ONCE, Scope.ALL));
         RetryPolicy.RequestClassStats type =
-                new RetryPolicy.RequestClassStats(s.classes().get(0));
-        HostSet fleet = new HostSet(s);
+                new RetryPolicy.RequestClassStats(settings.classes().get(0));
+        HostSet fleet = new HostSet(settings);
         var random = new java.util.SplittableRandom(1);
         fleet.apply(bench.now, WatchEvent.FULL, BalancerFixture.hosts(1), random);
-        HostState h = fleet.get(0);
-        RetryPolicy attempts = new RetryPolicy(s.limits());
-        OutlierDetector health = new OutlierDetector(fleet, s.meanAim(), random, bench);
+        HostState host = fleet.get(0);
+        RetryPolicy attempts = new RetryPolicy(settings.limits());
+        OutlierDetector health = new OutlierDetector(fleet, settings.meanAim(), random, bench);
         double at = bench.now;
-        attempts.start(new RetryPolicy.RequestState(1, type, at, Double.POSITIVE_INFINITY), h, at);
-        assertThat(health.silent(h, at + 60_000, 50)).isFalse();
-        RetryPolicy.AttemptState whole = attempts.start(new RetryPolicy.RequestState(2, type, at, 800), h, at);
-        assertThat(health.silent(h, at + 1_000, 50)).isTrue();
+        attempts.start(new RetryPolicy.RequestState(1, type, at, Double.POSITIVE_INFINITY), host, at);
+        assertThat(health.silent(host, at + 60_000, 50)).isFalse();
+        RetryPolicy.AttemptState whole = attempts.start(new RetryPolicy.RequestState(2, type, at, 800), host, at);
+        assertThat(health.silent(host, at + 1_000, 50)).isTrue();
         attempts.finish(whole, AttemptOutcome.OK);
-        assertThat(health.silent(h, at + 1_000, 50)).isFalse();
+        assertThat(health.silent(host, at + 1_000, 50)).isFalse();
     }
 
     @Test
     void theTimeOfARequestThatStillComesRunsFromItsLastByte() {
-        Settings s = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.AT_MOST_ONCE, Scope.ALL));
-        Balancer b = balancer(s, BalancerFixture.hosts(2));
+        Settings settings = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.AT_MOST_ONCE, Scope.ALL));
+        Balancer b = balancer(settings, BalancerFixture.hosts(2));
         b.onRequest(bench.now, BalancerFixture.request(1, SAFE, Double.POSITIVE_INFINITY));
         bench.now += 60_000;
         b.onOutcome(bench.now, 1, 0, AttemptOutcome.CONNECT_FAILED, 5, false, null);
@@ -428,11 +441,11 @@
     /** Without it a successor would lend cold hosts next to nothing for its first seconds. */
     @Test
     void theRateOfAProxyThatHasAllItsLoadAtOnceIsNearTheTrueOneFromTheFirstSecondAndNeverOver() {
-        Settings s = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.AT_MOST_ONCE, Scope.ALL));
-        AdmissionController admission = new AdmissionController(s, new java.util.SplittableRandom(1), bench);
+        Settings settings = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.AT_MOST_ONCE, Scope.ALL));
+        AdmissionController admission = new AdmissionController(settings, new java.util.SplittableRandom(1), bench);
         assertThat(admission.servedRate(bench.now)).isZero();
         for (int ms = 0; ms <= 20_000; ms += 10) { // 0.1 a ms
-            admission.arrived(bench.now + ms, s.classes().get(0), null);
+            admission.arrived(bench.now + ms, settings.classes().get(0), null);
             if (ms >= 1_000) {
                 assertThat(admission.servedRate(bench.now + ms)).isBetween(0.05, 0.101);
             }
@@ -442,38 +455,48 @@
 
     @Test
     void aJamOfTheHealthyIsNoReasonToSendToThoseThatFail() {
-        Settings s = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.AT_MOST_ONCE, Scope.ALL));
-        Settings.RequestClass type = s.classes().get(0);
-        HostSet fleet = new HostSet(s);
+        Settings settings = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.AT_MOST_ONCE, Scope.ALL));
+        Settings.RequestClass type = settings.classes().get(0);
+        HostSet fleet = new HostSet(settings);
         var random = new java.util.SplittableRandom(1);
         fleet.apply(bench.now, WatchEvent.FULL, BalancerFixture.hosts(2), random);
-        RetryPolicy attempts = new RetryPolicy(s.limits());
-        OutlierDetector health = new OutlierDetector(fleet, s.meanAim(), random, bench);
-        AdmissionController admission = new AdmissionController(s, random, bench);
-        HostSelector draw = new HostSelector(s, fleet, health, attempts, admission, random);
-        RetryPolicy.RequestState c =
+        RetryPolicy attempts = new RetryPolicy(settings.limits());
+        OutlierDetector health = new OutlierDetector(fleet, settings.meanAim(), random, bench);
+        AdmissionController admission = new AdmissionController(settings, random, bench);
+        HostSelector draw = new HostSelector(settings, fleet, health, attempts, admission, random);
+        RetryPolicy.RequestState request =
                 new RetryPolicy.RequestState(1, new RetryPolicy.RequestClassStats(type), bench.now, 800);
-        c.patience = 280;
+        request.patience = 280;
         for (int i = 0; i < 3; i++) {
             health.failed(fleet.get(1), bench.now, true);
         }
-        assertThat(draw.pick(c, bench.now)).isSameAs(fleet.get(0));
+        assertThat(draw.pick(request, bench.now)).isSameAs(fleet.get(0));
         fleet.queued(fleet.get(0), 9, 100);
         fleet.reported(
                 fleet.get(0), bench.now, BalancerFixture.held(60), true); // its queue takes longer than the request has
-        assertThat(draw.pick(c, bench.now)).isNull();
+        assertThat(draw.pick(request, bench.now)).isNull();
         for (int i = 0; i < 3; i++) {
             health.failed(fleet.get(0), bench.now, true);
         }
         fleet.reported(fleet.get(0), bench.now, BalancerFixture.held(0), true);
-        assertThat(draw.pick(c, bench.now)).isNotNull(); // nobody is healthy: somebody is better than none
+        assertThat(draw.pick(request, bench.now)).isNotNull(); // nobody is healthy: somebody is better than none
     }
 
     @Test
     void twoProxiesWithFewHostsKeepTheirCountsEven() {
-        Settings s = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
-        Settings two =
-                new Settings(s.classes(), s.tenants(), s.limits(), s.rules(), s.fees(), false, "a", 0, 2, 1, false);
+        Settings settings = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
+        Settings two = new Settings(
+                settings.classes(),
+                settings.tenants(),
+                settings.limits(),
+                settings.rules(),
+                settings.fees(),
+                false,
+                "a",
+                0,
+                2,
+                1,
+                false);
         Balancer b = balancer(two, BalancerFixture.hosts(8)); // all but host 4 are near
         Map<Long, Integer> counts = new HashMap<>();
         for (long id : new long[] {0, 1, 2, 3, 5, 6, 7}) {
@@ -489,26 +512,26 @@
     }
 
     /** One request each 2 ms, served in 40 ms but for those that {@code lost} names at host 0. */
-    private int sentTo0(Balancer b, java.util.function.IntPredicate lost) {
+    private int sentTo0(Balancer balancer, java.util.function.IntPredicate lost) {
         java.util.PriorityQueue<Map.Entry<Double, BalancerFixture.Send>> due =
                 new java.util.PriorityQueue<>(Map.Entry.comparingByKey());
         int sent = 0;
         for (int i = 0; i < 2_000; i++) {
             bench.now += 2;
             while (!due.isEmpty() && due.peek().getKey() <= bench.now) {
-                BalancerFixture.Send s = due.poll().getValue();
-                boolean late = bench.now - s.at() >= 400;
-                b.onOutcome(
+                BalancerFixture.Send send = due.poll().getValue();
+                boolean late = bench.now - send.at() >= 400;
+                balancer.onOutcome(
                         bench.now,
-                        s.request(),
-                        s.number(),
+                        send.request(),
+                        send.number(),
                         late ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK,
-                        bench.now - s.at(),
+                        bench.now - send.at(),
                         true,
                         null);
             }
             int before = bench.sends.size();
-            b.onRequest(bench.now, BalancerFixture.request(next++, ONCE, 400));
+            balancer.onRequest(bench.now, BalancerFixture.request(next++, ONCE, 400));
             if (bench.sends.size() > before) {
                 BalancerFixture.Send s = bench.last();
                 boolean gone = s.host() == 0 && lost.test(sent++);
--- a/src/test/java/rillyard/balancer/FleetEjectionTest.java
+++ b/src/test/java/rillyard/balancer/FleetEjectionTest.java
@@ -62,10 +62,10 @@
 
     @Test
     void aPoolLiesWhereItIsLaidAndGrowsWithItsWeight() {
-        Settings s = BalancerFixture.settings(
+        Settings settings = BalancerFixture.settings(
                 BalancerFixture.type("visit", Settings.Semantics.IDEMPOTENT, Settings.Scope.ALL));
         List<EndpointEntry> all = BalancerFixture.hosts(40).stream()
-                .map(e -> new EndpointEntry(e.id(), "a", e.kind(), e.cell(), e.condition(), 1, 0))
+                .map(entry -> new EndpointEntry(entry.id(), "a", entry.kind(), entry.cell(), entry.condition(), 1, 0))
                 .toList();
         b.onMembership(bench.now, WatchEvent.FULL, all);
         Set<Long> first = used(300);
@@ -75,7 +75,7 @@
         assertThat(other).hasSizeBetween(5, 9).doesNotContainAnyElementsOf(first);
         b.onPlace(new SubsetPosition(1, 2, 5, false));
         assertThat(used(2_000)).hasSizeGreaterThan(28);
-        assertThat(s.position()).isZero();
+        assertThat(settings.position()).isZero();
     }
 
     /** Requests that a host gets in its first three seconds after a cold start, of 40 proxies that send six hosts 50 a second. */
--- a/src/test/java/rillyard/balancer/FleetFaultTest.java
+++ b/src/test/java/rillyard/balancer/FleetFaultTest.java
@@ -47,31 +47,37 @@
         bench.now = until;
     }
 
-    private void finish(End e, Hosts hosts) {
-        bench.now = e.at();
+    private void finish(End end, Hosts hosts) {
+        bench.now = end.at();
         balancer.onOutcome(
-                e.at(), e.request(), e.number(), e.result(), e.spent(), e.result() == AttemptOutcome.OK, null);
+                end.at(),
+                end.request(),
+                end.number(),
+                end.result(),
+                end.spent(),
+                end.result() == AttemptOutcome.OK,
+                null);
         take(hosts);
     }
 
     private void take(Hosts hosts) {
         for (; seen < bench.sends.size(); seen++) {
-            BalancerFixture.Send s = bench.sends.get(seen);
-            Reply r = hosts.reply(s.host(), s.at());
-            served.merge(s.host(), r.result() == AttemptOutcome.OK ? 1 : 0, Integer::sum);
-            double spent = r.result() == null ? 800 : r.after();
+            BalancerFixture.Send send = bench.sends.get(seen);
+            Reply reply = hosts.reply(send.host(), send.at());
+            served.merge(send.host(), reply.result() == AttemptOutcome.OK ? 1 : 0, Integer::sum);
+            double spent = reply.result() == null ? 800 : reply.after();
             ends.add(new End(
-                    s.at() + spent,
-                    s.request(),
-                    s.number(),
-                    r.result() == null ? AttemptOutcome.TIMEOUT : r.result(),
+                    send.at() + spent,
+                    send.request(),
+                    send.number(),
+                    reply.result() == null ? AttemptOutcome.TIMEOUT : reply.result(),
                     spent));
         }
     }
 
     private long sentTo(Set<Long> hosts, double from, double to) {
         return bench.sends.stream()
-                .filter(s -> hosts.contains(s.host()) && s.at() >= from && s.at() < to)
+                .filter(send -> hosts.contains(send.host()) && send.at() >= from && send.at() < to)
                 .count();
     }
 
@@ -167,9 +173,9 @@
         play(60_000, 10, (h, t) -> chance.nextInt(300) == 0 ? new Reply(AttemptOutcome.ERROR, 10) : ok());
         assertThat(bench.logs).noneMatch(l -> l.contains("ejected"));
         assertThat(bench.refused).isEmpty();
-        for (EndpointEntry e : BalancerFixture.hosts(15)) {
-            if ("a".equals(e.zone())) {
-                assertThat(served.get(e.id())).as("host %d", e.id()).isGreaterThan((int) next / 12 / 3);
+        for (EndpointEntry entry : BalancerFixture.hosts(15)) {
+            if ("a".equals(entry.zone())) {
+                assertThat(served.get(entry.id())).as("host %d", entry.id()).isGreaterThan((int) next / 12 / 3);
             }
         }
     }
--- a/src/test/java/rillyard/balancer/IdempotencyWindowTest.java
+++ b/src/test/java/rillyard/balancer/IdempotencyWindowTest.java
@@ -45,10 +45,11 @@
             @Override
             public void log(String line) {}
         };
-        Balancer b = new Balancer(BalancerFixture.settings(BalancerFixture.type("c", semantics, Scope.ALL)), 1, heard);
-        b.onStart(bench.now);
-        b.onMembership(bench.now, WatchEvent.FULL, BalancerFixture.hosts(4));
-        return b;
+        Balancer balancer =
+                new Balancer(BalancerFixture.settings(BalancerFixture.type("c", semantics, Scope.ALL)), 1, heard);
+        balancer.onStart(bench.now);
+        balancer.onMembership(bench.now, WatchEvent.FULL, BalancerFixture.hosts(4));
+        return balancer;
     }
 
     @Test
--- a/src/test/java/rillyard/balancer/JointRestartTest.java
+++ b/src/test/java/rillyard/balancer/JointRestartTest.java
@@ -88,9 +88,9 @@
             }));
             benches[p] = new BalancerFixture();
         }
-        Event e;
-        while ((e = events.poll()) != null) {
-            Event now = e;
+        Event event;
+        while ((event = events.poll()) != null) {
+            Event now = event;
             handle(now.proxy(), now.at(), now.what());
         }
         for (int p = 0; p < PROXIES; p++) {
--- a/src/test/java/rillyard/balancer/LatencyPressureTest.java
+++ b/src/test/java/rillyard/balancer/LatencyPressureTest.java
@@ -14,26 +14,27 @@
     private final BalancerFixture bench = new BalancerFixture();
 
     private Balancer safe(int hosts) {
-        Balancer b = new Balancer(
+        Balancer balancer = new Balancer(
                 BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)), 7, bench);
-        b.onMembership(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(hosts));
-        return b;
+        balancer.onMembership(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(hosts));
+        return balancer;
     }
 
     /** Two hosts of ten turn all away, or lose it: what is refused for that has room at the others. */
     @Test
     void someHostsThatTurnAwayOrLoseAreNoJamOfAll() {
         for (AttemptOutcome lost : List.of(AttemptOutcome.FULL, AttemptOutcome.TIMEOUT)) {
-            Balancer b = safe(10);
+            Balancer balancer = safe(10);
             for (int i = 0; i < 2_000; i++) {
-                b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
-                BalancerFixture.Send s = bench.last();
-                for (int tries = 1; s.host() < 2 && tries < 4; tries++) {
-                    b.onOutcome(bench.now, i, s.number(), lost, lost == AttemptOutcome.FULL ? 1 : 700, false, null);
-                    s = bench.last();
+                balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+                BalancerFixture.Send send = bench.last();
+                for (int tries = 1; send.host() < 2 && tries < 4; tries++) {
+                    balancer.onOutcome(
+                            bench.now, i, send.number(), lost, lost == AttemptOutcome.FULL ? 1 : 700, false, null);
+                    send = bench.last();
                 }
                 bench.now += 5;
-                b.onOutcome(bench.now, i, s.number(), AttemptOutcome.OK, 100, true, null);
+                balancer.onOutcome(bench.now, i, send.number(), AttemptOutcome.OK, 100, true, null);
             }
             assertThat(bench.refused).as("%s", lost).isEmpty();
             bench.sends.clear();
@@ -43,8 +44,8 @@
     /** What a quarter of the hosts may lose adds nothing to what the answers of the others tell. */
     @Test
     void aQuarterLostAddsNothingToWhatAnswersTell() {
-        Settings s = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
-        AdmissionController admission = new AdmissionController(s, new java.util.SplittableRandom(1), bench);
+        Settings settings = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
+        AdmissionController admission = new AdmissionController(settings, new java.util.SplittableRandom(1), bench);
         for (int i = 0; i < 400; i++) {
             admission.answered(bench.now += 1, 0.25, i % 4 == 0);
             assertThat(admission.pressure(bench.now)).isLessThanOrEqualTo(0.25);
@@ -58,18 +59,18 @@
     /** Where more is lost than some hosts explain, it is a jam, though no answer is late. */
     @Test
     void mostAttemptsWithoutAnAnswerAreAJam() {
-        Balancer b = safe(10);
+        Balancer balancer = safe(10);
         for (int i = 0; i < 200; i++) {
-            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+            balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
         }
         bench.now += 790;
         List<BalancerFixture.Send> out = List.copyOf(bench.sends);
-        for (BalancerFixture.Send s : out) {
-            boolean ok = s.request() % 5 == 0;
-            b.onOutcome(
+        for (BalancerFixture.Send send : out) {
+            boolean ok = send.request() % 5 == 0;
+            balancer.onOutcome(
                     bench.now,
-                    s.request(),
-                    s.number(),
+                    send.request(),
+                    send.number(),
                     ok ? AttemptOutcome.OK : AttemptOutcome.TIMEOUT,
                     ok ? 100 : 790,
                     true,
@@ -78,7 +79,7 @@
         int refused = bench.refused.size();
         for (int i = 1_000; i < 1_050; i++) {
             bench.now += 20;
-            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+            balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
         }
         assertThat(bench.refused.size() - refused).isGreaterThan(20);
     }
@@ -86,12 +87,13 @@
     /** A host that holds five takes six turns of 60 ms: too late to begin with an aim of 400 ms. */
     @Test
     void noWorkIsBegunWhereTheQueueTakesMostOfTheAim() {
-        Balancer b = safe(2);
+        Balancer balancer = safe(2);
         for (int i = 0; i < 100 && bench.refused.isEmpty(); i++) {
-            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+            balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             if (bench.refused.isEmpty()) {
                 bench.now += 1; // pressure stays low: what refuses is the queue
-                b.onOutcome(bench.now, i, 0, AttemptOutcome.OK, i < 4 ? 360 : 100, true, BalancerFixture.held(5));
+                balancer.onOutcome(
+                        bench.now, i, 0, AttemptOutcome.OK, i < 4 ? 360 : 100, true, BalancerFixture.held(5));
             }
         }
         assertThat(bench.refused).isNotEmpty();
--- a/src/test/java/rillyard/balancer/ManyProxiesTest.java
+++ b/src/test/java/rillyard/balancer/ManyProxiesTest.java
@@ -23,15 +23,25 @@
     private static final double RESTART = 20_000;
 
     private static Settings of(int position, String zone) {
-        Settings s = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
+        Settings settings = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
         return new Settings(
-                s.classes(), s.tenants(), s.limits(), s.rules(), s.fees(), false, zone, position, PROXIES, 1, false);
+                settings.classes(),
+                settings.tenants(),
+                settings.limits(),
+                settings.rules(),
+                settings.fees(),
+                false,
+                zone,
+                position,
+                PROXIES,
+                1,
+                false);
     }
 
     private static Balancer start(BalancerFixture bench, int position, String zone, List<EndpointEntry> hosts) {
-        Balancer b = new Balancer(of(position, zone), 100 + position, bench);
-        b.onMembership(bench.now, WatchEvent.CACHED, hosts);
-        return b;
+        Balancer balancer = new Balancer(of(position, zone), 100 + position, bench);
+        balancer.onMembership(bench.now, WatchEvent.CACHED, hosts);
+        return balancer;
     }
 
     /** Fourteen proxies with ten requests in flight each are not all connected to all of sixty hosts. */
@@ -40,12 +50,13 @@
         int pairs = 0;
         for (int proxy = 0; proxy < PROXIES; proxy++) {
             BalancerFixture bench = new BalancerFixture();
-            Balancer b = start(bench, proxy, null, BalancerFixture.hosts(60));
+            Balancer balancer = start(bench, proxy, null, BalancerFixture.hosts(60));
             for (int i = 0; i < 1_000; i++) {
-                b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+                balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
                 bench.now += 10;
                 if (i >= 10) {
-                    b.onOutcome(bench.now, bench.sends.get(i - 10).request(), 0, AttemptOutcome.OK, 100, true, null);
+                    balancer.onOutcome(
+                            bench.now, bench.sends.get(i - 10).request(), 0, AttemptOutcome.OK, 100, true, null);
                 }
             }
             pairs += (int) bench.sends.stream()
@@ -62,17 +73,27 @@
      */
     @Test
     void aHotProxyUsesAsManyHostsAsItHasRequestsInFlight() {
-        Settings s = of(3, null);
-        Settings many =
-                new Settings(s.classes(), s.tenants(), s.limits(), s.rules(), s.fees(), false, null, 30, 100, 1, false);
+        Settings settings = of(3, null);
+        Settings many = new Settings(
+                settings.classes(),
+                settings.tenants(),
+                settings.limits(),
+                settings.rules(),
+                settings.fees(),
+                false,
+                null,
+                30,
+                100,
+                1,
+                false);
         BalancerFixture bench = new BalancerFixture();
-        Balancer b = new Balancer(many, 7, bench);
-        b.onMembership(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(40));
+        Balancer balancer = new Balancer(many, 7, bench);
+        balancer.onMembership(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(40));
         for (int i = 0; i < 2_000; i++) {
-            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+            balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             bench.now += 2.5;
             if (i >= 60) {
-                b.onOutcome(bench.now, bench.sends.get(i - 60).request(), 0, AttemptOutcome.OK, 150, true, null);
+                balancer.onOutcome(bench.now, bench.sends.get(i - 60).request(), 0, AttemptOutcome.OK, 150, true, null);
             }
         }
         long used = bench.sends.stream()
@@ -87,14 +108,14 @@
     @Test
     void mostDrawsOfALightProxyMeetTheIdleHost() {
         BalancerFixture bench = new BalancerFixture();
-        Balancer b = start(bench, 3, null, BalancerFixture.hosts(5));
+        Balancer balancer = start(bench, 3, null, BalancerFixture.hosts(5));
         int idle = 0;
         for (int i = 0; i < 1_000; i++) {
-            b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+            balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             long host = bench.last().host();
             idle += host == 2 ? 1 : 0;
             bench.now += 10;
-            b.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 100, true, BalancerFixture.held(host == 2 ? 0 : 3));
+            balancer.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 100, true, BalancerFixture.held(host == 2 ? 0 : 3));
         }
         assertThat(idle).isGreaterThan(700);
     }
@@ -140,19 +161,20 @@
             for (long h = 0; h < HOSTS; h++) {
                 hosts.add(entry(h, told && h == COLD ? RESTART : 0));
             }
-            Balancer b = start(bench, p, zones ? zone(p / 2) : null, hosts);
+            Balancer balancer = start(bench, p, zones ? zone(p / 2) : null, hosts);
             ArrayDeque<BalancerFixture.Send> out = new ArrayDeque<>();
             for (int i = 0; bench.now < RESTART + 10_000; i++) {
                 if (!told && bench.now >= RESTART) {
                     told = true;
-                    b.onMembership(bench.now, WatchEvent.DELTA, List.of(entry(COLD, RESTART)));
+                    balancer.onMembership(bench.now, WatchEvent.DELTA, List.of(entry(COLD, RESTART)));
                 }
                 while (!out.isEmpty() && out.peek().at() + 800 <= bench.now) {
-                    BalancerFixture.Send s = out.poll();
-                    b.onOutcome(bench.now, s.request(), s.number(), AttemptOutcome.TIMEOUT, 800, true, null);
+                    BalancerFixture.Send send = out.poll();
+                    balancer.onOutcome(
+                            bench.now, send.request(), send.number(), AttemptOutcome.TIMEOUT, 800, true, null);
                 }
                 int before = bench.sends.size();
-                b.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
+                balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
                 double at = bench.now;
                 bench.now += gap;
                 if (bench.sends.size() == before) {
@@ -165,7 +187,7 @@
                 if (told && silent && !cold) {
                     out.add(bench.last());
                 } else {
-                    b.onOutcome(
+                    balancer.onOutcome(
                             bench.now,
                             i,
                             0,
--- a/src/test/java/rillyard/balancer/MeanInFlightTest.java
+++ b/src/test/java/rillyard/balancer/MeanInFlightTest.java
@@ -16,9 +16,9 @@
     private final HostSet fleet =
             new HostSet(BalancerFixture.settings(BalancerFixture.type("safe", Semantics.IDEMPOTENT, Scope.ALL)));
 
-    private void jammed(HostState h) {
-        fleet.queued(h, HELD, MS_PER_HELD * (HELD + 1));
-        fleet.reported(h, now += 5, BalancerFixture.held(HELD), true);
+    private void jammed(HostState host) {
+        fleet.queued(host, HELD, MS_PER_HELD * (HELD + 1));
+        fleet.reported(host, now += 5, BalancerFixture.held(HELD), true);
     }
 
     /**
--- a/src/test/java/rillyard/balancer/RulesTest.java
+++ b/src/test/java/rillyard/balancer/RulesTest.java
@@ -72,32 +72,32 @@
 
         @Override
         public void send(long id, long host, double giveUpAfter, double notAfter) {
-            Req r = reqs.get(id);
-            EndpointEntry h = list.get(host);
-            if (r.ended) {
+            Req req = reqs.get(id);
+            EndpointEntry entry = list.get(host);
+            if (req.ended) {
                 faults.add("rule 1: sent after the end");
             }
-            if (h == null || h.condition() != Condition.READY) {
+            if (entry == null || entry.condition() != Condition.READY) {
                 faults.add("rule 3: sent to a host that drains or is gone");
             }
-            if (r.tries.size() >= maxAttempts) {
+            if (req.tries.size() >= maxAttempts) {
                 faults.add("more attempts than allowed");
             }
-            for (Try t : r.tries) {
+            for (Try t : req.tries) {
                 if (t.result == null && !parallel) {
                     faults.add("rule 2: two attempts out");
                 }
-                if (t.mayHaveRun() && !repeatable(r, t, h)) {
+                if (t.mayHaveRun() && !repeatable(req, t, entry)) {
                     faults.add("rule 2: repeated where it may have run");
                 }
             }
-            if (h != null && h.onlineSince() > 0 && now - h.onlineSince() < 8_000) {
+            if (entry != null && entry.onlineSince() > 0 && now - entry.onlineSince() < 8_000) {
                 coldSends.computeIfAbsent(host, x -> new ArrayList<>()).add(now);
             }
-            int number = r.tries.size();
+            int number = req.tries.size();
             Try t = new Try(host, now);
-            r.tries.add(t);
-            double left = r.deadline - now;
+            req.tries.add(t);
+            double left = req.deadline - now;
             double p = random.nextDouble();
             double spent = Math.min(left, -60 * Math.log(1 - random.nextDouble()));
             AttemptOutcome end = p < 0.5 && spent < left
@@ -109,31 +109,31 @@
             }
             AttemptOutcome result = end;
             double took = spent;
-            at(spent, () -> settle(id, r, t, number, result, took));
+            at(spent, () -> settle(id, req, t, number, result, took));
         }
 
-        private boolean repeatable(Req r, Try t, EndpointEntry h) {
-            if (r.type.semantics() == Semantics.IDEMPOTENT) {
+        private boolean repeatable(Req req, Try t, EndpointEntry entry) {
+            if (req.type.semantics() == Semantics.IDEMPOTENT) {
                 return true;
             }
-            if (r.type.semantics() == Semantics.AT_MOST_ONCE || now - t.at >= WINDOW) {
+            if (req.type.semantics() == Semantics.AT_MOST_ONCE || now - t.at >= WINDOW) {
                 return false;
             }
             EndpointEntry first = list.get(t.host);
-            return switch (r.type.scope()) {
+            return switch (req.type.scope()) {
                 case ALL -> true;
-                case ZONE -> first.zone().equals(h.zone());
-                case CELL -> first.cell() == h.cell();
+                case ZONE -> first.zone().equals(entry.zone());
+                case CELL -> first.cell() == entry.cell();
             };
         }
 
-        private void settle(long id, Req r, Try t, int number, AttemptOutcome result, double spent) {
+        private void settle(long id, Req req, Try t, int number, AttemptOutcome result, double spent) {
             if (t.result != null) {
                 return;
             }
             t.result = result;
-            boolean over = r.ended || result == AttemptOutcome.OK;
-            r.ended |= over;
+            boolean over = req.ended || result == AttemptOutcome.OK;
+            req.ended |= over;
             if (result == AttemptOutcome.OK) {
                 answered++;
             }
@@ -146,25 +146,25 @@
         }
 
         private void end(long id) {
-            Req r = reqs.get(id);
-            if (r.ended) {
+            Req req = reqs.get(id);
+            if (req.ended) {
                 faults.add("rule 1: answered twice");
             }
-            if (now > r.deadline + SLACK) {
+            if (now > req.deadline + SLACK) {
                 faults.add("rule 1: answered too late");
             }
-            r.ended = true;
+            req.ended = true;
             answered++;
         }
 
         @Override
         public void refuse(long id, double coolDown) {
-            Req r = reqs.get(id);
-            for (Try t : r.tries) {
+            Req req = reqs.get(id);
+            for (Try t : req.tries) {
                 if (t.mayHaveRun()
-                        && r.type.semantics() != Semantics.IDEMPOTENT
-                        && !(r.type.semantics() == Semantics.DEDUPLICATED
-                                && r.type.scope() == Scope.ALL
+                        && req.type.semantics() != Semantics.IDEMPOTENT
+                        && !(req.type.semantics() == Semantics.DEDUPLICATED
+                                && req.type.scope() == Scope.ALL
                                 && now - t.at < WINDOW)) {
                     faults.add("rule 2: refused where it may have run");
                 }
@@ -179,9 +179,9 @@
 
         @Override
         public void cancel(long id, int attempt) {
-            Req r = reqs.get(id);
-            Try t = r.tries.get(attempt);
-            at(0, () -> settle(id, r, t, attempt, AttemptOutcome.CANCELLED, now - t.at));
+            Req req = reqs.get(id);
+            Try t = req.tries.get(attempt);
+            at(0, () -> settle(id, req, t, attempt, AttemptOutcome.CANCELLED, now - t.at));
         }
 
         @Override
@@ -200,29 +200,29 @@
         void change(int hosts) {
             long id = random.nextInt(hosts);
             EndpointEntry old = list.get(id);
-            Condition c =
+            Condition condition =
                     switch (random.nextInt(5)) {
                         case 0 -> Condition.TERMINATING;
                         case 1 -> Condition.GONE;
                         default -> Condition.READY;
                     };
             double since = random.nextInt(3) == 0 ? now : old == null ? 0 : old.onlineSince();
-            EndpointEntry e = BalancerFixture.host(id, c, since);
-            list.put(id, e);
+            EndpointEntry entry = BalancerFixture.host(id, condition, since);
+            list.put(id, entry);
             if (random.nextInt(4) > 0) {
-                balancer.onMembership(now, WatchEvent.DELTA, List.of(e));
+                balancer.onMembership(now, WatchEvent.DELTA, List.of(entry));
                 return;
             }
             List<EndpointEntry> all = new ArrayList<>();
             for (long k : new java.util.TreeSet<>(list.keySet())) {
-                EndpointEntry h = list.get(k);
-                if (h.condition() == Condition.GONE) {
+                EndpointEntry endpointEntry = list.get(k);
+                if (endpointEntry.condition() == Condition.GONE) {
                     continue;
                 }
                 if (random.nextInt(10) == 0) {
-                    list.put(k, BalancerFixture.host(k, Condition.GONE, h.onlineSince()));
+                    list.put(k, BalancerFixture.host(k, Condition.GONE, endpointEntry.onlineSince()));
                 } else {
-                    all.add(h);
+                    all.add(endpointEntry);
                 }
             }
             balancer.onMembership(now, WatchEvent.FULL, all);
@@ -239,8 +239,8 @@
                     BalancerFixture.type("cell", Semantics.DEDUPLICATED, Scope.CELL),
                     BalancerFixture.type("once", Semantics.AT_MOST_ONCE, Scope.ALL));
             balancer = new Balancer(settings, random.nextLong(), this);
-            for (EndpointEntry e : BalancerFixture.hosts(hosts)) {
-                list.put(e.id(), e);
+            for (EndpointEntry entry : BalancerFixture.hosts(hosts)) {
+                list.put(entry.id(), entry);
             }
             balancer.onStart(now);
             balancer.onMembership(now, WatchEvent.CACHED, new ArrayList<>(list.values()));
@@ -263,8 +263,8 @@
                 }
                 ((Runnable) next[1]).run();
             }
-            for (Req r : reqs.values()) {
-                if (!r.ended) {
+            for (Req req : reqs.values()) {
+                if (!req.ended) {
                     faults.add("rule 1: lost");
                 }
             }
@@ -274,18 +274,18 @@
             if (now > stop) {
                 return;
             }
-            Req r = new Req();
-            r.type = settings.classes().get(random.nextInt(5));
+            Req req = new Req();
+            req.type = settings.classes().get(random.nextInt(5));
             double budget = random.nextInt(20) == 0 ? random.nextInt(3) - 1 : 50 + random.nextInt(700);
-            r.deadline = now + budget;
+            req.deadline = now + budget;
             long id = nextId++;
-            reqs.put(id, r);
-            balancer.onRequest(now, BalancerFixture.request(id, r.type.name(), budget));
+            reqs.put(id, req);
+            balancer.onRequest(now, BalancerFixture.request(id, req.type.name(), budget));
             // A client may leave early; what is out still ends.
             if (random.nextInt(30) == 0) {
                 at(random.nextInt(100), () -> {
-                    if (!r.ended) {
-                        r.ended = true;
+                    if (!req.ended) {
+                        req.ended = true;
                         balancer.onClientGone(now, id);
                     }
                 });
@@ -300,27 +300,27 @@
         Set<String> faults = new HashSet<>();
         int answered = 0;
         for (long seed = 0; seed < 12; seed++) {
-            World w = new World(seed * 31 + hosts);
+            World world = new World(seed * 31 + hosts);
             if (hosts == 0) {
-                w.run(1, 0.5); // one host that the first change may remove
+                world.run(1, 0.5); // one host that the first change may remove
             } else {
-                w.run(hosts, 4_000);
+                world.run(hosts, 4_000);
             }
-            faults.addAll(w.faults);
-            answered += w.answered;
-            coldShare(w, hosts, faults);
+            faults.addAll(world.faults);
+            answered += world.answered;
+            coldShare(world, hosts, faults);
         }
         assertThat(faults).isEmpty();
         assertThat(answered).isGreaterThan(10);
     }
 
     /** Rule 4: 125 requests a second over the hosts; the proxy's own share of a cold host. */
-    private static void coldShare(World w, int hosts, Set<String> faults) {
+    private static void coldShare(World world, int hosts, Set<String> faults) {
         if (hosts < 2) {
             return;
         }
-        for (Map.Entry<Long, List<Double>> e : w.coldSends.entrySet()) {
-            double since = w.list.get(e.getKey()).onlineSince();
+        for (Map.Entry<Long, List<Double>> e : world.coldSends.entrySet()) {
+            double since = world.list.get(e.getKey()).onlineSince();
             List<Double> sends = e.getValue();
             for (int i = 0; i < sends.size(); i++) {
                 int in = 0;
--- a/src/test/java/rillyard/benchmark/FleetTraceStatisticsTest.java
+++ b/src/test/java/rillyard/benchmark/FleetTraceStatisticsTest.java
@@ -34,11 +34,11 @@
         log("n1", did(0, Kind.STARTED, "-") + did(10, Kind.CONNECTED, "a") + did(40, Kind.CLOSED, "a"));
         log("n2", did(0, Kind.STARTED, "-") + did(20, Kind.CONNECTED, "a") + did(30, Kind.CONNECT_FAILED, "a"));
         log("n3", did(0, Kind.STARTED, "-") + did(50, Kind.CONNECTED, "a"));
-        FleetTraceStatistics.HostCount a = count.sum().host("a");
-        assertThat(a.connects).isEqualTo(3);
-        assertThat(a.failedConnects).isEqualTo(1);
-        assertThat(a.mostOpen).isEqualTo(2);
-        assertThat(a.open).isEqualTo(2);
+        FleetTraceStatistics.HostCount counts = count.sum().host("a");
+        assertThat(counts.connects).isEqualTo(3);
+        assertThat(counts.failedConnects).isEqualTo(1);
+        assertThat(counts.mostOpen).isEqualTo(2);
+        assertThat(counts.open).isEqualTo(2);
     }
 
     @Test
@@ -66,10 +66,10 @@
                         + attempt(500, 1, "a", "OK", true)
                         + attempt(510, 1, "a", "OK", false));
         log("n2", attempt(250, 700, "a", "OK", true) + attempt(2_000, 1, "a", "OK", true));
-        FleetTraceStatistics.HostCount a = count.sum().host("a");
-        assertThat(a.attempts).isEqualTo(8);
-        assertThat(a.coldSends).hasSize(5);
-        assertThat(a.mostCold(500)).isEqualTo(3); // 0, 250, 499; and 250, 499, 500
+        FleetTraceStatistics.HostCount counts = count.sum().host("a");
+        assertThat(counts.attempts).isEqualTo(8);
+        assertThat(counts.coldSends).hasSize(5);
+        assertThat(counts.mostCold(500)).isEqualTo(3); // 0, 250, 499; and 250, 499, 500
     }
 
     @Test
--- a/src/test/java/rillyard/cli/CliTest.java
+++ b/src/test/java/rillyard/cli/CliTest.java
@@ -103,23 +103,23 @@
 
     @Test
     void aTimetableWithAnErrorEndsWithTwo() throws Exception {
-        Path t = Files.writeString(folder.resolve("t.toml"), "[[fault]]\nkind = 'hang'\n");
+        Path path = Files.writeString(folder.resolve("t.toml"), "[[fault]]\nkind = 'hang'\n");
         assertThat(run(
                         "stand-in",
                         "--timetable",
-                        t.toString(),
+                        path.toString(),
                         "--ready-file",
                         folder.resolve("r").toString()))
                 .isEqualTo(2);
-        assertThat(err.toString()).contains(t + ":1: fault[0].host: is missing, expected a text");
+        assertThat(err.toString()).contains(path + ":1: fault[0].host: is missing, expected a text");
         assertThat(folder.resolve("r")).doesNotExist();
     }
 
     @Test
     void anAuditOfWhatIsNoLedgerEndsWithTwo() throws Exception {
-        Path s = Files.writeString(folder.resolve("s.json"), "{\"classes\":[{\"name\":\"a\"}]}");
+        Path path = Files.writeString(folder.resolve("s.json"), "{\"classes\":[{\"name\":\"a\"}]}");
         Path l = Files.writeString(folder.resolve("l.jsonl"), "no ledger\n");
-        assertThat(run("audit", "--clients", l.toString(), "--hosts", l.toString(), "--settings", s.toString()))
+        assertThat(run("audit", "--clients", l.toString(), "--hosts", l.toString(), "--settings", path.toString()))
                 .isEqualTo(2);
         assertThat(err.toString()).startsWith(l + ":1: expected a JSON object");
         assertThat(run("audit", "--clients", l.toString(), "--hosts", l.toString(), "--settings", l.toString()))
--- a/src/test/java/rillyard/cli/UsageIT.java
+++ b/src/test/java/rillyard/cli/UsageIT.java
@@ -32,9 +32,9 @@
         line.addAll(
                 List.of("-jar", Path.of("target/rillyard.jar").toAbsolutePath().toString()));
         line.addAll(List.of(args));
-        Process p = new ProcessBuilder(line).directory(folder.toFile()).start();
-        started.add(p);
-        return p;
+        Process process = new ProcessBuilder(line).directory(folder.toFile()).start();
+        started.add(process);
+        return process;
     }
 
     @AfterEach
@@ -42,19 +42,19 @@
         started.forEach(Process::destroyForcibly);
     }
 
-    private static String out(Process p) throws IOException {
-        return new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    private static String out(Process process) throws IOException {
+        return new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     }
 
-    private static void await(Path file, Process p) throws InterruptedException {
-        while (!Files.exists(file) && p.isAlive()) {
+    private static void await(Path file, Process process) throws InterruptedException {
+        while (!Files.exists(file) && process.isAlive()) {
             Thread.sleep(10);
         }
         assertThat(file).exists();
     }
 
-    private static void signal(Process p, String name) throws Exception {
-        assertThat(new ProcessBuilder("kill", "-" + name, Long.toString(p.pid()))
+    private static void signal(Process process, String name) throws Exception {
+        assertThat(new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
                         .start()
                         .waitFor())
                 .isZero();
@@ -139,8 +139,9 @@
         signal(standIn, "INT");
         standIn.waitFor();
         int[] lines = new int[2];
-        assertThat(RequestLogReader.read(clients, "clients", l -> lines[0]++)).isTrue();
-        assertThat(RequestLogReader.read(folder.resolve("hosts.jsonl"), "hosts", l -> lines[1]++))
+        assertThat(RequestLogReader.read(clients, "clients", line -> lines[0]++))
+                .isTrue();
+        assertThat(RequestLogReader.read(folder.resolve("hosts.jsonl"), "hosts", logRecord -> lines[1]++))
                 .isTrue();
         assertThat(lines[0]).isGreaterThan(100);
         assertThat(lines[1]).isGreaterThan(100);
--- a/src/test/java/rillyard/config/TomlTableTest.java
+++ b/src/test/java/rillyard/config/TomlTableTest.java
@@ -17,21 +17,21 @@
 
     @Test
     void readsWhatIsThereAndHasDefaultsForTheRest() throws Exception {
-        TomlTable t = parse("a = 3\nb = 'x'\nc = true\nd = [1, 2.5]\ne = 'dark-blue'\n[s]\nf = 1.5\n");
-        assertThat(t.whole("a", 0, 0, 10)).isEqualTo(3);
-        assertThat(t.text("b", "")).isEqualTo("x");
-        assertThat(t.flag("c", false)).isTrue();
-        assertThat(t.numbers("d", new double[0], 0, 10)).containsExactly(1, 2.5);
-        assertThat(t.choice("e", Colour.class, Colour.RED)).isEqualTo(Colour.DARK_BLUE);
-        assertThat(t.table("s").number("f", 0, 0, 10)).isEqualTo(1.5);
-        assertThat(t.table("none").number("g", 7, 0, 10)).isEqualTo(7);
-        assertThat(t.tables("many")).isEmpty();
-        t.finish();
+        TomlTable table = parse("a = 3\nb = 'x'\nc = true\nd = [1, 2.5]\ne = 'dark-blue'\n[s]\nf = 1.5\n");
+        assertThat(table.whole("a", 0, 0, 10)).isEqualTo(3);
+        assertThat(table.text("b", "")).isEqualTo("x");
+        assertThat(table.flag("c", false)).isTrue();
+        assertThat(table.numbers("d", new double[0], 0, 10)).containsExactly(1, 2.5);
+        assertThat(table.choice("e", Colour.class, Colour.RED)).isEqualTo(Colour.DARK_BLUE);
+        assertThat(table.table("s").number("f", 0, 0, 10)).isEqualTo(1.5);
+        assertThat(table.table("none").number("g", 7, 0, 10)).isEqualTo(7);
+        assertThat(table.tables("many")).isEmpty();
+        table.finish();
     }
 
     @Test
     void tellsAllFindingsAtOnceEachWithItsLine() throws Exception {
-        TomlTable t = parse(
+        TomlTable table = parse(
                 """
             # a comment with = and [brackets]
             count = 12
@@ -49,18 +49,18 @@
             x = 'y'
             cuont = 1
             """);
-        t.whole("count", 0, 0, 10);
-        t.text("text", "");
-        t.choice("colour", Colour.class, Colour.RED);
-        for (TomlTable h : t.tables("host")) {
-            h.text("id");
-            h.whole("cores", 1, 1, 64);
-            TomlTable inner = h.table("inner");
+        table.whole("count", 0, 0, 10);
+        table.text("text", "");
+        table.choice("colour", Colour.class, Colour.RED);
+        for (TomlTable tomlTable : table.tables("host")) {
+            tomlTable.text("id");
+            tomlTable.whole("cores", 1, 1, 64);
+            TomlTable inner = tomlTable.table("inner");
             inner.whole("x", 0, 0, 9);
             inner.whole("count", 0, 0, 9);
         }
-        InvalidConfigException e = catchThrowableOfType(InvalidConfigException.class, t::finish);
-        assertThat(e.findings())
+        InvalidConfigException exception = catchThrowableOfType(InvalidConfigException.class, table::finish);
+        assertThat(exception.findings())
                 .extracting(ConfigProblem::toString)
                 .containsExactly(
                         "f.toml:2: count: found 12, expected a whole number from 0 to 10",
@@ -72,20 +72,21 @@
 
     @Test
     void aTextThatIsNoTomlNamesItsLine() {
-        InvalidConfigException e = catchThrowableOfType(InvalidConfigException.class, () -> parse("a = 1\nb = = 2\n"));
-        assertThat(e.findings()).hasSize(1);
-        assertThat(e.findings().get(0).line()).isEqualTo(2);
-        assertThat(e.getMessage()).startsWith("f.toml:2: not TOML: ");
+        InvalidConfigException exception =
+                catchThrowableOfType(InvalidConfigException.class, () -> parse("a = 1\nb = = 2\n"));
+        assertThat(exception.findings()).hasSize(1);
+        assertThat(exception.findings().get(0).line()).isEqualTo(2);
+        assertThat(exception.getMessage()).startsWith("f.toml:2: not TOML: ");
     }
 
     @Test
     void aMissingTextAndAWrongKindOfValueAreFindings() throws Exception {
-        TomlTable t = parse("[a]\nhosts = 3\n");
-        TomlTable a = t.table("a");
-        assertThat(a.text("id")).isEmpty();
-        assertThat(a.tables("hosts")).isEmpty();
-        InvalidConfigException e = catchThrowableOfType(InvalidConfigException.class, t::finish);
-        assertThat(e.findings()).extracting(ConfigProblem::line).containsExactly(1, 2);
+        TomlTable table = parse("[a]\nhosts = 3\n");
+        TomlTable tomlTable = table.table("a");
+        assertThat(tomlTable.text("id")).isEmpty();
+        assertThat(tomlTable.tables("hosts")).isEmpty();
+        InvalidConfigException exception = catchThrowableOfType(InvalidConfigException.class, table::finish);
+        assertThat(exception.findings()).extracting(ConfigProblem::line).containsExactly(1, 2);
     }
 
     @Test
--- a/src/test/java/rillyard/demo/DemoAuditTest.java
+++ b/src/test/java/rillyard/demo/DemoAuditTest.java
@@ -30,27 +30,28 @@
     Path folder;
 
     private Set<Violation.Rule> broken(String hosts, String plan) throws Exception {
-        Path h = folder.resolve("h");
+        Path path = folder.resolve("h");
         Path c = folder.resolve("c");
         AuditSettings settings;
-        try (RequestLogWriter hostLedger = RequestLogWriter.open(h, new LogHeader("hosts", 1, 1));
+        try (RequestLogWriter hostLedger = RequestLogWriter.open(path, new LogHeader("hosts", 1, 1));
                 RequestLogWriter ledger = RequestLogWriter.open(c, new LogHeader("clients", 1, 1));
-                TestCluster s = new TestCluster(
+                TestCluster cluster = new TestCluster(
                         TestClusterPlanReader.parse("h", hosts, 0),
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         1,
                         hostLedger,
                         System.err)) {
-            s.start();
+            cluster.start();
             settings = AuditSettings.of(
-                    new ObjectMapper().readTree(s.ready().path("settings").toString()));
-            LoadRun run = new LoadRun(LoadPlanReader.parse("p", plan, folder), List.of(s.address("s-0")), ledger, null);
-            s.startTimetable();
+                    new ObjectMapper().readTree(cluster.ready().path("settings").toString()));
+            LoadRun run =
+                    new LoadRun(LoadPlanReader.parse("p", plan, folder), List.of(cluster.address("s-0")), ledger, null);
+            cluster.startTimetable();
             run.run();
         }
-        Audit.Verdict v = Audit.of(c, h, settings);
-        assertThat(v.doubts()).isEmpty();
-        return v.breaches().stream().map(Violation::rule).collect(Collectors.toSet());
+        Audit.Verdict verdict = Audit.of(c, path, settings);
+        assertThat(verdict.doubts()).isEmpty();
+        return verdict.breaches().stream().map(Violation::rule).collect(Collectors.toSet());
     }
 
     private static String plan(String more, int rate) {
--- a/src/test/java/rillyard/demo/DemoTest.java
+++ b/src/test/java/rillyard/demo/DemoTest.java
@@ -55,19 +55,25 @@
     @Test
     void aProxyUnderFaultsKeepsTheRulesAndThePartsAgree() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        Demo.Result r = new Demo(new PrintStream(out, true, StandardCharsets.UTF_8), HOSTS, PLAN).run(folder);
-        assertThat(r.verdict().doubts()).isEmpty();
+        Demo.Result result = new Demo(new PrintStream(out, true, StandardCharsets.UTF_8), HOSTS, PLAN).run(folder);
+        assertThat(result.verdict().doubts()).isEmpty();
         // A machine whose cores are all busy may be late by itself: time limits get a second more here.
-        AuditSettings s = AuditSettings.read(folder.resolve("ready.json"));
+        AuditSettings settings = AuditSettings.read(folder.resolve("ready.json"));
         AuditSettings patient = new AuditSettings(
-                s.classes(), s.answerSlack(), s.drainGrace(), s.toldAtLatest(), 1_000_000, s.fall(), s.fallMultiple());
+                settings.classes(),
+                settings.answerSlack(),
+                settings.drainGrace(),
+                settings.toldAtLatest(),
+                1_000_000,
+                settings.fall(),
+                settings.fallMultiple());
         List<Violation> breaches = Audit.of(folder.resolve("clients.jsonl"), folder.resolve("hosts.jsonl"), patient)
                 .breaches();
         assertThat(breaches).isEmpty();
-        assertThat(r.verdict().tries()).isGreaterThan(300);
-        assertThat(r.report().total().inAim()).isGreaterThan(200);
-        assertThat(r.report().marks())
-                .extracting(m -> m.host() + " " + m.what())
+        assertThat(result.verdict().tries()).isGreaterThan(300);
+        assertThat(result.report().total().inAim()).isGreaterThan(200);
+        assertThat(result.report().marks())
+                .extracting(mark -> mark.host() + " " + mark.what())
                 .contains("s-2 hang", "s-2 hang ends", "s-4 draining", "s-4 stopped", "s-4+1 started");
         assertThat(folder.resolve("report.html")).isNotEmptyFile();
         assertThat(Files.readString(folder.resolve("proxy.log"))).contains("drained");
--- a/src/test/java/rillyard/faultinjection/FaultInjectionIT.java
+++ b/src/test/java/rillyard/faultinjection/FaultInjectionIT.java
@@ -40,17 +40,17 @@
     @Test
     void beliefsFollowAKillAStopAndACutAndAreOneAgain() throws Exception {
         LaunchCommand built = LaunchCommand.platform(Path.of("").toAbsolutePath());
-        FaultInjectionResult r = new FaultInjectionRun(
+        FaultInjectionResult result = new FaultInjectionRun(
                         FaultInjectionPlanReader.parse("plan", PLAN, folder), folder.resolve("trial"), System.out)
                 .run(built);
-        assertThat(r.living()).hasSize(11).doesNotContain("m5");
-        assertThat(r.heldGoneAfter("m5", 1)).as(r.report()).hasSize(11);
-        assertThat(r.heldGoneAfter("m7", 1)).as(r.report()).hasSize(10);
-        assertThat(r.heldGoneAfter("m0", 14))
-                .as("held gone across the cut: %s", r.report())
+        assertThat(result.living()).hasSize(11).doesNotContain("m5");
+        assertThat(result.heldGoneAfter("m5", 1)).as(result.report()).hasSize(11);
+        assertThat(result.heldGoneAfter("m7", 1)).as(result.report()).hasSize(10);
+        assertThat(result.heldGoneAfter("m0", 14))
+                .as("held gone across the cut: %s", result.report())
                 .isNotEmpty();
-        assertThat(r.falseDeaths()).as(r.report()).isEmpty();
-        assertThat(r.report()).containsPattern("membership: [1-9][0-9.]* datagrams and [1-9]");
-        assertThat(r.agreedSeconds()).as(r.report()).isGreaterThan(14);
+        assertThat(result.falseDeaths()).as(result.report()).isEmpty();
+        assertThat(result.report()).containsPattern("membership: [1-9][0-9.]* datagrams and [1-9]");
+        assertThat(result.agreedSeconds()).as(result.report()).isGreaterThan(14);
     }
 }
--- a/src/test/java/rillyard/faultinjection/FaultInjectionPartsTest.java
+++ b/src/test/java/rillyard/faultinjection/FaultInjectionPartsTest.java
@@ -23,21 +23,21 @@
 
     @Test
     void aCutOneWayLeavesTheOther() {
-        DatagramFaults f = new DatagramFaults(1);
+        DatagramFaults faults = new DatagramFaults(1);
         InjectedFault cut = fault(InjectedFault.Kind.LOSE, "m0", "zone:1", true, 1);
-        f.begin(cut);
-        assertThat(f.copies(A, B)).isEmpty();
-        assertThat(f.copies(B, A)).hasSize(1);
-        f.end(cut);
-        assertThat(f.copies(A, B)).containsExactly(0);
+        faults.begin(cut);
+        assertThat(faults.copies(A, B)).isEmpty();
+        assertThat(faults.copies(B, A)).hasSize(1);
+        faults.end(cut);
+        assertThat(faults.copies(A, B)).containsExactly(0);
     }
 
     @Test
     void copiesAndTimesAreDrawnFromTheSeed() {
-        DatagramFaults f = new DatagramFaults(3);
-        f.begin(fault(InjectedFault.Kind.DOUBLE, "all", "all", false, 1));
-        f.begin(fault(InjectedFault.Kind.DELAY, "all", "all", false, 0));
-        double[] once = f.copies(A, B);
+        DatagramFaults faults = new DatagramFaults(3);
+        faults.begin(fault(InjectedFault.Kind.DOUBLE, "all", "all", false, 1));
+        faults.begin(fault(InjectedFault.Kind.DELAY, "all", "all", false, 0));
+        double[] once = faults.copies(A, B);
         assertThat(once).hasSize(2);
         assertThat(once[0]).isNotEqualTo(once[1]).isBetween(0.0, 40.0);
         DatagramFaults again = new DatagramFaults(3);
@@ -77,10 +77,10 @@
         FaultInjectionPlan plan =
                 FaultInjectionPlanReader.parse("p", "processes = 12\nzones = 3\nfor_s = 200\n", Path.of(""));
         List<InjectedFault> drawn = RandomFaultSchedule.draw(plan, Set.of(RandomFaultSchedule.Kind.values()), 5);
-        assertThat(drawn).hasSizeGreaterThan(15).allSatisfy(f -> assertThat(f.at() + f.lasts())
+        assertThat(drawn).hasSizeGreaterThan(15).allSatisfy(fault -> assertThat(fault.at() + fault.lasts())
                 .isLessThan(0.66 * 200_000));
         assertThat(drawn.stream().map(InjectedFault::place).distinct()).hasSize(3);
-        assertThat(drawn.stream().filter(f -> f.kind() == InjectedFault.Kind.KILL))
+        assertThat(drawn.stream().filter(injectedFault -> injectedFault.kind() == InjectedFault.Kind.KILL))
                 .hasSizeLessThanOrEqualTo(3);
         assertThat(RandomFaultSchedule.draw(plan, Set.of(RandomFaultSchedule.Kind.values()), 5))
                 .hasToString(drawn.toString());
@@ -98,17 +98,17 @@
 
     @Test
     void agreementIsSinceTheLastOfThemCameToIt() {
-        MembershipTimeline b = new MembershipTimeline(List.of(
+        MembershipTimeline timeline = new MembershipTimeline(List.of(
                 new Belief(1, "a", "a", "ALIVE"),
                 new Belief(2, "a", "b", "ALIVE"),
                 new Belief(3, "b", "b", "ALIVE"),
                 new Belief(9, "b", "a", "ALIVE"),
                 new Belief(5, "a", "c", "ALIVE"),
                 new Belief(12, "a", "c", "DEAD")));
-        assertThat(b.agreedSince(Set.of("a", "b"))).isEqualTo(12);
-        assertThat(b.agreedSince(Set.of("a", "b", "c"))).isEqualTo(-1);
-        assertThat(b.heldGone("c", 0, Set.of("a", "b"))).containsExactly(java.util.Map.entry("a", 12L));
-        assertThat(b.present(10).get("a")).containsExactlyInAnyOrder("a", "b", "c");
+        assertThat(timeline.agreedSince(Set.of("a", "b"))).isEqualTo(12);
+        assertThat(timeline.agreedSince(Set.of("a", "b", "c"))).isEqualTo(-1);
+        assertThat(timeline.heldGone("c", 0, Set.of("a", "b"))).containsExactly(java.util.Map.entry("a", 12L));
+        assertThat(timeline.present(10).get("a")).containsExactlyInAnyOrder("a", "b", "c");
     }
 
     @Test
--- a/src/test/java/rillyard/faultinjection/FaultInjectionResultTest.java
+++ b/src/test/java/rillyard/faultinjection/FaultInjectionResultTest.java
@@ -11,12 +11,12 @@
 class FaultInjectionResultTest {
     private static final long BEGUN = 1_000_000;
 
-    private static int falseDeaths(InjectedFault f, String by, String about, long atMs) {
+    private static int falseDeaths(InjectedFault fault, String by, String about, long atMs) {
         FaultInjectionPlan plan =
-                new FaultInjectionPlan(1, 4, 2, 1, 60_000, "", false, null, null, List.of(), List.of(f));
-        MembershipTimeline b = new MembershipTimeline(List.of(new Belief(BEGUN + atMs, by, about, "DEAD")));
-        FaultInjectionResult.Done done = new FaultInjectionResult.Done(BEGUN + (long) f.at(), f, true);
-        return new FaultInjectionResult(plan, BEGUN, List.of(done), Set.of(by), b, "")
+                new FaultInjectionPlan(1, 4, 2, 1, 60_000, "", false, null, null, List.of(), List.of(fault));
+        MembershipTimeline timeline = new MembershipTimeline(List.of(new Belief(BEGUN + atMs, by, about, "DEAD")));
+        FaultInjectionResult.Done done = new FaultInjectionResult.Done(BEGUN + (long) fault.at(), fault, true);
+        return new FaultInjectionResult(plan, BEGUN, List.of(done), Set.of(by), timeline, "")
                 .falseDeaths()
                 .size();
     }
--- a/src/test/java/rillyard/faultinjection/FaultInjectionServingIT.java
+++ b/src/test/java/rillyard/faultinjection/FaultInjectionServingIT.java
@@ -73,17 +73,17 @@
                 "seed = 3\n[clients]\ncount = 60\n[[shape]]\nkind = \"poisson\"\nfor_s = 18\nrate = 150\n");
         LaunchCommand built = LaunchCommand.platform(Path.of("").toAbsolutePath());
         Path out = folder.resolve("trial");
-        FaultInjectionResult r =
+        FaultInjectionResult result =
                 new FaultInjectionRun(FaultInjectionPlanReader.parse("plan", PLAN, folder), out, System.out).run(built);
-        assertThat(r.living()).hasSize(6);
-        assertThat(r.good()).as(r.report()).isTrue();
-        assertThat(r.audit().verdict().tries()).isGreaterThan(2_000);
-        assertThat(r.audit().notOwed())
-                .as(r.report())
-                .isBetween(1, r.audit().verdict().tries() / 4);
+        assertThat(result.living()).hasSize(6);
+        assertThat(result.good()).as(result.report()).isTrue();
+        assertThat(result.audit().verdict().tries()).isGreaterThan(2_000);
+        assertThat(result.audit().notOwed())
+                .as(result.report())
+                .isBetween(1, result.audit().verdict().tries() / 4);
         assertThat(out.resolve("report.html")).content().contains("refused zone:0 to hosts s-0");
-        assertThat(r.spread().windows()).as(r.report()).hasSizeGreaterThan(10);
-        assertThat(r.report()).contains("largest over mean", "herds: ", "idle hosts: ");
+        assertThat(result.spread().windows()).as(result.report()).hasSizeGreaterThan(10);
+        assertThat(result.report()).contains("largest over mean", "herds: ", "idle hosts: ");
         assertThat(Files.readAllLines(out.resolve("history.jsonl"))).hasSizeGreaterThan(36);
         // None of a port that a way, or a connection on it, is given by itself while the process is not there to hold
         // it.
@@ -97,30 +97,30 @@
         }
         // Each client has a proxy of its own: what those of zone 1 ask for can't come to the host that is cut off from
         // them.
-        long from = time(r, true) + 300;
-        long until = time(r, false);
+        long from = time(result, true) + 300;
+        long until = time(result, false);
         Set<String> zone1 = new HashSet<>();
-        RequestLogReader.read(out.resolve("clients.jsonl"), "clients", l -> {
-            if (l instanceof ClientAttempt t && t.client() % 6 % 2 == 1) {
-                zone1.add(t.id());
+        RequestLogReader.read(out.resolve("clients.jsonl"), "clients", line -> {
+            if (line instanceof ClientAttempt attempt && attempt.client() % 6 % 2 == 1) {
+                zone1.add(attempt.id());
             }
         });
         int[] received = {0, 0};
-        RequestLogReader.read(out.resolve("hosts.jsonl"), "hosts", l -> {
-            if (l instanceof HostExecution h
-                    && h.host().equals("s-2")
-                    && h.received() / 1_000 > from
-                    && h.received() / 1_000 < until) {
-                received[zone1.contains(h.id()) ? 1 : 0]++;
+        RequestLogReader.read(out.resolve("hosts.jsonl"), "hosts", logRecord -> {
+            if (logRecord instanceof HostExecution execution
+                    && execution.host().equals("s-2")
+                    && execution.received() / 1_000 > from
+                    && execution.received() / 1_000 < until) {
+                received[zone1.contains(execution.id()) ? 1 : 0]++;
             }
         });
         assertThat(received[0]).as("by the other zone").isPositive();
         assertThat(received[1]).as("by the zone that is reset").isZero();
     }
 
-    private static long time(FaultInjectionResult r, boolean begin) {
-        return r.done().stream()
-                .filter(d -> d.fault().kind() == InjectedFault.Kind.RESET && d.begin() == begin)
+    private static long time(FaultInjectionResult result, boolean begin) {
+        return result.done().stream()
+                .filter(done -> done.fault().kind() == InjectedFault.Kind.RESET && done.begin() == begin)
                 .findFirst()
                 .orElseThrow()
                 .at();
--- a/src/test/java/rillyard/faultinjection/ObservationGossipIT.java
+++ b/src/test/java/rillyard/faultinjection/ObservationGossipIT.java
@@ -53,10 +53,10 @@
                 folder.resolve("load.toml"),
                 "seed = 5\n[clients]\ncount = 100\n[[shape]]\nkind = \"poisson\"\nfor_s = 24\nrate = 120\n");
         Path out = folder.resolve("trial");
-        FaultInjectionResult r = new FaultInjectionRun(
+        FaultInjectionResult result = new FaultInjectionRun(
                         FaultInjectionPlanReader.parse("plan", PLAN, folder), out, System.out)
                 .run(LaunchCommand.platform(Path.of("").toAbsolutePath()));
-        assertThat(r.good()).as(r.report()).isTrue();
+        assertThat(result.good()).as(result.report()).isTrue();
         for (int i = 0; i < 10; i++) {
             List<String> said = new ArrayList<>();
             Files.readAllLines(out.resolve("m" + i + ".log")).stream()
--- a/src/test/java/rillyard/faultinjection/TcpRelaysTest.java
+++ b/src/test/java/rillyard/faultinjection/TcpRelaysTest.java
@@ -44,26 +44,26 @@
     private void listen(int port) throws IOException {
         ServerSocket at = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
         host = at;
-        Thread t = new Thread(() -> serve(at));
-        t.setDaemon(true);
-        t.start();
+        Thread thread = new Thread(() -> serve(at));
+        thread.setDaemon(true);
+        thread.start();
     }
 
     private void serve(ServerSocket at) {
         try {
             while (true) {
-                Socket s = at.accept();
-                Thread t = new Thread(() -> {
-                    try (s) {
-                        if (s.getInputStream().transferTo(s.getOutputStream()) == 0) {
+                Socket socket = at.accept();
+                Thread thread = new Thread(() -> {
+                    try (socket) {
+                        if (socket.getInputStream().transferTo(socket.getOutputStream()) == 0) {
                             empty.incrementAndGet();
                         }
                     } catch (IOException e) {
                         // reset
                     }
                 });
-                t.setDaemon(true);
-                t.start();
+                thread.setDaemon(true);
+                thread.start();
             }
         } catch (IOException e) {
             // closed
@@ -89,15 +89,15 @@
                 lateMs);
     }
 
-    private static int echo(Socket s) throws IOException {
-        s.getOutputStream().write(7);
-        return s.getInputStream().read();
+    private static int echo(Socket socket) throws IOException {
+        socket.getOutputStream().write(7);
+        return socket.getInputStream().read();
     }
 
     private static Socket call(InetSocketAddress way) throws IOException {
-        Socket s = new Socket(way.getAddress(), way.getPort());
-        s.setSoTimeout(300);
-        return s;
+        Socket socket = new Socket(way.getAddress(), way.getPort());
+        socket.setSoTimeout(300);
+        return socket;
     }
 
     @Test
@@ -105,13 +105,13 @@
         try (Socket open = call(wayA);
                 Socket other = call(wayB)) {
             assertThat(echo(open)).isEqualTo(7);
-            InjectedFault f = fault(InjectedFault.Kind.SILENT, 0);
-            relays.begin(f);
+            InjectedFault injectedFault = fault(InjectedFault.Kind.SILENT, 0);
+            relays.begin(injectedFault);
             try (Socket fresh = call(wayA)) {
                 assertThatThrownBy(() -> echo(fresh)).isInstanceOf(SocketTimeoutException.class);
                 assertThatThrownBy(() -> echo(open)).isInstanceOf(SocketTimeoutException.class);
                 assertThat(echo(other)).isEqualTo(7);
-                relays.end(f);
+                relays.end(injectedFault);
                 open.setSoTimeout(10_000);
                 fresh.setSoTimeout(10_000);
                 assertThat(open.getInputStream().read()).isEqualTo(7);
@@ -142,12 +142,12 @@
     void refusalLeavesWhatIsOpenAndEnds() throws Exception {
         try (Socket open = call(wayA)) {
             assertThat(echo(open)).isEqualTo(7);
-            InjectedFault f = fault(InjectedFault.Kind.REFUSED, 0);
-            relays.begin(f);
+            InjectedFault injectedFault = fault(InjectedFault.Kind.REFUSED, 0);
+            relays.begin(injectedFault);
             awaitRefusal(wayA);
             assertThat(echo(open)).isEqualTo(7);
             call(wayB).close();
-            relays.end(f);
+            relays.end(injectedFault);
             awaitWay(wayA);
         }
     }
@@ -173,8 +173,8 @@
         InetSocketAddress at = (InetSocketAddress) host.getLocalSocketAddress();
         List<InetSocketAddress> ways = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            FleetProcess m = FleetProcess.of(10 + i, 1, 1);
-            ways.add(relays.open(m, InetAddress.getByName("127.0.0." + (10 + i)), "s-0", "a", at));
+            FleetProcess process = FleetProcess.of(10 + i, 1, 1);
+            ways.add(relays.open(process, InetAddress.getByName("127.0.0." + (10 + i)), "s-0", "a", at));
         }
         host.close();
         for (InetSocketAddress way : ways) {
@@ -191,11 +191,11 @@
     @Test
     void slowBytesComeLaterAndInOrder() throws Exception {
         relays.begin(fault(InjectedFault.Kind.SLOW, 60));
-        try (Socket s = call(wayA)) {
-            s.setSoTimeout(10_000);
+        try (Socket socket = call(wayA)) {
+            socket.setSoTimeout(10_000);
             long from = System.nanoTime();
-            s.getOutputStream().write(new byte[] {1, 2, 3});
-            assertThat(s.getInputStream().readNBytes(3)).containsExactly(1, 2, 3);
+            socket.getOutputStream().write(new byte[] {1, 2, 3});
+            assertThat(socket.getInputStream().readNBytes(3)).containsExactly(1, 2, 3);
             assertThat(System.nanoTime() - from).isGreaterThan(119_000_000L);
         }
     }
@@ -215,8 +215,8 @@
 
     private static void awaitWay(InetSocketAddress way) throws Exception {
         while (true) {
-            try (Socket s = call(way)) {
-                if (echo(s) == 7) {
+            try (Socket socket = call(way)) {
+                if (echo(socket) == 7) {
                     return;
                 }
             } catch (IOException e) {
--- a/src/test/java/rillyard/imbalance/ImbalanceReportTest.java
+++ b/src/test/java/rillyard/imbalance/ImbalanceReportTest.java
@@ -33,11 +33,11 @@
     }
 
     private static HostAvailability all() {
-        HostAvailability t = new HostAvailability();
+        HostAvailability availability = new HostAvailability();
         for (int h = 0; h < HOSTS; h++) {
-            t.add("s-" + h, 1, 0, SECONDS * S);
+            availability.add("s-" + h, 1, 0, SECONDS * S);
         }
-        return t;
+        return availability;
     }
 
     @Test
@@ -45,9 +45,9 @@
         int herds = 0;
         int idle = 0;
         for (long seed = 1; seed <= 300; seed++) {
-            ImbalanceReport s = ImbalanceReport.of(uniform(seed), all(), List.of(), S);
-            herds += s.herds().isEmpty() ? 0 : 1;
-            idle += s.idle().isEmpty() ? 0 : 1;
+            ImbalanceReport report = ImbalanceReport.of(uniform(seed), all(), List.of(), S);
+            herds += report.herds().isEmpty() ? 0 : 1;
+            idle += report.idle().isEmpty() ? 0 : 1;
         }
         // A bound of 1 % allows 3 runs of 300 in the mean; 9 and more have a probability of 0.4 %.
         assertThat(herds).as("runs with a false herd").isLessThan(9);
@@ -66,12 +66,12 @@
                 new TimelineEvent(10 * S - 30_000, "s-8", "s-8 started"));
         List<Herd> herds = ImbalanceReport.of(arrivals, all(), marks, S).herds();
         assertThat(herds).hasSize(1);
-        Herd h = herds.get(0);
-        assertThat(h.host()).isEqualTo("s-7");
-        assertThat(h.from()).isBetween(10 * S - 400_000, 10 * S);
-        assertThat(h.count()).isGreaterThanOrEqualTo(28);
-        assertThat(h.proxies()).isGreaterThanOrEqualTo(28);
-        assertThat(h.before()).containsExactly(marks.get(1));
+        Herd herd = herds.get(0);
+        assertThat(herd.host()).isEqualTo("s-7");
+        assertThat(herd.from()).isBetween(10 * S - 400_000, 10 * S);
+        assertThat(herd.count()).isGreaterThanOrEqualTo(28);
+        assertThat(herd.proxies()).isGreaterThanOrEqualTo(28);
+        assertThat(herd.before()).containsExactly(marks.get(1));
     }
 
     @Test
@@ -88,7 +88,7 @@
         }
         assertThat(ImbalanceReport.of(four, all(), List.of(), S).herds())
                 .isNotEmpty()
-                .allMatch(h -> h.host().equals("s-3"));
+                .allMatch(herd -> herd.host().equals("s-3"));
         assertThat(ImbalanceReport.of(twice, all(), List.of(), S).herds()).isEmpty();
     }
 
@@ -104,7 +104,7 @@
     @Test
     void aHostThatGetsNothingWhileOthersQueueIsIdleUnlessItIsDown() {
         List<HostArrival> without = uniform(7);
-        without.removeIf(a -> a.host().equals("s-4") && a.at() > 5 * S && a.at() < 8 * S);
+        without.removeIf(arrival -> arrival.host().equals("s-4") && arrival.at() > 5 * S && arrival.at() < 8 * S);
         List<IdleHost> idle = ImbalanceReport.of(without, all(), List.of(), S).idle();
         assertThat(idle).hasSize(1);
         assertThat(idle.get(0).host()).isEqualTo("s-4");
@@ -127,7 +127,8 @@
                 .as("before the first and after the last")
                 .hasSize(1);
         List<HostArrival> calm = without.stream()
-                .map(a -> new HostArrival(a.at(), a.host(), a.proxy(), true, 0, 20_000))
+                .map(hostArrival ->
+                        new HostArrival(hostArrival.at(), hostArrival.host(), hostArrival.proxy(), true, 0, 20_000))
                 .toList();
         assertThat(ImbalanceReport.of(calm, all(), List.of(), S).idle())
                 .as("where nobody queues")
--- a/src/test/java/rillyard/loadgen/FakeTransport.java
+++ b/src/test/java/rillyard/loadgen/FakeTransport.java
@@ -10,8 +10,8 @@
 final class FakeTransport implements Transport {
     /** What becomes of a try: its end after {@code ms}, or nothing at all if it is null. */
     record Fate(double ms, AttemptResult end) {
-        static Fate of(double ms, ClientOutcome o, int status) {
-            return new Fate(ms, new AttemptResult(o, status, 0));
+        static Fate of(double ms, ClientOutcome outcome, int status) {
+            return new Fate(ms, new AttemptResult(outcome, status, 0));
         }
 
         static Fate served(double ms) {
@@ -39,12 +39,13 @@
     }
 
     @Override
-    public PendingAttempt send(OutgoingRequest t, Listener listener) {
-        tries.add(t);
+    public PendingAttempt send(OutgoingRequest request, Listener listener) {
+        tries.add(request);
         at.add(timers.now());
-        Fate f = fates.apply(t);
-        Scheduler.ScheduledTask due =
-                f.end() == null ? () -> {} : timers.after((long) (1e6 * f.ms()), () -> listener.ended(f.end()));
+        Fate fate = fates.apply(request);
+        Scheduler.ScheduledTask due = fate.end() == null
+                ? () -> {}
+                : timers.after((long) (1e6 * fate.ms()), () -> listener.ended(fate.end()));
         return () -> {
             abandoned++;
             due.cancel();
--- a/src/test/java/rillyard/loadgen/LoadGeneratorTest.java
+++ b/src/test/java/rillyard/loadgen/LoadGeneratorTest.java
@@ -20,24 +20,25 @@
     private final long zero = timers.now();
 
     private RunStatistics play(String plan, FakeTransport transport) throws Exception {
-        LoadPlan p = LoadPlanReader.parse("p", plan, Path.of("."));
-        RunStatistics tally = new RunStatistics(p.seconds());
-        LoadGenerator g = new LoadGenerator(p, timers, transport, RequestLogWriter.none(), tally, () -> {});
-        g.start();
+        LoadPlan loadPlan = LoadPlanReader.parse("p", plan, Path.of("."));
+        RunStatistics tally = new RunStatistics(loadPlan.seconds());
+        LoadGenerator generator =
+                new LoadGenerator(loadPlan, timers, transport, RequestLogWriter.none(), tally, () -> {});
+        generator.start();
         timers.drain();
-        assertThat(g.open()).isZero();
+        assertThat(generator.open()).isZero();
         return tally;
     }
 
     @Test
     void aTargetThatStallsShowsAsLateAnswersAtTheOfferedRate() throws Exception {
         // From 5 s to 7 s all stands still; what came meanwhile is answered at its end.
-        FakeTransport t = new FakeTransport(timers, x -> {
+        FakeTransport transport = new FakeTransport(timers, request -> {
             double s = (timers.now() - zero) / 1e9;
             return FakeTransport.Fate.served(s < 5 || s >= 7 ? 1 : 1 + 1_000 * (7 - s));
         });
-        RunStatistics tally =
-                play("max_open = 100000\n" + CLIENTS + "[[shape]]\nkind = 'steady'\nfor_s = 12\nrate = 500\n", t);
+        RunStatistics tally = play(
+                "max_open = 100000\n" + CLIENTS + "[[shape]]\nkind = 'steady'\nfor_s = 12\nrate = 500\n", transport);
         RunStatistics.ClassStatistics all = tally.total();
         assertThat(all.offered).isEqualTo(6_000);
         for (double x = 0.1; x < 2; x += 0.1) {
@@ -50,12 +51,12 @@
     void quantilesAreThoseOfTheInjectedDistribution() throws Exception {
         SplittableRandom random = new SplittableRandom(8);
         List<Double> drawn = new ArrayList<>();
-        FakeTransport t = new FakeTransport(timers, x -> {
+        FakeTransport transport = new FakeTransport(timers, request -> {
             double ms = 20 * Math.exp(0.7 * random.nextGaussian());
             drawn.add(ms);
             return FakeTransport.Fate.served(ms);
         });
-        RunStatistics tally = play(CLIENTS + "[[shape]]\nkind = 'poisson'\nfor_s = 60\nrate = 1000\n", t);
+        RunStatistics tally = play(CLIENTS + "[[shape]]\nkind = 'poisson'\nfor_s = 60\nrate = 1000\n", transport);
         drawn.sort(null);
         for (double p : new double[] {50, 90, 99, 99.9}) {
             double injected = drawn.get((int) Math.ceil(p / 100 * drawn.size()) - 1);
@@ -66,55 +67,57 @@
 
     @Test
     void pastItsBoundNothingIsSentAndTheRunIsInvalid() throws Exception {
-        FakeTransport t = new FakeTransport(timers, x -> FakeTransport.Fate.silence());
+        FakeTransport transport = new FakeTransport(timers, request -> FakeTransport.Fate.silence());
         String plan = "max_open = 50\n" + CLIENTS + "[[shape]]\nkind = 'steady'\nfor_s = 1\nrate = 200\n";
-        RunStatistics tally = play(plan, t);
-        assertThat(t.tries).hasSize(50);
+        RunStatistics tally = play(plan, transport);
+        assertThat(transport.tries).hasSize(50);
         assertThat(tally.total().notSent).isEqualTo(150);
-        RunReport r = RunReport.of(LoadPlanReader.parse("p", plan, Path.of(".")), tally, false, 0, 0, List.of());
-        assertThat(r.valid()).isFalse();
-        assertThat(r.invalidBecause()).contains("150 requests were not sent");
-        assertThat(r.total().offered())
-                .isEqualTo(r.total().inAim()
-                        + r.total().late()
-                        + r.total().refused()
-                        + r.total().failed()
-                        + r.total().lost()
-                        + r.total().abandoned()
-                        + r.total().notSent());
+        RunReport report = RunReport.of(LoadPlanReader.parse("p", plan, Path.of(".")), tally, false, 0, 0, List.of());
+        assertThat(report.valid()).isFalse();
+        assertThat(report.invalidBecause()).contains("150 requests were not sent");
+        assertThat(report.total().offered())
+                .isEqualTo(report.total().inAim()
+                        + report.total().late()
+                        + report.total().refused()
+                        + report.total().failed()
+                        + report.total().lost()
+                        + report.total().abandoned()
+                        + report.total().notSent());
     }
 
     @Test
     void aGeneratorThatIsHeldUpSaysThatTheRunIsInvalid() throws Exception {
         // Each send takes 3 ms of the generator's one thread, of which 2 ms apart are due.
-        FakeTransport t = new FakeTransport(timers, x -> {
+        FakeTransport transport = new FakeTransport(timers, request -> {
             timers.skip(3_000_000);
             return FakeTransport.Fate.served(1);
         });
         String plan = CLIENTS + "[[shape]]\nkind = 'steady'\nfor_s = 1\nrate = 500\n";
-        RunStatistics tally = play(plan, t);
-        RunReport r = RunReport.of(LoadPlanReader.parse("p", plan, Path.of(".")), tally, false, 0, 0, List.of());
-        assertThat(r.valid()).isFalse();
-        assertThat(r.invalidBecause()).contains("could not keep its schedule");
-        assertThat(r.lateness().max()).isBetween(450.0, 550.0);
-        assertThat(r.total().latency().p50()).isGreaterThan(r.total().service().p50() + 200);
+        RunStatistics tally = play(plan, transport);
+        RunReport report = RunReport.of(LoadPlanReader.parse("p", plan, Path.of(".")), tally, false, 0, 0, List.of());
+        assertThat(report.valid()).isFalse();
+        assertThat(report.invalidBecause()).contains("could not keep its schedule");
+        assertThat(report.lateness().max()).isBetween(450.0, 550.0);
+        assertThat(report.total().latency().p50())
+                .isGreaterThan(report.total().service().p50() + 200);
     }
 
     @Test
     void stoppedItLeavesWhatIsUnderWay() throws Exception {
-        FakeTransport t = new FakeTransport(timers, x -> FakeTransport.Fate.silence());
-        LoadPlan p = LoadPlanReader.parse(
+        FakeTransport transport = new FakeTransport(timers, request -> FakeTransport.Fate.silence());
+        LoadPlan plan = LoadPlanReader.parse(
                 "p", CLIENTS + "[[shape]]\nkind = 'steady'\nfor_s = 10\nrate = 100\n", Path.of("."));
-        RunStatistics tally = new RunStatistics(p.seconds());
+        RunStatistics tally = new RunStatistics(plan.seconds());
         boolean[] done = new boolean[1];
-        LoadGenerator g = new LoadGenerator(p, timers, t, RequestLogWriter.none(), tally, () -> done[0] = true);
-        g.start();
+        LoadGenerator generator =
+                new LoadGenerator(plan, timers, transport, RequestLogWriter.none(), tally, () -> done[0] = true);
+        generator.start();
         timers.passMs(995);
-        g.stop();
+        generator.stop();
         assertThat(done[0]).isTrue();
         timers.drain();
-        assertThat(t.tries).hasSize(99);
-        assertThat(t.abandoned).isEqualTo(99);
+        assertThat(transport.tries).hasSize(99);
+        assertThat(transport.abandoned).isEqualTo(99);
         assertThat(tally.total().abandoned).isEqualTo(99);
     }
 }
--- a/src/test/java/rillyard/loadgen/LoadPlanReaderTest.java
+++ b/src/test/java/rillyard/loadgen/LoadPlanReaderTest.java
@@ -19,7 +19,7 @@
 
     @Test
     void everyShapeIsRead() throws Exception {
-        LoadPlan p = parse(
+        LoadPlan plan = parse(
                 """
             [[shape]]
             kind = "steady"
@@ -44,7 +44,7 @@
             rates = [1, 2]
             random = false
             """);
-        assertThat(p.shapes())
+        assertThat(plan.shapes())
                 .containsExactly(
                         new RateProfile.Steady(10, 5, false),
                         new RateProfile.Steady(10, 5, true),
@@ -52,13 +52,13 @@
                         new RateProfile.Surge(8, 1, 2, 2, 1, 2, 1, true),
                         new RateProfile.Wave(10, 5, 0.3, 60, true),
                         new RateProfile.Step(10, new double[] {1, 2}, false));
-        assertThat(p.seconds()).isEqualTo(58);
-        assertThat(p.classes()).hasSize(3);
+        assertThat(plan.seconds()).isEqualTo(58);
+        assertThat(plan.classes()).hasSize(3);
     }
 
     @Test
     void everyErrorNamesItsLineInOnePass() {
-        InvalidConfigException e = fails(
+        InvalidConfigException exception = fails(
                 """
             max_opne = 5
             [clients]
@@ -77,8 +77,8 @@
             base = 5
             at_s = 5
             """);
-        assertThat(e.findings()).extracting(ConfigProblem::line).containsExactly(1, 3, 7, 9, 11, 12, 14);
-        assertThat(e.getMessage())
+        assertThat(exception.findings()).extracting(ConfigProblem::line).containsExactly(1, 3, 7, 9, 11, 12, 14);
+        assertThat(exception.getMessage())
                 .contains("p.toml:1: max_opne: unknown key; did you mean 'max_open'?")
                 .contains("p.toml:12: shape[0].peak: is missing, expected requests a second");
     }
--- a/src/test/java/rillyard/loadgen/LoadRunTest.java
+++ b/src/test/java/rillyard/loadgen/LoadRunTest.java
@@ -50,11 +50,12 @@
     private RunReport play(String hosts, String plan) throws Exception {
         try (RequestLogWriter hostLedger = RequestLogWriter.open(folder.resolve("h"), new LogHeader("hosts", 1, 1));
                 RequestLogWriter ledger = RequestLogWriter.open(folder.resolve("c"), new LogHeader("clients", 1, 1));
-                TestCluster s =
+                TestCluster cluster =
                         new TestCluster(TestClusterPlanReader.parse("h", hosts, 0), ANY, 1, hostLedger, System.err)) {
-            s.start();
-            LoadRun run = new LoadRun(LoadPlanReader.parse("p", plan, folder), List.of(s.address("s-0")), ledger, null);
-            s.startTimetable();
+            cluster.start();
+            LoadRun run =
+                    new LoadRun(LoadPlanReader.parse("p", plan, folder), List.of(cluster.address("s-0")), ledger, null);
+            cluster.startTimetable();
             run.run();
             return run.report(List.of());
         }
@@ -62,9 +63,9 @@
 
     private <T extends LogRecord> List<T> ledger(String of, Class<T> kind) throws Exception {
         List<T> out = new ArrayList<>();
-        boolean whole = RequestLogReader.read(folder.resolve(of.substring(0, 1)), of, l -> {
-            if (kind.isInstance(l)) {
-                out.add(kind.cast(l));
+        boolean whole = RequestLogReader.read(folder.resolve(of.substring(0, 1)), of, line -> {
+            if (kind.isInstance(line)) {
+                out.add(kind.cast(line));
             }
         });
         assertThat(whole).isTrue();
@@ -74,19 +75,19 @@
     @Test
     void aPauseOfTwoSecondsIsTwoSecondsOfLateAnswersAndNoGap() throws Exception {
         int rate = 300;
-        RunReport r = play(
+        RunReport report = play(
                 hosts(
                         "{ dist = 'constant', mean_ms = 1 }",
                         "[[fault]]\nkind = 'pause'\nhost = 's-0'\nat_s = 1\nfor_s = 2\n"),
                 "lateness_ms = 5000\n" + CLASS + "[clients]\nretries = 0\ntry_share = [1, 1]\n"
                         + "[[shape]]\nkind = 'steady'\nfor_s = 4\nrate = " + rate + "\n");
-        assertThat(r.total().offered()).isEqualTo(4 * rate);
-        assertThat(r.total().inAim() + r.total().late()).isEqualTo(4 * rate);
+        assertThat(report.total().offered()).isEqualTo(4 * rate);
+        assertThat(report.total().inAim() + report.total().late()).isEqualTo(4 * rate);
         List<ClientAttempt> tries = ledger("clients", ClientAttempt.class);
         for (double x = 0.2; x < 2; x += 0.2) {
             double seconds = x;
             long later = tries.stream()
-                    .filter(t -> t.ended() - t.intended() > 1e6 * seconds)
+                    .filter(attempt -> attempt.ended() - attempt.intended() > 1e6 * seconds)
                     .count();
             // The pause begins and ends on the stand-in's own clock: some tens of ms of either side.
             assertThat(later)
@@ -106,23 +107,23 @@
                 + "[[shape]]\nkind = 'poisson'\nfor_s = 2.5\nrate = 500\n";
         List<String> seen = new ArrayList<>();
         for (int i = 0; i < RUNS; i++) {
-            RunReport r = play(hosts, plan);
+            RunReport report = play(hosts, plan);
             // What the hosts drew is in their ledger: the generator must see these very times.
             double[] drawn = ledger("hosts", HostExecution.class).stream()
-                    .mapToDouble(h -> h.work() / 1_000.0)
+                    .mapToDouble(execution -> execution.work() / 1_000.0)
                     .sorted()
                     .toArray();
-            assertThat((long) drawn.length).isEqualTo(r.total().offered());
-            RunReport.Quantiles q = r.total().service();
-            if (near(q.p50(), at(drawn, 0.5))
-                    && near(q.p90(), at(drawn, 0.9))
-                    && near(q.p99(), at(drawn, 0.99))
-                    && near(q.p999(), at(drawn, 0.999))) {
+            assertThat((long) drawn.length).isEqualTo(report.total().offered());
+            RunReport.Quantiles quantiles = report.total().service();
+            if (near(quantiles.p50(), at(drawn, 0.5))
+                    && near(quantiles.p90(), at(drawn, 0.9))
+                    && near(quantiles.p99(), at(drawn, 0.99))
+                    && near(quantiles.p999(), at(drawn, 0.999))) {
                 // And they are a sample of the distribution that was asked for, whose median is known.
                 assertThat(at(drawn, 0.5)).isCloseTo(100 / Math.sqrt(1.49), within(8.0));
                 return;
             }
-            seen.add(q + " for " + at(drawn, 0.5) + " " + at(drawn, 0.9) + " " + at(drawn, 0.99));
+            seen.add(quantiles + " for " + at(drawn, 0.5) + " " + at(drawn, 0.9) + " " + at(drawn, 0.99));
         }
         assertThat(seen).as("quantiles that are all off").isEmpty();
     }
@@ -137,25 +138,25 @@
     }
 
     private interface Target {
-        void serve(Socket s) throws IOException;
+        void serve(Socket socket) throws IOException;
     }
 
     /** Plays a plan against a target that does to each connection what it is told to. */
     private RunReport against(Target target, String plan) throws Exception {
         try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
                 RequestLogWriter ledger = RequestLogWriter.open(folder.resolve("c"), new LogHeader("clients", 1, 1))) {
-            Thread t = new Thread(() -> {
+            Thread thread = new Thread(() -> {
                 while (!server.isClosed()) {
                     try {
-                        Socket s = server.accept();
-                        target.serve(s);
+                        Socket socket = server.accept();
+                        target.serve(socket);
                     } catch (IOException e) {
                         // the next one, or the end of the test
                     }
                 }
             });
-            t.setDaemon(true);
-            t.start();
+            thread.setDaemon(true);
+            thread.start();
             LoadRun run = new LoadRun(
                     LoadPlanReader.parse("p", plan, folder),
                     List.of((InetSocketAddress) server.getLocalSocketAddress()),
@@ -170,57 +171,60 @@
             "max_open = 2000\n[[class]]\nname = 'c'\nsemantics = 'idempotent'\naim_ms = 100\ndeadline_ms = 300\n"
                     + "[[shape]]\nkind = 'poisson'\nfor_s = 1\nrate = 300\n";
 
-    private void assertAllEnded(RunReport r, ClientOutcome only) throws Exception {
-        assertThat(r.total().offered()).isGreaterThan(200);
-        assertThat(r.total().inAim() + r.total().late()).isZero();
+    private void assertAllEnded(RunReport report, ClientOutcome only) throws Exception {
+        assertThat(report.total().offered()).isGreaterThan(200);
+        assertThat(report.total().inAim() + report.total().late()).isZero();
         List<ClientAttempt> tries = ledger("clients", ClientAttempt.class);
         assertThat(tries.stream().filter(ClientAttempt::last).count())
-                .isEqualTo(r.total().offered());
-        assertThat(tries.stream().map(ClientAttempt::outcome).filter(o -> o == only))
+                .isEqualTo(report.total().offered());
+        assertThat(tries.stream().map(ClientAttempt::outcome).filter(outcome -> outcome == only))
                 .isNotEmpty();
-        assertThat(tries).allMatch(t -> t.number() < 6);
+        assertThat(tries).allMatch(attempt -> attempt.number() < 6);
     }
 
     @Test
     void aTargetThatResetsEverything() throws Exception {
-        RunReport r = against(
-                s -> {
-                    s.setSoLinger(true, 0);
-                    s.close();
+        RunReport report = against(
+                socket -> {
+                    socket.setSoLinger(true, 0);
+                    socket.close();
                 },
                 SHORT);
-        assertAllEnded(r, r.total().lost() > 0 ? ClientOutcome.BROKEN : ClientOutcome.UNREACHABLE);
-        assertThat(r.total().lost() + r.total().failed()).isEqualTo(r.total().offered());
+        assertAllEnded(report, report.total().lost() > 0 ? ClientOutcome.BROKEN : ClientOutcome.UNREACHABLE);
+        assertThat(report.total().lost() + report.total().failed())
+                .isEqualTo(report.total().offered());
     }
 
     @Test
     void aTargetThatAnswersGarbage() throws Exception {
-        RunReport r = against(
-                s -> {
-                    s.getOutputStream().write("garbage\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-                    s.getOutputStream().flush();
+        RunReport report = against(
+                socket -> {
+                    socket.getOutputStream().write("garbage\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+                    socket.getOutputStream().flush();
                 },
                 SHORT);
-        assertAllEnded(r, ClientOutcome.GARBLED);
-        assertThat(r.total().lost()).isEqualTo(r.total().offered());
+        assertAllEnded(report, ClientOutcome.GARBLED);
+        assertThat(report.total().lost()).isEqualTo(report.total().offered());
     }
 
     @Test
     void aTargetThatTakesAllAndAnswersNothing() throws Exception {
         List<Socket> held = new ArrayList<>();
-        RunReport r = against(held::add, SHORT);
-        assertAllEnded(r, ClientOutcome.UNANSWERED);
-        assertThat(r.total().lost() + r.total().notSent() + r.total().failed())
-                .isEqualTo(r.total().offered());
+        RunReport report = against(held::add, SHORT);
+        assertAllEnded(report, ClientOutcome.UNANSWERED);
+        assertThat(report.total().lost()
+                        + report.total().notSent()
+                        + report.total().failed())
+                .isEqualTo(report.total().offered());
     }
 
     @Test
     void aTargetThatAcceptsNothing() throws Exception {
         int port;
-        try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = s.getLocalPort();
+        try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = server.getLocalPort();
         }
-        RunReport r;
+        RunReport report;
         try (RequestLogWriter ledger = RequestLogWriter.open(folder.resolve("c"), new LogHeader("clients", 1, 1))) {
             LoadRun run = new LoadRun(
                     LoadPlanReader.parse("p", SHORT, folder),
@@ -228,84 +232,85 @@
                     ledger,
                     null);
             run.run();
-            r = run.report(List.of());
+            report = run.report(List.of());
         }
-        assertAllEnded(r, ClientOutcome.UNREACHABLE);
-        assertThat(r.total().failed()).isEqualTo(r.total().offered());
+        assertAllEnded(report, ClientOutcome.UNREACHABLE);
+        assertThat(report.total().failed()).isEqualTo(report.total().offered());
     }
 
     @Test
     void anAnswerForAnotherRequestIsNoneOfOurs() throws Exception {
-        RunReport r = against(
-                s -> {
-                    s.getInputStream().read(new byte[4_096]);
-                    s.getOutputStream()
+        RunReport report = against(
+                socket -> {
+                    socket.getInputStream().read(new byte[4_096]);
+                    socket.getOutputStream()
                             .write("HTTP/1.1 200 OK\r\nContent-Length: 27\r\n\r\nid=other host=h len=0 crc=0"
                                     .getBytes(StandardCharsets.US_ASCII));
                 },
                 SHORT);
-        assertAllEnded(r, ClientOutcome.GARBLED);
+        assertAllEnded(report, ClientOutcome.GARBLED);
     }
 
     @Test
     void aClientThatAbandonsClosesItsConnectionAndItsLateAnswerIsNotCounted() throws Exception {
-        RunReport r = play(
+        RunReport report = play(
                 hosts("{ dist = 'constant', mean_ms = 400 }", ""),
                 "[[class]]\nname = 'c'\nsemantics = 'at-most-once'\naim_ms = 400\ndeadline_ms = 500\nbody_bytes = 0\n"
                         + "[clients]\nretries = 0\nannounced = false\ntry_share = [0.2, 0.2]\n"
                         + "[[shape]]\nkind = 'steady'\nfor_s = 1\nrate = 50\n");
-        assertThat(r.total().abandoned()).isEqualTo(50);
-        assertThat(r.total().latency().count()).isZero();
-        assertThat(ledger("clients", ClientAttempt.class)).allMatch(t -> t.outcome() == ClientOutcome.ABANDONED);
+        assertThat(report.total().abandoned()).isEqualTo(50);
+        assertThat(report.total().latency().count()).isZero();
+        assertThat(ledger("clients", ClientAttempt.class))
+                .allMatch(attempt -> attempt.outcome() == ClientOutcome.ABANDONED);
         // The host saw each connection end while the request ran.
         List<HostExecution> runs = ledger("hosts", HostExecution.class);
-        assertThat(runs).hasSize(50).allMatch(h -> h.result() == ExecutionResult.LEFT);
+        assertThat(runs).hasSize(50).allMatch(execution -> execution.result() == ExecutionResult.LEFT);
     }
 
     @Test
     void anInterruptedRunReportsWhatItHasAndItsLedgerIsWhole() throws Exception {
-        RunReport r;
+        RunReport report;
         try (RequestLogWriter hostLedger = RequestLogWriter.none();
                 RequestLogWriter ledger = RequestLogWriter.open(folder.resolve("c"), new LogHeader("clients", 1, 1));
-                TestCluster s = new TestCluster(
+                TestCluster cluster = new TestCluster(
                         TestClusterPlanReader.parse("h", hosts("{ dist = 'constant', mean_ms = 5 }", ""), 0),
                         ANY,
                         1,
                         hostLedger,
                         System.err)) {
-            s.start();
+            cluster.start();
             LoadRun run = new LoadRun(
                     LoadPlanReader.parse(
                             "p", CLASS + "[[shape]]\nkind = 'poisson'\nfor_s = 3600\nrate = 200\n", folder),
-                    List.of(s.address("s-0")),
+                    List.of(cluster.address("s-0")),
                     ledger,
                     null);
-            Thread t = new Thread(() -> {
+            Thread thread = new Thread(() -> {
                 long until = System.nanoTime() + 30_000_000_000L;
                 while (ledger.lines() < 100 && System.nanoTime() < until) {
                     Thread.onSpinWait();
                 }
                 run.interrupt();
             });
-            t.start();
+            thread.start();
             run.run();
-            r = run.report(List.of());
+            report = run.report(List.of());
         }
-        assertThat(r.interrupted()).isTrue();
-        assertThat(r.total().inAim() + r.total().late()).isGreaterThan(50);
-        assertThat(ReportTable.of(r)).contains("interrupted");
+        assertThat(report.interrupted()).isTrue();
+        assertThat(report.total().inAim() + report.total().late()).isGreaterThan(50);
+        assertThat(ReportTable.of(report)).contains("interrupted");
         assertThat(ledger("clients", ClientAttempt.class).stream()
                         .filter(ClientAttempt::last)
                         .count())
-                .isEqualTo(r.total().offered());
+                .isEqualTo(report.total().offered());
     }
 
     @Test
     void theReportIsAPageOfItsOwnAndHistogramsAreWritten() throws Exception {
-        RunReport r = play(
+        RunReport report = play(
                 hosts("{ dist = 'constant', mean_ms = 2 }", ""),
                 CLASS + "[[tenant]]\nname = 't1'\n" + "[[shape]]\nkind = 'poisson'\nfor_s = 1\nrate = 100\n");
-        ReportFiles.write(folder, r, "a <title>");
+        ReportFiles.write(folder, report, "a <title>");
         String page = java.nio.file.Files.readString(folder.resolve("report.html"));
         assertThat(page)
                 .contains("a &lt;title&gt;")
--- a/src/test/java/rillyard/loadgen/LogicalRequestTest.java
+++ b/src/test/java/rillyard/loadgen/LogicalRequestTest.java
@@ -34,17 +34,17 @@
         String type = "[[class]]\nname = 'c'\nsemantics = '" + semantics + "'\naim_ms = 400\ndeadline_ms = 1000\n"
                 + "window_ms = 300\n";
         LoadPlan plan = LoadPlanReader.parse("p", CLIENTS + clients + type + ONE, folder);
-        transport = new FakeTransport(timers, t -> next.next());
+        transport = new FakeTransport(timers, request -> next.next());
         tally = new RunStatistics(plan.seconds());
         boolean[] done = new boolean[1];
         Path file = folder.resolve("c.jsonl");
-        try (RequestLogWriter l = RequestLogWriter.open(file, new LogHeader("clients", 1, 1))) {
-            new LoadGenerator(plan, timers, transport, l, tally, () -> done[0] = true).start();
+        try (RequestLogWriter writer = RequestLogWriter.open(file, new LogHeader("clients", 1, 1))) {
+            new LoadGenerator(plan, timers, transport, writer, tally, () -> done[0] = true).start();
             timers.drain();
         }
         assertThat(done[0]).isTrue();
         List<ClientAttempt> out = new ArrayList<>();
-        RequestLogReader.read(file, "clients", x -> out.add((ClientAttempt) x));
+        RequestLogReader.read(file, "clients", line -> out.add((ClientAttempt) line));
         assertThat(out.stream().filter(ClientAttempt::last)).hasSize(1);
         return out;
     }
--- a/src/test/java/rillyard/loadgen/RateProfileTest.java
+++ b/src/test/java/rillyard/loadgen/RateProfileTest.java
@@ -21,30 +21,30 @@
 
     @ParameterizedTest
     @MethodSource("all")
-    void theCumulativeRateIsTheIntegralOfTheRate(RateProfile s) {
+    void theCumulativeRateIsTheIntegralOfTheRate(RateProfile profile) {
         double sum = 0;
         int steps = 200_000;
-        double dt = s.seconds() / steps;
+        double dt = profile.seconds() / steps;
         for (int i = 0; i < steps; i++) {
-            sum += s.rate((i + 0.5) * dt) * dt;
+            sum += profile.rate((i + 0.5) * dt) * dt;
             if (i % 10_000 == 0) {
-                assertThat(s.expected((i + 1) * dt)).isCloseTo(sum, within(0.02 + 1e-4 * sum));
+                assertThat(profile.expected((i + 1) * dt)).isCloseTo(sum, within(0.02 + 1e-4 * sum));
             }
         }
-        assertThat(s.expected(s.seconds())).isCloseTo(sum, within(1e-3 * sum));
+        assertThat(profile.expected(profile.seconds())).isCloseTo(sum, within(1e-3 * sum));
     }
 
     @ParameterizedTest
     @MethodSource("all")
-    void theTimeOfAnArrivalIsWhereTheCumulativeRateReachesIt(RateProfile s) {
+    void theTimeOfAnArrivalIsWhereTheCumulativeRateReachesIt(RateProfile profile) {
         double from = 0;
-        double total = s.expected(s.seconds());
+        double total = profile.expected(profile.seconds());
         for (double n = 0.5; n < total; n += 1.7) {
-            double at = s.when(n, from);
-            assertThat(s.expected(at)).isCloseTo(n, within(1e-3));
+            double at = profile.when(n, from);
+            assertThat(profile.expected(at)).isCloseTo(n, within(1e-3));
             assertThat(at).isGreaterThanOrEqualTo(from);
             from = at;
         }
-        assertThat(s.when(total + 1, from)).isNaN();
+        assertThat(profile.when(total + 1, from)).isNaN();
     }
 }
--- a/src/test/java/rillyard/loadgen/RequestScheduleTest.java
+++ b/src/test/java/rillyard/loadgen/RequestScheduleTest.java
@@ -50,10 +50,10 @@
         List<ScheduledRequest> all = arrivals(TWO);
         int[] perSecond = new int[20];
         long before = 0;
-        for (ScheduledRequest a : all) {
-            assertThat(a.at()).isGreaterThanOrEqualTo(before);
-            before = a.at();
-            perSecond[(int) (a.at() / 1_000_000_000L)]++;
+        for (ScheduledRequest request : all) {
+            assertThat(request.at()).isGreaterThanOrEqualTo(before);
+            before = request.at();
+            perSecond[(int) (request.at() / 1_000_000_000L)]++;
         }
         for (int i = 0; i < 10; i++) {
             assertThat(perSecond[i]).isCloseTo(1_000, within(150)); // 4.7 standard deviations
@@ -75,10 +75,10 @@
     void classesTenantsAndClientsHaveTheirShares() throws Exception {
         Map<String, Integer> counts = new HashMap<>();
         List<ScheduledRequest> all = arrivals(TWO);
-        for (ScheduledRequest a : all) {
-            counts.merge(a.type().name(), 1, Integer::sum);
-            counts.merge(a.tenant(), 1, Integer::sum);
-            counts.merge("c" + a.client(), 1, Integer::sum);
+        for (ScheduledRequest request : all) {
+            counts.merge(request.type().name(), 1, Integer::sum);
+            counts.merge(request.tenant(), 1, Integer::sum);
+            counts.merge("c" + request.client(), 1, Integer::sum);
         }
         double n = all.size();
         assertThat(counts.get("list") / n).isCloseTo(0.6, within(0.02));
--- a/src/test/java/rillyard/loadgen/TraceReaderTest.java
+++ b/src/test/java/rillyard/loadgen/TraceReaderTest.java
@@ -21,8 +21,8 @@
     Path folder;
 
     private RecordedTrace read(TraceReader.Form form, String text) throws Exception {
-        Path f = Files.writeString(folder.resolve("t"), text);
-        return TraceReader.read(f, form, CLASSES, 2);
+        Path path = Files.writeString(folder.resolve("t"), text);
+        return TraceReader.read(path, form, CLASSES, 2);
     }
 
     private InvalidConfigException fails(TraceReader.Form form, String text) {
@@ -31,23 +31,25 @@
 
     @Test
     void csvInAnyOrderOfColumnsAndLines() throws Exception {
-        RecordedTrace t =
+        RecordedTrace trace =
                 read(TraceReader.Form.CSV, "class,time_ms,tenant\nclaim,1500.5,t1\nlist,1000,\n\nlist,3000,t2\n");
-        assertThat(t.entries()).extracting(e -> e.type().name()).containsExactly("list", "claim", "list");
-        assertThat(t.entries())
+        assertThat(trace.entries())
+                .extracting(request -> request.type().name())
+                .containsExactly("list", "claim", "list");
+        assertThat(trace.entries())
                 .extracting(RecordedTrace.RecordedRequest::tenant)
                 .containsExactly(null, "t1", "t2");
-        assertThat(t.at(t.entries().get(1))).isEqualTo(250_250_000L); // at twice the speed
-        assertThat(t.seconds()).isEqualTo(1.0);
+        assertThat(trace.at(trace.entries().get(1))).isEqualTo(250_250_000L); // at twice the speed
+        assertThat(trace.seconds()).isEqualTo(1.0);
     }
 
     @Test
     void jsonLines() throws Exception {
-        RecordedTrace t = read(
+        RecordedTrace trace = read(
                 TraceReader.Form.JSONL,
                 "{\"time_ms\":5,\"class\":\"list\",\"client\":\"c1\",\"route_key\":\"r\"}\n"
                         + "{\"time_ms\":6.5,\"class\":\"claim\"}\n");
-        assertThat(t.entries())
+        assertThat(trace.entries())
                 .containsExactly(
                         new RecordedTrace.RecordedRequest(5_000, CLASSES.get(0), null, "c1", "r"),
                         new RecordedTrace.RecordedRequest(6_500, CLASSES.get(1), null, null, null));
@@ -56,7 +58,7 @@
     @Test
     void linesOfHttplog() throws Exception {
         String before = "Nov 30 08:14:14 lb haproxy[14389]: ";
-        RecordedTrace t = read(
+        RecordedTrace trace = read(
                 TraceReader.Form.HAPROXY,
                 before + "10.0.1.2:33317 [30/Nov/2026:08:14:14.655] http-in static/srv1 10/0/30/69/109 "
                         + "200 2750 - - ---- 1/1/1/1/0 0/0 {1wt.eu} {} \"GET /list?x=1 HTTP/1.1\"\n"
@@ -66,11 +68,11 @@
                         + "200 +2750 - - ---- 1/1/1/1/0 0/0 \"GET /images/a.png HTTP/1.1\"\n"
                         + before + "10.0.1.5:33320 [30/Nov/2026:08:14:16.000] http-in http-in/<NOSRV> "
                         + "-1/-1/-1/-1/2 400 187 - - PR-- 0/0/0/0/0 0/0 \"<BADREQ>\"\n");
-        assertThat(t.entries()).extracting(e -> e.type().name()).containsExactly("claim", "list");
-        assertThat(t.entries())
+        assertThat(trace.entries()).extracting(request -> request.type().name()).containsExactly("claim", "list");
+        assertThat(trace.entries())
                 .extracting(RecordedTrace.RecordedRequest::client)
                 .containsExactly("10.0.1.3", "10.0.1.2");
-        assertThat(t.seconds()).isEqualTo(0.25);
+        assertThat(trace.seconds()).isEqualTo(0.25);
     }
 
     @Test
--- a/src/test/java/rillyard/membership/MembershipModel.java
+++ b/src/test/java/rillyard/membership/MembershipModel.java
@@ -26,8 +26,9 @@
         public String toString() {
             return message.kind() + " of " + from + " to m" + (to.ip() - 1) + " "
                     + message.news().stream()
-                            .map(u -> u.card().name() + "=" + u.status() + "/"
-                                    + u.life().start() + "." + u.life().incarnation())
+                            .map(update -> update.card().name() + "=" + update.status() + "/"
+                                    + update.life().start() + "."
+                                    + update.life().incarnation())
                             .toList();
         }
     }
@@ -47,7 +48,7 @@
     }
 
     MembershipModel() {
-        this(m -> m, (from, m) -> true);
+        this(message -> message, (from, m) -> true);
     }
 
     @Override
@@ -87,16 +88,16 @@
             startedAt.put(name, now);
             Membership.Output out = new Membership.Output() {
                 @Override
-                public void send(MemberAddress to, Message m) {
+                public void send(MemberAddress to, Message message) {
                     spoken.computeIfAbsent(name, n -> new HashSet<>())
-                            .add(m.sender().life());
-                    if ((!joined || passes.test(name, m)) && flying.size() < IN_FLIGHT * (now == 0 ? 100 : 1)) {
-                        flying.add(new Flying(name, at(i), to, change.apply(m)));
+                            .add(message.sender().life());
+                    if ((!joined || passes.test(name, message)) && flying.size() < IN_FLIGHT * (now == 0 ? 100 : 1)) {
+                        flying.add(new Flying(name, at(i), to, change.apply(message)));
                     }
                 }
 
                 @Override
-                public void changed(MembershipEvent c) {}
+                public void changed(MembershipEvent event) {}
             };
             List<MemberAddress> seeds = List.of(at(0), at(1), at(2));
             // Chance is taken away: each draw is its least.
@@ -117,12 +118,12 @@
 
         private void step() {
             now += STEP;
-            members.forEach((name, m) -> m.tick(time(name)));
+            members.forEach((name, membership) -> membership.tick(time(name)));
         }
 
-        private void deliver(Flying f) {
-            String to = "m" + (f.to.ip() - 1);
-            members.get(to).received(time(to), f.source, f.message);
+        private void deliver(Flying flying) {
+            String to = "m" + (flying.to.ip() - 1);
+            members.get(to).received(time(to), flying.source, flying.message);
         }
 
         private void deliverAll() {
@@ -168,8 +169,9 @@
         /** The lives that each holds of the others. */
         private Map<String, Incarnation> lives() {
             Map<String, Incarnation> all = new HashMap<>();
-            members.forEach((name, m) ->
-                    m.others().forEach(u -> all.put(name + ":" + u.card().name(), u.life())));
+            members.forEach((name, membership) -> membership
+                    .others()
+                    .forEach(update -> all.put(name + ":" + update.card().name(), update.life())));
             return all;
         }
 
@@ -195,9 +197,9 @@
 
         @Override
         public String state() {
-            StringBuilder s = new StringBuilder().append(restarts).append(flying);
-            members.forEach((name, m) -> s.append('\n').append(m.state(time(name))));
-            return s.toString();
+            StringBuilder out = new StringBuilder().append(restarts).append(flying);
+            members.forEach((name, membership) -> out.append('\n').append(membership.state(time(name))));
+            return out.toString();
         }
 
         @Override
@@ -208,10 +210,10 @@
             }
             deliverAll();
             for (Map.Entry<String, Membership> e : members.entrySet()) {
-                for (MemberUpdate u : e.getValue().others()) {
-                    if (u.status() != MemberStatus.ALIVE) {
-                        return "a live process that is heard stays " + u.status() + ": "
-                                + u.card().name() + " to " + e.getKey();
+                for (MemberUpdate update : e.getValue().others()) {
+                    if (update.status() != MemberStatus.ALIVE) {
+                        return "a live process that is heard stays " + update.status() + ": "
+                                + update.card().name() + " to " + e.getKey();
                     }
                 }
                 if (e.getValue().present() != MEMBERS) {
--- a/src/test/java/rillyard/membership/MembershipModelTest.java
+++ b/src/test/java/rillyard/membership/MembershipModelTest.java
@@ -15,42 +15,44 @@
 
     @Test
     void noOrderOfThingsBreaksWhatMembersMayRelyOn() {
-        ModelChecker.Result<String> r = new ModelChecker<>(new MembershipModel()).walk(DEPTH, STATES, FAIR_EVERY);
-        System.out.println("membership model: " + r);
-        assertThat(r.breach()).as(r.toString()).isNull();
-        assertThat(r.states()).isGreaterThan(20_000);
+        ModelChecker.Result<String> result = new ModelChecker<>(new MembershipModel()).walk(DEPTH, STATES, FAIR_EVERY);
+        System.out.println("membership model: " + result);
+        assertThat(result.breach()).as(result.toString()).isNull();
+        assertThat(result.states()).isGreaterThan(20_000);
     }
 
     /** Planted: members that make their word about another count for more than its own; m0 is cut off. */
     @Test
     void oneWhoSpeaksForAnothersIncarnationIsFoundByTheShortestHistory() {
         MembershipModel planted = new MembershipModel(
-                m -> new Message(
-                        m.kind(),
-                        m.sequence(),
-                        m.digest(),
-                        m.sender(),
-                        m.target(),
-                        m.targetAt(),
-                        m.news().stream()
-                                .map(u -> u.status() == MemberStatus.SUSPECT
-                                        ? new MemberUpdate(u.card(), u.life().next(), u.status(), u.by())
-                                        : u)
+                message -> new Message(
+                        message.kind(),
+                        message.sequence(),
+                        message.digest(),
+                        message.sender(),
+                        message.target(),
+                        message.targetAt(),
+                        message.news().stream()
+                                .map(update -> update.status() == MemberStatus.SUSPECT
+                                        ? new MemberUpdate(
+                                                update.card(), update.life().next(), update.status(), update.by())
+                                        : update)
                                 .toList()),
                 (from, m) -> !from.equals("m0") && !m.target().equals("m0"));
-        ModelChecker.Result<String> r = new ModelChecker<>(planted).walk(8, STATES, 0);
-        assertThat(r.breach()).as(r.toString()).startsWith("somebody has spoken for another's incarnation");
-        assertThat(r.history()).hasSizeLessThanOrEqualTo(8).contains("time");
+        ModelChecker.Result<String> result = new ModelChecker<>(planted).walk(8, STATES, 0);
+        assertThat(result.breach()).as(result.toString()).startsWith("somebody has spoken for another's incarnation");
+        assertThat(result.history()).hasSizeLessThanOrEqualTo(8).contains("time");
     }
 
     /** Planted: m1 and m2 never ask m0 again, and its own questions get lost. */
     @Test
     void oneWhoStaysDeadAlthoughItLivesIsFound() {
         MembershipModel planted = new MembershipModel(
-                m -> m, (from, m) -> !(m.kind() == Kind.PING && m.target().equals("m0")) && !from.equals("m0"));
-        ModelChecker.Result<String> r = new ModelChecker<>(planted).walk(2, STATES, 1);
-        assertThat(r.breach()).as(r.toString()).startsWith("a live process that is heard stays DEAD");
-        assertThat(r.history()).hasSize(1);
+                message -> message,
+                (from, m) -> !(m.kind() == Kind.PING && m.target().equals("m0")) && !from.equals("m0"));
+        ModelChecker.Result<String> result = new ModelChecker<>(planted).walk(2, STATES, 1);
+        assertThat(result.breach()).as(result.toString()).startsWith("a live process that is heard stays DEAD");
+        assertThat(result.history()).hasSize(1);
     }
 
     @Test
