--- a/src/test/java/rillyard/membership/MembershipPropertiesTest.java
+++ b/src/test/java/rillyard/membership/MembershipPropertiesTest.java
@@ -49,76 +49,80 @@
             @ForAll @LongRange(min = 0, max = 1_000_000) long seed,
             @ForAll @IntRange(min = 2, max = 60) int members,
             @ForAll("steps") List<Step> steps) {
-        VirtualFleet f = new VirtualFleet(seed, members);
-        assertThat(f.untilAgreed(30 * S)).as("joined").isNotNegative();
+        VirtualFleet fleet = new VirtualFleet(seed, members);
+        assertThat(fleet.untilAgreed(30 * S)).as("joined").isNotNegative();
         Map<String, Incarnation> spoken = new HashMap<>();
-        for (Step s : steps) {
-            happens(f, s, s.who() % members);
-            f.run(s.ms());
-            noLifeThatWasNotSpoken(f);
-            noOwnLifeGoesBack(f, spoken);
+        for (Step step : steps) {
+            happens(fleet, step, step.who() % members);
+            fleet.run(step.ms());
+            noLifeThatWasNotSpoken(fleet);
+            noOwnLifeGoesBack(fleet, spoken);
         }
-        heal(f);
-        f.run(15 * S); // stops are over
-        assertThat(f.untilAgreed(90 * S)).as("agreed").isNotNegative();
-        int deaths = f.deaths.size();
-        f.run(30 * S);
-        assertThat(f.deaths.subList(deaths, f.deaths.size()))
+        heal(fleet);
+        fleet.run(15 * S); // stops are over
+        assertThat(fleet.untilAgreed(90 * S)).as("agreed").isNotNegative();
+        int deaths = fleet.deaths.size();
+        fleet.run(30 * S);
+        assertThat(fleet.deaths.subList(deaths, fleet.deaths.size()))
                 .as("deaths where nothing is wrong any more")
                 .isEmpty();
     }
 
-    private static void happens(VirtualFleet f, Step s, int who) {
-        switch (s.what()) {
+    private static void happens(VirtualFleet fleet, Step step, int who) {
+        switch (step.what()) {
             case KILL -> {
-                if (f.nodes.values().stream().filter(n -> !n.dead).count() > 2 && who > 2) { // seeds stay, as advised
-                    f.kill(who);
+                if (fleet.nodes.values().stream().filter(node -> !node.dead).count() > 2
+                        && who > 2) { // seeds stay, as advised
+                    fleet.kill(who);
                 }
             }
             case RESTART -> {
-                f.kill(who);
-                f.run(50);
-                f.start(who);
+                fleet.kill(who);
+                fleet.run(50);
+                fleet.start(who);
             }
-            case STOP -> f.stop(who, s.ms());
-            case CUT -> f.links = (a, b) -> number(a) % (2 + who % 2) == number(b) % (2 + who % 2);
-            case ONE_WAY -> f.links = (a, b) -> number(a) != who;
+            case STOP -> fleet.stop(who, step.ms());
+            case CUT -> fleet.links = (a, b) -> number(a) % (2 + who % 2) == number(b) % (2 + who % 2);
+            case ONE_WAY -> fleet.links = (a, b) -> number(a) != who;
             case LOSE -> {
-                f.loss = 0.3;
-                f.doubled = 0.3;
-                f.delay = 40;
+                fleet.loss = 0.3;
+                fleet.doubled = 0.3;
+                fleet.delay = 40;
             }
-            case HEAL -> heal(f);
+            case HEAL -> heal(fleet);
         }
     }
 
-    private static void heal(VirtualFleet f) {
-        f.links = (a, b) -> true;
-        f.loss = 0;
-        f.doubled = 0;
-        f.delay = 2;
+    private static void heal(VirtualFleet fleet) {
+        fleet.links = (a, b) -> true;
+        fleet.loss = 0;
+        fleet.doubled = 0;
+        fleet.delay = 2;
     }
 
     private static int number(String name) {
         return Integer.parseInt(name.substring(1));
     }
 
-    private static void noLifeThatWasNotSpoken(VirtualFleet f) {
-        for (VirtualFleet.Node n : f.nodes.values()) {
-            for (MemberUpdate u : n.member.others()) {
-                Incarnation own = f.nodes.get(u.card().name()).member.self().life();
-                assertThat(u.life())
-                        .as("%s, as %s holds it", u.card().name(), n.name)
+    private static void noLifeThatWasNotSpoken(VirtualFleet fleet) {
+        for (VirtualFleet.Node node : fleet.nodes.values()) {
+            for (MemberUpdate update : node.member.others()) {
+                Incarnation own =
+                        fleet.nodes.get(update.card().name()).member.self().life();
+                assertThat(update.life())
+                        .as("%s, as %s holds it", update.card().name(), node.name)
                         .isLessThanOrEqualTo(own);
             }
         }
     }
 
-    private static void noOwnLifeGoesBack(VirtualFleet f, Map<String, Incarnation> spoken) {
-        for (VirtualFleet.Node n : f.nodes.values()) {
-            Incarnation now = n.member.self().life();
-            Incarnation before = spoken.put(n.name, now);
-            assertThat(before == null || before.compareTo(now) <= 0).as(n.name).isTrue();
+    private static void noOwnLifeGoesBack(VirtualFleet fleet, Map<String, Incarnation> spoken) {
+        for (VirtualFleet.Node node : fleet.nodes.values()) {
+            Incarnation now = node.member.self().life();
+            Incarnation before = spoken.put(node.name, now);
+            assertThat(before == null || before.compareTo(now) <= 0)
+                    .as(node.name)
+                    .isTrue();
         }
     }
 }
--- a/src/test/java/rillyard/membership/MembershipStatisticsTest.java
+++ b/src/test/java/rillyard/membership/MembershipStatisticsTest.java
@@ -26,22 +26,25 @@
         int members = Integer.getInteger("rillyard.figures");
         double seconds = Integer.getInteger("rillyard.figures.seconds", 600);
         for (long seed = 1; seed <= Integer.getInteger("rillyard.figures.seeds", 3); seed++) {
-            VirtualFleet f = new VirtualFleet(seed, members);
-            double joined = f.untilAgreed(240 * S);
-            f.run(5 * S);
-            f.loss = loss;
-            f.doubled = loss;
-            f.delay = loss > 0 ? 40 : 2;
-            f.sent = 0;
-            f.sentBytes = 0;
-            f.run(seconds * S);
+            VirtualFleet fleet = new VirtualFleet(seed, members);
+            double joined = fleet.untilAgreed(240 * S);
+            fleet.run(5 * S);
+            fleet.loss = loss;
+            fleet.doubled = loss;
+            fleet.delay = loss > 0 ? 40 : 2;
+            fleet.sent = 0;
+            fleet.sentBytes = 0;
+            fleet.run(seconds * S);
             double share = seconds * members;
-            int before = f.deaths.size();
-            long of = f.deaths.stream().distinct().count();
+            int before = fleet.deaths.size();
+            long of = fleet.deaths.stream().distinct().count();
             String cost = String.format(
-                    Locale.ROOT, "%.1f datagrams, %.0f bytes a second a member", f.sent / share, f.sentBytes / share);
-            f.kill(KILLED);
-            double held = f.until(60 * S, () -> f.allHold("m" + KILLED, MemberStatus.DEAD));
+                    Locale.ROOT,
+                    "%.1f datagrams, %.0f bytes a second a member",
+                    fleet.sent / share,
+                    fleet.sentBytes / share);
+            fleet.kill(KILLED);
+            double held = fleet.until(60 * S, () -> fleet.allHold("m" + KILLED, MemberStatus.DEAD));
             System.out.printf(
                     Locale.ROOT,
                     "%d members, loss %.2f, seed %d: joined %.1f s, false deaths %d of %d members in %.0f s, killed one held"
@@ -74,13 +77,13 @@
         ArrayList<MemberAddress> to = new ArrayList<>();
         Membership.Output out = new Membership.Output() {
             @Override
-            public void send(MemberAddress at, Message m) {
+            public void send(MemberAddress at, Message message) {
                 to.add(at);
-                sent.add(MessageCodec.decode(MessageCodec.encode(m, MessageCodec.MAX_BYTES)));
+                sent.add(MessageCodec.decode(MessageCodec.encode(message, MessageCodec.MAX_BYTES)));
             }
 
             @Override
-            public void changed(MembershipEvent c) {}
+            public void changed(MembershipEvent event) {}
         };
         Membership one =
                 new Membership(MembershipSettings.USUAL, other(0).card(), START, List.of(), random.split(), out);
--- a/src/test/java/rillyard/membership/MessageCodecTest.java
+++ b/src/test/java/rillyard/membership/MessageCodecTest.java
@@ -46,8 +46,8 @@
 
     @Test
     void whatIsCutOffAnywhereWithinAWordIsTurnedAway() {
-        Message m = new Message(Message.Kind.PING, 1, 2, word("a", MemberStatus.ALIVE), "b", null, List.of());
-        byte[] whole = MessageCodec.encode(m, MessageCodec.MAX_BYTES);
+        Message message = new Message(Message.Kind.PING, 1, 2, word("a", MemberStatus.ALIVE), "b", null, List.of());
+        byte[] whole = MessageCodec.encode(message, MessageCodec.MAX_BYTES);
         for (int n = 0; n < whole.length; n++) {
             byte[] part = Arrays.copyOf(whole, n);
             assertThatThrownBy(() -> MessageCodec.decode(part)).isInstanceOf(IllegalArgumentException.class);
@@ -58,20 +58,20 @@
     @Test
     void hostileBytesAreTurnedAwayOrReadAndChangeNothingThatIsNotTheirs() {
         SplittableRandom random = new SplittableRandom(SEED);
-        VirtualFleet f = new VirtualFleet(SEED, 3);
-        f.run(5_000);
-        VirtualFleet.Node n = f.node(0);
+        VirtualFleet fleet = new VirtualFleet(SEED, 3);
+        fleet.run(5_000);
+        VirtualFleet.Node node = fleet.node(0);
         byte[] good = MessageCodec.encode(
                 new Message(
                         Message.Kind.PING,
                         1,
                         2,
-                        f.node(1).member.self(),
+                        fleet.node(1).member.self(),
                         "m0",
                         null,
-                        List.of(f.node(2).member.self()),
+                        List.of(fleet.node(2).member.self()),
                         List.of(new MemberAttribute(
-                                "m1", f.node(1).member.self().life().start(), 3, 1, 0, 60_000, new byte[] {1}))),
+                                "m1", fleet.node(1).member.self().life().start(), 3, 1, 0, 60_000, new byte[] {1}))),
                 MessageCodec.MAX_BYTES);
         int read = 0;
         for (int i = 0; i < HOSTILE; i++) {
@@ -85,15 +85,15 @@
                 }
             }
             try {
-                Message m = MessageCodec.decode(b);
+                Message message = MessageCodec.decode(b);
                 read++;
-                n.member.received(f.now, m.sender().card().at(), m);
+                node.member.received(fleet.now, message.sender().card().at(), message);
             } catch (IllegalArgumentException e) {
                 assertThat(e).hasMessageNotContaining("null");
             }
         }
         assertThat(read).as("seed %d", SEED).isBetween(1, HOSTILE / 2);
-        assertThat(n.member.others()).hasSizeLessThanOrEqualTo(f.settings.most());
-        assertThat(n.member.self().life().incarnation()).isLessThan(Incarnation.MAX_INCARNATION);
+        assertThat(node.member.others()).hasSizeLessThanOrEqualTo(fleet.settings.most());
+        assertThat(node.member.self().life().incarnation()).isLessThan(Incarnation.MAX_INCARNATION);
     }
 }
--- a/src/test/java/rillyard/membership/VirtualFleet.java
+++ b/src/test/java/rillyard/membership/VirtualFleet.java
@@ -57,8 +57,8 @@
         }
 
         @Override
-        public void send(MemberAddress to, Message m) {
-            byte[] bytes = MessageCodec.encode(m, MessageCodec.MAX_BYTES);
+        public void send(MemberAddress to, Message message) {
+            byte[] bytes = MessageCodec.encode(message, MessageCodec.MAX_BYTES);
             sent++;
             sentBytes += bytes.length;
             int copies = random.nextDouble() < loss ? 0 : random.nextDouble() < doubled ? 2 : 1;
@@ -68,30 +68,31 @@
         }
 
         private void deliver(MemberAddress to, byte[] bytes) {
-            Node n = byAddress.get(to);
-            if (n == null || n.dead || !links.test(name, n.name)) {
+            Node node = byAddress.get(to);
+            if (node == null || node.dead || !links.test(name, node.name)) {
                 return;
             }
-            if (now < n.stoppedUntil) {
-                after(n.stoppedUntil - now + 0.1, () -> deliver(to, bytes)); // it lies in its socket
+            if (now < node.stoppedUntil) {
+                after(node.stoppedUntil - now + 0.1, () -> deliver(to, bytes)); // it lies in its socket
             } else {
-                n.member.received(n.time(), at, shared(MessageCodec.decode(bytes)));
+                node.member.received(node.time(), at, shared(MessageCodec.decode(bytes)));
             }
         }
 
         @Override
-        public void changed(MembershipEvent c) {
+        public void changed(MembershipEvent event) {
             if (large) {
                 deaths.addAll(
-                        c.now().status() == MemberStatus.DEAD
-                                ? List.of(c.now().card().name())
+                        event.now().status() == MemberStatus.DEAD
+                                ? List.of(event.now().card().name())
                                 : List.of());
                 return;
             }
-            changes.add(c);
-            history.add(name + " holds " + c.now().card().name() + " " + c.now().status() + " at " + (long) now);
-            if (c.now().status() == MemberStatus.DEAD) {
-                deaths.add(c.now().card().name());
+            changes.add(event);
+            history.add(name + " holds " + event.now().card().name() + " "
+                    + event.now().status() + " at " + (long) now);
+            if (event.now().status() == MemberStatus.DEAD) {
+                deaths.add(event.now().card().name());
             }
         }
     }
@@ -154,11 +155,11 @@
 
     /** Starts a process of that member's name at the address that member {@code place} would have. */
     Node startElsewhere(int i, int place) {
-        Node n = new Node(name(i), place);
-        nodes.put(n.name, n);
-        byAddress.put(n.at, n);
-        after(random.nextDouble() * TICK, n::tick);
-        return n;
+        Node node = new Node(name(i), place);
+        nodes.put(node.name, node);
+        byAddress.put(node.at, node);
+        after(random.nextDouble() * TICK, node::tick);
+        return node;
     }
 
     void kill(int i) {
@@ -174,27 +175,34 @@
     }
 
     /** In large fleets all members hold one object for one word: millions of them would not fit otherwise. */
-    private Message shared(Message m) {
+    private Message shared(Message message) {
         if (!large) {
-            return m;
+            return message;
         }
-        List<MemberUpdate> news = m.news().stream().map(this::shared).toList();
+        List<MemberUpdate> news = message.news().stream().map(this::shared).toList();
         return new Message(
-                m.kind(), m.sequence(), m.digest(), shared(m.sender()), m.target(), m.targetAt(), news, m.facts());
+                message.kind(),
+                message.sequence(),
+                message.digest(),
+                shared(message.sender()),
+                message.target(),
+                message.targetAt(),
+                news,
+                message.facts());
     }
 
-    private MemberUpdate shared(MemberUpdate u) {
-        return words.computeIfAbsent(u, w -> w);
+    private MemberUpdate shared(MemberUpdate update) {
+        return words.computeIfAbsent(update, memberUpdate -> memberUpdate);
     }
 
     /** Lets time pass. */
     void run(double ms) {
         double until = now + ms;
-        Event e;
-        while ((e = events.peek()) != null && e.at <= until) {
+        Event event;
+        while ((event = events.peek()) != null && event.at <= until) {
             events.poll();
-            now = e.at;
-            e.what.run();
+            now = event.at;
+            event.what.run();
         }
         now = until;
     }
@@ -219,22 +227,22 @@
     /** Whether all that live hold this of one member. */
     boolean allHold(String name, MemberStatus status) {
         return nodes.values().stream()
-                .filter(n -> !n.dead && !n.name.equals(name))
-                .allMatch(n ->
-                        n.member.others().stream().anyMatch(u -> u.card().name().equals(name) && u.status() == status));
+                .filter(node -> !node.dead && !node.name.equals(name))
+                .allMatch(n -> n.member.others().stream()
+                        .anyMatch(update -> update.card().name().equals(name) && update.status() == status));
     }
 
     boolean agreed() {
         Set<String> living = new HashSet<>();
-        nodes.values().stream().filter(n -> !n.dead).forEach(n -> living.add(n.name));
+        nodes.values().stream().filter(node -> !node.dead).forEach(n -> living.add(n.name));
         for (Node n : nodes.values()) {
             if (!n.dead) {
                 Set<String> held = new HashSet<>();
-                for (MemberUpdate u : n.member.others()) {
-                    if (u.status() == MemberStatus.SUSPECT) {
+                for (MemberUpdate update : n.member.others()) {
+                    if (update.status() == MemberStatus.SUSPECT) {
                         return false;
-                    } else if (u.status() == MemberStatus.ALIVE) {
-                        held.add(u.card().name());
+                    } else if (update.status() == MemberStatus.ALIVE) {
+                        held.add(update.card().name());
                     }
                 }
                 held.add(n.name);
--- a/src/test/java/rillyard/membership/net/DatagramCipherTest.java
+++ b/src/test/java/rillyard/membership/net/DatagramCipherTest.java
@@ -26,40 +26,41 @@
 
     @Test
     void whatIsSealedIsOpenedOnceAndByItsSendersAddressOnly() {
-        DatagramCipher a = seal(A, 1_000, 1);
-        DatagramCipher b = seal(B, 1_000, 1);
-        byte[] sealed = a.seal(WORD);
+        DatagramCipher cipher = seal(A, 1_000, 1);
+        DatagramCipher datagramCipher = seal(B, 1_000, 1);
+        byte[] sealed = cipher.seal(WORD);
         assertThat(sealed).hasSize(WORD.length + DatagramCipher.BYTES);
-        assertThatThrownBy(() -> b.open(B, sealed)).hasMessageContaining("no key of this fleet for that address");
-        assertThat(b.open(A, sealed)).isEqualTo(WORD);
-        assertThatThrownBy(() -> b.open(A, sealed)).hasMessageContaining("opened before");
+        assertThatThrownBy(() -> datagramCipher.open(B, sealed))
+                .hasMessageContaining("no key of this fleet for that address");
+        assertThat(datagramCipher.open(A, sealed)).isEqualTo(WORD);
+        assertThatThrownBy(() -> datagramCipher.open(A, sealed)).hasMessageContaining("opened before");
     }
 
     @Test
     void lateOnesAreOpenedWithinTheWindowAndNotBehindIt() {
-        DatagramCipher a = seal(A, 1_000, 1);
-        DatagramCipher b = seal(B, 1_000, 1);
-        byte[] first = a.seal(WORD);
-        byte[] second = a.seal(WORD);
-        byte[] third = a.seal(WORD);
-        b.open(A, third);
-        assertThat(b.open(A, second)).isEqualTo(WORD);
-        assertThatThrownBy(() -> b.open(A, second)).hasMessageContaining("opened before");
+        DatagramCipher cipher = seal(A, 1_000, 1);
+        DatagramCipher datagramCipher = seal(B, 1_000, 1);
+        byte[] first = cipher.seal(WORD);
+        byte[] second = cipher.seal(WORD);
+        byte[] third = cipher.seal(WORD);
+        datagramCipher.open(A, third);
+        assertThat(datagramCipher.open(A, second)).isEqualTo(WORD);
+        assertThatThrownBy(() -> datagramCipher.open(A, second)).hasMessageContaining("opened before");
         byte[] newest = third;
         for (int i = 0; i < 64; i++) {
-            newest = a.seal(WORD);
+            newest = cipher.seal(WORD);
         }
-        b.open(A, newest);
-        assertThatThrownBy(() -> b.open(A, first)).hasMessageContaining("opened before");
+        datagramCipher.open(A, newest);
+        assertThatThrownBy(() -> datagramCipher.open(A, first)).hasMessageContaining("opened before");
     }
 
     @Test
     void whatAnOlderProcessOfThatAddressSealedIsTurnedAway() {
         DatagramCipher before = seal(A, 1_000, 1);
         byte[] recorded = before.seal(WORD);
-        DatagramCipher b = seal(B, 1_000, 1);
-        b.open(A, seal(A, 2_000, 1).seal(WORD));
-        assertThatThrownBy(() -> b.open(A, recorded)).hasMessageContaining("older process");
+        DatagramCipher cipher = seal(B, 1_000, 1);
+        cipher.open(A, seal(A, 2_000, 1).seal(WORD));
+        assertThatThrownBy(() -> cipher.open(A, recorded)).hasMessageContaining("older process");
     }
 
     @Test
@@ -75,14 +76,14 @@
 
     @Test
     void anyByteChangedIsTurnedAwayAndTakesNoPlace() {
-        DatagramCipher b = seal(B, 1_000, 1);
+        DatagramCipher cipher = seal(B, 1_000, 1);
         byte[] good = seal(A, 1_000, 1).seal(WORD);
         for (int i = 0; i < good.length; i++) {
             byte[] bad = good.clone();
             bad[i] ^= 1;
-            assertThatThrownBy(() -> b.open(A, bad)).isInstanceOf(IllegalArgumentException.class);
+            assertThatThrownBy(() -> cipher.open(A, bad)).isInstanceOf(IllegalArgumentException.class);
         }
-        assertThat(b.open(A, good)).isEqualTo(WORD);
+        assertThat(cipher.open(A, good)).isEqualTo(WORD);
     }
 
     @Test
--- a/src/test/java/rillyard/membership/net/FleetConfigReaderTest.java
+++ b/src/test/java/rillyard/membership/net/FleetConfigReaderTest.java
@@ -22,12 +22,12 @@
 
     @Test
     void theFileUnderDeployIsRight() throws Exception {
-        FleetConfig s = FleetConfigReader.read(Path.of("deploy/fleet.toml"), Map.of("BALANCER_NAME", "app-17"));
-        assertThat(s.card().name()).isEqualTo("app-17");
-        assertThat(s.seeds()).hasSize(3);
-        assertThat(s.member()).isEqualTo(rillyard.membership.MembershipSettings.USUAL);
-        assertThat(s.history()).isNull();
-        assertThat(s.spread()).as("news of hosts").isFalse();
+        FleetConfig config = FleetConfigReader.read(Path.of("deploy/fleet.toml"), Map.of("BALANCER_NAME", "app-17"));
+        assertThat(config.card().name()).isEqualTo("app-17");
+        assertThat(config.seeds()).hasSize(3);
+        assertThat(config.member()).isEqualTo(rillyard.membership.MembershipSettings.USUAL);
+        assertThat(config.history()).isNull();
+        assertThat(config.spread()).as("news of hosts").isFalse();
         assertThat(read("[self]\nlisten = \"127.0.0.1:7400\"\n[spread]\nnews = true\n")
                         .spread())
                 .isTrue();
@@ -35,9 +35,9 @@
 
     @Test
     void othersAreToldTheAddressThatIsAdvertised() throws Exception {
-        FleetConfig s = read("[self]\nlisten = \"127.0.0.1:7400\"\nadvertise = \"10.9.8.7:65535\"\n");
-        assertThat(s.card().at()).hasToString("10.9.8.7:65535");
-        assertThat(s.listen().getPort()).isEqualTo(7400);
+        FleetConfig config = read("[self]\nlisten = \"127.0.0.1:7400\"\nadvertise = \"10.9.8.7:65535\"\n");
+        assertThat(config.card().at()).hasToString("10.9.8.7:65535");
+        assertThat(config.listen().getPort()).isEqualTo(7400);
     }
 
     @Test
--- a/src/test/java/rillyard/membership/net/MemberAdminServerTest.java
+++ b/src/test/java/rillyard/membership/net/MemberAdminServerTest.java
@@ -42,9 +42,9 @@
         InetAddress at = InetAddress.getByName("127.0.0.1");
         try (DatagramSocket a = new DatagramSocket(0, at);
                 DatagramSocket b = new DatagramSocket(0, at);
-                ServerSocket c = new ServerSocket(0, 1, at);
+                ServerSocket server = new ServerSocket(0, 1, at);
                 ServerSocket d = new ServerSocket(0, 1, at)) {
-            return new int[] {a.getLocalPort(), b.getLocalPort(), c.getLocalPort(), d.getLocalPort()};
+            return new int[] {a.getLocalPort(), b.getLocalPort(), server.getLocalPort(), d.getLocalPort()};
         }
     }
 
@@ -52,10 +52,10 @@
     void tellsWhoLivesSinceWhenByWhomAndWhatItCosts() throws Exception {
         int[] p = freePorts();
         InetSocketAddress admin = new InetSocketAddress("127.0.0.1", p[2]);
-        try (FleetMember a = new FleetMember(settings("a", p[0], p[1], p[2]), 1, System.err)) {
-            a.start();
-            try (FleetMember b = new FleetMember(settings("b", p[1], p[0], p[3]), 2, System.err)) {
-                b.start();
+        try (FleetMember member = new FleetMember(settings("a", p[0], p[1], p[2]), 1, System.err)) {
+            member.start();
+            try (FleetMember fleetMember = new FleetMember(settings("b", p[1], p[0], p[3]), 2, System.err)) {
+                fleetMember.start();
                 JsonNode view = MemberAdminClient.ask(admin);
                 while (view.path("present").asInt() < 2) {
                     view = MemberAdminClient.ask(admin);
@@ -99,8 +99,8 @@
         int[] p = freePorts();
         InetSocketAddress admin = new InetSocketAddress("127.0.0.1", p[2]);
         List<Socket> idle = new ArrayList<>();
-        try (FleetMember a = new FleetMember(settings("a", p[0], p[1], p[2]), 1, System.err)) {
-            a.start();
+        try (FleetMember member = new FleetMember(settings("a", p[0], p[1], p[2]), 1, System.err)) {
+            member.start();
             for (int i = 0; i < 50; i++) {
                 idle.add(new Socket("127.0.0.1", p[2]));
             }
@@ -114,8 +114,8 @@
             }
             assertThat(view.path("self").path("name").asText()).isEqualTo("a");
         } finally {
-            for (Socket s : idle) {
-                s.close();
+            for (Socket socket : idle) {
+                socket.close();
             }
         }
     }
--- a/src/test/java/rillyard/outlier/FleetOutlierDetectorTest.java
+++ b/src/test/java/rillyard/outlier/FleetOutlierDetectorTest.java
@@ -19,11 +19,11 @@
         int[] sizes = {20, 200};
         for (int k = 0; k < 2; k++) {
             // The host's whole traffic is the same: 12 a second.
-            ObservationFleet f = new ObservationFleet(sizes[k], LATE, 12.0 / sizes[k], 7);
-            f.run(4_000, 0);
-            f.run(8_000, 1);
-            assertThat(f.left()).as("of " + sizes[k]).isEqualTo(sizes[k]);
-            errors[k] = f.failed;
+            ObservationFleet fleet = new ObservationFleet(sizes[k], LATE, 12.0 / sizes[k], 7);
+            fleet.run(4_000, 0);
+            fleet.run(8_000, 1);
+            assertThat(fleet.left()).as("of " + sizes[k]).isEqualTo(sizes[k]);
+            errors[k] = fleet.failed;
         }
         // 12 a second until the votes are round: a second late, the hold, a step or two; then two trials a second.
         assertThat(errors[0]).isLessThan(60);
@@ -35,28 +35,30 @@
     void aHostThatLosesSomeIsLeftByNobody(double fails, int most) {
         int left = 0;
         for (int seed = 0; seed < 20; seed++) {
-            ObservationFleet f = new ObservationFleet(40, LATE, 0.3, seed);
-            f.run(60_000, fails);
-            left += f.proxies.stream().anyMatch(p -> !p.leaves.isEmpty()) ? 1 : 0;
+            ObservationFleet fleet = new ObservationFleet(40, LATE, 0.3, seed);
+            fleet.run(60_000, fails);
+            left += fleet.proxies.stream().anyMatch(proxy -> !proxy.leaves.isEmpty()) ? 1 : 0;
         }
         assertThat(left).as("of 20 runs of a minute").isLessThanOrEqualTo(most);
     }
 
     @Test
     void trialsOfAllTogetherComeAtAStatedPaceAndTheReturnIsSpread() {
-        ObservationFleet f = new ObservationFleet(100, LATE, 0.3, 3);
-        f.run(4_000, 0);
-        f.run(6_000, 1);
-        int before = f.sent;
-        f.run(10_000, 1);
+        ObservationFleet fleet = new ObservationFleet(100, LATE, 0.3, 3);
+        fleet.run(4_000, 0);
+        fleet.run(6_000, 1);
+        int before = fleet.sent;
+        fleet.run(10_000, 1);
         // Two a second are meant; a proxy draws the instant, and then sends at its next request.
-        assertThat(f.sent - before).isBetween(2, 40);
-        int back = f.sent;
-        f.run(10_000, 0);
-        assertThat(f.proxies).allMatch(p -> p.backs.size() >= 1);
-        assertThat(f.sent - back).isGreaterThan(100);
-        double first = f.proxies.stream().mapToDouble(p -> p.backs.get(0)).min().orElseThrow();
-        double last = f.proxies.stream().mapToDouble(p -> p.backs.get(0)).max().orElseThrow();
+        assertThat(fleet.sent - before).isBetween(2, 40);
+        int back = fleet.sent;
+        fleet.run(10_000, 0);
+        assertThat(fleet.proxies).allMatch(proxy -> proxy.backs.size() >= 1);
+        assertThat(fleet.sent - back).isGreaterThan(100);
+        double first =
+                fleet.proxies.stream().mapToDouble(p -> p.backs.get(0)).min().orElseThrow();
+        double last =
+                fleet.proxies.stream().mapToDouble(p -> p.backs.get(0)).max().orElseThrow();
         assertThat(last - first).as("ms from the first to the last").isBetween(1_000.0, 4_500.0);
     }
 
@@ -67,12 +69,12 @@
         half.halfAreWrong = true;
         int[] trials = new int[2];
         int k = 0;
-        for (ObservationFleet f : List.of(right, half)) {
-            f.run(4_000, 0);
-            f.run(10_000, 1);
-            int before = f.sent;
-            f.run(30_000, 1);
-            trials[k++] = f.sent - before;
+        for (ObservationFleet fleet : List.of(right, half)) {
+            fleet.run(4_000, 0);
+            fleet.run(10_000, 1);
+            int before = fleet.sent;
+            fleet.run(30_000, 1);
+            trials[k++] = fleet.sent - before;
         }
         assertThat(trials[0]).as("in 30 s, two a second meant").isBetween(20, 90);
         assertThat(trials[1]).as("with half of them wrong").isLessThan(135);
@@ -165,11 +167,11 @@
 
     @Test
     void newsFiveSecondsLateLeavesAHostThatIsWellForNoLongerThanItsTrialsTake() {
-        ObservationFleet f = new ObservationFleet(100, 5_000, 0.3, 9);
-        f.run(4_000, 0);
-        f.run(3_000, 1);
-        f.run(40_000, 0);
-        assertThat(f.left()).as("still away 40 s after it was well again").isZero();
+        ObservationFleet fleet = new ObservationFleet(100, 5_000, 0.3, 9);
+        fleet.run(4_000, 0);
+        fleet.run(3_000, 1);
+        fleet.run(40_000, 0);
+        assertThat(fleet.left()).as("still away 40 s after it was well again").isZero();
     }
 
     private static FleetOutlierDetector.Out out(List<Double> leaves) {
--- a/src/test/java/rillyard/outlier/ObservationCodecPropertiesTest.java
+++ b/src/test/java/rillyard/outlier/ObservationCodecPropertiesTest.java
@@ -41,7 +41,7 @@
     void hostileBytesAreVotesInRangeOrTurnedAway(@ForAll @Size(max = 40) byte[] bytes, @ForAll double since) {
         try {
             assertThat(ObservationCodec.decode(bytes, since))
-                    .allMatch(v -> v.age() >= 0 && v.age() <= HostObservation.MAX_AGE);
+                    .allMatch(observation -> observation.age() >= 0 && observation.age() <= HostObservation.MAX_AGE);
         } catch (IllegalArgumentException e) {
             assertThat(e).hasMessageStartingWith("no votes");
         }
@@ -63,10 +63,10 @@
         }
         List<Integer> positions = new ArrayList<>();
         for (String name : names) {
-            SubsetPosition p = new SubsetPlanner().lay(name, names, rates);
-            positions.add(p.position());
-            assertThat(p.of()).isEqualTo(n);
-            assertThat(p.weight()).isBetween(1.0, 16.0);
+            SubsetPosition position = new SubsetPlanner().lay(name, names, rates);
+            positions.add(position.position());
+            assertThat(position.of()).isEqualTo(n);
+            assertThat(position.weight()).isBetween(1.0, 16.0);
         }
         assertThat(positions).doesNotHaveDuplicates().allMatch(p -> p >= 0 && p < n);
     }
@@ -85,20 +85,20 @@
 
     @Test
     void aRateIsToldWhenItHasChangedAndNotOtherwise() {
-        RequestRate r = new RequestRate();
-        assertThat(r.news(1e6)).isNull();
+        RequestRate rate = new RequestRate();
+        assertThat(rate.news(1e6)).isNull();
         double now = 1e6;
         int told = 0;
         for (int i = 0; i < 600; i++, now += 500) {
-            r.counted(now);
-            told += r.news(now) == null ? 0 : 1;
+            rate.counted(now);
+            told += rate.news(now) == null ? 0 : 1;
         }
-        assertThat(r.now(now)).isBetween(1.8, 2.2);
+        assertThat(rate.now(now)).isBetween(1.8, 2.2);
         assertThat(told).isBetween(1, 4);
         for (int i = 0; i < 600; i++, now += 50) {
-            r.counted(now);
+            rate.counted(now);
         }
-        assertThat(RequestRate.read(r.news(now))).isBetween(10.0, 22.0);
+        assertThat(RequestRate.read(rate.news(now))).isBetween(10.0, 22.0);
         assertThatThrownBy(() -> RequestRate.read(new byte[3])).hasMessageContaining("3 bytes");
     }
 }
--- a/src/test/java/rillyard/outlier/ObservationFleet.java
+++ b/src/test/java/rillyard/outlier/ObservationFleet.java
@@ -65,16 +65,16 @@
     /** Time passes while the host fails that share of its requests. */
     void run(double ms, double fails) {
         for (double end = now + ms; now < end; now += STEP) {
-            for (Proxy p : proxies) {
-                if (now >= p.notBefore && random.nextDouble() < each * STEP / 1_000) {
+            for (Proxy proxy : proxies) {
+                if (now >= proxy.notBefore && random.nextDouble() < each * STEP / 1_000) {
                     boolean lost = random.nextDouble() < fails;
                     sent++;
                     bySecond.merge((int) ((now - began) / 1_000), 1, Integer::sum);
                     failed += lost ? 1 : 0;
-                    p.words.ended(HOST, lost, now);
-                    p.trial &= lost;
-                    if (lost && p.trial) {
-                        p.notBefore = now + 2_000; // by itself, until it hears what the fleet's pace is
+                    proxy.words.ended(HOST, lost, now);
+                    proxy.trial &= lost;
+                    if (lost && proxy.trial) {
+                        proxy.notBefore = now + 2_000; // by itself, until it hears what the fleet's pace is
                     }
                 }
             }
@@ -83,11 +83,15 @@
                 said.forEach((who, all) -> {
                     if (who != p) {
                         for (int i = all.size() - 1; i >= 0; i--) {
-                            Heard h = all.get(i);
-                            if (now - h.at >= late) {
-                                others.add(h.votes.stream()
-                                        .filter(v -> v.age() + now - h.at <= HostObservation.MAX_AGE)
-                                        .map(v -> new HostObservation(v.host(), v.failed(), v.age() + now - h.at))
+                            Heard heard = all.get(i);
+                            if (now - heard.at >= late) {
+                                others.add(heard.votes.stream()
+                                        .filter(observation ->
+                                                observation.age() + now - heard.at <= HostObservation.MAX_AGE)
+                                        .map(hostObservation -> new HostObservation(
+                                                hostObservation.host(),
+                                                hostObservation.failed(),
+                                                hostObservation.age() + now - heard.at))
                                         .toList());
                                 break;
                             }
@@ -108,7 +112,7 @@
 
     long left() {
         return proxies.stream()
-                .filter(p -> p.leaves.size() > 0 && p.backs.size() == 0)
+                .filter(proxy -> proxy.leaves.size() > 0 && proxy.backs.size() == 0)
                 .count();
     }
 }
--- a/src/test/java/rillyard/outlier/net/ObservationGossipTest.java
+++ b/src/test/java/rillyard/outlier/net/ObservationGossipTest.java
@@ -45,8 +45,8 @@
         }
 
         @Override
-        public void place(SubsetPosition p) {
-            place = p;
+        public void place(SubsetPosition position) {
+            place = position;
         }
 
         @Override
@@ -79,11 +79,11 @@
                     file,
                     "seeds = \"127.0.0.1:" + seed + "\"\n[self]\nname = \"p" + i + "\"\nlisten = \"127.0.0.1:" + port
                             + "\"\n[membership]\ninterval_ms = 100\ntimeout_ms = 40\n");
-            FleetMember m = new FleetMember(FleetConfigReader.read(file, Map.of()), i, System.err);
-            news.add(new ObservationGossip(m, FleetOutlierSettings.USUAL, i));
+            FleetMember member = new FleetMember(FleetConfigReader.read(file, Map.of()), i, System.err);
+            news.add(new ObservationGossip(member, FleetOutlierSettings.USUAL, i));
             heeded.add(new Heeded());
-            members.add(m);
-            m.start();
+            members.add(member);
+            member.start();
         }
     }
 
@@ -102,7 +102,7 @@
     @Test
     void whoSawNothingLeavesTheHostThatThreeOthersSawFailAndComesBackWithThem() throws Exception {
         start(5);
-        while (!members.stream().allMatch(m -> m.known().present().size() == 5)) {
+        while (!members.stream().allMatch(member -> member.known().present().size() == 5)) {
             stepAll();
         }
         while (heeded.get(4).left.isEmpty()) {
--- a/src/test/java/rillyard/proxy/AdminEndpointTest.java
+++ b/src/test/java/rillyard/proxy/AdminEndpointTest.java
@@ -20,16 +20,16 @@
     Path tmp;
 
     private ProxyFixture rig(String... servers) throws Exception {
-        ProxyFixture rig = new ProxyFixture(c -> c.put("operator", "127.0.0.1:0"), servers);
+        ProxyFixture rig = new ProxyFixture(config -> config.put("operator", "127.0.0.1:0"), servers);
         rig.proxy.operate(Map.of("TMPDIR", tmp.toString()));
         rig.proxy.ready();
         return rig;
     }
 
     private static TestPeer.Message call(ProxyFixture rig, String what, String body) throws Exception {
-        try (TestPeer p = TestPeer.connect(rig.proxy.operatorAddress().getPort())) {
-            p.write(what + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
-            return p.read();
+        try (TestPeer peer = TestPeer.connect(rig.proxy.operatorAddress().getPort())) {
+            peer.write(what + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+            return peer.read();
         }
     }
 
@@ -51,8 +51,8 @@
     @Test
     void figuresTellWhatPeersSaw() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (ScriptedServer good = ScriptedServer.host(r -> {
-                    if (r.line().startsWith("GET")) {
+        try (ScriptedServer good = ScriptedServer.host(message -> {
+                    if (message.line().startsWith("GET")) {
                         answer.await();
                     }
                     return ScriptedServer.ok("x");
@@ -61,12 +61,12 @@
             for (int i = 0; i < 5; i++) {
                 assertThat(rig.call(claim()).status()).isEqualTo(200);
             }
-            try (TestPeer c = rig.client()) {
-                c.write(ProxyFixture.get("read", 5_000));
+            try (TestPeer peer = rig.client()) {
+                peer.write(ProxyFixture.get("read", 5_000));
                 good.requests.clear();
                 awaitFigure(rig, "proxy.pending:1|g");
                 answer.countDown();
-                assertThat(c.read().status()).isEqualTo(200);
+                assertThat(peer.read().status()).isEqualTo(200);
             }
             String text = call(rig, "GET /_vars", "").text();
             assertThat(text)
@@ -83,7 +83,7 @@
 
     @Test
     void failuresAreCounted() throws Exception {
-        try (ScriptedServer bad = ScriptedServer.host(r -> ScriptedServer.status(500, ""));
+        try (ScriptedServer bad = ScriptedServer.host(message -> ScriptedServer.status(500, ""));
                 ProxyFixture rig = rig(ProxyFixture.server("a", bad.port()))) {
             assertThat(rig.call(claim()).status()).isEqualTo(502);
             assertThat(call(rig, "GET /_vars", "").text())
@@ -93,21 +93,26 @@
 
     @Test
     void aHostThatIsOutGetsNothingWhateverDiscoverySays() throws Exception {
-        try (ScriptedServer a = ScriptedServer.host(r -> ScriptedServer.ok("a"));
-                ScriptedServer b = ScriptedServer.host(r -> ScriptedServer.ok("b"));
-                ProxyFixture rig = rig(ProxyFixture.server("a", a.port()), ProxyFixture.server("b", b.port()))) {
+        try (ScriptedServer server = ScriptedServer.host(message -> ScriptedServer.ok("a"));
+                ScriptedServer scriptedServer = ScriptedServer.host(r -> ScriptedServer.ok("b"));
+                ProxyFixture rig =
+                        rig(ProxyFixture.server("a", server.port()), ProxyFixture.server("b", scriptedServer.port()))) {
             assertThat(post(rig, "detach", "nobody")).isEqualTo(404);
             assertThat(post(rig, "attach", "nobody")).isEqualTo(404);
             assertThat(post(rig, "detach", "a")).isEqualTo(200);
             assertThat(post(rig, "detach", "a")).isEqualTo(200);
             for (int v = 2; v < 8; v++) {
-                rig.tell(v, true, ProxyFixture.server("a", a.port()), ProxyFixture.server("b", b.port()));
+                rig.tell(
+                        v,
+                        true,
+                        ProxyFixture.server("a", server.port()),
+                        ProxyFixture.server("b", scriptedServer.port()));
                 if (v == 5) {
-                    rig.tell(v, true, ProxyFixture.server("b", b.port()));
+                    rig.tell(v, true, ProxyFixture.server("b", scriptedServer.port()));
                 }
                 assertThat(rig.call(claim()).text()).isEqualTo("b");
             }
-            assertThat(a.requests).isEmpty();
+            assertThat(server.requests).isEmpty();
             awaitFigure(rig, "proxy.members:2|g");
             awaitFigure(rig, "proxy.members_unavailable:1|g");
             assertThat(post(rig, "attach", "a")).isEqualTo(200);
@@ -121,11 +126,13 @@
 
     @Test
     void whatOneProcessDoesByHandHoldsInTheOther() throws Exception {
-        try (ScriptedServer a = ScriptedServer.host(r -> ScriptedServer.ok("a"));
-                ScriptedServer b = ScriptedServer.host(r -> ScriptedServer.ok("b"));
-                ProxyFixture old = rig(ProxyFixture.server("a", a.port()), ProxyFixture.server("b", b.port()))) {
+        try (ScriptedServer server = ScriptedServer.host(message -> ScriptedServer.ok("a"));
+                ScriptedServer scriptedServer = ScriptedServer.host(r -> ScriptedServer.ok("b"));
+                ProxyFixture old =
+                        rig(ProxyFixture.server("a", server.port()), ProxyFixture.server("b", scriptedServer.port()))) {
             assertThat(post(old, "detach", "a")).isEqualTo(200);
-            try (ProxyFixture next = rig(ProxyFixture.server("a", a.port()), ProxyFixture.server("b", b.port()))) {
+            try (ProxyFixture next =
+                    rig(ProxyFixture.server("a", server.port()), ProxyFixture.server("b", scriptedServer.port()))) {
                 for (int i = 0; i < 20; i++) {
                     assertThat(next.call(claim()).text()).isEqualTo("b");
                 }
@@ -142,17 +149,17 @@
         List<TestPeer> silent = new ArrayList<>();
         try (ProxyFixture rig = rig()) {
             for (int i = 0; i < 40; i++) {
-                TestPeer p = TestPeer.connect(rig.proxy.operatorAddress().getPort());
-                p.write("GET /_vars HT");
-                silent.add(p);
+                TestPeer peer = TestPeer.connect(rig.proxy.operatorAddress().getPort());
+                peer.write("GET /_vars HT");
+                silent.add(peer);
             }
             CountDownLatch open = rig.blockLoop(); // nor is the proxy's own work
             assertThat(call(rig, "GET /_vars", "").text()).contains("proxy.pending:0|g");
             open.countDown();
             assertThat(silent.get(0).read()).isNull(); // the oldest gave way
         } finally {
-            for (TestPeer p : silent) {
-                p.close();
+            for (TestPeer testPeer : silent) {
+                testPeer.close();
             }
         }
     }
@@ -172,8 +179,8 @@
 
     @Test
     void whatCantBeKeptIsNotDone() throws Exception {
-        try (ScriptedServer a = ScriptedServer.host(r -> ScriptedServer.ok("a"));
-                ProxyFixture rig = rig(ProxyFixture.server("a", a.port()))) {
+        try (ScriptedServer server = ScriptedServer.host(message -> ScriptedServer.ok("a"));
+                ProxyFixture rig = rig(ProxyFixture.server("a", server.port()))) {
             Path folder;
             try (var all = Files.list(tmp)) {
                 folder = all.findFirst().orElseThrow();
--- a/src/test/java/rillyard/proxy/AttemptOutcomeTest.java
+++ b/src/test/java/rillyard/proxy/AttemptOutcomeTest.java
@@ -28,9 +28,9 @@
 
     /** A host that never answers and tells when its connection has ended. */
     private static ScriptedServer silent(CountDownLatch ended) throws Exception {
-        return new ScriptedServer(p -> {
-            p.read();
-            p.awaitEnd();
+        return new ScriptedServer(peer -> {
+            peer.read();
+            peer.awaitEnd();
             ended.countDown();
         });
     }
@@ -38,7 +38,7 @@
     @Test
     void servesTheBodyUnchangedAndReadsTheReport() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(
-                        r -> "HTTP/1.1 200 OK\r\nX-Server-Load: rif=3,fail_rate=0.5\r\nX-Kept: yes\r\n"
+                        message -> "HTTP/1.1 200 OK\r\nX-Server-Load: rif=3,fail_rate=0.5\r\nX-Kept: yes\r\n"
                                 + "Content-Length: 5\r\n\r\nh\0llo");
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
             TestPeer.Message answer = rig.call(ProxyFixture.post("claim", 800, "X-Tenant-Id: acme\r\n", "visit=1"));
@@ -72,17 +72,17 @@
                 assertThat(rig.call(claim()).status()).isEqualTo(503);
             }
         } finally {
-            for (Socket s : filling) {
-                s.close();
+            for (Socket socket : filling) {
+                socket.close();
             }
         }
     }
 
     @Test
     void breakAfterTheLastByteMayHaveRun() throws Exception {
-        ScriptedServer host = new ScriptedServer(p -> {
-            p.read();
-            p.reset();
+        ScriptedServer host = new ScriptedServer(peer -> {
+            peer.read();
+            peer.reset();
         });
         assertThat(claimAt(host).status()).isEqualTo(502);
     }
@@ -94,14 +94,14 @@
 
     @Test
     void errorMayHaveRun() throws Exception {
-        assertThat(claimAt(ScriptedServer.host(r -> ScriptedServer.status(500, "")))
+        assertThat(claimAt(ScriptedServer.host(message -> ScriptedServer.status(500, "")))
                         .status())
                 .isEqualTo(502);
     }
 
     @Test
     void fullWithoutTheHeaderMayHaveRun() throws Exception {
-        assertThat(claimAt(ScriptedServer.host(r -> ScriptedServer.status(503, "")))
+        assertThat(claimAt(ScriptedServer.host(message -> ScriptedServer.status(503, "")))
                         .status())
                 .isEqualTo(502);
     }
@@ -110,20 +110,20 @@
     void turnedAwayNeverRanAndIsSentElsewhere() throws Exception {
         for (int status : new int[] {503, 504}) {
             CountDownLatch turned = new CountDownLatch(1);
-            ScriptedServer.Reply reply = r -> {
+            ScriptedServer.Reply reply = message -> {
                 if (turned.getCount() > 0) {
                     turned.countDown();
                     return ScriptedServer.status(status, "X-Not-Processed: 1\r\n");
                 }
                 return ScriptedServer.ok("done");
             };
-            try (ScriptedServer a = ScriptedServer.host(reply);
-                    ScriptedServer b = ScriptedServer.host(reply);
-                    ProxyFixture rig =
-                            new ProxyFixture(ProxyFixture.server("a", a.port()), ProxyFixture.server("b", b.port()))) {
+            try (ScriptedServer server = ScriptedServer.host(reply);
+                    ScriptedServer scriptedServer = ScriptedServer.host(reply);
+                    ProxyFixture rig = new ProxyFixture(
+                            ProxyFixture.server("a", server.port()), ProxyFixture.server("b", scriptedServer.port()))) {
                 assertThat(rig.call(claim()).text()).isEqualTo("done");
-                assertThat(a.requests).hasSize(1);
-                assertThat(b.requests).hasSize(1);
+                assertThat(server.requests).hasSize(1);
+                assertThat(scriptedServer.requests).hasSize(1);
             }
         }
     }
@@ -142,13 +142,13 @@
 
     @Test
     void keyedRequestIsRepeatedInItsCellOnly() throws Exception {
-        ScriptedServer.Reply error = r -> ScriptedServer.status(500, "");
-        try (ScriptedServer a = ScriptedServer.host(error);
-                ScriptedServer b = ScriptedServer.host(error);
+        ScriptedServer.Reply error = message -> ScriptedServer.status(500, "");
+        try (ScriptedServer server = ScriptedServer.host(error);
+                ScriptedServer scriptedServer = ScriptedServer.host(error);
                 ScriptedServer other = ScriptedServer.host(error);
                 ProxyFixture rig = new ProxyFixture(
-                        ProxyFixture.server("a", a.port(), 1, "up"),
-                        ProxyFixture.server("b", b.port(), 1, "up"),
+                        ProxyFixture.server("a", server.port(), 1, "up"),
+                        ProxyFixture.server("b", scriptedServer.port(), 1, "up"),
                         ProxyFixture.server("c", other.port(), 2, "draining"))) {
             rig.tell(2, false, ProxyFixture.server("c", other.port(), 2, "up"));
             for (int i = 0; i < 20; i++) {
@@ -158,12 +158,12 @@
             for (TestPeer.Message m : other.requests) {
                 cells.put(m.header("Idempotency-Key"), true);
             }
-            for (ScriptedServer s : List.of(a, b)) {
+            for (ScriptedServer s : List.of(server, scriptedServer)) {
                 for (TestPeer.Message m : s.requests) {
                     assertThat(cells).doesNotContainKey(m.header("Idempotency-Key"));
                 }
             }
-            assertThat(a.requests.size() + b.requests.size()).isPositive();
+            assertThat(server.requests.size() + scriptedServer.requests.size()).isPositive();
         }
     }
 
@@ -175,9 +175,9 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort",
                 "HTTP/1.1 200 OK\r\nX: " + "y".repeat(100_000) + "\r\nContent-Length: 0\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n")) {
-            ScriptedServer host = new ScriptedServer(p -> {
-                p.read();
-                p.write(reply);
+            ScriptedServer host = new ScriptedServer(peer -> {
+                peer.read();
+                peer.write(reply);
             });
             assertThat(claimAt(host).status()).as(reply.substring(0, 9)).isEqualTo(502);
         }
@@ -185,7 +185,8 @@
 
     @Test
     void surplusBytesNeverReachTheNextRequest() throws Exception {
-        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("mine") + ScriptedServer.ok("stray"));
+        try (ScriptedServer host =
+                        ScriptedServer.host(message -> ScriptedServer.ok("mine") + ScriptedServer.ok("stray"));
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
             for (int i = 0; i < 5; i++) {
                 assertThat(rig.call(claim()).text()).isEqualTo("mine");
@@ -195,7 +196,7 @@
 
     @Test
     void pooledConnectionThatEndedIsNotWrittenTo() throws Exception {
-        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
                 TestPeer client = rig.client()) {
             client.write(claim());
@@ -221,7 +222,7 @@
 
     @Test
     void connectionIsKeptForTheNextRequest() throws Exception {
-        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
             rig.call(claim());
             rig.call(claim());
@@ -236,8 +237,8 @@
         ScriptedServer host = silent(ended);
         try (host;
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
-            try (TestPeer c = rig.client()) {
-                c.write(ProxyFixture.post("claim", 600_000, "", "x"));
+            try (TestPeer peer = rig.client()) {
+                peer.write(ProxyFixture.post("claim", 600_000, "", "x"));
                 host.accepted();
             }
             ended.await();
@@ -247,10 +248,10 @@
     @Test
     void answerThatStopsHalfWayIsAResetLongBeforeTheDeadline() throws Exception {
         for (String begun : List.of("HTTP/1.1 200 O", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")) {
-            ScriptedServer host = new ScriptedServer(p -> {
-                p.read();
-                p.write(begun);
-                p.awaitEnd();
+            ScriptedServer host = new ScriptedServer(peer -> {
+                peer.read();
+                peer.write(begun);
+                peer.awaitEnd();
             });
             try (host;
                     ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
@@ -264,8 +265,8 @@
 
     @Test
     void interimAnswerIsNoAnswerThatHasBegun() throws Exception {
-        ScriptedServer host =
-                ScriptedServer.host(r -> "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ScriptedServer.ok("later"));
+        ScriptedServer host = ScriptedServer.host(
+                message -> "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ScriptedServer.ok("later"));
         assertThat(claimAt(host).text()).isEqualTo("later");
     }
 
@@ -273,9 +274,9 @@
     void answerWithoutALengthEndsWithItsConnection() throws Exception {
         for (int size : new int[] {0, 5, 60_000}) {
             String body = "x".repeat(size);
-            ScriptedServer host = new ScriptedServer(p -> {
-                p.read();
-                p.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body);
+            ScriptedServer host = new ScriptedServer(peer -> {
+                peer.read();
+                peer.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body);
             });
             assertThat(claimAt(host).text()).isEqualTo(body);
         }
@@ -292,10 +293,10 @@
             "HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n" + "x".repeat(65_537),
             "HTTP/1.1 200 OK\r\n" + report + "\r\nno length, and it is kept open"
         }) {
-            ScriptedServer host = new ScriptedServer(p -> {
-                p.read();
-                p.write(bad);
-                p.awaitEnd();
+            ScriptedServer host = new ScriptedServer(peer -> {
+                peer.read();
+                peer.write(bad);
+                peer.awaitEnd();
             });
             assertThat(claimAt(host).status()).as(bad.substring(0, 40)).isEqualTo(502);
         }
@@ -303,10 +304,10 @@
 
     @Test
     void answerWithoutALengthThatIsResetIsNotServed() throws Exception {
-        ScriptedServer host = new ScriptedServer(p -> {
-            p.read();
-            p.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart");
-            p.reset();
+        ScriptedServer host = new ScriptedServer(peer -> {
+            peer.read();
+            peer.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart");
+            peer.reset();
         });
         assertThat(claimAt(host).status()).isEqualTo(502);
     }
--- a/src/test/java/rillyard/proxy/ClientConnectionTest.java
+++ b/src/test/java/rillyard/proxy/ClientConnectionTest.java
@@ -17,13 +17,13 @@
 
 /** What clients may send, and what they get for it. */
 class ClientConnectionTest {
-    private static final ScriptedServer.Reply OK = r -> ScriptedServer.ok("x");
+    private static final ScriptedServer.Reply OK = message -> ScriptedServer.ok("x");
 
     /** Leaves 8 MB for bodies, which no limit goes below. */
     private static final Consumer<ObjectNode> SMALL_MEMORY = limit("memory_mb", 64);
 
     private static Consumer<ObjectNode> limit(String name, int value) {
-        return c -> ((ObjectNode) c.get("limits")).put(name, value);
+        return config -> ((ObjectNode) config.get("limits")).put(name, value);
     }
 
     @ParameterizedTest
@@ -48,10 +48,10 @@
         try (ScriptedServer host = ScriptedServer.host(OK);
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
                 TestPeer other = rig.client();
-                TestPeer c = rig.client()) {
-            c.write(request);
-            assertThat(c.read().status()).isEqualTo(status);
-            assertThat(c.read()).isNull();
+                TestPeer peer = rig.client()) {
+            peer.write(request);
+            assertThat(peer.read().status()).isEqualTo(status);
+            assertThat(peer.read()).isNull();
             other.write(ProxyFixture.get("read", 800));
             assertThat(other.read().status()).isEqualTo(200);
             assertThat(host.requests).hasSize(1);
@@ -61,16 +61,16 @@
     @Test
     void overlongHeadIsAnswered431() throws Exception {
         try (ProxyFixture rig = new ProxyFixture();
-                TestPeer c = rig.client()) {
-            c.write(ProxyFixture.head("GET", "read", 800, "X-Long: " + "y".repeat(60_000) + "\r\n") + "\r\n");
-            assertThat(c.read().status()).isEqualTo(431);
+                TestPeer peer = rig.client()) {
+            peer.write(ProxyFixture.head("GET", "read", 800, "X-Long: " + "y".repeat(60_000) + "\r\n") + "\r\n");
+            assertThat(peer.read().status()).isEqualTo(431);
         }
     }
 
     @Test
     void idOfAnothersRequestIsTurnedAwayAndTheOtherIsServed() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        try (ScriptedServer host = ScriptedServer.host(r -> {
+        try (ScriptedServer host = ScriptedServer.host(message -> {
                     release.await();
                     return ScriptedServer.ok("mine");
                 });
@@ -133,8 +133,8 @@
             silent.get(0).awaitEnd(); // the flood is above what may be held
             used.write(ProxyFixture.get("read", 800));
             assertThat(used.read().status()).isEqualTo(200);
-            for (TestPeer p : silent) {
-                p.close();
+            for (TestPeer peer : silent) {
+                peer.close();
             }
         }
     }
@@ -142,13 +142,13 @@
     @Test
     void endlessBodyIsCutOffAfterItsAnswer() throws Exception {
         try (ProxyFixture rig = new ProxyFixture();
-                TestPeer c = rig.client()) {
-            c.write(ProxyFixture.head("POST", "claim", 800, "") + "Content-Length: 60000000\r\n\r\n");
-            assertThat(c.read().status()).isEqualTo(413);
+                TestPeer peer = rig.client()) {
+            peer.write(ProxyFixture.head("POST", "claim", 800, "") + "Content-Length: 60000000\r\n\r\n");
+            assertThat(peer.read().status()).isEqualTo(413);
             byte[] part = new byte[1 << 20];
             assertThatThrownBy(() -> {
                         for (int i = 0; i < 60; i++) {
-                            c.write(part);
+                            peer.write(part);
                         }
                     })
                     .isInstanceOf(java.net.SocketException.class);
@@ -157,16 +157,16 @@
 
     @Test
     void pipelinedRequestsAreAnsweredInTheirOrder() throws Exception {
-        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok(r.text()));
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok(message.text()));
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
-                TestPeer c = rig.client()) {
-            c.write(ProxyFixture.post("claim", 800, "", "one")
+                TestPeer peer = rig.client()) {
+            peer.write(ProxyFixture.post("claim", 800, "", "one")
                     + ProxyFixture.post("claim", 800, "", "two")
                     + ProxyFixture.post("claim", 800, "Connection: close\r\n", "three"));
-            assertThat(c.read().text()).isEqualTo("one");
-            assertThat(c.read().text()).isEqualTo("two");
-            assertThat(c.read().text()).isEqualTo("three");
-            assertThat(c.read()).isNull();
+            assertThat(peer.read().text()).isEqualTo("one");
+            assertThat(peer.read().text()).isEqualTo("two");
+            assertThat(peer.read().text()).isEqualTo("three");
+            assertThat(peer.read()).isNull();
         }
     }
 
@@ -175,17 +175,17 @@
         String health = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
         try (ScriptedServer host = ScriptedServer.host(OK);
                 ProxyFixture rig = new ProxyFixture();
-                TestPeer c = rig.client()) {
-            c.write(health);
-            assertThat(c.read().status()).isEqualTo(503);
+                TestPeer peer = rig.client()) {
+            peer.write(health);
+            assertThat(peer.read().status()).isEqualTo(503);
             rig.tell(2, true, ProxyFixture.server("a", host.port()));
             int status = 0;
             while (status != 200) { // the list is on its way
-                c.write(health);
-                status = c.read().status();
+                peer.write(health);
+                status = peer.read().status();
             }
-            c.write(ProxyFixture.get("read", 800));
-            assertThat(c.read().status()).isEqualTo(200);
+            peer.write(ProxyFixture.get("read", 800));
+            assertThat(peer.read().status()).isEqualTo(200);
         }
     }
 
@@ -200,8 +200,8 @@
                 assertThat(idle[i].read().status()).isEqualTo(200);
             }
             idle[0].awaitEnd(); // the oldest one had to go
-            for (TestPeer p : idle) {
-                p.close();
+            for (TestPeer peer : idle) {
+                peer.close();
             }
         }
     }
@@ -211,7 +211,7 @@
         assertThatThrownBy(() -> ProxyConfig.load(Map.of())).hasMessageContaining("BALANCER_CONFIG");
         assertThatThrownBy(() -> ProxyConfig.load(Map.of("BALANCER_CONFIG", "/none")))
                 .isInstanceOf(ConfigException.class);
-        java.nio.file.Path file = ProxyFixture.config(1, c -> c.put("listen", "nowhere"));
+        java.nio.file.Path file = ProxyFixture.config(1, config -> config.put("listen", "nowhere"));
         Map<String, String> env = Map.of("BALANCER_CONFIG", file.toString());
         assertThatThrownBy(() -> ProxyConfig.load(env)).hasMessage("listen is not IP:port: 'nowhere'");
         java.nio.file.Files.writeString(file, "{");
@@ -230,7 +230,7 @@
     @Test
     void requestsThatFindNoMemoryAreRefusedUnsentAndTheRestIsServed() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        try (ScriptedServer host = ScriptedServer.host(r -> {
+        try (ScriptedServer host = ScriptedServer.host(message -> {
                     release.await();
                     return ScriptedServer.ok("held");
                 });
@@ -238,9 +238,9 @@
             String body = "x".repeat(64 * 1024);
             List<TestPeer> clients = new ArrayList<>();
             for (int i = 0; i < 150; i++) { // 9.4 MB, and the budget is 8 MB
-                TestPeer c = rig.client();
-                clients.add(c);
-                c.write(ProxyFixture.post("claim", 600_000, "", body));
+                TestPeer peer = rig.client();
+                clients.add(peer);
+                peer.write(ProxyFixture.post("claim", 600_000, "", body));
             }
             // Which of them finds none depends on the order in which they are read.
             long until = System.nanoTime() + 20_000_000_000L;
@@ -250,11 +250,11 @@
             release.countDown();
             int refused = 0;
             int served = 0;
-            for (TestPeer c : clients) {
-                int status = c.read().status();
+            for (TestPeer testPeer : clients) {
+                int status = testPeer.read().status();
                 served += status == 200 ? 1 : 0;
                 refused += status == 503 ? 1 : 0;
-                c.close();
+                testPeer.close();
             }
             assertThat(served).isPositive();
             assertThat(refused).isPositive();
@@ -286,16 +286,17 @@
         // The first read of a connection takes 2 kB: the second request begins within it or behind it.
         for (int size = 1_700; size < 2_100; size += 20) {
             String first = "x".repeat(size);
-            try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok(r.text()));
+            try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok(message.text()));
                     ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
-                    TestPeer c = rig.client()) {
+                    TestPeer peer = rig.client()) {
                 CountDownLatch open = rig.blockLoop();
-                c.write(ProxyFixture.post("claim", 5_000, "", first) + ProxyFixture.post("claim", 5_000, "", "second"));
+                peer.write(
+                        ProxyFixture.post("claim", 5_000, "", first) + ProxyFixture.post("claim", 5_000, "", "second"));
                 open.countDown();
-                TestPeer.Message answer = c.read();
+                TestPeer.Message answer = peer.read();
                 assertThat(answer.status()).as(rig.log()).isEqualTo(200);
                 assertThat(answer.text()).isEqualTo(first);
-                assertThat(c.read().text()).isEqualTo("second");
+                assertThat(peer.read().text()).isEqualTo("second");
             }
         }
     }
@@ -304,19 +305,19 @@
     @Test
     void connectionsThatWereOfUseMakeRoomForNewOnes() throws Exception {
         List<TestPeer> kept = new ArrayList<>();
-        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
                 ProxyFixture rig = new ProxyFixture(limit("sockets", 160), ProxyFixture.server("a", host.port()))) {
             for (int i = 0; i < 60; i++) {
-                TestPeer c = rig.client();
-                kept.add(c);
-                c.write(ProxyFixture.get("read", 60_000));
-                assertThat(c.read().status()).isEqualTo(200);
+                TestPeer peer = rig.client();
+                kept.add(peer);
+                peer.write(ProxyFixture.get("read", 60_000));
+                assertThat(peer.read().status()).isEqualTo(200);
             }
             int open = rig.proxy.loop().submit(() -> rig.proxy.clients()).get();
             assertThat(open).isLessThanOrEqualTo(41); // a quarter, and the one that came last
         } finally {
-            for (TestPeer c : kept) {
-                c.close();
+            for (TestPeer testPeer : kept) {
+                testPeer.close();
             }
         }
     }
--- a/src/test/java/rillyard/proxy/ConnectionEndTest.java
+++ b/src/test/java/rillyard/proxy/ConnectionEndTest.java
@@ -19,7 +19,7 @@
     private static final long FAR_NANOS = 20_000_000_000L;
 
     private static Consumer<ObjectNode> limits(Consumer<ObjectNode> change) {
-        return c -> change.accept((ObjectNode) c.get("settings").get("limits"));
+        return config -> change.accept((ObjectNode) config.get("settings").get("limits"));
     }
 
     /** Waits for something that is true on the proxy's loop, as it can be asked there only. */
@@ -80,7 +80,7 @@
     private static void repeatAtALateConnection(LateRepeat then) throws Exception {
         try (LateConnectServer late = new LateConnectServer()) {
             ProxyFixture[] rig = new ProxyFixture[1];
-            ScriptedServer first = ScriptedServer.host(r -> {
+            ScriptedServer first = ScriptedServer.host(message -> {
                 rig[0].tell(2, false, ProxyFixture.server("b", late.port()));
                 awaitApplied(rig[0]); // the repeat has somewhere to go
                 return ScriptedServer.status(500, "");
@@ -115,9 +115,9 @@
     @Test
     void theEndOfAConnectionIsSeenBehindRequestsSentAhead() throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
-        ScriptedServer host = new ScriptedServer(p -> {
-            p.read();
-            p.awaitEnd();
+        ScriptedServer host = new ScriptedServer(peer -> {
+            peer.read();
+            peer.awaitEnd();
             ended.countDown();
         });
         try (host;
@@ -137,9 +137,9 @@
     @Test
     void aResetOfTheClientsEndsItsAttempt() throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
-        ScriptedServer host = new ScriptedServer(p -> {
-            p.read();
-            p.awaitEnd();
+        ScriptedServer host = new ScriptedServer(peer -> {
+            peer.read();
+            peer.awaitEnd();
             ended.countDown();
         });
         try (host;
@@ -155,7 +155,7 @@
 
     @Test
     void aRequestBehindTheLastAnswerOfAConnectionIsSentNowhere() throws Exception {
-        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok(r.text()));
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok(message.text()));
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
                 TestPeer client = rig.client()) {
             client.write(ProxyFixture.post("claim", 20_000, "Connection: close\r\n", "last")
@@ -169,7 +169,7 @@
 
     @Test
     void manyRequestsSentAheadAreAnsweredInOrderHoweverTheyAreCut() throws Exception {
-        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok(r.text()));
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok(message.text()));
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
                 TestPeer client = rig.client()) {
             int n = 200; // 60 kB: more than is held
@@ -198,7 +198,7 @@
 
     @Test
     void aRequestThatCrossesTheEndOfAnIdleConnectionIsSentNowhereAndNoResetAnswersIt() throws Exception {
-        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
                 TestPeer client = rig.client()) {
             client.write(ProxyFixture.post("claim", 800, "", "first"));
@@ -221,9 +221,10 @@
 
     @Test
     void aConnectionThatMakesRoomTakesNoAnswerWithIt() throws Exception {
-        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
                 ProxyFixture rig = new ProxyFixture(
-                        c -> ((ObjectNode) c.get("limits")).put("sockets", 64), ProxyFixture.server("a", host.port()));
+                        config -> ((ObjectNode) config.get("limits")).put("sockets", 64),
+                        ProxyFixture.server("a", host.port()));
                 TestPeer client = rig.client()) {
             client.write(ProxyFixture.post("claim", 20_000, "", "first"));
             host.request();
@@ -235,8 +236,8 @@
             }
             assertThat(client.read().text()).isEqualTo("x");
             assertThat(client.read()).isNull();
-            for (TestPeer p : more) {
-                p.close();
+            for (TestPeer peer : more) {
+                peer.close();
             }
         }
     }
@@ -246,12 +247,12 @@
     @ValueSource(ints = {1_200, 600_000})
     void whatADrainStillHoldsIsAnsweredBeforeTheEnd(int longest) throws Exception {
         CountDownLatch never = new CountDownLatch(1);
-        try (ScriptedServer host = ScriptedServer.host(r -> {
+        try (ScriptedServer host = ScriptedServer.host(message -> {
                     never.await();
                     return "";
                 });
                 ProxyFixture rig = new ProxyFixture(
-                        c -> ((ObjectNode) c.at("/settings/classes/1")).put("deadline", longest),
+                        config -> ((ObjectNode) config.at("/settings/classes/1")).put("deadline", longest),
                         ProxyFixture.server("a", host.port()));
                 TestPeer client = rig.client()) {
             client.write(ProxyFixture.post("claim", 600_000, "", "x")); // far longer than a drain may take
@@ -267,9 +268,9 @@
 
     @Test
     void aLineCutOffWithinAnAnswerAheadOfACloseIsNoAnswer() throws Exception {
-        ScriptedServer host = new ScriptedServer(p -> {
-            p.read();
-            p.write("HTTP/1.1 200 OK\r\nContent-Le");
+        ScriptedServer host = new ScriptedServer(peer -> {
+            peer.read();
+            peer.write("HTTP/1.1 200 OK\r\nContent-Le");
         });
         try (host;
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
@@ -281,11 +282,11 @@
     @Test
     void anAnswerWithoutALengthThatIsResetOnceItIsPassedOnIsSeenToBeCut() throws Exception {
         CountDownLatch passed = new CountDownLatch(1);
-        ScriptedServer host = new ScriptedServer(p -> {
-            p.read();
-            p.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "x".repeat(70_000));
+        ScriptedServer host = new ScriptedServer(peer -> {
+            peer.read();
+            peer.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "x".repeat(70_000));
             passed.await();
-            p.reset();
+            peer.reset();
         });
         try (host;
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
--- a/src/test/java/rillyard/proxy/DescriptorLimitIT.java
+++ b/src/test/java/rillyard/proxy/DescriptorLimitIT.java
@@ -37,32 +37,32 @@
     @Test
     void idleClientsKeepNeitherDiscoveryNorHostsNorSignalsFromTheirDescriptors() throws Exception {
         int port = ProxyFixture.freePort();
-        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"))) {
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("served"))) {
             Path config = folder.resolve("config.json");
             Files.move(
                     ProxyFixture.config(port, c -> ((ObjectNode) c.get("limits")).put("sockets", DESCRIPTORS)), config);
             List<TestPeer> idle = new ArrayList<>();
-            try (ProxyProcess p =
+            try (ProxyProcess proxy =
                     ProxyProcess.launch(limited(), config, ProxyProcess.freeAddress(), folder.resolve("log"))) {
-                p.await(ProxyProcess.State.LISTENING);
+                proxy.await(ProxyProcess.State.LISTENING);
                 for (int i = 0; i < 2 * DESCRIPTORS; i++) {
-                    idle.add(TestPeer.connect(p.address().getPort()));
+                    idle.add(TestPeer.connect(proxy.address().getPort()));
                 }
-                ScriptedServer discovery = new ScriptedServer(port, d -> {
-                    d.read();
+                ScriptedServer discovery = new ScriptedServer(port, peer -> {
+                    peer.read();
                     String line = ProxyFixture.list(2, true, ProxyFixture.server("a", host.port())) + "\n";
-                    d.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length())
-                            + "\r\n" + line + "\r\n");
-                    d.awaitEnd();
+                    peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                            + Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
+                    peer.awaitEnd();
                 });
                 try (discovery) {
-                    p.await(ProxyProcess.State.READY);
-                    try (TestPeer c = TestPeer.connect(p.address().getPort())) {
-                        c.write(ProxyFixture.post("claim", 5_000, "", "x"));
-                        assertThat(c.read().text()).isEqualTo("served");
+                    proxy.await(ProxyProcess.State.READY);
+                    try (TestPeer testPeer = TestPeer.connect(proxy.address().getPort())) {
+                        testPeer.write(ProxyFixture.post("claim", 5_000, "", "x"));
+                        assertThat(testPeer.read().text()).isEqualTo("served");
                     }
-                    p.process().terminate();
-                    assertThat(p.process().await()).isZero();
+                    proxy.process().terminate();
+                    assertThat(proxy.process().await()).isZero();
                 }
                 assertThat(Files.readString(folder.resolve("log")))
                         .contains("drained")
--- a/src/test/java/rillyard/proxy/EndpointWatchTest.java
+++ b/src/test/java/rillyard/proxy/EndpointWatchTest.java
@@ -23,7 +23,7 @@
 
     @Test
     void brokenWatchResumesFromTheLastVersion() throws Exception {
-        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
                 ProxyFixture rig = new ProxyFixture()) {
             assertThat(watch(rig)).contains("follow=1&since=1 ");
             rig.tell(5, true, ProxyFixture.server("a", host.port()));
@@ -35,7 +35,7 @@
 
     @Test
     void malformedLineKeepsTheLastGoodListAndIsAskedForAgain() throws Exception {
-        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
             for (String bad : new String[] {
                 "{\"version\":2,\"full\":true,\"serv\n",
@@ -68,7 +68,7 @@
 
     @Test
     void indentedListIsOneList() throws Exception {
-        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
                 ProxyFixture rig = new ProxyFixture()) {
             String list = new com.fasterxml.jackson.databind.ObjectMapper()
                     .readTree(ProxyFixture.list(2, true, ProxyFixture.server("a", host.port())))
@@ -114,7 +114,7 @@
 
     @Test
     void lineInPiecesIsOneLine() throws Exception {
-        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
                 ProxyFixture rig = new ProxyFixture()) {
             String line = ProxyFixture.list(2, true, ProxyFixture.server("a", host.port())) + "\n";
             rig.news.add(line.substring(0, 30));
@@ -129,14 +129,14 @@
     void drainingHostLosesItsIdleConnectionsAndGetsNothingNew() throws Exception {
         for (String state : new String[] {"draining", "removed"}) {
             CountDownLatch ended = new CountDownLatch(1);
-            ScriptedServer old = new ScriptedServer(p -> {
-                p.read();
-                p.write(ScriptedServer.ok("old"));
-                p.awaitEnd();
+            ScriptedServer old = new ScriptedServer(peer -> {
+                peer.read();
+                peer.write(ScriptedServer.ok("old"));
+                peer.awaitEnd();
                 ended.countDown();
             });
             try (old;
-                    ScriptedServer next = ScriptedServer.host(r -> ScriptedServer.ok("next"));
+                    ScriptedServer next = ScriptedServer.host(message -> ScriptedServer.ok("next"));
                     ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", old.port()))) {
                 assertThat(rig.call(claim()).text()).isEqualTo("old");
                 rig.tell(
@@ -156,10 +156,10 @@
 
     @Test
     void hostAbsentFromAFullListIsGone() throws Exception {
-        try (ScriptedServer a = ScriptedServer.host(r -> ScriptedServer.ok("a"));
-                ScriptedServer b = ScriptedServer.host(r -> ScriptedServer.ok("b"));
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", a.port()))) {
-            rig.tell(2, true, ProxyFixture.server("b", b.port()));
+        try (ScriptedServer server = ScriptedServer.host(message -> ScriptedServer.ok("a"));
+                ScriptedServer scriptedServer = ScriptedServer.host(r -> ScriptedServer.ok("b"));
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", server.port()))) {
+            rig.tell(2, true, ProxyFixture.server("b", scriptedServer.port()));
             rig.news.add("");
             watch(rig);
             watch(rig);
@@ -171,7 +171,7 @@
 
     @Test
     void hostThatMovedIsReachedAtItsNewAddressOnly() throws Exception {
-        try (ScriptedServer before = ScriptedServer.host(r -> ScriptedServer.ok("before"));
+        try (ScriptedServer before = ScriptedServer.host(message -> ScriptedServer.ok("before"));
                 ScriptedServer after = ScriptedServer.host(r -> ScriptedServer.ok("after"));
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", before.port()))) {
             assertThat(rig.call(claim()).text()).isEqualTo("before");
@@ -185,9 +185,9 @@
 
     @Test
     void askedDiscoveryIsAskedAgainByTheModuleWhenItsWatchEnds() throws Exception {
-        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
-                ProxyFixture rig = new ProxyFixture(c -> {
-                    ObjectNode settings = (ObjectNode) c.get("settings");
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
+                ProxyFixture rig = new ProxyFixture(config -> {
+                    ObjectNode settings = (ObjectNode) config.get("settings");
                     settings.put("membershipMode", "subscribe");
                     ((ObjectNode) settings.get("rules")).put("askWithin", 10_000);
                 })) {
@@ -206,7 +206,7 @@
                 TestPeer second = TestPeer.connect(full.getLocalPort());
                 ProxyFixture rig = new ProxyFixture(
                         // Nothing but the drain can end the connect before the test's reads give up.
-                        c -> ((ObjectNode) c.get("settings").get("limits")).put("connectTimeout", 600_000),
+                        config -> ((ObjectNode) config.get("settings").get("limits")).put("connectTimeout", 600_000),
                         ProxyFixture.server("a", full.getLocalPort()));
                 TestPeer client = rig.client()) {
             assertThat(first.socket.isConnected() && second.socket.isConnected())
--- a/src/test/java/rillyard/proxy/EventLoopStallTest.java
+++ b/src/test/java/rillyard/proxy/EventLoopStallTest.java
@@ -19,7 +19,7 @@
 
     @Test
     void whatWaitedPastItsTimeIsRefusedAtOnceAndSentNowhere() throws Exception {
-        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"));
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("served"));
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
                 TestPeer kept = rig.client()) {
             kept.write(ProxyFixture.get("read", 1_000));
@@ -39,16 +39,16 @@
 
     @Test
     void whatIsLeftOfItsTimeIsAllThatAHostIsTold() throws Exception {
-        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"));
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("served"));
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
-                TestPeer c = rig.client()) {
-            c.write(ProxyFixture.get("read", 1_000));
-            c.read();
+                TestPeer peer = rig.client()) {
+            peer.write(ProxyFixture.get("read", 1_000));
+            peer.read();
             host.request();
             CountDownLatch open = rig.blockLoop();
-            c.write(ProxyFixture.get("read", 800));
+            peer.write(ProxyFixture.get("read", 800));
             standStill(open, 400);
-            assertThat(c.read().text()).isEqualTo("served");
+            assertThat(peer.read().text()).isEqualTo("served");
             assertThat(Integer.parseInt(host.request().header("X-Timeout-Ms"))).isBetween(1, 400);
         }
     }
@@ -56,17 +56,17 @@
     @Test
     void whatIsPastItsTimeIsAnsweredAndTheHostNotBlamed() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        try (ScriptedServer host = ScriptedServer.host(r -> {
+        try (ScriptedServer host = ScriptedServer.host(message -> {
                     answer.await();
                     return ScriptedServer.ok("served");
                 });
-                ProxyFixture rig = new ProxyFixture(true, null, c -> {}, ProxyFixture.server("a", host.port()));
-                TestPeer c = rig.client()) {
-            c.write(ProxyFixture.post("claim", TIME_MS, "", "x"));
+                ProxyFixture rig = new ProxyFixture(true, null, config -> {}, ProxyFixture.server("a", host.port()));
+                TestPeer peer = rig.client()) {
+            peer.write(ProxyFixture.post("claim", TIME_MS, "", "x"));
             host.request();
             CountDownLatch open = rig.blockLoop();
             standStill(open, 2 * TIME_MS);
-            assertThat(c.read().status()).isEqualTo(504);
+            assertThat(peer.read().status()).isEqualTo(504);
             assertThat(rig.log()).contains("attempt a CANCELLED").doesNotContain("TIMEOUT");
             answer.countDown();
         }
@@ -74,23 +74,27 @@
 
     @Test
     void aListThatCameMeanwhileIsReadBeforeARequestThatCameSooner() throws Exception {
-        try (ScriptedServer a = ScriptedServer.host(r -> ScriptedServer.ok("a"));
-                ScriptedServer b = ScriptedServer.host(r -> ScriptedServer.ok("b"));
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", a.port()));
-                TestPeer c = rig.client()) {
-            rig.tell(2, true, ProxyFixture.server("b", b.port()));
+        try (ScriptedServer server = ScriptedServer.host(message -> ScriptedServer.ok("a"));
+                ScriptedServer scriptedServer = ScriptedServer.host(r -> ScriptedServer.ok("b"));
+                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", server.port()));
+                TestPeer peer = rig.client()) {
+            rig.tell(2, true, ProxyFixture.server("b", scriptedServer.port()));
             String by;
             do { // until the watch is open and has been read
-                c.write(ProxyFixture.get("read", 2_000));
-                by = c.read().text();
+                peer.write(ProxyFixture.get("read", 2_000));
+                by = peer.read().text();
             } while (!by.equals("b"));
-            b.requests.clear();
+            scriptedServer.requests.clear();
             CountDownLatch open = rig.blockLoop();
-            c.write(ProxyFixture.get("read", 2_000));
-            rig.tell(3, true, ProxyFixture.server("a", a.port()), ProxyFixture.server("b", b.port(), 0, "draining"));
+            peer.write(ProxyFixture.get("read", 2_000));
+            rig.tell(
+                    3,
+                    true,
+                    ProxyFixture.server("a", server.port()),
+                    ProxyFixture.server("b", scriptedServer.port(), 0, "draining"));
             standStill(open, TIME_MS);
-            assertThat(c.read().text()).isEqualTo("a");
-            assertThat(b.requests).isEmpty();
+            assertThat(peer.read().text()).isEqualTo("a");
+            assertThat(scriptedServer.requests).isEmpty();
         }
     }
 }
--- a/src/test/java/rillyard/proxy/FailureRateByClassTest.java
+++ b/src/test/java/rillyard/proxy/FailureRateByClassTest.java
@@ -17,8 +17,8 @@
     void hostThatLosesOneClassGetsTheOthers() throws Exception {
         AtomicInteger claims = new AtomicInteger();
         AtomicInteger logs = new AtomicInteger();
-        ScriptedServer.Reply lossy = r -> {
-            if (r.line().contains("/claim")) {
+        ScriptedServer.Reply lossy = message -> {
+            if (message.line().contains("/claim")) {
                 claims.incrementAndGet();
                 Thread.sleep(600_000);
             }
@@ -29,10 +29,10 @@
             Thread.sleep(20);
             return ScriptedServer.ok("x");
         };
-        try (ScriptedServer a = ScriptedServer.host(lossy);
-                ScriptedServer b = ScriptedServer.host(sound);
-                ProxyFixture rig =
-                        new ProxyFixture(ProxyFixture.server("a", a.port()), ProxyFixture.server("b", b.port()));
+        try (ScriptedServer server = ScriptedServer.host(lossy);
+                ScriptedServer scriptedServer = ScriptedServer.host(sound);
+                ProxyFixture rig = new ProxyFixture(
+                        ProxyFixture.server("a", server.port()), ProxyFixture.server("b", scriptedServer.port()));
                 TestPeer claim = rig.client();
                 TestPeer one = rig.client();
                 TestPeer two = rig.client();
@@ -40,11 +40,11 @@
             for (int i = 0; i < ROUNDS; i++) {
                 claim.write(ProxyFixture.post("claim", 250, "", "x"));
                 // While it is out, so many logs that each host gets one: the lost claim is overtaken.
-                for (TestPeer p : new TestPeer[] {one, two, three}) {
-                    p.write(log());
+                for (TestPeer peer : new TestPeer[] {one, two, three}) {
+                    peer.write(log());
                 }
-                for (TestPeer p : new TestPeer[] {one, two, three, claim}) {
-                    p.read();
+                for (TestPeer testPeer : new TestPeer[] {one, two, three, claim}) {
+                    testPeer.read();
                 }
             }
         }
--- a/src/test/java/rillyard/proxy/HotRestartIT.java
+++ b/src/test/java/rillyard/proxy/HotRestartIT.java
@@ -36,9 +36,9 @@
 
         Load(InetSocketAddress to) {
             for (int i = 0; i < CLIENTS; i++) {
-                Thread t = new Thread(() -> run(to));
-                t.setDaemon(true);
-                t.start();
+                Thread thread = new Thread(() -> run(to));
+                thread.setDaemon(true);
+                thread.start();
             }
         }
 
@@ -47,25 +47,25 @@
         }
 
         private void run(InetSocketAddress to) {
-            TestPeer c = null;
+            TestPeer peer = null;
             while (!over.get()) {
                 try {
-                    c = c == null ? TestPeer.connect(to.getPort()) : c;
-                    c.write(ProxyFixture.post("claim", 1_500, "", "x"));
-                    TestPeer.Message m = c.read();
-                    if (m == null || m.status() != 200) {
-                        lose(m == null ? "ended without an answer" : m.line());
+                    peer = peer == null ? TestPeer.connect(to.getPort()) : peer;
+                    peer.write(ProxyFixture.post("claim", 1_500, "", "x"));
+                    TestPeer.Message message = peer.read();
+                    if (message == null || message.status() != 200) {
+                        lose(message == null ? "ended without an answer" : message.line());
                     } else {
                         served.incrementAndGet();
                     }
-                    if (m == null || "close".equals(m.header("Connection"))) {
-                        c.close();
-                        c = null;
+                    if (message == null || "close".equals(message.header("Connection"))) {
+                        peer.close();
+                        peer = null;
                     }
                     Thread.sleep(2);
                 } catch (IOException e) {
-                    lose((c == null ? "connecting: " : "on a connection: ") + e);
-                    c = null;
+                    lose((peer == null ? "connecting: " : "on a connection: ") + e);
+                    peer = null;
                 } catch (InterruptedException e) {
                     return;
                 }
@@ -101,9 +101,9 @@
     }
 
     private static int call(int operator, String what, String body) throws IOException {
-        try (TestPeer p = TestPeer.connect(operator)) {
-            p.write(what + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
-            return p.read().status();
+        try (TestPeer peer = TestPeer.connect(operator)) {
+            peer.write(what + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+            return peer.read().status();
         }
     }
 
@@ -127,15 +127,15 @@
         int oldOperator = ProxyProcess.freeAddress().getPort();
         int newOperator = ProxyProcess.freeAddress().getPort();
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
-                ScriptedServer a = ScriptedServer.host(r -> ScriptedServer.ok("a"));
-                ScriptedServer b = ScriptedServer.host(r -> ScriptedServer.ok("b"));
+                ScriptedServer server = ScriptedServer.host(message -> ScriptedServer.ok("a"));
+                ScriptedServer scriptedServer = ScriptedServer.host(r -> ScriptedServer.ok("b"));
                 ProxyProcess old = launch(
                         silent,
                         "old",
                         listen,
                         oldOperator,
-                        ProxyFixture.server("a", a.port()),
-                        ProxyFixture.server("b", b.port()))) {
+                        ProxyFixture.server("a", server.port()),
+                        ProxyFixture.server("b", scriptedServer.port()))) {
             awaitReady(oldOperator);
             try (Load load = new Load(listen)) {
                 load.awaitServed(200);
@@ -145,19 +145,19 @@
                         "next",
                         listen,
                         newOperator,
-                        ProxyFixture.server("a", a.port()),
-                        ProxyFixture.server("b", b.port()))) {
+                        ProxyFixture.server("a", server.port()),
+                        ProxyFixture.server("b", scriptedServer.port()))) {
                     awaitReady(newOperator);
                     load.awaitServed(200);
-                    a.requests.clear();
+                    server.requests.clear();
                     old.process().terminate();
                     assertThat(old.process().await()).isZero();
                     assertThat(log("old")).contains("draining: a successor serves", "drained");
                     load.awaitServed(400);
                     assertThat(load.lost).isEmpty();
-                    assertThat(a.requests).isEmpty();
+                    assertThat(server.requests).isEmpty();
                     assertThat(call(newOperator, "POST /_hosts/attach", "a")).isEqualTo(200);
-                    while (a.requests.isEmpty()) {
+                    while (server.requests.isEmpty()) {
                         load.awaitServed(1);
                     }
                     assertThat(next.process().alive()).isTrue();
@@ -173,10 +173,12 @@
         int oldOperator = ProxyProcess.freeAddress().getPort();
         int newOperator = ProxyProcess.freeAddress().getPort();
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
-                ScriptedServer a = ScriptedServer.host(r -> ScriptedServer.ok("a"));
-                ProxyProcess old = launch(silent, "old", listen, oldOperator, ProxyFixture.server("a", a.port()))) {
+                ScriptedServer server = ScriptedServer.host(message -> ScriptedServer.ok("a"));
+                ProxyProcess old =
+                        launch(silent, "old", listen, oldOperator, ProxyFixture.server("a", server.port()))) {
             awaitReady(oldOperator);
-            try (ProxyProcess next = launch(silent, "next", listen, newOperator, ProxyFixture.server("a", a.port()))) {
+            try (ProxyProcess next =
+                    launch(silent, "next", listen, newOperator, ProxyFixture.server("a", server.port()))) {
                 awaitReady(newOperator);
                 next.process().kill();
             }
--- a/src/test/java/rillyard/proxy/IncompleteListTest.java
+++ b/src/test/java/rillyard/proxy/IncompleteListTest.java
@@ -26,7 +26,7 @@
     @BeforeEach
     void start() throws Exception {
         for (String name : NAMES) {
-            hosts.add(ScriptedServer.host(r -> {
+            hosts.add(ScriptedServer.host(message -> {
                 Thread.sleep(20); // its work: so that calls made together are spread
                 return ScriptedServer.ok(name);
             }));
@@ -35,8 +35,8 @@
 
     @AfterEach
     void stop() throws Exception {
-        for (ScriptedServer h : hosts) {
-            h.close();
+        for (ScriptedServer server : hosts) {
+            server.close();
         }
     }
 
@@ -57,13 +57,13 @@
         for (int i = 0; i < 5; i++) {
             List<TestPeer> calls = new ArrayList<>();
             for (int n = 0; n < 12; n++) {
-                TestPeer c = rig.client();
-                c.write(ProxyFixture.post("claim", 20_000, "", "x"));
-                calls.add(c);
+                TestPeer peer = rig.client();
+                peer.write(ProxyFixture.post("claim", 20_000, "", "x"));
+                calls.add(peer);
             }
-            for (TestPeer c : calls) {
-                who.add(c.read().text());
-                c.close();
+            for (TestPeer testPeer : calls) {
+                who.add(testPeer.read().text());
+                testPeer.close();
             }
         }
         return who;
@@ -71,7 +71,7 @@
 
     @Test
     void withTheGuardTheServiceGoesOnWithAllAndADrainIsObeyed() throws Exception {
-        try (ProxyFixture rig = new ProxyFixture(false, new EndpointListGuard(0.5, LONG_MS), c -> {}, all())) {
+        try (ProxyFixture rig = new ProxyFixture(false, new EndpointListGuard(0.5, LONG_MS), config -> {}, all())) {
             // One is left of four, and one of the others was told to drain in the same breath.
             rig.tell(2, true, all()[0].replace("\"up\"", "\"draining\""));
             assertThat(answering(rig)).containsExactly("b", "c", "d");
@@ -83,7 +83,7 @@
 
     @Test
     void whatNoListNamesAgainIsGoneInTheEnd() throws Exception {
-        try (ProxyFixture rig = new ProxyFixture(false, new EndpointListGuard(0.5, 1), c -> {}, all())) {
+        try (ProxyFixture rig = new ProxyFixture(false, new EndpointListGuard(0.5, 1), config -> {}, all())) {
             rig.tell(2, true, all()[0]);
             rig.news.add("");
             assertThat(rig.watches.poll(20, TimeUnit.SECONDS)).isNotNull();
--- a/src/test/java/rillyard/proxy/JarIT.java
+++ b/src/test/java/rillyard/proxy/JarIT.java
@@ -26,16 +26,16 @@
             line.addAll(List.of("@deploy/proxy.jvm", "-XX:SharedArchiveFile=target/rillyard.jsa"));
         }
         line.addAll(List.of("-jar", "target/rillyard.jar", command));
-        ProcessBuilder b = new ProcessBuilder(line);
-        b.environment().keySet().removeIf(k -> k.startsWith("BALANCER_"));
+        ProcessBuilder builder = new ProcessBuilder(line);
+        builder.environment().keySet().removeIf(k -> k.startsWith("BALANCER_"));
         if (config != null) {
-            b.environment().put("BALANCER_CONFIG", config.toString());
+            builder.environment().put("BALANCER_CONFIG", config.toString());
         }
-        return b.start();
+        return builder.start();
     }
 
-    private static String errors(Process p) throws IOException {
-        return new String(p.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
+    private static String errors(Process process) throws IOException {
+        return new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
     }
 
     /** A proxy that is ready, with one host and a discovery that says nothing. */
@@ -55,7 +55,9 @@
         /** The same configuration but for discovery's address, in a file of its own. */
         Path newConfig(ScriptedServer discovery, ScriptedServer host) throws IOException {
             return ProxyFixture.config(
-                    discovery.port(), c -> c.put("listen", "127.0.0.1:" + port), ProxyFixture.server("a", host.port()));
+                    discovery.port(),
+                    config -> config.put("listen", "127.0.0.1:" + port),
+                    ProxyFixture.server("a", host.port()));
         }
 
         void signal(String name) throws Exception {
@@ -66,9 +68,9 @@
 
         private void awaitReady() throws Exception {
             for (int i = 0; i < 2_000; i++) {
-                try (TestPeer c = TestPeer.connect(port)) {
-                    c.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
-                    if (c.read().status() == 200) {
+                try (TestPeer peer = TestPeer.connect(port)) {
+                    peer.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+                    if (peer.read().status() == 200) {
                         return;
                     }
                 } catch (IOException e) {
@@ -90,8 +92,8 @@
     @Test
     void proxyServesAndOnSigtermAnswersAllItHoldsAndExitsWithZero() throws Exception {
         java.util.concurrent.CountDownLatch answer = new java.util.concurrent.CountDownLatch(1);
-        try (ScriptedServer host = ScriptedServer.host(r -> {
-                    if (r.text().equals("slow")) {
+        try (ScriptedServer host = ScriptedServer.host(message -> {
+                    if (message.text().equals("slow")) {
                         answer.await();
                     }
                     return ScriptedServer.ok("served");
@@ -123,31 +125,31 @@
 
     @Test
     void manyLargeBodiesLeaveTheProcessUnderItsLimit() throws Exception {
-        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("" + r.body().length));
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("" + message.body().length));
                 Running proxy = new Running(host)) {
             byte[] most = new byte[(64 << 10) - 1];
             List<TestPeer> clients = new ArrayList<>();
             for (int i = 0; i < 400; i++) { // 25 MB at once, if all came in
-                TestPeer c = TestPeer.connect(proxy.port);
-                clients.add(c);
-                Thread t = new Thread(() -> {
+                TestPeer peer = TestPeer.connect(proxy.port);
+                clients.add(peer);
+                Thread thread = new Thread(() -> {
                     try {
-                        c.write(ProxyFixture.head("POST", "claim", 20_000, "")
+                        peer.write(ProxyFixture.head("POST", "claim", 20_000, "")
                                 + "Content-Length: "
                                 + (most.length + 1)
                                 + "\r\n\r\n");
-                        c.write(most);
-                        c.write("x");
+                        peer.write(most);
+                        peer.write("x");
                     } catch (IOException e) {
                         // refused half way: its answer is there all the same
                     }
                 });
-                t.setDaemon(true);
-                t.start();
+                thread.setDaemon(true);
+                thread.start();
             }
-            for (TestPeer c : clients) {
-                assertThat(c.read().status()).isIn(200, 503);
-                c.close();
+            for (TestPeer testPeer : clients) {
+                assertThat(testPeer.read().status()).isIn(200, 503);
+                testPeer.close();
             }
             String status = Files.readString(Path.of("/proc/" + proxy.process.pid() + "/status"));
             String peak = status.replaceAll("(?s).*VmHWM:\\s*(\\d+) kB.*", "$1");
@@ -157,7 +159,7 @@
 
     @Test
     void proxyLoadsItsClassesFromTheArchive() throws Exception {
-        Process p = new ProcessBuilder(
+        Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "@deploy/proxy.jvm",
                         "-XX:SharedArchiveFile=target/rillyard.jsa",
@@ -167,8 +169,8 @@
                         "rehearse")
                 .redirectErrorStream(true)
                 .start();
-        String log = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertThat(p.waitFor()).isZero();
+        String log = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertThat(process.waitFor()).isZero();
         assertThat(log)
                 .contains("rillyard.proxy.dispatch.BalancerDriver source: shared objects file (top)")
                 .contains("io.netty.handler.codec.http.HttpObjectDecoder source: shared objects file (top)")
@@ -203,10 +205,10 @@
     @Test
     void hangUpMovesTheWatchAndEndsNothing() throws Exception {
         BlockingQueue<String> asked = new LinkedBlockingQueue<>();
-        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"));
-                ScriptedServer moved = new ScriptedServer(p -> {
-                    asked.add(p.read().line());
-                    p.awaitEnd();
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("served"));
+                ScriptedServer moved = new ScriptedServer(peer -> {
+                    asked.add(peer.read().line());
+                    peer.awaitEnd();
                 });
                 Running proxy = new Running(host)) {
             // One that can't be read, one that can't be used, and a good one.
@@ -229,17 +231,17 @@
 
     @Test
     void proxyWithoutConfigurationEndsWithOneLine() throws Exception {
-        Process p = start(null, "proxy");
-        assertThat(p.waitFor()).isEqualTo(1);
-        assertThat(errors(p)).isEqualTo("rillyard: BALANCER_CONFIG is not set\n");
+        Process process = start(null, "proxy");
+        assertThat(process.waitFor()).isEqualTo(1);
+        assertThat(errors(process)).isEqualTo("rillyard: BALANCER_CONFIG is not set\n");
     }
 
     @Test
     void adapterAnswersABatch() throws Exception {
-        Process p = start(null, "adapter");
-        p.getOutputStream().write("sync wall=1.0\neob\n".getBytes(StandardCharsets.UTF_8));
-        p.getOutputStream().close();
-        assertThat(p.getInputStream().readAllBytes()).asString().isEqualTo("ok\n");
-        assertThat(p.waitFor()).isZero();
+        Process process = start(null, "adapter");
+        process.getOutputStream().write("sync wall=1.0\neob\n".getBytes(StandardCharsets.UTF_8));
+        process.getOutputStream().close();
+        assertThat(process.getInputStream().readAllBytes()).asString().isEqualTo("ok\n");
+        assertThat(process.waitFor()).isZero();
     }
 }
--- a/src/test/java/rillyard/proxy/LateConnectServer.java
+++ b/src/test/java/rillyard/proxy/LateConnectServer.java
@@ -41,8 +41,8 @@
 
     @Override
     public void close() throws IOException {
-        for (Socket s : filling) {
-            s.close();
+        for (Socket socket : filling) {
+            socket.close();
         }
         server.close();
     }
--- a/src/test/java/rillyard/proxy/LoadSheddingTest.java
+++ b/src/test/java/rillyard/proxy/LoadSheddingTest.java
@@ -26,7 +26,7 @@
     @Test
     void refusalsEndAfterWhatRaisedThem() throws Exception {
         AtomicInteger seen = new AtomicInteger();
-        ScriptedServer.Reply reply = r -> {
+        ScriptedServer.Reply reply = message -> {
             int n = seen.incrementAndGet();
             if (n == 1) {
                 Thread.sleep(350); // one of a queue of six: each takes long
@@ -54,7 +54,7 @@
      */
     @Test
     void whatComesTooLateIsRefusedBeforeTheRest() throws Exception {
-        ScriptedServer.Reply slow = r -> {
+        ScriptedServer.Reply slow = message -> {
             Thread.sleep(240); // six tenths of the aim
             return ScriptedServer.ok("ok");
         };
@@ -79,7 +79,7 @@
     /** Guards against clients that come back at once until chance lets them through. */
     @Test
     void triesAtOnceMeetTheSameAnswer() throws Exception {
-        ScriptedServer.Reply slow = r -> {
+        ScriptedServer.Reply slow = message -> {
             Thread.sleep(300); // about half are refused at three quarters of the aim
             return ScriptedServer.ok("ok");
         };
@@ -91,12 +91,12 @@
             }
             int mixed = 0;
             for (int i = 0; i < 24; i++) {
-                for (TestPeer c : clients) {
-                    c.write(claim(800));
+                for (TestPeer peer : clients) {
+                    peer.write(claim(800));
                 }
                 Set<Integer> answers = new HashSet<>();
-                for (TestPeer c : clients) {
-                    answers.add(c.read().status());
+                for (TestPeer testPeer : clients) {
+                    answers.add(testPeer.read().status());
                 }
                 mixed += i >= 8 && answers.size() > 1 ? 1 : 0; // the first ones raise the pressure
             }
--- a/src/test/java/rillyard/proxy/PlatformRunIT.java
+++ b/src/test/java/rillyard/proxy/PlatformRunIT.java
@@ -50,22 +50,22 @@
         return ProxyProcess.launch(launch, config, ProxyProcess.freeAddress(), folder.resolve("log"));
     }
 
-    private static String program(ProxyProcess p) throws IOException {
-        return Path.of("/proc", Long.toString(p.pid()), "exe")
+    private static String program(ProxyProcess proxy) throws IOException {
+        return Path.of("/proc", Long.toString(proxy.pid()), "exe")
                 .toRealPath()
                 .getFileName()
                 .toString();
     }
 
-    private static List<Path> threads(ProxyProcess p) throws IOException {
-        try (Stream<Path> all = Files.list(Path.of("/proc", Long.toString(p.pid()), "task"))) {
+    private static List<Path> threads(ProxyProcess proxy) throws IOException {
+        try (Stream<Path> all = Files.list(Path.of("/proc", Long.toString(proxy.pid()), "task"))) {
             return all.toList();
         }
     }
 
-    private static Map<String, Long> ticks(ProxyProcess p) throws IOException {
+    private static Map<String, Long> ticks(ProxyProcess proxy) throws IOException {
         Map<String, Long> ticks = new HashMap<>();
-        for (Path thread : threads(p)) {
+        for (Path thread : threads(proxy)) {
             String stat = Files.readString(thread.resolve("stat"));
             String[] f = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
             String name = thread.getFileName() + " " + stat.substring(stat.indexOf('('), stat.lastIndexOf(')') + 1);
@@ -79,12 +79,12 @@
     void itIsOneProcessThatTheShellHasBecome(String file) throws Exception {
         boolean launcher = file.startsWith("launcher") && Files.isExecutable(LAUNCHER);
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
-                ProxyProcess p = launch(shell(ROOT, file), silent)) {
-            p.await(ProxyProcess.State.READY);
-            assertThat(program(p)).isEqualTo(launcher ? "start" : "java");
-            assertThat(ProcessHandle.of(p.pid()).orElseThrow().children()).isEmpty();
-            p.process().terminate();
-            assertThat(p.process().await()).isZero();
+                ProxyProcess proxy = launch(shell(ROOT, file), silent)) {
+            proxy.await(ProxyProcess.State.READY);
+            assertThat(program(proxy)).isEqualTo(launcher ? "start" : "java");
+            assertThat(ProcessHandle.of(proxy.pid()).orElseThrow().children()).isEmpty();
+            proxy.process().terminate();
+            assertThat(proxy.process().await()).isZero();
         }
     }
 
@@ -94,9 +94,9 @@
         Files.createDirectory(folder.resolve("target"));
         Files.createSymbolicLink(folder.resolve("target/rillyard.jar"), ROOT.resolve("target/rillyard.jar"));
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
-                ProxyProcess p = launch(shell(folder, "launcher.toml"), silent)) {
-            p.await(ProxyProcess.State.READY);
-            assertThat(program(p)).isEqualTo("java");
+                ProxyProcess proxy = launch(shell(folder, "launcher.toml"), silent)) {
+            proxy.await(ProxyProcess.State.READY);
+            assertThat(program(proxy)).isEqualTo("java");
         }
     }
 
@@ -105,12 +105,13 @@
     void starvedOfItsCoreItGetsReadyAndThenRests() throws Exception {
         try (CpuContention neighbours = new CpuContention("0", 1 / 3.0);
                 ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
-                ProxyProcess p = launch(shell(ROOT, "balancer.toml").on("0"), silent)) {
-            p.await(ProxyProcess.State.READY);
-            Map<String, Long> before = ticks(p);
+                ProxyProcess proxy = launch(shell(ROOT, "balancer.toml").on("0"), silent)) {
+            proxy.await(ProxyProcess.State.READY);
+            Map<String, Long> before = ticks(proxy);
             Thread.sleep(2_000); // what is counted is processor time, which an idle thread does not take
-            ticks(p).forEach((thread, now) ->
-                    assertThat(now - before.getOrDefault(thread, 0L)).as(thread).isLessThan(IDLE_TICKS));
+            ticks(proxy).forEach((thread, now) -> assertThat(now - before.getOrDefault(thread, 0L))
+                    .as(thread)
+                    .isLessThan(IDLE_TICKS));
             neighbours.checkRunning();
         }
     }
@@ -119,11 +120,11 @@
         assumeThat(LAUNCHER).as("built where there is a C compiler").isExecutable();
         List<String> line = new ArrayList<>(List.of(LAUNCHER.toString()));
         line.addAll(List.of(arguments));
-        ProcessBuilder b = new ProcessBuilder(line).redirectErrorStream(true);
-        b.environment().putAll(environment);
-        Process p = b.start();
-        String said = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertThat(p.waitFor()).as(said).isEqualTo(code);
+        ProcessBuilder builder = new ProcessBuilder(line).redirectErrorStream(true);
+        builder.environment().putAll(environment);
+        Process process = builder.start();
+        String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertThat(process.waitFor()).as(said).isEqualTo(code);
         return said;
     }
 
--- a/src/test/java/rillyard/proxy/ProcessPauseIT.java
+++ b/src/test/java/rillyard/proxy/ProcessPauseIT.java
@@ -45,9 +45,9 @@
             known[i] = ProxyFixture.server("h" + i, hosts[i].port());
         }
         Files.move(ProxyFixture.config(discovery.port(), c -> {}, known), config);
-        ProxyProcess p = ProxyProcess.launch(BUILT, config, ProxyProcess.freeAddress(), folder.resolve("log"));
-        p.await(ProxyProcess.State.READY);
-        return p;
+        ProxyProcess proxy = ProxyProcess.launch(BUILT, config, ProxyProcess.freeAddress(), folder.resolve("log"));
+        proxy.await(ProxyProcess.State.READY);
+        return proxy;
     }
 
     /** A time (ns) in which the process stood still. */
@@ -61,9 +61,9 @@
          */
         boolean lost(List<Gap> gaps) {
             long due = sent + TIME_MS * 1_000_000L;
-            for (Gap g : gaps) {
-                if (g.from <= due && due <= g.to) {
-                    due = g.to;
+            for (Gap gap : gaps) {
+                if (gap.from <= due && due <= gap.to) {
+                    due = gap.to;
                 }
             }
             return !whole || answered > due + SLACK_MS * 1_000_000;
@@ -72,28 +72,29 @@
         String told(List<Gap> gaps, long zero) {
             return "sent " + (sent - zero) / 1_000_000 + ", answered " + (answered - zero) / 1_000_000 + ", gaps "
                     + gaps.stream()
-                            .map(g -> (g.from - zero) / 1_000_000 + "-" + (g.to - zero) / 1_000_000)
+                            .map(gap -> (gap.from - zero) / 1_000_000 + "-" + (gap.to - zero) / 1_000_000)
                             .toList();
         }
     }
 
     /** One client, one request after another on a kept connection, until told to end. */
-    private static void ask(ProxyProcess p, Queue<Asked> seen, AtomicLong latest, AtomicInteger on) throws Exception {
-        TestPeer c = TestPeer.connect(p.address().getPort());
+    private static void ask(ProxyProcess proxy, Queue<Asked> seen, AtomicLong latest, AtomicInteger on)
+            throws Exception {
+        TestPeer peer = TestPeer.connect(proxy.address().getPort());
         try {
             while (on.get() > 0) {
                 long sent = System.nanoTime();
                 latest.set(sent);
-                c.write(ProxyFixture.post("claim", TIME_MS, "", "x"));
-                TestPeer.Message m = c.read();
-                seen.add(new Asked(sent, System.nanoTime(), m != null));
-                if (m == null || "close".equals(m.header("Connection"))) {
-                    c.close();
-                    c = TestPeer.connect(p.address().getPort());
+                peer.write(ProxyFixture.post("claim", TIME_MS, "", "x"));
+                TestPeer.Message message = peer.read();
+                seen.add(new Asked(sent, System.nanoTime(), message != null));
+                if (message == null || "close".equals(message.header("Connection"))) {
+                    peer.close();
+                    peer = TestPeer.connect(proxy.address().getPort());
                 }
             }
         } finally {
-            c.close();
+            peer.close();
         }
     }
 
@@ -109,8 +110,8 @@
         ExecutorService clients = Executors.newCachedThreadPool();
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
                 ScriptedServer host = new ScriptedServer(peer -> {
-                    TestPeer.Message m;
-                    while ((m = peer.read()) != null) {
+                    TestPeer.Message message;
+                    while ((message = peer.read()) != null) {
                         if (count.incrementAndGet() % 3 == 0) {
                             peer.awaitEnd(); // hangs under this one
                             return;
@@ -118,14 +119,14 @@
                         peer.write(ScriptedServer.ok("served"));
                     }
                 });
-                ProxyProcess p = launch(silent, host)) {
+                ProxyProcess proxy = launch(silent, host)) {
             List<Future<?>> asking = new ArrayList<>();
             List<AtomicLong> latest = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
                 AtomicLong mine = new AtomicLong();
                 latest.add(mine);
                 asking.add(clients.submit(() -> {
-                    ask(p, seen, mine, on);
+                    ask(proxy, seen, mine, on);
                     return null;
                 }));
             }
@@ -137,9 +138,9 @@
                     Thread.sleep(1);
                 }
                 long from = System.nanoTime();
-                p.process().pause();
+                proxy.process().pause();
                 Thread.sleep(gapMs); // the gap itself
-                p.process().resume();
+                proxy.process().resume();
                 gaps.add(new Gap(from, System.nanoTime()));
             }
             on.set(0);
@@ -149,7 +150,7 @@
         } finally {
             clients.shutdownNow();
         }
-        assertThat(seen.stream().filter(a -> a.lost(gaps)).map(a -> a.told(gaps, zero)))
+        assertThat(seen.stream().filter(asked -> asked.lost(gaps)).map(a -> a.told(gaps, zero)))
                 .isEmpty();
     }
 
@@ -157,22 +158,22 @@
     @Test
     void aBurstAndAReloadInAGapAreServed() throws Exception {
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
-                ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"));
-                ProxyProcess p = launch(silent, host)) {
+                ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("served"));
+                ProxyProcess proxy = launch(silent, host)) {
             for (int round = 0; round < 3; round++) {
                 List<TestPeer> burst = new ArrayList<>();
                 try {
-                    p.process().pause();
-                    p.process().signal("HUP");
+                    proxy.process().pause();
+                    proxy.process().signal("HUP");
                     for (int i = 0; i < BURST; i++) {
-                        TestPeer c = TestPeer.connect(p.address().getPort());
-                        c.write(ProxyFixture.post("claim", TIME_MS, "", "x"));
-                        burst.add(c);
+                        TestPeer peer = TestPeer.connect(proxy.address().getPort());
+                        peer.write(ProxyFixture.post("claim", TIME_MS, "", "x"));
+                        burst.add(peer);
                     }
                     Thread.sleep(300); // the gap itself
-                    p.process().resume();
-                    for (TestPeer c : burst) {
-                        assertThat(c.read()).isNotNull();
+                    proxy.process().resume();
+                    for (TestPeer testPeer : burst) {
+                        assertThat(testPeer.read()).isNotNull();
                     }
                 } finally {
                     for (TestPeer c : burst) {
@@ -187,33 +188,33 @@
     @Test
     void aDrainThatBeginsInAGapAnswersWhatCameInIt() throws Exception {
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
-                ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"));
-                ProxyProcess p = launch(silent, host)) {
+                ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("served"));
+                ProxyProcess proxy = launch(silent, host)) {
             List<TestPeer> waiting = new ArrayList<>();
-            try (TestPeer kept = TestPeer.connect(p.address().getPort())) {
+            try (TestPeer kept = TestPeer.connect(proxy.address().getPort())) {
                 kept.write(ProxyFixture.post("claim", TIME_MS, "", "x"));
                 assertThat(kept.read().text()).isEqualTo("served");
-                p.process().terminate();
+                proxy.process().terminate();
                 while (!Files.readString(folder.resolve("log")).contains("draining")) {
                     Thread.sleep(1);
                 }
-                p.process().pause();
+                proxy.process().pause();
                 for (int i = 0; i < BURST; i++) {
-                    TestPeer c = TestPeer.connect(p.address().getPort());
-                    c.write(ProxyFixture.post("claim", 2 * TIME_MS, "", "x"));
-                    waiting.add(c);
+                    TestPeer peer = TestPeer.connect(proxy.address().getPort());
+                    peer.write(ProxyFixture.post("claim", 2 * TIME_MS, "", "x"));
+                    waiting.add(peer);
                 }
                 Thread.sleep(1_000); // past the time for which new connections are accepted
-                p.process().resume();
-                for (TestPeer c : waiting) {
-                    assertThat(c.read()).isNotNull();
+                proxy.process().resume();
+                for (TestPeer testPeer : waiting) {
+                    assertThat(testPeer.read()).isNotNull();
                 }
             } finally {
                 for (TestPeer c : waiting) {
                     c.close();
                 }
             }
-            assertThat(p.process().await()).isZero();
+            assertThat(proxy.process().await()).isZero();
         }
     }
 }
--- a/src/test/java/rillyard/proxy/ProxyFixture.java
+++ b/src/test/java/rillyard/proxy/ProxyFixture.java
@@ -49,7 +49,7 @@
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
 
     public ProxyFixture(String... servers) throws Exception {
-        this(c -> {}, servers);
+        this(config -> {}, servers);
     }
 
     /** {@code servers} are entries as {@link #server} makes them; {@code change} edits the rest. */
@@ -90,14 +90,14 @@
 
     /** Writes a configuration to a file of its own. */
     public static Path config(int discoveryPort, Consumer<ObjectNode> change, String... servers) throws IOException {
-        ObjectNode c = JSON.createObjectNode();
-        c.put("name", "n0").put("listen", "127.0.0.1:0").put("discovery", "127.0.0.1:" + discoveryPort);
-        c.put("seed", "8c1f30d27a5be964");
-        c.putObject("limits").put("cores", 1.0).put("memory_mb", 128).put("sockets", 1024);
-        c.set("settings", JSON.readTree(SETTINGS));
-        c.set("known", JSON.readTree(list(1, true, servers)));
-        change.accept(c);
-        return Files.write(Files.createTempFile("rillyard", ".json"), JSON.writeValueAsBytes(c));
+        ObjectNode config = JSON.createObjectNode();
+        config.put("name", "n0").put("listen", "127.0.0.1:0").put("discovery", "127.0.0.1:" + discoveryPort);
+        config.put("seed", "8c1f30d27a5be964");
+        config.putObject("limits").put("cores", 1.0).put("memory_mb", 128).put("sockets", 1024);
+        config.set("settings", JSON.readTree(SETTINGS));
+        config.set("known", JSON.readTree(list(1, true, servers)));
+        change.accept(config);
+        return Files.write(Files.createTempFile("rillyard", ".json"), JSON.writeValueAsBytes(config));
     }
 
     public static String server(String id, int port) {
@@ -124,9 +124,9 @@
 
     /** One request on a connection of its own. */
     public TestPeer.Message call(String request) throws IOException {
-        try (TestPeer c = client()) {
-            c.write(request);
-            return c.read();
+        try (TestPeer peer = client()) {
+            peer.write(request);
+            return peer.read();
         }
     }
 
@@ -166,8 +166,8 @@
 
     /** Ports of loopback on which nothing listens. */
     static int freePort() throws IOException {
-        try (java.net.ServerSocket s = new java.net.ServerSocket(0)) {
-            return s.getLocalPort();
+        try (java.net.ServerSocket server = new java.net.ServerSocket(0)) {
+            return server.getLocalPort();
         }
     }
 
--- a/src/test/java/rillyard/proxy/ProxyTraceTest.java
+++ b/src/test/java/rillyard/proxy/ProxyTraceTest.java
@@ -24,9 +24,9 @@
     void connectionsAttemptsAndRefusalsAreToldWithTheirHostsAndResults() throws Exception {
         String fresh = ProxyFixture.server("a", 0)
                 .replace("\"started_ms\":0", "\"started_ms\":" + (System.currentTimeMillis() - 5_000));
-        try (ScriptedServer full = new ScriptedServer(p -> {
-                    p.read();
-                    p.write(ScriptedServer.status(503, "X-Not-Processed: 1\r\nConnection: close\r\n"));
+        try (ScriptedServer full = new ScriptedServer(peer -> {
+                    peer.read();
+                    peer.write(ScriptedServer.status(503, "X-Not-Processed: 1\r\nConnection: close\r\n"));
                 });
                 ProxyFixture rig = new ProxyFixture(
                         true,
@@ -41,9 +41,10 @@
                     .startsWith(Kind.STARTED)
                     .contains(Kind.LIST, Kind.CONNECTED, Kind.ATTEMPT, Kind.REFUSED);
             assertThat(told)
-                    .filteredOn(t -> t.what() == Kind.ATTEMPT)
+                    .filteredOn(event -> event.what() == Kind.ATTEMPT)
                     .isNotEmpty()
-                    .allMatch(t -> t.host().equals("a") && t.how().equals("FULL") && t.cold());
+                    .allMatch(traceEvent ->
+                            traceEvent.host().equals("a") && traceEvent.how().equals("FULL") && traceEvent.cold());
             assertThat(told)
                     .filteredOn(t -> t.what() == Kind.REFUSED)
                     .extracting(TraceEvent::how)
@@ -53,7 +54,7 @@
 
     @Test
     void withoutBeingAskedNothingIsWritten() throws Exception {
-        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
             assertThat(rig.call(ProxyFixture.post("claim", 800, "", "x")).status())
                     .isEqualTo(200);
--- a/src/test/java/rillyard/proxy/RestartIT.java
+++ b/src/test/java/rillyard/proxy/RestartIT.java
@@ -45,12 +45,12 @@
     @ValueSource(strings = {"loop", "listening", "warm-up"})
     void aTermDuringTheStartEndsItInOrder(String mark) throws Exception {
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
-                ProxyProcess p = launch(silent, ProxyFixture.server("a", ProxyFixture.freePort()))) {
-            while (!log().contains("mark " + mark + " ") && p.process().alive()) {
+                ProxyProcess proxy = launch(silent, ProxyFixture.server("a", ProxyFixture.freePort()))) {
+            while (!log().contains("mark " + mark + " ") && proxy.process().alive()) {
                 Thread.sleep(1);
             }
-            p.process().terminate();
-            assertThat(p.process().await()).isZero();
+            proxy.process().terminate();
+            assertThat(proxy.process().await()).isZero();
             assertThat(log()).contains("drained").doesNotContain("Exception");
         }
     }
@@ -59,38 +59,38 @@
     void aSecondTermChangesNothingForWhatIsUnderWay() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
-                ScriptedServer host = ScriptedServer.host(r -> {
+                ScriptedServer host = ScriptedServer.host(message -> {
                     answer.await();
                     return ScriptedServer.ok("served");
                 });
-                ProxyProcess p = launch(silent, ProxyFixture.server("a", host.port()))) {
-            p.await(ProxyProcess.State.READY);
-            try (TestPeer held = TestPeer.connect(p.address().getPort())) {
+                ProxyProcess proxy = launch(silent, ProxyFixture.server("a", host.port()))) {
+            proxy.await(ProxyProcess.State.READY);
+            try (TestPeer held = TestPeer.connect(proxy.address().getPort())) {
                 held.write(ProxyFixture.post("claim", 1_500, "", "x"));
                 host.request();
-                p.process().terminate();
-                p.process().terminate();
+                proxy.process().terminate();
+                proxy.process().terminate();
                 answer.countDown();
                 assertThat(held.read().text()).isEqualTo("served");
             }
-            assertThat(p.process().await()).isZero();
+            assertThat(proxy.process().await()).isZero();
         }
     }
 
     @Test
     void aKnownListOfHostsThatAreAllGoneEndsEachRequestInTime() throws Exception {
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
-                ProxyProcess p = launch(
+                ProxyProcess proxy = launch(
                         silent,
                         ProxyFixture.server("a", ProxyFixture.freePort()),
                         ProxyFixture.server("b", ProxyFixture.freePort()))) {
-            p.await(ProxyProcess.State.READY);
+            proxy.await(ProxyProcess.State.READY);
             for (String request :
                     new String[] {ProxyFixture.get("read", 300), ProxyFixture.post("claim", 300, "", "x")}) {
-                try (TestPeer c = TestPeer.connect(p.address().getPort())) {
+                try (TestPeer peer = TestPeer.connect(proxy.address().getPort())) {
                     long sent = System.nanoTime();
-                    c.write(request);
-                    assertThat(c.read().status()).isIn(502, 503, 504);
+                    peer.write(request);
+                    assertThat(peer.read().status()).isIn(502, 503, 504);
                     assertThat(System.nanoTime() - sent).isLessThan(MUCH_NANOS);
                 }
             }
@@ -100,22 +100,22 @@
     @Test
     void aThousandClientsAtOnceDuringTheWarmUpKeepNobodyFromBeingServedAfter() throws Exception {
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
-                ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"));
-                ProxyProcess p = launch(silent, ProxyFixture.server("a", host.port()))) {
-            p.await(ProxyProcess.State.LISTENING);
+                ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("served"));
+                ProxyProcess proxy = launch(silent, ProxyFixture.server("a", host.port()))) {
+            proxy.await(ProxyProcess.State.LISTENING);
             List<TestPeer> crowd = new ArrayList<>();
             try {
                 for (int i = 0; i < 1_000; i++) {
-                    crowd.add(TestPeer.connect(p.address().getPort()));
+                    crowd.add(TestPeer.connect(proxy.address().getPort()));
                 }
-                p.await(ProxyProcess.State.READY);
-                try (TestPeer c = TestPeer.connect(p.address().getPort())) {
-                    c.write(ProxyFixture.post("claim", 1_500, "", "x"));
-                    assertThat(c.read().text()).isEqualTo("served");
+                proxy.await(ProxyProcess.State.READY);
+                try (TestPeer peer = TestPeer.connect(proxy.address().getPort())) {
+                    peer.write(ProxyFixture.post("claim", 1_500, "", "x"));
+                    assertThat(peer.read().text()).isEqualTo("served");
                 }
             } finally {
-                for (TestPeer c : crowd) {
-                    c.close();
+                for (TestPeer testPeer : crowd) {
+                    testPeer.close();
                 }
             }
         }
@@ -148,8 +148,8 @@
                 List.of("-jar", jar.toString()),
                 BUILT.environment());
         Path out = folder.resolve("out");
-        try (ChildProcess c = ChildProcess.start(launch, out, out, "rehearse")) {
-            assertThat(c.await()).isZero();
+        try (ChildProcess process = ChildProcess.start(launch, out, out, "rehearse")) {
+            assertThat(process.await()).isZero();
         }
         assertThat(Files.readString(out))
                 .contains("rillyard.proxy.dispatch.BalancerDriver source: file:")
--- a/src/test/java/rillyard/proxy/ScriptedServer.java
+++ b/src/test/java/rillyard/proxy/ScriptedServer.java
@@ -39,10 +39,10 @@
     public static ScriptedServer host(Reply reply) throws IOException {
         ScriptedServer[] self = new ScriptedServer[1];
         self[0] = new ScriptedServer(peer -> {
-            TestPeer.Message m;
-            while ((m = peer.read()) != null) {
-                self[0].requests.add(m);
-                peer.write(reply.to(m));
+            TestPeer.Message message;
+            while ((message = peer.read()) != null) {
+                self[0].requests.add(message);
+                peer.write(reply.to(message));
             }
         });
         return self[0];
@@ -76,11 +76,11 @@
 
     private void accept() throws Exception {
         while (true) {
-            TestPeer p = new TestPeer(server.accept());
-            accepted.add(p);
+            TestPeer peer = new TestPeer(server.accept());
+            accepted.add(peer);
             thread(() -> {
-                try (p) {
-                    script.serve(p);
+                try (peer) {
+                    script.serve(peer);
                 }
             });
         }
@@ -91,22 +91,22 @@
     }
 
     private static void thread(Work work) {
-        Thread t = new Thread(() -> {
+        Thread thread = new Thread(() -> {
             try {
                 work.run();
             } catch (Exception e) {
                 // the connection or the server ended: the test sees that on its own side
             }
         });
-        t.setDaemon(true);
-        t.start();
+        thread.setDaemon(true);
+        thread.start();
     }
 
     @Override
     public void close() throws IOException {
         server.close();
-        for (TestPeer p : accepted) {
-            p.close();
+        for (TestPeer peer : accepted) {
+            peer.close();
         }
     }
 }
--- a/src/test/java/rillyard/proxy/SlowStartIT.java
+++ b/src/test/java/rillyard/proxy/SlowStartIT.java
@@ -67,17 +67,17 @@
 
     /** Says that it lives until the latch opens, then the list, and goes on to say that it lives. */
     private static ScriptedServer discovery(CountDownLatch told, String[] list) throws IOException {
-        return new ScriptedServer(p -> {
-            p.read();
-            p.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        return new ScriptedServer(peer -> {
+            peer.read();
+            peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             while (!told.await(500, TimeUnit.MILLISECONDS)) {
-                p.write("1\r\n\n\r\n");
+                peer.write("1\r\n\n\r\n");
             }
             String line = list[0] + "\n";
-            p.write(Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
+            peer.write(Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
             CountDownLatch never = new CountDownLatch(1);
             while (!never.await(500, TimeUnit.MILLISECONDS)) {
-                p.write("1\r\n\n\r\n");
+                peer.write("1\r\n\n\r\n");
             }
         });
     }
@@ -100,20 +100,20 @@
 
     /** Sends at random times until the latch opens. */
     private Thread clients(ProxyProcess proxy, int number, CountDownLatch end) {
-        Thread t = new Thread(() -> {
+        Thread thread = new Thread(() -> {
             Random random = new Random(SEED + number);
-            try (TestPeer c = TestPeer.connect(proxy.address().getPort())) {
+            try (TestPeer peer = TestPeer.connect(proxy.address().getPort())) {
                 while (!end.await((long) (-Math.log(1 - random.nextDouble()) * 1_000 / RATE), TimeUnit.MILLISECONDS)) {
-                    c.write(ProxyFixture.get("read", 800));
-                    c.read();
+                    peer.write(ProxyFixture.get("read", 800));
+                    peer.read();
                 }
             } catch (Exception e) {
                 // its connection has ended: what it would have sent is missing, no more is sent
             }
         });
-        t.setDaemon(true);
-        t.start();
-        return t;
+        thread.setDaemon(true);
+        thread.start();
+        return thread;
     }
 
     @ParameterizedTest
@@ -128,7 +128,8 @@
             for (int i = 0; i < WARM_HOSTS; i++) {
                 warm.add(ProxyFixture.server(
                         "warm" + i,
-                        kept(ScriptedServer.host(r -> ScriptedServer.ok("w"))).port()));
+                        kept(ScriptedServer.host(message -> ScriptedServer.ok("w")))
+                                .port()));
             }
             ScriptedServer cold = kept(ScriptedServer.host(r -> {
                 arrivals.add(System.nanoTime());
@@ -151,8 +152,8 @@
             for (int i = 0; i < fresh; i++) {
                 begun.add(launch(i, processes, discovery.port(), warm.toArray(String[]::new)));
             }
-            for (ProxyProcess p : begun) {
-                p.await(ProxyProcess.State.READY);
+            for (ProxyProcess proxy : begun) {
+                proxy.await(ProxyProcess.State.READY);
             }
             long startedNanos = System.nanoTime() - (System.currentTimeMillis() - startedMs) * 1_000_000;
             told.countDown();
@@ -163,8 +164,8 @@
                 Thread.sleep(50);
             }
             end.countDown();
-            for (Thread t : senders) {
-                t.join();
+            for (Thread thread : senders) {
+                thread.join();
             }
             check(processes, startedNanos);
         } finally {
--- a/src/test/java/rillyard/proxy/StreamingBodyTest.java
+++ b/src/test/java/rillyard/proxy/StreamingBodyTest.java
@@ -38,9 +38,9 @@
 
     /** A host that reads a head and nothing more, and tells when its connection has ended. */
     private static ScriptedServer hanging(CountDownLatch ended) throws Exception {
-        return new ScriptedServer(p -> {
-            p.readHead();
-            p.awaitEnd();
+        return new ScriptedServer(peer -> {
+            peer.readHead();
+            peer.awaitEnd();
             ended.countDown();
         });
     }
@@ -49,22 +49,22 @@
     void theFirstBytesOfALongAnswerDontWaitForTheLast() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
         byte[] body = noise(100_000);
-        try (ScriptedServer host = new ScriptedServer(p -> {
-                    p.read();
-                    p.write(head(body.length));
-                    p.write(Arrays.copyOf(body, 10));
+        try (ScriptedServer host = new ScriptedServer(peer -> {
+                    peer.read();
+                    peer.write(head(body.length));
+                    peer.write(Arrays.copyOf(body, 10));
                     seen.await();
-                    p.write(Arrays.copyOfRange(body, 10, body.length));
-                    p.awaitEnd();
+                    peer.write(Arrays.copyOfRange(body, 10, body.length));
+                    peer.awaitEnd();
                 });
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
-                TestPeer c = rig.client()) {
-            c.write(claim());
-            assertThat(c.readHead()).contains("200 OK").containsIgnoringCase("content-length: 100000");
-            assertThat(c.exactly(10)).isEqualTo(Arrays.copyOf(body, 10));
+                TestPeer testPeer = rig.client()) {
+            testPeer.write(claim());
+            assertThat(testPeer.readHead()).contains("200 OK").containsIgnoringCase("content-length: 100000");
+            assertThat(testPeer.exactly(10)).isEqualTo(Arrays.copyOf(body, 10));
             Thread.sleep(1_000); // past the deadline of the class: what has begun is not cut off
             seen.countDown();
-            assertThat(c.exactly(body.length - 10)).isEqualTo(Arrays.copyOfRange(body, 10, body.length));
+            assertThat(testPeer.exactly(body.length - 10)).isEqualTo(Arrays.copyOfRange(body, 10, body.length));
         }
     }
 
@@ -73,23 +73,23 @@
         CountDownLatch seen = new CountDownLatch(1);
         byte[] part = noise(40_000);
         String chunk = Integer.toHexString(part.length) + "\r\n";
-        try (ScriptedServer host = new ScriptedServer(p -> {
-                    p.read();
-                    p.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk);
-                    p.write(part);
+        try (ScriptedServer host = new ScriptedServer(peer -> {
+                    peer.read();
+                    peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk);
+                    peer.write(part);
                     seen.await();
-                    p.write("\r\n" + chunk);
-                    p.write(part);
-                    p.write("\r\n0\r\n\r\n");
-                    p.awaitEnd();
+                    peer.write("\r\n" + chunk);
+                    peer.write(part);
+                    peer.write("\r\n0\r\n\r\n");
+                    peer.awaitEnd();
                 });
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
-                TestPeer c = rig.client()) {
-            c.write(claim());
-            assertThat(c.readHead()).containsIgnoringCase("transfer-encoding: chunked");
-            assertThat(c.readLine()).isNotEmpty(); // the first chunk has come while the host waits
+                TestPeer testPeer = rig.client()) {
+            testPeer.write(claim());
+            assertThat(testPeer.readHead()).containsIgnoringCase("transfer-encoding: chunked");
+            assertThat(testPeer.readLine()).isNotEmpty(); // the first chunk has come while the host waits
             seen.countDown();
-            while (!c.readLine().equals("0")) {
+            while (!testPeer.readLine().equals("0")) {
                 // to the end of the last chunk
             }
         }
@@ -100,50 +100,50 @@
         int length = 32 * MIB;
         AtomicLong given = new AtomicLong();
         byte[] part = noise(MIB / 8);
-        try (ScriptedServer host = new ScriptedServer(p -> {
-                    p.read();
-                    p.write(head(length));
-                    OutputStream out = p.socket.getOutputStream();
+        try (ScriptedServer host = new ScriptedServer(peer -> {
+                    peer.read();
+                    peer.write(head(length));
+                    OutputStream out = peer.socket.getOutputStream();
                     for (int sent = 0; sent < length; sent += part.length) {
                         out.write(part);
                         given.addAndGet(part.length);
                     }
-                    p.awaitEnd();
+                    peer.awaitEnd();
                 });
-                ProxyFixture rig = new ProxyFixture(c -> {}, ProxyFixture.server("a", host.port()));
-                TestPeer c = rig.client()) {
-            c.socket.setReceiveBufferSize(64 * 1024);
-            c.write(claim());
-            c.readHead();
+                ProxyFixture rig = new ProxyFixture(config -> {}, ProxyFixture.server("a", host.port()));
+                TestPeer testPeer = rig.client()) {
+            testPeer.socket.setReceiveBufferSize(64 * 1024);
+            testPeer.write(claim());
+            testPeer.readHead();
             long before;
             do {
                 before = given.get();
                 Thread.sleep(300);
             } while (before < MIB || given.get() != before);
             assertThat(given.get()).isLessThan(length); // it waits, with what the kernel holds on its way
-            InputStream in = c.socket.getInputStream();
+            InputStream in = testPeer.socket.getInputStream();
             for (int got = 0; got < length; got += part.length) {
                 assertThat(in.readNBytes(part.length)).isEqualTo(part);
             }
-            c.write(claim()); // the connection is of use again
-            c.readHead();
+            testPeer.write(claim()); // the connection is of use again
+            testPeer.readHead();
         }
     }
 
     @Test
     void anAnswerThatBreaksHalfWayEndsWhereTheClientCanTell() throws Exception {
         AtomicLong asked = new AtomicLong();
-        try (ScriptedServer host = new ScriptedServer(p -> {
-                    p.read();
+        try (ScriptedServer host = new ScriptedServer(peer -> {
+                    peer.read();
                     asked.incrementAndGet();
-                    p.write(head(200_000));
-                    p.write(noise(100_000));
+                    peer.write(head(200_000));
+                    peer.write(noise(100_000));
                 });
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
-                TestPeer c = rig.client()) {
-            c.write(ProxyFixture.post("log", 1_200, "Idempotency-Key: k\r\n", "x"));
-            c.readHead();
-            assertThat(c.socket.getInputStream().readAllBytes().length).isLessThan(200_000);
+                TestPeer testPeer = rig.client()) {
+            testPeer.write(ProxyFixture.post("log", 1_200, "Idempotency-Key: k\r\n", "x"));
+            testPeer.readHead();
+            assertThat(testPeer.socket.getInputStream().readAllBytes().length).isLessThan(200_000);
             assertThat(asked.get()).isEqualTo(1); // it has its answer: nothing more is sent for it
         }
     }
@@ -153,25 +153,25 @@
         byte[] body = noise(3 * MIB);
         CountDownLatch half = new CountDownLatch(1);
         byte[][] got = new byte[1][];
-        try (ScriptedServer host = new ScriptedServer(p -> {
-                    String head = p.readHead();
-                    byte[] first = p.exactly(MIB);
+        try (ScriptedServer host = new ScriptedServer(peer -> {
+                    String head = peer.readHead();
+                    byte[] first = peer.exactly(MIB);
                     half.countDown();
-                    byte[] rest = p.exactly(2 * MIB);
+                    byte[] rest = peer.exactly(2 * MIB);
                     got[0] = Arrays.copyOf(first, body.length);
                     System.arraycopy(rest, 0, got[0], MIB, rest.length);
-                    p.write(ScriptedServer.ok(
+                    peer.write(ScriptedServer.ok(
                             head.toLowerCase(Locale.ROOT).contains("content-length: 3145728") ? "whole" : head));
-                    p.awaitEnd();
+                    peer.awaitEnd();
                 });
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
-                TestPeer c = rig.client()) {
-            c.write(upload(body.length));
-            c.socket.getOutputStream().write(body, 0, 2 * MIB);
+                TestPeer testPeer = rig.client()) {
+            testPeer.write(upload(body.length));
+            testPeer.socket.getOutputStream().write(body, 0, 2 * MIB);
             half.await();
             Thread.sleep(1_000); // its time runs from its last byte
-            c.socket.getOutputStream().write(body, 2 * MIB, MIB);
-            assertThat(c.read().text()).isEqualTo("whole");
+            testPeer.socket.getOutputStream().write(body, 2 * MIB, MIB);
+            assertThat(testPeer.read().text()).isEqualTo("whole");
             assertThat(got[0]).isEqualTo(body);
         }
     }
@@ -179,65 +179,65 @@
     @Test
     void aHostThatDiesUnderALongRequestIsNoReasonToSendItTwice() throws Exception {
         AtomicLong connections = new AtomicLong();
-        try (ScriptedServer host = new ScriptedServer(p -> {
+        try (ScriptedServer host = new ScriptedServer(peer -> {
                     connections.incrementAndGet();
-                    p.readHead();
-                    p.exactly(200_000);
+                    peer.readHead();
+                    peer.exactly(200_000);
                 });
                 ProxyFixture rig =
                         new ProxyFixture(ProxyFixture.server("a", host.port()), ProxyFixture.server("b", host.port()));
-                TestPeer c = rig.client()) {
-            c.write(upload(MIB));
-            c.write(noise(MIB / 2));
-            assertThat(c.read().status()).isEqualTo(503); // it never ran: harmless to ask again
+                TestPeer testPeer = rig.client()) {
+            testPeer.write(upload(MIB));
+            testPeer.write(noise(MIB / 2));
+            assertThat(testPeer.read().status()).isEqualTo(503); // it never ran: harmless to ask again
             assertThat(connections.get()).isEqualTo(1);
-            c.write(noise(MIB / 2));
-            c.write(ProxyFixture.head("GET", "read", 800, "") + "\r\n"); // behind the rest of what was refused
-            assertThat(c.read()).isNotNull();
+            testPeer.write(noise(MIB / 2));
+            testPeer.write(ProxyFixture.head("GET", "read", 800, "") + "\r\n"); // behind the rest of what was refused
+            assertThat(testPeer.read()).isNotNull();
         }
     }
 
     @Test
     void aLongRequestThatIsOverdueGetsNoSecondCopyWithoutItsBody() throws Exception {
         AtomicLong heads = new AtomicLong();
-        try (ScriptedServer host = new ScriptedServer(p -> {
-                    p.readHead();
+        try (ScriptedServer host = new ScriptedServer(peer -> {
+                    peer.readHead();
                     heads.incrementAndGet();
-                    p.exactly(MIB);
+                    peer.exactly(MIB);
                     Thread.sleep(1_000); // overdue after some 600 ms
-                    p.write(ScriptedServer.ok("late"));
-                    p.awaitEnd();
+                    peer.write(ScriptedServer.ok("late"));
+                    peer.awaitEnd();
                 });
                 ProxyFixture rig =
                         new ProxyFixture(ProxyFixture.server("a", host.port()), ProxyFixture.server("b", host.port()));
-                TestPeer c = rig.client()) {
-            c.write(ProxyFixture.head("POST", "log", 1_200, "Idempotency-Key: k\r\n") + "Content-Length: " + MIB
+                TestPeer testPeer = rig.client()) {
+            testPeer.write(ProxyFixture.head("POST", "log", 1_200, "Idempotency-Key: k\r\n") + "Content-Length: " + MIB
                     + "\r\n\r\n");
-            c.write(noise(MIB));
-            assertThat(c.read().text()).isEqualTo("late");
+            testPeer.write(noise(MIB));
+            assertThat(testPeer.read().text()).isEqualTo("late");
             assertThat(heads.get()).isEqualTo(1);
         }
     }
 
     @Test
     void aHostThatHangsUnderALongRequestIsGivenUp() throws Exception {
-        try (ScriptedServer host = new ScriptedServer(p -> {
-                    p.readHead();
+        try (ScriptedServer host = new ScriptedServer(peer -> {
+                    peer.readHead();
                     new CountDownLatch(1).await(); // takes what its kernel takes
                 });
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
-                TestPeer c = rig.client()) {
+                TestPeer testPeer = rig.client()) {
             Thread writer = new Thread(() -> {
                 try {
-                    c.write(upload(32 * MIB));
-                    c.write(noise(32 * MIB));
+                    testPeer.write(upload(32 * MIB));
+                    testPeer.write(noise(32 * MIB));
                 } catch (java.io.IOException e) {
                     // the answer is there all the same
                 }
             });
             writer.setDaemon(true);
             writer.start();
-            assertThat(c.read().status()).isEqualTo(503);
+            assertThat(testPeer.read().status()).isEqualTo(503);
             writer.join(); // the rest is read and thrown away
         }
     }
@@ -245,10 +245,10 @@
     @Test
     void aLongRequestThatNobodyMayTakeIsRefusedAtOnce() throws Exception {
         try (ProxyFixture rig = new ProxyFixture();
-                TestPeer c = rig.client()) {
-            c.write(upload(MIB));
-            c.write(noise(100_000));
-            assertThat(c.read().status()).isEqualTo(503);
+                TestPeer peer = rig.client()) {
+            peer.write(upload(MIB));
+            peer.write(noise(100_000));
+            assertThat(peer.read().status()).isEqualTo(503);
         }
     }
 
@@ -257,9 +257,9 @@
         CountDownLatch ended = new CountDownLatch(1);
         try (ScriptedServer host = hanging(ended);
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
-            try (TestPeer c = rig.client()) {
-                c.write(upload(MIB));
-                c.write(noise(100_000));
+            try (TestPeer peer = rig.client()) {
+                peer.write(upload(MIB));
+                peer.write(noise(100_000));
                 host.accepted();
             }
             ended.await();
@@ -271,10 +271,10 @@
         CountDownLatch ended = new CountDownLatch(1);
         try (ScriptedServer host = hanging(ended);
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
-                TestPeer c = rig.client()) {
-            c.write(upload(MIB));
-            c.write(noise(100_000));
-            assertThat(c.read().status()).isEqualTo(408);
+                TestPeer peer = rig.client()) {
+            peer.write(upload(MIB));
+            peer.write(noise(100_000));
+            assertThat(peer.read().status()).isEqualTo(408);
             ended.await();
         }
     }
@@ -288,20 +288,21 @@
 
     @Test
     void aHeadMayTakeTwoSeconds() throws Exception {
-        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("x"));
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
-                TestPeer c = rig.client()) {
+                TestPeer peer = rig.client()) {
             String request = claim();
-            c.write(request.substring(0, 30));
+            peer.write(request.substring(0, 30));
             Thread.sleep(1_950);
-            c.write(request.substring(30));
-            assertThat(c.read().status()).isEqualTo(200);
+            peer.write(request.substring(30));
+            assertThat(peer.read().status()).isEqualTo(200);
         }
     }
 
     @Test
     void aTargetInAbsoluteFormGoesOnInOriginForm() throws Exception {
-        try (ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok(r.line() + r.header("Host")));
+        try (ScriptedServer host =
+                        ScriptedServer.host(message -> ScriptedServer.ok(message.line() + message.header("Host")));
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
             assertThat(rig.call(claim().replace("POST /claim ", "POST HTTP://other.internal/claim?a=/b "))
                             .text())
@@ -312,21 +313,21 @@
     @Test
     void longBodiesAreCountedAtTheirEnd() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (ScriptedServer host = new ScriptedServer(p -> {
-                    p.read();
-                    p.write(head(100_000));
-                    p.write(noise(1));
+        try (ScriptedServer host = new ScriptedServer(peer -> {
+                    peer.read();
+                    peer.write(head(100_000));
+                    peer.write(noise(1));
                     go.await();
-                    p.write(noise(99_999));
-                    p.awaitEnd();
+                    peer.write(noise(99_999));
+                    peer.awaitEnd();
                 });
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
-                TestPeer c = rig.client()) {
-            c.write(claim());
-            c.readHead();
+                TestPeer testPeer = rig.client()) {
+            testPeer.write(claim());
+            testPeer.readHead();
             String during = figures(rig);
             go.countDown();
-            c.exactly(100_000);
+            testPeer.exactly(100_000);
             while (!figures(rig).contains("proxy.completed.claim:1|c")) {
                 Thread.sleep(5);
             }
--- a/src/test/java/rillyard/proxy/TestPeer.java
+++ b/src/test/java/rillyard/proxy/TestPeer.java
@@ -50,9 +50,9 @@
     }
 
     static TestPeer connect(int port) throws IOException {
-        Socket s = new Socket();
-        s.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-        return new TestPeer(s);
+        Socket socket = new Socket();
+        socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+        return new TestPeer(socket);
     }
 
     public void write(String text) throws IOException {
@@ -69,8 +69,8 @@
         if (head == null) {
             return null;
         }
-        Message m = new Message(head, new byte[0]);
-        if (m.header("Transfer-Encoding") != null) {
+        Message message = new Message(head, new byte[0]);
+        if (message.header("Transfer-Encoding") != null) {
             ByteArrayOutputStream body = new ByteArrayOutputStream();
             int n;
             while ((n = Integer.parseInt(readLine(), 16)) > 0) {
@@ -80,8 +80,8 @@
             readLine();
             return new Message(head, body.toByteArray());
         }
-        String length = m.header("Content-Length");
-        return length == null ? m : new Message(head, exactly(Integer.parseInt(length)));
+        String length = message.header("Content-Length");
+        return length == null ? message : new Message(head, exactly(Integer.parseInt(length)));
     }
 
     String readHead() throws IOException {
--- a/src/test/java/rillyard/proxy/ThreadCountIT.java
+++ b/src/test/java/rillyard/proxy/ThreadCountIT.java
@@ -33,13 +33,13 @@
     Path folder;
 
     /** Threads by number, with the names that the system knows. */
-    private static Map<String, String> threads(ProxyProcess p) throws IOException {
+    private static Map<String, String> threads(ProxyProcess proxy) throws IOException {
         Map<String, String> names = new TreeMap<>();
-        try (Stream<Path> all = Files.list(Path.of("/proc", Long.toString(p.pid()), "task"))) {
-            for (Path t : all.toList()) {
-                String name = name(t);
+        try (Stream<Path> all = Files.list(Path.of("/proc", Long.toString(proxy.pid()), "task"))) {
+            for (Path path : all.toList()) {
+                String name = name(path);
                 if (!name.isEmpty() && !name.equals(SIGNAL)) {
-                    names.put(t.getFileName().toString(), name);
+                    names.put(path.getFileName().toString(), name);
                 }
             }
         }
@@ -63,29 +63,29 @@
     @Test
     void theSameThreadsFromReadyOn() throws Exception {
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
-                ScriptedServer host = ScriptedServer.host(r -> ScriptedServer.ok("served"))) {
+                ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("served"))) {
             Path config = folder.resolve("config.json");
             Files.move(ProxyFixture.config(silent.port(), c -> {}, ProxyFixture.server("a", host.port())), config);
             LaunchCommand built = LaunchCommand.platform(Path.of("").toAbsolutePath());
-            try (ProxyProcess p =
+            try (ProxyProcess proxy =
                     ProxyProcess.launch(built, config, ProxyProcess.freeAddress(), folder.resolve("log"))) {
-                p.await(ProxyProcess.State.READY);
-                Map<String, String> ready = threads(p);
+                proxy.await(ProxyProcess.State.READY);
+                Map<String, String> ready = threads(proxy);
                 assertThat(ready).containsValue("C1 CompilerThre");
-                try (TestPeer c = TestPeer.connect(p.address().getPort())) {
+                try (TestPeer peer = TestPeer.connect(proxy.address().getPort())) {
                     for (int i = 0; i < REQUESTS; i++) {
-                        c.write(ProxyFixture.get("read", 1_500));
-                        c.read();
+                        peer.write(ProxyFixture.get("read", 1_500));
+                        peer.read();
                     }
                 }
-                assertThat(threads(p)).as("after %d requests", REQUESTS).isEqualTo(ready);
-                p.process().signal("HUP");
+                assertThat(threads(proxy)).as("after %d requests", REQUESTS).isEqualTo(ready);
+                proxy.process().signal("HUP");
                 List<TestPeer> burst = new ArrayList<>();
                 try {
                     for (int i = 0; i < BURST; i++) {
-                        TestPeer c = TestPeer.connect(p.address().getPort());
-                        burst.add(c);
-                        c.write(ProxyFixture.get("read", 1_500));
+                        TestPeer testPeer = TestPeer.connect(proxy.address().getPort());
+                        burst.add(testPeer);
+                        testPeer.write(ProxyFixture.get("read", 1_500));
                     }
                     for (TestPeer c : burst) {
                         assertThat(c.read()).isNotNull();
@@ -95,9 +95,9 @@
                         c.close();
                     }
                 }
-                assertThat(threads(p)).as("after a reload and a burst").isEqualTo(ready);
+                assertThat(threads(proxy)).as("after a reload and a burst").isEqualTo(ready);
                 Thread.sleep(QUIET_MS); // quiet is the fault here
-                assertThat(threads(p)).as("after quiet").isEqualTo(ready);
+                assertThat(threads(proxy)).as("after quiet").isEqualTo(ready);
             }
         }
     }
--- a/src/test/java/rillyard/proxy/discovery/EndpointRegistryTest.java
+++ b/src/test/java/rillyard/proxy/discovery/EndpointRegistryTest.java
@@ -25,22 +25,22 @@
     void idleConnectionsOfABurstAreGivenBackWhereManyProxiesShareTheHosts() throws Exception {
         CountDownLatch all = new CountDownLatch(6);
         CountDownLatch ended = new CountDownLatch(5);
-        try (ScriptedServer host = new ScriptedServer(p -> {
-                    p.read();
+        try (ScriptedServer host = new ScriptedServer(peer -> {
+                    peer.read();
                     all.countDown();
                     all.await(); // so that each has a connection of its own
-                    p.write(ScriptedServer.ok("x"));
-                    p.awaitEnd();
+                    peer.write(ScriptedServer.ok("x"));
+                    peer.awaitEnd();
                     ended.countDown();
                 });
                 ProxyFixture rig = new ProxyFixture(
-                        c -> ((ObjectNode) c.path("settings")).put("balancers", 14),
+                        config -> ((ObjectNode) config.path("settings")).put("balancers", 14),
                         ProxyFixture.server("a", host.port()))) {
             List<TestPeer> clients = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
-                TestPeer c = rig.client();
-                c.write(ProxyFixture.post("claim", 20_000, "", "visit=1"));
-                clients.add(c);
+                TestPeer testPeer = rig.client();
+                testPeer.write(ProxyFixture.post("claim", 20_000, "", "visit=1"));
+                clients.add(testPeer);
             }
             for (TestPeer c : clients) {
                 assertThat(c.read().status()).isEqualTo(200);
@@ -55,17 +55,17 @@
     void aFullHostCostsNoAnswerAndIsUsedAgainOnceItHasRoom() throws Exception {
         AtomicBoolean full = new AtomicBoolean(true);
         AtomicInteger knocked = new AtomicInteger();
-        try (ScriptedServer tight = new ScriptedServer(p -> {
-                    while (p.read() != null) {
+        try (ScriptedServer tight = new ScriptedServer(peer -> {
+                    while (peer.read() != null) {
                         if (full.get()) {
                             knocked.incrementAndGet();
-                            p.write(ScriptedServer.status(503, "X-Not-Processed: 1\r\nConnection: close\r\n"));
+                            peer.write(ScriptedServer.status(503, "X-Not-Processed: 1\r\nConnection: close\r\n"));
                             return;
                         }
-                        p.write(ScriptedServer.ok("tight"));
+                        peer.write(ScriptedServer.ok("tight"));
                     }
                 });
-                ScriptedServer roomy = ScriptedServer.host(r -> {
+                ScriptedServer roomy = ScriptedServer.host(message -> {
                     Thread.sleep(20); // its work: so that others find it busier than the full one
                     return ScriptedServer.ok("roomy");
                 });
@@ -89,15 +89,15 @@
     private static List<String> together(ProxyFixture rig, int n) throws Exception {
         List<TestPeer> clients = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            TestPeer c = rig.client();
-            c.write(claim());
-            clients.add(c);
+            TestPeer peer = rig.client();
+            peer.write(claim());
+            clients.add(peer);
         }
         List<String> texts = new ArrayList<>();
-        for (TestPeer c : clients) {
-            try (c) {
-                TestPeer.Message m = c.read();
-                texts.add(m.status() == 200 ? m.text() : "status " + m.status());
+        for (TestPeer testPeer : clients) {
+            try (testPeer) {
+                TestPeer.Message message = testPeer.read();
+                texts.add(message.status() == 200 ? message.text() : "status " + message.status());
             }
         }
         return texts;
--- a/src/test/java/rillyard/proxy/lifecycle/WarmupTest.java
+++ b/src/test/java/rillyard/proxy/lifecycle/WarmupTest.java
@@ -16,23 +16,23 @@
     /** What is sent before a proxy is ready is paid by each restart: counted, so that it doesn't grow unseen. */
     @Test
     void fewRequestsAreSentAllAreAnsweredAndNothingIsLeftBehind() throws Exception {
-        Path file = ProxyFixture.config(1, c -> {}, ProxyFixture.server("a", 1));
+        Path file = ProxyFixture.config(1, config -> {}, ProxyFixture.server("a", 1));
         Set<Thread> before = Thread.getAllStackTraces().keySet();
         int answered = new Warmup(ProxyConfig.load(Map.of("BALANCER_CONFIG", file.toString()))).run(MOST_MS);
         Files.delete(file);
         assertThat(answered).isBetween(20, 200);
-        for (Thread t : Thread.getAllStackTraces().keySet()) {
-            if (!before.contains(t) && t.getName().startsWith("loop-")) {
-                t.join(MOST_MS);
-                assertThat(t.isAlive()).as(t.getName()).isFalse();
+        for (Thread thread : Thread.getAllStackTraces().keySet()) {
+            if (!before.contains(thread) && thread.getName().startsWith("loop-")) {
+                thread.join(MOST_MS);
+                assertThat(thread.isAlive()).as(thread.getName()).isFalse();
             }
         }
     }
 
     @Test
     void aServiceWithoutClassesHasNothingToSendAndIsNotHeldUpForLong() throws Exception {
-        Path file =
-                ProxyFixture.config(1, c -> c.withObject("/settings").putArray("classes"), ProxyFixture.server("a", 1));
+        Path file = ProxyFixture.config(
+                1, config -> config.withObject("/settings").putArray("classes"), ProxyFixture.server("a", 1));
         long from = System.nanoTime();
         int answered = new Warmup(ProxyConfig.load(Map.of("BALANCER_CONFIG", file.toString()))).run(MOST_MS);
         Files.delete(file);
--- a/src/test/java/rillyard/proxy/upstream/IdleResetStatsTest.java
+++ b/src/test/java/rillyard/proxy/upstream/IdleResetStatsTest.java
@@ -29,11 +29,11 @@
     @Test
     void connectionsThatAreForgottenWhileIdleAreNotUsedAgain() throws Exception {
         // Each connection serves at once, and breaks on what comes after a pause.
-        ScriptedServer host = new ScriptedServer(p -> {
-            p.read();
-            p.write(ScriptedServer.ok("x"));
-            p.read();
-            p.reset();
+        ScriptedServer host = new ScriptedServer(peer -> {
+            peer.read();
+            peer.write(ScriptedServer.ok("x"));
+            peer.read();
+            peer.reset();
         });
         try (host;
                 ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
--- a/src/test/java/rillyard/requestlog/RequestLogTest.java
+++ b/src/test/java/rillyard/requestlog/RequestLogTest.java
@@ -36,8 +36,8 @@
 
     @Test
     void whatIsWrittenIsRead() throws Exception {
-        try (RequestLogWriter l = RequestLogWriter.open(file(), head())) {
-            LINES.forEach(l::append);
+        try (RequestLogWriter writer = RequestLogWriter.open(file(), head())) {
+            LINES.forEach(writer::append);
         }
         List<LogRecord> read = new ArrayList<>();
         assertThat(RequestLogReader.read(file(), "hosts", read::add)).isTrue();
@@ -48,31 +48,31 @@
     void manyThreadsWriteWholeLinesOnly() throws Exception {
         int threads = 8;
         int each = 5_000;
-        try (RequestLogWriter l = RequestLogWriter.open(file(), head())) {
+        try (RequestLogWriter writer = RequestLogWriter.open(file(), head())) {
             List<Thread> all = new ArrayList<>();
             for (int i = 0; i < threads; i++) {
-                Thread t = new Thread(() -> {
+                Thread thread = new Thread(() -> {
                     for (int n = 0; n < each; n++) {
-                        l.append(LINES.get(n % LINES.size()));
+                        writer.append(LINES.get(n % LINES.size()));
                     }
                 });
-                t.start();
-                all.add(t);
+                thread.start();
+                all.add(thread);
             }
             for (Thread t : all) {
                 t.join();
             }
         }
         int[] count = new int[1];
-        assertThat(RequestLogReader.read(file(), "hosts", x -> count[0]++)).isTrue();
+        assertThat(RequestLogReader.read(file(), "hosts", line -> count[0]++)).isTrue();
         assertThat(count[0]).isEqualTo(threads * each);
     }
 
     @Test
     void aLedgerThatWasFlushedAndNotClosedSaysSo() throws Exception {
-        RequestLogWriter l = RequestLogWriter.open(file(), head());
-        l.append(LINES.get(0));
-        l.flush();
+        RequestLogWriter writer = RequestLogWriter.open(file(), head());
+        writer.append(LINES.get(0));
+        writer.flush();
         long until = System.nanoTime() + 20_000_000_000L;
         while (Files.size(file()) == 0 && System.nanoTime() < until) {
             Thread.onSpinWait();
@@ -80,9 +80,9 @@
         List<LogRecord> read = new ArrayList<>();
         assertThat(RequestLogReader.read(file(), "hosts", read::add)).isFalse();
         assertThat(read).containsExactly(LINES.get(0));
-        l.close();
-        l.append(LINES.get(1)); // without effect
-        assertThat(RequestLogReader.read(file(), "hosts", x -> {})).isTrue();
+        writer.close();
+        writer.append(LINES.get(1)); // without effect
+        assertThat(RequestLogReader.read(file(), "hosts", line -> {})).isTrue();
     }
 
     @Test
@@ -98,7 +98,7 @@
             {head + "{\"k\":\"told\",\"at\":1,\"wat", ":2: expected a JSON object"}
         }) {
             Files.writeString(file(), c[0]);
-            assertThatThrownBy(() -> RequestLogReader.read(file(), "hosts", x -> {}))
+            assertThatThrownBy(() -> RequestLogReader.read(file(), "hosts", line -> {}))
                     .isInstanceOf(InvalidConfigException.class)
                     .hasMessageContaining(file() + c[1]);
         }
--- a/src/test/java/rillyard/subset/SubsettingTest.java
+++ b/src/test/java/rillyard/subset/SubsettingTest.java
@@ -84,10 +84,10 @@
             value = SubsettingAlgorithm.class,
             names = {"RING", "LOTS", "BOUNDED"})
     void theBoundOfAHostIsKept(SubsettingAlgorithm way) throws Exception {
-        SubsetSize s = SubsetSize.largest(way, 300, 20, 400, 4, 0.1);
-        assertThat(s.connections()).isLessThanOrEqualTo(360);
-        assertThat(s.hosts()).isGreaterThanOrEqualTo(SubsetSize.LEAST);
-        int more = SubsetStatistics.of(way, 300, 20, s.hosts() + 1).most();
+        SubsetSize size = SubsetSize.largest(way, 300, 20, 400, 4, 0.1);
+        assertThat(size.connections()).isLessThanOrEqualTo(360);
+        assertThat(size.hosts()).isGreaterThanOrEqualTo(SubsetSize.LEAST);
+        int more = SubsetStatistics.of(way, 300, 20, size.hosts() + 1).most();
         assertThat(4 * more).as("one host more would be too much").isGreaterThan(360);
     }
 
--- a/src/test/java/rillyard/testserver/EndpointCatalogTest.java
+++ b/src/test/java/rillyard/testserver/EndpointCatalogTest.java
@@ -20,31 +20,37 @@
 
     @Test
     void tellsTheWholeListOrWhatChangedSince() throws Exception {
-        EndpointCatalog c = new EndpointCatalog(List.of(entry("a", "up"), entry("b", "up")));
-        assertThat(json(c.since(0, UnaryOperator.identity())).path("full").asBoolean())
+        EndpointCatalog catalog = new EndpointCatalog(List.of(entry("a", "up"), entry("b", "up")));
+        assertThat(json(catalog.since(0, UnaryOperator.identity())).path("full").asBoolean())
                 .isTrue();
-        assertThat(json(c.since(0, UnaryOperator.identity())).path("servers")).hasSize(2);
-        c.change(entry("a", "draining"));
-        c.change(entry("a", "removed"));
-        JsonNode since = json(c.since(1, UnaryOperator.identity()));
+        assertThat(json(catalog.since(0, UnaryOperator.identity())).path("servers"))
+                .hasSize(2);
+        catalog.change(entry("a", "draining"));
+        catalog.change(entry("a", "removed"));
+        JsonNode since = json(catalog.since(1, UnaryOperator.identity()));
         assertThat(since.path("version").asLong()).isEqualTo(3);
         assertThat(since.path("full").asBoolean()).isFalse();
         assertThat(since.path("servers")).hasSize(2);
-        assertThat(json(c.all(UnaryOperator.identity())).path("servers")).hasSize(1);
-        assertThat(json(c.since(3, UnaryOperator.identity())).path("servers")).isEmpty();
-        assertThat(json(c.since(99, UnaryOperator.identity())).path("full").asBoolean())
+        assertThat(json(catalog.all(UnaryOperator.identity())).path("servers")).hasSize(1);
+        assertThat(json(catalog.since(3, UnaryOperator.identity())).path("servers"))
+                .isEmpty();
+        assertThat(json(catalog.since(99, UnaryOperator.identity()))
+                        .path("full")
+                        .asBoolean())
                 .isTrue();
     }
 
     @Test
     void whoAsksForMoreThanIsKeptGetsTheWholeList() throws Exception {
-        EndpointCatalog c = new EndpointCatalog(List.of(entry("a", "up")));
+        EndpointCatalog catalog = new EndpointCatalog(List.of(entry("a", "up")));
         for (int i = 0; i < 1_500; i++) {
-            c.change(entry("a", i % 2 == 0 ? "draining" : "up"));
+            catalog.change(entry("a", i % 2 == 0 ? "draining" : "up"));
         }
-        assertThat(json(c.since(2, UnaryOperator.identity())).path("full").asBoolean())
+        assertThat(json(catalog.since(2, UnaryOperator.identity())).path("full").asBoolean())
                 .isTrue();
-        assertThat(json(c.since(1_000, UnaryOperator.identity())).path("full").asBoolean())
+        assertThat(json(catalog.since(1_000, UnaryOperator.identity()))
+                        .path("full")
+                        .asBoolean())
                 .isFalse();
     }
 }
--- a/src/test/java/rillyard/testserver/HostQueueTest.java
+++ b/src/test/java/rillyard/testserver/HostQueueTest.java
@@ -13,10 +13,10 @@
     private final List<String> ends = new ArrayList<>();
 
     private HostQueue host(int cores, int queue, double coldMs) {
-        HostQueue w = new HostQueue(
+        HostQueue hostQueue = new HostQueue(
                 new HostSpec("s", "z", "k", 0, cores, 1, queue, 10, 0, 0, 1e6, coldMs, 0.25, false), timers);
-        w.started(coldMs > 0);
-        return w;
+        hostQueue.started(coldMs > 0);
+        return hostQueue;
     }
 
     private HostQueue.Job job(String name, double ms) {
@@ -39,92 +39,92 @@
 
     @Test
     void firstComeFirstServedOnSoManyCoresAndNoMoreThanTheQueueHolds() {
-        HostQueue w = host(2, 2, 0);
-        assertThat(w.offer(job("a", 10))).isTrue();
-        assertThat(w.offer(job("b", 30))).isTrue();
-        assertThat(w.offer(job("c", 10))).isTrue();
-        assertThat(w.offer(job("d", 10))).isTrue();
-        assertThat(w.offer(job("e", 10))).isFalse();
-        assertThat(w.running()).isEqualTo(2);
-        assertThat(w.queued()).isEqualTo(2);
+        HostQueue queue = host(2, 2, 0);
+        assertThat(queue.offer(job("a", 10))).isTrue();
+        assertThat(queue.offer(job("b", 30))).isTrue();
+        assertThat(queue.offer(job("c", 10))).isTrue();
+        assertThat(queue.offer(job("d", 10))).isTrue();
+        assertThat(queue.offer(job("e", 10))).isFalse();
+        assertThat(queue.running()).isEqualTo(2);
+        assertThat(queue.queued()).isEqualTo(2);
         timers.drain();
         assertThat(ends).containsExactly("a@10", "c@20", "b@30", "d@30");
     }
 
     @Test
     void aPauseMovesAllEndsByItsLength() {
-        HostQueue w = host(1, 10, 0);
-        w.offer(job("a", 10));
+        HostQueue queue = host(1, 10, 0);
+        queue.offer(job("a", 10));
         timers.passMs(4);
-        w.pause();
-        w.offer(job("b", 10));
+        queue.pause();
+        queue.offer(job("b", 10));
         timers.passMs(2_000);
         assertThat(ends).isEmpty();
-        w.resume();
+        queue.resume();
         timers.drain();
         assertThat(ends).containsExactly("a@2010", "b@2020");
     }
 
     @Test
     void aColdHostIsSlowAtFirstAndWarmAtTheEnd() {
-        HostQueue w = host(1, 10, 1_000);
-        assertThat(w.warmth()).isEqualTo(0.25);
-        w.offer(job("a", 10));
+        HostQueue queue = host(1, 10, 1_000);
+        assertThat(queue.warmth()).isEqualTo(0.25);
+        queue.offer(job("a", 10));
         timers.passMs(500);
-        assertThat(w.warmth()).isBetween(0.62, 0.63);
+        assertThat(queue.warmth()).isBetween(0.62, 0.63);
         timers.passMs(500);
-        assertThat(w.warmth()).isEqualTo(1);
-        w.offer(job("b", 10));
+        assertThat(queue.warmth()).isEqualTo(1);
+        queue.offer(job("b", 10));
         timers.drain();
         assertThat(ends).containsExactly("a@40", "b@1010");
     }
 
     @Test
     void aSlowHostTakesSoManyTimesAsLong() {
-        HostQueue w = host(1, 10, 0);
-        w.slow(5);
-        w.offer(job("a", 10));
+        HostQueue queue = host(1, 10, 0);
+        queue.slow(5);
+        queue.offer(job("a", 10));
         timers.drain();
-        w.slow(1);
-        w.offer(job("b", 10));
+        queue.slow(1);
+        queue.offer(job("b", 10));
         timers.drain();
         assertThat(ends).containsExactly("a@50", "b@60");
     }
 
     @Test
     void whatIsWithdrawnOrNotToRunTakesNoCore() {
-        HostQueue w = host(1, 10, 0);
+        HostQueue queue = host(1, 10, 0);
         HostQueue.Job gone = job("b", 10);
-        w.offer(job("a", 10));
-        w.offer(gone);
-        w.offer(job("c", 10, false));
-        w.offer(job("d", 10));
-        assertThat(w.withdraw(gone)).isTrue();
-        assertThat(w.withdraw(gone)).isFalse();
+        queue.offer(job("a", 10));
+        queue.offer(gone);
+        queue.offer(job("c", 10, false));
+        queue.offer(job("d", 10));
+        assertThat(queue.withdraw(gone)).isTrue();
+        assertThat(queue.withdraw(gone)).isFalse();
         timers.drain();
         assertThat(ends).containsExactly("a@10", "d@20");
     }
 
     @Test
     void aHostThatIsKilledFinishesNothing() {
-        HostQueue w = host(1, 10, 0);
-        w.offer(job("a", 10));
-        w.offer(job("b", 10));
-        w.kill();
+        HostQueue queue = host(1, 10, 0);
+        queue.offer(job("a", 10));
+        queue.offer(job("b", 10));
+        queue.kill();
         timers.drain();
         assertThat(ends).isEmpty();
-        w.offer(job("c", 10));
+        queue.offer(job("c", 10));
         timers.drain();
         assertThat(ends).containsExactly("c@10");
     }
 
     @Test
     void utilisationIsTheShareOfTheCoresInUse() {
-        HostQueue w = host(2, 10, 0);
-        w.offer(job("a", 50));
+        HostQueue queue = host(2, 10, 0);
+        queue.offer(job("a", 50));
         timers.passMs(100);
-        assertThat(w.utilisation()).isBetween(0.249, 0.251);
+        assertThat(queue.utilisation()).isBetween(0.249, 0.251);
         timers.passMs(100);
-        assertThat(w.utilisation()).isZero();
+        assertThat(queue.utilisation()).isZero();
     }
 }
--- a/src/test/java/rillyard/testserver/ServiceTimeTest.java
+++ b/src/test/java/rillyard/testserver/ServiceTimeTest.java
@@ -20,30 +20,30 @@
 
     @ParameterizedTest
     @MethodSource("all")
-    void drawsHaveTheMeanThatIsStated(ServiceTime t) {
+    void drawsHaveTheMeanThatIsStated(ServiceTime time) {
         SplittableRandom random = new SplittableRandom(3);
-        double mean = Stream.generate(() -> t.draw(random))
+        double mean = Stream.generate(() -> time.draw(random))
                 .limit(200_000)
                 .mapToDouble(d -> d)
                 .average()
                 .orElseThrow();
-        assertThat(mean).isCloseTo(t.mean(), within(0.02 * t.mean()));
+        assertThat(mean).isCloseTo(time.mean(), within(0.02 * time.mean()));
     }
 
     @ParameterizedTest
     @MethodSource("all")
-    void theMedianLiesWhereTheDistributionHasIt(ServiceTime t) {
+    void theMedianLiesWhereTheDistributionHasIt(ServiceTime time) {
         SplittableRandom random = new SplittableRandom(4);
-        double[] drawn = Stream.generate(() -> t.draw(random))
+        double[] drawn = Stream.generate(() -> time.draw(random))
                 .limit(100_001)
                 .mapToDouble(d -> d)
                 .toArray();
         Arrays.sort(drawn);
-        double expected = t instanceof ServiceTime.Exponential e
-                ? e.mean() * Math.log(2)
-                : t instanceof ServiceTime.Lognormal l
-                        ? l.mean() / Math.sqrt(1 + l.cv() * l.cv())
-                        : t instanceof ServiceTime.Empirical ? 3.5 : 7;
+        double expected = time instanceof ServiceTime.Exponential exponential
+                ? exponential.mean() * Math.log(2)
+                : time instanceof ServiceTime.Lognormal lognormal
+                        ? lognormal.mean() / Math.sqrt(1 + lognormal.cv() * lognormal.cv())
+                        : time instanceof ServiceTime.Empirical ? 3.5 : 7;
         assertThat(drawn[50_000]).isCloseTo(expected, within(0.02 * expected));
     }
 }
--- a/src/test/java/rillyard/testserver/TestClusterPlanReaderTest.java
+++ b/src/test/java/rillyard/testserver/TestClusterPlanReaderTest.java
@@ -10,7 +10,7 @@
 class TestClusterPlanReaderTest {
     @Test
     void hostsHaveWhatTheFileSaysOfAllAndOfEach() throws Exception {
-        TestClusterPlan p = TestClusterPlanReader.parse(
+        TestClusterPlan plan = TestClusterPlanReader.parse(
                 "t",
                 """
             [hosts]
@@ -35,17 +35,17 @@
             at_s = 1
             """,
                 0);
-        assertThat(p.hosts()).extracting(HostSpec::cores).containsExactly(8, 2);
-        assertThat(p.hosts()).extracting(HostSpec::cell).containsExactly(0L, 7L);
-        assertThat(p.classes().get(0).work()).isEqualTo(new ServiceTime.Exponential(5));
-        assertThat(p.faults())
+        assertThat(plan.hosts()).extracting(HostSpec::cores).containsExactly(8, 2);
+        assertThat(plan.hosts()).extracting(HostSpec::cell).containsExactly(0L, 7L);
+        assertThat(plan.classes().get(0).work()).isEqualTo(new ServiceTime.Exponential(5));
+        assertThat(plan.faults())
                 .extracting(HostFault::kind)
                 .containsExactly(HostFault.Kind.DISCOVERY_SILENT, HostFault.Kind.SLOW);
     }
 
     @Test
     void everyErrorNamesItsLine() {
-        InvalidConfigException e = catchThrowableOfType(
+        InvalidConfigException exception = catchThrowableOfType(
                 InvalidConfigException.class,
                 () -> TestClusterPlanReader.parse(
                         "t.toml",
@@ -60,8 +60,8 @@
                 host = "s-99"
                 """,
                         4));
-        assertThat(e.findings()).extracting(ConfigProblem::line).containsExactly(2, 4, 5, 6, 8);
-        assertThat(e.getMessage())
+        assertThat(exception.findings()).extracting(ConfigProblem::line).containsExactly(2, 4, 5, 6, 8);
+        assertThat(exception.getMessage())
                 .contains("t.toml:2: hosts.coers: unknown key; did you mean 'cores'?")
                 .contains("t.toml:8: fault[0].host: there is no host 's-99'");
     }
