--- a/src/test/java/rillyard/testserver/TestClusterTest.java
+++ b/src/test/java/rillyard/testserver/TestClusterTest.java
@@ -89,9 +89,9 @@
     private <T extends LogRecord> List<T> ledger(Class<T> kind) throws Exception {
         stop();
         List<T> out = new ArrayList<>();
-        assertThat(RequestLogReader.read(file(), "hosts", l -> {
-                    if (kind.isInstance(l)) {
-                        out.add(kind.cast(l));
+        assertThat(RequestLogReader.read(file(), "hosts", line -> {
+                    if (kind.isInstance(line)) {
+                        out.add(kind.cast(line));
                     }
                 }))
                 .isTrue();
@@ -99,9 +99,9 @@
     }
 
     private String fault(String toml) throws IOException {
-        try (RawClient c = new RawClient(standIn.control())) {
-            c.write("POST /faults HTTP/1.1\r\nHost: h\r\nContent-Length: " + toml.length() + "\r\n\r\n" + toml);
-            return c.answer();
+        try (RawClient client = new RawClient(standIn.control())) {
+            client.write("POST /faults HTTP/1.1\r\nHost: h\r\nContent-Length: " + toml.length() + "\r\n\r\n" + toml);
+            return client.answer();
         }
     }
 
@@ -112,18 +112,18 @@
 
     @Test
     void anAnswerNamesItsRequestAndItsBody() throws Exception {
-        try (RawClient c = host(0)) {
-            c.write(RawClient.request("list", "a1", null, null));
-            assertThat(c.answer())
+        try (RawClient client = host(0)) {
+            client.write(RawClient.request("list", "a1", null, null));
+            assertThat(client.answer())
                     .startsWith("HTTP/1.1 200")
                     .contains("X-Server-Load: inflight=")
                     .contains("id=a1 host=s-0 len=0 crc=0");
-            c.write(RawClient.request("claim", "a2", null, "123456789"));
-            assertThat(c.answer()).contains("id=a2 host=s-0 len=9 crc=cbf43926"); // the check value of CRC-32
-            c.write("GET /ping HTTP/1.1\r\nHost: h\r\n\r\n");
-            assertThat(c.answer()).startsWith("HTTP/1.1 200");
-            c.write("GET /list HTTP/1.1\r\nHost: h\r\n\r\n"); // no id
-            assertThat(c.answer()).startsWith("HTTP/1.1 404");
+            client.write(RawClient.request("claim", "a2", null, "123456789"));
+            assertThat(client.answer()).contains("id=a2 host=s-0 len=9 crc=cbf43926"); // the check value of CRC-32
+            client.write("GET /ping HTTP/1.1\r\nHost: h\r\n\r\n");
+            assertThat(client.answer()).startsWith("HTTP/1.1 200");
+            client.write("GET /list HTTP/1.1\r\nHost: h\r\n\r\n"); // no id
+            assertThat(client.answer()).startsWith("HTTP/1.1 404");
         }
         assertThat(ledger(HostExecution.class)).extracting(HostExecution::id).containsExactly("a1", "a2");
     }
@@ -131,9 +131,9 @@
     @Test
     void aKeyRunsOnceInItsCellWhicheverHostItComesTo() throws Exception {
         for (int i = 0; i < 2; i++) {
-            try (RawClient c = host(i)) {
-                c.write(RawClient.request("log", "b" + i, "k", "x"));
-                assertThat(c.answer()).contains("id=b" + i);
+            try (RawClient client = host(i)) {
+                client.write(RawClient.request("log", "b" + i, "k", "x"));
+                assertThat(client.answer()).contains("id=b" + i);
             }
         }
         assertThat(ledger(HostExecution.class))
@@ -145,23 +145,23 @@
     void whatHasNoRoomIsTurnedAwayUnseen() throws Exception {
         List<RawClient> all = new ArrayList<>();
         for (int i = 0; i < 4; i++) { // one runs, one waits, one is too many; the fourth connection too
-            RawClient c = host(0);
-            all.add(c);
-            c.write(RawClient.request("claim", "c" + i, null, "x"));
+            RawClient client = host(0);
+            all.add(client);
+            client.write(RawClient.request("claim", "c" + i, null, "x"));
         }
         List<String> answers = new ArrayList<>();
-        for (RawClient c : all) {
-            answers.add(c.answer());
-            c.close();
+        for (RawClient rawClient : all) {
+            answers.add(rawClient.answer());
+            rawClient.close();
         }
         assertThat(answers).filteredOn(a -> a.startsWith("HTTP/1.1 200")).hasSize(2);
         assertThat(answers)
                 .filteredOn(a -> a.startsWith("HTTP/1.1 503") && a.contains("X-Not-Processed: 1"))
                 .hasSize(2);
         assertThat(ledger(HostExecution.class))
-                .filteredOn(r -> r.result() == ExecutionResult.TURNED_AWAY)
+                .filteredOn(execution -> execution.result() == ExecutionResult.TURNED_AWAY)
                 .hasSize(2)
-                .allMatch(r -> !r.mayHaveRun());
+                .allMatch(hostExecution -> !hostExecution.mayHaveRun());
     }
 
     @Test
@@ -177,18 +177,19 @@
         awaitLoad(host(0), "inflight=0");
         List<HostExecution> runs = ledger(HostExecution.class);
         assertThat(runs).extracting(HostExecution::id).containsExactlyInAnyOrder("d0", "d1");
-        for (HostExecution r : runs) {
-            assertThat(r.result()).isEqualTo(r.id().equals("d0") ? ExecutionResult.LEFT : ExecutionResult.DROPPED);
+        for (HostExecution execution : runs) {
+            assertThat(execution.result())
+                    .isEqualTo(execution.id().equals("d0") ? ExecutionResult.LEFT : ExecutionResult.DROPPED);
         }
     }
 
-    private static void awaitLoad(RawClient c, String load) throws IOException {
-        try (c) {
+    private static void awaitLoad(RawClient client, String load) throws IOException {
+        try (client) {
             long until = System.nanoTime() + 20_000_000_000L;
             String answer;
             do {
-                c.write("GET /_load HTTP/1.1\r\nHost: h\r\n\r\n");
-                answer = c.answer();
+                client.write("GET /_load HTTP/1.1\r\nHost: h\r\n\r\n");
+                answer = client.answer();
             } while (!answer.contains(load) && System.nanoTime() < until);
             assertThat(answer).contains(load);
         }
@@ -196,17 +197,17 @@
 
     @Test
     void faultsAreDoneToRequestsAndWrittenDown() throws Exception {
-        try (RawClient c = host(0)) {
+        try (RawClient client = host(0)) {
             faulty("errors", 0, "");
-            c.write(RawClient.request("list", "e0", null, null));
-            assertThat(c.answer()).startsWith("HTTP/1.1 500");
+            client.write(RawClient.request("list", "e0", null, null));
+            assertThat(client.answer()).startsWith("HTTP/1.1 500");
         }
         faulty("reset", 1, "");
-        try (RawClient c = host(1)) {
-            c.write(RawClient.request("list", "e1", null, null));
+        try (RawClient rawClient = host(1)) {
+            rawClient.write(RawClient.request("list", "e1", null, null));
             assertThatThrownBy(() -> {
                         String a;
-                        while ((a = c.answer()) != null) {
+                        while ((a = rawClient.answer()) != null) {
                             assertThat(a).doesNotContain("id=e1 host=s-1 len=0 crc=0");
                         }
                         throw new SocketException("ended");
@@ -256,20 +257,25 @@
             assertThatThrownBy(hung::answer).isInstanceOf(java.net.SocketTimeoutException.class);
         }
         List<HostExecution> runs = ledger(HostExecution.class);
-        assertThat(runs).anyMatch(r -> r.id().equals("f0") && r.result() == ExecutionResult.HUNG && r.mayHaveRun());
-        assertThat(runs).anyMatch(r -> r.id().equals("f1") && r.result() == ExecutionResult.DONE);
+        assertThat(runs)
+                .anyMatch(execution -> execution.id().equals("f0")
+                        && execution.result() == ExecutionResult.HUNG
+                        && execution.mayHaveRun());
+        assertThat(runs)
+                .anyMatch(hostExecution ->
+                        hostExecution.id().equals("f1") && hostExecution.result() == ExecutionResult.DONE);
     }
 
     @Test
     void aHostThatIsKilledComesBackUnderAnotherIdAndDiscoveryTells() throws Exception {
         try (RawClient watch = new RawClient(standIn.discovery());
-                RawClient c = host(0)) {
+                RawClient client = host(0)) {
             watch.write("GET /catalog/members?follow=1&since=1 HTTP/1.1\r\nHost: h\r\n\r\n");
-            c.write(RawClient.request("claim", "g0", null, "x"));
+            client.write(RawClient.request("claim", "g0", null, "x"));
             awaitLoad(host(0), "inflight=1");
             InetSocketAddress was = standIn.address("s-0");
             faulty("kill", 0, "restart_s = 0.2\nnew_id = true");
-            assertThatThrownBy(c::answer).isInstanceOf(SocketException.class);
+            assertThatThrownBy(client::answer).isInstanceOf(SocketException.class);
             assertThatThrownBy(() -> new RawClient(was).close()).isInstanceOf(ConnectException.class);
             assertThat(told(watch, "s-0")).isEqualTo("removed");
             assertThat(told(watch, "s-0+1")).isEqualTo("up");
@@ -280,7 +286,7 @@
             }
         }
         assertThat(ledger(HostExecution.class))
-                .anyMatch(r -> r.id().equals("g0") && r.result() == ExecutionResult.KILLED);
+                .anyMatch(execution -> execution.id().equals("g0") && execution.result() == ExecutionResult.KILLED);
     }
 
     /** The next state of a host that the watch is told. */
@@ -289,9 +295,9 @@
         while ((line = watch.line()) != null) {
             if (line.startsWith("{")) {
                 JsonNode news = new ObjectMapper().readTree(line);
-                for (JsonNode s : news.path("servers")) {
-                    if (s.path("id").asText().equals(host)) {
-                        return s.path("state").asText();
+                for (JsonNode node : news.path("servers")) {
+                    if (node.path("id").asText().equals(host)) {
+                        return node.path("state").asText();
                     }
                 }
             }
@@ -302,18 +308,19 @@
     @Test
     void aHostThatDrainsIsToldOfAndStopsWhenItIsDone() throws Exception {
         try (RawClient watch = new RawClient(standIn.discovery());
-                RawClient c = host(0)) {
+                RawClient client = host(0)) {
             watch.write("GET /catalog/members?follow=1&since=0 HTTP/1.1\r\nHost: h\r\n\r\n");
             assertThat(told(watch, "s-0")).isEqualTo("up");
-            c.write(RawClient.request("claim", "h0", null, "x"));
+            client.write(RawClient.request("claim", "h0", null, "x"));
             awaitLoad(host(0), "inflight=1");
             faulty("drain", 0, "for_s = 0.05");
             assertThat(told(watch, "s-0")).isEqualTo("draining");
-            assertThat(c.answer()).contains("id=h0"); // it has what it had, and finishes it
+            assertThat(client.answer()).contains("id=h0"); // it has what it had, and finishes it
             assertThat(told(watch, "s-0")).isEqualTo("removed");
         }
         assertThat(ledger(WatchNotification.class))
-                .filteredOn(t -> t.watcher() == 1 && t.host().equals("s-0"))
+                .filteredOn(notification ->
+                        notification.watcher() == 1 && notification.host().equals("s-0"))
                 .extracting(WatchNotification::state)
                 .containsExactly("up", "draining", "removed");
     }
@@ -331,13 +338,13 @@
         int ends = -1;
         int told = -1;
         for (int i = 0; i < lines.size(); i++) {
-            if (lines.get(i) instanceof HostEvent n
-                    && n.host().equals("discovery")
-                    && n.what() == HostEvent.Kind.FAULT_ENDED) {
+            if (lines.get(i) instanceof HostEvent event
+                    && event.host().equals("discovery")
+                    && event.what() == HostEvent.Kind.FAULT_ENDED) {
                 ends = i;
-            } else if (lines.get(i) instanceof WatchNotification t
-                    && t.watcher() > 0
-                    && t.host().equals("s-0")) {
+            } else if (lines.get(i) instanceof WatchNotification notification
+                    && notification.watcher() > 0
+                    && notification.host().equals("s-0")) {
                 told = i;
             }
         }
@@ -355,17 +362,18 @@
             assertThat(told(watch, "s-1")).isEqualTo("removed");
             assertThat(told(watch, "s-1")).isEqualTo("up");
         }
-        try (RawClient c = new RawClient(standIn.discovery())) {
-            c.write("GET /catalog/members HTTP/1.1\r\nHost: h\r\n\r\n");
-            JsonNode list = new ObjectMapper().readTree(c.answer().split("\r\n\r\n", 2)[1]);
-            for (JsonNode e : list.path("servers")) {
-                long started = e.path("started_ms").asLong();
-                assertThat(started).isGreaterThanOrEqualTo(e.path("id").asText().equals("s-1") ? before : 0);
+        try (RawClient client = new RawClient(standIn.discovery())) {
+            client.write("GET /catalog/members HTTP/1.1\r\nHost: h\r\n\r\n");
+            JsonNode list = new ObjectMapper().readTree(client.answer().split("\r\n\r\n", 2)[1]);
+            for (JsonNode node : list.path("servers")) {
+                long started = node.path("started_ms").asLong();
+                assertThat(started)
+                        .isGreaterThanOrEqualTo(node.path("id").asText().equals("s-1") ? before : 0);
             }
             assertThat(list.path("servers")).hasSize(2);
         }
         assertThat(ledger(HostEvent.class))
-                .filteredOn(n -> n.host().equals("s-1") && n.what() == HostEvent.Kind.STARTED)
+                .filteredOn(event -> event.host().equals("s-1") && event.what() == HostEvent.Kind.STARTED)
                 .extracting(HostEvent::cold)
                 .containsExactly(false, true);
     }
@@ -373,12 +381,12 @@
     @Test
     void aSpoiltAnswerRanAndASlowHostTakesLonger() throws Exception {
         faulty("garble", 0, "");
-        try (RawClient c = host(0)) {
-            c.socket.setSoTimeout(200);
-            c.write(RawClient.request("list", "i0", null, null));
+        try (RawClient client = host(0)) {
+            client.socket.setSoTimeout(200);
+            client.write(RawClient.request("list", "i0", null, null));
             String answer = null;
             try {
-                answer = c.answer();
+                answer = client.answer();
             } catch (IOException | RuntimeException e) {
                 // half an answer, or one that a reader of answers can't read
             }
@@ -387,14 +395,15 @@
             }
         }
         faulty("slow", 1, "size = 400");
-        try (RawClient c = host(1)) {
-            c.write(RawClient.request("list", "i1", null, null));
-            assertThat(c.answer()).contains("id=i1");
+        try (RawClient rawClient = host(1)) {
+            rawClient.write(RawClient.request("list", "i1", null, null));
+            assertThat(rawClient.answer()).contains("id=i1");
         }
-        for (HostExecution r : ledger(HostExecution.class)) {
-            assertThat(r.result()).isEqualTo(r.id().equals("i0") ? ExecutionResult.GARBLED : ExecutionResult.DONE);
-            if (r.id().equals("i1")) {
-                assertThat(r.ended() - r.started()).isGreaterThanOrEqualTo(399_000);
+        for (HostExecution execution : ledger(HostExecution.class)) {
+            assertThat(execution.result())
+                    .isEqualTo(execution.id().equals("i0") ? ExecutionResult.GARBLED : ExecutionResult.DONE);
+            if (execution.id().equals("i1")) {
+                assertThat(execution.ended() - execution.started()).isGreaterThanOrEqualTo(399_000);
             }
         }
     }
@@ -411,10 +420,10 @@
                 ledger,
                 System.err);
         standIn.start();
-        try (RawClient c = host(0)) {
+        try (RawClient client = host(0)) {
             for (int i = 0; i < 2; i++) {
-                c.write(RawClient.request("list", "j" + i, null, null));
-                assertThat(c.answer()).contains("id=j" + i);
+                client.write(RawClient.request("list", "j" + i, null, null));
+                assertThat(client.answer()).contains("id=j" + i);
             }
         }
         List<HostExecution> runs = ledger(HostExecution.class);
@@ -425,10 +434,10 @@
     @Test
     void aSilentDiscoverySaysNothingAtAll() throws Exception {
         assertThat(fault("[[fault]]\nkind = \"discovery-silent\"\n")).contains("1 begun");
-        try (RawClient c = new RawClient(standIn.discovery())) {
-            c.socket.setSoTimeout(100);
-            c.write("GET /catalog/members?follow=1&since=0 HTTP/1.1\r\nHost: h\r\n\r\n");
-            assertThatThrownBy(c::line).isInstanceOf(java.net.SocketTimeoutException.class);
+        try (RawClient client = new RawClient(standIn.discovery())) {
+            client.socket.setSoTimeout(100);
+            client.write("GET /catalog/members?follow=1&since=0 HTTP/1.1\r\nHost: h\r\n\r\n");
+            assertThatThrownBy(client::line).isInstanceOf(java.net.SocketTimeoutException.class);
         }
     }
 
--- a/src/test/java/rillyard/trace/TraceEventTest.java
+++ b/src/test/java/rillyard/trace/TraceEventTest.java
@@ -13,9 +13,9 @@
 class TraceEventTest {
     @Test
     void isReadAsItWasWrittenWhateverStandsBeforeIt() {
-        TraceEvent l = new TraceEvent(1_764_604_800_123L, Kind.ATTEMPT, "s-1", "FULL", 12, true);
-        assertThat(TraceEvent.read(l.text())).isEqualTo(l);
-        assertThat(TraceEvent.read("12.5 n3 | " + l.text())).isEqualTo(l);
+        TraceEvent event = new TraceEvent(1_764_604_800_123L, Kind.ATTEMPT, "s-1", "FULL", 12, true);
+        assertThat(TraceEvent.read(event.text())).isEqualTo(event);
+        assertThat(TraceEvent.read("12.5 n3 | " + event.text())).isEqualTo(event);
     }
 
     @Test
@@ -39,10 +39,10 @@
     @Test
     void aTraceSaysWhatWasDone() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        ProxyTrace t = new ProxyTrace(new PrintStream(bytes, true, StandardCharsets.UTF_8));
-        t.did(Kind.CONNECTED, "s-1");
-        t.attempt("s-1", Kind.LIST, 11.6, true); // any enum's name does
-        t.ended(Kind.REFUSED, null);
+        ProxyTrace trace = new ProxyTrace(new PrintStream(bytes, true, StandardCharsets.UTF_8));
+        trace.did(Kind.CONNECTED, "s-1");
+        trace.attempt("s-1", Kind.LIST, 11.6, true); // any enum's name does
+        trace.ended(Kind.REFUSED, null);
         List<TraceEvent> lines = bytes.toString(StandardCharsets.UTF_8)
                 .lines()
                 .map(TraceEvent::read)
