--- a/src/main/java/rillyard/admin/AdminOperations.java
+++ b/src/main/java/rillyard/admin/AdminOperations.java
@@ -6,10 +6,10 @@
 /** What people on call and their tools may ask of a running proxy; called on the server's thread. */
 public interface AdminOperations {
     /** Whether requests would be served now. */
-    boolean ready();
+    boolean isReady();
 
     /** The figures, brought up to date. */
-    ProxyMetrics figures();
+    ProxyMetrics metrics();
 
     /**
      * Takes a host out.
--- a/src/main/java/rillyard/admin/AdminRequestHandler.java
+++ b/src/main/java/rillyard/admin/AdminRequestHandler.java
@@ -69,12 +69,12 @@
                     HttpResponseStatus.METHOD_NOT_ALLOWED, path + " is called by " + (post ? "POST" : "GET") + "\n");
         }
         if (path.equals("/_ready")) {
-            return operations.ready()
+            return operations.isReady()
                     ? reply(HttpResponseStatus.OK, "ready\n")
                     : reply(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready\n");
         }
         if (path.equals("/_vars")) {
-            return reply(HttpResponseStatus.OK, operations.figures().text());
+            return reply(HttpResponseStatus.OK, operations.metrics().text());
         }
         String host = request.content().toString(StandardCharsets.UTF_8).strip();
         if (host.isEmpty() || host.length() > MAX_NAME) {
--- a/src/main/java/rillyard/admin/AdminServer.java
+++ b/src/main/java/rillyard/admin/AdminServer.java
@@ -64,7 +64,7 @@
     }
 
     /** Runs something on the server's thread again and again, each time after so many ms. */
-    public void every(long millis, Runnable what) {
+    public void schedulePeriodically(long millis, Runnable what) {
         group.scheduleWithFixedDelay(what, millis, millis, TimeUnit.MILLISECONDS);
     }
 
--- a/src/main/java/rillyard/admin/ProxyMetrics.java
+++ b/src/main/java/rillyard/admin/ProxyMetrics.java
@@ -25,8 +25,8 @@
     private final Map<String, AtomicLong[]> byClass = new TreeMap<>();
     private final AtomicLong attempts = new AtomicLong();
     private final AtomicInteger pending = new AtomicInteger();
-    private volatile int members;
-    private volatile int unavailable;
+    private volatile int setHosts;
+    private volatile int unavailableHosts;
 
     /** {@code classes} are the classes of requests; others are not counted. */
     public ProxyMetrics(Collection<String> classes) {
@@ -40,7 +40,7 @@
     }
 
     /** A request of this class has had its final answer. */
-    public void ended(String requestClass, RequestOutcome how) {
+    public void requestEnded(String requestClass, RequestOutcome how) {
         AtomicLong[] ends = byClass.get(requestClass);
         if (ends != null) {
             ends[how.ordinal()].incrementAndGet();
@@ -53,14 +53,14 @@
     }
 
     /** Requests taken and not yet ended change by so many. */
-    public void pending(int change) {
+    public void addPending(int change) {
         pending.addAndGet(change);
     }
 
     /** The hosts listed, and those of them that are avoided, by hand or by choice. */
-    public void members(int listed, int avoided) {
-        members = listed;
-        unavailable = avoided;
+    public void setHosts(int listed, int avoided) {
+        setHosts = listed;
+        unavailableHosts = avoided;
     }
 
     /** All of them, a line each. */
@@ -71,8 +71,8 @@
         }
         line(out, "upstream_requests", attempts.get(), 'c');
         line(out, "pending", pending.get(), 'g');
-        line(out, "members", members, 'g');
-        line(out, "members_unavailable", unavailable, 'g');
+        line(out, "members", setHosts, 'g');
+        line(out, "members_unavailable", unavailableHosts, 'g');
         return out.toString();
     }
 
--- a/src/main/java/rillyard/audit/AtMostOnceRule.java
+++ b/src/main/java/rillyard/audit/AtMostOnceRule.java
@@ -33,12 +33,12 @@
                 checkRefusal(attempt, to);
             }
             seen.addAll(ids);
-            once(tries.get(0).type(), "request " + tries.get(0).request(), ran, to);
+            once(tries.get(0).requestClass(), "request " + tries.get(0).request(), ran, to);
         }
         evidence.byId().forEach((id, runs) -> {
             if (!seen.contains(id)) { // a client that keeps no ledger sent it
                 once(
-                        runs.get(0).type(),
+                        runs.get(0).requestClass(),
                         "id " + id,
                         runs.stream().filter(HostExecution::mayHaveRun).toList(),
                         to);
@@ -70,7 +70,7 @@
     }
 
     private void checkRefusal(ClientAttempt attempt, Consumer<Violation> to) {
-        AuditSettings.RequestClass requestClass = settings.type(attempt.type());
+        AuditSettings.RequestClass requestClass = settings.type(attempt.requestClass());
         boolean harmless = requestClass.semantics() == AuditSettings.Semantics.IDEMPOTENT
                 || (requestClass.semantics() == AuditSettings.Semantics.DEDUPLICATED
                         && requestClass.scope() == AuditSettings.Scope.ALL);
@@ -82,7 +82,7 @@
                 to.accept(new Violation(
                         Violation.Rule.EFFECT,
                         attempt.ended(),
-                        "id " + attempt.id() + " of " + attempt.type() + " was refused and may have run at "
+                        "id " + attempt.id() + " of " + attempt.requestClass() + " was refused and may have run at "
                                 + execution.host(),
                         evidence.history(attempt.id())));
                 return;
--- a/src/main/java/rillyard/audit/Audit.java
+++ b/src/main/java/rillyard/audit/Audit.java
@@ -82,8 +82,8 @@
         }
         Set<String> unknown = new HashSet<>();
         evidence.tries.forEach(attempt -> {
-            if (!settings.classes().containsKey(attempt.type())) {
-                unknown.add(attempt.type());
+            if (!settings.classes().containsKey(attempt.requestClass())) {
+                unknown.add(attempt.requestClass());
             }
         });
         if (!unknown.isEmpty()) {
--- a/src/main/java/rillyard/audit/Evidence.java
+++ b/src/main/java/rillyard/audit/Evidence.java
@@ -40,7 +40,7 @@
             put(runsById, execution.id(), execution);
             put(runsByHost, execution.host(), execution);
             if (execution.key() != null) {
-                put(runsByKey, execution.type() + "/" + execution.key(), execution);
+                put(runsByKey, execution.requestClass() + "/" + execution.key(), execution);
             }
         } else if (line instanceof HostEvent event) {
             news.add(event);
@@ -105,7 +105,7 @@
             all.add(new At(
                     attempt.sent(),
                     "client " + attempt.client() + " sends try " + attempt.number() + " of request "
-                            + attempt.request() + " (" + attempt.type() + "), id " + attempt.id()
+                            + attempt.request() + " (" + attempt.requestClass() + "), id " + attempt.id()
                             + (attempt.key() == null ? "" : ", key " + attempt.key())
                             + ", waits " + attempt.timeout() / 1_000 + " ms"));
             all.add(new At(
--- a/src/main/java/rillyard/audit/IdempotencyKeyRule.java
+++ b/src/main/java/rillyard/audit/IdempotencyKeyRule.java
@@ -16,7 +16,7 @@
 
     void check(Consumer<Violation> to) {
         for (List<HostExecution> runs : evidence.byId().values()) {
-            AuditSettings.RequestClass requestClass = settings.type(runs.get(0).type());
+            AuditSettings.RequestClass requestClass = settings.type(runs.get(0).requestClass());
             if (requestClass.semantics() != AuditSettings.Semantics.DEDUPLICATED) {
                 continue;
             }
--- a/src/main/java/rillyard/audit/SingleResponseRule.java
+++ b/src/main/java/rillyard/audit/SingleResponseRule.java
@@ -47,7 +47,7 @@
     private void check(ClientAttempt attempt, Consumer<Violation> to) {
         ClientOutcome outcome = attempt.outcome();
         long due = attempt.sent() + attempt.timeout() + settings.answerSlack() + settings.socketSlack();
-        if (outcome.lost()) {
+        if (outcome.isLost()) {
             to.accept(breach(attempt, "id " + attempt.id() + " was lost: " + outcome));
         } else if (answered(outcome) && attempt.ended() > due) {
             to.accept(breach(
--- a/src/main/java/rillyard/audit/SlowStartRule.java
+++ b/src/main/java/rillyard/audit/SlowStartRule.java
@@ -24,7 +24,7 @@
 
     void check(Consumer<Violation> to) {
         for (HostEvent event : evidence.news) {
-            if (event.what() == HostEvent.Kind.STARTED && event.cold() && event.startShare() < 1) {
+            if (event.kind() == HostEvent.Kind.STARTED && event.startsCold() && event.startShare() < 1) {
                 check(event, to);
             }
         }
--- a/src/main/java/rillyard/balancer/AdmissionController.java
+++ b/src/main/java/rillyard/balancer/AdmissionController.java
@@ -40,7 +40,7 @@
 
     AdmissionController(Settings settings, SplittableRandom random, BalancerActions actions) {
         this.settings = settings;
-        settings.tenants().forEach(t -> shares.put(t.name(), new TenantUsage(t.portion())));
+        settings.tenants().forEach(t -> shares.put(t.name(), new TenantUsage(t.quotaShare())));
         this.random = random;
         this.start = random.nextDouble();
         this.actions = actions;
@@ -59,7 +59,7 @@
         double old = Math.exp(-(now - rateAt) / Tuning.PEAK_MEMORY);
         rateAt = now;
         usual = old * usual + (1 - old) * served(now);
-        meanValue += 0.02 * (rules.value() - meanValue);
+        meanValue += 0.02 * (rules.priorityWeight() - meanValue);
     }
 
     /** Worth of a tenant's request, 1 within its share: one's burst must not displace the others. */
@@ -69,7 +69,7 @@
             return 1;
         }
         double part = (s.count + Tuning.SHARE_PRIOR * s.portion) / (sum + Tuning.SHARE_PRIOR);
-        return Math.min(1, Math.max(settings.overShareWorth(), s.portion / part));
+        return Math.min(1, Math.max(settings.overQuotaWeight(), s.portion / part));
     }
 
     /** Notes whether an attempt, or a request refused for its lateness, was of use. */
@@ -106,8 +106,8 @@
     void answered(double now, double relative, boolean none) {
         double gap = now - pressureAt;
         // A proxy with few requests weighs each one more, or it would learn of a jam after its end.
-        double weight =
-                Math.min(0.3, Math.max(Tuning.LATENCY_ALPHA, gap / (Tuning.PRESSURE_MEMORY * settings.meanAim())));
+        double weight = Math.min(
+                0.3, Math.max(Tuning.LATENCY_ALPHA, gap / (Tuning.PRESSURE_MEMORY * settings.meanLatencyObjective())));
         double left = fade(now);
         lateness = left * lateness + (none ? 0 : weight * (Math.min(2, relative) - left * lateness));
         lost = left * lost + weight * ((none ? 1 : 0) - left * lost);
@@ -132,7 +132,7 @@
     }
 
     private double fade(double now) {
-        return Math.exp(-(now - pressureAt) / (Tuning.PRESSURE_FADE * settings.meanAim()));
+        return Math.exp(-(now - pressureAt) / (Tuning.PRESSURE_FADE * settings.meanLatencyObjective()));
     }
 
     /** Whether answers come so late that a further attempt would only feed the jam. */
@@ -151,13 +151,13 @@
         Settings.RequestClass rules = c.type.rules;
         if (c.type.tooLate(c.aimLeft)
                 && (pressure(now) > Tuning.REFUSE_LATE_FROM
-                        || now - turnedAwayAt < Tuning.REFUSE_LATE_FOR * settings.meanAim())) {
-            return random.nextDouble() >= rules.lateWorth();
+                        || now - turnedAwayAt < Tuning.REFUSE_LATE_FOR * settings.meanLatencyObjective())) {
+            return random.nextDouble() >= rules.latePriorityWeight();
         }
         if (over <= 0) {
             return false;
         }
-        double relative = meanValue > 0 ? Math.max(0.2, c.standing * rules.value() / meanValue) : 1;
+        double relative = meanValue > 0 ? Math.max(0.2, c.standing * rules.priorityWeight() / meanValue) : 1;
         return coin(now) < Math.min(Tuning.REFUSE_MOST, over / relative);
     }
 
@@ -166,7 +166,7 @@
      * chance of its own for each try nearly all would be let through in the end.
      */
     private double coin(double now) {
-        double turn = start + Math.floor(now / (Tuning.REFUSE_SLOT * settings.meanAim())) * Tuning.GOLDEN;
+        double turn = start + Math.floor(now / (Tuning.REFUSE_SLOT * settings.meanLatencyObjective())) * Tuning.GOLDEN;
         return turn - Math.floor(turn);
     }
 }
--- a/src/main/java/rillyard/balancer/AttemptOutcome.java
+++ b/src/main/java/rillyard/balancer/AttemptOutcome.java
@@ -11,14 +11,14 @@
     CANCELLED(false),
     MOOT(true);
 
-    private final boolean neverRan;
+    private final boolean provesNotExecuted;
 
     AttemptOutcome(boolean neverRan) {
-        this.neverRan = neverRan;
+        this.provesNotExecuted = neverRan;
     }
 
     /** Whether this result proves that the attempt had no effect. */
-    public boolean neverRan() {
-        return neverRan;
+    public boolean provesNotExecuted() {
+        return provesNotExecuted;
     }
 }
--- a/src/main/java/rillyard/balancer/Balancer.java
+++ b/src/main/java/rillyard/balancer/Balancer.java
@@ -31,7 +31,7 @@
         this.actions = actions;
         this.random = new SplittableRandom(seed);
         this.fleet = new HostSet(settings);
-        this.health = new OutlierDetector(fleet, settings.meanAim(), random, actions);
+        this.health = new OutlierDetector(fleet, settings.meanLatencyObjective(), random, actions);
         this.attempts = new RetryPolicy(settings.limits());
         this.admission = new AdmissionController(settings, random, actions);
         this.draw = new HostSelector(settings, fleet, health, attempts, admission, random);
@@ -40,41 +40,41 @@
 
     /** Called once after creation, when actions may be taken. */
     public void onStart(double now) {
-        if (settings.mustFollow()) {
-            actions.follow();
+        if (settings.mustSubscribe()) {
+            actions.subscribe();
         }
     }
 
     /** News from discovery. */
-    public void onMembership(double now, WatchEvent kind, List<EndpointEntry> entries) {
+    public void onWatchEvent(double now, WatchEvent kind, List<EndpointEntry> entries) {
         fleet.apply(now, kind, entries, random);
-        if (kind == WatchEvent.FAILED && settings.mustFollow() && !followTimer) {
+        if (kind == WatchEvent.FAILED && settings.mustSubscribe() && !followTimer) {
             // Discovery is scarce: wait longer each time, at chance, but never past what a change allows.
             followTimer = true;
-            actions.schedule(followBackoff * (0.5 + random.nextDouble()), FOLLOW_TIMER);
-            followBackoff = Math.min(2 * followBackoff, settings.rules().askAgain(Tuning.FOLLOW_MOST));
+            actions.scheduleTimer(followBackoff * (0.5 + random.nextDouble()), FOLLOW_TIMER);
+            followBackoff = Math.min(2 * followBackoff, settings.rules().pollInterval(Tuning.FOLLOW_MOST));
         } else if (kind == WatchEvent.DELTA || kind == WatchEvent.FULL) {
             followBackoff = Tuning.FOLLOW_BACKOFF;
         }
     }
 
     /** Listed hosts that get no request as a matter of course: not ready, or ejected. */
-    public int avoided() {
+    public int avoidedHostCount() {
         return fleet.avoided();
     }
 
     /** Proxies that speak to each other have left a host, or take it back; it may be tried in {@code wait} ms. */
-    public void onFleetWord(double now, long host, boolean left, double wait) {
+    public void onFleetEjection(double now, long host, boolean left, double wait) {
         health.heed(fleet.get(host), left, now + wait);
     }
 
     /** From here on this proxy draws from a pool laid there, instead of where the settings have it. */
-    public void onPlace(SubsetPosition place) {
+    public void onSubsetPosition(SubsetPosition place) {
         draw.place(place);
     }
 
     /** A request that came with an infinite budget is whole: {@code budget} ms are left of its time. */
-    public void onWhole(double now, long request, double budget) {
+    public void onRequestComplete(double now, long request, double budget) {
         RetryPolicy.RequestState c = calls.get(request);
         if (c != null) {
             c.deadline = now + budget;
@@ -84,8 +84,8 @@
 
     /** A client's request has come, or so much of it that the rest has to follow it to a host. */
     public void onRequest(double now, IncomingRequest arrival) {
-        RetryPolicy.RequestClassStats type = classes.computeIfAbsent(arrival.className(), n -> unknown(n, arrival));
-        RetryPolicy.RequestState c = new RetryPolicy.RequestState(arrival.id(), type, now, arrival.budget());
+        RetryPolicy.RequestClassStats type = classes.computeIfAbsent(arrival.requestClass(), n -> unknown(n, arrival));
+        RetryPolicy.RequestState c = new RetryPolicy.RequestState(arrival.id(), type, now, arrival.remainingTime());
         admission.arrived(now, type.rules, arrival.tenant());
         c.standing = admission.standing(arrival.tenant());
         attempts.earnRetry();
@@ -100,13 +100,13 @@
 
     /** A class that the settings do not name: taken for the strictest kind. */
     private static RetryPolicy.RequestClassStats unknown(String name, IncomingRequest a) {
-        double budget = Math.max(1, a.budget());
+        double budget = Math.max(1, a.remainingTime());
         return new RetryPolicy.RequestClassStats(new Settings.RequestClass(
                 name, budget, budget, Settings.Semantics.AT_MOST_ONCE, Settings.Scope.ALL, 0, 1, 0));
     }
 
     /** An attempt has ended. {@code over} tells that the request is over with it or before. */
-    public void onOutcome(
+    public void onAttemptOutcome(
             double now, long request, int number, AttemptOutcome result, double spent, boolean over, LoadReport load) {
         RetryPolicy.RequestState c = calls.get(request);
         if (c == null || number < 0 || number >= c.attempts.size() || !c.attempts.get(number).open) {
@@ -139,7 +139,7 @@
                 fleet.answered(a.host, now, spent / Math.max(0.1, type.meanAnswer));
                 type.answered(spent);
                 fleet.queued(a.host, a.heldBefore, spent);
-                admission.answered(now, spent / type.rules.aim(), false);
+                admission.answered(now, spent / type.rules.latencyObjective(), false);
             }
             case ERROR -> health.failed(a.host, now, true);
             case FULL -> {
@@ -170,7 +170,7 @@
     }
 
     /** The client has gone; attempts that are out still get their outcome. */
-    public void onClientGone(double now, long request) {
+    public void onClientDisconnected(double now, long request) {
         RetryPolicy.RequestState c = calls.get(request);
         if (c != null && !c.ended) {
             cancelAll(c);
@@ -182,7 +182,7 @@
     public void onTimer(double now, long token) {
         if (token == FOLLOW_TIMER) {
             followTimer = false;
-            actions.follow();
+            actions.subscribe();
             return;
         }
         RetryPolicy.RequestState c = calls.get(token);
@@ -200,12 +200,12 @@
                 || !(health.overtaken(last) || health.silent(last.host, now, 0.99 * c.type.overdueAfter()))) {
             return;
         }
-        if (settings.limits().parallelTries()) {
+        if (settings.limits().mayRunParallelAttempts()) {
             HostState h = attempts.takeRetry() ? draw.pick(c, now) : null;
             if (h != null) {
                 send(c, h, now);
             }
-        } else if (settings.limits().cancel() && !last.cancelled) {
+        } else if (settings.limits().mayCancel() && !last.cancelled) {
             last.cancelled = true;
             actions.cancel(c.id, last.number);
         }
@@ -224,14 +224,14 @@
 
     private void send(RetryPolicy.RequestState c, HostState h, double now) {
         boolean told = now - h.reportAt <= Tuning.REPORT_FRESH;
-        double held = told ? h.report.held() + h.sentSinceReport : Double.NaN;
+        double held = told ? h.report.outstanding() + h.sentSinceReport : Double.NaN;
         double notAfter = attempts.notAfter(c);
         attempts.start(c, h, now).heldBefore = held;
         admission.inFlight(now, 1);
         actions.send(c.id, h.id, 0, notAfter);
         double due = c.type.overdueAfter() * Math.max(1, fleet.slowness(h, now));
         if (c.type.repeatable() && now + due < c.deadline && c.attempts.size() < 3) {
-            actions.schedule(due, c.id);
+            actions.scheduleTimer(due, c.id);
         }
     }
 
@@ -239,7 +239,7 @@
     private void conclude(RetryPolicy.RequestState c, double now) {
         if (attempts.allowed(c, null, now)) {
             admission.turnedAway(now, c);
-            actions.refuse(c.id, 0);
+            actions.reject(c.id, 0);
         } else {
             actions.fail(c.id);
         }
@@ -250,7 +250,7 @@
     private void cancelAll(RetryPolicy.RequestState c) {
         c.ended = true;
         for (RetryPolicy.AttemptState a : c.attempts) {
-            if (a.open && !a.cancelled && settings.limits().cancel()) {
+            if (a.open && !a.cancelled && settings.limits().mayCancel()) {
                 a.cancelled = true;
                 actions.cancel(c.id, a.number);
             }
--- a/src/main/java/rillyard/balancer/BalancerActions.java
+++ b/src/main/java/rillyard/balancer/BalancerActions.java
@@ -12,7 +12,7 @@
     void send(long request, long host, double giveUpAfter, double notAfter);
 
     /** Final answer "no, and trying again does no harm"; {@code coolDown} 0 gives no advice. */
-    void refuse(long request, double coolDown);
+    void reject(long request, double coolDown);
 
     /** Final answer "failed", which promises nothing about the effect. */
     void fail(long request);
@@ -21,10 +21,10 @@
     void cancel(long request, int attempt);
 
     /** Asks for {@link Balancer#onTimer} with this token after {@code delay} ms. */
-    void schedule(double delay, long token);
+    void scheduleTimer(double delay, long token);
 
     /** Asks discovery for changes from now on. */
-    void follow();
+    void subscribe();
 
     /** Writes a line for the people on call. */
     void log(String line);
--- a/src/main/java/rillyard/balancer/HostSelector.java
+++ b/src/main/java/rillyard/balancer/HostSelector.java
@@ -40,7 +40,7 @@
         this.admission = admission;
         this.random = random;
         place(new SubsetPosition(
-                Math.floorMod(settings.position(), settings.balancers()), settings.balancers(), 1, false));
+                Math.floorMod(settings.proxyIndex(), settings.proxyCount()), settings.proxyCount(), 1, false));
     }
 
     /** The pool is laid there for the next request. */
@@ -65,7 +65,7 @@
         // Guards against many proxies that use up the hosts' connections (if1c0a3); those in use add up to the same.
         double peak = admission.peak(now);
         double most =
-                Math.max(Tuning.MIN_CHOICES, Tuning.HOST_PROXIES * fleet.ready().size() / settings.balancers());
+                Math.max(Tuning.MIN_CHOICES, Tuning.HOST_PROXIES * fleet.ready().size() / settings.proxyCount());
         int wanted = (int)
                 (place.weight() * Math.min(Tuning.BASE_POOL + Tuning.POOL_PER_IN_FLIGHT * peak, Math.max(most, peak)));
         if (laidOver != fleet.ready() || wanted > size || wanted < size / 2) {
@@ -114,7 +114,7 @@
 
     private void consider(HostState h, RetryPolicy.RequestState c, double now) {
         double count = health.count(h, c.type, now);
-        double wait = place.coldFirst() && fleet.warmth(h, now) < 1 ? 0 : fleet.expectedWait(h, now);
+        double wait = place.preferWarmingUp() && fleet.warmth(h, now) < 1 ? 0 : fleet.expectedWait(h, now);
         if (best != null && count > bestCount + 0.5) {
             return;
         }
@@ -133,13 +133,13 @@
         Settings.Rules rules = settings.rules();
         double share = admission.servedRate(now) / Math.max(1, among);
         double gain = Tuning.COLD_SHARE
-                * rules.fallMultiple()
+                * rules.overloadMultiple()
                 * fleet.warmth(h, now)
                 * share
                 * (now - h.coldCreditAt)
                 / Math.max(1, fleet.kindSlowness(h)); // a slow kind falls sooner
         h.coldCreditAt = now;
-        h.coldCredit = Math.min(h.coldCredit + gain, 1 + share * rules.fall() / 2);
+        h.coldCredit = Math.min(h.coldCredit + gain, 1 + share * rules.overloadWindow() / 2);
         return h.coldCredit >= 1;
     }
 
@@ -185,7 +185,7 @@
         if (ring.length <= wanted) {
             return ring;
         }
-        int start = (int) ((double) place.position() * ring.length / place.of());
+        int start = (int) ((double) place.position() * ring.length / place.proxyCount());
         return IntStream.range(start, start + wanted)
                 .mapToObj(i -> ring[i % ring.length])
                 .toArray(HostState[]::new);
@@ -199,7 +199,7 @@
                 .sorted()
                 .toArray();
         double total = Arrays.stream(speeds).sum();
-        int alone = Tuning.HERD / settings.balancers();
+        int alone = Tuning.HERD / settings.proxyCount();
         int most = Math.max(Tuning.MAX_CHOICES, alone);
         for (int d = Math.max(Tuning.MIN_CHOICES, Math.min(n - 1, alone)); d < most; d++) {
             if (meets(speeds, total, d)) {
--- a/src/main/java/rillyard/balancer/HostSet.java
+++ b/src/main/java/rillyard/balancer/HostSet.java
@@ -31,7 +31,7 @@
 
     HostSet(Settings settings) {
         this.settings = settings;
-        this.reportFade = Tuning.REPORT_FADE * settings.meanAim();
+        this.reportFade = Tuning.REPORT_FADE * settings.meanLatencyObjective();
     }
 
     HostState get(long id) {
@@ -59,7 +59,7 @@
             HostState h = byId.computeIfAbsent(e.id(), HostState::new);
             boolean sendable = e.condition() == EndpointEntry.Condition.READY;
             h.zone = e.zone();
-            h.kind = e.kind();
+            h.kind = e.machineKind();
             h.cell = e.cell();
             h.listMark = mark;
             h.listed = e.condition() != EndpointEntry.Condition.GONE;
@@ -107,11 +107,11 @@
     /** The least part of its capacity that a host has now: 1 when warm. */
     double warmth(HostState h, double now) {
         double age = now - h.onlineSince;
-        double cold = settings.rules().cold();
+        double cold = settings.rules().warmUpTime();
         if (h.onlineSince <= 0 || age >= cold) {
             return 1;
         }
-        double from = settings.rules().startCapacity();
+        double from = settings.rules().initialCapacity();
         return from + (1 - from) * Math.max(0, age) / cold;
     }
 
@@ -127,7 +127,7 @@
 
     /** Learns, where a host reports that it holds many requests, how long each of them takes it. */
     void queued(HostState h, double heldBefore, double spent) {
-        double held = Double.isNaN(heldBefore) ? h.report.held() : heldBefore;
+        double held = Double.isNaN(heldBefore) ? h.report.outstanding() : heldBefore;
         if (held >= Tuning.QUEUE_SEEN) {
             MachineKindStats k = kinds.computeIfAbsent(h.kind, x -> new MachineKindStats());
             double each = spent / (held + 1);
@@ -151,8 +151,8 @@
         }
         double fresh = Math.exp(-(now - h.reportAt) / reportFade);
         double others = meanHeld * Math.exp(-(now - anyReportAt) / reportFade);
-        double left = h.report.held() - (now - h.reportAt) / k.msPerHeld;
-        double told = fresh == 0 ? 0 : Math.max(Math.min(h.report.held(), others), left);
+        double left = h.report.outstanding() - (now - h.reportAt) / k.msPerHeld;
+        double told = fresh == 0 ? 0 : Math.max(Math.min(h.report.outstanding(), others), left);
         double held =
                 Math.max(h.inFlight - lost(h, null, now), fresh * (told + h.sentSinceReport) + (1 - fresh) * others);
         return held > Tuning.QUEUE_SEEN ? k.msPerHeld * (held + 1) : 0;
@@ -169,20 +169,21 @@
                 break; // in the order of their sends
             }
             RetryPolicy.RequestClassStats type = a.call.type;
-            n += type != of && now - a.sentAt > type.rules.aim() ? 1 : 0;
+            n += type != of && now - a.sentAt > type.rules.latencyObjective() ? 1 : 0;
         }
         return n;
     }
 
     void reported(HostState h, double now, LoadReport report, boolean typical) {
-        if (report == null || Double.isNaN(report.held())) {
+        if (report == null || Double.isNaN(report.outstanding())) {
             return;
         }
         h.report = report;
         h.reportAt = now;
         h.sentSinceReport = 0;
         double weight = Math.max(0.02, 1 - Math.exp(-(now - anyReportAt) / reportFade));
-        meanHeld += typical ? weight * (report.held() - meanHeld) : 0; // one that turns away is idle, others are not
+        meanHeld +=
+                typical ? weight * (report.outstanding() - meanHeld) : 0; // one that turns away is idle, others are not
         anyReportAt = now;
     }
 
@@ -204,7 +205,7 @@
         double held = meanHeld;
         double fresh = Math.exp(-(now - h.reportAt) / reportFade);
         if (fresh > 0.01) {
-            held += fresh * (h.report.held() + h.sentSinceReport - meanHeld);
+            held += fresh * (h.report.outstanding() + h.sentSinceReport - meanHeld);
         }
         return slow * (Tuning.REPORT_BASE + held);
     }
--- a/src/main/java/rillyard/balancer/LoadReport.java
+++ b/src/main/java/rillyard/balancer/LoadReport.java
@@ -8,7 +8,7 @@
             new LoadReport(Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
 
     /** Requests the host holds, from whichever figure tells it, or {@code NaN}. */
-    public double held() {
+    public double outstanding() {
         return Double.isNaN(inFlight) ? queued : inFlight;
     }
 }
--- a/src/main/java/rillyard/balancer/RetryPolicy.java
+++ b/src/main/java/rillyard/balancer/RetryPolicy.java
@@ -32,13 +32,13 @@
             Settings.RequestClass rules = call.type.rules;
             return switch (rules.semantics()) {
                 case IDEMPOTENT -> Double.POSITIVE_INFINITY;
-                case DEDUPLICATED -> sentAt + rules.repeatWindow() - Tuning.WINDOW_MARGIN;
+                case DEDUPLICATED -> sentAt + rules.idempotencyWindow() - Tuning.WINDOW_MARGIN;
                 case AT_MOST_ONCE -> Double.NEGATIVE_INFINITY;
             };
         }
 
         boolean sharesMemory(HostState target) {
-            return switch (call.type.rules.scope()) {
+            return switch (call.type.rules.keyScope()) {
                 case ALL -> true;
                 case ZONE -> target != null && zone != null && zone.equals(target.zone);
                 case CELL -> target != null && cell == target.cell;
@@ -82,7 +82,7 @@
 
         RequestClassStats(Settings.RequestClass rules) {
             this.rules = rules;
-            this.meanAnswer = rules.aim() / 4; // until answers come
+            this.meanAnswer = rules.latencyObjective() / 4; // until answers come
             this.deviation = meanAnswer;
         }
 
@@ -102,12 +102,12 @@
         double aimLeft(double budget) {
             double told = Math.min(budget, rules.deadline());
             firstBudget = Math.max(told, firstBudget + Tuning.BUDGET_ALPHA * (told - firstBudget));
-            return rules.aim() - (told < Tuning.RETRY_BUDGET * firstBudget ? rules.deadline() - told : 0);
+            return rules.latencyObjective() - (told < Tuning.RETRY_BUDGET * firstBudget ? rules.deadline() - told : 0);
         }
 
         /** Whether a request with so much of its aim left would be late, as answers take now. */
         boolean tooLate(double aimLeft) {
-            return aimLeft < Math.min(meanAnswer, rules.aim());
+            return aimLeft < Math.min(meanAnswer, rules.latencyObjective());
         }
 
         /** Past this an attempt is overdue: repeating a merely long one would waste its work. */
@@ -133,7 +133,7 @@
                 || (target != null
                         && (!target.sendable
                                 || c.attempts.size() >= limits.maxAttempts()
-                                || (c.open > 0 && !limits.parallelTries())
+                                || (c.open > 0 && !limits.mayRunParallelAttempts())
                                 || now >= c.deadline))) {
             return false;
         }
@@ -169,7 +169,7 @@
 
     void finish(AttemptState a, AttemptOutcome result) {
         a.open = false;
-        a.mayHaveRun = !result.neverRan();
+        a.mayHaveRun = !result.provesNotExecuted();
         a.call.open--;
         a.host.inFlight--;
         a.host.out.remove(a);
--- a/src/main/java/rillyard/balancer/Settings.java
+++ b/src/main/java/rillyard/balancer/Settings.java
@@ -9,25 +9,25 @@
         Limits limits,
         Rules rules,
         Fees fees,
-        boolean mustFollow,
+        boolean mustSubscribe,
         String zone,
-        int position,
-        int balancers,
-        double overShareWorth,
+        int proxyIndex,
+        int proxyCount,
+        double overQuotaWeight,
         boolean worthByWork) {
 
     /** Copies the lists, so that settings never change. */
     public Settings {
         classes = List.copyOf(classes);
         tenants = List.copyOf(tenants);
-        balancers = Math.max(1, balancers);
+        proxyCount = Math.max(1, proxyCount);
     }
 
     /** What the times of a deployment are measured in where they are not stated. */
-    public double meanAim() {
+    public double meanLatencyObjective() {
         double sum = 0;
         for (RequestClass c : classes) {
-            sum += c.aim();
+            sum += c.latencyObjective();
         }
         return classes.isEmpty() ? 400 : sum / classes.size();
     }
@@ -49,31 +49,36 @@
     /** A class of requests. */
     public record RequestClass(
             String name,
-            double aim,
+            double latencyObjective,
             double deadline,
             Semantics semantics,
-            Scope scope,
-            double repeatWindow,
-            double value,
-            double lateWorth) {}
+            Scope keyScope,
+            double idempotencyWindow,
+            double priorityWeight,
+            double latePriorityWeight) {}
 
     /** A tenant and its share. */
-    public record Tenant(String name, double quotaPerSecond, double portion) {}
+    public record Tenant(String name, double quotaPerSecond, double quotaShare) {}
 
     /** What the deployment permits. */
     public record Limits(
-            boolean cancel,
+            boolean mayCancel,
             boolean retryAfter,
-            boolean parallelTries,
+            boolean mayRunParallelAttempts,
             int maxAttempts,
             double maxRetryAfter,
             int streamsPerConnection) {}
 
     /** The figures of the drain and cold-host rules. */
-    public record Rules(double cold, double startCapacity, double fall, double fallMultiple, double askWithin) {
+    public record Rules(
+            double warmUpTime,
+            double initialCapacity,
+            double overloadWindow,
+            double overloadMultiple,
+            double maxPollInterval) {
         /** The longest wait (ms) before discovery is asked again: half of what is allowed if stated, {@code most} at most. */
-        double askAgain(double most) {
-            return askWithin > 0 ? Math.min(most, askWithin / 2) : most;
+        double pollInterval(double most) {
+            return maxPollInterval > 0 ? Math.min(most, maxPollInterval / 2) : most;
         }
     }
 
--- a/src/main/java/rillyard/benchmark/FleetTraceStatistics.java
+++ b/src/main/java/rillyard/benchmark/FleetTraceStatistics.java
@@ -106,7 +106,7 @@
         for (Told t : told) {
             TraceEvent event = t.line();
             Map<String, Integer> mine = open.computeIfAbsent(t.proxy(), p -> new HashMap<>());
-            switch (event.what()) {
+            switch (event.kind()) {
                 case STARTED -> {
                     starts++;
                     mine.forEach((h, n) -> host(h).open -= n);
@@ -127,14 +127,14 @@
                 case ATTEMPT -> {
                     HostCount hostCount = host(event.host());
                     hostCount.attempts++;
-                    hostCount.turnedAway += event.how().equals("FULL") ? 1 : 0;
-                    if (event.cold() && !UNSENT.contains(event.how())) {
-                        hostCount.coldSends.add(event.at() - event.spent());
+                    hostCount.turnedAway += event.detail().equals("FULL") ? 1 : 0;
+                    if (event.warmingUp() && !UNSENT.contains(event.detail())) {
+                        hostCount.coldSends.add(event.at() - event.durationMs());
                     }
-                    attempts.merge(event.how(), 1, Integer::sum);
+                    attempts.merge(event.detail(), 1, Integer::sum);
                 }
-                case REFUSED -> refused.merge(event.how(), 1, Integer::sum);
-                case FAILED -> failed.merge(event.how(), 1, Integer::sum);
+                case REFUSED -> refused.merge(event.detail(), 1, Integer::sum);
+                case FAILED -> failed.merge(event.detail(), 1, Integer::sum);
                 case LIST -> lists++;
             }
         }
@@ -195,15 +195,15 @@
         for (Told t : told) {
             TraceEvent event = t.line();
             int[] row = rows.computeIfAbsent((event.at() - first) / window, w -> new int[5]);
-            if (event.what() == TraceEvent.Kind.ATTEMPT) {
+            if (event.kind() == TraceEvent.Kind.ATTEMPT) {
                 row[0]++;
-                switch (event.how()) {
+                switch (event.detail()) {
                     case "OK" -> row[1]++;
                     case "FULL" -> row[2]++;
                     case "CANCELLED", "MOOT" -> {} // given up, not lost
                     default -> row[3]++;
                 }
-            } else if (event.what() == TraceEvent.Kind.REFUSED) {
+            } else if (event.kind() == TraceEvent.Kind.REFUSED) {
                 row[4]++;
             }
         }
--- a/src/main/java/rillyard/benchmark/ProxyOverheadBenchmark.java
+++ b/src/main/java/rillyard/benchmark/ProxyOverheadBenchmark.java
@@ -79,12 +79,12 @@
                 out.printf(
                         "%8s %5s %9s %9s %9s %9s %9s %9s %11s %11s %7s%n",
                         "1/s", "", "p50 ms", "p99", "p50", "p99", "p50", "p99", "us/request", "us/request", "");
-                load(proxy::cpu, proxied, rates[rates.length - 1], seconds); // what is cold is not counted
+                load(proxy::cpuTime, proxied, rates[rates.length - 1], seconds); // what is cold is not counted
                 for (int rate : rates) {
                     List<double[]> rows = new ArrayList<>();
                     for (int i = 0; i < pairs; i++) {
-                        Run run = load(proxy::cpu, direct, rate, seconds);
-                        Run b = load(proxy::cpu, proxied, rate, seconds);
+                        Run run = load(proxy::cpuTime, direct, rate, seconds);
+                        Run b = load(proxy::cpuTime, proxied, rate, seconds);
                         double[] row = {
                             run.p50,
                             run.p99,
@@ -146,7 +146,7 @@
             out.printf("%8s %9s %9s %11s %s%n", "rate 1/s", "p50 ms", "p99", "us/request", "");
             int failures = 0;
             for (int rate = from; rate <= most && failures < 2; rate += step) {
-                Run run = load(hosts::cpu, direct, rate, seconds);
+                Run run = load(hosts::cpuTime, direct, rate, seconds);
                 failures += run.valid ? 0 : 1;
                 out.printf(
                         Locale.ROOT,
--- a/src/main/java/rillyard/benchmark/StartupBenchmark.java
+++ b/src/main/java/rillyard/benchmark/StartupBenchmark.java
@@ -73,7 +73,7 @@
                 TestClusterPlanReader.parse("starts", HOSTS, 0),
                 new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0),
                 2,
-                RequestLogWriter.none(),
+                RequestLogWriter.disabled(),
                 System.err)) {
             hosts.start();
             Path config = folder.resolve("ready.json");
--- a/src/main/java/rillyard/benchmark/StartupRun.java
+++ b/src/main/java/rillyard/benchmark/StartupRun.java
@@ -53,13 +53,13 @@
                     RequestLogWriter.open(clients, new LogHeader("clients", UnixClock.micros(), plan.seed()))) {
                 new LoadRun(plan, List.of(proxy.address()), ledger, null).run();
             }
-            double cpu = proxy.cpu().toNanos() / 1e6 - ready.cpu();
+            double cpu = proxy.cpuTime().toNanos() / 1e6 - ready.cpu();
             return new StartupRun(marks(log, exec), listening, ready, resident, latencies(clients), cpu);
         }
     }
 
     private static Mark now(long exec, ProxyProcess proxy) {
-        return new Mark((System.nanoTime() - exec) / 1e6, proxy.cpu().toNanos() / 1e6);
+        return new Mark((System.nanoTime() - exec) / 1e6, proxy.cpuTime().toNanos() / 1e6);
     }
 
     private static Map<String, Mark> marks(Path log, long exec) throws IOException {
--- a/src/main/java/rillyard/childprocess/ChildProcess.java
+++ b/src/main/java/rillyard/childprocess/ChildProcess.java
@@ -36,7 +36,7 @@
         return new ChildProcess(builder.start());
     }
 
-    public boolean alive() {
+    public boolean isAlive() {
         return process.isAlive();
     }
 
@@ -51,7 +51,7 @@
     }
 
     /** The CPU time that it has taken so far, to the clock tick (10 ms); zero once it has ended. */
-    public Duration cpu() {
+    public Duration cpuTime() {
         return process.info().totalCpuDuration().orElse(Duration.ZERO);
     }
 
--- a/src/main/java/rillyard/childprocess/ProxyProcess.java
+++ b/src/main/java/rillyard/childprocess/ProxyProcess.java
@@ -95,7 +95,7 @@
         long until = System.nanoTime() + READY_NANOS;
         State now;
         while ((now = state(address)).compareTo(least) < 0) {
-            if (!process.alive() || System.nanoTime() > until) {
+            if (!process.isAlive() || System.nanoTime() > until) {
                 String said = Files.exists(log) ? Files.readString(log) : "";
                 throw new IOException(
                         "the proxy did not come up; it said:\n" + said.substring(Math.max(0, said.length() - 2_000)));
@@ -133,8 +133,8 @@
     }
 
     /** The CPU time that it has taken so far, to the clock tick (10 ms). */
-    public Duration cpu() {
-        return process.cpu();
+    public Duration cpuTime() {
+        return process.cpuTime();
     }
 
     /** Resident memory in KiB, 0 where the system does not tell. */
--- a/src/main/java/rillyard/cli/FleetCommand.java
+++ b/src/main/java/rillyard/cli/FleetCommand.java
@@ -40,8 +40,8 @@
         public Integer call() throws Exception {
             FleetConfig config = FleetConfigReader.read(file, System.getenv());
             PrintWriter out = spec.commandLine().getOut();
-            out.println(config.card().name() + " at " + config.card().at() + ", zone "
-                    + config.card().zone() + ", region " + config.card().region() + ", "
+            out.println(config.identity().name() + " at " + config.identity().address() + ", zone "
+                    + config.identity().zone() + ", region " + config.identity().region() + ", "
                     + config.seeds().size() + " seeds");
             return Cli.DONE;
         }
--- a/src/main/java/rillyard/cli/LoadCommand.java
+++ b/src/main/java/rillyard/cli/LoadCommand.java
@@ -69,7 +69,7 @@
         LoadRun run;
         GracefulShutdown ending;
         try (RequestLogWriter ledger =
-                ledgerFile == null ? RequestLogWriter.none() : RequestLogWriter.open(ledgerFile, head)) {
+                ledgerFile == null ? RequestLogWriter.disabled() : RequestLogWriter.open(ledgerFile, head)) {
             run = new LoadRun(plan, targets, ledger, json ? null : System.out);
             ending = new GracefulShutdown(run::interrupt);
             run.run();
--- a/src/main/java/rillyard/cli/ProxyCommands.java
+++ b/src/main/java/rillyard/cli/ProxyCommands.java
@@ -44,7 +44,7 @@
             SecureRandom random = new SecureRandom();
             FleetConfig settings = FleetConfigReader.read(fleet, System.getenv());
             FleetMember member = new FleetMember(settings, random.nextLong(), System.err);
-            PeerGossip news = settings.spread()
+            PeerGossip news = settings.outlierGossip()
                     ? new ObservationGossip(member, FleetOutlierSettings.USUAL, random.nextLong())
                     : null;
             member.start();
--- a/src/main/java/rillyard/cli/TestClusterCommand.java
+++ b/src/main/java/rillyard/cli/TestClusterCommand.java
@@ -68,7 +68,7 @@
         GracefulShutdown ending = new GracefulShutdown(end::countDown);
         LogHeader head = new LogHeader("hosts", UnixClock.micros(), plan.seed());
         try (RequestLogWriter ledger =
-                        ledgerFile == null ? RequestLogWriter.none() : RequestLogWriter.open(ledgerFile, head);
+                        ledgerFile == null ? RequestLogWriter.disabled() : RequestLogWriter.open(ledgerFile, head);
                 TestCluster standIn = new TestCluster(plan, listen, threads, ledger, System.err)) {
             standIn.start();
             standIn.startTimetable();
--- a/src/main/java/rillyard/config/DidYouMean.java
+++ b/src/main/java/rillyard/config/DidYouMean.java
@@ -10,7 +10,7 @@
     private DidYouMean() {}
 
     /** The known name with the fewest edits, or null if none is near. */
-    public static String to(String word, Collection<String> known) {
+    public static String suggest(String word, Collection<String> known) {
         String best = null;
         int fewest = (int) Math.max(1, MOST_EDITS * word.length()) + 1;
         for (String k : known) {
--- a/src/main/java/rillyard/config/InvalidConfigException.java
+++ b/src/main/java/rillyard/config/InvalidConfigException.java
@@ -7,12 +7,12 @@
 public final class InvalidConfigException extends Exception {
     private static final long serialVersionUID = 1;
 
-    private final transient List<ConfigProblem> findings;
+    private final transient List<ConfigProblem> problems;
 
     /** {@code findings} holds one at least. */
     public InvalidConfigException(List<ConfigProblem> findings) {
         super(findings.stream().map(ConfigProblem::toString).collect(Collectors.joining("\n")));
-        this.findings = List.copyOf(findings);
+        this.problems = List.copyOf(findings);
     }
 
     /** A file with one finding. */
@@ -20,7 +20,7 @@
         this(List.of(new ConfigProblem(file, line, message)));
     }
 
-    public List<ConfigProblem> findings() {
-        return findings;
+    public List<ConfigProblem> problems() {
+        return problems;
     }
 }
--- a/src/main/java/rillyard/config/TomlTable.java
+++ b/src/main/java/rillyard/config/TomlTable.java
@@ -27,7 +27,7 @@
  */
 public final class TomlTable {
     private record Source(
-            String file, Map<String, Integer> lines, List<ConfigProblem> findings, List<TomlTable> tables) {}
+            String file, Map<String, Integer> lines, List<ConfigProblem> problems, List<TomlTable> tables) {}
 
     private final Source source;
     private final String path;
@@ -94,7 +94,7 @@
     /** Adds a finding at a key. */
     public void error(String key, String message) {
         String where = path.isEmpty() ? key : path.replaceAll("\\.(\\d+)", "[$1]") + "." + key;
-        source.findings.add(new ConfigProblem(source.file, line(key), where + ": " + message));
+        source.problems.add(new ConfigProblem(source.file, line(key), where + ": " + message));
     }
 
     private JsonNode get(String key) {
@@ -140,7 +140,7 @@
         for (E e : type.getEnumConstants()) {
             names.add(name(e));
         }
-        String near = DidYouMean.to(s, names);
+        String near = DidYouMean.suggest(s, names);
         error(
                 key,
                 "found '" + s + "', expected one of " + String.join(", ", names)
@@ -175,7 +175,7 @@
     }
 
     /** A whole number within a range, ends included, or the default. */
-    public long whole(String key, long otherwise, long least, long most) {
+    public long integer(String key, long otherwise, long least, long most) {
         JsonNode node = get(key);
         if (node == null) {
             return otherwise;
@@ -259,7 +259,7 @@
         for (TomlTable table : source.tables) {
             table.node.fieldNames().forEachRemaining(k -> {
                 if (!table.known.contains(k)) {
-                    String near = DidYouMean.to(k, table.known);
+                    String near = DidYouMean.suggest(k, table.known);
                     table.error(
                             k,
                             "unknown key"
@@ -272,8 +272,8 @@
                 }
             });
         }
-        if (!source.findings.isEmpty()) {
-            throw new InvalidConfigException(source.findings.stream()
+        if (!source.problems.isEmpty()) {
+            throw new InvalidConfigException(source.problems.stream()
                     .sorted(Comparator.comparingInt(ConfigProblem::line))
                     .toList());
         }
--- a/src/main/java/rillyard/demo/JvmWarmup.java
+++ b/src/main/java/rillyard/demo/JvmWarmup.java
@@ -58,7 +58,7 @@
         TestClusterPlan hosts = TestClusterPlanReader.parse("warm-up", HOSTS, 0);
         LoadPlan load = LoadPlanReader.parse("warm-up", PLAN, Path.of("."));
         InetSocketAddress any = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0);
-        try (RequestLogWriter ledger = RequestLogWriter.none();
+        try (RequestLogWriter ledger = RequestLogWriter.disabled();
                 TestCluster standIn = new TestCluster(hosts, any, 1, ledger, System.err)) {
             standIn.start();
             new LoadRun(load, List.of(standIn.address("s-0"), standIn.address("s-1")), ledger, null).run();
--- a/src/main/java/rillyard/endpoints/DisabledHosts.java
+++ b/src/main/java/rillyard/endpoints/DisabledHosts.java
@@ -14,41 +14,41 @@
  */
 public final class DisabledHosts {
     /** The most hosts that may be out: guards against a script that takes out names without end. */
-    public static final int MOST = 4_096;
+    public static final int MAX_HOSTS = 4_096;
 
-    private final Set<String> out = new HashSet<>();
-    private final Map<String, Double> back = new LinkedHashMap<>() {
+    private final Set<String> disabled = new HashSet<>();
+    private final Map<String, Double> enabledAt = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
         /** Guards against names that never come back on the list; the oldest are warm the soonest. */
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Double> eldest) {
-            return size() > MOST;
+            return size() > MAX_HOSTS;
         }
     };
 
     /** Whether the host is out. */
     public boolean contains(String name) {
-        return out.contains(name);
+        return disabled.contains(name);
     }
 
     /** Hosts that are out, listed or not. */
     public int size() {
-        return out.size();
+        return disabled.size();
     }
 
     /**
      * Takes a host out; a second time changes nothing.
      *
      * @return whether this changed anything
-     * @throws IllegalStateException if {@link #MOST} hosts are out already
+     * @throws IllegalStateException if {@link #MAX_HOSTS} hosts are out already
      */
-    public boolean takeOut(String name) {
-        if (!out.contains(name) && out.size() >= MOST) {
-            throw new IllegalStateException(MOST + " hosts are out, no more may be");
+    public boolean disable(String name) {
+        if (!disabled.contains(name) && disabled.size() >= MAX_HOSTS) {
+            throw new IllegalStateException(MAX_HOSTS + " hosts are out, no more may be");
         }
-        back.remove(name);
-        return out.add(name);
+        enabledAt.remove(name);
+        return disabled.add(name);
     }
 
     /**
@@ -57,11 +57,11 @@
      * @param at the module's clock (ms) at which it was given back
      * @return whether this changed anything
      */
-    public boolean giveBack(String name, double at) {
-        if (!out.remove(name)) {
+    public boolean enable(String name, double at) {
+        if (!disabled.remove(name)) {
             return false;
         }
-        back.put(name, at);
+        enabledAt.put(name, at);
         return true;
     }
 
@@ -75,19 +75,19 @@
     public Set<String> adopt(Set<String> now, Map<String, Double> given) {
         Set<String> changed = new HashSet<>();
         for (String name : now) {
-            if (out.size() < MOST && takeOut(name)) {
+            if (disabled.size() < MAX_HOSTS && disable(name)) {
                 changed.add(name);
             }
         }
-        for (String name : Set.copyOf(out)) {
+        for (String name : Set.copyOf(disabled)) {
             if (!now.contains(name)) {
-                out.remove(name);
+                disabled.remove(name);
                 changed.add(name);
             }
         }
         given.forEach((name, at) -> {
-            if (!out.contains(name) && (changed.contains(name) || !back.containsKey(name))) {
-                back.put(name, at);
+            if (!disabled.contains(name) && (changed.contains(name) || !enabledAt.containsKey(name))) {
+                enabledAt.put(name, at);
                 changed.add(name);
             }
         });
@@ -96,23 +96,23 @@
 
     /** Hosts of which it is known when they were given back. */
     public int remembered() {
-        return back.size();
+        return enabledAt.size();
     }
 
     /** The host has left the list: when it was given back is of no more use. */
     public void forget(String name) {
-        back.remove(name);
+        enabledAt.remove(name);
     }
 
     /** What the module is to be told of a host of which discovery says {@code told}. */
     public EndpointEntry effective(String name, EndpointEntry told) {
         boolean ready = told.condition() == EndpointEntry.Condition.READY;
         EndpointEntry.Condition condition =
-                ready && out.contains(name) ? EndpointEntry.Condition.TERMINATING : told.condition();
-        double since = Math.max(told.onlineSince(), back.getOrDefault(name, 0.0));
+                ready && disabled.contains(name) ? EndpointEntry.Condition.TERMINATING : told.condition();
+        double since = Math.max(told.onlineSince(), enabledAt.getOrDefault(name, 0.0));
         return condition == told.condition() && since == told.onlineSince()
                 ? told
                 : new EndpointEntry(
-                        told.id(), told.zone(), told.kind(), told.cell(), condition, told.capacityHint(), since);
+                        told.id(), told.zone(), told.machineKind(), told.cell(), condition, told.capacityHint(), since);
     }
 }
--- a/src/main/java/rillyard/endpoints/EndpointListGuard.java
+++ b/src/main/java/rillyard/endpoints/EndpointListGuard.java
@@ -16,7 +16,7 @@
  */
 public final class EndpointListGuard {
     private final double leastShare;
-    private final double hold;
+    private final double holdMillis;
     private final Map<String, Double> held = new LinkedHashMap<>();
 
     /**
@@ -35,7 +35,7 @@
             throw new IllegalArgumentException("time to hold hosts: expected ms above 0, found " + hold);
         }
         this.leastShare = leastShare;
-        this.hold = hold;
+        this.holdMillis = hold;
     }
 
     /**
@@ -46,7 +46,7 @@
      * @param named the hosts that the list names, in whatever state
      * @return those of {@code ready} that the list lacks and that are used on nevertheless
      */
-    public Set<String> whole(double now, Set<String> ready, Set<String> named) {
+    public Set<String> onFullList(double now, Set<String> ready, Set<String> named) {
         Set<String> lacks = new HashSet<>(ready);
         lacks.removeAll(named);
         held.keySet().removeIf(name -> !lacks.contains(name));
@@ -55,18 +55,18 @@
             // them is no smaller because those that are left are all here.
             lacks.retainAll(held.keySet());
         }
-        lacks.forEach(name -> held.putIfAbsent(name, now + hold));
+        lacks.forEach(name -> held.putIfAbsent(name, now + holdMillis));
         lacks.removeIf(name -> held.get(name) <= now);
         return lacks;
     }
 
     /** A change names this host: from now on it is what the change says. */
-    public void named(String name) {
+    public void onNamed(String name) {
         held.remove(name);
     }
 
     /** The hosts whose time has passed by now: they are gone. */
-    public List<String> over(double now) {
+    public List<String> expired(double now) {
         List<String> over = new ArrayList<>();
         held.entrySet().removeIf(e -> {
             boolean past = e.getValue() <= now;
--- a/src/main/java/rillyard/faultinjection/CpuThrottle.java
+++ b/src/main/java/rillyard/faultinjection/CpuThrottle.java
@@ -26,7 +26,7 @@
 
     private void starve(ChildProcess child, double share) {
         try {
-            while (child.alive() && threads.containsKey(child)) {
+            while (child.isAlive() && threads.containsKey(child)) {
                 child.pause();
                 Thread.sleep((long) (share * PERIOD_MS));
                 child.resume();
--- a/src/main/java/rillyard/faultinjection/FaultInjectionAudit.java
+++ b/src/main/java/rillyard/faultinjection/FaultInjectionAudit.java
@@ -74,7 +74,7 @@
                 attempt.number(),
                 attempt.id(),
                 attempt.key(),
-                attempt.type(),
+                attempt.requestClass(),
                 attempt.tenant(),
                 attempt.client(),
                 attempt.intended(),
--- a/src/main/java/rillyard/faultinjection/FaultInjectionPlanReader.java
+++ b/src/main/java/rillyard/faultinjection/FaultInjectionPlanReader.java
@@ -39,10 +39,10 @@
     }
 
     private static FaultInjectionPlan read(TomlTable root, Path beside) throws InvalidConfigException {
-        long seed = root.whole("seed", 1, 0, Long.MAX_VALUE);
-        int processes = (int) root.whole("processes", 12, 2, MOST);
-        int zones = (int) root.whole("zones", 1, 1, 200);
-        int regions = (int) root.whole("regions", 1, 1, 200);
+        long seed = root.integer("seed", 1, 0, Long.MAX_VALUE);
+        int processes = (int) root.integer("processes", 12, 2, MOST);
+        int zones = (int) root.integer("zones", 1, 1, 200);
+        int regions = (int) root.integer("regions", 1, 1, 200);
         String hosts = root.text("hosts", null);
         String load = root.text("load", null);
         LoadPlan asked = load == null ? null : LoadPlanReader.read(beside.resolve(load));
--- a/src/main/java/rillyard/faultinjection/FaultInjectionRun.java
+++ b/src/main/java/rillyard/faultinjection/FaultInjectionRun.java
@@ -67,7 +67,7 @@
         LoadRun load;
         try (RequestLogWriter hosts = RequestLogWriter.open(file(HOSTS), new LogHeader("hosts", now, plan.seed()));
                 RequestLogWriter clients =
-                        plan.load() == null ? RequestLogWriter.none() : RequestLogWriter.open(file(CLIENTS), head);
+                        plan.load() == null ? RequestLogWriter.disabled() : RequestLogWriter.open(file(CLIENTS), head);
                 ProcessFleet fleet = new ProcessFleet(plan, launch, folder, hosts)) {
             config = fleet.config();
             load = plan.load() == null ? null : new LoadRun(plan.load(), fleet.serving(), true, clients, null);
@@ -182,7 +182,7 @@
 
     private static void checkAlive(ProcessFleet fleet, Iterable<FleetProcess> members) throws IOException {
         for (FleetProcess process : members) {
-            if (!fleet.child(process).alive()) {
+            if (!fleet.child(process).isAlive()) {
                 throw new IOException(process.name() + " ended by itself; see its log");
             }
         }
@@ -196,7 +196,7 @@
     private static Set<String> living(Set<String> all, ProcessFleet fleet) {
         Set<String> living = new HashSet<>(all);
         fleet.members().stream()
-                .filter(process -> !fleet.child(process).alive())
+                .filter(process -> !fleet.child(process).isAlive())
                 .forEach(fleetProcess -> living.remove(fleetProcess.name()));
         return living;
     }
--- a/src/main/java/rillyard/faultinjection/ProcessFleet.java
+++ b/src/main/java/rillyard/faultinjection/ProcessFleet.java
@@ -205,7 +205,7 @@
     void end(InjectedFault fault, FleetProcess process) throws IOException, InterruptedException {
         if (fault.kind() == InjectedFault.Kind.STARVE) {
             starving.end(child(process));
-        } else if (child(process).alive()) {
+        } else if (child(process).isAlive()) {
             child(process).resume();
         }
     }
--- a/src/main/java/rillyard/faultinjection/RunImbalance.java
+++ b/src/main/java/rillyard/faultinjection/RunImbalance.java
@@ -76,7 +76,7 @@
     }
 
     private void heard(HostEvent event) {
-        switch (event.what()) {
+        switch (event.kind()) {
             case STARTED -> up.put(event.host(), event);
             case DRAINING, STOPPED, KILLED -> {
                 HostEvent began = up.remove(event.host());
@@ -91,7 +91,7 @@
                 event.host(),
                 event.host() + " "
                         + (event.detail() == null
-                                ? event.what().name().toLowerCase(java.util.Locale.ROOT)
+                                ? event.kind().name().toLowerCase(java.util.Locale.ROOT)
                                 : event.detail())));
     }
 }
--- a/src/main/java/rillyard/hotrestart/DisabledHostStore.java
+++ b/src/main/java/rillyard/hotrestart/DisabledHostStore.java
@@ -24,7 +24,7 @@
  */
 public final class DisabledHostStore {
     /** What the folder says: hosts out, and Unix time (ms) at which others were given back. */
-    public record Contents(Set<String> out, Map<String, Long> back) {}
+    public record Contents(Set<String> disabled, Map<String, Long> enabledAt) {}
 
     private static final String OUT = "out-";
     private static final String BACK = "back-";
@@ -49,7 +49,7 @@
      *
      * @throws IOException if that can't be kept
      */
-    public void takeOut(String name) throws IOException {
+    public void disable(String name) throws IOException {
         Files.deleteIfExists(file(BACK, name));
         try {
             Files.createFile(file(OUT, name));
@@ -63,7 +63,7 @@
      *
      * @throws IOException if that can't be kept
      */
-    public void giveBack(String name, long now) throws IOException {
+    public void enable(String name, long now) throws IOException {
         Path back = file(BACK, name);
         try {
             Path out = file(OUT, name);
--- a/src/main/java/rillyard/hotrestart/HotRestartLock.java
+++ b/src/main/java/rillyard/hotrestart/HotRestartLock.java
@@ -18,8 +18,8 @@
 public final class HotRestartLock implements Closeable {
     private final FileChannel serving;
     private final FileChannel next;
-    private FileLock inCharge;
-    private FileLock following;
+    private FileLock activeLock;
+    private FileLock standbyLock;
 
     /**
      * Joins at the end of the line.
@@ -31,7 +31,7 @@
         Files.createDirectories(folder);
         serving = open(folder.resolve("serving"));
         next = open(folder.resolve("next"));
-        inCharge = lock(serving);
+        activeLock = lock(serving);
     }
 
     private static FileChannel open(Path file) throws IOException {
@@ -47,8 +47,8 @@
     }
 
     /** Whether no other process is in charge. */
-    public synchronized boolean inCharge() {
-        return inCharge != null;
+    public synchronized boolean isActive() {
+        return activeLock != null;
     }
 
     /**
@@ -57,15 +57,15 @@
      *
      * @throws IOException if the files can't be locked
      */
-    public synchronized void follow() throws IOException {
-        if (inCharge == null) {
-            inCharge = lock(serving);
+    public synchronized void becomeStandby() throws IOException {
+        if (activeLock == null) {
+            activeLock = lock(serving);
         }
-        if (inCharge == null && following == null) {
-            following = lock(next);
-        } else if (inCharge != null && following != null) {
-            following.release();
-            following = null;
+        if (activeLock == null && standbyLock == null) {
+            standbyLock = lock(next);
+        } else if (activeLock != null && standbyLock != null) {
+            standbyLock.release();
+            standbyLock = null;
         }
     }
 
@@ -74,8 +74,8 @@
      *
      * @throws IOException if the file can't be locked
      */
-    public synchronized boolean followed() throws IOException {
-        if (following != null) {
+    public synchronized boolean hasStandby() throws IOException {
+        if (standbyLock != null) {
             return false;
         }
         FileLock free = lock(next);
--- a/src/main/java/rillyard/loadgen/LoadGenerator.java
+++ b/src/main/java/rillyard/loadgen/LoadGenerator.java
@@ -69,7 +69,7 @@
             now = timers.now();
         }
         if (!stopped && next != null) {
-            timers.at(startedAt + next.at(), this::turn);
+            timers.scheduleAt(startedAt + next.at(), this::turn);
         } else {
             doneIfEmpty();
         }
--- a/src/main/java/rillyard/loadgen/LoadPlanReader.java
+++ b/src/main/java/rillyard/loadgen/LoadPlanReader.java
@@ -40,8 +40,8 @@
     }
 
     private static LoadPlan read(TomlTable root, Path beside) throws InvalidConfigException {
-        long seed = root.whole("seed", 1, 0, Long.MAX_VALUE);
-        int maxOpen = (int) root.whole("max_open", 20_000, 1, 1_000_000);
+        long seed = root.integer("seed", 1, 0, Long.MAX_VALUE);
+        int maxOpen = (int) root.integer("max_open", 20_000, 1, 1_000_000);
         double lateness = root.number("lateness_ms", 5, 0.01, 60_000);
         boolean verify = root.flag("verify", true);
         List<LoadClass> classes = classes(root);
@@ -126,7 +126,7 @@
             LoadClass.Semantics semantics =
                     table.choice("semantics", LoadClass.Semantics.class, LoadClass.Semantics.AT_MOST_ONCE);
             int body =
-                    (int) table.whole("body_bytes", semantics == LoadClass.Semantics.IDEMPOTENT ? 0 : 200, 0, 65_536);
+                    (int) table.integer("body_bytes", semantics == LoadClass.Semantics.IDEMPOTENT ? 0 : 200, 0, 65_536);
             if (semantics == LoadClass.Semantics.IDEMPOTENT && body > 0) {
                 table.error("body_bytes", "found " + body + ", expected 0 for a class that is sent with GET");
             }
@@ -138,7 +138,7 @@
                     deadline,
                     table.number("window_ms", 750, 0, 3_600_000),
                     body,
-                    (int) table.whole("keys", 0, 0, 100_000_000)));
+                    (int) table.integer("keys", 0, 0, 100_000_000)));
         }
         if (out.isEmpty()) {
             return standardClasses();
@@ -178,10 +178,10 @@
             share = new double[] {0.5, 0.6};
         }
         return new ClientSpec(
-                (int) table.whole("count", 100, 1, 1_000_000),
+                (int) table.integer("count", 100, 1, 1_000_000),
                 table.number("skew", 0.8, 0, 5),
-                (int) table.whole("retries", 3, 0, 100),
-                (int) table.whole("attempts", 6, 1, 100),
+                (int) table.integer("retries", 3, 0, 100),
+                (int) table.integer("attempts", 6, 1, 100),
                 table.number("pause_ms", 0, 0, 60_000),
                 table.number("growth", 1, 1, 10),
                 share[0],
--- a/src/main/java/rillyard/loadgen/LogicalRequest.java
+++ b/src/main/java/rillyard/loadgen/LogicalRequest.java
@@ -114,12 +114,13 @@
                         this);
         if (host.random().nextDouble() < spec.impatient()) {
             long leaves = (long) (host.random().nextDouble() * patience);
-            timer = host.timers().at(sentAt + leaves, () -> giveUp(ClientOutcome.ABANDONED, true));
+            timer = host.timers().scheduleAt(sentAt + leaves, () -> giveUp(ClientOutcome.ABANDONED, true));
         } else if (spec.announced() || patience >= left) {
             timer = host.timers()
-                    .at(sentAt + patience + nanos(spec.graceMs()), () -> giveUp(ClientOutcome.UNANSWERED, true));
+                    .scheduleAt(
+                            sentAt + patience + nanos(spec.graceMs()), () -> giveUp(ClientOutcome.UNANSWERED, true));
         } else {
-            timer = host.timers().at(sentAt + patience, () -> giveUp(ClientOutcome.ABANDONED, true));
+            timer = host.timers().scheduleAt(sentAt + patience, () -> giveUp(ClientOutcome.ABANDONED, true));
         }
     }
 
@@ -172,7 +173,7 @@
             attempt(id, false, true); // the same one once more, as it was not taken
         } else {
             retries++;
-            timer = host.timers().after(wait, () -> attempt(host.name(16), true, false));
+            timer = host.timers().scheduleAfter(wait, () -> attempt(host.name(16), true, false));
         }
     }
 
--- a/src/main/java/rillyard/loadgen/RunStatistics.java
+++ b/src/main/java/rillyard/loadgen/RunStatistics.java
@@ -92,7 +92,7 @@
     }
 
     void tried(ClientAttempt line) {
-        rows.get(name(line.type(), line.tenant())).tries++;
+        rows.get(name(line.requestClass(), line.tenant())).tries++;
     }
 
     /** More came on a connection than the one answer. */
@@ -128,7 +128,7 @@
                     statistics.notSent++;
                 } else if (outcome == ClientOutcome.ABANDONED) {
                     statistics.abandoned++;
-                } else if (outcome.lost()) {
+                } else if (outcome.isLost()) {
                     statistics.lost++;
                 } else {
                     statistics.failed++;
--- a/src/main/java/rillyard/loadgen/TimelineEvents.java
+++ b/src/main/java/rillyard/loadgen/TimelineEvents.java
@@ -31,10 +31,10 @@
     }
 
     private static String words(HostEvent event) {
-        return switch (event.what()) {
+        return switch (event.kind()) {
             case FAULT -> event.detail();
             case FAULT_ENDED -> event.detail() + " ends";
-            default -> event.what().name().toLowerCase(Locale.ROOT);
+            default -> event.kind().name().toLowerCase(Locale.ROOT);
         };
     }
 }
--- a/src/main/java/rillyard/membership/AttributeStore.java
+++ b/src/main/java/rillyard/membership/AttributeStore.java
@@ -34,7 +34,7 @@
         }
 
         boolean over(double now) {
-            return age(now) >= fact.lasts();
+            return age(now) >= fact.ttlMillis();
         }
 
         /** As it is passed on at a time. */
@@ -45,7 +45,7 @@
                     fact.kind(),
                     fact.version(),
                     Math.min(MemberAttribute.MAX_MS, age(now)),
-                    fact.lasts(),
+                    fact.ttlMillis(),
                     fact.value());
         }
     }
@@ -65,9 +65,9 @@
      * @return whether it is said; not if this member has said so many that nobody would believe one more
      */
     boolean say(MemberUpdate self, int kind, byte[] value, double lasts, boolean again, long unixNow, double now) {
-        StoredAttribute before = held.get(new Key(self.card().name(), kind));
+        StoredAttribute before = held.get(new Key(self.identity().name(), kind));
         long version = before == null ? 0 : before.fact.version() + 1;
-        if (!possible(version, self.life().start(), unixNow)) {
+        if (!possible(version, self.incarnation().startedAtMillis(), unixNow)) {
             return false;
         }
         if (again) {
@@ -75,16 +75,20 @@
         } else {
             ownKinds.remove(kind);
         }
-        take(new MemberAttribute(self.card().name(), self.life().start(), kind, version, 0, lasts, value), now, true);
+        take(
+                new MemberAttribute(
+                        self.identity().name(), self.incarnation().startedAtMillis(), kind, version, 0, lasts, value),
+                now,
+                true);
         return true;
     }
 
     /** What this member says of itself it says again in time. */
     void tick(MemberUpdate self, double now) {
         for (int kind : ownKinds) {
-            StoredAttribute attribute = held.get(new Key(self.card().name(), kind));
+            StoredAttribute attribute = held.get(new Key(self.identity().name(), kind));
             MemberAttribute memberAttribute = attribute.fact;
-            if (!memberAttribute.withdrawn() && attribute.age(now) >= memberAttribute.lasts() * AGAIN) {
+            if (!memberAttribute.withdrawn() && attribute.age(now) >= memberAttribute.ttlMillis() * AGAIN) {
                 take(
                         new MemberAttribute(
                                 memberAttribute.owner(),
@@ -92,7 +96,7 @@
                                 kind,
                                 memberAttribute.version() + 1,
                                 0,
-                                memberAttribute.lasts(),
+                                memberAttribute.ttlMillis(),
                                 memberAttribute.value()),
                         now,
                         false);
@@ -102,7 +106,7 @@
 
     private void take(MemberAttribute attribute, double now, boolean isNew) {
         Key key = new Key(attribute.owner(), attribute.kind());
-        held.put(key, new StoredAttribute(attribute, now - attribute.age()));
+        held.put(key, new StoredAttribute(attribute, now - attribute.ageMillis()));
         turns.add(key);
         if (isNew) {
             urgent.add(key);
@@ -123,10 +127,10 @@
      * @param unixNow this machine's Unix time (ms)
      */
     void heard(MemberAttribute attribute, MemberUpdate self, Incarnation life, long unixNow, double now) {
-        boolean own = attribute.owner().equals(self.card().name());
-        Incarnation of = own ? self.life() : life;
+        boolean own = attribute.owner().equals(self.identity().name());
+        Incarnation of = own ? self.incarnation() : life;
         if (of == null
-                || of.start() != attribute.start()
+                || of.startedAtMillis() != attribute.start()
                 || !possible(attribute.version(), attribute.start(), unixNow)) {
             return;
         }
@@ -136,7 +140,7 @@
             ownComesBack(attribute, storedAttribute, now);
         } else if (!sameLife || attribute.version() > storedAttribute.fact.version()) {
             take(attribute, now, !sameLife || !Arrays.equals(storedAttribute.fact.value(), attribute.value()));
-            if (attribute.age() >= attribute.lasts() && !attribute.withdrawn()) {
+            if (attribute.ageMillis() >= attribute.ttlMillis() && !attribute.withdrawn()) {
                 drop(new Key(attribute.owner(), attribute.kind())); // over already: not passed on
             }
         }
@@ -148,7 +152,7 @@
                 || attribute.version() > said.fact.version()
                 || attribute.version() == said.fact.version() && !Arrays.equals(attribute.value(), said.fact.value())) {
             byte[] value = said == null ? new byte[0] : said.fact.value();
-            double lasts = said == null ? attribute.lasts() : said.fact.lasts();
+            double lasts = said == null ? attribute.ttlMillis() : said.fact.ttlMillis();
             double age = said == null ? 0 : said.age(now); // it was said then, and may end by itself
             take(
                     new MemberAttribute(
@@ -204,11 +208,11 @@
             MemberAttribute memberAttribute = attribute.fact;
             if (memberAttribute.kind() == kind && !memberAttribute.withdrawn() && !attribute.over(now)) {
                 MemberState member = beliefs.get(memberAttribute.owner());
-                boolean own = memberAttribute.owner().equals(self.card().name());
+                boolean own = memberAttribute.owner().equals(self.identity().name());
                 if (own
                         || member != null
                                 && member.status().present()
-                                && member.word.life().start() == memberAttribute.start()) {
+                                && member.word.incarnation().startedAtMillis() == memberAttribute.start()) {
                     out.put(memberAttribute.owner(), attribute.at(now));
                 }
             }
--- a/src/main/java/rillyard/membership/IncarnationValidator.java
+++ b/src/main/java/rillyard/membership/IncarnationValidator.java
@@ -17,9 +17,9 @@
      * @param unixNow this machine's Unix time (ms)
      */
     static boolean possible(Incarnation life, Incarnation known, long unixNow) {
-        if (known != null && known.start() == life.start()) {
-            return life.incarnation() <= known.incarnation() + LEAP;
+        if (known != null && known.startedAtMillis() == life.startedAtMillis()) {
+            return life.counter() <= known.counter() + LEAP;
         }
-        return life.start() <= unixNow + CLOCKS_APART && life.incarnation() <= LEAP;
+        return life.startedAtMillis() <= unixNow + CLOCKS_APART && life.counter() <= LEAP;
     }
 }
--- a/src/main/java/rillyard/membership/IndirectProbes.java
+++ b/src/main/java/rillyard/membership/IndirectProbes.java
@@ -22,15 +22,16 @@
     }
 
     boolean room() {
-        return open.size() < 4 * settings.most();
+        return open.size() < 4 * settings.maxMembers();
     }
 
     /** Takes one on, asked under a number of our own. */
     void take(int own, Message message, MemberAddress askerAt, double now) {
-        double noAt = now + NO_AFTER * (settings.interval() - settings.timeout());
+        double noAt = now + NO_AFTER * (settings.probeIntervalMillis() - settings.probeTimeoutMillis());
         open.put(
                 own,
-                new IndirectProbe(message.sequence(), message.sender().card().name(), askerAt, noAt));
+                new IndirectProbe(
+                        message.sequence(), message.sender().identity().name(), askerAt, noAt));
     }
 
     /** The errand that an answer to this number of ours ends, or null. */
--- a/src/main/java/rillyard/membership/LocalMember.java
+++ b/src/main/java/rillyard/membership/LocalMember.java
@@ -32,12 +32,12 @@
     }
 
     boolean isName(String name) {
-        return word.card().name().equals(name);
+        return word.identity().name().equals(name);
     }
 
     /** It goes: this is its last word. */
     void leave() {
-        word = new MemberUpdate(word.card(), word.life(), MemberStatus.LEFT, word.by());
+        word = new MemberUpdate(word.identity(), word.incarnation(), MemberStatus.LEFT, word.by());
     }
 
     void fallSilent() {
@@ -46,21 +46,22 @@
 
     /** A process of this name speaks itself: the one that started later has the name. Returns whether that is this one. */
     boolean outlives(MemberUpdate other, long unixNow) {
-        if (other.life().start() > word.life().start() && IncarnationValidator.possible(other.life(), null, unixNow)) {
+        if (other.incarnation().startedAtMillis() > word.incarnation().startedAtMillis()
+                && IncarnationValidator.possible(other.incarnation(), null, unixNow)) {
             silent = true;
         }
-        return other.life().start() < word.life().start();
+        return other.incarnation().startedAtMillis() < word.incarnation().startedAtMillis();
     }
 
     /** Others hold this member for ill or dead, or remember a life of its name before this one: it speaks up. */
     Claim heard(MemberUpdate update, double now, long unixNow) {
-        if (!IncarnationValidator.possible(update.life(), word.life(), unixNow)) {
+        if (!IncarnationValidator.possible(update.incarnation(), word.incarnation(), unixNow)) {
             return Claim.NOTHING; // nobody but itself can have said so
         }
         // A life before this one may have had a later start: this machine's clock was set back in between. One at
         // another address may be a process that took the name over.
-        if (update.life().start() > word.life().start()
-                && !update.card().at().equals(word.card().at())
+        if (update.incarnation().startedAtMillis() > word.incarnation().startedAtMillis()
+                && !update.identity().address().equals(word.identity().address())
                 && update.status().present()) {
             if (now - askedAt < askEvery) {
                 return Claim.NOTHING;
@@ -68,12 +69,17 @@
             askedAt = now;
             return Claim.ASK;
         }
-        boolean later = update.life().compareTo(word.life()) > 0;
-        if (!later && (update.status() == MemberStatus.ALIVE || !update.life().equals(word.life()))) {
+        boolean later = update.incarnation().compareTo(word.incarnation()) > 0;
+        if (!later
+                && (update.status() == MemberStatus.ALIVE
+                        || !update.incarnation().equals(word.incarnation()))) {
             return Claim.NOTHING;
         }
         word = new MemberUpdate(
-                word.card(), (later ? update.life() : word.life()).next(), MemberStatus.ALIVE, word.by());
+                word.identity(),
+                (later ? update.incarnation() : word.incarnation()).next(),
+                MemberStatus.ALIVE,
+                word.by());
         return Claim.SPOKEN_UP;
     }
 
--- a/src/main/java/rillyard/membership/MemberAttribute.java
+++ b/src/main/java/rillyard/membership/MemberAttribute.java
@@ -9,12 +9,12 @@
  * @param start of the owner's process: a fact ends with its process
  * @param kind what it is about, 0 to {@link #MAX_KIND}; one fact of a kind and owner
  * @param version the owner's count of its facts of that kind; the greatest holds
- * @param age ms since the owner said it, 0 to {@link #MAX_MS}
- * @param lasts ms from then until it ends by itself, 0 to {@link #MAX_MS}
+ * @param ageMillis ms since the owner said it, 0 to {@link #MAX_MS}
+ * @param ttlMillis ms from then until it ends by itself, 0 to {@link #MAX_MS}
  * @param value of at most {@link #MAX_VALUE} bytes; none where the owner takes it back
  */
 public record MemberAttribute(
-        String owner, long start, int kind, long version, double age, double lasts, byte[] value) {
+        String owner, long start, int kind, long version, double ageMillis, double ttlMillis, byte[] value) {
     public static final int MAX_KIND = 15;
     public static final int MAX_VALUE = 32;
 
@@ -31,8 +31,8 @@
                 || value.length > MAX_VALUE
                 || version < 0
                 || version > MAX_VERSION
-                || !(age >= 0 && age <= MAX_MS)
-                || !(lasts >= 0 && lasts <= MAX_MS)) {
+                || !(ageMillis >= 0 && ageMillis <= MAX_MS)
+                || !(ttlMillis >= 0 && ttlMillis <= MAX_MS)) {
             throw new IllegalArgumentException("no fact: kind " + kind + " of '" + owner + "', " + value.length
                     + " bytes, expected a kind to " + MAX_KIND + ", a name and " + MAX_VALUE + " bytes at most");
         }
@@ -63,8 +63,8 @@
                 && start == attribute.start
                 && kind == attribute.kind
                 && version == attribute.version
-                && age == attribute.age
-                && lasts == attribute.lasts
+                && ageMillis == attribute.ageMillis
+                && ttlMillis == attribute.ttlMillis
                 && Arrays.equals(value, attribute.value);
     }
 
@@ -75,6 +75,7 @@
 
     @Override
     public String toString() {
-        return owner + "/" + kind + " v" + version + " age " + age + " of " + lasts + " " + Arrays.toString(value);
+        return owner + "/" + kind + " v" + version + " age " + ageMillis + " of " + ttlMillis + " "
+                + Arrays.toString(value);
     }
 }
--- a/src/main/java/rillyard/membership/MemberIdentity.java
+++ b/src/main/java/rillyard/membership/MemberIdentity.java
@@ -7,7 +7,7 @@
  * @param zone number of its zone, 0 to 255, as all settings of the fleet have it
  * @param region number of its region, 0 to 255
  */
-public record MemberIdentity(String name, MemberAddress at, int zone, int region) {
+public record MemberIdentity(String name, MemberAddress address, int zone, int region) {
     public static final int MAX_NAME = 16;
 
     public MemberIdentity {
--- a/src/main/java/rillyard/membership/MemberState.java
+++ b/src/main/java/rillyard/membership/MemberState.java
@@ -15,7 +15,7 @@
     /** When a suspect is asked again. */
     double askAt;
     /** Who suspects it, by number: independent words shorten the time that it has to speak up. */
-    private Set<Integer> accusers = Set.of();
+    private Set<Integer> suspectors = Set.of();
 
     MemberState(MemberUpdate word, double since) {
         this.word = word;
@@ -23,23 +23,23 @@
     }
 
     /** Who accuses it, by number; most members are never accused, and keep no set. */
-    Set<Integer> accusers() {
-        return accusers;
+    Set<Integer> suspectors() {
+        return suspectors;
     }
 
     /** Adds one; whether it is new, and there is room for it. */
-    boolean accused(int by) {
-        if (accusers.size() >= MOST_ACCUSERS) {
+    boolean addSuspector(int by) {
+        if (suspectors.size() >= MOST_ACCUSERS) {
             return false;
         }
-        if (accusers.isEmpty()) {
-            accusers = new HashSet<>(4);
+        if (suspectors.isEmpty()) {
+            suspectors = new HashSet<>(4);
         }
-        return accusers.add(by);
+        return suspectors.add(by);
     }
 
-    void acquit() {
-        accusers = Set.of();
+    void clearSuspicion() {
+        suspectors = Set.of();
     }
 
     MemberStatus status() {
--- a/src/main/java/rillyard/membership/MemberTable.java
+++ b/src/main/java/rillyard/membership/MemberTable.java
@@ -48,7 +48,7 @@
     }
 
     void add(MemberState member) {
-        String name = member.word.card().name();
+        String name = member.word.identity().name();
         beliefs.put(name, member);
         all.add(name);
         // At a random place, so that those who join together are not probed together for ever.
@@ -74,8 +74,8 @@
 
     /** A number for one who is present, by name and start: words that change often don't change it. */
     static int mark(MemberUpdate update) {
-        int h = update.card().name().hashCode() * 31
-                + Long.hashCode(update.life().start());
+        int h = update.identity().name().hashCode() * 31
+                + Long.hashCode(update.incarnation().startedAtMillis());
         h = (h ^ h >>> 16) * 0x85EBCA6B;
         return h ^ h >>> 13;
     }
@@ -90,7 +90,7 @@
         count(word, 1);
         member.word = word;
         member.since = now;
-        member.acquit();
+        member.clearSuspicion();
         mark(member);
     }
 
@@ -101,7 +101,7 @@
             MemberState member = i.next();
             if (!member.status().present() && member.since < until) {
                 i.remove();
-                gone.add(member.word.card().name());
+                gone.add(member.word.identity().name());
             }
         }
         if (!gone.isEmpty()) {
@@ -145,7 +145,7 @@
         for (int looked = 0; looked < 3 * n + 8 && out.size() < n && !all.isEmpty(); looked++) {
             MemberState member = beliefs.get(all.get(random.nextInt(all.size())));
             if ((suspects ? member.status().present() : member.status() == MemberStatus.ALIVE)
-                    && !member.word.card().name().equals(without)
+                    && !member.word.identity().name().equals(without)
                     && !out.contains(member)) {
                 out.add(member);
             }
@@ -172,8 +172,8 @@
                 .append(now - member.since)
                 .append(' ')
                 .append(member.askAt - now)
-                .append(new TreeSet<>(member.accusers())));
-        suspects.forEach(memberState -> out.append(memberState.word.card().name()));
+                .append(new TreeSet<>(member.suspectors())));
+        suspects.forEach(memberState -> out.append(memberState.word.identity().name()));
         return out + "; " + round + next + " " + all + cursor;
     }
 
--- a/src/main/java/rillyard/membership/Membership.java
+++ b/src/main/java/rillyard/membership/Membership.java
@@ -18,7 +18,7 @@
         void send(MemberAddress to, Message message);
 
         /** A belief has changed. */
-        void changed(MembershipEvent change);
+        void onMembershipEvent(MembershipEvent change);
     }
 
     /** Datagrams with all that is known for one who joins: some 300 members; the rest comes by and by. */
@@ -44,7 +44,7 @@
     private final RandomGenerator random;
     private final MemberTable roster;
     private final UpdateQueue gossip = new UpdateQueue();
-    private final AttributeStore facts = new AttributeStore();
+    private final AttributeStore attributes = new AttributeStore();
     private final MessageAssembler outbox;
     private final LocalHealth health = new LocalHealth();
     private final IndirectProbes errands;
@@ -77,10 +77,10 @@
         this.seeds = List.copyOf(seeds);
         this.random = random;
         this.roster = new MemberTable(random);
-        this.outbox = new MessageAssembler(settings, roster, gossip, facts, out);
+        this.outbox = new MessageAssembler(settings, roster, gossip, attributes, out);
         this.errands = new IndirectProbes(settings);
         this.started = start;
-        this.identity = new LocalMember(card, start, settings.interval());
+        this.identity = new LocalMember(card, start, settings.probeIntervalMillis());
     }
 
     /** What this member says of itself. */
@@ -89,16 +89,16 @@
     }
 
     /** Whether it has left, or another has its name: it says nothing any more. */
-    public boolean over() {
+    public boolean hasLeft() {
         return identity.silent();
     }
 
     /** What is believed of all others, in the order of their names. */
-    public List<MemberSnapshot> seen() {
+    public List<MemberSnapshot> snapshot() {
         return roster.beliefs().values().stream()
                 .map(member -> new MemberSnapshot(member.word, member.since, member.by))
                 .sorted(Comparator.comparing(
-                        memberSnapshot -> memberSnapshot.word().card().name()))
+                        memberSnapshot -> memberSnapshot.word().identity().name()))
                 .toList();
     }
 
@@ -108,7 +108,7 @@
     }
 
     /** By how much this member distrusts its own hearing, 1 where not at all. */
-    public double distrust() {
+    public double localHealthFactor() {
         return health.factor();
     }
 
@@ -127,16 +127,16 @@
      * @return whether it is said; not where this member says more than ten a second for long
      * @throws IllegalArgumentException if one of these is out of its range
      */
-    public boolean say(double now, int kind, byte[] value, double lasts, boolean again) {
+    public boolean setAttribute(double now, int kind, byte[] value, double lasts, boolean again) {
         if (!(lasts >= 1_000)) {
             throw new IllegalArgumentException("lasts " + lasts + " ms, expected 1,000 and more");
         }
-        return facts.say(self(), kind, value, lasts, again, unix(now), now);
+        return attributes.say(self(), kind, value, lasts, again, unix(now), now);
     }
 
     /** The facts of a kind that hold now, by owner: what members that are present have said, this one among them. */
-    public Map<String, MemberAttribute> facts(double now, int kind) {
-        return facts.holding(kind, self(), roster.beliefs(), now);
+    public Map<String, MemberAttribute> attributes(double now, int kind) {
+        return attributes.holding(kind, self(), roster.beliefs(), now);
     }
 
     /** All that its next steps depend on but chance, in words; times in it count from {@code now}. */
@@ -153,7 +153,7 @@
         out.append(probe == null ? " -" : probe.state(now, sequence));
         return out.append(errands.state(now))
                 .append(gossip.state())
-                .append(facts.state(now))
+                .append(attributes.state(now))
                 .append(roster.state(now))
                 .toString();
     }
@@ -164,14 +164,14 @@
     }
 
     /** Time passes; to be called many times an interval. */
-    public void tick(double now) {
-        if (over()) {
+    public void onTick(double now) {
+        if (hasLeft()) {
             return;
         }
         latest = now;
         double gap = now - lastTick;
-        if (gap > settings.interval()) {
-            stoodStill(now, gap);
+        if (gap > settings.probeIntervalMillis()) {
+            onProcessPause(now, gap);
         }
         lastTick = now;
         errands.overdue(now)
@@ -184,19 +184,19 @@
             begin(now);
         }
         roster.suspects().forEach(member -> suspected(member, now));
-        facts.tick(self(), now);
-        if ((!gossip.isEmpty() || facts.urgent()) && now - toldAt >= settings.interval() / TELLS) {
+        attributes.tick(self(), now);
+        if ((!gossip.isEmpty() || attributes.urgent()) && now - toldAt >= settings.probeIntervalMillis() / TELLS) {
             toldAt = now;
             roster.some(TELL, "", true)
                     .forEach(memberState ->
-                            send(Kind.NEWS, 0, memberState.word.card().at(), "", null));
+                            send(Kind.NEWS, 0, memberState.word.identity().address(), "", null));
         }
-        if (now - reachedOutAt >= 2 * settings.interval()) {
+        if (now - reachedOutAt >= 2 * settings.probeIntervalMillis()) {
             reachedOutAt = now;
             reachOut();
-            roster.forget(now - settings.forget()).forEach(name -> {
+            roster.forget(now - settings.forgetAfterMillis()).forEach(name -> {
                 gossip.forget(name);
-                facts.forget(name);
+                attributes.forget(name);
             });
         }
     }
@@ -205,7 +205,7 @@
      * This process stood still: answers may lie unread, and suspects had no chance to be heard. Guards against
      * a process that wakes up and has everybody declared dead.
      */
-    private void stoodStill(double now, double gap) {
+    private void onProcessPause(double now, double gap) {
         probe = null;
         errands.clear();
         health.worse(2);
@@ -219,22 +219,23 @@
      */
     private void suspected(MemberState member, double now) {
         if (now >= member.askAt) {
-            member.askAt = now + settings.interval();
+            member.askAt = now + settings.probeIntervalMillis();
             boolean late = now - member.since >= settings.leastSuspicion(present()) / 2;
-            if (late || member.accusers().contains(self().by()) || random.nextDouble() * present() < ASK_SUSPECT) {
+            if (late || member.suspectors().contains(self().by()) || random.nextDouble() * present() < ASK_SUSPECT) {
                 send(
                         Kind.PING,
                         ++sequence,
-                        member.word.card().at(),
-                        member.word.card().name(),
+                        member.word.identity().address(),
+                        member.word.identity().name(),
                         null);
             }
         }
         if (now - member.since
-                >= SuspicionTimeout.time(settings, present(), member.accusers().size())) {
+                >= SuspicionTimeout.time(
+                        settings, present(), member.suspectors().size())) {
             believe(
                     member,
-                    new MemberUpdate(member.word.card(), member.word.life(), MemberStatus.DEAD, self().by()),
+                    new MemberUpdate(member.word.identity(), member.word.incarnation(), MemberStatus.DEAD, self().by()),
                     now,
                     "its time");
         }
@@ -243,21 +244,26 @@
     private void begin(double now) {
         MemberState member = roster.nextToProbe();
         if (member != null) {
-            probe = new Probe(++sequence, member.word.card(), now, health.factor(), settings);
-            send(Kind.PING, probe.sequence, probe.target.at(), probe.target.name(), null);
+            probe = new Probe(++sequence, member.word.identity(), now, health.factor(), settings);
+            send(Kind.PING, probe.sequence, probe.target.address(), probe.target.name(), null);
         }
     }
 
     private void goOn(double now) {
         if (probe.asksHelp(now)) {
-            for (MemberState helper : roster.some(settings.helpers(), probe.target.name(), false)) {
+            for (MemberState helper : roster.some(settings.indirectProbes(), probe.target.name(), false)) {
                 probe.helpers++;
-                send(Kind.ASK_FOR_ME, probe.sequence, helper.word.card().at(), probe.target.name(), probe.target.at());
+                send(
+                        Kind.ASK_FOR_ME,
+                        probe.sequence,
+                        helper.word.identity().address(),
+                        probe.target.name(),
+                        probe.target.address());
             }
         }
         if (!probe.over(now)) {
             if (probe.asksAgain(now)) {
-                send(Kind.PING, probe.sequence, probe.target.at(), probe.target.name(), null);
+                send(Kind.PING, probe.sequence, probe.target.address(), probe.target.name(), null);
             }
             return;
         }
@@ -272,7 +278,8 @@
         MemberState member = roster.get(p.target.name());
         if (member != null && member.status().present()) {
             heard(
-                    new MemberUpdate(member.word.card(), member.word.life(), MemberStatus.SUSPECT, self().by()),
+                    new MemberUpdate(
+                            member.word.identity(), member.word.incarnation(), MemberStatus.SUSPECT, self().by()),
                     now,
                     "a probe");
         }
@@ -282,14 +289,19 @@
     private void reachOut() {
         MemberState dead = roster.someDead();
         if (dead != null) {
-            send(Kind.PING, ++sequence, dead.word.card().at(), dead.word.card().name(), null);
+            send(
+                    Kind.PING,
+                    ++sequence,
+                    dead.word.identity().address(),
+                    dead.word.identity().name(),
+                    null);
         }
         if (!seeds.isEmpty()) {
             MemberAddress seed = seeds.get(random.nextInt(seeds.size()));
-            boolean known = seed.equals(self().card().at())
+            boolean known = seed.equals(self().identity().address())
                     || roster.beliefs().values().stream()
                             .anyMatch(member -> member.status().present()
-                                    && member.word.card().at().equals(seed));
+                                    && member.word.identity().address().equals(seed));
             if (!known) {
                 send(Kind.PING, ++sequence, seed, "", null);
             }
@@ -298,50 +310,50 @@
 
     /** Says that it goes, and says nothing after. */
     public void leave(double now) {
-        if (over()) {
+        if (hasLeft()) {
             return;
         }
         identity.leave();
         for (MemberState member : roster.some(FAREWELLS, "", false)) {
-            send(Kind.NEWS, 0, member.word.card().at(), "", null);
+            send(Kind.NEWS, 0, member.word.identity().address(), "", null);
         }
         identity.fallSilent();
     }
 
     /** A message has come from an address. */
-    public void received(double now, MemberAddress from, Message message) {
+    public void onMessage(double now, MemberAddress from, Message message) {
         latest = now;
         MemberUpdate sender = message.sender();
-        if (over() || !sender.card().at().equals(from)) { // who speaks for another place is not believed
+        if (hasLeft() || !sender.identity().address().equals(from)) { // who speaks for another place is not believed
             return;
         }
-        if (identity.isName(sender.card().name())) {
+        if (identity.isName(sender.identity().name())) {
             namesake(now, sender);
             return;
         }
-        boolean fresh = roster.get(sender.card().name()) == null;
-        heard(sender, now, sender.card().name());
-        for (MemberUpdate update : message.news()) {
+        boolean fresh = roster.get(sender.identity().name()) == null;
+        heard(sender, now, sender.identity().name());
+        for (MemberUpdate update : message.updates()) {
             heard(update, now, "#" + update.by());
         }
-        for (MemberAttribute attribute : message.facts()) {
+        for (MemberAttribute attribute : message.attributes()) {
             MemberState member = roster.get(attribute.owner());
-            facts.heard(
+            attributes.heard(
                     attribute,
                     self(),
-                    member == null || !member.status().present() ? null : member.word.life(),
+                    member == null || !member.status().present() ? null : member.word.incarnation(),
                     unix(now),
                     now);
         }
         answer(now, from, message);
         boolean joins = fresh
                 && sender.status() == MemberStatus.ALIVE
-                && roster.get(sender.card().name()) != null;
+                && roster.get(sender.identity().name()) != null;
         if (joins) {
             outbox.pages(self(), from, WELCOME);
         } else if (message.kind() != Kind.NEWS
                 && message.digest() != digest()
-                && now - pagedAt >= settings.interval()) {
+                && now - pagedAt >= settings.probeIntervalMillis()) {
             pagedAt = now;
             outbox.pages(self(), from, PAGES);
         }
@@ -351,17 +363,17 @@
         switch (message.kind()) {
             case PING -> {
                 if (message.target().isEmpty()
-                        || message.target().equals(self().card().name())) {
+                        || message.target().equals(self().identity().name())) {
                     send(
                             Kind.ACK,
                             message.sequence(),
                             from,
-                            message.sender().card().name(),
+                            message.sender().identity().name(),
                             null);
                 }
             }
             case ASK_FOR_ME -> {
-                if (errands.room() && !message.target().equals(self().card().name())) {
+                if (errands.room() && !message.target().equals(self().identity().name())) {
                     errands.take(++sequence, message, from, now);
                     send(Kind.PING, sequence, message.targetAt(), message.target(), null);
                 }
@@ -386,10 +398,10 @@
     /** A process of this member's own name speaks. */
     private void namesake(double now, MemberUpdate other) {
         if (identity.outlives(other, unix(now))) {
-            send(Kind.NEWS, 0, other.card().at(), "", null);
-        } else if (over()) {
-            out.changed(new MembershipEvent(
-                    now, other, MemberStatus.ALIVE, other.card().name()));
+            send(Kind.NEWS, 0, other.identity().address(), "", null);
+        } else if (hasLeft()) {
+            out.onMembershipEvent(new MembershipEvent(
+                    now, other, MemberStatus.ALIVE, other.identity().name()));
         }
     }
 
@@ -397,7 +409,12 @@
         switch (identity.heard(update, now, unix(now))) {
             case SPOKEN_UP -> health.worse(1);
             case ASK ->
-                send(Kind.PING, ++sequence, update.card().at(), self().card().name(), null);
+                send(
+                        Kind.PING,
+                        ++sequence,
+                        update.identity().address(),
+                        self().identity().name(),
+                        null);
             case NOTHING -> {}
         }
     }
@@ -408,16 +425,17 @@
     }
 
     private void heard(MemberUpdate update, double now, String by) {
-        if (identity.isName(update.card().name())) {
+        if (identity.isName(update.identity().name())) {
             aboutSelf(update, now);
             return;
         }
-        MemberState member = roster.get(update.card().name());
-        if (!IncarnationValidator.possible(update.life(), member == null ? null : member.word.life(), unix(now))) {
+        MemberState member = roster.get(update.identity().name());
+        if (!IncarnationValidator.possible(
+                update.incarnation(), member == null ? null : member.word.incarnation(), unix(now))) {
             return;
         }
         if (member == null) {
-            if (update.status().present() && roster.beliefs().size() < settings.most()) {
+            if (update.status().present() && roster.beliefs().size() < settings.maxMembers()) {
                 member = new MemberState(update, now);
                 roster.add(member);
                 told(member, now, null, by);
@@ -426,10 +444,10 @@
             believe(member, update, now, by);
         } else if (member.status() == MemberStatus.SUSPECT
                 && update.status() == MemberStatus.SUSPECT
-                && update.life().equals(member.word.life())
-                && member.accused(update.by())) {
+                && update.incarnation().equals(member.word.incarnation())
+                && member.addSuspector(update.by())) {
             member.word = update; // passed on as well: it is another's independent word
-            gossip.changed(update.card().name());
+            gossip.changed(update.identity().name());
         }
     }
 
@@ -442,11 +460,11 @@
     private void told(MemberState member, double now, MemberStatus before, String by) {
         member.by = by;
         if (member.status() == MemberStatus.SUSPECT) {
-            member.accused(member.word.by());
+            member.addSuspector(member.word.by());
         }
-        gossip.changed(member.word.card().name());
+        gossip.changed(member.word.identity().name());
         if (member.status() != before) {
-            out.changed(new MembershipEvent(now, member.word, before, by));
+            out.onMembershipEvent(new MembershipEvent(now, member.word, before, by));
         }
     }
 
--- a/src/main/java/rillyard/membership/Message.java
+++ b/src/main/java/rillyard/membership/Message.java
@@ -10,8 +10,8 @@
  * @param target for a question, whom it is for; empty for anybody at that address, and in answers
  * @param targetAt where the target is, for {@link Kind#ASK_FOR_ME}; else null
  * @param digest of the members that the sender holds present, as {@link MemberTable#digest}
- * @param news words about others
- * @param facts that members say of themselves
+ * @param updates words about others
+ * @param attributes that members say of themselves
  */
 public record Message(
         Kind kind,
@@ -20,8 +20,8 @@
         MemberUpdate sender,
         String target,
         MemberAddress targetAt,
-        List<MemberUpdate> news,
-        List<MemberAttribute> facts) {
+        List<MemberUpdate> updates,
+        List<MemberAttribute> attributes) {
     /** Without facts. */
     public Message(
             Kind kind,
--- a/src/main/java/rillyard/membership/MessageAssembler.java
+++ b/src/main/java/rillyard/membership/MessageAssembler.java
@@ -52,10 +52,10 @@
         MemberState about = target.isEmpty() ? null : roster.get(target);
         if (about != null
                 && (about.status() != MemberStatus.ALIVE
-                        || !about.word.card().at().equals(to))) {
+                        || !about.word.identity().address().equals(to))) {
             first.add(target); // it hears first what is believed of it, or who has its name now
         }
-        int room = settings.room() - MessageCodec.emptySize(self, target, targetAt != null);
+        int room = settings.datagramBytes() - MessageCodec.emptySize(self, target, targetAt != null);
         int transmits = settings.transmits(roster.present() + 1);
         int kept = facts.urgent() ? (int) (KEPT * room) : 0;
         List<MemberUpdate> news = gossip.pick(roster.beliefs(), first, room - kept, transmits);
@@ -68,7 +68,7 @@
 
     /** Tells what is held of all, as far as so many datagrams go. */
     void pages(MemberUpdate self, MemberAddress to, int most) {
-        int room = settings.room() - MessageCodec.emptySize(self, "", false);
+        int room = settings.datagramBytes() - MessageCodec.emptySize(self, "", false);
         int told = 0;
         for (int i = 0; i < most && told < roster.beliefs().size(); i++) {
             List<MemberUpdate> page = roster.page(room);
--- a/src/main/java/rillyard/membership/MessageCodec.java
+++ b/src/main/java/rillyard/membership/MessageCodec.java
@@ -32,7 +32,7 @@
 
     /** The bytes that a word takes. */
     static int size(MemberUpdate update) {
-        return WORD + update.card().name().length();
+        return WORD + update.identity().name().length();
     }
 
     /** The bytes that a message without news takes. */
@@ -56,13 +56,13 @@
         if (message.kind() == Message.Kind.ASK_FOR_ME) {
             put(buffer, message.targetAt());
         }
-        for (MemberUpdate update : message.news()) {
+        for (MemberUpdate update : message.updates()) {
             put(buffer, update);
             if (buffer.position() > room) {
                 break;
             }
         }
-        for (MemberAttribute attribute : message.facts()) {
+        for (MemberAttribute attribute : message.attributes()) {
             if (buffer.position() <= room) {
                 put(buffer, attribute);
             }
@@ -77,11 +77,11 @@
 
     private static void put(ByteBuffer buffer, MemberUpdate update) {
         buffer.put((byte) update.status().ordinal()).putShort((short) update.by());
-        putStart(buffer, update.life().start());
-        buffer.putShort((short) update.life().incarnation());
-        put(buffer, update.card().at());
-        buffer.put((byte) update.card().zone()).put((byte) update.card().region());
-        put(buffer, update.card().name());
+        putStart(buffer, update.incarnation().startedAtMillis());
+        buffer.putShort((short) update.incarnation().counter());
+        put(buffer, update.identity().address());
+        buffer.put((byte) update.identity().zone()).put((byte) update.identity().region());
+        put(buffer, update.identity().name());
     }
 
     private static void put(ByteBuffer buffer, MemberAttribute attribute) {
@@ -89,8 +89,8 @@
         put(buffer, attribute.owner());
         putStart(buffer, attribute.start());
         buffer.putInt((int) attribute.version())
-                .putShort((short) (attribute.age() / UNIT))
-                .putShort((short) (attribute.lasts() / UNIT));
+                .putShort((short) (attribute.ageMillis() / UNIT))
+                .putShort((short) (attribute.ttlMillis() / UNIT));
         buffer.put((byte) attribute.value().length).put(attribute.value());
     }
 
--- a/src/main/java/rillyard/membership/Probe.java
+++ b/src/main/java/rillyard/membership/Probe.java
@@ -17,10 +17,10 @@
     Probe(int sequence, MemberIdentity target, double now, int factor, MembershipSettings settings) {
         this.sequence = sequence;
         this.target = target;
-        this.pause = factor * settings.timeout();
+        this.pause = factor * settings.probeTimeoutMillis();
         this.helpAt = now + pause;
         this.againAt = helpAt;
-        this.overAt = now + factor * settings.interval();
+        this.overAt = now + factor * settings.probeIntervalMillis();
     }
 
     /**
--- a/src/main/java/rillyard/membership/SuspicionTimeout.java
+++ b/src/main/java/rillyard/membership/SuspicionTimeout.java
@@ -13,7 +13,7 @@
     /** The time (ms) from the first word to death, with so many independent ones in a fleet of {@code members}. */
     static double time(MembershipSettings settings, int members, int accusers) {
         double least = settings.leastSuspicion(members);
-        double most = least * settings.suspicionMost();
+        double most = least * settings.maxSuspicionMultiplier();
         int enough = Math.max(1, Math.min(ENOUGH, members - 2));
         double part = Math.log(Math.max(1, accusers)) / Math.log(enough + 1.0);
         return Math.max(least, most - (most - least) * part);
--- a/src/main/java/rillyard/membership/UpdateQueue.java
+++ b/src/main/java/rillyard/membership/UpdateQueue.java
@@ -46,7 +46,7 @@
     /** Adds words about these, where there is room left, in their order. */
     void fill(Map<String, MemberState> beliefs, List<MemberUpdate> out, int room, List<String> fill) {
         Selection page = new Selection(room);
-        out.forEach(update -> page.names.add(update.card().name()));
+        out.forEach(update -> page.names.add(update.identity().name()));
         fill.forEach(name -> page.add(beliefs.get(name)));
         out.addAll(page.words);
     }
@@ -64,7 +64,7 @@
         boolean add(MemberState member) {
             if (member == null
                     || MessageCodec.size(member.word) > left
-                    || !names.add(member.word.card().name())) {
+                    || !names.add(member.word.identity().name())) {
                 return false;
             }
             words.add(member.word);
--- a/src/main/java/rillyard/membership/net/FleetConfig.java
+++ b/src/main/java/rillyard/membership/net/FleetConfig.java
@@ -11,21 +11,21 @@
  * One member's settings.
  *
  * @param listen where its datagrams come in and go out
- * @param card who it is, with the address at which others reach it
+ * @param identity who it is, with the address at which others reach it
  * @param seeds where others may be
  * @param keys of the group, the first seals and all open; empty where datagrams are not sealed
  * @param history file that gets a line for each change of belief; null for none
  * @param admin where `members --admin` may ask; null for nowhere
- * @param spread whether proxies tell each other which hosts fail, and how much each sends
+ * @param outlierGossip whether proxies tell each other which hosts fail, and how much each sends
  * @param clockRate ms that pass in one on the clock that decisions are fed with; 1 but in trials of bad clocks
  */
 public record FleetConfig(
         InetSocketAddress listen,
-        MemberIdentity card,
+        MemberIdentity identity,
         List<MemberAddress> seeds,
         MembershipSettings member,
         List<byte[]> keys,
         Path history,
         InetSocketAddress admin,
-        boolean spread,
+        boolean outlierGossip,
         double clockRate) {}
--- a/src/main/java/rillyard/membership/net/FleetConfigReader.java
+++ b/src/main/java/rillyard/membership/net/FleetConfigReader.java
@@ -38,7 +38,7 @@
         MemberIdentity card = null;
         try {
             card = new MemberIdentity(
-                    name, advertise, (int) self.whole("zone", 0, 0, 255), (int) self.whole("region", 0, 0, 255));
+                    name, advertise, (int) self.integer("zone", 0, 0, 255), (int) self.integer("region", 0, 0, 255));
         } catch (IllegalArgumentException e) {
             self.error("name", e.getMessage());
         }
@@ -97,9 +97,9 @@
     }
 
     private static MembershipSettings member(TomlTable table, int seal) {
-        MembershipSettings settings = MembershipSettings.USUAL;
-        double interval = table.number("interval_ms", settings.interval(), 100, 60_000);
-        double timeout = table.number("timeout_ms", Math.min(settings.timeout(), interval / 2), 10, 30_000);
+        MembershipSettings settings = MembershipSettings.DEFAULT;
+        double interval = table.number("interval_ms", settings.probeIntervalMillis(), 100, 60_000);
+        double timeout = table.number("timeout_ms", Math.min(settings.probeTimeoutMillis(), interval / 2), 10, 30_000);
         if (timeout > interval / 2) {
             table.error("timeout_ms", "found " + timeout + ", expected at most half of interval_ms, " + interval / 2);
             timeout = interval / 2;
@@ -107,13 +107,14 @@
         return new MembershipSettings(
                 interval,
                 timeout,
-                (int) table.whole("helpers", settings.helpers(), 1, 10),
-                table.number("suspicion", settings.suspicion(), 1, 20),
-                table.number("suspicion_most", settings.suspicionMost(), 1, 20),
-                (int) table.whole("spread", settings.spread(), 1, 10),
-                1_000 * table.number("forget_s", settings.forget() / 1_000, 10, 3_600),
-                (int) table.whole("most", settings.most(), 2, 100_000),
-                (int) table.whole("datagram_bytes", settings.room(), 128 + seal, MessageCodec.MAX_BYTES) - seal);
+                (int) table.integer("helpers", settings.indirectProbes(), 1, 10),
+                table.number("suspicion", settings.suspicionMultiplier(), 1, 20),
+                table.number("suspicion_most", settings.maxSuspicionMultiplier(), 1, 20),
+                (int) table.integer("spread", settings.retransmitMultiplier(), 1, 10),
+                1_000 * table.number("forget_s", settings.forgetAfterMillis() / 1_000, 10, 3_600),
+                (int) table.integer("most", settings.maxMembers(), 2, 100_000),
+                (int) table.integer("datagram_bytes", settings.datagramBytes(), 128 + seal, MessageCodec.MAX_BYTES)
+                        - seal);
     }
 
     /** An {@code IPv4:port}; names are not looked up. */
--- a/src/main/java/rillyard/membership/net/FleetMember.java
+++ b/src/main/java/rillyard/membership/net/FleetMember.java
@@ -54,13 +54,13 @@
     public record FleetSnapshot(
             String self, List<String> present, Map<Integer, Map<String, MemberAttribute>> followed, long at) {
         /** The facts of a kind that is followed. */
-        public Map<String, MemberAttribute> facts(int kind) {
+        public Map<String, MemberAttribute> attributes(int kind) {
             return followed.getOrDefault(kind, Map.of());
         }
 
         /** How old a fact of these is by now (ms), also where this member has ended and holds nothing newer. */
         public double age(MemberAttribute attribute) {
-            return attribute.age() + (System.nanoTime() - at) / 1e6;
+            return attribute.ageMillis() + (System.nanoTime() - at) / 1e6;
         }
     }
 
@@ -92,22 +92,22 @@
         this.log = log;
         this.history = settings.history() == null
                 ? null
-                : new MembershipEventLog(settings.history(), settings.card().name());
+                : new MembershipEventLog(settings.history(), settings.identity().name());
         this.seal = settings.keys().isEmpty()
                 ? null
                 : new DatagramCipher(
                         settings.keys(),
-                        settings.card().at(),
+                        settings.identity().address(),
                         startedUnix,
-                        settings.member().most());
+                        settings.member().maxMembers());
         this.member = new Membership(
                 settings.member(),
-                settings.card(),
+                settings.identity(),
                 startedUnix,
                 settings.seeds(),
                 new SplittableRandom(seed),
                 new SocketOutput());
-        this.known = new FleetSnapshot(settings.card().name(), List.of(), Map.of(), startedAt);
+        this.known = new FleetSnapshot(settings.identity().name(), List.of(), Map.of(), startedAt);
     }
 
     /** Facts of these kinds are to be found in {@link #known}; to be called before {@link #start}. */
@@ -116,20 +116,20 @@
     }
 
     /** What it knew a moment ago; may be asked on any thread. */
-    public FleetSnapshot known() {
+    public FleetSnapshot snapshot() {
         return known;
     }
 
     /**
-     * Says something of this member to all, as {@link Membership#say}; may be called on any thread once started, and says
+     * Says something of this member to all, as {@link Membership#setAttribute}; may be called on any thread once started, and says
      * nothing once this member has ended.
      *
      * @param again whether it is said again in time; else it ends by itself
      */
-    public void say(int kind, byte[] value, double lasts, boolean again) {
+    public void setAttribute(int kind, byte[] value, double lasts, boolean again) {
         try {
             channel.eventLoop().execute(() -> {
-                if (!member.say(now(), kind, value, lasts, again)) {
+                if (!member.setAttribute(now(), kind, value, lasts, again)) {
                     log.println("rillyard: fleet: a fact of kind " + kind + " is not said: too many of them");
                 }
             });
@@ -145,13 +145,14 @@
         copiedAt = now;
         Map<Integer, Map<String, MemberAttribute>> facts = new HashMap<>();
         for (int kind : followed) {
-            facts.put(kind, member.facts(now, kind));
+            facts.put(kind, member.attributes(now, kind));
         }
-        List<String> present = new ArrayList<>(List.of(settings.card().name()));
+        List<String> present = new ArrayList<>(List.of(settings.identity().name()));
         member.others().stream()
                 .filter(update -> update.status().present())
-                .forEach(memberUpdate -> present.add(memberUpdate.card().name()));
-        known = new FleetSnapshot(settings.card().name(), List.copyOf(present), Map.copyOf(facts), System.nanoTime());
+                .forEach(memberUpdate -> present.add(memberUpdate.identity().name()));
+        known = new FleetSnapshot(
+                settings.identity().name(), List.copyOf(present), Map.copyOf(facts), System.nanoTime());
     }
 
     /**
@@ -185,9 +186,10 @@
         if (history != null) {
             history.line(
                     startedUnix,
-                    new MembershipEvent(0, member.self(), null, settings.card().name()));
+                    new MembershipEvent(
+                            0, member.self(), null, settings.identity().name()));
         }
-        long step = (long) (settings.member().interval() / STEPS * 1e6);
+        long step = (long) (settings.member().probeIntervalMillis() / STEPS * 1e6);
         channel.eventLoop().scheduleWithFixedDelay(this::tick, 0, step, TimeUnit.NANOSECONDS);
     }
 
@@ -199,14 +201,14 @@
         long from = System.nanoTime();
         try {
             double now = now();
-            double step = settings.member().interval() / STEPS;
+            double step = settings.member().probeIntervalMillis() / STEPS;
             loopHealth.step(now, Double.isNaN(nextStep) ? 0 : Math.max(0, now - nextStep));
             nextStep = now + step;
             if (loopHealth.level() != said) {
                 said = loopHealth.level();
-                member.say(now, LoopHealth.FACT, new byte[] {(byte) said.ordinal()}, HEALTH_LASTS_MS, true);
+                member.setAttribute(now, LoopHealth.FACT, new byte[] {(byte) said.ordinal()}, HEALTH_LASTS_MS, true);
             }
-            member.tick(now);
+            member.onTick(now);
             copy(now);
         } catch (RuntimeException e) {
             // Guards against a periodic task that ends for ever with its first exception.
@@ -248,7 +250,7 @@
                 InetSocketAddress sender = packet.sender();
                 if (sender.getAddress() instanceof Inet4Address) {
                     MemberAddress from = FleetConfigReader.endpoint(sender);
-                    member.received(now(), from, MessageCodec.decode(seal == null ? bytes : seal.open(from, bytes)));
+                    member.onMessage(now(), from, MessageCodec.decode(seal == null ? bytes : seal.open(from, bytes)));
                 }
             } catch (IllegalArgumentException e) {
                 if (costs.turnedAway++ % 1_000 == 0) {
@@ -270,7 +272,7 @@
     private final class SocketOutput implements Membership.Output {
         @Override
         public void send(MemberAddress to, Message message) {
-            byte[] plain = MessageCodec.encode(message, settings.member().room());
+            byte[] plain = MessageCodec.encode(message, settings.member().datagramBytes());
             ByteBuf bytes = Unpooled.wrappedBuffer(seal == null ? plain : seal.seal(plain));
             costs.sent++;
             costs.sentBytes += bytes.readableBytes();
@@ -278,7 +280,7 @@
         }
 
         @Override
-        public void changed(MembershipEvent event) {
+        public void onMembershipEvent(MembershipEvent event) {
             if (history == null) {
                 return;
             }
--- a/src/main/java/rillyard/membership/net/MembershipEventLog.java
+++ b/src/main/java/rillyard/membership/net/MembershipEventLog.java
@@ -29,11 +29,11 @@
         ObjectNode node = JSON.createObjectNode();
         node.put("at", unixMs)
                 .put("member", member)
-                .put("about", update.card().name())
+                .put("about", update.identity().name())
                 .put("status", update.status().name());
         node.put("before", event.before() == null ? null : event.before().name())
-                .put("start", update.life().start());
-        node.put("incarnation", update.life().incarnation()).put("by", event.by());
+                .put("start", update.incarnation().startedAtMillis());
+        node.put("incarnation", update.incarnation().counter()).put("by", event.by());
         out.write(JSON.writeValueAsString(node));
         out.write('\n');
         out.flush();
--- a/src/main/java/rillyard/membership/net/MembershipView.java
+++ b/src/main/java/rillyard/membership/net/MembershipView.java
@@ -25,16 +25,18 @@
      * @param now ms since then
      */
     static String of(Membership membership, long startedUnix, double now, ResourceUsage costs) {
-        Map<String, MemberAttribute> health = membership.facts(now, LoopHealth.FACT);
+        Map<String, MemberAttribute> health = membership.attributes(now, LoopHealth.FACT);
         Map<String, String> names = new HashMap<>();
-        List<MemberSnapshot> seen = membership.seen();
+        List<MemberSnapshot> seen = membership.snapshot();
         seen.forEach(member -> names.put(
-                "#" + MemberUpdate.by(member.word().card().name()),
-                member.word().card().name()));
-        names.put("#" + membership.self().by(), membership.self().card().name());
+                "#" + MemberUpdate.by(member.word().identity().name()),
+                member.word().identity().name()));
+        names.put("#" + membership.self().by(), membership.self().identity().name());
         ObjectNode node = JSON.createObjectNode();
-        node.put("at", startedUnix + (long) now).put("over", membership.over()).put("present", membership.present());
-        node.put("distrust", membership.distrust());
+        node.put("at", startedUnix + (long) now)
+                .put("over", membership.hasLeft())
+                .put("present", membership.present());
+        node.put("distrust", membership.localHealthFactor());
         node.set("self", word(membership.self(), health));
         ArrayNode members = node.putArray("members");
         for (MemberSnapshot memberSnapshot : seen) {
@@ -56,14 +58,14 @@
 
     private static ObjectNode word(MemberUpdate update, Map<String, MemberAttribute> health) {
         ObjectNode o = JSON.createObjectNode();
-        o.put("name", update.card().name())
-                .put("address", update.card().at().toString())
-                .put("zone", update.card().zone());
-        o.put("region", update.card().region())
+        o.put("name", update.identity().name())
+                .put("address", update.identity().address().toString())
+                .put("zone", update.identity().zone());
+        o.put("region", update.identity().region())
                 .put("status", update.status().name())
-                .put("start", update.life().start());
-        o.put("incarnation", update.life().incarnation());
-        MemberAttribute attribute = health.get(update.card().name());
+                .put("start", update.incarnation().startedAtMillis());
+        o.put("incarnation", update.incarnation().counter());
+        MemberAttribute attribute = health.get(update.identity().name());
         int level = attribute == null ? 0 : attribute.value()[0];
         // Members say it when it changes: who has never been anything else has said nothing.
         boolean known = level >= 0 && level < LoopHealth.Level.values().length;
--- a/src/main/java/rillyard/outlier/FleetOutlierDetector.java
+++ b/src/main/java/rillyard/outlier/FleetOutlierDetector.java
@@ -69,7 +69,7 @@
         Set<Integer> spokenOf = new TreeSet<>(words.keySet());
         spokenOf.addAll(own.failing(settings.window(), now));
         others.forEach(votes -> votes.stream()
-                .filter(observation -> observation.failed() && observation.age() < settings.window())
+                .filter(observation -> observation.failed() && observation.ageMillis() < settings.window())
                 .forEach(hostObservation -> spokenOf.add(hostObservation.host())));
         List<HostObservation> mine = own.votes(spokenOf::contains, settings.window(), now);
         Map<Integer, HostObservation> seen = mine.stream().collect(Collectors.toMap(HostObservation::host, v -> v));
@@ -95,14 +95,14 @@
 
     private void decide(
             int host, Word word, HostObservation mine, List<List<HostObservation>> others, double users, double now) {
-        ObservationCount tally = mine != null && now - mine.age() > word.since
+        ObservationCount tally = mine != null && now - mine.ageMillis() > word.since
                 ? ObservationCount.NONE.plus(mine)
                 : ObservationCount.NONE;
         for (List<HostObservation> votes : others) {
             for (HostObservation observation : votes) {
                 if (observation.host() == host
-                        && observation.age() < settings.window()
-                        && now - observation.age() > word.since) {
+                        && observation.ageMillis() < settings.window()
+                        && now - observation.ageMillis() > word.since) {
                     tally = tally.plus(observation);
                     break; // one voice a proxy, whatever it says twice
                 }
@@ -122,7 +122,7 @@
                 !byOthers ? Double.NaN : Double.isNaN(word.accusedFrom) ? now + tally.youngest() : word.accusedFrom;
         // Guards against late news: who was served there after the last failure that anybody tells of believes its own
         // eyes.
-        boolean knowsBetter = mine != null && !mine.failed() && mine.age() < tally.youngest();
+        boolean knowsBetter = mine != null && !mine.failed() && mine.ageMillis() < tally.youngest();
         if (tally.fails(settings) && now - word.accusedFrom >= settings.hold() && !knowsBetter) {
             turn(word, true, now);
             out.leave(host, untilTrial(users), tally.failed(), tally.served());
--- a/src/main/java/rillyard/outlier/HostObservation.java
+++ b/src/main/java/rillyard/outlier/HostObservation.java
@@ -7,9 +7,9 @@
  *
  * @param host its number, {@link #number} of its name
  * @param failed whether the last attempt that told anything failed
- * @param age ms since then, 0 to {@link #MAX_AGE}
+ * @param ageMillis ms since then, 0 to {@link #MAX_AGE}
  */
-public record HostObservation(int host, boolean failed, double age) {
+public record HostObservation(int host, boolean failed, double ageMillis) {
     /** The oldest (ms) that fits on the wire; nobody counts one so old. */
     public static final double MAX_AGE = 127 * ObservationCodec.AGE_STEP;
 
@@ -19,8 +19,8 @@
      * @throws IllegalArgumentException if it is out of its range
      */
     public HostObservation {
-        if (!(age >= 0 && age <= MAX_AGE)) {
-            throw new IllegalArgumentException("a vote of " + age + " ms, expected 0 to " + MAX_AGE);
+        if (!(ageMillis >= 0 && ageMillis <= MAX_AGE)) {
+            throw new IllegalArgumentException("a vote of " + ageMillis + " ms, expected 0 to " + MAX_AGE);
         }
     }
 
--- a/src/main/java/rillyard/outlier/LocalObservations.java
+++ b/src/main/java/rillyard/outlier/LocalObservations.java
@@ -44,7 +44,7 @@
         });
         votes.sort(Comparator.comparing(HostObservation::failed)
                 .reversed()
-                .thenComparingDouble(HostObservation::age)
+                .thenComparingDouble(HostObservation::ageMillis)
                 .thenComparingInt(HostObservation::host));
         return votes;
     }
--- a/src/main/java/rillyard/outlier/ObservationCodec.java
+++ b/src/main/java/rillyard/outlier/ObservationCodec.java
@@ -27,7 +27,7 @@
             ByteBuffer buffer = ByteBuffer.allocate(some.size() * VOTE);
             for (HostObservation observation : some) {
                 buffer.putInt(observation.host())
-                        .put((byte) ((observation.failed() ? FAILED : 0) | (int) (observation.age() / AGE_STEP)));
+                        .put((byte) ((observation.failed() ? FAILED : 0) | (int) (observation.ageMillis() / AGE_STEP)));
             }
             values.add(buffer.array());
         }
--- a/src/main/java/rillyard/outlier/ObservationCount.java
+++ b/src/main/java/rillyard/outlier/ObservationCount.java
@@ -12,7 +12,7 @@
 
     ObservationCount plus(HostObservation observation) {
         return observation.failed()
-                ? new ObservationCount(failed + 1, served, Math.min(youngest, observation.age()))
+                ? new ObservationCount(failed + 1, served, Math.min(youngest, observation.ageMillis()))
                 : new ObservationCount(failed, served + 1, youngest);
     }
 
--- a/src/main/java/rillyard/outlier/net/ObservationGossip.java
+++ b/src/main/java/rillyard/outlier/net/ObservationGossip.java
@@ -62,8 +62,8 @@
     }
 
     @Override
-    public void ended(String host, AttemptOutcome result, double now) {
-        rate.counted(now);
+    public void onAttemptEnded(String host, AttemptOutcome result, double now) {
+        rate.onAttempt(now);
         switch (result) {
             case OK -> words.ended(HostObservation.number(host), false, now);
             case ERROR, TIMEOUT, RESET, CONNECT_FAILED -> words.ended(HostObservation.number(host), true, now);
@@ -79,12 +79,12 @@
             names.clear();
             listed.forEach(h -> names.put(HostObservation.number(h), h));
         }
-        FleetMember.FleetSnapshot known = member.known();
+        FleetMember.FleetSnapshot known = member.snapshot();
         List<HostObservation> mine = words.step(votes(known), known.present().size(), listed.size(), now);
         tell(mine, now);
-        byte[] news = rate.news(now);
+        byte[] news = rate.attributeValue(now);
         if (news != null) {
-            member.say(RATE, news, RATE_LASTS, true);
+            member.setAttribute(RATE, news, RATE_LASTS, true);
         }
         if (now - laidAt >= LAY_EACH) {
             laidAt = now;
@@ -96,7 +96,7 @@
     private List<List<HostObservation>> votes(FleetMember.FleetSnapshot known) {
         Map<String, List<HostObservation>> byOwner = new HashMap<>();
         for (int kind = FIRST_KIND; kind < FIRST_KIND + KINDS; kind++) {
-            known.facts(kind).forEach((owner, fact) -> {
+            known.attributes(kind).forEach((owner, fact) -> {
                 if (owner.equals(known.self())) {
                     return;
                 }
@@ -122,7 +122,7 @@
                 .collect(Collectors.toSet());
         boolean renewed = !mine.isEmpty()
                 && now - toldAt >= RENEW
-                && mine.stream().anyMatch(hostObservation -> hostObservation.age() < now - toldAt);
+                && mine.stream().anyMatch(hostObservation -> hostObservation.ageMillis() < now - toldAt);
         if (said.equals(told) && !renewed) {
             return;
         }
@@ -130,28 +130,28 @@
         toldAt = now;
         List<byte[]> values = ObservationCodec.encode(mine, KINDS);
         for (int i = 0; i < Math.max(values.size(), factsTold); i++) {
-            member.say(FIRST_KIND + i, i < values.size() ? values.get(i) : new byte[0], VOTES_LAST, false);
+            member.setAttribute(FIRST_KIND + i, i < values.size() ? values.get(i) : new byte[0], VOTES_LAST, false);
         }
         factsTold = values.size();
     }
 
     private void lay(FleetMember.FleetSnapshot known) {
         Map<String, Double> rates = new HashMap<>();
-        known.facts(RATE).forEach((owner, fact) -> {
+        known.attributes(RATE).forEach((owner, fact) -> {
             try {
                 rates.put(owner, RequestRate.read(fact.value()));
             } catch (IllegalArgumentException e) {
                 strange(owner, e);
             }
         });
-        SubsetPosition position = known.present().isEmpty() ? null : pools.lay(known.self(), known.present(), rates);
+        SubsetPosition position = known.present().isEmpty() ? null : pools.update(known.self(), known.present(), rates);
         if (position != null) {
-            heed.place(position);
+            heed.moveSubset(position);
             heed.log(String.format(
                     Locale.ROOT,
                     "fleet: pool %d of %d, weight %.2f",
                     position.position(),
-                    position.of(),
+                    position.proxyCount(),
                     position.weight()));
         }
     }
@@ -167,7 +167,7 @@
         public void leave(int host, double wait, int failed, int served) {
             String name = names.get(host);
             if (name != null) {
-                heed.leave(name, wait);
+                heed.eject(name, wait);
                 heed.log(String.format(
                         Locale.ROOT,
                         "fleet: host %s left: failed %d proxies, served %d; trial in %.1f s",
@@ -182,7 +182,7 @@
         public void comeBack(int host, double wait) {
             String name = names.get(host);
             if (name != null) {
-                heed.comeBack(name, wait);
+                heed.readmit(name, wait);
                 heed.log(String.format(Locale.ROOT, "fleet: host %s serves again; back in %.1f s", name, wait / 1_000));
             }
         }
--- a/src/main/java/rillyard/proxy/ClientProxy.java
+++ b/src/main/java/rillyard/proxy/ClientProxy.java
@@ -68,13 +68,13 @@
     private final ProxyConfig config;
     private final MultiThreadIoEventLoopGroup group;
     private final EventLoop loop;
-    private final ClientListener front;
-    private final BalancerDriver dispatcher;
-    private final EndpointWatch discovery;
+    private final ClientListener listener;
+    private final BalancerDriver driver;
+    private final EndpointWatch endpointWatch;
     private final CountDownLatch ended = new CountDownLatch(1);
     private final ProxyLog log;
-    private volatile ProxyAdmin operator;
-    private InetSocketAddress operatorAddress;
+    private volatile ProxyAdmin admin;
+    private InetSocketAddress adminAddress;
     private long drainUntil;
     private long acceptUntil;
 
@@ -87,15 +87,15 @@
         this.config = config;
         this.log = log;
         StallDetector gaps = new StallDetector(System.nanoTime());
-        this.group = newGroup(StallAwareIoHandler.factory(gaps, this::late));
+        this.group = newGroup(StallAwareIoHandler.factory(gaps, this::onStall));
         this.loop = (EventLoop) group.next();
-        DescriptorBudget sockets = new DescriptorBudget(config.sockets());
+        DescriptorBudget sockets = new DescriptorBudget(config.maxDescriptors());
         long bodies = Math.max(LEAST_BODIES_MB, Math.min(MOST_BODIES_MB, config.memoryMb() - BASE_MB));
         BodyMemoryBudget budget = new BodyMemoryBudget(bodies << 20);
         UpstreamPool upstreams = new UpstreamPool(group, config, sockets, log);
-        this.dispatcher = new BalancerDriver(loop, config, upstreams, budget, log, guard, gaps, neighbours);
-        this.front = new ClientListener(dispatcher, config, sockets, budget, log);
-        this.discovery = new EndpointWatch(group, config, dispatcher, log);
+        this.driver = new BalancerDriver(loop, config, upstreams, budget, log, guard, gaps, neighbours);
+        this.listener = new ClientListener(driver, config, sockets, budget, log);
+        this.endpointWatch = new EndpointWatch(group, config, driver, log);
     }
 
     /** One event loop on a thread of its own. */
@@ -104,12 +104,12 @@
     }
 
     /** The loop or the process stood still: who has waited past their time is told first, then lists are read. */
-    private void late(long nanos) {
+    private void onStall(long nanos) {
         try {
-            dispatcher.endOverdue(nanos);
-            discovery.readFirst();
+            driver.endOverdueRequests(nanos);
+            endpointWatch.readFirst();
         } catch (RuntimeException e) {
-            log.failure("what was overdue could not be ended", e); // the timers will
+            log.error("what was overdue could not be ended", e); // the timers will
         }
     }
 
@@ -158,8 +158,8 @@
                         },
                         "drain"));
         StartupTimeline.at("loop");
-        proxy.front.warming(true);
-        proxy.operate(env);
+        proxy.listener.setWarmingUp(true);
+        proxy.startAdmin(env);
         proxy.watch();
         // Guards against requests that meet cold code while a process that is warm takes them all. One
         // that has nobody before it listens at once: a slow answer is better than none.
@@ -173,12 +173,12 @@
         try {
             new Warmup(config).run(warmUp);
         } catch (Exception e) {
-            proxy.log.failure("the warm-up failed", e); // a cold proxy serves too
+            proxy.log.error("the warm-up failed", e); // a cold proxy serves too
         }
         if (follows) {
             proxy.listen();
         }
-        proxy.ready();
+        proxy.onReady();
         StartupTimeline.at("ready");
         return proxy;
     }
@@ -191,17 +191,17 @@
 
     private void watch() throws ConfigException {
         try {
-            loop.submit(() -> discovery.start(config.known())).sync();
+            loop.submit(() -> endpointWatch.start(config.cachedEndpoints())).sync();
         } catch (Exception e) {
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
             throw new ConfigException("can't start: " + e);
         }
-        loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(this::runMaintenance, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
     private void listen() throws ConfigException {
         try {
-            front.listen(group, config);
+            listener.listen(group, config);
         } catch (Exception e) {
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
             if (e instanceof BindException || e instanceof SocketException) {
@@ -212,82 +212,82 @@
     }
 
     /** Opens the second address, where one is configured. */
-    void operate(Map<String, String> env) throws ConfigException {
-        if (config.operator() == null) {
+    void startAdmin(Map<String, String> env) throws ConfigException {
+        if (config.adminAddress() == null) {
             return;
         }
         try {
-            ProxyAdmin admin = new ProxyAdmin(ProxyAdmin.folder(env, config), loop, front, dispatcher, log);
-            operatorAddress = admin.start(config.operator());
-            operator = admin;
+            ProxyAdmin admin = new ProxyAdmin(ProxyAdmin.folder(env, config), loop, listener, driver, log);
+            adminAddress = admin.start(config.adminAddress());
+            admin = admin;
         } catch (Exception e) {
-            throw new ConfigException("can't listen for operators on " + config.operator() + ": " + e);
+            throw new ConfigException("can't listen for operators on " + config.adminAddress() + ": " + e);
         }
     }
 
     private boolean hasPredecessor() {
-        return operator != null && operator.hasPredecessor();
+        return admin != null && admin.hasPredecessor();
     }
 
     /** It is as ready as it gets: says so, to whom it concerns. */
-    void ready() {
-        front.warming(false);
-        loop.execute(this::sweep);
+    void onReady() {
+        listener.setWarmingUp(false);
+        loop.execute(this::runMaintenance);
         try {
-            if (operator != null) {
-                operator.serving();
+            if (admin != null) {
+                admin.serving();
             }
         } catch (IOException e) {
-            log.failure("a process before this one can't be told", e);
+            log.error("a process before this one can't be told", e);
         }
     }
 
     /** The second address, null where there is none. */
-    public InetSocketAddress operatorAddress() {
-        return operatorAddress;
+    public InetSocketAddress adminAddress() {
+        return adminAddress;
     }
 
     public InetSocketAddress address() {
-        return (InetSocketAddress) front.listener().localAddress();
+        return (InetSocketAddress) listener.listener().localAddress();
     }
 
     /** Connections of clients that are open; to be asked on the loop. */
-    int clients() {
-        return front.open();
+    int clientConnections() {
+        return listener.openConnections();
     }
 
     /** Requests that are not over, or whose attempts are not; to be asked on the loop. */
-    int requests() {
-        return dispatcher.open();
+    int openRequests() {
+        return driver.openRequests();
     }
 
     /** Connections to hosts that are open or come up; to be asked on the loop. */
     int hostConnections() {
-        return front.sockets().upstreams();
+        return listener.descriptors().upstreamConnections();
     }
 
-    ProxyMetrics figures() {
-        return dispatcher.figures();
+    ProxyMetrics metrics() {
+        return driver.metrics();
     }
 
     EventLoop loop() {
         return loop;
     }
 
-    private void sweep() {
+    private void runMaintenance() {
         try {
-            dispatcher.sweep();
-            front.sweep();
-            discovery.sweep();
+            driver.runMaintenance();
+            listener.runMaintenance();
+            endpointWatch.runMaintenance();
         } catch (RuntimeException e) {
             // Guards against a periodic task that ends for ever with its first exception.
-            log.failure("upkeep failed", e);
+            log.error("upkeep failed", e);
         }
     }
 
     /** Takes over what of a new configuration may change while requests are under way. */
     public void reload(ProxyConfig fresh) {
-        loop.execute(() -> discovery.moveTo(fresh.discovery()));
+        loop.execute(() -> endpointWatch.moveTo(fresh.discovery()));
     }
 
     /** Begins the end: all that was taken is answered, then the process may go. */
@@ -298,15 +298,15 @@
                 longest = Math.max(longest, requestClass.deadline());
             }
             long now = System.nanoTime();
-            boolean succeeded = operator != null && operator.hasSuccessor();
+            boolean succeeded = admin != null && admin.hasSuccessor();
             acceptUntil = now + (succeeded ? MOVE_MS : ACCEPT_MS) * 1_000_000;
             drainUntil = now + (long) ((Math.min(longest, LONGEST_MS) + LAST_MS) * 1e6);
-            log.line(succeeded ? "draining: a successor serves" : "draining");
+            log.info(succeeded ? "draining: a successor serves" : "draining");
             if (succeeded) {
-                front.closeListener();
-                front.moveOff();
+                listener.closeListener();
+                listener.requestClientMigration();
             } else {
-                front.drain();
+                listener.drain();
             }
             pollDrain();
         });
@@ -317,22 +317,22 @@
         if (now >= acceptUntil) {
             // Guards against a request that comes on a connection, new since the drain began and idle so
             // far, in the moment in which the process ends: its client is told first that it is over.
-            front.drain();
+            listener.drain();
         }
         if (now >= drainUntil - TELL_MS * 1_000_000) {
             // Guards against requests that came late in the drain and end unanswered with the process.
-            dispatcher.failAll();
+            driver.failOpenRequests();
         }
-        boolean done = now >= acceptUntil && !front.busy();
+        boolean done = now >= acceptUntil && !listener.isBusy();
         if (done) {
             // Guards against the same of connections that came while this process stood still, and wait unaccepted.
-            front.closeListener();
-            front.drain();
-            done = !front.busy();
+            listener.closeListener();
+            listener.drain();
+            done = !listener.isBusy();
         }
         if (done || now >= drainUntil) {
-            log.line(done ? "drained" : "drain cut short by its time");
-            front.closeListener();
+            log.info(done ? "drained" : "drain cut short by its time");
+            listener.closeListener();
             ended.countDown();
         } else {
             loop.schedule(this::pollDrain, POLL_MS, TimeUnit.MILLISECONDS);
@@ -350,11 +350,11 @@
     /** Ends the loop at once. */
     public void stop() {
         try {
-            if (operator != null) {
-                operator.close();
+            if (admin != null) {
+                admin.close();
             }
         } catch (IOException e) {
-            log.failure("the second address did not close", e);
+            log.error("the second address did not close", e);
         }
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
         ended.countDown();
--- a/src/main/java/rillyard/proxy/admin/ProxyAdmin.java
+++ b/src/main/java/rillyard/proxy/admin/ProxyAdmin.java
@@ -61,25 +61,25 @@
     public InetSocketAddress start(InetSocketAddress at) throws Exception {
         look();
         InetSocketAddress bound = server.listen(at);
-        server.every(LOOK_MS, this::upkeep);
+        server.schedulePeriodically(LOOK_MS, this::upkeep);
         return bound;
     }
 
     /** Whether another process serves the same address. */
     public boolean hasPredecessor() {
-        return !succession.inCharge();
+        return !succession.isActive();
     }
 
     /** This process serves now. */
     public void serving() throws IOException {
-        succession.follow();
+        succession.becomeStandby();
         listening = true;
     }
 
     /** Whether another process has come that serves, so that this one may go. */
     public boolean hasSuccessor() {
         try {
-            return succession.followed();
+            return succession.hasStandby();
         } catch (IOException e) {
             return false; // an ordinary end is right in any case
         }
@@ -89,31 +89,33 @@
         try {
             look();
             if (listening) {
-                succession.follow();
+                succession.becomeStandby();
             }
         } catch (IOException | RuntimeException e) {
             // Guards against a periodic task that ends for ever with its first exception.
-            loop.execute(() -> log.line("the folder of hosts out by hand can't be used: " + e));
+            loop.execute(() -> log.info("the folder of hosts out by hand can't be used: " + e));
         }
     }
 
     private void look() throws IOException {
         DisabledHostStore.Contents now = folder.read(System.currentTimeMillis());
         // Field by field: the equals of a record is linked at run time, which a start would pay for.
-        if (seen == null || !now.out().equals(seen.out()) || !now.back().equals(seen.back())) {
+        if (seen == null
+                || !now.disabled().equals(seen.disabled())
+                || !now.enabledAt().equals(seen.enabledAt())) {
             seen = now;
-            loop.execute(() -> dispatcher.byHand(now));
+            loop.execute(() -> dispatcher.setDisabled(now));
         }
     }
 
     @Override
-    public boolean ready() {
-        return front.readyAsOfLate();
+    public boolean isReady() {
+        return front.wasRecentlyReady();
     }
 
     @Override
-    public ProxyMetrics figures() {
-        return dispatcher.figures();
+    public ProxyMetrics metrics() {
+        return dispatcher.metrics();
     }
 
     @Override
@@ -128,17 +130,17 @@
 
     /** On the loop whether it is known; then kept in the folder; then done on the loop. */
     private CompletionStage<Boolean> byHand(String host, boolean out, Executor files) {
-        return CompletableFuture.supplyAsync(() -> dispatcher.knows(host), loop)
+        return CompletableFuture.supplyAsync(() -> dispatcher.isKnownHost(host), loop)
                 .thenApplyAsync(known -> known && keep(host, out), files)
-                .thenApplyAsync(kept -> kept && dispatcher.byHand(host, out), loop);
+                .thenApplyAsync(kept -> kept && dispatcher.setDisabled(host, out), loop);
     }
 
     private boolean keep(String host, boolean out) {
         try {
             if (out) {
-                folder.takeOut(host);
+                folder.disable(host);
             } else {
-                folder.giveBack(host, System.currentTimeMillis());
+                folder.enable(host, System.currentTimeMillis());
             }
             return true;
         } catch (IOException e) {
--- a/src/main/java/rillyard/proxy/config/ProxyConfig.java
+++ b/src/main/java/rillyard/proxy/config/ProxyConfig.java
@@ -27,13 +27,13 @@
         InetSocketAddress discovery,
         long seed,
         int memoryMb,
-        int sockets,
-        JsonNode known,
+        int maxDescriptors,
+        JsonNode cachedEndpoints,
         Settings settings,
-        double connIdle,
-        double connectTimeout,
-        int maxOpen,
-        InetSocketAddress operator) {
+        double idleTimeoutMs,
+        double connectTimeoutMs,
+        int maxOpenRequests,
+        InetSocketAddress adminAddress) {
     /**
      * Reads the file that {@code BALANCER_CONFIG} names. The other variables win over it, but for
      * discovery's address: the file is replaced while the process runs, its environment never is.
@@ -82,11 +82,11 @@
                 allowed.path("connIdle").asDouble(15_000),
                 allowed.path("connectTimeout").asDouble(250),
                 allowed.path("maxOpen").asInt(Integer.MAX_VALUE),
-                operator(env, root));
+                adminAddress(env, root));
     }
 
     /** The second address, null where none is configured. */
-    private static InetSocketAddress operator(Map<String, String> env, JsonNode root) throws ConfigException {
+    private static InetSocketAddress adminAddress(Map<String, String> env, JsonNode root) throws ConfigException {
         String told = told(env, "BALANCER_OPERATOR", root, "operator");
         return told.isEmpty() ? null : address(told, "operator");
     }
--- a/src/main/java/rillyard/proxy/discovery/EndpointRegistry.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointRegistry.java
@@ -28,12 +28,12 @@
 
     private final Map<String, UpstreamHost> byName = new HashMap<>();
     private final Map<Long, UpstreamHost> byId = new HashMap<>();
-    private final DisabledHosts out;
+    private final DisabledHosts disabledHosts;
     private final double unixOffset;
 
     /** {@code unixOffset} is Unix time less the module's clock. */
     public EndpointRegistry(double unixOffset, DisabledHosts out) {
-        this.out = out;
+        this.disabledHosts = out;
         this.unixOffset = unixOffset;
     }
 
@@ -42,7 +42,7 @@
     }
 
     /** A line of the module's with the host's name: the people on call know hosts by names, the module by numbers. */
-    public String named(String line) {
+    public String hostNameOf(String line) {
         Matcher matcher = HOST.matcher(line);
         UpstreamHost host = matcher.find() ? byId.get(Long.parseLong(matcher.group(1))) : null;
         return host == null ? line : matcher.replaceFirst("host " + Matcher.quoteReplacement(host.name));
@@ -112,7 +112,7 @@
             }
             named.add(host);
             host.listed = entry.condition() != EndpointEntry.Condition.GONE;
-            host.told = entry;
+            host.entry = entry;
             host.sendable = effective(host).condition() == EndpointEntry.Condition.READY;
             if (!host.sendable || !listed.address().equals(host.address)) {
                 cut.add(host);
@@ -137,7 +137,7 @@
     public Set<String> inUse() {
         Set<String> names = new HashSet<>();
         for (UpstreamHost host : byId.values()) {
-            if (host.listed && host.told.condition() == EndpointEntry.Condition.READY) {
+            if (host.listed && host.entry.condition() == EndpointEntry.Condition.READY) {
                 names.add(host.name);
             }
         }
@@ -147,20 +147,20 @@
     /** What was last told of a listed host, as if a list told it again. */
     public ListedEndpoint asTold(String name) {
         UpstreamHost host = byName.get(name);
-        return new ListedEndpoint(name, host.address, host.told);
+        return new ListedEndpoint(name, host.address, host.entry);
     }
 
     /** A listed host as a list would tell that it is gone. */
     public ListedEndpoint asGone(String name) {
         UpstreamHost host = byName.get(name);
-        EndpointEntry entry = host.told;
+        EndpointEntry entry = host.entry;
         return new ListedEndpoint(
                 name,
                 host.address,
                 new EndpointEntry(
                         entry.id(),
                         entry.zone(),
-                        entry.kind(),
+                        entry.machineKind(),
                         entry.cell(),
                         EndpointEntry.Condition.GONE,
                         entry.capacityHint(),
@@ -170,12 +170,12 @@
     /** The entries of a list as the module is to have them. */
     public List<EndpointEntry> effective(EndpointList news) {
         return news.hosts().stream()
-                .map(listed -> out.effective(listed.name(), listed.entry()))
+                .map(listed -> disabledHosts.effective(listed.name(), listed.entry()))
                 .toList();
     }
 
     private EndpointEntry effective(UpstreamHost host) {
-        return out.effective(host.name, host.told);
+        return disabledHosts.effective(host.name, host.entry);
     }
 
     /** A listed host of this name, or null. */
@@ -206,7 +206,7 @@
             boolean gone = !host.listed && host.calls == 0;
             if (gone) {
                 byName.remove(host.name);
-                out.forget(host.name);
+                disabledHosts.forget(host.name);
             }
             return gone;
         });
--- a/src/main/java/rillyard/proxy/discovery/EndpointWatch.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointWatch.java
@@ -62,10 +62,10 @@
 
     private static final long BACKOFF_MAX_MS = 250;
 
-    private final BalancerDriver dispatcher;
+    private final BalancerDriver driver;
     private final ProxyLog log;
     private InetSocketAddress address;
-    private final boolean asked;
+    private final boolean polling;
     private final Bootstrap bootstrap;
     private long version;
     private long malformed;
@@ -74,10 +74,10 @@
     private Future<?> reopening;
 
     public EndpointWatch(EventLoopGroup loop, ProxyConfig config, BalancerDriver dispatcher, ProxyLog log) {
-        this.dispatcher = dispatcher;
+        this.driver = dispatcher;
         this.log = log;
         this.address = config.discovery();
-        this.asked = config.settings().mustFollow();
+        this.polling = config.settings().mustSubscribe();
         this.bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
@@ -93,13 +93,13 @@
     public void start(JsonNode known) {
         EndpointRegistry.EndpointList news;
         try {
-            news = dispatcher.hosts().read(known);
+            news = driver.endpoints().read(known);
             version = news.version();
         } catch (IllegalArgumentException e) {
             news = new EndpointRegistry.EndpointList(0, true, List.of());
         }
-        dispatcher.start(news, this::open);
-        if (!asked) {
+        driver.start(news, this::open);
+        if (!polling) {
             open();
         }
     }
@@ -112,7 +112,7 @@
         if (to.equals(address)) {
             return;
         }
-        log.line("watch: discovery moves from " + address + " to " + to);
+        log.info("watch: discovery moves from " + address + " to " + to);
         address = to;
         backoff = BACKOFF_MS;
         open();
@@ -130,7 +130,7 @@
             old.channel.close();
         }
         if (log.trace() != null) {
-            log.trace().did(TraceEvent.Kind.LIST, TraceEvent.NONE);
+            log.trace().record(TraceEvent.Kind.LIST, TraceEvent.NONE);
         }
         ChannelFuture future = bootstrap.connect(address);
         Watch w = new Watch(future.channel());
@@ -155,20 +155,20 @@
     }
 
     /** Ends a watch that has gone silent. */
-    public void sweep() {
+    public void runMaintenance() {
         if (watch != null && System.nanoTime() - watch.heardAt > (watch.good ? SILENCE_NANOS : UNANSWERED_NANOS)) {
             watch.broken("silent");
         }
     }
 
     private void retry() {
-        if (asked) {
-            dispatcher.followFailed(); // the module decides when to ask again
+        if (polling) {
+            driver.onWatchFailed(); // the module decides when to ask again
             return;
         }
         long wait = backoff / 2 + (long) (Math.random() * backoff);
         backoff = Math.min(2 * backoff, BACKOFF_MAX_MS);
-        reopening = dispatcher.later(wait, this::open);
+        reopening = driver.schedule(wait, this::open);
     }
 
     private final class Watch extends ChannelInboundHandlerAdapter implements JsonObjectFramer.Listener {
@@ -201,7 +201,7 @@
             channel.close();
             if (watch == this) {
                 watch = null;
-                log.line("watch: " + why);
+                log.info("watch: " + why);
                 retry();
             }
         }
@@ -253,7 +253,7 @@
             }
             EndpointRegistry.EndpointList news;
             try {
-                news = dispatcher.hosts().read(JsonTreeReader.read(bytes, 0, length));
+                news = driver.endpoints().read(JsonTreeReader.read(bytes, 0, length));
             } catch (IOException | IllegalArgumentException e) {
                 malformed(e.getMessage());
                 return;
@@ -264,18 +264,18 @@
 
         /** The last good list stays; what this one was to tell comes again from its version on. */
         private void malformed(String why) {
-            log.line("watch: malformed list, " + ++malformed + " so far: " + why);
+            log.info("watch: malformed list, " + ++malformed + " so far: " + why);
             broken("can't be understood");
         }
 
         private void apply(EndpointRegistry.EndpointList news) {
             // A whole list that opens a watch is all that this discovery knows, whatever it counts from.
             if (news.version() < version && (good || !news.full())) {
-                log.line("watch: version " + news.version() + " is older than " + version + ", left out");
+                log.info("watch: version " + news.version() + " is older than " + version + ", left out");
                 return;
             }
             version = news.version();
-            dispatcher.membership(news.full() ? WatchEvent.FULL : WatchEvent.DELTA, news);
+            driver.onEndpointList(news.full() ? WatchEvent.FULL : WatchEvent.DELTA, news);
         }
 
         @Override
@@ -286,7 +286,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                log.failure("the watch failed", cause);
+                log.error("the watch failed", cause);
             }
             broken("failed");
         }
--- a/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
+++ b/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
@@ -50,13 +50,13 @@
     private final ProxyLog log;
     private final Settings settings;
     private final UpstreamPool upstreams;
-    private final BodyMemoryBudget budget;
-    private final EndpointRegistry hosts;
+    private final BodyMemoryBudget bodyMemory;
+    private final EndpointRegistry endpoints;
     private final EndpointListGuard guard;
-    private final StallDetector gaps;
-    private final PeerGossip neighbours;
-    private final DisabledHosts takenOut = new DisabledHosts();
-    private final ProxyMetrics figures;
+    private final StallDetector stallDetector;
+    private final PeerGossip peerGossip;
+    private final DisabledHosts disabledHosts = new DisabledHosts();
+    private final ProxyMetrics metrics;
     private final Balancer balancer;
     private final long startedAt = System.nanoTime();
     private final Map<Long, RequestExchange> exchanges = new HashMap<>();
@@ -77,16 +77,16 @@
             StallDetector gaps,
             PeerGossip neighbours) {
         this.loop = loop;
-        this.gaps = gaps;
-        this.neighbours = neighbours;
+        this.stallDetector = gaps;
+        this.peerGossip = neighbours;
         this.log = log;
         this.guard = guard;
         this.settings = config.settings();
         this.upstreams = upstreams;
-        this.budget = budget;
+        this.bodyMemory = budget;
         this.unixOffset = System.currentTimeMillis() - now();
-        this.hosts = new EndpointRegistry(unixOffset, takenOut);
-        this.figures = new ProxyMetrics(
+        this.endpoints = new EndpointRegistry(unixOffset, disabledHosts);
+        this.metrics = new ProxyMetrics(
                 settings.classes().stream().map(Settings.RequestClass::name).toList());
         this.balancer = new Balancer(settings, config.seed(), this);
     }
@@ -96,15 +96,15 @@
     }
 
     /** Since when what is read in this turn may have waited. */
-    public StallDetector gaps() {
-        return gaps;
+    public StallDetector stallDetector() {
+        return stallDetector;
     }
 
     /**
      * Ends what is past its time after a gap of so many ns in this process's own time. Guards against clients
      * that wait for a word behind all that has piled up meanwhile.
      */
-    public void endOverdue(long gap) {
+    public void endOverdueRequests(long gap) {
         double now = now();
         int ended = 0;
         for (RequestExchange exchange : new ArrayList<>(exchanges.values())) {
@@ -112,17 +112,17 @@
         }
         if (ended > 0) {
             int n = ended;
-            log.line(() -> "stood still for " + gap / 1_000_000 + " ms: " + n + " requests were past their time");
+            log.info(() -> "stood still for " + gap / 1_000_000 + " ms: " + n + " requests were past their time");
         }
     }
 
     /** Fails all that has no answer yet: the process ends. */
-    public void failAll() {
-        new ArrayList<>(exchanges.values()).forEach(RequestExchange::failUnasked);
+    public void failOpenRequests() {
+        new ArrayList<>(exchanges.values()).forEach(RequestExchange::failWithoutDecision);
     }
 
     /** Runs something on the loop after so many ms. */
-    public Future<?> later(double delay, Runnable what) {
+    public Future<?> schedule(double delay, Runnable what) {
         return loop.schedule(what, Math.max(0, (long) (delay * 1e6)), TimeUnit.NANOSECONDS);
     }
 
@@ -134,12 +134,12 @@
         return upstreams;
     }
 
-    BodyMemoryBudget budget() {
-        return budget;
+    BodyMemoryBudget bodyMemory() {
+        return bodyMemory;
     }
 
-    public EndpointRegistry hosts() {
-        return hosts;
+    public EndpointRegistry endpoints() {
+        return endpoints;
     }
 
     int maxAttempts() {
@@ -147,15 +147,15 @@
     }
 
     public BufferedBody newBody(long expected, boolean partial) {
-        return new BufferedBody(budget, PooledByteBufAllocator.DEFAULT, expected, partial);
+        return new BufferedBody(bodyMemory, PooledByteBufAllocator.DEFAULT, expected, partial);
     }
 
     /** Requests that are not over, or whose attempts are not. */
-    public int open() {
+    public int openRequests() {
         return exchanges.size();
     }
 
-    public long newId() {
+    public long nextRequestId() {
         return nextId++;
     }
 
@@ -165,89 +165,89 @@
     public void start(EndpointRegistry.EndpointList known, Runnable follow) {
         this.follow = follow;
         deliver(null, () -> balancer.onStart(now()));
-        membership(rillyard.balancer.WatchEvent.CACHED, known);
+        onEndpointList(rillyard.balancer.WatchEvent.CACHED, known);
     }
 
-    public void membership(rillyard.balancer.WatchEvent kind, EndpointRegistry.EndpointList news) {
+    public void onEndpointList(rillyard.balancer.WatchEvent kind, EndpointRegistry.EndpointList news) {
         EndpointRegistry.EndpointList believed = guard == null ? news : doubted(news);
-        Set<UpstreamHost> cut = hosts.apply(believed);
-        tell(kind, hosts.effective(believed), cut);
-        hosts.forgetGone();
+        Set<UpstreamHost> cut = endpoints.apply(believed);
+        tell(kind, endpoints.effective(believed), cut);
+        endpoints.forgetGone();
     }
 
     /** The list, and with it what the guard has used on although the list lacks it. */
     private EndpointRegistry.EndpointList doubted(EndpointRegistry.EndpointList news) {
         if (!news.full()) {
-            news.hosts().forEach(listed -> guard.named(listed.name()));
+            news.hosts().forEach(listed -> guard.onNamed(listed.name()));
             return news;
         }
         Set<String> named =
                 news.hosts().stream().map(EndpointRegistry.ListedEndpoint::name).collect(Collectors.toSet());
-        Set<String> kept = guard.whole(now(), hosts.inUse(), named);
+        Set<String> kept = guard.onFullList(now(), endpoints.inUse(), named);
         if (kept.isEmpty()) {
             return news;
         }
-        log.line("watch: a list of " + named.size() + " hosts lacks " + kept.size() + " in use: not believed for now");
+        log.info("watch: a list of " + named.size() + " hosts lacks " + kept.size() + " in use: not believed for now");
         List<EndpointRegistry.ListedEndpoint> all = new ArrayList<>(news.hosts());
-        kept.forEach(name -> all.add(hosts.asTold(name)));
+        kept.forEach(name -> all.add(endpoints.asTold(name)));
         return new EndpointRegistry.EndpointList(news.version(), true, all);
     }
 
     /** Ends the use of hosts that a list lacked, once the doubt about it has lasted. */
     private void endDoubts() {
         List<EndpointRegistry.ListedEndpoint> gone = new ArrayList<>();
-        for (String name : guard.over(now())) {
-            if (hosts.listed(name) != null) {
-                log.line("watch: " + name + " is gone: no list has named it again");
-                gone.add(hosts.asGone(name));
+        for (String name : guard.expired(now())) {
+            if (endpoints.listed(name) != null) {
+                log.info("watch: " + name + " is gone: no list has named it again");
+                gone.add(endpoints.asGone(name));
             }
         }
         if (!gone.isEmpty()) {
-            membership(rillyard.balancer.WatchEvent.DELTA, new EndpointRegistry.EndpointList(0, false, gone));
+            onEndpointList(rillyard.balancer.WatchEvent.DELTA, new EndpointRegistry.EndpointList(0, false, gone));
         }
     }
 
     private void tell(rillyard.balancer.WatchEvent kind, List<EndpointEntry> entries, Iterable<UpstreamHost> cut) {
-        deliver(null, () -> balancer.onMembership(now(), kind, entries));
+        deliver(null, () -> balancer.onWatchEvent(now(), kind, entries));
         for (UpstreamHost host : cut) {
             // Guards against a send to a host that drains or has moved while its connection comes up.
-            for (UpstreamCall call : upstreams.cut(host)) {
-                call.moot();
+            for (UpstreamCall call : upstreams.closeIdleAndConnecting(host)) {
+                call.onNotNeeded();
             }
         }
     }
 
     /** Whether a host of this name is listed, or out by hand. */
-    public boolean knows(String name) {
-        return hosts.listed(name) != null || takenOut.contains(name);
+    public boolean isKnownHost(String name) {
+        return endpoints.listed(name) != null || disabledHosts.contains(name);
     }
 
     /** Takes a host out by hand, or gives it back; false if no such host is known. */
-    public boolean byHand(String name, boolean out) {
-        if (!knows(name)) {
+    public boolean setDisabled(String name, boolean out) {
+        if (!isKnownHost(name)) {
             return false;
         }
-        if (out ? takenOut.takeOut(name) : takenOut.giveBack(name, now())) {
+        if (out ? disabledHosts.disable(name) : disabledHosts.enable(name, now())) {
             changedByHand(Set.of(name));
         }
         return true;
     }
 
     /** Takes over what another process of this proxy did by hand; times are Unix time (ms). */
-    public void byHand(DisabledHostStore.Contents elsewhere) {
+    public void setDisabled(DisabledHostStore.Contents elsewhere) {
         Map<String, Double> back = new HashMap<>();
-        elsewhere.back().forEach((name, at) -> back.put(name, at - unixOffset));
-        changedByHand(takenOut.adopt(elsewhere.out(), back));
+        elsewhere.enabledAt().forEach((name, at) -> back.put(name, at - unixOffset));
+        changedByHand(disabledHosts.adopt(elsewhere.disabled(), back));
     }
 
     private void changedByHand(Set<String> names) {
         List<EndpointEntry> entries = new ArrayList<>();
         List<UpstreamHost> cut = new ArrayList<>();
         for (String name : names) {
-            log.line(() -> name + (takenOut.contains(name) ? " is out by hand" : " is back by hand"));
-            UpstreamHost host = hosts.listed(name);
+            log.info(() -> name + (disabledHosts.contains(name) ? " is out by hand" : " is back by hand"));
+            UpstreamHost host = endpoints.listed(name);
             if (host != null) {
-                entries.add(hosts.changedByHand(host));
+                entries.add(endpoints.changedByHand(host));
                 cut.add(host);
             }
         }
@@ -256,60 +256,60 @@
         }
     }
 
-    public ProxyMetrics figures() {
-        return figures;
+    public ProxyMetrics metrics() {
+        return metrics;
     }
 
-    public void followFailed() {
-        deliver(null, () -> balancer.onMembership(now(), rillyard.balancer.WatchEvent.FAILED, null));
+    public void onWatchFailed() {
+        deliver(null, () -> balancer.onWatchEvent(now(), rillyard.balancer.WatchEvent.FAILED, null));
     }
 
-    public void arrived(RequestExchange exchange, IncomingRequest arrival) {
+    public void onRequest(RequestExchange exchange, IncomingRequest arrival) {
         exchanges.put(exchange.id, exchange);
-        ids.opened(exchange.name);
+        ids.onOpened(exchange.requestId);
         deliver(exchange, () -> balancer.onRequest(now(), arrival));
     }
 
     /** Writes an attempt down and tells neighbours, if that was asked for. */
-    void attemptEnded(UpstreamHost host, AttemptOutcome result, double spent) {
-        if (neighbours != null) {
-            neighbours.ended(host.name, result, now());
+    void onAttemptEnded(UpstreamHost host, AttemptOutcome result, double spent) {
+        if (peerGossip != null) {
+            peerGossip.onAttemptEnded(host.name, result, now());
         }
         if (log.trace() != null) {
-            double age = now() - spent - host.told.onlineSince();
+            double age = now() - spent - host.entry.onlineSince();
             log.trace()
-                    .attempt(
+                    .recordAttempt(
                             host.name,
                             result,
                             spent,
-                            age >= 0 && age < settings.rules().cold());
+                            age >= 0 && age < settings.rules().warmUpTime());
         }
     }
 
-    /** Writes an answer of our own down, if that was asked for; {@code last} as {@link ProxyTrace#ended}. */
+    /** Writes an answer of our own down, if that was asked for; {@code last} as {@link ProxyTrace#recordRejection}. */
     void traceEnd(ProxyMetrics.RequestOutcome how, AttemptOutcome last) {
         if (log.trace() != null && how != ProxyMetrics.RequestOutcome.COMPLETED) {
-            log.trace().ended(how == ProxyMetrics.RequestOutcome.REJECTED ? Kind.REFUSED : Kind.FAILED, last);
+            log.trace().recordRejection(how == ProxyMetrics.RequestOutcome.REJECTED ? Kind.REFUSED : Kind.FAILED, last);
         }
     }
 
-    void outcome(
+    void onAttemptOutcome(
             RequestExchange exchange,
             int number,
             AttemptOutcome result,
             double spent,
             boolean over,
             LoadReport report) {
-        deliver(exchange, () -> balancer.onOutcome(now(), exchange.id, number, result, spent, over, report));
+        deliver(exchange, () -> balancer.onAttemptOutcome(now(), exchange.id, number, result, spent, over, report));
     }
 
     /** A request that was handed over while it came is whole; {@code budget} ms are left for it. */
-    void whole(RequestExchange exchange, double budget) {
-        deliver(exchange, () -> balancer.onWhole(now(), exchange.id, budget));
+    void onRequestComplete(RequestExchange exchange, double budget) {
+        deliver(exchange, () -> balancer.onRequestComplete(now(), exchange.id, budget));
     }
 
-    void clientGone(RequestExchange exchange) {
-        deliver(exchange, () -> balancer.onClientGone(now(), exchange.id));
+    void onClientDisconnected(RequestExchange exchange) {
+        deliver(exchange, () -> balancer.onClientDisconnected(now(), exchange.id));
     }
 
     private void deliver(RequestExchange about, Runnable what) {
@@ -333,34 +333,34 @@
             event.what().run();
         } catch (RuntimeException x) {
             // Guards against one event that ends the process: it costs its own request only.
-            log.failure("the module failed on an event", x);
+            log.error("the module failed on an event", x);
             if (event.about() != null) {
-                event.about().failUnasked();
+                event.about().failWithoutDecision();
             }
         }
     }
 
     void forget(RequestExchange exchange) {
         if (exchanges.remove(exchange.id) != null) {
-            ids.closed(exchange.name, System.nanoTime());
+            ids.onClosed(exchange.requestId, System.nanoTime());
         }
     }
 
     /** Whether a request of this id is open, or was a moment ago. */
-    public boolean known(String id) {
-        return ids.known(id, System.nanoTime());
+    public boolean isKnownRequestId(String id) {
+        return ids.contains(id, System.nanoTime());
     }
 
-    public void sweep() {
+    public void runMaintenance() {
         if (guard != null) {
             endDoubts();
         }
-        if (neighbours != null) {
-            neighbours.step(now(), hosts.inUse(), new PeerGossipListener(this));
+        if (peerGossip != null) {
+            peerGossip.step(now(), endpoints.inUse(), new PeerGossipListener(this));
         }
-        upstreams.sweep(hosts.all());
-        hosts.forgetGone();
-        figures.members(hosts.listedCount(), balancer.avoided());
+        upstreams.runMaintenance(endpoints.all());
+        endpoints.forgetGone();
+        metrics.setHosts(endpoints.listedCount(), balancer.avoidedHostCount());
     }
 
     /** Tells the module something that no request is about. */
@@ -373,7 +373,7 @@
     @Override
     public void send(long request, long host, double giveUpAfter, double notAfter) {
         RequestExchange exchange = exchanges.get(request);
-        UpstreamHost upstreamHost = hosts.get(host);
+        UpstreamHost upstreamHost = endpoints.get(host);
         if (exchange != null && upstreamHost != null) {
             exchange.send(upstreamHost, giveUpAfter, notAfter);
         } else {
@@ -382,10 +382,10 @@
     }
 
     @Override
-    public void refuse(long request, double coolDown) {
+    public void reject(long request, double coolDown) {
         RequestExchange exchange = exchanges.get(request);
         if (exchange != null) {
-            exchange.refuse(coolDown);
+            exchange.reject(coolDown);
         }
     }
 
@@ -406,23 +406,23 @@
     }
 
     @Override
-    public void schedule(double delay, long token) {
+    public void scheduleTimer(double delay, long token) {
         Runnable event = () -> deliver(exchanges.get(token), () -> balancer.onTimer(now(), token));
         RequestExchange exchange = exchanges.get(token);
         if (exchange != null) {
-            exchange.later(delay, event);
+            exchange.schedule(delay, event);
         } else if (token < 0) {
-            later(delay, event);
+            schedule(delay, event);
         }
     }
 
     @Override
-    public void follow() {
+    public void subscribe() {
         follow.run();
     }
 
     @Override
     public void log(String line) {
-        log.line(() -> hosts.named(line));
+        log.info(() -> endpoints.hostNameOf(line));
     }
 }
--- a/src/main/java/rillyard/proxy/dispatch/PeerGossipListener.java
+++ b/src/main/java/rillyard/proxy/dispatch/PeerGossipListener.java
@@ -7,29 +7,30 @@
 /** What neighbours found out goes to the module, of hosts that this proxy's own list names. */
 record PeerGossipListener(BalancerDriver dispatcher) implements PeerGossip.Listener {
     @Override
-    public void leave(String host, double wait) {
+    public void eject(String host, double wait) {
         word(host, true, wait);
     }
 
     @Override
-    public void comeBack(String host, double wait) {
+    public void readmit(String host, double wait) {
         word(host, false, wait);
     }
 
     private void word(String host, boolean left, double wait) {
-        UpstreamHost upstreamHost = dispatcher.hosts().listed(host);
+        UpstreamHost upstreamHost = dispatcher.endpoints().listed(host);
         if (upstreamHost != null) {
-            dispatcher.tell((Balancer balancer) -> balancer.onFleetWord(dispatcher.now(), upstreamHost.id, left, wait));
+            dispatcher.tell(
+                    (Balancer balancer) -> balancer.onFleetEjection(dispatcher.now(), upstreamHost.id, left, wait));
         }
     }
 
     @Override
-    public void place(SubsetPosition position) {
-        dispatcher.tell(balancer -> balancer.onPlace(position));
+    public void moveSubset(SubsetPosition position) {
+        dispatcher.tell(balancer -> balancer.onSubsetPosition(position));
     }
 
     @Override
     public void log(String line) {
-        dispatcher.log().line(line);
+        dispatcher.log().info(line);
     }
 }
--- a/src/main/java/rillyard/proxy/dispatch/RequestExchange.java
+++ b/src/main/java/rillyard/proxy/dispatch/RequestExchange.java
@@ -33,8 +33,8 @@
     public static final long CLIENT_STALL = 30_000_000_000L;
 
     public final long id;
-    final String name;
-    private final String type;
+    final String requestId;
+    private final String requestClass;
     private final BalancerDriver dispatcher;
     private final ClientConnection client;
     private final HttpRequest head;
@@ -63,8 +63,8 @@
             double timeout,
             StreamingUpload upload) {
         this.id = id;
-        this.name = name;
-        this.type = type;
+        this.requestId = name;
+        this.requestClass = type;
         this.dispatcher = dispatcher;
         this.client = client;
         this.head = head;
@@ -72,14 +72,14 @@
         this.deadlineAt = deadlineAt;
         this.timeout = timeout;
         this.upload = upload;
-        dispatcher.figures().pending(1);
+        dispatcher.metrics().addPending(1);
         ProtocolHeaders.dropHopByHop(head.headers());
         if (body != null) {
             head.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.size());
         }
         head.headers().remove(HttpHeaderNames.EXPECT);
         if (upload == null) {
-            later(deadlineAt - dispatcher.now(), this::timeUp);
+            schedule(deadlineAt - dispatcher.now(), this::onDeadline);
         }
     }
 
@@ -87,50 +87,50 @@
      * Runs something later unless the request and its attempts are all over by then. The time of a
      * request that still comes runs from its last byte.
      */
-    void later(double delay, Runnable what) {
-        if (uploads()) {
-            whenWhole.add(() -> later(delay, what));
+    void schedule(double delay, Runnable what) {
+        if (hasStreamingUpload()) {
+            whenWhole.add(() -> schedule(delay, what));
         } else {
-            timers.add(dispatcher.later(delay, what));
+            timers.add(dispatcher.schedule(delay, what));
         }
     }
 
     // --- a body that is passed on as it comes
 
     /** Whether its last byte has not come yet. */
-    boolean uploads() {
-        return upload != null && !upload.whole();
+    boolean hasStreamingUpload() {
+        return upload != null && !upload.isComplete();
     }
 
     /** Whether its body is passed on as it comes, or was. */
-    boolean passesOn() {
+    boolean isStreaming() {
         return upload != null;
     }
 
     /** Its last byte has come, and may have waited for so long (ms) in its socket. */
-    public void uploaded(double waited) {
-        upload.last();
+    public void onUploadComplete(double waited) {
+        upload.finish();
         double left = Math.max(0, timeout - waited);
         deadlineAt = dispatcher.now() + left;
-        dispatcher.whole(this, left);
+        dispatcher.onRequestComplete(this, left);
         if (!answered) {
-            later(left, this::timeUp);
+            schedule(left, this::onDeadline);
             whenWhole.forEach(Runnable::run);
         }
         whenWhole.clear();
     }
 
     /** The host hangs under a body that still comes: it can't have run, and the attempt is over. */
-    public void hostTakesNothing() {
+    public void onHostStalled() {
         for (int i = 0; i < attempts.size(); i++) {
             if (attempts.get(i).open()) {
-                attempts.get(i).notSent();
+                attempts.get(i).onNotSent();
             }
         }
     }
 
-    void hostTakesMore() {
-        if (uploads()) {
+    void onHostWritable() {
+        if (hasStreamingUpload()) {
             client.readOn();
         }
     }
@@ -153,11 +153,11 @@
         open++;
         if (answered
                 || !host.sendable
-                || (upload != null && upload.bound())
+                || (upload != null && upload.isBound())
                 || attempts.size() > dispatcher.maxAttempts()
                 || giveUpAfter < 0
                 || dispatcher.now() >= deadlineAt) {
-            attempt.moot();
+            attempt.onNotNeeded();
         } else {
             attempt.start(giveUpAfter, notAfter);
         }
@@ -169,11 +169,11 @@
 
     ChannelFuture writeTo(Channel channel) {
         HttpHeaders headers = head.headers();
-        double left = upload == null || upload.whole() ? deadlineAt - dispatcher.now() : timeout;
+        double left = upload == null || upload.isComplete() ? deadlineAt - dispatcher.now() : timeout;
         headers.set(ProtocolHeaders.TIMEOUT_MS, Math.max(1, (long) left));
         if (upload != null) {
             ChannelFuture last = upload.begin(channel, head, headers);
-            hostTakesMore();
+            onHostWritable();
             return last;
         }
         List<ByteBuf> blocks = body == null ? List.of() : body.retained();
@@ -189,29 +189,29 @@
         return channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
     }
 
-    void attemptEnded(UpstreamAttempt attempt, AttemptOutcome result, double spent, LoadReport report) {
+    void onAttemptEnded(UpstreamAttempt attempt, AttemptOutcome result, double spent, LoadReport report) {
         open--;
         last = result;
-        dispatcher.attemptEnded(attempt.host, result, spent);
+        dispatcher.onAttemptEnded(attempt.host, result, spent);
         if (upload != null && stream != attempt) {
             upload.detached(attempt.connection());
-            mayHaveRun |= !result.neverRan();
-            if (upload.spent() && open == 0 && !answered) {
+            mayHaveRun |= !result.provesNotExecuted();
+            if (upload.isConsumed() && open == 0 && !answered) {
                 // Nothing is left to send: what never ran is refused, what may have run has failed.
                 if (mayHaveRun) {
                     fail();
                 } else {
-                    refuse(0);
+                    reject(0);
                 }
             }
         }
-        dispatcher.outcome(this, attempt.number(), result, spent, answered, report);
+        dispatcher.onAttemptOutcome(this, attempt.number(), result, spent, answered, report);
         forgetIfDone();
     }
 
     // --- the one final answer
 
-    public void refuse(double coolDown) {
+    public void reject(double coolDown) {
         if (answer(ProxyMetrics.RequestOutcome.REJECTED)) {
             client.answer(503, coolDown);
             forgetIfDone();
@@ -226,18 +226,18 @@
     }
 
     /** Fails what the module has not ended, and tells it that there is nothing left to end. */
-    public void failUnasked() {
+    public void failWithoutDecision() {
         if (!answered) {
             fail();
-            dispatcher.clientGone(this);
+            dispatcher.onClientDisconnected(this);
         }
     }
 
-    void served(HttpResponse reply, BufferedBody whole) {
+    void onResponse(HttpResponse reply, BufferedBody whole) {
         if (answer(ProxyMetrics.RequestOutcome.COMPLETED)) {
             client.answer(reply, whole);
         } else if (whole != null) {
-            whole.free();
+            whole.release();
         }
     }
 
@@ -253,23 +253,25 @@
     }
 
     /** Passes part of it on; false if the client takes no more for now. */
-    boolean pass(ByteBuf bytes) {
+    boolean forward(ByteBuf bytes) {
         return client.pass(bytes);
     }
 
-    public void clientTakesMore() {
+    public void onClientWritable() {
         if (stream != null) {
             stream.resumeStream();
         }
     }
 
     /** The stream has come to its end, or has broken, which the client is to notice. */
-    void streamEnded(boolean whole) {
+    void onStreamEnded(boolean whole) {
         stream = null;
-        dispatcher.figures().pending(-1);
+        dispatcher.metrics().addPending(-1);
         dispatcher
-                .figures()
-                .ended(type, whole ? ProxyMetrics.RequestOutcome.COMPLETED : ProxyMetrics.RequestOutcome.FAILED);
+                .metrics()
+                .requestEnded(
+                        requestClass,
+                        whole ? ProxyMetrics.RequestOutcome.COMPLETED : ProxyMetrics.RequestOutcome.FAILED);
         if (whole) {
             client.endAnswer();
         } else {
@@ -282,25 +284,25 @@
         if (answered) {
             return false;
         }
-        over();
-        dispatcher.figures().ended(type, how);
+        complete();
+        dispatcher.metrics().requestEnded(requestClass, how);
         dispatcher.traceEnd(how, last);
         return true;
     }
 
-    private void over() {
+    private void complete() {
         answered = true;
-        dispatcher.figures().pending(-1);
+        dispatcher.metrics().addPending(-1);
     }
 
     // --- ends
 
     /** The client has gone before its answer. */
-    public void clientGone() {
+    public void onClientDisconnected() {
         if (stream != null) {
             UpstreamAttempt attempt = stream;
             stream = null;
-            dispatcher.figures().pending(-1);
+            dispatcher.metrics().addPending(-1);
             attempt.abandonStream();
             forgetIfDone();
             return;
@@ -308,13 +310,13 @@
         if (answered) {
             return;
         }
-        over();
-        dispatcher.clientGone(this);
+        complete();
+        dispatcher.onClientDisconnected(this);
         // Whether or not attempts may be called off, none begins for a client that has gone: its connection may
         // come up later. And what was to follow of an upload never comes: no host waits for it.
         for (int i = 0; i < attempts.size(); i++) {
             UpstreamAttempt upstreamAttempt = attempts.get(i);
-            if (uploads() || !upstreamAttempt.mayHaveRun()) {
+            if (hasStreamingUpload() || !upstreamAttempt.mayHaveRun()) {
                 upstreamAttempt.cancel();
             }
         }
@@ -323,7 +325,7 @@
 
     /** The client has gone before anything was begun. */
     public void dropUnsent() {
-        over();
+        complete();
         forgetIfDone();
     }
 
@@ -335,15 +337,15 @@
         if (answered || now < deadlineAt) {
             return false;
         }
-        timeUp(now - gap < deadlineAt);
+        onDeadline(now - gap < deadlineAt);
         return true;
     }
 
-    private void timeUp() {
-        timeUp(false);
+    private void onDeadline() {
+        onDeadline(false);
     }
 
-    private void timeUp(boolean byOurGap) {
+    private void onDeadline(boolean byOurGap) {
         for (int i = 0; i < attempts.size(); i++) {
             if (attempts.get(i).open()) {
                 if (byOurGap) {
@@ -353,12 +355,12 @@
                 }
             }
         }
-        failUnasked(); // if the module holds it still, the client's time is up all the same
+        failWithoutDecision(); // if the module holds it still, the client's time is up all the same
     }
 
     private void freeBody() {
         if (body != null) {
-            body.free();
+            body.release();
         }
         if (upload != null) {
             upload.free();
--- a/src/main/java/rillyard/proxy/dispatch/RequestIdCache.java
+++ b/src/main/java/rillyard/proxy/dispatch/RequestIdCache.java
@@ -19,16 +19,16 @@
     private final Set<String> ids = new HashSet<>();
     private final ArrayDeque<Closed> closed = new ArrayDeque<>();
 
-    void opened(String id) {
+    void onOpened(String id) {
         ids.add(id);
     }
 
-    void closed(String id, long now) {
+    void onClosed(String id, long now) {
         closed.add(new Closed(id, now));
         expire(now);
     }
 
-    boolean known(String id, long now) {
+    boolean contains(String id, long now) {
         expire(now);
         return ids.contains(id);
     }
--- a/src/main/java/rillyard/proxy/dispatch/StreamingUpload.java
+++ b/src/main/java/rillyard/proxy/dispatch/StreamingUpload.java
@@ -35,22 +35,22 @@
     }
 
     /** Whether bytes have been passed on that are held no more. */
-    boolean spent() {
+    boolean isConsumed() {
         return spent;
     }
 
     /** Whether it can't go to another connection, not now or never. */
-    boolean bound() {
+    boolean isBound() {
         return spent || (to != null && !whole);
     }
 
     /** Whether its last byte has come. */
-    boolean whole() {
+    boolean isComplete() {
         return whole;
     }
 
     /** Whether more of it is to be read from the client now. */
-    public boolean wanted() {
+    public boolean hasCapacity() {
         return to != null && to.isWritable();
     }
 
@@ -76,18 +76,18 @@
     }
 
     /** More has come; the caller keeps its own reference. */
-    public void take(ByteBuf bytes) {
+    public void append(ByteBuf bytes) {
         if (to == null) {
             start.append(bytes); // read before the client was paused: a few reads at the most
             return;
         }
         spent = true;
-        start.free();
+        start.release();
         to.writeAndFlush(new DefaultHttpContent(bytes.retain()));
     }
 
     /** The last byte has come. */
-    void last() {
+    void finish() {
         whole = true;
         if (to != null) {
             to.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT, written);
@@ -102,6 +102,6 @@
     }
 
     void free() {
-        start.free();
+        start.release();
     }
 }
