--- a/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
+++ b/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
@@ -62,10 +62,10 @@
     void start(double giveUpAfter, double notAfter) {
         this.notAfter = notAfter;
         if (notAfter < Double.POSITIVE_INFINITY) {
-            tooLate = dispatcher.later(notAfter - dispatcher.now(), this::notWritten);
+            tooLate = dispatcher.schedule(notAfter - dispatcher.now(), this::notWritten);
         }
         if (giveUpAfter > 0) {
-            giveUp = dispatcher.later(giveUpAfter, this::timeUp);
+            giveUp = dispatcher.schedule(giveUpAfter, this::timeUp);
         }
         dispatcher.upstreams().start(this);
     }
@@ -95,16 +95,16 @@
     }
 
     @Override
-    public void writtenWhole() {
-        dispatcher.figures().attemptWritten();
-        if (exchange.passesOn()) {
+    public void onWritten() {
+        dispatcher.metrics().attemptWritten();
+        if (exchange.isStreaming()) {
             sentAt = dispatcher.now(); // a host begins with the last byte
         }
     }
 
     @Override
-    public void writable() {
-        exchange.hostTakesMore();
+    public void onWritable() {
+        exchange.onHostWritable();
     }
 
     @Override
@@ -113,12 +113,12 @@
     }
 
     @Override
-    public void notSent() {
+    public void onNotSent() {
         finish(AttemptOutcome.CONNECT_FAILED);
     }
 
     @Override
-    public void moot() {
+    public void onNotNeeded() {
         finish(AttemptOutcome.MOOT);
     }
 
@@ -132,7 +132,7 @@
     }
 
     @Override
-    public void head(HttpResponse reply) {
+    public void onResponseHead(HttpResponse reply) {
         report = LoadReportParser.read(reply.headers().get(ProtocolHeaders.SERVER_LOAD));
         int status = reply.status().code();
         if (status == 200) {
@@ -144,13 +144,13 @@
             length = HttpUtil.getContentLength(reply, -1L);
             // Guards against an answer that is said to be larger than any may be, and goes on coming; and
             // against one whose end, for want of a length, looks like a connection that broke half way.
-            if (length > BufferedBody.MAX
+            if (length > BufferedBody.MAX_BYTES
                     || (length < 0 && !HttpUtil.isTransferEncodingChunked(reply) && HttpUtil.isKeepAlive(reply))) {
-                broken();
+                onConnectionLost();
                 return;
             }
             headAt = dispatcher.now();
-            if (length > BufferedBody.HELD) {
+            if (length > BufferedBody.MAX_BUFFERED_BYTES) {
                 stream();
             }
             return;
@@ -162,11 +162,11 @@
     }
 
     @Override
-    public void content(HttpContent part) {
+    public void onResponseContent(HttpContent part) {
         int n = part.content().readableBytes();
         passed += n;
-        if (passed > BufferedBody.MAX) {
-            broken(); // larger than any answer may be
+        if (passed > BufferedBody.MAX_BYTES) {
+            onConnectionLost(); // larger than any answer may be
             return;
         }
         if (streams) {
@@ -176,14 +176,14 @@
                 body = dispatcher.newBody(length, false);
             }
             body.append(part.content());
-            if (body.size() > BufferedBody.HELD
+            if (body.size() > BufferedBody.MAX_BUFFERED_BYTES
                     || (length < 0 && (body.size() > UNTOLD_HELD || dispatcher.now() - headAt > UNTOLD_MS))) {
                 stream();
                 return;
             }
-            if (dispatcher.budget().full(body.size())) {
+            if (dispatcher.bodyMemory().isExhausted(body.size())) {
                 connection().pauseReading();
-                dispatcher.budget().await(resume);
+                dispatcher.bodyMemory().awaitCapacity(resume);
             }
         }
     }
@@ -209,18 +209,18 @@
         streams = true;
         over = true;
         endTimers();
-        dispatcher.budget().forget(resume);
+        dispatcher.bodyMemory().cancelWait(resume);
         if (body != null) {
             BufferedBody first = body;
             body = null;
             first.retained().forEach(this::pass);
-            first.free();
+            first.release();
         }
-        exchange.attemptEnded(this, AttemptOutcome.OK, dispatcher.now() - sentAt, report);
+        exchange.onAttemptEnded(this, AttemptOutcome.OK, dispatcher.now() - sentAt, report);
     }
 
     private void pass(ByteBuf bytes) {
-        if (!exchange.pass(bytes)) {
+        if (!exchange.forward(bytes)) {
             connection().pauseReading();
         }
     }
@@ -236,24 +236,24 @@
     }
 
     @Override
-    public void end() {
+    public void onResponseEnd() {
         if (streams) {
             dispatcher.upstreams().end(this);
-            exchange.streamEnded(true);
+            exchange.onStreamEnded(true);
             return;
         }
         BufferedBody whole = body;
         body = null;
-        exchange.served(head, whole);
+        exchange.onResponse(head, whole);
         finish(AttemptOutcome.OK);
     }
 
     @Override
-    public void broken() {
+    public void onConnectionLost() {
         if (streams) {
-            dispatcher.log().line(() -> describe(AttemptOutcome.RESET));
+            dispatcher.log().info(() -> describe(AttemptOutcome.RESET));
             dispatcher.upstreams().end(this);
-            exchange.streamEnded(false);
+            exchange.onStreamEnded(false);
             return;
         }
         finish(AttemptOutcome.RESET);
@@ -265,18 +265,18 @@
         }
         over = true;
         endTimers();
-        dispatcher.budget().forget(resume);
+        dispatcher.bodyMemory().cancelWait(resume);
         if (body != null) {
-            body.free();
+            body.release();
             body = null;
         }
         if (result == AttemptOutcome.TIMEOUT
                 || result == AttemptOutcome.RESET
                 || result == AttemptOutcome.CONNECT_FAILED) {
-            dispatcher.log().line(() -> describe(result));
+            dispatcher.log().info(() -> describe(result));
         }
         dispatcher.upstreams().end(this);
-        exchange.attemptEnded(this, result, dispatcher.now() - sentAt, report);
+        exchange.onAttemptEnded(this, result, dispatcher.now() - sentAt, report);
     }
 
     private void endTimers() {
--- a/src/main/java/rillyard/proxy/downstream/ClientConnection.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientConnection.java
@@ -112,7 +112,7 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        front.opened(this);
+        front.onOpened(this);
     }
 
     @Override
@@ -125,17 +125,17 @@
             ReferenceCountUtil.release(ahead.poll());
         }
         if (requestExchange != null) {
-            requestExchange.clientGone();
+            requestExchange.onClientDisconnected();
         }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            front.log().failure("a client's connection failed", cause);
+            front.log().error("a client's connection failed", cause);
             if (exchange != null) {
                 closing = true; // its answer is to arrive
-                exchange.failUnasked();
+                exchange.failWithoutDecision();
                 if (exchange == null) {
                     return;
                 }
@@ -211,7 +211,7 @@
     }
 
     private void begin(HttpRequest request) {
-        front.sockets().clientIdle(this, false);
+        front.descriptors().setClientIdle(this, false);
         used = true;
         head = request;
         received = 0;
@@ -223,7 +223,7 @@
             reject(505);
         } else if (!method.equals(HttpMethod.GET) && !method.equals(HttpMethod.POST)) {
             reject(405);
-        } else if (HttpUtil.getContentLength(request, 0L) > BufferedBody.MAX) {
+        } else if (HttpUtil.getContentLength(request, 0L) > BufferedBody.MAX_BYTES) {
             reject(413);
         } else if (!health) {
             check(request);
@@ -244,7 +244,7 @@
         String id = RequestValidator.single(headers, ProtocolHeaders.REQUEST_ID);
         String named = RequestValidator.single(headers, ProtocolHeaders.CLASS);
         type = named == null ? RequestValidator.pathClass(request.uri()) : named;
-        Settings.RequestClass requestClass = front.type(type);
+        Settings.RequestClass requestClass = front.requestClass(type);
         if (id == null
                 || id.isBlank()
                 || RequestValidator.single(headers, HttpHeaderNames.HOST) == null
@@ -259,7 +259,7 @@
             timeout = RequestValidator.timeout(headers.get(ProtocolHeaders.TIMEOUT_MS), requestClass);
             if (Double.isNaN(timeout)) {
                 reject(400);
-            } else if (front.dispatcher().known(id)) {
+            } else if (front.driver().isKnownRequestId(id)) {
                 reject(409); // the id of another request, which alone has a claim to its answer
             }
         }
@@ -267,34 +267,34 @@
 
     private void append(ByteBuf bytes) {
         received += bytes.readableBytes();
-        if (received > BufferedBody.MAX || (health && received > BufferedBody.HELD)) {
+        if (received > BufferedBody.MAX_BYTES || (health && received > BufferedBody.MAX_BUFFERED_BYTES)) {
             reject(413);
             return;
         }
         if (upload != null) {
-            upload.take(bytes);
-            if (!upload.wanted()) {
+            upload.append(bytes);
+            if (!upload.hasCapacity()) {
                 channel.config().setAutoRead(false);
             }
             return;
         }
         if (body == null) {
-            body = front.dispatcher().newBody(HttpUtil.getContentLength(head, -1L), true);
+            body = front.driver().newBody(HttpUtil.getContentLength(head, -1L), true);
         }
         body.append(bytes);
-        if (body.size() > BufferedBody.HELD) {
+        if (body.size() > BufferedBody.MAX_BUFFERED_BYTES) {
             beginUpload();
             return;
         }
-        if (front.budget().full(body.size())) {
-            if (front.budget().stuck()) {
+        if (front.bodyMemory().isExhausted(body.size())) {
+            if (front.bodyMemory().isDeadlocked()) {
                 // Guards against requests that wait for each other's memory: the one at hand gives way.
                 refuseForMemory();
             } else {
                 paused = true;
                 pausedAt = System.nanoTime();
                 channel.config().setAutoRead(false);
-                front.budget().await(resume);
+                front.bodyMemory().awaitCapacity(resume);
                 long most = (long) Math.min(MAX_PAUSE_MS, timeout / 2);
                 pauseEnd = channel.eventLoop().schedule(this::refuseForMemory, most, TimeUnit.MILLISECONDS);
             }
@@ -306,8 +306,8 @@
      * and its client waits for an answer. It was sent to no host, so trying again is harmless.
      */
     private void refuseForMemory() {
-        front.refusedForMemory();
-        front.dispatcher().figures().ended(type, ProxyMetrics.RequestOutcome.REJECTED);
+        front.onRejectedForMemory();
+        front.driver().metrics().requestEnded(type, ProxyMetrics.RequestOutcome.REJECTED);
         reject(503);
     }
 
@@ -321,7 +321,7 @@
         if (paused) {
             paused = false;
             resumedAt = System.nanoTime();
-            front.budget().forget(resume);
+            front.bodyMemory().cancelWait(resume);
             pauseEnd.cancel(false);
         }
     }
@@ -331,28 +331,37 @@
         if (paused) {
             endPause();
         }
-        BalancerDriver driver = front.dispatcher();
+        BalancerDriver driver = front.driver();
         HttpRequest request = head;
         BufferedBody start = body;
         head = null;
         body = null;
         String id = request.headers().get(ProtocolHeaders.REQUEST_ID);
-        if (driver.known(id)) {
-            start.free();
+        if (driver.isKnownRequestId(id)) {
+            start.release();
             reject(409);
             return;
         }
         channel.config().setAutoRead(false);
         upload = new StreamingUpload(start, HttpUtil.getContentLength(request, -1L));
-        boolean room = !overflow && driver.open() < front.maxOpen();
+        boolean room = !overflow && driver.openRequests() < front.maxOpen();
         exchange = new RequestExchange(
-                driver.newId(), id, type, driver, this, request, null, Double.POSITIVE_INFINITY, timeout, upload);
+                driver.nextRequestId(),
+                id,
+                type,
+                driver,
+                this,
+                request,
+                null,
+                Double.POSITIVE_INFINITY,
+                timeout,
+                upload);
         if (room) {
-            driver.arrived(exchange, arrival(request.headers(), exchange.id, Double.POSITIVE_INFINITY));
+            driver.onRequest(exchange, arrival(request.headers(), exchange.id, Double.POSITIVE_INFINITY));
         } else {
-            front.refusedForSockets();
+            front.onRejectedForDescriptors();
             closing |= overflow;
-            exchange.refuse(0);
+            exchange.reject(0);
         }
     }
 
@@ -381,7 +390,7 @@
         if (upload != null) {
             upload = null;
             readOn();
-            exchange.uploaded(waited() / 1e6);
+            exchange.onUploadComplete(waited() / 1e6);
             return;
         }
         HttpRequest request = head;
@@ -389,17 +398,17 @@
         head = null;
         body = null;
         if (whole != null) {
-            whole.completed();
+            whole.markComplete();
         }
         if (health) {
             free(whole);
-            answer(front.ready() ? 200 : 503, 0);
+            answer(front.isReady() ? 200 : 503, 0);
             return;
         }
-        BalancerDriver driver = front.dispatcher();
-        if (overflow || driver.open() >= front.maxOpen()) {
-            front.refusedForSockets();
-            driver.figures().ended(type, ProxyMetrics.RequestOutcome.REJECTED);
+        BalancerDriver driver = front.driver();
+        if (overflow || driver.openRequests() >= front.maxOpen()) {
+            front.onRejectedForDescriptors();
+            driver.metrics().requestEnded(type, ProxyMetrics.RequestOutcome.REJECTED);
             free(whole);
             closing |= overflow;
             answer(503, 0);
@@ -408,14 +417,14 @@
         // Time in our own queue comes off the client's budget: its last byte may have waited there.
         double budget = Math.max(0, timeout - waited() / 1e6);
         String id = request.headers().get(ProtocolHeaders.REQUEST_ID);
-        if (driver.known(id)) { // it has come elsewhere while this one's body was on its way
+        if (driver.isKnownRequestId(id)) { // it has come elsewhere while this one's body was on its way
             free(whole);
             reject(409);
             return;
         }
         exchange = new RequestExchange(
-                driver.newId(), id, type, driver, this, request, whole, driver.now() + budget, budget, null);
-        if (channel.ended()) {
+                driver.nextRequestId(), id, type, driver, this, request, whole, driver.now() + budget, budget, null);
+        if (channel.isEndOfStream()) {
             // Guards against work for clients that left while the loop was behind: each send would be
             // called off at once, at the price of its connection, and the loop fall further behind.
             exchange.dropUnsent();
@@ -423,20 +432,20 @@
             channel.close();
             return;
         }
-        decoder.receiving |= channel.holding();
-        driver.arrived(exchange, arrival(request.headers(), exchange.id, budget));
+        decoder.receiving |= channel.hasHeldByte();
+        driver.onRequest(exchange, arrival(request.headers(), exchange.id, budget));
     }
 
     /** For how long (ns) the last byte read may have waited for us: in its socket, and before that unaccepted. */
     private long waited() {
         long now = System.nanoTime();
         long paused = now - resumedAt < JUST_NOW_NANOS ? resumedAt - pausedAt : 0;
-        return Math.max(paused, now - channel.waitingSince());
+        return Math.max(paused, now - channel.readableSince());
     }
 
     private static void free(BufferedBody body) {
         if (body != null) {
-            body.free();
+            body.release();
         }
     }
 
@@ -471,7 +480,7 @@
         markClose(r);
         ChannelFuture written = channel.writeAndFlush(r);
         if (whole != null) {
-            written.addListener(f -> whole.free());
+            written.addListener(f -> whole.release());
         }
         answered(written);
     }
@@ -511,7 +520,7 @@
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         blockedSince = channel.isWritable() ? 0 : System.nanoTime();
         if (blockedSince == 0 && exchange != null) {
-            exchange.clientTakesMore();
+            exchange.onClientWritable();
         }
     }
 
@@ -521,7 +530,7 @@
     }
 
     private void markClose(HttpResponse response) {
-        closing |= front.draining();
+        closing |= front.isDraining();
         if (closing) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
@@ -552,7 +561,7 @@
 
     private void idleAgain() {
         idleSince = System.nanoTime();
-        front.sockets().clientIdle(this, true);
+        front.descriptors().setClientIdle(this, true);
     }
 
     private void takeAhead() {
@@ -586,7 +595,7 @@
             RequestExchange requestExchange = exchange;
             exchange = null;
             upload = null;
-            requestExchange.clientGone();
+            requestExchange.onClientDisconnected();
         }
         decoder.deaf = true;
         endPause();
@@ -608,10 +617,10 @@
         if (!channel.isActive()) {
             return;
         }
-        front.sockets().clientIdle(this, false);
+        front.descriptors().setClientIdle(this, false);
         channel.shutdownOutput();
         channel.config().setAutoRead(true);
-        channel.eventLoop().schedule(channel::endSending, LINGER_MS, TimeUnit.MILLISECONDS);
+        channel.eventLoop().schedule(channel::shutdownOutputAndDrain, LINGER_MS, TimeUnit.MILLISECONDS);
     }
 
     // --- upkeep
@@ -627,7 +636,7 @@
         if (!taken()) {
             rejected = true;
             decoder.deaf = true;
-            channel.endSending();
+            channel.shutdownOutputAndDrain();
         }
     }
 
@@ -640,12 +649,12 @@
 
     /** Whether something has come that is not read yet, or the client has ended it. */
     private boolean taken() {
-        if (channel.ended()) {
+        if (channel.isEndOfStream()) {
             channel.close();
             return true;
         }
-        decoder.receiving |= channel.holding();
-        return channel.holding();
+        decoder.receiving |= channel.hasHeldByte();
+        return channel.hasHeldByte();
     }
 
     void sweep(long now) {
@@ -653,7 +662,7 @@
             receivingSince = now;
         }
         if (upload != null && !channel.config().isAutoRead() && now - decoder.readAt > UNTAKEN_NANOS) {
-            exchange.hostTakesNothing();
+            exchange.onHostStalled();
         } else if (slow(now)) {
             if (skipping) {
                 channel.close(); // it has its answer
@@ -685,7 +694,7 @@
     }
 
     @Override
-    public boolean used() {
+    public boolean wasUsed() {
         return used;
     }
 }
--- a/src/main/java/rillyard/proxy/downstream/ClientListener.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientListener.java
@@ -26,19 +26,19 @@
 public final class ClientListener {
     private static final int BACKLOG = 1_024;
 
-    private final BalancerDriver dispatcher;
-    private final DescriptorBudget sockets;
-    private final BodyMemoryBudget budget;
+    private final BalancerDriver driver;
+    private final DescriptorBudget descriptors;
+    private final BodyMemoryBudget bodyMemory;
     private final ProxyLog log;
     private final int maxOpen;
-    private final Map<String, Settings.RequestClass> types = new HashMap<>();
+    private final Map<String, Settings.RequestClass> requestClasses = new HashMap<>();
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
     private volatile PeekableSocketChannel.Server listener;
     private boolean draining;
-    private volatile boolean warming;
-    private volatile boolean readyAsOfLate;
-    private long refusedForMemory;
-    private long refusedForSockets;
+    private volatile boolean warmingUp;
+    private volatile boolean wasRecentlyReady;
+    private long rejectedForMemory;
+    private long rejectedForDescriptors;
 
     public ClientListener(
             BalancerDriver dispatcher,
@@ -46,13 +46,13 @@
             DescriptorBudget sockets,
             BodyMemoryBudget budget,
             ProxyLog log) {
-        this.dispatcher = dispatcher;
-        this.sockets = sockets;
-        this.budget = budget;
+        this.driver = dispatcher;
+        this.descriptors = sockets;
+        this.bodyMemory = budget;
         this.log = log;
-        this.maxOpen = config.maxOpen();
+        this.maxOpen = config.maxOpenRequests();
         for (Settings.RequestClass requestClass : config.settings().classes()) {
-            types.put(requestClass.name(), requestClass);
+            requestClasses.put(requestClass.name(), requestClass);
         }
     }
 
@@ -63,12 +63,12 @@
      */
     public void listen(EventLoopGroup loop, ProxyConfig config) throws Exception {
         ServerBootstrap bootstrap = new ServerBootstrap();
-        if (config.operator() != null) {
+        if (config.adminAddress() != null) {
             bootstrap.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
         }
         bootstrap
                 .group(loop)
-                .channelFactory(() -> new PeekableSocketChannel.Server(dispatcher.gaps()))
+                .channelFactory(() -> new PeekableSocketChannel.Server(driver.stallDetector()))
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
@@ -95,28 +95,28 @@
     }
 
     private void accepted(PeekableSocketChannel channel) {
-        boolean overflow = !sockets.roomForClient();
+        boolean overflow = !descriptors.hasCapacityForClient();
         ClientRequestDecoder decoder = new ClientRequestDecoder();
         ClientConnection connection = new ClientConnection(this, channel, decoder, overflow);
-        sockets.clientOpened();
+        descriptors.onClientOpened();
         // The end of the channel's future is the moment its descriptor is free; its handlers hear later.
-        channel.closeFuture().addListener(f -> closed(connection));
+        channel.closeFuture().addListener(f -> onClosed(connection));
         channel.pipeline().addLast(decoder, new HttpResponseEncoder(), connection);
-        if (sockets.exhausted()) {
+        if (descriptors.isExhausted()) {
             // Guards against accepts that fail again and again: the rest waits in the backlog.
             listener.config().setAutoRead(false);
         }
     }
 
-    void opened(ClientConnection connection) {
+    void onOpened(ClientConnection connection) {
         connections.add(connection);
-        sockets.clientIdle(connection, true);
+        descriptors.setClientIdle(connection, true);
     }
 
-    private void closed(ClientConnection connection) {
+    private void onClosed(ClientConnection connection) {
         connections.remove(connection);
-        sockets.clientClosed(connection);
-        if (!sockets.exhausted() && listener.isOpen()) {
+        descriptors.onClientClosed(connection);
+        if (!descriptors.isExhausted() && listener.isOpen()) {
             listener.config().setAutoRead(true);
         }
     }
@@ -136,7 +136,7 @@
     /** The client proxy goes: answers tell clients to move off, and idle connections are closed. */
     public void drain() {
         draining = true;
-        readyAsOfLate = false;
+        wasRecentlyReady = false;
         for (ClientConnection connection : new ArrayList<>(connections)) {
             if (!connection.busy()) {
                 connection.endIdle();
@@ -145,21 +145,21 @@
     }
 
     /** Answers from now on tell clients to move off; connections that are idle stay for that. */
-    public void moveOff() {
+    public void requestClientMigration() {
         draining = true;
-        readyAsOfLate = false;
+        wasRecentlyReady = false;
     }
 
-    public int open() {
+    public int openConnections() {
         return connections.size();
     }
 
-    boolean draining() {
+    boolean isDraining() {
         return draining;
     }
 
     /** Whether anything that was taken, or is being taken, has no answer yet. */
-    public boolean busy() {
+    public boolean isBusy() {
         for (ClientConnection connection : connections) {
             if (connection.busy()) {
                 return true;
@@ -168,51 +168,51 @@
         return false;
     }
 
-    /** Has {@link #ready} say no for now; requests that come all the same are served. */
-    public void warming(boolean on) {
-        warming = on;
+    /** Has {@link #isReady} say no for now; requests that come all the same are served. */
+    public void setWarmingUp(boolean on) {
+        warmingUp = on;
     }
 
     /** Whether requests would be served. */
-    boolean ready() {
-        return !draining && !warming && dispatcher.hosts().anySendable();
+    boolean isReady() {
+        return !draining && !warmingUp && driver.endpoints().anySendable();
     }
 
-    /** As {@link #ready}, as of the last moment in which the loop had time; for other threads. */
-    public boolean readyAsOfLate() {
-        return readyAsOfLate;
+    /** As {@link #isReady}, as of the last moment in which the loop had time; for other threads. */
+    public boolean wasRecentlyReady() {
+        return wasRecentlyReady;
     }
 
-    public void sweep() {
-        readyAsOfLate = ready();
+    public void runMaintenance() {
+        wasRecentlyReady = isReady();
         long now = System.nanoTime();
         for (ClientConnection connection : new ArrayList<>(connections)) {
             connection.sweep(now);
         }
     }
 
-    void refusedForMemory() {
-        log.line("out of memory for bodies: " + ++refusedForMemory + " requests refused unsent");
+    void onRejectedForMemory() {
+        log.info("out of memory for bodies: " + ++rejectedForMemory + " requests refused unsent");
     }
 
-    void refusedForSockets() {
-        log.line("out of sockets: " + ++refusedForSockets + " requests refused unsent");
+    void onRejectedForDescriptors() {
+        log.info("out of sockets: " + ++rejectedForDescriptors + " requests refused unsent");
     }
 
-    Settings.RequestClass type(String name) {
-        return types.get(name);
+    Settings.RequestClass requestClass(String name) {
+        return requestClasses.get(name);
     }
 
-    BalancerDriver dispatcher() {
-        return dispatcher;
+    BalancerDriver driver() {
+        return driver;
     }
 
-    public DescriptorBudget sockets() {
-        return sockets;
+    public DescriptorBudget descriptors() {
+        return descriptors;
     }
 
-    BodyMemoryBudget budget() {
-        return budget;
+    BodyMemoryBudget bodyMemory() {
+        return bodyMemory;
     }
 
     ProxyLog log() {
--- a/src/main/java/rillyard/proxy/eventloop/PeekableSocketChannel.java
+++ b/src/main/java/rillyard/proxy/eventloop/PeekableSocketChannel.java
@@ -50,7 +50,7 @@
     private static final int TAKEN_OUT = 64 * 1024;
 
     private final ByteBuffer one = ByteBuffer.allocate(1);
-    private boolean holding;
+    private boolean hasHeldByte;
 
     private final StallDetector gaps;
     private final long acceptTurn;
@@ -67,43 +67,43 @@
         super(parent, channel);
         this.gaps = gaps;
         this.acceptTurn = gaps.turn();
-        this.acceptedSince = gaps.accepting();
+        this.acceptedSince = gaps.acceptableSince();
     }
 
     /** Since when (ns) what is read in this turn may have waited, on a connection that was accepted. */
-    public long waitingSince() {
-        return gaps.since(acceptTurn, acceptedSince);
+    public long readableSince() {
+        return gaps.readableSince(acceptTurn, acceptedSince);
     }
 
     /**
      * Whether the connection is open and nothing has come on it. Guards against a write to a pooled
      * connection whose end waits in the kernel: the request would count as one that may have run.
      */
-    public boolean quiet() {
+    public boolean hasNothingToRead() {
         return peek() == 0;
     }
 
     /** Whether the other side has ended the connection; a byte that has come is held. */
-    public boolean ended() {
-        int n = holding ? 1 : peek();
-        holding = n > 0;
+    public boolean isEndOfStream() {
+        int n = hasHeldByte ? 1 : peek();
+        hasHeldByte = n > 0;
         return n < 0;
     }
 
     /** Whether a byte is held that belongs ahead of the next read. */
-    public boolean holding() {
-        return holding;
+    public boolean hasHeldByte() {
+        return hasHeldByte;
     }
 
     /**
      * What was read, behind the byte that was held. Guards against a byte that is handed on at once:
      * the decoder is at work then, and can't be entered again.
      */
-    public ByteBuf behindHeld(ByteBuf read) {
-        if (!holding) {
+    public ByteBuf prependHeldByte(ByteBuf read) {
+        if (!hasHeldByte) {
             return read;
         }
-        holding = false;
+        hasHeldByte = false;
         return Unpooled.wrappedBuffer(Unpooled.copiedBuffer(one.flip()), read);
     }
 
@@ -111,7 +111,7 @@
      * Ends the sending, takes out what has come, and closes. Guards against a close over unread bytes: it would
      * be a reset, which takes what was sent before with it, and tells the other side nothing of it.
      */
-    public void endSending() {
+    public void shutdownOutputAndDrain() {
         if (isActive()) {
             shutdownOutput();
             takeOut();
--- a/src/main/java/rillyard/proxy/eventloop/StallAwareIoHandler.java
+++ b/src/main/java/rillyard/proxy/eventloop/StallAwareIoHandler.java
@@ -41,11 +41,11 @@
     @Override
     public int run(IoHandlerContext context) {
         long now = System.nanoTime();
-        gaps.looking(now, context.canBlock() ? now + context.delayNanos(now) : now);
+        gaps.beforePoll(now, context.canBlock() ? now + context.delayNanos(now) : now);
         afterLook.context = context;
         int handled = sockets.run(afterLook);
         if (handled == 0) {
-            gaps.foundNothing();
+            gaps.pollFoundNothing();
         }
         return handled;
     }
@@ -79,9 +79,9 @@
 
         @Override
         public boolean shouldReportActiveIoTime() {
-            gaps.looked(System.nanoTime());
-            if (gaps.late() > LATE_NANOS) {
-                late.accept(gaps.late());
+            gaps.afterPoll(System.nanoTime());
+            if (gaps.lateNanos() > LATE_NANOS) {
+                late.accept(gaps.lateNanos());
             }
             return context.shouldReportActiveIoTime();
         }
--- a/src/main/java/rillyard/proxy/lifecycle/ClassArchiveTraining.java
+++ b/src/main/java/rillyard/proxy/lifecycle/ClassArchiveTraining.java
@@ -54,7 +54,7 @@
         try {
             Path file = Files.writeString(folder.resolve("config.json"), CONFIG);
             Map<String, String> env = Map.of("BALANCER_CONFIG", file.toString(), "TMPDIR", folder.toString());
-            InetSocketAddress operator = ClientProxy.begin(env, MOST_MS, null).operatorAddress();
+            InetSocketAddress operator = ClientProxy.begin(env, MOST_MS, null).adminAddress();
             call(operator, "GET /_ready", "");
             call(operator, "GET /_vars", "");
             call(operator, "POST /_hosts/detach", "a");
--- a/src/main/java/rillyard/proxy/lifecycle/ConfigReload.java
+++ b/src/main/java/rillyard/proxy/lifecycle/ConfigReload.java
@@ -19,9 +19,9 @@
         Signal.handle(new Signal("HUP"), s -> {
             try {
                 proxy.reload(ProxyConfig.load(env));
-                log.line("configuration reloaded");
+                log.info("configuration reloaded");
             } catch (ConfigException | RuntimeException e) {
-                log.line("configuration not reloaded: " + e.getMessage());
+                log.info("configuration not reloaded: " + e.getMessage());
             }
         });
     }
--- a/src/main/java/rillyard/proxy/lifecycle/Warmup.java
+++ b/src/main/java/rillyard/proxy/lifecycle/Warmup.java
@@ -123,12 +123,12 @@
                 hosts,
                 config.seed(),
                 config.memoryMb(),
-                config.sockets(),
+                config.maxDescriptors(),
                 known,
                 config.settings(),
-                config.connIdle(),
-                config.connectTimeout(),
-                config.maxOpen(),
+                config.idleTimeoutMs(),
+                config.connectTimeoutMs(),
+                config.maxOpenRequests(),
                 null);
     }
 
--- a/src/main/java/rillyard/proxy/logging/ProxyLog.java
+++ b/src/main/java/rillyard/proxy/logging/ProxyLog.java
@@ -29,19 +29,19 @@
         return trace;
     }
 
-    public void line(String text) {
-        line(() -> text);
+    public void info(String text) {
+        info(() -> text);
     }
 
     /** A line that is made only if it is written. */
-    public void line(Supplier<String> text) {
+    public void info(Supplier<String> text) {
         if (admits()) {
             out.println("rillyard: " + text.get().replace('\n', ' ').replace('\r', ' '));
         }
     }
 
     /** A failure of our own code, with its stack. */
-    public void failure(String what, Throwable cause) {
+    public void error(String what, Throwable cause) {
         if (admits()) {
             out.println("rillyard: " + what);
             cause.printStackTrace(out);
--- a/src/main/java/rillyard/proxy/resources/BodyMemoryBudget.java
+++ b/src/main/java/rillyard/proxy/resources/BodyMemoryBudget.java
@@ -50,21 +50,21 @@
     }
 
     /** Whether a body of this size must not grow now. */
-    public boolean full(long size) {
+    public boolean isExhausted(long size) {
         return used >= limitFor(size);
     }
 
     /** Whether waiting would never end: requests that still come hold all that they may. */
-    public boolean stuck() {
+    public boolean isDeadlocked() {
         return incomplete >= limitFor(Long.MAX_VALUE);
     }
 
     /** Runs {@code resume} once when bytes have been freed. */
-    public void await(Runnable resume) {
+    public void awaitCapacity(Runnable resume) {
         waiting.add(resume);
     }
 
-    public void forget(Runnable resume) {
+    public void cancelWait(Runnable resume) {
         waiting.remove(resume);
     }
 }
--- a/src/main/java/rillyard/proxy/resources/BufferedBody.java
+++ b/src/main/java/rillyard/proxy/resources/BufferedBody.java
@@ -11,10 +11,10 @@
  */
 public final class BufferedBody {
     /** The most that the protocol lets a body hold. */
-    public static final long MAX = 32 << 20;
+    public static final long MAX_BYTES = 32 << 20;
 
     /** The most of a body that is held whole; a longer one is passed on as it comes. */
-    public static final long HELD = 64 * 1024;
+    public static final long MAX_BUFFERED_BYTES = 64 * 1024;
 
     private static final int BLOCK = 64 * 1024;
     private static final int FIRST = 512;
@@ -54,7 +54,7 @@
         return size;
     }
 
-    public void completed() {
+    public void markComplete() {
         if (partial) {
             partial = false;
             budget.completed(size);
@@ -71,7 +71,7 @@
     }
 
     /** Gives the bytes back; harmless if done before. */
-    public void free() {
+    public void release() {
         for (ByteBuf buffer : blocks) {
             buffer.release();
         }
--- a/src/main/java/rillyard/proxy/resources/DescriptorBudget.java
+++ b/src/main/java/rillyard/proxy/resources/DescriptorBudget.java
@@ -13,7 +13,7 @@
         void closeIdle();
 
         /** Whether it has carried anything yet. */
-        default boolean used() {
+        default boolean wasUsed() {
             return true;
         }
     }
@@ -48,7 +48,7 @@
     }
 
     /** Whether one more client may be accepted once something idle was closed. */
-    public boolean roomForClient() {
+    public boolean hasCapacityForClient() {
         while (clients >= keptLimit && closeOldest(idleClients)) {
             // what has been of use and is idle makes room first
         }
@@ -57,12 +57,12 @@
                 return false;
             }
         }
-        return room();
+        return hasCapacity();
     }
 
     /** Whether one more connection of any kind may be opened once something idle was closed. */
-    public boolean room() {
-        while (exhausted()) {
+    public boolean hasCapacity() {
+        while (isExhausted()) {
             if (!closeOldest(unusedClients) && !closeOldest(idleUpstreams) && !closeOldest(idleClients)) {
                 return false;
             }
@@ -81,39 +81,39 @@
     }
 
     /** Whether not one more descriptor may be taken. */
-    public boolean exhausted() {
+    public boolean isExhausted() {
         return clients + upstreams >= limit;
     }
 
     /** Connections to hosts that are open or come up. */
-    public int upstreams() {
+    public int upstreamConnections() {
         return upstreams;
     }
 
-    public void clientOpened() {
+    public void onClientOpened() {
         clients++;
     }
 
-    public void clientClosed(IdleConnection connection) {
+    public void onClientClosed(IdleConnection connection) {
         clients--;
         idleClients.remove(connection);
         unusedClients.remove(connection);
     }
 
-    public void upstreamOpened() {
+    public void onUpstreamOpened() {
         upstreams++;
     }
 
-    public void upstreamClosed() {
+    public void onUpstreamClosed() {
         upstreams--;
     }
 
-    public void clientIdle(IdleConnection connection, boolean idle) {
+    public void setClientIdle(IdleConnection connection, boolean idle) {
         // Guards against a flood of connections that say nothing: they make room before those in use.
-        mark(connection.used() ? idleClients : unusedClients, connection, idle);
+        mark(connection.wasUsed() ? idleClients : unusedClients, connection, idle);
     }
 
-    public void upstreamIdle(IdleConnection connection, boolean idle) {
+    public void setUpstreamIdle(IdleConnection connection, boolean idle) {
         mark(idleUpstreams, connection, idle);
     }
 
--- a/src/main/java/rillyard/proxy/upstream/UpstreamCall.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamCall.java
@@ -28,22 +28,22 @@
     public abstract ChannelFuture write(Channel channel);
 
     /** The last byte has gone out. */
-    public abstract void writtenWhole();
+    public abstract void onWritten();
 
     /** The last byte has not gone out: there was no connection, or it went away before. */
-    public abstract void notSent();
+    public abstract void onNotSent();
 
     /** The host must not get it any more, and no byte of it has gone out. */
-    public abstract void moot();
+    public abstract void onNotNeeded();
 
     /** The head of the final answer. */
-    public abstract void head(HttpResponse head);
+    public abstract void onResponseHead(HttpResponse head);
 
     /** Part of the answer's body. */
-    public abstract void content(HttpContent part);
+    public abstract void onResponseContent(HttpContent part);
 
     /** More of the request would be taken by the connection. */
-    public void writable() {}
+    public void onWritable() {}
 
     /** How long (ns) an answer that has begun may say nothing before it is held to have broken. */
     public long stallNanos() {
@@ -51,10 +51,10 @@
     }
 
     /** The answer is whole. */
-    public abstract void end();
+    public abstract void onResponseEnd();
 
     /** The connection broke, or the answer is malformed; the last byte had been written. */
-    public abstract void broken();
+    public abstract void onConnectionLost();
 
     void connecting(Channel channel) {
         connecting = channel;
--- a/src/main/java/rillyard/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamConnection.java
@@ -108,7 +108,7 @@
 
     /** Whether nothing has come or ended here since it went idle; asks the socket itself. */
     boolean alive() {
-        return channel.isActive() && channel.quiet();
+        return channel.isActive() && channel.hasNothingToRead();
     }
 
     /** Nanoseconds at which it went idle or its unwanted rest began. */
@@ -133,7 +133,7 @@
             if (call == next) {
                 if (f.isSuccess()) {
                     written = true;
-                    next.writtenWhole();
+                    next.onWritten();
                 } else {
                     lost();
                 }
@@ -181,7 +181,7 @@
         reused(false);
         // An answer ahead of the request's last byte leaves a half-sent request behind it.
         keep = written && HttpUtil.isKeepAlive(head);
-        call.head(head);
+        call.onResponseHead(head);
     }
 
     private void content(HttpContent part) {
@@ -195,10 +195,10 @@
         }
         if (call != null) {
             UpstreamCall upstreamCall = call;
-            upstreamCall.content(part);
+            upstreamCall.onResponseContent(part);
             if (last && call == upstreamCall) {
                 finished();
-                upstreamCall.end();
+                upstreamCall.onResponseEnd();
             }
         } else {
             unwanted += part.content().readableBytes();
@@ -262,9 +262,9 @@
                 reused(true);
             }
             if (sent) {
-                upstreamCall.broken();
+                upstreamCall.onConnectionLost();
             } else {
-                upstreamCall.notSent();
+                upstreamCall.onNotSent();
             }
         }
     }
@@ -311,7 +311,7 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         if (call != null && channel.isWritable()) {
-            call.writable();
+            call.onWritable();
         }
     }
 
--- a/src/main/java/rillyard/proxy/upstream/UpstreamHost.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamHost.java
@@ -15,7 +15,7 @@
     public boolean listed;
 
     /** What discovery last said of it, whatever operators did. */
-    public EndpointEntry told;
+    public EndpointEntry entry;
 
     final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>(2);
     final Set<UpstreamCall> connecting = new LinkedHashSet<>(2);
--- a/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
@@ -57,11 +57,11 @@
         this.sockets = sockets;
         this.log = log;
         this.idleTimes =
-                IdleTimeoutPolicy.of(config.settings().balancers(), (long) (IDLE_PART * config.connIdle() * 1e6));
+                IdleTimeoutPolicy.of(config.settings().proxyCount(), (long) (IDLE_PART * config.idleTimeoutMs() * 1e6));
         this.bootstrap = new Bootstrap()
                 .group(loop)
                 .channelFactory(PeekableSocketChannel::new)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, config.connectTimeout()))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, config.connectTimeoutMs()))
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, READS)
                 .option(ChannelOption.WRITE_BUFFER_WATER_MARK, MARKS)
@@ -78,18 +78,18 @@
         long now = System.nanoTime();
         while ((connection = pick(host.idle, UpstreamConnection::since, now)) != null) {
             host.idle.remove(connection);
-            sockets.upstreamIdle(connection, false);
+            sockets.setUpstreamIdle(connection, false);
             if (connection.alive() && connection.reusable() && !risk.risky(now - connection.since(), now)) {
                 connection.run(call);
                 return;
             }
             connection.channel().close();
         }
-        if (!sockets.room()) {
+        if (!sockets.hasCapacity()) {
             if (refused++ % 100 == 0) {
-                log.line("out of sockets: " + refused + " attempts had none");
+                log.info("out of sockets: " + refused + " attempts had none");
             }
-            call.notSent();
+            call.onNotSent();
             return;
         }
         connect(call, host);
@@ -116,8 +116,8 @@
         PeekableSocketChannel channel = (PeekableSocketChannel) future.channel();
         UpstreamConnection.Decoder decoder = new UpstreamConnection.Decoder(DECODER);
         UpstreamConnection connection = new UpstreamConnection(this, host, channel, decoder);
-        sockets.upstreamOpened();
-        channel.closeFuture().addListener(x -> sockets.upstreamClosed());
+        sockets.onUpstreamOpened();
+        channel.closeFuture().addListener(x -> sockets.onUpstreamClosed());
         call.connecting(channel);
         host.connecting.add(call);
         future.addListener(x -> {
@@ -125,10 +125,10 @@
             if (!host.connecting.remove(call)) {
                 channel.close(); // given up meanwhile
             } else if (!future.isSuccess()) {
-                call.notSent();
+                call.onNotSent();
             } else if (!call.mayBegin()) {
                 channel.close();
-                call.moot();
+                call.onNotNeeded();
             } else {
                 channel.pipeline().addLast(decoder, new HttpRequestEncoder(), connection);
                 connection.run(call);
@@ -138,9 +138,9 @@
 
     private void traceConnect(ChannelFuture future, UpstreamHost host) {
         if (log.trace() != null) {
-            log.trace().did(future.isSuccess() ? Kind.CONNECTED : Kind.CONNECT_FAILED, host.name);
+            log.trace().record(future.isSuccess() ? Kind.CONNECTED : Kind.CONNECT_FAILED, host.name);
             if (future.isSuccess()) {
-                future.channel().closeFuture().addListener(x -> log.trace().did(Kind.CLOSED, host.name));
+                future.channel().closeFuture().addListener(x -> log.trace().record(Kind.CLOSED, host.name));
             }
         }
     }
@@ -155,7 +155,7 @@
     void idle(UpstreamHost host, UpstreamConnection connection) {
         discarding.remove(connection);
         host.idle.addLast(connection);
-        sockets.upstreamIdle(connection, true);
+        sockets.setUpstreamIdle(connection, true);
     }
 
     /** What came of the use of a connection that had stood idle. */
@@ -168,17 +168,17 @@
     }
 
     void malformed(UpstreamHost host, Throwable cause) {
-        log.line(() -> host.name + " sent what is no answer: " + cause);
+        log.info(() -> host.name + " sent what is no answer: " + cause);
     }
 
     void closed(UpstreamHost host, UpstreamConnection connection) {
         discarding.remove(connection);
         host.idle.remove(connection);
-        sockets.upstreamIdle(connection, false);
+        sockets.setUpstreamIdle(connection, false);
     }
 
     /** Nothing new goes to the host as it was: returns the calls that had not got a connection. */
-    public List<UpstreamCall> cut(UpstreamHost host) {
+    public List<UpstreamCall> closeIdleAndConnecting(UpstreamHost host) {
         for (UpstreamConnection connection : new ArrayList<>(host.idle)) {
             if (!connection.reusable()) {
                 connection.channel().close();
@@ -190,12 +190,12 @@
     }
 
     /** Closes what has been idle for long. */
-    public void sweep(Iterable<UpstreamHost> hosts) {
+    public void runMaintenance(Iterable<UpstreamHost> hosts) {
         long now = System.nanoTime();
         for (UpstreamHost host : hosts) {
             UpstreamConnection connection;
             while ((connection = host.idle.peekFirst()) != null
-                    && idleTimes.over(host.idle.size(), now - connection.since())) {
+                    && idleTimes.isExpired(host.idle.size(), now - connection.since())) {
                 host.idle.pollFirst();
                 connection.channel().close();
             }
--- a/src/main/java/rillyard/requestlog/ClientAttempt.java
+++ b/src/main/java/rillyard/requestlog/ClientAttempt.java
@@ -11,7 +11,7 @@
  * @param number number of the try, from 0
  * @param id what {@code X-Request-ID} said
  * @param key what {@code Idempotency-Key} said, or null
- * @param type class of the request
+ * @param requestClass class of the request
  * @param tenant its tenant, or null
  * @param client number of the client
  * @param intended when the schedule had the request's first try be sent
@@ -28,7 +28,7 @@
         int number,
         String id,
         String key,
-        String type,
+        String requestClass,
         String tenant,
         int client,
         long intended,
@@ -52,7 +52,7 @@
         if (key != null) {
             json.writeStringField("key", key);
         }
-        json.writeStringField("class", type);
+        json.writeStringField("class", requestClass);
         if (tenant != null) {
             json.writeStringField("tenant", tenant);
         }
--- a/src/main/java/rillyard/requestlog/ClientOutcome.java
+++ b/src/main/java/rillyard/requestlog/ClientOutcome.java
@@ -27,7 +27,7 @@
     NOT_SENT;
 
     /** Whether the client knows that the target gave no final answer. */
-    public boolean lost() {
+    public boolean isLost() {
         return this == UNANSWERED || this == BROKEN || this == GARBLED;
     }
 }
--- a/src/main/java/rillyard/requestlog/HostEvent.java
+++ b/src/main/java/rillyard/requestlog/HostEvent.java
@@ -9,14 +9,14 @@
  *
  * @param at microseconds of Unix time
  * @param host id of the host; {@code discovery} for a fault of discovery
- * @param what what happened
+ * @param kind what happened
  * @param detail words for a reader, or null
  * @param capacity cores times speed: microseconds of work that a warm host does in one
  * @param startShare share of the capacity with which a cold host begins; 1 for a warm one
  * @param coldMicros how long it takes to become warm
  */
 public record HostEvent(
-        long at, String host, Kind what, String detail, double capacity, double startShare, long coldMicros)
+        long at, String host, Kind kind, String detail, double capacity, double startShare, long coldMicros)
         implements LogRecord {
     static final String KIND = "host";
 
@@ -31,7 +31,7 @@
     }
 
     /** Whether a host that started was cold. */
-    public boolean cold() {
+    public boolean startsCold() {
         return coldMicros > 0;
     }
 
@@ -46,11 +46,11 @@
         json.writeStringField("k", KIND);
         json.writeNumberField("at", at);
         json.writeStringField("host", host);
-        json.writeStringField("what", what.name());
+        json.writeStringField("what", kind.name());
         if (detail != null) {
             json.writeStringField("detail", detail);
         }
-        if (what == Kind.STARTED) {
+        if (kind == Kind.STARTED) {
             json.writeNumberField("capacity", capacity);
             json.writeNumberField("start_share", startShare);
             json.writeNumberField("cold", coldMicros);
--- a/src/main/java/rillyard/requestlog/HostExecution.java
+++ b/src/main/java/rillyard/requestlog/HostExecution.java
@@ -10,7 +10,7 @@
  *
  * @param id what {@code X-Request-ID} said
  * @param key what {@code Idempotency-Key} said, or null
- * @param type class of the request
+ * @param requestClass class of the request
  * @param host id of the host
  * @param cell the cell whose hosts share the memory of keys
  * @param zone the host's zone
@@ -24,7 +24,7 @@
 public record HostExecution(
         String id,
         String key,
-        String type,
+        String requestClass,
         String host,
         long cell,
         String zone,
@@ -55,7 +55,7 @@
         if (key != null) {
             json.writeStringField("key", key);
         }
-        json.writeStringField("class", type);
+        json.writeStringField("class", requestClass);
         json.writeStringField("host", host);
         json.writeNumberField("cell", cell);
         json.writeStringField("zone", zone);
--- a/src/main/java/rillyard/requestlog/RequestLogWriter.java
+++ b/src/main/java/rillyard/requestlog/RequestLogWriter.java
@@ -48,7 +48,7 @@
     }
 
     /** A ledger that keeps nothing, and costs nothing. */
-    public static RequestLogWriter none() {
+    public static RequestLogWriter disabled() {
         try {
             RequestLogWriter writer = new RequestLogWriter(OutputStream.nullOutputStream());
             writer.close();
--- a/src/main/java/rillyard/scheduling/EventLoopScheduler.java
+++ b/src/main/java/rillyard/scheduling/EventLoopScheduler.java
@@ -19,7 +19,7 @@
     }
 
     @Override
-    public ScheduledTask at(long at, Runnable what) {
+    public ScheduledTask scheduleAt(long at, Runnable what) {
         Future<?> f = loop.schedule(what, Math.max(0, at - now()), TimeUnit.NANOSECONDS);
         return () -> f.cancel(false);
     }
--- a/src/main/java/rillyard/scheduling/Scheduler.java
+++ b/src/main/java/rillyard/scheduling/Scheduler.java
@@ -6,11 +6,11 @@
     long now();
 
     /** Runs something when the clock reads {@code at} (ns), in the next turn if that is past. */
-    ScheduledTask at(long at, Runnable what);
+    ScheduledTask scheduleAt(long at, Runnable what);
 
     /** Runs something after {@code delay} ns. */
-    default ScheduledTask after(long delay, Runnable what) {
-        return at(now() + delay, what);
+    default ScheduledTask scheduleAfter(long delay, Runnable what) {
+        return scheduleAt(now() + delay, what);
     }
 
     /** Something that is to happen. */
--- a/src/main/java/rillyard/settings/SettingsValidator.java
+++ b/src/main/java/rillyard/settings/SettingsValidator.java
@@ -58,7 +58,7 @@
             String where = "classes[" + i + "].";
             JsonNode name = node.path("name");
             if (!name.isTextual() || name.asText().isBlank() || !names.add(name.asText())) {
-                throw wrong(where + "name", "a name that no other class has", name);
+                throw invalid(where + "name", "a name that no other class has", name);
             }
             time(node, where, "deadline", 1);
             time(node, where, "aim", 0);
@@ -71,7 +71,7 @@
     private static JsonNode object(JsonNode parent, String key) {
         JsonNode node = parent.path(key);
         if (!absent(node) && !node.isObject()) {
-            throw wrong(key, "an object", node);
+            throw invalid(key, "an object", node);
         }
         return node;
     }
@@ -79,7 +79,7 @@
     private static JsonNode list(JsonNode parent, String key) {
         JsonNode node = parent.path(key);
         if (!absent(node) && !node.isArray()) {
-            throw wrong(key, "a list", node);
+            throw invalid(key, "a list", node);
         }
         return node;
     }
@@ -92,14 +92,14 @@
         number(parent, where, key, least, most);
         JsonNode node = parent.path(key);
         if (!absent(node) && node.asDouble() != Math.rint(node.asDouble())) {
-            throw wrong(where + key, "a whole number", node);
+            throw invalid(where + key, "a whole number", node);
         }
     }
 
     private static void number(JsonNode parent, String where, String key, double least, double most) {
         JsonNode node = parent.path(key);
         if (!absent(node) && !(node.isNumber() && node.asDouble() >= least && node.asDouble() <= most)) {
-            throw wrong(where + key, String.format(Locale.ROOT, "a number from %.0f to %.0f", least, most), node);
+            throw invalid(where + key, String.format(Locale.ROOT, "a number from %.0f to %.0f", least, most), node);
         }
     }
 
@@ -107,7 +107,7 @@
         return node.isMissingNode() || node.isNull();
     }
 
-    private static MalformedInputException wrong(String key, String expected, JsonNode found) {
+    private static MalformedInputException invalid(String key, String expected, JsonNode found) {
         String shown = found.isMissingNode() ? "nothing" : found.toString();
         return new MalformedInputException("settings." + key + ": expected " + expected + ", found "
                 + (shown.length() > 60 ? shown.substring(0, 60) + "..." : shown));
--- a/src/main/java/rillyard/simulation/SimulatorSession.java
+++ b/src/main/java/rillyard/simulation/SimulatorSession.java
@@ -26,7 +26,7 @@
     private final WireMessage line = new WireMessage();
     private final WireWriter reply = new WireWriter();
     private final Map<Long, Balancer> instances = new HashMap<>();
-    private final Map<Long, List<EndpointEntry>> ledgers = new HashMap<>();
+    private final Map<Long, List<EndpointEntry>> endpointLists = new HashMap<>();
     private double now;
 
     /** Creates an adapter on these streams. */
@@ -100,7 +100,7 @@
             Balancer balancer = instance();
             long id = line.number("txn");
             if (balancer != null) {
-                balancer.onClientGone(now, id);
+                balancer.onClientDisconnected(now, id);
             }
         } else if (line.named("retire")) {
             instances.remove(line.number("who"));
@@ -128,7 +128,8 @@
         boolean over = line.flag("terminal");
         if (balancer != null) {
             // A reason that is not known proves nothing: as an error, it may have run.
-            balancer.onOutcome(now, id, number, result == null ? AttemptOutcome.ERROR : result, spent, over, load());
+            balancer.onAttemptOutcome(
+                    now, id, number, result == null ? AttemptOutcome.ERROR : result, spent, over, load());
         }
     }
 
@@ -178,7 +179,7 @@
                     line.decimal("capacityHint", 1),
                     line.decimal("onlineSince", 0)));
         }
-        ledgers.put(buffer, entries);
+        endpointLists.put(buffer, entries);
     }
 
     private static EndpointEntry.Condition condition(String s) {
@@ -204,12 +205,12 @@
         }
         List<EndpointEntry> entries = List.of();
         if (how != WatchEvent.FAILED) {
-            entries = ledgers.get(line.number("buffer"));
+            entries = endpointLists.get(line.number("buffer"));
             if (entries == null) {
                 throw line.malformed("no ledger with this number has come");
             }
         }
-        balancer.onMembership(now, how, entries);
+        balancer.onWatchEvent(now, how, entries);
     }
 
     private LoadReport load() {
@@ -254,7 +255,7 @@
         }
 
         @Override
-        public void refuse(long request, double coolDown) {
+        public void reject(long request, double coolDown) {
             start("shed").word(" txn=").number(request);
             if (coolDown > 0) {
                 reply.word(" coolDown=").time(coolDown);
@@ -278,13 +279,13 @@
         }
 
         @Override
-        public void schedule(double delay, long token) {
+        public void scheduleTimer(double delay, long token) {
             start("set_timer").word(" sleepFor=").time(Math.max(0, delay));
             reply.word(" token=").number(token).end();
         }
 
         @Override
-        public void follow() {
+        public void subscribe() {
             start("follow").word(" active=1").end();
         }
 
--- a/src/main/java/rillyard/stall/StallDetector.java
+++ b/src/main/java/rillyard/stall/StallDetector.java
@@ -16,12 +16,12 @@
      * scheduler commonly keeps a thread off a shared core, which looks the same; the price is that up to so
      * much is taken off the time of a request that has not waited.
      */
-    private static final long SLEPT_NANOS = 5_000_000;
+    private static final long MIN_STALL_NANOS = 5_000_000;
 
     private long begunAt;
     private long alarm;
-    private long looked;
-    private long since;
+    private long afterPoll;
+    private long readableSince;
     private long turn;
     private long backlogTurn = -2;
     private long backlogSince;
@@ -29,21 +29,21 @@
     /** {@code now} is when the loop starts. */
     public StallDetector(long now) {
         begunAt = now;
-        looked = now;
-        since = now;
+        afterPoll = now;
+        readableSince = now;
     }
 
     /** The loop is about to look; it sleeps until {@code alarm} at the latest, and not at all if that is now. */
-    public void looking(long now, long alarm) {
+    public void beforePoll(long now, long alarm) {
         begunAt = now;
         this.alarm = alarm;
     }
 
     /** It has looked, and goes on to read what there was. */
-    public void looked(long now) {
-        boolean slept = alarm - begunAt > 0 && now - begunAt > SLEPT_NANOS;
-        since = slept ? Math.min(now, alarm) : looked;
-        looked = now;
+    public void afterPoll(long now) {
+        boolean slept = alarm - begunAt > 0 && now - begunAt > MIN_STALL_NANOS;
+        readableSince = slept ? Math.min(now, alarm) : afterPoll;
+        afterPoll = now;
         turn++;
     }
 
@@ -52,29 +52,29 @@
      * goes on with an interrupted wait, which the JDK ends for its time. What the next look brings may have
      * waited as long.
      */
-    public void foundNothing() {
-        if (alarm - begunAt > 0 && looked - alarm > 0) {
-            looked = since;
+    public void pollFoundNothing() {
+        if (alarm - begunAt > 0 && afterPoll - alarm > 0) {
+            afterPoll = readableSince;
         }
     }
 
     /** No byte read in this turn came before this time, on a connection that was open by then. */
-    public long since() {
-        return since;
+    public long readableSince() {
+        return readableSince;
     }
 
     /** For how long (ns) what is read in this turn may have waited at the most when the turn began. */
-    public long late() {
-        return looked - since;
+    public long lateNanos() {
+        return afterPoll - readableSince;
     }
 
     /**
      * A connection is taken from the backlog; returns since when it, and what came on it, may have waited.
      * That is longer than a turn where the turns before left connections in the backlog.
      */
-    public long accepting() {
+    public long acceptableSince() {
         if (backlogTurn < turn - 1) {
-            backlogSince = since;
+            backlogSince = readableSince;
         }
         backlogTurn = turn;
         return backlogSince;
@@ -91,10 +91,10 @@
     }
 
     /**
-     * Since when what is read now may have waited on a connection that {@link #accepting} gave in a turn,
+     * Since when what is read now may have waited on a connection that {@link #acceptableSince} gave in a turn,
      * with that time: what had come ahead of the accept is read by the turn after it.
      */
-    public long since(long acceptTurn, long acceptedSince) {
-        return turn <= acceptTurn + 1 ? acceptedSince : since;
+    public long readableSince(long acceptTurn, long acceptedSince) {
+        return turn <= acceptTurn + 1 ? acceptedSince : readableSince;
     }
 }
--- a/src/main/java/rillyard/subset/RequestRate.java
+++ b/src/main/java/rillyard/subset/RequestRate.java
@@ -19,7 +19,7 @@
     private double told = Double.NaN;
 
     /** An attempt of this proxy's own has ended. */
-    public void counted(double now) {
+    public void onAttempt(double now) {
         since = Double.isNaN(since) ? now : since;
         sum = faded(now) + 1;
         at = now;
@@ -36,7 +36,7 @@
     }
 
     /** What the others are to be told, or null while what they were told is near enough. */
-    public byte[] news(double now) {
+    public byte[] attributeValue(double now) {
         double rate = now(now);
         if (Math.abs(rate - told) <= WORTH * told || rate == 0 && Double.isNaN(told)) {
             return null;
--- a/src/main/java/rillyard/subset/SubsetPlanner.java
+++ b/src/main/java/rillyard/subset/SubsetPlanner.java
@@ -28,7 +28,7 @@
      * @param names of all proxies present, this one's among them
      * @param rates requests a second, by name; those not known are left out of the mean
      */
-    public SubsetPosition lay(String self, Collection<String> names, Map<String, Double> rates) {
+    public SubsetPosition update(String self, Collection<String> names, Map<String, Double> rates) {
         int own = NameHash.of(self);
         int position = 0;
         for (String n : names) {
@@ -49,6 +49,6 @@
     }
 
     private static double part(SubsetPosition position) {
-        return (double) position.position() / position.of();
+        return (double) position.position() / position.proxyCount();
     }
 }
--- a/src/main/java/rillyard/testserver/HostConnection.java
+++ b/src/main/java/rillyard/testserver/HostConnection.java
@@ -155,7 +155,7 @@
             exchange.turnAway(503, true);
         } else if (now < readyAt) {
             Exchange e = exchange;
-            host.timers.at(readyAt, e::begin);
+            host.timers.scheduleAt(readyAt, e::begin);
         } else {
             exchange.begin();
         }
--- a/src/main/java/rillyard/testserver/HostQueue.java
+++ b/src/main/java/rillyard/testserver/HostQueue.java
@@ -130,7 +130,7 @@
     private void run(Job job) {
         job.resumedAt = timers.now();
         job.rate = spec.speed() * warmth() / slow;
-        job.timer = timers.at(job.resumedAt + (long) (job.left / job.rate), () -> finish(job));
+        job.timer = timers.scheduleAt(job.resumedAt + (long) (job.left / job.rate), () -> finish(job));
     }
 
     private void finish(Job job) {
--- a/src/main/java/rillyard/testserver/HostServer.java
+++ b/src/main/java/rillyard/testserver/HostServer.java
@@ -84,7 +84,7 @@
                 fleet.restarted(this);
             } else {
                 // The port is held by a connection that is not over yet.
-                timers.after(RETRY_NANOS, () -> restart(at));
+                timers.scheduleAfter(RETRY_NANOS, () -> restart(at));
             }
         });
     }
@@ -167,7 +167,7 @@
             default -> faults.begin(fault);
         }
         if (fault.forMs() > 0 && fault.kind() != HostFault.Kind.KILL && fault.kind() != HostFault.Kind.DRAIN) {
-            timers.after((long) (fault.forMs() * 1e6), () -> end(fault));
+            timers.scheduleAfter((long) (fault.forMs() * 1e6), () -> end(fault));
         }
     }
 
--- a/src/main/java/rillyard/testserver/TestCluster.java
+++ b/src/main/java/rillyard/testserver/TestCluster.java
@@ -198,7 +198,7 @@
         }
         host.closeIdle();
         if (host.busy() && host.timers.now() < until) {
-            host.timers.after(LOOK_MS * 1_000_000, () -> stop(host, fault, until));
+            host.timers.scheduleAfter(LOOK_MS * 1_000_000, () -> stop(host, fault, until));
             return;
         }
         host.down(HostEvent.Kind.STOPPED);
@@ -316,7 +316,7 @@
         public void draining(HostServer host, HostFault fault) {
             ledger.append(new HostEvent(UnixClock.micros(), host.spec.id(), HostEvent.Kind.DRAINING, null));
             hear(host, "draining", false);
-            host.timers.after(
+            host.timers.scheduleAfter(
                     (long) (fault.forMs() * 1e6), () -> stop(host, fault, host.timers.now() + STOP_MS * 1_000_000));
         }
 
@@ -324,7 +324,7 @@
         public void stopped(HostServer host, HostFault fault) {
             hear(host, "removed", false);
             if (fault.restartMs() >= 0) {
-                host.timers.after((long) (fault.restartMs() * 1e6), () -> replace(host, fault));
+                host.timers.scheduleAfter((long) (fault.restartMs() * 1e6), () -> replace(host, fault));
             }
         }
 
--- a/src/main/java/rillyard/testserver/TestClusterPlanReader.java
+++ b/src/main/java/rillyard/testserver/TestClusterPlanReader.java
@@ -60,7 +60,7 @@
     }
 
     private static TestClusterPlan read(TomlTable root, int count) throws InvalidConfigException {
-        long seed = root.whole("seed", 1, 0, Long.MAX_VALUE);
+        long seed = root.integer("seed", 1, 0, Long.MAX_VALUE);
         List<HostSpec> hosts = hosts(root, count);
         List<RequestClassSpec> classes = classes(root);
         TomlTable discovery = root.table("discovery");
@@ -74,7 +74,7 @@
                 table.number("fall_ms", 1_500, 1, 60_000),
                 table.number("fall_multiple", 3, 1, 100),
                 table.number("connect_timeout_ms", 200, 1, 60_000),
-                (int) table.whole("max_attempts", 6, 1, 100));
+                (int) table.integer("max_attempts", 6, 1, 100));
         Set<String> ids = new HashSet<>();
         hosts.forEach(host -> ids.add(host.id()));
         List<HostFault> faults = faults(root, ids);
@@ -99,9 +99,9 @@
 
     private static List<HostSpec> hosts(TomlTable root, int count) {
         TomlTable common = root.table("hosts");
-        int number = (int) common.whole("count", HOSTS, 1, 10_000);
+        int number = (int) common.integer("count", HOSTS, 1, 10_000);
         number = count > 0 ? count : number;
-        int cell = (int) common.whole("cell_size", CELL, 1, 10_000);
+        int cell = (int) common.integer("cell_size", CELL, 1, 10_000);
         HostSpec defaults = host(common, DEFAULT);
         List<HostSpec> out = new ArrayList<>();
         Set<String> ids = new HashSet<>();
@@ -115,7 +115,7 @@
                 table.error("id", "'" + id + "' is another host's too");
             }
             HostSpec hostSpec = host(table, defaults.named(id));
-            long c = table.whole("cell", i / cell, 0, Integer.MAX_VALUE);
+            long c = table.integer("cell", i / cell, 0, Integer.MAX_VALUE);
             out.add(inCell(hostSpec, c));
         }
         for (int i = 0; named.isEmpty() && i < number; i++) {
@@ -148,10 +148,10 @@
                 table.text("zone", host.zone()),
                 table.text("kind", host.kind()),
                 host.cell(),
-                (int) table.whole("cores", host.cores(), 1, 100_000),
+                (int) table.integer("cores", host.cores(), 1, 100_000),
                 table.number("speed", host.speed(), 0.001, 1_000),
-                (int) table.whole("queue", host.queue(), 0, 1_000_000),
-                (int) table.whole("connections", host.connections(), 1, 1_000_000),
+                (int) table.integer("queue", host.queue(), 0, 1_000_000),
+                (int) table.integer("connections", host.connections(), 1, 1_000_000),
                 table.number("handshake_ms", host.handshakeMs(), 0, 60_000),
                 table.number("handshake_work_ms", host.handshakeWorkMs(), 0, 60_000),
                 table.number("idle_ms", host.idleMs(), 1, 3_600_000),
@@ -185,7 +185,7 @@
                     table.number("window_ms", 750, 0, 3_600_000),
                     table.number("worth", 1, 0, 1e9),
                     work(table.table("work")),
-                    (int) table.whole("answer_bytes", 256, 0, 65_536)));
+                    (int) table.integer("answer_bytes", 256, 0, 65_536)));
         }
         return out.isEmpty() ? standardClasses() : out;
     }
--- a/src/main/java/rillyard/trace/ProxyTrace.java
+++ b/src/main/java/rillyard/trace/ProxyTrace.java
@@ -20,17 +20,17 @@
     }
 
     /** Something that concerns a host, or {@link TraceEvent#NONE}, and has no result of its own. */
-    public void did(TraceEvent.Kind what, String host) {
+    public void record(TraceEvent.Kind what, String host) {
         write(what, host, TraceEvent.NONE, 0, false);
     }
 
     /** An attempt has ended, {@code spent} ms after it was sent to a host that was cold then, or not. */
-    public void attempt(String host, Enum<?> result, double spent, boolean cold) {
+    public void recordAttempt(String host, Enum<?> result, double spent, boolean cold) {
         write(TraceEvent.Kind.ATTEMPT, host, result.name(), Math.round(spent), cold);
     }
 
     /** A request got its final answer from this proxy; {@code last} is null where nothing was sent. */
-    public void ended(TraceEvent.Kind what, Enum<?> last) {
+    public void recordRejection(TraceEvent.Kind what, Enum<?> last) {
         write(what, TraceEvent.NONE, last == null ? TraceEvent.NONE : last.name(), 0, false);
     }
 
--- a/src/main/java/rillyard/trace/TraceEvent.java
+++ b/src/main/java/rillyard/trace/TraceEvent.java
@@ -7,13 +7,13 @@
  * One thing that a proxy did.
  *
  * @param at when (Unix time, ms) it was over
- * @param what what it was
+ * @param kind what it was
  * @param host the host it concerns, or {@link #NONE}
- * @param how how it ended: a result of the module's, or {@link #NONE}
- * @param spent how long (ms) it took, where that is of interest
- * @param cold whether the host was cold when the work was sent
+ * @param detail how it ended: a result of the module's, or {@link #NONE}
+ * @param durationMs how long (ms) it took, where that is of interest
+ * @param warmingUp whether the host was cold when the work was sent
  */
-public record TraceEvent(long at, Kind what, String host, String how, long spent, boolean cold) {
+public record TraceEvent(long at, Kind kind, String host, String detail, long durationMs, boolean warmingUp) {
     /** No host, or nothing to tell. */
     public static final String NONE = "-";
 
@@ -51,14 +51,14 @@
         return MARK
                 + at
                 + ' '
-                + what.name().toLowerCase(Locale.ROOT)
+                + kind.name().toLowerCase(Locale.ROOT)
                 + ' '
                 + named
                 + ' '
-                + how
+                + detail
                 + ' '
-                + spent
-                + (cold ? " cold" : " warm");
+                + durationMs
+                + (warmingUp ? " cold" : " warm");
     }
 
     /**
--- a/src/test/java/rillyard/balancer/BalancerFixture.java
+++ b/src/test/java/rillyard/balancer/BalancerFixture.java
@@ -88,7 +88,7 @@
     }
 
     @Override
-    public void refuse(long request, double coolDown) {
+    public void reject(long request, double coolDown) {
         refused.add(request);
     }
 
@@ -103,12 +103,12 @@
     }
 
     @Override
-    public void schedule(double delay, long token) {
+    public void scheduleTimer(double delay, long token) {
         timers.computeIfAbsent(now + delay, x -> new ArrayList<>()).add(token);
     }
 
     @Override
-    public void follow() {
+    public void subscribe() {
         follows++;
     }
 
--- a/src/test/java/rillyard/balancer/BalancerTest.java
+++ b/src/test/java/rillyard/balancer/BalancerTest.java
@@ -20,7 +20,7 @@
     private Balancer balancer(Settings settings, List<EndpointEntry> hosts) {
         Balancer balancer = new Balancer(settings, 7, bench);
         balancer.onStart(bench.now);
-        balancer.onMembership(bench.now, WatchEvent.CACHED, hosts);
+        balancer.onWatchEvent(bench.now, WatchEvent.CACHED, hosts);
         return balancer;
     }
 
@@ -34,7 +34,7 @@
         balancer.onRequest(bench.now, BalancerFixture.request(id, SAFE, 800));
         BalancerFixture.Send send = bench.last();
         bench.now += spent;
-        balancer.onOutcome(bench.now, id, send.number(), AttemptOutcome.OK, spent, true, null);
+        balancer.onAttemptOutcome(bench.now, id, send.number(), AttemptOutcome.OK, spent, true, null);
     }
 
     @Test
@@ -91,7 +91,8 @@
                     later += i >= 100 && bench.now < 7_000 ? 1 : 0;
                     trials += bench.now >= 7_000 ? 1 : 0;
                 }
-                balancer.onOutcome(bench.now, i, k, fails ? AttemptOutcome.ERROR : AttemptOutcome.OK, 1, !fails, null);
+                balancer.onAttemptOutcome(
+                        bench.now, i, k, fails ? AttemptOutcome.ERROR : AttemptOutcome.OK, 1, !fails, null);
             }
         }
         assertThat(first).isLessThan(8);
@@ -104,12 +105,12 @@
         Balancer balancer = safe(3);
         for (int i = 0; i < 60; i++) {
             balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
-            balancer.onOutcome(bench.now, i, 0, AttemptOutcome.ERROR, 1, true, null);
+            balancer.onAttemptOutcome(bench.now, i, 0, AttemptOutcome.ERROR, 1, true, null);
         }
         int before = bench.sends.size();
         balancer.onRequest(bench.now, BalancerFixture.request(100, SAFE, 800));
         assertThat(bench.sends).hasSizeGreaterThan(before);
-        balancer.onOutcome(bench.now, 100, 0, AttemptOutcome.OK, 1, true, null);
+        balancer.onAttemptOutcome(bench.now, 100, 0, AttemptOutcome.OK, 1, true, null);
         assertThat(bench.logs).filteredOn(l -> l.endsWith("ejected")).hasSize(1);
         bench.now += 20_000;
         for (int i = 200; i < 260; i++) {
@@ -126,7 +127,7 @@
             bench.now += 20;
             balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             for (int k = 0; k < 4 && bench.last().request() == i && bench.last().number() == k; k++) {
-                balancer.onOutcome(bench.now, i, k, AttemptOutcome.FULL, 1, false, null);
+                balancer.onAttemptOutcome(bench.now, i, k, AttemptOutcome.FULL, 1, false, null);
             }
         }
         assertThat(bench.logs).noneMatch(l -> l.contains("ejected"));
@@ -137,7 +138,7 @@
     @Test
     void sendsNothingToDrainingHost() {
         Balancer balancer = safe(3);
-        balancer.onMembership(bench.now, WatchEvent.DELTA, List.of(BalancerFixture.host(1, Condition.TERMINATING, 0)));
+        balancer.onWatchEvent(bench.now, WatchEvent.DELTA, List.of(BalancerFixture.host(1, Condition.TERMINATING, 0)));
         for (int i = 0; i < 60; i++) {
             balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             assertThat(bench.last().host()).isNotEqualTo(1);
@@ -150,7 +151,7 @@
         for (int i = 0; i < 1_000; i++) {
             serve(balancer, i, 4);
         }
-        balancer.onMembership(
+        balancer.onWatchEvent(
                 bench.now, WatchEvent.DELTA, List.of(BalancerFixture.host(3, Condition.READY, bench.now)));
         int cold = 0;
         for (int i = 1_000; i < 1_500; i++) {
@@ -167,11 +168,11 @@
                 BalancerFixture.settings(BalancerFixture.type("once", Semantics.AT_MOST_ONCE, Scope.ALL)),
                 BalancerFixture.hosts(4));
         b.onRequest(bench.now, BalancerFixture.request(1, "once", 400));
-        b.onOutcome(bench.now + 400, 1, 0, AttemptOutcome.TIMEOUT, 400, false, null);
+        b.onAttemptOutcome(bench.now + 400, 1, 0, AttemptOutcome.TIMEOUT, 400, false, null);
         assertThat(bench.sends).hasSize(1);
         assertThat(bench.failed).containsExactly(1L);
         b.onRequest(bench.now, BalancerFixture.request(2, "once", 400));
-        b.onOutcome(bench.now, 2, 0, AttemptOutcome.FULL, 1, false, null);
+        b.onAttemptOutcome(bench.now, 2, 0, AttemptOutcome.FULL, 1, false, null);
         assertThat(bench.sends).hasSize(3);
     }
 
@@ -183,7 +184,7 @@
         }
         bench.now += 790;
         for (int i = 0; i < 60; i++) {
-            balancer.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 790, true, null);
+            balancer.onAttemptOutcome(bench.now, i, 0, AttemptOutcome.OK, 790, true, null);
         }
         int sent = bench.sends.size();
         for (int i = 1_000; i < 1_050; i++) {
@@ -209,7 +210,7 @@
         }
         bench.now += 790;
         for (int i = 0; i < 60; i++) {
-            balancer.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 790, true, null);
+            balancer.onAttemptOutcome(bench.now, i, 0, AttemptOutcome.OK, 790, true, null);
         }
         bench.now += 3_000;
         for (int i = 1_000; i < 1_100; i++) {
@@ -226,7 +227,7 @@
         assertThat(bench.follows).isEqualTo(1);
         double last = 0;
         for (int i = 0; i < 6; i++) {
-            b.onMembership(bench.now, WatchEvent.FAILED, List.of());
+            b.onWatchEvent(bench.now, WatchEvent.FAILED, List.of());
             Map.Entry<Double, List<Long>> timer = bench.timers.pollFirstEntry();
             last = timer.getKey() - bench.now;
             bench.now = timer.getKey();
@@ -241,7 +242,7 @@
     void discoveryIsAskedAgainWithinWhatTheSettingsAllow() {
         for (double askWithin : new double[] {0, 1_000, 10_000}) {
             Settings.Rules rules = new Settings.Rules(8_000, 0.3, 1_500, 3, askWithin);
-            double most = rules.askAgain(Tuning.FOLLOW_MOST);
+            double most = rules.pollInterval(Tuning.FOLLOW_MOST);
             assertThat(most).isEqualTo(askWithin == 1_000 ? 500 : Tuning.FOLLOW_MOST);
             assertThat(1.5 * most).isLessThan(askWithin == 0 ? 6_000 : askWithin);
         }
@@ -253,7 +254,7 @@
         for (BalancerFixture each : List.of(bench, other)) {
             Balancer balancer = new Balancer(
                     BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)), 3, each);
-            balancer.onMembership(each.now, WatchEvent.FULL, BalancerFixture.hosts(9));
+            balancer.onWatchEvent(each.now, WatchEvent.FULL, BalancerFixture.hosts(9));
             for (int i = 0; i < 100; i++) {
                 balancer.onRequest(each.now, BalancerFixture.request(i, SAFE, 800));
             }
@@ -270,14 +271,15 @@
             BalancerFixture.Send send = bench.last();
             double spent = i % 10 == 9 ? 780 : 60;
             bench.now += spent;
-            balancer.onOutcome(bench.now, i, send.number(), AttemptOutcome.OK, spent, true, BalancerFixture.held(10));
+            balancer.onAttemptOutcome(
+                    bench.now, i, send.number(), AttemptOutcome.OK, spent, true, BalancerFixture.held(10));
         }
         // A mean of 132 ms for 11 held makes a queue of 25 too long for the aim; a median of 60 does not.
         int refused = bench.refused.size();
         bench.now += 15_000; // pressure fades
         for (int i = 200; i < 203; i++) {
             balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
-            balancer.onOutcome(
+            balancer.onAttemptOutcome(
                     bench.now, i, bench.last().number(), AttemptOutcome.OK, 60, true, BalancerFixture.held(25));
         }
         balancer.onRequest(bench.now, BalancerFixture.request(900, SAFE, 800));
@@ -297,7 +299,7 @@
         }
         bench.now += 790;
         for (int i = 0; i < 90; i++) {
-            b.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 300, true, null);
+            b.onAttemptOutcome(bench.now, i, 0, AttemptOutcome.OK, 300, true, null);
         }
         int[] refused = new int[2];
         for (int i = 0; i < 180; i++) {
@@ -320,7 +322,7 @@
         for (int i = 0; i < 4_000; i++) {
             bench.now += 1;
             if (i == 2_000) {
-                balancer.onMembership(
+                balancer.onWatchEvent(
                         bench.now,
                         WatchEvent.DELTA,
                         List.of(BalancerFixture.host(3, EndpointEntry.Condition.READY, bench.now)));
@@ -332,7 +334,7 @@
                 boolean ok = k % 10 == 0; // hosts serve a tenth of what comes
                 cold += i >= 2_000 && send.host() == 3 ? 1 : 0;
                 served += i >= 2_000 && ok ? 1 : 0;
-                balancer.onOutcome(
+                balancer.onAttemptOutcome(
                         bench.now, i, send.number(), ok ? AttemptOutcome.OK : AttemptOutcome.FULL, 2, ok, null);
             }
         }
@@ -374,7 +376,7 @@
             balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             if (bench.refused.isEmpty()) { // each answer takes 300 ms behind nine others
                 bench.now += 300;
-                balancer.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 300, true, BalancerFixture.held(9));
+                balancer.onAttemptOutcome(bench.now, i, 0, AttemptOutcome.OK, 300, true, BalancerFixture.held(9));
             }
             assertThat(i).isLessThan(100);
         }
@@ -413,7 +415,7 @@
         fleet.apply(bench.now, WatchEvent.FULL, BalancerFixture.hosts(1), random);
         HostState host = fleet.get(0);
         RetryPolicy attempts = new RetryPolicy(settings.limits());
-        OutlierDetector health = new OutlierDetector(fleet, settings.meanAim(), random, bench);
+        OutlierDetector health = new OutlierDetector(fleet, settings.meanLatencyObjective(), random, bench);
         double at = bench.now;
         attempts.start(new RetryPolicy.RequestState(1, type, at, Double.POSITIVE_INFINITY), host, at);
         assertThat(health.silent(host, at + 60_000, 50)).isFalse();
@@ -429,11 +431,11 @@
         Balancer b = balancer(settings, BalancerFixture.hosts(2));
         b.onRequest(bench.now, BalancerFixture.request(1, SAFE, Double.POSITIVE_INFINITY));
         bench.now += 60_000;
-        b.onOutcome(bench.now, 1, 0, AttemptOutcome.CONNECT_FAILED, 5, false, null);
+        b.onAttemptOutcome(bench.now, 1, 0, AttemptOutcome.CONNECT_FAILED, 5, false, null);
         assertThat(bench.sends).hasSize(2); // it may still go to another one
-        b.onWhole(bench.now, 1, 800);
+        b.onRequestComplete(bench.now, 1, 800);
         bench.now += 900;
-        b.onOutcome(bench.now, 1, 1, AttemptOutcome.CONNECT_FAILED, 5, false, null);
+        b.onAttemptOutcome(bench.now, 1, 1, AttemptOutcome.CONNECT_FAILED, 5, false, null);
         assertThat(bench.refused).containsExactly(1L); // its time is up, and it never ran
         assertThat(bench.sends).hasSize(2);
     }
@@ -461,7 +463,7 @@
         var random = new java.util.SplittableRandom(1);
         fleet.apply(bench.now, WatchEvent.FULL, BalancerFixture.hosts(2), random);
         RetryPolicy attempts = new RetryPolicy(settings.limits());
-        OutlierDetector health = new OutlierDetector(fleet, settings.meanAim(), random, bench);
+        OutlierDetector health = new OutlierDetector(fleet, settings.meanLatencyObjective(), random, bench);
         AdmissionController admission = new AdmissionController(settings, random, bench);
         HostSelector draw = new HostSelector(settings, fleet, health, attempts, admission, random);
         RetryPolicy.RequestState request =
@@ -521,7 +523,7 @@
             while (!due.isEmpty() && due.peek().getKey() <= bench.now) {
                 BalancerFixture.Send send = due.poll().getValue();
                 boolean late = bench.now - send.at() >= 400;
-                balancer.onOutcome(
+                balancer.onAttemptOutcome(
                         bench.now,
                         send.request(),
                         send.number(),
@@ -572,7 +574,7 @@
         fleet.apply(bench.now, WatchEvent.FULL, three, random);
         EndpointEntry first = three.get(0);
         EndpointEntry gone =
-                new EndpointEntry(first.id(), first.zone(), first.kind(), first.cell(), Condition.GONE, 1, 0);
+                new EndpointEntry(first.id(), first.zone(), first.machineKind(), first.cell(), Condition.GONE, 1, 0);
         fleet.apply(bench.now, WatchEvent.DELTA, List.of(gone), random);
         assertThat(fleet.get(first.id())).isNull();
         fleet.apply(bench.now, WatchEvent.FULL, List.of(three.get(2)), random);
--- a/src/test/java/rillyard/balancer/FleetEjectionTest.java
+++ b/src/test/java/rillyard/balancer/FleetEjectionTest.java
@@ -21,7 +21,7 @@
     }
 
     private void hosts(int n) {
-        b.onMembership(bench.now, WatchEvent.FULL, BalancerFixture.hosts(n));
+        b.onWatchEvent(bench.now, WatchEvent.FULL, BalancerFixture.hosts(n));
     }
 
     /** Hosts that get something of so many requests, each answered at once. */
@@ -31,7 +31,7 @@
             bench.now += 20;
             b.onRequest(bench.now, BalancerFixture.request(next, "visit", 800));
             used.add(bench.last().host());
-            b.onOutcome(bench.now + 5, next++, 0, AttemptOutcome.OK, 5, true, null);
+            b.onAttemptOutcome(bench.now + 5, next++, 0, AttemptOutcome.OK, 5, true, null);
         }
         return used;
     }
@@ -40,12 +40,12 @@
     void aHostThatTheFleetLeftGetsNothingUntilItsTrialAndIsBackAfterIt() {
         hosts(4);
         assertThat(used(50)).contains(2L);
-        b.onFleetWord(bench.now, 2, true, 10_000);
+        b.onFleetEjection(bench.now, 2, true, 10_000);
         assertThat(used(400)).doesNotContain(2L); // 8 s
         assertThat(used(200)).contains(2L);
-        b.onFleetWord(bench.now, 2, true, 60_000);
+        b.onFleetEjection(bench.now, 2, true, 60_000);
         assertThat(used(100)).doesNotContain(2L);
-        b.onFleetWord(bench.now, 2, false, 500);
+        b.onFleetEjection(bench.now, 2, false, 500);
         assertThat(used(100)).contains(2L);
     }
 
@@ -53,10 +53,10 @@
     void nobodysWordHasMoreThanAPartOfTheHostsLeft() {
         hosts(4);
         for (long h = 0; h < 4; h++) {
-            b.onFleetWord(bench.now, h, true, 60_000);
+            b.onFleetEjection(bench.now, h, true, 60_000);
         }
         assertThat(used(200)).hasSize(2); // two out of four are past three in ten
-        b.onFleetWord(bench.now, 99, true, 60_000);
+        b.onFleetEjection(bench.now, 99, true, 60_000);
         assertThat(used(200)).as("a host that no list names").hasSize(2);
     }
 
@@ -65,17 +65,18 @@
         Settings settings = BalancerFixture.settings(
                 BalancerFixture.type("visit", Settings.Semantics.IDEMPOTENT, Settings.Scope.ALL));
         List<EndpointEntry> all = BalancerFixture.hosts(40).stream()
-                .map(entry -> new EndpointEntry(entry.id(), "a", entry.kind(), entry.cell(), entry.condition(), 1, 0))
+                .map(entry ->
+                        new EndpointEntry(entry.id(), "a", entry.machineKind(), entry.cell(), entry.condition(), 1, 0))
                 .toList();
-        b.onMembership(bench.now, WatchEvent.FULL, all);
+        b.onWatchEvent(bench.now, WatchEvent.FULL, all);
         Set<Long> first = used(300);
         assertThat(first).hasSizeBetween(5, 9);
-        b.onPlace(new SubsetPosition(1, 2, 1, false));
+        b.onSubsetPosition(new SubsetPosition(1, 2, 1, false));
         Set<Long> other = used(300);
         assertThat(other).hasSizeBetween(5, 9).doesNotContainAnyElementsOf(first);
-        b.onPlace(new SubsetPosition(1, 2, 5, false));
+        b.onSubsetPosition(new SubsetPosition(1, 2, 5, false));
         assertThat(used(2_000)).hasSizeGreaterThan(28);
-        assertThat(settings.position()).isZero();
+        assertThat(settings.proxyIndex()).isZero();
     }
 
     /** Requests that a host gets in its first three seconds after a cold start, of 40 proxies that send six hosts 50 a second. */
@@ -89,20 +90,20 @@
                     k,
                     at);
             one.onStart(at.now);
-            one.onMembership(at.now, WatchEvent.FULL, BalancerFixture.hosts(6));
-            one.onPlace(new SubsetPosition(0, 1, 1, coldFirst));
+            one.onWatchEvent(at.now, WatchEvent.FULL, BalancerFixture.hosts(6));
+            one.onSubsetPosition(new SubsetPosition(0, 1, 1, coldFirst));
             at.now += k * 20;
             double started = 31_000; // each has sent for half a minute by then
             for (int i = 0; at.now < started + 3_000; i++) {
                 if (at.now >= started && at.now - 800 < started) {
-                    one.onMembership(
+                    one.onWatchEvent(
                             started,
                             WatchEvent.DELTA,
                             List.of(BalancerFixture.host(2, EndpointEntry.Condition.READY, started)));
                 }
                 one.onRequest(at.now, BalancerFixture.request(i, "visit", 800));
                 got += at.now >= started && at.last().host() == 2 ? 1 : 0;
-                one.onOutcome(at.now + 5, i, 0, AttemptOutcome.OK, 5, true, null);
+                one.onAttemptOutcome(at.now + 5, i, 0, AttemptOutcome.OK, 5, true, null);
                 at.now += 800;
             }
         }
--- a/src/test/java/rillyard/balancer/FleetFaultTest.java
+++ b/src/test/java/rillyard/balancer/FleetFaultTest.java
@@ -49,7 +49,7 @@
 
     private void finish(End end, Hosts hosts) {
         bench.now = end.at();
-        balancer.onOutcome(
+        balancer.onAttemptOutcome(
                 end.at(),
                 end.request(),
                 end.number(),
@@ -88,7 +88,7 @@
     @Test
     void aZoneThatGoesSilentIsSparedAndTakenBackWhenItReturnsCold() {
         Set<Long> lost = Set.of(0L, 1L, 2L, 3L);
-        balancer.onMembership(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(15));
+        balancer.onWatchEvent(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(15));
         play(3_000, 10, (h, t) -> ok());
         double silent = bench.now;
         play(4_000, 10, (h, t) -> lost.contains(h) ? new Reply(null, 0) : ok());
@@ -98,7 +98,7 @@
         double back = bench.now;
         List<EndpointEntry> cold = new ArrayList<>();
         lost.forEach(h -> cold.add(BalancerFixture.host(h, Condition.READY, back)));
-        balancer.onMembership(bench.now, WatchEvent.DELTA, cold);
+        balancer.onWatchEvent(bench.now, WatchEvent.DELTA, cold);
         play(12_000, 10, (h, t) -> ok());
         for (long h : lost) {
             // One proxy alone: 3 x 0.38 of a warm host's 12 in 1.5 s; and warm ones in the end.
@@ -113,7 +113,7 @@
     @Test
     void sixInTenReplacedInSevenSecondsWhileOneInFiveErrs() {
         SplittableRandom chance = new SplittableRandom(3);
-        balancer.onMembership(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(20));
+        balancer.onWatchEvent(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(20));
         Hosts hosts = (h, t) ->
                 h % 100 >= 16 && h < 100 && chance.nextInt(2) == 0 ? new Reply(AttemptOutcome.ERROR, 10) : ok();
         play(3_000, 10, hosts);
@@ -123,14 +123,14 @@
             long young = 100 + old;
             fresh.add(young);
             drained.put(old, bench.now);
-            balancer.onMembership(
+            balancer.onWatchEvent(
                     bench.now,
                     WatchEvent.DELTA,
                     List.of(
                             BalancerFixture.host(old, Condition.TERMINATING, 0),
                             BalancerFixture.host(young, Condition.READY, bench.now)));
             play(580, 10, hosts);
-            balancer.onMembership(bench.now, WatchEvent.DELTA, List.of(BalancerFixture.host(old, Condition.GONE, 0)));
+            balancer.onWatchEvent(bench.now, WatchEvent.DELTA, List.of(BalancerFixture.host(old, Condition.GONE, 0)));
         }
         double done = bench.now;
         play(9_000, 10, hosts);
@@ -152,11 +152,11 @@
      */
     @Test
     void aJamOfTheWarmHostsDoesNotShrinkWhatColdOnesAreLent() {
-        balancer.onMembership(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(15));
+        balancer.onWatchEvent(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(15));
         play(10_000, 10, (h, t) -> ok());
         Set<Long> cold = Set.of(0L, 1L, 2L, 3L, 5L, 6L);
         double since = bench.now;
-        cold.forEach(h -> balancer.onMembership(
+        cold.forEach(h -> balancer.onWatchEvent(
                 since, WatchEvent.DELTA, List.of(BalancerFixture.host(h, Condition.READY, since))));
         play(4_000, 10, (h, t) -> cold.contains(h) ? ok() : new Reply(null, 0));
         // At most 1.5 times 0.3 to 0.65 of a warm host's 8.3 a second, 6 hosts, 4 s; a part is refused early.
@@ -169,7 +169,7 @@
     @Test
     void rareErrorsOfSoundHostsAreNoFalseAlarm() {
         SplittableRandom chance = new SplittableRandom(5);
-        balancer.onMembership(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(15));
+        balancer.onWatchEvent(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(15));
         play(60_000, 10, (h, t) -> chance.nextInt(300) == 0 ? new Reply(AttemptOutcome.ERROR, 10) : ok());
         assertThat(bench.logs).noneMatch(l -> l.contains("ejected"));
         assertThat(bench.refused).isEmpty();
--- a/src/test/java/rillyard/balancer/IdempotencyWindowTest.java
+++ b/src/test/java/rillyard/balancer/IdempotencyWindowTest.java
@@ -24,8 +24,8 @@
             }
 
             @Override
-            public void refuse(long request, double coolDown) {
-                bench.refuse(request, coolDown);
+            public void reject(long request, double coolDown) {
+                bench.reject(request, coolDown);
             }
 
             @Override
@@ -37,10 +37,10 @@
             public void cancel(long request, int attempt) {}
 
             @Override
-            public void schedule(double delay, long token) {}
+            public void scheduleTimer(double delay, long token) {}
 
             @Override
-            public void follow() {}
+            public void subscribe() {}
 
             @Override
             public void log(String line) {}
@@ -48,7 +48,7 @@
         Balancer balancer =
                 new Balancer(BalancerFixture.settings(BalancerFixture.type("c", semantics, Scope.ALL)), 1, heard);
         balancer.onStart(bench.now);
-        balancer.onMembership(bench.now, WatchEvent.FULL, BalancerFixture.hosts(4));
+        balancer.onWatchEvent(bench.now, WatchEvent.FULL, BalancerFixture.hosts(4));
         return balancer;
     }
 
@@ -58,9 +58,9 @@
         double first = bench.now;
         b.onRequest(bench.now, BalancerFixture.request(1, "c", 800));
         bench.now += 100;
-        b.onOutcome(bench.now, 1, 0, AttemptOutcome.ERROR, 100, false, null);
+        b.onAttemptOutcome(bench.now, 1, 0, AttemptOutcome.ERROR, 100, false, null);
         bench.now += 50;
-        b.onOutcome(bench.now, 1, 1, AttemptOutcome.ERROR, 50, false, null);
+        b.onAttemptOutcome(bench.now, 1, 1, AttemptOutcome.ERROR, 50, false, null);
         assertThat(notAfter).hasSize(3);
         assertThat(notAfter.get(0)).isEqualTo(Double.POSITIVE_INFINITY);
         assertThat(notAfter.get(1))
@@ -73,7 +73,7 @@
         Balancer b = balancer(Semantics.DEDUPLICATED);
         b.onRequest(bench.now, BalancerFixture.request(1, "c", 800));
         bench.now += 100;
-        b.onOutcome(bench.now, 1, 0, AttemptOutcome.CONNECT_FAILED, 100, false, null);
+        b.onAttemptOutcome(bench.now, 1, 0, AttemptOutcome.CONNECT_FAILED, 100, false, null);
         assertThat(notAfter).containsExactly(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY);
     }
 
@@ -82,7 +82,7 @@
         Balancer b = balancer(Semantics.IDEMPOTENT);
         b.onRequest(bench.now, BalancerFixture.request(1, "c", 800));
         bench.now += 100;
-        b.onOutcome(bench.now, 1, 0, AttemptOutcome.ERROR, 100, false, null);
+        b.onAttemptOutcome(bench.now, 1, 0, AttemptOutcome.ERROR, 100, false, null);
         assertThat(notAfter).containsExactly(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY);
     }
 }
--- a/src/test/java/rillyard/balancer/JointRestartTest.java
+++ b/src/test/java/rillyard/balancer/JointRestartTest.java
@@ -40,13 +40,13 @@
     private void call(int proxy, double now) {
         calls.add(now);
         if (freeAt - now > WAITS) {
-            events.add(new Event(now, proxy, () -> proxies[proxy].onMembership(now, WatchEvent.FAILED, null)));
+            events.add(new Event(now, proxy, () -> proxies[proxy].onWatchEvent(now, WatchEvent.FAILED, null)));
             return;
         }
         freeAt = Math.max(freeAt, now) + CALL;
         double at = freeAt;
         events.add(new Event(at, proxy, () -> {
-            proxies[proxy].onMembership(at, WatchEvent.FULL, BalancerFixture.hosts(HOSTS));
+            proxies[proxy].onWatchEvent(at, WatchEvent.FULL, BalancerFixture.hosts(HOSTS));
             toldAt[proxy] = at;
         }));
     }
@@ -82,9 +82,9 @@
                 benches[proxy].now = at;
                 proxies[proxy] = new Balancer(settings(), 100 + proxy, benches[proxy]);
                 proxies[proxy].onStart(at);
-                proxies[proxy].onMembership(at, WatchEvent.CACHED, BalancerFixture.hosts(HOSTS));
+                proxies[proxy].onWatchEvent(at, WatchEvent.CACHED, BalancerFixture.hosts(HOSTS));
                 proxies[proxy].onRequest(at, BalancerFixture.request(1, SAFE, 800));
-                proxies[proxy].onOutcome(at, 1, 0, AttemptOutcome.OK, 1, true, null);
+                proxies[proxy].onAttemptOutcome(at, 1, 0, AttemptOutcome.OK, 1, true, null);
             }));
             benches[p] = new BalancerFixture();
         }
--- a/src/test/java/rillyard/balancer/LatencyPressureTest.java
+++ b/src/test/java/rillyard/balancer/LatencyPressureTest.java
@@ -16,7 +16,7 @@
     private Balancer safe(int hosts) {
         Balancer balancer = new Balancer(
                 BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)), 7, bench);
-        balancer.onMembership(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(hosts));
+        balancer.onWatchEvent(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(hosts));
         return balancer;
     }
 
@@ -29,12 +29,12 @@
                 balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
                 BalancerFixture.Send send = bench.last();
                 for (int tries = 1; send.host() < 2 && tries < 4; tries++) {
-                    balancer.onOutcome(
+                    balancer.onAttemptOutcome(
                             bench.now, i, send.number(), lost, lost == AttemptOutcome.FULL ? 1 : 700, false, null);
                     send = bench.last();
                 }
                 bench.now += 5;
-                balancer.onOutcome(bench.now, i, send.number(), AttemptOutcome.OK, 100, true, null);
+                balancer.onAttemptOutcome(bench.now, i, send.number(), AttemptOutcome.OK, 100, true, null);
             }
             assertThat(bench.refused).as("%s", lost).isEmpty();
             bench.sends.clear();
@@ -67,7 +67,7 @@
         List<BalancerFixture.Send> out = List.copyOf(bench.sends);
         for (BalancerFixture.Send send : out) {
             boolean ok = send.request() % 5 == 0;
-            balancer.onOutcome(
+            balancer.onAttemptOutcome(
                     bench.now,
                     send.request(),
                     send.number(),
@@ -92,7 +92,7 @@
             balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             if (bench.refused.isEmpty()) {
                 bench.now += 1; // pressure stays low: what refuses is the queue
-                balancer.onOutcome(
+                balancer.onAttemptOutcome(
                         bench.now, i, 0, AttemptOutcome.OK, i < 4 ? 360 : 100, true, BalancerFixture.held(5));
             }
         }
--- a/src/test/java/rillyard/balancer/ManyProxiesTest.java
+++ b/src/test/java/rillyard/balancer/ManyProxiesTest.java
@@ -40,7 +40,7 @@
 
     private static Balancer start(BalancerFixture bench, int position, String zone, List<EndpointEntry> hosts) {
         Balancer balancer = new Balancer(of(position, zone), 100 + position, bench);
-        balancer.onMembership(bench.now, WatchEvent.CACHED, hosts);
+        balancer.onWatchEvent(bench.now, WatchEvent.CACHED, hosts);
         return balancer;
     }
 
@@ -55,7 +55,7 @@
                 balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
                 bench.now += 10;
                 if (i >= 10) {
-                    balancer.onOutcome(
+                    balancer.onAttemptOutcome(
                             bench.now, bench.sends.get(i - 10).request(), 0, AttemptOutcome.OK, 100, true, null);
                 }
             }
@@ -88,12 +88,13 @@
                 false);
         BalancerFixture bench = new BalancerFixture();
         Balancer balancer = new Balancer(many, 7, bench);
-        balancer.onMembership(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(40));
+        balancer.onWatchEvent(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(40));
         for (int i = 0; i < 2_000; i++) {
             balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             bench.now += 2.5;
             if (i >= 60) {
-                balancer.onOutcome(bench.now, bench.sends.get(i - 60).request(), 0, AttemptOutcome.OK, 150, true, null);
+                balancer.onAttemptOutcome(
+                        bench.now, bench.sends.get(i - 60).request(), 0, AttemptOutcome.OK, 150, true, null);
             }
         }
         long used = bench.sends.stream()
@@ -115,7 +116,8 @@
             long host = bench.last().host();
             idle += host == 2 ? 1 : 0;
             bench.now += 10;
-            balancer.onOutcome(bench.now, i, 0, AttemptOutcome.OK, 100, true, BalancerFixture.held(host == 2 ? 0 : 3));
+            balancer.onAttemptOutcome(
+                    bench.now, i, 0, AttemptOutcome.OK, 100, true, BalancerFixture.held(host == 2 ? 0 : 3));
         }
         assertThat(idle).isGreaterThan(700);
     }
@@ -166,11 +168,11 @@
             for (int i = 0; bench.now < RESTART + 10_000; i++) {
                 if (!told && bench.now >= RESTART) {
                     told = true;
-                    balancer.onMembership(bench.now, WatchEvent.DELTA, List.of(entry(COLD, RESTART)));
+                    balancer.onWatchEvent(bench.now, WatchEvent.DELTA, List.of(entry(COLD, RESTART)));
                 }
                 while (!out.isEmpty() && out.peek().at() + 800 <= bench.now) {
                     BalancerFixture.Send send = out.poll();
-                    balancer.onOutcome(
+                    balancer.onAttemptOutcome(
                             bench.now, send.request(), send.number(), AttemptOutcome.TIMEOUT, 800, true, null);
                 }
                 int before = bench.sends.size();
@@ -187,7 +189,7 @@
                 if (told && silent && !cold) {
                     out.add(bench.last());
                 } else {
-                    balancer.onOutcome(
+                    balancer.onAttemptOutcome(
                             bench.now,
                             i,
                             0,
--- a/src/test/java/rillyard/balancer/RulesTest.java
+++ b/src/test/java/rillyard/balancer/RulesTest.java
@@ -120,7 +120,7 @@
                 return false;
             }
             EndpointEntry first = list.get(t.host);
-            return switch (req.type.scope()) {
+            return switch (req.type.keyScope()) {
                 case ALL -> true;
                 case ZONE -> first.zone().equals(entry.zone());
                 case CELL -> first.cell() == entry.cell();
@@ -138,7 +138,7 @@
                 answered++;
             }
             LoadReport report = held(random.nextInt(9));
-            balancer.onOutcome(now, id, number, result, spent, over, random.nextBoolean() ? report : null);
+            balancer.onAttemptOutcome(now, id, number, result, spent, over, random.nextBoolean() ? report : null);
         }
 
         private static LoadReport held(double n) {
@@ -158,13 +158,13 @@
         }
 
         @Override
-        public void refuse(long id, double coolDown) {
+        public void reject(long id, double coolDown) {
             Req req = reqs.get(id);
             for (Try t : req.tries) {
                 if (t.mayHaveRun()
                         && req.type.semantics() != Semantics.IDEMPOTENT
                         && !(req.type.semantics() == Semantics.DEDUPLICATED
-                                && req.type.scope() == Scope.ALL
+                                && req.type.keyScope() == Scope.ALL
                                 && now - t.at < WINDOW)) {
                     faults.add("rule 2: refused where it may have run");
                 }
@@ -185,13 +185,13 @@
         }
 
         @Override
-        public void schedule(double delay, long token) {
+        public void scheduleTimer(double delay, long token) {
             at(Math.max(delay, 0.001), () -> balancer.onTimer(now, token));
         }
 
         @Override
-        public void follow() {
-            at(50, () -> balancer.onMembership(now, WatchEvent.FAILED, List.of()));
+        public void subscribe() {
+            at(50, () -> balancer.onWatchEvent(now, WatchEvent.FAILED, List.of()));
         }
 
         @Override
@@ -210,7 +210,7 @@
             EndpointEntry entry = BalancerFixture.host(id, condition, since);
             list.put(id, entry);
             if (random.nextInt(4) > 0) {
-                balancer.onMembership(now, WatchEvent.DELTA, List.of(entry));
+                balancer.onWatchEvent(now, WatchEvent.DELTA, List.of(entry));
                 return;
             }
             List<EndpointEntry> all = new ArrayList<>();
@@ -225,7 +225,7 @@
                     all.add(endpointEntry);
                 }
             }
-            balancer.onMembership(now, WatchEvent.FULL, all);
+            balancer.onWatchEvent(now, WatchEvent.FULL, all);
         }
 
         void run(int hosts, double length) {
@@ -243,7 +243,7 @@
                 list.put(entry.id(), entry);
             }
             balancer.onStart(now);
-            balancer.onMembership(now, WatchEvent.CACHED, new ArrayList<>(list.values()));
+            balancer.onWatchEvent(now, WatchEvent.CACHED, new ArrayList<>(list.values()));
             double stop = now + length;
             arrive(settings, stop);
             for (double t = 100; t < length; t += 100 + random.nextInt(400)) {
@@ -286,7 +286,7 @@
                 at(random.nextInt(100), () -> {
                     if (!req.ended) {
                         req.ended = true;
-                        balancer.onClientGone(now, id);
+                        balancer.onClientDisconnected(now, id);
                     }
                 });
             }
--- a/src/test/java/rillyard/config/TomlTableTest.java
+++ b/src/test/java/rillyard/config/TomlTableTest.java
@@ -18,7 +18,7 @@
     @Test
     void readsWhatIsThereAndHasDefaultsForTheRest() throws Exception {
         TomlTable table = parse("a = 3\nb = 'x'\nc = true\nd = [1, 2.5]\ne = 'dark-blue'\n[s]\nf = 1.5\n");
-        assertThat(table.whole("a", 0, 0, 10)).isEqualTo(3);
+        assertThat(table.integer("a", 0, 0, 10)).isEqualTo(3);
         assertThat(table.text("b", "")).isEqualTo("x");
         assertThat(table.flag("c", false)).isTrue();
         assertThat(table.numbers("d", new double[0], 0, 10)).containsExactly(1, 2.5);
@@ -49,18 +49,18 @@
             x = 'y'
             cuont = 1
             """);
-        table.whole("count", 0, 0, 10);
+        table.integer("count", 0, 0, 10);
         table.text("text", "");
         table.choice("colour", Colour.class, Colour.RED);
         for (TomlTable tomlTable : table.tables("host")) {
             tomlTable.text("id");
-            tomlTable.whole("cores", 1, 1, 64);
+            tomlTable.integer("cores", 1, 1, 64);
             TomlTable inner = tomlTable.table("inner");
-            inner.whole("x", 0, 0, 9);
-            inner.whole("count", 0, 0, 9);
+            inner.integer("x", 0, 0, 9);
+            inner.integer("count", 0, 0, 9);
         }
         InvalidConfigException exception = catchThrowableOfType(InvalidConfigException.class, table::finish);
-        assertThat(exception.findings())
+        assertThat(exception.problems())
                 .extracting(ConfigProblem::toString)
                 .containsExactly(
                         "f.toml:2: count: found 12, expected a whole number from 0 to 10",
@@ -74,8 +74,8 @@
     void aTextThatIsNoTomlNamesItsLine() {
         InvalidConfigException exception =
                 catchThrowableOfType(InvalidConfigException.class, () -> parse("a = 1\nb = = 2\n"));
-        assertThat(exception.findings()).hasSize(1);
-        assertThat(exception.findings().get(0).line()).isEqualTo(2);
+        assertThat(exception.problems()).hasSize(1);
+        assertThat(exception.problems().get(0).line()).isEqualTo(2);
         assertThat(exception.getMessage()).startsWith("f.toml:2: not TOML: ");
     }
 
@@ -86,15 +86,15 @@
         assertThat(tomlTable.text("id")).isEmpty();
         assertThat(tomlTable.tables("hosts")).isEmpty();
         InvalidConfigException exception = catchThrowableOfType(InvalidConfigException.class, table::finish);
-        assertThat(exception.findings()).extracting(ConfigProblem::line).containsExactly(1, 2);
+        assertThat(exception.problems()).extracting(ConfigProblem::line).containsExactly(1, 2);
     }
 
     @Test
     void theNearestNameIsFoundAndAFarOneIsNot() {
         java.util.List<String> names = java.util.List.of("balance", "bind", "maxconn");
-        assertThat(DidYouMean.to("maxcon", names)).isEqualTo("maxconn");
-        assertThat(DidYouMean.to("balence", names)).isEqualTo("balance");
-        assertThat(DidYouMean.to("timeout", names)).isNull();
+        assertThat(DidYouMean.suggest("maxcon", names)).isEqualTo("maxconn");
+        assertThat(DidYouMean.suggest("balence", names)).isEqualTo("balance");
+        assertThat(DidYouMean.suggest("timeout", names)).isNull();
         assertThat(DidYouMean.distance("kitten", "sitting")).isEqualTo(3);
         assertThat(DidYouMean.distance("hnag", "hang")).isEqualTo(1);
     }
--- a/src/test/java/rillyard/connections/IdleTimeoutPolicyTest.java
+++ b/src/test/java/rillyard/connections/IdleTimeoutPolicyTest.java
@@ -10,21 +10,23 @@
     @Test
     void aProxyAloneKeepsConnectionsForLong() {
         IdleTimeoutPolicy alone = IdleTimeoutPolicy.of(1, 42 * SECOND);
-        assertThat(alone.over(1, 29 * SECOND)).isFalse();
-        assertThat(alone.over(5, 4 * SECOND)).isFalse();
-        assertThat(alone.over(5, 5 * SECOND)).isTrue();
+        assertThat(alone.isExpired(1, 29 * SECOND)).isFalse();
+        assertThat(alone.isExpired(5, 4 * SECOND)).isFalse();
+        assertThat(alone.isExpired(5, 5 * SECOND)).isTrue();
     }
 
     /** What all proxies hold idle at a host, each with a burst of five a while ago, does not grow with them. */
     @Test
     void theMoreProxiesTheSoonerIdleConnectionsGo() {
         IdleTimeoutPolicy many = IdleTimeoutPolicy.of(14, 42 * SECOND);
-        assertThat(many.over(5, SECOND / 2)).isTrue();
-        assertThat(many.over(1, 2 * SECOND)).isFalse();
-        assertThat(many.over(1, 3 * SECOND)).isTrue();
+        assertThat(many.isExpired(5, SECOND / 2)).isTrue();
+        assertThat(many.isExpired(1, 2 * SECOND)).isFalse();
+        assertThat(many.isExpired(1, 3 * SECOND)).isTrue();
         for (int n = 1; n < 14; n++) {
-            assertThat(IdleTimeoutPolicy.of(n, 42 * SECOND).first()).isGreaterThanOrEqualTo(many.first());
-            assertThat(n * IdleTimeoutPolicy.of(n, 42 * SECOND).spare()).isLessThanOrEqualTo(5 * SECOND);
+            assertThat(IdleTimeoutPolicy.of(n, 42 * SECOND).firstTimeoutNanos())
+                    .isGreaterThanOrEqualTo(many.firstTimeoutNanos());
+            assertThat(n * IdleTimeoutPolicy.of(n, 42 * SECOND).spareTimeoutNanos())
+                    .isLessThanOrEqualTo(5 * SECOND);
         }
     }
 
@@ -32,8 +34,8 @@
     void neverLongerThanTheHostKeepsThemNorShorterThanAPauseBetweenRequests() {
         assertThat(IdleTimeoutPolicy.of(1, SECOND)).isEqualTo(new IdleTimeoutPolicy(SECOND, SECOND));
         IdleTimeoutPolicy thousand = IdleTimeoutPolicy.of(1_000, 42 * SECOND);
-        assertThat(thousand.over(1, SECOND)).isFalse();
-        assertThat(thousand.over(2, SECOND / 5)).isFalse();
+        assertThat(thousand.isExpired(1, SECOND)).isFalse();
+        assertThat(thousand.isExpired(2, SECOND / 5)).isFalse();
         assertThat(IdleTimeoutPolicy.of(0, 42 * SECOND)).isEqualTo(IdleTimeoutPolicy.of(1, 42 * SECOND));
     }
 }
--- a/src/test/java/rillyard/endpoints/DisabledHostsTest.java
+++ b/src/test/java/rillyard/endpoints/DisabledHostsTest.java
@@ -22,7 +22,7 @@
 
     @Test
     void isOutWhateverDiscoverySays() {
-        taken.takeOut("a");
+        taken.disable("a");
         for (Condition told : new Condition[] {Condition.READY, Condition.TERMINATING, Condition.READY}) {
             assertThat(effective(told, 0).condition()).isEqualTo(Condition.TERMINATING);
         }
@@ -33,17 +33,17 @@
 
     @Test
     void oneCallBackUndoesTwoOut() {
-        assertThat(taken.takeOut("a")).isTrue();
-        assertThat(taken.takeOut("a")).isFalse();
-        assertThat(taken.giveBack("a", 100)).isTrue();
-        assertThat(taken.giveBack("a", 200)).isFalse();
+        assertThat(taken.disable("a")).isTrue();
+        assertThat(taken.disable("a")).isFalse();
+        assertThat(taken.enable("a", 100)).isTrue();
+        assertThat(taken.enable("a", 200)).isFalse();
         assertThat(effective(Condition.READY, 0)).isEqualTo(entry(Condition.READY, 100));
     }
 
     @Test
     void comesBackAsOneThatHasJustStarted() {
-        taken.takeOut("a");
-        taken.giveBack("a", 5_000);
+        taken.disable("a");
+        taken.enable("a", 5_000);
         assertThat(effective(Condition.READY, 0).onlineSince()).isEqualTo(5_000);
         assertThat(effective(Condition.READY, 6_000).onlineSince()).isEqualTo(6_000);
         assertThat(effective(Condition.TERMINATING, 0).condition()).isEqualTo(Condition.TERMINATING);
@@ -51,7 +51,7 @@
 
     @Test
     void anotherProcessesDoingsAreAdoptedOnce() {
-        taken.takeOut("a");
+        taken.disable("a");
         assertThat(taken.adopt(Set.of("b"), Map.of("a", 50.0))).containsExactlyInAnyOrder("a", "b");
         assertThat(effective(Condition.READY, 0)).isEqualTo(entry(Condition.READY, 50));
         assertThat(taken.contains("b")).isTrue();
@@ -61,21 +61,21 @@
 
     @Test
     void isBounded() {
-        for (int i = 0; i < DisabledHosts.MOST; i++) {
-            taken.takeOut("h" + i);
+        for (int i = 0; i < DisabledHosts.MAX_HOSTS; i++) {
+            taken.disable("h" + i);
         }
-        assertThatThrownBy(() -> taken.takeOut("a")).hasMessageContaining("4096");
-        assertThat(taken.takeOut("h1")).isFalse();
-        for (int i = 0; i < DisabledHosts.MOST; i++) {
-            taken.giveBack("h" + i, i);
-            taken.takeOut("g" + i);
-            taken.giveBack("g" + i, i);
+        assertThatThrownBy(() -> taken.disable("a")).hasMessageContaining("4096");
+        assertThat(taken.disable("h1")).isFalse();
+        for (int i = 0; i < DisabledHosts.MAX_HOSTS; i++) {
+            taken.enable("h" + i, i);
+            taken.disable("g" + i);
+            taken.enable("g" + i, i);
         }
-        assertThat(taken.remembered()).isEqualTo(DisabledHosts.MOST);
-        for (int i = 0; i < DisabledHosts.MOST; i++) {
-            taken.takeOut("h" + i);
+        assertThat(taken.remembered()).isEqualTo(DisabledHosts.MAX_HOSTS);
+        for (int i = 0; i < DisabledHosts.MAX_HOSTS; i++) {
+            taken.disable("h" + i);
         }
         taken.adopt(Set.of("a", "b"), Map.of());
-        assertThat(taken.size()).isLessThanOrEqualTo(DisabledHosts.MOST);
+        assertThat(taken.size()).isLessThanOrEqualTo(DisabledHosts.MAX_HOSTS);
     }
 }
--- a/src/test/java/rillyard/endpoints/EndpointListGuardTest.java
+++ b/src/test/java/rillyard/endpoints/EndpointListGuardTest.java
@@ -13,53 +13,53 @@
 
     @Test
     void aListThatLacksFewIsBelievedAtOnce() {
-        assertThat(guard.whole(0, ALL, Set.of("a", "b", "c"))).isEmpty(); // half of them is enough
-        assertThat(guard.over(Double.MAX_VALUE)).isEmpty();
+        assertThat(guard.onFullList(0, ALL, Set.of("a", "b", "c"))).isEmpty(); // half of them is enough
+        assertThat(guard.expired(Double.MAX_VALUE)).isEmpty();
     }
 
     @Test
     void whatAListLacksThatLacksMostIsUsedOnForAWhile() {
-        assertThat(guard.whole(0, ALL, Set.of("a", "b"))).containsExactlyInAnyOrder("c", "d", "e", "f");
-        assertThat(guard.over(999)).isEmpty();
-        assertThat(guard.over(1_000)).containsExactlyInAnyOrder("c", "d", "e", "f");
-        assertThat(guard.over(Double.MAX_VALUE)).isEmpty();
+        assertThat(guard.onFullList(0, ALL, Set.of("a", "b"))).containsExactlyInAnyOrder("c", "d", "e", "f");
+        assertThat(guard.expired(999)).isEmpty();
+        assertThat(guard.expired(1_000)).containsExactlyInAnyOrder("c", "d", "e", "f");
+        assertThat(guard.expired(Double.MAX_VALUE)).isEmpty();
     }
 
     @Test
     void anEmptyListLeavesTheServiceWithAllItsHosts() {
-        assertThat(guard.whole(0, ALL, Set.of())).isEqualTo(ALL);
+        assertThat(guard.onFullList(0, ALL, Set.of())).isEqualTo(ALL);
     }
 
     @Test
     void saidTwiceTheTimeIsNoLonger() {
-        guard.whole(0, ALL, Set.of());
-        assertThat(guard.whole(900, ALL, Set.of())).isEqualTo(ALL);
-        assertThat(guard.whole(1_000, ALL, Set.of())).isEmpty();
+        guard.onFullList(0, ALL, Set.of());
+        assertThat(guard.onFullList(900, ALL, Set.of())).isEqualTo(ALL);
+        assertThat(guard.onFullList(1_000, ALL, Set.of())).isEmpty();
     }
 
     @Test
     void aListThatNamesHalfOfWhatIsLeftDoesNotEndTheDoubtAboutTheRest() {
-        guard.whole(0, ALL, Set.of("a"));
+        guard.onFullList(0, ALL, Set.of("a"));
         // a and three that are back; two are still held from before
-        assertThat(guard.whole(500, ALL, Set.of("a", "b", "c", "d"))).containsExactlyInAnyOrder("e", "f");
-        assertThat(guard.over(1_000)).containsExactlyInAnyOrder("e", "f");
+        assertThat(guard.onFullList(500, ALL, Set.of("a", "b", "c", "d"))).containsExactlyInAnyOrder("e", "f");
+        assertThat(guard.expired(1_000)).containsExactlyInAnyOrder("e", "f");
     }
 
     @Test
     void whatAListNamesIsHeldNoLonger() {
-        guard.whole(0, ALL, Set.of());
-        guard.named("a");
-        assertThat(guard.over(1_000)).hasSize(5).doesNotContain("a");
-        guard.whole(2_000, ALL, Set.of());
-        guard.whole(2_100, ALL, ALL);
-        assertThat(guard.over(Double.MAX_VALUE)).isEmpty();
+        guard.onFullList(0, ALL, Set.of());
+        guard.onNamed("a");
+        assertThat(guard.expired(1_000)).hasSize(5).doesNotContain("a");
+        guard.onFullList(2_000, ALL, Set.of());
+        guard.onFullList(2_100, ALL, ALL);
+        assertThat(guard.expired(Double.MAX_VALUE)).isEmpty();
     }
 
     /** Most may have drained by the rules before: nothing that was not in use is brought back. */
     @Test
     void onlyWhatWasInUseIsHeld() {
-        assertThat(guard.whole(0, Set.of("a", "b", "c"), Set.of("d"))).containsExactlyInAnyOrder("a", "b", "c");
-        assertThat(guard.whole(0, Set.of(), Set.of())).isEmpty();
+        assertThat(guard.onFullList(0, Set.of("a", "b", "c"), Set.of("d"))).containsExactlyInAnyOrder("a", "b", "c");
+        assertThat(guard.onFullList(0, Set.of(), Set.of())).isEmpty();
     }
 
     @Test
--- a/src/test/java/rillyard/hotrestart/HotRestartLockTest.java
+++ b/src/test/java/rillyard/hotrestart/HotRestartLockTest.java
@@ -18,22 +18,22 @@
     void theFirstIsInChargeUntilItEndsAndSeesWhoFollows() throws Exception {
         Path folder = tmp.resolve("deep/er");
         HotRestartLock first = new HotRestartLock(folder);
-        assertThat(first.inCharge()).isTrue();
+        assertThat(first.isActive()).isTrue();
         HotRestartLock second = new HotRestartLock(folder);
-        assertThat(second.inCharge()).isFalse();
-        assertThat(first.followed()).isFalse(); // it does not listen yet
-        second.follow();
-        assertThat(first.followed()).isTrue();
-        assertThat(second.followed()).isFalse();
+        assertThat(second.isActive()).isFalse();
+        assertThat(first.hasStandby()).isFalse(); // it does not listen yet
+        second.becomeStandby();
+        assertThat(first.hasStandby()).isTrue();
+        assertThat(second.hasStandby()).isFalse();
         first.close();
-        second.follow();
-        assertThat(second.inCharge()).isTrue();
-        assertThat(second.followed()).isFalse();
+        second.becomeStandby();
+        assertThat(second.isActive()).isTrue();
+        assertThat(second.hasStandby()).isFalse();
         HotRestartLock third = new HotRestartLock(folder);
-        third.follow();
-        assertThat(second.followed()).isTrue();
+        third.becomeStandby();
+        assertThat(second.hasStandby()).isTrue();
         third.close();
-        assertThat(second.followed()).isFalse(); // it died: nobody follows any more
+        assertThat(second.hasStandby()).isFalse(); // it died: nobody follows any more
         second.close();
     }
 
@@ -42,14 +42,14 @@
         DisabledHostStore one = new DisabledHostStore(tmp);
         DisabledHostStore other = new DisabledHostStore(tmp);
         String odd = "../s-5be2a07c/ü \"";
-        one.takeOut("a");
-        one.takeOut("a");
-        other.takeOut(odd);
-        assertThat(other.read(1_000).out()).containsExactlyInAnyOrder("a", odd);
-        other.giveBack("a", 5_000);
-        other.giveBack("a", 6_000); // not out any more: the first call counts
+        one.disable("a");
+        one.disable("a");
+        other.disable(odd);
+        assertThat(other.read(1_000).disabled()).containsExactlyInAnyOrder("a", odd);
+        other.enable("a", 5_000);
+        other.enable("a", 6_000); // not out any more: the first call counts
         assertThat(one.read(7_000)).isEqualTo(new DisabledHostStore.Contents(Set.of(odd), Map.of("a", 5_000L)));
-        one.takeOut("a");
+        one.disable("a");
         assertThat(other.read(8_000)).isEqualTo(new DisabledHostStore.Contents(Set.of("a", odd), Map.of()));
     }
 
@@ -58,8 +58,8 @@
         DisabledHostStore folder = new DisabledHostStore(tmp);
         Files.createFile(tmp.resolve("out-%%"));
         Files.createFile(tmp.resolve("serving"));
-        folder.takeOut("a");
-        folder.giveBack("a", 1_000);
+        folder.disable("a");
+        folder.enable("a", 1_000);
         assertThat(folder.read(1_000_000)).isEqualTo(new DisabledHostStore.Contents(Set.of(), Map.of()));
         assertThat(folder.read(1_000)).isEqualTo(new DisabledHostStore.Contents(Set.of(), Map.of()));
         assertThat(tmp.resolve("out-%%")).exists();
@@ -68,20 +68,20 @@
     @Test
     void aTimeInTheFutureIsTakenForNow() throws Exception {
         DisabledHostStore folder = new DisabledHostStore(tmp);
-        folder.takeOut("a");
-        folder.giveBack("a", 1_000);
+        folder.disable("a");
+        folder.enable("a", 1_000);
         try (var files = Files.list(tmp)) {
             Files.setLastModifiedTime(files.findFirst().orElseThrow(), FileTime.fromMillis(99_000));
         }
-        assertThat(folder.read(5_000).back()).isEqualTo(Map.of("a", 5_000L));
+        assertThat(folder.read(5_000).enabledAt()).isEqualTo(Map.of("a", 5_000L));
     }
 
     @Test
     void aFolderThatIsClearedAwayIsMadeAgain() throws Exception {
         DisabledHostStore folder = new DisabledHostStore(tmp.resolve("own"));
         Files.delete(tmp.resolve("own"));
-        assertThat(folder.read(0).out()).isEmpty();
-        folder.takeOut("a");
-        assertThat(folder.read(0).out()).containsExactly("a");
+        assertThat(folder.read(0).disabled()).isEmpty();
+        folder.disable("a");
+        assertThat(folder.read(0).disabled()).containsExactly("a");
     }
 }
--- a/src/test/java/rillyard/loadgen/FakeTransport.java
+++ b/src/test/java/rillyard/loadgen/FakeTransport.java
@@ -45,7 +45,7 @@
         Fate fate = fates.apply(request);
         Scheduler.ScheduledTask due = fate.end() == null
                 ? () -> {}
-                : timers.after((long) (1e6 * fate.ms()), () -> listener.ended(fate.end()));
+                : timers.scheduleAfter((long) (1e6 * fate.ms()), () -> listener.ended(fate.end()));
         return () -> {
             abandoned++;
             due.cancel();
--- a/src/test/java/rillyard/loadgen/LoadGeneratorTest.java
+++ b/src/test/java/rillyard/loadgen/LoadGeneratorTest.java
@@ -23,7 +23,7 @@
         LoadPlan loadPlan = LoadPlanReader.parse("p", plan, Path.of("."));
         RunStatistics tally = new RunStatistics(loadPlan.seconds());
         LoadGenerator generator =
-                new LoadGenerator(loadPlan, timers, transport, RequestLogWriter.none(), tally, () -> {});
+                new LoadGenerator(loadPlan, timers, transport, RequestLogWriter.disabled(), tally, () -> {});
         generator.start();
         timers.drain();
         assertThat(generator.open()).isZero();
@@ -110,7 +110,7 @@
         RunStatistics tally = new RunStatistics(plan.seconds());
         boolean[] done = new boolean[1];
         LoadGenerator generator =
-                new LoadGenerator(plan, timers, transport, RequestLogWriter.none(), tally, () -> done[0] = true);
+                new LoadGenerator(plan, timers, transport, RequestLogWriter.disabled(), tally, () -> done[0] = true);
         generator.start();
         timers.passMs(995);
         generator.stop();
--- a/src/test/java/rillyard/loadgen/LoadPlanReaderTest.java
+++ b/src/test/java/rillyard/loadgen/LoadPlanReaderTest.java
@@ -77,7 +77,7 @@
             base = 5
             at_s = 5
             """);
-        assertThat(exception.findings()).extracting(ConfigProblem::line).containsExactly(1, 3, 7, 9, 11, 12, 14);
+        assertThat(exception.problems()).extracting(ConfigProblem::line).containsExactly(1, 3, 7, 9, 11, 12, 14);
         assertThat(exception.getMessage())
                 .contains("p.toml:1: max_opne: unknown key; did you mean 'max_open'?")
                 .contains("p.toml:12: shape[0].peak: is missing, expected requests a second");
--- a/src/test/java/rillyard/loadgen/LoadRunTest.java
+++ b/src/test/java/rillyard/loadgen/LoadRunTest.java
@@ -270,7 +270,7 @@
     @Test
     void anInterruptedRunReportsWhatItHasAndItsLedgerIsWhole() throws Exception {
         RunReport report;
-        try (RequestLogWriter hostLedger = RequestLogWriter.none();
+        try (RequestLogWriter hostLedger = RequestLogWriter.disabled();
                 RequestLogWriter ledger = RequestLogWriter.open(folder.resolve("c"), new LogHeader("clients", 1, 1));
                 TestCluster cluster = new TestCluster(
                         TestClusterPlanReader.parse("h", hosts("{ dist = 'constant', mean_ms = 5 }", ""), 0),
--- a/src/test/java/rillyard/loadgen/TraceReaderTest.java
+++ b/src/test/java/rillyard/loadgen/TraceReaderTest.java
@@ -80,14 +80,14 @@
         assertThat(fails(TraceReader.Form.CSV, "class,when\nlist,1\n").getMessage())
                 .contains(":1: expected column names with 'time_ms' among them");
         assertThat(fails(TraceReader.Form.CSV, "class,time_ms\nlist,x\nlist\nlsit,4\nlist,-1\nlist,NaN\n")
-                        .findings())
+                        .problems())
                 .extracting(ConfigProblem::line)
                 .containsExactly(2, 3, 4, 5, 6);
         assertThat(fails(TraceReader.Form.JSONL, "{\"class\":\"list\"}\n[1]\n{\n")
-                        .findings())
+                        .problems())
                 .extracting(ConfigProblem::line)
                 .containsExactly(1, 2, 3);
-        assertThat(fails(TraceReader.Form.HAPROXY, "nothing of that kind\n").findings())
+        assertThat(fails(TraceReader.Form.HAPROXY, "nothing of that kind\n").problems())
                 .hasSize(1);
         assertThat(fails(TraceReader.Form.CSV, "").getMessage()).contains("expected one request at least");
     }
--- a/src/test/java/rillyard/membership/AttributeStoreTest.java
+++ b/src/test/java/rillyard/membership/AttributeStoreTest.java
@@ -22,12 +22,13 @@
 
     private static void say(VirtualFleet fleet, int i, int value, double lasts) {
         byte[] bytes = value < 0 ? new byte[0] : new byte[] {(byte) value};
-        fleet.node(i).member.say(fleet.now - fleet.node(i).startedAt, KIND, bytes, lasts, true);
+        fleet.node(i).member.setAttribute(fleet.now - fleet.node(i).startedAt, KIND, bytes, lasts, true);
     }
 
     /** What member {@code by} holds of member {@code i}; -1 for nothing. */
     private static int held(VirtualFleet fleet, int by, int i) {
-        Map<String, MemberAttribute> facts = fleet.node(by).member.facts(fleet.now - fleet.node(by).startedAt, KIND);
+        Map<String, MemberAttribute> facts =
+                fleet.node(by).member.attributes(fleet.now - fleet.node(by).startedAt, KIND);
         MemberAttribute fact = facts.get("m" + i);
         return fact == null ? -1 : fact.value()[0];
     }
@@ -64,16 +65,16 @@
     @Test
     void aFactThatIsSaidOnceEndsByItselfAndIsNeverYounger() {
         VirtualFleet fleet = joined(9, 20);
-        fleet.node(4).member.say(fleet.now - fleet.node(4).startedAt, KIND, new byte[] {1}, 9 * S, false);
+        fleet.node(4).member.setAttribute(fleet.now - fleet.node(4).startedAt, KIND, new byte[] {1}, 9 * S, false);
         assertThat(fleet.until(5 * S, () -> allHold(fleet, 4, 1)))
                 .as("time (ms)")
                 .isBetween(0.0, 5 * S);
         fleet.run(4 * S); // past a third of its time, at which one that is said again would be
         MemberAttribute held = fleet.node(7)
                 .member
-                .facts(fleet.now - fleet.node(7).startedAt, KIND)
+                .attributes(fleet.now - fleet.node(7).startedAt, KIND)
                 .get("m4");
-        assertThat(held.age()).isGreaterThan(4 * S);
+        assertThat(held.ageMillis()).isGreaterThan(4 * S);
         assertThat(held.version()).isZero();
         assertThat(fleet.until(10 * S, () -> allHold(fleet, 4, -1)))
                 .as("time (ms)")
@@ -124,7 +125,7 @@
         fleet.run(5 * S);
         say(fleet, 4, 2, 30 * S);
         fleet.run(5 * S);
-        long start = fleet.node(4).member.self().life().start();
+        long start = fleet.node(4).member.self().incarnation().startedAtMillis();
         for (int i = 0; i < 20; i++) {
             tell(fleet, i, new MemberAttribute("m4", start, KIND, 0, 0, 30 * S, new byte[] {1})); // late by 10 s
             tell(fleet, i, new MemberAttribute("m4", start, KIND, MemberAttribute.MAX_VERSION, 0, 30 * S, new byte[] {9
@@ -133,14 +134,20 @@
             tell(fleet, i, new MemberAttribute("m99", start, KIND, 0, 0, 30 * S, new byte[] {9}));
         }
         assertThat(allHold(fleet, 4, 2)).isTrue();
-        assertThat(fleet.node(7).member.facts(fleet.now, KIND)).containsOnlyKeys("m4");
+        assertThat(fleet.node(7).member.attributes(fleet.now, KIND)).containsOnlyKeys("m4");
         // One that could be: its owner hears of it, and has the last word.
         tell(fleet, 7, new MemberAttribute("m4", start, KIND, 900, 0, 30 * S, new byte[] {9}));
         tell(
                 fleet,
                 7,
                 new MemberAttribute(
-                        "m5", fleet.node(5).member.self().life().start(), KIND, 900, 0, 30 * S, new byte[] {9}));
+                        "m5",
+                        fleet.node(5).member.self().incarnation().startedAtMillis(),
+                        KIND,
+                        900,
+                        0,
+                        30 * S,
+                        new byte[] {9}));
         assertThat(fleet.until(20 * S, () -> allHold(fleet, 4, 2) && allHold(fleet, 5, -1)))
                 .as("time (ms)")
                 .isNotNegative();
@@ -153,7 +160,7 @@
         if (i != 0) {
             fleet.node(i)
                     .member
-                    .received(
+                    .onMessage(
                             fleet.now - fleet.node(i).startedAt,
                             liar.at,
                             new Message(
@@ -167,14 +174,14 @@
         VirtualFleet fleet = joined(6, 3);
         Membership membership = fleet.node(0).member;
         int said = 0;
-        while (membership.say(fleet.now, KIND, new byte[] {(byte) (said % 100)}, 60 * S, true)) {
+        while (membership.setAttribute(fleet.now, KIND, new byte[] {(byte) (said % 100)}, 60 * S, true)) {
             said++;
         }
         assertThat(said)
                 .isBetween(37_000, 38_000); // the first 1,024, and ten a second for the hour that clocks may differ by
         int last = (said - 1) % 100;
         assertThat(fleet.until(10 * S, () -> allHold(fleet, 0, last))).isNotNegative();
-        assertThat(membership.say(fleet.now, KIND, new byte[] {1}, 60 * S, true))
+        assertThat(membership.setAttribute(fleet.now, KIND, new byte[] {1}, 60 * S, true))
                 .as("ten seconds later")
                 .isTrue();
     }
--- a/src/test/java/rillyard/membership/MembershipModel.java
+++ b/src/test/java/rillyard/membership/MembershipModel.java
@@ -25,10 +25,10 @@
         @Override
         public String toString() {
             return message.kind() + " of " + from + " to m" + (to.ip() - 1) + " "
-                    + message.news().stream()
-                            .map(update -> update.card().name() + "=" + update.status() + "/"
-                                    + update.life().start() + "."
-                                    + update.life().incarnation())
+                    + message.updates().stream()
+                            .map(update -> update.identity().name() + "=" + update.status() + "/"
+                                    + update.incarnation().startedAtMillis() + "."
+                                    + update.incarnation().counter())
                             .toList();
         }
     }
@@ -90,21 +90,21 @@
                 @Override
                 public void send(MemberAddress to, Message message) {
                     spoken.computeIfAbsent(name, n -> new HashSet<>())
-                            .add(message.sender().life());
+                            .add(message.sender().incarnation());
                     if ((!joined || passes.test(name, message)) && flying.size() < IN_FLIGHT * (now == 0 ? 100 : 1)) {
                         flying.add(new Flying(name, at(i), to, change.apply(message)));
                     }
                 }
 
                 @Override
-                public void changed(MembershipEvent event) {}
+                public void onMembershipEvent(MembershipEvent event) {}
             };
             List<MemberAddress> seeds = List.of(at(0), at(1), at(2));
             // Chance is taken away: each draw is its least.
             members.put(
                     name,
                     new Membership(
-                            MembershipSettings.USUAL,
+                            MembershipSettings.DEFAULT,
                             new MemberIdentity(name, at(i), 0, 0),
                             start,
                             seeds,
@@ -118,12 +118,12 @@
 
         private void step() {
             now += STEP;
-            members.forEach((name, membership) -> membership.tick(time(name)));
+            members.forEach((name, membership) -> membership.onTick(time(name)));
         }
 
         private void deliver(Flying flying) {
             String to = "m" + (flying.to.ip() - 1);
-            members.get(to).received(time(to), flying.source, flying.message);
+            members.get(to).onMessage(time(to), flying.source, flying.message);
         }
 
         private void deliverAll() {
@@ -171,7 +171,7 @@
             Map<String, Incarnation> all = new HashMap<>();
             members.forEach((name, membership) -> membership
                     .others()
-                    .forEach(update -> all.put(name + ":" + update.card().name(), update.life())));
+                    .forEach(update -> all.put(name + ":" + update.identity().name(), update.incarnation())));
             return all;
         }
 
@@ -213,7 +213,7 @@
                 for (MemberUpdate update : e.getValue().others()) {
                     if (update.status() != MemberStatus.ALIVE) {
                         return "a live process that is heard stays " + update.status() + ": "
-                                + update.card().name() + " to " + e.getKey();
+                                + update.identity().name() + " to " + e.getKey();
                     }
                 }
                 if (e.getValue().present() != MEMBERS) {
--- a/src/test/java/rillyard/membership/MembershipModelTest.java
+++ b/src/test/java/rillyard/membership/MembershipModelTest.java
@@ -32,10 +32,13 @@
                         message.sender(),
                         message.target(),
                         message.targetAt(),
-                        message.news().stream()
+                        message.updates().stream()
                                 .map(update -> update.status() == MemberStatus.SUSPECT
                                         ? new MemberUpdate(
-                                                update.card(), update.life().next(), update.status(), update.by())
+                                                update.identity(),
+                                                update.incarnation().next(),
+                                                update.status(),
+                                                update.by())
                                         : update)
                                 .toList()),
                 (from, m) -> !from.equals("m0") && !m.target().equals("m0"));
--- a/src/test/java/rillyard/membership/MembershipPropertiesTest.java
+++ b/src/test/java/rillyard/membership/MembershipPropertiesTest.java
@@ -108,9 +108,9 @@
         for (VirtualFleet.Node node : fleet.nodes.values()) {
             for (MemberUpdate update : node.member.others()) {
                 Incarnation own =
-                        fleet.nodes.get(update.card().name()).member.self().life();
-                assertThat(update.life())
-                        .as("%s, as %s holds it", update.card().name(), node.name)
+                        fleet.nodes.get(update.identity().name()).member.self().incarnation();
+                assertThat(update.incarnation())
+                        .as("%s, as %s holds it", update.identity().name(), node.name)
                         .isLessThanOrEqualTo(own);
             }
         }
@@ -118,7 +118,7 @@
 
     private static void noOwnLifeGoesBack(VirtualFleet fleet, Map<String, Incarnation> spoken) {
         for (VirtualFleet.Node node : fleet.nodes.values()) {
-            Incarnation now = node.member.self().life();
+            Incarnation now = node.member.self().incarnation();
             Incarnation before = spoken.put(node.name, now);
             assertThat(before == null || before.compareTo(now) <= 0)
                     .as(node.name)
--- a/src/test/java/rillyard/membership/MembershipStatisticsTest.java
+++ b/src/test/java/rillyard/membership/MembershipStatisticsTest.java
@@ -83,12 +83,15 @@
             }
 
             @Override
-            public void changed(MembershipEvent event) {}
+            public void onMembershipEvent(MembershipEvent event) {}
         };
         Membership one =
-                new Membership(MembershipSettings.USUAL, other(0).card(), START, List.of(), random.split(), out);
+                new Membership(MembershipSettings.DEFAULT, other(0).identity(), START, List.of(), random.split(), out);
         for (int i = 1; i < members; i++) {
-            one.received(0, other(i).card().at(), new Message(Message.Kind.NEWS, 0, 0, other(i), "", null, List.of()));
+            one.onMessage(
+                    0,
+                    other(i).identity().address(),
+                    new Message(Message.Kind.NEWS, 0, 0, other(i), "", null, List.of()));
         }
         sent.clear();
         sent.trimToSize();
@@ -109,7 +112,7 @@
             for (int q = 0; q < questions.size(); q++) {
                 if (questions.get(q).kind() == Message.Kind.PING) {
                     MemberUpdate who = other(asked.get(q).ip() - IP);
-                    one.received(
+                    one.onMessage(
                             now,
                             asked.get(q),
                             MessageCodec.decode(MessageCodec.encode(
@@ -126,14 +129,14 @@
             }
             if (step % 10 == 0) { // it is probed as often as it probes
                 MemberUpdate who = other(1 + random.nextInt(members - 1));
-                one.received(
+                one.onMessage(
                         now,
-                        who.card().at(),
+                        who.identity().address(),
                         MessageCodec.decode(MessageCodec.encode(
                                 new Message(Message.Kind.PING, step, one.digest(), who, "m0", null, List.of()),
                                 MessageCodec.MAX_BYTES)));
             }
-            one.tick(now);
+            one.onTick(now);
             if (step >= 78_000) {
                 nanos += System.nanoTime() - from;
                 timed += 50;
--- a/src/test/java/rillyard/membership/MembershipTest.java
+++ b/src/test/java/rillyard/membership/MembershipTest.java
@@ -54,7 +54,7 @@
         fleet.stop(5, 10 * S);
         fleet.run(10 * S);
         assertThat(fleet.node(6).member.others())
-                .anyMatch(update -> update.card().name().equals("m5") && update.status() == MemberStatus.DEAD);
+                .anyMatch(update -> update.identity().name().equals("m5") && update.status() == MemberStatus.DEAD);
         assertThat(fleet.untilAgreed(10 * S)).as("agreed").isNotNegative();
         assertThat(fleet.deaths).containsOnly("m5");
         fleet.run(20 * S);
@@ -133,8 +133,9 @@
         VirtualFleet.Node one = fleet.node(9);
         fleet.links = (a, b) -> !a.equals("m9") && !b.equals("m9") || a.equals("m4") || b.equals("m4");
         MemberUpdate m4 = fleet.node(4).member.self();
-        MemberUpdate suspect = new MemberUpdate(m4.card(), m4.life(), MemberStatus.SUSPECT, MemberUpdate.by("m5"));
-        one.member.received(
+        MemberUpdate suspect =
+                new MemberUpdate(m4.identity(), m4.incarnation(), MemberStatus.SUSPECT, MemberUpdate.by("m5"));
+        one.member.onMessage(
                 fleet.now,
                 fleet.node(5).at,
                 new Message(Message.Kind.NEWS, 0, 0, fleet.node(5).member.self(), "", null, List.of(suspect)));
@@ -142,9 +143,9 @@
         fleet.run(40 * S);
         assertThat(one.changes.stream()
                         .filter(event -> event.now().status() == MemberStatus.DEAD)
-                        .map(membershipEvent -> membershipEvent.now().card().name()))
+                        .map(membershipEvent -> membershipEvent.now().identity().name()))
                 .doesNotContain("m4");
-        assertThat(fleet.node(4).member.self().life().incarnation()).isPositive();
+        assertThat(fleet.node(4).member.self().incarnation().counter()).isPositive();
     }
 
     private static int number(String name) {
@@ -193,11 +194,12 @@
         assertThat(fleet.untilAgreed(10 * S)).as("agreed").isNotNegative();
         fleet.run(30 * S);
         MemberUpdate now = fleet.node(4).member.self();
-        assertThat(now.life().start()).isGreaterThan(old.life().start());
+        assertThat(now.incarnation().startedAtMillis())
+                .isGreaterThan(old.incarnation().startedAtMillis());
         Membership other = fleet.node(5).member;
         for (MemberStatus status : MemberStatus.values()) {
-            MemberUpdate late = new MemberUpdate(old.card(), old.life(), status, old.by());
-            other.received(
+            MemberUpdate late = new MemberUpdate(old.identity(), old.incarnation(), status, old.by());
+            other.onMessage(
                     fleet.now,
                     fleet.node(6).at,
                     new Message(Message.Kind.NEWS, 0, 0, fleet.node(6).member.self(), "", null, List.of(late)));
@@ -233,22 +235,22 @@
         for (int round = 0; round < 50; round++) {
             for (VirtualFleet.Node node : fleet.nodes.values()) {
                 MemberUpdate dead = new MemberUpdate(
-                        victim.member.self().card(), victim.member.self().life(), MemberStatus.DEAD, 1);
+                        victim.member.self().identity(), victim.member.self().incarnation(), MemberStatus.DEAD, 1);
                 MemberUpdate end = new MemberUpdate(
-                        dead.card(),
-                        new Incarnation(dead.life().start(), Incarnation.MAX_INCARNATION),
+                        dead.identity(),
+                        new Incarnation(dead.incarnation().startedAtMillis(), Incarnation.MAX_INCARNATION),
                         MemberStatus.DEAD,
                         1);
-                MemberUpdate future =
-                        new MemberUpdate(dead.card(), new Incarnation(Incarnation.MAX_START, 0), MemberStatus.DEAD, 1);
+                MemberUpdate future = new MemberUpdate(
+                        dead.identity(), new Incarnation(Incarnation.MAX_START, 0), MemberStatus.DEAD, 1);
                 if (node != liar) {
-                    node.member.received(
+                    node.member.onMessage(
                             fleet.now - node.startedAt,
                             liar.at,
                             new Message(
                                     Message.Kind.NEWS, 0, 0, liar.member.self(), "", null, List.of(dead, end, future)));
                     // In the name of another, from the liar's own place.
-                    node.member.received(
+                    node.member.onMessage(
                             fleet.now - node.startedAt,
                             liar.at,
                             new Message(
@@ -256,13 +258,13 @@
                                     0,
                                     0,
                                     new MemberUpdate(
-                                            fleet.node(2).member.self().card(),
+                                            fleet.node(2).member.self().identity(),
                                             new Incarnation(
                                                     fleet.node(2)
                                                             .member
                                                             .self()
-                                                            .life()
-                                                            .start(),
+                                                            .incarnation()
+                                                            .startedAtMillis(),
                                                     9),
                                             MemberStatus.LEFT,
                                             1),
@@ -274,8 +276,8 @@
             fleet.run(100);
         }
         assertThat(fleet.untilAgreed(15 * S)).as("agreed").isNotNegative();
-        assertThat(victim.member.self().life().incarnation()).isBetween(1, 200);
-        assertThat(fleet.node(2).member.self().life().incarnation()).isZero();
+        assertThat(victim.member.self().incarnation().counter()).isBetween(1, 200);
+        assertThat(fleet.node(2).member.self().incarnation().counter()).isZero();
     }
 
     /** Its successor has another address: nobody writes to the old one any more, until it writes itself. */
@@ -287,8 +289,8 @@
         fleet.run(10 * S);
         VirtualFleet.Node successor = fleet.startElsewhere(4, 90);
         fleet.run(10 * S);
-        assertThat(fleet.until(10 * S, old.member::over)).as("time (ms)").isNotNegative();
-        assertThat(successor.member.over()).isFalse();
+        assertThat(fleet.until(10 * S, old.member::hasLeft)).as("time (ms)").isNotNegative();
+        assertThat(successor.member.hasLeft()).isFalse();
         fleet.run(10 * S);
         assertThat(fleet.node(6).member.others()).contains(successor.member.self());
     }
@@ -298,9 +300,9 @@
         VirtualFleet fleet = joined(11, 10);
         Membership old = fleet.node(2).member;
         MemberIdentity moved = new MemberIdentity("m2", new MemberAddress(0x7F00FF01, 4_000), 0, 0);
-        MemberUpdate later =
-                new MemberUpdate(moved, new Incarnation(old.self().life().start() + 20_000, 0), MemberStatus.ALIVE, 1);
-        old.received(fleet.now, moved.at(), new Message(Message.Kind.PING, 1, 0, later, "", null, List.of()));
-        assertThat(old.over()).isTrue();
+        MemberUpdate later = new MemberUpdate(
+                moved, new Incarnation(old.self().incarnation().startedAtMillis() + 20_000, 0), MemberStatus.ALIVE, 1);
+        old.onMessage(fleet.now, moved.address(), new Message(Message.Kind.PING, 1, 0, later, "", null, List.of()));
+        assertThat(old.hasLeft()).isTrue();
     }
 }
--- a/src/test/java/rillyard/membership/MessageCodecTest.java
+++ b/src/test/java/rillyard/membership/MessageCodecTest.java
@@ -39,7 +39,7 @@
         Message m = message(kind);
         assertThat(MessageCodec.decode(MessageCodec.encode(m, MessageCodec.MAX_BYTES)))
                 .isEqualTo(m);
-        int words = m.news().stream().mapToInt(MessageCodec::size).sum();
+        int words = m.updates().stream().mapToInt(MessageCodec::size).sum();
         assertThat(MessageCodec.encode(m, MessageCodec.MAX_BYTES))
                 .hasSize(MessageCodec.emptySize(m.sender(), m.target(), m.targetAt() != null) + words);
     }
@@ -71,7 +71,13 @@
                         null,
                         List.of(fleet.node(2).member.self()),
                         List.of(new MemberAttribute(
-                                "m1", fleet.node(1).member.self().life().start(), 3, 1, 0, 60_000, new byte[] {1}))),
+                                "m1",
+                                fleet.node(1).member.self().incarnation().startedAtMillis(),
+                                3,
+                                1,
+                                0,
+                                60_000,
+                                new byte[] {1}))),
                 MessageCodec.MAX_BYTES);
         int read = 0;
         for (int i = 0; i < HOSTILE; i++) {
@@ -87,13 +93,13 @@
             try {
                 Message message = MessageCodec.decode(b);
                 read++;
-                node.member.received(fleet.now, message.sender().card().at(), message);
+                node.member.onMessage(fleet.now, message.sender().identity().address(), message);
             } catch (IllegalArgumentException e) {
                 assertThat(e).hasMessageNotContaining("null");
             }
         }
         assertThat(read).as("seed %d", SEED).isBetween(1, HOSTILE / 2);
-        assertThat(node.member.others()).hasSizeLessThanOrEqualTo(fleet.settings.most());
-        assertThat(node.member.self().life().incarnation()).isLessThan(Incarnation.MAX_INCARNATION);
+        assertThat(node.member.others()).hasSizeLessThanOrEqualTo(fleet.settings.maxMembers());
+        assertThat(node.member.self().incarnation().counter()).isLessThan(Incarnation.MAX_INCARNATION);
     }
 }
--- a/src/test/java/rillyard/membership/VirtualFleet.java
+++ b/src/test/java/rillyard/membership/VirtualFleet.java
@@ -50,7 +50,7 @@
         private void tick() {
             if (!dead) {
                 if (now >= stoppedUntil) {
-                    member.tick(time());
+                    member.onTick(time());
                 }
                 after(TICK * (0.9 + 0.2 * random.nextDouble()), this::tick);
             }
@@ -75,24 +75,24 @@
             if (now < node.stoppedUntil) {
                 after(node.stoppedUntil - now + 0.1, () -> deliver(to, bytes)); // it lies in its socket
             } else {
-                node.member.received(node.time(), at, shared(MessageCodec.decode(bytes)));
+                node.member.onMessage(node.time(), at, shared(MessageCodec.decode(bytes)));
             }
         }
 
         @Override
-        public void changed(MembershipEvent event) {
+        public void onMembershipEvent(MembershipEvent event) {
             if (large) {
                 deaths.addAll(
                         event.now().status() == MemberStatus.DEAD
-                                ? List.of(event.now().card().name())
+                                ? List.of(event.now().identity().name())
                                 : List.of());
                 return;
             }
             changes.add(event);
-            history.add(name + " holds " + event.now().card().name() + " "
+            history.add(name + " holds " + event.now().identity().name() + " "
                     + event.now().status() + " at " + (long) now);
             if (event.now().status() == MemberStatus.DEAD) {
-                deaths.add(event.now().card().name());
+                deaths.add(event.now().identity().name());
             }
         }
     }
@@ -125,7 +125,7 @@
     BiPredicate<String, String> links = (from, to) -> true;
 
     VirtualFleet(long seed, int members) {
-        this(seed, members, MembershipSettings.USUAL);
+        this(seed, members, MembershipSettings.DEFAULT);
     }
 
     VirtualFleet(long seed, int members, MembershipSettings settings) {
@@ -179,7 +179,7 @@
         if (!large) {
             return message;
         }
-        List<MemberUpdate> news = message.news().stream().map(this::shared).toList();
+        List<MemberUpdate> news = message.updates().stream().map(this::shared).toList();
         return new Message(
                 message.kind(),
                 message.sequence(),
@@ -188,7 +188,7 @@
                 message.target(),
                 message.targetAt(),
                 news,
-                message.facts());
+                message.attributes());
     }
 
     private MemberUpdate shared(MemberUpdate update) {
@@ -229,7 +229,7 @@
         return nodes.values().stream()
                 .filter(node -> !node.dead && !node.name.equals(name))
                 .allMatch(n -> n.member.others().stream()
-                        .anyMatch(update -> update.card().name().equals(name) && update.status() == status));
+                        .anyMatch(update -> update.identity().name().equals(name) && update.status() == status));
     }
 
     boolean agreed() {
@@ -242,7 +242,7 @@
                     if (update.status() == MemberStatus.SUSPECT) {
                         return false;
                     } else if (update.status() == MemberStatus.ALIVE) {
-                        held.add(update.card().name());
+                        held.add(update.identity().name());
                     }
                 }
                 held.add(n.name);
--- a/src/test/java/rillyard/membership/net/FleetConfigReaderTest.java
+++ b/src/test/java/rillyard/membership/net/FleetConfigReaderTest.java
@@ -23,20 +23,20 @@
     @Test
     void theFileUnderDeployIsRight() throws Exception {
         FleetConfig config = FleetConfigReader.read(Path.of("deploy/fleet.toml"), Map.of("BALANCER_NAME", "app-17"));
-        assertThat(config.card().name()).isEqualTo("app-17");
+        assertThat(config.identity().name()).isEqualTo("app-17");
         assertThat(config.seeds()).hasSize(3);
-        assertThat(config.member()).isEqualTo(rillyard.membership.MembershipSettings.USUAL);
+        assertThat(config.member()).isEqualTo(rillyard.membership.MembershipSettings.DEFAULT);
         assertThat(config.history()).isNull();
-        assertThat(config.spread()).as("news of hosts").isFalse();
+        assertThat(config.outlierGossip()).as("news of hosts").isFalse();
         assertThat(read("[self]\nlisten = \"127.0.0.1:7400\"\n[spread]\nnews = true\n")
-                        .spread())
+                        .outlierGossip())
                 .isTrue();
     }
 
     @Test
     void othersAreToldTheAddressThatIsAdvertised() throws Exception {
         FleetConfig config = read("[self]\nlisten = \"127.0.0.1:7400\"\nadvertise = \"10.9.8.7:65535\"\n");
-        assertThat(config.card().at()).hasToString("10.9.8.7:65535");
+        assertThat(config.identity().address()).hasToString("10.9.8.7:65535");
         assertThat(config.listen().getPort()).isEqualTo(7400);
     }
 
@@ -50,7 +50,7 @@
                 .hasMessageContaining("expected mode 600");
         Files.setPosixFilePermissions(key, PosixFilePermissions.fromString("rw-------"));
         assertThat(read(text).keys()).hasSize(2);
-        assertThat(read(text).member().room()).isEqualTo(256 - DatagramCipher.BYTES);
+        assertThat(read(text).member().datagramBytes()).isEqualTo(256 - DatagramCipher.BYTES);
         Files.writeString(key, "xy".repeat(32));
         assertThatThrownBy(() -> read(text)).hasMessageContaining("key_file");
     }
--- a/src/test/java/rillyard/outlier/ObservationCodecPropertiesTest.java
+++ b/src/test/java/rillyard/outlier/ObservationCodecPropertiesTest.java
@@ -33,7 +33,7 @@
         for (int i = 0; i < back.size(); i++) {
             assertThat(back.get(i).host()).isEqualTo(votes.get(i).host());
             assertThat(back.get(i).failed()).isEqualTo(votes.get(i).failed());
-            assertThat(back.get(i).age()).isBetween(age + since - ObservationCodec.AGE_STEP, age + since);
+            assertThat(back.get(i).ageMillis()).isBetween(age + since - ObservationCodec.AGE_STEP, age + since);
         }
     }
 
@@ -41,7 +41,8 @@
     void hostileBytesAreVotesInRangeOrTurnedAway(@ForAll @Size(max = 40) byte[] bytes, @ForAll double since) {
         try {
             assertThat(ObservationCodec.decode(bytes, since))
-                    .allMatch(observation -> observation.age() >= 0 && observation.age() <= HostObservation.MAX_AGE);
+                    .allMatch(observation ->
+                            observation.ageMillis() >= 0 && observation.ageMillis() <= HostObservation.MAX_AGE);
         } catch (IllegalArgumentException e) {
             assertThat(e).hasMessageStartingWith("no votes");
         }
@@ -63,9 +64,9 @@
         }
         List<Integer> positions = new ArrayList<>();
         for (String name : names) {
-            SubsetPosition position = new SubsetPlanner().lay(name, names, rates);
+            SubsetPosition position = new SubsetPlanner().update(name, names, rates);
             positions.add(position.position());
-            assertThat(position.of()).isEqualTo(n);
+            assertThat(position.proxyCount()).isEqualTo(n);
             assertThat(position.weight()).isBetween(1.0, 16.0);
         }
         assertThat(positions).doesNotHaveDuplicates().allMatch(p -> p >= 0 && p < n);
@@ -74,31 +75,31 @@
     @Test
     void aPoolStaysWhereChangesAreNotWorthNewConnections() {
         SubsetPlanner pools = new SubsetPlanner();
-        assertThat(pools.lay("m0", List.of("m0", "m1"), Map.of("m0", 2.0, "m1", 1.0))
+        assertThat(pools.update("m0", List.of("m0", "m1"), Map.of("m0", 2.0, "m1", 1.0))
                         .weight())
                 .isEqualTo(2 / 1.5);
-        assertThat(pools.lay("m0", List.of("m0", "m1"), Map.of("m0", 2.2, "m1", 1.0)))
+        assertThat(pools.update("m0", List.of("m0", "m1"), Map.of("m0", 2.2, "m1", 1.0)))
                 .isNull();
-        assertThat(pools.lay("m0", List.of("m0", "m1"), Map.of("m0", 20.0, "m1", 1.0)))
+        assertThat(pools.update("m0", List.of("m0", "m1"), Map.of("m0", 20.0, "m1", 1.0)))
                 .isNotNull();
     }
 
     @Test
     void aRateIsToldWhenItHasChangedAndNotOtherwise() {
         RequestRate rate = new RequestRate();
-        assertThat(rate.news(1e6)).isNull();
+        assertThat(rate.attributeValue(1e6)).isNull();
         double now = 1e6;
         int told = 0;
         for (int i = 0; i < 600; i++, now += 500) {
-            rate.counted(now);
-            told += rate.news(now) == null ? 0 : 1;
+            rate.onAttempt(now);
+            told += rate.attributeValue(now) == null ? 0 : 1;
         }
         assertThat(rate.now(now)).isBetween(1.8, 2.2);
         assertThat(told).isBetween(1, 4);
         for (int i = 0; i < 600; i++, now += 50) {
-            rate.counted(now);
+            rate.onAttempt(now);
         }
-        assertThat(RequestRate.read(rate.news(now))).isBetween(10.0, 22.0);
+        assertThat(RequestRate.read(rate.attributeValue(now))).isBetween(10.0, 22.0);
         assertThatThrownBy(() -> RequestRate.read(new byte[3])).hasMessageContaining("3 bytes");
     }
 }
--- a/src/test/java/rillyard/outlier/ObservationFleet.java
+++ b/src/test/java/rillyard/outlier/ObservationFleet.java
@@ -87,11 +87,11 @@
                             if (now - heard.at >= late) {
                                 others.add(heard.votes.stream()
                                         .filter(observation ->
-                                                observation.age() + now - heard.at <= HostObservation.MAX_AGE)
+                                                observation.ageMillis() + now - heard.at <= HostObservation.MAX_AGE)
                                         .map(hostObservation -> new HostObservation(
                                                 hostObservation.host(),
                                                 hostObservation.failed(),
-                                                hostObservation.age() + now - heard.at))
+                                                hostObservation.ageMillis() + now - heard.at))
                                         .toList());
                                 break;
                             }
--- a/src/test/java/rillyard/outlier/net/ObservationGossipTest.java
+++ b/src/test/java/rillyard/outlier/net/ObservationGossipTest.java
@@ -35,17 +35,17 @@
         SubsetPosition place;
 
         @Override
-        public void leave(String host, double wait) {
+        public void eject(String host, double wait) {
             left.add(host);
         }
 
         @Override
-        public void comeBack(String host, double wait) {
+        public void readmit(String host, double wait) {
             back.add(host);
         }
 
         @Override
-        public void place(SubsetPosition position) {
+        public void moveSubset(SubsetPosition position) {
             place = position;
         }
 
@@ -102,38 +102,38 @@
     @Test
     void whoSawNothingLeavesTheHostThatThreeOthersSawFailAndComesBackWithThem() throws Exception {
         start(5);
-        while (!members.stream().allMatch(member -> member.known().present().size() == 5)) {
+        while (!members.stream().allMatch(member -> member.snapshot().present().size() == 5)) {
             stepAll();
         }
         while (heeded.get(4).left.isEmpty()) {
             for (int i = 0; i < 3; i++) {
-                news.get(i).ended("a", AttemptOutcome.ERROR, now());
-                news.get(i).ended("b", AttemptOutcome.OK, now());
-                news.get(i).ended("stranger", AttemptOutcome.ERROR, now());
+                news.get(i).onAttemptEnded("a", AttemptOutcome.ERROR, now());
+                news.get(i).onAttemptEnded("b", AttemptOutcome.OK, now());
+                news.get(i).onAttemptEnded("stranger", AttemptOutcome.ERROR, now());
             }
-            news.get(3).ended("a", AttemptOutcome.FULL, now()); // tells nothing
+            news.get(3).onAttemptEnded("a", AttemptOutcome.FULL, now()); // tells nothing
             stepAll();
         }
         assertThat(heeded.get(4).left).containsOnly("a");
         while (heeded.get(4).back.isEmpty()) {
-            news.get(0).ended("a", AttemptOutcome.OK, now());
-            news.get(1).ended("a", AttemptOutcome.OK, now());
+            news.get(0).onAttemptEnded("a", AttemptOutcome.OK, now());
+            news.get(1).onAttemptEnded("a", AttemptOutcome.OK, now());
             stepAll();
         }
         assertThat(heeded.get(4).back).containsOnly("a");
         assertThat(heeded.stream().flatMap(h -> h.left.stream())).containsOnly("a");
         while (heeded.get(0).place.weight() <= 1) {
-            news.get(0).ended("a", AttemptOutcome.OK, now()); // the only one that sends still
+            news.get(0).onAttemptEnded("a", AttemptOutcome.OK, now()); // the only one that sends still
             stepAll();
         }
-        assertThat(heeded.get(0).place.of()).isEqualTo(5);
+        assertThat(heeded.get(0).place.proxyCount()).isEqualTo(5);
     }
 
     @Test
     void whatCantBeReadIsToldOnceAndPassedOver() throws Exception {
         start(2);
         while (heeded.get(0).lines.stream().noneMatch(l -> l.contains("p1 says what can't be read"))) {
-            members.get(1).say(ObservationGossip.FIRST_KIND, new byte[] {1, 2, 3}, 60_000, true);
+            members.get(1).setAttribute(ObservationGossip.FIRST_KIND, new byte[] {1, 2, 3}, 60_000, true);
             stepAll();
         }
         stepAll();
@@ -145,16 +145,16 @@
     @Test
     void aMemberThatHasLeftSaysNothingMoreAndWhatItHeldGetsOlder() throws Exception {
         start(1);
-        members.get(0).say(ObservationGossip.RATE, new byte[] {0, 0, 0, 0}, 60_000, true);
-        while (members.get(0).known().facts(ObservationGossip.RATE).isEmpty()) {
+        members.get(0).setAttribute(ObservationGossip.RATE, new byte[] {0, 0, 0, 0}, 60_000, true);
+        while (members.get(0).snapshot().attributes(ObservationGossip.RATE).isEmpty()) {
             stepAll();
         }
         FleetMember ended = members.remove(0);
         ended.close();
-        FleetMember.FleetSnapshot known = ended.known();
-        MemberAttribute fact = known.facts(ObservationGossip.RATE).get("p0");
+        FleetMember.FleetSnapshot known = ended.snapshot();
+        MemberAttribute fact = known.attributes(ObservationGossip.RATE).get("p0");
         double age = known.age(fact);
-        news.get(0).ended("a", AttemptOutcome.ERROR, now());
+        news.get(0).onAttemptEnded("a", AttemptOutcome.ERROR, now());
         stepAll(); // while the proxy beside it drains
         assertThat(known.age(fact)).isGreaterThan(age);
     }
--- a/src/test/java/rillyard/proxy/AdminEndpointTest.java
+++ b/src/test/java/rillyard/proxy/AdminEndpointTest.java
@@ -21,13 +21,13 @@
 
     private ProxyFixture rig(String... servers) throws Exception {
         ProxyFixture rig = new ProxyFixture(config -> config.put("operator", "127.0.0.1:0"), servers);
-        rig.proxy.operate(Map.of("TMPDIR", tmp.toString()));
-        rig.proxy.ready();
+        rig.proxy.startAdmin(Map.of("TMPDIR", tmp.toString()));
+        rig.proxy.onReady();
         return rig;
     }
 
     private static TestPeer.Message call(ProxyFixture rig, String what, String body) throws Exception {
-        try (TestPeer peer = TestPeer.connect(rig.proxy.operatorAddress().getPort())) {
+        try (TestPeer peer = TestPeer.connect(rig.proxy.adminAddress().getPort())) {
             peer.write(what + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             return peer.read();
         }
@@ -149,7 +149,7 @@
         List<TestPeer> silent = new ArrayList<>();
         try (ProxyFixture rig = rig()) {
             for (int i = 0; i < 40; i++) {
-                TestPeer peer = TestPeer.connect(rig.proxy.operatorAddress().getPort());
+                TestPeer peer = TestPeer.connect(rig.proxy.adminAddress().getPort());
                 peer.write("GET /_vars HT");
                 silent.add(peer);
             }
--- a/src/test/java/rillyard/proxy/ClientConnectionTest.java
+++ b/src/test/java/rillyard/proxy/ClientConnectionTest.java
@@ -107,7 +107,10 @@
                 assertThat(late.read().status()).isEqualTo(503);
                 try (TestPeer idle = rig.client()) {
                     rig.proxy.awaitEnd();
-                    assertThat(rig.proxy.loop().submit(rig.proxy::clients).get())
+                    assertThat(rig.proxy
+                                    .loop()
+                                    .submit(rig.proxy::clientConnections)
+                                    .get())
                             .isZero();
                     assertThat(idle.read()).isNull();
                 }
@@ -313,7 +316,8 @@
                 peer.write(ProxyFixture.get("read", 60_000));
                 assertThat(peer.read().status()).isEqualTo(200);
             }
-            int open = rig.proxy.loop().submit(() -> rig.proxy.clients()).get();
+            int open =
+                    rig.proxy.loop().submit(() -> rig.proxy.clientConnections()).get();
             assertThat(open).isLessThanOrEqualTo(41); // a quarter, and the one that came last
         } finally {
             for (TestPeer testPeer : kept) {
--- a/src/test/java/rillyard/proxy/ConnectionEndTest.java
+++ b/src/test/java/rillyard/proxy/ConnectionEndTest.java
@@ -40,7 +40,7 @@
     }
 
     private static void awaitRequests(ProxyFixture rig, int n) throws Exception {
-        await(rig, () -> rig.proxy.requests() == n);
+        await(rig, () -> rig.proxy.openRequests() == n);
     }
 
     /** Ends the watch and waits for the next, so that all that was told before has been applied. */
@@ -162,7 +162,7 @@
                     + ProxyFixture.post("claim", 20_000, "", "behind"));
             assertThat(client.read().text()).isEqualTo("last");
             assertThat(client.read()).isNull();
-            await(rig, () -> rig.proxy.clients() == 0);
+            await(rig, () -> rig.proxy.clientConnections() == 0);
             assertThat(host.requests).extracting(TestPeer.Message::text).containsExactly("last");
         }
     }
@@ -228,7 +228,7 @@
                 TestPeer client = rig.client()) {
             client.write(ProxyFixture.post("claim", 20_000, "", "first"));
             host.request();
-            await(rig, () -> rig.proxy.requests() == 0);
+            await(rig, () -> rig.proxy.openRequests() == 0);
             // The answer lies unread at its client while others take its place.
             TestPeer[] more = new TestPeer[40];
             for (int i = 0; i < more.length; i++) {
--- a/src/test/java/rillyard/proxy/HotRestartIT.java
+++ b/src/test/java/rillyard/proxy/HotRestartIT.java
@@ -160,7 +160,7 @@
                     while (server.requests.isEmpty()) {
                         load.awaitServed(1);
                     }
-                    assertThat(next.process().alive()).isTrue();
+                    assertThat(next.process().isAlive()).isTrue();
                 }
             }
         }
--- a/src/test/java/rillyard/proxy/ProxyTraceTest.java
+++ b/src/test/java/rillyard/proxy/ProxyTraceTest.java
@@ -37,17 +37,18 @@
                     .isEqualTo(503);
             List<TraceEvent> told = lines(rig);
             assertThat(told)
-                    .extracting(TraceEvent::what)
+                    .extracting(TraceEvent::kind)
                     .startsWith(Kind.STARTED)
                     .contains(Kind.LIST, Kind.CONNECTED, Kind.ATTEMPT, Kind.REFUSED);
             assertThat(told)
-                    .filteredOn(event -> event.what() == Kind.ATTEMPT)
+                    .filteredOn(event -> event.kind() == Kind.ATTEMPT)
                     .isNotEmpty()
-                    .allMatch(traceEvent ->
-                            traceEvent.host().equals("a") && traceEvent.how().equals("FULL") && traceEvent.cold());
+                    .allMatch(traceEvent -> traceEvent.host().equals("a")
+                            && traceEvent.detail().equals("FULL")
+                            && traceEvent.warmingUp());
             assertThat(told)
-                    .filteredOn(t -> t.what() == Kind.REFUSED)
-                    .extracting(TraceEvent::how)
+                    .filteredOn(t -> t.kind() == Kind.REFUSED)
+                    .extracting(TraceEvent::detail)
                     .containsExactly("FULL");
         }
     }
--- a/src/test/java/rillyard/proxy/RestartIT.java
+++ b/src/test/java/rillyard/proxy/RestartIT.java
@@ -46,7 +46,7 @@
     void aTermDuringTheStartEndsItInOrder(String mark) throws Exception {
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
                 ProxyProcess proxy = launch(silent, ProxyFixture.server("a", ProxyFixture.freePort()))) {
-            while (!log().contains("mark " + mark + " ") && proxy.process().alive()) {
+            while (!log().contains("mark " + mark + " ") && proxy.process().isAlive()) {
                 Thread.sleep(1);
             }
             proxy.process().terminate();
--- a/src/test/java/rillyard/proxy/StreamingBodyTest.java
+++ b/src/test/java/rillyard/proxy/StreamingBodyTest.java
@@ -337,6 +337,6 @@
     }
 
     private static String figures(ProxyFixture rig) {
-        return rig.proxy.figures().text();
+        return rig.proxy.metrics().text();
     }
 }
--- a/src/test/java/rillyard/proxy/eventloop/PeekableSocketChannelTest.java
+++ b/src/test/java/rillyard/proxy/eventloop/PeekableSocketChannelTest.java
@@ -36,10 +36,10 @@
                 channel.writeAndFlush(Unpooled.copiedBuffer("answer\n", CharsetUtil.US_ASCII))
                         .sync();
                 peer.write("a request that crosses the close");
-                while (channel.eventLoop().submit(channel::quiet).get()) {
+                while (channel.eventLoop().submit(channel::hasNothingToRead).get()) {
                     Thread.onSpinWait(); // until its first bytes are there; asking takes one of them
                 }
-                channel.eventLoop().submit(channel::endSending).sync();
+                channel.eventLoop().submit(channel::shutdownOutputAndDrain).sync();
                 channel.closeFuture().sync();
                 assertThat(peer.readLine()).isEqualTo("answer");
                 assertThat(peer.readLine()).isNull(); // a reset throws
--- a/src/test/java/rillyard/scheduling/VirtualScheduler.java
+++ b/src/test/java/rillyard/scheduling/VirtualScheduler.java
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public ScheduledTask at(long at, Runnable what) {
+    public ScheduledTask scheduleAt(long at, Runnable what) {
         Due d = new Due(Math.max(now, at), order++, what);
         due.add(d);
         return d;
--- a/src/test/java/rillyard/testserver/TestClusterPlanReaderTest.java
+++ b/src/test/java/rillyard/testserver/TestClusterPlanReaderTest.java
@@ -60,7 +60,7 @@
                 host = "s-99"
                 """,
                         4));
-        assertThat(exception.findings()).extracting(ConfigProblem::line).containsExactly(2, 4, 5, 6, 8);
+        assertThat(exception.problems()).extracting(ConfigProblem::line).containsExactly(2, 4, 5, 6, 8);
         assertThat(exception.getMessage())
                 .contains("t.toml:2: hosts.coers: unknown key; did you mean 'cores'?")
                 .contains("t.toml:8: fault[0].host: there is no host 's-99'");
--- a/src/test/java/rillyard/testserver/TestClusterTest.java
+++ b/src/test/java/rillyard/testserver/TestClusterTest.java
@@ -340,7 +340,7 @@
         for (int i = 0; i < lines.size(); i++) {
             if (lines.get(i) instanceof HostEvent event
                     && event.host().equals("discovery")
-                    && event.what() == HostEvent.Kind.FAULT_ENDED) {
+                    && event.kind() == HostEvent.Kind.FAULT_ENDED) {
                 ends = i;
             } else if (lines.get(i) instanceof WatchNotification notification
                     && notification.watcher() > 0
@@ -373,8 +373,8 @@
             assertThat(list.path("servers")).hasSize(2);
         }
         assertThat(ledger(HostEvent.class))
-                .filteredOn(event -> event.host().equals("s-1") && event.what() == HostEvent.Kind.STARTED)
-                .extracting(HostEvent::cold)
+                .filteredOn(event -> event.host().equals("s-1") && event.kind() == HostEvent.Kind.STARTED)
+                .extracting(HostEvent::startsCold)
                 .containsExactly(false, true);
     }
 
--- a/src/test/java/rillyard/trace/TraceEventTest.java
+++ b/src/test/java/rillyard/trace/TraceEventTest.java
@@ -40,18 +40,18 @@
     void aTraceSaysWhatWasDone() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         ProxyTrace trace = new ProxyTrace(new PrintStream(bytes, true, StandardCharsets.UTF_8));
-        trace.did(Kind.CONNECTED, "s-1");
-        trace.attempt("s-1", Kind.LIST, 11.6, true); // any enum's name does
-        trace.ended(Kind.REFUSED, null);
+        trace.record(Kind.CONNECTED, "s-1");
+        trace.recordAttempt("s-1", Kind.LIST, 11.6, true); // any enum's name does
+        trace.recordRejection(Kind.REFUSED, null);
         List<TraceEvent> lines = bytes.toString(StandardCharsets.UTF_8)
                 .lines()
                 .map(TraceEvent::read)
                 .toList();
         assertThat(lines)
-                .extracting(TraceEvent::what)
+                .extracting(TraceEvent::kind)
                 .containsExactly(Kind.STARTED, Kind.CONNECTED, Kind.ATTEMPT, Kind.REFUSED);
-        assertThat(lines.get(2).spent()).isEqualTo(12);
-        assertThat(lines.get(2).cold()).isTrue();
-        assertThat(lines.get(3).how()).isEqualTo(TraceEvent.NONE);
+        assertThat(lines.get(2).durationMs()).isEqualTo(12);
+        assertThat(lines.get(2).warmingUp()).isTrue();
+        assertThat(lines.get(3).detail()).isEqualTo(TraceEvent.NONE);
     }
 }
