--- /dev/null
+++ b/src/main/java/rillyard/package-info.java
@@ -0,0 +1,2 @@
+/** The entry point of the jar; see {@code docs/ARCHITECTURE.md} for the packages below it. */
+package rillyard;
--- a/src/main/java/rillyard/proxy/ClientProxy.java
+++ b/src/main/java/rillyard/proxy/ClientProxy.java
@@ -219,7 +219,7 @@
         try {
             ProxyAdmin admin = new ProxyAdmin(ProxyAdmin.folder(env, config), loop, listener, driver, log);
             adminAddress = admin.start(config.adminAddress());
-            admin = admin;
+            this.admin = admin;
         } catch (Exception e) {
             throw new ConfigException("can't listen for operators on " + config.adminAddress() + ": " + e);
         }
