--- a/src/main/java/rillyard/balancer/Balancer.java
+++ b/src/main/java/rillyard/balancer/Balancer.java
@@ -6,260 +6,279 @@
 import java.util.SplittableRandom;
 
 /**
- * The decisions of one client proxy. Feed it events with a clock in ms that never goes back; it
- * answers through {@link BalancerActions}. Not safe for use from several threads at once.
+ * The decisions of one client proxy: which host gets an attempt, when to retry, to hedge, to reject. It is fed events with
+ * the time in ms, from a clock that never goes back, and answers through {@link BalancerActions}. Not thread-safe.
  */
 public final class Balancer {
-    private static final long FOLLOW_TIMER = -1;
+    private static final long SUBSCRIBE_TOKEN = -1;
 
     private final Settings settings;
     private final BalancerActions actions;
     private final SplittableRandom random;
-    private final HostSet fleet;
-    private final OutlierDetector health;
-    private final RetryPolicy attempts;
+    private final HostSet hosts;
+    private final LoadEstimator load;
+    private final OutlierDetector outliers;
+    private final RetryPolicy retryPolicy;
+    private final RetryBudget retryBudget = new RetryBudget();
     private final AdmissionController admission;
-    private final HostSelector draw;
-    private final Map<String, RetryPolicy.RequestClassStats> classes = new HashMap<>();
-    private final Map<Long, RetryPolicy.RequestState> calls = new HashMap<>();
-    private double followBackoff = Tuning.FOLLOW_BACKOFF;
-    private boolean followTimer;
+    private final TenantQuotas quotas;
+    private final HostSelector selector;
+    private final Map<String, RequestClassStats> classes = new HashMap<>();
+    private final Map<Long, RequestState> requests = new HashMap<>();
+    private double subscribeBackoff = Tuning.BASE_SUBSCRIBE_BACKOFF_MILLIS;
+    private boolean subscribePending;
 
-    /** Creates an instance that knows no host yet. */
+    /** Creates a balancer that knows no host yet; with the same seed and events it takes the same actions. */
     public Balancer(Settings settings, long seed, BalancerActions actions) {
         this.settings = settings;
         this.actions = actions;
         this.random = new SplittableRandom(seed);
-        this.fleet = new HostSet(settings);
-        this.health = new OutlierDetector(fleet, settings.meanLatencyObjective(), random, actions);
-        this.attempts = new RetryPolicy(settings.limits());
+        this.hosts = new HostSet(settings);
+        this.load = new LoadEstimator(settings);
+        this.outliers = new OutlierDetector(hosts, settings.meanLatencyObjective(), random, actions);
+        this.retryPolicy = new RetryPolicy(settings.limits());
         this.admission = new AdmissionController(settings, random, actions);
-        this.draw = new HostSelector(settings, fleet, health, attempts, admission, random);
-        settings.classes().forEach(c -> classes.put(c.name(), new RetryPolicy.RequestClassStats(c)));
+        this.quotas = new TenantQuotas(settings.tenants(), settings.overQuotaWeight());
+        this.selector = new HostSelector(settings, hosts, load, outliers, retryPolicy, admission, random);
+        settings.classes().forEach(each -> classes.put(each.name(), new RequestClassStats(each)));
     }
 
-    /** Called once after creation, when actions may be taken. */
+    /** Starts the balancer: called once, before any other event. */
     public void onStart(double now) {
         if (settings.mustSubscribe()) {
             actions.subscribe();
         }
     }
 
-    /** News from discovery. */
-    public void onWatchEvent(double now, WatchEvent kind, List<EndpointEntry> entries) {
-        fleet.apply(now, kind, entries, random);
-        if (kind == WatchEvent.FAILED && settings.mustSubscribe() && !followTimer) {
-            // Discovery is scarce: wait longer each time, at chance, but never past what a change allows.
-            followTimer = true;
-            actions.scheduleTimer(followBackoff * (0.5 + random.nextDouble()), FOLLOW_TIMER);
-            followBackoff = Math.min(2 * followBackoff, settings.rules().pollInterval(Tuning.FOLLOW_MOST));
-        } else if (kind == WatchEvent.DELTA || kind == WatchEvent.FULL) {
-            followBackoff = Tuning.FOLLOW_BACKOFF;
+    /** Applies an event of the watch on the endpoint list; {@code entries} is ignored if it is a failure. */
+    public void onWatchEvent(double now, WatchEvent event, List<EndpointEntry> entries) {
+        hosts.apply(now, event, entries, random);
+        if (event == WatchEvent.FAILED && settings.mustSubscribe() && !subscribePending) {
+            // Discovery may be overloaded: backs off with jitter, but never past what a change of the list allows.
+            subscribePending = true;
+            actions.scheduleTimer(subscribeBackoff * (0.5 + random.nextDouble()), SUBSCRIBE_TOKEN);
+            double most = settings.rules().pollInterval(Tuning.MAX_SUBSCRIBE_BACKOFF_MILLIS);
+            subscribeBackoff = Math.min(2 * subscribeBackoff, most);
+        } else if (event == WatchEvent.DELTA || event == WatchEvent.FULL) {
+            subscribeBackoff = Tuning.BASE_SUBSCRIBE_BACKOFF_MILLIS;
         }
     }
 
-    /** Listed hosts that get no request as a matter of course: not ready, or ejected. */
+    /** Returns the number of listed hosts that get no requests in the ordinary way: not ready, or ejected. */
     public int avoidedHostCount() {
-        return fleet.avoided();
+        return hosts.avoidedHostCount();
     }
 
-    /** Proxies that speak to each other have left a host, or take it back; it may be tried in {@code wait} ms. */
-    public void onFleetEjection(double now, long host, boolean left, double wait) {
-        health.heed(fleet.get(host), left, now + wait);
+    /** Applies the fleet's decision to eject a host or to take it back; it may be probed in {@code probeAfter} ms. */
+    public void onFleetEjection(double now, long hostId, boolean ejected, double probeAfter) {
+        HostState host = hosts.get(hostId);
+        if (host != null) {
+            outliers.onFleetEjection(host, ejected, now + probeAfter);
+        }
     }
 
-    /** From here on this proxy draws from a pool laid there, instead of where the settings have it. */
-    public void onSubsetPosition(SubsetPosition place) {
-        draw.place(place);
+    /** Moves this proxy's subset to another position than the settings' one. */
+    public void onSubsetPosition(SubsetPosition position) {
+        selector.moveSubset(position);
     }
 
-    /** A request that came with an infinite budget is whole: {@code budget} ms are left of its time. */
-    public void onRequestComplete(double now, long request, double budget) {
-        RetryPolicy.RequestState c = calls.get(request);
-        if (c != null) {
-            c.deadline = now + budget;
-            c.attempts.forEach(a -> a.sentAt = Math.min(a.sentAt, now));
+    /** Records that a request which arrived with infinite time is complete; {@code remainingTime} ms are left for it. */
+    public void onRequestComplete(double now, long requestId, double remainingTime) {
+        RequestState request = requests.get(requestId);
+        if (request != null) {
+            request.complete(now, remainingTime);
         }
     }
 
-    /** A client's request has come, or so much of it that the rest has to follow it to a host. */
-    public void onRequest(double now, IncomingRequest arrival) {
-        RetryPolicy.RequestClassStats type = classes.computeIfAbsent(arrival.requestClass(), n -> unknown(n, arrival));
-        RetryPolicy.RequestState c = new RetryPolicy.RequestState(arrival.id(), type, now, arrival.remainingTime());
-        admission.arrived(now, type.rules, arrival.tenant());
-        c.standing = admission.standing(arrival.tenant());
-        attempts.earnRetry();
-        calls.put(c.id, c);
-        if (admission.refuses(now, c)) {
-            admission.ended(false);
-            conclude(c, now);
+    /** Handles a client's request that is complete, or of which so much has come that the rest must be streamed. */
+    public void onRequest(double now, IncomingRequest incoming) {
+        RequestClassStats requestClass = classes.computeIfAbsent(
+                incoming.requestClass(), name -> strictestClass(name, incoming.remainingTime()));
+        admission.onRequest(now, requestClass.settings());
+        double weight = quotas.onRequest(now, incoming.tenant());
+        RequestState request = new RequestState(incoming.id(), requestClass, now, incoming.remainingTime(), weight);
+        retryBudget.onRequest();
+        requests.put(request.id(), request);
+        if (admission.sheds(now, request)) {
+            admission.onEnded(false);
+            conclude(request, now);
         } else {
-            begin(c, now);
+            startAttempt(request, now);
         }
     }
 
-    /** A class that the settings do not name: taken for the strictest kind. */
-    private static RetryPolicy.RequestClassStats unknown(String name, IncomingRequest a) {
-        double budget = Math.max(1, a.remainingTime());
-        return new RetryPolicy.RequestClassStats(new Settings.RequestClass(
-                name, budget, budget, Settings.Semantics.AT_MOST_ONCE, Settings.Scope.ALL, 0, 1, 0));
+    /** Returns a class that the settings do not name: nothing is assumed to be repeatable. */
+    private static RequestClassStats strictestClass(String name, double remainingTime) {
+        double deadline = Math.max(1, remainingTime);
+        return new RequestClassStats(new Settings.RequestClass(
+                name, deadline, deadline, Settings.Semantics.AT_MOST_ONCE, Settings.Scope.ALL, 0, 1, 0));
     }
 
-    /** An attempt has ended. {@code over} tells that the request is over with it or before. */
-    public void onAttemptOutcome(
-            double now, long request, int number, AttemptOutcome result, double spent, boolean over, LoadReport load) {
-        RetryPolicy.RequestState c = calls.get(request);
-        if (c == null || number < 0 || number >= c.attempts.size() || !c.attempts.get(number).open) {
+    /** Handles the end of an attempt. One that is not known, or has ended already, is ignored. */
+    public void onAttemptEnded(double now, long requestId, AttemptResult result) {
+        RequestState request = requests.get(requestId);
+        AttemptState attempt = request == null ? null : request.openAttempt(result.attempt());
+        if (attempt == null) {
             return;
         }
-        RetryPolicy.AttemptState a = c.attempts.get(number);
-        attempts.finish(a, result);
-        admission.inFlight(now, -1);
-        fleet.reported(a.host, now, load, result != AttemptOutcome.FULL);
-        learn(a, result, now, spent, c);
-        if (over && !c.ended) {
-            cancelAll(c);
-        } else if (!c.ended) {
-            again(c, now);
+        attempt.end(result.outcome());
+        admission.onInFlightChange(now, -1);
+        // A host that rejects requests is idle, which tells nothing of the others.
+        load.onReport(attempt.host(), now, result.report(), result.outcome() != AttemptOutcome.REJECTED);
+        learn(attempt, result, now);
+        if (result.requestEnded() && !request.isEnded()) {
+            endAndCancelAttempts(request);
+        } else if (!request.isEnded()) {
+            retry(request, now);
         }
-        forgetIfDone(c);
+        forgetIfDone(request);
     }
 
-    private void learn(
-            RetryPolicy.AttemptState a, AttemptOutcome result, double now, double spent, RetryPolicy.RequestState c) {
-        RetryPolicy.RequestClassStats type = c.type;
-        admission.ended(result == AttemptOutcome.OK);
-        if (result == AttemptOutcome.OK || result == AttemptOutcome.TIMEOUT || result == AttemptOutcome.RESET) {
-            health.ended(a.host, type, now, result != AttemptOutcome.OK); // errors are charged, and known at once
+    private void learn(AttemptState attempt, AttemptResult result, double now) {
+        HostState host = attempt.host();
+        admission.onEnded(result.outcome() == AttemptOutcome.OK);
+        if (result.outcome() == AttemptOutcome.TIMEOUT || result.outcome() == AttemptOutcome.RESET) {
+            outliers.onAttemptEnded(host, attempt.requestClass(), now, true);
         }
-        switch (result) {
-            case OK -> {
-                health.succeeded(a.host, now);
-                a.host.newestAnswered = Math.max(a.host.newestAnswered, a.sentAt);
-                fleet.answered(a.host, now, spent / Math.max(0.1, type.meanAnswer));
-                type.answered(spent);
-                fleet.queued(a.host, a.heldBefore, spent);
-                admission.answered(now, spent / type.rules.latencyObjective(), false);
-            }
-            case ERROR -> health.failed(a.host, now, true);
-            case FULL -> {
-                // Guards against a jam that spreads: a full host is busy, not broken.
-                health.crowded(a.host, now);
-                admission.answered(now, 0, true);
+        switch (result.outcome()) {
+            case OK -> learnFromAnswer(attempt, now, result.latency());
+            case ERROR -> outliers.onFailure(host, now, true);
+            case REJECTED -> {
+                outliers.onRejection(host, now);
+                admission.onNoAnswer(now);
             }
             case TIMEOUT -> {
-                if (!health.overtaken(a)) {
-                    health.failed(a.host, now, false);
-                    admission.answered(now, 0, true);
+                if (!OutlierDetector.isOvertaken(attempt)) {
+                    outliers.onFailure(host, now, false);
+                    admission.onNoAnswer(now);
                 }
             }
-            case RESET, CONNECT_FAILED -> health.failed(a.host, now, false);
-            case CANCELLED, MOOT -> {}
+            case RESET, CONNECT_FAILED -> outliers.onFailure(host, now, false);
+            default -> {} // cancelled or not sent: tells nothing of the host
         }
     }
 
-    private void again(RetryPolicy.RequestState c, double now) {
-        if (c.open > 0) {
-            return; // another attempt may still answer
+    private void learnFromAnswer(AttemptState attempt, double now, double latency) {
+        HostState host = attempt.host();
+        RequestClassStats requestClass = attempt.requestClass();
+        outliers.onAttemptEnded(host, requestClass, now, false);
+        outliers.onSuccess(host, now);
+        host.attemptAnswered(attempt);
+        load.onAnswer(host, now, latency / Math.max(0.1, requestClass.meanLatency()));
+        requestClass.onAnswer(latency);
+        load.onQueuedAnswer(host, attempt.outstandingAtSend(), latency);
+        admission.onAnswer(now, latency / requestClass.settings().latencyObjective());
+    }
+
+    private void retry(RequestState request, double now) {
+        if (request.openAttempts() > 0) {
+            return; // another attempt may still be answered
         }
-        if (now < c.deadline - Tuning.LAST_SEND && !admission.jammed(now) && attempts.takeRetry()) {
-            begin(c, now);
+        boolean hasTime = now < request.deadline() - Tuning.MIN_REMAINING_MILLIS;
+        if (hasTime && !admission.isOverloaded(now) && retryBudget.tryTake()) {
+            startAttempt(request, now);
         } else {
-            conclude(c, now);
+            conclude(request, now);
         }
     }
 
-    /** The client has gone; attempts that are out still get their outcome. */
-    public void onClientDisconnected(double now, long request) {
-        RetryPolicy.RequestState c = calls.get(request);
-        if (c != null && !c.ended) {
-            cancelAll(c);
-            forgetIfDone(c);
+    /** Ends a request whose client has gone; attempts in flight still get their outcome. */
+    public void onClientDisconnected(double now, long requestId) {
+        RequestState request = requests.get(requestId);
+        if (request != null && !request.isEnded()) {
+            endAndCancelAttempts(request);
+            forgetIfDone(request);
         }
     }
 
-    /** A timer has come due. */
+    /** Handles a timer asked for by {@link BalancerActions#scheduleTimer}. */
     public void onTimer(double now, long token) {
-        if (token == FOLLOW_TIMER) {
-            followTimer = false;
+        if (token == SUBSCRIBE_TOKEN) {
+            subscribePending = false;
             actions.subscribe();
             return;
         }
-        RetryPolicy.RequestState c = calls.get(token);
-        if (c != null && !c.ended && c.open > 0) {
-            overdue(c, now);
+        RequestState request = requests.get(token);
+        if (request != null && !request.isEnded() && request.openAttempts() > 0) {
+            hedge(request, now);
         }
     }
 
-    /** The last attempt is overdue: a second copy, or where only one may be out, another in place. */
-    private void overdue(RetryPolicy.RequestState c, double now) {
-        // Guards against copies of costly requests feeding a jam: only silence earns a second copy.
-        RetryPolicy.AttemptState last = c.attempts.get(c.attempts.size() - 1);
-        if (now >= c.deadline - Tuning.LAST_SEND
-                || admission.pressure(now) > Tuning.REFUSE_FROM
-                || !(health.overtaken(last) || health.silent(last.host, now, 0.99 * c.type.overdueAfter()))) {
-            return;
+    /** Hedges an overdue request; where only one attempt may be in flight, cancels it so that a retry can follow. */
+    private void hedge(RequestState request, double now) {
+        AttemptState last = request.attempts().get(request.attempts().size() - 1);
+        double overdueAfter = 0.99 * last.requestClass().overdueAfter();
+        if (now >= request.deadline() - Tuning.MIN_REMAINING_MILLIS
+                || admission.pressure(now) > Tuning.SHED_PRESSURE
+                || !(OutlierDetector.isOvertaken(last) || outliers.isUnresponsive(last.host(), now, overdueAfter))) {
+            return; // copies of requests that merely take long would feed an overload
         }
         if (settings.limits().mayRunParallelAttempts()) {
-            HostState h = attempts.takeRetry() ? draw.pick(c, now) : null;
-            if (h != null) {
-                send(c, h, now);
+            HostState host = retryBudget.tryTake() ? selector.select(request, now) : null;
+            if (host != null) {
+                send(request, host, now);
             }
-        } else if (settings.limits().mayCancel() && !last.cancelled) {
-            last.cancelled = true;
-            actions.cancel(c.id, last.number);
+        } else if (settings.limits().mayCancel() && !last.isCancelled()) {
+            cancel(last);
         }
     }
 
-    private void begin(RetryPolicy.RequestState c, double now) {
-        // Guards against a jam: where no host can answer in time, no work is begun.
-        c.patience = Tuning.REFUSE_AT * Math.max(0, c.aimLeft) * Math.max(Tuning.LEAST_STANDING, c.standing);
-        HostState h = draw.pick(c, now);
-        if (h == null) {
-            conclude(c, now);
+    private void startAttempt(RequestState request, double now) {
+        // Under overload: no work is begun that no host can finish in time.
+        request.limitExpectedLatency(Tuning.MAX_WAIT_FRACTION
+                * Math.max(0, request.remainingObjective())
+                * Math.max(Tuning.MIN_QUOTA_WAIT_WEIGHT, request.quotaWeight()));
+        HostState host = selector.select(request, now);
+        if (host == null) {
+            conclude(request, now);
         } else {
-            send(c, h, now);
+            send(request, host, now);
         }
     }
 
-    private void send(RetryPolicy.RequestState c, HostState h, double now) {
-        boolean told = now - h.reportAt <= Tuning.REPORT_FRESH;
-        double held = told ? h.report.outstanding() + h.sentSinceReport : Double.NaN;
-        double notAfter = attempts.notAfter(c);
-        attempts.start(c, h, now).heldBefore = held;
-        admission.inFlight(now, 1);
-        actions.send(c.id, h.id, 0, notAfter);
-        double due = c.type.overdueAfter() * Math.max(1, fleet.slowness(h, now));
-        if (c.type.repeatable() && now + due < c.deadline && c.attempts.size() < 3) {
-            actions.scheduleTimer(due, c.id);
+    private void send(RequestState request, HostState host, double now) {
+        double notAfter = retryPolicy.notAfter(request);
+        retryPolicy.start(request, host, now, load.outstandingNow(host, now));
+        admission.onInFlightChange(now, 1);
+        actions.send(request.id(), host.id(), 0, notAfter);
+        RequestClassStats requestClass = request.requestClass();
+        double overdueAfter = requestClass.overdueAfter() * Math.max(1, load.slowness(host, now));
+        if (requestClass.isRepeatable()
+                && now + overdueAfter < request.deadline()
+                && request.attempts().size() < 3) {
+            actions.scheduleTimer(overdueAfter, request.id());
         }
     }
 
-    /** The final answer, where no attempt can bring it any more. */
-    private void conclude(RetryPolicy.RequestState c, double now) {
-        if (attempts.allowed(c, null, now)) {
-            admission.turnedAway(now, c);
-            actions.reject(c.id, 0);
+    /** Gives the final answer, where no attempt can bring it any more. */
+    private void conclude(RequestState request, double now) {
+        if (retryPolicy.permits(request, null, now)) {
+            admission.onRejected(now, request);
+            actions.reject(request.id(), 0);
         } else {
-            actions.fail(c.id);
+            actions.fail(request.id());
         }
-        c.ended = true;
-        forgetIfDone(c);
+        request.end();
+        forgetIfDone(request);
     }
 
-    private void cancelAll(RetryPolicy.RequestState c) {
-        c.ended = true;
-        for (RetryPolicy.AttemptState a : c.attempts) {
-            if (a.open && !a.cancelled && settings.limits().mayCancel()) {
-                a.cancelled = true;
-                actions.cancel(c.id, a.number);
+    private void endAndCancelAttempts(RequestState request) {
+        request.end();
+        for (AttemptState attempt : request.attempts()) {
+            if (attempt.isOpen() && !attempt.isCancelled() && settings.limits().mayCancel()) {
+                cancel(attempt);
             }
         }
     }
 
-    private void forgetIfDone(RetryPolicy.RequestState c) {
-        if (c.ended && c.open == 0) {
-            calls.remove(c.id);
+    private void cancel(AttemptState attempt) {
+        attempt.cancel();
+        actions.cancel(attempt.request().id(), attempt.number());
+    }
+
+    private void forgetIfDone(RequestState request) {
+        if (request.isEnded() && request.openAttempts() == 0) {
+            requests.remove(request.id());
         }
     }
 }
--- a/src/main/java/rillyard/balancer/BalancerActions.java
+++ b/src/main/java/rillyard/balancer/BalancerActions.java
@@ -1,31 +1,35 @@
 package rillyard.balancer;
 
-/** What a {@link Balancer} asks its proxy to do. Calls are made from within the event methods. */
+/** What a {@link Balancer} asks its proxy to do. The calls are made from within the balancer's event methods. */
 public interface BalancerActions {
     /**
-     * Starts an attempt; attempts of a request are numbered 0, 1, 2 ... in the order of the calls.
+     * Starts an attempt. The attempts of a request are numbered 0, 1, 2 and so on in the order of the calls.
      *
      * @param giveUpAfter ms for which its answer is waited for; 0 for as long as the request has
-     * @param notAfter clock time (ms) past which it must not be written any more, as a connection may come up
-     *     late: infinite where the request may run whenever it gets there
+     * @param notAfter time (ms) past which it must not be written any more, as a connection may take long to come up;
+     *     infinite if the request may be executed whenever it reaches the host
      */
     void send(long request, long host, double giveUpAfter, double notAfter);
 
-    /** Final answer "no, and trying again does no harm"; {@code coolDown} 0 gives no advice. */
-    void reject(long request, double coolDown);
+    /**
+     * Gives the final answer that the request was rejected, and was not executed.
+     *
+     * @param retryAfter ms after which the client should retry; 0 gives no advice
+     */
+    void reject(long request, double retryAfter);
 
-    /** Final answer "failed", which promises nothing about the effect. */
+    /** Gives the final answer that the request failed, which promises nothing about its effect. */
     void fail(long request);
 
-    /** Stops the wait for an attempt. */
+    /** Cancels an attempt, whose outcome is reported nonetheless. */
     void cancel(long request, int attempt);
 
     /** Asks for {@link Balancer#onTimer} with this token after {@code delay} ms. */
     void scheduleTimer(double delay, long token);
 
-    /** Asks discovery for changes from now on. */
+    /** Subscribes to changes of the endpoint list from now on. */
     void subscribe();
 
-    /** Writes a line for the people on call. */
+    /** Writes a line to the log for operators. */
     void log(String line);
 }
--- a/src/main/java/rillyard/balancer/EndpointEntry.java
+++ b/src/main/java/rillyard/balancer/EndpointEntry.java
@@ -1,6 +1,14 @@
 package rillyard.balancer;
 
-/** One entry of a host list; {@code onlineSince} 0 means long ago. */
+/**
+ * One entry of an endpoint list.
+ *
+ * @param zone the host's zone, may be null
+ * @param machineKind its kind of machine; hosts of one kind are expected to be about equally fast
+ * @param cell its cell, a group of hosts that share the memory of idempotency keys
+ * @param capacityHint its capacity relative to others as discovery states it, which the decisions do not use
+ * @param onlineSince when its process started (ms), 0 for long ago
+ */
 public record EndpointEntry(
         long id,
         String zone,
@@ -9,10 +17,13 @@
         Condition condition,
         double capacityHint,
         double onlineSince) {
-    /** What discovery says of the host. */
+    /** The condition of a host by the endpoint list. */
     public enum Condition {
+        /** It accepts requests. */
         READY,
+        /** It drains: it gets no new requests, but still answers. */
         TERMINATING,
+        /** It is no longer part of the deployment. */
         GONE
     }
 }
--- /dev/null
+++ b/src/main/java/rillyard/balancer/HostHealth.java
@@ -0,0 +1,114 @@
+package rillyard.balancer;
+
+import java.util.HashMap;
+import java.util.Map;
+
+/** What {@link OutlierDetector}, the only writer, has recorded of one host: plain data. Not thread-safe. */
+final class HostHealth {
+    private final double failureRateDecay;
+    private final Map<RequestClassStats, DecayingAverage> failureRates = new HashMap<>(4);
+    private final DecayingCounter penalty;
+    private int consecutiveFailures;
+    private double lastAnswerAt = Double.NEGATIVE_INFINITY;
+    private boolean ejected;
+    private double ejectedUntil;
+    private int ejections;
+    private double lastEjectionAt = Double.NEGATIVE_INFINITY;
+
+    /** Creates the health of a host without failures, with the time constants (ms) of its statistics. */
+    HostHealth(double penaltyDecay, double failureRateDecay) {
+        this.penalty = new DecayingCounter(penaltyDecay);
+        this.failureRateDecay = failureRateDecay;
+    }
+
+    /** Forgets the failures and the ejection, but not the backoff, for a new process of the host. */
+    void reset() {
+        failureRates.clear();
+        penalty.set(0, 0);
+        consecutiveFailures = 0;
+        ejected = false;
+        ejectedUntil = 0;
+    }
+
+    /** Returns the statistic of requests that failures add to the host's count. */
+    DecayingCounter penalty() {
+        return penalty;
+    }
+
+    /** Returns the fraction, from 0 to 1, of the requests of a class that the host has recently lost. */
+    double failureRate(RequestClassStats requestClass, double now) {
+        DecayingAverage rate = failureRates.get(requestClass);
+        return rate == null ? 0 : rate.valueAt(now);
+    }
+
+    /** Records whether an attempt of a class was lost, with the weight of one sample in its failure rate. */
+    void recordEnd(RequestClassStats requestClass, double now, boolean lost, double weight) {
+        failureRates
+                .computeIfAbsent(requestClass, key -> new DecayingAverage(failureRateDecay, 0, 0))
+                .add(now, lost ? 1 : 0, weight);
+    }
+
+    int consecutiveFailures() {
+        return consecutiveFailures;
+    }
+
+    void recordFailure() {
+        consecutiveFailures++;
+    }
+
+    void recordSuccess() {
+        consecutiveFailures = 0;
+    }
+
+    /** Returns when the host last sent any answer (ms), negative infinity before the first. */
+    double lastAnswerAt() {
+        return lastAnswerAt;
+    }
+
+    void recordAnswer(double now) {
+        lastAnswerAt = now;
+    }
+
+    /** Whether the host is ejected; it is half-open, and gets one request at a time, past {@link #ejectedUntil}. */
+    boolean isEjected() {
+        return ejected;
+    }
+
+    /** Returns until when (ms) the host gets no request at all. */
+    double ejectedUntil() {
+        return ejectedUntil;
+    }
+
+    /** Returns the number of ejections since the backoff last started anew. */
+    int ejections() {
+        return ejections;
+    }
+
+    double lastEjectionAt() {
+        return lastEjectionAt;
+    }
+
+    void eject(double until) {
+        ejected = true;
+        ejectedUntil = until;
+    }
+
+    /** Moves the time of the first probe without a change of the ejection itself. */
+    void moveProbe(double until) {
+        ejectedUntil = until;
+    }
+
+    void readmit() {
+        ejected = false;
+    }
+
+    /** Counts an ejection, from which the next one's backoff follows. */
+    void countEjection(double now) {
+        ejections++;
+        lastEjectionAt = now;
+    }
+
+    void resetBackoff() {
+        ejections = 0;
+    }
+}
--- a/src/main/java/rillyard/balancer/HostSelector.java
+++ b/src/main/java/rillyard/balancer/HostSelector.java
@@ -1,227 +1,149 @@
 package rillyard.balancer;
 
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-import java.util.stream.IntStream;
 
-/** The design's draw: from a pool, d candidates, the one with the fewest own requests wins. */
+/** Chooses the host for an attempt: of several random hosts of the subset, the one with the fewest own requests. */
 final class HostSelector {
-    private final Settings settings;
-    private final HostSet fleet;
-    private final OutlierDetector health;
-    private final RetryPolicy attempts;
+    private final HostSet hosts;
+    private final LoadEstimator load;
+    private final OutlierDetector outliers;
+    private final RetryPolicy retryPolicy;
     private final AdmissionController admission;
     private final SplittableRandom random;
-    private HostState[] local = {};
-    private HostState[] remote = {};
-    private int choices = Tuning.MIN_CHOICES;
-    private final List<HostState> drawn = new ArrayList<>();
-    private int size;
-    private SubsetPosition place;
-    private List<HostState> laidOver;
+    private final SubsetSelector subsets;
+    private final SlowStart slowStart;
+    private final List<HostState> candidates = new ArrayList<>();
+    private HostSubset subset;
     private HostState best;
     private double bestCount;
     private double bestWait;
-    private int equals;
+    private int ties;
 
     HostSelector(
             Settings settings,
-            HostSet fleet,
-            OutlierDetector health,
-            RetryPolicy attempts,
+            HostSet hosts,
+            LoadEstimator load,
+            OutlierDetector outliers,
+            RetryPolicy retryPolicy,
             AdmissionController admission,
             SplittableRandom random) {
-        this.settings = settings;
-        this.fleet = fleet;
-        this.health = health;
-        this.attempts = attempts;
+        this.hosts = hosts;
+        this.load = load;
+        this.outliers = outliers;
+        this.retryPolicy = retryPolicy;
         this.admission = admission;
         this.random = random;
-        place(new SubsetPosition(
-                Math.floorMod(settings.proxyIndex(), settings.proxyCount()), settings.proxyCount(), 1, false));
+        this.subsets = new SubsetSelector(settings, hosts, load);
+        this.slowStart = new SlowStart(settings.rules(), admission, load);
     }
 
-    /** The pool is laid there for the next request. */
-    void place(SubsetPosition p) {
-        place = p;
-        laidOver = null;
+    /** Moves the subset from the next selection on. */
+    void moveSubset(SubsetPosition position) {
+        subsets.moveTo(position);
     }
 
-    /** The host for the next attempt of the call, or null where none may or should get it. */
-    HostState pick(RetryPolicy.RequestState c, double now) {
-        candidates(c, now);
+    /** Returns the host for the next attempt of the request, null if there is none that may and should get it. */
+    HostState select(RequestState request, double now) {
+        collectCandidates(request, now);
         best = null;
-        drawn.forEach(h -> consider(h, c, now));
-        best = best != null ? best : anyAllowed(c, now);
-        if (best != null && fleet.warmth(best, now) < 1) {
-            best.coldCredit--;
+        for (HostState candidate : candidates) {
+            compare(candidate, request, now);
         }
-        return best;
+        HostState selected = best != null ? best : selectFromAll(request, now);
+        if (selected != null) {
+            slowStart.onSend(selected, now);
+        }
+        return selected;
     }
 
-    private void candidates(RetryPolicy.RequestState c, double now) {
-        // Guards against many proxies that use up the hosts' connections (if1c0a3); those in use add up to the same.
-        double peak = admission.peak(now);
-        double most =
-                Math.max(Tuning.MIN_CHOICES, Tuning.HOST_PROXIES * fleet.ready().size() / settings.proxyCount());
-        int wanted = (int)
-                (place.weight() * Math.min(Tuning.BASE_POOL + Tuning.POOL_PER_IN_FLIGHT * peak, Math.max(most, peak)));
-        if (laidOver != fleet.ready() || wanted > size || wanted < size / 2) {
-            rebuild(wanted, now);
-        }
-        drawn.clear();
-        // Other zones are drawn from too once answers near here take a good part of the aim.
-        if (!draw(local, c, now) && (drawn.isEmpty() || admission.pressure(now) > Tuning.SPILL_FROM)) {
-            draw(remote, c, now);
+    private void collectCandidates(RequestState request, double now) {
+        subset = subsets.select(admission.peakInFlight(now), now);
+        candidates.clear();
+        boolean probing = draw(subset.local(), request, now);
+        // Other zones serve as well once latency has become a good part of the objective.
+        if (!probing && (candidates.isEmpty() || admission.pressure(now) > Tuning.SPILL_PRESSURE)) {
+            draw(subset.remote(), request, now);
         }
     }
 
-    /** Adds up to d of the pool's hosts to those drawn; true if one of them is due for a trial. */
-    private boolean draw(HostState[] pool, RetryPolicy.RequestState c, double now) {
-        int seen = 0;
-        for (int i = 0; i < 4 * choices && seen < choices && pool.length > 0; i++) {
-            HostState h = pool[random.nextInt(pool.length)];
-            if (drawn.contains(h) || !usable(h, c, now)) {
+    /** Adds random hosts of the pool to the candidates. Returns true if the only candidate is a half-open probe. */
+    private boolean draw(List<HostState> pool, RequestState request, double now) {
+        int wanted = subset.candidates();
+        int found = 0;
+        for (int draws = 0; draws < 4 * wanted && found < wanted && !pool.isEmpty(); draws++) {
+            HostState host = pool.get(random.nextInt(pool.size()));
+            if (candidates.contains(host) || !isUsable(host, request, now)) {
                 continue;
             }
-            if (h.halfOpen && c.type.repeatable()) {
-                drawn.clear(); // a trial: an ejected host that nobody draws would stay out for ever
-                drawn.add(h);
+            if (host.health().isEjected() && request.requestClass().isRepeatable()) {
+                candidates.clear(); // an ejected host that loses each comparison would stay out for ever
+                candidates.add(host);
                 return true;
             }
-            seen++;
-            drawn.add(h);
+            found++;
+            candidates.add(host);
         }
         return false;
     }
 
-    private boolean usable(HostState h, RetryPolicy.RequestState c, double now) {
-        return attempts.allowed(c, h, now)
-                && (c.attempts.isEmpty() ? inTime(h, c, now) : !c.tried(h))
-                && health.available(h, now, c.type.overdueAfter())
-                && (fleet.warmth(h, now) >= 1 || credit(h, local.length + remote.length, now));
+    private boolean isUsable(HostState host, RequestState request, double now) {
+        boolean first = request.attempts().isEmpty();
+        return retryPolicy.permits(request, host, now)
+                && (first ? isInTime(host, request, now) : !request.hasTried(host))
+                && outliers.isAvailable(host, now, request.requestClass().overdueAfter())
+                && slowStart.permits(host, subset.hostCount(), now);
     }
 
     /**
-     * Whether the host can be expected to answer a first attempt in time. Each is asked on its own: by the
-     * winner's figure all are refused where an idle host of which nothing is heard wins every draw.
+     * Whether the host is expected to answer a first attempt in time. Each candidate is asked: with the winner's estimate
+     * alone, an idle host without reports that wins every comparison would have all requests rejected.
      */
-    private boolean inTime(HostState h, RetryPolicy.RequestState c, double now) {
-        return fleet.expectedAnswer(h, now) <= c.patience;
+    private boolean isInTime(HostState host, RequestState request, double now) {
+        return load.expectedLatency(host, now) <= request.maxExpectedLatency();
     }
 
-    private void consider(HostState h, RetryPolicy.RequestState c, double now) {
-        double count = health.count(h, c.type, now);
-        double wait = place.preferWarmingUp() && fleet.warmth(h, now) < 1 ? 0 : fleet.expectedWait(h, now);
+    private void compare(HostState host, RequestState request, double now) {
+        double count = outliers.weightedInFlight(host, request.requestClass(), now);
+        boolean preferred = subset.preferWarmingUp() && slowStart.isWarmingUp(host, now);
+        double wait = preferred ? 0 : load.expectedWait(host, now);
         if (best != null && count > bestCount + 0.5) {
             return;
         }
         boolean fewer = best == null || count < bestCount - 0.5;
-        boolean tie = !fewer && Math.abs(wait - bestWait) <= Tuning.WAIT_TIE * bestWait;
-        equals = fewer ? 1 : tie ? equals + 1 : equals;
-        if (fewer || (tie ? random.nextInt(equals) == 0 : wait < bestWait)) {
-            best = h;
+        boolean tie = !fewer && Math.abs(wait - bestWait) <= Tuning.WAIT_TIE_TOLERANCE * bestWait;
+        ties = fewer ? 1 : tie ? ties + 1 : ties;
+        if (fewer || (tie ? random.nextInt(ties) == 0 : wait < bestWait)) {
+            best = host;
             bestCount = count;
             bestWait = wait;
         }
     }
 
-    /** Guards rule 4: lends a cold host its part of what each of {@code among} hosts is served on the mean. */
-    private boolean credit(HostState h, int among, double now) {
-        Settings.Rules rules = settings.rules();
-        double share = admission.servedRate(now) / Math.max(1, among);
-        double gain = Tuning.COLD_SHARE
-                * rules.overloadMultiple()
-                * fleet.warmth(h, now)
-                * share
-                * (now - h.coldCreditAt)
-                / Math.max(1, fleet.kindSlowness(h)); // a slow kind falls sooner
-        h.coldCreditAt = now;
-        h.coldCredit = Math.min(h.coldCredit + gain, 1 + share * rules.overloadWindow() / 2);
-        return h.coldCredit >= 1;
-    }
-
-    /** When the draw finds nobody: a healthy host in time; one left out only where none is healthy at all. */
-    private HostState anyAllowed(RetryPolicy.RequestState c, double now) {
-        List<HostState> all = fleet.ready();
-        int n = all.size();
-        int start = n == 0 ? 0 : random.nextInt(n);
+    /** Returns any healthy host in time; an unhealthy one only if no host is healthy, as opposed to overloaded. */
+    private HostState selectFromAll(RequestState request, double now) {
+        List<HostState> all = hosts.ready();
+        int start = all.isEmpty() ? 0 : random.nextInt(all.size());
+        boolean first = request.attempts().isEmpty();
         HostState lastResort = null;
-        boolean jam = false;
-        for (int i = 0; i < n; i++) {
-            HostState h = all.get((start + i) % n);
-            if (!attempts.allowed(c, h, now) || (fleet.warmth(h, now) < 1 && !credit(h, n, now))) {
+        boolean overloaded = false;
+        for (int offset = 0; offset < all.size(); offset++) {
+            HostState host = all.get((start + offset) % all.size());
+            if (!retryPolicy.permits(request, host, now) || !slowStart.permits(host, all.size(), now)) {
                 continue;
             }
-            boolean late = c.attempts.isEmpty() && !inTime(h, c, now);
-            boolean healthy = health.available(h, now, c.type.overdueAfter());
-            jam |= late && healthy;
-            if (healthy && !late && !c.tried(h)) {
-                return h;
-            }
-            if (c.attempts.isEmpty() && !late && (lastResort == null || h.inFlight < lastResort.inFlight)) {
-                lastResort = h;
-            }
-        }
-        return jam ? null : lastResort;
-    }
-
-    private void rebuild(int wanted, double now) {
-        size = wanted;
-        laidOver = fleet.ready();
-        local = window(laidOver.stream().filter(this::isNear).toArray(HostState[]::new), wanted);
-        remote = window(laidOver.stream().filter(h -> !isNear(h)).toArray(HostState[]::new), wanted);
-        choices = choicesFor(local.length > 0 ? local : remote, now);
-    }
-
-    private boolean isNear(HostState h) {
-        return settings.zone() == null || settings.zone().equals(h.zone);
-    }
-
-    /** A stable, balanced subset: proxies start evenly spread over the ring of hosts. */
-    private HostState[] window(HostState[] ring, int wanted) {
-        if (ring.length <= wanted) {
-            return ring;
-        }
-        int start = (int) ((double) place.position() * ring.length / place.proxyCount());
-        return IntStream.range(start, start + wanted)
-                .mapToObj(i -> ring[i % ring.length])
-                .toArray(HostState[]::new);
-    }
-
-    /** The least d for the number of proxies at which the j slowest hold C(j,d)/C(n,d) of the speed. */
-    private int choicesFor(HostState[] pool, double now) {
-        int n = pool.length;
-        double[] speeds = Arrays.stream(pool)
-                .mapToDouble(h -> 1 / Math.max(0.05, fleet.slowness(h, now)))
-                .sorted()
-                .toArray();
-        double total = Arrays.stream(speeds).sum();
-        int alone = Tuning.HERD / settings.proxyCount();
-        int most = Math.max(Tuning.MAX_CHOICES, alone);
-        for (int d = Math.max(Tuning.MIN_CHOICES, Math.min(n - 1, alone)); d < most; d++) {
-            if (meets(speeds, total, d)) {
-                return d;
-            }
-        }
-        return most;
-    }
-
-    private static boolean meets(double[] speeds, double total, int d) {
-        int n = speeds.length;
-        double held = 0;
-        for (int j = 1; j < n; j++) {
-            held += speeds[j - 1];
-            double share = 1;
-            for (int i = 0; i < d; i++) {
-                share *= Math.max(0, (double) (j - i) / (n - i));
+            boolean late = first && !isInTime(host, request, now);
+            boolean healthy =
+                    outliers.isAvailable(host, now, request.requestClass().overdueAfter());
+            overloaded |= late && healthy;
+            if (healthy && !late && !request.hasTried(host)) {
+                return host;
             }
-            if (held < share * total) {
-                return false;
+            if (first && !late && (lastResort == null || host.inFlight() < lastResort.inFlight())) {
+                lastResort = host;
             }
         }
-        return true;
+        return overloaded ? null : lastResort;
     }
 }
--- a/src/main/java/rillyard/balancer/IncomingRequest.java
+++ b/src/main/java/rillyard/balancer/IncomingRequest.java
@@ -1,9 +1,13 @@
 package rillyard.balancer;
 
 /**
- * A client's request; {@code tenant} may be null and {@code estimate} (ms) NaN where not told.
- * {@code budget} is what is left of its time (ms), infinite while its last byte has not come: see
- * {@link Balancer#onRequestComplete}.
+ * A client's request.
+ *
+ * @param tenant name of the tenant, may be null
+ * @param remainingTime time (ms) until the client's deadline, infinite while its last byte has not been received: see {@link
+ *     Balancer#onRequestComplete}
+ * @param estimatedCost expected service time (ms), NaN if not stated
+ * @param retry whether the client says that it is a retry
  */
 public record IncomingRequest(
         long id, String requestClass, String tenant, double remainingTime, double estimatedCost, boolean retry) {}
--- /dev/null
+++ b/src/main/java/rillyard/balancer/LoadEstimator.java
@@ -0,0 +1,106 @@
+package rillyard.balancer;
+
+import java.util.HashMap;
+import java.util.Map;
+
+/** Estimates the speed and the queue of hosts, from the latency of their answers and from their load reports. */
+final class LoadEstimator {
+    private final Map<String, MachineKindStats> kinds = new HashMap<>();
+    private final double reportDecay;
+    private final MovingAverage meanOutstanding = new MovingAverage(0);
+    private double lastReportAt = Double.NEGATIVE_INFINITY;
+
+    LoadEstimator(Settings settings) {
+        this.reportDecay = Tuning.REPORT_DECAY_OBJECTIVES * settings.meanLatencyObjective();
+    }
+
+    /** Records an answer that took {@code relativeLatency} times the mean latency of its class. */
+    void onAnswer(HostState host, double now, double relativeLatency) {
+        double capped = Math.min(relativeLatency, 8);
+        HostLoad load = host.load();
+        // The first answers weigh more: a proxy with few requests would otherwise take a minute to learn.
+        double weight = Math.max(Tuning.SAMPLE_WEIGHT, 1.0 / (load.countSample() + 2));
+        load.slowness().add(now, kindSlowness(host), capped, weight);
+        MachineKindStats kind = kindOf(host);
+        kind.slowness().add(capped, Math.max(Tuning.SAMPLE_WEIGHT / 2, 1.0 / (kind.countSample() + 4)));
+    }
+
+    /** Learns from an answer behind a queue how long a host of this kind takes for each request it holds. */
+    void onQueuedAnswer(HostState host, double outstandingAtSend, double latency) {
+        double outstanding = Double.isNaN(outstandingAtSend) ? host.load().reportedOutstanding() : outstandingAtSend;
+        if (outstanding >= Tuning.MIN_QUEUE_OUTSTANDING) {
+            // The median: a few expensive requests do not tell how long the next one takes.
+            kindOf(host).millisPerRequest().add(latency / (outstanding + 1));
+        }
+    }
+
+    private MachineKindStats kindOf(HostState host) {
+        return kinds.computeIfAbsent(host.machineKind(), name -> new MachineKindStats(Tuning.QUEUE_MEDIAN_STEP));
+    }
+
+    /** Records a load report, null for none; one that is not {@code typical} is left out of the mean over all hosts. */
+    void onReport(HostState host, double now, LoadReport report, boolean typical) {
+        if (report == null || Double.isNaN(report.outstanding())) {
+            return;
+        }
+        host.load().recordReport(report, now);
+        if (typical) {
+            double weight = Math.max(0.02, 1 - Math.exp(-(now - lastReportAt) / reportDecay));
+            meanOutstanding.add(report.outstanding(), weight);
+        }
+        lastReportAt = now;
+    }
+
+    /** Returns the requests the host holds by a recent report and by what was sent since, NaN without a recent one. */
+    double outstandingNow(HostState host, double now) {
+        HostLoad load = host.load();
+        return now - load.reportedAt() <= Tuning.FRESH_REPORT_MILLIS ? load.knownOutstanding() : Double.NaN;
+    }
+
+    /**
+     * Returns the time (ms) the host's queue is expected to take, 0 if there is no evidence of a queue.
+     *
+     * <p>A report is believed no longer than its queue lasts, as the requests rejected because of it bring no newer one; the
+     * rest decays, so that requests without an answer are no queue for ever. The host holds at least the own attempts in
+     * flight that are not lost. Limit: a queue that lasts for objectives without any answer is underestimated.
+     */
+    double expectedLatency(HostState host, double now) {
+        double millisPerRequest = kindOf(host).millisPerRequest().value();
+        if (millisPerRequest == 0) {
+            return 0;
+        }
+        HostLoad load = host.load();
+        double freshness = freshness(load, now);
+        double typical = meanOutstanding.value() * Math.exp(-(now - lastReportAt) / reportDecay);
+        double undrained = load.reportedOutstanding() - (now - load.reportedAt()) / millisPerRequest;
+        double reported = freshness == 0 ? 0 : Math.max(Math.min(load.reportedOutstanding(), typical), undrained);
+        double outstanding = Math.max(
+                host.inFlight() - OutlierDetector.lostAttempts(host, null, now),
+                freshness * (reported + load.sentSinceReport()) + (1 - freshness) * typical);
+        return outstanding > Tuning.MIN_QUEUE_OUTSTANDING ? millisPerRequest * (outstanding + 1) : 0;
+    }
+
+    private double freshness(HostLoad load, double now) {
+        return Math.exp(-(now - load.reportedAt()) / reportDecay);
+    }
+
+    /** Returns the latency of the host's machine kind relative to the mean, 1 while it is not known. */
+    double kindSlowness(HostState host) {
+        return kindOf(host).slowness().value();
+    }
+
+    /** Returns the host's latency relative to the mean; without new answers it decays to that of its machine kind. */
+    double slowness(HostState host, double now) {
+        return host.load().slowness().valueAt(now, kindSlowness(host));
+    }
+
+    /** Returns the expected wait at the host in units of the mean latency, for hosts with equal numbers of requests. */
+    double expectedWait(HostState host, double now) {
+        double outstanding = meanOutstanding.value();
+        double freshness = freshness(host.load(), now);
+        if (freshness > 0.01) {
+            outstanding += freshness * (host.load().knownOutstanding() - meanOutstanding.value());
+        }
+        return slowness(host, now) * (Tuning.BASE_OUTSTANDING + outstanding);
+    }
+}
--- a/src/main/java/rillyard/balancer/OutlierDetector.java
+++ b/src/main/java/rillyard/balancer/OutlierDetector.java
@@ -2,141 +2,155 @@
 
 import java.util.SplittableRandom;
 
-/** Outlier detection: silence, failures, ejection with growing back-off, half-open trials. */
+/** Outlier detection: unresponsive and failing hosts, ejection with backoff, half-open probes. */
 final class OutlierDetector {
-    private final HostSet fleet;
-    private final double aim;
+    private final HostSet hosts;
+    private final double objective;
     private final SplittableRandom random;
     private final BalancerActions actions;
 
-    OutlierDetector(HostSet fleet, double aim, SplittableRandom random, BalancerActions actions) {
-        this.fleet = fleet;
-        this.aim = aim;
+    OutlierDetector(HostSet hosts, double objective, SplittableRandom random, BalancerActions actions) {
+        this.hosts = hosts;
+        this.objective = objective;
         this.random = random;
         this.actions = actions;
     }
 
-    /** Whether the host may be a candidate; half-open hosts get one request at a time. */
-    boolean available(HostState h, double now, double overdue) {
-        return now >= h.ejectedUntil && (h.halfOpen ? h.inFlight == 0 : !silent(h, now, overdue));
+    /** Whether the host may get a request; one that is half-open gets one at a time. */
+    boolean isAvailable(HostState host, double now, double overdueAfter) {
+        HostHealth health = host.health();
+        return now >= health.ejectedUntil()
+                && (health.isEjected() ? host.inFlight() == 0 : !isUnresponsive(host, now, overdueAfter));
     }
 
-    /**
-     * Guards against hosts that take work and answer nothing: time-outs tell of them much too late, so the
-     * time since the last answer, with whole requests out, is held against the expected answer time.
-     */
-    boolean silent(HostState h, double now, double overdue) {
-        for (RetryPolicy.AttemptState a : h.out) {
-            if (!overtaken(a) && a.sentAt <= now) {
-                double since = Math.max(a.sentAt, h.lastAnswer);
-                return now - since > Math.max(Tuning.SILENCE_FLOOR, overdue * Math.max(1, h.slowness));
+    /** Whether the host has answered nothing for so long, with complete requests in flight, that it seems to hang. */
+    boolean isUnresponsive(HostState host, double now, double overdueAfter) {
+        for (AttemptState attempt : host.attempts()) {
+            if (!isOvertaken(attempt) && attempt.sentAt() <= now) {
+                double since = Math.max(attempt.sentAt(), host.health().lastAnswerAt());
+                double expected =
+                        overdueAfter * Math.max(1, host.load().slowness().lastValue());
+                return now - since > Math.max(Tuning.MIN_UNRESPONSIVE_MILLIS, expected);
             }
         }
         return false;
     }
 
-    /**
-     * Whether what was sent to the host later has been answered. Guards against a host that loses some of
-     * what it gets being taken for one that hangs, or for a queue: it is of use for the others.
-     */
-    boolean overtaken(RetryPolicy.AttemptState a) {
-        return a.sentAt < a.host.newestAnswered;
+    /** Whether the host has answered a later attempt: it has lost this one, but neither hangs nor has a long queue. */
+    static boolean isOvertaken(AttemptState attempt) {
+        return attempt.sentAt() < attempt.host().newestAnsweredSentAt();
     }
 
-    /** The extra count that failures charge to a host: an empty failing host must not attract. */
-    double charge(HostState h, double now) {
-        return h.charge < 0.05 ? 0 : h.charge * Math.exp(-(now - h.chargeAt) / (Tuning.CHARGE_FADE * aim));
+    /** Returns how many attempts in flight are overtaken and past their objective, without those of class {@code except}. */
+    static int lostAttempts(HostState host, RequestClassStats except, double now) {
+        int count = 0;
+        for (AttemptState attempt : host.attempts()) {
+            if (!isOvertaken(attempt)) {
+                break; // they are in the order of their sends
+            }
+            RequestClassStats requestClass = attempt.requestClass();
+            if (requestClass != except
+                    && now - attempt.sentAt() > requestClass.settings().latencyObjective()) {
+                count++;
+            }
+        }
+        return count;
     }
 
     /**
-     * What a request of this class counts at the host: the own ones in flight, and what losses add. Guards
-     * against a host that loses one class, or a part of each, and is quick with the rest: it looks idle. It
-     * is used where the others are busier by as much, so its room is not lost and no trial is needed. Harm:
-     * a class that is lost everywhere by its own fault is spread by chance losses instead of by counts.
+     * Returns the own requests in flight plus a penalty for failures: a host that loses requests of this class, or answers
+     * with quick errors, must not look idle. It gets requests again once the others are busier by the penalty. Limit: a class
+     * that all hosts lose is distributed by the penalties rather than by the load.
      */
-    double count(HostState h, RetryPolicy.RequestClassStats type, double now) {
-        return h.inFlight
-                - fleet.lost(h, type, now)
-                + charge(h, now)
-                + Tuning.LOSS_CHARGE * lossShare(h.losses.get(type), now);
+    double weightedInFlight(HostState host, RequestClassStats requestClass, double now) {
+        return host.inFlight()
+                - lostAttempts(host, requestClass, now)
+                + penalty(host, now)
+                + Tuning.FAILURE_RATE_PENALTY * host.health().failureRate(requestClass, now);
     }
 
-    private double lossShare(HostSet.FailureRate l, double now) {
-        return l == null ? 0 : l.share * Math.exp(-(now - l.at) / (Tuning.LOSS_FADE * aim));
+    private static double penalty(HostState host, double now) {
+        DecayingCounter penalty = host.health().penalty();
+        return penalty.lastValue() < 0.05 ? 0 : penalty.valueAt(now);
     }
 
-    /** An attempt of this class was answered, or was lost. */
-    void ended(HostState h, RetryPolicy.RequestClassStats type, double now, boolean lost) {
-        HostSet.FailureRate l = h.losses.computeIfAbsent(type, t -> new HostSet.FailureRate());
-        double share = lossShare(l, now);
-        l.share = share + Tuning.LATENCY_ALPHA * ((lost ? 1 : 0) - share);
-        l.at = now;
+    private static void addPenalty(HostState host, double now) {
+        host.health().penalty().set(now, penalty(host, now) + Tuning.FAILURE_PENALTY);
     }
 
-    void succeeded(HostState h, double now) {
-        h.lastAnswer = now;
-        h.failuresInRow = 0;
-        readmit(h);
+    /** Records whether an attempt of this class was lost or answered. */
+    void onAttemptEnded(HostState host, RequestClassStats requestClass, double now, boolean lost) {
+        host.health().recordEnd(requestClass, now, lost, Tuning.SAMPLE_WEIGHT);
     }
 
-    private void readmit(HostState h) {
-        if (h.halfOpen) {
-            h.halfOpen = false;
-            actions.log("host " + h.id + " readmitted");
-        }
+    /** Records a successful answer, which ends an ejection. */
+    void onSuccess(HostState host, double now) {
+        host.health().recordAnswer(now);
+        host.health().recordSuccess();
+        readmit(host);
     }
 
-    void failed(HostState h, double now, boolean answered) {
+    /** Records a failure; {@code answered} tells whether the host has sent an answer. */
+    void onFailure(HostState host, double now, boolean answered) {
+        HostHealth health = host.health();
         if (answered) {
-            h.lastAnswer = now;
+            health.recordAnswer(now);
         }
-        h.failuresInRow++;
-        h.charge = charge(h, now) + Tuning.FAILURE_CHARGE;
-        h.chargeAt = now;
-        if (now >= h.ejectedUntil && (h.halfOpen || h.failuresInRow >= Tuning.FAILURES_IN_A_ROW)) {
-            eject(h, now);
+        health.recordFailure();
+        addPenalty(host, now);
+        if (now >= health.ejectedUntil()
+                && (health.isEjected() || health.consecutiveFailures() >= Tuning.EJECTION_FAILURES)
+                && mayEject(host)) {
+            eject(host, now);
         }
     }
 
-    /** The host turned work away as full: it is charged for it, but not held to be failing. */
-    void crowded(HostState h, double now) {
-        h.lastAnswer = now;
-        h.charge = charge(h, now) + Tuning.FAILURE_CHARGE;
-        h.chargeAt = now;
-        readmit(h);
+    /** Records that the host rejected an attempt as over its capacity, which gives it a penalty but is no failure. */
+    void onRejection(HostState host, double now) {
+        host.health().recordAnswer(now);
+        addPenalty(host, now);
+        readmit(host);
+    }
+
+    private void readmit(HostState host) {
+        if (host.health().isEjected()) {
+            host.health().readmit();
+            actions.log("outlier: host readmitted, host=" + host.id());
+        }
     }
 
-    /** What peers found of a host only takes from it: left out until then at least, or till then at most. */
-    void heed(HostState h, boolean left, double until) {
-        if (h != null && left && mayLeave(h)) {
-            h.ejectedUntil = Math.max(h.ejectedUntil, until);
-            h.halfOpen = true;
-        } else if (h != null && !left) {
-            h.ejectedUntil = Math.min(h.ejectedUntil, until);
+    /** Applies what the fleet has found: ejects the host until {@code probeAt} or later, or probes it by then. */
+    void onFleetEjection(HostState host, boolean ejected, double probeAt) {
+        HostHealth health = host.health();
+        if (!ejected) {
+            health.moveProbe(Math.min(health.ejectedUntil(), probeAt));
+        } else if (mayEject(host)) {
+            health.eject(Math.max(health.ejectedUntil(), probeAt));
         }
     }
 
-    /** Guards against a fault that many hosts show at once: to leave them all out would bury the rest. */
-    private boolean mayLeave(HostState h) {
-        long out = fleet.ready().stream().filter(o -> o.halfOpen && o != h).count();
-        return out < Tuning.EJECT_PART * fleet.ready().size();
+    /** Whether few enough other hosts are ejected; a fault of many must not overload the rest. */
+    private boolean mayEject(HostState host) {
+        long ejected = hosts.ready().stream()
+                .filter(other -> other.health().isEjected() && other != host)
+                .count();
+        return ejected < Tuning.MAX_EJECTED_FRACTION * hosts.ready().size();
     }
 
-    private void eject(HostState h, double now) {
-        if (!mayLeave(h)) {
-            return;
-        }
-        if (now - h.lastEjection > Tuning.EJECT_FORGET * aim) {
-            h.ejections = 0;
+    private void eject(HostState host, double now) {
+        HostHealth health = host.health();
+        if (now - health.lastEjectionAt() > Tuning.EJECTION_RESET_OBJECTIVES * objective) {
+            health.resetBackoff();
         }
-        double length = aim * Math.min(Tuning.EJECT_MAX, Tuning.EJECT_BASE * Math.pow(2, h.ejections));
-        h.ejections++;
-        h.lastEjection = now;
-        // Spread, so that many proxies do not try the host again in the same moment.
-        h.ejectedUntil = now + length * (0.75 + 0.5 * random.nextDouble());
-        if (!h.halfOpen) {
-            actions.log("host " + h.id + " ejected");
+        double backoff = Tuning.BASE_EJECTION_OBJECTIVES * Math.pow(2, health.ejections());
+        double length = objective * Math.min(Tuning.MAX_EJECTION_OBJECTIVES, backoff);
+        health.countEjection(now);
+        // Jitter, so that many proxies do not probe the host at the same moment.
+        double ejectedUntil = now + length * (0.75 + 0.5 * random.nextDouble());
+        if (!health.isEjected()) {
+            actions.log("outlier: host ejected, host=" + host.id() + " failures=" + health.consecutiveFailures()
+                    + " backoff_ms=" + Math.round(ejectedUntil - now));
         }
-        h.halfOpen = true;
+        health.eject(ejectedUntil);
     }
 }
--- /dev/null
+++ b/src/main/java/rillyard/balancer/RequestState.java
@@ -0,0 +1,119 @@
+package rillyard.balancer;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+
+/** A client's request while it waits for its answer or has attempts in flight: plain data. Not thread-safe. */
+final class RequestState {
+    private final long id;
+    private final RequestClassStats requestClass;
+    private final double remainingObjective;
+    private final double quotaWeight;
+    private final List<AttemptState> attempts = new ArrayList<>(2);
+    private final List<AttemptState> attemptsView = Collections.unmodifiableList(attempts);
+    private double deadline;
+    private double maxExpectedLatency;
+    private int openAttempts;
+    private boolean ended;
+
+    /**
+     * Creates a request without attempts.
+     *
+     * @param remainingTime time (ms) until the client's deadline, infinite while the request is being received
+     * @param quotaWeight weight of its tenant, 1 if it is within its quota
+     */
+    RequestState(long id, RequestClassStats requestClass, double now, double remainingTime, double quotaWeight) {
+        this.id = id;
+        this.requestClass = requestClass;
+        this.deadline = now + remainingTime;
+        this.remainingObjective = requestClass.remainingObjective(remainingTime);
+        this.quotaWeight = quotaWeight;
+    }
+
+    long id() {
+        return id;
+    }
+
+    RequestClassStats requestClass() {
+        return requestClass;
+    }
+
+    /** Returns the part of the latency objective (ms) that was left on arrival, below 0 if it was past. */
+    double remainingObjective() {
+        return remainingObjective;
+    }
+
+    double quotaWeight() {
+        return quotaWeight;
+    }
+
+    /** Returns the attempts in the order of their numbers. */
+    List<AttemptState> attempts() {
+        return attemptsView;
+    }
+
+    /** Returns the attempt with this number that has no outcome yet, null if there is none. */
+    AttemptState openAttempt(int number) {
+        boolean known = number >= 0 && number < attempts.size();
+        return known && attempts.get(number).isOpen() ? attempts.get(number) : null;
+    }
+
+    /** Returns the client's deadline (ms), infinite while the request is being received. */
+    double deadline() {
+        return deadline;
+    }
+
+    /** Returns the expected latency (ms) past which a host is not given its first attempt. */
+    double maxExpectedLatency() {
+        return maxExpectedLatency;
+    }
+
+    int openAttempts() {
+        return openAttempts;
+    }
+
+    /** Whether the request has its final answer, or needs none any more. */
+    boolean isEnded() {
+        return ended;
+    }
+
+    /** Whether an attempt has been sent to {@code host}. */
+    boolean hasTried(HostState host) {
+        for (AttemptState attempt : attempts) {
+            if (attempt.host() == host) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    void limitExpectedLatency(double millis) {
+        maxExpectedLatency = millis;
+    }
+
+    /** Records that the last byte has been received, with {@code remainingTime} ms left until the deadline. */
+    void complete(double now, double remainingTime) {
+        deadline = now + remainingTime;
+        attempts.forEach(attempt -> attempt.requestCompleted(now));
+    }
+
+    /** Records that the next attempt is sent to {@code host}, at the host as well. */
+    AttemptState startAttempt(HostState host, double sentAt, double outstandingAtSend) {
+        AttemptState attempt = new AttemptState(this, attempts.size(), host, sentAt, outstandingAtSend);
+        attempts.add(attempt);
+        openAttempts++;
+        host.attemptStarted(attempt);
+        return attempt;
+    }
+
+    /** Records that one of the attempts has its outcome. */
+    void attemptEnded() {
+        openAttempts--;
+    }
+
+    /** Records that no further attempt is to be made. */
+    void end() {
+        ended = true;
+    }
+}
--- /dev/null
+++ b/src/main/java/rillyard/balancer/RetryBudget.java
@@ -0,0 +1,20 @@
+package rillyard.balancer;
+
+/** Limits retries to a part of the requests, as unlimited retries would feed an overload. */
+final class RetryBudget {
+    private double tokens = Tuning.MAX_RETRY_TOKENS;
+
+    /** Adds what a request earns. */
+    void onRequest() {
+        tokens = Math.min(Tuning.MAX_RETRY_TOKENS, tokens + Tuning.RETRIES_PER_REQUEST);
+    }
+
+    /** Takes one retry from the budget. Returns false, and takes nothing, if less than one is left. */
+    boolean tryTake() {
+        if (tokens < 1) {
+            return false;
+        }
+        tokens--;
+        return true;
+    }
+}
--- a/src/main/java/rillyard/balancer/RetryPolicy.java
+++ b/src/main/java/rillyard/balancer/RetryPolicy.java
@@ -1,190 +1,66 @@
 package rillyard.balancer;
 
-import java.util.ArrayList;
-import java.util.List;
-
-/** Requests and their attempts: what has run, what may be repeated, and the retry budget. */
+/** Decides whether a request may be sent, again or for the first time, by what its earlier attempts may have done. */
 final class RetryPolicy {
-    /** One send of a request to a host. */
-    static final class AttemptState {
-        final RequestState call;
-        final int number;
-        final HostState host;
-        final String zone;
-        final long cell;
-        double sentAt; // infinite while the request still comes
-        double heldBefore = Double.NaN;
-        boolean open = true;
-        boolean mayHaveRun = true;
-        boolean cancelled;
-
-        AttemptState(RequestState call, int number, HostState host, double sentAt) {
-            this.call = call;
-            this.number = number;
-            this.host = host;
-            this.zone = host.zone;
-            this.cell = host.cell;
-            this.sentAt = sentAt;
-        }
-
-        /** Until when (ms) a repeat has to be written if this one may have run: hosts forget keys after a time. */
-        double repeatBy() {
-            Settings.RequestClass rules = call.type.rules;
-            return switch (rules.semantics()) {
-                case IDEMPOTENT -> Double.POSITIVE_INFINITY;
-                case DEDUPLICATED -> sentAt + rules.idempotencyWindow() - Tuning.WINDOW_MARGIN;
-                case AT_MOST_ONCE -> Double.NEGATIVE_INFINITY;
-            };
-        }
-
-        boolean sharesMemory(HostState target) {
-            return switch (call.type.rules.keyScope()) {
-                case ALL -> true;
-                case ZONE -> target != null && zone != null && zone.equals(target.zone);
-                case CELL -> target != null && cell == target.cell;
-            };
-        }
-    }
-
-    /** A client's request while it is held or has attempts out. */
-    static final class RequestState {
-        final long id;
-        final RequestClassStats type;
-        final double arrivedAt;
-        double deadline;
-        final double aimLeft;
-        double standing = 1;
-        double patience;
-        final List<AttemptState> attempts = new ArrayList<>(2);
-        int open;
-        boolean ended;
-
-        RequestState(long id, RequestClassStats type, double arrivedAt, double budget) {
-            this.id = id;
-            this.type = type;
-            this.arrivedAt = arrivedAt;
-            this.deadline = arrivedAt + budget;
-            this.aimLeft = type.aimLeft(budget);
-        }
-
-        boolean tried(HostState h) {
-            return attempts.stream().anyMatch(a -> a.host == h);
-        }
-    }
-
-    /** A class of requests with its observed answer time. */
-    static final class RequestClassStats {
-        final Settings.RequestClass rules;
-        double meanAnswer;
-        double deviation;
-        int samples;
-        double firstBudget;
-
-        RequestClassStats(Settings.RequestClass rules) {
-            this.rules = rules;
-            this.meanAnswer = rules.latencyObjective() / 4; // until answers come
-            this.deviation = meanAnswer;
-        }
-
-        void answered(double spent) {
-            samples++;
-            double alpha = Math.max(1.0 / (samples + 4), Tuning.LATENCY_ALPHA / 2);
-            deviation += alpha * (Math.abs(spent - meanAnswer) - deviation);
-            meanAnswer += alpha * (spent - meanAnswer);
-        }
-
-        /**
-         * What is left (ms) of the aim for a request that came with this budget, below 0 once it is past. The
-         * aim runs from the client's first try, and a retry's budget is what is left of the whole deadline.
-         * Guards against retries that can't be of use any more taking the place of requests that can. Harm: a
-         * client that always asks for less time than others of its class is refused before them in a jam.
-         */
-        double aimLeft(double budget) {
-            double told = Math.min(budget, rules.deadline());
-            firstBudget = Math.max(told, firstBudget + Tuning.BUDGET_ALPHA * (told - firstBudget));
-            return rules.latencyObjective() - (told < Tuning.RETRY_BUDGET * firstBudget ? rules.deadline() - told : 0);
-        }
-
-        /** Whether a request with so much of its aim left would be late, as answers take now. */
-        boolean tooLate(double aimLeft) {
-            return aimLeft < Math.min(meanAnswer, rules.latencyObjective());
-        }
-
-        /** Past this an attempt is overdue: repeating a merely long one would waste its work. */
-        double overdueAfter() {
-            return meanAnswer + Tuning.OVERDUE_DEVIATIONS * deviation;
-        }
-
-        boolean repeatable() {
-            return rules.semantics() != Settings.Semantics.AT_MOST_ONCE;
-        }
-    }
-
     private final Settings.Limits limits;
-    private double retrySavings = Tuning.RETRY_SAVINGS;
 
     RetryPolicy(Settings.Limits limits) {
         this.limits = limits;
     }
 
-    /** Whether it may go to {@code target}, or be refused where that is null: guards rules 1 and 2. */
-    boolean allowed(RequestState c, HostState target, double now) {
-        if (c.ended
-                || (target != null
-                        && (!target.sendable
-                                || c.attempts.size() >= limits.maxAttempts()
-                                || (c.open > 0 && !limits.mayRunParallelAttempts())
-                                || now >= c.deadline))) {
+    /** Whether the request may be sent to {@code target}; if that is null, whether it may be rejected as not executed. */
+    boolean permits(RequestState request, HostState target, double now) {
+        if (request.isEnded() || (target != null && !permitsAttempt(request, target, now))) {
             return false;
         }
-        if (c.type.rules.semantics() == Settings.Semantics.IDEMPOTENT) {
+        if (request.requestClass().settings().semantics() == Settings.Semantics.IDEMPOTENT) {
             return true;
         }
-        for (AttemptState a : c.attempts) {
-            if (a.mayHaveRun && (now >= a.repeatBy() || !a.sharesMemory(target))) {
+        for (AttemptState attempt : request.attempts()) {
+            if (attempt.mayHaveExecuted() && (now >= repeatableUntil(attempt) || !sharesKeys(attempt, target))) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Until when (ms) the next attempt of the call has to be written. */
-    double notAfter(RequestState c) {
-        return c.attempts.stream()
-                .filter(a -> a.mayHaveRun)
-                .mapToDouble(AttemptState::repeatBy)
-                .min()
-                .orElse(Double.POSITIVE_INFINITY);
+    private boolean permitsAttempt(RequestState request, HostState target, double now) {
+        return target.isReady()
+                && request.attempts().size() < limits.maxAttempts()
+                && (request.openAttempts() == 0 || limits.mayRunParallelAttempts())
+                && now < request.deadline();
     }
 
-    AttemptState start(RequestState c, HostState h, double now) {
-        AttemptState a = new AttemptState(c, c.attempts.size(), h, Double.isInfinite(c.deadline) ? c.deadline : now);
-        c.attempts.add(a);
-        c.open++;
-        h.inFlight++;
-        h.sentSinceReport++;
-        h.out.add(a);
-        return a;
+    /** Returns until when (ms) the next attempt must be written, as hosts forget idempotency keys after a time. */
+    double notAfter(RequestState request) {
+        return request.attempts().stream()
+                .filter(AttemptState::mayHaveExecuted)
+                .mapToDouble(RetryPolicy::repeatableUntil)
+                .min()
+                .orElse(Double.POSITIVE_INFINITY);
     }
 
-    void finish(AttemptState a, AttemptOutcome result) {
-        a.open = false;
-        a.mayHaveRun = !result.provesNotExecuted();
-        a.call.open--;
-        a.host.inFlight--;
-        a.host.out.remove(a);
+    /** Starts an attempt; for a request that is still being received it counts as sent with the last byte only. */
+    AttemptState start(RequestState request, HostState host, double now, double outstandingAtSend) {
+        double sentAt = Double.isInfinite(request.deadline()) ? request.deadline() : now;
+        return request.startAttempt(host, sentAt, outstandingAtSend);
     }
 
-    void earnRetry() {
-        retrySavings = Math.min(Tuning.RETRY_SAVINGS, retrySavings + Tuning.RETRY_RATIO);
+    private static double repeatableUntil(AttemptState attempt) {
+        Settings.RequestClass settings = attempt.requestClass().settings();
+        return switch (settings.semantics()) {
+            case IDEMPOTENT -> Double.POSITIVE_INFINITY;
+            case DEDUPLICATED -> attempt.sentAt() + settings.idempotencyWindow() - Tuning.IDEMPOTENCY_MARGIN_MILLIS;
+            case AT_MOST_ONCE -> Double.NEGATIVE_INFINITY;
+        };
     }
 
-    /** Takes one retry from the budget; without it, retries would feed an overload. */
-    boolean takeRetry() {
-        if (retrySavings < 1) {
-            return false;
-        }
-        retrySavings--;
-        return true;
+    private static boolean sharesKeys(AttemptState attempt, HostState target) {
+        return switch (attempt.requestClass().settings().keyScope()) {
+            case ALL -> true;
+            case ZONE ->
+                target != null && attempt.zone() != null && attempt.zone().equals(target.zone());
+            case CELL -> target != null && attempt.cell() == target.cell();
+        };
     }
 }
--- a/src/main/java/rillyard/balancer/Settings.java
+++ b/src/main/java/rillyard/balancer/Settings.java
@@ -2,19 +2,30 @@
 
 import java.util.List;
 
-/** What a deployment states at start. All times are milliseconds. */
+/**
+ * The settings of a deployment, fixed at the start. All times are milliseconds.
+ *
+ * @param classes classes of requests, by unique names
+ * @param tenants tenants with a quota
+ * @param mustSubscribe whether the proxy has to subscribe to changes of the endpoint list itself
+ * @param zone this proxy's zone, null if zones do not matter
+ * @param proxyIndex index of this proxy among all of them
+ * @param proxyCount number of proxies; less than 1 is taken for 1
+ * @param overQuotaWeight least weight of a request whose tenant is over its quota, from 0 to 1
+ */
 public record Settings(
         List<RequestClass> classes,
         List<Tenant> tenants,
         Limits limits,
         Rules rules,
-        Fees fees,
         boolean mustSubscribe,
         String zone,
         int proxyIndex,
         int proxyCount,
-        double overQuotaWeight,
-        boolean worthByWork) {
+        double overQuotaWeight) {
+
+    /** The latency objective of settings that name no class. */
+    private static final double DEFAULT_OBJECTIVE = 400;
 
     /** Copies the lists, so that settings never change. */
     public Settings {
@@ -23,30 +34,44 @@
         proxyCount = Math.max(1, proxyCount);
     }
 
-    /** What the times of a deployment are measured in where they are not stated. */
+    /** Returns the mean latency objective over the classes, the unit of times that the settings do not state. */
     public double meanLatencyObjective() {
         double sum = 0;
-        for (RequestClass c : classes) {
-            sum += c.latencyObjective();
+        for (RequestClass requestClass : classes) {
+            sum += requestClass.latencyObjective();
         }
-        return classes.isEmpty() ? 400 : sum / classes.size();
+        return classes.isEmpty() ? DEFAULT_OBJECTIVE : sum / classes.size();
     }
 
-    /** What may be repeated. */
+    /** What may be repeated once it may have been executed. */
     public enum Semantics {
+        /** Any request. */
         IDEMPOTENT,
+        /** A request to a host that shares the memory of idempotency keys with the first one, within a window of time. */
         DEDUPLICATED,
+        /** No request. */
         AT_MOST_ONCE
     }
 
-    /** The hosts that share the memory of a deduplicated request. */
+    /** The hosts that share the memory of idempotency keys. */
     public enum Scope {
+        /** All hosts. */
         ALL,
+        /** The hosts of a zone. */
         ZONE,
+        /** The hosts of a cell. */
         CELL
     }
 
-    /** A class of requests. */
+    /**
+     * A class of requests.
+     *
+     * @param latencyObjective latency up to which an answer is of full use
+     * @param deadline time a client waits for an answer
+     * @param idempotencyWindow how long hosts remember an idempotency key
+     * @param priorityWeight value of an answer in time, relative to other classes
+     * @param latePriorityWeight part of its value, from 0 to 1, that a late answer has
+     */
     public record RequestClass(
             String name,
             double latencyObjective,
@@ -57,31 +82,40 @@
             double priorityWeight,
             double latePriorityWeight) {}
 
-    /** A tenant and its share. */
-    public record Tenant(String name, double quotaPerSecond, double quotaShare) {}
+    /**
+     * A tenant.
+     *
+     * @param quotaShare part of the traffic, from 0 to 1, that is its quota; 0 for none
+     */
+    public record Tenant(String name, double quotaShare) {}
 
-    /** What the deployment permits. */
-    public record Limits(
-            boolean mayCancel,
-            boolean retryAfter,
-            boolean mayRunParallelAttempts,
-            int maxAttempts,
-            double maxRetryAfter,
-            int streamsPerConnection) {}
+    /**
+     * What the deployment permits.
+     *
+     * @param mayCancel whether attempts may be cancelled
+     * @param mayRunParallelAttempts whether a request may have several attempts in flight
+     * @param maxAttempts greatest number of attempts of a request
+     */
+    public record Limits(boolean mayCancel, boolean mayRunParallelAttempts, int maxAttempts) {}
 
-    /** The figures of the drain and cold-host rules. */
+    /**
+     * Rules of the deployment on hosts that warm up and on discovery.
+     *
+     * @param warmUpTime time a host takes to reach its full capacity
+     * @param initialCapacity part of its capacity, from 0 to 1, that it has at first
+     * @param overloadWindow time over which its load counts
+     * @param overloadMultiple multiple of its capacity that overloads it
+     * @param maxPollInterval greatest interval between polls of discovery, 0 if not stated
+     */
     public record Rules(
             double warmUpTime,
             double initialCapacity,
             double overloadWindow,
             double overloadMultiple,
             double maxPollInterval) {
-        /** The longest wait (ms) before discovery is asked again: half of what is allowed if stated, {@code most} at most. */
+        /** Returns the longest wait before discovery is polled again: {@code most}, or half of the interval if that is less. */
         double pollInterval(double most) {
             return maxPollInterval > 0 ? Math.min(most, maxPollInterval / 2) : most;
         }
     }
-
-    /** Prices that bear on choices. */
-    public record Fees(double crossZone, double waste) {}
 }
--- /dev/null
+++ b/src/main/java/rillyard/balancer/SubsetSelector.java
@@ -0,0 +1,91 @@
+package rillyard.balancer;
+
+import java.util.List;
+import java.util.function.Predicate;
+import java.util.stream.DoubleStream;
+import java.util.stream.IntStream;
+
+/** Selects the part of the hosts among which this proxy chooses: a window on the ring of hosts that starts at its place. */
+final class SubsetSelector {
+    private final Settings settings;
+    private final HostSet hosts;
+    private final LoadEstimator load;
+    private HostSubset subset;
+    private int size;
+    private SubsetPosition position;
+    private List<HostState> source; // the list the subset was cut from; null if it has to be cut anew
+
+    SubsetSelector(Settings settings, HostSet hosts, LoadEstimator load) {
+        this.settings = settings;
+        this.hosts = hosts;
+        this.load = load;
+        int index = Math.floorMod(settings.proxyIndex(), settings.proxyCount());
+        moveTo(new SubsetPosition(index, settings.proxyCount(), 1, false));
+    }
+
+    /** Moves the subset to another position with the next selection. */
+    void moveTo(SubsetPosition newPosition) {
+        position = newPosition;
+        source = null;
+    }
+
+    /** Returns the subset, cut anew if the hosts have changed or its size does not fit {@code peakInFlight}. */
+    HostSubset select(double peakInFlight, double now) {
+        // Bounds the connections of all proxies together at a host (if1c0a3); those in use add up to the same.
+        double shared = Tuning.MAX_PROXIES_PER_HOST * hosts.ready().size() / settings.proxyCount();
+        double most = Math.max(Math.max(Tuning.MIN_CANDIDATES, shared), peakInFlight);
+        double wanted = Tuning.BASE_SUBSET_SIZE + Tuning.SUBSET_HOSTS_PER_IN_FLIGHT * peakInFlight;
+        int wantedSize = (int) (position.weight() * Math.min(wanted, most));
+        if (source != hosts.ready() || wantedSize > size || wantedSize < size / 2) {
+            size = wantedSize;
+            source = hosts.ready();
+            Predicate<HostState> isLocal =
+                    host -> settings.zone() == null || settings.zone().equals(host.zone());
+            List<HostState> local = window(source.stream().filter(isLocal).toList());
+            List<HostState> remote =
+                    window(source.stream().filter(isLocal.negate()).toList());
+            int candidates = candidatesFor(local.isEmpty() ? remote : local, now);
+            subset = new HostSubset(local, remote, candidates, position.preferWarmingUp());
+        }
+        return subset;
+    }
+
+    /** The windows of all proxies start evenly spaced, so that each host is in as many of them. */
+    private List<HostState> window(List<HostState> ring) {
+        if (ring.size() <= size) {
+            return ring;
+        }
+        int start = (int) ((double) position.position() * ring.size() / position.proxyCount());
+        return IntStream.range(start, start + size)
+                .mapToObj(index -> ring.get(index % ring.size()))
+                .toList();
+    }
+
+    /** Returns the least permitted number of candidates with which slow hosts get no more than their part. */
+    private int candidatesFor(List<HostState> pool, double now) {
+        double[] speeds = pool.stream()
+                .mapToDouble(host -> 1 / Math.max(0.05, load.slowness(host, now)))
+                .sorted()
+                .toArray();
+        int proxyShare = Tuning.FLEET_CANDIDATES / settings.proxyCount();
+        int most = Math.max(Tuning.MAX_CANDIDATES, proxyShare);
+        int count = Math.max(Tuning.MIN_CANDIDATES, Math.min(pool.size() - 1, proxyShare));
+        while (count < most && !suffices(speeds, count)) {
+            count++;
+        }
+        return count;
+    }
+
+    /** Whether any number of the slowest hosts has as much of the speed as of the attempts with so many candidates. */
+    private static boolean suffices(double[] speeds, int candidates) {
+        double total = DoubleStream.of(speeds).sum();
+        double speedOfSlowest = 0;
+        for (int slowest = 1; slowest < speeds.length; slowest++) {
+            speedOfSlowest += speeds[slowest - 1];
+            if (speedOfSlowest < Sampling.probabilityWithin(slowest, speeds.length, candidates) * total) {
+                return false;
+            }
+        }
+        return true;
+    }
+}
--- /dev/null
+++ b/src/main/java/rillyard/balancer/TenantQuotas.java
@@ -0,0 +1,34 @@
+package rillyard.balancer;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/** Weighs requests by their tenant's part of the recent traffic, so that one tenant's burst does not displace the others. */
+final class TenantQuotas {
+    private record Usage(double quotaShare, DecayingCounter requests) {}
+
+    private final double overQuotaWeight;
+    private final Map<String, Usage> usages = new HashMap<>();
+    private final DecayingCounter allRequests = new DecayingCounter(Tuning.QUOTA_DECAY_MILLIS);
+
+    TenantQuotas(List<Settings.Tenant> tenants, double overQuotaWeight) {
+        this.overQuotaWeight = overQuotaWeight;
+        for (Settings.Tenant tenant : tenants) {
+            usages.put(tenant.name(), new Usage(tenant.quotaShare(), new DecayingCounter(Tuning.QUOTA_DECAY_MILLIS)));
+        }
+    }
+
+    /** Counts a request and returns its weight: 1 while the tenant is within its quota or has none, else less. */
+    double onRequest(double now, String tenant) {
+        allRequests.add(now, 1);
+        Usage usage = usages.get(tenant);
+        if (usage == null || usage.quotaShare <= 0) {
+            return 1;
+        }
+        usage.requests.add(now, 1);
+        double used = usage.requests.lastValue() + Tuning.QUOTA_PRIOR_REQUESTS * usage.quotaShare;
+        double part = used / (allRequests.lastValue() + Tuning.QUOTA_PRIOR_REQUESTS);
+        return Math.min(1, Math.max(overQuotaWeight, usage.quotaShare / part));
+    }
+}
--- a/src/main/java/rillyard/balancer/Tuning.java
+++ b/src/main/java/rillyard/balancer/Tuning.java
@@ -1,158 +1,153 @@
 package rillyard.balancer;
 
-/** Every constant of the module, with its reason. None is fitted to one deployment. */
+/**
+ * The constants of the decisions, each with its reason; none is fitted to one deployment. {@code ...MILLIS} are times in ms,
+ * {@code ...OBJECTIVES} times as multiples of the mean latency objective.
+ */
 final class Tuning {
     private Tuning() {}
 
-    /** The least number of candidates drawn: two for the paper, more as light proxies' counts tie. */
-    static final int MIN_CHOICES = 4;
+    /** The least number of hosts compared: two suffice in theory, more as the counts of proxies with few requests tie. */
+    static final int MIN_CANDIDATES = 4;
 
-    /** The most of many proxies: more would herd them onto the same few hosts. */
-    static final int MAX_CHOICES = 6;
+    static final int MAX_CANDIDATES = 6; // the most for one of many proxies, more would herd them onto the same hosts
 
-    /** Candidates of all proxies together that herd nobody: few proxies draw more of them each. */
-    static final int HERD = 16;
+    /** Candidates of all proxies together that cause no herd: few proxies compare more hosts each. */
+    static final int FLEET_CANDIDATES = 16;
 
-    /** Hosts in the pool of a proxy with no load; enough to lose a fifth of them and still choose. */
-    static final int BASE_POOL = 6;
+    /** Subset size of a proxy without load: enough to lose a fifth of the hosts and still have a choice. */
+    static final int BASE_SUBSET_SIZE = 6;
 
-    /** Pool hosts for each own request in flight at its recent peak, so counts stay mostly small. */
-    static final double POOL_PER_IN_FLIGHT = 1; // 3 had each proxy connect to nearly all hosts
+    /** Subset hosts per own request in flight at the recent peak: 3 had each proxy connect to nearly all hosts. */
+    static final double SUBSET_HOSTS_PER_IN_FLIGHT = 1;
 
-    /** The most proxies that may share a host where pools can be kept so small. */
-    static final double HOST_PROXIES = 60;
+    /** The most proxies that may share a host, where subsets can be kept so small. */
+    static final double MAX_PROXIES_PER_HOST = 60;
 
-    /** How long (ms) the peak of own requests in flight is remembered; shrinking pools costs. */
-    static final double PEAK_MEMORY = 15_000;
+    /** Decay of the peak of own requests in flight: long, as a subset that shrinks costs connections. */
+    static final double PEAK_DECAY_MILLIS = 15_000;
 
-    /** Smoothing of latency figures by sample: about the last ten answers. */
-    static final double LATENCY_ALPHA = 0.1;
+    /** Weight of a new sample in averages: about the last ten answers count. */
+    static final double SAMPLE_WEIGHT = 0.1;
 
-    /** Time constant (ms) at which a host's own latency fades towards that of its kind. */
-    static final double SLOWNESS_FADE = 10_000;
+    /** Decay of a host's own slowness towards that of its machine kind. */
+    static final double SLOWNESS_DECAY_MILLIS = 10_000;
 
-    /** Two expected waits closer than this part are equal, and chance decides: avoids herding. */
-    static final double WAIT_TIE = 0.1;
+    /** Relative difference within which expected waits tie and chance decides, which avoids herds. */
+    static final double WAIT_TIE_TOLERANCE = 0.1;
 
-    /** Time constant, in aims, at which a load report fades: a queue lasts about as long as an aim. */
-    static final double REPORT_FADE = 3;
+    /** Decay of a load report: a queue lasts about as long as a latency objective. */
+    static final double REPORT_DECAY_OBJECTIVES = 3;
 
-    /** Requests a host is taken to hold without queueing, when reports are weighed. */
-    static final double REPORT_BASE = 4;
+    /** Requests a host is taken to serve without a queue, when expected waits are compared. */
+    static final double BASE_OUTSTANDING = 4;
 
-    /** Silence shorter than this (ms) is never held against a host: pauses and jitter. */
-    static final double SILENCE_FLOOR = 40;
+    /** The least time without an answer that makes a host unresponsive: shorter ones are pauses and jitter. */
+    static final double MIN_UNRESPONSIVE_MILLIS = 40;
 
-    /** Failures in a row that eject a host. */
-    static final int FAILURES_IN_A_ROW = 3;
+    /** Consecutive failures that eject a host. */
+    static final int EJECTION_FAILURES = 3;
 
-    /** First ejection, in aims, doubled each time up to the last. */
-    static final double EJECT_BASE = 2.5;
+    /** Length of the first ejection, doubled with each further one. */
+    static final double BASE_EJECTION_OBJECTIVES = 2.5;
 
-    static final double EJECT_MAX = 20;
+    static final double MAX_EJECTION_OBJECTIVES = 20; // the greatest length of an ejection
 
-    /** After this time, in aims, without an ejection the back-off starts anew. */
-    static final double EJECT_FORGET = 75;
+    static final double EJECTION_RESET_OBJECTIVES = 75; // without an ejection, until the backoff starts anew
 
-    /** Part of the hosts past which no further one is ejected. */
-    static final double EJECT_PART = 0.3;
+    /** Fraction of the hosts from which on no further one is ejected. */
+    static final double MAX_EJECTED_FRACTION = 0.3;
 
-    /** What one failure adds to a host's count, so that fast errors do not make it look idle. */
-    static final double FAILURE_CHARGE = 2;
+    /** Requests that one failure adds to a host's count, so that quick errors do not make it look idle. */
+    static final double FAILURE_PENALTY = 2;
 
-    /** Time constant, in aims, at which that charge decays. */
-    static final double CHARGE_FADE = 5;
+    static final double PENALTY_DECAY_OBJECTIVES = 5; // decay of that penalty
 
-    /** What a host that loses all of a class counts more for it: about the queue that takes an aim. */
-    static final double LOSS_CHARGE = 10;
+    /** Requests added to the count of a host that loses all of a class: about the queue that takes an objective. */
+    static final double FAILURE_RATE_PENALTY = 10;
 
-    /** Time constant, in aims, at which a host's losses of a class are forgotten, as ejections are. */
-    static final double LOSS_FADE = 20;
+    static final double FAILURE_RATE_DECAY_OBJECTIVES = 20; // decay of that rate, as long as the longest ejection
 
-    /** Part of the fall multiple that all proxies together may use on a cold host. */
-    static final double COLD_SHARE = 0.5;
+    /** Fraction of the overload multiple that all proxies together may use on a host that warms up. */
+    static final double SLOW_START_SHARE = 0.5;
 
-    /** The least part taken to be served: or a cold fleet that fails once would never be tried. */
-    static final double LEAST_SERVED = 0.05;
+    /** The least fraction taken to be served: else a fleet that fails while it warms up would not be tried again. */
+    static final double MIN_SERVED_FRACTION = 0.05;
 
-    /** Time constant (ms) of the proxy's own arrival rate. */
-    static final double RATE_MEMORY = 3_000;
+    /** Decay of the proxy's own arrival rate. */
+    static final double RATE_DECAY_MILLIS = 3_000;
 
-    static final double RATE_LEAST = 1_000; // the least time (ms) over which it is taken
+    static final double MIN_RATE_WINDOW_MILLIS = 1_000; // the least time over which it is taken
 
-    /** Retries earned by each request, and the most that can be saved up. */
-    static final double RETRY_RATIO = 0.2;
+    /** Retries earned by each request. */
+    static final double RETRIES_PER_REQUEST = 0.2;
 
-    static final double RETRY_SAVINGS = 10;
+    static final double MAX_RETRY_TOKENS = 10; // the most that can be saved up
 
-    /** An attempt is overdue this many mean deviations past the mean answer time of its class. */
+    /** An attempt is overdue this many mean deviations past the mean latency of its class. */
     static final double OVERDUE_DEVIATIONS = 5;
 
-    /** Time (ms) kept back from a repeat window for clocks and queues on the way. */
-    static final double WINDOW_MARGIN = 20;
+    /** Reserve of the idempotency window for clocks and queues on the way. */
+    static final double IDEMPOTENCY_MARGIN_MILLIS = 20;
 
-    /** Time (ms) before the client's own deadline below which nothing new is started. */
-    static final double LAST_SEND = 5;
+    /** Time before the client's deadline from which on nothing new is started. */
+    static final double MIN_REMAINING_MILLIS = 5;
 
-    /** A report of at least this many requests held may tell of a queue; how long, is learned by kind. */
-    static final double QUEUE_SEEN = 4;
+    /** Requests a host must hold to have a queue; how long it lasts is learned by machine kind. */
+    static final double MIN_QUEUE_OUTSTANDING = 4;
 
-    /** Part by which each answer moves the median time per request held. */
-    static final double QUEUE_STEP = 0.05;
+    static final double QUEUE_MEDIAN_STEP = 0.05; // by which each answer moves the median time per request held
 
-    /** Part of the aim past which the expected answer of the winner is too late to begin. */
-    static final double REFUSE_AT = 0.55;
+    /** Fraction of the remaining objective past which an expected latency is too late to begin. */
+    static final double MAX_WAIT_FRACTION = 0.55;
 
-    /** Pressure at which hosts of other zones are drawn from as well. */
-    static final double SPILL_FROM = 0.35;
+    /** Pressure from which hosts of other zones are candidates as well. */
+    static final double SPILL_PRESSURE = 0.35;
 
-    /** Pressure (answer time as part of the aim) at which early refusal begins. */
-    static final double REFUSE_FROM = 0.5;
+    /** Pressure (latency relative to the objective) from which load is shed. */
+    static final double SHED_PRESSURE = 0.5;
 
-    /** Pressure above that at which everything of mean worth would be refused. */
-    static final double REFUSE_SPAN = 0.6;
+    static final double SHED_PRESSURE_SPAN = 0.6; // above it, to shed all of mean priority
 
-    /** The most of a mean class that is refused: the rest finds out when the jam is over. */
-    static final double REFUSE_MOST = 0.9;
+    /** The greatest fraction shed: the rest finds out when the overload is over. */
+    static final double MAX_SHED_PROBABILITY = 0.9;
 
-    /** How long, in aims, one draw of chance decides on refusals: retries at once meet the same. */
-    static final double REFUSE_SLOT = 0.05;
+    /** How long one random value decides on shedding: immediate retries meet the same decision. */
+    static final double SHED_SLOT_OBJECTIVES = 0.05;
 
-    /** Steps of this part of a turn fall evenly, however many are taken. */
-    static final double GOLDEN = 0.6180339887;
+    /** The fractional part of the golden ratio: steps of it spread evenly over a unit, however many are taken. */
+    static final double GOLDEN_RATIO_STEP = 0.6180339887;
 
-    /** A proxy with fewer answers than one in a tenth of this time (in aims) weighs each one more. */
-    static final double PRESSURE_MEMORY = 7.5;
+    /** With fewer than one answer in a tenth of this time, each one weighs more. */
+    static final double PRESSURE_WINDOW_OBJECTIVES = 7.5;
 
-    /** Pressure from which requests are refused that can't be answered within their aim any more. */
-    static final double REFUSE_LATE_FROM = 0.3;
+    /** Pressure from which requests are shed that are too late for their objective already. */
+    static final double SHED_LATE_PRESSURE = 0.3;
 
-    /** How long, in aims, they are refused after one was that is still of use: until room is sure. */
-    static final double REFUSE_LATE_FOR = 5;
+    static final double SHED_LATE_OBJECTIVES = 5; // for so long after the rejection of a request in time
 
-    /** A budget under this part of what first tries bring is what is left of the client's time. */
-    static final double RETRY_BUDGET = 0.9;
+    /** Fraction of a first attempt's time below which a request is taken for a client's retry. */
+    static final double RETRY_DEADLINE_FRACTION = 0.9;
 
-    /** Part by which each request draws the budget of first tries down, so that a change is learned. */
-    static final double BUDGET_ALPHA = 0.02;
+    static final double DEADLINE_SAMPLE_WEIGHT = 0.02; // of each request, when that time gets less
 
-    /** Time constant, in aims, at which pressure fades when no answers come: queues drain slowly. */
-    static final double PRESSURE_FADE = 25;
+    /** Decay of pressure while no answers come: queues drain slowly. */
+    static final double PRESSURE_DECAY_OBJECTIVES = 25;
 
-    /** Time constant (ms) of tenants' parts of the own traffic. */
-    static final double SHARE_MEMORY = 10_000;
+    /** Decay of the tenants' parts of the traffic. */
+    static final double QUOTA_DECAY_MILLIS = 10_000;
 
-    /** Requests taken to have come by portion before any is counted: a few arrivals prove nothing. */
-    static final double SHARE_PRIOR = 8;
+    /** Requests assumed to have come in proportion to the quotas: a few arrivals prove nothing. */
+    static final double QUOTA_PRIOR_REQUESTS = 8;
 
-    /** The least part of the allowed queue that a tenant far over its share may still use. */
-    static final double LEAST_STANDING = 0.4;
+    /** The least fraction of the permitted expected latency that a tenant far over its quota may still use. */
+    static final double MIN_QUOTA_WAIT_WEIGHT = 0.4;
 
-    /** A report younger than this (ms) tells what the host held when a request was sent to it. */
-    static final double REPORT_FRESH = 20;
+    /** Age up to which a report tells what the host held when a request was sent to it. */
+    static final double FRESH_REPORT_MILLIS = 20;
 
-    /** First wait (ms) before discovery is asked again, doubled up to the most, both at chance by half. */
-    static final double FOLLOW_BACKOFF = 500;
+    /** First backoff before discovery is asked again, doubled each time; each with jitter of one half. */
+    static final double BASE_SUBSCRIBE_BACKOFF_MILLIS = 500;
 
-    static final double FOLLOW_MOST = 1_400; // with the connect and the answer's time under the 6 s of a change
+    static final double MAX_SUBSCRIBE_BACKOFF_MILLIS = 1_400; // with connect and answer below the 6 s of a change
 }
--- a/src/main/java/rillyard/balancer/WatchEvent.java
+++ b/src/main/java/rillyard/balancer/WatchEvent.java
@@ -1,12 +1,12 @@
 package rillyard.balancer;
 
-/** The kind of a membership event. */
+/** The kind of an event of the watch on the endpoint list. */
 public enum WatchEvent {
     /** Only the changed entries. */
     DELTA,
-    /** The whole list; hosts not in it are gone. */
+    /** The complete list; hosts not in it are gone. */
     FULL,
-    /** The whole list as last known, possibly old. */
+    /** The complete list as last known, possibly outdated. */
     CACHED,
     /** A call to discovery failed or the subscription broke. */
     FAILED
--- a/src/main/java/rillyard/outlier/net/ObservationGossip.java
+++ b/src/main/java/rillyard/outlier/net/ObservationGossip.java
@@ -67,7 +67,9 @@
         switch (result) {
             case OK -> words.ended(HostObservation.number(host), false, now);
             case ERROR, TIMEOUT, RESET, CONNECT_FAILED -> words.ended(HostObservation.number(host), true, now);
-            case FULL, CANCELLED, MOOT -> {} // a full host is busy, and the others tell nothing of it
+            case REJECTED,
+                    CANCELLED,
+                    NOT_SENT -> {} // a host at capacity is no outlier, and the others tell nothing of it
         }
     }
 
--- a/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
+++ b/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
@@ -14,6 +14,7 @@
 import java.util.stream.Collectors;
 import rillyard.admin.ProxyMetrics;
 import rillyard.balancer.AttemptOutcome;
+import rillyard.balancer.AttemptResult;
 import rillyard.balancer.Balancer;
 import rillyard.balancer.BalancerActions;
 import rillyard.balancer.EndpointEntry;
@@ -280,7 +281,7 @@
             log.trace()
                     .recordAttempt(
                             host.name,
-                            result,
+                            result.traceWord(),
                             spent,
                             age >= 0 && age < settings.rules().warmUpTime());
         }
@@ -289,7 +290,10 @@
     /** Writes an answer of our own down, if that was asked for; {@code last} as {@link ProxyTrace#recordRejection}. */
     void traceEnd(ProxyMetrics.RequestOutcome how, AttemptOutcome last) {
         if (log.trace() != null && how != ProxyMetrics.RequestOutcome.COMPLETED) {
-            log.trace().recordRejection(how == ProxyMetrics.RequestOutcome.REJECTED ? Kind.REFUSED : Kind.FAILED, last);
+            log.trace()
+                    .recordRejection(
+                            how == ProxyMetrics.RequestOutcome.REJECTED ? Kind.REFUSED : Kind.FAILED,
+                            last == null ? null : last.traceWord());
         }
     }
 
@@ -300,7 +304,10 @@
             double spent,
             boolean over,
             LoadReport report) {
-        deliver(exchange, () -> balancer.onAttemptOutcome(now(), exchange.id, number, result, spent, over, report));
+        deliver(
+                exchange,
+                () -> balancer.onAttemptEnded(
+                        now(), exchange.id, new AttemptResult(number, result, spent, over, report)));
     }
 
     /** A request that was handed over while it came is whole; {@code budget} ms are left for it. */
--- a/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
+++ b/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
@@ -80,7 +80,7 @@
 
     private void notWritten() {
         if (!mayHaveRun()) {
-            finish(AttemptOutcome.MOOT);
+            finish(AttemptOutcome.NOT_SENT);
         }
     }
 
@@ -119,16 +119,16 @@
 
     @Override
     public void onNotNeeded() {
-        finish(AttemptOutcome.MOOT);
+        finish(AttemptOutcome.NOT_SENT);
     }
 
     /** Nobody waits any longer. What was not written whole never ran, whatever it waited for. */
     void timeUp() {
-        finish(mayHaveRun() ? AttemptOutcome.TIMEOUT : AttemptOutcome.MOOT);
+        finish(mayHaveRun() ? AttemptOutcome.TIMEOUT : AttemptOutcome.NOT_SENT);
     }
 
     void cancel() {
-        finish(mayHaveRun() ? AttemptOutcome.CANCELLED : AttemptOutcome.MOOT);
+        finish(mayHaveRun() ? AttemptOutcome.CANCELLED : AttemptOutcome.NOT_SENT);
     }
 
     @Override
@@ -158,7 +158,10 @@
         boolean turnedAway =
                 (status == 503 || status == 504) && "1".equals(reply.headers().get(ProtocolHeaders.NOT_PROCESSED));
         connection().discardRest();
-        finish(turnedAway ? AttemptOutcome.FULL : mayHaveRun() ? AttemptOutcome.ERROR : AttemptOutcome.CONNECT_FAILED);
+        finish(
+                turnedAway
+                        ? AttemptOutcome.REJECTED
+                        : mayHaveRun() ? AttemptOutcome.ERROR : AttemptOutcome.CONNECT_FAILED);
     }
 
     @Override
--- a/src/main/java/rillyard/settings/SettingsReader.java
+++ b/src/main/java/rillyard/settings/SettingsReader.java
@@ -39,38 +39,29 @@
         List<Settings.Tenant> tenants = new ArrayList<>();
         for (JsonNode t : root.path("tenants")) {
             tenants.add(new Settings.Tenant(
-                    t.path("name").asText(),
-                    t.path("quotaPerS").asDouble(0),
-                    t.path("portion").asDouble(0)));
+                    t.path("name").asText(), t.path("portion").asDouble(0)));
         }
         JsonNode limits = root.path("limits");
         JsonNode rules = root.path("rules");
-        JsonNode fees = root.path("fees");
         JsonNode zone = root.path("zone");
         return new Settings(
                 classes,
                 tenants,
                 new Settings.Limits(
                         limits.path("cancel").asBoolean(false),
-                        limits.path("retryAfter").asBoolean(false),
                         limits.path("parallelTries").asBoolean(false),
-                        limits.path("maxAttempts").asInt(1),
-                        limits.path("maxRetryAfter").asDouble(0),
-                        limits.path("streamsPerConn").asInt(1)),
+                        limits.path("maxAttempts").asInt(1)),
                 new Settings.Rules(
                         rules.path("cold").asDouble(0),
                         rules.path("startCapacity").asDouble(1),
                         rules.path("fall").asDouble(0),
                         rules.path("fallMultiple").asDouble(1),
                         rules.path("askWithin").asDouble(0)),
-                new Settings.Fees(
-                        fees.path("crossZone").asDouble(0), fees.path("waste").asDouble(0)),
                 root.path("membershipMode").asText("automatic").equals("subscribe"),
                 zone.isTextual() ? zone.asText() : null,
                 root.path("position").asInt(0),
                 root.path("balancers").asInt(1),
-                root.path("overShareWorth").asDouble(1),
-                root.path("worthBy").asText("request").equals("work"));
+                root.path("overShareWorth").asDouble(1));
     }
 
     private static Settings.RequestClass requestClass(JsonNode node) {
--- a/src/main/java/rillyard/simulation/SimulatorSession.java
+++ b/src/main/java/rillyard/simulation/SimulatorSession.java
@@ -9,6 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import rillyard.balancer.AttemptOutcome;
+import rillyard.balancer.AttemptResult;
 import rillyard.balancer.Balancer;
 import rillyard.balancer.BalancerActions;
 import rillyard.balancer.EndpointEntry;
@@ -128,8 +129,10 @@
         boolean over = line.flag("terminal");
         if (balancer != null) {
             // A reason that is not known proves nothing: as an error, it may have run.
-            balancer.onAttemptOutcome(
-                    now, id, number, result == null ? AttemptOutcome.ERROR : result, spent, over, load());
+            balancer.onAttemptEnded(
+                    now,
+                    id,
+                    new AttemptResult(number, result == null ? AttemptOutcome.ERROR : result, spent, over, load()));
         }
     }
 
@@ -222,12 +225,12 @@
         return switch (code) {
             case 1 -> AttemptOutcome.OK;
             case 2 -> AttemptOutcome.ERROR;
-            case 3 -> AttemptOutcome.FULL;
+            case 3 -> AttemptOutcome.REJECTED;
             case 4 -> AttemptOutcome.TIMEOUT;
             case 5 -> AttemptOutcome.CONNECT_FAILED;
             case 6 -> AttemptOutcome.RESET;
             case 7 -> AttemptOutcome.CANCELLED;
-            case 8 -> AttemptOutcome.MOOT;
+            case 8 -> AttemptOutcome.NOT_SENT;
             default -> null;
         };
     }
--- a/src/main/java/rillyard/subset/SubsettingAlgorithm.java
+++ b/src/main/java/rillyard/subset/SubsettingAlgorithm.java
@@ -10,6 +10,7 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
+import rillyard.balancer.SplitMix64;
 
 /** The ways that were weighed; see {@code docs/design/many-instances.md}. */
 public enum SubsettingAlgorithm implements SubsettingStrategy {
@@ -118,7 +119,8 @@
     /** The hosts in an order that {@code salt} picks and that doesn't depend on which others there are. */
     private static List<Long> ordered(List<Long> hosts, long salt) {
         List<Long> out = new ArrayList<>(hosts);
-        out.sort(Comparator.comparingLong((Long h) -> SplitMix64.of(salt, h)).thenComparing(Comparator.naturalOrder()));
+        out.sort(Comparator.comparingLong((Long h) -> SplitMix64.hash(salt, h))
+                .thenComparing(Comparator.naturalOrder()));
         return out;
     }
 
--- a/src/main/java/rillyard/trace/ProxyTrace.java
+++ b/src/main/java/rillyard/trace/ProxyTrace.java
@@ -25,13 +25,13 @@
     }
 
     /** An attempt has ended, {@code spent} ms after it was sent to a host that was cold then, or not. */
-    public void recordAttempt(String host, Enum<?> result, double spent, boolean cold) {
-        write(TraceEvent.Kind.ATTEMPT, host, result.name(), Math.round(spent), cold);
+    public void recordAttempt(String host, String outcome, double spent, boolean cold) {
+        write(TraceEvent.Kind.ATTEMPT, host, outcome, Math.round(spent), cold);
     }
 
     /** A request got its final answer from this proxy; {@code last} is null where nothing was sent. */
-    public void recordRejection(TraceEvent.Kind what, Enum<?> last) {
-        write(what, TraceEvent.NONE, last == null ? TraceEvent.NONE : last.name(), 0, false);
+    public void recordRejection(TraceEvent.Kind what, String last) {
+        write(what, TraceEvent.NONE, last == null ? TraceEvent.NONE : last, 0, false);
     }
 
     private void write(TraceEvent.Kind what, String host, String how, long spent, boolean cold) {
--- a/src/test/java/rillyard/balancer/BalancerFixture.java
+++ b/src/test/java/rillyard/balancer/BalancerFixture.java
@@ -42,15 +42,13 @@
         return new Settings(
                 List.of(classes),
                 tenants,
-                new Settings.Limits(true, true, parallel, maxAttempts, 1_000, 1),
+                new Settings.Limits(true, parallel, maxAttempts),
                 new Settings.Rules(8_000, 0.3, 1_500, 3, 10_000),
-                new Settings.Fees(0, 0),
                 mustFollow,
                 "a",
                 0,
                 1,
-                0.1,
-                false);
+                0.1);
     }
 
     static EndpointEntry host(long id) {
--- a/src/test/java/rillyard/balancer/BalancerTest.java
+++ b/src/test/java/rillyard/balancer/BalancerTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
+import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -34,7 +35,7 @@
         balancer.onRequest(bench.now, BalancerFixture.request(id, SAFE, 800));
         BalancerFixture.Send send = bench.last();
         bench.now += spent;
-        balancer.onAttemptOutcome(bench.now, id, send.number(), AttemptOutcome.OK, spent, true, null);
+        balancer.onAttemptEnded(bench.now, id, new AttemptResult(send.number(), AttemptOutcome.OK, spent, true, null));
     }
 
     @Test
@@ -91,8 +92,10 @@
                     later += i >= 100 && bench.now < 7_000 ? 1 : 0;
                     trials += bench.now >= 7_000 ? 1 : 0;
                 }
-                balancer.onAttemptOutcome(
-                        bench.now, i, k, fails ? AttemptOutcome.ERROR : AttemptOutcome.OK, 1, !fails, null);
+                balancer.onAttemptEnded(
+                        bench.now,
+                        i,
+                        new AttemptResult(k, fails ? AttemptOutcome.ERROR : AttemptOutcome.OK, 1, !fails, null));
             }
         }
         assertThat(first).isLessThan(8);
@@ -105,18 +108,22 @@
         Balancer balancer = safe(3);
         for (int i = 0; i < 60; i++) {
             balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
-            balancer.onAttemptOutcome(bench.now, i, 0, AttemptOutcome.ERROR, 1, true, null);
+            balancer.onAttemptEnded(bench.now, i, new AttemptResult(0, AttemptOutcome.ERROR, 1, true, null));
         }
         int before = bench.sends.size();
         balancer.onRequest(bench.now, BalancerFixture.request(100, SAFE, 800));
         assertThat(bench.sends).hasSizeGreaterThan(before);
-        balancer.onAttemptOutcome(bench.now, 100, 0, AttemptOutcome.OK, 1, true, null);
-        assertThat(bench.logs).filteredOn(l -> l.endsWith("ejected")).hasSize(1);
+        balancer.onAttemptEnded(bench.now, 100, new AttemptResult(0, AttemptOutcome.OK, 1, true, null));
+        assertThat(bench.logs)
+                .filteredOn(l -> l.startsWith("outlier: host ejected, "))
+                .hasSize(1);
         bench.now += 20_000;
         for (int i = 200; i < 260; i++) {
             serve(balancer, i, 5);
         }
-        assertThat(bench.logs).filteredOn(l -> l.endsWith("readmitted")).hasSize(1);
+        assertThat(bench.logs)
+                .filteredOn(l -> l.startsWith("outlier: host readmitted, "))
+                .hasSize(1);
     }
 
     /** Full hosts are busy, not broken: none is ejected, and what piles up is refused early. */
@@ -127,7 +134,7 @@
             bench.now += 20;
             balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             for (int k = 0; k < 4 && bench.last().request() == i && bench.last().number() == k; k++) {
-                balancer.onAttemptOutcome(bench.now, i, k, AttemptOutcome.FULL, 1, false, null);
+                balancer.onAttemptEnded(bench.now, i, new AttemptResult(k, AttemptOutcome.REJECTED, 1, false, null));
             }
         }
         assertThat(bench.logs).noneMatch(l -> l.contains("ejected"));
@@ -168,11 +175,11 @@
                 BalancerFixture.settings(BalancerFixture.type("once", Semantics.AT_MOST_ONCE, Scope.ALL)),
                 BalancerFixture.hosts(4));
         b.onRequest(bench.now, BalancerFixture.request(1, "once", 400));
-        b.onAttemptOutcome(bench.now + 400, 1, 0, AttemptOutcome.TIMEOUT, 400, false, null);
+        b.onAttemptEnded(bench.now + 400, 1, new AttemptResult(0, AttemptOutcome.TIMEOUT, 400, false, null));
         assertThat(bench.sends).hasSize(1);
         assertThat(bench.failed).containsExactly(1L);
         b.onRequest(bench.now, BalancerFixture.request(2, "once", 400));
-        b.onAttemptOutcome(bench.now, 2, 0, AttemptOutcome.FULL, 1, false, null);
+        b.onAttemptEnded(bench.now, 2, new AttemptResult(0, AttemptOutcome.REJECTED, 1, false, null));
         assertThat(bench.sends).hasSize(3);
     }
 
@@ -184,7 +191,7 @@
         }
         bench.now += 790;
         for (int i = 0; i < 60; i++) {
-            balancer.onAttemptOutcome(bench.now, i, 0, AttemptOutcome.OK, 790, true, null);
+            balancer.onAttemptEnded(bench.now, i, new AttemptResult(0, AttemptOutcome.OK, 790, true, null));
         }
         int sent = bench.sends.size();
         for (int i = 1_000; i < 1_050; i++) {
@@ -210,7 +217,7 @@
         }
         bench.now += 790;
         for (int i = 0; i < 60; i++) {
-            balancer.onAttemptOutcome(bench.now, i, 0, AttemptOutcome.OK, 790, true, null);
+            balancer.onAttemptEnded(bench.now, i, new AttemptResult(0, AttemptOutcome.OK, 790, true, null));
         }
         bench.now += 3_000;
         for (int i = 1_000; i < 1_100; i++) {
@@ -242,8 +249,8 @@
     void discoveryIsAskedAgainWithinWhatTheSettingsAllow() {
         for (double askWithin : new double[] {0, 1_000, 10_000}) {
             Settings.Rules rules = new Settings.Rules(8_000, 0.3, 1_500, 3, askWithin);
-            double most = rules.pollInterval(Tuning.FOLLOW_MOST);
-            assertThat(most).isEqualTo(askWithin == 1_000 ? 500 : Tuning.FOLLOW_MOST);
+            double most = rules.pollInterval(Tuning.MAX_SUBSCRIBE_BACKOFF_MILLIS);
+            assertThat(most).isEqualTo(askWithin == 1_000 ? 500 : Tuning.MAX_SUBSCRIBE_BACKOFF_MILLIS);
             assertThat(1.5 * most).isLessThan(askWithin == 0 ? 6_000 : askWithin);
         }
     }
@@ -271,16 +278,20 @@
             BalancerFixture.Send send = bench.last();
             double spent = i % 10 == 9 ? 780 : 60;
             bench.now += spent;
-            balancer.onAttemptOutcome(
-                    bench.now, i, send.number(), AttemptOutcome.OK, spent, true, BalancerFixture.held(10));
+            balancer.onAttemptEnded(
+                    bench.now,
+                    i,
+                    new AttemptResult(send.number(), AttemptOutcome.OK, spent, true, BalancerFixture.held(10)));
         }
         // A mean of 132 ms for 11 held makes a queue of 25 too long for the aim; a median of 60 does not.
         int refused = bench.refused.size();
         bench.now += 15_000; // pressure fades
         for (int i = 200; i < 203; i++) {
             balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
-            balancer.onAttemptOutcome(
-                    bench.now, i, bench.last().number(), AttemptOutcome.OK, 60, true, BalancerFixture.held(25));
+            balancer.onAttemptEnded(
+                    bench.now,
+                    i,
+                    new AttemptResult(bench.last().number(), AttemptOutcome.OK, 60, true, BalancerFixture.held(25)));
         }
         balancer.onRequest(bench.now, BalancerFixture.request(900, SAFE, 800));
         assertThat(bench.refused).hasSize(refused);
@@ -291,7 +302,7 @@
     void refusesATenantOverItsShareFirst() {
         Balancer b = balancer(
                 BalancerFixture.settings(
-                        List.of(new Settings.Tenant("x", 10, 0.5), new Settings.Tenant("y", 10, 0.5)),
+                        List.of(new Settings.Tenant("x", 0.5), new Settings.Tenant("y", 0.5)),
                         BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)),
                 BalancerFixture.hosts(4));
         for (int i = 0; i < 90; i++) {
@@ -299,7 +310,7 @@
         }
         bench.now += 790;
         for (int i = 0; i < 90; i++) {
-            b.onAttemptOutcome(bench.now, i, 0, AttemptOutcome.OK, 300, true, null);
+            b.onAttemptEnded(bench.now, i, new AttemptResult(0, AttemptOutcome.OK, 300, true, null));
         }
         int[] refused = new int[2];
         for (int i = 0; i < 180; i++) {
@@ -334,8 +345,11 @@
                 boolean ok = k % 10 == 0; // hosts serve a tenth of what comes
                 cold += i >= 2_000 && send.host() == 3 ? 1 : 0;
                 served += i >= 2_000 && ok ? 1 : 0;
-                balancer.onAttemptOutcome(
-                        bench.now, i, send.number(), ok ? AttemptOutcome.OK : AttemptOutcome.FULL, 2, ok, null);
+                balancer.onAttemptEnded(
+                        bench.now,
+                        i,
+                        new AttemptResult(
+                                send.number(), ok ? AttemptOutcome.OK : AttemptOutcome.REJECTED, 2, ok, null));
             }
         }
         // A warm host serves a fifth of that, and a cold one may get at most three times as much.
@@ -347,17 +361,7 @@
     void manyProxiesOnFewHostsKeepSmallPools() {
         Settings settings = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
         Settings many = new Settings(
-                settings.classes(),
-                settings.tenants(),
-                settings.limits(),
-                settings.rules(),
-                settings.fees(),
-                false,
-                "a",
-                17,
-                1_500,
-                1,
-                false);
+                settings.classes(), settings.tenants(), settings.limits(), settings.rules(), false, "a", 17, 1_500, 1);
         Balancer b = balancer(many, BalancerFixture.hosts(40));
         for (int i = 0; i < 500; i++) {
             serve(b, i, 10);
@@ -376,7 +380,8 @@
             balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             if (bench.refused.isEmpty()) { // each answer takes 300 ms behind nine others
                 bench.now += 300;
-                balancer.onAttemptOutcome(bench.now, i, 0, AttemptOutcome.OK, 300, true, BalancerFixture.held(9));
+                balancer.onAttemptEnded(
+                        bench.now, i, new AttemptResult(0, AttemptOutcome.OK, 300, true, BalancerFixture.held(9)));
             }
             assertThat(i).isLessThan(100);
         }
@@ -394,22 +399,27 @@
         HostSet fleet = new HostSet(settings);
         fleet.apply(bench.now, WatchEvent.FULL, BalancerFixture.hosts(1), new java.util.SplittableRandom(1));
         HostState host = fleet.get(0);
-        fleet.queued(host, 9, 100); // 10 ms for each request held
-        fleet.reported(host, bench.now, BalancerFixture.held(0), true);
-        assertThat(fleet.expectedAnswer(host, bench.now)).isZero();
-        host.inFlight = 20; // the report is older than these
-        assertThat(fleet.expectedAnswer(host, bench.now)).isGreaterThanOrEqualTo(200);
-        host.inFlight = 0;
-        fleet.reported(host, bench.now, BalancerFixture.held(14), true);
-        assertThat(fleet.expectedAnswer(host, bench.now)).isGreaterThanOrEqualTo(140);
-        assertThat(fleet.expectedAnswer(host, bench.now + 150)).isZero();
+        LoadEstimator load = new LoadEstimator(settings);
+        load.onQueuedAnswer(host, 9, 100); // 10 ms for each request held
+        load.onReport(host, bench.now, BalancerFixture.held(0), true);
+        assertThat(load.expectedLatency(host, bench.now)).isZero();
+        RequestClassStats type = new RequestClassStats(settings.classes().get(0));
+        List<AttemptState> sent = new ArrayList<>(); // the report is older than these
+        for (int i = 0; i < 20; i++) {
+            sent.add(new RequestState(i, type, bench.now, 800, 1).startAttempt(host, bench.now, Double.NaN));
+        }
+        assertThat(load.expectedLatency(host, bench.now)).isGreaterThanOrEqualTo(200);
+        sent.forEach(attempt -> attempt.end(AttemptOutcome.OK));
+        assertThat(host.inFlight()).isZero();
+        load.onReport(host, bench.now, BalancerFixture.held(14), true);
+        assertThat(load.expectedLatency(host, bench.now)).isGreaterThanOrEqualTo(140);
+        assertThat(load.expectedLatency(host, bench.now + 150)).isZero();
     }
 
     @Test
     void aRequestThatStillComesIsNoSilenceAndHidesNone() {
         Settings settings = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.AT_MOST_ONCE, Scope.ALL));
-        RetryPolicy.RequestClassStats type =
-                new RetryPolicy.RequestClassStats(settings.classes().get(0));
+        RequestClassStats type = new RequestClassStats(settings.classes().get(0));
         HostSet fleet = new HostSet(settings);
         var random = new java.util.SplittableRandom(1);
         fleet.apply(bench.now, WatchEvent.FULL, BalancerFixture.hosts(1), random);
@@ -417,12 +427,12 @@
         RetryPolicy attempts = new RetryPolicy(settings.limits());
         OutlierDetector health = new OutlierDetector(fleet, settings.meanLatencyObjective(), random, bench);
         double at = bench.now;
-        attempts.start(new RetryPolicy.RequestState(1, type, at, Double.POSITIVE_INFINITY), host, at);
-        assertThat(health.silent(host, at + 60_000, 50)).isFalse();
-        RetryPolicy.AttemptState whole = attempts.start(new RetryPolicy.RequestState(2, type, at, 800), host, at);
-        assertThat(health.silent(host, at + 1_000, 50)).isTrue();
-        attempts.finish(whole, AttemptOutcome.OK);
-        assertThat(health.silent(host, at + 1_000, 50)).isFalse();
+        attempts.start(new RequestState(1, type, at, Double.POSITIVE_INFINITY, 1), host, at, Double.NaN);
+        assertThat(health.isUnresponsive(host, at + 60_000, 50)).isFalse();
+        AttemptState whole = attempts.start(new RequestState(2, type, at, 800, 1), host, at, Double.NaN);
+        assertThat(health.isUnresponsive(host, at + 1_000, 50)).isTrue();
+        whole.end(AttemptOutcome.OK);
+        assertThat(health.isUnresponsive(host, at + 1_000, 50)).isFalse();
     }
 
     @Test
@@ -431,11 +441,11 @@
         Balancer b = balancer(settings, BalancerFixture.hosts(2));
         b.onRequest(bench.now, BalancerFixture.request(1, SAFE, Double.POSITIVE_INFINITY));
         bench.now += 60_000;
-        b.onAttemptOutcome(bench.now, 1, 0, AttemptOutcome.CONNECT_FAILED, 5, false, null);
+        b.onAttemptEnded(bench.now, 1, new AttemptResult(0, AttemptOutcome.CONNECT_FAILED, 5, false, null));
         assertThat(bench.sends).hasSize(2); // it may still go to another one
         b.onRequestComplete(bench.now, 1, 800);
         bench.now += 900;
-        b.onAttemptOutcome(bench.now, 1, 1, AttemptOutcome.CONNECT_FAILED, 5, false, null);
+        b.onAttemptEnded(bench.now, 1, new AttemptResult(1, AttemptOutcome.CONNECT_FAILED, 5, false, null));
         assertThat(bench.refused).containsExactly(1L); // its time is up, and it never ran
         assertThat(bench.sends).hasSize(2);
     }
@@ -447,7 +457,7 @@
         AdmissionController admission = new AdmissionController(settings, new java.util.SplittableRandom(1), bench);
         assertThat(admission.servedRate(bench.now)).isZero();
         for (int ms = 0; ms <= 20_000; ms += 10) { // 0.1 a ms
-            admission.arrived(bench.now + ms, settings.classes().get(0), null);
+            admission.onRequest(bench.now + ms, settings.classes().get(0));
             if (ms >= 1_000) {
                 assertThat(admission.servedRate(bench.now + ms)).isBetween(0.05, 0.101);
             }
@@ -465,40 +475,30 @@
         RetryPolicy attempts = new RetryPolicy(settings.limits());
         OutlierDetector health = new OutlierDetector(fleet, settings.meanLatencyObjective(), random, bench);
         AdmissionController admission = new AdmissionController(settings, random, bench);
-        HostSelector draw = new HostSelector(settings, fleet, health, attempts, admission, random);
-        RetryPolicy.RequestState request =
-                new RetryPolicy.RequestState(1, new RetryPolicy.RequestClassStats(type), bench.now, 800);
-        request.patience = 280;
+        LoadEstimator load = new LoadEstimator(settings);
+        HostSelector draw = new HostSelector(settings, fleet, load, health, attempts, admission, random);
+        RequestState request = new RequestState(1, new RequestClassStats(type), bench.now, 800, 1);
+        request.limitExpectedLatency(280);
         for (int i = 0; i < 3; i++) {
-            health.failed(fleet.get(1), bench.now, true);
+            health.onFailure(fleet.get(1), bench.now, true);
         }
-        assertThat(draw.pick(request, bench.now)).isSameAs(fleet.get(0));
-        fleet.queued(fleet.get(0), 9, 100);
-        fleet.reported(
+        assertThat(draw.select(request, bench.now)).isSameAs(fleet.get(0));
+        load.onQueuedAnswer(fleet.get(0), 9, 100);
+        load.onReport(
                 fleet.get(0), bench.now, BalancerFixture.held(60), true); // its queue takes longer than the request has
-        assertThat(draw.pick(request, bench.now)).isNull();
+        assertThat(draw.select(request, bench.now)).isNull();
         for (int i = 0; i < 3; i++) {
-            health.failed(fleet.get(0), bench.now, true);
+            health.onFailure(fleet.get(0), bench.now, true);
         }
-        fleet.reported(fleet.get(0), bench.now, BalancerFixture.held(0), true);
-        assertThat(draw.pick(request, bench.now)).isNotNull(); // nobody is healthy: somebody is better than none
+        load.onReport(fleet.get(0), bench.now, BalancerFixture.held(0), true);
+        assertThat(draw.select(request, bench.now)).isNotNull(); // nobody is healthy: somebody is better than none
     }
 
     @Test
     void twoProxiesWithFewHostsKeepTheirCountsEven() {
         Settings settings = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
         Settings two = new Settings(
-                settings.classes(),
-                settings.tenants(),
-                settings.limits(),
-                settings.rules(),
-                settings.fees(),
-                false,
-                "a",
-                0,
-                2,
-                1,
-                false);
+                settings.classes(), settings.tenants(), settings.limits(), settings.rules(), false, "a", 0, 2, 1);
         Balancer b = balancer(two, BalancerFixture.hosts(8)); // all but host 4 are near
         Map<Long, Integer> counts = new HashMap<>();
         for (long id : new long[] {0, 1, 2, 3, 5, 6, 7}) {
@@ -523,14 +523,15 @@
             while (!due.isEmpty() && due.peek().getKey() <= bench.now) {
                 BalancerFixture.Send send = due.poll().getValue();
                 boolean late = bench.now - send.at() >= 400;
-                balancer.onAttemptOutcome(
+                balancer.onAttemptEnded(
                         bench.now,
                         send.request(),
-                        send.number(),
-                        late ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK,
-                        bench.now - send.at(),
-                        true,
-                        null);
+                        new AttemptResult(
+                                send.number(),
+                                late ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK,
+                                bench.now - send.at(),
+                                true,
+                                null));
             }
             int before = bench.sends.size();
             balancer.onRequest(bench.now, BalancerFixture.request(next++, ONCE, 400));
@@ -547,22 +548,23 @@
     void hostThatLosesSomeIsOfUseAndOneThatHangsIsNot() {
         Settings once = BalancerFixture.settings(BalancerFixture.type(ONCE, Semantics.AT_MOST_ONCE, Scope.ALL));
         int some = sentTo0(balancer(once, BalancerFixture.hosts(3)), n -> n % 3 == 2);
-        assertThat(bench.logs).doesNotContain("host 0 ejected");
+        assertThat(bench.logs).noneMatch(line -> line.startsWith("outlier: host ejected, host=0 "));
         int all = sentTo0(balancer(once, BalancerFixture.hosts(3)), n -> true);
-        assertThat(bench.logs).contains("host 0 ejected");
+        assertThat(bench.logs).anyMatch(line -> line.startsWith("outlier: host ejected, host=0 "));
         assertThat(some).isGreaterThan(2 * all);
     }
 
     @Test
     void restartedHostIsNotWeighedByAReportOfItsFormerProcess() {
-        HostSet fleet =
-                new HostSet(BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL)));
+        Settings settings = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
+        HostSet fleet = new HostSet(settings);
+        LoadEstimator load = new LoadEstimator(settings);
         java.util.SplittableRandom random = new java.util.SplittableRandom(1);
         fleet.apply(bench.now, WatchEvent.FULL, BalancerFixture.hosts(1), random);
-        fleet.reported(fleet.get(0), bench.now, BalancerFixture.held(5), true);
+        load.onReport(fleet.get(0), bench.now, BalancerFixture.held(5), true);
         fleet.apply(bench.now, WatchEvent.DELTA, List.of(BalancerFixture.host(0, Condition.READY, bench.now)), random);
-        assertThat(fleet.expectedWait(fleet.get(0), bench.now)).isFinite();
-        assertThat(fleet.expectedAnswer(fleet.get(0), bench.now)).isZero();
+        assertThat(load.expectedWait(fleet.get(0), bench.now)).isFinite();
+        assertThat(load.expectedLatency(fleet.get(0), bench.now)).isZero();
     }
 
     @Test
--- a/src/test/java/rillyard/balancer/FleetEjectionTest.java
+++ b/src/test/java/rillyard/balancer/FleetEjectionTest.java
@@ -31,7 +31,7 @@
             bench.now += 20;
             b.onRequest(bench.now, BalancerFixture.request(next, "visit", 800));
             used.add(bench.last().host());
-            b.onAttemptOutcome(bench.now + 5, next++, 0, AttemptOutcome.OK, 5, true, null);
+            b.onAttemptEnded(bench.now + 5, next++, new AttemptResult(0, AttemptOutcome.OK, 5, true, null));
         }
         return used;
     }
@@ -103,7 +103,7 @@
                 }
                 one.onRequest(at.now, BalancerFixture.request(i, "visit", 800));
                 got += at.now >= started && at.last().host() == 2 ? 1 : 0;
-                one.onAttemptOutcome(at.now + 5, i, 0, AttemptOutcome.OK, 5, true, null);
+                one.onAttemptEnded(at.now + 5, i, new AttemptResult(0, AttemptOutcome.OK, 5, true, null));
                 at.now += 800;
             }
         }
--- a/src/test/java/rillyard/balancer/FleetFaultTest.java
+++ b/src/test/java/rillyard/balancer/FleetFaultTest.java
@@ -49,14 +49,10 @@
 
     private void finish(End end, Hosts hosts) {
         bench.now = end.at();
-        balancer.onAttemptOutcome(
+        balancer.onAttemptEnded(
                 end.at(),
                 end.request(),
-                end.number(),
-                end.result(),
-                end.spent(),
-                end.result() == AttemptOutcome.OK,
-                null);
+                new AttemptResult(end.number(), end.result(), end.spent(), end.result() == AttemptOutcome.OK, null));
         take(hosts);
     }
 
--- a/src/test/java/rillyard/balancer/IdempotencyWindowTest.java
+++ b/src/test/java/rillyard/balancer/IdempotencyWindowTest.java
@@ -58,13 +58,13 @@
         double first = bench.now;
         b.onRequest(bench.now, BalancerFixture.request(1, "c", 800));
         bench.now += 100;
-        b.onAttemptOutcome(bench.now, 1, 0, AttemptOutcome.ERROR, 100, false, null);
+        b.onAttemptEnded(bench.now, 1, new AttemptResult(0, AttemptOutcome.ERROR, 100, false, null));
         bench.now += 50;
-        b.onAttemptOutcome(bench.now, 1, 1, AttemptOutcome.ERROR, 50, false, null);
+        b.onAttemptEnded(bench.now, 1, new AttemptResult(1, AttemptOutcome.ERROR, 50, false, null));
         assertThat(notAfter).hasSize(3);
         assertThat(notAfter.get(0)).isEqualTo(Double.POSITIVE_INFINITY);
         assertThat(notAfter.get(1))
-                .isEqualTo(first + WINDOW - Tuning.WINDOW_MARGIN)
+                .isEqualTo(first + WINDOW - Tuning.IDEMPOTENCY_MARGIN_MILLIS)
                 .isEqualTo(notAfter.get(2));
     }
 
@@ -73,7 +73,7 @@
         Balancer b = balancer(Semantics.DEDUPLICATED);
         b.onRequest(bench.now, BalancerFixture.request(1, "c", 800));
         bench.now += 100;
-        b.onAttemptOutcome(bench.now, 1, 0, AttemptOutcome.CONNECT_FAILED, 100, false, null);
+        b.onAttemptEnded(bench.now, 1, new AttemptResult(0, AttemptOutcome.CONNECT_FAILED, 100, false, null));
         assertThat(notAfter).containsExactly(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY);
     }
 
@@ -82,7 +82,7 @@
         Balancer b = balancer(Semantics.IDEMPOTENT);
         b.onRequest(bench.now, BalancerFixture.request(1, "c", 800));
         bench.now += 100;
-        b.onAttemptOutcome(bench.now, 1, 0, AttemptOutcome.ERROR, 100, false, null);
+        b.onAttemptEnded(bench.now, 1, new AttemptResult(0, AttemptOutcome.ERROR, 100, false, null));
         assertThat(notAfter).containsExactly(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY);
     }
 }
--- a/src/test/java/rillyard/balancer/JointRestartTest.java
+++ b/src/test/java/rillyard/balancer/JointRestartTest.java
@@ -84,7 +84,7 @@
                 proxies[proxy].onStart(at);
                 proxies[proxy].onWatchEvent(at, WatchEvent.CACHED, BalancerFixture.hosts(HOSTS));
                 proxies[proxy].onRequest(at, BalancerFixture.request(1, SAFE, 800));
-                proxies[proxy].onAttemptOutcome(at, 1, 0, AttemptOutcome.OK, 1, true, null);
+                proxies[proxy].onAttemptEnded(at, 1, new AttemptResult(0, AttemptOutcome.OK, 1, true, null));
             }));
             benches[p] = new BalancerFixture();
         }
--- a/src/test/java/rillyard/balancer/LatencyPressureTest.java
+++ b/src/test/java/rillyard/balancer/LatencyPressureTest.java
@@ -23,18 +23,22 @@
     /** Two hosts of ten turn all away, or lose it: what is refused for that has room at the others. */
     @Test
     void someHostsThatTurnAwayOrLoseAreNoJamOfAll() {
-        for (AttemptOutcome lost : List.of(AttemptOutcome.FULL, AttemptOutcome.TIMEOUT)) {
+        for (AttemptOutcome lost : List.of(AttemptOutcome.REJECTED, AttemptOutcome.TIMEOUT)) {
             Balancer balancer = safe(10);
             for (int i = 0; i < 2_000; i++) {
                 balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
                 BalancerFixture.Send send = bench.last();
                 for (int tries = 1; send.host() < 2 && tries < 4; tries++) {
-                    balancer.onAttemptOutcome(
-                            bench.now, i, send.number(), lost, lost == AttemptOutcome.FULL ? 1 : 700, false, null);
+                    balancer.onAttemptEnded(
+                            bench.now,
+                            i,
+                            new AttemptResult(
+                                    send.number(), lost, lost == AttemptOutcome.REJECTED ? 1 : 700, false, null));
                     send = bench.last();
                 }
                 bench.now += 5;
-                balancer.onAttemptOutcome(bench.now, i, send.number(), AttemptOutcome.OK, 100, true, null);
+                balancer.onAttemptEnded(
+                        bench.now, i, new AttemptResult(send.number(), AttemptOutcome.OK, 100, true, null));
             }
             assertThat(bench.refused).as("%s", lost).isEmpty();
             bench.sends.clear();
@@ -47,15 +51,24 @@
         Settings settings = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
         AdmissionController admission = new AdmissionController(settings, new java.util.SplittableRandom(1), bench);
         for (int i = 0; i < 400; i++) {
-            admission.answered(bench.now += 1, 0.25, i % 4 == 0);
+            record(admission, i % 4 == 0);
             assertThat(admission.pressure(bench.now)).isLessThanOrEqualTo(0.25);
         }
         for (int i = 0; i < 100; i++) {
-            admission.answered(bench.now += 1, 0.25, i % 5 != 0);
+            record(admission, i % 5 != 0);
         }
         assertThat(admission.pressure(bench.now)).isGreaterThan(1);
     }
 
+    private void record(AdmissionController admission, boolean lost) {
+        bench.now += 1;
+        if (lost) {
+            admission.onNoAnswer(bench.now);
+        } else {
+            admission.onAnswer(bench.now, 0.25);
+        }
+    }
+
     /** Where more is lost than some hosts explain, it is a jam, though no answer is late. */
     @Test
     void mostAttemptsWithoutAnAnswerAreAJam() {
@@ -67,14 +80,15 @@
         List<BalancerFixture.Send> out = List.copyOf(bench.sends);
         for (BalancerFixture.Send send : out) {
             boolean ok = send.request() % 5 == 0;
-            balancer.onAttemptOutcome(
+            balancer.onAttemptEnded(
                     bench.now,
                     send.request(),
-                    send.number(),
-                    ok ? AttemptOutcome.OK : AttemptOutcome.TIMEOUT,
-                    ok ? 100 : 790,
-                    true,
-                    null);
+                    new AttemptResult(
+                            send.number(),
+                            ok ? AttemptOutcome.OK : AttemptOutcome.TIMEOUT,
+                            ok ? 100 : 790,
+                            true,
+                            null));
         }
         int refused = bench.refused.size();
         for (int i = 1_000; i < 1_050; i++) {
@@ -92,8 +106,10 @@
             balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             if (bench.refused.isEmpty()) {
                 bench.now += 1; // pressure stays low: what refuses is the queue
-                balancer.onAttemptOutcome(
-                        bench.now, i, 0, AttemptOutcome.OK, i < 4 ? 360 : 100, true, BalancerFixture.held(5));
+                balancer.onAttemptEnded(
+                        bench.now,
+                        i,
+                        new AttemptResult(0, AttemptOutcome.OK, i < 4 ? 360 : 100, true, BalancerFixture.held(5)));
             }
         }
         assertThat(bench.refused).isNotEmpty();
--- a/src/test/java/rillyard/balancer/ManyProxiesTest.java
+++ b/src/test/java/rillyard/balancer/ManyProxiesTest.java
@@ -29,13 +29,11 @@
                 settings.tenants(),
                 settings.limits(),
                 settings.rules(),
-                settings.fees(),
                 false,
                 zone,
                 position,
                 PROXIES,
-                1,
-                false);
+                1);
     }
 
     private static Balancer start(BalancerFixture bench, int position, String zone, List<EndpointEntry> hosts) {
@@ -55,8 +53,10 @@
                 balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
                 bench.now += 10;
                 if (i >= 10) {
-                    balancer.onAttemptOutcome(
-                            bench.now, bench.sends.get(i - 10).request(), 0, AttemptOutcome.OK, 100, true, null);
+                    balancer.onAttemptEnded(
+                            bench.now,
+                            bench.sends.get(i - 10).request(),
+                            new AttemptResult(0, AttemptOutcome.OK, 100, true, null));
                 }
             }
             pairs += (int) bench.sends.stream()
@@ -75,17 +75,7 @@
     void aHotProxyUsesAsManyHostsAsItHasRequestsInFlight() {
         Settings settings = of(3, null);
         Settings many = new Settings(
-                settings.classes(),
-                settings.tenants(),
-                settings.limits(),
-                settings.rules(),
-                settings.fees(),
-                false,
-                null,
-                30,
-                100,
-                1,
-                false);
+                settings.classes(), settings.tenants(), settings.limits(), settings.rules(), false, null, 30, 100, 1);
         BalancerFixture bench = new BalancerFixture();
         Balancer balancer = new Balancer(many, 7, bench);
         balancer.onWatchEvent(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(40));
@@ -93,8 +83,10 @@
             balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
             bench.now += 2.5;
             if (i >= 60) {
-                balancer.onAttemptOutcome(
-                        bench.now, bench.sends.get(i - 60).request(), 0, AttemptOutcome.OK, 150, true, null);
+                balancer.onAttemptEnded(
+                        bench.now,
+                        bench.sends.get(i - 60).request(),
+                        new AttemptResult(0, AttemptOutcome.OK, 150, true, null));
             }
         }
         long used = bench.sends.stream()
@@ -116,8 +108,10 @@
             long host = bench.last().host();
             idle += host == 2 ? 1 : 0;
             bench.now += 10;
-            balancer.onAttemptOutcome(
-                    bench.now, i, 0, AttemptOutcome.OK, 100, true, BalancerFixture.held(host == 2 ? 0 : 3));
+            balancer.onAttemptEnded(
+                    bench.now,
+                    i,
+                    new AttemptResult(0, AttemptOutcome.OK, 100, true, BalancerFixture.held(host == 2 ? 0 : 3)));
         }
         assertThat(idle).isGreaterThan(700);
     }
@@ -172,8 +166,10 @@
                 }
                 while (!out.isEmpty() && out.peek().at() + 800 <= bench.now) {
                     BalancerFixture.Send send = out.poll();
-                    balancer.onAttemptOutcome(
-                            bench.now, send.request(), send.number(), AttemptOutcome.TIMEOUT, 800, true, null);
+                    balancer.onAttemptEnded(
+                            bench.now,
+                            send.request(),
+                            new AttemptResult(send.number(), AttemptOutcome.TIMEOUT, 800, true, null));
                 }
                 int before = bench.sends.size();
                 balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
@@ -189,14 +185,11 @@
                 if (told && silent && !cold) {
                     out.add(bench.last());
                 } else {
-                    balancer.onAttemptOutcome(
+                    balancer.onAttemptEnded(
                             bench.now,
                             i,
-                            0,
-                            AttemptOutcome.OK,
-                            spent,
-                            true,
-                            BalancerFixture.held(told && cold ? 0 : 3));
+                            new AttemptResult(
+                                    0, AttemptOutcome.OK, spent, true, BalancerFixture.held(told && cold ? 0 : 3)));
                 }
             }
         }
--- a/src/test/java/rillyard/balancer/MeanInFlightTest.java
+++ b/src/test/java/rillyard/balancer/MeanInFlightTest.java
@@ -13,12 +13,14 @@
     private static final double MS_PER_HELD = 50;
 
     private double now = 1_000;
-    private final HostSet fleet =
-            new HostSet(BalancerFixture.settings(BalancerFixture.type("safe", Semantics.IDEMPOTENT, Scope.ALL)));
+    private final Settings settings =
+            BalancerFixture.settings(BalancerFixture.type("safe", Semantics.IDEMPOTENT, Scope.ALL));
+    private final HostSet fleet = new HostSet(settings);
+    private final LoadEstimator load = new LoadEstimator(settings);
 
     private void jammed(HostState host) {
-        fleet.queued(host, HELD, MS_PER_HELD * (HELD + 1));
-        fleet.reported(host, now += 5, BalancerFixture.held(HELD), true);
+        load.onQueuedAnswer(host, HELD, MS_PER_HELD * (HELD + 1));
+        load.onReport(host, now += 5, BalancerFixture.held(HELD), true);
     }
 
     /**
@@ -33,10 +35,10 @@
         HostState quiet = fleet.get(2); // of busy's kind
         for (int i = 0; i < 400; i++) {
             jammed(busy);
-            fleet.reported(limited, now += 5, BalancerFixture.held(0), false);
-            fleet.reported(limited, now += 5, BalancerFixture.held(0), false);
+            load.onReport(limited, now += 5, BalancerFixture.held(0), false);
+            load.onReport(limited, now += 5, BalancerFixture.held(0), false);
         }
-        assertThat(fleet.expectedAnswer(quiet, now)).isBetween(400.0, 600.0);
-        assertThat(fleet.expectedAnswer(limited, now)).isZero(); // as it says itself
+        assertThat(load.expectedLatency(quiet, now)).isBetween(400.0, 600.0);
+        assertThat(load.expectedLatency(limited, now)).isZero(); // as it says itself
     }
 }
--- a/src/test/java/rillyard/balancer/RulesTest.java
+++ b/src/test/java/rillyard/balancer/RulesTest.java
@@ -33,9 +33,9 @@
 
         boolean mayHaveRun() {
             return result == null
-                    || !(result == AttemptOutcome.FULL
+                    || !(result == AttemptOutcome.REJECTED
                             || result == AttemptOutcome.CONNECT_FAILED
-                            || result == AttemptOutcome.MOOT);
+                            || result == AttemptOutcome.NOT_SENT);
         }
     }
 
@@ -138,7 +138,8 @@
                 answered++;
             }
             LoadReport report = held(random.nextInt(9));
-            balancer.onAttemptOutcome(now, id, number, result, spent, over, random.nextBoolean() ? report : null);
+            balancer.onAttemptEnded(
+                    now, id, new AttemptResult(number, result, spent, over, random.nextBoolean() ? report : null));
         }
 
         private static LoadReport held(double n) {
--- a/src/test/java/rillyard/outlier/net/ObservationGossipTest.java
+++ b/src/test/java/rillyard/outlier/net/ObservationGossipTest.java
@@ -111,7 +111,7 @@
                 news.get(i).onAttemptEnded("b", AttemptOutcome.OK, now());
                 news.get(i).onAttemptEnded("stranger", AttemptOutcome.ERROR, now());
             }
-            news.get(3).onAttemptEnded("a", AttemptOutcome.FULL, now()); // tells nothing
+            news.get(3).onAttemptEnded("a", AttemptOutcome.REJECTED, now()); // tells nothing
             stepAll();
         }
         assertThat(heeded.get(4).left).containsOnly("a");
--- a/src/test/java/rillyard/subset/SubsettingTest.java
+++ b/src/test/java/rillyard/subset/SubsettingTest.java
@@ -13,10 +13,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
+import rillyard.balancer.SplitMix64;
 
 class SubsettingTest {
     private static List<Long> hosts(int n) {
-        return LongStream.range(0, n).map(i -> SplitMix64.of(9, i)).boxed().toList();
+        return LongStream.range(0, n).map(i -> SplitMix64.hash(9, i)).boxed().toList();
     }
 
     @ParameterizedTest
--- a/src/test/java/rillyard/trace/TraceEventTest.java
+++ b/src/test/java/rillyard/trace/TraceEventTest.java
@@ -41,7 +41,7 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         ProxyTrace trace = new ProxyTrace(new PrintStream(bytes, true, StandardCharsets.UTF_8));
         trace.record(Kind.CONNECTED, "s-1");
-        trace.recordAttempt("s-1", Kind.LIST, 11.6, true); // any enum's name does
+        trace.recordAttempt("s-1", Kind.LIST.name(), 11.6, true); // any word does
         trace.recordRejection(Kind.REFUSED, null);
         List<TraceEvent> lines = bytes.toString(StandardCharsets.UTF_8)
                 .lines()
