--- a/src/test/java/rillyard/balancer/BalancerFixture.java
+++ b/src/test/java/rillyard/balancer/BalancerFixture.java
@@ -9,15 +9,15 @@
 
     double now = 1_000;
     final List<Send> sends = new ArrayList<>();
-    final List<Long> refused = new ArrayList<>();
+    final List<Long> rejected = new ArrayList<>();
     final List<Long> failed = new ArrayList<>();
     final List<String> logs = new ArrayList<>();
     final List<Long> cancelled = new ArrayList<>();
     final java.util.TreeMap<Double, List<Long>> timers = new java.util.TreeMap<>();
-    int follows;
+    int subscriptions;
     private final java.util.Map<Long, Integer> numbers = new java.util.HashMap<>();
 
-    static Settings.RequestClass type(String name, Settings.Semantics semantics, Settings.Scope scope) {
+    static Settings.RequestClass requestClass(String name, Settings.Semantics semantics, Settings.Scope scope) {
         return new Settings.RequestClass(name, 400, 800, semantics, scope, 300, 1, 0);
     }
 
@@ -25,26 +25,27 @@
         return settings(true, 4, false, classes);
     }
 
-    static Settings settings(boolean parallel, int maxAttempts, boolean mustFollow, Settings.RequestClass... classes) {
-        return settings(List.of(), parallel, maxAttempts, mustFollow, classes);
+    static Settings settings(
+            boolean parallelAttempts, int maxAttempts, boolean mustSubscribe, Settings.RequestClass... classes) {
+        return settings(List.of(), parallelAttempts, maxAttempts, mustSubscribe, classes);
     }
 
-    static Settings settings(List<Settings.Tenant> tenants, Settings.RequestClass type) {
-        return settings(tenants, true, 4, false, type);
+    static Settings settings(List<Settings.Tenant> tenants, Settings.RequestClass requestClass) {
+        return settings(tenants, true, 4, false, requestClass);
     }
 
     private static Settings settings(
             List<Settings.Tenant> tenants,
-            boolean parallel,
+            boolean parallelAttempts,
             int maxAttempts,
-            boolean mustFollow,
+            boolean mustSubscribe,
             Settings.RequestClass... classes) {
         return new Settings(
                 List.of(classes),
                 tenants,
-                new Settings.Limits(true, parallel, maxAttempts),
+                new Settings.Limits(true, parallelAttempts, maxAttempts),
                 new Settings.Rules(8_000, 0.3, 1_500, 3, 10_000),
-                mustFollow,
+                mustSubscribe,
                 "a",
                 0,
                 1,
@@ -59,24 +60,24 @@
         return new EndpointEntry(id, id % 5 == 4 ? "b" : "a", "k" + id % 2, id / 4, condition, 1, since);
     }
 
-    static List<EndpointEntry> hosts(int n) {
-        List<EndpointEntry> all = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
-            all.add(host(i));
+    static List<EndpointEntry> hosts(int count) {
+        List<EndpointEntry> entries = new ArrayList<>();
+        for (int id = 0; id < count; id++) {
+            entries.add(host(id));
         }
-        return all;
+        return entries;
     }
 
-    static IncomingRequest request(long id, String type, double budget) {
-        return new IncomingRequest(id, type, null, budget, Double.NaN, false);
+    static IncomingRequest request(long id, String requestClass, double budget) {
+        return new IncomingRequest(id, requestClass, null, budget, Double.NaN, false);
     }
 
     /** A report of so many requests held and of nothing else. */
-    static LoadReport held(double n) {
-        return new LoadReport(n, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
+    static LoadReport reportOf(double outstanding) {
+        return new LoadReport(outstanding, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
     }
 
-    Send last() {
+    Send lastSend() {
         return sends.get(sends.size() - 1);
     }
 
@@ -86,8 +87,8 @@
     }
 
     @Override
-    public void reject(long request, double coolDown) {
-        refused.add(request);
+    public void reject(long request, double retryAfter) {
+        rejected.add(request);
     }
 
     @Override
@@ -107,7 +108,7 @@
 
     @Override
     public void subscribe() {
-        follows++;
+        subscriptions++;
     }
 
     @Override
--- a/src/test/java/rillyard/balancer/FleetFaultTest.java
+++ b/src/test/java/rillyard/balancer/FleetFaultTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import rillyard.balancer.EndpointEntry.Condition;
 
-/** Troubles of many hosts at once, on a virtual clock: one proxy, hosts that answer as the test says. */
+/** Faults of many hosts at once on a virtual clock: one proxy, and hosts that answer as the test states. */
 class FleetFaultTest {
     /** What a host does with an attempt; {@code after} is in ms, {@code null} result says nothing. */
     private record Reply(AttemptOutcome result, double after) {}
@@ -24,10 +24,10 @@
 
     private record End(double at, long request, int number, AttemptOutcome result, double spent) {}
 
-    private final BalancerFixture bench = new BalancerFixture();
+    private final BalancerFixture fixture = new BalancerFixture();
     private final Settings settings = BalancerFixture.settings(
-            BalancerFixture.type("claim", Settings.Semantics.AT_MOST_ONCE, Settings.Scope.ALL));
-    private final Balancer balancer = new Balancer(settings, 11, bench);
+            BalancerFixture.requestClass("claim", Settings.Semantics.AT_MOST_ONCE, Settings.Scope.ALL));
+    private final Balancer balancer = new Balancer(settings, 11, fixture);
     private final PriorityQueue<End> ends = new PriorityQueue<>((a, b) -> Double.compare(a.at(), b.at()));
     private final Map<Long, Integer> served = new HashMap<>();
     private int seen;
@@ -35,20 +35,20 @@
 
     /** Plays {@code ms} of one request every {@code gap} ms. */
     private void play(double ms, double gap, Hosts hosts) {
-        double until = bench.now + ms;
-        for (double at = bench.now; at < until; at += gap) {
+        double until = fixture.now + ms;
+        for (double at = fixture.now; at < until; at += gap) {
             while (!ends.isEmpty() && ends.peek().at() <= at) {
                 finish(ends.poll(), hosts);
             }
-            bench.now = at;
+            fixture.now = at;
             balancer.onRequest(at, BalancerFixture.request(next++, "claim", 800));
             take(hosts);
         }
-        bench.now = until;
+        fixture.now = until;
     }
 
     private void finish(End end, Hosts hosts) {
-        bench.now = end.at();
+        fixture.now = end.at();
         balancer.onAttemptEnded(
                 end.at(),
                 end.request(),
@@ -57,8 +57,8 @@
     }
 
     private void take(Hosts hosts) {
-        for (; seen < bench.sends.size(); seen++) {
-            BalancerFixture.Send send = bench.sends.get(seen);
+        for (; seen < fixture.sends.size(); seen++) {
+            BalancerFixture.Send send = fixture.sends.get(seen);
             Reply reply = hosts.reply(send.host(), send.at());
             served.merge(send.host(), reply.result() == AttemptOutcome.OK ? 1 : 0, Integer::sum);
             double spent = reply.result() == null ? 800 : reply.after();
@@ -72,7 +72,7 @@
     }
 
     private long sentTo(Set<Long> hosts, double from, double to) {
-        return bench.sends.stream()
+        return fixture.sends.stream()
                 .filter(send -> hosts.contains(send.host()) && send.at() >= from && send.at() < to)
                 .count();
     }
@@ -82,64 +82,66 @@
     }
 
     @Test
-    void aZoneThatGoesSilentIsSparedAndTakenBackWhenItReturnsCold() {
+    void unresponsiveZoneIsAvoidedAndWarmsUpOnReturn() {
         Set<Long> lost = Set.of(0L, 1L, 2L, 3L);
-        balancer.onWatchEvent(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(15));
-        play(3_000, 10, (h, t) -> ok());
-        double silent = bench.now;
-        play(4_000, 10, (h, t) -> lost.contains(h) ? new Reply(null, 0) : ok());
+        balancer.onWatchEvent(fixture.now, WatchEvent.CACHED, BalancerFixture.hosts(15));
+        play(3_000, 10, (host, time) -> ok());
+        double silent = fixture.now;
+        play(4_000, 10, (host, time) -> lost.contains(host) ? new Reply(null, 0) : ok());
         long even = 100 * lost.size() * 2 / 12; // of two seconds, to the twelve hosts of the own zone
         assertThat(sentTo(lost, silent + 2_000, silent + 4_000)).isLessThan(even / 4);
-        assertThat(bench.refused).isEmpty(); // eight hosts in twelve have room
-        double back = bench.now;
+        assertThat(fixture.rejected).isEmpty(); // eight hosts in twelve have room
+        double back = fixture.now;
         List<EndpointEntry> cold = new ArrayList<>();
-        lost.forEach(h -> cold.add(BalancerFixture.host(h, Condition.READY, back)));
-        balancer.onWatchEvent(bench.now, WatchEvent.DELTA, cold);
-        play(12_000, 10, (h, t) -> ok());
-        for (long h : lost) {
+        lost.forEach(host -> cold.add(BalancerFixture.host(host, Condition.READY, back)));
+        balancer.onWatchEvent(fixture.now, WatchEvent.DELTA, cold);
+        play(12_000, 10, (host, time) -> ok());
+        for (long host : lost) {
             // One proxy alone: 3 x 0.38 of a warm host's 12 in 1.5 s; and warm ones in the end.
-            assertThat(sentTo(Set.of(h), back, back + 1_500)).as("host %d", h).isLessThan(14);
-            assertThat(sentTo(Set.of(h), back + 9_000, back + 12_000))
-                    .as("host %d", h)
+            assertThat(sentTo(Set.of(host), back, back + 1_500))
+                    .as("host %d", host)
+                    .isLessThan(14);
+            assertThat(sentTo(Set.of(host), back + 9_000, back + 12_000))
+                    .as("host %d", host)
                     .isGreaterThan(10);
         }
-        assertThat(bench.refused).isEmpty();
+        assertThat(fixture.rejected).isEmpty();
     }
 
     @Test
-    void sixInTenReplacedInSevenSecondsWhileOneInFiveErrs() {
+    void rollingReplacementWithFailingHostsKeepsServing() {
         SplittableRandom chance = new SplittableRandom(3);
-        balancer.onWatchEvent(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(20));
-        Hosts hosts = (h, t) ->
-                h % 100 >= 16 && h < 100 && chance.nextInt(2) == 0 ? new Reply(AttemptOutcome.ERROR, 10) : ok();
+        balancer.onWatchEvent(fixture.now, WatchEvent.CACHED, BalancerFixture.hosts(20));
+        Hosts hosts = (host, time) ->
+                host % 100 >= 16 && host < 100 && chance.nextInt(2) == 0 ? new Reply(AttemptOutcome.ERROR, 10) : ok();
         play(3_000, 10, hosts);
         Map<Long, Double> drained = new HashMap<>();
         Set<Long> fresh = new HashSet<>();
         for (long old = 0; old < 12; old++) {
             long young = 100 + old;
             fresh.add(young);
-            drained.put(old, bench.now);
+            drained.put(old, fixture.now);
             balancer.onWatchEvent(
-                    bench.now,
+                    fixture.now,
                     WatchEvent.DELTA,
                     List.of(
                             BalancerFixture.host(old, Condition.TERMINATING, 0),
-                            BalancerFixture.host(young, Condition.READY, bench.now)));
+                            BalancerFixture.host(young, Condition.READY, fixture.now)));
             play(580, 10, hosts);
-            balancer.onWatchEvent(bench.now, WatchEvent.DELTA, List.of(BalancerFixture.host(old, Condition.GONE, 0)));
+            balancer.onWatchEvent(fixture.now, WatchEvent.DELTA, List.of(BalancerFixture.host(old, Condition.GONE, 0)));
         }
-        double done = bench.now;
+        double done = fixture.now;
         play(9_000, 10, hosts);
-        drained.forEach((h, at) -> assertThat(sentTo(Set.of(h), at, Double.MAX_VALUE))
-                .as("host %d", h)
+        drained.forEach((host, at) -> assertThat(sentTo(Set.of(host), at, Double.MAX_VALUE))
+                .as("host %d", host)
                 .isZero());
         long toFresh = sentTo(fresh, done, done + 9_000);
         assertThat(toFresh).isGreaterThan(900 * 12 / 20 / 2); // they are found and warmed
-        fresh.removeIf(h -> h % 5 == 4); // of the other zone
-        fresh.forEach(h -> assertThat(served.get(h)).as("host %d", h).isPositive());
+        fresh.removeIf(host -> host % 5 == 4); // of the other zone
+        fresh.forEach(host -> assertThat(served.get(host)).as("host %d", host).isPositive());
         // A fifth of the hosts errs half of the time: a blind draw would lose a tenth of the requests.
-        assertThat(bench.failed.size()).isLessThan((int) next / 20);
-        assertThat(bench.refused.size()).isLessThan((int) next / 100);
+        assertThat(fixture.failed.size()).isLessThan((int) next / 20);
+        assertThat(fixture.rejected.size()).isLessThan((int) next / 100);
     }
 
     /**
@@ -147,28 +149,28 @@
      * just then, and are lent their part of what a host served before, not of what is served in the jam.
      */
     @Test
-    void aJamOfTheWarmHostsDoesNotShrinkWhatColdOnesAreLent() {
-        balancer.onWatchEvent(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(15));
-        play(10_000, 10, (h, t) -> ok());
+    void overloadOfWarmHostsKeepsSlowStartAllowance() {
+        balancer.onWatchEvent(fixture.now, WatchEvent.CACHED, BalancerFixture.hosts(15));
+        play(10_000, 10, (host, time) -> ok());
         Set<Long> cold = Set.of(0L, 1L, 2L, 3L, 5L, 6L);
-        double since = bench.now;
-        cold.forEach(h -> balancer.onWatchEvent(
-                since, WatchEvent.DELTA, List.of(BalancerFixture.host(h, Condition.READY, since))));
-        play(4_000, 10, (h, t) -> cold.contains(h) ? ok() : new Reply(null, 0));
+        double since = fixture.now;
+        cold.forEach(host -> balancer.onWatchEvent(
+                since, WatchEvent.DELTA, List.of(BalancerFixture.host(host, Condition.READY, since))));
+        play(4_000, 10, (host, time) -> cold.contains(host) ? ok() : new Reply(null, 0));
         // At most 1.5 times 0.3 to 0.65 of a warm host's 8.3 a second, 6 hosts, 4 s; a part is refused early.
         assertThat(sentTo(cold, since, since + 4_000)).isBetween(45L, 140L);
-        cold.forEach(h -> assertThat(sentTo(Set.of(h), since, since + 1_500))
-                .as("host %d", h)
+        cold.forEach(host -> assertThat(sentTo(Set.of(host), since, since + 1_500))
+                .as("host %d", host)
                 .isLessThan(14));
     }
 
     @Test
-    void rareErrorsOfSoundHostsAreNoFalseAlarm() {
+    void rareErrorsDoNotEjectHosts() {
         SplittableRandom chance = new SplittableRandom(5);
-        balancer.onWatchEvent(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(15));
-        play(60_000, 10, (h, t) -> chance.nextInt(300) == 0 ? new Reply(AttemptOutcome.ERROR, 10) : ok());
-        assertThat(bench.logs).noneMatch(l -> l.contains("ejected"));
-        assertThat(bench.refused).isEmpty();
+        balancer.onWatchEvent(fixture.now, WatchEvent.CACHED, BalancerFixture.hosts(15));
+        play(60_000, 10, (host, time) -> chance.nextInt(300) == 0 ? new Reply(AttemptOutcome.ERROR, 10) : ok());
+        assertThat(fixture.logs).noneMatch(line -> line.contains("ejected"));
+        assertThat(fixture.rejected).isEmpty();
         for (EndpointEntry entry : BalancerFixture.hosts(15)) {
             if ("a".equals(entry.zone())) {
                 assertThat(served.get(entry.id())).as("host %d", entry.id()).isGreaterThan((int) next / 12 / 3);
--- a/src/test/java/rillyard/balancer/IdempotencyWindowTest.java
+++ b/src/test/java/rillyard/balancer/IdempotencyWindowTest.java
@@ -8,29 +8,29 @@
 import rillyard.balancer.Settings.Scope;
 import rillyard.balancer.Settings.Semantics;
 
-/** Until when an attempt may be written that waits for its connection. */
+/** The time until which an attempt that waits for its connection may be written. */
 class IdempotencyWindowTest {
     private static final double WINDOW = 300;
 
     private final List<Double> notAfter = new ArrayList<>();
-    private final BalancerFixture bench = new BalancerFixture();
+    private final BalancerFixture fixture = new BalancerFixture();
 
     private Balancer balancer(Semantics semantics) {
         BalancerActions heard = new BalancerActions() {
             @Override
             public void send(long request, long host, double giveUpAfter, double latest) {
                 notAfter.add(latest);
-                bench.send(request, host, giveUpAfter, latest);
+                fixture.send(request, host, giveUpAfter, latest);
             }
 
             @Override
             public void reject(long request, double coolDown) {
-                bench.reject(request, coolDown);
+                fixture.reject(request, coolDown);
             }
 
             @Override
             public void fail(long request) {
-                bench.fail(request);
+                fixture.fail(request);
             }
 
             @Override
@@ -45,22 +45,22 @@
             @Override
             public void log(String line) {}
         };
-        Balancer balancer =
-                new Balancer(BalancerFixture.settings(BalancerFixture.type("c", semantics, Scope.ALL)), 1, heard);
-        balancer.onStart(bench.now);
-        balancer.onWatchEvent(bench.now, WatchEvent.FULL, BalancerFixture.hosts(4));
+        Balancer balancer = new Balancer(
+                BalancerFixture.settings(BalancerFixture.requestClass("c", semantics, Scope.ALL)), 1, heard);
+        balancer.onStart(fixture.now);
+        balancer.onWatchEvent(fixture.now, WatchEvent.FULL, BalancerFixture.hosts(4));
         return balancer;
     }
 
     @Test
-    void aRepeatHasTheRestOfTheFirstSendsWindow() {
-        Balancer b = balancer(Semantics.DEDUPLICATED);
-        double first = bench.now;
-        b.onRequest(bench.now, BalancerFixture.request(1, "c", 800));
-        bench.now += 100;
-        b.onAttemptEnded(bench.now, 1, new AttemptResult(0, AttemptOutcome.ERROR, 100, false, null));
-        bench.now += 50;
-        b.onAttemptEnded(bench.now, 1, new AttemptResult(1, AttemptOutcome.ERROR, 50, false, null));
+    void retryHasRestOfFirstAttemptsWindow() {
+        Balancer balancer = balancer(Semantics.DEDUPLICATED);
+        double first = fixture.now;
+        balancer.onRequest(fixture.now, BalancerFixture.request(1, "c", 800));
+        fixture.now += 100;
+        balancer.onAttemptEnded(fixture.now, 1, new AttemptResult(0, AttemptOutcome.ERROR, 100, false, null));
+        fixture.now += 50;
+        balancer.onAttemptEnded(fixture.now, 1, new AttemptResult(1, AttemptOutcome.ERROR, 50, false, null));
         assertThat(notAfter).hasSize(3);
         assertThat(notAfter.get(0)).isEqualTo(Double.POSITIVE_INFINITY);
         assertThat(notAfter.get(1))
@@ -69,20 +69,20 @@
     }
 
     @Test
-    void whatNeverRanOpensNoWindow() {
-        Balancer b = balancer(Semantics.DEDUPLICATED);
-        b.onRequest(bench.now, BalancerFixture.request(1, "c", 800));
-        bench.now += 100;
-        b.onAttemptEnded(bench.now, 1, new AttemptResult(0, AttemptOutcome.CONNECT_FAILED, 100, false, null));
+    void unexecutedAttemptOpensNoWindow() {
+        Balancer balancer = balancer(Semantics.DEDUPLICATED);
+        balancer.onRequest(fixture.now, BalancerFixture.request(1, "c", 800));
+        fixture.now += 100;
+        balancer.onAttemptEnded(fixture.now, 1, new AttemptResult(0, AttemptOutcome.CONNECT_FAILED, 100, false, null));
         assertThat(notAfter).containsExactly(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY);
     }
 
     @Test
-    void whatIsSafeToRepeatMayRunAtAnyTime() {
-        Balancer b = balancer(Semantics.IDEMPOTENT);
-        b.onRequest(bench.now, BalancerFixture.request(1, "c", 800));
-        bench.now += 100;
-        b.onAttemptEnded(bench.now, 1, new AttemptResult(0, AttemptOutcome.ERROR, 100, false, null));
+    void idempotentRetryHasNoWindow() {
+        Balancer balancer = balancer(Semantics.IDEMPOTENT);
+        balancer.onRequest(fixture.now, BalancerFixture.request(1, "c", 800));
+        fixture.now += 100;
+        balancer.onAttemptEnded(fixture.now, 1, new AttemptResult(0, AttemptOutcome.ERROR, 100, false, null));
         assertThat(notAfter).containsExactly(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY);
     }
 }
--- a/src/test/java/rillyard/balancer/JointRestartTest.java
+++ b/src/test/java/rillyard/balancer/JointRestartTest.java
@@ -26,14 +26,15 @@
     private record Event(double at, int proxy, Runnable what) {}
 
     private final PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingDouble(Event::at));
-    private final BalancerFixture[] benches = new BalancerFixture[PROXIES];
+    private final BalancerFixture[] fixtures = new BalancerFixture[PROXIES];
     private final Balancer[] proxies = new Balancer[PROXIES];
     private final double[] toldAt = new double[PROXIES];
     private final List<Double> calls = new ArrayList<>();
     private double freeAt;
 
     private static Settings settings() {
-        return BalancerFixture.settings(true, 4, true, BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
+        return BalancerFixture.settings(
+                true, 4, true, BalancerFixture.requestClass(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
     }
 
     /** A call comes: it is answered in its turn, or fails at once. */
@@ -53,11 +54,11 @@
 
     /** What the proxy asked for in its last event. */
     private void carryOut(int proxy, int followed, double now) {
-        for (int i = followed; i < benches[proxy].follows; i++) {
+        for (int i = followed; i < fixtures[proxy].subscriptions; i++) {
             call(proxy, now);
         }
         Map.Entry<Double, List<Long>> due;
-        while ((due = benches[proxy].timers.pollFirstEntry()) != null) {
+        while ((due = fixtures[proxy].timers.pollFirstEntry()) != null) {
             double at = due.getKey();
             for (long token : due.getValue()) {
                 events.add(new Event(at, proxy, () -> proxies[proxy].onTimer(at, token)));
@@ -66,36 +67,38 @@
     }
 
     private void handle(int proxy, double now, Runnable what) {
-        int followed = benches[proxy].follows;
-        benches[proxy].now = now;
+        int followed = fixtures[proxy].subscriptions;
+        fixtures[proxy].now = now;
         what.run();
         carryOut(proxy, followed, now);
     }
 
     @Test
-    void allServeFromWhatTheyKnewAndAllAreToldInTimeWithoutAStorm() {
+    void jointRestartServesFromCacheAndResubscribesWithoutStorm() {
         SplittableRandom random = new SplittableRandom(5);
-        for (int p = 0; p < PROXIES; p++) {
-            int proxy = p;
+        for (int proxyIndex = 0; proxyIndex < PROXIES; proxyIndex++) {
+            int proxy = proxyIndex;
             double at = 1_000 + 1_000 * random.nextDouble();
-            events.add(new Event(at, p, () -> {
-                benches[proxy].now = at;
-                proxies[proxy] = new Balancer(settings(), 100 + proxy, benches[proxy]);
+            events.add(new Event(at, proxyIndex, () -> {
+                fixtures[proxy].now = at;
+                proxies[proxy] = new Balancer(settings(), 100 + proxy, fixtures[proxy]);
                 proxies[proxy].onStart(at);
                 proxies[proxy].onWatchEvent(at, WatchEvent.CACHED, BalancerFixture.hosts(HOSTS));
                 proxies[proxy].onRequest(at, BalancerFixture.request(1, SAFE, 800));
                 proxies[proxy].onAttemptEnded(at, 1, new AttemptResult(0, AttemptOutcome.OK, 1, true, null));
             }));
-            benches[p] = new BalancerFixture();
+            fixtures[proxyIndex] = new BalancerFixture();
         }
         Event event;
         while ((event = events.poll()) != null) {
             Event now = event;
             handle(now.proxy(), now.at(), now.what());
         }
-        for (int p = 0; p < PROXIES; p++) {
-            assertThat(benches[p].sends).as("proxy %d served at once", p).hasSize(1);
-            assertThat(toldAt[p]).as("proxy %d told", p).isBetween(1_000.0, 2_000.0 + 10_000);
+        for (int proxyIndex = 0; proxyIndex < PROXIES; proxyIndex++) {
+            assertThat(fixtures[proxyIndex].sends)
+                    .as("proxy %d served at once", proxyIndex)
+                    .hasSize(1);
+            assertThat(toldAt[proxyIndex]).as("proxy %d told", proxyIndex).isBetween(1_000.0, 2_000.0 + 10_000);
         }
         // Each that fails asks again, later each time: little more than one call in service or in the queue.
         assertThat(calls.size()).isBetween(PROXIES, 3 * PROXIES);
--- a/src/test/java/rillyard/balancer/ManyProxiesTest.java
+++ b/src/test/java/rillyard/balancer/ManyProxiesTest.java
@@ -11,7 +11,7 @@
 import rillyard.balancer.Settings.Scope;
 import rillyard.balancer.Settings.Semantics;
 
-/** What many proxies do together that share nothing: each is played on its own, and the sums are taken. */
+/** The sum over many proxies that share no state: each is simulated on its own. */
 class ManyProxiesTest {
     private static final String SAFE = "safe";
     private static final int PROXIES = 14;
@@ -22,8 +22,9 @@
 
     private static final double RESTART = 20_000;
 
-    private static Settings of(int position, String zone) {
-        Settings settings = BalancerFixture.settings(BalancerFixture.type(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
+    private static Settings settingsOf(int position, String zone) {
+        Settings settings =
+                BalancerFixture.settings(BalancerFixture.requestClass(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
         return new Settings(
                 settings.classes(),
                 settings.tenants(),
@@ -36,30 +37,30 @@
                 1);
     }
 
-    private static Balancer start(BalancerFixture bench, int position, String zone, List<EndpointEntry> hosts) {
-        Balancer balancer = new Balancer(of(position, zone), 100 + position, bench);
-        balancer.onWatchEvent(bench.now, WatchEvent.CACHED, hosts);
+    private static Balancer start(BalancerFixture fixture, int position, String zone, List<EndpointEntry> hosts) {
+        Balancer balancer = new Balancer(settingsOf(position, zone), 100 + position, fixture);
+        balancer.onWatchEvent(fixture.now, WatchEvent.CACHED, hosts);
         return balancer;
     }
 
     /** Fourteen proxies with ten requests in flight each are not all connected to all of sixty hosts. */
     @Test
-    void aProxyOfManyDrawsFromAPartOfALargeFleet() {
+    void proxyOfManyUsesSubsetOfLargeFleet() {
         int pairs = 0;
         for (int proxy = 0; proxy < PROXIES; proxy++) {
-            BalancerFixture bench = new BalancerFixture();
-            Balancer balancer = start(bench, proxy, null, BalancerFixture.hosts(60));
+            BalancerFixture fixture = new BalancerFixture();
+            Balancer balancer = start(fixture, proxy, null, BalancerFixture.hosts(60));
             for (int i = 0; i < 1_000; i++) {
-                balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
-                bench.now += 10;
+                balancer.onRequest(fixture.now, BalancerFixture.request(i, SAFE, 800));
+                fixture.now += 10;
                 if (i >= 10) {
                     balancer.onAttemptEnded(
-                            bench.now,
-                            bench.sends.get(i - 10).request(),
+                            fixture.now,
+                            fixture.sends.get(i - 10).request(),
                             new AttemptResult(0, AttemptOutcome.OK, 100, true, null));
                 }
             }
-            pairs += (int) bench.sends.stream()
+            pairs += (int) fixture.sends.stream()
                     .map(BalancerFixture.Send::host)
                     .distinct()
                     .count();
@@ -72,24 +73,24 @@
      * than over the few that it may keep idle ones to, and jam none.
      */
     @Test
-    void aHotProxyUsesAsManyHostsAsItHasRequestsInFlight() {
-        Settings settings = of(3, null);
+    void busyProxyUsesOneHostPerRequestInFlight() {
+        Settings settings = settingsOf(3, null);
         Settings many = new Settings(
                 settings.classes(), settings.tenants(), settings.limits(), settings.rules(), false, null, 30, 100, 1);
-        BalancerFixture bench = new BalancerFixture();
-        Balancer balancer = new Balancer(many, 7, bench);
-        balancer.onWatchEvent(bench.now, WatchEvent.CACHED, BalancerFixture.hosts(40));
+        BalancerFixture fixture = new BalancerFixture();
+        Balancer balancer = new Balancer(many, 7, fixture);
+        balancer.onWatchEvent(fixture.now, WatchEvent.CACHED, BalancerFixture.hosts(40));
         for (int i = 0; i < 2_000; i++) {
-            balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
-            bench.now += 2.5;
+            balancer.onRequest(fixture.now, BalancerFixture.request(i, SAFE, 800));
+            fixture.now += 2.5;
             if (i >= 60) {
                 balancer.onAttemptEnded(
-                        bench.now,
-                        bench.sends.get(i - 60).request(),
+                        fixture.now,
+                        fixture.sends.get(i - 60).request(),
                         new AttemptResult(0, AttemptOutcome.OK, 150, true, null));
             }
         }
-        long used = bench.sends.stream()
+        long used = fixture.sends.stream()
                 .skip(1_000)
                 .map(BalancerFixture.Send::host)
                 .distinct()
@@ -99,27 +100,27 @@
 
     /** Five hosts of which one is idle: where own counts tie, its report is seen in most draws. */
     @Test
-    void mostDrawsOfALightProxyMeetTheIdleHost() {
-        BalancerFixture bench = new BalancerFixture();
-        Balancer balancer = start(bench, 3, null, BalancerFixture.hosts(5));
+    void lightProxyFindsIdleHost() {
+        BalancerFixture fixture = new BalancerFixture();
+        Balancer balancer = start(fixture, 3, null, BalancerFixture.hosts(5));
         int idle = 0;
         for (int i = 0; i < 1_000; i++) {
-            balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
-            long host = bench.last().host();
+            balancer.onRequest(fixture.now, BalancerFixture.request(i, SAFE, 800));
+            long host = fixture.lastSend().host();
             idle += host == 2 ? 1 : 0;
-            bench.now += 10;
+            fixture.now += 10;
             balancer.onAttemptEnded(
-                    bench.now,
+                    fixture.now,
                     i,
-                    new AttemptResult(0, AttemptOutcome.OK, 100, true, BalancerFixture.held(host == 2 ? 0 : 3)));
+                    new AttemptResult(0, AttemptOutcome.OK, 100, true, BalancerFixture.reportOf(host == 2 ? 0 : 3)));
         }
         assertThat(idle).isGreaterThan(700);
     }
 
     /** Guards rule 4 over the sum of all proxies: the cold host looks idle, only its budget holds them back. */
     @Test
-    void allProxiesTogetherKeepTheBudgetOfAColdHost() {
-        double[] sent = sentToTheColdHost(50, 50, false, false);
+    void allProxiesTogetherKeepSlowStartLimit() {
+        double[] sent = sendsToWarmingHost(50, 50, false, false);
         assertWithinBudget(sent, 50);
         assertThat(Arrays.stream(sent).sum()).isGreaterThan(20); // it is not starved
     }
@@ -129,14 +130,14 @@
      * in whose pool it is not: they must not add their part to the parts of those that lend it from their pool.
      */
     @Test
-    void theSilenceOfTheWarmDoesNotHaveAllProxiesFallOnTheColdHost() {
-        assertWithinBudget(sentToTheColdHost(10, 10, true, false), 10);
+    void unresponsiveWarmHostsKeepSlowStartLimit() {
+        assertWithinBudget(sendsToWarmingHost(10, 10, true, false), 10);
     }
 
     /** Answers take so long that proxies draw from both zones: the parts of the other zone's add up too. */
     @Test
-    void proxiesOfAnotherZoneThatSpillKeepTheSumTheSame() {
-        double[] sent = sentToTheColdHost(10, 160, false, true);
+    void spilloverFromOtherZoneKeepsSlowStartLimit() {
+        double[] sent = sendsToWarmingHost(10, 160, false, true);
         assertWithinBudget(sent, 10);
         assertThat(Arrays.stream(sent).sum()).isGreaterThan(20);
     }
@@ -147,57 +148,57 @@
      * every {@code gap} ms; answers take {@code spent} ms, and warm hosts report three held. Where these fall
      * silent, they do so as it starts. With zones, half of hosts and proxies are in each of two.
      */
-    private static double[] sentToTheColdHost(double gap, double spent, boolean silent, boolean zones) {
+    private static double[] sendsToWarmingHost(double gap, double spent, boolean silent, boolean zones) {
         double[] sent = new double[100];
-        for (int p = 0; p < PROXIES; p++) {
-            BalancerFixture bench = new BalancerFixture();
-            boolean told = p % 2 == 0; // as it starts itself: of the restart it knows from the list only
-            bench.now = told ? RESTART : 1_000;
+        for (int proxy = 0; proxy < PROXIES; proxy++) {
+            BalancerFixture fixture = new BalancerFixture();
+            boolean told = proxy % 2 == 0; // as it starts itself: of the restart it knows from the list only
+            fixture.now = told ? RESTART : 1_000;
             List<EndpointEntry> hosts = new ArrayList<>();
-            for (long h = 0; h < HOSTS; h++) {
-                hosts.add(entry(h, told && h == COLD ? RESTART : 0));
+            for (long host = 0; host < HOSTS; host++) {
+                hosts.add(entry(host, told && host == COLD ? RESTART : 0));
             }
-            Balancer balancer = start(bench, p, zones ? zone(p / 2) : null, hosts);
+            Balancer balancer = start(fixture, proxy, zones ? zone(proxy / 2) : null, hosts);
             ArrayDeque<BalancerFixture.Send> out = new ArrayDeque<>();
-            for (int i = 0; bench.now < RESTART + 10_000; i++) {
-                if (!told && bench.now >= RESTART) {
+            for (int i = 0; fixture.now < RESTART + 10_000; i++) {
+                if (!told && fixture.now >= RESTART) {
                     told = true;
-                    balancer.onWatchEvent(bench.now, WatchEvent.DELTA, List.of(entry(COLD, RESTART)));
+                    balancer.onWatchEvent(fixture.now, WatchEvent.DELTA, List.of(entry(COLD, RESTART)));
                 }
-                while (!out.isEmpty() && out.peek().at() + 800 <= bench.now) {
+                while (!out.isEmpty() && out.peek().at() + 800 <= fixture.now) {
                     BalancerFixture.Send send = out.poll();
                     balancer.onAttemptEnded(
-                            bench.now,
+                            fixture.now,
                             send.request(),
                             new AttemptResult(send.number(), AttemptOutcome.TIMEOUT, 800, true, null));
                 }
-                int before = bench.sends.size();
-                balancer.onRequest(bench.now, BalancerFixture.request(i, SAFE, 800));
-                double at = bench.now;
-                bench.now += gap;
-                if (bench.sends.size() == before) {
+                int before = fixture.sends.size();
+                balancer.onRequest(fixture.now, BalancerFixture.request(i, SAFE, 800));
+                double at = fixture.now;
+                fixture.now += gap;
+                if (fixture.sends.size() == before) {
                     continue; // refused
                 }
-                boolean cold = bench.last().host() == COLD;
+                boolean cold = fixture.lastSend().host() == COLD;
                 if (told && cold) {
                     sent[(int) ((at - RESTART) / 100)]++;
                 }
                 if (told && silent && !cold) {
-                    out.add(bench.last());
+                    out.add(fixture.lastSend());
                 } else {
                     balancer.onAttemptEnded(
-                            bench.now,
+                            fixture.now,
                             i,
                             new AttemptResult(
-                                    0, AttemptOutcome.OK, spent, true, BalancerFixture.held(told && cold ? 0 : 3)));
+                                    0, AttemptOutcome.OK, spent, true, BalancerFixture.reportOf(told && cold ? 0 : 3)));
                 }
             }
         }
         return sent;
     }
 
-    private static String zone(long n) {
-        return n % 2 == 0 ? "a" : "b";
+    private static String zone(long number) {
+        return number % 2 == 0 ? "a" : "b";
     }
 
     private static EndpointEntry entry(long id, double since) {
