--- a/src/test/java/rillyard/StoredDataTest.java
+++ b/src/test/java/rillyard/StoredDataTest.java
@@ -95,7 +95,7 @@
         RunReport.Row row = new RunReport.Row("list", null, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, quantiles(), quantiles());
         RunReport.Point point = new RunReport.Point(0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
         RunReport report = new RunReport(
-                true, null, false, 1, 1, 0, quantiles(), 0, 0, List.of(row), row, 1, List.of(point), List.of());
+                false, "a reason", false, 1, 1, 0, quantiles(), 0, 0, List.of(row), row, 1, List.of(point), List.of());
 
         JsonNode written = JSON.valueToTree(report);
 
