--- a/src/main/java/rillyard/proxy/ClientProxy.java
+++ b/src/main/java/rillyard/proxy/ClientProxy.java
@@ -95,7 +95,7 @@
         UpstreamPool upstreams = new UpstreamPool(group, config, sockets, log);
         this.driver = new BalancerDriver(loop, config, upstreams, budget, log, guard, gaps, neighbours);
         this.listener = new ClientListener(driver, config, sockets, budget, log);
-        this.endpointWatch = new EndpointWatch(group, config, driver, log);
+        this.endpointWatch = new EndpointWatch(group, config, driver.endpoints(), driver, log);
     }
 
     /** One event loop on a thread of its own. */
--- a/src/main/java/rillyard/proxy/discovery/EndpointWatch.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointWatch.java
@@ -28,9 +28,9 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
+import java.util.concurrent.TimeUnit;
 import rillyard.balancer.WatchEvent;
 import rillyard.proxy.config.ProxyConfig;
-import rillyard.proxy.dispatch.BalancerDriver;
 import rillyard.proxy.logging.ProxyLog;
 import rillyard.settings.JsonTreeReader;
 import rillyard.trace.TraceEvent;
@@ -62,7 +62,9 @@
 
     private static final long BACKOFF_MAX_MS = 250;
 
-    private final BalancerDriver driver;
+    private final EventLoopGroup loop;
+    private final EndpointRegistry endpoints;
+    private final EndpointListListener listener;
     private final ProxyLog log;
     private InetSocketAddress address;
     private final boolean polling;
@@ -73,8 +75,15 @@
     private Watch watch;
     private Future<?> reopening;
 
-    public EndpointWatch(EventLoopGroup loop, ProxyConfig config, BalancerDriver dispatcher, ProxyLog log) {
-        this.driver = dispatcher;
+    public EndpointWatch(
+            EventLoopGroup loop,
+            ProxyConfig config,
+            EndpointRegistry endpoints,
+            EndpointListListener listener,
+            ProxyLog log) {
+        this.loop = loop;
+        this.endpoints = endpoints;
+        this.listener = listener;
         this.log = log;
         this.address = config.discovery();
         this.polling = config.settings().mustSubscribe();
@@ -93,12 +102,12 @@
     public void start(JsonNode known) {
         EndpointRegistry.EndpointList news;
         try {
-            news = driver.endpoints().read(known);
+            news = endpoints.read(known);
             version = news.version();
         } catch (IllegalArgumentException e) {
             news = new EndpointRegistry.EndpointList(0, true, List.of());
         }
-        driver.start(news, this::open);
+        listener.onWatchStarting(news, this::open);
         if (!polling) {
             open();
         }
@@ -163,12 +172,12 @@
 
     private void retry() {
         if (polling) {
-            driver.onWatchFailed(); // the module decides when to ask again
+            listener.onWatchFailed(); // the module decides when to ask again
             return;
         }
         long wait = backoff / 2 + (long) (Math.random() * backoff);
         backoff = Math.min(2 * backoff, BACKOFF_MAX_MS);
-        reopening = driver.schedule(wait, this::open);
+        reopening = loop.schedule(this::open, wait, TimeUnit.MILLISECONDS);
     }
 
     private final class Watch extends ChannelInboundHandlerAdapter implements JsonObjectFramer.Listener {
@@ -253,7 +262,7 @@
             }
             EndpointRegistry.EndpointList news;
             try {
-                news = driver.endpoints().read(JsonTreeReader.read(bytes, 0, length));
+                news = endpoints.read(JsonTreeReader.read(bytes, 0, length));
             } catch (IOException | IllegalArgumentException e) {
                 malformed(e.getMessage());
                 return;
@@ -275,7 +284,7 @@
                 return;
             }
             version = news.version();
-            driver.onEndpointList(news.full() ? WatchEvent.FULL : WatchEvent.DELTA, news);
+            listener.onEndpointList(news.full() ? WatchEvent.FULL : WatchEvent.DELTA, news);
         }
 
         @Override
--- a/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
+++ b/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
@@ -24,6 +24,7 @@
 import rillyard.endpoints.EndpointListGuard;
 import rillyard.hotrestart.DisabledHostStore;
 import rillyard.proxy.config.ProxyConfig;
+import rillyard.proxy.discovery.EndpointListListener;
 import rillyard.proxy.discovery.EndpointRegistry;
 import rillyard.proxy.logging.ProxyLog;
 import rillyard.proxy.resources.BodyMemoryBudget;
@@ -40,7 +41,7 @@
  * came, and carries out what it asks for. What an action brings about at once waits in a queue
  * until the module has returned.
  */
-public final class BalancerDriver implements BalancerActions {
+public final class BalancerDriver implements BalancerActions, EndpointListListener {
     /** The module's clock begins here, so that a host that started before this process has a time. */
     private static final double CLOCK_START = 1e9;
 
@@ -161,13 +162,14 @@
 
     // --- events
 
-    /** Starts the module with the list as it was last had; {@code follow} opens the watch. */
-    public void start(EndpointRegistry.EndpointList known, Runnable follow) {
+    @Override
+    public void onWatchStarting(EndpointRegistry.EndpointList known, Runnable follow) {
         this.follow = follow;
         deliver(null, () -> balancer.onStart(now()));
         onEndpointList(rillyard.balancer.WatchEvent.CACHED, known);
     }
 
+    @Override
     public void onEndpointList(rillyard.balancer.WatchEvent kind, EndpointRegistry.EndpointList news) {
         EndpointRegistry.EndpointList believed = guard == null ? news : doubted(news);
         Set<UpstreamHost> cut = endpoints.apply(believed);
@@ -260,6 +262,7 @@
         return metrics;
     }
 
+    @Override
     public void onWatchFailed() {
         deliver(null, () -> balancer.onWatchEvent(now(), rillyard.balancer.WatchEvent.FAILED, null));
     }
