--- a/src/main/java/rillyard/audit/Audit.java
+++ b/src/main/java/rillyard/audit/Audit.java
@@ -12,94 +12,99 @@
 import rillyard.requestlog.LogRecord;
 import rillyard.requestlog.RequestLogReader;
 
-/** Lays both ledgers beside each other. */
+/** Compares the request logs of clients and hosts with the rules of the protocol. Not thread-safe. */
 public final class Audit {
     /**
-     * What was found.
+     * The result of an audit.
      *
-     * @param tries tries of clients that were checked
-     * @param runs receipts of hosts that were checked
-     * @param breaches in the order of their times
-     * @param doubts why the ledgers prove less than they should; empty as a rule
+     * @param attempts number of client attempts that were checked
+     * @param executions number of host executions that were checked
+     * @param violations in the order of their times
+     * @param warnings reasons why the logs prove less than they should; usually empty
      */
-    public record Verdict(int tries, int runs, List<Violation> breaches, List<String> doubts) {
-        /** Copies the lists. */
+    public record Verdict(int attempts, int executions, List<Violation> violations, List<String> warnings) {
+        /** Copies the lists, so that a verdict never changes. */
         public Verdict {
-            breaches = List.copyOf(breaches);
-            doubts = List.copyOf(doubts);
+            violations = List.copyOf(violations);
+            warnings = List.copyOf(warnings);
         }
 
-        /** Whether the rules were kept, and the ledgers prove it. */
-        public boolean clean() {
-            return breaches.isEmpty() && doubts.isEmpty();
+        /** Returns whether no rule was violated and the request logs prove it. */
+        public boolean isClean() {
+            return violations.isEmpty() && warnings.isEmpty();
         }
     }
 
     private final Evidence evidence = new Evidence();
     private final AuditSettings settings;
-    private final List<String> doubts = new ArrayList<>();
+    private final List<String> warnings = new ArrayList<>();
 
-    /** An audit that holds the ledgers to these figures. */
+    /** Creates an audit with the limits of a deployment. */
     public Audit(AuditSettings settings) {
         this.settings = settings;
     }
 
     /**
-     * Reads both ledgers and judges them.
+     * Reads both request logs and checks them.
      *
-     * @throws InvalidConfigException at the first line that is none of a ledger
+     * @throws InvalidConfigException at the first line that is no record of a request log
      */
     public static Verdict of(Path clients, Path hosts, AuditSettings settings) throws InvalidConfigException {
         Audit audit = new Audit(settings);
         if (!RequestLogReader.read(clients, "clients", audit::add)) {
-            audit.doubts.add(clients + " was not closed: its last lines may be missing");
+            audit.warnings.add(clients + " was not closed: its last lines may be missing");
         }
         if (!RequestLogReader.read(hosts, "hosts", audit::add)) {
-            audit.doubts.add(hosts + " was not closed: its last lines may be missing");
+            audit.warnings.add(hosts + " was not closed: its last lines may be missing");
         }
-        return audit.judge();
+        return audit.evaluate();
     }
 
-    /** Takes a line of either ledger. */
+    /** Adds a record of either log. */
     public void add(LogRecord line) {
         evidence.add(line);
     }
 
-    /** Judges what was taken. */
-    public Verdict judge() {
+    /** Checks all rules against the records added so far. */
+    public Verdict evaluate() {
         evidence.sort();
-        List<Violation> found = new ArrayList<>();
-        new SingleResponseRule(evidence, settings).check(found::add);
-        new AtMostOnceRule(evidence, settings).check(found::add);
-        new IdempotencyKeyRule(evidence, settings).check(found::add);
-        new DrainingRule(evidence, settings).check(found::add);
-        new SlowStartRule(evidence, settings).check(found::add);
-        found.sort(Comparator.comparingLong(Violation::at));
-        if (evidence.tries.isEmpty()) {
-            doubts.add("no client sent anything: nothing was proved");
-        } else if (strangers()) {
-            doubts.add("the ledgers have no request in common: they are of two runs");
+        List<Violation> violations = new ArrayList<>();
+        new SingleResponseRule(evidence, settings).check(violations::add);
+        new AtMostOnceRule(evidence, settings).check(violations::add);
+        new IdempotencyKeyRule(evidence, settings).check(violations::add);
+        new DrainingRule(evidence, settings).check(violations::add);
+        new SlowStartRule(evidence, settings).check(violations::add);
+        violations.sort(Comparator.comparingLong(Violation::at));
+        warnOfMissingEvidence();
+        return new Verdict(evidence.attempts.size(), evidence.executions.size(), violations, warnings);
+    }
+
+    private void warnOfMissingEvidence() {
+        if (evidence.attempts.isEmpty()) {
+            warnings.add("no client sent anything: nothing was proved");
+        } else if (hasForeignRequests()) {
+            warnings.add("the ledgers have no request in common: they are of two runs");
         }
-        Set<String> unknown = new HashSet<>();
-        evidence.tries.forEach(attempt -> {
+        Set<String> unknownClasses = new HashSet<>();
+        for (ClientAttempt attempt : evidence.attempts) {
             if (!settings.classes().containsKey(attempt.requestClass())) {
-                unknown.add(attempt.requestClass());
+                unknownClasses.add(attempt.requestClass());
             }
-        });
-        if (!unknown.isEmpty()) {
-            doubts.add("the settings name no class " + String.join(", ", unknown));
         }
-        return new Verdict(evidence.tries.size(), evidence.runs.size(), found, doubts);
+        if (!unknownClasses.isEmpty()) {
+            warnings.add("the settings name no class " + String.join(", ", unknownClasses));
+        }
     }
 
-    private boolean strangers() {
+    /** Returns whether the two logs have no request in common, although requests were served or received. */
+    private boolean hasForeignRequests() {
         boolean served = false;
-        for (ClientAttempt attempt : evidence.tries) {
-            if (!evidence.byId(attempt.id()).isEmpty()) {
+        for (ClientAttempt attempt : evidence.attempts) {
+            if (!evidence.executionsById(attempt.requestId()).isEmpty()) {
                 return false;
             }
             served |= attempt.outcome() == ClientOutcome.SERVED;
         }
-        return served || !evidence.runs.isEmpty();
+        return served || !evidence.executions.isEmpty();
     }
 }
--- a/src/main/java/rillyard/audit/AuditSettings.java
+++ b/src/main/java/rillyard/audit/AuditSettings.java
@@ -11,24 +11,24 @@
 import rillyard.config.InvalidConfigException;
 
 /**
- * The figures of the rules, in microseconds.
+ * The values of the rules, in microseconds.
  *
  * @param classes by name
  * @param answerSlack how long past a client's time an answer is still in time
  * @param drainGrace how long after it was told a proxy may send to a host that drains
- * @param toldAtLatest past this a change counts as told, whether or not it arrived
+ * @param maxNotificationDelay past this a change counts as told, whether or not it arrived
  * @param socketSlack what every limit of time is longer by, on sockets
- * @param fall window of the cold host's budget
- * @param fallMultiple how often its present capacity may be sent to it within the window
+ * @param overloadWindow window of the warming-up host's budget
+ * @param overloadMultiple how often its present capacity may be sent to it within the window
  */
 public record AuditSettings(
         Map<String, RequestClass> classes,
         long answerSlack,
         long drainGrace,
-        long toldAtLatest,
+        long maxNotificationDelay,
         long socketSlack,
-        long fall,
-        double fallMultiple) {
+        long overloadWindow,
+        double overloadMultiple) {
 
     /** What may be repeated. */
     public enum Semantics {
@@ -45,7 +45,7 @@
     }
 
     /** A class; {@code window} is how long keys are remembered. */
-    public record RequestClass(String name, Semantics semantics, Scope scope, long window) {}
+    public record RequestClass(String name, Semantics semantics, Scope keyScope, long idempotencyWindow) {}
 
     /** Copies the classes. */
     public AuditSettings {
@@ -53,7 +53,7 @@
     }
 
     private static final long SOCKET_SLACK = 50_000;
-    private static final long TOLD_AT_LATEST = 6_000_000;
+    private static final long MAX_NOTIFICATION_DELAY = 6_000_000;
 
     /**
      * Reads the platform's settings from a file that holds them, or that holds them under
@@ -109,7 +109,7 @@
                 classes,
                 micros(rules.path("answerSlack").asDouble(20)),
                 micros(rules.path("drainGrace").asDouble(500)),
-                TOLD_AT_LATEST,
+                MAX_NOTIFICATION_DELAY,
                 SOCKET_SLACK,
                 micros(rules.path("fall").asDouble(1_500)),
                 rules.path("fallMultiple").asDouble(3));
@@ -120,7 +120,7 @@
     }
 
     /** The class of a name; one that is not known is taken for the strictest kind. */
-    RequestClass type(String name) {
+    RequestClass requestClass(String name) {
         return classes.getOrDefault(name, new RequestClass(name, Semantics.AT_MOST_ONCE, Scope.CELL, 0));
     }
 }
--- a/src/main/java/rillyard/audit/DrainingRule.java
+++ b/src/main/java/rillyard/audit/DrainingRule.java
@@ -10,17 +10,17 @@
 
 /**
  * Nothing new to a host that drains or is gone, past the grace. A change counts as told when the
- * last watch that was open has been told, and at the latest after its time: the ledgers don't say
+ * last watch that was open has been told, and at the latest after its time: the request logs don't say
  * which watch a request's sender had, so the latest is what all of them are held to.
  */
 final class DrainingRule {
     private static final class Span {
-        final long changed;
-        long told;
-        long until = Long.MAX_VALUE;
+        final long changedAt;
+        long notifiedAt;
+        long endedAt = Long.MAX_VALUE;
 
         Span(long changed) {
-            this.changed = changed;
+            this.changedAt = changed;
         }
     }
 
@@ -32,42 +32,42 @@
         this.settings = settings;
     }
 
-    void check(Consumer<Violation> to) {
+    void check(Consumer<Violation> violations) {
         spans().forEach((host, spans) -> {
             for (Span span : spans) {
-                long counted = span.changed + settings.toldAtLatest();
-                long told = span.told == 0 ? counted : Math.min(counted, span.told);
-                check(host, span, told + settings.drainGrace() + settings.socketSlack(), told, to);
+                long counted = span.changedAt + settings.maxNotificationDelay();
+                long told = span.notifiedAt == 0 ? counted : Math.min(counted, span.notifiedAt);
+                check(host, span, told + settings.drainGrace() + settings.socketSlack(), told, violations);
             }
         });
     }
 
-    private void check(String host, Span span, long from, long told, Consumer<Violation> to) {
+    private void check(String host, Span span, long from, long told, Consumer<Violation> violations) {
         int count = 0;
         HostExecution first = null;
-        for (HostExecution execution : evidence.byHost(host)) {
-            if (execution.received() > from && execution.received() < span.until) {
+        for (HostExecution execution : evidence.executionsByHost(host)) {
+            if (execution.receivedAt() > from && execution.receivedAt() < span.endedAt) {
                 first = first == null ? execution : first;
                 count++;
             }
         }
         if (first != null) {
             List<String> history = new ArrayList<>();
-            for (WatchNotification notification : evidence.told) {
+            for (WatchNotification notification : evidence.notifications) {
                 if (notification.host().equals(host)) {
                     history.add((notification.watcher() == 0
                                     ? "discovery has "
                                     : "watch " + notification.watcher() + " is told ")
-                            + host + " " + notification.state() + " " + (notification.at() - first.received()) / 1_000
+                            + host + " " + notification.state() + " " + (notification.at() - first.receivedAt()) / 1_000
                             + " ms from the request");
                 }
             }
-            history.addAll(evidence.history(first.id()));
-            to.accept(new Violation(
+            history.addAll(evidence.history(first.requestId()));
+            violations.accept(new Violation(
                     Violation.Rule.DRAIN,
-                    first.received(),
+                    first.receivedAt(),
                     "host " + host + " drains or is gone, and got " + count + " requests past the grace, the"
-                            + " first, id " + first.id() + ", " + (first.received() - told) / 1_000
+                            + " first, id " + first.requestId() + ", " + (first.receivedAt() - told) / 1_000
                             + " ms after that was told",
                     history));
         }
@@ -75,22 +75,22 @@
 
     private Map<String, List<Span>> spans() {
         Map<String, List<Span>> all = new HashMap<>();
-        for (WatchNotification notification : evidence.told) {
+        for (WatchNotification notification : evidence.notifications) {
             List<Span> spans = all.computeIfAbsent(notification.host(), h -> new ArrayList<>());
             Span last = spans.isEmpty() ? null : spans.get(spans.size() - 1);
-            boolean open = last != null && last.until == Long.MAX_VALUE;
+            boolean open = last != null && last.endedAt == Long.MAX_VALUE;
             if (notification.state().equals("up")) {
                 if (notification.watcher() == 0 && open) {
-                    last.until = notification.at();
+                    last.endedAt = notification.at();
                 }
             } else if (notification.watcher() == 0 && !open) {
                 spans.add(new Span(notification.at()));
             } else if (notification.watcher() != 0
                     && open
                     && notification.state().equals("draining")) {
-                last.told = notification.at();
-            } else if (notification.watcher() != 0 && open && last.told == 0) {
-                last.told = notification.at();
+                last.notifiedAt = notification.at();
+            } else if (notification.watcher() != 0 && open && last.notifiedAt == 0) {
+                last.notifiedAt = notification.at();
             }
         }
         return all;
--- a/src/main/java/rillyard/audit/IdempotencyKeyRule.java
+++ b/src/main/java/rillyard/audit/IdempotencyKeyRule.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 import rillyard.requestlog.HostExecution;
 
-/** A keyed request that may have run goes again only to hosts that know its key, while they do. */
+/** A request with an idempotency key that may have run goes again only to hosts that know its key, while they do. */
 final class IdempotencyKeyRule {
     private final Evidence evidence;
     private final AuditSettings settings;
@@ -14,16 +14,17 @@
         this.settings = settings;
     }
 
-    void check(Consumer<Violation> to) {
-        for (List<HostExecution> runs : evidence.byId().values()) {
-            AuditSettings.RequestClass requestClass = settings.type(runs.get(0).requestClass());
+    void check(Consumer<Violation> violations) {
+        for (List<HostExecution> runs : evidence.executionsById().values()) {
+            AuditSettings.RequestClass requestClass =
+                    settings.requestClass(runs.get(0).requestClass());
             if (requestClass.semantics() != AuditSettings.Semantics.DEDUPLICATED) {
                 continue;
             }
             HostExecution first = null;
             for (HostExecution execution : runs) {
                 if (first != null) {
-                    check(requestClass, first, execution, to);
+                    check(requestClass, first, execution, violations);
                 } else if (execution.mayHaveRun()) {
                     first = execution;
                 }
@@ -32,25 +33,29 @@
     }
 
     private void check(
-            AuditSettings.RequestClass requestClass, HostExecution first, HostExecution again, Consumer<Violation> to) {
+            AuditSettings.RequestClass requestClass,
+            HostExecution first,
+            HostExecution again,
+            Consumer<Violation> violations) {
         boolean group =
-                switch (requestClass.scope()) {
+                switch (requestClass.keyScope()) {
                     case ALL -> true;
                     case ZONE -> first.zone().equals(again.zone());
                     case CELL -> first.cell() == again.cell();
                 };
-        long late = again.received() - first.received() - requestClass.window() - settings.socketSlack();
+        long late = again.receivedAt() - first.receivedAt() - requestClass.idempotencyWindow() - settings.socketSlack();
         if (!group || late > 0) {
-            to.accept(new Violation(
+            violations.accept(new Violation(
                     Violation.Rule.KEYED,
-                    again.received(),
-                    "id " + again.id() + " of " + requestClass.name() + " came again "
+                    again.receivedAt(),
+                    "id " + again.requestId() + " of " + requestClass.name() + " came again "
                             + (group
                                     ? late / 1_000 + " ms past its window"
                                     : "outside of its "
-                                            + requestClass.scope().name().toLowerCase(java.util.Locale.ROOT) + ", at "
+                                            + requestClass.keyScope().name().toLowerCase(java.util.Locale.ROOT)
+                                            + ", at "
                                             + again.host()),
-                    evidence.history(again.id())));
+                    evidence.history(again.requestId())));
         }
     }
 }
--- a/src/main/java/rillyard/audit/SingleResponseRule.java
+++ b/src/main/java/rillyard/audit/SingleResponseRule.java
@@ -8,7 +8,7 @@
 import rillyard.requestlog.HostExecution;
 import rillyard.requestlog.UnexpectedResponse;
 
-/** No request lost: each try that was taken has exactly one final answer, in time, from a host or none. */
+/** No request lost: each attempt that was taken has exactly one final answer, in time, from a host or none. */
 final class SingleResponseRule {
     private final Evidence evidence;
     private final AuditSettings settings;
@@ -18,48 +18,49 @@
         this.settings = settings;
     }
 
-    void check(Consumer<Violation> to) {
-        for (List<ClientAttempt> tries : evidence.byRequest().values()) {
+    void check(Consumer<Violation> violations) {
+        for (List<ClientAttempt> tries : evidence.attemptsByRequest().values()) {
             for (int i = 0; i < tries.size(); i++) {
                 ClientAttempt attempt = tries.get(i);
-                if (attempt.number() != i) {
-                    to.accept(breach(
+                if (attempt.attemptNumber() != i) {
+                    violations.accept(breach(
                             attempt,
-                            "request " + attempt.request() + " has two ends of try " + attempt.number()
+                            "request " + attempt.request() + " has two ends of try " + attempt.attemptNumber()
                                     + ", or none of try " + i));
                 }
-                check(attempt, to);
+                check(attempt, violations);
             }
             ClientAttempt last = tries.get(tries.size() - 1);
-            if (!last.last()) {
-                to.accept(breach(last, "request " + last.request() + " has no final answer in the ledger"));
+            if (!last.lastAttempt()) {
+                violations.accept(breach(last, "request " + last.request() + " has no final answer in the ledger"));
             }
         }
-        for (UnexpectedResponse response : evidence.surplus) {
-            to.accept(new Violation(
+        for (UnexpectedResponse response : evidence.unexpectedResponses) {
+            violations.accept(new Violation(
                     Violation.Rule.ANSWER,
                     response.at(),
-                    "more came behind the one answer to id " + response.id(),
-                    evidence.history(response.id())));
+                    "more came behind the one answer to id " + response.requestId(),
+                    evidence.history(response.requestId())));
         }
     }
 
-    private void check(ClientAttempt attempt, Consumer<Violation> to) {
+    private void check(ClientAttempt attempt, Consumer<Violation> violations) {
         ClientOutcome outcome = attempt.outcome();
-        long due = attempt.sent() + attempt.timeout() + settings.answerSlack() + settings.socketSlack();
+        long due = attempt.sentAt() + attempt.timeoutMicros() + settings.answerSlack() + settings.socketSlack();
         if (outcome.isLost()) {
-            to.accept(breach(attempt, "id " + attempt.id() + " was lost: " + outcome));
-        } else if (answered(outcome) && attempt.ended() > due) {
-            to.accept(breach(
+            violations.accept(breach(attempt, "id " + attempt.requestId() + " was lost: " + outcome));
+        } else if (answered(outcome) && attempt.endedAt() > due) {
+            violations.accept(breach(
                     attempt,
-                    "id " + attempt.id() + " was answered " + (attempt.ended() - due) / 1_000 + " ms too late: "
-                            + outcome));
-        } else if (outcome == ClientOutcome.SERVED && !made(attempt.id())) {
-            to.accept(breach(attempt, "id " + attempt.id() + " was served with what no host made for it"));
+                    "id " + attempt.requestId() + " was answered " + (attempt.endedAt() - due) / 1_000
+                            + " ms too late: " + outcome));
+        } else if (outcome == ClientOutcome.SERVED && !made(attempt.requestId())) {
+            violations.accept(
+                    breach(attempt, "id " + attempt.requestId() + " was served with what no host made for it"));
         } else if (outcome == ClientOutcome.STALE && received(attempt)) {
-            to.accept(breach(
+            violations.accept(breach(
                     attempt,
-                    "id " + attempt.id() + " was taken and passed on, and its connection ended"
+                    "id " + attempt.requestId() + " was taken and passed on, and its connection ended"
                             + " without an answer"));
         }
     }
@@ -69,7 +70,7 @@
     }
 
     private boolean made(String id) {
-        for (HostExecution execution : evidence.byId(id)) {
+        for (HostExecution execution : evidence.executionsById(id)) {
             if (execution.result() == ExecutionResult.DONE || execution.result() == ExecutionResult.REMEMBERED) {
                 return true;
             }
@@ -78,12 +79,12 @@
     }
 
     private boolean received(ClientAttempt attempt) {
-        return evidence.byId(attempt.id()).stream()
-                .anyMatch(execution ->
-                        execution.received() <= attempt.ended() && execution.result() != ExecutionResult.TURNED_AWAY);
+        return evidence.executionsById(attempt.requestId()).stream()
+                .anyMatch(execution -> execution.receivedAt() <= attempt.endedAt()
+                        && execution.result() != ExecutionResult.TURNED_AWAY);
     }
 
     private Violation breach(ClientAttempt attempt, String what) {
-        return new Violation(Violation.Rule.ANSWER, attempt.ended(), what, evidence.history(attempt.id()));
+        return new Violation(Violation.Rule.ANSWER, attempt.endedAt(), what, evidence.history(attempt.requestId()));
     }
 }
--- a/src/main/java/rillyard/audit/SlowStartRule.java
+++ b/src/main/java/rillyard/audit/SlowStartRule.java
@@ -7,7 +7,7 @@
 import rillyard.requestlog.HostExecution;
 
 /**
- * No cold host pushed over: the work that reaches it within any window stays under so many times its
+ * No warming-up host pushed over: the work that reaches it within any window stays under so many times its
  * capacity within that window. Chance is allowed for by three standard deviations of the work, as if
  * requests came on their own: 3 sqrt(sum of squares), Campbell's theorem for a Poisson process.
  */
@@ -22,64 +22,71 @@
         this.settings = settings;
     }
 
-    void check(Consumer<Violation> to) {
-        for (HostEvent event : evidence.news) {
-            if (event.kind() == HostEvent.Kind.STARTED && event.startsCold() && event.startShare() < 1) {
-                check(event, to);
+    void check(Consumer<Violation> violations) {
+        for (HostEvent event : evidence.hostEvents) {
+            if (event.kind() == HostEvent.Kind.STARTED && event.startsCold() && event.initialCapacityShare() < 1) {
+                check(event, violations);
             }
         }
     }
 
-    private void check(HostEvent start, Consumer<Violation> to) {
-        List<HostExecution> runs = evidence.byHost(start.host()).stream()
-                .filter(execution ->
-                        execution.received() >= start.at() && execution.received() < start.at() + start.coldMicros())
+    /** Slides a window over the host's requests and reports the first one whose work exceeds the budget. */
+    private void check(HostEvent start, Consumer<Violation> violations) {
+        List<HostExecution> executions = evidence.executionsByHost(start.host()).stream()
+                .filter(execution -> isWarmingUp(start, execution.receivedAt()))
                 .toList();
         double work = 0;
         double squares = 0;
-        int from = 0;
-        for (int i = 0; i < runs.size(); i++) {
-            long now = runs.get(i).received();
-            double w = runs.get(i).work();
-            work += w;
-            squares += w * w;
-            while (runs.get(from).received() <= now - settings.fall()) {
-                double gone = runs.get(from++).work();
-                work -= gone;
-                squares -= gone * gone;
+        int first = 0;
+        for (int last = 0; last < executions.size(); last++) {
+            long now = executions.get(last).receivedAt();
+            double added = executions.get(last).workMicros();
+            work += added;
+            squares += added * added;
+            while (executions.get(first).receivedAt() <= now - settings.overloadWindow()) {
+                double expired = executions.get(first++).workMicros();
+                work -= expired;
+                squares -= expired * expired;
             }
-            double budget = settings.fallMultiple() * capacity(start, now - settings.fall(), now);
-            double most = budget + DEVIATIONS * Math.sqrt(Math.max(0, squares));
-            if (work > most) {
-                to.accept(new Violation(
-                        Violation.Rule.COLD,
-                        now,
-                        String.format(
-                                Locale.ROOT,
-                                "host %s, cold for %d ms, got %.1f ms of work within %d ms, in %d requests; %.1f ms"
-                                        + " are its budget, and %.1f ms with what chance may do",
-                                start.host(),
-                                (now - start.at()) / 1_000,
-                                work / 1_000,
-                                settings.fall() / 1_000,
-                                i - from + 1,
-                                budget / 1_000,
-                                most / 1_000),
-                        Evidence.history(List.of(), runs.subList(from, i + 1))));
+            double budget = settings.overloadMultiple() * capacity(start, now - settings.overloadWindow(), now);
+            double limit = budget + DEVIATIONS * Math.sqrt(Math.max(0, squares));
+            if (work > limit) {
+                List<HostExecution> window = executions.subList(first, last + 1);
+                violations.accept(violation(start, now, work, budget, limit, window));
                 return;
             }
         }
     }
 
+    private static boolean isWarmingUp(HostEvent start, long time) {
+        return time >= start.at() && time < start.at() + start.warmUpMicros();
+    }
+
+    private Violation violation(
+            HostEvent start, long now, double work, double budget, double limit, List<HostExecution> window) {
+        String description = String.format(
+                Locale.ROOT,
+                "host %s, cold for %d ms, got %.1f ms of work within %d ms, in %d requests; %.1f ms"
+                        + " are its budget, and %.1f ms with what chance may do",
+                start.host(),
+                (now - start.at()) / 1_000,
+                work / 1_000,
+                settings.overloadWindow() / 1_000,
+                window.size(),
+                budget / 1_000,
+                limit / 1_000);
+        return new Violation(Violation.Rule.COLD, now, description, Evidence.history(List.of(), window));
+    }
+
     /** Work that the host can do between two times: its share rises evenly while it gets warm. */
     private static double capacity(HostEvent start, long from, long to) {
         // A window that began before the host did has its whole length, at the share of the start.
         double a = from - start.at();
         double b = to - start.at();
-        double before = Math.max(0, -a) * start.startShare();
+        double before = Math.max(0, -a) * start.initialCapacityShare();
         double low = Math.max(0, a);
-        double slope = (1 - start.startShare()) / start.coldMicros();
-        double rise = start.startShare() * (b - low) + slope * (b * b - low * low) / 2;
+        double slope = (1 - start.initialCapacityShare()) / start.warmUpMicros();
+        double rise = start.initialCapacityShare() * (b - low) + slope * (b * b - low * low) / 2;
         return start.capacity() * (before + rise);
     }
 }
--- a/src/main/java/rillyard/audit/package-info.java
+++ b/src/main/java/rillyard/audit/package-info.java
@@ -1,5 +1,4 @@
 /**
- * Proves the four rules on a run, or breaks them, from what the clients' and the hosts' ledgers say;
- * decides alone, without I/O but for reading them.
+ * Checks the four rules of the protocol against the request logs of clients and hosts; the rules do no I/O.
  */
 package rillyard.audit;
--- a/src/main/java/rillyard/benchmark/StartupRun.java
+++ b/src/main/java/rillyard/benchmark/StartupRun.java
@@ -76,13 +76,13 @@
     private static double[] latencies(Path clients) throws Exception {
         List<ClientAttempt> first = new ArrayList<>();
         RequestLogReader.read(clients, "clients", line -> {
-            if (line instanceof ClientAttempt attempt && attempt.number() == 0) {
+            if (line instanceof ClientAttempt attempt && attempt.attemptNumber() == 0) {
                 first.add(attempt);
             }
         });
         return first.stream()
-                .sorted(Comparator.comparingLong(ClientAttempt::intended))
-                .mapToDouble(clientAttempt -> (clientAttempt.ended() - clientAttempt.intended()) / 1e3)
+                .sorted(Comparator.comparingLong(ClientAttempt::scheduledAt))
+                .mapToDouble(clientAttempt -> (clientAttempt.endedAt() - clientAttempt.scheduledAt()) / 1e3)
                 .toArray();
     }
 
--- a/src/main/java/rillyard/cli/AuditCommand.java
+++ b/src/main/java/rillyard/cli/AuditCommand.java
@@ -40,25 +40,25 @@
     public Integer call() throws Exception {
         Audit.Verdict verdict = Audit.of(clients, hosts, AuditSettings.read(settings));
         print(verdict, most, System.out);
-        return verdict.clean() ? Cli.DONE : Cli.FAILED;
+        return verdict.isClean() ? Cli.DONE : Cli.FAILED;
     }
 
     static void print(Audit.Verdict verdict, int most, PrintStream out) {
-        for (int i = 0; i < Math.min(most, verdict.breaches().size()); i++) {
-            Violation violation = verdict.breaches().get(i);
-            out.println("BROKEN " + violation.rule() + ": " + violation.what());
+        for (int i = 0; i < Math.min(most, verdict.violations().size()); i++) {
+            Violation violation = verdict.violations().get(i);
+            out.println("BROKEN " + violation.rule() + ": " + violation.description());
             violation.history().forEach(h -> out.println("    " + h));
         }
-        if (verdict.breaches().size() > most) {
-            out.println((verdict.breaches().size() - most) + " more");
+        if (verdict.violations().size() > most) {
+            out.println((verdict.violations().size() - most) + " more");
         }
-        verdict.doubts().forEach(d -> out.println("NOT PROVED: " + d));
+        verdict.warnings().forEach(d -> out.println("NOT PROVED: " + d));
         for (Violation.Rule rule : Violation.Rule.values()) {
-            long n = verdict.breaches().stream().filter(b -> b.rule() == rule).count();
+            long n = verdict.violations().stream().filter(b -> b.rule() == rule).count();
             out.printf("%-7s %s%n", rule, n == 0 ? "kept" : n + " times broken");
         }
-        out.println("audit: " + verdict.tries() + " tries of clients and " + verdict.runs()
-                + " receipts of hosts, " + verdict.breaches().size() + " breaches"
-                + (verdict.doubts().isEmpty() ? "" : ", not proved"));
+        out.println("audit: " + verdict.attempts() + " tries of clients and " + verdict.executions()
+                + " receipts of hosts, " + verdict.violations().size() + " breaches"
+                + (verdict.warnings().isEmpty() ? "" : ", not proved"));
     }
 }
--- a/src/main/java/rillyard/cli/DemoCommand.java
+++ b/src/main/java/rillyard/cli/DemoCommand.java
@@ -26,6 +26,6 @@
         System.out.print(ReportTable.of(result.report()));
         AuditCommand.print(result.verdict(), 5, System.out);
         Audit.Verdict verdict = result.verdict();
-        return verdict.clean() ? Cli.DONE : Cli.FAILED;
+        return verdict.isClean() ? Cli.DONE : Cli.FAILED;
     }
 }
--- a/src/main/java/rillyard/faultinjection/FaultInjectionAudit.java
+++ b/src/main/java/rillyard/faultinjection/FaultInjectionAudit.java
@@ -34,11 +34,11 @@
             }
         });
         whole &= RequestLogReader.read(hosts, "hosts", audit::add);
-        Audit.Verdict verdict = audit.judge();
+        Audit.Verdict verdict = audit.evaluate();
         if (!whole) {
-            List<String> doubts = new java.util.ArrayList<>(verdict.doubts());
+            List<String> doubts = new java.util.ArrayList<>(verdict.warnings());
             doubts.add("a ledger was not closed: its last lines may be missing");
-            verdict = new Audit.Verdict(verdict.tries(), verdict.runs(), verdict.breaches(), doubts);
+            verdict = new Audit.Verdict(verdict.attempts(), verdict.executions(), verdict.violations(), doubts);
         }
         return new FaultInjectionAudit(verdict, notOwed[0]);
     }
@@ -53,7 +53,7 @@
                     && fault.on().has(own);
             long from = d.at() * 1_000;
             long until = from + (long) (fault.lasts() * 1_000) + AFTER_US;
-            if (d.begin() && halts && attempt.sent() <= until && attempt.ended() >= from) {
+            if (d.begin() && halts && attempt.sentAt() <= until && attempt.endedAt() >= from) {
                 return true;
             }
         }
@@ -63,27 +63,27 @@
     private static ClientAttempt abandoned(ClientAttempt attempt) {
         ClientOutcome outcome = attempt.outcome() == ClientOutcome.SERVED
                         || attempt.outcome() == ClientOutcome.REFUSED
-                                && attempt.ended() <= attempt.sent() + attempt.timeout()
+                                && attempt.endedAt() <= attempt.sentAt() + attempt.timeoutMicros()
                 ? attempt.outcome()
                 : ClientOutcome.ABANDONED;
         long ended = outcome == ClientOutcome.SERVED
-                ? Math.min(attempt.ended(), attempt.sent() + attempt.timeout())
-                : attempt.ended();
+                ? Math.min(attempt.endedAt(), attempt.sentAt() + attempt.timeoutMicros())
+                : attempt.endedAt();
         return new ClientAttempt(
                 attempt.request(),
-                attempt.number(),
-                attempt.id(),
-                attempt.key(),
+                attempt.attemptNumber(),
+                attempt.requestId(),
+                attempt.idempotencyKey(),
                 attempt.requestClass(),
                 attempt.tenant(),
                 attempt.client(),
-                attempt.intended(),
-                attempt.sent(),
+                attempt.scheduledAt(),
+                attempt.sentAt(),
                 ended,
-                attempt.timeout(),
+                attempt.timeoutMicros(),
                 outcome,
                 attempt.status(),
-                attempt.retryAfter(),
-                attempt.last());
+                attempt.retryAfterMicros(),
+                attempt.lastAttempt());
     }
 }
--- a/src/main/java/rillyard/faultinjection/FaultInjectionResult.java
+++ b/src/main/java/rillyard/faultinjection/FaultInjectionResult.java
@@ -72,7 +72,7 @@
     public boolean good() {
         return falseDeaths().isEmpty()
                 && !Double.isNaN(agreedSeconds())
-                && (audit == null || audit.verdict().clean());
+                && (audit == null || audit.verdict().isClean());
     }
 
     /** Writes what all believed, one line for each change, in the order of their times. */
@@ -201,17 +201,17 @@
                     Locale.ROOT,
                     "%d tries, %d of them owed no answer (their process was halted under them), "
                             + "%d receipts of hosts: %d broken rules%n",
-                    audit.verdict().tries(),
+                    audit.verdict().attempts(),
                     audit.notOwed(),
-                    audit.verdict().runs(),
-                    audit.verdict().breaches().size()));
-            audit.verdict().breaches().stream().limit(10).forEach(violation -> out.append("  ")
+                    audit.verdict().executions(),
+                    audit.verdict().violations().size()));
+            audit.verdict().violations().stream().limit(10).forEach(violation -> out.append("  ")
                     .append(violation.rule())
                     .append(": ")
-                    .append(violation.what())
+                    .append(violation.description())
                     .append('\n'));
             audit.verdict()
-                    .doubts()
+                    .warnings()
                     .forEach(d -> out.append("  doubt: ").append(d).append('\n'));
         }
         if (spread != null) {
--- a/src/main/java/rillyard/faultinjection/RunImbalance.java
+++ b/src/main/java/rillyard/faultinjection/RunImbalance.java
@@ -38,7 +38,7 @@
         RunImbalance imbalance = new RunImbalance(plan);
         RequestLogReader.read(clients, "clients", line -> {
             if (line instanceof ClientAttempt attempt) {
-                imbalance.clients.put(attempt.id(), attempt.client());
+                imbalance.clients.put(attempt.requestId(), attempt.client());
             }
         });
         RequestLogReader.read(hosts, "hosts", line -> {
@@ -62,17 +62,18 @@
     }
 
     private void arrived(HostExecution execution) {
-        last = Math.max(last, execution.received());
-        Integer client = clients.get(execution.id());
+        last = Math.max(last, execution.receivedAt());
+        Integer client = clients.get(execution.requestId());
         String proxy = client == null ? "?" : plan.serving(client).name();
-        long waited = (execution.started() == 0 ? execution.ended() : execution.started()) - execution.received();
+        long waited =
+                (execution.startedAt() == 0 ? execution.endedAt() : execution.startedAt()) - execution.receivedAt();
         arrivals.add(new HostArrival(
-                execution.received(),
+                execution.receivedAt(),
                 execution.host(),
                 proxy,
                 execution.attempt() == 0,
                 waited,
-                execution.ended() - execution.received()));
+                execution.endedAt() - execution.receivedAt()));
     }
 
     private void heard(HostEvent event) {
--- a/src/main/java/rillyard/requestlog/ClientAttempt.java
+++ b/src/main/java/rillyard/requestlog/ClientAttempt.java
@@ -5,40 +5,40 @@
 import java.io.IOException;
 
 /**
- * One try of a client's request, written when it has ended. Times are microseconds of Unix time.
+ * One attempt of a client's request, written when it has ended. Times are microseconds of Unix time.
  *
- * @param request number of the request, the same for all of its tries
- * @param number number of the try, from 0
- * @param id what {@code X-Request-ID} said
- * @param key what {@code Idempotency-Key} said, or null
+ * @param request number of the request, the same for all of its attempts
+ * @param attemptNumber number of the attempt, from 0
+ * @param requestId what {@code X-Request-ID} said
+ * @param idempotencyKey what {@code Idempotency-Key} said, or null
  * @param requestClass class of the request
  * @param tenant its tenant, or null
  * @param client number of the client
- * @param intended when the schedule had the request's first try be sent
- * @param sent when this try was sent
- * @param ended when its last byte came, or when the client gave it up
- * @param timeout how long the client said that it would wait
+ * @param scheduledAt when the schedule had the request's first attempt be sent
+ * @param sentAt when this attempt was sent
+ * @param endedAt when its last byte came, or when the client gave it up
+ * @param timeoutMicros how long the client said that it would wait
  * @param outcome how it ended
  * @param status the status of the answer, 0 without one
- * @param retryAfter what {@code Retry-After} said, 0 without one
- * @param last whether the request ended with it
+ * @param retryAfterMicros what {@code Retry-After} said, 0 without one
+ * @param lastAttempt whether the request ended with it
  */
 public record ClientAttempt(
         long request,
-        int number,
-        String id,
-        String key,
+        int attemptNumber,
+        String requestId,
+        String idempotencyKey,
         String requestClass,
         String tenant,
         int client,
-        long intended,
-        long sent,
-        long ended,
-        long timeout,
+        long scheduledAt,
+        long sentAt,
+        long endedAt,
+        long timeoutMicros,
         ClientOutcome outcome,
         int status,
-        long retryAfter,
-        boolean last)
+        long retryAfterMicros,
+        boolean lastAttempt)
         implements LogRecord {
     static final String KIND = "try";
 
@@ -47,45 +47,45 @@
         json.writeStartObject();
         json.writeStringField("k", KIND);
         json.writeNumberField("request", request);
-        json.writeNumberField("try", number);
-        json.writeStringField("id", id);
-        if (key != null) {
-            json.writeStringField("key", key);
+        json.writeNumberField("try", attemptNumber);
+        json.writeStringField("id", requestId);
+        if (idempotencyKey != null) {
+            json.writeStringField("key", idempotencyKey);
         }
         json.writeStringField("class", requestClass);
         if (tenant != null) {
             json.writeStringField("tenant", tenant);
         }
         json.writeNumberField("client", client);
-        json.writeNumberField("intended", intended);
-        json.writeNumberField("sent", sent);
-        json.writeNumberField("ended", ended);
-        json.writeNumberField("timeout", timeout);
+        json.writeNumberField("intended", scheduledAt);
+        json.writeNumberField("sent", sentAt);
+        json.writeNumberField("ended", endedAt);
+        json.writeNumberField("timeout", timeoutMicros);
         json.writeStringField("outcome", outcome.name());
         if (status != 0) {
             json.writeNumberField("status", status);
         }
-        if (retryAfter != 0) {
-            json.writeNumberField("retry_after", retryAfter);
+        if (retryAfterMicros != 0) {
+            json.writeNumberField("retry_after", retryAfterMicros);
         }
-        json.writeBooleanField("last", last);
+        json.writeBooleanField("last", lastAttempt);
         json.writeEndObject();
     }
 
     static ClientAttempt read(JsonNode node) {
         return new ClientAttempt(
-                JsonFields.whole(node, "request"),
-                (int) JsonFields.whole(node, "try"),
+                JsonFields.integer(node, "request"),
+                (int) JsonFields.integer(node, "try"),
                 JsonFields.text(node, "id"),
                 JsonFields.textOrNull(node, "key"),
                 JsonFields.text(node, "class"),
                 JsonFields.textOrNull(node, "tenant"),
-                (int) JsonFields.whole(node, "client"),
-                JsonFields.whole(node, "intended"),
-                JsonFields.whole(node, "sent"),
-                JsonFields.whole(node, "ended"),
-                JsonFields.whole(node, "timeout"),
-                JsonFields.choice(node, "outcome", ClientOutcome.class),
+                (int) JsonFields.integer(node, "client"),
+                JsonFields.integer(node, "intended"),
+                JsonFields.integer(node, "sent"),
+                JsonFields.integer(node, "ended"),
+                JsonFields.integer(node, "timeout"),
+                JsonFields.enumValue(node, "outcome", ClientOutcome.class),
                 node.path("status").asInt(0),
                 node.path("retry_after").asLong(0),
                 node.path("last").asBoolean(true));
--- a/src/main/java/rillyard/requestlog/ClientOutcome.java
+++ b/src/main/java/rillyard/requestlog/ClientOutcome.java
@@ -1,32 +1,32 @@
 package rillyard.requestlog;
 
-/** How a client's try ended, as the client saw it. */
+/** How a client's attempt ended, as the client saw it. */
 public enum ClientOutcome {
-    /** A whole answer 200 that was made for this request. */
+    /** A complete response 200 that belongs to this request. */
     SERVED,
-    /** 429 or 503: trying again is harmless. */
+    /** Rejected with 429 or 503: a retry is harmless. */
     REFUSED,
     /** Any other status. */
     FAILED,
     /** The client left before its stated time was up; no answer is owed. */
     ABANDONED,
-    /** No whole answer when the stated time and the grace behind it were up. */
+    /** No complete response within the stated timeout and the grace period after it. */
     UNANSWERED,
-    /** The connection ended behind the whole request and before the whole answer. */
+    /** The connection ended after the complete request and before the complete response. */
     BROKEN,
-    /** An answer that can't be read, or that was made for another request. */
+    /** A response that is malformed, or that belongs to another request. */
     GARBLED,
-    /** No connection, or one that ended before the whole request was written: it was not taken. */
+    /** No connection, or one that ended before the complete request was written: it was not accepted. */
     UNREACHABLE,
     /**
-     * A kept connection ended as the request went out, with nothing sent on it: the target may close a
+     * A kept connection ended as the request went out, with nothing forwarded it: the target may close a
      * connection between requests. The same request is sent once more on a new one.
      */
     STALE,
-    /** Never sent: the generator was at its own bound. */
+    /** Never sent: the load generator had reached its own limit. */
     NOT_SENT;
 
-    /** Whether the client knows that the target gave no final answer. */
+    /** Returns whether the client knows that the target gave no final response. */
     public boolean isLost() {
         return this == UNANSWERED || this == BROKEN || this == GARBLED;
     }
--- a/src/main/java/rillyard/requestlog/ExecutionResult.java
+++ b/src/main/java/rillyard/requestlog/ExecutionResult.java
@@ -8,7 +8,7 @@
     ERROR(true, false),
     /** It ran; the answer was cut off by a reset. */
     RESET(true, true),
-    /** It ran; the answer was spoilt. */
+    /** It ran; the response was corrupted. */
     GARBLED(true, true),
     /** It was running when its client left, and ran on. */
     LEFT(true, true),
@@ -16,28 +16,28 @@
     HUNG(true, true),
     /** The host was killed while it ran. */
     KILLED(true, false),
-    /** Its key was known: the answer came from memory, with no second effect. */
+    /** Its idempotency key was known: the stored response was returned, with no second effect. */
     REMEMBERED(false, false),
-    /** It was turned away unseen. */
+    /** It was rejected without being processed. */
     TURNED_AWAY(false, false),
     /** It waited in the queue when its client left or the host was killed. */
     DROPPED(false, false);
 
     private final boolean mayHaveRun;
-    private final boolean effect;
+    private final boolean hadEffect;
 
     ExecutionResult(boolean mayHaveRun, boolean effect) {
         this.mayHaveRun = mayHaveRun;
-        this.effect = effect;
+        this.hadEffect = effect;
     }
 
-    /** Whether the one who sent the request must take it to have had its effect. */
+    /** Returns whether the sender must assume that the request had its effect. */
     public boolean mayHaveRun() {
         return mayHaveRun;
     }
 
-    /** Whether it really had. */
-    public boolean effect() {
-        return effect;
+    /** Returns whether the request had its effect. */
+    public boolean hadEffect() {
+        return hadEffect;
     }
 }
--- a/src/main/java/rillyard/requestlog/HostEvent.java
+++ b/src/main/java/rillyard/requestlog/HostEvent.java
@@ -10,32 +10,38 @@
  * @param at microseconds of Unix time
  * @param host id of the host; {@code discovery} for a fault of discovery
  * @param kind what happened
- * @param detail words for a reader, or null
+ * @param detail description for a human reader, or null
  * @param capacity cores times speed: microseconds of work that a warm host does in one
- * @param startShare share of the capacity with which a cold host begins; 1 for a warm one
- * @param coldMicros how long it takes to become warm
+ * @param initialCapacityShare share of the capacity that the host has when it starts; 1 without slow start
+ * @param warmUpMicros how long the host takes to reach its full capacity
  */
 public record HostEvent(
-        long at, String host, Kind kind, String detail, double capacity, double startShare, long coldMicros)
+        long at, String host, Kind kind, String detail, double capacity, double initialCapacityShare, long warmUpMicros)
         implements LogRecord {
     static final String KIND = "host";
 
-    /** What can happen. */
+    /** The kinds of events; the names are stored in the log. */
     public enum Kind {
+        /** The host accepts requests. */
         STARTED,
+        /** The host finishes its requests and accepts no new ones. */
         DRAINING,
+        /** The host ended in order. */
         STOPPED,
+        /** The host ended without notice. */
         KILLED,
+        /** An injected fault began. */
         FAULT,
+        /** An injected fault ended. */
         FAULT_ENDED
     }
 
-    /** Whether a host that started was cold. */
+    /** Returns whether the host starts with less than its full capacity. */
     public boolean startsCold() {
-        return coldMicros > 0;
+        return warmUpMicros > 0;
     }
 
-    /** News that says nothing of the capacity. */
+    /** Creates an event without capacity values. */
     public HostEvent(long at, String host, Kind what, String detail) {
         this(at, host, what, detail, 0, 1, 0);
     }
@@ -52,17 +58,17 @@
         }
         if (kind == Kind.STARTED) {
             json.writeNumberField("capacity", capacity);
-            json.writeNumberField("start_share", startShare);
-            json.writeNumberField("cold", coldMicros);
+            json.writeNumberField("start_share", initialCapacityShare);
+            json.writeNumberField("cold", warmUpMicros);
         }
         json.writeEndObject();
     }
 
     static HostEvent read(JsonNode node) {
         return new HostEvent(
-                JsonFields.whole(node, "at"),
+                JsonFields.integer(node, "at"),
                 JsonFields.text(node, "host"),
-                JsonFields.choice(node, "what", Kind.class),
+                JsonFields.enumValue(node, "what", Kind.class),
                 JsonFields.textOrNull(node, "detail"),
                 node.path("capacity").asDouble(0),
                 node.path("start_share").asDouble(1),
--- a/src/main/java/rillyard/requestlog/HostExecution.java
+++ b/src/main/java/rillyard/requestlog/HostExecution.java
@@ -8,62 +8,62 @@
  * One request that a host received, written when the host is done with it. Times are microseconds
  * of Unix time.
  *
- * @param id what {@code X-Request-ID} said
- * @param key what {@code Idempotency-Key} said, or null
+ * @param requestId what {@code X-Request-ID} said
+ * @param idempotencyKey what {@code Idempotency-Key} said, or null
  * @param requestClass class of the request
  * @param host id of the host
  * @param cell the cell whose hosts share the memory of keys
  * @param zone the host's zone
- * @param attempt how many times the stand-ins had received this id before, all hosts together
- * @param received when its first byte came
- * @param started when it began to run, 0 if it never did
- * @param ended when the host was done with it
- * @param work what it costs in core time of a warm host, in microseconds
+ * @param attempt how many times this id had been received before, by all hosts together
+ * @param receivedAt when its first byte came
+ * @param startedAt when it began to run, 0 if it never did
+ * @param endedAt when the host was done with it
+ * @param workMicros what it costs in core time of a warm host, in microseconds
  * @param result what became of it
  */
 public record HostExecution(
-        String id,
-        String key,
+        String requestId,
+        String idempotencyKey,
         String requestClass,
         String host,
         long cell,
         String zone,
         int attempt,
-        long received,
-        long started,
-        long ended,
-        long work,
+        long receivedAt,
+        long startedAt,
+        long endedAt,
+        long workMicros,
         ExecutionResult result)
         implements LogRecord {
     static final String KIND = "run";
 
-    /** Whether the one who sent it must take it to have had its effect. */
+    /** Returns whether the sender must assume that the request had its effect. */
     public boolean mayHaveRun() {
-        return started != 0 && result.mayHaveRun();
+        return startedAt != 0 && result.mayHaveRun();
     }
 
-    /** Whether it really had its effect here. */
-    public boolean effect() {
-        return started != 0 && result.effect();
+    /** Returns whether the request had its effect at this host. */
+    public boolean hadEffect() {
+        return startedAt != 0 && result.hadEffect();
     }
 
     @Override
     public void write(JsonGenerator json) throws IOException {
         json.writeStartObject();
         json.writeStringField("k", KIND);
-        json.writeStringField("id", id);
-        if (key != null) {
-            json.writeStringField("key", key);
+        json.writeStringField("id", requestId);
+        if (idempotencyKey != null) {
+            json.writeStringField("key", idempotencyKey);
         }
         json.writeStringField("class", requestClass);
         json.writeStringField("host", host);
         json.writeNumberField("cell", cell);
         json.writeStringField("zone", zone);
         json.writeNumberField("attempt", attempt);
-        json.writeNumberField("received", received);
-        json.writeNumberField("started", started);
-        json.writeNumberField("ended", ended);
-        json.writeNumberField("work", work);
+        json.writeNumberField("received", receivedAt);
+        json.writeNumberField("started", startedAt);
+        json.writeNumberField("ended", endedAt);
+        json.writeNumberField("work", workMicros);
         json.writeStringField("result", result.name());
         json.writeEndObject();
     }
@@ -74,13 +74,13 @@
                 JsonFields.textOrNull(node, "key"),
                 JsonFields.text(node, "class"),
                 JsonFields.text(node, "host"),
-                JsonFields.whole(node, "cell"),
+                JsonFields.integer(node, "cell"),
                 JsonFields.text(node, "zone"),
-                (int) JsonFields.whole(node, "attempt"),
-                JsonFields.whole(node, "received"),
-                JsonFields.whole(node, "started"),
-                JsonFields.whole(node, "ended"),
-                JsonFields.whole(node, "work"),
-                JsonFields.choice(node, "result", ExecutionResult.class));
+                (int) JsonFields.integer(node, "attempt"),
+                JsonFields.integer(node, "received"),
+                JsonFields.integer(node, "started"),
+                JsonFields.integer(node, "ended"),
+                JsonFields.integer(node, "work"),
+                JsonFields.enumValue(node, "result", ExecutionResult.class));
     }
 }
--- a/src/main/java/rillyard/requestlog/JsonFields.java
+++ b/src/main/java/rillyard/requestlog/JsonFields.java
@@ -19,7 +19,7 @@
         return node.hasNonNull(key) ? text(node, key) : null;
     }
 
-    static long whole(JsonNode node, String key) {
+    static long integer(JsonNode node, String key) {
         JsonNode v = node.path(key);
         if (!v.isIntegralNumber() || !v.canConvertToLong()) {
             throw new IllegalArgumentException(key + ": found " + found(v) + ", expected a whole number");
@@ -27,7 +27,7 @@
         return v.asLong();
     }
 
-    static <E extends Enum<E>> E choice(JsonNode node, String key, Class<E> type) {
+    static <E extends Enum<E>> E enumValue(JsonNode node, String key, Class<E> type) {
         String s = text(node, key);
         for (E e : type.getEnumConstants()) {
             if (e.name().equals(s)) {
--- a/src/main/java/rillyard/requestlog/LogHeader.java
+++ b/src/main/java/rillyard/requestlog/LogHeader.java
@@ -5,16 +5,16 @@
 import java.io.IOException;
 
 /**
- * The first line of a ledger.
+ * The first line of a request log.
  *
- * @param of {@code clients} or {@code hosts}
+ * @param logKind {@code clients} or {@code hosts}
  * @param at microseconds of Unix time at which it was begun
  * @param seed the seed of the run
  */
-public record LogHeader(String of, long at, long seed) implements LogRecord {
+public record LogHeader(String logKind, long at, long seed) implements LogRecord {
     static final String KIND = "head";
 
-    /** The form of the lines; a reader turns away any other. */
+    /** The form of the lines; a reader rejects any other. */
     static final int VERSION = 1;
 
     @Override
@@ -22,16 +22,17 @@
         json.writeStartObject();
         json.writeStringField("k", KIND);
         json.writeNumberField("version", VERSION);
-        json.writeStringField("of", of);
+        json.writeStringField("of", logKind);
         json.writeNumberField("at", at);
         json.writeNumberField("seed", seed);
         json.writeEndObject();
     }
 
     static LogHeader read(JsonNode node) {
-        if (JsonFields.whole(node, "version") != VERSION) {
+        if (JsonFields.integer(node, "version") != VERSION) {
             throw new IllegalArgumentException("version: found " + node.path("version") + ", expected " + VERSION);
         }
-        return new LogHeader(JsonFields.text(node, "of"), JsonFields.whole(node, "at"), JsonFields.whole(node, "seed"));
+        return new LogHeader(
+                JsonFields.text(node, "of"), JsonFields.integer(node, "at"), JsonFields.integer(node, "seed"));
     }
 }
--- a/src/main/java/rillyard/requestlog/LogRecord.java
+++ b/src/main/java/rillyard/requestlog/LogRecord.java
@@ -4,16 +4,16 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
 
-/** One line of a ledger: a JSON object whose field {@code k} names its kind. */
+/** One line of a request log: a JSON object whose field {@code k} names its kind. */
 public sealed interface LogRecord
         permits LogHeader, LogTrailer, ClientAttempt, UnexpectedResponse, HostExecution, HostEvent, WatchNotification {
-    /** Writes the object. */
+    /** Writes this record as a JSON object. */
     void write(JsonGenerator json) throws IOException;
 
     /**
-     * The line that an object holds.
+     * Parses a record from its JSON object.
      *
-     * @throws IllegalArgumentException if it is none; the message says what was expected
+     * @throws IllegalArgumentException if the object is no record; the message says what was expected
      */
     static LogRecord read(JsonNode node) {
         return switch (JsonFields.text(node, "k")) {
--- a/src/main/java/rillyard/requestlog/LogTrailer.java
+++ b/src/main/java/rillyard/requestlog/LogTrailer.java
@@ -5,13 +5,13 @@
 import java.io.IOException;
 
 /**
- * The last line of a ledger that was closed in order. One without it was cut off: what is missing
+ * The last line of a request log that was closed in order. One without it was cut off: what is missing
  * in it proves nothing.
  *
  * @param at microseconds of Unix time
- * @param lines how many lines stand before it
+ * @param recordCount how many lines stand before it
  */
-public record LogTrailer(long at, long lines) implements LogRecord {
+public record LogTrailer(long at, long recordCount) implements LogRecord {
     static final String KIND = "end";
 
     @Override
@@ -19,11 +19,11 @@
         json.writeStartObject();
         json.writeStringField("k", KIND);
         json.writeNumberField("at", at);
-        json.writeNumberField("lines", lines);
+        json.writeNumberField("lines", recordCount);
         json.writeEndObject();
     }
 
     static LogTrailer read(JsonNode node) {
-        return new LogTrailer(JsonFields.whole(node, "at"), JsonFields.whole(node, "lines"));
+        return new LogTrailer(JsonFields.integer(node, "at"), JsonFields.integer(node, "lines"));
     }
 }
--- a/src/main/java/rillyard/requestlog/RequestLogReader.java
+++ b/src/main/java/rillyard/requestlog/RequestLogReader.java
@@ -9,50 +9,52 @@
 import java.util.function.Consumer;
 import rillyard.config.InvalidConfigException;
 
-/** Reads a ledger line by line, in memory that doesn't grow with it. */
+/** Reads a request log line by line, in memory that doesn't grow with it. */
 public final class RequestLogReader {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private RequestLogReader() {}
 
     /**
-     * Hands each line behind the head to {@code to}.
+     * Reads a log and passes each record between header and trailer to a consumer.
      *
-     * @param of what the head must say: {@code clients} or {@code hosts}
-     * @return whether the ledger was closed in order; one that was not may lack its last lines
-     * @throws InvalidConfigException at the first line that is none
+     * @param logKind the expected kind: {@code clients} or {@code hosts}
+     * @return whether the log was closed in order; one that was not may lack its last records
+     * @throws InvalidConfigException at the first line that is no record, or if the file can't be read
      */
-    public static boolean read(Path file, String of, Consumer<LogRecord> to) throws InvalidConfigException {
-        int number = 0;
-        boolean ended = false;
+    public static boolean read(Path file, String logKind, Consumer<LogRecord> consumer) throws InvalidConfigException {
+        int lineNumber = 0;
+        boolean closedInOrder = false;
         try (BufferedReader in = Files.newBufferedReader(file)) {
-            String text;
-            while ((text = in.readLine()) != null) {
-                number++;
-                if (text.isBlank()) {
+            String line;
+            while ((line = in.readLine()) != null) {
+                lineNumber++;
+                if (line.isBlank()) {
                     continue;
                 }
-                LogRecord line = LogRecord.read(JSON.readTree(text));
-                if (number == 1
-                        && !(line instanceof LogHeader header && header.of().equals(of))) {
-                    throw new IllegalArgumentException("expected the head of a ledger of " + of + ", found " + text);
+                LogRecord logRecord = LogRecord.read(JSON.readTree(line));
+                if (lineNumber == 1
+                        && !(logRecord instanceof LogHeader header
+                                && header.logKind().equals(logKind))) {
+                    throw new IllegalArgumentException(
+                            "expected the head of a ledger of " + logKind + ", found " + line);
                 }
-                ended = line instanceof LogTrailer;
-                if (number > 1 && !ended) {
-                    to.accept(line);
+                closedInOrder = logRecord instanceof LogTrailer;
+                if (lineNumber > 1 && !closedInOrder) {
+                    consumer.accept(logRecord);
                 }
             }
         } catch (JsonProcessingException e) {
             throw new InvalidConfigException(
-                    file.toString(), number, "expected a JSON object: " + e.getOriginalMessage());
+                    file.toString(), lineNumber, "expected a JSON object: " + e.getOriginalMessage());
         } catch (IllegalArgumentException e) {
-            throw new InvalidConfigException(file.toString(), number, e.getMessage());
+            throw new InvalidConfigException(file.toString(), lineNumber, e.getMessage());
         } catch (IOException e) {
-            throw new InvalidConfigException(file.toString(), number, "can't be read: " + e);
+            throw new InvalidConfigException(file.toString(), lineNumber, "can't be read: " + e);
         }
-        if (number == 0) {
-            throw new InvalidConfigException(file.toString(), 0, "empty, expected a ledger of " + of);
+        if (lineNumber == 0) {
+            throw new InvalidConfigException(file.toString(), 0, "empty, expected a ledger of " + logKind);
         }
-        return ended;
+        return closedInOrder;
     }
 }
--- a/src/main/java/rillyard/requestlog/RequestLogWriter.java
+++ b/src/main/java/rillyard/requestlog/RequestLogWriter.java
@@ -13,41 +13,41 @@
 import java.util.concurrent.BlockingQueue;
 
 /**
- * Writes a ledger. Lines are gathered in a block and handed to a thread of its own, whole lines
- * only, so that a slow disk does not hold up an event loop until {@value #BLOCKS} blocks wait; from
- * there on it does, since a ledger with a hole in it proves nothing. Safe for several threads.
+ * Writes a request log. Lines are gathered in a block and handed to a thread of its own, whole lines
+ * only, so that a slow disk does not hold up an event loop until {@value #MAX_QUEUED_BLOCKS} blocks wait; from
+ * there on it does, since a request log with a hole in it proves nothing. Safe for several threads.
  */
 public final class RequestLogWriter implements AutoCloseable {
-    private static final int BLOCK = 64 * 1024;
-    private static final int BLOCKS = 256;
-    private static final byte[] END = new byte[0];
+    private static final int BLOCK_BYTES = 64 * 1024;
+    private static final int MAX_QUEUED_BLOCKS = 256;
+    private static final byte[] END_OF_LOG = new byte[0];
 
-    private final BlockingQueue<byte[]> blocks = new ArrayBlockingQueue<>(BLOCKS);
-    private final ByteArrayOutputStream block = new ByteArrayOutputStream(BLOCK + 1_024);
+    private final BlockingQueue<byte[]> queuedBlocks = new ArrayBlockingQueue<>(MAX_QUEUED_BLOCKS);
+    private final ByteArrayOutputStream block = new ByteArrayOutputStream(BLOCK_BYTES + 1_024);
     private final JsonGenerator generator;
     private final OutputStream out;
     private final Thread writer;
     private volatile IOException failure;
-    private long lines;
+    private long recordCount;
     private boolean closed;
 
     private RequestLogWriter(OutputStream out) throws IOException {
         this.out = out;
         this.generator = new JsonFactory().createGenerator(block);
         generator.setPrettyPrinter(new MinimalPrettyPrinter("\n"));
-        this.writer = new Thread(this::drain, "ledger");
+        this.writer = new Thread(this::writeBlocks, "request-log");
         writer.setDaemon(true);
         writer.start();
     }
 
-    /** Begins a ledger in a file, in place of what is there. */
-    public static RequestLogWriter open(Path file, LogHeader head) throws IOException {
+    /** Creates a log file, replacing an existing one, and starts its writer thread. */
+    public static RequestLogWriter open(Path file, LogHeader header) throws IOException {
         RequestLogWriter writer = new RequestLogWriter(Files.newOutputStream(file));
-        writer.append(head);
+        writer.append(header);
         return writer;
     }
 
-    /** A ledger that keeps nothing, and costs nothing. */
+    /** Returns a log that discards all records. */
     public static RequestLogWriter disabled() {
         try {
             RequestLogWriter writer = new RequestLogWriter(OutputStream.nullOutputStream());
@@ -58,44 +58,46 @@
         }
     }
 
-    /** Adds a line; without effect once the ledger is closed. */
-    public synchronized void append(LogRecord line) {
+    /** Appends a record; does nothing once the log is closed. Blocks while {@value #MAX_QUEUED_BLOCKS} blocks wait for the disk. */
+    public synchronized void append(LogRecord logRecord) {
         if (closed) {
             return;
         }
         try {
-            line.write(generator);
-            lines++;
+            logRecord.write(generator);
+            recordCount++;
             generator.flush();
-            if (block.size() >= BLOCK) {
-                hand();
+            if (block.size() >= BLOCK_BYTES) {
+                enqueueBlock();
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e); // never: the block lies in memory
         }
     }
 
-    /** Hands on what was gathered so far, so that a reader finds it. */
+    /** Hands the records gathered so far to the writer thread, so that a reader finds them soon. */
     public synchronized void flush() {
         if (!closed && block.size() > 0) {
-            hand();
+            enqueueBlock();
         }
     }
 
-    private void hand() {
-        byte[] b = block.toByteArray();
+    private void enqueueBlock() {
+        byte[] records = block.toByteArray();
         block.reset();
-        put(b);
+        enqueue(records);
     }
 
-    private void put(byte[] b) {
+    /** Waits for room in the queue even when interrupted: an incomplete log proves nothing. */
+    private void enqueue(byte[] records) {
         boolean interrupted = false;
-        while (true) {
+        boolean queued = false;
+        while (!queued) {
             try {
-                blocks.put(b);
-                break;
+                queuedBlocks.put(records);
+                queued = true;
             } catch (InterruptedException e) {
-                interrupted = true; // the lines go first: a cut ledger proves nothing
+                interrupted = true;
             }
         }
         if (interrupted) {
@@ -103,19 +105,12 @@
         }
     }
 
-    private void drain() {
+    private void writeBlocks() {
         try (out) {
-            byte[] b;
-            while ((b = blocks.take()) != END) {
-                if (failure != null) {
-                    continue; // the queue is emptied, so that nobody waits for a disk that is full
-                }
-                try {
-                    out.write(b, 0, b.length);
-                    out.flush();
-                } catch (IOException e) {
-                    failure = e;
-                }
+            byte[] next = queuedBlocks.take();
+            while (next != END_OF_LOG) {
+                write(next);
+                next = queuedBlocks.take();
             }
             if (failure == null) {
                 out.write('\n');
@@ -127,13 +122,26 @@
         }
     }
 
-    /** How many lines it holds. */
-    public synchronized long lines() {
-        return lines;
+    /** Writes a block, or discards it after a failure, so that nobody waits for a disk that is full. */
+    private void write(byte[] records) {
+        if (failure != null) {
+            return;
+        }
+        try {
+            out.write(records, 0, records.length);
+            out.flush();
+        } catch (IOException e) {
+            failure = e;
+        }
+    }
+
+    /** Returns the number of records written so far. */
+    public synchronized long recordCount() {
+        return recordCount;
     }
 
     /**
-     * Ends the ledger: all lines are in the file, the last one says so.
+     * Closes the log: writes all records and a trailer, and waits for the writer thread.
      *
      * @throws IOException if any could not be written
      */
@@ -143,10 +151,10 @@
             if (closed) {
                 return;
             }
-            append(new LogTrailer(UnixClock.micros(), lines));
+            append(new LogTrailer(UnixClock.micros(), recordCount));
             closed = true;
-            hand();
-            put(END);
+            enqueueBlock();
+            enqueue(END_OF_LOG);
         }
         try {
             writer.join();
--- a/src/main/java/rillyard/requestlog/UnexpectedResponse.java
+++ b/src/main/java/rillyard/requestlog/UnexpectedResponse.java
@@ -8,9 +8,9 @@
  * Something that came on a client's connection behind the one answer it was owed.
  *
  * @param at microseconds of Unix time
- * @param id id of the request that was answered last on that connection
+ * @param requestId id of the request that was answered last on that connection
  */
-public record UnexpectedResponse(long at, String id) implements LogRecord {
+public record UnexpectedResponse(long at, String requestId) implements LogRecord {
     static final String KIND = "surplus";
 
     @Override
@@ -18,11 +18,11 @@
         json.writeStartObject();
         json.writeStringField("k", KIND);
         json.writeNumberField("at", at);
-        json.writeStringField("id", id);
+        json.writeStringField("id", requestId);
         json.writeEndObject();
     }
 
     static UnexpectedResponse read(JsonNode node) {
-        return new UnexpectedResponse(JsonFields.whole(node, "at"), JsonFields.text(node, "id"));
+        return new UnexpectedResponse(JsonFields.integer(node, "at"), JsonFields.text(node, "id"));
     }
 }
--- a/src/main/java/rillyard/requestlog/UnixClock.java
+++ b/src/main/java/rillyard/requestlog/UnixClock.java
@@ -10,6 +10,7 @@
     private static final long ZERO_NANOS;
     private static final long ZERO_MICROS;
 
+    // Both clocks are read once when the class is loaded: later readings are relative to that moment.
     static {
         Instant now = Instant.now();
         ZERO_NANOS = System.nanoTime();
@@ -18,12 +19,12 @@
 
     private UnixClock() {}
 
-    /** Now. */
+    /** Returns the current Unix time in microseconds. */
     public static long micros() {
         return micros(System.nanoTime());
     }
 
-    /** The Unix time of a reading of {@link System#nanoTime}. */
+    /** Returns the Unix time in microseconds of a reading of {@link System#nanoTime}. */
     public static long micros(long nanoTime) {
         return ZERO_MICROS + Math.floorDiv(nanoTime - ZERO_NANOS, 1_000L);
     }
--- a/src/main/java/rillyard/requestlog/WatchNotification.java
+++ b/src/main/java/rillyard/requestlog/WatchNotification.java
@@ -30,10 +30,10 @@
 
     static WatchNotification read(JsonNode node) {
         return new WatchNotification(
-                JsonFields.whole(node, "at"),
-                JsonFields.whole(node, "watcher"),
+                JsonFields.integer(node, "at"),
+                JsonFields.integer(node, "watcher"),
                 JsonFields.text(node, "host"),
                 JsonFields.text(node, "state"),
-                JsonFields.whole(node, "version"));
+                JsonFields.integer(node, "version"));
     }
 }
--- a/src/main/java/rillyard/requestlog/package-info.java
+++ b/src/main/java/rillyard/requestlog/package-info.java
@@ -1,6 +1,5 @@
 /**
- * What really happened, line by line: the generator's ledger says what clients asked and got, the
- * stand-ins' says what hosts received and ran. Both are JSON lines, stamped in microseconds of Unix
- * time, so that the auditor can lay one beside the other.
+ * Request logs as JSON lines: the load generator records what clients sent and received, the test hosts record what they
+ * received and executed. Timestamps are microseconds of Unix time, so that the audit can compare both logs.
  */
 package rillyard.requestlog;
--- a/src/test/java/rillyard/audit/AuditTest.java
+++ b/src/test/java/rillyard/audit/AuditTest.java
@@ -16,7 +16,7 @@
 import rillyard.requestlog.UnexpectedResponse;
 import rillyard.requestlog.WatchNotification;
 
-/** Every kind of breach is planted and must be found; what is allowed must not be. */
+/** Every kind of violation is planted and must be found; what is allowed must not be. */
 class AuditTest {
     private static final String SETTINGS =
             """
@@ -34,7 +34,7 @@
     private final List<LogRecord> lines = new ArrayList<>();
     private int requests;
 
-    /** A good request, so that the ledgers have one in common. */
+    /** A good request, so that the request logs have one in common. */
     @BeforeEach
     void good() {
         served("claim", "good", 0);
@@ -43,24 +43,24 @@
     private Audit.Verdict judge() throws Exception {
         Audit audit = new Audit(AuditSettings.of(new ObjectMapper().readTree(SETTINGS)));
         lines.forEach(audit::add);
-        return audit.judge();
+        return audit.evaluate();
     }
 
     private void clean() throws Exception {
         Audit.Verdict verdict = judge();
-        assertThat(verdict.breaches()).isEmpty();
-        assertThat(verdict.doubts()).isEmpty();
-        assertThat(verdict.clean()).isTrue();
+        assertThat(verdict.violations()).isEmpty();
+        assertThat(verdict.warnings()).isEmpty();
+        assertThat(verdict.isClean()).isTrue();
     }
 
     private Violation broken(Violation.Rule rule, String what) throws Exception {
         Audit.Verdict verdict = judge();
-        assertThat(verdict.clean()).isFalse();
-        List<Violation> all = verdict.breaches().stream()
+        assertThat(verdict.isClean()).isFalse();
+        List<Violation> all = verdict.violations().stream()
                 .filter(violation -> violation.rule() == rule)
                 .toList();
-        assertThat(all).as("%s in %s", rule, verdict.breaches()).hasSize(1);
-        assertThat(all.get(0).what()).contains(what);
+        assertThat(all).as("%s in %s", rule, verdict.violations()).hasSize(1);
+        assertThat(all.get(0).description()).contains(what);
         return all.get(0);
     }
 
@@ -335,13 +335,13 @@
         broken(Violation.Rule.DRAIN, "id b");
     }
 
-    // --- cold hosts
+    // --- warming-up hosts
 
     private void cold(double capacity) {
         lines.add(new HostEvent(START, "cold", HostEvent.Kind.STARTED, null, capacity, 0.25, 8_000 * MS));
     }
 
-    /** Requests of 10 ms of work each to the cold host, so many ms apart. */
+    /** Requests of 10 ms of work each to the warming-up host, so many ms apart. */
     private void flood(int count, int apart) {
         for (int i = 0; i < count; i++) {
             long at = START + (100L + (long) i * apart) * MS;
@@ -387,12 +387,12 @@
     @Test
     void ledgersThatProveNothingSaySo() throws Exception {
         lines.clear();
-        assertThat(judge().clean()).isFalse();
-        assertThat(judge().doubts()).anyMatch(d -> d.contains("nothing was proved"));
+        assertThat(judge().isClean()).isFalse();
+        assertThat(judge().warnings()).anyMatch(d -> d.contains("nothing was proved"));
         tried("list", "a", 0, 5, ClientOutcome.SERVED);
         ran("list", "other", "s-1", 0, ExecutionResult.DONE);
-        assertThat(judge().doubts()).anyMatch(d -> d.contains("of two runs"));
+        assertThat(judge().warnings()).anyMatch(d -> d.contains("of two runs"));
         tried("new", "b", 0, 5, ClientOutcome.REFUSED);
-        assertThat(judge().doubts()).anyMatch(d -> d.contains("name no class new"));
+        assertThat(judge().warnings()).anyMatch(d -> d.contains("name no class new"));
     }
 }
--- a/src/test/java/rillyard/demo/DemoAuditTest.java
+++ b/src/test/java/rillyard/demo/DemoAuditTest.java
@@ -50,8 +50,8 @@
             run.run();
         }
         Audit.Verdict verdict = Audit.of(c, path, settings);
-        assertThat(verdict.doubts()).isEmpty();
-        return verdict.breaches().stream().map(Violation::rule).collect(Collectors.toSet());
+        assertThat(verdict.warnings()).isEmpty();
+        return verdict.violations().stream().map(Violation::rule).collect(Collectors.toSet());
     }
 
     private static String plan(String more, int rate) {
--- a/src/test/java/rillyard/demo/DemoTest.java
+++ b/src/test/java/rillyard/demo/DemoTest.java
@@ -56,21 +56,21 @@
     void aProxyUnderFaultsKeepsTheRulesAndThePartsAgree() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         Demo.Result result = new Demo(new PrintStream(out, true, StandardCharsets.UTF_8), HOSTS, PLAN).run(folder);
-        assertThat(result.verdict().doubts()).isEmpty();
+        assertThat(result.verdict().warnings()).isEmpty();
         // A machine whose cores are all busy may be late by itself: time limits get a second more here.
         AuditSettings settings = AuditSettings.read(folder.resolve("ready.json"));
         AuditSettings patient = new AuditSettings(
                 settings.classes(),
                 settings.answerSlack(),
                 settings.drainGrace(),
-                settings.toldAtLatest(),
+                settings.maxNotificationDelay(),
                 1_000_000,
-                settings.fall(),
-                settings.fallMultiple());
+                settings.overloadWindow(),
+                settings.overloadMultiple());
         List<Violation> breaches = Audit.of(folder.resolve("clients.jsonl"), folder.resolve("hosts.jsonl"), patient)
-                .breaches();
+                .violations();
         assertThat(breaches).isEmpty();
-        assertThat(result.verdict().tries()).isGreaterThan(300);
+        assertThat(result.verdict().attempts()).isGreaterThan(300);
         assertThat(result.report().total().inAim()).isGreaterThan(200);
         assertThat(result.report().marks())
                 .extracting(mark -> mark.host() + " " + mark.what())
--- a/src/test/java/rillyard/faultinjection/FaultInjectionServingIT.java
+++ b/src/test/java/rillyard/faultinjection/FaultInjectionServingIT.java
@@ -77,10 +77,10 @@
                 new FaultInjectionRun(FaultInjectionPlanReader.parse("plan", PLAN, folder), out, System.out).run(built);
         assertThat(result.living()).hasSize(6);
         assertThat(result.good()).as(result.report()).isTrue();
-        assertThat(result.audit().verdict().tries()).isGreaterThan(2_000);
+        assertThat(result.audit().verdict().attempts()).isGreaterThan(2_000);
         assertThat(result.audit().notOwed())
                 .as(result.report())
-                .isBetween(1, result.audit().verdict().tries() / 4);
+                .isBetween(1, result.audit().verdict().attempts() / 4);
         assertThat(out.resolve("report.html")).content().contains("refused zone:0 to hosts s-0");
         assertThat(result.spread().windows()).as(result.report()).hasSizeGreaterThan(10);
         assertThat(result.report()).contains("largest over mean", "herds: ", "idle hosts: ");
@@ -102,16 +102,16 @@
         Set<String> zone1 = new HashSet<>();
         RequestLogReader.read(out.resolve("clients.jsonl"), "clients", line -> {
             if (line instanceof ClientAttempt attempt && attempt.client() % 6 % 2 == 1) {
-                zone1.add(attempt.id());
+                zone1.add(attempt.requestId());
             }
         });
         int[] received = {0, 0};
         RequestLogReader.read(out.resolve("hosts.jsonl"), "hosts", logRecord -> {
             if (logRecord instanceof HostExecution execution
                     && execution.host().equals("s-2")
-                    && execution.received() / 1_000 > from
-                    && execution.received() / 1_000 < until) {
-                received[zone1.contains(execution.id()) ? 1 : 0]++;
+                    && execution.receivedAt() / 1_000 > from
+                    && execution.receivedAt() / 1_000 < until) {
+                received[zone1.contains(execution.requestId()) ? 1 : 0]++;
             }
         });
         assertThat(received[0]).as("by the other zone").isPositive();
--- a/src/test/java/rillyard/loadgen/LoadRunTest.java
+++ b/src/test/java/rillyard/loadgen/LoadRunTest.java
@@ -87,7 +87,7 @@
         for (double x = 0.2; x < 2; x += 0.2) {
             double seconds = x;
             long later = tries.stream()
-                    .filter(attempt -> attempt.ended() - attempt.intended() > 1e6 * seconds)
+                    .filter(attempt -> attempt.endedAt() - attempt.scheduledAt() > 1e6 * seconds)
                     .count();
             // The pause begins and ends on the stand-in's own clock: some tens of ms of either side.
             assertThat(later)
@@ -110,7 +110,7 @@
             RunReport report = play(hosts, plan);
             // What the hosts drew is in their ledger: the generator must see these very times.
             double[] drawn = ledger("hosts", HostExecution.class).stream()
-                    .mapToDouble(execution -> execution.work() / 1_000.0)
+                    .mapToDouble(execution -> execution.workMicros() / 1_000.0)
                     .sorted()
                     .toArray();
             assertThat((long) drawn.length).isEqualTo(report.total().offered());
@@ -175,11 +175,11 @@
         assertThat(report.total().offered()).isGreaterThan(200);
         assertThat(report.total().inAim() + report.total().late()).isZero();
         List<ClientAttempt> tries = ledger("clients", ClientAttempt.class);
-        assertThat(tries.stream().filter(ClientAttempt::last).count())
+        assertThat(tries.stream().filter(ClientAttempt::lastAttempt).count())
                 .isEqualTo(report.total().offered());
         assertThat(tries.stream().map(ClientAttempt::outcome).filter(outcome -> outcome == only))
                 .isNotEmpty();
-        assertThat(tries).allMatch(attempt -> attempt.number() < 6);
+        assertThat(tries).allMatch(attempt -> attempt.attemptNumber() < 6);
     }
 
     @Test
@@ -287,7 +287,7 @@
                     null);
             Thread thread = new Thread(() -> {
                 long until = System.nanoTime() + 30_000_000_000L;
-                while (ledger.lines() < 100 && System.nanoTime() < until) {
+                while (ledger.recordCount() < 100 && System.nanoTime() < until) {
                     Thread.onSpinWait();
                 }
                 run.interrupt();
@@ -300,7 +300,7 @@
         assertThat(report.total().inAim() + report.total().late()).isGreaterThan(50);
         assertThat(ReportTable.of(report)).contains("interrupted");
         assertThat(ledger("clients", ClientAttempt.class).stream()
-                        .filter(ClientAttempt::last)
+                        .filter(ClientAttempt::lastAttempt)
                         .count())
                 .isEqualTo(report.total().offered());
     }
--- a/src/test/java/rillyard/loadgen/LogicalRequestTest.java
+++ b/src/test/java/rillyard/loadgen/LogicalRequestTest.java
@@ -45,7 +45,7 @@
         assertThat(done[0]).isTrue();
         List<ClientAttempt> out = new ArrayList<>();
         RequestLogReader.read(file, "clients", line -> out.add((ClientAttempt) line));
-        assertThat(out.stream().filter(ClientAttempt::last)).hasSize(1);
+        assertThat(out.stream().filter(ClientAttempt::lastAttempt)).hasSize(1);
         return out;
     }
 
@@ -83,9 +83,9 @@
     @Test
     void everyTryHasItsOwnIdAndAllHaveTheOneKey() throws Exception {
         List<ClientAttempt> tries = play("keyed", "", refused(), FakeTransport.Fate.served(1));
-        assertThat(tries).extracting(ClientAttempt::id).doesNotHaveDuplicates();
-        assertThat(tries).extracting(ClientAttempt::key).doesNotContainNull();
-        assertThat(tries.get(0).key()).isEqualTo(tries.get(1).key());
+        assertThat(tries).extracting(ClientAttempt::requestId).doesNotHaveDuplicates();
+        assertThat(tries).extracting(ClientAttempt::idempotencyKey).doesNotContainNull();
+        assertThat(tries.get(0).idempotencyKey()).isEqualTo(tries.get(1).idempotencyKey());
         assertThat(transport.tries)
                 .extracting(Transport.OutgoingRequest::retried)
                 .containsExactly(false, true);
@@ -102,7 +102,7 @@
         List<ClientAttempt> tries = play(
                 "at-most-once", "", FakeTransport.Fate.of(1, ClientOutcome.STALE, 0), FakeTransport.Fate.served(1));
         assertThat(tries).extracting(ClientAttempt::outcome).containsExactly(ClientOutcome.STALE, ClientOutcome.SERVED);
-        assertThat(tries.get(0).id()).isEqualTo(tries.get(1).id());
+        assertThat(tries.get(0).requestId()).isEqualTo(tries.get(1).requestId());
         assertThat(transport.tries).extracting(Transport.OutgoingRequest::fresh).containsExactly(false, true);
     }
 
@@ -118,9 +118,9 @@
         List<ClientAttempt> tries =
                 play("idempotent", "grace_ms = 70\n", FakeTransport.Fate.silence(), FakeTransport.Fate.silence());
         assertThat(tries).extracting(ClientAttempt::outcome).containsOnly(ClientOutcome.UNANSWERED);
-        assertThat(tries.get(0).timeout()).isEqualTo(500_000);
-        assertThat(tries.get(0).ended() - tries.get(0).sent()).isEqualTo(570_000);
-        assertThat(tries.get(1).timeout()).isEqualTo(430_000); // what was left of the deadline
+        assertThat(tries.get(0).timeoutMicros()).isEqualTo(500_000);
+        assertThat(tries.get(0).endedAt() - tries.get(0).sentAt()).isEqualTo(570_000);
+        assertThat(tries.get(1).timeoutMicros()).isEqualTo(430_000); // what was left of the deadline
         assertThat(tries).hasSize(2);
         assertThat(transport.abandoned).isEqualTo(2);
     }
@@ -129,8 +129,8 @@
     void aClientThatDoesNotSayWhenLeavesBefore() throws Exception {
         List<ClientAttempt> tries = play("at-most-once", "announced = false\n", FakeTransport.Fate.served(501));
         assertThat(tries.get(0).outcome()).isEqualTo(ClientOutcome.ABANDONED);
-        assertThat(tries.get(0).timeout()).isEqualTo(1_000_000);
-        assertThat(tries.get(0).ended() - tries.get(0).sent()).isEqualTo(500_000);
+        assertThat(tries.get(0).timeoutMicros()).isEqualTo(1_000_000);
+        assertThat(tries.get(0).endedAt() - tries.get(0).sentAt()).isEqualTo(500_000);
         assertThat(tally.total().abandoned).isEqualTo(1);
         assertThat(tally.total().latency.getTotalCount()).isZero(); // the late answer isn't counted
     }
--- a/src/test/java/rillyard/testserver/TestClusterTest.java
+++ b/src/test/java/rillyard/testserver/TestClusterTest.java
@@ -125,7 +125,9 @@
             client.write("GET /list HTTP/1.1\r\nHost: h\r\n\r\n"); // no id
             assertThat(client.answer()).startsWith("HTTP/1.1 404");
         }
-        assertThat(ledger(HostExecution.class)).extracting(HostExecution::id).containsExactly("a1", "a2");
+        assertThat(ledger(HostExecution.class))
+                .extracting(HostExecution::requestId)
+                .containsExactly("a1", "a2");
     }
 
     @Test
@@ -176,10 +178,10 @@
         }
         awaitLoad(host(0), "inflight=0");
         List<HostExecution> runs = ledger(HostExecution.class);
-        assertThat(runs).extracting(HostExecution::id).containsExactlyInAnyOrder("d0", "d1");
+        assertThat(runs).extracting(HostExecution::requestId).containsExactlyInAnyOrder("d0", "d1");
         for (HostExecution execution : runs) {
             assertThat(execution.result())
-                    .isEqualTo(execution.id().equals("d0") ? ExecutionResult.LEFT : ExecutionResult.DROPPED);
+                    .isEqualTo(execution.requestId().equals("d0") ? ExecutionResult.LEFT : ExecutionResult.DROPPED);
         }
     }
 
@@ -258,12 +260,12 @@
         }
         List<HostExecution> runs = ledger(HostExecution.class);
         assertThat(runs)
-                .anyMatch(execution -> execution.id().equals("f0")
+                .anyMatch(execution -> execution.requestId().equals("f0")
                         && execution.result() == ExecutionResult.HUNG
                         && execution.mayHaveRun());
         assertThat(runs)
                 .anyMatch(hostExecution ->
-                        hostExecution.id().equals("f1") && hostExecution.result() == ExecutionResult.DONE);
+                        hostExecution.requestId().equals("f1") && hostExecution.result() == ExecutionResult.DONE);
     }
 
     @Test
@@ -286,7 +288,8 @@
             }
         }
         assertThat(ledger(HostExecution.class))
-                .anyMatch(execution -> execution.id().equals("g0") && execution.result() == ExecutionResult.KILLED);
+                .anyMatch(execution ->
+                        execution.requestId().equals("g0") && execution.result() == ExecutionResult.KILLED);
     }
 
     /** The next state of a host that the watch is told. */
@@ -401,9 +404,9 @@
         }
         for (HostExecution execution : ledger(HostExecution.class)) {
             assertThat(execution.result())
-                    .isEqualTo(execution.id().equals("i0") ? ExecutionResult.GARBLED : ExecutionResult.DONE);
-            if (execution.id().equals("i1")) {
-                assertThat(execution.ended() - execution.started()).isGreaterThanOrEqualTo(399_000);
+                    .isEqualTo(execution.requestId().equals("i0") ? ExecutionResult.GARBLED : ExecutionResult.DONE);
+            if (execution.requestId().equals("i1")) {
+                assertThat(execution.endedAt() - execution.startedAt()).isGreaterThanOrEqualTo(399_000);
             }
         }
     }
@@ -427,7 +430,7 @@
             }
         }
         List<HostExecution> runs = ledger(HostExecution.class);
-        assertThat(runs.get(0).started() - runs.get(0).received()).isGreaterThan(100_000);
+        assertThat(runs.get(0).startedAt() - runs.get(0).receivedAt()).isGreaterThan(100_000);
         assertThat(runs).extracting(HostExecution::result).containsOnly(ExecutionResult.DONE);
     }
 
