--- a/src/main/java/rillyard/benchmark/StartupBenchmark.java
+++ b/src/main/java/rillyard/benchmark/StartupBenchmark.java
@@ -69,12 +69,13 @@
         LoadPlan plan = LoadPlanReader.parse("starts", PLAN, folder);
         Map<String, List<StartupRun>> runs = new LinkedHashMap<>();
         JvmWarmup.run();
+        PrintStream hostLog = System.err;
         try (TestCluster hosts = new TestCluster(
                 TestClusterPlanReader.parse("starts", HOSTS, 0),
-                new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0),
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 2,
                 RequestLogWriter.disabled(),
-                System.err)) {
+                hostLog)) {
             hosts.start();
             Path config = folder.resolve("ready.json");
             new ObjectMapper().writeValue(config.toFile(), hosts.ready());
--- a/src/main/java/rillyard/childprocess/ChildProcess.java
+++ b/src/main/java/rillyard/childprocess/ChildProcess.java
@@ -36,6 +36,7 @@
         return new ChildProcess(builder.start());
     }
 
+    /** Returns whether the process has not ended yet. */
     public boolean isAlive() {
         return process.isAlive();
     }
--- a/src/main/java/rillyard/childprocess/LaunchCommand.java
+++ b/src/main/java/rillyard/childprocess/LaunchCommand.java
@@ -27,6 +27,7 @@
         Map<String, String> environment) {
     private static final Path TASKSET = Path.of("/usr/bin/taskset");
 
+    /** Copies the collections, so that a command never changes. */
     public LaunchCommand {
         options = List.copyOf(options);
         program = List.copyOf(program);
--- a/src/main/java/rillyard/childprocess/ProxyProcess.java
+++ b/src/main/java/rillyard/childprocess/ProxyProcess.java
@@ -80,7 +80,7 @@
 
     /** An address of loopback that was free a moment ago. */
     public static InetSocketAddress freeAddress() throws IOException {
-        InetAddress here = InetAddress.getByName("127.0.0.1");
+        InetAddress here = InetAddress.getLoopbackAddress();
         try (ServerSocket server = new ServerSocket(0, 1, here)) {
             return new InetSocketAddress(here, server.getLocalPort());
         }
@@ -93,8 +93,8 @@
      */
     public void await(State least) throws IOException, InterruptedException {
         long until = System.nanoTime() + READY_NANOS;
-        State now;
-        while ((now = state(address)).compareTo(least) < 0) {
+        State now = state(address);
+        while (now.compareTo(least) < 0) {
             if (!process.isAlive() || System.nanoTime() > until) {
                 String said = Files.exists(log) ? Files.readString(log) : "";
                 throw new IOException(
@@ -102,6 +102,7 @@
             }
             // Guards against asking so often that it is the questions which warm the proxy up, or starve it.
             Thread.sleep(now == State.ABSENT ? 1 : ASK_EVERY_MS);
+            now = state(address);
         }
     }
 
--- a/src/main/java/rillyard/cli/Cli.java
+++ b/src/main/java/rillyard/cli/Cli.java
@@ -1,6 +1,7 @@
 package rillyard.cli;
 
 import java.io.PrintWriter;
+import java.nio.charset.Charset;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.HelpCommand;
@@ -42,7 +43,8 @@
 
     /** Runs a command line and returns the exit code. */
     public static int run(String... args) {
-        return run(new PrintWriter(System.out, true), new PrintWriter(System.err, true), args);
+        Charset charset = Charset.defaultCharset();
+        return run(new PrintWriter(System.out, true, charset), new PrintWriter(System.err, true, charset), args);
     }
 
     /** As above, with help and errors written elsewhere. */
--- a/src/main/java/rillyard/cli/TestClusterCommand.java
+++ b/src/main/java/rillyard/cli/TestClusterCommand.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
+import java.io.PrintStream;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -67,9 +68,10 @@
         CountDownLatch end = new CountDownLatch(1);
         GracefulShutdown ending = new GracefulShutdown(end::countDown);
         LogHeader head = new LogHeader("hosts", UnixClock.micros(), plan.seed());
+        PrintStream hostLog = System.err;
         try (RequestLogWriter ledger =
                         ledgerFile == null ? RequestLogWriter.disabled() : RequestLogWriter.open(ledgerFile, head);
-                TestCluster standIn = new TestCluster(plan, listen, threads, ledger, System.err)) {
+                TestCluster standIn = new TestCluster(plan, listen, threads, ledger, hostLog)) {
             standIn.start();
             standIn.startTimetable();
             if (readyFile != null) {
--- a/src/main/java/rillyard/demo/Demo.java
+++ b/src/main/java/rillyard/demo/Demo.java
@@ -109,15 +109,12 @@
         JvmWarmup.run();
         long now = UnixClock.micros();
         LoadRun run;
+        PrintStream hostLog = System.err;
         try (RequestLogWriter hostLedger = RequestLogWriter.open(hostsFile, new LogHeader("hosts", now, hosts.seed()));
                 RequestLogWriter clientLedger =
                         RequestLogWriter.open(clientsFile, new LogHeader("clients", now, load.seed()));
                 TestCluster standIn = new TestCluster(
-                        hosts,
-                        new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0),
-                        2,
-                        hostLedger,
-                        System.err)) {
+                        hosts, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 2, hostLedger, hostLog)) {
             standIn.start();
             new ObjectMapper().writerWithDefaultPrettyPrinter().writeValue(ready.toFile(), standIn.ready());
             progress.println("rillyard: " + hosts.hosts().size() + " hosts are up, a proxy starts");
--- a/src/main/java/rillyard/demo/JvmWarmup.java
+++ b/src/main/java/rillyard/demo/JvmWarmup.java
@@ -1,5 +1,6 @@
 package rillyard.demo;
 
+import java.io.PrintStream;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -57,9 +58,10 @@
     public static void run() throws Exception {
         TestClusterPlan hosts = TestClusterPlanReader.parse("warm-up", HOSTS, 0);
         LoadPlan load = LoadPlanReader.parse("warm-up", PLAN, Path.of("."));
-        InetSocketAddress any = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0);
+        InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        PrintStream hostLog = System.err;
         try (RequestLogWriter ledger = RequestLogWriter.disabled();
-                TestCluster standIn = new TestCluster(hosts, any, 1, ledger, System.err)) {
+                TestCluster standIn = new TestCluster(hosts, any, 1, ledger, hostLog)) {
             standIn.start();
             new LoadRun(load, List.of(standIn.address("s-0"), standIn.address("s-1")), ledger, null).run();
         }
--- a/src/main/java/rillyard/faultinjection/DatagramNetwork.java
+++ b/src/main/java/rillyard/faultinjection/DatagramNetwork.java
@@ -50,7 +50,7 @@
                         .group(loop)
                         .channel(NioDatagramChannel.class)
                         .handler(new Passing(process))
-                        .bind(InetAddress.getByName("127.0.0.1"), 0)
+                        .bind(InetAddress.getLoopbackAddress(), 0)
                         .sync()
                         .channel();
             }
--- a/src/main/java/rillyard/faultinjection/FaultInjectionAudit.java
+++ b/src/main/java/rillyard/faultinjection/FaultInjectionAudit.java
@@ -62,8 +62,8 @@
 
     private static ClientAttempt abandoned(ClientAttempt attempt) {
         ClientOutcome outcome = attempt.outcome() == ClientOutcome.SERVED
-                        || attempt.outcome() == ClientOutcome.REFUSED
-                                && attempt.endedAt() <= attempt.sentAt() + attempt.timeoutMicros()
+                        || (attempt.outcome() == ClientOutcome.REFUSED
+                                && attempt.endedAt() <= attempt.sentAt() + attempt.timeoutMicros())
                 ? attempt.outcome()
                 : ClientOutcome.ABANDONED;
         long ended = outcome == ClientOutcome.SERVED
--- a/src/main/java/rillyard/faultinjection/HostPattern.java
+++ b/src/main/java/rillyard/faultinjection/HostPattern.java
@@ -18,7 +18,8 @@
 
     /** Whether it has the host; discovery only where it is named. */
     boolean has(String id, String zone) {
-        return words.contains(id) || !id.equals(DISCOVERY) && (words.contains("all") || words.contains("zone:" + zone));
+        return words.contains(id)
+                || (!id.equals(DISCOVERY) && (words.contains("all") || words.contains("zone:" + zone)));
     }
 
     @Override
--- a/src/main/java/rillyard/faultinjection/InjectedFault.java
+++ b/src/main/java/rillyard/faultinjection/InjectedFault.java
@@ -68,7 +68,7 @@
     /** Whether it touches a datagram of this process to that one. */
     boolean touches(FleetProcess from, FleetProcess to) {
         return place() == Place.DATAGRAMS
-                && (on.has(from) && this.to.has(to) || !oneWay && on.has(to) && this.to.has(from));
+                && ((on.has(from) && this.to.has(to)) || (!oneWay && on.has(to) && this.to.has(from)));
     }
 
     /** What is done, in words without its times. */
--- a/src/main/java/rillyard/faultinjection/ProcessFleet.java
+++ b/src/main/java/rillyard/faultinjection/ProcessFleet.java
@@ -76,7 +76,7 @@
         this.relays = new DatagramNetwork(members, own, new DatagramFaults(plan.seed()));
         this.hosts = new TestCluster(
                 plan.hosts(),
-                new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0),
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 2,
                 ledger,
                 System.err,
--- a/src/main/java/rillyard/loadgen/ReportTable.java
+++ b/src/main/java/rillyard/loadgen/ReportTable.java
@@ -4,17 +4,28 @@
 
 /** A report as lines of text for a terminal. */
 public final class ReportTable {
-    private static final String HEAD = "%-24s %9s %8s %7s %7s %7s %6s %6s %6s %9s %9s %9s %9s %9s %6s%n";
-    private static final String LINE =
-            "%-24s %9d %8.1f %6.2f%% %6.2f%% %6.2f%% %6d %6d %6d %9.2f %9.2f %9.2f %9.2f %9.2f %6.2f%n";
-
     private ReportTable() {}
 
-    /** The table, the generator's own lateness and what makes the run invalid. */
+    /**
+     * Formats a report: a row for each class and tenant, the service time, the generator's own lateness, and the reasons
+     * why the run is invalid.
+     */
     public static String of(RunReport report) {
         StringBuilder out = new StringBuilder();
-        out.append(String.format(
-                HEAD,
+        out.append(header());
+        report.rows().forEach(row -> out.append(line(row)));
+        if (report.rows().size() > 1) {
+            out.append(line(report.total()));
+        }
+        appendServiceTime(report.total().service(), out);
+        appendLateness(report, out);
+        appendProblems(report, out);
+        return out.toString();
+    }
+
+    private static String header() {
+        return String.format(
+                "%-24s %9s %8s %7s %7s %7s %6s %6s %6s %9s %9s %9s %9s %9s %6s%n",
                 "class, tenant",
                 "offered",
                 "rate/s",
@@ -29,18 +40,20 @@
                 "p99",
                 "p99.9",
                 "max",
-                "tries"));
-        report.rows().forEach(row -> out.append(line(row)));
-        if (report.rows().size() > 1) {
-            out.append(line(report.total()));
-        }
+                "tries");
+    }
+
+    private static void appendServiceTime(RunReport.Quantiles service, StringBuilder out) {
         out.append(String.format(
                 Locale.ROOT,
                 "service time from the real send: p50 %.2f  p99 %.2f  p99.9 %.2f  max %.2f ms%n",
-                report.total().service().p50(),
-                report.total().service().p99(),
-                report.total().service().p999(),
-                report.total().service().max()));
+                service.p50(),
+                service.p99(),
+                service.p999(),
+                service.max()));
+    }
+
+    private static void appendLateness(RunReport report, StringBuilder out) {
         out.append(String.format(
                 Locale.ROOT,
                 "%.1f s, %d connections opened; own sends late by p50 %.3f  p99 %.3f  max %.2f ms%n",
@@ -49,6 +62,9 @@
                 report.lateness().p50(),
                 report.lateness().p99(),
                 report.lateness().max()));
+    }
+
+    private static void appendProblems(RunReport report, StringBuilder out) {
         if (report.total().notSent() > 0) {
             out.append(report.total().notSent()).append(" requests were not sent\n");
         }
@@ -61,20 +77,19 @@
         if (!report.valid()) {
             out.append("INVALID: ").append(report.invalidBecause()).append('\n');
         }
-        return out.toString();
     }
 
     private static String line(RunReport.Row row) {
-        double n = Math.max(1, row.offered()) / 100.0;
+        double percent = Math.max(1, row.offered()) / 100.0;
         return String.format(
                 Locale.ROOT,
-                LINE,
+                "%-24s %9d %8.1f %6.2f%% %6.2f%% %6.2f%% %6d %6d %6d %9.2f %9.2f %9.2f %9.2f %9.2f %6.2f%n",
                 row.tenant() == null ? row.type() : row.type() + ", " + row.tenant(),
                 row.offered(),
                 row.rate(),
-                row.inAim() / n,
-                row.late() / n,
-                row.refused() / n,
+                row.inAim() / percent,
+                row.late() / percent,
+                row.refused() / percent,
                 row.failed(),
                 row.lost(),
                 row.abandoned(),
--- a/src/main/java/rillyard/loadgen/RunReport.java
+++ b/src/main/java/rillyard/loadgen/RunReport.java
@@ -50,11 +50,11 @@
                     at(histogram, 90),
                     at(histogram, 99),
                     at(histogram, 99.9),
-                    round(histogram.getMaxValue()));
+                    round((double) histogram.getMaxValue()));
         }
 
         private static double at(Histogram histogram, double percentile) {
-            return round(histogram.getValueAtPercentile(percentile));
+            return round((double) histogram.getValueAtPercentile(percentile));
         }
 
         private static double round(double micros) {
--- a/src/main/java/rillyard/requestlog/UnixClock.java
+++ b/src/main/java/rillyard/requestlog/UnixClock.java
@@ -6,11 +6,12 @@
  * Microseconds of Unix time that never go back: the wall clock is read once, and the monotonic
  * clock tells what has passed since. Two processes of one machine agree to well under a millisecond.
  */
+// Both clocks are meant to be read once, when the class is loaded: later readings are relative to that moment.
+@SuppressWarnings("TimeInStaticInitializer")
 public final class UnixClock {
     private static final long ZERO_NANOS;
     private static final long ZERO_MICROS;
 
-    // Both clocks are read once when the class is loaded: later readings are relative to that moment.
     static {
         Instant now = Instant.now();
         ZERO_NANOS = System.nanoTime();
--- a/src/main/java/rillyard/testserver/ReadyFile.java
+++ b/src/main/java/rillyard/testserver/ReadyFile.java
@@ -42,12 +42,28 @@
     }
 
     private static ObjectNode settings(TestClusterPlan plan) {
-        ObjectNode s = JSON.createObjectNode();
-        s.put("balancers", 1).put("position", 0).put("membershipMode", "automatic");
-        s.put("zone", plan.hosts().get(0).zone());
-        ArrayNode zones = s.putArray("zones");
+        HostSpec firstHost = plan.hosts().get(0);
+        ObjectNode settings = JSON.createObjectNode();
+        settings.put("balancers", 1).put("position", 0).put("membershipMode", "automatic");
+        settings.put("zone", firstHost.zone());
+        ArrayNode zones = settings.putArray("zones");
         plan.hosts().stream().map(HostSpec::zone).distinct().forEach(zones::add);
-        ArrayNode classes = s.putArray("classes");
+        addClasses(plan, settings.putArray("classes"));
+        addLimits(plan, settings.putObject("limits"));
+        addReport(plan, settings.putObject("report"));
+        TestClusterPlan.Rules rules = plan.rules();
+        settings.putObject("rules")
+                .put("answerSlack", 20.0)
+                .put("drainGrace", rules.drainGraceMs())
+                .put("cold", firstHost.coldMs())
+                .put("startCapacity", firstHost.startShare())
+                .put("fall", rules.fallMs())
+                .put("fallMultiple", rules.fallMultiple());
+        settings.putArray("tenants");
+        return settings;
+    }
+
+    private static void addClasses(TestClusterPlan plan, ArrayNode classes) {
         for (RequestClassSpec spec : plan.classes()) {
             classes.addObject()
                     .put("name", spec.name())
@@ -58,32 +74,25 @@
                     .put("repeatWindow", spec.windowMs())
                     .put("value", spec.worth());
         }
-        HostSpec first = plan.hosts().get(0);
-        TestClusterPlan.Rules rules = plan.rules();
-        s.putObject("limits")
-                .put("cancel", true)
-                .put("connIdle", first.idleMs())
-                .put("connectTimeout", rules.connectTimeoutMs())
-                .put("maxAttempts", rules.maxAttempts())
+    }
+
+    private static void addLimits(TestClusterPlan plan, ObjectNode limits) {
+        limits.put("cancel", true)
+                .put("connIdle", plan.hosts().get(0).idleMs())
+                .put("connectTimeout", plan.rules().connectTimeoutMs())
+                .put("maxAttempts", plan.rules().maxAttempts())
                 .put("maxOpen", 20_000)
                 .put("parallelTries", true)
                 .put("probes", true)
                 .put("retryAfter", true)
                 .put("maxRetryAfter", 2_000)
                 .put("streamsPerConn", 1);
-        ObjectNode report = s.putObject("report");
+    }
+
+    private static void addReport(TestClusterPlan plan, ObjectNode report) {
         report.put("how", plan.reportFields().isEmpty() ? "none" : "answers");
         ArrayNode fields = report.putArray("fields");
         plan.reportFields().forEach(fields::add);
-        s.putObject("rules")
-                .put("answerSlack", 20.0)
-                .put("drainGrace", rules.drainGraceMs())
-                .put("cold", first.coldMs())
-                .put("startCapacity", first.startShare())
-                .put("fall", rules.fallMs())
-                .put("fallMultiple", rules.fallMultiple());
-        s.putArray("tenants");
-        return s;
     }
 
     private static String text(InetSocketAddress address) {
--- a/src/test/java/rillyard/faultinjection/TcpRelaysTest.java
+++ b/src/test/java/rillyard/faultinjection/TcpRelaysTest.java
@@ -42,7 +42,7 @@
     }
 
     private void listen(int port) throws IOException {
-        ServerSocket at = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
+        ServerSocket at = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
         host = at;
         Thread thread = new Thread(() -> serve(at));
         thread.setDaemon(true);
