--- a/src/main/java/rillyard/benchmark/FleetTraceStatistics.java
+++ b/src/main/java/rillyard/benchmark/FleetTraceStatistics.java
@@ -82,7 +82,7 @@
         String line;
         while ((line = log.readLine()) != null) {
             try {
-                TraceEvent event = TraceEvent.read(line);
+                TraceEvent event = TraceEvent.parse(line);
                 if (event != null) {
                     any = true;
                     told.add(new Told(proxy, told.size(), event));
@@ -101,7 +101,7 @@
 
     /** Sums up in the order of time, whatever the order of the logs; to be called once. */
     FleetTraceStatistics sum() {
-        told.sort(Comparator.comparingLong((Told t) -> t.line().at()).thenComparingInt(Told::number));
+        told.sort(Comparator.comparingLong((Told t) -> t.line().unixMillis()).thenComparingInt(Told::number));
         Map<String, Map<String, Integer>> open = new HashMap<>(); // by proxy and host
         for (Told t : told) {
             TraceEvent event = t.line();
@@ -129,7 +129,7 @@
                     hostCount.attempts++;
                     hostCount.turnedAway += event.detail().equals("FULL") ? 1 : 0;
                     if (event.warmingUp() && !UNSENT.contains(event.detail())) {
-                        hostCount.coldSends.add(event.at() - event.durationMs());
+                        hostCount.coldSends.add(event.unixMillis() - event.durationMillis());
                     }
                     attempts.merge(event.detail(), 1, Integer::sum);
                 }
@@ -191,10 +191,10 @@
         out.println("\n| from, s | attempts | answered | turned away | lost, failed | refused |"
                 + "\n| --- | --- | --- | --- | --- | --- |");
         Map<Long, int[]> rows = new TreeMap<>();
-        long first = told.isEmpty() ? 0 : told.get(0).line().at();
+        long first = told.isEmpty() ? 0 : told.get(0).line().unixMillis();
         for (Told t : told) {
             TraceEvent event = t.line();
-            int[] row = rows.computeIfAbsent((event.at() - first) / window, w -> new int[5]);
+            int[] row = rows.computeIfAbsent((event.unixMillis() - first) / window, w -> new int[5]);
             if (event.kind() == TraceEvent.Kind.ATTEMPT) {
                 row[0]++;
                 switch (event.detail()) {
--- a/src/main/java/rillyard/endpoints/DisabledHosts.java
+++ b/src/main/java/rillyard/endpoints/DisabledHosts.java
@@ -95,7 +95,7 @@
     }
 
     /** Hosts of which it is known when they were given back. */
-    public int remembered() {
+    public int enabledTimeCount() {
         return enabledAt.size();
     }
 
--- a/src/main/java/rillyard/hotrestart/DisabledHostStore.java
+++ b/src/main/java/rillyard/hotrestart/DisabledHostStore.java
@@ -24,7 +24,7 @@
  */
 public final class DisabledHostStore {
     /** What the folder says: hosts out, and Unix time (ms) at which others were given back. */
-    public record Contents(Set<String> disabled, Map<String, Long> enabledAt) {}
+    public record Contents(Set<String> disabled, Map<String, Long> enabledAtUnixMillis) {}
 
     private static final String OUT = "out-";
     private static final String BACK = "back-";
--- a/src/main/java/rillyard/proxy/ClientProxy.java
+++ b/src/main/java/rillyard/proxy/ClientProxy.java
@@ -107,7 +107,7 @@
     private void onStall(long nanos) {
         try {
             driver.endOverdueRequests(nanos);
-            endpointWatch.readFirst();
+            endpointWatch.readPending();
         } catch (RuntimeException e) {
             log.error("what was overdue could not be ended", e); // the timers will
         }
@@ -146,7 +146,10 @@
         StartupTimeline.at("settings");
         ProxyTrace trace = Boolean.getBoolean(ProxyTrace.PROPERTY) ? new ProxyTrace(System.err) : null;
         ClientProxy proxy = new ClientProxy(
-                config, new ProxyLog(System.err, trace), EndpointListOptions.guard(System.getProperties()), neighbours);
+                config,
+                new ProxyLog(System.err, trace),
+                EndpointListOptions.createGuard(System.getProperties()),
+                neighbours);
         // Before anything is taken: guards against a signal that finds it listening and without a drain.
         // An exit by SIGTERM is status 143 to the JVM, and a drain that is done is a success.
         Runtime.getRuntime()
@@ -217,7 +220,7 @@
             return;
         }
         try {
-            ProxyAdmin admin = new ProxyAdmin(ProxyAdmin.folder(env, config), loop, listener, driver, log);
+            ProxyAdmin admin = new ProxyAdmin(ProxyAdmin.hotRestartDirectory(env, config), loop, listener, driver, log);
             adminAddress = admin.start(config.adminAddress());
             this.admin = admin;
         } catch (Exception e) {
@@ -235,7 +238,7 @@
         loop.execute(this::runMaintenance);
         try {
             if (admin != null) {
-                admin.serving();
+                admin.onListening();
             }
         } catch (IOException e) {
             log.error("a process before this one can't be told", e);
--- a/src/main/java/rillyard/proxy/admin/ProxyAdmin.java
+++ b/src/main/java/rillyard/proxy/admin/ProxyAdmin.java
@@ -49,7 +49,7 @@
     }
 
     /** The folder of a proxy: that of all of its processes on this machine, and of no other's. */
-    public static Path folder(Map<String, String> env, ProxyConfig config) {
+    public static Path hotRestartDirectory(Map<String, String> env, ProxyConfig config) {
         String tmp = env.get("TMPDIR");
         String own = config.name() + "-" + config.listen().getAddress().getHostAddress() + "-"
                 + config.listen().getPort();
@@ -71,7 +71,7 @@
     }
 
     /** This process serves now. */
-    public void serving() throws IOException {
+    public void onListening() throws IOException {
         succession.becomeStandby();
         listening = true;
     }
@@ -102,7 +102,7 @@
         // Field by field: the equals of a record is linked at run time, which a start would pay for.
         if (seen == null
                 || !now.disabled().equals(seen.disabled())
-                || !now.enabledAt().equals(seen.enabledAt())) {
+                || !now.enabledAtUnixMillis().equals(seen.enabledAtUnixMillis())) {
             seen = now;
             loop.execute(() -> dispatcher.setDisabled(now));
         }
--- a/src/main/java/rillyard/proxy/config/ConfigException.java
+++ b/src/main/java/rillyard/proxy/config/ConfigException.java
@@ -1,10 +1,16 @@
 package rillyard.proxy.config;
 
-/** The configuration is missing or makes no sense; the message is one plain line. */
+/** Signals that the configuration is missing or invalid; the message is one line for the operator. */
 public final class ConfigException extends Exception {
     private static final long serialVersionUID = 1L;
 
+    /** Creates an exception for a fault of the configuration itself. */
     public ConfigException(String message) {
         super(message);
     }
+
+    /** Creates an exception for a fault that another exception reported. */
+    public ConfigException(String message, Throwable cause) {
+        super(message, cause);
+    }
 }
--- a/src/main/java/rillyard/proxy/config/ProxyConfig.java
+++ b/src/main/java/rillyard/proxy/config/ProxyConfig.java
@@ -105,7 +105,7 @@
     }
 
     private static InetSocketAddress address(String s, String what) throws ConfigException {
-        InetSocketAddress a = address(s);
+        InetSocketAddress a = parseAddress(s);
         if (a == null) {
             throw new ConfigException(what + " is not IP:port: '" + s + "'");
         }
@@ -113,7 +113,7 @@
     }
 
     /** An {@code IP:port}, or null if it is none; names are not looked up: there is no DNS. */
-    public static InetSocketAddress address(String s) {
+    public static InetSocketAddress parseAddress(String s) {
         int colon = s.lastIndexOf(':');
         byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(s.substring(0, colon));
         if (ip == null) {
--- /dev/null
+++ b/src/main/java/rillyard/proxy/discovery/EndpointListParser.java
@@ -0,0 +1,66 @@
+package rillyard.proxy.discovery;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
+import rillyard.balancer.EndpointEntry;
+import rillyard.proxy.config.ProxyConfig;
+
+/** Parses endpoint lists in discovery's JSON form; changes nothing. */
+final class EndpointListParser {
+    private static final double DEFAULT_WEIGHT = 1;
+
+    private final EndpointRegistry registry;
+
+    /** Creates a parser; the registry gives the hosts' ids and the balancer's clock. */
+    EndpointListParser(EndpointRegistry registry) {
+        this.registry = registry;
+    }
+
+    /**
+     * Parses a list.
+     *
+     * @throws MalformedEndpointListException if it is not of discovery's form
+     */
+    EndpointRegistry.EndpointList parse(JsonNode list) throws MalformedEndpointListException {
+        JsonNode servers = list.path("servers");
+        if (!list.isObject() || !servers.isArray() || !list.path("version").canConvertToLong()) {
+            throw new MalformedEndpointListException("not a list with version and servers");
+        }
+        List<EndpointRegistry.ListedEndpoint> hosts = new ArrayList<>(servers.size());
+        for (JsonNode server : servers) {
+            hosts.add(parseEndpoint(server));
+        }
+        return new EndpointRegistry.EndpointList(
+                list.path("version").asLong(), list.path("full").asBoolean(), hosts);
+    }
+
+    private EndpointRegistry.ListedEndpoint parseEndpoint(JsonNode server) throws MalformedEndpointListException {
+        String name = server.path("id").asText("");
+        InetSocketAddress address = ProxyConfig.parseAddress(server.path("addr").asText(""));
+        EndpointEntry.Condition condition = parseCondition(server.path("state").asText(""));
+        if (name.isEmpty() || (address == null && condition == EndpointEntry.Condition.READY)) {
+            throw new MalformedEndpointListException("an entry without id or address");
+        }
+        double startedUnixMillis = server.path("started_ms").asDouble(0);
+        EndpointEntry entry = new EndpointEntry(
+                registry.idOf(name),
+                server.path("zone").asText(""),
+                server.path("kind").asText(""),
+                server.path("cell").asLong(0),
+                condition,
+                server.path("weight").asDouble(DEFAULT_WEIGHT),
+                startedUnixMillis <= 0 ? 0 : registry.toBalancerTime(startedUnixMillis));
+        return new EndpointRegistry.ListedEndpoint(name, address, entry);
+    }
+
+    /** Returns the condition of a state; a host in an unknown state receives nothing new. */
+    private static EndpointEntry.Condition parseCondition(String state) {
+        return switch (state) {
+            case "up" -> EndpointEntry.Condition.READY;
+            case "removed" -> EndpointEntry.Condition.GONE;
+            default -> EndpointEntry.Condition.TERMINATING;
+        };
+    }
+}
--- a/src/main/java/rillyard/proxy/discovery/EndpointRegistry.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointRegistry.java
@@ -1,8 +1,6 @@
 package rillyard.proxy.discovery;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.net.InetSocketAddress;
-import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -13,222 +11,235 @@
 import java.util.regex.Pattern;
 import rillyard.balancer.EndpointEntry;
 import rillyard.endpoints.DisabledHosts;
-import rillyard.proxy.config.ProxyConfig;
 import rillyard.proxy.upstream.UpstreamHost;
 
-/** The hosts that discovery has named, and the numbers by which the module knows them. */
+/**
+ * The hosts that discovery has named, by name and by the id under which the balancer knows them.
+ *
+ * <p>Hosts that operators disabled are laid over discovery's entries. Confined to the event loop.
+ */
 public final class EndpointRegistry {
-    /** One list of discovery's, checked whole before anything of it is applied. */
+    /**
+     * An endpoint list of discovery's.
+     *
+     * @param version discovery's version of the list
+     * @param full whether the list names all hosts, so that any other is gone
+     * @param hosts the entries, in discovery's order
+     */
     public record EndpointList(long version, boolean full, List<ListedEndpoint> hosts) {}
 
-    /** One entry; an address may be absent where nothing is sent to it. */
+    /**
+     * One entry of a list.
+     *
+     * @param name discovery's name of the host
+     * @param address the host's address; may be null unless the host is ready
+     * @param entry the entry as the balancer reads it
+     */
     public record ListedEndpoint(String name, InetSocketAddress address, EndpointEntry entry) {}
 
-    private static final Pattern HOST = Pattern.compile("host (\\d{1,19})");
+    private static final Pattern HOST_ID = Pattern.compile("host (\\d{1,19})");
+
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
 
-    private final Map<String, UpstreamHost> byName = new HashMap<>();
-    private final Map<Long, UpstreamHost> byId = new HashMap<>();
+    private final Map<String, UpstreamHost> hostsByName = new HashMap<>();
+    private final Map<Long, UpstreamHost> hostsById = new HashMap<>();
     private final DisabledHosts disabledHosts;
-    private final double unixOffset;
+    private final double unixOffsetMillis;
 
-    /** {@code unixOffset} is Unix time less the module's clock. */
-    public EndpointRegistry(double unixOffset, DisabledHosts out) {
-        this.disabledHosts = out;
-        this.unixOffset = unixOffset;
+    /**
+     * Creates a registry without hosts.
+     *
+     * @param unixOffsetMillis Unix time less the balancer's clock, in milliseconds
+     * @param disabledHosts the hosts that operators disabled; owned by the caller
+     */
+    public EndpointRegistry(double unixOffsetMillis, DisabledHosts disabledHosts) {
+        this.disabledHosts = disabledHosts;
+        this.unixOffsetMillis = unixOffsetMillis;
     }
 
+    /** Returns the host of an id, or null if there is none. */
     public UpstreamHost get(long id) {
-        return byId.get(id);
+        return hostsById.get(id);
     }
 
-    /** A line of the module's with the host's name: the people on call know hosts by names, the module by numbers. */
-    public String hostNameOf(String line) {
-        Matcher matcher = HOST.matcher(line);
-        UpstreamHost host = matcher.find() ? byId.get(Long.parseLong(matcher.group(1))) : null;
-        return host == null ? line : matcher.replaceFirst("host " + Matcher.quoteReplacement(host.name));
+    /** Returns the host of a name if it is on the endpoint list, else null. */
+    public UpstreamHost findListed(String name) {
+        UpstreamHost host = hostsByName.get(name);
+        return host != null && host.isListed() ? host : null;
     }
 
-    public Collection<UpstreamHost> all() {
-        return byId.values();
+    /** Returns all hosts, as a view; hosts that are off the list stay until {@link #removeUnused}. */
+    public Collection<UpstreamHost> hosts() {
+        return hostsById.values();
     }
 
-    public boolean anySendable() {
-        for (UpstreamHost host : byId.values()) {
-            if (host.sendable) {
+    /** Returns a line of the balancer's log with the host's id replaced by its name, which operators know. */
+    public String replaceHostId(String line) {
+        Matcher matcher = HOST_ID.matcher(line);
+        UpstreamHost host = matcher.find() ? hostsById.get(Long.parseLong(matcher.group(1))) : null;
+        return host == null ? line : matcher.replaceFirst("host " + Matcher.quoteReplacement(host.name()));
+    }
+
+    /** Returns whether there is a host to which new requests may be sent. */
+    public boolean hasSendableHost() {
+        for (UpstreamHost host : hostsById.values()) {
+            if (host.isSendable()) {
                 return true;
             }
         }
         return false;
     }
 
-    /**
-     * Reads a list in discovery's form.
-     *
-     * @throws IllegalArgumentException if it is not of that form; nothing has been changed then
-     */
-    EndpointList read(JsonNode list) {
-        JsonNode servers = list.path("servers");
-        if (!list.isObject() || !servers.isArray() || !list.path("version").canConvertToLong()) {
-            throw new IllegalArgumentException("not a list with version and servers");
-        }
-        List<ListedEndpoint> listed = new ArrayList<>(servers.size());
-        for (JsonNode node : servers) {
-            String name = node.path("id").asText("");
-            InetSocketAddress address = ProxyConfig.address(node.path("addr").asText(""));
-            EndpointEntry.Condition condition =
-                    switch (node.path("state").asText("")) {
-                        case "up" -> EndpointEntry.Condition.READY;
-                        case "removed" -> EndpointEntry.Condition.GONE;
-                        default -> EndpointEntry.Condition.TERMINATING; // nothing new goes to a state not known
-                    };
-            if (name.isEmpty() || (address == null && condition == EndpointEntry.Condition.READY)) {
-                throw new IllegalArgumentException("an entry without id or address");
+    /** Returns the names of listed hosts that discovery calls ready, disabled ones among them. */
+    public Set<String> readyHostNames() {
+        Set<String> names = new HashSet<>();
+        for (UpstreamHost host : hostsById.values()) {
+            if (host.isListed() && host.entry().condition() == EndpointEntry.Condition.READY) {
+                names.add(host.name());
             }
-            double started = node.path("started_ms").asDouble(0);
-            EndpointEntry entry = new EndpointEntry(
-                    number(name),
-                    node.path("zone").asText(""),
-                    node.path("kind").asText(""),
-                    node.path("cell").asLong(0),
-                    condition,
-                    node.path("weight").asDouble(1),
-                    started <= 0 ? 0 : Math.max(0, started - unixOffset));
-            listed.add(new ListedEndpoint(name, address, entry));
         }
-        return new EndpointList(list.path("version").asLong(), list.path("full").asBoolean(), listed);
+        return names;
+    }
+
+    /** Returns how many hosts are listed. */
+    public int listedCount() {
+        int count = 0;
+        for (UpstreamHost host : hostsById.values()) {
+            count += host.isListed() ? 1 : 0;
+        }
+        return count;
     }
 
-    /** Applies a list; returns the hosts to which nothing more may go as it was to go. */
-    public Set<UpstreamHost> apply(EndpointList news) {
-        Set<UpstreamHost> cut = new HashSet<>();
+    // --- lists
+
+    /**
+     * Applies a list.
+     *
+     * @return the hosts that may no longer receive requests, or not at the address that they had
+     */
+    public Set<UpstreamHost> apply(EndpointList list) {
+        Set<UpstreamHost> withdrawn = new HashSet<>();
         Set<UpstreamHost> named = new HashSet<>();
-        for (ListedEndpoint listed : news.hosts()) {
-            EndpointEntry entry = listed.entry();
-            UpstreamHost host = byName.get(listed.name());
-            if (host == null) {
-                host = new UpstreamHost(listed.name(), entry.id());
-                byName.put(host.name, host);
-                byId.put(host.id, host);
-            }
+        for (ListedEndpoint listed : list.hosts()) {
+            UpstreamHost host = hostOf(listed);
             named.add(host);
-            host.listed = entry.condition() != EndpointEntry.Condition.GONE;
-            host.entry = entry;
-            host.sendable = effective(host).condition() == EndpointEntry.Condition.READY;
-            if (!host.sendable || !listed.address().equals(host.address)) {
-                cut.add(host);
-            }
-            if (listed.address() != null) {
-                host.address = listed.address();
+            if (announce(host, listed)) {
+                withdrawn.add(host);
             }
         }
-        if (news.full()) {
-            for (UpstreamHost upstreamHost : byId.values()) {
-                if (!named.contains(upstreamHost)) {
-                    upstreamHost.listed = false;
-                    upstreamHost.sendable = false;
-                    cut.add(upstreamHost);
+        if (list.full()) {
+            for (UpstreamHost host : hostsById.values()) {
+                if (!named.contains(host)) {
+                    host.onDelisted();
+                    withdrawn.add(host);
                 }
             }
         }
-        return cut;
+        return withdrawn;
     }
 
-    /** The names of listed hosts that discovery called ready, whatever operators did to them. */
-    public Set<String> inUse() {
-        Set<String> names = new HashSet<>();
-        for (UpstreamHost host : byId.values()) {
-            if (host.listed && host.entry.condition() == EndpointEntry.Condition.READY) {
-                names.add(host.name);
-            }
+    private UpstreamHost hostOf(ListedEndpoint listed) {
+        UpstreamHost host = hostsByName.get(listed.name());
+        if (host == null) {
+            host = new UpstreamHost(listed.name(), listed.entry().id());
+            hostsByName.put(host.name(), host);
+            hostsById.put(host.id(), host);
         }
-        return names;
+        return host;
+    }
+
+    /** Records an entry; returns whether the host may no longer receive requests where it received them before. */
+    private boolean announce(UpstreamHost host, ListedEndpoint listed) {
+        InetSocketAddress previousAddress = host.address();
+        host.onAnnounced(listed.entry(), listed.address());
+        host.setSendable(isReady(effectiveEntry(host)));
+        return !host.isSendable() || !listed.address().equals(previousAddress);
+    }
+
+    /** Returns the last announcement of a known host, as an entry for another list. */
+    public ListedEndpoint lastAnnounced(String name) {
+        UpstreamHost host = hostsByName.get(name);
+        return new ListedEndpoint(name, host.address(), host.entry());
+    }
+
+    /** Returns an entry that removes a known host, as discovery would announce it. */
+    public ListedEndpoint asRemoved(String name) {
+        UpstreamHost host = hostsByName.get(name);
+        EndpointEntry entry = host.entry();
+        EndpointEntry removed = new EndpointEntry(
+                entry.id(),
+                entry.zone(),
+                entry.machineKind(),
+                entry.cell(),
+                EndpointEntry.Condition.GONE,
+                entry.capacityHint(),
+                entry.onlineSince());
+        return new ListedEndpoint(name, host.address(), removed);
+    }
+
+    /** Forgets the hosts that are off the list and carry no call, so that churn does not accumulate. */
+    public void removeUnused() {
+        hostsById.values().removeIf(host -> {
+            if (!host.isRemovable()) {
+                return false;
+            }
+            hostsByName.remove(host.name());
+            disabledHosts.forget(host.name());
+            return true;
+        });
     }
 
-    /** What was last told of a listed host, as if a list told it again. */
-    public ListedEndpoint asTold(String name) {
-        UpstreamHost host = byName.get(name);
-        return new ListedEndpoint(name, host.address, host.entry);
-    }
-
-    /** A listed host as a list would tell that it is gone. */
-    public ListedEndpoint asGone(String name) {
-        UpstreamHost host = byName.get(name);
-        EndpointEntry entry = host.entry;
-        return new ListedEndpoint(
-                name,
-                host.address,
-                new EndpointEntry(
-                        entry.id(),
-                        entry.zone(),
-                        entry.machineKind(),
-                        entry.cell(),
-                        EndpointEntry.Condition.GONE,
-                        entry.capacityHint(),
-                        entry.onlineSince()));
-    }
-
-    /** The entries of a list as the module is to have them. */
-    public List<EndpointEntry> effective(EndpointList news) {
-        return news.hosts().stream()
+    // --- disabled hosts
+
+    /** Returns the entries of a list with the disabled hosts applied, as the balancer is to receive them. */
+    public List<EndpointEntry> effective(EndpointList list) {
+        return list.hosts().stream()
                 .map(listed -> disabledHosts.effective(listed.name(), listed.entry()))
                 .toList();
     }
 
-    private EndpointEntry effective(UpstreamHost host) {
-        return disabledHosts.effective(host.name, host.entry);
+    private EndpointEntry effectiveEntry(UpstreamHost host) {
+        return disabledHosts.effective(host.name(), host.entry());
     }
 
-    /** A listed host of this name, or null. */
-    public UpstreamHost listed(String name) {
-        UpstreamHost host = byName.get(name);
-        return host != null && host.listed ? host : null;
+    private static boolean isReady(EndpointEntry entry) {
+        return entry.condition() == EndpointEntry.Condition.READY;
     }
 
-    /** What operators did to a listed host has changed; returns what the module is to be told. */
-    public EndpointEntry changedByHand(UpstreamHost host) {
-        EndpointEntry entry = effective(host);
-        host.sendable = entry.condition() == EndpointEntry.Condition.READY;
+    /** Updates a listed host after it was disabled or enabled; returns its entry for the balancer. */
+    public EndpointEntry onDisabledChanged(UpstreamHost host) {
+        EndpointEntry entry = effectiveEntry(host);
+        host.setSendable(isReady(entry));
         return entry;
     }
 
-    /** How many hosts are listed. */
-    public int listedCount() {
-        int n = 0;
-        for (UpstreamHost host : byId.values()) {
-            n += host.listed ? 1 : 0;
-        }
-        return n;
-    }
+    // --- ids and times
 
-    /** Guards against a fleet that churns for ever: a host that is gone and carries nothing is freed. */
-    public void forgetGone() {
-        byId.values().removeIf(host -> {
-            boolean gone = !host.listed && host.calls == 0;
-            if (gone) {
-                byName.remove(host.name);
-                disabledHosts.forget(host.name);
-            }
-            return gone;
-        });
+    /** Converts Unix milliseconds to the balancer's clock; times before its start become 0. */
+    double toBalancerTime(double unixMillis) {
+        return Math.max(0, unixMillis - unixOffsetMillis);
     }
 
     /**
-     * The number of a host. It comes from the name alone, as the module's ring must have the same
-     * order in every client proxy and after a restart; two names that collide move on by one.
+     * Returns the id of a host: the 63-bit FNV-1a hash of its name, incremented while another host has that id.
+     *
+     * <p>It depends on the name alone, as the balancer's hash ring must have the same order in every proxy and after a
+     * restart.
      */
-    private long number(String name) {
-        UpstreamHost known = byName.get(name);
+    long idOf(String name) {
+        UpstreamHost known = hostsByName.get(name);
         if (known != null) {
-            return known.id;
+            return known.id();
         }
-        long h = 0xcbf29ce484222325L;
+        long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < name.length(); i++) {
-            h = (h ^ name.charAt(i)) * 0x100000001b3L;
+            hash = (hash ^ name.charAt(i)) * FNV_PRIME;
         }
-        h &= Long.MAX_VALUE;
-        while (byId.containsKey(h)) {
-            h = (h + 1) & Long.MAX_VALUE;
+        hash &= Long.MAX_VALUE;
+        while (hostsById.containsKey(hash)) {
+            hash = (hash + 1) & Long.MAX_VALUE;
         }
-        return h;
+        return hash;
     }
 }
--- a/src/main/java/rillyard/proxy/discovery/EndpointWatch.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointWatch.java
@@ -2,79 +2,61 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.netty.bootstrap.Bootstrap;
-import io.netty.buffer.Unpooled;
-import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
-import io.netty.channel.nio.AbstractNioChannel;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
-import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpObject;
-import io.netty.handler.codec.http.HttpRequestEncoder;
-import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpResponseDecoder;
-import io.netty.handler.codec.http.HttpVersion;
-import io.netty.handler.codec.http.LastHttpContent;
-import io.netty.util.ReferenceCountUtil;
 import io.netty.util.concurrent.Future;
-import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import rillyard.balancer.WatchEvent;
 import rillyard.proxy.config.ProxyConfig;
 import rillyard.proxy.logging.ProxyLog;
-import rillyard.settings.JsonTreeReader;
 import rillyard.trace.TraceEvent;
 
 /**
- * The watch on the list of hosts. It resumes from the last version that was applied, so that a
- * break loses no change.
+ * Watches the endpoint list of discovery, and reopens the watch when it breaks.
+ *
+ * <p>A watch resumes from the last version that was applied, so that a break loses no change. Where lists are pushed,
+ * this class reopens it after a {@link ReconnectBackoff}; where discovery is polled, the listener decides when.
+ *
+ * <p>A change counts as announced 6 s after a watch fell silent, or after a call for it failed. Within that time a
+ * silent watch is reopened, and so is one whose wait, connect and response each took their longest. A combination of
+ * both may take longer: see docs/design/endings.md. Confined to the event loop.
  */
 public final class EndpointWatch {
-    /*
-     * What a watch misses counts as told 6 s after it fell silent, or after a call for it went wrong. Within that
-     * time a silent one is opened anew, and so is one after a wait, a connect and an answer's time that all went
-     * as badly as they may. One after the other they may take longer: see docs/design/endings.md.
-     */
-
+    /** Milliseconds after which a connect to discovery has failed. */
     public static final int CONNECT_TIMEOUT_MS = 1_000;
 
-    /** A watch says something whole every 2 s; one that has not for longer than this (ns) is broken. */
+    /** Nanoseconds without a list or a blank line after which a watch is broken; discovery sends one every 2 s. */
     public static final long SILENCE_NANOS = 2_800_000_000L;
 
-    /** How long (ns) a call may go without an answer: asked discovery has it wait 2 s at most. */
+    /** Nanoseconds that a call may go unanswered; polled discovery lets it wait for 2 s at most. */
     public static final long UNANSWERED_NANOS = 2_400_000_000L;
 
-    /**
-     * First wait (ms) before a broken watch is opened anew where lists are pushed, doubled up to the last. Its
-     * agent is on this machine and asks no price, and what it has counts as told from its return on.
-     */
-    private static final long BACKOFF_MS = 50;
-
-    private static final long BACKOFF_MAX_MS = 250;
-
     private final EventLoopGroup loop;
-    private final EndpointRegistry endpoints;
+    private final EndpointListParser parser;
     private final EndpointListListener listener;
     private final ProxyLog log;
-    private InetSocketAddress address;
-    private final boolean polling;
+    private final boolean isPolling;
     private final Bootstrap bootstrap;
+    private final ReconnectBackoff backoff = new ReconnectBackoff();
+    private InetSocketAddress address;
     private long version;
-    private long malformed;
-    private long backoff = BACKOFF_MS;
-    private Watch watch;
-    private Future<?> reopening;
+    private long malformedLists;
+    private WatchConnection connection;
+    private Future<?> reconnect;
 
+    /**
+     * Creates a watch that is not open yet.
+     *
+     * @param loop a group of one event loop, on which the watch runs
+     * @param endpoints the registry that gives the ids of hosts
+     * @param listener receives the lists
+     */
     public EndpointWatch(
             EventLoopGroup loop,
             ProxyConfig config,
@@ -82,11 +64,11 @@
             EndpointListListener listener,
             ProxyLog log) {
         this.loop = loop;
-        this.endpoints = endpoints;
+        this.parser = new EndpointListParser(endpoints);
         this.listener = listener;
         this.log = log;
         this.address = config.discovery();
-        this.polling = config.settings().mustSubscribe();
+        this.isPolling = config.settings().mustSubscribe();
         this.bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
@@ -98,206 +80,125 @@
                 });
     }
 
-    /** Starts the module with the list of the configuration, and the watch behind it. */
-    public void start(JsonNode known) {
-        EndpointRegistry.EndpointList news;
+    /** Reports the cached list of the configuration to the listener and opens the watch, unless it is polled. */
+    public void start(JsonNode cachedList) {
+        EndpointRegistry.EndpointList cached;
         try {
-            news = endpoints.read(known);
-            version = news.version();
-        } catch (IllegalArgumentException e) {
-            news = new EndpointRegistry.EndpointList(0, true, List.of());
+            cached = parser.parse(cachedList);
+            version = cached.version();
+        } catch (MalformedEndpointListException e) {
+            cached = new EndpointRegistry.EndpointList(0, true, List.of()); // a proxy starts without a list, too
         }
-        listener.onWatchStarting(news, this::open);
-        if (!polling) {
+        listener.onWatchStarting(cached, this::open);
+        if (!isPolling) {
             open();
         }
     }
 
     /**
-     * Discovery has moved: watches it at its new address from the last version on. Guards against a
-     * wait for the old one, which may stay open and say nothing more. Harmless where it has not moved.
+     * Continues the watch at a new address from the last version on; does nothing if the address is the present one.
+     *
+     * <p>The present connection is not awaited, as it may stay open and silent.
      */
-    public void moveTo(InetSocketAddress to) {
-        if (to.equals(address)) {
+    public void moveTo(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        log.info("watch: discovery moves from " + address + " to " + to);
-        address = to;
-        backoff = BACKOFF_MS;
+        log.info("watch: discovery moved, from=" + address + " to=" + newAddress);
+        address = newAddress;
+        backoff.reset();
         open();
     }
 
     /** Opens the watch, in place of one that is open or waits to be opened. */
     private void open() {
-        if (reopening != null) {
-            reopening.cancel(false);
-            reopening = null;
+        if (reconnect != null) {
+            reconnect.cancel(false);
+            reconnect = null;
         }
-        if (watch != null) {
-            Watch old = watch;
-            watch = null;
-            old.channel.close();
+        if (connection != null) {
+            connection.close();
+            connection = null;
         }
         if (log.trace() != null) {
             log.trace().record(TraceEvent.Kind.LIST, TraceEvent.NONE);
         }
-        ChannelFuture future = bootstrap.connect(address);
-        Watch w = new Watch(future.channel());
-        watch = w;
-        future.addListener(x -> {
-            if (future.isSuccess()) {
-                w.begin();
+        ChannelFuture connect = bootstrap.connect(address);
+        WatchConnection opened = new WatchConnection(this, connect.channel());
+        connection = opened;
+        connect.addListener(connected -> {
+            if (connect.isSuccess()) {
+                opened.onConnected(address, version);
             } else {
-                w.broken("can't be reached");
+                opened.fail("connect failed");
             }
         });
     }
 
     /**
-     * Reads what the watch has waiting, ahead of all other sockets. Guards against requests that came before a list did and,
-     * after a gap in this process's own time, would be read before it: they would go to hosts that drain by then.
+     * Reads what the watch has pending, ahead of all other sockets.
+     *
+     * <p>Called after a stall of this process: requests that arrived before a list did would otherwise be read before
+     * it and be sent to hosts that drain by then.
      */
-    public void readFirst() {
-        if (watch != null && watch.channel instanceof AbstractNioChannel c && c.isActive()) {
-            c.unsafe().read();
+    public void readPending() {
+        if (connection != null) {
+            connection.readPending();
         }
     }
 
-    /** Ends a watch that has gone silent. */
+    /** Ends a watch that has been silent for too long; to be called periodically. */
     public void runMaintenance() {
-        if (watch != null && System.nanoTime() - watch.heardAt > (watch.good ? SILENCE_NANOS : UNANSWERED_NANOS)) {
-            watch.broken("silent");
+        if (connection != null && connection.isSilent(System.nanoTime())) {
+            connection.fail("silent");
         }
     }
 
-    private void retry() {
-        if (polling) {
-            listener.onWatchFailed(); // the module decides when to ask again
+    private void scheduleReconnect() {
+        if (isPolling) {
+            listener.onWatchFailed();
             return;
         }
-        long wait = backoff / 2 + (long) (Math.random() * backoff);
-        backoff = Math.min(2 * backoff, BACKOFF_MAX_MS);
-        reopening = loop.schedule(this::open, wait, TimeUnit.MILLISECONDS);
+        reconnect = loop.schedule(this::open, backoff.nextDelayMillis(), TimeUnit.MILLISECONDS);
     }
 
-    private final class Watch extends ChannelInboundHandlerAdapter implements JsonObjectFramer.Listener {
-        private final Channel channel;
-        private final JsonObjectFramer frames = new JsonObjectFramer();
-        private long heardAt = System.nanoTime();
-        private boolean good;
-
-        Watch(Channel channel) {
-            this.channel = channel;
-        }
-
-        void begin() {
-            if (watch != this) {
-                channel.close();
-                return;
-            }
-            channel.pipeline().addLast(new HttpResponseDecoder(), new HttpRequestEncoder(), this);
-            DefaultFullHttpRequest r = new DefaultFullHttpRequest(
-                    HttpVersion.HTTP_1_1,
-                    HttpMethod.GET,
-                    "/catalog/members?follow=1&since=" + version,
-                    Unpooled.EMPTY_BUFFER);
-            r.headers().set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
-            channel.writeAndFlush(r);
-        }
-
-        /** Ends this watch once and has it opened anew. */
-        void broken(String why) {
-            channel.close();
-            if (watch == this) {
-                watch = null;
-                log.info("watch: " + why);
-                retry();
-            }
-        }
-
-        @Override
-        public void channelRead(ChannelHandlerContext ctx, Object msg) {
-            try {
-                if (watch == this) {
-                    take((HttpObject) msg);
-                }
-            } finally {
-                ReferenceCountUtil.release(msg);
-            }
-        }
+    // --- reports of the connection, while it is the present one
 
-        private void take(HttpObject part) {
-            if (part.decoderResult().isFailure()) {
-                broken("malformed answer");
-            } else if (part instanceof HttpResponse head && head.status().code() != 200) {
-                broken("answered " + head.status().code());
-            } else if (part instanceof HttpContent content) {
-                String wrong = frames.take(content.content(), this);
-                if (wrong != null && watch == this) {
-                    malformed(wrong);
-                }
-                if (part instanceof LastHttpContent && watch == this) {
-                    broken("ended");
-                }
-            }
-        }
-
-        /** The watch lives: guards against one whose bytes come for ever and are never whole. */
-        @Override
-        public void blank() {
-            if (watch != this) {
-                return; // it came behind what broke the watch
-            }
-            heardAt = System.nanoTime();
-            if (!good) {
-                good = true;
-                backoff = BACKOFF_MS;
-            }
-        }
+    EndpointListParser parser() {
+        return parser;
+    }
 
-        @Override
-        public void list(byte[] bytes, int length) {
-            if (watch != this) {
-                return; // broken by one before it, which came with it
-            }
-            EndpointRegistry.EndpointList news;
-            try {
-                news = endpoints.read(JsonTreeReader.read(bytes, 0, length));
-            } catch (IOException | IllegalArgumentException e) {
-                malformed(e.getMessage());
-                return;
-            }
-            apply(news);
-            blank();
-        }
+    ProxyLog log() {
+        return log;
+    }
 
-        /** The last good list stays; what this one was to tell comes again from its version on. */
-        private void malformed(String why) {
-            log.info("watch: malformed list, " + ++malformed + " so far: " + why);
-            broken("can't be understood");
-        }
+    /** The connection has shown its first sign of life. */
+    void onConfirmed() {
+        backoff.reset();
+    }
 
-        private void apply(EndpointRegistry.EndpointList news) {
-            // A whole list that opens a watch is all that this discovery knows, whatever it counts from.
-            if (news.version() < version && (good || !news.full())) {
-                log.info("watch: version " + news.version() + " is older than " + version + ", left out");
-                return;
-            }
-            version = news.version();
-            listener.onEndpointList(news.full() ? WatchEvent.FULL : WatchEvent.DELTA, news);
-        }
+    /** The connection has ended. */
+    void onEnded(String reason) {
+        connection = null;
+        log.info("watch: " + reason);
+        scheduleReconnect();
+    }
 
-        @Override
-        public void channelInactive(ChannelHandlerContext ctx) {
-            broken("closed");
-        }
+    /** A malformed list has come; the last good one stays and the changes come again from its version on. */
+    void onMalformedList(String reason) {
+        malformedLists++;
+        log.info("watch: malformed list, " + malformedLists + " so far: " + reason);
+    }
 
-        @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            if (!(cause instanceof IOException)) {
-                log.error("the watch failed", cause);
-            }
-            broken("failed");
+    /** A list has come; {@code isFirst} tells whether it is the first sign of life of its connection. */
+    void onList(EndpointRegistry.EndpointList list, boolean isFirst) {
+        // A full list that opens a watch is all that this discovery knows, whatever its versions count from.
+        boolean isNewBase = isFirst && list.full();
+        if (list.version() < version && !isNewBase) {
+            log.info("watch: outdated list ignored, version=" + list.version() + " present_version=" + version);
+            return;
         }
+        version = list.version();
+        listener.onEndpointList(list.full() ? WatchEvent.FULL : WatchEvent.DELTA, list);
     }
 }
--- a/src/main/java/rillyard/proxy/discovery/JsonObjectFramer.java
+++ b/src/main/java/rillyard/proxy/discovery/JsonObjectFramer.java
@@ -4,112 +4,130 @@
 import java.util.Arrays;
 
 /**
- * Cuts what a watch says into whole lists: JSON objects, on one line each or indented over many, with blank
- * lines between them. Guards against a list that was cut off and swallows those behind it: an object may not
- * begin where JSON has no place for one, no line ends within a string, and no line within a list is blank, as
- * the blank ones say that the watch is alive.
+ * Splits the byte stream of a watch into JSON objects, one to a line or indented over many lines, with blank lines
+ * between them.
+ *
+ * <p>An object that was cut off must not swallow those behind it. So an object may not begin where JSON allows none, no
+ * line may end within a string, and no line within an object may be blank, as blank lines are the watch's sign of
+ * life. Not thread-safe.
  */
 final class JsonObjectFramer {
-    /** Hears what is whole. */
+    /** Receives complete objects and blank lines. */
     interface Listener {
-        /** One list, in the first {@code length} bytes; they are the caller's again afterwards. */
-        void list(byte[] bytes, int length);
+        /** Is called with an object, in the first {@code length} bytes; the array is reused after the call. */
+        void onObject(byte[] bytes, int length);
 
-        /** A blank line between lists. */
-        void blank();
+        /** Is called for a blank line between objects. */
+        void onBlankLine();
     }
 
-    /** Bytes of the longest list; a longer one is none. */
-    static final int MOST = 4 << 20;
+    /** Length of the longest object that is accepted. */
+    static final int MAX_BYTES = 4 << 20;
 
-    private byte[] bytes = new byte[4_096];
+    private static final int INITIAL_CAPACITY = 4_096;
+
+    private byte[] buffer = new byte[INITIAL_CAPACITY];
     private int size;
     private int depth;
-    private boolean string;
+    private boolean inString;
     private boolean escaped;
     private boolean lineHasText;
-    private byte before;
+    private byte lastNonBlank;
 
     /**
-     * Takes on what has come and tells the sink of all that is whole with it.
+     * Consumes the input and reports everything that is complete with it.
      *
-     * @return why this is no sequence of lists, null as long as it may be one; nothing may be taken after that
+     * @throws MalformedEndpointListException if the stream is no sequence of objects; the framer must not be used on
      */
-    String take(ByteBuf in, Listener sink) {
-        while (in.isReadable()) {
-            String wrong = take(in.readByte(), sink);
-            if (wrong != null) {
-                return wrong;
-            }
+    void consume(ByteBuf input, Listener listener) throws MalformedEndpointListException {
+        while (input.isReadable()) {
+            consume(input.readByte(), listener);
         }
-        return null;
     }
 
-    private String take(byte b, Listener sink) {
-        if (b == '\n' && !string) {
-            return endOfLine(sink);
+    private void consume(byte next, Listener listener) throws MalformedEndpointListException {
+        if (next == '\n' && !inString) {
+            endLine(listener);
+            return;
         }
-        if (depth == 0 && !string) {
-            if (b <= ' ' && b >= 0) {
-                return null;
+        if (depth == 0 && !inString) {
+            if (isBlank(next)) {
+                return;
             }
-            if (b != '{') {
-                return "text outside of a list";
+            if (next != '{') {
+                throw new MalformedEndpointListException("text outside of a list");
             }
         }
-        return append(b, sink);
+        consumeWithinObject(next, listener);
+    }
+
+    private static boolean isBlank(byte next) {
+        return next >= 0 && next <= ' ';
     }
 
-    private String endOfLine(Listener sink) {
-        boolean blank = !lineHasText;
+    private void endLine(Listener listener) throws MalformedEndpointListException {
+        boolean isBlankLine = !lineHasText;
         lineHasText = false;
-        if (depth == 0) {
-            if (blank) {
-                sink.blank();
+        if (depth > 0) {
+            if (isBlankLine) {
+                throw new MalformedEndpointListException("a list without an end");
             }
-            return null;
+            append((byte) '\n');
+        } else if (isBlankLine) {
+            listener.onBlankLine();
         }
-        return blank ? "a list without an end" : keep((byte) '\n');
     }
 
-    private String append(byte b, Listener sink) {
-        lineHasText |= b > ' ' || b < 0;
-        if (string) {
-            if (b == '\n') {
-                return "a line that ends within a string";
-            }
-            string = escaped || b != '"';
-            escaped = b == '\\' && !escaped;
-        } else if (b == '"') {
-            string = true;
-        } else if (b == '{' || b == '[') {
-            if (b == '{' && depth > 0 && before != '[' && before != ',' && before != ':') {
-                return "a list within another";
-            }
-            depth++;
-        } else if (b == '}' || b == ']') {
-            depth--;
+    private void consumeWithinObject(byte next, Listener listener) throws MalformedEndpointListException {
+        lineHasText |= !isBlank(next);
+        if (inString) {
+            consumeWithinString(next);
+        } else {
+            consumeStructure(next);
         }
-        if (b > ' ' || b < 0) {
-            before = b;
+        if (!isBlank(next)) {
+            lastNonBlank = next;
         }
-        String wrong = keep(b);
-        if (wrong == null && depth == 0) {
+        append(next);
+        if (depth == 0) {
             int length = size;
             size = 0;
-            sink.list(bytes, length);
+            listener.onObject(buffer, length);
         }
-        return wrong;
     }
 
-    private String keep(byte b) {
-        if (size == MOST) {
-            return "a list of more than " + MOST + " bytes";
+    private void consumeWithinString(byte next) throws MalformedEndpointListException {
+        if (next == '\n') {
+            throw new MalformedEndpointListException("a line that ends within a string");
+        }
+        inString = escaped || next != '"';
+        escaped = next == '\\' && !escaped;
+    }
+
+    private void consumeStructure(byte next) throws MalformedEndpointListException {
+        if (next == '"') {
+            inString = true;
+        } else if (next == '{' || next == '[') {
+            if (next == '{' && depth > 0 && !mayPrecedeObject(lastNonBlank)) {
+                throw new MalformedEndpointListException("a list within another");
+            }
+            depth++;
+        } else if (next == '}' || next == ']') {
+            depth--;
+        }
+    }
+
+    private static boolean mayPrecedeObject(byte previous) {
+        return previous == '[' || previous == ',' || previous == ':';
+    }
+
+    private void append(byte next) throws MalformedEndpointListException {
+        if (size == MAX_BYTES) {
+            throw new MalformedEndpointListException("a list of more than " + MAX_BYTES + " bytes");
         }
-        if (size == bytes.length) {
-            bytes = Arrays.copyOf(bytes, Math.min(MOST, 2 * size));
+        if (size == buffer.length) {
+            buffer = Arrays.copyOf(buffer, Math.min(MAX_BYTES, 2 * size));
         }
-        bytes[size++] = b;
-        return null;
+        buffer[size++] = next;
     }
 }
--- a/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
+++ b/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
@@ -174,7 +174,7 @@
         EndpointRegistry.EndpointList believed = guard == null ? news : doubted(news);
         Set<UpstreamHost> cut = endpoints.apply(believed);
         tell(kind, endpoints.effective(believed), cut);
-        endpoints.forgetGone();
+        endpoints.removeUnused();
     }
 
     /** The list, and with it what the guard has used on although the list lacks it. */
@@ -185,13 +185,13 @@
         }
         Set<String> named =
                 news.hosts().stream().map(EndpointRegistry.ListedEndpoint::name).collect(Collectors.toSet());
-        Set<String> kept = guard.onFullList(now(), endpoints.inUse(), named);
+        Set<String> kept = guard.onFullList(now(), endpoints.readyHostNames(), named);
         if (kept.isEmpty()) {
             return news;
         }
         log.info("watch: a list of " + named.size() + " hosts lacks " + kept.size() + " in use: not believed for now");
         List<EndpointRegistry.ListedEndpoint> all = new ArrayList<>(news.hosts());
-        kept.forEach(name -> all.add(endpoints.asTold(name)));
+        kept.forEach(name -> all.add(endpoints.lastAnnounced(name)));
         return new EndpointRegistry.EndpointList(news.version(), true, all);
     }
 
@@ -199,9 +199,9 @@
     private void endDoubts() {
         List<EndpointRegistry.ListedEndpoint> gone = new ArrayList<>();
         for (String name : guard.expired(now())) {
-            if (endpoints.listed(name) != null) {
+            if (endpoints.findListed(name) != null) {
                 log.info("watch: " + name + " is gone: no list has named it again");
-                gone.add(endpoints.asGone(name));
+                gone.add(endpoints.asRemoved(name));
             }
         }
         if (!gone.isEmpty()) {
@@ -221,7 +221,7 @@
 
     /** Whether a host of this name is listed, or out by hand. */
     public boolean isKnownHost(String name) {
-        return endpoints.listed(name) != null || disabledHosts.contains(name);
+        return endpoints.findListed(name) != null || disabledHosts.contains(name);
     }
 
     /** Takes a host out by hand, or gives it back; false if no such host is known. */
@@ -238,7 +238,7 @@
     /** Takes over what another process of this proxy did by hand; times are Unix time (ms). */
     public void setDisabled(DisabledHostStore.Contents elsewhere) {
         Map<String, Double> back = new HashMap<>();
-        elsewhere.enabledAt().forEach((name, at) -> back.put(name, at - unixOffset));
+        elsewhere.enabledAtUnixMillis().forEach((name, at) -> back.put(name, at - unixOffset));
         changedByHand(disabledHosts.adopt(elsewhere.disabled(), back));
     }
 
@@ -247,9 +247,9 @@
         List<UpstreamHost> cut = new ArrayList<>();
         for (String name : names) {
             log.info(() -> name + (disabledHosts.contains(name) ? " is out by hand" : " is back by hand"));
-            UpstreamHost host = endpoints.listed(name);
+            UpstreamHost host = endpoints.findListed(name);
             if (host != null) {
-                entries.add(endpoints.changedByHand(host));
+                entries.add(endpoints.onDisabledChanged(host));
                 cut.add(host);
             }
         }
@@ -276,13 +276,13 @@
     /** Writes an attempt down and tells neighbours, if that was asked for. */
     void onAttemptEnded(UpstreamHost host, AttemptOutcome result, double spent) {
         if (peerGossip != null) {
-            peerGossip.onAttemptEnded(host.name, result, now());
+            peerGossip.onAttemptEnded(host.name(), result, now());
         }
         if (log.trace() != null) {
-            double age = now() - spent - host.entry.onlineSince();
+            double age = now() - spent - host.entry().onlineSince();
             log.trace()
                     .recordAttempt(
-                            host.name,
+                            host.name(),
                             result,
                             spent,
                             age >= 0 && age < settings.rules().warmUpTime());
@@ -359,10 +359,10 @@
             endDoubts();
         }
         if (peerGossip != null) {
-            peerGossip.step(now(), endpoints.inUse(), new PeerGossipListener(this));
+            peerGossip.step(now(), endpoints.readyHostNames(), new PeerGossipListener(this));
         }
-        upstreams.runMaintenance(endpoints.all());
-        endpoints.forgetGone();
+        upstreams.runMaintenance(endpoints.hosts());
+        endpoints.removeUnused();
         metrics.setHosts(endpoints.listedCount(), balancer.avoidedHostCount());
     }
 
@@ -426,6 +426,6 @@
 
     @Override
     public void log(String line) {
-        log.info(() -> endpoints.hostNameOf(line));
+        log.info(() -> endpoints.replaceHostId(line));
     }
 }
--- a/src/main/java/rillyard/proxy/dispatch/PeerGossipListener.java
+++ b/src/main/java/rillyard/proxy/dispatch/PeerGossipListener.java
@@ -17,10 +17,10 @@
     }
 
     private void word(String host, boolean left, double wait) {
-        UpstreamHost upstreamHost = dispatcher.endpoints().listed(host);
+        UpstreamHost upstreamHost = dispatcher.endpoints().findListed(host);
         if (upstreamHost != null) {
             dispatcher.tell(
-                    (Balancer balancer) -> balancer.onFleetEjection(dispatcher.now(), upstreamHost.id, left, wait));
+                    (Balancer balancer) -> balancer.onFleetEjection(dispatcher.now(), upstreamHost.id(), left, wait));
         }
     }
 
--- a/src/main/java/rillyard/proxy/dispatch/RequestExchange.java
+++ b/src/main/java/rillyard/proxy/dispatch/RequestExchange.java
@@ -152,7 +152,7 @@
         attempts.add(attempt);
         open++;
         if (answered
-                || !host.sendable
+                || !host.isSendable()
                 || (upload != null && upload.isBound())
                 || attempts.size() > dispatcher.maxAttempts()
                 || giveUpAfter < 0
@@ -176,7 +176,7 @@
             onHostWritable();
             return last;
         }
-        List<ByteBuf> blocks = body == null ? List.of() : body.retained();
+        List<ByteBuf> blocks = body == null ? List.of() : body.retainedBlocks();
         if (blocks.size() <= 1) {
             ByteBuf bytes = blocks.isEmpty() ? Unpooled.EMPTY_BUFFER : blocks.get(0);
             return channel.writeAndFlush(new DefaultFullHttpRequest(
@@ -192,7 +192,7 @@
     void onAttemptEnded(UpstreamAttempt attempt, AttemptOutcome result, double spent, LoadReport report) {
         open--;
         last = result;
-        dispatcher.onAttemptEnded(attempt.host, result, spent);
+        dispatcher.onAttemptEnded(attempt.host(), result, spent);
         if (upload != null && stream != attempt) {
             upload.detached(attempt.connection());
             mayHaveRun |= !result.provesNotExecuted();
--- a/src/main/java/rillyard/proxy/dispatch/StreamingUpload.java
+++ b/src/main/java/rillyard/proxy/dispatch/StreamingUpload.java
@@ -63,7 +63,7 @@
             headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
         channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), headers));
-        for (ByteBuf buffer : start.retained()) {
+        for (ByteBuf buffer : start.retainedBlocks()) {
             channel.write(new DefaultHttpContent(buffer));
         }
         to = channel;
--- a/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
+++ b/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
@@ -133,7 +133,7 @@
 
     @Override
     public void onResponseHead(HttpResponse reply) {
-        report = LoadReportParser.read(reply.headers().get(ProtocolHeaders.SERVER_LOAD));
+        report = LoadReportParser.parse(reply.headers().get(ProtocolHeaders.SERVER_LOAD));
         int status = reply.status().code();
         if (status == 200) {
             if (!mayHaveRun()) {
@@ -213,7 +213,7 @@
         if (body != null) {
             BufferedBody first = body;
             body = null;
-            first.retained().forEach(this::pass);
+            first.retainedBlocks().forEach(this::pass);
             first.release();
         }
         exchange.onAttemptEnded(this, AttemptOutcome.OK, dispatcher.now() - sentAt, report);
@@ -232,13 +232,13 @@
 
     /** Nobody wants the rest of the stream. */
     void abandonStream() {
-        dispatcher.upstreams().end(this);
+        dispatcher.upstreams().release(this);
     }
 
     @Override
     public void onResponseEnd() {
         if (streams) {
-            dispatcher.upstreams().end(this);
+            dispatcher.upstreams().release(this);
             exchange.onStreamEnded(true);
             return;
         }
@@ -252,7 +252,7 @@
     public void onConnectionLost() {
         if (streams) {
             dispatcher.log().info(() -> describe(AttemptOutcome.RESET));
-            dispatcher.upstreams().end(this);
+            dispatcher.upstreams().release(this);
             exchange.onStreamEnded(false);
             return;
         }
@@ -275,7 +275,7 @@
                 || result == AttemptOutcome.CONNECT_FAILED) {
             dispatcher.log().info(() -> describe(result));
         }
-        dispatcher.upstreams().end(this);
+        dispatcher.upstreams().release(this);
         exchange.onAttemptEnded(this, result, dispatcher.now() - sentAt, report);
     }
 
@@ -292,6 +292,7 @@
         String got = head != null
                 ? passed + " bytes of an answer of " + length
                 : connection() == null ? "no connection" : "no answer";
-        return String.format(Locale.ROOT, "%s %s after %.0f ms: %s", host.name, result, dispatcher.now() - sentAt, got);
+        return String.format(
+                Locale.ROOT, "%s %s after %.0f ms: %s", host().name(), result, dispatcher.now() - sentAt, got);
     }
 }
--- a/src/main/java/rillyard/proxy/downstream/ClientConnection.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientConnection.java
@@ -525,7 +525,7 @@
     }
 
     private static ByteBuf joined(BufferedBody whole) {
-        ByteBuf[] blocks = whole.retained().toArray(ByteBuf[]::new);
+        ByteBuf[] blocks = whole.retainedBlocks().toArray(ByteBuf[]::new);
         return blocks.length == 1 ? blocks[0] : Unpooled.wrappedBuffer(blocks);
     }
 
--- a/src/main/java/rillyard/proxy/downstream/ClientListener.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientListener.java
@@ -72,8 +72,8 @@
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, UpstreamPool.READS)
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, UpstreamPool.MARKS)
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, UpstreamPool.READ_BUFFER_ALLOCATOR)
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, UpstreamPool.WRITE_BUFFER_WATER_MARK)
                 .handler(new ChannelInitializer<PeekableSocketChannel.Server>() {
                     @Override
                     protected void initChannel(PeekableSocketChannel.Server ch) {
@@ -128,7 +128,7 @@
     public void closeListener() {
         PeekableSocketChannel.Server open = listener;
         if (open != null && open.isOpen()) { // null where the end came before it listened
-            open.acceptRest();
+            open.acceptPending();
             open.close();
         }
     }
@@ -175,7 +175,7 @@
 
     /** Whether requests would be served. */
     boolean isReady() {
-        return !draining && !warmingUp && driver.endpoints().anySendable();
+        return !draining && !warmingUp && driver.endpoints().hasSendableHost();
     }
 
     /** As {@link #isReady}, as of the last moment in which the loop had time; for other threads. */
--- a/src/main/java/rillyard/proxy/downstream/ClientRequestDecoder.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientRequestDecoder.java
@@ -36,7 +36,7 @@
     private CompositeByteBuf held;
 
     ClientRequestDecoder() {
-        super(UpstreamPool.DECODER);
+        super(UpstreamPool.DECODER_CONFIG);
     }
 
     @Override
--- a/src/main/java/rillyard/proxy/eventloop/PeekableSocketChannel.java
+++ b/src/main/java/rillyard/proxy/eventloop/PeekableSocketChannel.java
@@ -25,7 +25,7 @@
         protected int doReadMessages(List<Object> accepted) throws Exception {
             SocketChannel channel = javaChannel().accept();
             if (channel == null) {
-                gaps.accepted();
+                gaps.onBacklogEmpty();
                 return 0;
             }
             accepted.add(new PeekableSocketChannel(this, channel, gaps));
@@ -33,7 +33,7 @@
         }
 
         /** Accepts all that waits; on the loop. */
-        public void acceptRest() {
+        public void acceptPending() {
             try {
                 SocketChannel channel;
                 while ((channel = javaChannel().accept()) != null) {
--- a/src/main/java/rillyard/proxy/eventloop/StallAwareIoHandler.java
+++ b/src/main/java/rillyard/proxy/eventloop/StallAwareIoHandler.java
@@ -45,7 +45,7 @@
         afterLook.context = context;
         int handled = sockets.run(afterLook);
         if (handled == 0) {
-            gaps.pollFoundNothing();
+            gaps.onEmptyPoll();
         }
         return handled;
     }
--- a/src/main/java/rillyard/proxy/resources/BufferedBody.java
+++ b/src/main/java/rillyard/proxy/resources/BufferedBody.java
@@ -62,7 +62,7 @@
     }
 
     /** The blocks, each retained for one write. */
-    public List<ByteBuf> retained() {
+    public List<ByteBuf> retainedBlocks() {
         List<ByteBuf> out = new ArrayList<>(blocks.size());
         for (ByteBuf buffer : blocks) {
             out.add(buffer.retainedDuplicate());
--- a/src/main/java/rillyard/proxy/upstream/LoadReportParser.java
+++ b/src/main/java/rillyard/proxy/upstream/LoadReportParser.java
@@ -1,47 +1,69 @@
 package rillyard.proxy.upstream;
 
-import java.util.Arrays;
 import rillyard.balancer.LoadReport;
 
-/** Reads load reports: {@code inflight=7,queue=2,util=0.61}; what is not known is skipped. */
+/** Parses the load reports of hosts, such as {@code inflight=7,queue=2,util=0.61}. */
 public final class LoadReportParser {
+    private static final int MAX_PAIRS = 16;
+
+    private double inFlight = Double.NaN;
+    private double queued = Double.NaN;
+    private double utilization = Double.NaN;
+    private double latencyMillis = Double.NaN;
+    private double requestRate = Double.NaN;
+    private double failureRate = Double.NaN;
+    private boolean empty = true;
+
     private LoadReportParser() {}
 
-    /** The report in {@code text}, or null where there is none that can be read. */
-    public static LoadReport read(String text) {
+    /**
+     * Parses a report. Unknown keys and values that are not finite numbers of at least 0 are skipped.
+     *
+     * @param text the header's value, or null if the response had none
+     * @return the report, or null if the text holds no known value
+     */
+    public static LoadReport parse(String text) {
         if (text == null) {
             return null;
         }
-        double[] v = new double[6];
-        Arrays.fill(v, Double.NaN);
-        boolean any = false;
-        for (String pair : text.split(",", 16)) {
-            int equals = pair.indexOf('=');
-            int field = equals < 0 ? -1 : field(pair.substring(0, equals).trim());
-            if (field >= 0) {
-                try {
-                    double d = Double.parseDouble(pair.substring(equals + 1).trim());
-                    if (Double.isFinite(d) && d >= 0) {
-                        v[field] = d;
-                        any = true;
-                    }
-                } catch (NumberFormatException e) {
-                    // one figure that can't be read does not spoil the others
-                }
+        LoadReportParser parser = new LoadReportParser();
+        for (String pair : text.split(",", MAX_PAIRS)) {
+            parser.readPair(pair);
+        }
+        return parser.empty ? null : parser.report();
+    }
+
+    private void readPair(String pair) {
+        int equals = pair.indexOf('=');
+        if (equals < 0) {
+            return;
+        }
+        try {
+            double value = Double.parseDouble(pair.substring(equals + 1).trim());
+            if (Double.isFinite(value) && value >= 0) {
+                readValue(pair.substring(0, equals).trim(), value);
+            }
+        } catch (NumberFormatException ignored) {
+            // a value that is no number does not invalidate the others
+        }
+    }
+
+    private void readValue(String key, double value) {
+        switch (key) {
+            case "rif", "inflight" -> inFlight = value;
+            case "q", "queue" -> queued = value;
+            case "busy", "util" -> utilization = value;
+            case "lat_ms", "latency_ms" -> latencyMillis = value;
+            case "rate", "qps" -> requestRate = value;
+            case "fail_rate", "eps" -> failureRate = value;
+            default -> {
+                return;
             }
         }
-        return any ? new LoadReport(v[0], v[1], v[2], v[3], v[4], v[5]) : null;
+        empty = false;
     }
 
-    private static int field(String name) {
-        return switch (name) {
-            case "rif", "inflight" -> 0;
-            case "q", "queue" -> 1;
-            case "busy", "util" -> 2;
-            case "lat_ms", "latency_ms" -> 3;
-            case "rate", "qps" -> 4;
-            case "fail_rate", "eps" -> 5;
-            default -> -1;
-        };
+    private LoadReport report() {
+        return new LoadReport(inFlight, queued, utilization, latencyMillis, requestRate, failureRate);
     }
 }
--- a/src/main/java/rillyard/proxy/upstream/UpstreamCall.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamCall.java
@@ -5,80 +5,92 @@
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** What one connection to a host carries at a time: an attempt of a request. */
+/**
+ * One request to one host, as a connection carries it: an attempt.
+ *
+ * <p>A subclass writes the request and receives the response. Of {@link #onNotSent}, {@link #onNotNeeded},
+ * {@link #onResponseEnd} and {@link #onConnectionLost} at most one is called. Confined to the event loop.
+ */
 public abstract class UpstreamCall {
-    /** Hosts pause for 0.1 s at most. */
+    /** Default nanoseconds without progress after which a response counts as broken; hosts pause for 0.1 s at most. */
     public static final long STALL_NANOS = 150_000_000L;
 
-    public final UpstreamHost host;
-    private Channel connecting;
+    private final UpstreamHost host;
+    private Channel connectingChannel;
     private UpstreamConnection connection;
 
+    /** Creates a call to the host; it counts as open there until {@link UpstreamPool#release}. */
     protected UpstreamCall(UpstreamHost host) {
         this.host = host;
-        host.calls++; // until Upstreams.end
+        host.onCallCreated();
     }
 
-    /** Whether it may still be written; asked once a connection has come up, which may be late. */
+    /** Returns the host that the call goes to. */
+    public final UpstreamHost host() {
+        return host;
+    }
+
+    /** Returns whether the request may still be written; checked once a connection has come up, which may be late. */
     public boolean mayBegin() {
         return true;
     }
 
-    /** Writes all of it; the future is that of the last byte. */
+    /** Writes the complete request and returns the future of its last byte. */
     public abstract ChannelFuture write(Channel channel);
 
-    /** The last byte has gone out. */
+    /** Is called when the last byte of the request has been written to the socket. */
     public abstract void onWritten();
 
-    /** The last byte has not gone out: there was no connection, or it went away before. */
+    /** Is called when the last byte was not written: there was no connection, or it ended before. */
     public abstract void onNotSent();
 
-    /** The host must not get it any more, and no byte of it has gone out. */
+    /** Is called when the host must not receive the request any more and no byte of it was written. */
     public abstract void onNotNeeded();
 
-    /** The head of the final answer. */
+    /** Is called with the head of the final response. */
     public abstract void onResponseHead(HttpResponse head);
 
-    /** Part of the answer's body. */
+    /** Is called with each part of the response's body; the part is released after the call. */
     public abstract void onResponseContent(HttpContent part);
 
-    /** More of the request would be taken by the connection. */
+    /** Is called when the connection accepts more of the request. */
     public void onWritable() {}
 
-    /** How long (ns) an answer that has begun may say nothing before it is held to have broken. */
+    /** Returns the nanoseconds without progress after which a response that has begun counts as broken. */
     public long stallNanos() {
         return STALL_NANOS;
     }
 
-    /** The answer is whole. */
+    /** Is called when the response is complete. */
     public abstract void onResponseEnd();
 
-    /** The connection broke, or the answer is malformed; the last byte had been written. */
+    /** Is called when the connection broke or the response is malformed, after the last byte was written. */
     public abstract void onConnectionLost();
 
-    void connecting(Channel channel) {
-        connecting = channel;
+    /** Returns the connection that carries the call, or null if none was assigned yet. */
+    public UpstreamConnection connection() {
+        return connection;
     }
 
-    void attached(UpstreamConnection to) {
-        connecting = null;
-        connection = to;
+    /** Returns whether the last byte of the request may have reached the host. */
+    public boolean mayHaveRun() {
+        return connection != null && connection.isRequestWritten();
     }
 
-    public UpstreamConnection connection() {
-        return connection;
+    void onConnecting(Channel channel) {
+        connectingChannel = channel;
     }
 
-    /** Whether the last byte may have reached the host. */
-    public boolean mayHaveRun() {
-        return connection != null && connection.written();
+    void onAttached(UpstreamConnection assigned) {
+        connectingChannel = null;
+        connection = assigned;
     }
 
-    /** Ends the use of the connection, by closing it unless the answer has been read to its end. */
+    /** Ends the use of the connection, which is closed unless the response was read to its end. */
     void abandon() {
-        if (connecting != null) {
-            connecting.close();
-            connecting = null;
+        if (connectingChannel != null) {
+            connectingChannel.close();
+            connectingChannel = null;
         }
         if (connection != null) {
             connection.abort(this);
--- a/src/main/java/rillyard/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamConnection.java
@@ -4,336 +4,332 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpDecoderConfig;
-import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpResponseDecoder;
+import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
-import io.netty.util.AsciiString;
 import io.netty.util.ReferenceCountUtil;
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 import rillyard.proxy.eventloop.PeekableSocketChannel;
 import rillyard.proxy.resources.DescriptorBudget;
 
-/** A connection to a host. It carries one call at a time and goes back to its pool in between. */
+/**
+ * A connection to a host. It carries one call at a time and returns to its pool in between.
+ *
+ * <p>Confined to the event loop of its channel.
+ */
 public final class UpstreamConnection extends ChannelInboundHandlerAdapter implements DescriptorBudget.IdleConnection {
-    /** Tells of bytes that came behind the end of an answer, and when the last ones came. */
-    static final class Decoder extends HttpResponseDecoder {
-        private boolean begun;
-        private long readAt;
-
-        Decoder(HttpDecoderConfig config) {
-            super(config);
-        }
-
-        @Override
-        public void channelRead(ChannelHandlerContext ctx, Object msg) throws Exception {
-            begun = true;
-            readAt = System.nanoTime();
-            super.channelRead(ctx, msg);
-        }
-
-        boolean surplus() {
-            return actualReadableBytes() > 0;
-        }
-
-        /** Guards against an answer whose two lengths say two things (RFC 9112, 6.3). */
-        @Override
-        protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-            throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
-        }
-
-        /**
-         * Guards against a head that can't be read and is served all the same: the base class takes a
-         * line with no colon for a field with no value. RFC 9112, 5: name, colon, value.
-         */
-        @Override
-        protected AsciiString splitHeaderName(byte[] line, int start, int length) {
-            int colon = start + length;
-            if (length == 0 || colon >= line.length || line[colon] != ':') {
-                throw new IllegalArgumentException("a header line is not name:value");
-            }
-            return super.splitHeaderName(line, start, length);
-        }
+    private enum State {
+        /** No call is assigned; bytes that arrive belong to no request. */
+        IDLE,
+        /** A call is assigned; the head of its final response has not been read. */
+        AWAITING_RESPONSE,
+        /** An interim (1xx) response to the call is being read. */
+        READING_INTERIM_RESPONSE,
+        /** The body of the call's final response is being read. */
+        READING_RESPONSE,
+        /** The call is over; the rest of its response is discarded so that the connection can be reused. */
+        DISCARDING,
+        /** The connection is closed, or about to be, and carries no call. */
+        CLOSED
     }
 
-    private enum Reply {
-        NONE,
-        INTERIM,
-        BODY,
-        /** The call is over, the rest of its answer is thrown away so that the connection can stay. */
-        UNWANTED
-    }
+    /** Bytes of a response that are discarded before the connection is closed instead. */
+    private static final int MAX_DISCARDED_BYTES = 64 * 1024;
 
-    /** What of an unwanted answer is read before the connection is given up instead. */
-    private static final int UNWANTED_BYTES = 64 * 1024;
+    /** Delay of a timer beyond which the event loop is behind and has reads to catch up with. */
+    private static final long LATE_TIMER_NANOS = 10_000_000L;
 
-    /** A timer that fires later than this (ns) tells of a loop that has reads to catch up with. */
-    private static final long LATE_NANOS = 10_000_000L;
+    private static final long NOT_REUSED = -1;
 
     private final UpstreamPool pool;
     private final UpstreamHost host;
     private final InetSocketAddress address;
     private final PeekableSocketChannel channel;
-    private final Decoder decoder;
+    private final UpstreamResponseDecoder decoder;
+    private State state = State.IDLE;
     private UpstreamCall call;
-    private Reply reply = Reply.NONE;
-    private boolean written;
-    private boolean keep;
-    private boolean stallTimer;
-    private int unwanted;
-    private long since;
-    private long reusedAfter = -1;
-
-    UpstreamConnection(UpstreamPool pool, UpstreamHost host, PeekableSocketChannel channel, Decoder decoder) {
+    private boolean requestWritten;
+    private boolean keepAlive;
+    private boolean stallCheckScheduled;
+    private int discardedBytes;
+    private long idleSinceNanos;
+    private long reusedAfterNanos = NOT_REUSED;
+
+    UpstreamConnection(
+            UpstreamPool pool, UpstreamHost host, PeekableSocketChannel channel, UpstreamResponseDecoder decoder) {
         this.pool = pool;
         this.host = host;
-        this.address = host.address;
+        this.address = host.address();
         this.channel = channel;
         this.decoder = decoder;
     }
 
+    /** Returns the channel of the connection. */
     public Channel channel() {
         return channel;
     }
 
-    /** Whether the last byte of the present call has been given to the kernel. */
-    boolean written() {
-        return written;
+    /** Returns whether the last byte of the present call's request has been written to the socket. */
+    boolean isRequestWritten() {
+        return requestWritten;
     }
 
-    /** Whether nothing has come or ended here since it went idle; asks the socket itself. */
-    boolean alive() {
+    /** Returns whether the connection is open and nothing has arrived since it became idle; reads from the socket. */
+    boolean isAlive() {
         return channel.isActive() && channel.hasNothingToRead();
     }
 
-    /** Nanoseconds at which it went idle or its unwanted rest began. */
-    long since() {
-        return since;
+    /** Returns the time ({@link System#nanoTime}) at which the connection became idle or began to discard. */
+    long idleSinceNanos() {
+        return idleSinceNanos;
     }
 
-    boolean reusable() {
-        return host.sendable && address.equals(host.address);
+    /** Returns whether new requests may be sent to the host at the address of this connection. */
+    boolean isReusable() {
+        return host.isSendable() && address.equals(host.address());
     }
 
-    /** Writes the call; the last moment at which it can be held back has passed. */
+    /** Writes the request of a call; it can't be held back any more. */
     void run(UpstreamCall next) {
+        assert channel.eventLoop().inEventLoop();
         call = next;
-        reusedAfter = since == 0 ? -1 : System.nanoTime() - since;
-        decoder.begun = false;
-        reply = Reply.NONE;
-        written = false;
-        keep = true;
-        next.attached(this);
-        next.write(channel).addListener(f -> {
-            if (call == next) {
-                if (f.isSuccess()) {
-                    written = true;
-                    next.onWritten();
-                } else {
-                    lost();
-                }
-            }
-        });
+        state = State.AWAITING_RESPONSE;
+        reusedAfterNanos = idleSinceNanos == 0 ? NOT_REUSED : System.nanoTime() - idleSinceNanos;
+        decoder.onRequestStarted();
+        requestWritten = false;
+        keepAlive = true;
+        next.onAttached(this);
+        next.write(channel).addListener(written -> onWriteEnded(next, written.isSuccess()));
     }
 
+    private void onWriteEnded(UpstreamCall writtenCall, boolean success) {
+        if (call != writtenCall) {
+            return;
+        }
+        if (success) {
+            requestWritten = true;
+            writtenCall.onWritten();
+        } else {
+            fail();
+        }
+    }
+
+    // --- the response
+
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
         try {
-            if (call == null && reply != Reply.UNWANTED) {
-                // Guards against surplus bytes of one answer that would be taken for the next one's.
-                channel.close();
-                return;
-            }
-            HttpObject part = (HttpObject) msg;
-            if (part.decoderResult().isFailure()) {
-                pool.malformed(host, part.decoderResult().cause());
-                lost();
-                return;
-            }
-            if (part instanceof HttpResponse head) {
-                head(head);
-            }
-            // An answer without a length ends with its connection: its last part comes on a closed channel.
-            if (part instanceof HttpContent content) {
-                content(content);
-            }
+            read((HttpObject) msg);
         } finally {
             ReferenceCountUtil.release(msg);
         }
     }
 
-    private void head(HttpResponse head) {
-        HttpStatusClass kind = head.status().codeClass();
-        if (kind == HttpStatusClass.INFORMATIONAL) {
-            if (head.status().code() == 101) {
-                lost(); // nobody asked for another protocol
+    private void read(HttpObject part) {
+        if (state == State.IDLE || state == State.CLOSED) {
+            // Surplus bytes behind one response would otherwise be taken for the response to the next request.
+            channel.close();
+            return;
+        }
+        if (part.decoderResult().isFailure()) {
+            pool.onMalformedResponse(host, part.decoderResult().cause());
+            fail();
+            return;
+        }
+        if (part instanceof HttpResponse head) {
+            readHead(head);
+        }
+        // A response without a length ends with its connection: its last part arrives on a closed channel.
+        if (part instanceof HttpContent content) {
+            readContent(content);
+        }
+    }
+
+    private void readHead(HttpResponse head) {
+        if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
+            if (head.status().code() == HttpResponseStatus.SWITCHING_PROTOCOLS.code()) {
+                fail(); // no request asks for another protocol
             } else {
-                reply = Reply.INTERIM;
+                state = State.READING_INTERIM_RESPONSE;
             }
             return;
         }
-        reply = Reply.BODY;
-        reused(false);
-        // An answer ahead of the request's last byte leaves a half-sent request behind it.
-        keep = written && HttpUtil.isKeepAlive(head);
+        state = State.READING_RESPONSE;
+        reportReuse(false);
+        // A response that precedes the request's last byte leaves an incomplete request on the connection.
+        keepAlive = requestWritten && HttpUtil.isKeepAlive(head);
         call.onResponseHead(head);
     }
 
-    private void content(HttpContent part) {
-        boolean last = part instanceof LastHttpContent;
-        if (reply == Reply.INTERIM) {
-            if (last) {
-                reply = Reply.NONE;
-                decoder.begun = decoder.surplus();
+    private void readContent(HttpContent part) {
+        boolean isLast = part instanceof LastHttpContent;
+        switch (state) {
+            case READING_INTERIM_RESPONSE -> {
+                if (isLast) {
+                    state = State.AWAITING_RESPONSE;
+                    decoder.onInterimResponseEnd();
+                }
             }
-            return;
+            case READING_RESPONSE -> deliver(part, isLast);
+            case DISCARDING -> discard(part, isLast);
+            default -> channel.close(); // the call ended with the head of this very response
         }
-        if (call != null) {
-            UpstreamCall upstreamCall = call;
-            upstreamCall.onResponseContent(part);
-            if (last && call == upstreamCall) {
-                finished();
-                upstreamCall.onResponseEnd();
-            }
-        } else {
-            unwanted += part.content().readableBytes();
-            if (last) {
-                finished();
-            } else if (unwanted > UNWANTED_BYTES) {
-                channel.close();
-            }
+    }
+
+    private void deliver(HttpContent part, boolean isLast) {
+        UpstreamCall receiver = call;
+        receiver.onResponseContent(part);
+        if (isLast && call == receiver) {
+            onResponseEnd();
+            receiver.onResponseEnd();
         }
     }
 
-    private void finished() {
+    private void discard(HttpContent part, boolean isLast) {
+        discardedBytes += part.content().readableBytes();
+        if (isLast) {
+            onResponseEnd();
+        } else if (discardedBytes > MAX_DISCARDED_BYTES) {
+            channel.close();
+        }
+    }
+
+    private void onResponseEnd() {
         call = null;
-        reply = Reply.NONE;
         channel.config().setAutoRead(true);
-        if (keep && channel.isActive() && !decoder.surplus() && reusable()) {
-            since = System.nanoTime();
-            pool.idle(host, this);
+        if (keepAlive && channel.isActive() && !decoder.hasSurplusBytes() && isReusable()) {
+            state = State.IDLE;
+            idleSinceNanos = System.nanoTime();
+            pool.onIdle(host, this);
         } else {
+            state = State.CLOSED;
             channel.close();
         }
     }
 
-    /** The call has learned all it needs from the head; the connection may still be of use. */
+    // --- the end of a call
+
+    /** Ends the call, which needs no more than the response's head; the connection may be reused after the rest. */
     public void discardRest() {
-        if (call != null) {
-            call = null;
-            reply = Reply.UNWANTED;
-            unwanted = 0;
-            since = System.nanoTime();
-            if (keep) {
-                pool.discarding(this);
-            } else {
-                channel.close();
-            }
+        if (call == null) {
+            return;
+        }
+        call = null;
+        state = State.DISCARDING;
+        discardedBytes = 0;
+        idleSinceNanos = System.nanoTime();
+        if (keepAlive) {
+            pool.onDiscarding(this);
+        } else {
+            channel.close();
         }
     }
 
-    /** Gives the call up: nothing that comes later may reach another one. */
-    void abort(UpstreamCall given) {
-        if (call == given) {
+    /** Ends the given call, if the connection carries it, and closes the connection: its response must reach no other. */
+    void abort(UpstreamCall abandoned) {
+        if (call == abandoned) {
             call = null;
+            state = State.CLOSED;
             channel.close();
         }
     }
 
-    private void reused(boolean broke) {
-        if (reusedAfter >= 0) {
-            pool.reused(reusedAfter, broke);
-            reusedAfter = -1;
+    /** Closes the connection and reports its end to the call, if it carries one. */
+    private void fail() {
+        UpstreamCall failed = call;
+        call = null;
+        state = State.CLOSED;
+        channel.close();
+        if (failed == null) {
+            return;
+        }
+        if (!decoder.hasBegun()) {
+            reportReuse(true);
+        }
+        if (requestWritten) {
+            failed.onConnectionLost();
+        } else {
+            failed.onNotSent();
         }
     }
 
-    private void lost() {
-        UpstreamCall upstreamCall = call;
-        boolean sent = written;
-        call = null;
-        channel.close();
-        if (upstreamCall != null) {
-            if (!decoder.begun) {
-                reused(true);
-            }
-            if (sent) {
-                upstreamCall.onConnectionLost();
-            } else {
-                upstreamCall.onNotSent();
-            }
+    private void reportReuse(boolean wasReset) {
+        if (reusedAfterNanos != NOT_REUSED) {
+            pool.onReuse(reusedAfterNanos, wasReset);
+            reusedAfterNanos = NOT_REUSED;
         }
     }
 
+    // --- stalled responses
+
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (!stallTimer && mayStall()) {
-            watchStall(call.stallNanos());
+        if (!stallCheckScheduled && isAwaitingProgress()) {
+            scheduleStallCheck(call.stallNanos());
         }
     }
 
-    private boolean mayStall() {
-        return call != null && decoder.begun && channel.config().isAutoRead();
+    /** Returns whether the host has begun its response and the proxy reads it. */
+    private boolean isAwaitingProgress() {
+        return call != null && decoder.hasBegun() && channel.config().isAutoRead();
     }
 
-    /**
-     * Guards against an answer that stops half way on an open connection: what waits for it can know
-     * long before its deadline.
-     */
-    private void watchStall(long nanos) {
-        stallTimer = true;
-        long due = System.nanoTime() + nanos;
-        channel.eventLoop()
-                .schedule(
-                        () -> {
-                            stallTimer = false;
-                            if (!mayStall()) {
-                                return;
-                            }
-                            long now = System.nanoTime();
-                            long left = decoder.readAt + call.stallNanos() - now;
-                            if (left > 0) {
-                                watchStall(left);
-                            } else if (now - due > LATE_NANOS) {
-                                watchStall(LATE_NANOS); // the loop was late: what has come meanwhile is read first
-                            } else {
-                                lost();
-                            }
-                        },
-                        nanos,
-                        TimeUnit.NANOSECONDS);
+    private void scheduleStallCheck(long delayNanos) {
+        stallCheckScheduled = true;
+        long dueAt = System.nanoTime() + delayNanos;
+        channel.eventLoop().schedule(() -> checkStall(dueAt), delayNanos, TimeUnit.NANOSECONDS);
     }
 
-    @Override
-    public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        if (call != null && channel.isWritable()) {
-            call.onWritable();
+    /** Fails a response that stopped half way on an open connection, as its client can know long before the deadline. */
+    private void checkStall(long dueAt) {
+        stallCheckScheduled = false;
+        if (!isAwaitingProgress()) {
+            return;
+        }
+        long now = System.nanoTime();
+        long remaining = decoder.lastReadNanos() + call.stallNanos() - now;
+        if (remaining > 0) {
+            scheduleStallCheck(remaining);
+        } else if (now - dueAt > LATE_TIMER_NANOS) {
+            scheduleStallCheck(LATE_TIMER_NANOS); // the loop was late: what has arrived meanwhile is read first
+        } else {
+            fail();
         }
     }
 
-    /** Reads on after a pause of ours, which is none of the host's. */
+    /** Stops reading from the host until {@link #resumeReading}. */
+    public void pauseReading() {
+        channel.config().setAutoRead(false);
+    }
+
+    /** Continues reading; the pause does not count as a stall of the host. */
     public void resumeReading() {
-        decoder.readAt = System.nanoTime();
+        decoder.onReadingResumed();
         channel.config().setAutoRead(true);
     }
 
-    public void pauseReading() {
-        channel.config().setAutoRead(false);
+    // --- the channel
+
+    @Override
+    public void channelWritabilityChanged(ChannelHandlerContext ctx) {
+        if (call != null && channel.isWritable()) {
+            call.onWritable();
+        }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        lost();
-        pool.closed(host, this);
+        fail();
+        pool.onClosed(host, this);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        lost();
+        fail();
     }
 
     @Override
--- a/src/main/java/rillyard/proxy/upstream/UpstreamHost.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamHost.java
@@ -2,27 +2,129 @@
 
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
+import java.util.ArrayList;
 import java.util.LinkedHashSet;
+import java.util.List;
 import java.util.Set;
 import rillyard.balancer.EndpointEntry;
 
-/** A host as the sockets see it: where it listens, whether it may get work, its connections. */
+/**
+ * A host as the proxy's sockets see it: its address, whether it may receive new requests, and its connections.
+ *
+ * <p>The endpoint registry owns the state that discovery announces, {@link UpstreamPool} the connections. Confined to
+ * the event loop.
+ */
 public final class UpstreamHost {
-    public final String name;
-    public final long id;
-    public InetSocketAddress address;
-    public boolean sendable;
-    public boolean listed;
-
-    /** What discovery last said of it, whatever operators did. */
-    public EndpointEntry entry;
-
-    final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>(2);
-    final Set<UpstreamCall> connecting = new LinkedHashSet<>(2);
-    public int calls;
+    private final String name;
+    private final long id;
+    private final ArrayDeque<UpstreamConnection> idleConnections = new ArrayDeque<>(2);
+    private final Set<UpstreamCall> connectingCalls = new LinkedHashSet<>(2);
+    private InetSocketAddress address;
+    private EndpointEntry entry;
+    private boolean listed;
+    private boolean sendable;
+    private int openCalls;
 
+    /**
+     * Creates a host that is neither listed nor sendable.
+     *
+     * @param name the name that discovery gives it
+     * @param id the number by which the balancer knows it
+     */
     public UpstreamHost(String name, long id) {
         this.name = name;
         this.id = id;
     }
+
+    /** Returns the name that discovery gives the host. */
+    public String name() {
+        return name;
+    }
+
+    /** Returns the number by which the balancer knows the host. */
+    public long id() {
+        return id;
+    }
+
+    /** Returns the address, or null if none has been announced yet; a sendable host has one. */
+    public InetSocketAddress address() {
+        return address;
+    }
+
+    /** Returns the entry that discovery announced last, regardless of hosts that operators disabled. */
+    public EndpointEntry entry() {
+        return entry;
+    }
+
+    /** Returns whether the host is on the endpoint list. */
+    public boolean isListed() {
+        return listed;
+    }
+
+    /** Returns whether new requests may be sent to the host. */
+    public boolean isSendable() {
+        return sendable;
+    }
+
+    /** Returns whether the host is off the endpoint list and carries no call any more. */
+    public boolean isRemovable() {
+        return !listed && openCalls == 0;
+    }
+
+    /**
+     * Records what discovery announced of the host.
+     *
+     * @param announced the new entry
+     * @param newAddress the address announced with it, or null to keep the present one
+     */
+    public void onAnnounced(EndpointEntry announced, InetSocketAddress newAddress) {
+        entry = announced;
+        listed = announced.condition() != EndpointEntry.Condition.GONE;
+        if (newAddress != null) {
+            address = newAddress;
+        }
+    }
+
+    /** Records that a full endpoint list lacks the host. */
+    public void onDelisted() {
+        listed = false;
+        sendable = false;
+    }
+
+    /** Sets whether new requests may be sent to the host. */
+    public void setSendable(boolean sendable) {
+        this.sendable = sendable;
+    }
+
+    // --- connections, for the pool
+
+    void onCallCreated() {
+        openCalls++;
+    }
+
+    void onCallReleased(UpstreamCall call) {
+        openCalls--;
+        connectingCalls.remove(call);
+    }
+
+    void onConnecting(UpstreamCall call) {
+        connectingCalls.add(call);
+    }
+
+    /** Returns whether the call still waited for its connection; it does not any more. */
+    boolean onConnectEnded(UpstreamCall call) {
+        return connectingCalls.remove(call);
+    }
+
+    /** Removes and returns all calls that wait for a connection. */
+    List<UpstreamCall> takeConnectingCalls() {
+        List<UpstreamCall> calls = new ArrayList<>(connectingCalls);
+        connectingCalls.clear();
+        return calls;
+    }
+
+    /** Returns the idle connections, the one that has been idle for longest first; changed by the pool only. */
+    ArrayDeque<UpstreamConnection> idleConnections() {
+        return idleConnections;
+    }
 }
--- a/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
@@ -23,71 +23,87 @@
 import rillyard.proxy.resources.DescriptorBudget;
 import rillyard.trace.TraceEvent.Kind;
 
-/** The connections to hosts: opens them as needed, keeps the idle ones, ends them in time. */
+/**
+ * The connections to hosts: opens them on demand, keeps idle ones for reuse and closes them in time.
+ *
+ * <p>Confined to the event loop.
+ */
 public final class UpstreamPool {
-    /** Part of the host's idle time after which a connection is closed: well before the host does. */
-    private static final double IDLE_PART = 0.7;
+    /** Allocator of read buffers; small reads bound the memory of one connection. */
+    public static final AdaptiveRecvByteBufAllocator READ_BUFFER_ALLOCATOR =
+            new AdaptiveRecvByteBufAllocator(512, 2048, 16_384);
 
-    /** How long (ns) a connection must have stood idle for its end to have been heard of. */
-    private static final long SETTLE_NANOS = 30_000_000L;
-
-    /** How long (ns) the rest of an unwanted answer is waited for. */
-    private static final long DISCARD_NANOS = 500_000_000L;
-
-    /** Small reads and marks bound what one connection holds in memory. */
-    public static final AdaptiveRecvByteBufAllocator READS = new AdaptiveRecvByteBufAllocator(512, 2048, 16_384);
+    /** Marks of the write buffer (bytes); they bound the memory of one connection. */
+    public static final WriteBufferWaterMark WRITE_BUFFER_WATER_MARK = new WriteBufferWaterMark(16_384, 32_768);
 
-    public static final WriteBufferWaterMark MARKS = new WriteBufferWaterMark(16_384, 32_768);
-
-    public static final HttpDecoderConfig DECODER = new HttpDecoderConfig()
+    /** Limits of the HTTP decoders on either side of the proxy. */
+    public static final HttpDecoderConfig DECODER_CONFIG = new HttpDecoderConfig()
             .setMaxInitialLineLength(8_192)
             .setMaxHeaderSize(16_384)
             .setMaxChunkSize(16_384)
             .setInitialBufferSize(256);
 
+    /** Fraction of the host's idle timeout after which a connection is closed, well before the host does. */
+    private static final double IDLE_TIMEOUT_FRACTION = 0.7;
+
+    /** Idle time after which the end of a connection, if the host ended it, has been received. */
+    private static final long SETTLE_NANOS = 30_000_000L;
+
+    /** Time for which the rest of an unwanted response is awaited. */
+    private static final long DISCARD_TIMEOUT_NANOS = 500_000_000L;
+
+    /** One log line is written for so many attempts that find no descriptor. */
+    private static final int REJECTIONS_PER_LOG_LINE = 100;
+
     private final Bootstrap bootstrap;
-    private final DescriptorBudget sockets;
+    private final DescriptorBudget descriptors;
     private final ProxyLog log;
-    private final IdleTimeoutPolicy idleTimes;
+    private final IdleTimeoutPolicy idleTimeouts;
     private final Set<UpstreamConnection> discarding = new HashSet<>();
-    private final IdleResetStats risk = new IdleResetStats();
-    private long refused;
+    private final IdleResetStats idleResets = new IdleResetStats();
+    private long rejectedAttempts;
 
-    public UpstreamPool(EventLoopGroup loop, ProxyConfig config, DescriptorBudget sockets, ProxyLog log) {
-        this.sockets = sockets;
+    /**
+     * Creates a pool without connections.
+     *
+     * @param loop a group of one event loop, on which all connections live
+     */
+    public UpstreamPool(EventLoopGroup loop, ProxyConfig config, DescriptorBudget descriptors, ProxyLog log) {
+        this.descriptors = descriptors;
         this.log = log;
-        this.idleTimes =
-                IdleTimeoutPolicy.of(config.settings().proxyCount(), (long) (IDLE_PART * config.idleTimeoutMs() * 1e6));
+        this.idleTimeouts = IdleTimeoutPolicy.of(
+                config.settings().proxyCount(), (long) (IDLE_TIMEOUT_FRACTION * config.idleTimeoutMs() * 1e6));
         this.bootstrap = new Bootstrap()
                 .group(loop)
                 .channelFactory(PeekableSocketChannel::new)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, config.connectTimeoutMs()))
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, READS)
-                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, MARKS)
+                .option(ChannelOption.RECVBUF_ALLOCATOR, READ_BUFFER_ALLOCATOR)
+                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_BUFFER_WATER_MARK)
                 .handler(new ChannelInitializer<PeekableSocketChannel>() {
                     @Override
                     protected void initChannel(PeekableSocketChannel channel) {}
                 });
     }
 
-    /** Carries the call to its host on a quiet connection, or on a new one. */
+    /** Sends a call to its host on an idle connection, or on a new one. */
     public void start(UpstreamCall call) {
-        UpstreamHost host = call.host;
+        UpstreamHost host = call.host();
         UpstreamConnection connection;
         long now = System.nanoTime();
-        while ((connection = pick(host.idle, UpstreamConnection::since, now)) != null) {
-            host.idle.remove(connection);
-            sockets.setUpstreamIdle(connection, false);
-            if (connection.alive() && connection.reusable() && !risk.risky(now - connection.since(), now)) {
+        while ((connection = selectIdle(host.idleConnections(), UpstreamConnection::idleSinceNanos, now)) != null) {
+            removeIdle(host, connection);
+            if (connection.isAlive()
+                    && connection.isReusable()
+                    && !idleResets.isReuseRisky(now - connection.idleSinceNanos(), now)) {
                 connection.run(call);
                 return;
             }
             connection.channel().close();
         }
-        if (!sockets.hasCapacity()) {
-            if (refused++ % 100 == 0) {
-                log.info("out of sockets: " + refused + " attempts had none");
+        if (!descriptors.hasCapacity()) {
+            if (rejectedAttempts++ % REJECTIONS_PER_LOG_LINE == 0) {
+                log.info("descriptors: limit reached, rejected_attempts=" + rejectedAttempts);
             }
             call.onNotSent();
             return;
@@ -96,34 +112,40 @@
     }
 
     /**
-     * The idle connection to use: the newest of those that have stood for a while, else the oldest.
-     * Guards against a host that ends its connection right behind an answer, or is about to go: the
-     * end is on its way for so long, and a request that crosses it counts as one that may have run.
-     * The cost is a connection or two more for each host, all of them in use.
+     * Selects the idle connection to use: the newest of those that have settled, else the oldest.
+     *
+     * <p>A host that ends its connection right behind a response, or shuts down, does so within the settle time; a
+     * request that crosses the end counts as one that may have run. The cost is one or two more connections to each
+     * host, all of them in use.
+     *
+     * @param idle connections in the order in which they became idle
+     * @param idleSince gives the time at which a connection became idle
+     * @param now the present time, nanoseconds of the same clock
+     * @return the connection, still in {@code idle}, or null if there is none
      */
-    public static <T> T pick(ArrayDeque<T> idle, ToLongFunction<T> since, long now) {
-        for (Iterator<T> newest = idle.descendingIterator(); newest.hasNext(); ) {
-            T c = newest.next();
-            if (now - since.applyAsLong(c) >= SETTLE_NANOS) {
-                return c;
+    public static <T> T selectIdle(ArrayDeque<T> idle, ToLongFunction<T> idleSince, long now) {
+        for (Iterator<T> newestFirst = idle.descendingIterator(); newestFirst.hasNext(); ) {
+            T connection = newestFirst.next();
+            if (now - idleSince.applyAsLong(connection) >= SETTLE_NANOS) {
+                return connection;
             }
         }
         return idle.peekFirst();
     }
 
     private void connect(UpstreamCall call, UpstreamHost host) {
-        ChannelFuture future = bootstrap.connect(host.address);
+        ChannelFuture future = bootstrap.connect(host.address());
         PeekableSocketChannel channel = (PeekableSocketChannel) future.channel();
-        UpstreamConnection.Decoder decoder = new UpstreamConnection.Decoder(DECODER);
+        UpstreamResponseDecoder decoder = new UpstreamResponseDecoder(DECODER_CONFIG);
         UpstreamConnection connection = new UpstreamConnection(this, host, channel, decoder);
-        sockets.onUpstreamOpened();
-        channel.closeFuture().addListener(x -> sockets.onUpstreamClosed());
-        call.connecting(channel);
-        host.connecting.add(call);
-        future.addListener(x -> {
+        descriptors.onUpstreamOpened();
+        channel.closeFuture().addListener(closed -> descriptors.onUpstreamClosed());
+        call.onConnecting(channel);
+        host.onConnecting(call);
+        future.addListener(connected -> {
             traceConnect(future, host);
-            if (!host.connecting.remove(call)) {
-                channel.close(); // given up meanwhile
+            if (!host.onConnectEnded(call)) {
+                channel.close(); // the call was given up meanwhile
             } else if (!future.isSuccess()) {
                 call.onNotSent();
             } else if (!call.mayBegin()) {
@@ -137,73 +159,86 @@
     }
 
     private void traceConnect(ChannelFuture future, UpstreamHost host) {
-        if (log.trace() != null) {
-            log.trace().record(future.isSuccess() ? Kind.CONNECTED : Kind.CONNECT_FAILED, host.name);
-            if (future.isSuccess()) {
-                future.channel().closeFuture().addListener(x -> log.trace().record(Kind.CLOSED, host.name));
-            }
+        if (log.trace() == null) {
+            return;
+        }
+        log.trace().record(future.isSuccess() ? Kind.CONNECTED : Kind.CONNECT_FAILED, host.name());
+        if (future.isSuccess()) {
+            future.channel().closeFuture().addListener(closed -> log.trace().record(Kind.CLOSED, host.name()));
         }
     }
 
-    /** The call is over, whether or not it was ever started. */
-    public void end(UpstreamCall call) {
-        call.host.calls--;
-        call.host.connecting.remove(call);
+    /** Releases a call that is over, whether or not it was ever started. */
+    public void release(UpstreamCall call) {
+        call.host().onCallReleased(call);
         call.abandon();
     }
 
-    void idle(UpstreamHost host, UpstreamConnection connection) {
+    // --- reports of connections
+
+    void onIdle(UpstreamHost host, UpstreamConnection connection) {
         discarding.remove(connection);
-        host.idle.addLast(connection);
-        sockets.setUpstreamIdle(connection, true);
+        host.idleConnections().addLast(connection);
+        descriptors.setUpstreamIdle(connection, true);
     }
 
-    /** What came of the use of a connection that had stood idle. */
-    void reused(long idleNanos, boolean broke) {
-        risk.used(idleNanos, broke, System.nanoTime());
+    void onReuse(long idleNanos, boolean wasReset) {
+        idleResets.onReuse(idleNanos, wasReset, System.nanoTime());
     }
 
-    void discarding(UpstreamConnection connection) {
+    void onDiscarding(UpstreamConnection connection) {
         discarding.add(connection);
     }
 
-    void malformed(UpstreamHost host, Throwable cause) {
-        log.info(() -> host.name + " sent what is no answer: " + cause);
+    void onMalformedResponse(UpstreamHost host, Throwable cause) {
+        log.info(() -> "upstream: malformed response, host=" + host.name() + " cause=" + cause);
     }
 
-    void closed(UpstreamHost host, UpstreamConnection connection) {
+    void onClosed(UpstreamHost host, UpstreamConnection connection) {
         discarding.remove(connection);
-        host.idle.remove(connection);
-        sockets.setUpstreamIdle(connection, false);
+        removeIdle(host, connection);
     }
 
-    /** Nothing new goes to the host as it was: returns the calls that had not got a connection. */
+    private void removeIdle(UpstreamHost host, UpstreamConnection connection) {
+        host.idleConnections().remove(connection);
+        descriptors.setUpstreamIdle(connection, false);
+    }
+
+    // --- the end of connections
+
+    /**
+     * Closes the idle connections that may not be reused, after a host was drained or has moved.
+     *
+     * @return the calls that waited for a connection to the host; they wait no longer and are the caller's to end
+     */
     public List<UpstreamCall> closeIdleAndConnecting(UpstreamHost host) {
-        for (UpstreamConnection connection : new ArrayList<>(host.idle)) {
-            if (!connection.reusable()) {
+        for (UpstreamConnection connection : new ArrayList<>(host.idleConnections())) {
+            if (!connection.isReusable()) {
                 connection.channel().close();
             }
         }
-        List<UpstreamCall> unsent = new ArrayList<>(host.connecting);
-        host.connecting.clear();
-        return unsent;
+        return host.takeConnectingCalls();
     }
 
-    /** Closes what has been idle for long. */
+    /** Closes connections that have been idle, or have discarded a response, for too long; to be called periodically. */
     public void runMaintenance(Iterable<UpstreamHost> hosts) {
         long now = System.nanoTime();
         for (UpstreamHost host : hosts) {
-            UpstreamConnection connection;
-            while ((connection = host.idle.peekFirst()) != null
-                    && idleTimes.isExpired(host.idle.size(), now - connection.since())) {
-                host.idle.pollFirst();
+            closeExpired(host.idleConnections(), now);
+        }
+        for (UpstreamConnection connection : new ArrayList<>(discarding)) {
+            if (now - connection.idleSinceNanos() > DISCARD_TIMEOUT_NANOS) {
                 connection.channel().close();
             }
         }
-        for (UpstreamConnection upstreamConnection : new ArrayList<>(discarding)) {
-            if (now - upstreamConnection.since() > DISCARD_NANOS) {
-                upstreamConnection.channel().close();
-            }
+    }
+
+    private void closeExpired(ArrayDeque<UpstreamConnection> idle, long now) {
+        UpstreamConnection oldest;
+        while ((oldest = idle.peekFirst()) != null
+                && idleTimeouts.isExpired(idle.size(), now - oldest.idleSinceNanos())) {
+            idle.pollFirst();
+            oldest.channel().close();
         }
     }
 }
--- a/src/main/java/rillyard/stall/StallDetector.java
+++ b/src/main/java/rillyard/stall/StallDetector.java
@@ -52,7 +52,7 @@
      * goes on with an interrupted wait, which the JDK ends for its time. What the next look brings may have
      * waited as long.
      */
-    public void pollFoundNothing() {
+    public void onEmptyPoll() {
         if (alarm - begunAt > 0 && afterPoll - alarm > 0) {
             afterPoll = readableSince;
         }
@@ -81,7 +81,7 @@
     }
 
     /** The backlog is empty. */
-    public void accepted() {
+    public void onBacklogEmpty() {
         backlogTurn = turn - 2;
     }
 
--- a/src/main/java/rillyard/trace/TraceEvent.java
+++ b/src/main/java/rillyard/trace/TraceEvent.java
@@ -6,14 +6,15 @@
 /**
  * One thing that a proxy did.
  *
- * @param at when (Unix time, ms) it was over
+ * @param unixMillis when (Unix time, ms) it was over
  * @param kind what it was
  * @param host the host it concerns, or {@link #NONE}
  * @param detail how it ended: a result of the module's, or {@link #NONE}
- * @param durationMs how long (ms) it took, where that is of interest
+ * @param durationMillis how long (ms) it took, where that is of interest
  * @param warmingUp whether the host was cold when the work was sent
  */
-public record TraceEvent(long at, Kind kind, String host, String detail, long durationMs, boolean warmingUp) {
+public record TraceEvent(
+        long unixMillis, Kind kind, String host, String detail, long durationMillis, boolean warmingUp) {
     /** No host, or nothing to tell. */
     public static final String NONE = "-";
 
@@ -49,7 +50,7 @@
         // Discovery names hosts: guards against a name that would make two fields, or two lines, of one.
         String named = SPACE.matcher(host).replaceAll("_");
         return MARK
-                + at
+                + unixMillis
                 + ' '
                 + kind.name().toLowerCase(Locale.ROOT)
                 + ' '
@@ -57,7 +58,7 @@
                 + ' '
                 + detail
                 + ' '
-                + durationMs
+                + durationMillis
                 + (warmingUp ? " cold" : " warm");
     }
 
@@ -68,7 +69,7 @@
      * @throws IllegalArgumentException if it begins as one and is not whole, as the last one of a process
      *     that was killed may be
      */
-    public static TraceEvent read(String line) {
+    public static TraceEvent parse(String line) {
         int from = line.indexOf(MARK);
         if (from < 0) {
             return null;
--- a/src/test/java/rillyard/endpoints/DisabledHostsTest.java
+++ b/src/test/java/rillyard/endpoints/DisabledHostsTest.java
@@ -71,7 +71,7 @@
             taken.disable("g" + i);
             taken.enable("g" + i, i);
         }
-        assertThat(taken.remembered()).isEqualTo(DisabledHosts.MAX_HOSTS);
+        assertThat(taken.enabledTimeCount()).isEqualTo(DisabledHosts.MAX_HOSTS);
         for (int i = 0; i < DisabledHosts.MAX_HOSTS; i++) {
             taken.disable("h" + i);
         }
--- a/src/test/java/rillyard/hotrestart/HotRestartLockTest.java
+++ b/src/test/java/rillyard/hotrestart/HotRestartLockTest.java
@@ -73,7 +73,7 @@
         try (var files = Files.list(tmp)) {
             Files.setLastModifiedTime(files.findFirst().orElseThrow(), FileTime.fromMillis(99_000));
         }
-        assertThat(folder.read(5_000).enabledAt()).isEqualTo(Map.of("a", 5_000L));
+        assertThat(folder.read(5_000).enabledAtUnixMillis()).isEqualTo(Map.of("a", 5_000L));
     }
 
     @Test
--- a/src/test/java/rillyard/proxy/AttemptOutcomeTest.java
+++ b/src/test/java/rillyard/proxy/AttemptOutcomeTest.java
@@ -214,10 +214,10 @@
     void connectionThatHasStoodIsTakenBeforeOneThatMayBeEnding() {
         long ms = 1_000_000;
         ArrayDeque<Long> idle = new ArrayDeque<>(List.of(10 * ms, 20 * ms, 95 * ms, 99 * ms));
-        assertThat(UpstreamPool.pick(idle, at -> at, 100 * ms)).isEqualTo(20 * ms);
-        assertThat(UpstreamPool.pick(idle, at -> at, 200 * ms)).isEqualTo(99 * ms);
-        assertThat(UpstreamPool.pick(idle, at -> at, 30 * ms)).isEqualTo(10 * ms); // none has stood
-        assertThat(UpstreamPool.pick(new ArrayDeque<Long>(), at -> at, 0)).isNull();
+        assertThat(UpstreamPool.selectIdle(idle, at -> at, 100 * ms)).isEqualTo(20 * ms);
+        assertThat(UpstreamPool.selectIdle(idle, at -> at, 200 * ms)).isEqualTo(99 * ms);
+        assertThat(UpstreamPool.selectIdle(idle, at -> at, 30 * ms)).isEqualTo(10 * ms); // none has stood
+        assertThat(UpstreamPool.selectIdle(new ArrayDeque<Long>(), at -> at, 0)).isNull();
     }
 
     @Test
--- a/src/test/java/rillyard/proxy/IncompleteListTest.java
+++ b/src/test/java/rillyard/proxy/IncompleteListTest.java
@@ -112,16 +112,16 @@
     @Test
     void theGuardIsAskedForByProperties() throws Exception {
         Properties p = new Properties();
-        assertThat(EndpointListOptions.guard(p)).isNull();
+        assertThat(EndpointListOptions.createGuard(p)).isNull();
         p.setProperty(EndpointListOptions.HOLD, "30000");
-        assertThat(EndpointListOptions.guard(p)).isNotNull();
+        assertThat(EndpointListOptions.createGuard(p)).isNotNull();
         p.setProperty(EndpointListOptions.LEAST_SHARE, "1.5");
-        assertThatThrownBy(() -> EndpointListOptions.guard(p))
+        assertThatThrownBy(() -> EndpointListOptions.createGuard(p))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining("least_share")
                 .hasMessageContaining("expected 0 to 1, found 1.5");
         p.setProperty(EndpointListOptions.HOLD, "soon");
-        assertThatThrownBy(() -> EndpointListOptions.guard(p))
+        assertThatThrownBy(() -> EndpointListOptions.createGuard(p))
                 .isInstanceOf(ConfigException.class)
                 .hasMessage("-Drillyard.lists.hold_ms: expected a number, found 'soon'");
     }
--- a/src/test/java/rillyard/proxy/ProxyTraceTest.java
+++ b/src/test/java/rillyard/proxy/ProxyTraceTest.java
@@ -12,7 +12,7 @@
 /** What a proxy writes down of itself where that is asked for. */
 class ProxyTraceTest {
     private static List<TraceEvent> lines(ProxyFixture rig) {
-        return rig.log().lines().map(TraceEvent::read).filter(Objects::nonNull).toList();
+        return rig.log().lines().map(TraceEvent::parse).filter(Objects::nonNull).toList();
     }
 
     /** A cold host that can do all of its work: it is told as cold, and lent without a wait. */
--- a/src/test/java/rillyard/proxy/discovery/EndpointRegistryTest.java
+++ b/src/test/java/rillyard/proxy/discovery/EndpointRegistryTest.java
@@ -14,82 +14,83 @@
 import rillyard.proxy.ScriptedServer;
 import rillyard.proxy.TestPeer;
 
-/** Hosts hold so many connections: what the proxy keeps of them, and what it does where there is none. */
+/** Connections to hosts whose connection tables are limited. */
 class EndpointRegistryTest {
     private static String claim() {
         return ProxyFixture.post("claim", 800, "", "visit=1");
     }
 
-    /** Where many proxies share the hosts' tables, what a burst needed is given back soon after it. */
+    /** Where many proxies share the hosts, the connections that a burst needed are closed soon after it. */
     @Test
-    void idleConnectionsOfABurstAreGivenBackWhereManyProxiesShareTheHosts() throws Exception {
-        CountDownLatch all = new CountDownLatch(6);
+    void idleConnectionsOfBurstAreClosedSoonWhenManyProxiesShareHosts() throws Exception {
+        CountDownLatch allArrived = new CountDownLatch(6);
         CountDownLatch ended = new CountDownLatch(5);
         try (ScriptedServer host = new ScriptedServer(peer -> {
                     peer.read();
-                    all.countDown();
-                    all.await(); // so that each has a connection of its own
+                    allArrived.countDown();
+                    allArrived.await(); // so that each has a connection of its own
                     peer.write(ScriptedServer.ok("x"));
                     peer.awaitEnd();
                     ended.countDown();
                 });
-                ProxyFixture rig = new ProxyFixture(
+                ProxyFixture proxy = new ProxyFixture(
                         config -> ((ObjectNode) config.path("settings")).put("balancers", 14),
                         ProxyFixture.server("a", host.port()))) {
             List<TestPeer> clients = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
-                TestPeer testPeer = rig.client();
-                testPeer.write(ProxyFixture.post("claim", 20_000, "", "visit=1"));
-                clients.add(testPeer);
+                TestPeer client = proxy.client();
+                client.write(ProxyFixture.post("claim", 20_000, "", "visit=1"));
+                clients.add(client);
             }
-            for (TestPeer c : clients) {
-                assertThat(c.read().status()).isEqualTo(200);
-                c.close();
+            for (TestPeer client : clients) {
+                assertThat(client.read().status()).isEqualTo(200);
+                client.close();
             }
             assertThat(ended.await(10, TimeUnit.SECONDS)).isTrue(); // of 42 s otherwise
         }
     }
 
-    /** A host whose table is full is left for others at once, not knocked at all the time, and used again. */
+    /** A host at capacity is avoided at once, tried rarely, and used again. */
     @Test
-    void aFullHostCostsNoAnswerAndIsUsedAgainOnceItHasRoom() throws Exception {
-        AtomicBoolean full = new AtomicBoolean(true);
-        AtomicInteger knocked = new AtomicInteger();
-        try (ScriptedServer tight = new ScriptedServer(peer -> {
+    void hostAtCapacityCostsNoResponseAndIsReusedOnceItHasCapacity() throws Exception {
+        AtomicBoolean atCapacity = new AtomicBoolean(true);
+        AtomicInteger rejections = new AtomicInteger();
+        try (ScriptedServer limited = new ScriptedServer(peer -> {
                     while (peer.read() != null) {
-                        if (full.get()) {
-                            knocked.incrementAndGet();
+                        if (atCapacity.get()) {
+                            rejections.incrementAndGet();
                             peer.write(ScriptedServer.status(503, "X-Not-Processed: 1\r\nConnection: close\r\n"));
                             return;
                         }
-                        peer.write(ScriptedServer.ok("tight"));
+                        peer.write(ScriptedServer.ok("limited"));
                     }
                 });
-                ScriptedServer roomy = ScriptedServer.host(message -> {
+                ScriptedServer unlimited = ScriptedServer.host(message -> {
                     Thread.sleep(20); // its work: so that others find it busier than the full one
-                    return ScriptedServer.ok("roomy");
+                    return ScriptedServer.ok("unlimited");
                 });
-                ProxyFixture rig = new ProxyFixture(
-                        ProxyFixture.server("a", tight.port()), ProxyFixture.server("b", roomy.port()))) {
+                ProxyFixture proxy = new ProxyFixture(
+                        ProxyFixture.server("a", limited.port()), ProxyFixture.server("b", unlimited.port()))) {
             for (int i = 0; i < 5; i++) {
-                assertThat(together(rig, 8)).hasSize(8).containsOnly("roomy");
+                assertThat(callConcurrently(proxy, 8)).hasSize(8).containsOnly("unlimited");
             }
-            // Of 40 each but the first would go to the one that looks idle; a refusal keeps it out for a while.
-            assertThat(knocked.get()).isBetween(1, 20);
-            full.set(false);
-            List<String> from = List.of();
-            for (long end = System.nanoTime() + 20_000_000_000L; !from.contains("tight") && System.nanoTime() < end; ) {
-                from = together(rig, 8);
+            // Without the avoidance 39 of 40 would go to the host that looks idle.
+            assertThat(rejections.get()).isBetween(1, 20);
+            atCapacity.set(false);
+            List<String> responses = List.of();
+            for (long end = System.nanoTime() + 20_000_000_000L;
+                    !responses.contains("limited") && System.nanoTime() < end; ) {
+                responses = callConcurrently(proxy, 8);
             }
-            assertThat(from).contains("tight");
+            assertThat(responses).contains("limited");
         }
     }
 
-    /** What so many requests at once were served with. */
-    private static List<String> together(ProxyFixture rig, int n) throws Exception {
+    /** Sends so many requests at once; returns the text of each response, or its status if it is not 200. */
+    private static List<String> callConcurrently(ProxyFixture proxy, int count) throws Exception {
         List<TestPeer> clients = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
-            TestPeer peer = rig.client();
+        for (int i = 0; i < count; i++) {
+            TestPeer peer = proxy.client();
             peer.write(claim());
             clients.add(peer);
         }
--- a/src/test/java/rillyard/proxy/upstream/IdleResetStatsTest.java
+++ b/src/test/java/rillyard/proxy/upstream/IdleResetStatsTest.java
@@ -6,29 +6,29 @@
 import rillyard.proxy.ProxyFixture;
 import rillyard.proxy.ScriptedServer;
 
-/** What is learned of connections that stood idle. */
+/** Idle times after which connections are not reused. */
 class IdleResetStatsTest {
     private static final long MS = 1_000_000;
 
     @Test
-    void longPausesThatBreakAreAvoidedUntilForgotten() {
-        IdleResetStats risk = new IdleResetStats();
+    void idleTimeWithExcessResetsIsRiskyUntilObservationsDecay() {
+        IdleResetStats stats = new IdleResetStats();
         long now = 1_000_000 * MS;
         for (int i = 0; i < 40; i++) {
-            risk.used(5 * MS, i % 20 == 0, now);
-            risk.used(200 * MS, i % 2 == 0, now);
-            risk.used(1_000 * MS, i % 20 == 0, now);
+            stats.onReuse(5 * MS, i % 20 == 0, now);
+            stats.onReuse(200 * MS, i % 2 == 0, now);
+            stats.onReuse(1_000 * MS, i % 20 == 0, now);
         }
-        assertThat(risk.risky(200 * MS, now)).isTrue();
-        assertThat(risk.risky(5 * MS, now)).isFalse();
-        assertThat(risk.risky(1_000 * MS, now)).isFalse(); // breaks no more often than after 5 ms
-        assertThat(risk.risky(60_000 * MS, now)).isFalse(); // not known
-        assertThat(risk.risky(200 * MS, now + 60_000 * MS)).isFalse();
+        assertThat(stats.isReuseRisky(200 * MS, now)).isTrue();
+        assertThat(stats.isReuseRisky(5 * MS, now)).isFalse();
+        assertThat(stats.isReuseRisky(1_000 * MS, now)).isFalse(); // reset no more often than after 5 ms
+        assertThat(stats.isReuseRisky(60_000 * MS, now)).isFalse(); // too few uses
+        assertThat(stats.isReuseRisky(200 * MS, now + 60_000 * MS)).isFalse();
     }
 
     @Test
-    void connectionsThatAreForgottenWhileIdleAreNotUsedAgain() throws Exception {
-        // Each connection serves at once, and breaks on what comes after a pause.
+    void connectionsThatHostDropsWhileIdleAreNotReused() throws Exception {
+        // Each connection serves its first request and is reset by one that follows a pause.
         ScriptedServer host = new ScriptedServer(peer -> {
             peer.read();
             peer.write(ScriptedServer.ok("x"));
@@ -36,13 +36,13 @@
             peer.reset();
         });
         try (host;
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
-            int broken = 0;
+                ProxyFixture proxy = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
+            int failed = 0;
             for (int i = 0; i < 24; i++) {
-                broken += rig.call(ProxyFixture.post("claim", 5_000, "", "x")).status() == 200 ? 0 : 1;
+                failed += proxy.call(ProxyFixture.post("claim", 5_000, "", "x")).status() == 200 ? 0 : 1;
                 Thread.sleep(70); // the pause itself; a longer one is as good
             }
-            assertThat(broken).isBetween(1, 9);
+            assertThat(failed).isBetween(1, 9);
         }
     }
 }
--- a/src/test/java/rillyard/stall/StallDetectorTest.java
+++ b/src/test/java/rillyard/stall/StallDetectorTest.java
@@ -45,10 +45,10 @@
     @Test
     void aLateLookThatBringsNothingMayHaveBeenNone() {
         look(0, 250, 1_200);
-        gaps.pollFoundNothing();
+        gaps.onEmptyPoll();
         look(1_201, 1_201, 1_201);
         assertThat(gaps.readableSince()).isEqualTo(250 * MS);
-        gaps.pollFoundNothing();
+        gaps.onEmptyPoll();
         look(1_202, 1_202, 1_202);
         assertThat(gaps.readableSince()).as("a look without a wait is one").isEqualTo(1_201 * MS);
     }
@@ -59,7 +59,7 @@
         assertThat(gaps.acceptableSince()).isEqualTo(200 * MS);
         look(240, 240, 240);
         assertThat(gaps.acceptableSince()).as("left over by the turn before").isEqualTo(200 * MS);
-        gaps.accepted();
+        gaps.onBacklogEmpty();
         look(260, 260, 260);
         assertThat(gaps.acceptableSince()).isEqualTo(240 * MS);
         look(300, 500, 400); // this turn accepts nothing
--- a/src/test/java/rillyard/trace/TraceEventTest.java
+++ b/src/test/java/rillyard/trace/TraceEventTest.java
@@ -14,26 +14,26 @@
     @Test
     void isReadAsItWasWrittenWhateverStandsBeforeIt() {
         TraceEvent event = new TraceEvent(1_764_604_800_123L, Kind.ATTEMPT, "s-1", "FULL", 12, true);
-        assertThat(TraceEvent.read(event.text())).isEqualTo(event);
-        assertThat(TraceEvent.read("12.5 n3 | " + event.text())).isEqualTo(event);
+        assertThat(TraceEvent.parse(event.text())).isEqualTo(event);
+        assertThat(TraceEvent.parse("12.5 n3 | " + event.text())).isEqualTo(event);
     }
 
     @Test
     void otherLinesAreNoneAndTornOnesAreSaid() {
-        assertThat(TraceEvent.read("rillyard: draining")).isNull();
+        assertThat(TraceEvent.parse("rillyard: draining")).isNull();
         String whole = new TraceEvent(1, Kind.CLOSED, "s-1", TraceEvent.NONE, 0, false).text();
         for (int n = "rillyard: trace ".length(); n < whole.length(); n++) {
             String torn = whole.substring(0, n);
-            assertThatIllegalArgumentException().as(torn).isThrownBy(() -> TraceEvent.read(torn));
+            assertThatIllegalArgumentException().as(torn).isThrownBy(() -> TraceEvent.parse(torn));
         }
-        assertThatIllegalArgumentException().isThrownBy(() -> TraceEvent.read(whole.replace("closed", "shut")));
+        assertThatIllegalArgumentException().isThrownBy(() -> TraceEvent.parse(whole.replace("closed", "shut")));
     }
 
     @Test
     void aNameFromOutsideMakesNeitherFieldsNorLines() {
         String text = new TraceEvent(1, Kind.CLOSED, "a b\nrillyard: trace 1 list", TraceEvent.NONE, 0, false).text();
         assertThat(text).doesNotContain("\n");
-        assertThat(TraceEvent.read(text).host()).isEqualTo("a_b_rillyard:_trace_1_list");
+        assertThat(TraceEvent.parse(text).host()).isEqualTo("a_b_rillyard:_trace_1_list");
     }
 
     @Test
@@ -45,12 +45,12 @@
         trace.recordRejection(Kind.REFUSED, null);
         List<TraceEvent> lines = bytes.toString(StandardCharsets.UTF_8)
                 .lines()
-                .map(TraceEvent::read)
+                .map(TraceEvent::parse)
                 .toList();
         assertThat(lines)
                 .extracting(TraceEvent::kind)
                 .containsExactly(Kind.STARTED, Kind.CONNECTED, Kind.ATTEMPT, Kind.REFUSED);
-        assertThat(lines.get(2).durationMs()).isEqualTo(12);
+        assertThat(lines.get(2).durationMillis()).isEqualTo(12);
         assertThat(lines.get(2).warmingUp()).isTrue();
         assertThat(lines.get(3).detail()).isEqualTo(TraceEvent.NONE);
     }
