--- a/src/main/java/rillyard/benchmark/StartupRun.java
+++ b/src/main/java/rillyard/benchmark/StartupRun.java
@@ -66,8 +66,8 @@
         Map<String, Mark> marks = new LinkedHashMap<>();
         for (String line : Files.readAllLines(log)) {
             if (line.startsWith(MARK)) {
-                String[] f = line.substring(MARK.length()).split(" ");
-                marks.put(f[0], new Mark((Long.parseLong(f[1]) - exec) / 1e6, Double.parseDouble(f[2])));
+                String[] fields = line.substring(MARK.length()).split(" ");
+                marks.put(fields[0], new Mark((Long.parseLong(fields[1]) - exec) / 1e6, Double.parseDouble(fields[2])));
             }
         }
         return marks;
@@ -76,23 +76,23 @@
     private static double[] latencies(Path clients) throws Exception {
         List<ClientAttempt> first = new ArrayList<>();
         RequestLogReader.read(clients, "clients", line -> {
-            if (line instanceof ClientAttempt attempt && attempt.number() == 0) {
+            if (line instanceof ClientAttempt attempt && attempt.attemptNumber() == 0) {
                 first.add(attempt);
             }
         });
         return first.stream()
-                .sorted(Comparator.comparingLong(ClientAttempt::intended))
-                .mapToDouble(clientAttempt -> (clientAttempt.ended() - clientAttempt.intended()) / 1e3)
+                .sorted(Comparator.comparingLong(ClientAttempt::scheduledAt))
+                .mapToDouble(clientAttempt -> (clientAttempt.endedAt() - clientAttempt.scheduledAt()) / 1e3)
                 .toArray();
     }
 
     /** The quantile over the first n requests, by the nearest rank; NaN if there were fewer. */
-    double latency(int n, double quantile) {
-        if (latencies.length < n) {
+    double latency(int count, double quantile) {
+        if (latencies.length < count) {
             return Double.NaN;
         }
-        double[] sorted = Arrays.copyOf(latencies, n);
+        double[] sorted = Arrays.copyOf(latencies, count);
         Arrays.sort(sorted);
-        return sorted[Math.max(0, (int) Math.ceil(quantile * n) - 1)];
+        return sorted[Math.max(0, (int) Math.ceil(quantile * count) - 1)];
     }
 }
--- a/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
+++ b/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
@@ -25,6 +25,7 @@
 import rillyard.endpoints.EndpointListGuard;
 import rillyard.hotrestart.DisabledHostStore;
 import rillyard.proxy.config.ProxyConfig;
+import rillyard.proxy.discovery.EndpointListListener;
 import rillyard.proxy.discovery.EndpointRegistry;
 import rillyard.proxy.logging.ProxyLog;
 import rillyard.proxy.resources.BodyMemoryBudget;
@@ -41,7 +42,7 @@
  * came, and carries out what it asks for. What an action brings about at once waits in a queue
  * until the module has returned.
  */
-public final class BalancerDriver implements BalancerActions {
+public final class BalancerDriver implements BalancerActions, EndpointListListener {
     /** The module's clock begins here, so that a host that started before this process has a time. */
     private static final double CLOCK_START = 1e9;
 
@@ -162,18 +163,19 @@
 
     // --- events
 
-    /** Starts the module with the list as it was last had; {@code follow} opens the watch. */
-    public void start(EndpointRegistry.EndpointList known, Runnable follow) {
+    @Override
+    public void onWatchStarting(EndpointRegistry.EndpointList known, Runnable follow) {
         this.follow = follow;
         deliver(null, () -> balancer.onStart(now()));
         onEndpointList(rillyard.balancer.WatchEvent.CACHED, known);
     }
 
+    @Override
     public void onEndpointList(rillyard.balancer.WatchEvent kind, EndpointRegistry.EndpointList news) {
         EndpointRegistry.EndpointList believed = guard == null ? news : doubted(news);
         Set<UpstreamHost> cut = endpoints.apply(believed);
         tell(kind, endpoints.effective(believed), cut);
-        endpoints.forgetGone();
+        endpoints.removeUnused();
     }
 
     /** The list, and with it what the guard has used on although the list lacks it. */
@@ -184,13 +186,13 @@
         }
         Set<String> named =
                 news.hosts().stream().map(EndpointRegistry.ListedEndpoint::name).collect(Collectors.toSet());
-        Set<String> kept = guard.onFullList(now(), endpoints.inUse(), named);
+        Set<String> kept = guard.onFullList(now(), endpoints.readyHostNames(), named);
         if (kept.isEmpty()) {
             return news;
         }
         log.info("watch: a list of " + named.size() + " hosts lacks " + kept.size() + " in use: not believed for now");
         List<EndpointRegistry.ListedEndpoint> all = new ArrayList<>(news.hosts());
-        kept.forEach(name -> all.add(endpoints.asTold(name)));
+        kept.forEach(name -> all.add(endpoints.lastAnnounced(name)));
         return new EndpointRegistry.EndpointList(news.version(), true, all);
     }
 
@@ -198,9 +200,9 @@
     private void endDoubts() {
         List<EndpointRegistry.ListedEndpoint> gone = new ArrayList<>();
         for (String name : guard.expired(now())) {
-            if (endpoints.listed(name) != null) {
+            if (endpoints.findListed(name) != null) {
                 log.info("watch: " + name + " is gone: no list has named it again");
-                gone.add(endpoints.asGone(name));
+                gone.add(endpoints.asRemoved(name));
             }
         }
         if (!gone.isEmpty()) {
@@ -220,7 +222,7 @@
 
     /** Whether a host of this name is listed, or out by hand. */
     public boolean isKnownHost(String name) {
-        return endpoints.listed(name) != null || disabledHosts.contains(name);
+        return endpoints.findListed(name) != null || disabledHosts.contains(name);
     }
 
     /** Takes a host out by hand, or gives it back; false if no such host is known. */
@@ -237,7 +239,7 @@
     /** Takes over what another process of this proxy did by hand; times are Unix time (ms). */
     public void setDisabled(DisabledHostStore.Contents elsewhere) {
         Map<String, Double> back = new HashMap<>();
-        elsewhere.enabledAt().forEach((name, at) -> back.put(name, at - unixOffset));
+        elsewhere.enabledAtUnixMillis().forEach((name, at) -> back.put(name, at - unixOffset));
         changedByHand(disabledHosts.adopt(elsewhere.disabled(), back));
     }
 
@@ -246,9 +248,9 @@
         List<UpstreamHost> cut = new ArrayList<>();
         for (String name : names) {
             log.info(() -> name + (disabledHosts.contains(name) ? " is out by hand" : " is back by hand"));
-            UpstreamHost host = endpoints.listed(name);
+            UpstreamHost host = endpoints.findListed(name);
             if (host != null) {
-                entries.add(endpoints.changedByHand(host));
+                entries.add(endpoints.onDisabledChanged(host));
                 cut.add(host);
             }
         }
@@ -261,6 +263,7 @@
         return metrics;
     }
 
+    @Override
     public void onWatchFailed() {
         deliver(null, () -> balancer.onWatchEvent(now(), rillyard.balancer.WatchEvent.FAILED, null));
     }
@@ -274,13 +277,13 @@
     /** Writes an attempt down and tells neighbours, if that was asked for. */
     void onAttemptEnded(UpstreamHost host, AttemptOutcome result, double spent) {
         if (peerGossip != null) {
-            peerGossip.onAttemptEnded(host.name, result, now());
+            peerGossip.onAttemptEnded(host.name(), result, now());
         }
         if (log.trace() != null) {
-            double age = now() - spent - host.entry.onlineSince();
+            double age = now() - spent - host.entry().onlineSince();
             log.trace()
                     .recordAttempt(
-                            host.name,
+                            host.name(),
                             result.traceWord(),
                             spent,
                             age >= 0 && age < settings.rules().warmUpTime());
@@ -363,10 +366,10 @@
             endDoubts();
         }
         if (peerGossip != null) {
-            peerGossip.step(now(), endpoints.inUse(), new PeerGossipListener(this));
+            peerGossip.step(now(), endpoints.readyHostNames(), new PeerGossipListener(this));
         }
-        upstreams.runMaintenance(endpoints.all());
-        endpoints.forgetGone();
+        upstreams.runMaintenance(endpoints.hosts());
+        endpoints.removeUnused();
         metrics.setHosts(endpoints.listedCount(), balancer.avoidedHostCount());
     }
 
@@ -430,6 +433,6 @@
 
     @Override
     public void log(String line) {
-        log.info(() -> endpoints.hostNameOf(line));
+        log.info(() -> endpoints.replaceHostId(line));
     }
 }
--- a/src/main/java/rillyard/requestlog/UnixClock.java
+++ b/src/main/java/rillyard/requestlog/UnixClock.java
@@ -6,6 +6,8 @@
  * Microseconds of Unix time that never go back: the wall clock is read once, and the monotonic
  * clock tells what has passed since. Two processes of one machine agree to well under a millisecond.
  */
+// Both clocks are meant to be read once, when the class is loaded: later readings are relative to that moment.
+@SuppressWarnings("TimeInStaticInitializer")
 public final class UnixClock {
     private static final long ZERO_NANOS;
     private static final long ZERO_MICROS;
@@ -18,12 +20,12 @@
 
     private UnixClock() {}
 
-    /** Now. */
+    /** Returns the current Unix time in microseconds. */
     public static long micros() {
         return micros(System.nanoTime());
     }
 
-    /** The Unix time of a reading of {@link System#nanoTime}. */
+    /** Returns the Unix time in microseconds of a reading of {@link System#nanoTime}. */
     public static long micros(long nanoTime) {
         return ZERO_MICROS + Math.floorDiv(nanoTime - ZERO_NANOS, 1_000L);
     }
--- a/src/test/java/rillyard/loadgen/LoadRunTest.java
+++ b/src/test/java/rillyard/loadgen/LoadRunTest.java
@@ -4,6 +4,7 @@
 import static org.assertj.core.api.Assertions.within;
 
 import java.io.IOException;
+import java.io.PrintStream;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -48,10 +49,11 @@
 
     /** Plays a plan against one stand-in host. */
     private RunReport play(String hosts, String plan) throws Exception {
+        PrintStream hostLog = System.err;
         try (RequestLogWriter hostLedger = RequestLogWriter.open(folder.resolve("h"), new LogHeader("hosts", 1, 1));
                 RequestLogWriter ledger = RequestLogWriter.open(folder.resolve("c"), new LogHeader("clients", 1, 1));
                 TestCluster cluster =
-                        new TestCluster(TestClusterPlanReader.parse("h", hosts, 0), ANY, 1, hostLedger, System.err)) {
+                        new TestCluster(TestClusterPlanReader.parse("h", hosts, 0), ANY, 1, hostLedger, hostLog)) {
             cluster.start();
             LoadRun run =
                     new LoadRun(LoadPlanReader.parse("p", plan, folder), List.of(cluster.address("s-0")), ledger, null);
@@ -81,13 +83,13 @@
                         "[[fault]]\nkind = 'pause'\nhost = 's-0'\nat_s = 1\nfor_s = 2\n"),
                 "lateness_ms = 5000\n" + CLASS + "[clients]\nretries = 0\ntry_share = [1, 1]\n"
                         + "[[shape]]\nkind = 'steady'\nfor_s = 4\nrate = " + rate + "\n");
-        assertThat(report.total().offered()).isEqualTo(4 * rate);
-        assertThat(report.total().inAim() + report.total().late()).isEqualTo(4 * rate);
+        assertThat(report.total().offered()).isEqualTo(4L * rate);
+        assertThat(report.total().inAim() + report.total().late()).isEqualTo(4L * rate);
         List<ClientAttempt> tries = ledger("clients", ClientAttempt.class);
         for (double x = 0.2; x < 2; x += 0.2) {
             double seconds = x;
             long later = tries.stream()
-                    .filter(attempt -> attempt.ended() - attempt.intended() > 1e6 * seconds)
+                    .filter(attempt -> attempt.endedAt() - attempt.scheduledAt() > 1e6 * seconds)
                     .count();
             // The pause begins and ends on the stand-in's own clock: some tens of ms of either side.
             assertThat(later)
@@ -110,7 +112,7 @@
             RunReport report = play(hosts, plan);
             // What the hosts drew is in their ledger: the generator must see these very times.
             double[] drawn = ledger("hosts", HostExecution.class).stream()
-                    .mapToDouble(execution -> execution.work() / 1_000.0)
+                    .mapToDouble(execution -> execution.workMicros() / 1_000.0)
                     .sorted()
                     .toArray();
             assertThat((long) drawn.length).isEqualTo(report.total().offered());
@@ -175,11 +177,11 @@
         assertThat(report.total().offered()).isGreaterThan(200);
         assertThat(report.total().inAim() + report.total().late()).isZero();
         List<ClientAttempt> tries = ledger("clients", ClientAttempt.class);
-        assertThat(tries.stream().filter(ClientAttempt::last).count())
+        assertThat(tries.stream().filter(ClientAttempt::lastAttempt).count())
                 .isEqualTo(report.total().offered());
         assertThat(tries.stream().map(ClientAttempt::outcome).filter(outcome -> outcome == only))
                 .isNotEmpty();
-        assertThat(tries).allMatch(attempt -> attempt.number() < 6);
+        assertThat(tries).allMatch(attempt -> attempt.attemptNumber() < 6);
     }
 
     @Test
@@ -270,6 +272,7 @@
     @Test
     void anInterruptedRunReportsWhatItHasAndItsLedgerIsWhole() throws Exception {
         RunReport report;
+        PrintStream hostLog = System.err;
         try (RequestLogWriter hostLedger = RequestLogWriter.disabled();
                 RequestLogWriter ledger = RequestLogWriter.open(folder.resolve("c"), new LogHeader("clients", 1, 1));
                 TestCluster cluster = new TestCluster(
@@ -277,7 +280,7 @@
                         ANY,
                         1,
                         hostLedger,
-                        System.err)) {
+                        hostLog)) {
             cluster.start();
             LoadRun run = new LoadRun(
                     LoadPlanReader.parse(
@@ -287,7 +290,7 @@
                     null);
             Thread thread = new Thread(() -> {
                 long until = System.nanoTime() + 30_000_000_000L;
-                while (ledger.lines() < 100 && System.nanoTime() < until) {
+                while (ledger.recordCount() < 100 && System.nanoTime() < until) {
                     Thread.onSpinWait();
                 }
                 run.interrupt();
@@ -300,7 +303,7 @@
         assertThat(report.total().inAim() + report.total().late()).isGreaterThan(50);
         assertThat(ReportTable.of(report)).contains("interrupted");
         assertThat(ledger("clients", ClientAttempt.class).stream()
-                        .filter(ClientAttempt::last)
+                        .filter(ClientAttempt::lastAttempt)
                         .count())
                 .isEqualTo(report.total().offered());
     }
