--- a/src/main/java/rillyard/settings/JsonTreeReader.java
+++ b/src/main/java/rillyard/settings/JsonTreeReader.java
@@ -10,10 +10,8 @@
 import java.io.IOException;
 
 /**
- * Reads a JSON text (RFC 8259) into Jackson's tree with Jackson's parser, but without its mapper.
- * Guards against what the mapper loads and sets up before it reads a first byte: some 200 classes,
- * with calendars, locales and a serializer for each type, none of which a tree needs. Every start
- * of a proxy waited for it.
+ * Reads JSON (RFC 8259) into Jackson's tree model with Jackson's parser, but without its mapper: that loads some 200 classes
+ * before it reads a first byte, such as calendars, locales and serializers, for which each start of a proxy would wait.
  */
 public final class JsonTreeReader {
     private static final JsonFactory PARSERS = new JsonFactory();
@@ -22,11 +20,11 @@
     private JsonTreeReader() {}
 
     /**
-     * Reads one value and all that belongs to it; what follows it is left, as a mapper would.
+     * Reads the first value; like a mapper, it ignores what follows.
      *
-     * @return the value; null where there is none but blanks
-     * @throws com.fasterxml.jackson.core.JsonProcessingException if it is not JSON, or nested too
-     *     deep (1,000 levels, the parser's own bound)
+     * @return the value, null if there is nothing but whitespace
+     * @throws com.fasterxml.jackson.core.JsonProcessingException if it is not JSON, or is nested deeper than the parser's
+     *     limit of 1,000 levels
      */
     public static JsonNode read(byte[] text, int from, int length) throws IOException {
         try (JsonParser parser = PARSERS.createParser(text, from, length)) {
@@ -34,7 +32,7 @@
         }
     }
 
-    /** Reads a whole array of bytes as {@link #read(byte[], int, int)} does. */
+    /** Reads an array of bytes as {@link #read(byte[], int, int)} does. */
     public static JsonNode read(byte[] text) throws IOException {
         return read(text, 0, text.length);
     }
@@ -65,13 +63,13 @@
     }
 
     private static ObjectNode object(JsonParser parser) throws IOException {
-        ObjectNode o = NODES.objectNode();
+        ObjectNode node = NODES.objectNode();
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             String name = parser.currentName();
             parser.nextToken();
-            o.set(name, value(parser)); // the last of two with one name, as the mapper has it
+            node.set(name, value(parser)); // the last of two with the same name wins, as with the mapper
         }
-        return o;
+        return node;
     }
 
     private static ArrayNode array(JsonParser parser) throws IOException {
--- a/src/main/java/rillyard/settings/MalformedInputException.java
+++ b/src/main/java/rillyard/settings/MalformedInputException.java
@@ -1,11 +1,16 @@
 package rillyard.settings;
 
-/** Input that is not of the wire; its message is one plain line. */
+/** Thrown for input that is malformed. The message is a single line for operators. */
 public final class MalformedInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** Creates it with a message for people. */
+    /** Creates an exception without a cause. */
     public MalformedInputException(String message) {
         super(message);
     }
+
+    /** Creates an exception with its cause, which may be null. */
+    public MalformedInputException(String message, Throwable cause) {
+        super(message, cause);
+    }
 }
--- a/src/main/java/rillyard/settings/SettingsReader.java
+++ b/src/main/java/rillyard/settings/SettingsReader.java
@@ -7,26 +7,36 @@
 import java.util.List;
 import rillyard.balancer.Settings;
 
-/** Reads the settings of an instance; what is not known is skipped, what is absent is harmless. */
+/**
+ * Reads the settings of a proxy. Keys that are not known or no longer used are skipped; what is absent has a default that is
+ * harmless. {@link SettingsValidator} tells values that can't be used.
+ */
 public final class SettingsReader {
+    private static final double DEFAULT_DEADLINE = 1_000;
+
     private SettingsReader() {}
 
+    /**
+     * Reads settings from JSON.
+     *
+     * @throws MalformedInputException if they are not a JSON object
+     */
     public static Settings read(String conf) {
         JsonNode root;
         try {
             root = JsonTreeReader.read(conf);
         } catch (JsonProcessingException e) {
-            throw new MalformedInputException("malformed conf: " + e.getOriginalMessage());
+            throw new MalformedInputException("malformed conf: " + e.getOriginalMessage(), e);
         } catch (IOException e) {
-            throw new IllegalStateException("a string has no input that could fail", e);
+            throw new IllegalStateException("reading from a string can't fail", e);
         }
         return read(root);
     }
 
     /**
-     * Reads settings that are parsed already.
+     * Reads settings from parsed JSON.
      *
-     * @throws MalformedInputException if they are no JSON object
+     * @throws MalformedInputException if they are not a JSON object
      */
     public static Settings read(JsonNode root) {
         if (root == null || !root.isObject()) {
@@ -37,26 +47,16 @@
             classes.add(requestClass(node));
         }
         List<Settings.Tenant> tenants = new ArrayList<>();
-        for (JsonNode t : root.path("tenants")) {
+        for (JsonNode node : root.path("tenants")) {
             tenants.add(new Settings.Tenant(
-                    t.path("name").asText(), t.path("portion").asDouble(0)));
+                    node.path("name").asText(), node.path("portion").asDouble(0)));
         }
-        JsonNode limits = root.path("limits");
-        JsonNode rules = root.path("rules");
         JsonNode zone = root.path("zone");
         return new Settings(
                 classes,
                 tenants,
-                new Settings.Limits(
-                        limits.path("cancel").asBoolean(false),
-                        limits.path("parallelTries").asBoolean(false),
-                        limits.path("maxAttempts").asInt(1)),
-                new Settings.Rules(
-                        rules.path("cold").asDouble(0),
-                        rules.path("startCapacity").asDouble(1),
-                        rules.path("fall").asDouble(0),
-                        rules.path("fallMultiple").asDouble(1),
-                        rules.path("askWithin").asDouble(0)),
+                limits(root.path("limits")),
+                rules(root.path("rules")),
                 root.path("membershipMode").asText("automatic").equals("subscribe"),
                 zone.isTextual() ? zone.asText() : null,
                 root.path("position").asInt(0),
@@ -64,28 +64,48 @@
                 root.path("overShareWorth").asDouble(1));
     }
 
+    private static Settings.Limits limits(JsonNode node) {
+        return new Settings.Limits(
+                node.path("cancel").asBoolean(false),
+                node.path("parallelTries").asBoolean(false),
+                node.path("maxAttempts").asInt(1));
+    }
+
+    private static Settings.Rules rules(JsonNode node) {
+        return new Settings.Rules(
+                node.path("cold").asDouble(0),
+                node.path("startCapacity").asDouble(1),
+                node.path("fall").asDouble(0),
+                node.path("fallMultiple").asDouble(1),
+                node.path("askWithin").asDouble(0));
+    }
+
     private static Settings.RequestClass requestClass(JsonNode node) {
-        double deadline = node.path("deadline").asDouble(1000);
-        Settings.Semantics semantics =
-                switch (node.path("semantics").asText()) {
-                    case "idempotent" -> Settings.Semantics.IDEMPOTENT;
-                    case "deduplicated" -> Settings.Semantics.DEDUPLICATED;
-                    default -> Settings.Semantics.AT_MOST_ONCE; // the strictest, where a name is new
-                };
-        Settings.Scope scope =
-                switch (node.path("keyScope").asText()) {
-                    case "all" -> Settings.Scope.ALL;
-                    case "zone" -> Settings.Scope.ZONE;
-                    default -> Settings.Scope.CELL;
-                };
+        double deadline = node.path("deadline").asDouble(DEFAULT_DEADLINE);
         return new Settings.RequestClass(
                 node.path("name").asText(),
                 Math.max(1, node.path("aim").asDouble(deadline)),
                 deadline,
-                semantics,
-                scope,
+                semantics(node.path("semantics").asText()),
+                scope(node.path("keyScope").asText()),
                 node.path("repeatWindow").asDouble(0),
                 node.path("value").asDouble(1),
                 node.path("lateWorth").asDouble(0));
     }
+
+    private static Settings.Semantics semantics(String word) {
+        return switch (word) {
+            case "idempotent" -> Settings.Semantics.IDEMPOTENT;
+            case "deduplicated" -> Settings.Semantics.DEDUPLICATED;
+            default -> Settings.Semantics.AT_MOST_ONCE; // the strictest one, for an unknown word
+        };
+    }
+
+    private static Settings.Scope scope(String word) {
+        return switch (word) {
+            case "all" -> Settings.Scope.ALL;
+            case "zone" -> Settings.Scope.ZONE;
+            default -> Settings.Scope.CELL; // the strictest one, for an unknown word
+        };
+    }
 }
--- a/src/main/java/rillyard/settings/SettingsValidator.java
+++ b/src/main/java/rillyard/settings/SettingsValidator.java
@@ -6,71 +6,70 @@
 import java.util.Set;
 
 /**
- * Tells settings that can't be used from those that can, by key. What is absent, null or not known is no
- * fault; a value that {@link SettingsReader} would have to replace by a guess is one. Guards against a proxy
- * that serves for days on a deadline or a repeat window that nobody meant.
+ * Validates settings, so that a proxy does not serve with a deadline or an idempotency window that nobody meant. A key that
+ * is absent, null or not known is valid; a value that {@link SettingsReader} would have to replace by a default is not.
  */
 public final class SettingsValidator {
-    /** The longest time (ms) that settings may state: some eleven days. */
-    private static final double LONGEST_MS = 1e9;
+    /** The longest time that settings may state, some eleven days. */
+    private static final double MAX_MILLIS = 1e9;
 
-    private static final double MOST = Integer.MAX_VALUE;
+    private static final double MAX_NUMBER = Integer.MAX_VALUE;
+    private static final int MAX_TEXT_SHOWN = 60;
 
     private SettingsValidator() {}
 
     /**
-     * Checks the settings of a proxy.
+     * Validates the settings of a proxy.
      *
-     * @throws MalformedInputException if they can't be used; the message names the key, what was expected there
-     *     and what was found
+     * @throws MalformedInputException if a value can't be used; the message names the key, the expected and the actual value
      */
     public static void check(JsonNode settings) {
         if (settings == null || !settings.isObject()) {
             throw new MalformedInputException("settings: expected a JSON object");
         }
-        classes(list(settings, "classes"));
-        whole(settings, "", "balancers", 1, MOST);
-        whole(settings, "", "position", 0, MOST);
-        number(settings, "", "overShareWorth", 0, MOST);
+        checkClasses(list(settings, "classes"));
+        checkInteger(settings, "", "balancers", 1, MAX_NUMBER);
+        checkInteger(settings, "", "position", 0, MAX_NUMBER);
+        checkNumber(settings, "", "overShareWorth", 0, MAX_NUMBER);
         JsonNode limits = object(settings, "limits");
-        whole(limits, "limits.", "maxAttempts", 1, MOST);
-        whole(limits, "limits.", "maxOpen", 1, MOST);
-        time(limits, "limits.", "connIdle", 1);
-        time(limits, "limits.", "connectTimeout", 1);
-        time(limits, "limits.", "maxRetryAfter", 0);
+        checkInteger(limits, "limits.", "maxAttempts", 1, MAX_NUMBER);
+        checkInteger(limits, "limits.", "maxOpen", 1, MAX_NUMBER);
+        checkTime(limits, "limits.", "connIdle", 1);
+        checkTime(limits, "limits.", "connectTimeout", 1);
+        checkTime(limits, "limits.", "maxRetryAfter", 0);
         JsonNode rules = object(settings, "rules");
-        time(rules, "rules.", "cold", 0);
-        time(rules, "rules.", "fall", 0);
-        time(rules, "rules.", "drainGrace", 0);
-        time(rules, "rules.", "askWithin", 0);
-        number(rules, "rules.", "startCapacity", 0, 1);
-        number(rules, "rules.", "fallMultiple", 0, MOST);
+        checkTime(rules, "rules.", "cold", 0);
+        checkTime(rules, "rules.", "fall", 0);
+        checkTime(rules, "rules.", "drainGrace", 0);
+        checkTime(rules, "rules.", "askWithin", 0);
+        checkNumber(rules, "rules.", "startCapacity", 0, 1);
+        checkNumber(rules, "rules.", "fallMultiple", 0, MAX_NUMBER);
         JsonNode tenants = list(settings, "tenants");
         for (int i = 0; i < tenants.size(); i++) {
-            number(tenants.get(i), "tenants[" + i + "].", "portion", 0, MOST);
+            checkNumber(tenants.get(i), "tenants[" + i + "].", "portion", 0, MAX_NUMBER);
         }
     }
 
-    private static void classes(JsonNode classes) {
+    private static void checkClasses(JsonNode classes) {
         Set<String> names = new HashSet<>();
         for (int i = 0; i < classes.size(); i++) {
             JsonNode node = classes.get(i);
-            String where = "classes[" + i + "].";
+            String prefix = "classes[" + i + "].";
             JsonNode name = node.path("name");
             if (!name.isTextual() || name.asText().isBlank() || !names.add(name.asText())) {
-                throw invalid(where + "name", "a name that no other class has", name);
+                throw invalid(prefix + "name", "a name that no other class has", name);
             }
-            time(node, where, "deadline", 1);
-            time(node, where, "aim", 0);
-            time(node, where, "repeatWindow", 0);
-            number(node, where, "value", 0, MOST);
-            number(node, where, "lateWorth", 0, MOST);
+            checkTime(node, prefix, "deadline", 1);
+            checkTime(node, prefix, "aim", 0);
+            checkTime(node, prefix, "repeatWindow", 0);
+            checkNumber(node, prefix, "value", 0, MAX_NUMBER);
+            checkNumber(node, prefix, "lateWorth", 0, MAX_NUMBER);
         }
     }
 
     private static JsonNode object(JsonNode parent, String key) {
         JsonNode node = parent.path(key);
-        if (!absent(node) && !node.isObject()) {
+        if (!isAbsent(node) && !node.isObject()) {
             throw invalid(key, "an object", node);
         }
         return node;
@@ -78,38 +77,38 @@
 
     private static JsonNode list(JsonNode parent, String key) {
         JsonNode node = parent.path(key);
-        if (!absent(node) && !node.isArray()) {
+        if (!isAbsent(node) && !node.isArray()) {
             throw invalid(key, "a list", node);
         }
         return node;
     }
 
-    private static void time(JsonNode parent, String where, String key, double least) {
-        number(parent, where, key, least, LONGEST_MS);
+    private static void checkTime(JsonNode parent, String prefix, String key, double min) {
+        checkNumber(parent, prefix, key, min, MAX_MILLIS);
     }
 
-    private static void whole(JsonNode parent, String where, String key, double least, double most) {
-        number(parent, where, key, least, most);
+    private static void checkInteger(JsonNode parent, String prefix, String key, double min, double max) {
+        checkNumber(parent, prefix, key, min, max);
         JsonNode node = parent.path(key);
-        if (!absent(node) && node.asDouble() != Math.rint(node.asDouble())) {
-            throw invalid(where + key, "a whole number", node);
+        if (!isAbsent(node) && node.asDouble() != Math.rint(node.asDouble())) {
+            throw invalid(prefix + key, "a whole number", node);
         }
     }
 
-    private static void number(JsonNode parent, String where, String key, double least, double most) {
+    private static void checkNumber(JsonNode parent, String prefix, String key, double min, double max) {
         JsonNode node = parent.path(key);
-        if (!absent(node) && !(node.isNumber() && node.asDouble() >= least && node.asDouble() <= most)) {
-            throw invalid(where + key, String.format(Locale.ROOT, "a number from %.0f to %.0f", least, most), node);
+        if (!isAbsent(node) && !(node.isNumber() && node.asDouble() >= min && node.asDouble() <= max)) {
+            throw invalid(prefix + key, String.format(Locale.ROOT, "a number from %.0f to %.0f", min, max), node);
         }
     }
 
-    private static boolean absent(JsonNode node) {
+    private static boolean isAbsent(JsonNode node) {
         return node.isMissingNode() || node.isNull();
     }
 
-    private static MalformedInputException invalid(String key, String expected, JsonNode found) {
-        String shown = found.isMissingNode() ? "nothing" : found.toString();
+    private static MalformedInputException invalid(String key, String expected, JsonNode actual) {
+        String shown = actual.isMissingNode() ? "nothing" : actual.toString();
         return new MalformedInputException("settings." + key + ": expected " + expected + ", found "
-                + (shown.length() > 60 ? shown.substring(0, 60) + "..." : shown));
+                + (shown.length() > MAX_TEXT_SHOWN ? shown.substring(0, MAX_TEXT_SHOWN) + "..." : shown));
     }
 }
--- a/src/main/java/rillyard/simulation/SimulatorSession.java
+++ b/src/main/java/rillyard/simulation/SimulatorSession.java
@@ -11,7 +11,6 @@
 import rillyard.balancer.AttemptOutcome;
 import rillyard.balancer.AttemptResult;
 import rillyard.balancer.Balancer;
-import rillyard.balancer.BalancerActions;
 import rillyard.balancer.EndpointEntry;
 import rillyard.balancer.IncomingRequest;
 import rillyard.balancer.LoadReport;
@@ -19,282 +18,238 @@
 import rillyard.settings.MalformedInputException;
 import rillyard.settings.SettingsReader;
 
-/** Hosts one {@link Balancer} for each instance named on the wire and speaks the wire for them. */
+/**
+ * One session with the simulator: feeds the events it writes to one {@link Balancer} for each proxy it names, and replies
+ * with their actions. Not thread-safe.
+ */
 public final class SimulatorSession {
+    /** The outcomes by their codes on the wire; code 0 is not used. */
+    private static final AttemptOutcome[] OUTCOMES = {
+        null,
+        AttemptOutcome.OK,
+        AttemptOutcome.ERROR,
+        AttemptOutcome.REJECTED,
+        AttemptOutcome.TIMEOUT,
+        AttemptOutcome.CONNECT_FAILED,
+        AttemptOutcome.RESET,
+        AttemptOutcome.CANCELLED,
+        AttemptOutcome.NOT_SENT
+    };
+
     private final WireReader reader;
     private final OutputStream out;
-    private final PrintStream err;
-    private final WireMessage line = new WireMessage();
+    private final PrintStream errors;
+    private final WireMessage message = new WireMessage();
     private final WireWriter reply = new WireWriter();
-    private final Map<Long, Balancer> instances = new HashMap<>();
+    private final Map<Long, Balancer> balancers = new HashMap<>();
     private final Map<Long, List<EndpointEntry>> endpointLists = new HashMap<>();
     private double now;
 
-    /** Creates an adapter on these streams. */
-    public SimulatorSession(InputStream in, OutputStream out, PrintStream err) {
+    /** Creates a session on these streams; stack traces of failures go to {@code errors}. */
+    public SimulatorSession(InputStream in, OutputStream out, PrintStream errors) {
         this.reader = new WireReader(in);
         this.out = out;
-        this.err = err;
+        this.errors = errors;
     }
 
     /**
-     * Answers batches until the input ends.
+     * Replies to batches until the input ends, or until a balancer has failed.
      *
-     * @throws MalformedInputException if the input is not of the wire
+     * @throws MalformedInputException if the input is malformed
      */
     public void run() throws IOException {
-        while (reader.next(line)) {
-            if (!line.named("sync")) {
-                throw line.malformed("a batch starts with 'sync'");
+        while (reader.next(message)) {
+            if (!message.isNamed("sync")) {
+                throw message.malformed("a batch starts with 'sync'");
             }
-            now = line.decimal("wall");
-            boolean alive = batch();
+            now = message.decimal("wall");
+            boolean succeeded = handleBatch();
             reply.flush(out);
-            if (!alive) {
+            if (!succeeded) {
                 return;
             }
         }
     }
 
-    private boolean batch() throws IOException {
-        boolean alive = true;
+    /** Handles the events of a batch; after a failure the others are read, but not handled. Returns false then. */
+    private boolean handleBatch() throws IOException {
+        boolean succeeded = true;
         while (true) {
-            if (!reader.next(line)) {
+            if (!reader.next(message)) {
                 throw new MalformedInputException("the input ends in the middle of a batch");
             }
-            if (line.named("eob")) {
-                reply.word("ok").end();
-                return alive;
-            }
-            if (alive) {
-                try {
-                    event();
-                } catch (MalformedInputException e) {
-                    throw e;
-                } catch (RuntimeException e) {
-                    // A failure of the decisions must be seen, never swallowed.
-                    e.printStackTrace(err);
-                    long who = line.number("who", 0);
-                    reply.word("crash who=")
-                            .number(who)
-                            .word(" text=")
-                            .text(e.toString())
-                            .end();
-                    alive = false;
-                }
+            if (message.isNamed("eob")) {
+                reply.word("ok").endLine();
+                return succeeded;
             }
+            succeeded = succeeded && tryHandleEvent();
         }
     }
 
-    private void event() throws IOException {
-        if (line.named("outcome")) {
-            outcome();
-        } else if (line.named("inbound")) {
-            inbound();
-        } else if (line.named("wake")) {
-            wake();
-        } else if (line.named("ledger")) {
-            ledger();
-        } else if (line.named("membership")) {
-            membership();
-        } else if (line.named("gone")) {
-            Balancer balancer = instance();
-            long id = line.number("txn");
-            if (balancer != null) {
-                balancer.onClientDisconnected(now, id);
-            }
-        } else if (line.named("retire")) {
-            instances.remove(line.number("who"));
-        } else if (line.named("new_instance")) {
-            long who = line.number("who");
-            Balancer b = new Balancer(SettingsReader.read(line.string("conf")), line.number("prng"), new Wire(who));
-            instances.put(who, b);
-            b.onStart(now);
-        } else if (line.named("sync") || line.named("host")) {
-            throw line.malformed("'" + line.name() + "' is out of place");
+    private boolean tryHandleEvent() throws IOException {
+        try {
+            handleEvent();
+            return true;
+        } catch (MalformedInputException e) {
+            throw e;
+        } catch (RuntimeException e) {
+            // A defect of the decisions: the simulator has to see it.
+            e.printStackTrace(errors);
+            reply.word("crash who=").number(message.number("who", 0));
+            reply.word(" text=").text(e.toString()).endLine();
+            return false;
+        }
+    }
+
+    /** Handles one event; one of an unknown kind is skipped. */
+    private void handleEvent() throws IOException {
+        if (message.isNamed("outcome")) {
+            onOutcome();
+        } else if (message.isNamed("inbound")) {
+            onInbound();
+        } else if (message.isNamed("wake")) {
+            onWake();
+        } else if (message.isNamed("ledger")) {
+            readEndpointList();
+        } else if (message.isNamed("membership")) {
+            onMembership();
+        } else if (message.isNamed("gone")) {
+            onGone();
+        } else if (message.isNamed("retire")) {
+            balancers.remove(message.number("who"));
+        } else if (message.isNamed("new_instance")) {
+            startInstance();
+        } else if (message.isNamed("sync") || message.isNamed("host")) {
+            throw message.malformed("'" + message.name() + "' is out of place");
         }
-        // An event that is not known is skipped.
     }
 
-    private Balancer instance() {
-        return instances.get(line.number("who"));
+    /** Returns the balancer the event is for, null if it has been retired. */
+    private Balancer balancer() {
+        return balancers.get(message.number("who"));
     }
 
-    private void outcome() {
-        Balancer balancer = instance();
-        long id = line.number("txn");
-        int number = (int) line.number("sendNo");
-        AttemptOutcome result = result((int) line.number("reason"));
-        double spent = line.decimal("spent", 0);
-        boolean over = line.flag("terminal");
+    private void startInstance() {
+        long instance = message.number("who");
+        WireActions actions = new WireActions(reply, instance);
+        Balancer balancer = new Balancer(SettingsReader.read(message.string("conf")), message.number("prng"), actions);
+        balancers.put(instance, balancer);
+        balancer.onStart(now);
+    }
+
+    private void onOutcome() {
+        Balancer balancer = balancer();
+        long request = message.number("txn");
+        AttemptResult result = new AttemptResult(
+                (int) message.number("sendNo"),
+                outcome((int) message.number("reason")),
+                message.decimal("spent", 0),
+                message.flag("terminal"),
+                balancer == null ? null : loadReport());
         if (balancer != null) {
-            // A reason that is not known proves nothing: as an error, it may have run.
-            balancer.onAttemptEnded(
-                    now,
-                    id,
-                    new AttemptResult(number, result == null ? AttemptOutcome.ERROR : result, spent, over, load()));
+            balancer.onAttemptEnded(now, request, result);
         }
     }
 
-    private void inbound() {
-        Balancer balancer = instance();
-        long id = line.number("txn");
-        String type = line.string("class");
-        double budget = line.decimal("budget");
+    /** An unknown code is taken for an error, which proves nothing about the effect. */
+    private static AttemptOutcome outcome(int code) {
+        return code > 0 && code < OUTCOMES.length ? OUTCOMES[code] : AttemptOutcome.ERROR;
+    }
+
+    private LoadReport loadReport() {
+        double[] values = message.metrics("load", "rif", "q", "busy", "lat_ms", "rate", "fail_rate");
+        return values == null ? null : new LoadReport(values[0], values[1], values[2], values[3], values[4], values[5]);
+    }
+
+    private void onInbound() {
+        Balancer balancer = balancer();
+        long request = message.number("txn");
+        String requestClass = message.string("class");
+        double remainingTime = message.decimal("budget");
         if (balancer != null) {
+            String tenant = message.string("org", null);
+            double estimatedCost = message.decimal("estimate", Double.NaN);
+            boolean retry = message.flag("resent");
             balancer.onRequest(
-                    now,
-                    new IncomingRequest(
-                            id,
-                            type,
-                            line.string("org", null),
-                            budget,
-                            line.decimal("estimate", Double.NaN),
-                            line.flag("resent")));
+                    now, new IncomingRequest(request, requestClass, tenant, remainingTime, estimatedCost, retry));
+        }
+    }
+
+    private void onGone() {
+        Balancer balancer = balancer();
+        long request = message.number("txn");
+        if (balancer != null) {
+            balancer.onClientDisconnected(now, request);
         }
     }
 
-    private void wake() {
-        Balancer balancer = instance();
-        long token = line.number("token");
+    private void onWake() {
+        Balancer balancer = balancer();
+        long token = message.number("token");
         if (balancer != null) {
             balancer.onTimer(now, token);
         }
     }
 
-    private void ledger() throws IOException {
-        long buffer = line.number("buffer");
-        long records = line.number("records");
+    private void readEndpointList() throws IOException {
+        long buffer = message.number("buffer");
+        long records = message.number("records");
         List<EndpointEntry> entries = new ArrayList<>();
-        for (long i = 0; i < records; i++) {
-            if (!reader.next(line)) {
+        for (long record = 0; record < records; record++) {
+            if (!reader.next(message)) {
                 throw new MalformedInputException("the input ends in the middle of a ledger");
             }
-            if (!line.named("host")) {
-                throw line.malformed("a ledger has fewer 'host' lines than it says");
+            if (!message.isNamed("host")) {
+                throw message.malformed("a ledger has fewer 'host' lines than it says");
             }
-            entries.add(new EndpointEntry(
-                    line.number("host"),
-                    line.string("hall", ""),
-                    line.string("model", ""),
-                    line.number("group", 0),
-                    condition(line.string("condition", "Ready")),
-                    line.decimal("capacityHint", 1),
-                    line.decimal("onlineSince", 0)));
+            entries.add(endpointEntry());
         }
         endpointLists.put(buffer, entries);
     }
 
-    private static EndpointEntry.Condition condition(String s) {
-        return switch (s) {
+    private EndpointEntry endpointEntry() {
+        return new EndpointEntry(
+                message.number("host"),
+                message.string("hall", ""),
+                message.string("model", ""),
+                message.number("group", 0),
+                condition(message.string("condition", "Ready")),
+                message.decimal("capacityHint", 1),
+                message.decimal("onlineSince", 0));
+    }
+
+    private static EndpointEntry.Condition condition(String word) {
+        return switch (word) {
             case "Ready" -> EndpointEntry.Condition.READY;
             case "Gone" -> EndpointEntry.Condition.GONE;
-            default -> EndpointEntry.Condition.TERMINATING; // nothing new goes to a state not known
+            default -> EndpointEntry.Condition.TERMINATING; // nothing new is sent to a host in an unknown condition
         };
     }
 
-    private void membership() {
-        Balancer balancer = instance();
-        WatchEvent how =
-                switch (line.string("how")) {
-                    case "delta" -> WatchEvent.DELTA;
-                    case "full" -> WatchEvent.FULL;
-                    case "cached" -> WatchEvent.CACHED;
-                    case "failed" -> WatchEvent.FAILED;
-                    default -> null;
-                };
-        if (balancer == null || how == null) {
+    private void onMembership() {
+        Balancer balancer = balancer();
+        WatchEvent event = watchEvent(message.string("how"));
+        if (balancer == null || event == null) {
             return;
         }
         List<EndpointEntry> entries = List.of();
-        if (how != WatchEvent.FAILED) {
-            entries = endpointLists.get(line.number("buffer"));
+        if (event != WatchEvent.FAILED) {
+            entries = endpointLists.get(message.number("buffer"));
             if (entries == null) {
-                throw line.malformed("no ledger with this number has come");
+                throw message.malformed("no ledger with this number has come");
             }
         }
-        balancer.onWatchEvent(now, how, entries);
+        balancer.onWatchEvent(now, event, entries);
     }
 
-    private LoadReport load() {
-        double[] v = line.report("load", "rif", "q", "busy", "lat_ms", "rate", "fail_rate");
-        return v == null ? null : new LoadReport(v[0], v[1], v[2], v[3], v[4], v[5]);
-    }
-
-    private static AttemptOutcome result(int code) {
-        return switch (code) {
-            case 1 -> AttemptOutcome.OK;
-            case 2 -> AttemptOutcome.ERROR;
-            case 3 -> AttemptOutcome.REJECTED;
-            case 4 -> AttemptOutcome.TIMEOUT;
-            case 5 -> AttemptOutcome.CONNECT_FAILED;
-            case 6 -> AttemptOutcome.RESET;
-            case 7 -> AttemptOutcome.CANCELLED;
-            case 8 -> AttemptOutcome.NOT_SENT;
+    /** Returns the kind of event by its word on the wire, null for an unknown one. */
+    private static WatchEvent watchEvent(String word) {
+        return switch (word) {
+            case "delta" -> WatchEvent.DELTA;
+            case "full" -> WatchEvent.FULL;
+            case "cached" -> WatchEvent.CACHED;
+            case "failed" -> WatchEvent.FAILED;
             default -> null;
         };
     }
-
-    /** The actions of one instance, written in the order they are made. */
-    private final class Wire implements BalancerActions {
-        private final long who;
-
-        Wire(long who) {
-            this.who = who;
-        }
-
-        private WireWriter start(String action) {
-            return reply.word(action).word(" who=").number(who);
-        }
-
-        @Override
-        public void send(
-                long request, long host, double giveUpAfter, double notAfter) { // the wire has no late connects
-            start("transmit").word(" txn=").number(request).word(" host=").number(host);
-            if (giveUpAfter > 0) {
-                reply.word(" giveUpAfter=").time(giveUpAfter);
-            }
-            reply.end();
-        }
-
-        @Override
-        public void reject(long request, double coolDown) {
-            start("shed").word(" txn=").number(request);
-            if (coolDown > 0) {
-                reply.word(" coolDown=").time(coolDown);
-            }
-            reply.end();
-        }
-
-        @Override
-        public void fail(long request) {
-            start("abort").word(" txn=").number(request).end();
-        }
-
-        @Override
-        public void cancel(long request, int attempt) {
-            start("cancel")
-                    .word(" txn=")
-                    .number(request)
-                    .word(" sendNo=")
-                    .number(attempt)
-                    .end();
-        }
-
-        @Override
-        public void scheduleTimer(double delay, long token) {
-            start("set_timer").word(" sleepFor=").time(Math.max(0, delay));
-            reply.word(" token=").number(token).end();
-        }
-
-        @Override
-        public void subscribe() {
-            start("follow").word(" active=1").end();
-        }
-
-        @Override
-        public void log(String text) {
-            start("say_log").word(" text=").text(text).end();
-        }
-    }
 }
--- a/src/main/java/rillyard/simulation/WireMessage.java
+++ b/src/main/java/rillyard/simulation/WireMessage.java
@@ -4,74 +4,91 @@
 import java.util.Arrays;
 import rillyard.settings.MalformedInputException;
 
-/** One line of the wire, taken apart in place: a name and name=value fields. */
+/**
+ * One line of the wire, {@code name key=value key=value ...}, parsed in place without copying the bytes.
+ *
+ * <p>An instance is used for one line after the other; it is valid until its bytes change. The accessors throw {@link
+ * MalformedInputException} if a field is missing or not of the type asked for. Not thread-safe.
+ */
 final class WireMessage {
-    private static final int MAX_TEXT = 60;
+    private static final int MAX_TEXT_SHOWN = 60;
+    private static final int INITIAL_FIELDS = 16;
 
-    private byte[] buf = {};
+    private byte[] buffer = {};
     private int start;
     private int end;
     private int nameEnd;
-    private int count;
-    private int[] keyStart = new int[16];
-    private int[] keyEnd = new int[16];
-    private int[] valueEnd = new int[16];
-
-    /** Points this at {@code buf[start, end)} and finds the fields; {@code conf} runs to the end. */
-    void parse(byte[] buf, int start, int end) {
-        this.buf = buf;
-        this.start = start;
-        this.end = end;
-        count = 0;
-        int i = start;
-        while (i < end && buf[i] != ' ') {
-            i++;
-        }
-        nameEnd = i;
+    private int fieldCount;
+    private int[] keyStart = new int[INITIAL_FIELDS];
+    private int[] keyEnd = new int[INITIAL_FIELDS];
+    private int[] valueEnd = new int[INITIAL_FIELDS];
+
+    /** Parses the line in {@code bytes[from, to)}; the value of {@code conf} and {@code text} runs to its end. */
+    void parse(byte[] bytes, int from, int to) {
+        buffer = bytes;
+        start = from;
+        end = to;
+        fieldCount = 0;
+        nameEnd = indexOf(' ', from);
         if (nameEnd == start) {
             throw malformed("a line without a name");
         }
-        while (i < end) {
-            int key = ++i;
-            while (i < end && buf[i] != '=' && buf[i] != ' ') {
-                i++;
-            }
-            if (i >= end || buf[i] != '=' || i == key) {
-                throw malformed("a field is not name=value");
-            }
-            int equals = i;
-            boolean text = matches(key, equals, "conf") || matches(key, equals, "text");
-            while (i < end && (text || buf[i] != ' ')) {
-                i++;
-            }
-            add(key, equals, i);
+        int position = nameEnd;
+        while (position < end) {
+            position = parseField(position + 1);
         }
     }
 
-    private void add(int key, int equals, int valEnd) {
-        if (count == keyStart.length) {
-            keyStart = Arrays.copyOf(keyStart, 2 * count);
-            keyEnd = Arrays.copyOf(keyEnd, 2 * count);
-            valueEnd = Arrays.copyOf(valueEnd, 2 * count);
+    /** Parses the field whose key starts at {@code key} and returns where it ends. */
+    private int parseField(int key) {
+        int equals = key;
+        while (equals < end && buffer[equals] != '=' && buffer[equals] != ' ') {
+            equals++;
         }
-        keyStart[count] = key;
-        keyEnd[count] = equals;
-        valueEnd[count++] = valEnd;
+        if (equals >= end || buffer[equals] != '=' || equals == key) {
+            throw malformed("a field is not name=value");
+        }
+        boolean freeText = matches(key, equals, "conf") || matches(key, equals, "text");
+        int fieldEnd = freeText ? end : indexOf(' ', equals);
+        addField(key, equals, fieldEnd);
+        return fieldEnd;
     }
 
-    private boolean matches(int from, int to, String s) {
-        if (to - from != s.length()) {
+    /** Returns the index of the next such byte of the line, its end if there is none. */
+    private int indexOf(char wanted, int from) {
+        int index = from;
+        while (index < end && buffer[index] != wanted) {
+            index++;
+        }
+        return index;
+    }
+
+    private void addField(int key, int equals, int fieldEnd) {
+        if (fieldCount == keyStart.length) {
+            keyStart = Arrays.copyOf(keyStart, 2 * fieldCount);
+            keyEnd = Arrays.copyOf(keyEnd, 2 * fieldCount);
+            valueEnd = Arrays.copyOf(valueEnd, 2 * fieldCount);
+        }
+        keyStart[fieldCount] = key;
+        keyEnd[fieldCount] = equals;
+        valueEnd[fieldCount] = fieldEnd;
+        fieldCount++;
+    }
+
+    private boolean matches(int from, int to, String text) {
+        if (to - from != text.length()) {
             return false;
         }
-        for (int i = 0; i < s.length(); i++) {
-            if (buf[from + i] != s.charAt(i)) {
+        for (int index = 0; index < text.length(); index++) {
+            if (buffer[from + index] != text.charAt(index)) {
                 return false;
             }
         }
         return true;
     }
 
-    boolean named(String name) {
+    /** Whether the line has this name. */
+    boolean isNamed(String name) {
         return matches(start, nameEnd, name);
     }
 
@@ -79,146 +96,127 @@
         return text(start, nameEnd);
     }
 
+    /** Returns the index of a field, -1 if there is none. */
     private int find(String key) {
-        for (int i = 0; i < count; i++) {
-            if (matches(keyStart[i], keyEnd[i], key)) {
-                return i;
+        for (int field = 0; field < fieldCount; field++) {
+            if (matches(keyStart[field], keyEnd[field], key)) {
+                return field;
             }
         }
         return -1;
     }
 
-    private int need(String key) {
-        int i = find(key);
-        if (i < 0) {
+    private int require(String key) {
+        int field = find(key);
+        if (field < 0) {
             throw malformed("field '" + key + "' is missing");
         }
-        return i;
+        return field;
     }
 
+    /** Returns a required integer. */
     long number(String key) {
-        int i = need(key);
-        return integer(keyEnd[i] + 1, valueEnd[i], key);
+        return longValue(require(key), key);
     }
 
-    long number(String key, long absent) {
-        int i = find(key);
-        return i < 0 ? absent : integer(keyEnd[i] + 1, valueEnd[i], key);
+    /** Returns an integer, {@code defaultValue} if the field is missing. */
+    long number(String key, long defaultValue) {
+        int field = find(key);
+        return field < 0 ? defaultValue : longValue(field, key);
     }
 
-    private long integer(int from, int to, String key) {
-        boolean minus = from < to && buf[from] == '-';
-        long v = 0;
-        int i = minus ? from + 1 : from;
-        if (i >= to || to - i > 18) {
-            throw malformed("field '" + key + "' is not a whole number");
-        }
-        for (; i < to; i++) {
-            int digit = buf[i] - '0';
-            if (digit < 0 || digit > 9) {
-                throw malformed("field '" + key + "' is not a whole number");
-            }
-            v = 10 * v + digit;
+    private long longValue(int field, String key) {
+        try {
+            return WireNumbers.parseLong(buffer, keyEnd[field] + 1, valueEnd[field]);
+        } catch (NumberFormatException e) {
+            throw malformed("field '" + key + "' is not a whole number", e);
         }
-        return minus ? -v : v;
     }
 
+    /** Returns a required finite number. */
     double decimal(String key) {
-        int i = need(key);
-        return decimal(keyEnd[i] + 1, valueEnd[i], key);
+        int field = require(key);
+        return doubleValue(keyEnd[field] + 1, valueEnd[field], key);
     }
 
-    double decimal(String key, double absent) {
-        int i = find(key);
-        return i < 0 ? absent : decimal(keyEnd[i] + 1, valueEnd[i], key);
+    /** Returns a finite number, {@code defaultValue} if the field is missing. */
+    double decimal(String key, double defaultValue) {
+        int field = find(key);
+        return field < 0 ? defaultValue : doubleValue(keyEnd[field] + 1, valueEnd[field], key);
     }
 
-    private double decimal(int from, int to, String key) {
-        // Plain digits with a fraction are the rule; anything else goes the slow way.
-        long whole = 0;
-        double scale = 1;
-        boolean fraction = false;
-        if (from >= to) {
-            throw malformed("field '" + key + "' is not a number");
+    private double doubleValue(int from, int to, String key) {
+        try {
+            return WireNumbers.parseDouble(buffer, from, to);
+        } catch (NumberFormatException e) {
+            throw malformed("field '" + key + "' is not a number", e);
         }
-        for (int i = from; i < to; i++) {
-            int b = buf[i];
-            if (b == '.' && !fraction && to - from > 1) {
-                fraction = true;
-            } else if (b >= '0' && b <= '9' && to - from < 17) {
-                whole = 10 * whole + (b - '0');
-                if (fraction) {
-                    scale *= 10;
-                }
-            } else {
-                try {
-                    double v = Double.parseDouble(text(from, to));
-                    if (!Double.isFinite(v)) {
-                        throw malformed("field '" + key + "' is not a number");
-                    }
-                    return v;
-                } catch (NumberFormatException e) {
-                    throw malformed("field '" + key + "' is not a number");
-                }
-            }
-        }
-        return whole / scale;
     }
 
+    /** Whether the field is there and is {@code 1}. */
     boolean flag(String key) {
-        int i = find(key);
-        return i >= 0 && valueEnd[i] == keyEnd[i] + 2 && buf[keyEnd[i] + 1] == '1';
+        int field = find(key);
+        return field >= 0 && matches(keyEnd[field] + 1, valueEnd[field], "1");
     }
 
+    /** Returns a required text. */
     String string(String key) {
-        int i = need(key);
-        return text(keyEnd[i] + 1, valueEnd[i]);
+        int field = require(key);
+        return text(keyEnd[field] + 1, valueEnd[field]);
     }
 
-    String string(String key, String absent) {
-        int i = find(key);
-        return i < 0 ? absent : text(keyEnd[i] + 1, valueEnd[i]);
+    /** Returns a text, {@code defaultValue} if the field is missing. */
+    String string(String key, String defaultValue) {
+        int field = find(key);
+        return field < 0 ? defaultValue : text(keyEnd[field] + 1, valueEnd[field]);
     }
 
-    /** The figures of a report field, by the order of {@code names}; null if there is none. */
-    double[] report(String key, String... names) {
-        int f = find(key);
-        if (f < 0) {
+    /**
+     * Returns the values of a field of the form {@code name:value,name:value}, in the order of {@code names}. A value that is
+     * not there is NaN and an unknown name is skipped; {@code -} is a field without values.
+     *
+     * @return null if the field is missing
+     */
+    double[] metrics(String key, String... names) {
+        int field = find(key);
+        if (field < 0) {
             return null;
         }
         double[] values = new double[names.length];
         Arrays.fill(values, Double.NaN);
-        int i = keyEnd[f] + 1;
-        int stop = valueEnd[f];
-        while (i < stop) {
-            int colon = i;
-            while (colon < stop && buf[colon] != ':' && buf[colon] != ',') {
-                colon++;
-            }
-            int comma = colon;
-            while (comma < stop && buf[comma] != ',') {
-                comma++;
-            }
-            if (colon < comma) {
-                for (int k = 0; k < names.length; k++) {
-                    if (matches(i, colon, names[k])) {
-                        values[k] = decimal(colon + 1, comma, key);
-                    }
+        int from = keyEnd[field] + 1;
+        while (from < valueEnd[field]) {
+            int to = Math.min(indexOf(',', from), valueEnd[field]);
+            parseMetric(from, to, key, names, values);
+            from = to + 1;
+        }
+        return values;
+    }
+
+    private void parseMetric(int from, int to, String key, String[] names, double[] values) {
+        int colon = Math.min(indexOf(':', from), to);
+        if (colon < to) {
+            for (int index = 0; index < names.length; index++) {
+                if (matches(from, colon, names[index])) {
+                    values[index] = doubleValue(colon + 1, to, key);
                 }
-            } else if (comma > i && !matches(i, comma, "-")) {
-                throw malformed("field '" + key + "' is not name:value pairs");
             }
-            i = comma + 1;
+        } else if (to > from && !matches(from, to, "-")) {
+            throw malformed("field '" + key + "' is not name:value pairs");
         }
-        return values;
     }
 
     private String text(int from, int to) {
-        return new String(buf, from, to - from, StandardCharsets.UTF_8);
+        return new String(buffer, from, to - from, StandardCharsets.UTF_8);
+    }
+
+    /** Returns an exception whose message says {@code reason} and shows the start of the line. */
+    MalformedInputException malformed(String reason) {
+        return malformed(reason, null);
     }
 
-    MalformedInputException malformed(String why) {
-        String shown = text(start, Math.min(end, start + MAX_TEXT));
-        return new MalformedInputException("malformed line: " + why + ": " + shown);
+    private MalformedInputException malformed(String reason, Throwable cause) {
+        String shown = text(start, Math.min(end, start + MAX_TEXT_SHOWN));
+        return new MalformedInputException("malformed line: " + reason + ": " + shown, cause);
     }
 }
--- a/src/main/java/rillyard/simulation/WireReader.java
+++ b/src/main/java/rillyard/simulation/WireReader.java
@@ -5,10 +5,12 @@
 import java.util.Arrays;
 import rillyard.settings.MalformedInputException;
 
-/** Cuts a stream into lines without copying them; a line is valid until the next call. */
+/** Splits a stream into lines without copying them. Not thread-safe. */
 final class WireReader {
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
+
     private final InputStream in;
-    private byte[] buf = new byte[1 << 16];
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int from;
     private int to;
 
@@ -16,35 +18,44 @@
         this.in = in;
     }
 
-    /** Points {@code line} at the next line; false at the end of the input. */
-    boolean next(WireMessage line) throws IOException {
+    /**
+     * Parses the next line into {@code message}, which is valid until the next call.
+     *
+     * @return false at the end of the input
+     * @throws MalformedInputException if the line is malformed, or the input ends within it
+     */
+    boolean next(WireMessage message) throws IOException {
         int scanned = from;
         while (true) {
-            for (int i = scanned; i < to; i++) {
-                if (buf[i] == '\n') {
+            for (int index = scanned; index < to; index++) {
+                if (buffer[index] == '\n') {
                     int start = from;
-                    from = i + 1;
-                    line.parse(buf, start, i > start && buf[i - 1] == '\r' ? i - 1 : i);
+                    from = index + 1;
+                    boolean carriageReturn = index > start && buffer[index - 1] == '\r';
+                    message.parse(buffer, start, carriageReturn ? index - 1 : index);
                     return true;
                 }
             }
-            int pending = to - from;
-            if (from > 0) {
-                System.arraycopy(buf, from, buf, 0, pending);
-                from = 0;
-                to = pending;
-            } else if (to == buf.length) {
-                buf = Arrays.copyOf(buf, 2 * buf.length);
-            }
+            makeRoom();
             scanned = to;
-            int n = in.read(buf, to, buf.length - to);
-            if (n < 0) {
+            int read = in.read(buffer, to, buffer.length - to);
+            if (read < 0) {
                 if (to > from) {
                     throw new MalformedInputException("the input ends in the middle of a line");
                 }
                 return false;
             }
-            to += n;
+            to += read;
+        }
+    }
+
+    private void makeRoom() {
+        if (from > 0) {
+            System.arraycopy(buffer, from, buffer, 0, to - from);
+            to -= from;
+            from = 0;
+        } else if (to == buffer.length) {
+            buffer = Arrays.copyOf(buffer, 2 * buffer.length);
         }
     }
 }
--- a/src/main/java/rillyard/simulation/WireWriter.java
+++ b/src/main/java/rillyard/simulation/WireWriter.java
@@ -5,80 +5,92 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Collects the lines of one reply as bytes. */
+/** Collects the lines of one reply as bytes. The methods return the writer itself. Not thread-safe. */
 final class WireWriter {
-    private byte[] buf = new byte[1 << 14];
+    private static final int INITIAL_BUFFER_BYTES = 1 << 14;
+    private static final int MAX_LONG_LENGTH = 20;
+    private static final int MICROS_PER_MILLI = 1_000;
+
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int size;
 
-    WireWriter word(String s) {
-        int n = s.length();
-        room(n);
-        for (int i = 0; i < n; i++) {
-            buf[size++] = (byte) s.charAt(i);
+    /** Appends ASCII characters as they are. */
+    WireWriter word(String word) {
+        int length = word.length();
+        ensureCapacity(length);
+        for (int index = 0; index < length; index++) {
+            buffer[size++] = (byte) word.charAt(index);
         }
         return this;
     }
 
-    WireWriter number(long v) {
-        room(20);
-        if (v < 0) {
-            buf[size++] = '-';
-            v = -v;
+    /** Appends an integer. */
+    WireWriter number(long number) {
+        ensureCapacity(MAX_LONG_LENGTH);
+        if (number < 0) {
+            buffer[size++] = '-';
         }
         int first = size;
+        long rest = Math.abs(number);
         do {
-            buf[size++] = (byte) ('0' + v % 10);
-            v /= 10;
-        } while (v > 0);
-        for (int i = first, j = size - 1; i < j; i++, j--) {
-            byte b = buf[i];
-            buf[i] = buf[j];
-            buf[j] = b;
-        }
+            buffer[size++] = (byte) ('0' + rest % 10);
+            rest /= 10;
+        } while (rest > 0);
+        reverse(first, size - 1);
         return this;
     }
 
-    /** A time in ms with microseconds. */
-    WireWriter time(double ms) {
-        long us = Math.round(ms * 1000);
-        if (us < 0) {
+    private void reverse(int first, int last) {
+        for (int left = first, right = last; left < right; left++, right--) {
+            byte swapped = buffer[left];
+            buffer[left] = buffer[right];
+            buffer[right] = swapped;
+        }
+    }
+
+    /** Appends a time in ms, with microseconds if it is not a whole number of ms. */
+    WireWriter time(double millis) {
+        long micros = Math.round(millis * MICROS_PER_MILLI);
+        if (micros < 0) {
             word("-");
-            us = -us;
+            micros = -micros;
         }
-        number(us / 1000);
-        long rest = us % 1000;
-        if (rest > 0) {
-            room(4);
-            buf[size++] = '.';
-            buf[size++] = (byte) ('0' + rest / 100);
-            buf[size++] = (byte) ('0' + rest / 10 % 10);
-            buf[size++] = (byte) ('0' + rest % 10);
+        number(micros / MICROS_PER_MILLI);
+        long fraction = micros % MICROS_PER_MILLI;
+        if (fraction > 0) {
+            ensureCapacity(4);
+            buffer[size++] = '.';
+            buffer[size++] = (byte) ('0' + fraction / 100);
+            buffer[size++] = (byte) ('0' + fraction / 10 % 10);
+            buffer[size++] = (byte) ('0' + fraction % 10);
         }
         return this;
     }
 
-    /** Free text, kept to one line. */
-    WireWriter text(String s) {
-        byte[] b = s.replace('\n', ' ').replace('\r', ' ').getBytes(StandardCharsets.UTF_8);
-        room(b.length);
-        System.arraycopy(b, 0, buf, size, b.length);
-        size += b.length;
+    /** Appends free text in UTF-8, with line ends replaced by blanks. */
+    WireWriter text(String text) {
+        byte[] bytes = text.replace('\n', ' ').replace('\r', ' ').getBytes(StandardCharsets.UTF_8);
+        ensureCapacity(bytes.length);
+        System.arraycopy(bytes, 0, buffer, size, bytes.length);
+        size += bytes.length;
         return this;
     }
 
-    void end() {
-        room(1);
-        buf[size++] = '\n';
+    /** Ends the line. */
+    void endLine() {
+        ensureCapacity(1);
+        buffer[size++] = '\n';
     }
 
-    private void room(int n) {
-        if (size + n > buf.length) {
-            buf = Arrays.copyOf(buf, Math.max(2 * buf.length, size + n));
+    private void ensureCapacity(int more) {
+        if (size + more > buffer.length) {
+            buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, size + more));
         }
     }
 
+    /** Writes the collected lines and starts anew. */
     void flush(OutputStream out) throws IOException {
-        out.write(buf, 0, size);
+        out.write(buffer, 0, size);
         out.flush();
         size = 0;
     }
--- a/src/test/java/rillyard/settings/JsonTreeReaderTest.java
+++ b/src/test/java/rillyard/settings/JsonTreeReaderTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Compares the trees with those of the mapper that the reader replaces. */
 class JsonTreeReaderTest {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -29,7 +30,7 @@
                 "{\"a\":1,\"a\":{\"b\":2}}",
                 " {\"a\":1} trailing"
             })
-    void readsWhatTheMapperReads(String text) throws Exception {
+    void treeEqualsMappersTree(String text) throws Exception {
         byte[] padded = ("##" + text + "##").getBytes(StandardCharsets.UTF_8);
         assertThat(JsonTreeReader.read(padded, 2, padded.length - 4)).isEqualTo(MAPPER.readTree(text));
         assertThat(JsonTreeReader.read(text)).isEqualTo(MAPPER.readTree(text));
@@ -37,18 +38,18 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"{", "[1,", "{\"a\"}", "{\"a\":}", "nul", "{\"a\":1]", "[1 2]", "'a'", "NaN", "]"})
-    void turnsAwayWhatIsNoJson(String text) {
+    void invalidJsonThrows(String text) {
         assertThatThrownBy(() -> JsonTreeReader.read(text.getBytes(StandardCharsets.UTF_8)))
                 .isInstanceOf(JsonProcessingException.class);
     }
 
     @Test
-    void aNestWithoutEndIsTurnedAwayAndNoOverflowOfTheStack() {
+    void deepNestingThrowsWithoutStackOverflow() {
         assertThatThrownBy(() -> JsonTreeReader.read("[".repeat(100_000))).isInstanceOf(JsonProcessingException.class);
     }
 
     @Test
-    void nothingButBlanksIsNoValue() throws Exception {
+    void whitespaceOnlyIsNull() throws Exception {
         assertThat(JsonTreeReader.read(" \n".getBytes(StandardCharsets.UTF_8))).isNull();
     }
 }
--- a/src/test/java/rillyard/settings/SettingsValidatorTest.java
+++ b/src/test/java/rillyard/settings/SettingsValidatorTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Settings that can't be used are told by their key; all others may be used. */
+/** Which settings are valid, and how invalid ones are reported. */
 class SettingsValidatorTest {
     private static void check(String json) throws Exception {
         SettingsValidator.check(JsonTreeReader.read(json));
@@ -37,7 +37,7 @@
                 "tenants | {'classes':[{'name':'a'}],'tenants':'all'}",
                 "tenants[0].portion | {'classes':[{'name':'a'}],'tenants':[{'name':'t','portion':-1}]}"
             })
-    void whatCantBeUsedIsToldByItsKey(String key, String json) {
+    void invalidValueIsReportedWithKey(String key, String json) {
         assertThatThrownBy(() -> check(json.replace('\'', '"')))
                 .isInstanceOf(MalformedInputException.class)
                 .hasMessageStartingWith("settings." + key + ": expected ")
@@ -47,14 +47,14 @@
     }
 
     @Test
-    void settingsThatAreNoObjectAreTold() {
+    void settingsOtherThanObjectAreInvalid() {
         for (String json : new String[] {"[]", "7", "null"}) {
             assertThatThrownBy(() -> check(json)).isInstanceOf(MalformedInputException.class);
         }
     }
 
     @Test
-    void whatIsAbsentNullOrNotKnownIsNoFault() {
+    void absentNullAndUnknownKeysAreValid() {
         assertThatCode(() -> check("{\"classes\":[{\"name\":\"a\"}]}")).doesNotThrowAnyException();
         assertThatCode(() -> check("{\"classes\":[{\"name\":\"a\",\"deadline\":null,\"semantics\":\"new\",\"x\":[]}],"
                         + "\"limits\":null,\"rules\":{\"startCapacity\":0,\"new\":{}},\"unknown\":1}"))
--- a/src/test/java/rillyard/simulation/SimulatorSessionTest.java
+++ b/src/test/java/rillyard/simulation/SimulatorSessionTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import rillyard.settings.MalformedInputException;
 
+/** Batches on the wire and the replies to them. */
 class SimulatorSessionTest {
-    private static final String CONF =
+    private static final String SETTINGS =
             "{\"balancers\":2,\"position\":0,\"zone\":\"z1\",\"novel\":[1],\"classes\":[{\"name\":\"c\","
                     + "\"aim\":100,\"deadline\":400,\"semantics\":\"idempotent\"}],"
                     + "\"limits\":{\"maxAttempts\":2,\"parallelTries\":true,\"cancel\":true},"
@@ -31,20 +32,20 @@
     }
 
     private static String start(int who) {
-        return "new_instance who=" + who + " prng=5 conf=" + CONF + "\n"
+        return "new_instance who=" + who + " prng=5 conf=" + SETTINGS + "\n"
                 + "ledger buffer=0 records=1\n"
                 + "host host=77 hall=z1 model=m group=0 condition=Ready capacityHint=1 later=1\n"
                 + "membership who=" + who + " buffer=0 how=cached stamp=1\n";
     }
 
     @Test
-    void emptyInputAndEmptyBatch() throws IOException {
+    void emptyInputAndEmptyBatchAreAccepted() throws IOException {
         assertThat(run("")).isEmpty();
         assertThat(run("sync wall=1.5\neob\n")).isEqualTo("ok\n");
     }
 
     @Test
-    void sendsAndEndsARequest() throws IOException {
+    void requestIsSentAndEnded() throws IOException {
         String reply = run("sync wall=10\n" + start(3) + "eob\n"
                 + "sync wall=11\ninbound who=3 txn=4000000000 class=c routeKey=a=b budget=400\neob\n"
                 + "sync wall=12\noutcome who=3 txn=4000000000 sendNo=0 host=77 reason=1 spent=1.0"
@@ -55,14 +56,14 @@
     }
 
     @Test
-    void refusesWhenTheOnlyHostIsFullTwice() throws IOException {
+    void requestRejectedTwiceByOnlyHostIsRejected() throws IOException {
         String reply = run("sync wall=10\n" + start(3) + "inbound who=3 txn=1 class=c budget=400\n"
                 + "outcome who=3 txn=1 sendNo=0 host=77 reason=3 spent=1\neob\n");
         assertThat(reply).contains("shed who=3 txn=1");
     }
 
     @Test
-    void retiredAndUnknownIdsArePassedOver() throws IOException {
+    void eventsOfRetiredAndUnknownIdsAreSkipped() throws IOException {
         String reply = run("sync wall=10\n" + start(3)
                 + "gone who=3 txn=99\noutcome who=3 txn=98 sendNo=0 host=1 reason=2 spent=1\n"
                 + "wake who=3 token=12\nprobed who=3 host=5 spent=1 reason=1\n"
@@ -73,7 +74,7 @@
     }
 
     @Test
-    void ledgersAreReusedInABatch() throws IOException {
+    void endpointListsAreReusedWithinBatch() throws IOException {
         String reply = run("sync wall=10\n" + start(0) + "ledger buffer=0 records=1\nhost host=88\n"
                 + "membership who=0 buffer=0 how=full stamp=2\n"
                 + "inbound who=0 txn=1 class=c budget=400\neob\n");
@@ -95,7 +96,7 @@
                 "sync wall=1\neo",
                 "sync wall=1\n\neob\n"
             })
-    void malformedInputEndsWithOnePlainLine(String input) {
+    void malformedInputThrowsWithSingleLineMessage(String input) {
         assertThatThrownBy(() -> run(input))
                 .isInstanceOf(MalformedInputException.class)
                 .message()
