--- a/src/main/java/rillyard/cli/ProxyCommands.java
+++ b/src/main/java/rillyard/cli/ProxyCommands.java
@@ -45,7 +45,7 @@
             FleetConfig settings = FleetConfigReader.read(fleet, System.getenv());
             FleetMember member = new FleetMember(settings, random.nextLong(), System.err);
             PeerGossip news = settings.outlierGossip()
-                    ? new ObservationGossip(member, FleetOutlierSettings.USUAL, random.nextLong())
+                    ? new ObservationGossip(member, FleetOutlierSettings.DEFAULT, random.nextLong())
                     : null;
             member.start();
             Runtime.getRuntime().addShutdownHook(new Thread(member::close, "leave"));
--- a/src/main/java/rillyard/cli/SubsetCommand.java
+++ b/src/main/java/rillyard/cli/SubsetCommand.java
@@ -67,12 +67,12 @@
             PrintWriter out = spec.commandLine().getOut();
             PrintWriter err = spec.commandLine().getErr();
             if (instances < 1
-                    || hosts < SubsetSize.LEAST
+                    || hosts < SubsetSize.MIN_HOSTS
                     || (long) instances * hosts > MOST
                     || cap < 1
                     || each < 1
                     || !(reserve >= 0 && reserve < 1)) {
-                err.println("rillyard: expected --instances of 1 or more, --hosts of " + SubsetSize.LEAST
+                err.println("rillyard: expected --instances of 1 or more, --hosts of " + SubsetSize.MIN_HOSTS
                         + " or more, both times" + " each other up to " + MOST
                         + ", --cap and --each of 1 or more, --reserve from 0 to below 1");
                 return Cli.USAGE;
@@ -86,8 +86,8 @@
                     SubsetSize size = SubsetSize.largest(way, instances, hosts, cap, each, reserve);
                     row(out, way, size, SubsetStatistics.of(way, instances, hosts, size.hosts()));
                     any = true;
-                } catch (SubsetSize.TooManyException e) {
-                    out.println("| " + way.word() + " | none: " + e.getMessage() + " | | | | | | |");
+                } catch (SubsetSize.TooManyConnectionsException e) {
+                    out.println("| " + way.optionName() + " | none: " + e.getMessage() + " | | | | | | |");
                 }
             }
             return any ? Cli.DONE : Cli.FAILED;
@@ -97,17 +97,17 @@
             out.println(String.format(
                     Locale.ROOT,
                     "| %s | %d | %d, %.0f, %d | %d of %d | %d | %.2f | %.2f | %.2f |",
-                    way.word(),
+                    way.optionName(),
                     size.hosts(),
-                    statistics.least(),
-                    statistics.mean(),
-                    statistics.most(),
-                    size.connections(),
+                    statistics.minInstances(),
+                    statistics.meanInstances(),
+                    statistics.maxInstances(),
+                    size.maxConnections(),
                     cap,
-                    statistics.twins(),
-                    statistics.shared(),
-                    statistics.movedByHost(),
-                    statistics.movedByInstance()));
+                    statistics.identicalNeighbours(),
+                    statistics.meanSharedHosts(),
+                    statistics.movesPerHostRemoved(),
+                    statistics.movesPerInstanceAdded()));
         }
     }
 }
--- a/src/main/java/rillyard/outlier/FleetOutlierDetector.java
+++ b/src/main/java/rillyard/outlier/FleetOutlierDetector.java
@@ -9,148 +9,161 @@
 import java.util.stream.Collectors;
 
 /**
- * Decides which hosts this proxy leaves, and when it comes back, from what all proxies last saw of them. Each decides for
- * itself by the same rule from nearly the same votes; nobody has to be asked. What the others say only takes from a host.
- * Times are ms of this proxy's clock. Not safe for use from several threads at once.
+ * Decides which hosts this proxy ejects, and when it readmits them, from what all proxies last observed.
+ *
+ * <p>Each proxy decides for itself by the same rule from nearly the same observations, without coordination. Observations of
+ * peers can only take requests from a host. Times are milliseconds of this proxy's clock. Not thread-safe.
  */
 public final class FleetOutlierDetector {
-    /** What it decides; hosts by {@link HostObservation#number}. */
-    public interface Out {
-        /** The host gets nothing for so long (ms), then a trial. */
-        void leave(int host, double wait, int failed, int served);
+    private static final double MILLIS_PER_SECOND = 1_000;
 
-        /** The host may be tried in so long (ms). */
-        void comeBack(int host, double wait);
-    }
+    /** Receives the decisions; hosts are given by {@link HostObservation#hostNumber}. */
+    public interface Listener {
+        /** The host gets no requests for {@code wait} ms, and is probed then. */
+        void onEjected(int host, double wait, int failed, int served);
 
-    /** What is held of a host that is spoken of. */
-    private static final class Word {
-        boolean left;
-        double since = Double.NEGATIVE_INFINITY;
-        double accusedFrom = Double.NaN;
-        double heardAt;
-        boolean again;
+        /** The host may get requests again in {@code wait} ms. */
+        void onReadmitted(int host, double wait);
     }
 
     private final FleetOutlierSettings settings;
     private final RandomGenerator random;
-    private final Out out;
-    private final LocalObservations own = new LocalObservations();
-    private final Map<Integer, Word> words = new HashMap<>();
+    private final Listener listener;
+    private final LocalObservations local = new LocalObservations();
+    private final Map<Integer, HostVerdict> verdicts = new HashMap<>();
 
-    /** {@code random} is its only source of chance. */
-    public FleetOutlierDetector(FleetOutlierSettings settings, RandomGenerator random, Out out) {
+    /** Creates a detector without observations; {@code random} is its only source of randomness. */
+    public FleetOutlierDetector(FleetOutlierSettings settings, RandomGenerator random, Listener listener) {
         this.settings = settings;
         this.random = random;
-        this.out = out;
+        this.listener = listener;
     }
 
-    /** An attempt of this proxy's own has told whether a host serves. */
-    public void ended(int host, boolean failed, double now) {
-        own.ended(host, failed, now);
-        Word word = words.get(host);
-        if (word != null && word.left && failed) {
-            word.again = true;
+    /** Records an attempt of this proxy whose outcome tells whether the host serves. */
+    public void onAttemptEnded(int host, boolean failed, double now) {
+        local.record(host, failed, now);
+        HostVerdict verdict = verdicts.get(host);
+        if (verdict != null && verdict.isEjected() && failed) {
+            verdict.onProbeFailed();
         }
     }
 
     /**
-     * Takes the votes of all other proxies that are present, one list each, and decides.
+     * Evaluates the observations of all proxies and reports changes to the listener.
      *
-     * @param others their votes, as old as they are by now
-     * @param proxies that are present, this one among them
-     * @param hosts that are listed
-     * @return this proxy's own votes, for the others; those that matter most come first
+     * @param peers the observations of the other proxies that are present, one list each, with their ages as of now
+     * @param proxies number of proxies present, this one included
+     * @param hosts number of hosts listed
+     * @return this proxy's own observations to publish, the most important ones first
      */
-    public List<HostObservation> step(List<List<HostObservation>> others, int proxies, int hosts, double now) {
-        // Each that uses a part of the hosts is taken for one of many alike: so many use each host.
-        double users =
-                Math.max(settings.quorum(), (double) proxies * own.used(settings.habit(), now) / Math.max(1, hosts));
-        Set<Integer> spokenOf = new TreeSet<>(words.keySet());
-        spokenOf.addAll(own.failing(settings.window(), now));
-        others.forEach(votes -> votes.stream()
-                .filter(observation -> observation.failed() && observation.ageMillis() < settings.window())
-                .forEach(hostObservation -> spokenOf.add(hostObservation.host())));
-        List<HostObservation> mine = own.votes(spokenOf::contains, settings.window(), now);
-        Map<Integer, HostObservation> seen = mine.stream().collect(Collectors.toMap(HostObservation::host, v -> v));
-        for (int host : spokenOf) {
-            Word word = words.computeIfAbsent(host, h -> new Word());
-            decide(host, word, seen.get(host), others, users, now);
+    public List<HostObservation> evaluate(List<List<HostObservation>> peers, int proxies, int hosts, double now) {
+        // A proxy that uses a part of the hosts assumes that all do: that many proxies then use each host.
+        double users = (double) proxies * local.countUsedHosts(settings.usageWindow(), now) / Math.max(1, hosts);
+        double usersPerHost = Math.max(settings.quorum(), users);
+        Set<Integer> suspected = new TreeSet<>(verdicts.keySet());
+        suspected.addAll(local.failingHosts(settings.observationWindow(), now));
+        for (List<HostObservation> observations : peers) {
+            for (HostObservation observation : observations) {
+                if (observation.failed() && isRecent(observation)) {
+                    suspected.add(observation.host());
+                }
+            }
+        }
+        List<HostObservation> own = local.observations(suspected::contains, settings.observationWindow(), now);
+        Map<Integer, HostObservation> ownByHost =
+                own.stream().collect(Collectors.toMap(HostObservation::host, observation -> observation));
+        for (int host : suspected) {
+            decide(host, ownByHost.get(host), peers, usersPerHost, now);
         }
-        words.entrySet().removeIf(e -> forgotten(e.getKey(), e.getValue(), now));
-        return mine;
+        verdicts.entrySet().removeIf(entry -> isForgotten(entry.getKey(), entry.getValue(), now));
+        return own;
+    }
+
+    private boolean isRecent(HostObservation observation) {
+        return observation.ageMillis() < settings.observationWindow();
     }
 
     /**
-     * Whether nobody has told of a failure there for so long. Guards against a proxy that is cut off from the others' news and
-     * waits on for its turn among all of them: it tries a host that it has left.
+     * Whether no failure has been reported for so long that the host is treated as any other. An ejected one is readmitted:
+     * a proxy that is cut off from its peers would otherwise wait for its turn among all of them.
      */
-    private boolean forgotten(int host, Word word, double now) {
-        boolean over = now - word.heardAt > settings.forget();
-        if (over && word.left) {
-            out.comeBack(host, settings.ramp() * random.nextDouble());
+    private boolean isForgotten(int host, HostVerdict verdict, double now) {
+        boolean forgotten = now - verdict.failureReportedAt() > settings.forgetAfter();
+        if (forgotten && verdict.isEjected()) {
+            readmit(host);
         }
-        return over;
+        return forgotten;
     }
 
+    /** Decides on one host; {@code own} is null if this proxy has not observed it lately. */
     private void decide(
-            int host, Word word, HostObservation mine, List<List<HostObservation>> others, double users, double now) {
-        ObservationCount tally = mine != null && now - mine.ageMillis() > word.since
-                ? ObservationCount.NONE.plus(mine)
-                : ObservationCount.NONE;
-        for (List<HostObservation> votes : others) {
-            for (HostObservation observation : votes) {
-                if (observation.host() == host
-                        && observation.ageMillis() < settings.window()
-                        && now - observation.ageMillis() > word.since) {
-                    tally = tally.plus(observation);
-                    break; // one voice a proxy, whatever it says twice
+            int host, HostObservation own, List<List<HostObservation>> peers, double usersPerHost, double now) {
+        HostVerdict verdict = verdicts.computeIfAbsent(host, key -> new HostVerdict());
+        ObservationCount count = count(host, own, peers, verdict.changedAt(), now);
+        verdict.evaluated(count.failed() > 0, now);
+        if (verdict.isEjected()) {
+            decideReadmission(host, verdict, count, usersPerHost, now);
+        } else {
+            decideEjection(host, verdict, count, own, usersPerHost, now);
+        }
+    }
+
+    /** Counts the observations of a host after {@code since}, at most one of each proxy. */
+    private ObservationCount count(
+            int host, HostObservation own, List<List<HostObservation>> peers, double since, double now) {
+        boolean countsOwn = own != null && now - own.ageMillis() > since;
+        ObservationCount count = countsOwn ? ObservationCount.NONE.plus(own) : ObservationCount.NONE;
+        for (List<HostObservation> observations : peers) {
+            for (HostObservation observation : observations) {
+                if (observation.host() == host && isRecent(observation) && now - observation.ageMillis() > since) {
+                    count = count.plus(observation);
+                    break;
                 }
             }
         }
-        word.heardAt = tally.failed() > 0 || word.heardAt == 0 ? now : word.heardAt;
-        if (word.left) {
-            away(host, word, tally, users, now);
-        } else {
-            here(host, word, tally, mine, users, now);
-        }
+        return count;
     }
 
-    private void here(int host, Word word, ObservationCount tally, HostObservation mine, double users, double now) {
-        boolean byOthers = tally.failed() > (mine != null && mine.failed() ? 1 : 0);
-        word.accusedFrom =
-                !byOthers ? Double.NaN : Double.isNaN(word.accusedFrom) ? now + tally.youngest() : word.accusedFrom;
-        // Guards against late news: who was served there after the last failure that anybody tells of believes its own
-        // eyes.
-        boolean knowsBetter = mine != null && !mine.failed() && mine.ageMillis() < tally.youngest();
-        if (tally.fails(settings) && now - word.accusedFrom >= settings.hold() && !knowsBetter) {
-            turn(word, true, now);
-            out.leave(host, untilTrial(users), tally.failed(), tally.served());
+    private void decideEjection(
+            int host,
+            HostVerdict verdict,
+            ObservationCount count,
+            HostObservation own,
+            double usersPerHost,
+            double now) {
+        int ownFailures = own != null && own.failed() ? 1 : 0;
+        if (count.failed() > ownFailures) {
+            verdict.suspect(now + count.newestFailureAge());
+        } else {
+            verdict.clearSuspicion();
+        }
+        // Observations of peers come late: a success of its own after the last failure of any proxy is newer.
+        boolean servedSince = own != null && !own.failed() && own.ageMillis() < count.newestFailureAge();
+        if (count.confirmsFailure(settings)
+                && verdict.suspectedFor(now) >= settings.confirmationTime()
+                && !servedSince) {
+            verdict.change(true, now);
+            listener.onEjected(host, timeToProbe(usersPerHost), count.failed(), count.served());
         }
     }
 
-    private void away(int host, Word word, ObservationCount tally, double users, double now) {
-        if (tally.serves(settings)) {
-            turn(word, false, now);
-            out.comeBack(host, settings.ramp() * random.nextDouble());
-        } else if (word.again) {
-            out.leave(host, untilTrial(users), tally.failed(), tally.served());
+    private void decideReadmission(
+            int host, HostVerdict verdict, ObservationCount count, double usersPerHost, double now) {
+        boolean probeFailed = verdict.takeProbeFailed();
+        if (count.confirmsRecovery(settings)) {
+            verdict.change(false, now);
+            readmit(host);
+        } else if (probeFailed) {
+            listener.onEjected(host, timeToProbe(usersPerHost), count.failed(), count.served());
         }
-        word.again = false;
     }
 
-    /** Only what is seen from now on counts for the next turn. */
-    private static void turn(Word word, boolean left, double now) {
-        word.left = left;
-        word.since = now;
-        word.accusedFrom = Double.NaN;
+    private void readmit(int host) {
+        listener.onReadmitted(host, settings.recoveryRamp() * random.nextDouble());
     }
 
-    /**
-     * An instant of this proxy's own, such that all who use the host together try it so many times a second. Guards against
-     * all trying it at one instant, and against trials that grow with the number of proxies.
-     */
-    private double untilTrial(double users) {
-        return 2_000 * users / settings.trials() * random.nextDouble();
+    /** Returns a random time such that all proxies that use the host together probe it at the configured rate. */
+    private double timeToProbe(double usersPerHost) {
+        return 2 * MILLIS_PER_SECOND * usersPerHost / settings.probesPerSecond() * random.nextDouble();
     }
 }
--- a/src/main/java/rillyard/outlier/FleetOutlierSettings.java
+++ b/src/main/java/rillyard/outlier/FleetOutlierSettings.java
@@ -1,30 +1,31 @@
 package rillyard.outlier;
 
 /**
- * How proxies hold together about hosts. Times are in ms.
+ * Parameters of fleet-wide ejection. Times are milliseconds.
  *
- * @param window age past which what a proxy saw counts for nothing: some requests of a light proxy at a host
- * @param quorum proxies that have to have seen a host fail, at least, before others leave it for that
- * @param share of all that saw it lately who have to have seen it fail; above a half, so that two halves can't both decide
- * @param hold how long a host stands accused before it is left, besides the time that the first word of another took: so
- *     that those who are served there, and hear of it as late, can say so
- * @param trials a second, of all proxies together, that a host is asked whether it is well again
- * @param back proxies that were served there again, at least, before all come back
- * @param habit time after which a host that this proxy has sent nothing to is none of those that it uses
- * @param ramp time over which they come back, each at an instant of its own
- * @param forget time after which a host that nobody speaks of is as any other
+ * @param observationWindow age from which on an observation is ignored: some requests of a light proxy to a host
+ * @param quorum least number of proxies that must have seen a host fail before others eject it
+ * @param failureShare fraction of the proxies that recently saw the host which must have seen it fail; above one half, so
+ *     that two halves of the fleet can't decide differently
+ * @param confirmationTime how long a host is suspected before it is ejected, beside the age of the first peer's failure, so
+ *     that proxies which it serves and which hear of it as late can say so
+ * @param probesPerSecond probes of an ejected host per second, of all proxies together
+ * @param recoveryQuorum least number of proxies that it must serve again before all readmit it
+ * @param usageWindow time after which a host that got no request of this proxy is not counted as used
+ * @param recoveryRamp time over which the proxies readmit it, each at a random moment
+ * @param forgetAfter time after which a host without reported failures is treated as any other
  */
 public record FleetOutlierSettings(
-        double window,
+        double observationWindow,
         int quorum,
-        double share,
-        double hold,
-        double trials,
-        int back,
-        double habit,
-        double ramp,
-        double forget) {
-    /** Reasons and figures: {@code docs/design/even-load.md}. */
-    public static final FleetOutlierSettings USUAL =
+        double failureShare,
+        double confirmationTime,
+        double probesPerSecond,
+        int recoveryQuorum,
+        double usageWindow,
+        double recoveryRamp,
+        double forgetAfter) {
+    /** The values in use; {@code docs/design/even-load.md} has the reasons. */
+    public static final FleetOutlierSettings DEFAULT =
             new FleetOutlierSettings(4_000, 3, 2 / 3.0, 1_000, 2, 2, 30_000, 2_000, 20_000);
 }
--- a/src/main/java/rillyard/outlier/LocalObservations.java
+++ b/src/main/java/rillyard/outlier/LocalObservations.java
@@ -7,45 +7,52 @@
 import java.util.Map;
 import java.util.function.IntPredicate;
 
-/** What this proxy last saw of each host that it uses. Bounded by the hosts that its list names and a time. */
+/**
+ * What this proxy last observed of each host that it uses. Bounded by the hosts it has used lately. Times are milliseconds.
+ * Not thread-safe.
+ */
 final class LocalObservations {
-    private record Seen(boolean failed, double at) {}
+    private static final Comparator<HostObservation> FAILURES_THEN_NEWEST_FIRST = Comparator.comparing(
+                    HostObservation::failed)
+            .reversed()
+            .thenComparingDouble(HostObservation::ageMillis)
+            .thenComparingInt(HostObservation::host);
 
-    private final Map<Integer, Seen> last = new HashMap<>();
+    private record Outcome(boolean failed, double at) {}
 
-    void ended(int host, boolean failed, double now) {
-        last.put(host, new Seen(failed, now));
+    private final Map<Integer, Outcome> lastOutcomes = new HashMap<>();
+
+    /** Records the outcome of an attempt. */
+    void record(int host, boolean failed, double now) {
+        lastOutcomes.put(host, new Outcome(failed, now));
     }
 
-    /** How many hosts it used within so many ms. */
-    int used(double habit, double now) {
-        last.values().removeIf(seen -> now - seen.at >= habit);
-        return last.size();
+    /** Returns how many hosts were used within {@code usageWindow}, and forgets the others. */
+    int countUsedHosts(double usageWindow, double now) {
+        lastOutcomes.values().removeIf(outcome -> now - outcome.at >= usageWindow);
+        return lastOutcomes.size();
     }
 
-    /** The hosts whose last sight was a failure, within a window. */
-    List<Integer> failing(double window, double now) {
-        return last.entrySet().stream()
-                .filter(e -> e.getValue().failed && now - e.getValue().at < window)
+    /** Returns the hosts whose last outcome, within {@code window}, was a failure. */
+    List<Integer> failingHosts(double window, double now) {
+        return lastOutcomes.entrySet().stream()
+                .filter(entry -> entry.getValue().failed && now - entry.getValue().at < window)
                 .map(Map.Entry::getKey)
                 .toList();
     }
 
     /**
-     * Its votes of a window: the hosts that failed, newest first, then those of {@code accused} hosts that served it.
-     * Guards against a host that loses one request in ten being judged by those it lost alone.
+     * Returns the observations within {@code window} to publish: failures, newest first, then successes at hosts that are
+     * {@code suspected}, without which a host that loses one request in ten would be judged by its failures alone.
      */
-    List<HostObservation> votes(IntPredicate accused, double window, double now) {
-        List<HostObservation> votes = new ArrayList<>();
-        last.forEach((host, seen) -> {
-            if (now - seen.at < window && (seen.failed || accused.test(host))) {
-                votes.add(new HostObservation(host, seen.failed, Math.max(0, now - seen.at)));
+    List<HostObservation> observations(IntPredicate suspected, double window, double now) {
+        List<HostObservation> observations = new ArrayList<>();
+        lastOutcomes.forEach((host, outcome) -> {
+            if (now - outcome.at < window && (outcome.failed || suspected.test(host))) {
+                observations.add(new HostObservation(host, outcome.failed, Math.max(0, now - outcome.at)));
             }
         });
-        votes.sort(Comparator.comparing(HostObservation::failed)
-                .reversed()
-                .thenComparingDouble(HostObservation::ageMillis)
-                .thenComparingInt(HostObservation::host));
-        return votes;
+        observations.sort(FAILURES_THEN_NEWEST_FIRST);
+        return observations;
     }
 }
--- a/src/main/java/rillyard/outlier/ObservationCodec.java
+++ b/src/main/java/rillyard/outlier/ObservationCodec.java
@@ -4,56 +4,67 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A proxy's votes as the values of its facts: five bytes a vote, the host's number, and whether it failed with the age. */
+/**
+ * Encodes a proxy's observations as values of member attributes: five bytes each, the host's number and a byte with the
+ * failure in its highest bit and the age in steps in the others.
+ */
 public final class ObservationCodec {
-    /** ms in one step of an age on the wire. */
-    static final double AGE_STEP = 50;
+    /** One step of an age on the wire. */
+    static final double AGE_STEP_MILLIS = 50;
 
-    /** Bytes of a vote. */
-    private static final int VOTE = 5;
+    /** Observations in an attribute of 32 bytes. */
+    static final int MAX_PER_ATTRIBUTE = 6;
 
-    /** Votes in a fact of 32 bytes. */
-    static final int IN_A_FACT = 6;
-
-    private static final int FAILED = 0x80;
+    private static final int OBSERVATION_BYTES = 5;
+    private static final int FAILED_BIT = 0x80;
+    private static final int AGE_MASK = 0x7F;
 
     private ObservationCodec() {}
 
-    /** Votes as values, six in each, and no more values than {@code most}: those that are first in the list. */
-    public static List<byte[]> encode(List<HostObservation> votes, int most) {
+    /** Encodes the first observations of the list into at most {@code maxValues} values, six in each. */
+    public static List<byte[]> encode(List<HostObservation> observations, int maxValues) {
         List<byte[]> values = new ArrayList<>();
-        for (int i = 0; i < votes.size() && values.size() < most; i += IN_A_FACT) {
-            List<HostObservation> some = votes.subList(i, Math.min(votes.size(), i + IN_A_FACT));
-            ByteBuffer buffer = ByteBuffer.allocate(some.size() * VOTE);
-            for (HostObservation observation : some) {
-                buffer.putInt(observation.host())
-                        .put((byte) ((observation.failed() ? FAILED : 0) | (int) (observation.ageMillis() / AGE_STEP)));
-            }
-            values.add(buffer.array());
+        for (int from = 0; from < observations.size() && values.size() < maxValues; from += MAX_PER_ATTRIBUTE) {
+            int to = Math.min(observations.size(), from + MAX_PER_ATTRIBUTE);
+            values.add(encodeValue(observations.subList(from, to)));
         }
         return values;
     }
 
+    private static byte[] encodeValue(List<HostObservation> observations) {
+        ByteBuffer buffer = ByteBuffer.allocate(observations.size() * OBSERVATION_BYTES);
+        for (HostObservation observation : observations) {
+            int age = (int) (observation.ageMillis() / AGE_STEP_MILLIS);
+            buffer.putInt(observation.host()).put((byte) ((observation.failed() ? FAILED_BIT : 0) | age));
+        }
+        return buffer.array();
+    }
+
     /**
-     * Reads a value that somebody has sent.
+     * Decodes the value of a peer's attribute.
      *
-     * @param since ms since it was said: each vote is older by that; those that get too old to fit are left out
-     * @throws IllegalArgumentException if it is none
+     * @param elapsedMillis time since it was published, by which each observation is older; those that become too old are
+     *     left out
+     * @throws IllegalArgumentException if the value is malformed
      */
-    public static List<HostObservation> decode(byte[] value, double since) {
-        if (value.length == 0 || value.length % VOTE != 0 || value.length > IN_A_FACT * VOTE || !(since >= 0)) {
-            throw new IllegalArgumentException(
-                    "no votes: " + value.length + " bytes said " + since + " ms ago, expected 5 to 30 in steps of 5");
+    public static List<HostObservation> decode(byte[] value, double elapsedMillis) {
+        if (value.length == 0
+                || value.length % OBSERVATION_BYTES != 0
+                || value.length > MAX_PER_ATTRIBUTE * OBSERVATION_BYTES
+                || !(elapsedMillis >= 0)) {
+            throw new IllegalArgumentException("no observations: " + value.length + " bytes published " + elapsedMillis
+                    + " ms ago, expected 5 to 30 in steps of 5");
         }
-        List<HostObservation> votes = new ArrayList<>();
-        for (ByteBuffer buffer = ByteBuffer.wrap(value); buffer.hasRemaining(); ) {
+        List<HostObservation> observations = new ArrayList<>();
+        ByteBuffer buffer = ByteBuffer.wrap(value);
+        while (buffer.hasRemaining()) {
             int host = buffer.getInt();
-            int rest = buffer.get();
-            double age = (rest & ~FAILED & 0xFF) * AGE_STEP + since;
-            if (age <= HostObservation.MAX_AGE) {
-                votes.add(new HostObservation(host, (rest & FAILED) != 0, age));
+            int failureAndAge = buffer.get();
+            double age = (failureAndAge & AGE_MASK) * AGE_STEP_MILLIS + elapsedMillis;
+            if (age <= HostObservation.MAX_AGE_MILLIS) {
+                observations.add(new HostObservation(host, (failureAndAge & FAILED_BIT) != 0, age));
             }
         }
-        return votes;
+        return observations;
     }
 }
--- a/src/main/java/rillyard/outlier/ObservationCount.java
+++ b/src/main/java/rillyard/outlier/ObservationCount.java
@@ -1,32 +1,28 @@
 package rillyard.outlier;
 
 /**
- * What those who saw a host lately say of it, one voice a proxy.
+ * The observations of one host, one for each proxy.
  *
- * @param failed proxies whose last sight of it was a failure
- * @param served proxies whose last sight of it was an answer
- * @param youngest age (ms) of the newest failure; infinite without one
+ * @param failed proxies whose last attempt there failed
+ * @param served proxies whose last attempt there was answered
+ * @param newestFailureAge age (ms) of the newest failure, infinite without one
  */
-record ObservationCount(int failed, int served, double youngest) {
+record ObservationCount(int failed, int served, double newestFailureAge) {
     static final ObservationCount NONE = new ObservationCount(0, 0, Double.POSITIVE_INFINITY);
 
     ObservationCount plus(HostObservation observation) {
         return observation.failed()
-                ? new ObservationCount(failed + 1, served, Math.min(youngest, observation.ageMillis()))
-                : new ObservationCount(failed, served + 1, youngest);
+                ? new ObservationCount(failed + 1, served, Math.min(newestFailureAge, observation.ageMillis()))
+                : new ObservationCount(failed, served + 1, newestFailureAge);
     }
 
-    int voices() {
-        return failed + served;
+    /** Whether a quorum has seen it fail, and the required share of all; one success is assumed from the start. */
+    boolean confirmsFailure(FleetOutlierSettings settings) {
+        return failed >= settings.quorum() && failed >= settings.failureShare() * (failed + served + 1);
     }
 
-    /** Whether so many say that it fails, and they are more than that share of all; one who was served counts from the start. */
-    boolean fails(FleetOutlierSettings settings) {
-        return failed >= settings.quorum() && failed >= settings.share() * (voices() + 1);
-    }
-
-    /** Whether so many were served that it is well again, and at least twice those who were not. */
-    boolean serves(FleetOutlierSettings settings) {
-        return served >= settings.back() && served >= 2 * failed;
+    /** Whether it serves enough proxies again, and twice as many as it fails. */
+    boolean confirmsRecovery(FleetOutlierSettings settings) {
+        return served >= settings.recoveryQuorum() && served >= 2 * failed;
     }
 }
--- a/src/main/java/rillyard/outlier/net/ObservationGossip.java
+++ b/src/main/java/rillyard/outlier/net/ObservationGossip.java
@@ -20,172 +20,187 @@
 import rillyard.subset.RequestRate;
 import rillyard.subset.SubsetPlanner;
 
-/** Carries votes on hosts, and rates, between a proxy and the other members of its fleet, as facts. */
+/**
+ * Exchanges host observations and request rates with the other members of the fleet as member attributes, and decides from
+ * them on ejections and on the subset. Confined to the proxy's event loop.
+ */
 public final class ObservationGossip implements PeerGossip {
-    /** Kinds of the facts that hold votes. */
-    static final int FIRST_KIND = 1;
+    /** The first of the attribute kinds that hold observations; they are consecutive. */
+    static final int FIRST_OBSERVATION_KIND = 1;
 
-    static final int KINDS = 3;
+    static final int OBSERVATION_KINDS = 3;
 
-    /** Kind of the fact that holds the rate. */
-    static final int RATE = 4;
+    /** The attribute kind that holds the request rate. */
+    static final int RATE_KIND = 4;
 
-    /** Votes end by their own age; as facts they last a little longer (ms). */
-    private static final double VOTES_LAST = 6_000;
+    /** Lifetime of an attribute with observations: a little longer than that of the observations, which have an age. */
+    private static final double OBSERVATION_LIFETIME_MILLIS = 6_000;
 
-    private static final double RATE_LASTS = 600_000;
+    private static final double RATE_LIFETIME_MILLIS = 600_000;
 
-    /** Votes that say the same of newer sights are told again after so long (ms). */
-    private static final double RENEW = 1_000;
+    /** Interval at which observations that only became newer are published again. */
+    private static final double REFRESH_MILLIS = 1_000;
 
-    /** All names and rates are gone through so often (ms): with thousands of members that is work on the loop. */
-    private static final double LAY_EACH = 1_000;
+    /** Interval at which the subset is planned: with thousands of members that takes a while on the event loop. */
+    private static final double PLANNING_MILLIS = 1_000;
+
+    /** The most members whose malformed attributes are logged. */
+    private static final int MAX_MALFORMED_LOGGED = 100;
 
     private final FleetMember member;
-    private final FleetOutlierDetector words;
-    private final SubsetPlanner pools = new SubsetPlanner();
-    private final RequestRate rate = new RequestRate();
-    private final Set<String> strangers = new HashSet<>();
-    private final Map<Integer, String> names = new HashMap<>();
-    private Set<String> listed = Set.of();
-    private Set<HostObservation> told = Set.of();
-    private double toldAt = Double.NEGATIVE_INFINITY;
-    private int factsTold;
-    private double laidAt = Double.NEGATIVE_INFINITY;
-    private Listener heed;
-
-    /** The member is to be started by whoever made it. */
+    private final FleetOutlierDetector detector;
+    private final SubsetPlanner planner = new SubsetPlanner();
+    private final RequestRate requestRate = new RequestRate();
+    private final Set<String> malformedMembers = new HashSet<>();
+    private final Map<Integer, String> namesByNumber = new HashMap<>();
+    private Set<String> listedHosts = Set.of();
+    private Set<HostObservation> published = Set.of();
+    private double publishedAt = Double.NEGATIVE_INFINITY;
+    private int publishedValues;
+    private double plannedAt = Double.NEGATIVE_INFINITY;
+    private Listener listener;
+
+    /** Creates the exchange over a member, which the caller starts and closes. */
     public ObservationGossip(FleetMember member, FleetOutlierSettings settings, long seed) {
         this.member = member;
-        this.words = new FleetOutlierDetector(settings, new SplittableRandom(seed), new Decided());
-        member.follow(FIRST_KIND, FIRST_KIND + 1, FIRST_KIND + 2, RATE);
+        this.detector = new FleetOutlierDetector(settings, new SplittableRandom(seed), new DecisionListener());
+        member.follow(FIRST_OBSERVATION_KIND, FIRST_OBSERVATION_KIND + 1, FIRST_OBSERVATION_KIND + 2, RATE_KIND);
     }
 
     @Override
-    public void onAttemptEnded(String host, AttemptOutcome result, double now) {
-        rate.onAttempt(now);
-        switch (result) {
-            case OK -> words.ended(HostObservation.number(host), false, now);
-            case ERROR, TIMEOUT, RESET, CONNECT_FAILED -> words.ended(HostObservation.number(host), true, now);
-            case REJECTED,
-                    CANCELLED,
-                    NOT_SENT -> {} // a host at capacity is no outlier, and the others tell nothing of it
+    public void onAttemptEnded(String host, AttemptOutcome outcome, double now) {
+        requestRate.onAttempt(now);
+        switch (outcome) {
+            case OK -> detector.onAttemptEnded(HostObservation.hostNumber(host), false, now);
+            case ERROR, TIMEOUT, RESET, CONNECT_FAILED ->
+                detector.onAttemptEnded(HostObservation.hostNumber(host), true, now);
+            default -> {} // a host at capacity is no outlier; the other outcomes tell nothing of the host
         }
     }
 
     @Override
     public void step(double now, Set<String> hosts, Listener to) {
-        heed = to;
-        if (!hosts.equals(listed)) {
-            listed = Set.copyOf(hosts);
-            names.clear();
-            listed.forEach(h -> names.put(HostObservation.number(h), h));
+        listener = to;
+        if (!hosts.equals(listedHosts)) {
+            listedHosts = Set.copyOf(hosts);
+            namesByNumber.clear();
+            listedHosts.forEach(host -> namesByNumber.put(HostObservation.hostNumber(host), host));
         }
-        FleetMember.FleetSnapshot known = member.snapshot();
-        List<HostObservation> mine = words.step(votes(known), known.present().size(), listed.size(), now);
-        tell(mine, now);
-        byte[] news = rate.attributeValue(now);
-        if (news != null) {
-            member.setAttribute(RATE, news, RATE_LASTS, true);
+        FleetMember.FleetSnapshot snapshot = member.snapshot();
+        List<HostObservation> own = detector.evaluate(
+                observationsOfPeers(snapshot), snapshot.present().size(), listedHosts.size(), now);
+        publish(own, now);
+        byte[] rate = requestRate.attributeValue(now);
+        if (rate != null) {
+            member.setAttribute(RATE_KIND, rate, RATE_LIFETIME_MILLIS, true);
         }
-        if (now - laidAt >= LAY_EACH) {
-            laidAt = now;
-            lay(known);
+        if (now - plannedAt >= PLANNING_MILLIS) {
+            plannedAt = now;
+            planSubset(snapshot);
         }
     }
 
-    /** What the others saw of hosts that this proxy's own list names: nobody's word brings it another. */
-    private List<List<HostObservation>> votes(FleetMember.FleetSnapshot known) {
+    /** Returns the peers' observations of hosts that this proxy's own list names; a peer can't add a host. */
+    private List<List<HostObservation>> observationsOfPeers(FleetMember.FleetSnapshot snapshot) {
         Map<String, List<HostObservation>> byOwner = new HashMap<>();
-        for (int kind = FIRST_KIND; kind < FIRST_KIND + KINDS; kind++) {
-            known.attributes(kind).forEach((owner, fact) -> {
-                if (owner.equals(known.self())) {
-                    return;
-                }
-                try {
-                    for (HostObservation observation : ObservationCodec.decode(fact.value(), known.age(fact))) {
-                        if (names.containsKey(observation.host())) {
-                            byOwner.computeIfAbsent(owner, o -> new ArrayList<>())
-                                    .add(observation);
-                        }
-                    }
-                } catch (IllegalArgumentException e) {
-                    strange(owner, e);
+        for (int index = 0; index < OBSERVATION_KINDS; index++) {
+            snapshot.attributes(FIRST_OBSERVATION_KIND + index).forEach((owner, attribute) -> {
+                if (!owner.equals(snapshot.self())) {
+                    addObservations(byOwner, owner, attribute.value(), snapshot.age(attribute));
                 }
             });
         }
         return List.copyOf(byOwner.values());
     }
 
-    private void tell(List<HostObservation> mine, double now) {
-        // What is said of which host, whenever it was seen.
-        Set<HostObservation> said = mine.stream()
+    private void addObservations(
+            Map<String, List<HostObservation>> byOwner, String owner, byte[] value, double ageMillis) {
+        try {
+            for (HostObservation observation : ObservationCodec.decode(value, ageMillis)) {
+                if (namesByNumber.containsKey(observation.host())) {
+                    byOwner.computeIfAbsent(owner, key -> new ArrayList<>()).add(observation);
+                }
+            }
+        } catch (IllegalArgumentException e) {
+            logMalformed(owner, e);
+        }
+    }
+
+    /** Publishes this proxy's observations if they have changed, or are newer by now. */
+    private void publish(List<HostObservation> own, double now) {
+        Set<HostObservation> withoutAges = own.stream()
                 .map(observation -> new HostObservation(observation.host(), observation.failed(), 0))
                 .collect(Collectors.toSet());
-        boolean renewed = !mine.isEmpty()
-                && now - toldAt >= RENEW
-                && mine.stream().anyMatch(hostObservation -> hostObservation.ageMillis() < now - toldAt);
-        if (said.equals(told) && !renewed) {
+        boolean refreshed = !own.isEmpty()
+                && now - publishedAt >= REFRESH_MILLIS
+                && own.stream().anyMatch(observation -> observation.ageMillis() < now - publishedAt);
+        if (withoutAges.equals(published) && !refreshed) {
             return;
         }
-        told = said;
-        toldAt = now;
-        List<byte[]> values = ObservationCodec.encode(mine, KINDS);
-        for (int i = 0; i < Math.max(values.size(), factsTold); i++) {
-            member.setAttribute(FIRST_KIND + i, i < values.size() ? values.get(i) : new byte[0], VOTES_LAST, false);
+        published = withoutAges;
+        publishedAt = now;
+        List<byte[]> values = ObservationCodec.encode(own, OBSERVATION_KINDS);
+        for (int index = 0; index < Math.max(values.size(), publishedValues); index++) {
+            byte[] value = index < values.size() ? values.get(index) : new byte[0];
+            member.setAttribute(FIRST_OBSERVATION_KIND + index, value, OBSERVATION_LIFETIME_MILLIS, false);
         }
-        factsTold = values.size();
+        publishedValues = values.size();
     }
 
-    private void lay(FleetMember.FleetSnapshot known) {
+    private void planSubset(FleetMember.FleetSnapshot snapshot) {
         Map<String, Double> rates = new HashMap<>();
-        known.attributes(RATE).forEach((owner, fact) -> {
+        snapshot.attributes(RATE_KIND).forEach((owner, attribute) -> {
             try {
-                rates.put(owner, RequestRate.read(fact.value()));
+                rates.put(owner, RequestRate.decode(attribute.value()));
             } catch (IllegalArgumentException e) {
-                strange(owner, e);
+                logMalformed(owner, e);
             }
         });
-        SubsetPosition position = known.present().isEmpty() ? null : pools.update(known.self(), known.present(), rates);
-        if (position != null) {
-            heed.moveSubset(position);
-            heed.log(String.format(
-                    Locale.ROOT,
-                    "fleet: pool %d of %d, weight %.2f",
-                    position.position(),
-                    position.proxyCount(),
-                    position.weight()));
+        if (!snapshot.present().isEmpty()) {
+            planner.update(snapshot.self(), snapshot.present(), rates).ifPresent(this::moveSubset);
         }
     }
 
-    private void strange(String owner, IllegalArgumentException e) {
-        if (strangers.size() < 100 && strangers.add(owner)) {
-            heed.log("fleet: " + owner + " says what can't be read: " + e.getMessage());
+    private void moveSubset(SubsetPosition position) {
+        listener.moveSubset(position);
+        listener.log(String.format(
+                Locale.ROOT,
+                "fleet: subset moved, position=%d of=%d weight=%.2f",
+                position.position(),
+                position.proxyCount(),
+                position.weight()));
+    }
+
+    private void logMalformed(String owner, IllegalArgumentException cause) {
+        if (malformedMembers.size() < MAX_MALFORMED_LOGGED && malformedMembers.add(owner)) {
+            listener.log("fleet: malformed attribute, member=" + owner + " reason=\"" + cause.getMessage() + "\"");
         }
     }
 
-    private final class Decided implements FleetOutlierDetector.Out {
+    /** Passes the detector's decisions on by host name; a host that is no longer listed is skipped. */
+    private final class DecisionListener implements FleetOutlierDetector.Listener {
         @Override
-        public void leave(int host, double wait, int failed, int served) {
-            String name = names.get(host);
+        public void onEjected(int host, double wait, int failed, int served) {
+            String name = namesByNumber.get(host);
             if (name != null) {
-                heed.eject(name, wait);
-                heed.log(String.format(
+                listener.eject(name, wait);
+                listener.log(String.format(
                         Locale.ROOT,
-                        "fleet: host %s left: failed %d proxies, served %d; trial in %.1f s",
+                        "fleet: host ejected, host=%s failed_proxies=%d served_proxies=%d probe_in_ms=%.0f",
                         name,
                         failed,
                         served,
-                        wait / 1_000));
+                        wait));
             }
         }
 
         @Override
-        public void comeBack(int host, double wait) {
-            String name = names.get(host);
+        public void onReadmitted(int host, double wait) {
+            String name = namesByNumber.get(host);
             if (name != null) {
-                heed.readmit(name, wait);
-                heed.log(String.format(Locale.ROOT, "fleet: host %s serves again; back in %.1f s", name, wait / 1_000));
+                listener.readmit(name, wait);
+                listener.log(
+                        String.format(Locale.ROOT, "fleet: host readmitted, host=%s admitted_in_ms=%.0f", name, wait));
             }
         }
     }
--- a/src/main/java/rillyard/outlier/net/package-info.java
+++ b/src/main/java/rillyard/outlier/net/package-info.java
@@ -1,2 +1,2 @@
-/** Carries what proxies saw of hosts, and their rates, between them as facts of membership. */
+/** Exchanges host observations and request rates between proxies as member attributes. */
 package rillyard.outlier.net;
--- a/src/main/java/rillyard/outlier/package-info.java
+++ b/src/main/java/rillyard/outlier/package-info.java
@@ -1,2 +1,5 @@
-/** Decides which hosts the fleet leaves and when it is back, and how large pools are, from what all proxies saw. No I/O, no clock. */
+/**
+ * Fleet-wide outlier ejection: decides which hosts the fleet ejects and when it readmits them, from what all proxies observed.
+ * No I/O and no clock.
+ */
 package rillyard.outlier;
--- a/src/main/java/rillyard/subset/RequestRate.java
+++ b/src/main/java/rillyard/subset/RequestRate.java
@@ -2,58 +2,64 @@
 
 import java.nio.ByteBuffer;
 
-/** This proxy's own attempts a second over some thirty seconds, repeats among them, and how it is told. */
+/**
+ * The rate of this proxy's attempts, retries included, over some thirty seconds, and its form as a member attribute. Times
+ * are milliseconds of a clock that never goes back. Not thread-safe.
+ */
 public final class RequestRate {
-    /** Time constant (ms). */
-    private static final double MEMORY = 30_000;
+    private static final double TIME_CONSTANT_MILLIS = 30_000;
 
-    /** What is told is told anew once it is wrong by this part. */
-    private static final double WORTH = 0.5;
+    /** The least time over which the rate of a process that has just started is taken. */
+    private static final double MIN_WINDOW_MILLIS = 1_000;
 
-    /** The most that is believed of anyone, a second. */
-    private static final double MOST = 1e6;
+    /** Relative change from which on the rate is published anew. */
+    private static final double MIN_RELATIVE_CHANGE = 0.5;
+
+    /** The greatest rate that is accepted from a peer, per second. */
+    private static final double MAX_RATE = 1e6;
 
     private double sum;
-    private double at;
-    private double since = Double.NaN;
-    private double told = Double.NaN;
+    private double updatedAt;
+    private double firstAt = Double.NaN;
+    private double publishedRate = Double.NaN;
 
-    /** An attempt of this proxy's own has ended. */
+    /** Counts an attempt of this proxy. */
     public void onAttempt(double now) {
-        since = Double.isNaN(since) ? now : since;
-        sum = faded(now) + 1;
-        at = now;
+        firstAt = Double.isNaN(firstAt) ? now : firstAt;
+        sum = decayedSum(now) + 1;
+        updatedAt = now;
     }
 
-    private double faded(double now) {
-        return sum * Math.exp(-(now - at) / MEMORY);
+    private double decayedSum(double now) {
+        return sum * Math.exp(-(now - updatedAt) / TIME_CONSTANT_MILLIS);
     }
 
-    /** Attempts a second; what a process that has just started lacks of its memory is made up for. */
-    public double now(double now) {
-        double seen = 1 - Math.exp(-(now - since + 1_000) / MEMORY);
-        return sum == 0 ? 0 : 1_000 * faded(now) / MEMORY / seen;
+    /** Returns the attempts per second, corrected while the process is younger than the averaging time. */
+    public double attemptsPerSecond(double now) {
+        double observed = 1 - Math.exp(-(now - firstAt + MIN_WINDOW_MILLIS) / TIME_CONSTANT_MILLIS);
+        return sum == 0 ? 0 : 1_000 * decayedSum(now) / TIME_CONSTANT_MILLIS / observed;
     }
 
-    /** What the others are to be told, or null while what they were told is near enough. */
+    /** Returns the attribute value to publish, or null while the published one is near enough. */
     public byte[] attributeValue(double now) {
-        double rate = now(now);
-        if (Math.abs(rate - told) <= WORTH * told || rate == 0 && Double.isNaN(told)) {
+        double rate = attemptsPerSecond(now);
+        if (Math.abs(rate - publishedRate) <= MIN_RELATIVE_CHANGE * publishedRate
+                || (rate == 0 && Double.isNaN(publishedRate))) {
             return null;
         }
-        told = rate;
+        publishedRate = rate;
         return ByteBuffer.allocate(Float.BYTES).putFloat((float) rate).array();
     }
 
     /**
-     * Reads what another told.
+     * Decodes an attribute value of a peer.
      *
-     * @return attempts a second, 0 to a million
-     * @throws IllegalArgumentException if it is none
+     * @return attempts per second, from 0 to a million
+     * @throws IllegalArgumentException if the value is not a rate
      */
-    public static double read(byte[] value) {
+    public static double decode(byte[] value) {
         float rate = value.length == Float.BYTES ? ByteBuffer.wrap(value).getFloat() : Float.NaN;
-        if (!(rate >= 0 && rate <= MOST)) {
+        if (!(rate >= 0 && rate <= MAX_RATE)) {
             throw new IllegalArgumentException("no rate: " + value.length + " bytes, " + rate);
         }
         return rate;
--- a/src/main/java/rillyard/subset/SubsetPlanner.java
+++ b/src/main/java/rillyard/subset/SubsetPlanner.java
@@ -2,53 +2,67 @@
 
 import java.util.Collection;
 import java.util.Map;
+import java.util.Optional;
 import rillyard.balancer.SubsetPosition;
 
 /**
- * Lays this proxy's pool from the names and rates of all. Where pools are of one size whatever is sent from them, a proxy
- * with ten times the traffic loads a few hosts with it; so size goes with the rate. The order is by a scramble of names, so
- * that proxies of one kind, which are often numbered in a row, don't lie side by side.
+ * Computes this proxy's host subset from the fleet's membership and request rates.
+ *
+ * <p>A subset's size is proportional to the proxy's request rate relative to the mean, so that a busy proxy does not
+ * concentrate its traffic on a few hosts. Proxies are ordered by a hash of their names, which keeps instances with
+ * consecutive names apart. Not thread-safe.
  */
 public final class SubsetPlanner {
-    /** The largest weight: past it nearly all hosts are in the pool of any fleet that this is for. */
-    private static final double MOST = 16;
+    /** The greatest weight: with a larger one, nearly all hosts would be in the subset in any fleet this is meant for. */
+    private static final double MAX_WEIGHT = 16;
 
-    /** Changes smaller than this part are not worth new connections. */
-    private static final double WORTH = 0.25;
+    /** Relative change in weight below which the subset is kept, as new connections would cost more than they gain. */
+    private static final double MIN_WEIGHT_CHANGE = 0.25;
 
-    /** A pool moves only by more than this part of the ring. */
-    private static final double MOVE = 1 / 64.0;
+    /** Part of the ring below which the subset is not moved. */
+    private static final double MIN_MOVE = 1 / 64.0;
 
-    private SubsetPosition now;
+    private SubsetPosition current;
 
     /**
-     * The pool by what is known, or null where it stays as it was.
+     * Returns the new subset position, or empty if the current one is kept.
      *
-     * @param self this proxy's name
-     * @param names of all proxies present, this one's among them
-     * @param rates requests a second, by name; those not known are left out of the mean
+     * @param proxyNames names of all proxies present, {@code proxyName} among them
+     * @param requestRates requests per second by proxy name; a proxy without a rate is left out of the mean
      */
-    public SubsetPosition update(String self, Collection<String> names, Map<String, Double> rates) {
-        int own = NameHash.of(self);
-        int position = 0;
-        for (String n : names) {
-            int other = NameHash.of(n);
-            position += other < own || other == own && n.compareTo(self) < 0 ? 1 : 0;
+    public Optional<SubsetPosition> update(
+            String proxyName, Collection<String> proxyNames, Map<String, Double> requestRates) {
+        double mean = requestRates.values().stream()
+                .mapToDouble(Double::doubleValue)
+                .average()
+                .orElse(0);
+        double rate = requestRates.getOrDefault(proxyName, 0.0);
+        double weight = mean > 0 ? Math.min(MAX_WEIGHT, Math.max(1, rate / mean)) : 1;
+        SubsetPosition next =
+                new SubsetPosition(rank(proxyName, proxyNames), Math.max(1, proxyNames.size()), weight, true);
+        if (current != null
+                && Math.abs(next.weight() / current.weight() - 1) < MIN_WEIGHT_CHANGE
+                && Math.abs(ringFraction(next) - ringFraction(current)) < MIN_MOVE) {
+            return Optional.empty();
         }
-        double mean = rates.values().stream().mapToDouble(d -> d).average().orElse(0);
-        double rate = rates.getOrDefault(self, 0.0);
-        double weight = mean > 0 ? Math.min(MOST, Math.max(1, rate / mean)) : 1;
-        SubsetPosition next = new SubsetPosition(position, Math.max(1, names.size()), weight, true);
-        if (now != null
-                && Math.abs(next.weight() / now.weight() - 1) < WORTH
-                && Math.abs(part(next) - part(now)) < MOVE) {
-            return null;
+        current = next;
+        return Optional.of(next);
+    }
+
+    /** Returns the number of proxies that come before this one by the hash of the name, then by the name. */
+    private static int rank(String proxyName, Collection<String> proxyNames) {
+        int own = NameHash.of(proxyName);
+        int rank = 0;
+        for (String name : proxyNames) {
+            int other = NameHash.of(name);
+            if (other < own || (other == own && name.compareTo(proxyName) < 0)) {
+                rank++;
+            }
         }
-        now = next;
-        return next;
+        return rank;
     }
 
-    private static double part(SubsetPosition position) {
+    private static double ringFraction(SubsetPosition position) {
         return (double) position.position() / position.proxyCount();
     }
 }
--- a/src/main/java/rillyard/subset/SubsetStatistics.java
+++ b/src/main/java/rillyard/subset/SubsetStatistics.java
@@ -11,113 +11,120 @@
 import java.util.stream.LongStream;
 
 /**
- * What a way of subsetting comes to for a whole fleet.
+ * Statistics of a subsetting algorithm over a whole fleet.
  *
- * @param size hosts that an instance has
- * @param least instances of the host that has the fewest
- * @param most instances of the host that has the most
- * @param mean instances a host
- * @param twins pairs of neighbours in number that share all hosts: one lost host hits both alike
- * @param shared hosts that two instances share on the mean, over pairs of all distances
- * @param movedByHost hosts that all instances together take up anew when one host goes, for each place that
- *     it leaves empty; 1 is the least
- * @param movedByInstance hosts that the others take up anew when one instance more comes, for each host that
- *     it takes; 0 is the least
+ * @param size hosts of an instance
+ * @param minInstances instances of the host that has the fewest
+ * @param maxInstances instances of the host that has the most
+ * @param meanInstances mean number of instances of a host
+ * @param identicalNeighbours pairs of consecutive instances with identical subsets, which a lost host hits alike
+ * @param meanSharedHosts mean number of hosts that two instances share, over pairs of all distances
+ * @param movesPerHostRemoved hosts that all instances together newly use when one host is removed, per instance it had; 1
+ *     is the least
+ * @param movesPerInstanceAdded hosts that the other instances newly use when one instance is added, per host of it; 0 is
+ *     the least
  */
 public record SubsetStatistics(
         int size,
-        int least,
-        int most,
-        double mean,
-        int twins,
-        double shared,
-        double movedByHost,
-        double movedByInstance) {
-    /** Pairs that are looked at for what two instances share. */
-    private static final int PAIRS = 4_000;
+        int minInstances,
+        int maxInstances,
+        double meanInstances,
+        int identicalNeighbours,
+        double meanSharedHosts,
+        double movesPerHostRemoved,
+        double movesPerInstanceAdded) {
+    /** Pairs of instances that are sampled for shared hosts. */
+    private static final int SAMPLED_PAIRS = 4_000;
+
+    /** A prime stride, so that the sampled pairs begin all over the fleet. */
+    private static final long PAIR_STRIDE = 7_919;
 
     /**
-     * Works them out by laying out every subset.
+     * Computes the statistics from all subsets.
      *
      * @param instances 1 or more
      * @param hosts 1 or more
      * @param size 1 or more
      */
-    public static SubsetStatistics of(SubsettingStrategy way, int instances, int hosts, int size) {
-        List<Long> all = hosts(hosts);
-        List<Set<Long>> now = layOut(way, instances, all, size);
-        Map<Long, Integer> load = load(now);
-        List<Long> fewer = new ArrayList<>(all);
-        Long gone = fewer.remove(hosts / 2);
-        int empty = load.getOrDefault(gone, 0);
-        int byHost = hosts == 1 ? 0 : taken(now, layOut(way, instances, fewer, size));
-        int byInstance = taken(now, layOut(way, instances + 1, all, size));
-        int places = now.get(0).size();
+    public static SubsetStatistics of(SubsettingStrategy strategy, int instances, int hosts, int size) {
+        List<Long> allHosts = hosts(hosts);
+        List<Set<Long>> subsets = subsets(strategy, instances, allHosts, size);
+        Map<Long, Integer> load = load(subsets);
+        List<Long> remaining = new ArrayList<>(allHosts);
+        int vacated = load.getOrDefault(remaining.remove(hosts / 2), 0);
+        int movesOfHost = hosts == 1 ? 0 : moves(subsets, subsets(strategy, instances, remaining, size));
+        int movesOfInstance = moves(subsets, subsets(strategy, instances + 1, allHosts, size));
+        int actualSize = subsets.get(0).size();
         return new SubsetStatistics(
-                places,
-                all.stream().mapToInt(h -> load.getOrDefault(h, 0)).min().orElse(0),
-                load.values().stream().mapToInt(n -> n).max().orElse(0),
-                (double) instances * places / hosts,
-                twins(now),
-                shared(now),
-                empty == 0 ? 0 : (double) byHost / empty,
-                (double) byInstance / places);
+                actualSize,
+                allHosts.stream()
+                        .mapToInt(host -> load.getOrDefault(host, 0))
+                        .min()
+                        .orElse(0),
+                load.values().stream().mapToInt(Integer::intValue).max().orElse(0),
+                (double) instances * actualSize / hosts,
+                identicalNeighbours(subsets),
+                meanSharedHosts(subsets),
+                vacated == 0 ? 0 : (double) movesOfHost / vacated,
+                (double) movesOfInstance / actualSize);
     }
 
-    /** Instances of the host that has the most, without the rest of the figures. */
-    static int most(SubsettingStrategy way, int instances, int hosts, int size) {
-        return Collections.max(load(way.all(instances, hosts(hosts), size)).values());
+    /** Returns the greatest number of instances of a host, without the other statistics. */
+    static int maxInstances(SubsettingStrategy strategy, int instances, int hosts, int size) {
+        return Collections.max(
+                load(strategy.allSubsets(instances, hosts(hosts), size)).values());
     }
 
-    private static List<Long> hosts(int n) {
-        return LongStream.rangeClosed(1, n).boxed().toList();
+    private static List<Long> hosts(int count) {
+        return LongStream.rangeClosed(1, count).boxed().toList();
     }
 
+    /** Returns the number of instances by host, without hosts that have none. */
     private static Map<Long, Integer> load(List<? extends Collection<Long>> subsets) {
         Map<Long, Integer> load = new HashMap<>();
-        subsets.forEach(s -> s.forEach(h -> load.merge(h, 1, Integer::sum)));
+        subsets.forEach(subset -> subset.forEach(host -> load.merge(host, 1, Integer::sum)));
         return load;
     }
 
-    private static List<Set<Long>> layOut(SubsettingStrategy way, int instances, List<Long> hosts, int size) {
-        return way.all(instances, hosts, size).stream()
+    private static List<Set<Long>> subsets(SubsettingStrategy strategy, int instances, List<Long> hosts, int size) {
+        return strategy.allSubsets(instances, hosts, size).stream()
                 .<Set<Long>>map(HashSet::new)
                 .toList();
     }
 
-    /** Hosts that instances have afterwards and did not have before, of those that were there before. */
-    private static int taken(List<Set<Long>> before, List<Set<Long>> after) {
-        int n = 0;
-        for (int i = 0; i < before.size(); i++) {
-            for (Long h : after.get(i)) {
-                n += before.get(i).contains(h) ? 0 : 1;
+    /** Returns how many hosts the instances of {@code before} have only afterwards. */
+    private static int moves(List<Set<Long>> before, List<Set<Long>> after) {
+        int moves = 0;
+        for (int instance = 0; instance < before.size(); instance++) {
+            for (Long host : after.get(instance)) {
+                moves += before.get(instance).contains(host) ? 0 : 1;
             }
         }
-        return n;
+        return moves;
     }
 
-    private static int twins(List<Set<Long>> subsets) {
-        int n = 0;
-        for (int i = 1; i < subsets.size(); i++) {
-            n += subsets.get(i).equals(subsets.get(i - 1)) ? 1 : 0;
+    private static int identicalNeighbours(List<Set<Long>> subsets) {
+        int count = 0;
+        for (int instance = 1; instance < subsets.size(); instance++) {
+            count += subsets.get(instance).equals(subsets.get(instance - 1)) ? 1 : 0;
         }
-        return n;
+        return count;
     }
 
-    private static double shared(List<Set<Long>> subsets) {
-        int n = subsets.size();
-        if (n < 2) {
+    private static double meanSharedHosts(List<Set<Long>> subsets) {
+        int instances = subsets.size();
+        if (instances < 2) {
             return 0;
         }
-        long sum = 0;
-        for (int i = 0; i < PAIRS; i++) {
-            int a = (int) ((long) i * 7_919 % n);
-            int b = (a + 1 + i % (n - 1)) % n;
-            Set<Long> other = subsets.get(b);
-            for (Long h : subsets.get(a)) {
-                sum += other.contains(h) ? 1 : 0;
+        long shared = 0;
+        for (int pair = 0; pair < SAMPLED_PAIRS; pair++) {
+            int first = (int) (pair * PAIR_STRIDE % instances);
+            int second = (first + 1 + pair % (instances - 1)) % instances;
+            Set<Long> other = subsets.get(second);
+            for (Long host : subsets.get(first)) {
+                shared += other.contains(host) ? 1 : 0;
             }
         }
-        return (double) sum / PAIRS;
+        return (double) shared / SAMPLED_PAIRS;
     }
 }
--- a/src/main/java/rillyard/subset/SubsettingAlgorithm.java
+++ b/src/main/java/rillyard/subset/SubsettingAlgorithm.java
@@ -12,15 +12,15 @@
 import java.util.Set;
 import rillyard.balancer.SplitMix64;
 
-/** The ways that were weighed; see {@code docs/design/many-instances.md}. */
+/** The subsetting algorithms that were compared; {@code docs/design/many-instances.md} has the results. */
 public enum SubsettingAlgorithm implements SubsettingStrategy {
     /**
-     * A stretch of the ring of hosts that begins at the instance's part of it, as the aperture of Finagle has
-     * it. Even, but neighbours share nearly all, and one instance more moves the beginnings of all.
+     * A window on the ring of hosts that starts at the instance's part of it, like the deterministic aperture of Finagle.
+     * Even, but neighbours share nearly all hosts, and one more instance moves all windows.
      */
     RING {
         @Override
-        public List<Long> of(int instance, int instances, List<Long> hosts, int size) {
+        public List<Long> subsetOf(int instance, int instances, List<Long> hosts, int size) {
             List<Long> ring = ordered(hosts, 0);
             int start = (int) ((long) instance * ring.size() / instances);
             return slice(ring, start, size);
@@ -28,108 +28,112 @@
     },
 
     /**
-     * Deterministic subsetting as in chapter 20 of <i>Site Reliability Engineering</i> (2016): a lot of as
-     * many instances as there are whole subsets, each lot with the hosts shuffled anew. Even but for the hosts that
-     * a lot leaves over; one host less shuffles all of them anew.
+     * Deterministic subsetting as in chapter 20 of <i>Site Reliability Engineering</i> (2016): rounds of as many instances as
+     * there are complete subsets, each round with the hosts shuffled anew. Even but for the hosts that a round leaves over;
+     * one host less reshuffles all rounds.
      */
     SHUFFLED {
         @Override
-        public List<Long> of(int instance, int instances, List<Long> hosts, int size) {
+        public List<Long> subsetOf(int instance, int instances, List<Long> hosts, int size) {
             int subsets = Math.max(1, hosts.size() / Math.max(1, size));
             List<Long> all = new ArrayList<>(hosts);
             all.sort(null);
-            Collections.shuffle(all, new Random(instance / subsets)); // specified, so alike on every machine
+            Collections.shuffle(all, new Random(instance / subsets)); // its sequence is specified
             return slice(all, instance % subsets * size, size);
         }
     },
 
     /**
-     * Hosts in an order of the lot's own that comes from each host's number alone, dealt out without a gap:
-     * instances of a lot take one stretch after the other, and the last of them goes on at the beginning. So a
-     * host that goes or comes moves each stretch of a lot by one at most.
+     * Rounds of instances as well, each with an order of its own that follows from each host's number alone: the instances of
+     * a round take consecutive windows, and the last of them wraps around. A host that is added or removed moves each window
+     * by one at most.
      */
     LOTS {
         @Override
-        public List<Long> of(int instance, int instances, List<Long> hosts, int size) {
+        public List<Long> subsetOf(int instance, int instances, List<Long> hosts, int size) {
             if (hosts.isEmpty()) {
                 return List.of();
             }
-            int members = Math.max(1, (hosts.size() + size - 1) / Math.max(1, size));
-            List<Long> order = ordered(hosts, 1 + instance / members);
-            return slice(order, (int) ((long) (instance % members) * size % hosts.size()), size);
+            int roundSize = Math.max(1, (hosts.size() + size - 1) / Math.max(1, size));
+            List<Long> order = ordered(hosts, 1 + instance / roundSize);
+            return slice(order, (int) ((long) (instance % roundSize) * size % hosts.size()), size);
         }
     },
 
-    /** The hosts with the highest numbers of chance, of the instance's own: the least moves, uneven loads. */
+    /** Rendezvous hashing: the hosts with the least hashes with the instance. The fewest moves, but uneven. */
     RENDEZVOUS {
         @Override
-        public List<Long> of(int instance, int instances, List<Long> hosts, int size) {
+        public List<Long> subsetOf(int instance, int instances, List<Long> hosts, int size) {
             return slice(ordered(hosts, -1L - instance), 0, size);
         }
     },
 
     /**
-     * The same with a bound: a host that has a tenth more than the mean takes no further instance (after
-     * Mirrokni, Thorup, Zadimoghaddam 2018). Each instance has to compute all before it.
+     * Rendezvous hashing with bounded loads: a host that has a tenth more than the mean takes no further instance (after
+     * Mirrokni, Thorup and Zadimoghaddam, 2018). Each instance has to compute all before it.
      */
     BOUNDED {
         @Override
-        public List<Long> of(int instance, int instances, List<Long> hosts, int size) {
-            return layOut(instance + 1, instances, hosts, size).get(instance);
+        public List<Long> subsetOf(int instance, int instances, List<Long> hosts, int size) {
+            return assign(instance + 1, instances, hosts, size).get(instance);
         }
 
         @Override
-        public List<List<Long>> all(int instances, List<Long> hosts, int size) {
-            return layOut(instances, instances, hosts, size);
+        public List<List<Long>> allSubsets(int instances, List<Long> hosts, int size) {
+            return assign(instances, instances, hosts, size);
         }
 
-        /** The subsets of the first {@code upTo} instances. */
-        private List<List<Long>> layOut(int upTo, int instances, List<Long> hosts, int size) {
-            int most = bound(instances, hosts.size(), size);
+        /** Returns the subsets of the first {@code upTo} instances. */
+        private List<List<Long>> assign(int upTo, int instances, List<Long> hosts, int size) {
+            int maxInstances = bound(instances, hosts.size(), size);
             Map<Long, Integer> load = new HashMap<>();
-            List<List<Long>> out = new ArrayList<>(upTo);
-            for (int i = 0; i < upTo; i++) {
+            List<List<Long>> subsets = new ArrayList<>(upTo);
+            for (int instance = 0; instance < upTo; instance++) {
                 Set<Long> own = new LinkedHashSet<>();
-                List<Long> order = ordered(hosts, -1L - i);
+                List<Long> order = ordered(hosts, -1L - instance);
                 order.stream()
-                        .filter(h -> load.getOrDefault(h, 0) < most)
+                        .filter(host -> load.getOrDefault(host, 0) < maxInstances)
                         .limit(size)
                         .forEach(own::add);
-                for (Long h : order) { // the bound leaves too few at the very end
+                for (Long host : order) { // the last instances may find too few hosts below the bound
                     if (own.size() < Math.min(size, hosts.size())) {
-                        own.add(h);
+                        own.add(host);
                     }
                 }
-                own.forEach(h -> load.merge(h, 1, Integer::sum));
-                out.add(List.copyOf(own));
+                own.forEach(host -> load.merge(host, 1, Integer::sum));
+                subsets.add(List.copyOf(own));
             }
-            return out;
+            return subsets;
         }
 
         private int bound(int instances, int hosts, int size) {
-            return hosts == 0 ? 0 : (int) Math.ceil(1.1 * instances * Math.min(size, hosts) / hosts);
+            return hosts == 0 ? 0 : (int) Math.ceil(LOAD_FACTOR * instances * Math.min(size, hosts) / hosts);
         }
     };
 
-    /** The name as it is given on the command line. */
-    public String word() {
+    /** The greatest number of instances of a host in {@link #BOUNDED}, relative to the mean. */
+    private static final double LOAD_FACTOR = 1.1;
+
+    /** Returns the name as it is given on the command line. */
+    public String optionName() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** The hosts in an order that {@code salt} picks and that doesn't depend on which others there are. */
+    /** Returns the hosts in a pseudorandom order, in which the order of two hosts does not depend on the others. */
     private static List<Long> ordered(List<Long> hosts, long salt) {
-        List<Long> out = new ArrayList<>(hosts);
-        out.sort(Comparator.comparingLong((Long h) -> SplitMix64.hash(salt, h))
+        List<Long> order = new ArrayList<>(hosts);
+        order.sort(Comparator.comparingLong((Long host) -> SplitMix64.hash(salt, host))
                 .thenComparing(Comparator.naturalOrder()));
-        return out;
+        return order;
     }
 
+    /** Returns {@code size} elements from {@code start} on, at most all, with wrap-around. */
     private static List<Long> slice(List<Long> ring, int start, int size) {
-        int n = Math.min(size, ring.size());
-        List<Long> out = new ArrayList<>(n);
-        for (int i = 0; i < n; i++) {
-            out.add(ring.get((start + i) % ring.size()));
+        int count = Math.min(size, ring.size());
+        List<Long> slice = new ArrayList<>(count);
+        for (int offset = 0; offset < count; offset++) {
+            slice.add(ring.get((start + offset) % ring.size()));
         }
-        return out;
+        return slice;
     }
 }
--- a/src/test/java/rillyard/faultinjection/ObservationGossipIT.java
+++ b/src/test/java/rillyard/faultinjection/ObservationGossipIT.java
@@ -62,12 +62,12 @@
             Files.readAllLines(out.resolve("m" + i + ".log")).stream()
                     .filter(l -> l.contains("fleet: host"))
                     .forEach(said::add);
-            assertThat(said).as("m" + i).allMatch(l -> l.contains("host s-3 "));
+            assertThat(said).as("m" + i).allMatch(l -> l.contains("host=s-3 "));
             if (i < 3) {
-                assertThat(said).as("m" + i + ", which hears nobody").noneMatch(l -> l.contains("left"));
+                assertThat(said).as("m" + i + ", which hears nobody").noneMatch(l -> l.contains("host ejected"));
             } else {
-                assertThat(said).as("m" + i).anyMatch(l -> l.contains("host s-3 left"));
-                assertThat(said.get(said.size() - 1)).as("m" + i).contains("serves again");
+                assertThat(said).as("m" + i).anyMatch(l -> l.contains("fleet: host ejected, host=s-3 "));
+                assertThat(said.get(said.size() - 1)).as("m" + i).contains("fleet: host readmitted, host=s-3 ");
             }
         }
     }
--- a/src/test/java/rillyard/outlier/FleetOutlierDetectorTest.java
+++ b/src/test/java/rillyard/outlier/FleetOutlierDetectorTest.java
@@ -9,21 +9,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Many proxies decide on one host from each other's votes, each for itself. */
+/** Many proxies that each decide on one host from the observations of all. */
 class FleetOutlierDetectorTest {
-    private static final double LATE = 1_000;
+    private static final double DELAY_MILLIS = 1_000;
 
     @Test
-    void aHostThatFailsEveryRequestIsLeftByAllAfterErrorsThatDontGrowWithTheFleet() {
+    void failingHostIsEjectedByAllWithinErrorsIndependentOfFleetSize() {
         int[] errors = new int[2];
         int[] sizes = {20, 200};
-        for (int k = 0; k < 2; k++) {
+        for (int index = 0; index < 2; index++) {
             // The host's whole traffic is the same: 12 a second.
-            ObservationFleet fleet = new ObservationFleet(sizes[k], LATE, 12.0 / sizes[k], 7);
+            ObservationFleet fleet = new ObservationFleet(sizes[index], DELAY_MILLIS, 12.0 / sizes[index], 7);
             fleet.run(4_000, 0);
             fleet.run(8_000, 1);
-            assertThat(fleet.left()).as("of " + sizes[k]).isEqualTo(sizes[k]);
-            errors[k] = fleet.failed;
+            assertThat(fleet.ejectedCount()).as("of " + sizes[index]).isEqualTo(sizes[index]);
+            errors[index] = fleet.failed;
         }
         // 12 a second until the votes are round: a second late, the hold, a step or two; then two trials a second.
         assertThat(errors[0]).isLessThan(60);
@@ -32,19 +32,19 @@
 
     @ParameterizedTest
     @CsvSource({"0.02,0", "0.1,0", "0.3,2"})
-    void aHostThatLosesSomeIsLeftByNobody(double fails, int most) {
+    void lossyHostIsNotEjected(double fails, int most) {
         int left = 0;
         for (int seed = 0; seed < 20; seed++) {
-            ObservationFleet fleet = new ObservationFleet(40, LATE, 0.3, seed);
+            ObservationFleet fleet = new ObservationFleet(40, DELAY_MILLIS, 0.3, seed);
             fleet.run(60_000, fails);
-            left += fleet.proxies.stream().anyMatch(proxy -> !proxy.leaves.isEmpty()) ? 1 : 0;
+            left += fleet.proxies.stream().anyMatch(proxy -> !proxy.ejections.isEmpty()) ? 1 : 0;
         }
         assertThat(left).as("of 20 runs of a minute").isLessThanOrEqualTo(most);
     }
 
     @Test
-    void trialsOfAllTogetherComeAtAStatedPaceAndTheReturnIsSpread() {
-        ObservationFleet fleet = new ObservationFleet(100, LATE, 0.3, 3);
+    void probesKeepConfiguredRateAndReadmissionIsSpread() {
+        ObservationFleet fleet = new ObservationFleet(100, DELAY_MILLIS, 0.3, 3);
         fleet.run(4_000, 0);
         fleet.run(6_000, 1);
         int before = fleet.sent;
@@ -53,136 +53,142 @@
         assertThat(fleet.sent - before).isBetween(2, 40);
         int back = fleet.sent;
         fleet.run(10_000, 0);
-        assertThat(fleet.proxies).allMatch(proxy -> proxy.backs.size() >= 1);
+        assertThat(fleet.proxies).allMatch(proxy -> proxy.readmissions.size() >= 1);
         assertThat(fleet.sent - back).isGreaterThan(100);
-        double first =
-                fleet.proxies.stream().mapToDouble(p -> p.backs.get(0)).min().orElseThrow();
-        double last =
-                fleet.proxies.stream().mapToDouble(p -> p.backs.get(0)).max().orElseThrow();
+        double first = fleet.proxies.stream()
+                .mapToDouble(proxy -> proxy.readmissions.get(0))
+                .min()
+                .orElseThrow();
+        double last = fleet.proxies.stream()
+                .mapToDouble(proxy -> proxy.readmissions.get(0))
+                .max()
+                .orElseThrow();
         assertThat(last - first).as("ms from the first to the last").isBetween(1_000.0, 4_500.0);
     }
 
     @Test
-    void theirPaceHoldsWhereHalfBelieveInHalfTheFleet() {
-        ObservationFleet right = new ObservationFleet(100, LATE, 0.3, 4);
-        ObservationFleet half = new ObservationFleet(100, LATE, 0.3, 4);
+    void probeRateHoldsWhenHalfSeeHalfOfFleet() {
+        ObservationFleet right = new ObservationFleet(100, DELAY_MILLIS, 0.3, 4);
+        ObservationFleet half = new ObservationFleet(100, DELAY_MILLIS, 0.3, 4);
         half.halfAreWrong = true;
         int[] trials = new int[2];
-        int k = 0;
+        int index = 0;
         for (ObservationFleet fleet : List.of(right, half)) {
             fleet.run(4_000, 0);
             fleet.run(10_000, 1);
             int before = fleet.sent;
             fleet.run(30_000, 1);
-            trials[k++] = fleet.sent - before;
+            trials[index++] = fleet.sent - before;
         }
         assertThat(trials[0]).as("in 30 s, two a second meant").isBetween(20, 90);
         assertThat(trials[1]).as("with half of them wrong").isLessThan(135);
     }
 
     @Test
-    void oneOrTwoThatLieMoveNobody() {
+    void twoFalseReportsEjectNoHost() {
         int host = ObservationFleet.HOST;
-        List<Double> leaves = new ArrayList<>();
-        FleetOutlierDetector words =
-                new FleetOutlierDetector(FleetOutlierSettings.USUAL, new SplittableRandom(1), out(leaves));
-        List<HostObservation> lie = List.of(
+        List<Double> ejections = new ArrayList<>();
+        FleetOutlierDetector detector = new FleetOutlierDetector(
+                FleetOutlierSettings.DEFAULT, new SplittableRandom(1), recordingListener(ejections));
+        List<HostObservation> falseReport = List.of(
                 new HostObservation(host, true, 0),
                 new HostObservation(host, true, 0),
                 new HostObservation(host, true, 0));
         for (double now = 1e6; now < 1e6 + 60_000; now += 250) {
-            words.step(List.of(lie, lie), 100, 1, now);
+            detector.evaluate(List.of(falseReport, falseReport), 100, 1, now);
         }
-        assertThat(leaves).isEmpty();
+        assertThat(ejections).isEmpty();
         for (double now = 2e6; now < 2e6 + 1_000; now += 250) {
-            words.step(List.of(lie, lie, lie), 100, 1, now);
+            detector.evaluate(List.of(falseReport, falseReport, falseReport), 100, 1, now);
         }
-        assertThat(leaves).as("three who agree, and nobody who was served").hasSize(1);
+        assertThat(ejections).as("three who agree, and nobody who was served").hasSize(1);
     }
 
     @Test
-    void threeThatLieMoveNobodyWhileTwoWereServed() {
-        List<Double> leaves = new ArrayList<>();
-        FleetOutlierDetector words =
-                new FleetOutlierDetector(FleetOutlierSettings.USUAL, new SplittableRandom(1), out(leaves));
-        List<HostObservation> lie = List.of(new HostObservation(ObservationFleet.HOST, true, 0));
+    void threeFalseReportsAgainstTwoSuccessesEjectNoHost() {
+        List<Double> ejections = new ArrayList<>();
+        FleetOutlierDetector detector = new FleetOutlierDetector(
+                FleetOutlierSettings.DEFAULT, new SplittableRandom(1), recordingListener(ejections));
+        List<HostObservation> falseReport = List.of(new HostObservation(ObservationFleet.HOST, true, 0));
         List<HostObservation> served = List.of(new HostObservation(ObservationFleet.HOST, false, 500));
         for (double now = 1e6; now < 1e6 + 60_000; now += 250) {
-            words.step(List.of(lie, served, lie, served, lie), 100, 1, now);
+            detector.evaluate(List.of(falseReport, served, falseReport, served, falseReport), 100, 1, now);
         }
-        assertThat(leaves).isEmpty();
+        assertThat(ejections).isEmpty();
     }
 
     @Test
-    void whoWasServedAfterTheLastFailureBelievesItsOwnEyes() {
-        List<Double> leaves = new ArrayList<>();
-        FleetOutlierDetector words =
-                new FleetOutlierDetector(FleetOutlierSettings.USUAL, new SplittableRandom(1), out(leaves));
+    void ownSuccessAfterLastFailurePreventsEjection() {
+        List<Double> ejections = new ArrayList<>();
+        FleetOutlierDetector detector = new FleetOutlierDetector(
+                FleetOutlierSettings.DEFAULT, new SplittableRandom(1), recordingListener(ejections));
         List<HostObservation> old = List.of(new HostObservation(ObservationFleet.HOST, true, 3_000));
         for (double now = 1e6; now < 1e6 + 5_000; now += 250) {
-            words.ended(ObservationFleet.HOST, false, now - 100);
-            words.step(List.of(old, old, old, old, old, old), 100, 1, now);
+            detector.onAttemptEnded(ObservationFleet.HOST, false, now - 100);
+            detector.evaluate(List.of(old, old, old, old, old, old), 100, 1, now);
         }
-        assertThat(leaves).isEmpty();
+        assertThat(ejections).isEmpty();
     }
 
     @Test
-    void whatIsPastTheWindowCountsForNothing() {
-        List<Double> leaves = new ArrayList<>();
-        FleetOutlierDetector words =
-                new FleetOutlierDetector(FleetOutlierSettings.USUAL, new SplittableRandom(1), out(leaves));
-        List<HostObservation> old =
-                List.of(new HostObservation(ObservationFleet.HOST, true, FleetOutlierSettings.USUAL.window()));
+    void observationsPastWindowAreIgnored() {
+        List<Double> ejections = new ArrayList<>();
+        FleetOutlierDetector detector = new FleetOutlierDetector(
+                FleetOutlierSettings.DEFAULT, new SplittableRandom(1), recordingListener(ejections));
+        List<HostObservation> old = List.of(
+                new HostObservation(ObservationFleet.HOST, true, FleetOutlierSettings.DEFAULT.observationWindow()));
         for (double now = 1e6; now < 1e6 + 5_000; now += 250) {
-            words.step(List.of(old, old, old, old, old, old), 100, 1, now);
+            detector.evaluate(List.of(old, old, old, old, old, old), 100, 1, now);
         }
-        assertThat(leaves).isEmpty();
+        assertThat(ejections).isEmpty();
     }
 
     @Test
-    void whoIsCutOffFromAllNewsTriesAHostThatItLeftBeforeItsTurnAmongAll() {
-        List<Double> backs = new ArrayList<>();
-        FleetOutlierDetector words = new FleetOutlierDetector(
-                FleetOutlierSettings.USUAL, new SplittableRandom(1), new FleetOutlierDetector.Out() {
+    void isolatedProxyReadmitsEjectedHostEarly() {
+        List<Double> readmissions = new ArrayList<>();
+        FleetOutlierDetector detector = new FleetOutlierDetector(
+                FleetOutlierSettings.DEFAULT, new SplittableRandom(1), new FleetOutlierDetector.Listener() {
                     @Override
-                    public void leave(int host, double wait, int failed, int served) {}
+                    public void onEjected(int host, double wait, int failed, int served) {}
 
                     @Override
-                    public void comeBack(int host, double wait) {
-                        backs.add(wait);
+                    public void onReadmitted(int host, double wait) {
+                        readmissions.add(wait);
                     }
                 });
         List<HostObservation> failed = List.of(new HostObservation(ObservationFleet.HOST, true, 0));
         double now = 1e6;
         for (; now < 1e6 + 3_000; now += 250) {
-            words.step(List.of(failed, failed, failed), 10_000, 1, now);
+            detector.evaluate(List.of(failed, failed, failed), 10_000, 1, now);
         }
-        for (double cut = now; now < cut + FleetOutlierSettings.USUAL.forget() - 1_000; now += 250) {
-            words.step(List.of(), 1, 1, now);
+        for (double cut = now; now < cut + FleetOutlierSettings.DEFAULT.forgetAfter() - 1_000; now += 250) {
+            detector.evaluate(List.of(), 1, 1, now);
         }
-        assertThat(backs).isEmpty();
-        words.step(List.of(), 1, 1, now + 2_000);
-        assertThat(backs).hasSize(1).allMatch(wait -> wait <= FleetOutlierSettings.USUAL.ramp());
+        assertThat(readmissions).isEmpty();
+        detector.evaluate(List.of(), 1, 1, now + 2_000);
+        assertThat(readmissions).hasSize(1).allMatch(wait -> wait <= FleetOutlierSettings.DEFAULT.recoveryRamp());
     }
 
     @Test
-    void newsFiveSecondsLateLeavesAHostThatIsWellForNoLongerThanItsTrialsTake() {
+    void lateObservationsDoNotKeepHealthyHostEjected() {
         ObservationFleet fleet = new ObservationFleet(100, 5_000, 0.3, 9);
         fleet.run(4_000, 0);
         fleet.run(3_000, 1);
         fleet.run(40_000, 0);
-        assertThat(fleet.left()).as("still away 40 s after it was well again").isZero();
+        assertThat(fleet.ejectedCount())
+                .as("still away 40 s after it was well again")
+                .isZero();
     }
 
-    private static FleetOutlierDetector.Out out(List<Double> leaves) {
-        return new FleetOutlierDetector.Out() {
+    private static FleetOutlierDetector.Listener recordingListener(List<Double> ejections) {
+        return new FleetOutlierDetector.Listener() {
             @Override
-            public void leave(int host, double wait, int failed, int served) {
-                leaves.add(wait);
+            public void onEjected(int host, double wait, int failed, int served) {
+                ejections.add(wait);
             }
 
             @Override
-            public void comeBack(int host, double wait) {}
+            public void onReadmitted(int host, double wait) {}
         };
     }
 }
--- a/src/test/java/rillyard/outlier/ObservationFleet.java
+++ b/src/test/java/rillyard/outlier/ObservationFleet.java
@@ -6,31 +6,32 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** Proxies that use one host and hear each other's votes late, on a virtual clock. */
+/** Proxies that use one host and get each other's observations late, on a virtual clock. */
 final class ObservationFleet {
-    static final int HOST = HostObservation.number("s-20");
+    static final int HOST = HostObservation.hostNumber("s-20");
     private static final double STEP = 250;
 
     /** One proxy: when it may send to the host, and what it did. */
-    final class Proxy implements FleetOutlierDetector.Out {
-        final FleetOutlierDetector words = new FleetOutlierDetector(FleetOutlierSettings.USUAL, random.split(), this);
-        final List<double[]> leaves = new ArrayList<>(); // when, until
-        final List<Double> backs = new ArrayList<>();
+    final class Proxy implements FleetOutlierDetector.Listener {
+        final FleetOutlierDetector detector =
+                new FleetOutlierDetector(FleetOutlierSettings.DEFAULT, random.split(), this);
+        final List<double[]> ejections = new ArrayList<>(); // when, until
+        final List<Double> readmissions = new ArrayList<>();
         double notBefore;
-        boolean trial;
+        boolean probing;
 
         @Override
-        public void leave(int host, double wait, int failed, int served) {
-            leaves.add(new double[] {now, now + wait});
+        public void onEjected(int host, double wait, int failed, int served) {
+            ejections.add(new double[] {now, now + wait});
             notBefore = Math.max(notBefore, now + wait);
-            trial = true;
+            probing = true;
         }
 
         @Override
-        public void comeBack(int host, double wait) {
-            backs.add(now + wait);
+        public void onReadmitted(int host, double wait) {
+            readmissions.add(now + wait);
             notBefore = Math.min(notBefore, now + wait);
-            trial = false;
+            probing = false;
         }
     }
 
@@ -38,9 +39,9 @@
 
     final SplittableRandom random;
     final List<Proxy> proxies = new ArrayList<>();
-    final double late;
-    final double each;
-    private final Map<Proxy, List<Heard>> said = new HashMap<>();
+    final double delayMillis;
+    final double requestsPerSecond;
+    private final Map<Proxy, List<Heard>> published = new HashMap<>();
     double now = 1e9;
     /** Whether every second one believes in half as many proxies as there are. */
     boolean halfAreWrong;
@@ -55,8 +56,8 @@
     /** {@code late} ms until votes are heard; each proxy sends the host {@code each} requests a second. */
     ObservationFleet(int proxies, double late, double each, long seed) {
         this.random = new SplittableRandom(seed);
-        this.late = late;
-        this.each = each;
+        this.delayMillis = late;
+        this.requestsPerSecond = each;
         for (int i = 0; i < proxies; i++) {
             this.proxies.add(new Proxy());
         }
@@ -66,28 +67,28 @@
     void run(double ms, double fails) {
         for (double end = now + ms; now < end; now += STEP) {
             for (Proxy proxy : proxies) {
-                if (now >= proxy.notBefore && random.nextDouble() < each * STEP / 1_000) {
+                if (now >= proxy.notBefore && random.nextDouble() < requestsPerSecond * STEP / 1_000) {
                     boolean lost = random.nextDouble() < fails;
                     sent++;
                     bySecond.merge((int) ((now - began) / 1_000), 1, Integer::sum);
                     failed += lost ? 1 : 0;
-                    proxy.words.ended(HOST, lost, now);
-                    proxy.trial &= lost;
-                    if (lost && proxy.trial) {
+                    proxy.detector.onAttemptEnded(HOST, lost, now);
+                    proxy.probing &= lost;
+                    if (lost && proxy.probing) {
                         proxy.notBefore = now + 2_000; // by itself, until it hears what the fleet's pace is
                     }
                 }
             }
-            for (Proxy p : proxies) {
+            for (Proxy receiver : proxies) {
                 List<List<HostObservation>> others = new ArrayList<>();
-                said.forEach((who, all) -> {
-                    if (who != p) {
+                published.forEach((who, all) -> {
+                    if (who != receiver) {
                         for (int i = all.size() - 1; i >= 0; i--) {
                             Heard heard = all.get(i);
-                            if (now - heard.at >= late) {
+                            if (now - heard.at >= delayMillis) {
                                 others.add(heard.votes.stream()
-                                        .filter(observation ->
-                                                observation.ageMillis() + now - heard.at <= HostObservation.MAX_AGE)
+                                        .filter(observation -> observation.ageMillis() + now - heard.at
+                                                <= HostObservation.MAX_AGE_MILLIS)
                                         .map(hostObservation -> new HostObservation(
                                                 hostObservation.host(),
                                                 hostObservation.failed(),
@@ -98,21 +99,21 @@
                         }
                     }
                 });
-                List<HostObservation> mine = p.words.step(
+                List<HostObservation> mine = receiver.detector.evaluate(
                         others,
-                        halfAreWrong && proxies.indexOf(p) % 2 == 0 ? proxies.size() / 2 : proxies.size(),
+                        halfAreWrong && proxies.indexOf(receiver) % 2 == 0 ? proxies.size() / 2 : proxies.size(),
                         1,
                         now);
-                List<Heard> all = said.computeIfAbsent(p, x -> new ArrayList<>());
+                List<Heard> all = published.computeIfAbsent(receiver, x -> new ArrayList<>());
                 all.add(new Heard(now, mine));
-                all.removeIf(h -> now - h.at > late + 5_000);
+                all.removeIf(h -> now - h.at > delayMillis + 5_000);
             }
         }
     }
 
-    long left() {
+    long ejectedCount() {
         return proxies.stream()
-                .filter(proxy -> proxy.leaves.size() > 0 && proxy.backs.size() == 0)
+                .filter(proxy -> proxy.ejections.size() > 0 && proxy.readmissions.size() == 0)
                 .count();
     }
 }
--- a/src/test/java/rillyard/outlier/net/ObservationGossipTest.java
+++ b/src/test/java/rillyard/outlier/net/ObservationGossipTest.java
@@ -22,36 +22,36 @@
 import rillyard.outlier.FleetOutlierSettings;
 import rillyard.proxy.dispatch.PeerGossip;
 
-/** Five members over sockets that tell each other what they saw of hosts. */
+/** Members that exchange their observations of hosts over sockets. */
 @Timeout(60)
 class ObservationGossipTest {
     private static final Set<String> HOSTS = Set.of("a", "b");
 
-    /** What one proxy was told to heed. */
-    private static final class Heeded implements PeerGossip.Listener {
-        final List<String> left = new ArrayList<>();
-        final List<String> back = new ArrayList<>();
-        final List<String> lines = new ArrayList<>();
-        SubsetPosition place;
+    /** Records what one proxy is asked to do. */
+    private static final class RecordingListener implements PeerGossip.Listener {
+        final List<String> ejected = new ArrayList<>();
+        final List<String> readmitted = new ArrayList<>();
+        final List<String> logLines = new ArrayList<>();
+        SubsetPosition subsetPosition;
 
         @Override
         public void eject(String host, double wait) {
-            left.add(host);
+            ejected.add(host);
         }
 
         @Override
         public void readmit(String host, double wait) {
-            back.add(host);
+            readmitted.add(host);
         }
 
         @Override
         public void moveSubset(SubsetPosition position) {
-            place = position;
+            subsetPosition = position;
         }
 
         @Override
         public void log(String line) {
-            lines.add(line);
+            logLines.add(line);
         }
     }
 
@@ -59,19 +59,19 @@
     Path folder;
 
     private final List<FleetMember> members = new ArrayList<>();
-    private final List<ObservationGossip> news = new ArrayList<>();
-    private final List<Heeded> heeded = new ArrayList<>();
+    private final List<ObservationGossip> gossips = new ArrayList<>();
+    private final List<RecordingListener> listeners = new ArrayList<>();
 
     private static double now() {
         return System.nanoTime() / 1e6;
     }
 
-    private void start(int n) throws Exception {
+    private void start(int count) throws Exception {
         int seed = 0;
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < count; i++) {
             int port;
-            try (DatagramSocket s = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
-                port = s.getLocalPort();
+            try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
+                port = socket.getLocalPort();
             }
             seed = i == 0 ? port : seed;
             Path file = folder.resolve("p" + i + ".toml");
@@ -80,8 +80,8 @@
                     "seeds = \"127.0.0.1:" + seed + "\"\n[self]\nname = \"p" + i + "\"\nlisten = \"127.0.0.1:" + port
                             + "\"\n[membership]\ninterval_ms = 100\ntimeout_ms = 40\n");
             FleetMember member = new FleetMember(FleetConfigReader.read(file, Map.of()), i, System.err);
-            news.add(new ObservationGossip(member, FleetOutlierSettings.USUAL, i));
-            heeded.add(new Heeded());
+            gossips.add(new ObservationGossip(member, FleetOutlierSettings.DEFAULT, i));
+            listeners.add(new RecordingListener());
             members.add(member);
             member.start();
         }
@@ -93,69 +93,71 @@
     }
 
     private void stepAll() throws InterruptedException {
-        for (int i = 0; i < news.size(); i++) {
-            news.get(i).step(now(), HOSTS, heeded.get(i));
+        for (int i = 0; i < gossips.size(); i++) {
+            gossips.get(i).step(now(), HOSTS, listeners.get(i));
         }
-        Thread.sleep(20); // between two looks
+        Thread.sleep(20); // between two steps
     }
 
     @Test
-    void whoSawNothingLeavesTheHostThatThreeOthersSawFailAndComesBackWithThem() throws Exception {
+    void hostReportedByThreePeersIsEjectedAndReadmitted() throws Exception {
         start(5);
         while (!members.stream().allMatch(member -> member.snapshot().present().size() == 5)) {
             stepAll();
         }
-        while (heeded.get(4).left.isEmpty()) {
+        while (listeners.get(4).ejected.isEmpty()) {
             for (int i = 0; i < 3; i++) {
-                news.get(i).onAttemptEnded("a", AttemptOutcome.ERROR, now());
-                news.get(i).onAttemptEnded("b", AttemptOutcome.OK, now());
-                news.get(i).onAttemptEnded("stranger", AttemptOutcome.ERROR, now());
+                gossips.get(i).onAttemptEnded("a", AttemptOutcome.ERROR, now());
+                gossips.get(i).onAttemptEnded("b", AttemptOutcome.OK, now());
+                gossips.get(i).onAttemptEnded("stranger", AttemptOutcome.ERROR, now());
             }
-            news.get(3).onAttemptEnded("a", AttemptOutcome.REJECTED, now()); // tells nothing
+            gossips.get(3).onAttemptEnded("a", AttemptOutcome.REJECTED, now()); // tells nothing
             stepAll();
         }
-        assertThat(heeded.get(4).left).containsOnly("a");
-        while (heeded.get(4).back.isEmpty()) {
-            news.get(0).onAttemptEnded("a", AttemptOutcome.OK, now());
-            news.get(1).onAttemptEnded("a", AttemptOutcome.OK, now());
+        assertThat(listeners.get(4).ejected).containsOnly("a");
+        while (listeners.get(4).readmitted.isEmpty()) {
+            gossips.get(0).onAttemptEnded("a", AttemptOutcome.OK, now());
+            gossips.get(1).onAttemptEnded("a", AttemptOutcome.OK, now());
             stepAll();
         }
-        assertThat(heeded.get(4).back).containsOnly("a");
-        assertThat(heeded.stream().flatMap(h -> h.left.stream())).containsOnly("a");
-        while (heeded.get(0).place.weight() <= 1) {
-            news.get(0).onAttemptEnded("a", AttemptOutcome.OK, now()); // the only one that sends still
+        assertThat(listeners.get(4).readmitted).containsOnly("a");
+        assertThat(listeners.stream().flatMap(h -> h.ejected.stream())).containsOnly("a");
+        while (listeners.get(0).subsetPosition.weight() <= 1) {
+            gossips.get(0).onAttemptEnded("a", AttemptOutcome.OK, now()); // the only one that sends still
             stepAll();
         }
-        assertThat(heeded.get(0).place.proxyCount()).isEqualTo(5);
+        assertThat(listeners.get(0).subsetPosition.proxyCount()).isEqualTo(5);
     }
 
     @Test
-    void whatCantBeReadIsToldOnceAndPassedOver() throws Exception {
+    void malformedAttributeIsLoggedOnceAndSkipped() throws Exception {
         start(2);
-        while (heeded.get(0).lines.stream().noneMatch(l -> l.contains("p1 says what can't be read"))) {
-            members.get(1).setAttribute(ObservationGossip.FIRST_KIND, new byte[] {1, 2, 3}, 60_000, true);
+        while (listeners.get(0).logLines.stream()
+                .noneMatch(l -> l.startsWith("fleet: malformed attribute, member=p1 "))) {
+            members.get(1).setAttribute(ObservationGossip.FIRST_OBSERVATION_KIND, new byte[] {1, 2, 3}, 60_000, true);
             stepAll();
         }
         stepAll();
-        assertThat(heeded.get(0).lines.stream().filter(l -> l.contains("p1 says")))
+        assertThat(listeners.get(0).logLines.stream().filter(l -> l.contains("member=p1 ")))
                 .hasSize(1);
-        assertThat(heeded.get(0).left).isEmpty();
+        assertThat(listeners.get(0).ejected).isEmpty();
     }
 
     @Test
-    void aMemberThatHasLeftSaysNothingMoreAndWhatItHeldGetsOlder() throws Exception {
+    void closedMemberPublishesNothingAndItsAttributesAge() throws Exception {
         start(1);
-        members.get(0).setAttribute(ObservationGossip.RATE, new byte[] {0, 0, 0, 0}, 60_000, true);
-        while (members.get(0).snapshot().attributes(ObservationGossip.RATE).isEmpty()) {
+        members.get(0).setAttribute(ObservationGossip.RATE_KIND, new byte[] {0, 0, 0, 0}, 60_000, true);
+        while (members.get(0).snapshot().attributes(ObservationGossip.RATE_KIND).isEmpty()) {
             stepAll();
         }
         FleetMember ended = members.remove(0);
         ended.close();
         FleetMember.FleetSnapshot known = ended.snapshot();
-        MemberAttribute fact = known.attributes(ObservationGossip.RATE).get("p0");
-        double age = known.age(fact);
-        news.get(0).onAttemptEnded("a", AttemptOutcome.ERROR, now());
+        MemberAttribute attribute =
+                known.attributes(ObservationGossip.RATE_KIND).get("p0");
+        double age = known.age(attribute);
+        gossips.get(0).onAttemptEnded("a", AttemptOutcome.ERROR, now());
         stepAll(); // while the proxy beside it drains
-        assertThat(known.age(fact)).isGreaterThan(age);
+        assertThat(known.age(attribute)).isGreaterThan(age);
     }
 }
--- a/src/test/java/rillyard/subset/SubsettingTest.java
+++ b/src/test/java/rillyard/subset/SubsettingTest.java
@@ -15,68 +15,74 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import rillyard.balancer.SplitMix64;
 
+/** The subsetting algorithms: size, evenness, moves and limits. */
 class SubsettingTest {
-    private static List<Long> hosts(int n) {
-        return LongStream.range(0, n).map(i -> SplitMix64.hash(9, i)).boxed().toList();
+    private static List<Long> hosts(int hostCount) {
+        return LongStream.range(0, hostCount)
+                .map(i -> SplitMix64.hash(9, i))
+                .boxed()
+                .toList();
     }
 
     @ParameterizedTest
     @EnumSource(SubsettingAlgorithm.class)
-    void everyInstanceHasItsNumberOfHostsAndNoneTwice(SubsettingAlgorithm way) {
-        for (int n : new int[] {0, 1, 2, 7, 20}) {
+    void subsetsHaveRequestedSizeWithoutDuplicates(SubsettingAlgorithm algorithm) {
+        for (int hostCount : new int[] {0, 1, 2, 7, 20}) {
             for (int size : new int[] {0, 1, 2, 3, 19, 20, 21}) {
                 for (int i = 0; i < 13; i++) {
-                    List<Long> got = way.of(i, 13, hosts(n), size);
+                    List<Long> got = algorithm.subsetOf(i, 13, hosts(hostCount), size);
                     assertThat(got)
-                            .as("%s, %d of %d", way, size, n)
-                            .hasSize(Math.min(size, n))
+                            .as("%s, %d of %d", algorithm, size, hostCount)
+                            .hasSize(Math.min(size, hostCount))
                             .doesNotHaveDuplicates();
-                    assertThat(hosts(n)).containsAll(got);
+                    assertThat(hosts(hostCount)).containsAll(got);
                 }
             }
         }
     }
 
-    /** Nobody coordinates: what one knows in another order must come to the same. */
+    /** There is no coordination, so an instance that knows the hosts in another order must come to the same result. */
     @ParameterizedTest
     @EnumSource(SubsettingAlgorithm.class)
-    void theOrderInWhichHostsWereHeardOfDoesNotCount(SubsettingAlgorithm way) {
+    void subsetIsIndependentOfHostOrder(SubsettingAlgorithm algorithm) {
         List<Long> mixed = new ArrayList<>(hosts(20));
         Collections.shuffle(mixed, new Random(3));
         for (int i = 0; i < 30; i++) {
-            assertThat(new HashSet<>(way.of(i, 30, mixed, 4))).isEqualTo(new HashSet<>(way.of(i, 30, hosts(20), 4)));
+            assertThat(new HashSet<>(algorithm.subsetOf(i, 30, mixed, 4)))
+                    .isEqualTo(new HashSet<>(algorithm.subsetOf(i, 30, hosts(20), 4)));
         }
     }
 
     @Test
-    void lotsAreNearlyEvenWhereChanceIsNot() {
+    void lotsAreMoreEvenThanRendezvous() {
         SubsetStatistics lots = SubsetStatistics.of(SubsettingAlgorithm.LOTS, 2_000, 20, 3);
         SubsetStatistics chance = SubsetStatistics.of(SubsettingAlgorithm.RENDEZVOUS, 2_000, 20, 3);
-        assertThat(lots.mean()).isEqualTo(300);
-        assertThat(lots.most() - lots.least()).isLessThan((chance.most() - chance.least()) / 2);
-        assertThat(lots.most()).isLessThan(330);
-        assertThat(lots.least()).isGreaterThan(270);
-        assertThat(lots.twins()).isZero();
+        assertThat(lots.meanInstances()).isEqualTo(300);
+        assertThat(lots.maxInstances() - lots.minInstances())
+                .isLessThan((chance.maxInstances() - chance.minInstances()) / 2);
+        assertThat(lots.maxInstances()).isLessThan(330);
+        assertThat(lots.minInstances()).isGreaterThan(270);
+        assertThat(lots.identicalNeighbours()).isZero();
     }
 
     @Test
-    void aHostThatGoesMovesFewInLotsAndAllWhereLotsAreShuffled() {
+    void removedHostMovesFewInLotsAndAllWhenShuffled() {
         assertThat(SubsetStatistics.of(SubsettingAlgorithm.RENDEZVOUS, 2_000, 20, 3)
-                        .movedByHost())
+                        .movesPerHostRemoved())
                 .isEqualTo(1);
         double lots =
-                SubsetStatistics.of(SubsettingAlgorithm.LOTS, 2_000, 20, 3).movedByHost();
+                SubsetStatistics.of(SubsettingAlgorithm.LOTS, 2_000, 20, 3).movesPerHostRemoved();
         double shuffled =
-                SubsetStatistics.of(SubsettingAlgorithm.SHUFFLED, 2_000, 20, 3).movedByHost();
+                SubsetStatistics.of(SubsettingAlgorithm.SHUFFLED, 2_000, 20, 3).movesPerHostRemoved();
         assertThat(lots).isBetween(1.0, 8.0);
         assertThat(shuffled).isGreaterThan(2 * lots);
     }
 
     @Test
-    void oneInstanceMoreMovesNobodyInLotsAndManyOnTheRing() {
-        assertThat(SubsetStatistics.of(SubsettingAlgorithm.LOTS, 2_000, 200, 10).movedByInstance())
+    void addedInstanceMovesNoneInLotsAndManyOnRing() {
+        assertThat(SubsetStatistics.of(SubsettingAlgorithm.LOTS, 2_000, 200, 10).movesPerInstanceAdded())
                 .isZero();
-        assertThat(SubsetStatistics.of(SubsettingAlgorithm.RING, 2_000, 200, 10).movedByInstance())
+        assertThat(SubsetStatistics.of(SubsettingAlgorithm.RING, 2_000, 200, 10).movesPerInstanceAdded())
                 .isGreaterThan(1);
     }
 
@@ -84,18 +90,18 @@
     @EnumSource(
             value = SubsettingAlgorithm.class,
             names = {"RING", "LOTS", "BOUNDED"})
-    void theBoundOfAHostIsKept(SubsettingAlgorithm way) throws Exception {
-        SubsetSize size = SubsetSize.largest(way, 300, 20, 400, 4, 0.1);
-        assertThat(size.connections()).isLessThanOrEqualTo(360);
-        assertThat(size.hosts()).isGreaterThanOrEqualTo(SubsetSize.LEAST);
-        int more = SubsetStatistics.of(way, 300, 20, size.hosts() + 1).most();
+    void connectionLimitOfHostIsKept(SubsettingAlgorithm algorithm) throws Exception {
+        SubsetSize size = SubsetSize.largest(algorithm, 300, 20, 400, 4, 0.1);
+        assertThat(size.maxConnections()).isLessThanOrEqualTo(360);
+        assertThat(size.hosts()).isGreaterThanOrEqualTo(SubsetSize.MIN_HOSTS);
+        int more = SubsetStatistics.of(algorithm, 300, 20, size.hosts() + 1).maxInstances();
         assertThat(4 * more).as("one host more would be too much").isGreaterThan(360);
     }
 
     @Test
-    void whatHostsCannotBearIsSaidWithWhatWouldDo() {
+    void impossibleLimitIsReportedWithSufficientOne() {
         assertThatThrownBy(() -> SubsetSize.largest(SubsettingAlgorithm.LOTS, 2_000, 20, 100, 1, 0.1))
-                .isInstanceOf(SubsetSize.TooManyException.class)
+                .isInstanceOf(SubsetSize.TooManyConnectionsException.class)
                 .hasMessageContaining("90 of 100 may be used: expected a cap of ");
         assertThatIllegalArgumentException()
                 .isThrownBy(() -> SubsetSize.largest(SubsettingAlgorithm.LOTS, 0, 20, 100, 1, 0.1));
@@ -104,10 +110,10 @@
     }
 
     @Test
-    void theCapOfACapThatJustDoesIsTheOneSaid() throws Exception {
-        int needed = SubsetStatistics.of(SubsettingAlgorithm.LOTS, 2_000, 20, 2).most();
+    void reportedLimitIsLeastSufficientOne() throws Exception {
+        int needed = SubsetStatistics.of(SubsettingAlgorithm.LOTS, 2_000, 20, 2).maxInstances();
         assertThat(SubsetSize.largest(SubsettingAlgorithm.LOTS, 2_000, 20, needed, 1, 0)
-                        .connections())
+                        .maxConnections())
                 .isEqualTo(needed);
         assertThatThrownBy(() -> SubsetSize.largest(SubsettingAlgorithm.LOTS, 2_000, 20, needed - 1, 1, 0))
                 .hasMessageContaining("a cap of " + needed + " or more");
