--- /dev/null
+++ b/src/test/java/rillyard/DocumentationTest.java
@@ -0,0 +1,66 @@
+package rillyard;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import com.tngtech.archunit.core.domain.JavaClass;
+import com.tngtech.archunit.core.importer.ClassFileImporter;
+import com.tngtech.archunit.core.importer.ImportOption;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import java.util.stream.Collectors;
+import org.junit.jupiter.api.Test;
+
+/** The types and methods that the page of the architecture names exist. */
+class DocumentationTest {
+    private static final Path PAGE = Path.of("docs/ARCHITECTURE.md");
+
+    /** A type in code ticks, perhaps with a method: {@code Type}, {@code Type#method} or {@code Type.method}. */
+    private static final Pattern TICKED = Pattern.compile("`([A-Z][A-Za-z]+)(?:[#.]([a-z][A-Za-z]*))?`");
+
+    /** Any word of a diagram that reads as a type's name. */
+    private static final Pattern IN_DIAGRAM =
+            Pattern.compile("\\b([A-Z][a-z]+(?:[A-Z][a-z]+)+)(?:\\.([a-z][A-Za-z]*))?");
+
+    private final Map<String, List<JavaClass>> types = new ClassFileImporter()
+            .withImportOption(new ImportOption.DoNotIncludeArchives()).importPackages("rillyard").stream()
+                    .collect(Collectors.groupingBy(JavaClass::getSimpleName));
+
+    @Test
+    void everyTypeAndMethodNamedInTheArchitectureExists() throws IOException {
+        String page = Files.readString(PAGE);
+        List<String> missing = new ArrayList<>();
+
+        int named = collectMissing(TICKED.matcher(page), missing);
+        Matcher diagrams = Pattern.compile("```mermaid(.*?)```", Pattern.DOTALL).matcher(page);
+        while (diagrams.find()) {
+            named += collectMissing(IN_DIAGRAM.matcher(diagrams.group(1)), missing);
+        }
+
+        assertThat(missing).as("names in %s without a type or method", PAGE).isEmpty();
+        assertThat(named).isGreaterThan(100);
+    }
+
+    private int collectMissing(Matcher names, List<String> missing) {
+        int count = 0;
+        while (names.find()) {
+            count++;
+            if (!exists(names.group(1), names.group(2))) {
+                missing.add(names.group());
+            }
+        }
+        return count;
+    }
+
+    private boolean exists(String type, String method) {
+        return types.getOrDefault(type, List.of()).stream()
+                .anyMatch(found -> method == null
+                        || found.getMethods().stream()
+                                .anyMatch(known -> known.getName().equals(method)));
+    }
+}
