--- a/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
+++ b/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
@@ -19,6 +19,7 @@
 import rillyard.endpoints.EndpointListGuard;
 import rillyard.hotrestart.DisabledHostStore;
 import rillyard.proxy.config.ProxyConfig;
+import rillyard.proxy.discovery.EndpointListListener;
 import rillyard.proxy.discovery.EndpointRegistry;
 import rillyard.proxy.logging.ProxyLog;
 import rillyard.proxy.resources.BodyMemoryBudget;
@@ -32,7 +33,7 @@
  *
  * <p>Confined to the event loop, except {@link #metrics}.
  */
-public final class BalancerDriver implements BalancerActions {
+public final class BalancerDriver implements BalancerActions, EndpointListListener {
     private static final double NANOS_PER_MILLI = 1e6;
 
     private final EventLoop loop;
@@ -175,8 +176,8 @@
 
     // --- events of the endpoint watch and of operators
 
-    /** Starts the balancer with the list that is known; {@code watchOpener} opens the watch when it asks for that. */
-    public void start(EndpointRegistry.EndpointList known, Runnable watchOpener) {
+    @Override
+    public void onWatchStarting(EndpointRegistry.EndpointList known, Runnable watchOpener) {
         openWatch = watchOpener;
         events.deliver(null, () -> balancer.onStart(now()));
         onEndpointList(WatchEvent.CACHED, known);
@@ -187,12 +188,12 @@
         return endpoints;
     }
 
-    /** Applies a list that the watch, or the configuration, has brought. */
+    @Override
     public void onEndpointList(WatchEvent kind, EndpointRegistry.EndpointList list) {
         endpointLists.apply(kind, list);
     }
 
-    /** The watch has ended; the balancer decides when it is opened again. */
+    @Override
     public void onWatchFailed() {
         events.deliver(null, () -> balancer.onWatchEvent(now(), WatchEvent.FAILED, null));
     }
