--- a/src/main/java/rillyard/Main.java
+++ b/src/main/java/rillyard/Main.java
@@ -2,9 +2,9 @@
 
 import java.io.IOException;
 import rillyard.cli.Cli;
-import rillyard.proxy.ClientProxy;
 import rillyard.proxy.config.ConfigException;
 import rillyard.proxy.lifecycle.ClassArchiveTraining;
+import rillyard.proxy.lifecycle.ProxyLauncher;
 import rillyard.settings.MalformedInputException;
 import rillyard.simulation.SimulatorSession;
 
@@ -22,7 +22,7 @@
         String command = args.length == 1 ? args[0] : "";
         try {
             switch (command) {
-                case "proxy" -> ClientProxy.run(System.getenv());
+                case "proxy" -> ProxyLauncher.run(System.getenv());
                 case "rehearse" -> ClassArchiveTraining.run();
                 case "adapter" -> new SimulatorSession(System.in, System.out, System.err).run();
                 default -> System.exit(Cli.run(args));
--- a/src/main/java/rillyard/cli/ProxyCommands.java
+++ b/src/main/java/rillyard/cli/ProxyCommands.java
@@ -10,9 +10,9 @@
 import rillyard.membership.net.FleetMember;
 import rillyard.outlier.FleetOutlierSettings;
 import rillyard.outlier.net.ObservationGossip;
-import rillyard.proxy.ClientProxy;
 import rillyard.proxy.dispatch.PeerGossip;
 import rillyard.proxy.lifecycle.ClassArchiveTraining;
+import rillyard.proxy.lifecycle.ProxyLauncher;
 import rillyard.settings.MalformedInputException;
 import rillyard.simulation.SimulatorSession;
 
@@ -38,7 +38,7 @@
         @Override
         public Integer call() throws Exception {
             if (fleet == null) {
-                ClientProxy.run(System.getenv());
+                ProxyLauncher.run(System.getenv());
                 return Cli.DONE;
             }
             SecureRandom random = new SecureRandom();
@@ -49,7 +49,7 @@
                     : null;
             member.start();
             Runtime.getRuntime().addShutdownHook(new Thread(member::close, "leave"));
-            ClientProxy.run(System.getenv(), news);
+            ProxyLauncher.run(System.getenv(), news);
             return Cli.DONE;
         }
     }
--- a/src/main/java/rillyard/proxy/lifecycle/ClassArchiveTraining.java
+++ b/src/main/java/rillyard/proxy/lifecycle/ClassArchiveTraining.java
@@ -9,20 +9,20 @@
 import java.util.Comparator;
 import java.util.Map;
 import java.util.stream.Stream;
-import rillyard.proxy.ClientProxy;
 import rillyard.proxy.config.ConfigException;
 
 /**
- * A start and a warm-up with nobody there. The build runs it to archive the classes that a proxy
- * loads: guards against a restart that leaves its clients alone for as long as a part of a core
- * takes to load and verify them all. Without the archive a proxy starts as well, only later.
+ * Runs a proxy without clients through its start, warm-up and drain, for the JVM to record the classes that it loads.
+ *
+ * <p>The build runs it to make the class archive, which shortens the time that a restart leaves clients without a proxy.
+ * A proxy without the archive starts as well, only later.
  */
 public final class ClassArchiveTraining {
-    private static final long MOST_MS = 30_000;
+    private static final long MAX_WARM_UP_MILLIS = 30_000;
 
     private static final String CONFIG =
             """
-      {"name":"rehearsal","listen":"127.0.0.1:0","operator":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
+      {"name":"training","listen":"127.0.0.1:0","operator":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
        "limits":{"cores":1.0,"memory_mb":128,"sockets":1024},
        "known":{"version":1,"full":true,"servers":[
         {"id":"a","addr":"127.0.0.1:1","zone":"z","state":"up"}]},
@@ -39,33 +39,43 @@
 
     private ClassArchiveTraining() {}
 
-    private static void call(InetSocketAddress to, String what, String body) throws IOException {
-        try (Socket socket = new Socket(to.getAddress(), to.getPort())) {
-            String request =
-                    what + " HTTP/1.1\r\nHost: operator\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
+    private static void call(InetSocketAddress address, String methodAndTarget, String body) throws IOException {
+        try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
+            String request = methodAndTarget + " HTTP/1.1\r\nHost: operator\r\nContent-Length: " + body.length()
+                    + "\r\n\r\n" + body;
             socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
             socket.getInputStream().readAllBytes();
         }
     }
 
-    /** Runs one from its start to its drain, and ends the process. */
+    /**
+     * Runs the proxy and ends the process.
+     *
+     * @throws IOException if the temporary directory can't be used, or the proxy's admin address not be called
+     * @throws ConfigException if the proxy can't be started
+     */
     public static void run() throws IOException, ConfigException {
-        Path folder = Files.createTempDirectory("rehearsal");
+        Path directory = Files.createTempDirectory("training");
         try {
-            Path file = Files.writeString(folder.resolve("config.json"), CONFIG);
-            Map<String, String> env = Map.of("BALANCER_CONFIG", file.toString(), "TMPDIR", folder.toString());
-            InetSocketAddress operator = ClientProxy.begin(env, MOST_MS, null).adminAddress();
-            call(operator, "GET /_ready", "");
-            call(operator, "GET /_vars", "");
-            call(operator, "POST /_hosts/detach", "a");
-            call(operator, "POST /_hosts/attach", "a");
+            Path file = Files.writeString(directory.resolve("config.json"), CONFIG);
+            Map<String, String> env = Map.of("BALANCER_CONFIG", file.toString(), "TMPDIR", directory.toString());
+            InetSocketAddress admin =
+                    ProxyLauncher.launch(env, MAX_WARM_UP_MILLIS, null).adminAddress();
+            call(admin, "GET /_ready", "");
+            call(admin, "GET /_vars", "");
+            call(admin, "POST /_hosts/detach", "a");
+            call(admin, "POST /_hosts/attach", "a");
         } finally {
-            try (Stream<Path> all = Files.walk(folder)) {
-                for (Path path : all.sorted(Comparator.reverseOrder()).toList()) {
-                    Files.delete(path);
-                }
+            deleteRecursively(directory);
+        }
+        System.exit(0); // as SIGTERM would end it: what a drain loads is recorded too
+    }
+
+    private static void deleteRecursively(Path directory) throws IOException {
+        try (Stream<Path> paths = Files.walk(directory)) {
+            for (Path path : paths.sorted(Comparator.reverseOrder()).toList()) {
+                Files.delete(path);
             }
         }
-        System.exit(0); // as SIGTERM would end it: what a drain loads is of use too
     }
 }
--- a/src/main/java/rillyard/proxy/lifecycle/ConfigReload.java
+++ b/src/main/java/rillyard/proxy/lifecycle/ConfigReload.java
@@ -8,20 +8,21 @@
 import sun.misc.Signal;
 
 /**
- * Has SIGHUP mean that the file of the configuration was replaced. Guards against the JVM's own
- * answer to that signal, which is to end. A file that can't be used leaves all as it is: a proxy
- * with an old configuration serves, one that ended does not.
+ * Reloads the configuration on SIGHUP, on which the JVM would exit otherwise.
+ *
+ * <p>A configuration that can't be used is logged and changes nothing.
  */
 public final class ConfigReload {
     private ConfigReload() {}
 
-    public static void onHangUp(Map<String, String> env, ClientProxy proxy, ProxyLog log) {
-        Signal.handle(new Signal("HUP"), s -> {
+    /** Installs the signal handler; {@code env} names the file, as at the start. */
+    public static void install(Map<String, String> env, ClientProxy proxy, ProxyLog log) {
+        Signal.handle(new Signal("HUP"), signal -> {
             try {
                 proxy.reload(ProxyConfig.load(env));
-                log.info("configuration reloaded");
+                log.info("configuration: reloaded");
             } catch (ConfigException | RuntimeException e) {
-                log.info("configuration not reloaded: " + e.getMessage());
+                log.info("configuration: not reloaded, cause=" + e.getMessage());
             }
         });
     }
--- a/src/main/java/rillyard/proxy/lifecycle/StartupTimeline.java
+++ b/src/main/java/rillyard/proxy/lifecycle/StartupTimeline.java
@@ -5,32 +5,37 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Says on standard error how far a start has come and what it took so far, where the property
- * {@code rillyard.marks} is {@code true}; {@code measure start} asks for it. A mark itself takes
- * less than a millisecond.
+ * Prints how far a start has come on standard error, if the system property {@code rillyard.marks} is {@code true}.
+ *
+ * <p>{@code measure start} reads the lines. A mark takes less than a millisecond.
  */
 public final class StartupTimeline {
-    private static final boolean ON = Boolean.getBoolean("rillyard.marks");
+    private static final boolean ENABLED = Boolean.getBoolean("rillyard.marks");
 
-    /** Where Linux tells user and system time of this process, in ticks, fields 14 and 15 of proc(5). */
-    private static final String STAT = "/proc/self/stat";
+    /** File of Linux with the process's CPU time, see proc(5). */
+    private static final String STAT_FILE = "/proc/self/stat";
 
-    private static final long TICK_MS = 10;
+    /** Positions of user and system time among the fields behind the name of the process, in ticks. */
+    private static final int USER_TIME_FIELD = 11;
+
+    private static final int SYSTEM_TIME_FIELD = 12;
+    private static final long MILLIS_PER_TICK = 10;
 
     private StartupTimeline() {}
 
-    /** One line: {@code mark NAME}, the monotonic clock in ns, and CPU time in ms, -1 if not told. */
-    public static void at(String name) {
-        if (ON) {
+    /** Prints {@code mark NAME}, the monotonic clock in ns, and the process's CPU time in ms, -1 if unknown. */
+    public static void mark(String name) {
+        if (ENABLED) {
             System.err.println("rillyard: mark " + name + " " + System.nanoTime() + " " + cpuMillis());
         }
     }
 
     private static long cpuMillis() {
-        try (FileInputStream in = new FileInputStream(STAT)) {
-            String all = new String(in.readAllBytes(), StandardCharsets.US_ASCII);
-            String[] fields = all.substring(all.lastIndexOf(')') + 2).split(" ");
-            return TICK_MS * (Long.parseLong(fields[11]) + Long.parseLong(fields[12]));
+        try (FileInputStream in = new FileInputStream(STAT_FILE)) {
+            String stat = new String(in.readAllBytes(), StandardCharsets.US_ASCII);
+            String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+            return MILLIS_PER_TICK
+                    * (Long.parseLong(fields[USER_TIME_FIELD]) + Long.parseLong(fields[SYSTEM_TIME_FIELD]));
         } catch (IOException | RuntimeException e) {
             return -1; // another system than Linux
         }
--- a/src/main/java/rillyard/proxy/lifecycle/Warmup.java
+++ b/src/main/java/rillyard/proxy/lifecycle/Warmup.java
@@ -6,8 +6,6 @@
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
-import io.netty.channel.Channel;
-import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelInitializer;
@@ -33,6 +31,7 @@
 import java.io.OutputStream;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
+import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import rillyard.balancer.Settings;
@@ -42,61 +41,54 @@
 import rillyard.proxy.logging.ProxyLog;
 
 /**
- * Guards against the first seconds of a proxy that has part of a core: cold code takes ten times
- * as long. Before the proxy says that it is ready, a second one, on ports of its own, passes on
- * requests from itself to itself, so that what every request needs is loaded and mostly compiled.
- * It costs those who wait for a proxy that restarts, so it ends when more of it gains less.
+ * Warms the process up: a second proxy, on ports of its own, forwards requests from this process to this process, so
+ * that what a request needs is loaded and mostly compiled before the process reports that it is ready.
+ *
+ * <p>With part of a core the first requests would take ten times as long otherwise. Clients wait for a proxy that
+ * restarts, so the warm-up ends when more of it would gain less than it costs.
  */
 public final class Warmup {
     /**
-     * Weighed against what comes after, in plays of days with restarts. With 40 a proxy is back a
-     * second sooner, which gained on one day and lost more on another, where half a core can't follow
-     * the first requests through cold code and clients give up by the tenth; 10 lost on both.
+     * Requests of a warm-up, chosen by runs of whole days with restarts. With 40 a proxy is back a second sooner, which
+     * gained on one day and lost more on another, where half a core could not keep up with the first requests and
+     * clients gave up by the tenth; 10 lost on both.
      */
-    private static final int REQUESTS = 200;
+    private static final int REQUEST_COUNT = 200;
 
-    private static final int CLIENTS = 8;
-    private static final int HOSTS = 8;
+    private static final int CLIENT_COUNT = 8;
+    private static final int HOST_COUNT = 8;
     private static final byte[] BODY = new byte[600];
+    private static final int REQUEST_TIMEOUT_MILLIS = 10_000;
 
     private final ProxyConfig config;
-    private final CountDownLatch left = new CountDownLatch(REQUESTS);
-    private long sent;
+    private final CountDownLatch unanswered = new CountDownLatch(REQUEST_COUNT);
+    private long sentRequests;
 
+    /** Creates a warm-up for a proxy with this configuration. */
     public Warmup(ProxyConfig config) {
         this.config = config;
     }
 
     /**
-     * Runs for as long as the requests take, and no longer than {@code most} ms; returns how many were
-     * answered.
+     * Runs until all requests are answered, and no longer than {@code maxMillis}.
+     *
+     * @return how many requests were answered
+     * @throws Exception if a port can't be bound or the second proxy not be started
      */
-    public int run(long most) throws Exception {
+    public int run(long maxMillis) throws Exception {
         if (config.settings().classes().isEmpty()) {
-            return 0; // nothing could be sent, and nobody be served either
+            return 0; // no request could be sent, and none be served either
         }
-        ProxyLog silent = new ProxyLog(new PrintStream(OutputStream.nullOutputStream()));
         EventLoopGroup group = ClientProxy.newGroup(NioIoHandler.newFactory());
         try {
-            Channel hosts = new ServerBootstrap()
-                    .group(group)
-                    .channel(NioServerSocketChannel.class)
-                    .childHandler(pipeline(HttpRequestDecoder::new, HttpResponseEncoder::new, () -> new Responder()))
-                    .bind(new InetSocketAddress(config.listen().getAddress(), 0))
-                    .sync()
-                    .channel();
-            ClientProxy proxy = new ClientProxy(copy((InetSocketAddress) hosts.localAddress()), silent);
+            InetSocketAddress hosts = startHosts(group);
+            ProxyLog silentLog = new ProxyLog(new PrintStream(OutputStream.nullOutputStream()));
+            ClientProxy proxy = new ClientProxy(configFor(hosts), silentLog);
             try {
                 proxy.start();
-                Bootstrap clients = new Bootstrap()
-                        .group(group)
-                        .channel(NioSocketChannel.class)
-                        .handler(pipeline(HttpResponseDecoder::new, HttpRequestEncoder::new, () -> new Caller()));
-                for (int i = 0; i < CLIENTS; i++) {
-                    clients.connect(proxy.address());
-                }
-                left.await(most, TimeUnit.MILLISECONDS);
-                return REQUESTS - (int) left.getCount();
+                startClients(group, proxy.address());
+                unanswered.await(maxMillis, TimeUnit.MILLISECONDS);
+                return REQUEST_COUNT - (int) unanswered.getCount();
             } finally {
                 proxy.stop();
             }
@@ -105,12 +97,43 @@
         }
     }
 
-    /** The same configuration, but for the addresses and the hosts. */
-    private ProxyConfig copy(InetSocketAddress hosts) {
+    private InetSocketAddress startHosts(EventLoopGroup group) throws InterruptedException {
+        return (InetSocketAddress) new ServerBootstrap()
+                .group(group)
+                .channel(NioServerSocketChannel.class)
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel channel) {
+                        channel.pipeline().addLast(new HttpRequestDecoder(), new HttpResponseEncoder(), new Host());
+                    }
+                })
+                .bind(new InetSocketAddress(config.listen().getAddress(), 0))
+                .sync()
+                .channel()
+                .localAddress();
+    }
+
+    private void startClients(EventLoopGroup group, InetSocketAddress proxyAddress) {
+        Bootstrap clients = new Bootstrap()
+                .group(group)
+                .channel(NioSocketChannel.class)
+                .handler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel channel) {
+                        channel.pipeline().addLast(new HttpResponseDecoder(), new HttpRequestEncoder(), new Client());
+                    }
+                });
+        for (int i = 0; i < CLIENT_COUNT; i++) {
+            clients.connect(proxyAddress);
+        }
+    }
+
+    /** Returns the configuration with other addresses, and with hosts that are all at {@code hosts}. */
+    private ProxyConfig configFor(InetSocketAddress hosts) {
         ObjectNode known =
                 JsonNodeFactory.instance.objectNode().put("version", 1).put("full", true);
         ArrayNode servers = known.putArray("servers");
-        for (int i = 0; i < HOSTS; i++) {
+        for (int i = 0; i < HOST_COUNT; i++) {
             servers.addObject()
                     .put("id", "warm-" + i)
                     .put("addr", hosts.getAddress().getHostAddress() + ":" + hosts.getPort())
@@ -132,21 +155,8 @@
                 null);
     }
 
-    private interface Part {
-        ChannelHandler make();
-    }
-
-    private static ChannelInitializer<SocketChannel> pipeline(Part decoder, Part encoder, Part end) {
-        return new ChannelInitializer<>() {
-            @Override
-            protected void initChannel(SocketChannel channel) {
-                channel.pipeline().addLast(decoder.make(), encoder.make(), end.make());
-            }
-        };
-    }
-
-    /** Answers every request, as a host would. */
-    private static final class Responder extends ChannelInboundHandlerAdapter {
+    /** Answers every request as a host would. */
+    private static final class Host extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object msg) {
             if (msg instanceof LastHttpContent) {
@@ -161,45 +171,49 @@
     }
 
     /** Sends the next request once the last one is answered. */
-    private final class Caller extends ChannelInboundHandlerAdapter {
+    private final class Client extends ChannelInboundHandlerAdapter {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            next(ctx);
+            sendNext(ctx);
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object msg) {
             if (msg instanceof LastHttpContent) {
-                left.countDown();
-                next(ctx);
+                unanswered.countDown();
+                sendNext(ctx);
             }
             ReferenceCountUtil.release(msg);
         }
 
-        private void next(ChannelHandlerContext ctx) {
-            if (sent == REQUESTS) {
-                return;
+        private void sendNext(ChannelHandlerContext ctx) {
+            if (sentRequests < REQUEST_COUNT) {
+                List<Settings.RequestClass> classes = config.settings().classes();
+                Settings.RequestClass requestClass = classes.get((int) (sentRequests % classes.size()));
+                sentRequests++;
+                ctx.writeAndFlush(newRequest(requestClass, Long.toHexString(sentRequests)));
             }
-            var classes = config.settings().classes();
-            Settings.RequestClass requestClass = classes.get((int) (sent++ % classes.size()));
-            boolean safe = requestClass.semantics() == Settings.Semantics.IDEMPOTENT;
+        }
+
+        private FullHttpRequest newRequest(Settings.RequestClass requestClass, String requestId) {
+            boolean isIdempotent = requestClass.semantics() == Settings.Semantics.IDEMPOTENT;
             FullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
-                    safe ? HttpMethod.GET : HttpMethod.POST,
+                    isIdempotent ? HttpMethod.GET : HttpMethod.POST,
                     "/" + requestClass.name(),
-                    safe ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(BODY));
+                    isIdempotent ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(BODY));
             request.headers()
                     .set(HttpHeaderNames.HOST, "api.internal")
-                    .set(ProtocolHeaders.REQUEST_ID, Long.toHexString(sent))
+                    .set(ProtocolHeaders.REQUEST_ID, requestId)
                     .set(ProtocolHeaders.CLASS, requestClass.name())
-                    .set(ProtocolHeaders.TIMEOUT_MS, 10_000);
-            if (!safe) {
+                    .set(ProtocolHeaders.TIMEOUT_MS, REQUEST_TIMEOUT_MILLIS);
+            if (!isIdempotent) {
                 request.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY.length);
             }
             if (requestClass.semantics() == Settings.Semantics.DEDUPLICATED) {
-                request.headers().set(ProtocolHeaders.IDEMPOTENCY_KEY, Long.toHexString(sent));
+                request.headers().set(ProtocolHeaders.IDEMPOTENCY_KEY, requestId);
             }
-            ctx.writeAndFlush(request);
+            return request;
         }
     }
 }
--- a/src/test/java/rillyard/ArchitectureTest.java
+++ b/src/test/java/rillyard/ArchitectureTest.java
@@ -61,6 +61,21 @@
     static final ArchRule NO_CYCLES =
             slices().matching("rillyard.(*)..").should().beFreeOfCycles();
 
+    @ArchTest
+    static final ArchRule NO_CYCLES_WITHIN_PROXY =
+            slices().matching("rillyard.proxy.(*)..").should().beFreeOfCycles();
+
+    @ArchTest
+    static final ArchRule ONLY_LIFECYCLE_KNOWS_COMPOSITION_ROOT = noClasses()
+            .that()
+            .resideInAPackage("rillyard.proxy.*..")
+            .and()
+            .resideOutsideOfPackage("rillyard.proxy.lifecycle..")
+            .should()
+            .dependOnClassesThat()
+            .resideInAPackage("rillyard.proxy")
+            .because("the composition root knows the proxy's parts, and no part knows it");
+
     @ArchTest
     static final ArchRule THE_PROXY_KNOWS_NOTHING_OF_ITS_REHEARSAL = noClasses()
             .that()
--- a/src/test/java/rillyard/proxy/HotRestartIT.java
+++ b/src/test/java/rillyard/proxy/HotRestartIT.java
@@ -152,7 +152,7 @@
                     server.requests.clear();
                     old.process().terminate();
                     assertThat(old.process().await()).isZero();
-                    assertThat(log("old")).contains("draining: a successor serves", "drained");
+                    assertThat(log("old")).contains("draining, successor=true", "drained");
                     load.awaitServed(400);
                     assertThat(load.lost).isEmpty();
                     assertThat(server.requests).isEmpty();
@@ -188,7 +188,7 @@
             }
             old.process().terminate();
             assertThat(old.process().await()).isZero();
-            assertThat(log("old")).contains("draining").doesNotContain("a successor serves");
+            assertThat(log("old")).contains("draining, successor=false").doesNotContain("successor=true");
         }
     }
 }
--- a/src/test/java/rillyard/proxy/RestartIT.java
+++ b/src/test/java/rillyard/proxy/RestartIT.java
@@ -153,6 +153,6 @@
         }
         assertThat(Files.readString(out))
                 .contains("rillyard.proxy.dispatch.BalancerDriver source: file:")
-                .contains("rillyard: drained");
+                .contains("rillyard: proxy: drained");
     }
 }
