--- a/src/main/java/rillyard/proxy/ClientProxy.java
+++ b/src/main/java/rillyard/proxy/ClientProxy.java
@@ -154,7 +154,8 @@
             return;
         }
         try {
-            ProxyAdmin started = new ProxyAdmin(ProxyAdmin.folder(env, config), loop, listener, driver, log);
+            ProxyAdmin started =
+                    new ProxyAdmin(ProxyAdmin.hotRestartDirectory(env, config), loop, listener, driver, log);
             adminAddress = started.start(config.adminAddress());
             admin = started;
         } catch (Exception e) {
@@ -178,7 +179,7 @@
         loop.execute(this::runMaintenance);
         try {
             if (admin != null) {
-                admin.serving();
+                admin.onListening();
             }
         } catch (IOException e) {
             log.error("proxy: predecessor not notified", e);
@@ -195,7 +196,7 @@
     private void onStall(long stallNanos) {
         try {
             driver.endOverdueRequests(stallNanos); // before anything new is read
-            endpointWatch.readFirst();
+            endpointWatch.readPending();
         } catch (RuntimeException e) {
             log.error("loop: stall not handled", e); // timers end what is overdue
         }
--- a/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
+++ b/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
@@ -269,10 +269,10 @@
     public void runMaintenance() {
         endpointLists.removeExpired();
         if (peerGossip != null) {
-            peerGossip.step(now(), endpoints.inUse(), peerGossipListener);
+            peerGossip.step(now(), endpoints.readyHostNames(), peerGossipListener);
         }
-        upstreams.runMaintenance(endpoints.all());
-        endpoints.forgetGone();
+        upstreams.runMaintenance(endpoints.hosts());
+        endpoints.removeUnused();
         metrics.setHosts(endpoints.listedCount(), balancer.avoidedHostCount());
     }
 
@@ -330,6 +330,6 @@
 
     @Override
     public void log(String line) {
-        log.info(() -> endpoints.hostNameOf(line));
+        log.info(() -> endpoints.replaceHostId(line));
     }
 }
--- a/src/main/java/rillyard/proxy/dispatch/ClientRequest.java
+++ b/src/main/java/rillyard/proxy/dispatch/ClientRequest.java
@@ -95,7 +95,7 @@
         if (upload != null) {
             return upload.writeTo(channel, head, headers);
         }
-        List<ByteBuf> blocks = body == null ? List.of() : body.retained();
+        List<ByteBuf> blocks = body == null ? List.of() : body.retainedBlocks();
         if (blocks.size() <= 1) {
             ByteBuf content = blocks.isEmpty() ? Unpooled.EMPTY_BUFFER : blocks.get(0);
             return channel.writeAndFlush(new DefaultFullHttpRequest(
--- a/src/main/java/rillyard/proxy/dispatch/DisabledHostsUpdater.java
+++ b/src/main/java/rillyard/proxy/dispatch/DisabledHostsUpdater.java
@@ -36,7 +36,7 @@
 
     /** Returns whether a host of this name is listed or disabled. */
     boolean isKnownHost(String name) {
-        return endpoints.listed(name) != null || disabledHosts.contains(name);
+        return endpoints.findListed(name) != null || disabledHosts.contains(name);
     }
 
     /** Disables or enables a host; returns false if it is not known. */
@@ -53,7 +53,7 @@
     /** Takes over what operators asked of another process of this proxy. */
     void adopt(DisabledHostStore.Contents stored) {
         Map<String, Double> enabledAt = new HashMap<>();
-        for (var enabled : stored.enabledAt().entrySet()) {
+        for (var enabled : stored.enabledAtUnixMillis().entrySet()) {
             enabledAt.put(enabled.getKey(), clock.fromUnixMillis(enabled.getValue()));
         }
         onChanged(disabledHosts.adopt(stored.disabled(), enabledAt));
@@ -65,9 +65,9 @@
         for (String name : names) {
             log.info(() ->
                     "operator: host " + (disabledHosts.contains(name) ? "disabled" : "enabled") + ", host=" + name);
-            UpstreamHost host = endpoints.listed(name);
+            UpstreamHost host = endpoints.findListed(name);
             if (host != null) {
-                entries.add(endpoints.changedByHand(host));
+                entries.add(endpoints.onDisabledChanged(host));
                 hosts.add(host);
             }
         }
--- a/src/main/java/rillyard/proxy/dispatch/EndpointListApplier.java
+++ b/src/main/java/rillyard/proxy/dispatch/EndpointListApplier.java
@@ -32,7 +32,7 @@
         EndpointList believed = guard == null ? list : withGuardedHosts(list);
         Set<UpstreamHost> drained = endpoints.apply(believed);
         driver.onEndpointsChanged(kind, endpoints.effective(believed), drained);
-        endpoints.forgetGone();
+        endpoints.removeUnused();
     }
 
     /** Ends the use of hosts that the guard has kept for long enough. */
@@ -42,9 +42,9 @@
         }
         List<ListedEndpoint> gone = new ArrayList<>();
         for (String name : guard.expired(driver.now())) {
-            if (endpoints.listed(name) != null) {
+            if (endpoints.findListed(name) != null) {
                 log.info("watch: missing host removed, host=" + name);
-                gone.add(endpoints.asGone(name));
+                gone.add(endpoints.asRemoved(name));
             }
         }
         if (!gone.isEmpty()) {
@@ -64,14 +64,14 @@
         for (ListedEndpoint listed : list.hosts()) {
             named.add(listed.name());
         }
-        Set<String> kept = guard.onFullList(driver.now(), endpoints.inUse(), named);
+        Set<String> kept = guard.onFullList(driver.now(), endpoints.readyHostNames(), named);
         if (kept.isEmpty()) {
             return list;
         }
         log.info("watch: full list not believed for now, hosts=" + named.size() + " missing_in_use=" + kept.size());
         List<ListedEndpoint> hosts = new ArrayList<>(list.hosts());
         for (String name : kept) {
-            hosts.add(endpoints.asTold(name));
+            hosts.add(endpoints.lastAnnounced(name));
         }
         return new EndpointList(list.version(), true, hosts);
     }
--- a/src/main/java/rillyard/proxy/dispatch/OutcomeRecorder.java
+++ b/src/main/java/rillyard/proxy/dispatch/OutcomeRecorder.java
@@ -32,11 +32,11 @@
     /** Records an attempt that has ended after {@code elapsedMillis}. */
     void recordAttempt(UpstreamHost host, AttemptOutcome outcome, double elapsedMillis) {
         if (peerGossip != null) {
-            peerGossip.onAttemptEnded(host.name, outcome, clock.now());
+            peerGossip.onAttemptEnded(host.name(), outcome, clock.now());
         }
         if (trace != null) {
-            double hostAge = clock.now() - elapsedMillis - host.entry.onlineSince();
-            trace.recordAttempt(host.name, outcome, elapsedMillis, hostAge >= 0 && hostAge < warmUpMillis);
+            double hostAge = clock.now() - elapsedMillis - host.entry().onlineSince();
+            trace.recordAttempt(host.name(), outcome, elapsedMillis, hostAge >= 0 && hostAge < warmUpMillis);
         }
     }
 
--- a/src/main/java/rillyard/proxy/dispatch/PeerGossipListener.java
+++ b/src/main/java/rillyard/proxy/dispatch/PeerGossipListener.java
@@ -17,10 +17,10 @@
     }
 
     private void setEjected(String hostName, boolean ejected, double trialDelayMillis) {
-        UpstreamHost host = driver.endpoints().listed(hostName);
+        UpstreamHost host = driver.endpoints().findListed(hostName);
         if (host != null) {
-            driver.notifyBalancer(
-                    (Balancer balancer) -> balancer.onFleetEjection(driver.now(), host.id, ejected, trialDelayMillis));
+            driver.notifyBalancer((Balancer balancer) ->
+                    balancer.onFleetEjection(driver.now(), host.id(), ejected, trialDelayMillis));
         }
     }
 
--- a/src/main/java/rillyard/proxy/dispatch/RequestExchange.java
+++ b/src/main/java/rillyard/proxy/dispatch/RequestExchange.java
@@ -130,7 +130,7 @@
         attempts.add(attempt);
         openAttempts++;
         if (response.isDecided()
-                || !host.sendable
+                || !host.isSendable()
                 || request.isBoundToConnection()
                 || attempts.size() > driver.maxAttempts()
                 || attemptTimeoutMillis < 0
@@ -157,7 +157,7 @@
     void onAttemptEnded(UpstreamAttempt attempt, AttemptOutcome outcome, double elapsedMillis, LoadReport report) {
         openAttempts--;
         response.setLastOutcome(outcome);
-        driver.outcomeRecorder().recordAttempt(attempt.host, outcome, elapsedMillis);
+        driver.outcomeRecorder().recordAttempt(attempt.host(), outcome, elapsedMillis);
         if (request.isUpload() && !response.isStreamOf(attempt)) {
             onUploadAttemptEnded(attempt, outcome);
         }
--- a/src/main/java/rillyard/proxy/dispatch/StreamingUpload.java
+++ b/src/main/java/rillyard/proxy/dispatch/StreamingUpload.java
@@ -70,7 +70,7 @@
             headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
         channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), headers));
-        for (ByteBuf block : start.retained()) {
+        for (ByteBuf block : start.retainedBlocks()) {
             channel.write(new DefaultHttpContent(block));
         }
         hostChannel = channel;
--- a/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
+++ b/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
@@ -162,7 +162,7 @@
 
     @Override
     public void onResponseHead(HttpResponse response) {
-        loadReport = LoadReportParser.read(response.headers().get(ProtocolHeaders.SERVER_LOAD));
+        loadReport = LoadReportParser.parse(response.headers().get(ProtocolHeaders.SERVER_LOAD));
         if (response.status().code() == OK) {
             onSuccessHead(response);
         } else {
@@ -244,7 +244,7 @@
     @Override
     public void onResponseEnd() {
         if (state == State.STREAMING) {
-            driver.upstreams().end(this);
+            driver.upstreams().release(this);
             exchange.onStreamEnded(true);
             return;
         }
@@ -258,7 +258,7 @@
     public void onConnectionLost() {
         if (state == State.STREAMING) {
             driver.log().info(() -> describe(AttemptOutcome.RESET));
-            driver.upstreams().end(this);
+            driver.upstreams().release(this);
             exchange.onStreamEnded(false);
             return;
         }
@@ -281,7 +281,7 @@
         if (body != null) {
             BufferedBody start = body;
             body = null;
-            for (ByteBuf block : start.retained()) {
+            for (ByteBuf block : start.retainedBlocks()) {
                 forward(block);
             }
             start.release();
@@ -302,7 +302,7 @@
 
     /** The client has left in the middle of the response. */
     void abandonStream() {
-        driver.upstreams().end(this);
+        driver.upstreams().release(this);
     }
 
     // --- the outcome
@@ -322,7 +322,7 @@
                 || outcome == AttemptOutcome.CONNECT_FAILED) {
             driver.log().info(() -> describe(outcome));
         }
-        driver.upstreams().end(this);
+        driver.upstreams().release(this);
         exchange.onAttemptEnded(this, outcome, elapsedMillis(), loadReport);
     }
 
@@ -350,7 +350,7 @@
         return String.format(
                 Locale.ROOT,
                 "attempt: failed, host=%s outcome=%s elapsed_ms=%.0f received=%s",
-                host.name,
+                host().name(),
                 outcome,
                 elapsedMillis(),
                 received);
--- a/src/main/java/rillyard/proxy/downstream/ClientListener.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientListener.java
@@ -81,8 +81,8 @@
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, UpstreamPool.READS)
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, UpstreamPool.MARKS)
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, UpstreamPool.READ_BUFFER_ALLOCATOR)
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, UpstreamPool.WRITE_BUFFER_WATER_MARK)
                 .handler(new ChannelInitializer<PeekableSocketChannel.Server>() {
                     @Override
                     protected void initChannel(PeekableSocketChannel.Server channel) {
@@ -140,7 +140,7 @@
     public void closeServerChannel() {
         PeekableSocketChannel.Server open = serverChannel;
         if (open != null && open.isOpen()) { // null if the drain began before the bind
-            open.acceptRest();
+            open.acceptPending();
             open.close();
         }
     }
@@ -187,7 +187,7 @@
 
     /** Returns whether requests would be served. */
     boolean isReady() {
-        return !draining && !warmingUp && driver.endpoints().anySendable();
+        return !draining && !warmingUp && driver.endpoints().hasSendableHost();
     }
 
     /** Returns whether requests would have been served at the last {@link #runMaintenance}. Any thread. */
--- a/src/main/java/rillyard/proxy/downstream/ClientRequestDecoder.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientRequestDecoder.java
@@ -26,7 +26,7 @@
     private long receivingSinceNanos;
 
     ClientRequestDecoder(PipelineBuffer pipelineBuffer) {
-        super(UpstreamPool.DECODER);
+        super(UpstreamPool.DECODER_CONFIG);
         this.pipelineBuffer = pipelineBuffer;
     }
 
--- a/src/main/java/rillyard/proxy/downstream/ResponseWriter.java
+++ b/src/main/java/rillyard/proxy/downstream/ResponseWriter.java
@@ -138,7 +138,7 @@
     }
 
     private static ByteBuf joined(BufferedBody body) {
-        ByteBuf[] blocks = body.retained().toArray(ByteBuf[]::new);
+        ByteBuf[] blocks = body.retainedBlocks().toArray(ByteBuf[]::new);
         return blocks.length == 1 ? blocks[0] : Unpooled.wrappedBuffer(blocks);
     }
 }
--- a/src/main/java/rillyard/proxy/lifecycle/ProxyLauncher.java
+++ b/src/main/java/rillyard/proxy/lifecycle/ProxyLauncher.java
@@ -52,7 +52,8 @@
         StartupTimeline.mark("settings");
         ProxyTrace trace = Boolean.getBoolean(ProxyTrace.PROPERTY) ? new ProxyTrace(System.err) : null;
         ProxyLog log = new ProxyLog(System.err, trace);
-        ClientProxy proxy = new ClientProxy(config, log, EndpointListOptions.guard(System.getProperties()), peerGossip);
+        ClientProxy proxy =
+                new ClientProxy(config, log, EndpointListOptions.createGuard(System.getProperties()), peerGossip);
         drainAtShutdown(proxy); // before it listens, so that a signal never finds it without a drain
         StartupTimeline.mark("loop");
         proxy.setWarmingUp();
