--- a/src/main/java/rillyard/admin/AdminOperations.java
+++ b/src/main/java/rillyard/admin/AdminOperations.java
@@ -3,27 +3,27 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.Executor;
 
-/** What people on call and their tools may ask of a running proxy; called on the server's thread. */
+/** The operations of a running proxy that operators can call; called on the admin server's thread. */
 public interface AdminOperations {
-    /** Whether requests would be served now. */
+    /** Returns whether the proxy is ready to serve requests. */
     boolean isReady();
 
-    /** The figures, brought up to date. */
+    /** Returns the metrics of the process. */
     ProxyMetrics metrics();
 
     /**
-     * Takes a host out.
+     * Disables a host.
      *
-     * @param files where files are touched
-     * @return whether such a host is known, once it is out; fails if this could not be done or kept
+     * @param fileExecutor runs all access to files
+     * @return completes with whether the host is known, once it is disabled; fails if that could not be stored
      */
-    CompletionStage<Boolean> detach(String host, Executor files);
+    CompletionStage<Boolean> detach(String host, Executor fileExecutor);
 
     /**
-     * Gives a host back.
+     * Enables a host.
      *
-     * @param files where files are touched
-     * @return whether such a host is known, once it may serve; fails if this could not be done or kept
+     * @param fileExecutor runs all access to files
+     * @return completes with whether the host is known, once it is enabled; fails if that could not be stored
      */
-    CompletionStage<Boolean> attach(String host, Executor files);
+    CompletionStage<Boolean> attach(String host, Executor fileExecutor);
 }
--- a/src/main/java/rillyard/admin/AdminServer.java
+++ b/src/main/java/rillyard/admin/AdminServer.java
@@ -17,36 +17,39 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Listens on the second address. It has a thread of its own: guards against calls that wait behind
- * requests while the proxy's loop is behind, which is when people on call ask. One call a connection.
+ * The HTTP server of the admin endpoint; it serves one request a connection.
+ *
+ * <p>It has a thread of its own, so that operators are answered while the proxy's event loop is overloaded.
  */
 public final class AdminServer implements Closeable {
-    /** Connections open at a time; past it the oldest gives way, as it has had the longest time. */
-    static final int MOST_OPEN = 16;
+    /** Connections open at a time; beyond it the oldest is closed, as it has had the longest time. */
+    private static final int MAX_CONNECTIONS = 16;
 
-    /** How long (ms) a caller may take for a call. */
-    private static final long CALL_MS = 2_500;
+    /** Milliseconds after which a connection is closed. */
+    private static final long CONNECTION_TIMEOUT_MS = 2_500;
 
     private static final int BACKLOG = 64;
-    private static final int MAX_BODY = 1_024;
+    private static final int MAX_BODY_BYTES = 1_024;
 
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("operator", true), NioIoHandler.newFactory());
-    private final ArrayDeque<Channel> open = new ArrayDeque<>();
+    private final ArrayDeque<Channel> connections = new ArrayDeque<>();
     private final AdminOperations operations;
     private Channel listener;
 
-    /** One that carries out calls through {@code operations}. */
+    /** Creates a server that does not listen yet. */
     public AdminServer(AdminOperations operations) {
         this.operations = operations;
     }
 
     /**
-     * Listens, and returns the address.
+     * Listens on an address.
+     *
+     * @return the address that is listened on
      *
      * @throws Exception what the bind throws
      */
-    public InetSocketAddress listen(InetSocketAddress at) throws Exception {
+    public InetSocketAddress listen(InetSocketAddress address) throws Exception {
         listener = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
@@ -54,30 +57,32 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        accepted(channel);
+                        onAccepted(channel);
                     }
                 })
-                .bind(at)
+                .bind(address)
                 .sync()
                 .channel();
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** Runs something on the server's thread again and again, each time after so many ms. */
-    public void schedulePeriodically(long millis, Runnable what) {
-        group.scheduleWithFixedDelay(what, millis, millis, TimeUnit.MILLISECONDS);
+    /** Runs a task on the server's thread, {@code periodMillis} after each end of the last run. */
+    public void schedulePeriodically(long periodMillis, Runnable task) {
+        group.scheduleWithFixedDelay(task, periodMillis, periodMillis, TimeUnit.MILLISECONDS);
     }
 
-    private void accepted(SocketChannel channel) {
-        if (open.size() >= MOST_OPEN) {
-            open.poll().close();
+    private void onAccepted(SocketChannel channel) {
+        if (connections.size() >= MAX_CONNECTIONS) {
+            connections.poll().close();
         }
-        open.add(channel);
-        channel.closeFuture().addListener(f -> open.remove(channel));
-        channel.eventLoop().schedule(() -> channel.close(), CALL_MS, TimeUnit.MILLISECONDS);
+        connections.add(channel);
+        channel.closeFuture().addListener(closed -> connections.remove(channel));
+        channel.eventLoop().schedule(() -> channel.close(), CONNECTION_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         channel.pipeline()
                 .addLast(
-                        new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY), new AdminRequestHandler(operations));
+                        new HttpServerCodec(),
+                        new HttpObjectAggregator(MAX_BODY_BYTES),
+                        new AdminRequestHandler(operations));
     }
 
     @Override
--- a/src/main/java/rillyard/admin/ProxyMetrics.java
+++ b/src/main/java/rillyard/admin/ProxyMetrics.java
@@ -1,88 +1,104 @@
 package rillyard.admin;
 
 import java.util.Collection;
+import java.util.EnumMap;
+import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Counts of one process, from 0 at its start. The proxy's loop adds, any thread may read. Written in
- * the plain form of statsd: {@code name:value|c} for a count, {@code |g} for a gauge.
+ * The metrics of one process, from 0 at its start, in the text form of statsd.
+ *
+ * <p>A line is {@code name:value|c} for a counter and {@code name:value|g} for a gauge. The proxy's event loop updates
+ * them; any thread may read.
  */
 public final class ProxyMetrics {
-    /** What came of a request. */
+    /** The final outcome of a request. */
     public enum RequestOutcome {
+        /** A host's response was forwarded. */
         COMPLETED,
+        /** The proxy rejected the request without sending it. */
         REJECTED,
+        /** The request may have run, but no response was forwarded. */
         FAILED;
 
-        private final String figure = name().toLowerCase(java.util.Locale.ROOT);
+        private final String metricName = name().toLowerCase(Locale.ROOT);
     }
 
     private static final String PREFIX = "proxy.";
 
-    private final Map<String, AtomicLong[]> byClass = new TreeMap<>();
-    private final AtomicLong attempts = new AtomicLong();
-    private final AtomicInteger pending = new AtomicInteger();
-    private volatile int setHosts;
-    private volatile int unavailableHosts;
+    /** Types of statsd. */
+    private static final char COUNTER = 'c';
 
-    /** {@code classes} are the classes of requests; others are not counted. */
+    private static final char GAUGE = 'g';
+
+    private final Map<String, Map<RequestOutcome, AtomicLong>> endedByClass = new TreeMap<>();
+    private final AtomicLong writtenAttempts = new AtomicLong();
+    private final AtomicInteger pendingRequests = new AtomicInteger();
+    private volatile int listedHosts;
+    private volatile int avoidedHosts;
+
+    /** Creates metrics for the given request classes; requests of others are not counted. */
     public ProxyMetrics(Collection<String> classes) {
-        for (String c : classes) {
-            AtomicLong[] ends = new AtomicLong[RequestOutcome.values().length];
-            for (int i = 0; i < ends.length; i++) {
-                ends[i] = new AtomicLong();
+        for (String requestClass : classes) {
+            Map<RequestOutcome, AtomicLong> counters = new EnumMap<>(RequestOutcome.class);
+            for (RequestOutcome outcome : RequestOutcome.values()) {
+                counters.put(outcome, new AtomicLong());
             }
-            byClass.put(c, ends);
+            endedByClass.put(requestClass, counters);
         }
     }
 
-    /** A request of this class has had its final answer. */
-    public void requestEnded(String requestClass, RequestOutcome how) {
-        AtomicLong[] ends = byClass.get(requestClass);
-        if (ends != null) {
-            ends[how.ordinal()].incrementAndGet();
+    /** Counts a request that has had its final response. */
+    public void requestEnded(String requestClass, RequestOutcome outcome) {
+        Map<RequestOutcome, AtomicLong> counters = endedByClass.get(requestClass);
+        if (counters != null) {
+            counters.get(outcome).incrementAndGet();
         }
     }
 
-    /** An attempt has been written whole to a host. */
+    /** Counts an attempt that has been written completely to a host. */
     public void attemptWritten() {
-        attempts.incrementAndGet();
+        writtenAttempts.incrementAndGet();
     }
 
-    /** Requests taken and not yet ended change by so many. */
+    /** Changes the number of requests that were admitted and have not ended. */
     public void addPending(int change) {
-        pending.addAndGet(change);
+        pendingRequests.addAndGet(change);
     }
 
-    /** The hosts listed, and those of them that are avoided, by hand or by choice. */
+    /** Sets the number of listed hosts, and of those among them that are disabled or avoided. */
     public void setHosts(int listed, int avoided) {
-        setHosts = listed;
-        unavailableHosts = avoided;
+        listedHosts = listed;
+        avoidedHosts = avoided;
     }
 
-    /** All of them, a line each. */
+    /** Returns all metrics, one a line. */
     public String text() {
         StringBuilder out = new StringBuilder(512);
-        for (RequestOutcome end : RequestOutcome.values()) {
-            byClass.forEach((name, ends) -> line(out, end.figure + "." + name, ends[end.ordinal()].get(), 'c'));
+        for (RequestOutcome outcome : RequestOutcome.values()) {
+            endedByClass.forEach((requestClass, counters) -> appendLine(
+                    out,
+                    outcome.metricName + "." + requestClass,
+                    counters.get(outcome).get(),
+                    COUNTER));
         }
-        line(out, "upstream_requests", attempts.get(), 'c');
-        line(out, "pending", pending.get(), 'g');
-        line(out, "members", setHosts, 'g');
-        line(out, "members_unavailable", unavailableHosts, 'g');
+        appendLine(out, "upstream_requests", writtenAttempts.get(), COUNTER);
+        appendLine(out, "pending", pendingRequests.get(), GAUGE);
+        appendLine(out, "members", listedHosts, GAUGE);
+        appendLine(out, "members_unavailable", avoidedHosts, GAUGE);
         return out.toString();
     }
 
-    private static void line(StringBuilder out, String name, long value, char kind) {
+    private static void appendLine(StringBuilder out, String name, long value, char type) {
         out.append(PREFIX)
                 .append(name)
                 .append(':')
                 .append(value)
                 .append('|')
-                .append(kind)
+                .append(type)
                 .append('\n');
     }
 }
--- a/src/main/java/rillyard/admin/package-info.java
+++ b/src/main/java/rillyard/admin/package-info.java
@@ -1,2 +1,4 @@
-/** The second address: readiness, figures and hosts out by hand, on a thread of its own. */
+/**
+ * The admin endpoint: readiness, metrics and disabled hosts, on a thread of its own.
+ */
 package rillyard.admin;
--- a/src/main/java/rillyard/connections/IdleTimeoutPolicy.java
+++ b/src/main/java/rillyard/connections/IdleTimeoutPolicy.java
@@ -1,40 +1,42 @@
 package rillyard.connections;
 
 /**
- * How long a proxy keeps connections to a host that carry nothing. Guards against many proxies that are
- * each thrifty and together fill the hosts' tables: a fuller table takes of a host's capacity, and a
- * full one turns everybody away. Each of {@code proxies} may hold some at the same host, so the times
- * shrink as their number grows, without any message: the sum at a host stays about the same, up to the 15
- * proxies at which the least times are reached. It should serve for any host with a bounded table. Harm:
- * where requests are rarer than the least time, each pays for a new connection.
+ * How long a proxy keeps idle connections to a host.
  *
- * @param firstTimeoutNanos nanoseconds for which a host's last idle connection is kept
- * @param spareTimeoutNanos nanoseconds for which any further one is kept: what the last burst needed
+ * <p>Each open connection reduces a host's capacity, and a host whose connection table is full rejects everybody. As
+ * every proxy may hold idle connections to the same host, the timeouts shrink with the number of proxies: their sum at
+ * a host stays about the same, up to the 15 proxies at which the minimum is reached. The cost is that requests that are
+ * rarer than the minimum each need a new connection.
+ *
+ * @param firstTimeoutNanos nanoseconds for which the last idle connection to a host is kept
+ * @param spareTimeoutNanos nanoseconds for which any further one is kept, which the last burst needed
  */
 public record IdleTimeoutPolicy(long firstTimeoutNanos, long spareTimeoutNanos) {
-    /** Nanoseconds for a proxy that is alone; shared by all that may connect to a host. */
-    private static final long FIRST_TIMEOUT_SINGLE_PROXY = 30_000_000_000L;
+    /** Timeouts of a single proxy (ns); divided by the number of proxies. */
+    private static final long SINGLE_PROXY_FIRST_TIMEOUT = 30_000_000_000L;
 
-    private static final long SPARE_TIMEOUT_SINGLE_PROXY = 4_500_000_000L;
+    private static final long SINGLE_PROXY_SPARE_TIMEOUT = 4_500_000_000L;
 
-    /** The least (ns): shorter than the pause between requests of a busy proxy each would be new. */
+    /** Minimum timeouts (ns); below the pauses between a busy proxy's requests every connection would be new. */
     private static final long MIN_FIRST_TIMEOUT = 2_000_000_000L;
 
     private static final long MIN_SPARE_TIMEOUT = 300_000_000L;
 
     /**
-     * For so many proxies, and hosts that close idle connections after {@code closedAfter} ns; fewer than one
-     * proxy are taken for one.
+     * Returns the policy of one of several proxies.
+     *
+     * @param proxies the number of proxies; less than one counts as one
+     * @param maxTimeoutNanos upper bound of both timeouts (ns), as hosts close idle connections themselves
      */
-    public static IdleTimeoutPolicy of(int proxies, long closedAfter) {
-        int sharers = Math.max(1, proxies);
-        long first = Math.max(MIN_FIRST_TIMEOUT, FIRST_TIMEOUT_SINGLE_PROXY / sharers);
-        long spare = Math.max(MIN_SPARE_TIMEOUT, SPARE_TIMEOUT_SINGLE_PROXY / sharers);
-        return new IdleTimeoutPolicy(Math.min(first, closedAfter), Math.min(spare, closedAfter));
+    public static IdleTimeoutPolicy of(int proxies, long maxTimeoutNanos) {
+        int sharingProxies = Math.max(1, proxies);
+        long first = Math.max(MIN_FIRST_TIMEOUT, SINGLE_PROXY_FIRST_TIMEOUT / sharingProxies);
+        long spare = Math.max(MIN_SPARE_TIMEOUT, SINGLE_PROXY_SPARE_TIMEOUT / sharingProxies);
+        return new IdleTimeoutPolicy(Math.min(first, maxTimeoutNanos), Math.min(spare, maxTimeoutNanos));
     }
 
-    /** Whether the oldest of {@code idle} connections to a host has stood idle for too long (ns). */
-    public boolean isExpired(int idle, long idleFor) {
-        return idleFor > (idle > 1 ? spareTimeoutNanos : firstTimeoutNanos);
+    /** Returns whether the longest idle of {@code idleCount} connections, idle for {@code idleNanos}, is to be closed. */
+    public boolean isExpired(int idleCount, long idleNanos) {
+        return idleNanos > (idleCount > 1 ? spareTimeoutNanos : firstTimeoutNanos);
     }
 }
--- a/src/main/java/rillyard/connections/package-info.java
+++ b/src/main/java/rillyard/connections/package-info.java
@@ -1,2 +1,4 @@
-/** Decides which connections to hosts are kept, from how many proxies share them; no I/O and no clock. */
+/**
+ * Decides how long idle connections to hosts are kept, from how many proxies share the hosts; no I/O and no clock.
+ */
 package rillyard.connections;
--- a/src/main/java/rillyard/endpoints/DisabledHosts.java
+++ b/src/main/java/rillyard/endpoints/DisabledHosts.java
@@ -7,41 +7,41 @@
 import rillyard.balancer.EndpointEntry;
 
 /**
- * The hosts that people on call have taken out, laid over what discovery tells of them. A host that
- * is out gets nothing new, whatever discovery says in between; one that was given back is taken to
- * have started in that moment, as hosts are restarted while they are out. Not safe for use from
- * several threads at once.
+ * The hosts that operators disabled, laid over discovery's entries.
+ *
+ * <p>A disabled host receives no new requests, whatever discovery announces in between. A host that was enabled again
+ * counts as started at that time, as hosts are restarted while they are disabled. Not thread-safe.
  */
 public final class DisabledHosts {
-    /** The most hosts that may be out: guards against a script that takes out names without end. */
+    /** Most hosts that can be disabled, which bounds what a faulty script can add. */
     public static final int MAX_HOSTS = 4_096;
 
     private final Set<String> disabled = new HashSet<>();
     private final Map<String, Double> enabledAt = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
-        /** Guards against names that never come back on the list; the oldest are warm the soonest. */
+        /** Bounds the names that never return to the list; the oldest finish their slow start first. */
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Double> eldest) {
             return size() > MAX_HOSTS;
         }
     };
 
-    /** Whether the host is out. */
+    /** Returns whether the host is disabled. */
     public boolean contains(String name) {
         return disabled.contains(name);
     }
 
-    /** Hosts that are out, listed or not. */
+    /** Returns how many hosts are disabled, listed or not. */
     public int size() {
         return disabled.size();
     }
 
     /**
-     * Takes a host out; a second time changes nothing.
+     * Disables a host; does nothing if it is disabled already.
      *
-     * @return whether this changed anything
-     * @throws IllegalStateException if {@link #MAX_HOSTS} hosts are out already
+     * @return whether the host's state changed
+     * @throws IllegalStateException if {@link #MAX_HOSTS} hosts are disabled already
      */
     public boolean disable(String name) {
         if (!disabled.contains(name) && disabled.size() >= MAX_HOSTS) {
@@ -52,10 +52,10 @@
     }
 
     /**
-     * Gives a host back, however often it was taken out.
+     * Enables a host, however often it was disabled.
      *
-     * @param at the module's clock (ms) at which it was given back
-     * @return whether this changed anything
+     * @param at the balancer's clock (ms) at which it was enabled
+     * @return whether the host's state changed
      */
     public boolean enable(String name, double at) {
         if (!disabled.remove(name)) {
@@ -66,26 +66,26 @@
     }
 
     /**
-     * Takes over what another process of the same proxy did.
+     * Adopts the state that another process of the same proxy stored.
      *
-     * @param now the hosts that are out
-     * @param given when (ms, the module's clock) hosts were given back lately
-     * @return the hosts for which this changed anything
+     * @param disabledNow the hosts that are disabled
+     * @param enabledTimes when (ms, the balancer's clock) hosts were enabled lately
+     * @return the hosts whose state changed
      */
-    public Set<String> adopt(Set<String> now, Map<String, Double> given) {
+    public Set<String> adopt(Set<String> disabledNow, Map<String, Double> enabledTimes) {
         Set<String> changed = new HashSet<>();
-        for (String name : now) {
+        for (String name : disabledNow) {
             if (disabled.size() < MAX_HOSTS && disable(name)) {
                 changed.add(name);
             }
         }
         for (String name : Set.copyOf(disabled)) {
-            if (!now.contains(name)) {
+            if (!disabledNow.contains(name)) {
                 disabled.remove(name);
                 changed.add(name);
             }
         }
-        given.forEach((name, at) -> {
+        enabledTimes.forEach((name, at) -> {
             if (!disabled.contains(name) && (changed.contains(name) || !enabledAt.containsKey(name))) {
                 enabledAt.put(name, at);
                 changed.add(name);
@@ -94,25 +94,31 @@
         return changed;
     }
 
-    /** Hosts of which it is known when they were given back. */
+    /** Returns for how many hosts it is known when they were enabled. */
     public int enabledTimeCount() {
         return enabledAt.size();
     }
 
-    /** The host has left the list: when it was given back is of no more use. */
+    /** Forgets when a host was enabled, as it has left the list. */
     public void forget(String name) {
         enabledAt.remove(name);
     }
 
-    /** What the module is to be told of a host of which discovery says {@code told}. */
-    public EndpointEntry effective(String name, EndpointEntry told) {
-        boolean ready = told.condition() == EndpointEntry.Condition.READY;
+    /** Returns the entry of a host for the balancer, given the one that discovery announced. */
+    public EndpointEntry effective(String name, EndpointEntry announced) {
+        boolean isReady = announced.condition() == EndpointEntry.Condition.READY;
         EndpointEntry.Condition condition =
-                ready && disabled.contains(name) ? EndpointEntry.Condition.TERMINATING : told.condition();
-        double since = Math.max(told.onlineSince(), enabledAt.getOrDefault(name, 0.0));
-        return condition == told.condition() && since == told.onlineSince()
-                ? told
+                isReady && disabled.contains(name) ? EndpointEntry.Condition.TERMINATING : announced.condition();
+        double onlineSince = Math.max(announced.onlineSince(), enabledAt.getOrDefault(name, 0.0));
+        return condition == announced.condition() && onlineSince == announced.onlineSince()
+                ? announced
                 : new EndpointEntry(
-                        told.id(), told.zone(), told.machineKind(), told.cell(), condition, told.capacityHint(), since);
+                        announced.id(),
+                        announced.zone(),
+                        announced.machineKind(),
+                        announced.cell(),
+                        condition,
+                        announced.capacityHint(),
+                        onlineSince);
     }
 }
--- a/src/main/java/rillyard/endpoints/EndpointListGuard.java
+++ b/src/main/java/rillyard/endpoints/EndpointListGuard.java
@@ -8,73 +8,73 @@
 import java.util.Set;
 
 /**
- * Doubts a whole list that suddenly lacks most hosts: rather a registry that has lost its memory than
- * that many hosts gone at once. The hosts it lacks are used on for a while, so that the rest is not
- * overrun; what a list says in so many words, that a host drains or is removed, holds at once.
- * A host that is really gone is left alone after its first failed connects, as any is. Not safe for use
- * from several threads at once.
+ * Retains hosts that an implausible full list lacks.
+ *
+ * <p>A full list that suddenly lacks most hosts comes from a registry that lost its data rather than from that many hosts
+ * gone at once. The hosts it lacks are used on for a limited time, so that the others are not overloaded. An explicit
+ * statement that a host drains or is removed applies at once. A host that is really gone is avoided after its first
+ * failed connects, as any other. Not thread-safe.
  */
 public final class EndpointListGuard {
     private final double leastShare;
     private final double holdMillis;
-    private final Map<String, Double> held = new LinkedHashMap<>();
+    private final Map<String, Double> retainedUntil = new LinkedHashMap<>();
 
     /**
-     * Makes one that holds nothing yet.
+     * Creates a guard that retains no host.
      *
-     * @param leastShare the share of the ready hosts, from 0 to 1, that a whole list has to name, in
-     *     whatever state, to be believed about those that it leaves out
-     * @param hold for how long (ms, above 0) a host is used on that such a list lacks
+     * @param leastShare the share of the ready hosts, from 0 to 1, that a full list has to name, in
+     *     any state, to be plausible
+     * @param holdMillis for how long (ms, above 0) a host is retained
      * @throws IllegalArgumentException if one is out of its range
      */
-    public EndpointListGuard(double leastShare, double hold) {
+    public EndpointListGuard(double leastShare, double holdMillis) {
         if (!(leastShare >= 0 && leastShare <= 1)) {
             throw new IllegalArgumentException("least share of hosts: expected 0 to 1, found " + leastShare);
         }
-        if (!(hold > 0 && hold < Double.POSITIVE_INFINITY)) {
-            throw new IllegalArgumentException("time to hold hosts: expected ms above 0, found " + hold);
+        if (!(holdMillis > 0 && holdMillis < Double.POSITIVE_INFINITY)) {
+            throw new IllegalArgumentException("time to hold hosts: expected ms above 0, found " + holdMillis);
         }
         this.leastShare = leastShare;
-        this.holdMillis = hold;
+        this.holdMillis = holdMillis;
     }
 
     /**
-     * A whole list has come.
+     * Decides about the hosts that a full list lacks.
      *
-     * @param now the module's clock (ms), as for all of its times
-     * @param ready the hosts that were in use until now, those that are held among them
-     * @param named the hosts that the list names, in whatever state
-     * @return those of {@code ready} that the list lacks and that are used on nevertheless
+     * @param now the balancer's clock (ms), as for all times of this class
+     * @param ready the hosts in use until now, retained ones included
+     * @param named the hosts that the list names, in any state
+     * @return the hosts of {@code ready} that the list lacks and that are retained
      */
     public Set<String> onFullList(double now, Set<String> ready, Set<String> named) {
-        Set<String> lacks = new HashSet<>(ready);
-        lacks.removeAll(named);
-        held.keySet().removeIf(name -> !lacks.contains(name));
-        if (ready.size() - lacks.size() >= leastShare * ready.size()) {
-            // Believed, but for hosts whose time has not passed since a list that was not: the doubt about
-            // them is no smaller because those that are left are all here.
-            lacks.retainAll(held.keySet());
+        Set<String> missing = new HashSet<>(ready);
+        missing.removeAll(named);
+        retainedUntil.keySet().removeIf(name -> !missing.contains(name));
+        if (ready.size() - missing.size() >= leastShare * ready.size()) {
+            // Plausible, except about hosts that are retained because of an earlier list.
+            missing.retainAll(retainedUntil.keySet());
         }
-        lacks.forEach(name -> held.putIfAbsent(name, now + holdMillis));
-        lacks.removeIf(name -> held.get(name) <= now);
-        return lacks;
+        missing.forEach(name -> retainedUntil.putIfAbsent(name, now + holdMillis));
+        missing.removeIf(name -> retainedUntil.get(name) <= now);
+        return missing;
     }
 
-    /** A change names this host: from now on it is what the change says. */
+    /** Records that a delta names a host, whose announced state applies from now on. */
     public void onNamed(String name) {
-        held.remove(name);
+        retainedUntil.remove(name);
     }
 
-    /** The hosts whose time has passed by now: they are gone. */
+    /** Returns the hosts whose time has passed, and retains them no longer. */
     public List<String> expired(double now) {
-        List<String> over = new ArrayList<>();
-        held.entrySet().removeIf(e -> {
-            boolean past = e.getValue() <= now;
-            if (past) {
-                over.add(e.getKey());
+        List<String> expired = new ArrayList<>();
+        retainedUntil.entrySet().removeIf(entry -> {
+            boolean isExpired = entry.getValue() <= now;
+            if (isExpired) {
+                expired.add(entry.getKey());
             }
-            return past;
+            return isExpired;
         });
-        return over;
+        return expired;
     }
 }
--- a/src/main/java/rillyard/endpoints/package-info.java
+++ b/src/main/java/rillyard/endpoints/package-info.java
@@ -1,2 +1,4 @@
-/** Decides which hosts are members, whatever discovery and operators say; no I/O and no clock. */
+/**
+ * Decides which hosts are members: discovery's list, its plausibility, and hosts that operators disabled; no I/O and no clock.
+ */
 package rillyard.endpoints;
--- a/src/main/java/rillyard/hotrestart/DisabledHostStore.java
+++ b/src/main/java/rillyard/hotrestart/DisabledHostStore.java
@@ -17,116 +17,125 @@
 import java.util.Set;
 
 /**
- * The hosts that are out by hand, as names of empty files: {@code out-NAME}, and {@code back-NAME}
- * with the time at which the host was given back. Names are in URL-safe Base64 (RFC 4648, 5), since
- * ids of hosts may hold anything. A file is made, renamed or removed and never written, so what one
- * process does is seen whole or not at all by another, and a kill at any moment harms nothing.
+ * Stores the hosts that operators disabled as names of empty files in a directory that several processes share.
+ *
+ * <p>{@code out-NAME} is a disabled host, {@code back-NAME} one that was enabled at the file's modification time. Names
+ * are in URL-safe Base64 (RFC 4648, 5), as ids of hosts may hold any character. Files are created, renamed and removed
+ * but never written, so other processes see each change completely or not at all, also if this one is killed.
+ * Several processes may use a directory at once; one instance is not thread-safe.
  */
 public final class DisabledHostStore {
-    /** What the folder says: hosts out, and Unix time (ms) at which others were given back. */
+    /**
+     * What the directory holds.
+     *
+     * @param disabled the names of disabled hosts
+     * @param enabledAtUnixMillis when other hosts were enabled, by name
+     */
     public record Contents(Set<String> disabled, Map<String, Long> enabledAtUnixMillis) {}
 
-    private static final String OUT = "out-";
-    private static final String BACK = "back-";
+    private static final String DISABLED_PREFIX = "out-";
+    private static final String ENABLED_PREFIX = "back-";
 
-    /** A host that was given back so long ago (ms) is warm by any deployment's figures. */
-    private static final long FORGET_MS = 120_000;
+    /** Age of an enabled host's file beyond which any slow start is over. */
+    private static final long ENABLED_RETENTION_MS = 120_000;
 
-    private final Path folder;
+    private final Path directory;
 
     /**
-     * Opens a folder.
+     * Opens a store.
      *
-     * @param folder the folder, made if it isn't there
-     * @throws IOException if it can't be made
+     * @param directory the directory, created if it does not exist
+     * @throws IOException if it can't be created
      */
-    public DisabledHostStore(Path folder) throws IOException {
-        this.folder = Files.createDirectories(folder);
+    public DisabledHostStore(Path directory) throws IOException {
+        this.directory = Files.createDirectories(directory);
     }
 
     /**
-     * Notes that a host is out.
+     * Stores that a host is disabled.
      *
-     * @throws IOException if that can't be kept
+     * @throws IOException if that can't be stored
      */
     public void disable(String name) throws IOException {
-        Files.deleteIfExists(file(BACK, name));
+        Files.deleteIfExists(file(ENABLED_PREFIX, name));
         try {
-            Files.createFile(file(OUT, name));
-        } catch (FileAlreadyExistsException e) {
-            // out already
+            Files.createFile(file(DISABLED_PREFIX, name));
+        } catch (FileAlreadyExistsException ignored) {
+            // disabled already
         }
     }
 
     /**
-     * Notes that a host may serve again from {@code now} (Unix ms) on.
+     * Stores that a host was enabled at {@code now} (Unix ms); does nothing if it is not disabled.
      *
-     * @throws IOException if that can't be kept
+     * @throws IOException if that can't be stored
      */
     public void enable(String name, long now) throws IOException {
-        Path back = file(BACK, name);
+        Path enabled = file(ENABLED_PREFIX, name);
         try {
-            Path out = file(OUT, name);
-            Files.setLastModifiedTime(out, FileTime.fromMillis(now));
-            Files.move(out, back, StandardCopyOption.REPLACE_EXISTING);
-        } catch (NoSuchFileException e) {
-            // was not out
+            Path disabled = file(DISABLED_PREFIX, name);
+            Files.setLastModifiedTime(disabled, FileTime.fromMillis(now));
+            Files.move(disabled, enabled, StandardCopyOption.REPLACE_EXISTING);
+        } catch (NoSuchFileException ignored) {
+            // not disabled
         }
     }
 
     /**
-     * Reads all of it; what has no place here is left alone, what is old is removed.
+     * Reads the directory. Foreign files are ignored, outdated ones removed.
      *
      * @param now Unix time (ms)
-     * @throws IOException if the folder can't be read
+     * @throws IOException if the directory can't be read
      */
     public Contents read(long now) throws IOException {
-        Set<String> out = new HashSet<>();
-        Map<String, Long> back = new HashMap<>();
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
+        Set<String> disabled = new HashSet<>();
+        Map<String, Long> enabledAt = new HashMap<>();
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(directory)) {
             for (Path path : files) {
                 String file = path.getFileName().toString();
-                if (file.startsWith(OUT)) {
-                    String name = name(file, OUT);
+                if (file.startsWith(DISABLED_PREFIX)) {
+                    String name = decodeName(file, DISABLED_PREFIX);
                     if (name != null) {
-                        out.add(name);
+                        disabled.add(name);
                     }
-                } else if (file.startsWith(BACK)) {
-                    readBack(path, name(file, BACK), now, back);
+                } else if (file.startsWith(ENABLED_PREFIX)) {
+                    readEnabled(path, decodeName(file, ENABLED_PREFIX), now, enabledAt);
                 }
             }
-        } catch (NoSuchFileException e) {
-            Files.createDirectories(folder); // cleared away by somebody: all that it said is void
+        } catch (NoSuchFileException ignored) {
+            Files.createDirectories(directory); // somebody removed it: all that it held is void
         } catch (DirectoryIteratorException e) {
             throw e.getCause();
         }
-        return new Contents(out, back);
+        return new Contents(disabled, enabledAt);
     }
 
-    private static void readBack(Path file, String name, long now, Map<String, Long> back) throws IOException {
+    private static void readEnabled(Path file, String name, long now, Map<String, Long> enabledAt) throws IOException {
         try {
             long at = Files.getLastModifiedTime(file).toMillis();
-            if (now - at > FORGET_MS) {
+            if (now - at > ENABLED_RETENTION_MS) {
                 Files.deleteIfExists(file);
             } else if (name != null) {
-                back.put(name, Math.min(at, now));
+                enabledAt.put(name, Math.min(at, now));
             }
-        } catch (NoSuchFileException e) {
-            // taken out again in this moment
+        } catch (NoSuchFileException ignored) {
+            // disabled again at this moment
         }
     }
 
-    private Path file(String kind, String name) {
+    private Path file(String prefix, String name) {
         byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
-        return folder.resolve(kind + Base64.getUrlEncoder().withoutPadding().encodeToString(bytes));
+        return directory.resolve(
+                prefix + Base64.getUrlEncoder().withoutPadding().encodeToString(bytes));
     }
 
-    private static String name(String file, String kind) {
+    /** Returns the host's name of a file, or null if the file is foreign. */
+    private static String decodeName(String file, String prefix) {
         try {
-            byte[] bytes = Base64.getUrlDecoder().decode(file.substring(kind.length()));
+            byte[] bytes = Base64.getUrlDecoder().decode(file.substring(prefix.length()));
             return new String(bytes, StandardCharsets.UTF_8);
-        } catch (IllegalArgumentException e) {
-            return null; // not one of ours
+        } catch (IllegalArgumentException ignored) {
+            return null;
         }
     }
 }
--- a/src/main/java/rillyard/hotrestart/HotRestartLock.java
+++ b/src/main/java/rillyard/hotrestart/HotRestartLock.java
@@ -10,59 +10,63 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * The order among processes of one proxy that run beside each other. The one in charge holds a lock
- * on {@code serving}; the one that follows holds one on {@code next} once it listens, until the
- * first has ended. The kernel drops locks with their process, so none is left by one that was
- * killed. Safe for use from several threads: the loop asks at the end, the second address follows.
+ * Orders the processes of one proxy that run side by side during a hot restart.
+ *
+ * <p>The active process holds a lock on the file {@code serving}; the standby holds one on {@code next} from the time at
+ * which it listens until the active one has ended. The kernel releases the locks of a process that was killed.
+ *
+ * <p>Thread-safe: the event loop asks for a standby at the end, the admin server's thread does the rest.
  */
 public final class HotRestartLock implements Closeable {
-    private final FileChannel serving;
-    private final FileChannel next;
+    private final FileChannel activeFile;
+    private final FileChannel standbyFile;
     private FileLock activeLock;
     private FileLock standbyLock;
 
     /**
-     * Joins at the end of the line.
+     * Joins the processes of a directory; becomes the active one if there is none.
      *
-     * @param folder where the processes meet, made if it isn't there
-     * @throws IOException if the folder can't be used
+     * @param directory the shared directory, created if it does not exist
+     * @throws IOException if the directory can't be used
      */
-    public HotRestartLock(Path folder) throws IOException {
-        Files.createDirectories(folder);
-        serving = open(folder.resolve("serving"));
-        next = open(folder.resolve("next"));
-        activeLock = lock(serving);
+    public HotRestartLock(Path directory) throws IOException {
+        Files.createDirectories(directory);
+        activeFile = open(directory.resolve("serving"));
+        standbyFile = open(directory.resolve("next"));
+        activeLock = lock(activeFile);
     }
 
     private static FileChannel open(Path file) throws IOException {
         return FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     }
 
+    /** Returns the lock of a file, or null if it is held elsewhere. */
     private static FileLock lock(FileChannel file) throws IOException {
         try {
             return file.tryLock();
-        } catch (OverlappingFileLockException e) {
-            return null; // held within this very process, as in tests
+        } catch (OverlappingFileLockException ignored) {
+            return null; // held by this very process, as in tests
         }
     }
 
-    /** Whether no other process is in charge. */
+    /** Returns whether this process is the active one. */
     public synchronized boolean isActive() {
         return activeLock != null;
     }
 
     /**
-     * This process listens: the one in charge may go at any time from now on. Called again and again it
-     * takes charge once that one has gone.
+     * Announces that this process listens, so that the active one may end; to be called periodically.
+     *
+     * <p>Once the active process has ended, a call makes this one active.
      *
      * @throws IOException if the files can't be locked
      */
     public synchronized void becomeStandby() throws IOException {
         if (activeLock == null) {
-            activeLock = lock(serving);
+            activeLock = lock(activeFile);
         }
         if (activeLock == null && standbyLock == null) {
-            standbyLock = lock(next);
+            standbyLock = lock(standbyFile);
         } else if (activeLock != null && standbyLock != null) {
             standbyLock.release();
             standbyLock = null;
@@ -70,7 +74,7 @@
     }
 
     /**
-     * Whether another process listens that follows this one.
+     * Returns whether another process listens and is to follow this one.
      *
      * @throws IOException if the file can't be locked
      */
@@ -78,17 +82,17 @@
         if (standbyLock != null) {
             return false;
         }
-        FileLock free = lock(next);
-        if (free == null) {
+        FileLock probe = lock(standbyFile);
+        if (probe == null) {
             return true;
         }
-        free.release();
+        probe.release();
         return false;
     }
 
     @Override
     public synchronized void close() throws IOException {
-        serving.close();
-        next.close();
+        activeFile.close();
+        standbyFile.close();
     }
 }
--- a/src/main/java/rillyard/hotrestart/package-info.java
+++ b/src/main/java/rillyard/hotrestart/package-info.java
@@ -1,2 +1,4 @@
-/** Processes of one proxy that follow each other on a machine, and what they leave to each other. */
+/**
+ * What the processes of one proxy share on a machine: which of them is active, and the hosts that operators disabled.
+ */
 package rillyard.hotrestart;
--- a/src/main/java/rillyard/proxy/admin/ProxyAdmin.java
+++ b/src/main/java/rillyard/proxy/admin/ProxyAdmin.java
@@ -3,6 +3,7 @@
 import io.netty.channel.EventLoop;
 import java.io.Closeable;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.Map;
@@ -20,137 +21,155 @@
 import rillyard.proxy.logging.ProxyLog;
 
 /**
- * The second address of a proxy and the folder in which its processes meet. Files are touched on the
- * server's thread only, and what they say is applied on the proxy's loop, in the same order: guards
- * against a call that is undone by a look at the folder from before it.
+ * The admin endpoint of a proxy and the directory through which its processes cooperate in a hot restart.
+ *
+ * <p>Files are accessed on the admin server's thread only, and their contents are applied on the proxy's event loop in
+ * the same order, so that an operator's call is not undone by an older reading of the directory.
  */
 public final class ProxyAdmin implements AdminOperations, Closeable {
-    /** How often (ms) the folder is looked at: well within the grace of a drain. */
-    private static final long LOOK_MS = 150;
+    /** Period at which the directory is read, well within the grace time of a drain. */
+    private static final long MAINTENANCE_PERIOD_MS = 150;
 
     private final AdminServer server = new AdminServer(this);
     private final EventLoop loop;
-    private final ClientListener front;
-    private final BalancerDriver dispatcher;
+    private final ClientListener clientListener;
+    private final BalancerDriver driver;
     private final ProxyLog log;
-    private final DisabledHostStore folder;
-    private final HotRestartLock succession;
-    private DisabledHostStore.Contents seen;
-    private volatile boolean listening;
-
-    public ProxyAdmin(Path folder, EventLoop loop, ClientListener front, BalancerDriver dispatcher, ProxyLog log)
+    private final DisabledHostStore disabledHostStore;
+    private final HotRestartLock restartLock;
+    private DisabledHostStore.Contents lastContents;
+    private volatile boolean isListening;
+
+    /**
+     * Joins the processes that share the directory.
+     *
+     * @param directory see {@link #hotRestartDirectory}
+     * @param loop the event loop of the proxy
+     * @throws IOException if the directory can't be used
+     */
+    public ProxyAdmin(
+            Path directory, EventLoop loop, ClientListener clientListener, BalancerDriver driver, ProxyLog log)
             throws IOException {
         this.loop = loop;
-        this.front = front;
-        this.dispatcher = dispatcher;
+        this.clientListener = clientListener;
+        this.driver = driver;
         this.log = log;
-        this.folder = new DisabledHostStore(folder);
-        this.succession = new HotRestartLock(folder);
+        this.disabledHostStore = new DisabledHostStore(directory);
+        this.restartLock = new HotRestartLock(directory);
     }
 
-    /** The folder of a proxy: that of all of its processes on this machine, and of no other's. */
+    /** Returns the directory that all processes of a proxy on this machine share, and no other proxy's. */
     public static Path hotRestartDirectory(Map<String, String> env, ProxyConfig config) {
-        String tmp = env.get("TMPDIR");
-        String own = config.name() + "-" + config.listen().getAddress().getHostAddress() + "-"
+        String temporary = env.get("TMPDIR");
+        String proxyKey = config.name() + "-" + config.listen().getAddress().getHostAddress() + "-"
                 + config.listen().getPort();
-        return Path.of(tmp == null || tmp.isEmpty() ? System.getProperty("java.io.tmpdir") : tmp)
-                .resolve("rillyard-" + own.replaceAll("[^A-Za-z0-9.-]", "_"));
+        return Path.of(temporary == null || temporary.isEmpty() ? System.getProperty("java.io.tmpdir") : temporary)
+                .resolve("rillyard-" + proxyKey.replaceAll("[^A-Za-z0-9.-]", "_"));
     }
 
-    /** Takes over what other processes left, and listens; throws what the bind throws. */
-    public InetSocketAddress start(InetSocketAddress at) throws Exception {
-        look();
-        InetSocketAddress bound = server.listen(at);
-        server.schedulePeriodically(LOOK_MS, this::upkeep);
+    /**
+     * Applies what other processes left in the directory and listens.
+     *
+     * @return the address that is listened on
+     * @throws Exception if the directory can't be read, or what the bind throws
+     */
+    public InetSocketAddress start(InetSocketAddress address) throws Exception {
+        applyStoredHosts();
+        InetSocketAddress bound = server.listen(address);
+        server.schedulePeriodically(MAINTENANCE_PERIOD_MS, this::runMaintenance);
         return bound;
     }
 
-    /** Whether another process serves the same address. */
+    /** Returns whether another process was serving the same address when this one started. */
     public boolean hasPredecessor() {
-        return !succession.isActive();
+        return !restartLock.isActive();
     }
 
-    /** This process serves now. */
+    /**
+     * Records that this process serves now, which lets an earlier one end.
+     *
+     * @throws IOException if the directory can't be used
+     */
     public void onListening() throws IOException {
-        succession.becomeStandby();
-        listening = true;
+        restartLock.becomeStandby();
+        isListening = true;
     }
 
-    /** Whether another process has come that serves, so that this one may go. */
+    /** Returns whether a later process serves, so that this one can end; false if that can't be determined. */
     public boolean hasSuccessor() {
         try {
-            return succession.hasStandby();
-        } catch (IOException e) {
-            return false; // an ordinary end is right in any case
+            return restartLock.hasStandby();
+        } catch (IOException ignored) {
+            return false; // an ordinary shutdown is correct in any case
         }
     }
 
-    private void upkeep() {
+    private void runMaintenance() {
         try {
-            look();
-            if (listening) {
-                succession.becomeStandby();
+            applyStoredHosts();
+            if (isListening) {
+                restartLock.becomeStandby();
             }
         } catch (IOException | RuntimeException e) {
-            // Guards against a periodic task that ends for ever with its first exception.
-            loop.execute(() -> log.info("the folder of hosts out by hand can't be used: " + e));
+            // An exception would cancel the periodic task.
+            loop.execute(() -> log.info("hot restart: directory can't be used, cause=" + e));
         }
     }
 
-    private void look() throws IOException {
-        DisabledHostStore.Contents now = folder.read(System.currentTimeMillis());
-        // Field by field: the equals of a record is linked at run time, which a start would pay for.
-        if (seen == null
-                || !now.disabled().equals(seen.disabled())
-                || !now.enabledAtUnixMillis().equals(seen.enabledAtUnixMillis())) {
-            seen = now;
-            loop.execute(() -> dispatcher.setDisabled(now));
+    private void applyStoredHosts() throws IOException {
+        DisabledHostStore.Contents contents = disabledHostStore.read(System.currentTimeMillis());
+        // Compared by field: the equals of a record is linked at run time, which would slow down the start.
+        if (lastContents == null
+                || !contents.disabled().equals(lastContents.disabled())
+                || !contents.enabledAtUnixMillis().equals(lastContents.enabledAtUnixMillis())) {
+            lastContents = contents;
+            loop.execute(() -> driver.setDisabled(contents));
         }
     }
 
     @Override
     public boolean isReady() {
-        return front.wasRecentlyReady();
+        return clientListener.wasRecentlyReady();
     }
 
     @Override
     public ProxyMetrics metrics() {
-        return dispatcher.metrics();
+        return driver.metrics();
     }
 
     @Override
-    public CompletionStage<Boolean> detach(String host, Executor files) {
-        return byHand(host, true, files);
+    public CompletionStage<Boolean> detach(String host, Executor fileExecutor) {
+        return setDisabled(host, true, fileExecutor);
     }
 
     @Override
-    public CompletionStage<Boolean> attach(String host, Executor files) {
-        return byHand(host, false, files);
+    public CompletionStage<Boolean> attach(String host, Executor fileExecutor) {
+        return setDisabled(host, false, fileExecutor);
     }
 
-    /** On the loop whether it is known; then kept in the folder; then done on the loop. */
-    private CompletionStage<Boolean> byHand(String host, boolean out, Executor files) {
-        return CompletableFuture.supplyAsync(() -> dispatcher.isKnownHost(host), loop)
-                .thenApplyAsync(known -> known && keep(host, out), files)
-                .thenApplyAsync(kept -> kept && dispatcher.setDisabled(host, out), loop);
+    /** Checks on the loop that the host is known, stores the change, and applies it on the loop. */
+    private CompletionStage<Boolean> setDisabled(String host, boolean disabled, Executor fileExecutor) {
+        return CompletableFuture.supplyAsync(() -> driver.isKnownHost(host), loop)
+                .thenApplyAsync(known -> known && store(host, disabled), fileExecutor)
+                .thenApplyAsync(stored -> stored && driver.setDisabled(host, disabled), loop);
     }
 
-    private boolean keep(String host, boolean out) {
+    private boolean store(String host, boolean disabled) {
         try {
-            if (out) {
-                folder.disable(host);
+            if (disabled) {
+                disabledHostStore.disable(host);
             } else {
-                folder.enable(host, System.currentTimeMillis());
+                disabledHostStore.enable(host, System.currentTimeMillis());
             }
             return true;
         } catch (IOException e) {
-            throw new java.io.UncheckedIOException(e);
+            throw new UncheckedIOException(e);
         }
     }
 
     @Override
     public void close() throws IOException {
         server.close();
-        succession.close();
+        restartLock.close();
     }
 }
--- a/src/main/java/rillyard/proxy/downstream/ClientConnection.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientConnection.java
@@ -432,7 +432,7 @@
             channel.close();
             return;
         }
-        decoder.receiving |= channel.hasHeldByte();
+        decoder.receiving |= channel.hasPeekedByte();
         driver.onRequest(exchange, arrival(request.headers(), exchange.id, budget));
     }
 
@@ -653,8 +653,8 @@
             channel.close();
             return true;
         }
-        decoder.receiving |= channel.hasHeldByte();
-        return channel.hasHeldByte();
+        decoder.receiving |= channel.hasPeekedByte();
+        return channel.hasPeekedByte();
     }
 
     void sweep(long now) {
--- a/src/main/java/rillyard/proxy/downstream/ClientRequestDecoder.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientRequestDecoder.java
@@ -91,7 +91,7 @@
             }
             return;
         }
-        ByteBuf read = ((PeekableSocketChannel) ctx.channel()).prependHeldByte((ByteBuf) msg);
+        ByteBuf read = ((PeekableSocketChannel) ctx.channel()).prependPeekedByte((ByteBuf) msg);
         if (held != null) {
             held.addComponent(true, read);
             if (held.readableBytes() >= HELD_BYTES) {
--- a/src/main/java/rillyard/proxy/eventloop/PeekableSocketChannel.java
+++ b/src/main/java/rillyard/proxy/eventloop/PeekableSocketChannel.java
@@ -11,131 +11,145 @@
 import java.util.List;
 import rillyard.stall.StallDetector;
 
-/** A socket that can be asked at once what the loop would hear of on its next turn only. */
+/**
+ * A socket channel whose pending input and end of stream can be checked at once, ahead of the event loop's next turn.
+ *
+ * <p>All methods are for the channel's event loop.
+ */
 public final class PeekableSocketChannel extends NioSocketChannel {
-    /** Accepts such sockets. */
+    /** A server channel that accepts {@link PeekableSocketChannel}s. */
     public static final class Server extends NioServerSocketChannel {
-        private final StallDetector gaps;
+        private final StallDetector stallDetector;
 
-        public Server(StallDetector gaps) {
-            this.gaps = gaps;
+        /** Creates an unbound server channel; the detector is that of its event loop. */
+        public Server(StallDetector stallDetector) {
+            this.stallDetector = stallDetector;
         }
 
         @Override
         protected int doReadMessages(List<Object> accepted) throws Exception {
-            SocketChannel channel = javaChannel().accept();
-            if (channel == null) {
-                gaps.onBacklogEmpty();
+            SocketChannel socket = javaChannel().accept();
+            if (socket == null) {
+                stallDetector.onBacklogEmpty();
                 return 0;
             }
-            accepted.add(new PeekableSocketChannel(this, channel, gaps));
+            accepted.add(new PeekableSocketChannel(this, socket, stallDetector));
             return 1;
         }
 
-        /** Accepts all that waits; on the loop. */
+        /** Accepts all connections of the backlog at once. */
         public void acceptPending() {
             try {
-                SocketChannel channel;
-                while ((channel = javaChannel().accept()) != null) {
-                    pipeline().fireChannelRead(new PeekableSocketChannel(this, channel, gaps));
+                SocketChannel socket;
+                while ((socket = javaChannel().accept()) != null) {
+                    pipeline().fireChannelRead(new PeekableSocketChannel(this, socket, stallDetector));
                 }
-            } catch (IOException e) {
-                // out of descriptors, or closed: what waits can't be had
+            } catch (IOException ignored) {
+                // out of descriptors, or closed: the rest of the backlog can't be accepted
             }
             pipeline().fireChannelReadComplete();
         }
     }
 
-    /** Bytes that are taken out of a socket before it is closed at once. */
-    private static final int TAKEN_OUT = 64 * 1024;
+    /** Bytes that are read and dropped before a socket is closed. */
+    private static final int MAX_DRAINED_BYTES = 64 * 1024;
 
-    private final ByteBuffer one = ByteBuffer.allocate(1);
-    private boolean hasHeldByte;
+    private static final int DRAIN_BUFFER_BYTES = 4_096;
 
-    private final StallDetector gaps;
+    private static final int END_OF_STREAM = -1;
+
+    private final ByteBuffer peekBuffer = ByteBuffer.allocate(1);
+    private final StallDetector stallDetector;
     private final long acceptTurn;
-    private final long acceptedSince;
+    private final long acceptableSince;
+    private boolean hasPeekedByte;
 
-    /** One that connects to a host: nobody asks it how long its bytes have waited. */
+    /** Creates a channel for a connect; {@link #readableSince} is not supported by it. */
     public PeekableSocketChannel() {
-        this.gaps = null;
+        this.stallDetector = null;
         this.acceptTurn = 0;
-        this.acceptedSince = 0;
+        this.acceptableSince = 0;
     }
 
-    private PeekableSocketChannel(Channel parent, SocketChannel channel, StallDetector gaps) {
-        super(parent, channel);
-        this.gaps = gaps;
-        this.acceptTurn = gaps.turn();
-        this.acceptedSince = gaps.acceptableSince();
+    private PeekableSocketChannel(Channel parent, SocketChannel socket, StallDetector stallDetector) {
+        super(parent, socket);
+        this.stallDetector = stallDetector;
+        this.acceptTurn = stallDetector.turn();
+        this.acceptableSince = stallDetector.acceptableSince();
     }
 
-    /** Since when (ns) what is read in this turn may have waited, on a connection that was accepted. */
+    /** Returns since when ({@link System#nanoTime}) what an accepted connection reads in this turn may have waited. */
     public long readableSince() {
-        return gaps.readableSince(acceptTurn, acceptedSince);
+        return stallDetector.readableSince(acceptTurn, acceptableSince);
     }
 
     /**
-     * Whether the connection is open and nothing has come on it. Guards against a write to a pooled
-     * connection whose end waits in the kernel: the request would count as one that may have run.
+     * Returns whether the connection is open and no byte has arrived; consumes a byte that has.
+     *
+     * <p>For pooled connections: a request written to one whose end waits in the kernel would count as one that may have
+     * run.
      */
     public boolean hasNothingToRead() {
         return peek() == 0;
     }
 
-    /** Whether the other side has ended the connection; a byte that has come is held. */
+    /** Returns whether the peer has ended the connection; a byte that has arrived is kept for the next read. */
     public boolean isEndOfStream() {
-        int n = hasHeldByte ? 1 : peek();
-        hasHeldByte = n > 0;
-        return n < 0;
+        int read = hasPeekedByte ? 1 : peek();
+        hasPeekedByte = read > 0;
+        return read == END_OF_STREAM;
     }
 
-    /** Whether a byte is held that belongs ahead of the next read. */
-    public boolean hasHeldByte() {
-        return hasHeldByte;
+    /** Returns whether a byte was read ahead that belongs before the next read. */
+    public boolean hasPeekedByte() {
+        return hasPeekedByte;
     }
 
     /**
-     * What was read, behind the byte that was held. Guards against a byte that is handed on at once:
-     * the decoder is at work then, and can't be entered again.
+     * Returns the bytes of a read with the byte that was read ahead before them.
+     *
+     * <p>That byte is not passed on when it is read, as the decoder is active then and can't be entered again.
      */
-    public ByteBuf prependHeldByte(ByteBuf read) {
-        if (!hasHeldByte) {
+    public ByteBuf prependPeekedByte(ByteBuf read) {
+        if (!hasPeekedByte) {
             return read;
         }
-        hasHeldByte = false;
-        return Unpooled.wrappedBuffer(Unpooled.copiedBuffer(one.flip()), read);
+        hasPeekedByte = false;
+        return Unpooled.wrappedBuffer(Unpooled.copiedBuffer(peekBuffer.flip()), read);
     }
 
     /**
-     * Ends the sending, takes out what has come, and closes. Guards against a close over unread bytes: it would
-     * be a reset, which takes what was sent before with it, and tells the other side nothing of it.
+     * Shuts down the output, drops pending input and closes.
+     *
+     * <p>A close with unread input would be a reset, which discards what was sent before and has not been read.
      */
     public void shutdownOutputAndDrain() {
         if (isActive()) {
             shutdownOutput();
-            takeOut();
+            drainInput();
         }
         close();
     }
 
-    private void takeOut() {
-        ByteBuffer scratch = ByteBuffer.allocate(4_096);
+    private void drainInput() {
+        ByteBuffer scratch = ByteBuffer.allocate(DRAIN_BUFFER_BYTES);
+        int remainingReads = MAX_DRAINED_BYTES / DRAIN_BUFFER_BYTES;
         try {
-            for (int i = 0; i < TAKEN_OUT / scratch.capacity() && javaChannel().read(scratch.clear()) > 0; i++) {
-                continue;
+            while (remainingReads > 0 && javaChannel().read(scratch.clear()) > 0) {
+                remainingReads--;
             }
-        } catch (IOException e) {
-            // the other side has ended it by a reset
+        } catch (IOException ignored) {
+            // the peer has reset the connection
         }
     }
 
+    /** Reads one byte: returns 1 if there was one, 0 if not, -1 at the end of the stream or on an error. */
     private int peek() {
         try {
-            one.clear();
-            return javaChannel().read(one);
-        } catch (IOException e) {
-            return -1;
+            peekBuffer.clear();
+            return javaChannel().read(peekBuffer);
+        } catch (IOException ignored) {
+            return END_OF_STREAM; // the peer has reset the connection
         }
     }
 }
--- a/src/main/java/rillyard/proxy/eventloop/StallAwareIoHandler.java
+++ b/src/main/java/rillyard/proxy/eventloop/StallAwareIoHandler.java
@@ -10,51 +10,63 @@
 import rillyard.stall.StallDetector;
 
 /**
- * The loop's way to its sockets, with a look at the clock on either side of its wait. Where the loop or
- * its process stood still, what is overdue is ended before anything new is read.
+ * An NIO handler that reports the times of each poll to a {@link StallDetector}.
+ *
+ * <p>After a stall of the loop or of its process the listener is called between the poll and the reads, so that overdue
+ * requests are ended before anything new is read. Confined to its event loop.
  */
 public final class StallAwareIoHandler implements IoHandler {
-    /** What is read later than this (ns) may be overdue; below it a turn's tasks find out soon enough. */
-    private static final long LATE_NANOS = 20_000_000L;
-
-    private final IoHandler sockets;
-    private final StallDetector gaps;
-    private final LongConsumer late;
-    private final AfterLook afterLook = new AfterLook();
-
-    private StallAwareIoHandler(IoHandler sockets, StallDetector gaps, LongConsumer late) {
-        this.sockets = sockets;
-        this.gaps = gaps;
-        this.late = late;
+    /** Nanoseconds of lateness that are reported; a shorter stall is noticed by the tasks of the turn soon enough. */
+    private static final long MIN_REPORTED_NANOS = 20_000_000L;
+
+    private final IoHandler delegate;
+    private final StallDetector stallDetector;
+    private final LongConsumer stallListener;
+    private final PollContext pollContext = new PollContext();
+
+    private StallAwareIoHandler(IoHandler delegate, StallDetector stallDetector, LongConsumer stallListener) {
+        this.delegate = delegate;
+        this.stallDetector = stallDetector;
+        this.stallListener = stallListener;
     }
 
     /**
-     * Makes it for one loop, which alone uses {@code gaps}.
+     * Returns a factory for the handler of one event loop.
      *
-     * @param late told by how much (ns) a turn is late, before it reads anything
+     * @param stallDetector used by that loop alone
+     * @param stallListener receives the nanoseconds by which a turn is late, before the turn reads anything
      */
-    public static IoHandlerFactory factory(StallDetector gaps, LongConsumer late) {
+    public static IoHandlerFactory factory(StallDetector stallDetector, LongConsumer stallListener) {
         IoHandlerFactory nio = NioIoHandler.newFactory();
-        return executor -> new StallAwareIoHandler(nio.newHandler(executor), gaps, late);
+        return executor -> new StallAwareIoHandler(nio.newHandler(executor), stallDetector, stallListener);
     }
 
     @Override
     public int run(IoHandlerContext context) {
         long now = System.nanoTime();
-        gaps.beforePoll(now, context.canBlock() ? now + context.delayNanos(now) : now);
-        afterLook.context = context;
-        int handled = sockets.run(afterLook);
+        stallDetector.beforePoll(now, context.canBlock() ? now + context.delayNanos(now) : now);
+        pollContext.context = context;
+        int handled = delegate.run(pollContext);
         if (handled == 0) {
-            gaps.onEmptyPoll();
+            stallDetector.onEmptyPoll();
         }
         return handled;
     }
 
+    private void onPolled() {
+        stallDetector.afterPoll(System.nanoTime());
+        if (stallDetector.lateNanos() > MIN_REPORTED_NANOS) {
+            stallListener.accept(stallDetector.lateNanos());
+        }
+    }
+
     /**
-     * Netty asks between its wait and its reads whether the time of the reads is to be told: the one moment
-     * at which the wait is over and nothing is read yet (NioIoHandler.run, held by a test).
+     * A context that notices the end of the poll.
+     *
+     * <p>Netty asks between the poll and its reads whether the time of the reads is to be reported, which is the only
+     * hook at that moment (NioIoHandler.run; a test relies on it).
      */
-    private final class AfterLook implements IoHandlerContext {
+    private final class PollContext implements IoHandlerContext {
         private IoHandlerContext context;
 
         @Override
@@ -79,41 +91,38 @@
 
         @Override
         public boolean shouldReportActiveIoTime() {
-            gaps.afterPoll(System.nanoTime());
-            if (gaps.lateNanos() > LATE_NANOS) {
-                late.accept(gaps.lateNanos());
-            }
+            onPolled();
             return context.shouldReportActiveIoTime();
         }
     }
 
     @Override
     public void initialize() {
-        sockets.initialize();
+        delegate.initialize();
     }
 
     @Override
     public void prepareToDestroy() {
-        sockets.prepareToDestroy();
+        delegate.prepareToDestroy();
     }
 
     @Override
     public void destroy() {
-        sockets.destroy();
+        delegate.destroy();
     }
 
     @Override
     public IoRegistration register(IoHandle handle) throws Exception {
-        return sockets.register(handle);
+        return delegate.register(handle);
     }
 
     @Override
     public void wakeup() {
-        sockets.wakeup();
+        delegate.wakeup();
     }
 
     @Override
     public boolean isCompatible(Class<? extends IoHandle> type) {
-        return sockets.isCompatible(type);
+        return delegate.isCompatible(type);
     }
 }
--- a/src/main/java/rillyard/proxy/http/ProtocolHeaders.java
+++ b/src/main/java/rillyard/proxy/http/ProtocolHeaders.java
@@ -7,18 +7,28 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** The headers of the protocol, as names whose hashes are made once, and which go no further. */
+/** Names of the protocol's headers, with precomputed hashes, and the removal of hop-by-hop headers. */
 public final class ProtocolHeaders {
+    /** The id of a request, unique among the open requests of a client. */
     public static final AsciiString REQUEST_ID = AsciiString.cached("X-Request-ID");
+    /** The priority class of a request. */
     public static final AsciiString CLASS = AsciiString.cached("X-Priority-Class");
+    /** The tenant that a request is accounted to. */
     public static final AsciiString TENANT = AsciiString.cached("X-Tenant-Id");
+    /** The milliseconds for which the sender of a request waits for its response. */
     public static final AsciiString TIMEOUT_MS = AsciiString.cached("X-Timeout-Ms");
+    /** Marks a request that its client retries. */
     public static final AsciiString RETRIED = AsciiString.cached("X-Retried");
+    /** The estimated cost of a request. */
     public static final AsciiString COST = AsciiString.cached("X-Cost");
+    /** The key by which a host recognizes a repeated request. */
     public static final AsciiString IDEMPOTENCY_KEY = AsciiString.cached("Idempotency-Key");
+    /** The load report of a host. */
     public static final AsciiString SERVER_LOAD = AsciiString.cached("X-Server-Load");
+    /** Set to 1 on a response to a request that the host rejected without processing it. */
     public static final AsciiString NOT_PROCESSED = AsciiString.cached("X-Not-Processed");
 
+    /** An empty set of trailers; not to be changed. */
     public static final HttpHeaders NONE =
             DefaultHttpHeadersFactory.trailersFactory().newEmptyHeaders();
 
@@ -32,24 +42,32 @@
         HttpHeaderNames.UPGRADE
     };
 
-    /** Guards against a peer that has us drop, as its hop's own, what makes a request what it is. */
+    /** Headers that a peer must not have removed by naming them in Connection (RFC 9110, 7.6.1). */
     private static final Set<String> END_TO_END =
             Set.of("close", "host", "content-length", "x-request-id", "idempotency-key");
 
+    private static final int MAX_CONNECTION_TOKENS = 16;
+
     private ProtocolHeaders() {}
 
+    /** Removes the hop-by-hop headers, including those that Connection names, except end-to-end ones. */
     public static void dropHopByHop(HttpHeaders headers) {
         if (headers.contains(HttpHeaderNames.CONNECTION)) {
-            for (String named : headers.getAll(HttpHeaderNames.CONNECTION)) {
-                for (String token : named.split(",", 16)) {
-                    if (!token.isBlank() && !END_TO_END.contains(token.trim().toLowerCase(Locale.ROOT))) {
-                        headers.remove(token.trim());
-                    }
-                }
+            for (String value : headers.getAll(HttpHeaderNames.CONNECTION)) {
+                removeNamed(headers, value);
             }
         }
         for (AsciiString name : HOP_BY_HOP) {
             headers.remove(name);
         }
     }
+
+    private static void removeNamed(HttpHeaders headers, String connectionValue) {
+        for (String token : connectionValue.split(",", MAX_CONNECTION_TOKENS)) {
+            String name = token.trim();
+            if (!token.isBlank() && !END_TO_END.contains(name.toLowerCase(Locale.ROOT))) {
+                headers.remove(name);
+            }
+        }
+    }
 }
--- /dev/null
+++ b/src/main/java/rillyard/proxy/http/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * The headers of the platform's HTTP protocol.
+ */
+package rillyard.proxy.http;
--- a/src/main/java/rillyard/proxy/logging/ProxyLog.java
+++ b/src/main/java/rillyard/proxy/logging/ProxyLog.java
@@ -4,66 +4,74 @@
 import java.util.function.Supplier;
 import rillyard.trace.ProxyTrace;
 
-/** Lines for the people on call, on standard error; at most so many a second, the rest is counted. */
+/**
+ * The log of a proxy for its operators: one line an event, rate-limited; lines above the limit are counted.
+ *
+ * <p>Not thread-safe.
+ */
 public final class ProxyLog {
-    private static final int MAX_PER_SECOND = 50;
+    private static final int MAX_LINES_PER_SECOND = 50;
+
+    private static final String PREFIX = "rillyard: ";
 
     private final PrintStream out;
     private final ProxyTrace trace;
-    private long second;
-    private int written;
-    private long dropped;
+    private long currentSecond;
+    private int writtenLines;
+    private long droppedLines;
 
+    /** Creates a log without a trace. */
     public ProxyLog(PrintStream out) {
         this(out, null);
     }
 
-    /** {@code trace} is null where none was asked for. */
+    /** Creates a log; {@code trace} may be null. */
     public ProxyLog(PrintStream out, ProxyTrace trace) {
         this.out = out;
         this.trace = trace;
     }
 
-    /** Where every thing done to hosts and discovery is written down, or null. */
+    /** Returns the trace of what is done to hosts and discovery, or null if there is none. */
     public ProxyTrace trace() {
         return trace;
     }
 
+    /** Writes a line. */
     public void info(String text) {
         info(() -> text);
     }
 
-    /** A line that is made only if it is written. */
+    /** Writes a line whose text is only built if it is within the rate limit. */
     public void info(Supplier<String> text) {
-        if (admits()) {
-            out.println("rillyard: " + text.get().replace('\n', ' ').replace('\r', ' '));
+        if (acquirePermit()) {
+            out.println(PREFIX + text.get().replace('\n', ' ').replace('\r', ' '));
         }
     }
 
-    /** A failure of our own code, with its stack. */
-    public void error(String what, Throwable cause) {
-        if (admits()) {
-            out.println("rillyard: " + what);
+    /** Writes a failure of the program itself with its stack trace. */
+    public void error(String text, Throwable cause) {
+        if (acquirePermit()) {
+            out.println(PREFIX + text);
             cause.printStackTrace(out);
         }
     }
 
-    // Guards against a log that outgrows the machine when every request has something to say.
-    private boolean admits() {
+    /** Returns whether a line is within the rate limit, and counts it. */
+    private boolean acquirePermit() {
         long now = System.nanoTime() / 1_000_000_000L;
-        if (now != second) {
-            if (dropped > 0) {
-                out.println("rillyard: " + dropped + " lines left out");
+        if (now != currentSecond) {
+            if (droppedLines > 0) {
+                out.println(PREFIX + "log: lines dropped, count=" + droppedLines);
             }
-            second = now;
-            written = 0;
-            dropped = 0;
+            currentSecond = now;
+            writtenLines = 0;
+            droppedLines = 0;
         }
-        if (written >= MAX_PER_SECOND) {
-            dropped++;
+        if (writtenLines >= MAX_LINES_PER_SECOND) {
+            droppedLines++;
             return false;
         }
-        written++;
+        writtenLines++;
         return true;
     }
 }
--- a/src/main/java/rillyard/proxy/resources/BodyMemoryBudget.java
+++ b/src/main/java/rillyard/proxy/resources/BodyMemoryBudget.java
@@ -4,66 +4,75 @@
 import java.util.Set;
 
 /**
- * The one bound over all buffered bodies, of requests and of answers. What does not fit waits in
- * its socket: its reader is paused and resumed in order of waiting.
+ * The memory budget of all buffered bodies, of requests and of responses.
+ *
+ * <p>A reader that finds the budget exhausted pauses; what does not fit waits in its socket, and readers are resumed in
+ * the order in which they paused. Confined to the event loop.
  */
 public final class BodyMemoryBudget {
-    /** Bodies up to this size may use all of the budget, larger ones leave a part to them. */
-    static final int SMALL = 64 * 1024;
+    /** Bytes up to which a body may use all of the budget; larger ones leave a part to the small. */
+    private static final int SMALL_BODY_BYTES = 64 * 1024;
 
-    private static final double LARGE_PART = 0.85;
+    private static final double LARGE_BODY_SHARE = 0.85;
 
-    private final long limit;
+    private final long limitBytes;
     private final Set<Runnable> waiting = new LinkedHashSet<>();
-    private long used;
-    private long incomplete;
+    private long usedBytes;
+    private long incompleteBytes;
 
-    public BodyMemoryBudget(long limit) {
-        this.limit = limit;
+    /** Creates an unused budget of so many bytes. */
+    public BodyMemoryBudget(long limitBytes) {
+        this.limitBytes = limitBytes;
     }
 
-    private long limitFor(long size) {
-        return size <= SMALL ? limit : (long) (LARGE_PART * limit);
+    private long limitFor(long bodyBytes) {
+        return bodyBytes <= SMALL_BODY_BYTES ? limitBytes : (long) (LARGE_BODY_SHARE * limitBytes);
     }
 
-    /** Counts bytes that were read; {@code partial} ones belong to a request that still comes. */
-    void charge(int bytes, boolean partial) {
-        used += bytes;
-        incomplete += partial ? bytes : 0;
+    private long largeBodyLimit() {
+        return limitFor(Long.MAX_VALUE);
     }
 
-    /** The request these bytes belong to has come whole: they are freed at its deadline at last. */
-    void completed(long bytes) {
-        incomplete -= bytes;
+    /** Charges bytes that were read; {@code isIncomplete} marks those of a request that has not arrived completely. */
+    void charge(int bytes, boolean isIncomplete) {
+        usedBytes += bytes;
+        incompleteBytes += isIncomplete ? bytes : 0;
     }
 
-    void release(long bytes, boolean partial) {
-        used -= bytes;
-        incomplete -= partial ? bytes : 0;
-        if (!waiting.isEmpty() && used < limitFor(Long.MAX_VALUE)) {
+    /** Records that a request of so many bytes is complete; its bytes are released at its deadline at the latest. */
+    void onComplete(long bytes) {
+        incompleteBytes -= bytes;
+    }
+
+    /** Returns bytes to the budget and resumes readers if it has capacity again. */
+    void release(long bytes, boolean isIncomplete) {
+        usedBytes -= bytes;
+        incompleteBytes -= isIncomplete ? bytes : 0;
+        if (!waiting.isEmpty() && usedBytes < largeBodyLimit()) {
             Runnable[] resumed = waiting.toArray(Runnable[]::new);
             waiting.clear();
-            for (Runnable r : resumed) {
-                r.run();
+            for (Runnable resume : resumed) {
+                resume.run();
             }
         }
     }
 
-    /** Whether a body of this size must not grow now. */
-    public boolean isExhausted(long size) {
-        return used >= limitFor(size);
+    /** Returns whether a body of this size must not grow at present. */
+    public boolean isExhausted(long bodyBytes) {
+        return usedBytes >= limitFor(bodyBytes);
     }
 
-    /** Whether waiting would never end: requests that still come hold all that they may. */
+    /** Returns whether waiting might never end, as incomplete requests hold all that they may. */
     public boolean isDeadlocked() {
-        return incomplete >= limitFor(Long.MAX_VALUE);
+        return incompleteBytes >= largeBodyLimit();
     }
 
-    /** Runs {@code resume} once when bytes have been freed. */
+    /** Runs {@code resume} once when bytes have been released; a second call for the same one does nothing. */
     public void awaitCapacity(Runnable resume) {
         waiting.add(resume);
     }
 
+    /** Cancels {@link #awaitCapacity}; does nothing if {@code resume} does not wait. */
     public void cancelWait(Runnable resume) {
         waiting.remove(resume);
     }
--- a/src/main/java/rillyard/proxy/resources/BufferedBody.java
+++ b/src/main/java/rillyard/proxy/resources/BufferedBody.java
@@ -6,80 +6,99 @@
 import java.util.List;
 
 /**
- * A buffered body. Bytes are copied into blocks of its own: slices of the read buffers would keep
- * whole read buffers alive for a few bytes each when a body comes slowly.
+ * A body that is buffered in memory and charged to the {@link BodyMemoryBudget}.
+ *
+ * <p>Bytes are copied into blocks of the body's own: when a body arrives slowly, slices of the read buffers would keep
+ * whole read buffers alive for a few bytes each. Confined to the event loop.
  */
 public final class BufferedBody {
-    /** The most that the protocol lets a body hold. */
+    /** Bytes of the largest body that the protocol allows. */
     public static final long MAX_BYTES = 32 << 20;
 
-    /** The most of a body that is held whole; a longer one is passed on as it comes. */
+    /** Bytes of the largest body that is buffered completely; a larger one is streamed. */
     public static final long MAX_BUFFERED_BYTES = 64 * 1024;
 
-    private static final int BLOCK = 64 * 1024;
-    private static final int FIRST = 512;
+    private static final int BLOCK_BYTES = 64 * 1024;
+
+    /** Capacity of the first block where the length is unknown. */
+    private static final int INITIAL_BLOCK_BYTES = 512;
 
     private final BodyMemoryBudget budget;
     private final ByteBufAllocator allocator;
     private final List<ByteBuf> blocks = new ArrayList<>(1);
-    private final long expected;
+    private final long expectedBytes;
     private long size;
-    private boolean partial;
+    private boolean isIncompleteRequest;
 
-    /** {@code expected} is the length that was announced, or -1; {@code partial} marks a request's. */
-    public BufferedBody(BodyMemoryBudget budget, ByteBufAllocator allocator, long expected, boolean partial) {
+    /**
+     * Creates an empty body.
+     *
+     * @param expectedBytes the announced length, or -1 if it is unknown
+     * @param isIncompleteRequest whether the body belongs to a request that has not arrived completely
+     */
+    public BufferedBody(
+            BodyMemoryBudget budget, ByteBufAllocator allocator, long expectedBytes, boolean isIncompleteRequest) {
         this.budget = budget;
         this.allocator = allocator;
-        this.expected = expected;
-        this.partial = partial;
+        this.expectedBytes = expectedBytes;
+        this.isIncompleteRequest = isIncompleteRequest;
     }
 
+    /** Copies all readable bytes to the end of the body and charges them; does not release the argument. */
     public void append(ByteBuf bytes) {
-        int n = bytes.readableBytes();
-        budget.charge(n, partial);
-        size += n;
+        int count = bytes.readableBytes();
+        budget.charge(count, isIncompleteRequest);
+        size += count;
         while (bytes.isReadable()) {
             ByteBuf last = blocks.isEmpty() ? null : blocks.get(blocks.size() - 1);
             if (last == null || last.maxWritableBytes() == 0) {
-                long rest = expected < 0 ? FIRST : expected - (size - bytes.readableBytes());
-                int capacity = (int) Math.max(1, Math.min(BLOCK, Math.max(rest, bytes.readableBytes())));
-                last = allocator.directBuffer(capacity, BLOCK);
-                blocks.add(last);
+                last = addBlock(bytes.readableBytes());
             }
             last.writeBytes(bytes, Math.min(bytes.readableBytes(), last.maxWritableBytes()));
         }
     }
 
+    /** Adds a block for {@code pending} bytes that have been counted in the size but not copied. */
+    private ByteBuf addBlock(int pending) {
+        long remaining = expectedBytes < 0 ? INITIAL_BLOCK_BYTES : expectedBytes - (size - pending);
+        int capacity = (int) Math.max(1, Math.min(BLOCK_BYTES, Math.max(remaining, pending)));
+        ByteBuf block = allocator.directBuffer(capacity, BLOCK_BYTES);
+        blocks.add(block);
+        return block;
+    }
+
+    /** Returns the number of bytes. */
     public long size() {
         return size;
     }
 
+    /** Records that the request of this body has arrived completely. */
     public void markComplete() {
-        if (partial) {
-            partial = false;
-            budget.completed(size);
+        if (isIncompleteRequest) {
+            isIncompleteRequest = false;
+            budget.onComplete(size);
         }
     }
 
-    /** The blocks, each retained for one write. */
+    /** Returns duplicates of the blocks for one write, each retained; the caller releases them. */
     public List<ByteBuf> retainedBlocks() {
-        List<ByteBuf> out = new ArrayList<>(blocks.size());
-        for (ByteBuf buffer : blocks) {
-            out.add(buffer.retainedDuplicate());
+        List<ByteBuf> duplicates = new ArrayList<>(blocks.size());
+        for (ByteBuf block : blocks) {
+            duplicates.add(block.retainedDuplicate());
         }
-        return out;
+        return duplicates;
     }
 
-    /** Gives the bytes back; harmless if done before. */
+    /** Releases the blocks and returns their bytes to the budget; does nothing on a second call. */
     public void release() {
-        for (ByteBuf buffer : blocks) {
-            buffer.release();
+        for (ByteBuf block : blocks) {
+            block.release();
         }
         blocks.clear();
         long freed = size;
         size = 0;
         if (freed > 0) {
-            budget.release(freed, partial);
+            budget.release(freed, isIncompleteRequest);
         }
     }
 }
--- a/src/main/java/rillyard/proxy/resources/DescriptorBudget.java
+++ b/src/main/java/rillyard/proxy/resources/DescriptorBudget.java
@@ -4,33 +4,36 @@
 import java.util.Set;
 
 /**
- * The bound over all descriptors. Idle connections, oldest first, make room for new ones: clients'
- * for clients, and hosts' for either.
+ * The budget of file descriptors for the connections of clients and to hosts.
+ *
+ * <p>When it is exhausted, idle connections are closed for new ones, the longest idle first: client connections for
+ * clients, upstream connections for either. Confined to the event loop.
  */
 public final class DescriptorBudget {
-    /** A connection that carries nothing and may be closed to make room. */
+    /** A connection that can be closed for another one while it is idle. */
     public interface IdleConnection {
+        /** Closes the connection, which is idle. */
         void closeIdle();
 
-        /** Whether it has carried anything yet. */
+        /** Returns whether the connection has carried a request. */
         default boolean wasUsed() {
             return true;
         }
     }
 
-    /** Descriptors of the JVM itself, the listener, discovery and what is being closed. */
-    private static final int RESERVED = 48;
+    /** Descriptors for the JVM itself, the listener, discovery and connections that are being closed. */
+    private static final int RESERVED_DESCRIPTORS = 48;
 
-    /** Part of the sockets that clients may use: each of their requests needs one to a host too. */
-    private static final double CLIENT_PART = 0.6;
+    /** Share that clients may use, as each of their requests needs a connection to a host, too. */
+    private static final double CLIENT_SHARE = 0.6;
 
     /**
-     * Part of the sockets past which clients' idle connections are closed as new ones come. Guards
-     * against clients that ask once and keep what they have: they fill the places that clients take
-     * up at most, a third, and requests then wait for the idle time. Harm: more than so many clients
-     * that do come back connect anew each time.
+     * Share of client connections beyond which idle ones are closed for new ones.
+     *
+     * <p>Clients that send one request and keep their connection would otherwise use up the clients' share, and requests
+     * would wait for the idle timeout. The cost is that more than so many returning clients reconnect each time.
      */
-    private static final double CLIENTS_KEPT = 0.25;
+    private static final double KEPT_CLIENT_SHARE = 0.25;
 
     private final int limit;
     private final int keptLimit;
@@ -38,21 +41,22 @@
     private final Set<IdleConnection> idleClients = new LinkedHashSet<>();
     private final Set<IdleConnection> unusedClients = new LinkedHashSet<>();
     private final Set<IdleConnection> idleUpstreams = new LinkedHashSet<>();
-    private int clients;
-    private int upstreams;
+    private int clientCount;
+    private int upstreamCount;
 
+    /** Creates an unused budget for a process with the given descriptor limit. */
     public DescriptorBudget(int descriptors) {
-        this.limit = Math.max(16, descriptors - RESERVED);
-        this.keptLimit = Math.max(4, (int) (CLIENTS_KEPT * descriptors));
-        this.clientLimit = Math.max(8, (int) (CLIENT_PART * limit));
+        this.limit = Math.max(16, descriptors - RESERVED_DESCRIPTORS);
+        this.keptLimit = Math.max(4, (int) (KEPT_CLIENT_SHARE * descriptors));
+        this.clientLimit = Math.max(8, (int) (CLIENT_SHARE * limit));
     }
 
-    /** Whether one more client may be accepted once something idle was closed. */
+    /** Returns whether one more client can be accepted, after closing idle connections where needed. */
     public boolean hasCapacityForClient() {
-        while (clients >= keptLimit && closeOldest(idleClients)) {
-            // what has been of use and is idle makes room first
+        while (clientCount >= keptLimit && closeOldest(idleClients)) {
+            // idle connections that have carried requests are closed first
         }
-        while (clients >= clientLimit) {
+        while (clientCount >= clientLimit) {
             if (!closeOldest(unusedClients) && !closeOldest(idleClients)) {
                 return false;
             }
@@ -60,7 +64,7 @@
         return hasCapacity();
     }
 
-    /** Whether one more connection of any kind may be opened once something idle was closed. */
+    /** Returns whether one more connection of any kind can be opened, after closing idle ones where needed. */
     public boolean hasCapacity() {
         while (isExhausted()) {
             if (!closeOldest(unusedClients) && !closeOldest(idleUpstreams) && !closeOldest(idleClients)) {
@@ -80,44 +84,50 @@
         return true;
     }
 
-    /** Whether not one more descriptor may be taken. */
+    /** Returns whether no further descriptor may be used. */
     public boolean isExhausted() {
-        return clients + upstreams >= limit;
+        return clientCount + upstreamCount >= limit;
     }
 
-    /** Connections to hosts that are open or come up. */
+    /** Returns the number of connections to hosts, established or connecting. */
     public int upstreamConnections() {
-        return upstreams;
+        return upstreamCount;
     }
 
+    /** Records that a client connection was accepted. */
     public void onClientOpened() {
-        clients++;
+        clientCount++;
     }
 
+    /** Records that a client connection was closed. */
     public void onClientClosed(IdleConnection connection) {
-        clients--;
+        clientCount--;
         idleClients.remove(connection);
         unusedClients.remove(connection);
     }
 
+    /** Records that a connection to a host was begun. */
     public void onUpstreamOpened() {
-        upstreams++;
+        upstreamCount++;
     }
 
+    /** Records that a connection to a host was closed. */
     public void onUpstreamClosed() {
-        upstreams--;
+        upstreamCount--;
     }
 
+    /** Records whether a client connection is idle. */
     public void setClientIdle(IdleConnection connection, boolean idle) {
-        // Guards against a flood of connections that say nothing: they make room before those in use.
-        mark(connection.wasUsed() ? idleClients : unusedClients, connection, idle);
+        // Connections that never carried a request are closed first, so that a flood of them displaces no user.
+        setMember(connection.wasUsed() ? idleClients : unusedClients, connection, idle);
     }
 
+    /** Records whether a connection to a host is idle. */
     public void setUpstreamIdle(IdleConnection connection, boolean idle) {
-        mark(idleUpstreams, connection, idle);
+        setMember(idleUpstreams, connection, idle);
     }
 
-    private static void mark(Set<IdleConnection> set, IdleConnection connection, boolean idle) {
+    private static void setMember(Set<IdleConnection> set, IdleConnection connection, boolean idle) {
         if (idle) {
             set.add(connection);
         } else {
--- a/src/main/java/rillyard/stall/StallDetector.java
+++ b/src/main/java/rillyard/stall/StallDetector.java
@@ -1,76 +1,87 @@
 package rillyard.stall;
 
 /**
- * Since when what an event loop reads in a turn may have waited in its socket. A client counts the time
- * of its request from when it sent it, and no socket tells when its bytes came; but what was there at
- * one look has been read by the next, so nothing is older than the look before. Where the loop slept in
- * between, whatever comes wakes it: then nothing has waited, unless the process itself stood still, and
- * that shows where the loop wakes after the moment for which it had set its alarm.
+ * Computes since when what an event loop reads in a turn may have waited in its socket.
  *
- * <p>Times are nanoseconds of one clock. A process that stands still before its alarm is due hides so
- * much of its gap: no more than the alarm is away, which for a proxy is its upkeep, four times a second.
+ * <p>A client counts the time of its request from when it sent it, but a socket does not tell when its bytes arrived.
+ * What was there at one poll of the selector has been read by the next, so nothing is older than the previous poll. If
+ * the loop slept in its poll, whatever arrives wakes it: then nothing has waited, unless the process itself was paused,
+ * which shows where the loop wakes after its wake-up time.
+ *
+ * <p>Times are nanoseconds of one clock. A pause that begins before the wake-up time is underestimated by at most the
+ * time until then; a proxy's periodic maintenance limits that to 0.25 s. Not thread-safe.
  */
 public final class StallDetector {
     /**
-     * A look that takes longer than this (ns) has slept: nothing was there when it began. Longer than the
-     * scheduler commonly keeps a thread off a shared core, which looks the same; the price is that up to so
-     * much is taken off the time of a request that has not waited.
+     * Duration beyond which a poll has slept, so that nothing was pending when it began.
+     *
+     * <p>It exceeds the time for which the scheduler commonly takes a thread off a shared core, which looks the same. The
+     * cost is that up to so much is taken off the time of a request that has not waited.
      */
-    private static final long MIN_STALL_NANOS = 5_000_000;
+    private static final long MIN_SLEEP_NANOS = 5_000_000;
+
+    /** A turn before all others. */
+    private static final long NO_TURN = -2;
 
-    private long begunAt;
-    private long alarm;
-    private long afterPoll;
+    private long pollBeganAt;
+    private long wakeUpAt;
+    private long pollEndedAt;
     private long readableSince;
     private long turn;
-    private long backlogTurn = -2;
+    private long backlogTurn = NO_TURN;
     private long backlogSince;
 
-    /** {@code now} is when the loop starts. */
+    /** Creates a detector for a loop that starts now. */
     public StallDetector(long now) {
-        begunAt = now;
-        afterPoll = now;
+        pollBeganAt = now;
+        pollEndedAt = now;
         readableSince = now;
     }
 
-    /** The loop is about to look; it sleeps until {@code alarm} at the latest, and not at all if that is now. */
-    public void beforePoll(long now, long alarm) {
-        begunAt = now;
-        this.alarm = alarm;
+    /** Is called before a poll, which sleeps until {@code wakeUpAt} at the latest, and not at all if that is now. */
+    public void beforePoll(long now, long wakeUpAt) {
+        pollBeganAt = now;
+        this.wakeUpAt = wakeUpAt;
     }
 
-    /** It has looked, and goes on to read what there was. */
+    /** Is called after a poll, before its results are read; begins a turn. */
     public void afterPoll(long now) {
-        boolean slept = alarm - begunAt > 0 && now - begunAt > MIN_STALL_NANOS;
-        readableSince = slept ? Math.min(now, alarm) : afterPoll;
-        afterPoll = now;
+        boolean hasSlept = mayHaveSlept() && now - pollBeganAt > MIN_SLEEP_NANOS;
+        readableSince = hasSlept ? Math.min(now, wakeUpAt) : pollEndedAt;
+        pollEndedAt = now;
         turn++;
     }
 
     /**
-     * The look brought nothing. One that ended behind its alarm may not have looked at all: a stopped process
-     * goes on with an interrupted wait, which the JDK ends for its time. What the next look brings may have
-     * waited as long.
+     * Is called after a poll that found nothing.
+     *
+     * <p>One that ended after its wake-up time may not have polled at all: a process that was stopped resumes in an
+     * interrupted wait, which the JDK ends as timed out. What the next poll finds may have waited as long.
      */
     public void onEmptyPoll() {
-        if (alarm - begunAt > 0 && afterPoll - alarm > 0) {
-            afterPoll = readableSince;
+        if (mayHaveSlept() && pollEndedAt - wakeUpAt > 0) {
+            pollEndedAt = readableSince;
         }
     }
 
-    /** No byte read in this turn came before this time, on a connection that was open by then. */
+    private boolean mayHaveSlept() {
+        return wakeUpAt - pollBeganAt > 0;
+    }
+
+    /** Returns a time before which no byte arrived that this turn reads on a connection that was open by then. */
     public long readableSince() {
         return readableSince;
     }
 
-    /** For how long (ns) what is read in this turn may have waited at the most when the turn began. */
+    /** Returns the longest time for which what this turn reads may have waited when the turn began. */
     public long lateNanos() {
-        return afterPoll - readableSince;
+        return pollEndedAt - readableSince;
     }
 
     /**
-     * A connection is taken from the backlog; returns since when it, and what came on it, may have waited.
-     * That is longer than a turn where the turns before left connections in the backlog.
+     * Is called when a connection is accepted; returns since when it and what arrived on it may have waited.
+     *
+     * <p>That is more than one turn if the previous turns left connections in the backlog.
      */
     public long acceptableSince() {
         if (backlogTurn < turn - 1) {
@@ -80,19 +91,23 @@
         return backlogSince;
     }
 
-    /** The backlog is empty. */
+    /** Is called when an accept found the backlog empty. */
     public void onBacklogEmpty() {
-        backlogTurn = turn - 2;
+        backlogTurn = turn - 2; // neither this turn nor the one before
     }
 
-    /** The turn that reads now, by number. */
+    /** Returns the number of the present turn. */
     public long turn() {
         return turn;
     }
 
     /**
-     * Since when what is read now may have waited on a connection that {@link #acceptableSince} gave in a turn,
-     * with that time: what had come ahead of the accept is read by the turn after it.
+     * Returns since when what is read now may have waited on an accepted connection.
+     *
+     * <p>What arrived before the accept is read by the turn after it.
+     *
+     * @param acceptTurn the turn in which it was accepted
+     * @param acceptedSince what {@link #acceptableSince} returned then
      */
     public long readableSince(long acceptTurn, long acceptedSince) {
         return turn <= acceptTurn + 1 ? acceptedSince : readableSince;
--- a/src/main/java/rillyard/stall/package-info.java
+++ b/src/main/java/rillyard/stall/package-info.java
@@ -1,2 +1,4 @@
-/** Decides since when what an event loop reads may have waited, after it or its process stood still. */
+/**
+ * Detects stalls of an event loop or its process, and how long what the loop reads may have waited; no I/O and no clock.
+ */
 package rillyard.stall;
--- a/src/main/java/rillyard/trace/ProxyTrace.java
+++ b/src/main/java/rillyard/trace/ProxyTrace.java
@@ -3,38 +3,44 @@
 import java.io.PrintStream;
 
 /**
- * Writes down what a proxy does to hosts and discovery, a line for each thing. It costs about as much
- * as a log line for each attempt, so it is for finding causes and not for service. Not safe for use from
- * several threads at once.
+ * Writes what a proxy does to hosts and discovery, one line an event.
+ *
+ * <p>It costs about as much as a log line for each attempt, so it is for analysis and not for production. Not
+ * thread-safe.
  */
 public final class ProxyTrace {
-    /** The property that asks for it, by {@code true}; without it nothing of this package is loaded. */
+    /** The system property that enables it by {@code true}; without it no class of this package is loaded. */
     public static final String PROPERTY = "rillyard.trace";
 
     private final PrintStream out;
 
-    /** Lines go to {@code out}, which flushes each of them: a killed process keeps what it wrote. */
+    /** Creates a trace; {@code out} must flush each line, so that nothing is lost with a killed process. */
     public ProxyTrace(PrintStream out) {
         this.out = out;
         write(TraceEvent.Kind.STARTED, TraceEvent.NONE, TraceEvent.NONE, 0, false);
     }
 
-    /** Something that concerns a host, or {@link TraceEvent#NONE}, and has no result of its own. */
-    public void record(TraceEvent.Kind what, String host) {
-        write(what, host, TraceEvent.NONE, 0, false);
+    /** Records an event without an outcome; the host is {@link TraceEvent#NONE} if it concerns none. */
+    public void record(TraceEvent.Kind kind, String host) {
+        write(kind, host, TraceEvent.NONE, 0, false);
     }
 
-    /** An attempt has ended, {@code spent} ms after it was sent to a host that was cold then, or not. */
-    public void recordAttempt(String host, Enum<?> result, double spent, boolean cold) {
-        write(TraceEvent.Kind.ATTEMPT, host, result.name(), Math.round(spent), cold);
+    /**
+     * Records the end of an attempt.
+     *
+     * @param spentMillis milliseconds since it was sent
+     * @param isWarmingUp whether the host was in its slow start then
+     */
+    public void recordAttempt(String host, Enum<?> outcome, double spentMillis, boolean isWarmingUp) {
+        write(TraceEvent.Kind.ATTEMPT, host, outcome.name(), Math.round(spentMillis), isWarmingUp);
     }
 
-    /** A request got its final answer from this proxy; {@code last} is null where nothing was sent. */
-    public void recordRejection(TraceEvent.Kind what, Enum<?> last) {
-        write(what, TraceEvent.NONE, last == null ? TraceEvent.NONE : last.name(), 0, false);
+    /** Records a final response of the proxy itself; {@code lastOutcome} is null if no attempt was made. */
+    public void recordRejection(TraceEvent.Kind kind, Enum<?> lastOutcome) {
+        write(kind, TraceEvent.NONE, lastOutcome == null ? TraceEvent.NONE : lastOutcome.name(), 0, false);
     }
 
-    private void write(TraceEvent.Kind what, String host, String how, long spent, boolean cold) {
-        out.println(new TraceEvent(System.currentTimeMillis(), what, host, how, spent, cold).text());
+    private void write(TraceEvent.Kind kind, String host, String detail, long durationMillis, boolean isWarmingUp) {
+        out.println(new TraceEvent(System.currentTimeMillis(), kind, host, detail, durationMillis, isWarmingUp).text());
     }
 }
--- a/src/main/java/rillyard/trace/TraceEvent.java
+++ b/src/main/java/rillyard/trace/TraceEvent.java
@@ -4,57 +4,57 @@
 import java.util.regex.Pattern;
 
 /**
- * One thing that a proxy did.
+ * One event in the trace of a proxy.
  *
- * @param unixMillis when (Unix time, ms) it was over
- * @param kind what it was
+ * @param unixMillis when it ended
+ * @param kind the kind of event
  * @param host the host it concerns, or {@link #NONE}
- * @param detail how it ended: a result of the module's, or {@link #NONE}
- * @param durationMillis how long (ms) it took, where that is of interest
- * @param warmingUp whether the host was cold when the work was sent
+ * @param detail the outcome of an attempt, or {@link #NONE}
+ * @param durationMillis how long it took, or 0 where that is of no interest
+ * @param warmingUp whether the host was in its slow start when the attempt was sent
  */
 public record TraceEvent(
         long unixMillis, Kind kind, String host, String detail, long durationMillis, boolean warmingUp) {
-    /** No host, or nothing to tell. */
+    /** Stands for no host and no detail. */
     public static final String NONE = "-";
 
-    /** What the lines begin with, behind whatever a supervisor puts before them. */
-    private static final String MARK = "rillyard: trace ";
+    /** Begins a line, behind whatever a supervisor puts before it. */
+    private static final String LINE_PREFIX = "rillyard: trace ";
 
-    private static final int FIELDS = 6;
+    private static final int FIELD_COUNT = 6;
 
-    private static final Pattern SPACE = Pattern.compile("[\\s\\p{Cntrl}]");
+    private static final Pattern FIELD_BREAK = Pattern.compile("[\\s\\p{Cntrl}]");
 
-    /** What a proxy does that others may feel. */
+    /** Kinds of events; their names in lower case stand in the trace. */
     public enum Kind {
-        /** The process has begun: whatever it had open before is closed. */
+        /** The process has started; connections of an earlier one are closed. */
         STARTED,
-        /** A connection to a host is up. */
+        /** A connection to a host was established. */
         CONNECTED,
-        /** One did not come up, or was no longer wanted when it did. */
+        /** A connect failed, or was no longer needed when it ended. */
         CONNECT_FAILED,
-        /** A connection to a host has ended, by whichever side. */
+        /** A connection to a host was closed by either side. */
         CLOSED,
-        /** An attempt has ended; {@code how} tells the result. */
+        /** An attempt has ended; the detail is its outcome. */
         ATTEMPT,
-        /** A request was refused; {@code how} tells its last attempt's result, if it had any. */
+        /** A request was rejected; the detail is the outcome of its last attempt, if there was one. */
         REFUSED,
-        /** A request has failed; {@code how} as above. */
+        /** A request has failed; the detail is the outcome of its last attempt, if there was one. */
         FAILED,
-        /** A watch on the list was opened, or tried to. */
+        /** A watch on the endpoint list is being opened. */
         LIST
     }
 
-    /** The line as it is written. */
+    /** Returns the line of the event. */
     public String text() {
-        // Discovery names hosts: guards against a name that would make two fields, or two lines, of one.
-        String named = SPACE.matcher(host).replaceAll("_");
-        return MARK
+        // Discovery names hosts: a name must not break the line into more fields or lines.
+        String hostField = FIELD_BREAK.matcher(host).replaceAll("_");
+        return LINE_PREFIX
                 + unixMillis
                 + ' '
                 + kind.name().toLowerCase(Locale.ROOT)
                 + ' '
-                + named
+                + hostField
                 + ' '
                 + detail
                 + ' '
@@ -63,27 +63,28 @@
     }
 
     /**
-     * Reads a line of a log.
+     * Parses a line of a log.
      *
-     * @return null if it is none of these
-     * @throws IllegalArgumentException if it begins as one and is not whole, as the last one of a process
-     *     that was killed may be
+     * @return the event, or null if the line is no event
+     * @throws IllegalArgumentException if the line begins as an event and is incomplete, as the last one of a killed
+     *     process may be
      */
     public static TraceEvent parse(String line) {
-        int from = line.indexOf(MARK);
-        if (from < 0) {
+        int start = line.indexOf(LINE_PREFIX);
+        if (start < 0) {
             return null;
         }
-        String[] f = line.substring(from + MARK.length()).split(" ");
-        if (f.length != FIELDS || !(f[5].equals("cold") || f[5].equals("warm"))) {
-            throw new IllegalArgumentException("expected " + FIELDS + " fields behind '" + MARK + "': " + line);
+        String[] fields = line.substring(start + LINE_PREFIX.length()).split(" ", 0);
+        if (fields.length != FIELD_COUNT || !(fields[5].equals("cold") || fields[5].equals("warm"))) {
+            throw new IllegalArgumentException(
+                    "expected " + FIELD_COUNT + " fields behind '" + LINE_PREFIX + "': " + line);
         }
         return new TraceEvent(
-                Long.parseLong(f[0]),
-                Kind.valueOf(f[1].toUpperCase(Locale.ROOT)),
-                f[2],
-                f[3],
-                Long.parseLong(f[4]),
-                f[5].equals("cold"));
+                Long.parseLong(fields[0]),
+                Kind.valueOf(fields[1].toUpperCase(Locale.ROOT)),
+                fields[2],
+                fields[3],
+                Long.parseLong(fields[4]),
+                fields[5].equals("cold"));
     }
 }
--- a/src/main/java/rillyard/trace/package-info.java
+++ b/src/main/java/rillyard/trace/package-info.java
@@ -1,2 +1,4 @@
-/** What a proxy did, line by line, for counting over a fleet; loaded only where it is asked for. */
+/**
+ * Records what a proxy did, line by line, for analysis across a fleet; loaded only where it is asked for.
+ */
 package rillyard.trace;
--- a/src/test/java/rillyard/StoredDataTest.java
+++ b/src/test/java/rillyard/StoredDataTest.java
@@ -55,7 +55,7 @@
         List<String> lines = Files.readAllLines(SAMPLES.resolve("trace.log"));
 
         List<String> written =
-                lines.stream().map(TraceEvent::read).map(TraceEvent::text).toList();
+                lines.stream().map(TraceEvent::parse).map(TraceEvent::text).toList();
 
         assertThat(lines).hasSizeGreaterThan(100);
         assertThat(written).isEqualTo(lines);
@@ -71,7 +71,7 @@
         DisabledHostStore.Contents contents = new DisabledHostStore(folder).read(now);
 
         assertThat(contents.disabled()).containsExactlyInAnyOrder("s-1", "host/with odd:name ü");
-        assertThat(contents.enabledAt()).containsOnlyKeys("s-3");
+        assertThat(contents.enabledAtUnixMillis()).containsOnlyKeys("s-3");
     }
 
     @Test
--- a/src/test/java/rillyard/endpoints/EndpointListGuardTest.java
+++ b/src/test/java/rillyard/endpoints/EndpointListGuardTest.java
@@ -6,19 +6,20 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/** Hosts that are retained although a full list lacks them. */
 class EndpointListGuardTest {
     private static final Set<String> ALL = Set.of("a", "b", "c", "d", "e", "f");
 
     private final EndpointListGuard guard = new EndpointListGuard(0.5, 1_000);
 
     @Test
-    void aListThatLacksFewIsBelievedAtOnce() {
-        assertThat(guard.onFullList(0, ALL, Set.of("a", "b", "c"))).isEmpty(); // half of them is enough
+    void listThatLacksFewHostsAppliesAtOnce() {
+        assertThat(guard.onFullList(0, ALL, Set.of("a", "b", "c"))).isEmpty(); // half of them is plausible
         assertThat(guard.expired(Double.MAX_VALUE)).isEmpty();
     }
 
     @Test
-    void whatAListLacksThatLacksMostIsUsedOnForAWhile() {
+    void hostsMissingFromImplausibleListAreRetainedForHoldTime() {
         assertThat(guard.onFullList(0, ALL, Set.of("a", "b"))).containsExactlyInAnyOrder("c", "d", "e", "f");
         assertThat(guard.expired(999)).isEmpty();
         assertThat(guard.expired(1_000)).containsExactlyInAnyOrder("c", "d", "e", "f");
@@ -26,27 +27,27 @@
     }
 
     @Test
-    void anEmptyListLeavesTheServiceWithAllItsHosts() {
+    void emptyListRetainsAllHosts() {
         assertThat(guard.onFullList(0, ALL, Set.of())).isEqualTo(ALL);
     }
 
     @Test
-    void saidTwiceTheTimeIsNoLonger() {
+    void repeatedImplausibleListDoesNotExtendHoldTime() {
         guard.onFullList(0, ALL, Set.of());
         assertThat(guard.onFullList(900, ALL, Set.of())).isEqualTo(ALL);
         assertThat(guard.onFullList(1_000, ALL, Set.of())).isEmpty();
     }
 
     @Test
-    void aListThatNamesHalfOfWhatIsLeftDoesNotEndTheDoubtAboutTheRest() {
+    void plausibleListDoesNotReleaseHostsRetainedBefore() {
         guard.onFullList(0, ALL, Set.of("a"));
-        // a and three that are back; two are still held from before
+        // a and three that are back; two are still retained
         assertThat(guard.onFullList(500, ALL, Set.of("a", "b", "c", "d"))).containsExactlyInAnyOrder("e", "f");
         assertThat(guard.expired(1_000)).containsExactlyInAnyOrder("e", "f");
     }
 
     @Test
-    void whatAListNamesIsHeldNoLonger() {
+    void namedHostIsRetainedNoLonger() {
         guard.onFullList(0, ALL, Set.of());
         guard.onNamed("a");
         assertThat(guard.expired(1_000)).hasSize(5).doesNotContain("a");
@@ -55,20 +56,20 @@
         assertThat(guard.expired(Double.MAX_VALUE)).isEmpty();
     }
 
-    /** Most may have drained by the rules before: nothing that was not in use is brought back. */
+    /** Hosts that have drained before are not brought back. */
     @Test
-    void onlyWhatWasInUseIsHeld() {
+    void onlyHostsInUseAreRetained() {
         assertThat(guard.onFullList(0, Set.of("a", "b", "c"), Set.of("d"))).containsExactlyInAnyOrder("a", "b", "c");
         assertThat(guard.onFullList(0, Set.of(), Set.of())).isEmpty();
     }
 
     @Test
-    void figuresOutOfRangeAreSaid() {
+    void parametersOutOfRangeAreRejected() {
         for (double share : new double[] {-0.1, 1.1, Double.NaN}) {
             assertThatIllegalArgumentException().isThrownBy(() -> new EndpointListGuard(share, 1));
         }
-        for (double hold : new double[] {0, -1, Double.NaN, Double.POSITIVE_INFINITY}) {
-            assertThatIllegalArgumentException().isThrownBy(() -> new EndpointListGuard(0.5, hold));
+        for (double holdMillis : new double[] {0, -1, Double.NaN, Double.POSITIVE_INFINITY}) {
+            assertThatIllegalArgumentException().isThrownBy(() -> new EndpointListGuard(0.5, holdMillis));
         }
     }
 }
--- a/src/test/java/rillyard/hotrestart/HotRestartLockTest.java
+++ b/src/test/java/rillyard/hotrestart/HotRestartLockTest.java
@@ -10,16 +10,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** The directory that the processes of one proxy share: its locks and its disabled hosts. */
 class HotRestartLockTest {
     @TempDir
     Path tmp;
 
     @Test
-    void theFirstIsInChargeUntilItEndsAndSeesWhoFollows() throws Exception {
-        Path folder = tmp.resolve("deep/er");
-        HotRestartLock first = new HotRestartLock(folder);
+    void firstProcessIsActiveUntilItEndsAndSeesStandby() throws Exception {
+        Path directory = tmp.resolve("deep/er");
+        HotRestartLock first = new HotRestartLock(directory);
         assertThat(first.isActive()).isTrue();
-        HotRestartLock second = new HotRestartLock(folder);
+        HotRestartLock second = new HotRestartLock(directory);
         assertThat(second.isActive()).isFalse();
         assertThat(first.hasStandby()).isFalse(); // it does not listen yet
         second.becomeStandby();
@@ -29,59 +30,59 @@
         second.becomeStandby();
         assertThat(second.isActive()).isTrue();
         assertThat(second.hasStandby()).isFalse();
-        HotRestartLock third = new HotRestartLock(folder);
+        HotRestartLock third = new HotRestartLock(directory);
         third.becomeStandby();
         assertThat(second.hasStandby()).isTrue();
         third.close();
-        assertThat(second.hasStandby()).isFalse(); // it died: nobody follows any more
+        assertThat(second.hasStandby()).isFalse(); // it ended: there is no standby any more
         second.close();
     }
 
     @Test
-    void hostsOutAreSeenByTheOtherProcess() throws Exception {
+    void disabledHostsAreSeenByOtherProcess() throws Exception {
         DisabledHostStore one = new DisabledHostStore(tmp);
         DisabledHostStore other = new DisabledHostStore(tmp);
-        String odd = "../s-5be2a07c/ü \"";
+        String unusualName = "../s-5be2a07c/ü \"";
         one.disable("a");
         one.disable("a");
-        other.disable(odd);
-        assertThat(other.read(1_000).disabled()).containsExactlyInAnyOrder("a", odd);
+        other.disable(unusualName);
+        assertThat(other.read(1_000).disabled()).containsExactlyInAnyOrder("a", unusualName);
         other.enable("a", 5_000);
-        other.enable("a", 6_000); // not out any more: the first call counts
-        assertThat(one.read(7_000)).isEqualTo(new DisabledHostStore.Contents(Set.of(odd), Map.of("a", 5_000L)));
+        other.enable("a", 6_000); // enabled already: the first call counts
+        assertThat(one.read(7_000)).isEqualTo(new DisabledHostStore.Contents(Set.of(unusualName), Map.of("a", 5_000L)));
         one.disable("a");
-        assertThat(other.read(8_000)).isEqualTo(new DisabledHostStore.Contents(Set.of("a", odd), Map.of()));
+        assertThat(other.read(8_000)).isEqualTo(new DisabledHostStore.Contents(Set.of("a", unusualName), Map.of()));
     }
 
     @Test
-    void whatIsForeignIsLeftAloneAndWhatIsOldGoes() throws Exception {
-        DisabledHostStore folder = new DisabledHostStore(tmp);
+    void foreignFilesAreIgnoredAndOutdatedOnesRemoved() throws Exception {
+        DisabledHostStore store = new DisabledHostStore(tmp);
         Files.createFile(tmp.resolve("out-%%"));
         Files.createFile(tmp.resolve("serving"));
-        folder.disable("a");
-        folder.enable("a", 1_000);
-        assertThat(folder.read(1_000_000)).isEqualTo(new DisabledHostStore.Contents(Set.of(), Map.of()));
-        assertThat(folder.read(1_000)).isEqualTo(new DisabledHostStore.Contents(Set.of(), Map.of()));
+        store.disable("a");
+        store.enable("a", 1_000);
+        assertThat(store.read(1_000_000)).isEqualTo(new DisabledHostStore.Contents(Set.of(), Map.of()));
+        assertThat(store.read(1_000)).isEqualTo(new DisabledHostStore.Contents(Set.of(), Map.of()));
         assertThat(tmp.resolve("out-%%")).exists();
     }
 
     @Test
-    void aTimeInTheFutureIsTakenForNow() throws Exception {
-        DisabledHostStore folder = new DisabledHostStore(tmp);
-        folder.disable("a");
-        folder.enable("a", 1_000);
+    void enabledTimeInFutureCountsAsNow() throws Exception {
+        DisabledHostStore store = new DisabledHostStore(tmp);
+        store.disable("a");
+        store.enable("a", 1_000);
         try (var files = Files.list(tmp)) {
             Files.setLastModifiedTime(files.findFirst().orElseThrow(), FileTime.fromMillis(99_000));
         }
-        assertThat(folder.read(5_000).enabledAtUnixMillis()).isEqualTo(Map.of("a", 5_000L));
+        assertThat(store.read(5_000).enabledAtUnixMillis()).isEqualTo(Map.of("a", 5_000L));
     }
 
     @Test
-    void aFolderThatIsClearedAwayIsMadeAgain() throws Exception {
-        DisabledHostStore folder = new DisabledHostStore(tmp.resolve("own"));
+    void removedDirectoryIsCreatedAgain() throws Exception {
+        DisabledHostStore store = new DisabledHostStore(tmp.resolve("own"));
         Files.delete(tmp.resolve("own"));
-        assertThat(folder.read(0).disabled()).isEmpty();
-        folder.disable("a");
-        assertThat(folder.read(0).disabled()).containsExactly("a");
+        assertThat(store.read(0).disabled()).isEmpty();
+        store.disable("a");
+        assertThat(store.read(0).disabled()).containsExactly("a");
     }
 }
--- a/src/test/java/rillyard/proxy/eventloop/PeekableSocketChannelTest.java
+++ b/src/test/java/rillyard/proxy/eventloop/PeekableSocketChannelTest.java
@@ -17,11 +17,11 @@
 import rillyard.proxy.ClientProxy;
 import rillyard.proxy.TestPeer;
 
-/** A close over bytes that nobody has read. */
+/** The close of a channel with unread input. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class PeekableSocketChannelTest {
     @Test
-    void whatWasSentArrivesAlthoughBytesLieUnreadAtTheClose() throws Exception {
+    void sentBytesArriveAlthoughInputIsUnreadAtClose() throws Exception {
         MultiThreadIoEventLoopGroup group = ClientProxy.newGroup(NioIoHandler.newFactory());
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             PeekableSocketChannel channel = (PeekableSocketChannel) new Bootstrap()
@@ -37,7 +37,7 @@
                         .sync();
                 peer.write("a request that crosses the close");
                 while (channel.eventLoop().submit(channel::hasNothingToRead).get()) {
-                    Thread.onSpinWait(); // until its first bytes are there; asking takes one of them
+                    Thread.onSpinWait(); // until its first bytes have arrived; the check consumes one of them
                 }
                 channel.eventLoop().submit(channel::shutdownOutputAndDrain).sync();
                 channel.closeFuture().sync();
--- a/src/test/java/rillyard/trace/TraceEventTest.java
+++ b/src/test/java/rillyard/trace/TraceEventTest.java
@@ -10,34 +10,35 @@
 import org.junit.jupiter.api.Test;
 import rillyard.trace.TraceEvent.Kind;
 
+/** Lines of a trace, written and parsed. */
 class TraceEventTest {
     @Test
-    void isReadAsItWasWrittenWhateverStandsBeforeIt() {
+    void writtenEventIsParsedWhateverPrecedesIt() {
         TraceEvent event = new TraceEvent(1_764_604_800_123L, Kind.ATTEMPT, "s-1", "FULL", 12, true);
         assertThat(TraceEvent.parse(event.text())).isEqualTo(event);
         assertThat(TraceEvent.parse("12.5 n3 | " + event.text())).isEqualTo(event);
     }
 
     @Test
-    void otherLinesAreNoneAndTornOnesAreSaid() {
+    void otherLinesAreNoEventsAndTruncatedOnesAreRejected() {
         assertThat(TraceEvent.parse("rillyard: draining")).isNull();
-        String whole = new TraceEvent(1, Kind.CLOSED, "s-1", TraceEvent.NONE, 0, false).text();
-        for (int n = "rillyard: trace ".length(); n < whole.length(); n++) {
-            String torn = whole.substring(0, n);
-            assertThatIllegalArgumentException().as(torn).isThrownBy(() -> TraceEvent.parse(torn));
+        String line = new TraceEvent(1, Kind.CLOSED, "s-1", TraceEvent.NONE, 0, false).text();
+        for (int length = "rillyard: trace ".length(); length < line.length(); length++) {
+            String truncated = line.substring(0, length);
+            assertThatIllegalArgumentException().as(truncated).isThrownBy(() -> TraceEvent.parse(truncated));
         }
-        assertThatIllegalArgumentException().isThrownBy(() -> TraceEvent.parse(whole.replace("closed", "shut")));
+        assertThatIllegalArgumentException().isThrownBy(() -> TraceEvent.parse(line.replace("closed", "shut")));
     }
 
     @Test
-    void aNameFromOutsideMakesNeitherFieldsNorLines() {
+    void hostNameBreaksNeitherFieldsNorLines() {
         String text = new TraceEvent(1, Kind.CLOSED, "a b\nrillyard: trace 1 list", TraceEvent.NONE, 0, false).text();
         assertThat(text).doesNotContain("\n");
         assertThat(TraceEvent.parse(text).host()).isEqualTo("a_b_rillyard:_trace_1_list");
     }
 
     @Test
-    void aTraceSaysWhatWasDone() {
+    void traceRecordsEventsInOrder() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         ProxyTrace trace = new ProxyTrace(new PrintStream(bytes, true, StandardCharsets.UTF_8));
         trace.record(Kind.CONNECTED, "s-1");
