--- a/src/main/java/rillyard/faultinjection/FaultInjectionResult.java
+++ b/src/main/java/rillyard/faultinjection/FaultInjectionResult.java
@@ -155,7 +155,7 @@
             appendAudit(out);
         }
         if (spread != null) {
-            out.append(spread.words(zero));
+            out.append(spread.format(zero));
         }
         return out.toString();
     }
--- a/src/main/java/rillyard/imbalance/Evenness.java
+++ b/src/main/java/rillyard/imbalance/Evenness.java
@@ -3,47 +3,61 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.stream.DoubleStream;
 
 /**
- * How even the load of the hosts was in one window, each host's load counted in shares of its own: 1 is what it should have.
+ * How even the load of the hosts was in one window. A host's load is relative to its share: 1 is what it should have had.
  *
- * @param requests all that came to hosts that were there for all of the window
- * @param most largest over mean
- * @param least least over mean
- * @param variation coefficient of variation, 0 for even
- * @param jain Jain's index, 1 for even, 1/hosts for all at one (Jain, Chiu, Hawe 1984)
- * @param chanceVariation the coefficient of variation that chance would give in the mean
+ * @param requests requests to hosts that were available throughout the window
+ * @param hosts number of these hosts
+ * @param maxOverMean greatest load over the mean
+ * @param minOverMean least load over the mean
+ * @param coefficientOfVariation 0 for an even load
+ * @param jainIndex 1 for an even load, 1/hosts for all at one host (Jain, Chiu and Hawe, 1984)
+ * @param expectedVariation mean coefficient of variation of a random choice
  */
 public record Evenness(
-        int requests, int hosts, double most, double least, double variation, double jain, double chanceVariation) {
+        int requests,
+        int hosts,
+        double maxOverMean,
+        double minOverMean,
+        double coefficientOfVariation,
+        double jainIndex,
+        double expectedVariation) {
 
-    /** Of counts by host, with shares that sum up to 1; NaN in all where nothing came. */
+    /** Computes the evenness of counts by host, with shares that add up to 1. Without any request all numbers are NaN. */
     static Evenness of(Map<String, Integer> counts, Map<String, Double> shares) {
-        int all = 0;
-        for (String h : shares.keySet()) {
-            all += counts.getOrDefault(h, 0);
+        int requests = 0;
+        for (String host : shares.keySet()) {
+            requests += counts.getOrDefault(host, 0);
         }
-        List<Double> loads = new ArrayList<>();
-        double chance = 0;
-        int n = shares.size();
-        for (Map.Entry<String, Double> e : shares.entrySet()) {
-            double expected = all * e.getValue();
-            loads.add(counts.getOrDefault(e.getKey(), 0) / expected);
-            chance += (1 - e.getValue()) / expected / n; // variance of a binomial over the square of its mean
+        int hosts = shares.size();
+        if (requests == 0) {
+            return new Evenness(0, hosts, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
         }
-        if (all == 0) {
-            return new Evenness(0, n, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
+        List<Double> loads = new ArrayList<>();
+        double randomVariance = 0;
+        for (Map.Entry<String, Double> entry : shares.entrySet()) {
+            double share = entry.getValue();
+            double expected = requests * share;
+            loads.add(counts.getOrDefault(entry.getKey(), 0) / expected);
+            randomVariance += (1 - share) / expected / hosts; // of a binomial, over the square of its mean
         }
-        double mean = loads.stream().mapToDouble(d -> d).average().orElse(Double.NaN);
-        double squares = loads.stream().mapToDouble(d -> d * d).sum();
-        double variance = Math.max(0, squares / n - mean * mean);
+        return of(requests, loads, randomVariance);
+    }
+
+    private static Evenness of(int requests, List<Double> loads, double randomVariance) {
+        double[] values = loads.stream().mapToDouble(Double::doubleValue).toArray();
+        double mean = DoubleStream.of(values).average().orElse(Double.NaN);
+        double squares = DoubleStream.of(values).map(load -> load * load).sum();
+        double variance = Math.max(0, squares / values.length - mean * mean);
         return new Evenness(
-                all,
-                n,
-                loads.stream().mapToDouble(d -> d).max().orElse(Double.NaN) / mean,
-                loads.stream().mapToDouble(d -> d).min().orElse(Double.NaN) / mean,
+                requests,
+                values.length,
+                DoubleStream.of(values).max().orElse(Double.NaN) / mean,
+                DoubleStream.of(values).min().orElse(Double.NaN) / mean,
                 Math.sqrt(variance) / mean,
-                n * mean * mean / squares,
-                Math.sqrt(chance));
+                values.length * mean * mean / squares,
+                Math.sqrt(randomVariance));
     }
 }
--- a/src/main/java/rillyard/imbalance/Herd.java
+++ b/src/main/java/rillyard/imbalance/Herd.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * A host that got more than its share of first attempts, by more than chance explains. Times are microseconds.
+ * A host that got more than its share of first attempts, by more than random choice explains. Times are microseconds.
  *
- * @param count first attempts that came to it
- * @param expected what its share of all first attempts would have been
- * @param probability of so many or more by chance, in one stretch of that length
- * @param proxies how many took part
- * @param allProxies how many sent anything then
- * @param before what the proxies may have had in common, the last before it first
+ * @param count first attempts that arrived at the host
+ * @param expectedCount its share of all first attempts
+ * @param probability of that many or more by random choice, in one interval of that length
+ * @param proxies number of proxies that took part
+ * @param activeProxies number of proxies that sent any request then
+ * @param precedingEvents what the proxies may have had in common, the latest first
  */
 public record Herd(
         String host,
         long from,
-        long until,
+        long to,
         int count,
-        double expected,
+        double expectedCount,
         double probability,
         int proxies,
-        int allProxies,
-        List<TimelineEvent> before) {}
+        int activeProxies,
+        List<TimelineEvent> precedingEvents) {}
--- a/src/main/java/rillyard/imbalance/HerdDetector.java
+++ b/src/main/java/rillyard/imbalance/HerdDetector.java
@@ -9,133 +9,143 @@
 import java.util.Set;
 
 /**
- * Finds herds: stretches that begin with an arrival at a host and in which it got more than {@link #TIMES} times its share
- * of first attempts. Each stretch looked at is a test; the bound on its probability is cut by their number (Bonferroni),
- * so that a whole run of uniform load raises a false alarm with a probability of {@link #FALSE_ALARM} at most.
+ * Finds herds: intervals that begin with an arrival at a host and in which it got more than {@link #MIN_EXCESS} times its
+ * share of first attempts. Each interval is a test; the threshold of its probability is divided by their number (Bonferroni
+ * correction), so that a run of uniform load raises a false alarm with {@link #FALSE_ALARM_PROBABILITY} at most. Times are
+ * microseconds.
  */
 final class HerdDetector {
-    /** A host that gets more than so many times its share is herded to. */
-    static final double TIMES = 3;
+    /** Multiple of its share above which a host may have a herd. */
+    static final double MIN_EXCESS = 3;
 
-    static final double FALSE_ALARM = 0.01;
+    static final double FALSE_ALARM_PROBABILITY = 0.01;
 
-    /** Stretches are so many answer times long: a herd may be over at once, or outlast many answers. */
-    private static final int[] SCALES = {1, 4, 16};
+    /** Lengths of the intervals in units of the median stay: a herd may be over at once, or outlast many answers. */
+    private static final int[] INTERVAL_SCALES = {1, 4, 16};
 
-    /** What happened at most so long (us) before a herd may have brought it about. */
-    private static final long BEFORE = 2_000_000;
+    /** Time before a herd within which an event may have caused it. */
+    private static final long CAUSE_WINDOW_MICROS = 2_000_000;
 
-    private static final int MOST_MARKS = 4;
+    private static final int MAX_EVENTS = 4;
 
-    private final List<HostArrival> first;
+    /** First attempts in [from, to), by index, of which {@code count} arrived at the host. */
+    private record Interval(String host, long from, long to, int count, int firstIndex, int endIndex) {}
+
+    private final List<HostArrival> firstAttempts;
     private final HostAvailability hosts;
-    private final List<TimelineEvent> marks;
+    private final List<TimelineEvent> events;
 
-    /** Arrivals and marks in the order of their times. */
-    HerdDetector(List<HostArrival> arrivals, HostAvailability hosts, List<TimelineEvent> marks) {
-        this.first = arrivals.stream().filter(HostArrival::first).toList();
+    /** Creates a detector over arrivals and events in the order of their times. */
+    HerdDetector(List<HostArrival> arrivals, HostAvailability hosts, List<TimelineEvent> events) {
+        this.firstAttempts = arrivals.stream().filter(HostArrival::firstAttempt).toList();
         this.hosts = hosts;
-        this.marks = marks;
+        this.events = events;
     }
 
-    /** All herds, stretches that overlap taken as one, in the order of their times. */
-    List<Herd> find(long answerTime) {
-        double bound = FALSE_ALARM / Math.max(1, first.size() * SCALES.length);
-        List<Herd> found = new ArrayList<>();
-        for (int scale : SCALES) {
-            scan(answerTime * scale, bound, found);
+    /** Returns all herds in order of time, with overlapping intervals of a host taken as one. */
+    List<Herd> find(long medianStay) {
+        double threshold = FALSE_ALARM_PROBABILITY / Math.max(1, firstAttempts.size() * INTERVAL_SCALES.length);
+        List<Herd> herds = new ArrayList<>();
+        for (int scale : INTERVAL_SCALES) {
+            scan(medianStay * scale, threshold, herds);
         }
-        return merged(found);
+        return merge(herds);
     }
 
-    private void scan(long stretch, double bound, List<Herd> found) {
-        Map<String, List<Integer>> byHost = new HashMap<>();
-        for (int i = 0; i < first.size(); i++) {
-            byHost.computeIfAbsent(first.get(i).host(), h -> new ArrayList<>()).add(i);
+    private void scan(long length, double threshold, List<Herd> herds) {
+        Map<String, List<Integer>> indexesByHost = new HashMap<>();
+        for (int index = 0; index < firstAttempts.size(); index++) {
+            indexesByHost
+                    .computeIfAbsent(firstAttempts.get(index).host(), host -> new ArrayList<>())
+                    .add(index);
         }
-        for (Map.Entry<String, List<Integer>> e : byHost.entrySet()) {
-            List<Integer> at = e.getValue();
-            int end = 0;
-            int allEnd = 0;
-            for (int k = 0; k < at.size(); k++) {
-                long from = first.get(at.get(k)).at();
-                while (end < at.size() && first.get(at.get(end)).at() < from + stretch) {
-                    end++;
-                }
-                while (allEnd < first.size() && first.get(allEnd).at() < from + stretch) {
-                    allEnd++;
-                }
-                int count = end - k;
-                int all = allEnd - at.get(k);
-                if (count > 2) {
-                    judge(e.getKey(), from, from + stretch, count, at.get(k), allEnd, all, bound, found);
-                }
+        indexesByHost.forEach((host, indexes) -> scan(host, indexes, length, threshold, herds));
+    }
+
+    /** Tests the intervals of one host, with two ends that only move forward. */
+    private void scan(String host, List<Integer> indexes, long length, double threshold, List<Herd> herds) {
+        int hostEnd = 0;
+        int end = 0;
+        for (int first = 0; first < indexes.size(); first++) {
+            long from = firstAttempts.get(indexes.get(first)).at();
+            long to = from + length;
+            while (hostEnd < indexes.size()
+                    && firstAttempts.get(indexes.get(hostEnd)).at() < to) {
+                hostEnd++;
+            }
+            while (end < firstAttempts.size() && firstAttempts.get(end).at() < to) {
+                end++;
+            }
+            int count = hostEnd - first;
+            if (count > 2) {
+                test(new Interval(host, from, to, count, indexes.get(first), end), threshold, herds);
             }
         }
     }
 
-    private void judge(
-            String host,
-            long from,
-            long until,
-            int count,
-            int firstIndex,
-            int lastIndex,
-            int all,
-            double bound,
-            List<Herd> found) {
-        double share = hosts.share(host, from);
+    private void test(Interval interval, double threshold, List<Herd> herds) {
+        int all = interval.endIndex - interval.firstIndex;
+        double share = hosts.share(interval.host, interval.from);
         double expected = all * share;
-        if (share <= 0 || count <= TIMES * Math.max(expected, share)) {
+        if (share <= 0 || interval.count <= MIN_EXCESS * Math.max(expected, share)) {
             return;
         }
-        // The stretch begins with one of the host's arrivals: that one is given, the others are by chance.
-        double p = MultinomialBaseline.atLeast(count - 1, all - 1, share);
-        if (p < bound) {
-            Set<String> part = new HashSet<>();
-            Set<String> any = new HashSet<>();
-            for (HostArrival arrival : first.subList(firstIndex, lastIndex)) {
-                any.add(arrival.proxy());
-                if (arrival.host().equals(host)) {
-                    part.add(arrival.proxy());
-                }
-            }
-            found.add(new Herd(host, from, until, count, expected, p, part.size(), any.size(), before(host, from)));
+        // The interval begins with one of the host's arrivals by definition; only the others are random.
+        double probability = MultinomialBaseline.probabilityOfAtLeast(interval.count - 1, all - 1, share);
+        if (probability < threshold) {
+            herds.add(herd(interval, expected, probability));
         }
     }
 
-    private List<TimelineEvent> before(String host, long from) {
-        List<TimelineEvent> out = new ArrayList<>();
-        for (TimelineEvent event : marks) {
-            if (event.at() <= from
-                    && event.at() > from - BEFORE
-                    && (event.host().isEmpty() || event.host().equals(host))) {
-                out.add(event);
+    private Herd herd(Interval interval, double expected, double probability) {
+        Set<String> participants = new HashSet<>();
+        Set<String> active = new HashSet<>();
+        for (HostArrival arrival : firstAttempts.subList(interval.firstIndex, interval.endIndex)) {
+            active.add(arrival.proxy());
+            if (arrival.host().equals(interval.host)) {
+                participants.add(arrival.proxy());
             }
         }
-        out.sort(Comparator.comparingLong(TimelineEvent::at).reversed());
-        return List.copyOf(out.subList(0, Math.min(MOST_MARKS, out.size())));
+        return new Herd(
+                interval.host,
+                interval.from,
+                interval.to,
+                interval.count,
+                expected,
+                probability,
+                participants.size(),
+                active.size(),
+                precedingEvents(interval.host, interval.from));
+    }
+
+    private List<TimelineEvent> precedingEvents(String host, long from) {
+        return events.stream()
+                .filter(event -> event.at() <= from && event.at() > from - CAUSE_WINDOW_MICROS)
+                .filter(event -> event.host().isEmpty() || event.host().equals(host))
+                .sorted(Comparator.comparingLong(TimelineEvent::at).reversed())
+                .limit(MAX_EVENTS)
+                .toList();
     }
 
-    /** One for all that overlap at one host: the least probable of them, which tells best when it was. */
-    private static List<Herd> merged(List<Herd> found) {
-        List<Herd> sorted = new ArrayList<>(found);
+    /** Returns the least probable of the herds that overlap at one host, which shows best when it was. */
+    private static List<Herd> merge(List<Herd> herds) {
+        List<Herd> sorted = new ArrayList<>(herds);
         sorted.sort(Comparator.comparing(Herd::host).thenComparingLong(Herd::from));
-        List<Herd> out = new ArrayList<>();
+        List<Herd> merged = new ArrayList<>();
         String host = "";
-        long until = 0;
+        long to = 0;
         for (Herd herd : sorted) {
-            boolean overlaps = herd.host().equals(host) && herd.from() < until;
-            until = overlaps ? Math.max(until, herd.until()) : herd.until();
+            boolean overlaps = herd.host().equals(host) && herd.from() < to;
+            to = overlaps ? Math.max(to, herd.to()) : herd.to();
             host = herd.host();
-            int last = out.size() - 1;
+            int last = merged.size() - 1;
             if (!overlaps) {
-                out.add(herd);
-            } else if (herd.probability() < out.get(last).probability()) {
-                out.set(last, herd);
+                merged.add(herd);
+            } else if (herd.probability() < merged.get(last).probability()) {
+                merged.set(last, herd);
             }
         }
-        out.sort(Comparator.comparingLong(Herd::from));
-        return out;
+        merged.sort(Comparator.comparingLong(Herd::from));
+        return merged;
     }
 }
--- a/src/main/java/rillyard/imbalance/HostArrival.java
+++ b/src/main/java/rillyard/imbalance/HostArrival.java
@@ -1,11 +1,12 @@
 package rillyard.imbalance;
 
 /**
- * A request that came to a host. Times are microseconds of any one clock.
+ * A request that arrived at a host. Times are microseconds of one clock.
  *
- * @param proxy by whom
- * @param first whether it had been nowhere before
- * @param waited before it ran; all of its stay where it never ran
- * @param lasted from its coming until the host was done with it
+ * @param at when it arrived
+ * @param proxy the proxy that sent it
+ * @param firstAttempt whether it is the first attempt of its request
+ * @param queueTime time before it was executed; its whole stay if it never was
+ * @param stay time from its arrival until the host was done with it
  */
-public record HostArrival(long at, String host, String proxy, boolean first, long waited, long lasted) {}
+public record HostArrival(long at, String host, String proxy, boolean firstAttempt, long queueTime, long stay) {}
--- a/src/main/java/rillyard/imbalance/HostAvailability.java
+++ b/src/main/java/rillyard/imbalance/HostAvailability.java
@@ -5,67 +5,67 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** When each host was there to be sent to, and what share of the load it could bear. Times are microseconds. */
+/** When each host was available, and its share of the load. Times are microseconds. Not thread-safe. */
 public final class HostAvailability {
-    private record Span(long from, long until) {}
+    /** A time during which a host was available. */
+    record Span(long from, long to) {
+        boolean contains(long start, long end) {
+            return from <= start && end <= to;
+        }
+    }
 
-    private record Host(double weight, List<Span> spans) {}
+    private record Host(double weight, List<Span> spans) {
+        boolean isAvailable(long from, long to) {
+            return spans.stream().anyMatch(span -> span.contains(from, to));
+        }
+    }
 
     private final Map<String, Host> hosts = new TreeMap<>();
 
     /**
-     * A host was there from a time until just before another.
+     * Adds a time during which a host was available.
      *
-     * @param weight what it can bear, beside the others; above 0
+     * @param weight its capacity relative to the others, above 0; the first one stated counts
      */
     public void add(String host, double weight, long from, long until) {
-        hosts.computeIfAbsent(host, h -> new Host(weight, new ArrayList<>()))
+        hosts.computeIfAbsent(host, name -> new Host(weight, new ArrayList<>()))
                 .spans()
                 .add(new Span(from, until));
     }
 
-    /** Whether it was there all of the time from one to the other. */
-    boolean there(String host, long from, long until) {
-        Host h = hosts.get(host);
-        return h != null && h.spans.stream().anyMatch(span -> span.from <= from && until <= span.until);
-    }
-
-    /** The shares of the load, which sum up to 1, of those that were there all of the time. */
-    Map<String, Double> shares(long from, long until) {
-        Map<String, Double> out = new TreeMap<>();
+    /** Returns the shares of the load, which add up to 1, of the hosts that were available throughout. */
+    Map<String, Double> shares(long from, long to) {
+        Map<String, Double> weights = new TreeMap<>();
         double sum = 0;
-        for (Map.Entry<String, Host> e : hosts.entrySet()) {
-            if (there(e.getKey(), from, until)) {
-                out.put(e.getKey(), e.getValue().weight);
-                sum += e.getValue().weight;
+        for (Map.Entry<String, Host> entry : hosts.entrySet()) {
+            Host host = entry.getValue();
+            if (host.isAvailable(from, to)) {
+                weights.put(entry.getKey(), host.weight);
+                sum += host.weight;
             }
         }
-        double all = sum;
-        out.replaceAll((h, w) -> w / all);
-        return out;
+        double total = sum;
+        weights.replaceAll((name, weight) -> weight / total);
+        return weights;
     }
 
-    /** The share of one, of those that were there at a time; 0 if it was not. */
+    /** Returns the share of one host among those available at a time, 0 if it was not. */
     double share(String host, long at) {
         double sum = 0;
         double own = 0;
-        for (Map.Entry<String, Host> e : hosts.entrySet()) {
-            if (there(e.getKey(), at, at)) {
-                sum += e.getValue().weight;
-                own = e.getKey().equals(host) ? e.getValue().weight : own;
+        for (Map.Entry<String, Host> entry : hosts.entrySet()) {
+            if (entry.getValue().isAvailable(at, at)) {
+                sum += entry.getValue().weight;
+                own = entry.getKey().equals(host) ? entry.getValue().weight : own;
             }
         }
         return sum == 0 ? 0 : own / sum;
     }
 
-    /** Names and spans, by host. */
-    Map<String, List<long[]>> spans() {
-        Map<String, List<long[]>> out = new TreeMap<>();
-        hosts.forEach((h, host) -> out.put(
-                h,
-                host.spans.stream()
-                        .map(span -> new long[] {span.from, span.until})
-                        .toList()));
-        return out;
+    /** Returns the times of availability by host, in the order in which they were added. */
+    Map<String, List<Span>> spans() {
+        Map<String, List<Span>> spans = new TreeMap<>();
+        hosts.forEach((name, host) -> spans.put(name, List.copyOf(host.spans)));
+        return spans;
     }
 }
--- a/src/main/java/rillyard/imbalance/IdleHost.java
+++ b/src/main/java/rillyard/imbalance/IdleHost.java
@@ -1,10 +1,11 @@
 package rillyard.imbalance;
 
 /**
- * A host that got nothing for a while in which others queued, by more than chance explains. Times are microseconds.
+ * A host that got no request while requests queued at others, by more than random choice explains. Times are microseconds.
  *
- * @param missed first attempts and others that went elsewhere meanwhile
- * @param queued of these how many waited there, or were turned away
- * @param probability that none came to it by chance
+ * @param requestsElsewhere requests that arrived at other hosts meanwhile
+ * @param queuedElsewhere how many of these waited there, or were rejected
+ * @param probability that the host gets none of them by random choice
  */
-public record IdleHost(String host, long from, long until, int missed, int queued, double probability) {}
+public record IdleHost(
+        String host, long from, long to, int requestsElsewhere, int queuedElsewhere, double probability) {}
--- a/src/main/java/rillyard/imbalance/IdleHostDetector.java
+++ b/src/main/java/rillyard/imbalance/IdleHostDetector.java
@@ -6,76 +6,86 @@
 import java.util.List;
 import java.util.Map;
 
-/** Finds hosts that got nothing while others queued. */
+/** Finds hosts that got no request while requests queued at others. Times are microseconds. */
 final class IdleHostDetector {
-    /** Work that waited longer than that (us) queued. */
-    private static final long QUEUED = 5_000;
+    /** Queue time above which a request counts as queued. */
+    private static final long QUEUED_MICROS = 5_000;
 
     private final List<HostArrival> arrivals;
     private final HostAvailability hosts;
 
-    /** Arrivals in the order of their times. */
+    /** Creates a detector over arrivals in the order of their times. */
     IdleHostDetector(List<HostArrival> arrivals, HostAvailability hosts) {
         this.arrivals = arrivals;
         this.hosts = hosts;
     }
 
-    /** All pauses of at least so long (us) while the host was there, in the order of their times. */
-    List<IdleHost> find(long least) {
-        Map<String, List<Long>> byHost = new HashMap<>();
-        arrivals.forEach(arrival ->
-                byHost.computeIfAbsent(arrival.host(), h -> new ArrayList<>()).add(arrival.at()));
-        List<IdleHost> pauses = new ArrayList<>();
-        // Before the first request came and after the last nobody is idle.
-        long began = arrivals.isEmpty() ? 0 : arrivals.get(0).at();
-        long over = arrivals.isEmpty() ? 0 : arrivals.get(arrivals.size() - 1).at();
-        for (Map.Entry<String, List<long[]>> e : hosts.spans().entrySet()) {
-            for (long[] span : e.getValue()) {
-                long from = Math.max(began, span[0]);
-                long until = Math.min(over, span[1]);
-                for (long at : byHost.getOrDefault(e.getKey(), List.of())) {
-                    if (at >= from && at < until) {
-                        pause(e.getKey(), from, at, least, pauses);
-                        from = at;
-                    }
-                }
-                pause(e.getKey(), from, until, least, pauses);
-            }
+    /** Returns the hosts that were idle for {@code minDuration} or longer while they were available, in order of time. */
+    List<IdleHost> find(long minDuration) {
+        if (arrivals.isEmpty()) {
+            return List.of();
         }
-        double bound = HerdDetector.FALSE_ALARM
+        Map<String, List<Long>> timesByHost = new HashMap<>();
+        for (HostArrival arrival : arrivals) {
+            timesByHost
+                    .computeIfAbsent(arrival.host(), host -> new ArrayList<>())
+                    .add(arrival.at());
+        }
+        List<IdleHost> pauses = new ArrayList<>();
+        hosts.spans().forEach((host, spans) -> {
+            List<Long> times = timesByHost.getOrDefault(host, List.of());
+            spans.forEach(span -> addPauses(host, span, times, minDuration, pauses));
+        });
+        double threshold = HerdDetector.FALSE_ALARM_PROBABILITY
                 / Math.max(1, arrivals.size() + hosts.spans().size());
-        pauses.removeIf(host -> host.queued() == 0 || host.probability() >= bound);
+        pauses.removeIf(pause -> pause.queuedElsewhere() == 0 || pause.probability() >= threshold);
         pauses.sort(Comparator.comparingLong(IdleHost::from));
         return pauses;
     }
 
-    private void pause(String host, long from, long until, long least, List<IdleHost> to) {
-        if (until - from < least) {
+    private void addPauses(
+            String host, HostAvailability.Span span, List<Long> times, long minDuration, List<IdleHost> pauses) {
+        // Before the first request of the run and after the last one no host is idle.
+        long from = Math.max(arrivals.get(0).at(), span.from());
+        long to = Math.min(arrivals.get(arrivals.size() - 1).at(), span.to());
+        for (long at : times) {
+            if (at >= from && at < to) {
+                addPause(host, from, at, minDuration, pauses);
+                from = at;
+            }
+        }
+        addPause(host, from, to, minDuration, pauses);
+    }
+
+    private void addPause(String host, long from, long to, long minDuration, List<IdleHost> pauses) {
+        if (to - from < minDuration) {
             return;
         }
-        int missed = 0;
+        int elsewhere = 0;
         int queued = 0;
-        for (int i = after(from); i < arrivals.size() && arrivals.get(i).at() < until; i++) {
-            HostArrival arrival = arrivals.get(i);
+        for (int index = firstAfter(from);
+                index < arrivals.size() && arrivals.get(index).at() < to;
+                index++) {
+            HostArrival arrival = arrivals.get(index);
             if (!arrival.host().equals(host)) {
-                missed++;
-                queued += arrival.waited() > QUEUED ? 1 : 0;
+                elsewhere++;
+                queued += arrival.queueTime() > QUEUED_MICROS ? 1 : 0;
             }
         }
-        to.add(new IdleHost(
-                host, from, until, missed, queued, MultinomialBaseline.none(missed, hosts.share(host, from))));
+        double probability = MultinomialBaseline.probabilityOfNone(elsewhere, hosts.share(host, from));
+        pauses.add(new IdleHost(host, from, to, elsewhere, queued, probability));
     }
 
-    /** The first arrival after a time. */
-    private int after(long at) {
+    /** Returns the index of the first arrival after a time. */
+    private int firstAfter(long time) {
         int low = 0;
         int high = arrivals.size();
         while (low < high) {
-            int mid = (low + high) >>> 1;
-            if (arrivals.get(mid).at() <= at) {
-                low = mid + 1;
+            int middle = (low + high) >>> 1;
+            if (arrivals.get(middle).at() <= time) {
+                low = middle + 1;
             } else {
-                high = mid;
+                high = middle;
             }
         }
         return low;
--- a/src/main/java/rillyard/imbalance/ImbalanceReport.java
+++ b/src/main/java/rillyard/imbalance/ImbalanceReport.java
@@ -6,110 +6,124 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.function.ToDoubleFunction;
 
 /**
- * What was found in a run.
+ * The load imbalance found in a run. Times are microseconds.
  *
- * @param answerTime the median stay at a host (us), the unit in which herds are looked for
- * @param windows evenness window by window, those without any host left out
+ * @param medianStay median time a request spends at a host, the unit of the intervals in which herds are looked for
+ * @param windows evenness by window, without windows in which no host was available throughout
  */
-public record ImbalanceReport(long answerTime, List<Evenness> windows, List<Herd> herds, List<IdleHost> idle) {
-    /** The shortest answer time (us) that herds are looked for in: less is below what clocks and loops tell apart. */
-    private static final long LEAST_ANSWER = 5_000;
+public record ImbalanceReport(long medianStay, List<Evenness> windows, List<Herd> herds, List<IdleHost> idleHosts) {
+    /** The least stay that is assumed: shorter ones are below what clocks and event loops resolve. */
+    private static final long MIN_STAY_MICROS = 5_000;
 
-    /** A host may get nothing for so long (us). */
-    private static final long IDLE = 1_000_000;
+    /** Time without a request from which on a host may be idle. */
+    private static final long MIN_IDLE_MICROS = 1_000_000;
 
-    private static final int SHOWN = 8;
+    /** The most herds and idle hosts that are listed. */
+    private static final int MAX_LISTED = 8;
 
-    /** Looks at a run whose arrivals and marks are in no order; {@code window} is microseconds. */
+    private static final double MICROS_PER_MILLI = 1e3;
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    /** Analyses a run; arrivals and events may be in any order. */
     public static ImbalanceReport of(
-            List<HostArrival> arrivals, HostAvailability hosts, List<TimelineEvent> marks, long window) {
+            List<HostArrival> arrivals, HostAvailability hosts, List<TimelineEvent> events, long window) {
         List<HostArrival> sorted = new ArrayList<>(arrivals);
         sorted.sort(Comparator.comparingLong(HostArrival::at));
-        List<TimelineEvent> known = new ArrayList<>(marks);
-        known.sort(Comparator.comparingLong(TimelineEvent::at));
-        long[] stays = sorted.stream().mapToLong(HostArrival::lasted).sorted().toArray();
-        long answer = stays.length == 0 ? LEAST_ANSWER : Math.max(LEAST_ANSWER, stays[stays.length / 2]);
+        List<TimelineEvent> sortedEvents = new ArrayList<>(events);
+        sortedEvents.sort(Comparator.comparingLong(TimelineEvent::at));
+        long[] stays = sorted.stream().mapToLong(HostArrival::stay).sorted().toArray();
+        long medianStay = stays.length == 0 ? MIN_STAY_MICROS : Math.max(MIN_STAY_MICROS, stays[stays.length / 2]);
         return new ImbalanceReport(
-                answer,
+                medianStay,
                 windows(sorted, hosts, window),
-                new HerdDetector(sorted, hosts, known).find(answer),
-                new IdleHostDetector(sorted, hosts).find(IDLE));
+                new HerdDetector(sorted, hosts, sortedEvents).find(medianStay),
+                new IdleHostDetector(sorted, hosts).find(MIN_IDLE_MICROS));
     }
 
     private static List<Evenness> windows(List<HostArrival> sorted, HostAvailability hosts, long window) {
-        List<Evenness> out = new ArrayList<>();
-        int i = 0;
-        while (i < sorted.size()) {
-            long from = sorted.get(i).at();
+        List<Evenness> windows = new ArrayList<>();
+        int index = 0;
+        while (index < sorted.size()) {
+            long from = sorted.get(index).at();
             Map<String, Integer> counts = new HashMap<>();
-            for (; i < sorted.size() && sorted.get(i).at() < from + window; i++) {
-                counts.merge(sorted.get(i).host(), 1, Integer::sum);
+            for (; index < sorted.size() && sorted.get(index).at() < from + window; index++) {
+                counts.merge(sorted.get(index).host(), 1, Integer::sum);
             }
             Map<String, Double> shares = hosts.shares(from, from + window);
             if (!shares.isEmpty()) {
-                out.add(Evenness.of(counts, shares));
+                windows.add(Evenness.of(counts, shares));
             }
         }
-        return List.copyOf(out);
+        return List.copyOf(windows);
     }
 
-    /** In words; times count from {@code zero} (us). */
-    public String words(long zero) {
-        StringBuilder out = new StringBuilder();
-        List<Evenness> full =
-                windows.stream().filter(evenness -> evenness.requests() > 0).toList();
-        out.append(String.format(
-                Locale.ROOT,
-                "load of hosts, %d windows, median: largest over mean %.2f, least %.2f, variation %.2f"
-                        + " (chance %.2f), Jain %.3f%n",
-                full.size(),
-                median(full, Evenness::most),
-                median(full, Evenness::least),
-                median(full, Evenness::variation),
-                median(full, Evenness::chanceVariation),
-                median(full, Evenness::jain)));
-        out.append(String.format(Locale.ROOT, "herds: %d (answer time %.1f ms)%n", herds.size(), answerTime / 1e3));
+    /** Formats the report as text, with times relative to {@code zero}. */
+    public String format(long zero) {
+        StringBuilder text = new StringBuilder();
+        appendEvenness(text);
+        text.append(String.format(
+                Locale.ROOT, "herds: %d (answer time %.1f ms)%n", herds.size(), medianStay / MICROS_PER_MILLI));
         herds.stream()
                 .sorted(Comparator.comparingDouble(Herd::probability))
-                .limit(SHOWN)
-                .forEach(herd -> {
-                    out.append(String.format(
-                            Locale.ROOT,
-                            "  %.3f s to %.3f s: %s got %d first attempts for %.1f, from %d of %d proxies",
-                            (herd.from() - zero) / 1e6,
-                            (herd.until() - zero) / 1e6,
-                            herd.host(),
-                            herd.count(),
-                            herd.expected(),
-                            herd.proxies(),
-                            herd.allProxies()));
-                    herd.before()
-                            .forEach(event -> out.append(String.format(
-                                    Locale.ROOT,
-                                    "; %.0f ms after: %s",
-                                    (herd.from() - event.at()) / 1e3,
-                                    event.what())));
-                    out.append('\n');
-                });
-        out.append("idle hosts: ").append(idle.size()).append('\n');
-        idle.stream()
+                .limit(MAX_LISTED)
+                .forEach(herd -> appendHerd(text, herd, zero));
+        text.append("idle hosts: ").append(idleHosts.size()).append('\n');
+        idleHosts.stream()
                 .sorted(Comparator.comparingDouble(IdleHost::probability))
-                .limit(SHOWN)
-                .forEach(host -> out.append(String.format(
-                        Locale.ROOT,
-                        "  %.1f s to %.1f s: %s got nothing while %d went elsewhere, %d of them queued%n",
-                        (host.from() - zero) / 1e6,
-                        (host.until() - zero) / 1e6,
-                        host.host(),
-                        host.missed(),
-                        host.queued())));
-        return out.toString();
+                .limit(MAX_LISTED)
+                .forEach(host -> appendIdleHost(text, host, zero));
+        return text.toString();
+    }
+
+    private void appendEvenness(StringBuilder text) {
+        List<Evenness> loaded =
+                windows.stream().filter(window -> window.requests() > 0).toList();
+        text.append(String.format(
+                Locale.ROOT,
+                "load of hosts, %d windows, median: largest over mean %.2f, least %.2f, variation %.2f"
+                        + " (chance %.2f), Jain %.3f%n",
+                loaded.size(),
+                median(loaded, Evenness::maxOverMean),
+                median(loaded, Evenness::minOverMean),
+                median(loaded, Evenness::coefficientOfVariation),
+                median(loaded, Evenness::expectedVariation),
+                median(loaded, Evenness::jainIndex)));
+    }
+
+    private static void appendHerd(StringBuilder text, Herd herd, long zero) {
+        text.append(String.format(
+                Locale.ROOT,
+                "  %.3f s to %.3f s: %s got %d first attempts for %.1f, from %d of %d proxies",
+                (herd.from() - zero) / MICROS_PER_SECOND,
+                (herd.to() - zero) / MICROS_PER_SECOND,
+                herd.host(),
+                herd.count(),
+                herd.expectedCount(),
+                herd.proxies(),
+                herd.activeProxies()));
+        for (TimelineEvent event : herd.precedingEvents()) {
+            double after = (herd.from() - event.at()) / MICROS_PER_MILLI;
+            text.append(String.format(Locale.ROOT, "; %.0f ms after: %s", after, event.description()));
+        }
+        text.append('\n');
+    }
+
+    private static void appendIdleHost(StringBuilder text, IdleHost host, long zero) {
+        text.append(String.format(
+                Locale.ROOT,
+                "  %.1f s to %.1f s: %s got nothing while %d went elsewhere, %d of them queued%n",
+                (host.from() - zero) / MICROS_PER_SECOND,
+                (host.to() - zero) / MICROS_PER_SECOND,
+                host.host(),
+                host.requestsElsewhere(),
+                host.queuedElsewhere()));
     }
 
-    private static double median(List<Evenness> windows, java.util.function.ToDoubleFunction<Evenness> what) {
-        double[] sorted = windows.stream().mapToDouble(what).sorted().toArray();
+    private static double median(List<Evenness> windows, ToDoubleFunction<Evenness> metric) {
+        double[] sorted = windows.stream().mapToDouble(metric).sorted().toArray();
         return sorted.length == 0 ? Double.NaN : sorted[sorted.length / 2];
     }
 }
--- a/src/main/java/rillyard/imbalance/TimelineEvent.java
+++ b/src/main/java/rillyard/imbalance/TimelineEvent.java
@@ -1,10 +1,10 @@
 package rillyard.imbalance;
 
 /**
- * Something that proxies may have had in common.
+ * An event that several proxies may have reacted to.
  *
  * @param at microseconds
- * @param host whom it is about; empty for all
- * @param what in words
+ * @param host the host it is about, empty for all
+ * @param description text for people
  */
-public record TimelineEvent(long at, String host, String what) {}
+public record TimelineEvent(long at, String host, String description) {}
--- a/src/main/java/rillyard/modelcheck/Model.java
+++ b/src/main/java/rillyard/modelcheck/Model.java
@@ -3,30 +3,38 @@
 import java.util.List;
 
 /**
- * A system to check, by running the very classes that decide: a history of actions is run anew for each
- * state, so these classes need neither be copied nor undone. All runs of one history have to be alike.
+ * A system to check, made of the production classes themselves: a history of actions is replayed for each state, so that
+ * these classes need neither a copy nor an undo. Runs must be deterministic.
  *
  * @param <A> an action; its text is shown in histories
  */
 public interface Model<A> {
-    /** A run from the beginning, before any action. */
-    Run<A> start();
+    /** Returns a run in its initial state. */
+    Run<A> newRun();
 
-    /** One run. */
+    /**
+     * One run.
+     *
+     * @param <A> an action
+     */
     interface Run<A> {
-        /** What may happen now, in an order that depends on the history alone. */
+        /** Returns the actions that are enabled, in an order that depends on the history alone. */
         List<A> actions();
 
-        /** Has it happen. */
-        void act(A action);
+        /** Performs an enabled action. */
+        void perform(A action);
 
-        /** All that what may happen later depends on: states of one text are taken for one. */
+        /** Returns everything on which the future depends: states with equal texts are taken for one. */
         String state();
 
-        /** An invariant that the last action broke, in words; null if none. */
-        String broken();
+        /** Returns a description of the invariant that the last action violated, null if there is none. */
+        String violation();
 
-        /** Goes on without faults until all has come to rest; returns what is not as it should be then, or null. */
-        String fairEnd();
+        /**
+         * Continues without faults until nothing changes any more.
+         *
+         * @return a description of the liveness property that is violated then, null if there is none
+         */
+        String violationAfterFairRun();
     }
 }
--- a/src/main/java/rillyard/modelcheck/ModelChecker.java
+++ b/src/main/java/rillyard/modelcheck/ModelChecker.java
@@ -9,118 +9,137 @@
 import net.openhft.hashing.LongTupleHashFunction;
 
 /**
- * Walks all states of a model, nearest first, so that the first breach found has a shortest history. States
- * are known by 128 bits of their text: two that differ and look alike are as good as impossible.
+ * Explores the states of a model breadth first, so that the first violation found has a shortest history. States are told
+ * apart by 128 bits of a hash of their text; a collision is practically impossible. Not thread-safe.
+ *
+ * @param <A> an action of the model
  */
 public final class ModelChecker<A> {
-    private record Seen(long high, long low) {}
+    private record StateHash(long high, long low) {}
 
-    private static final class Node<A> {
-        final Node<A> before;
-        final A action;
-        final int depth;
-
-        Node(Node<A> before, A action, int depth) {
-            this.before = before;
-            this.action = action;
-            this.depth = depth;
-        }
-    }
+    /** A state by the shortest history that leads to it; the initial one has no predecessor and no action. */
+    private record Node<A>(Node<A> predecessor, A action, int depth) {}
 
     /**
-     * What was found.
+     * The result of a check.
      *
-     * @param states different states that were reached
-     * @param steps actions that were tried
-     * @param depth the most actions of a history
-     * @param whole whether every state within the depth was reached, or the limit of states ended it
-     * @param breach what was broken, null if nothing was
-     * @param history the shortest way to it
+     * @param states number of distinct states reached
+     * @param steps number of actions performed
+     * @param depth greatest number of actions of a history
+     * @param complete whether every state within the depth was explored, without a violation or the limit of states
+     * @param violation what was violated, null if nothing was
+     * @param history shortest sequence of actions that leads to the violation
+     * @param <A> an action of the model
      */
-    public record Result<A>(long states, long steps, int depth, boolean whole, String breach, List<A> history) {
-        /** The result in words, a line for each action of the history. */
+    public record Result<A>(long states, long steps, int depth, boolean complete, String violation, List<A> history) {
+        /** Returns a text with a line for each action of the history. */
         @Override
         public String toString() {
-            StringBuilder out = new StringBuilder(states + " states, " + steps + " steps, depth " + depth
-                    + (whole ? "" : ", cut short by its limit of states"));
-            if (breach != null) {
-                out.append("\nbroken: ").append(breach);
-                for (int i = 0; i < history.size(); i++) {
-                    out.append("\n  ").append(i + 1).append(". ").append(history.get(i));
+            StringBuilder text = new StringBuilder(states + " states, " + steps + " steps, depth " + depth
+                    + (complete ? "" : ", cut short by its limit of states"));
+            if (violation != null) {
+                text.append("\nbroken: ").append(violation);
+                for (int index = 0; index < history.size(); index++) {
+                    text.append("\n  ").append(index + 1).append(". ").append(history.get(index));
                 }
             }
-            return out.toString();
+            return text.toString();
         }
     }
 
-    private final Model<A> model;
-    private final LongTupleHashFunction hash = LongTupleHashFunction.xx128();
+    /** The state of one check. */
+    private final class Search {
+        private final int maxDepth;
+        private final int fairRunInterval;
+        private final Set<StateHash> visited = new HashSet<>();
+        private final ArrayDeque<Node<A>> frontier = new ArrayDeque<>();
+        private long steps;
+        private long states = 1;
 
-    public ModelChecker(Model<A> model) {
-        this.model = model;
-    }
+        Search(int maxDepth, int fairRunInterval) {
+            this.maxDepth = maxDepth;
+            this.fairRunInterval = fairRunInterval;
+        }
 
-    /**
-     * Walks to a depth, and to no more than so many states.
-     *
-     * @param fairEvery the fair end is tried from the first of so many states; 0 for none
-     */
-    public Result<A> walk(int depth, long mostStates, int fairEvery) {
-        Set<Seen> seen = new HashSet<>();
-        ArrayDeque<Node<A>> open = new ArrayDeque<>();
-        open.add(new Node<>(null, null, 0));
-        seen.add(seen(model.start()));
-        long steps = 0;
-        long states = 1;
-        while (!open.isEmpty()) {
-            Node<A> at = open.poll();
-            if (at.depth == depth) {
-                continue;
-            }
-            List<A> actions = replay(at).actions();
-            for (A action : actions) {
-                Model.Run<A> run = replay(at);
-                run.act(action);
-                steps++;
-                Node<A> next = new Node<>(at, action, at.depth + 1);
-                if (run.broken() != null) {
-                    return new Result<>(states, steps, depth, false, run.broken(), history(next));
-                }
-                if (!seen.add(seen(run))) {
+        Result<A> run(long maxStates) {
+            frontier.add(new Node<>(null, null, 0));
+            visited.add(hash(model.newRun()));
+            while (!frontier.isEmpty()) {
+                Node<A> node = frontier.poll();
+                if (node.depth == maxDepth) {
                     continue;
                 }
-                if (fairEvery > 0 && states % fairEvery == 0) {
-                    String end = run.fairEnd();
-                    if (end != null) {
-                        return new Result<>(states, steps, depth, false, end, history(next));
+                for (A action : replay(node).actions()) {
+                    Node<A> next = new Node<>(node, action, node.depth + 1);
+                    String violation = explore(next);
+                    if (violation != null) {
+                        return new Result<>(states, steps, maxDepth, false, violation, history(next));
+                    }
+                    if (states >= maxStates) {
+                        return new Result<>(states, steps, maxDepth, false, null, List.of());
                     }
                 }
-                if (++states >= mostStates) {
-                    return new Result<>(states, steps, depth, false, null, List.of());
+            }
+            return new Result<>(states, steps, maxDepth, true, null, List.of());
+        }
+
+        /** Performs the last action of a history and adds its state to the frontier if it is new. Returns a violation. */
+        private String explore(Node<A> node) {
+            Model.Run<A> run = replay(node.predecessor);
+            run.perform(node.action);
+            steps++;
+            if (run.violation() != null) {
+                return run.violation();
+            }
+            if (!visited.add(hash(run))) {
+                return null;
+            }
+            if (fairRunInterval > 0 && states % fairRunInterval == 0) {
+                String violation = run.violationAfterFairRun();
+                if (violation != null) {
+                    return violation;
                 }
-                open.add(next);
             }
+            states++;
+            frontier.add(node);
+            return null;
         }
-        return new Result<>(states, steps, depth, true, null, List.of());
     }
 
-    private Seen seen(Model.Run<A> run) {
-        long[] h = hash.hashChars(run.state());
-        return new Seen(h[0], h[1]);
+    private final Model<A> model;
+    private final LongTupleHashFunction hashFunction = LongTupleHashFunction.xx128();
+
+    /** Creates a checker of a model. */
+    public ModelChecker(Model<A> model) {
+        this.model = model;
+    }
+
+    /**
+     * Explores the model until a violation, to a depth and to a limit of states.
+     *
+     * @param fairRunInterval every how many states a fair run is tried; 0 for never
+     */
+    public Result<A> check(int maxDepth, long maxStates, int fairRunInterval) {
+        return new Search(maxDepth, fairRunInterval).run(maxStates);
+    }
+
+    private StateHash hash(Model.Run<A> run) {
+        long[] hash = hashFunction.hashChars(run.state());
+        return new StateHash(hash[0], hash[1]);
     }
 
-    private Model.Run<A> replay(Node<A> to) {
-        Model.Run<A> run = model.start();
-        history(to).forEach(run::act);
+    private Model.Run<A> replay(Node<A> node) {
+        Model.Run<A> run = model.newRun();
+        history(node).forEach(run::perform);
         return run;
     }
 
-    private static <A> List<A> history(Node<A> to) {
-        List<A> all = new ArrayList<>();
-        for (Node<A> node = to; node.before != null; node = node.before) {
-            all.add(node.action);
+    private static <A> List<A> history(Node<A> node) {
+        List<A> actions = new ArrayList<>();
+        for (Node<A> current = node; current.predecessor != null; current = current.predecessor) {
+            actions.add(current.action);
         }
-        Collections.reverse(all);
-        return all;
+        Collections.reverse(actions);
+        return actions;
     }
 }
--- a/src/main/java/rillyard/modelcheck/package-info.java
+++ b/src/main/java/rillyard/modelcheck/package-info.java
@@ -1,2 +1,2 @@
-/** A model checker: every order of the actions of a model to a depth, its invariants and its fair ends. */
+/** An explicit-state model checker: explores all interleavings of a model's actions up to a depth and checks its invariants. */
 package rillyard.modelcheck;
--- a/src/test/java/rillyard/membership/MembershipModel.java
+++ b/src/test/java/rillyard/membership/MembershipModel.java
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public Run<String> start() {
+    public Run<String> newRun() {
         return new OneRun();
     }
 
@@ -148,7 +148,7 @@
         }
 
         @Override
-        public void act(String action) {
+        public void perform(String action) {
             if (action.equals("time")) {
                 step();
             } else if (action.startsWith("restart")) {
@@ -191,7 +191,7 @@
         }
 
         @Override
-        public String broken() {
+        public String violation() {
             return broken;
         }
 
@@ -203,7 +203,7 @@
         }
 
         @Override
-        public String fairEnd() {
+        public String violationAfterFairRun() {
             for (int i = 0; i < FAIR_STEPS; i++) {
                 deliverAll();
                 step();
--- a/src/test/java/rillyard/membership/MembershipModelTest.java
+++ b/src/test/java/rillyard/membership/MembershipModelTest.java
@@ -15,9 +15,9 @@
 
     @Test
     void noOrderOfThingsBreaksWhatMembersMayRelyOn() {
-        ModelChecker.Result<String> result = new ModelChecker<>(new MembershipModel()).walk(DEPTH, STATES, FAIR_EVERY);
+        ModelChecker.Result<String> result = new ModelChecker<>(new MembershipModel()).check(DEPTH, STATES, FAIR_EVERY);
         System.out.println("membership model: " + result);
-        assertThat(result.breach()).as(result.toString()).isNull();
+        assertThat(result.violation()).as(result.toString()).isNull();
         assertThat(result.states()).isGreaterThan(20_000);
     }
 
@@ -42,8 +42,10 @@
                                         : update)
                                 .toList()),
                 (from, m) -> !from.equals("m0") && !m.target().equals("m0"));
-        ModelChecker.Result<String> result = new ModelChecker<>(planted).walk(8, STATES, 0);
-        assertThat(result.breach()).as(result.toString()).startsWith("somebody has spoken for another's incarnation");
+        ModelChecker.Result<String> result = new ModelChecker<>(planted).check(8, STATES, 0);
+        assertThat(result.violation())
+                .as(result.toString())
+                .startsWith("somebody has spoken for another's incarnation");
         assertThat(result.history()).hasSizeLessThanOrEqualTo(8).contains("time");
     }
 
@@ -53,17 +55,17 @@
         MembershipModel planted = new MembershipModel(
                 message -> message,
                 (from, m) -> !(m.kind() == Kind.PING && m.target().equals("m0")) && !from.equals("m0"));
-        ModelChecker.Result<String> result = new ModelChecker<>(planted).walk(2, STATES, 1);
-        assertThat(result.breach()).as(result.toString()).startsWith("a live process that is heard stays DEAD");
+        ModelChecker.Result<String> result = new ModelChecker<>(planted).check(2, STATES, 1);
+        assertThat(result.violation()).as(result.toString()).startsWith("a live process that is heard stays DEAD");
         assertThat(result.history()).hasSize(1);
     }
 
     @Test
     void theWalkIsAlikeEachTime() {
-        ModelChecker.Result<String> one = new ModelChecker<>(new MembershipModel()).walk(3, STATES, 0);
-        ModelChecker.Result<String> two = new ModelChecker<>(new MembershipModel()).walk(3, STATES, 0);
+        ModelChecker.Result<String> one = new ModelChecker<>(new MembershipModel()).check(3, STATES, 0);
+        ModelChecker.Result<String> two = new ModelChecker<>(new MembershipModel()).check(3, STATES, 0);
         assertThat(one).isEqualTo(two);
-        assertThat(one.whole()).isTrue();
+        assertThat(one.complete()).isTrue();
         assertThat(List.of(one.depth())).containsExactly(3);
     }
 }
