--- a/src/test/java/rillyard/loadgen/RateProfileTest.java
+++ b/src/test/java/rillyard/loadgen/RateProfileTest.java
@@ -28,23 +28,23 @@
         for (int i = 0; i < steps; i++) {
             sum += profile.rate((i + 0.5) * dt) * dt;
             if (i % 10_000 == 0) {
-                assertThat(profile.expected((i + 1) * dt)).isCloseTo(sum, within(0.02 + 1e-4 * sum));
+                assertThat(profile.expectedArrivals((i + 1) * dt)).isCloseTo(sum, within(0.02 + 1e-4 * sum));
             }
         }
-        assertThat(profile.expected(profile.seconds())).isCloseTo(sum, within(1e-3 * sum));
+        assertThat(profile.expectedArrivals(profile.seconds())).isCloseTo(sum, within(1e-3 * sum));
     }
 
     @ParameterizedTest
     @MethodSource("all")
     void theTimeOfAnArrivalIsWhereTheCumulativeRateReachesIt(RateProfile profile) {
         double from = 0;
-        double total = profile.expected(profile.seconds());
+        double total = profile.expectedArrivals(profile.seconds());
         for (double n = 0.5; n < total; n += 1.7) {
-            double at = profile.when(n, from);
-            assertThat(profile.expected(at)).isCloseTo(n, within(1e-3));
+            double at = profile.timeOf(n, from);
+            assertThat(profile.expectedArrivals(at)).isCloseTo(n, within(1e-3));
             assertThat(at).isGreaterThanOrEqualTo(from);
             from = at;
         }
-        assertThat(profile.when(total + 1, from)).isNaN();
+        assertThat(profile.timeOf(total + 1, from)).isNaN();
     }
 }
--- a/src/test/java/rillyard/loadgen/RequestScheduleTest.java
+++ b/src/test/java/rillyard/loadgen/RequestScheduleTest.java
@@ -51,9 +51,9 @@
         int[] perSecond = new int[20];
         long before = 0;
         for (ScheduledRequest request : all) {
-            assertThat(request.at()).isGreaterThanOrEqualTo(before);
-            before = request.at();
-            perSecond[(int) (request.at() / 1_000_000_000L)]++;
+            assertThat(request.atNanos()).isGreaterThanOrEqualTo(before);
+            before = request.atNanos();
+            perSecond[(int) (request.atNanos() / 1_000_000_000L)]++;
         }
         for (int i = 0; i < 10; i++) {
             assertThat(perSecond[i]).isCloseTo(1_000, within(150)); // 4.7 standard deviations
@@ -67,7 +67,7 @@
         List<ScheduledRequest> all = arrivals("[[shape]]\nkind = 'steady'\nfor_s = 2\nrate = 100\n");
         assertThat(all).hasSize(200);
         for (int i = 1; i < all.size(); i++) {
-            assertThat(all.get(i).at() - all.get(i - 1).at()).isCloseTo(10_000_000L, within(1_000L));
+            assertThat(all.get(i).atNanos() - all.get(i - 1).atNanos()).isCloseTo(10_000_000L, within(1_000L));
         }
     }
 
@@ -76,7 +76,7 @@
         Map<String, Integer> counts = new HashMap<>();
         List<ScheduledRequest> all = arrivals(TWO);
         for (ScheduledRequest request : all) {
-            counts.merge(request.type().name(), 1, Integer::sum);
+            counts.merge(request.requestClass().name(), 1, Integer::sum);
             counts.merge(request.tenant(), 1, Integer::sum);
             counts.merge("c" + request.client(), 1, Integer::sum);
         }
--- a/src/test/java/rillyard/loadgen/TraceReaderTest.java
+++ b/src/test/java/rillyard/loadgen/TraceReaderTest.java
@@ -98,7 +98,7 @@
         LoadPlan plan = LoadPlanReader.parse("p", "[trace]\nfile = 't.csv'\nspeed = 0.5\n", folder);
         List<ScheduledRequest> all = new ArrayList<>();
         new RequestSchedule(plan).forEachRemaining(all::add);
-        assertThat(all).extracting(ScheduledRequest::at).containsExactly(0L, 800_000_000L, 1_000_000_000L);
+        assertThat(all).extracting(ScheduledRequest::atNanos).containsExactly(0L, 800_000_000L, 1_000_000_000L);
         assertThat(all.get(0).client()).isEqualTo(all.get(2).client());
     }
 }
--- a/src/test/java/rillyard/testserver/HostQueueTest.java
+++ b/src/test/java/rillyard/testserver/HostQueueTest.java
@@ -40,11 +40,11 @@
     @Test
     void firstComeFirstServedOnSoManyCoresAndNoMoreThanTheQueueHolds() {
         HostQueue queue = host(2, 2, 0);
-        assertThat(queue.offer(job("a", 10))).isTrue();
-        assertThat(queue.offer(job("b", 30))).isTrue();
-        assertThat(queue.offer(job("c", 10))).isTrue();
-        assertThat(queue.offer(job("d", 10))).isTrue();
-        assertThat(queue.offer(job("e", 10))).isFalse();
+        assertThat(queue.enqueue(job("a", 10))).isTrue();
+        assertThat(queue.enqueue(job("b", 30))).isTrue();
+        assertThat(queue.enqueue(job("c", 10))).isTrue();
+        assertThat(queue.enqueue(job("d", 10))).isTrue();
+        assertThat(queue.enqueue(job("e", 10))).isFalse();
         assertThat(queue.running()).isEqualTo(2);
         assertThat(queue.queued()).isEqualTo(2);
         timers.drain();
@@ -54,10 +54,10 @@
     @Test
     void aPauseMovesAllEndsByItsLength() {
         HostQueue queue = host(1, 10, 0);
-        queue.offer(job("a", 10));
+        queue.enqueue(job("a", 10));
         timers.passMs(4);
         queue.pause();
-        queue.offer(job("b", 10));
+        queue.enqueue(job("b", 10));
         timers.passMs(2_000);
         assertThat(ends).isEmpty();
         queue.resume();
@@ -69,12 +69,12 @@
     void aColdHostIsSlowAtFirstAndWarmAtTheEnd() {
         HostQueue queue = host(1, 10, 1_000);
         assertThat(queue.warmth()).isEqualTo(0.25);
-        queue.offer(job("a", 10));
+        queue.enqueue(job("a", 10));
         timers.passMs(500);
         assertThat(queue.warmth()).isBetween(0.62, 0.63);
         timers.passMs(500);
         assertThat(queue.warmth()).isEqualTo(1);
-        queue.offer(job("b", 10));
+        queue.enqueue(job("b", 10));
         timers.drain();
         assertThat(ends).containsExactly("a@40", "b@1010");
     }
@@ -83,10 +83,10 @@
     void aSlowHostTakesSoManyTimesAsLong() {
         HostQueue queue = host(1, 10, 0);
         queue.slow(5);
-        queue.offer(job("a", 10));
+        queue.enqueue(job("a", 10));
         timers.drain();
         queue.slow(1);
-        queue.offer(job("b", 10));
+        queue.enqueue(job("b", 10));
         timers.drain();
         assertThat(ends).containsExactly("a@50", "b@60");
     }
@@ -95,10 +95,10 @@
     void whatIsWithdrawnOrNotToRunTakesNoCore() {
         HostQueue queue = host(1, 10, 0);
         HostQueue.Job gone = job("b", 10);
-        queue.offer(job("a", 10));
-        queue.offer(gone);
-        queue.offer(job("c", 10, false));
-        queue.offer(job("d", 10));
+        queue.enqueue(job("a", 10));
+        queue.enqueue(gone);
+        queue.enqueue(job("c", 10, false));
+        queue.enqueue(job("d", 10));
         assertThat(queue.withdraw(gone)).isTrue();
         assertThat(queue.withdraw(gone)).isFalse();
         timers.drain();
@@ -108,12 +108,12 @@
     @Test
     void aHostThatIsKilledFinishesNothing() {
         HostQueue queue = host(1, 10, 0);
-        queue.offer(job("a", 10));
-        queue.offer(job("b", 10));
+        queue.enqueue(job("a", 10));
+        queue.enqueue(job("b", 10));
         queue.kill();
         timers.drain();
         assertThat(ends).isEmpty();
-        queue.offer(job("c", 10));
+        queue.enqueue(job("c", 10));
         timers.drain();
         assertThat(ends).containsExactly("c@10");
     }
@@ -121,7 +121,7 @@
     @Test
     void utilisationIsTheShareOfTheCoresInUse() {
         HostQueue queue = host(2, 10, 0);
-        queue.offer(job("a", 50));
+        queue.enqueue(job("a", 50));
         timers.passMs(100);
         assertThat(queue.utilisation()).isBetween(0.249, 0.251);
         timers.passMs(100);
--- a/src/test/java/rillyard/testserver/ServiceTimeTest.java
+++ b/src/test/java/rillyard/testserver/ServiceTimeTest.java
@@ -22,7 +22,7 @@
     @MethodSource("all")
     void drawsHaveTheMeanThatIsStated(ServiceTime time) {
         SplittableRandom random = new SplittableRandom(3);
-        double mean = Stream.generate(() -> time.draw(random))
+        double mean = Stream.generate(() -> time.sample(random))
                 .limit(200_000)
                 .mapToDouble(d -> d)
                 .average()
@@ -34,7 +34,7 @@
     @MethodSource("all")
     void theMedianLiesWhereTheDistributionHasIt(ServiceTime time) {
         SplittableRandom random = new SplittableRandom(4);
-        double[] drawn = Stream.generate(() -> time.draw(random))
+        double[] drawn = Stream.generate(() -> time.sample(random))
                 .limit(100_001)
                 .mapToDouble(d -> d)
                 .toArray();
--- a/src/test/java/rillyard/testserver/TestClusterTest.java
+++ b/src/test/java/rillyard/testserver/TestClusterTest.java
@@ -27,7 +27,7 @@
 import rillyard.requestlog.RequestLogWriter;
 import rillyard.requestlog.WatchNotification;
 
-/** Stand-ins on loopback, spoken to byte by byte; what they did is read from their ledger. */
+/** Stand-ins on loopback, spoken to byte by byte; what they did is read from their request log. */
 class TestClusterTest {
     private static final String HOSTS =
             """
@@ -85,7 +85,7 @@
         return new RawClient(standIn.address("s-" + n));
     }
 
-    /** Ends the stand-in and reads what it wrote down. */
+    /** Ends the test cluster and reads what it wrote down. */
     private <T extends LogRecord> List<T> ledger(Class<T> kind) throws Exception {
         stop();
         List<T> out = new ArrayList<>();
