--- a/src/test/java/rillyard/balancer/BalancerFixture.java
+++ b/src/test/java/rillyard/balancer/BalancerFixture.java
@@ -72,7 +72,7 @@
         return new IncomingRequest(id, requestClass, null, budget, Double.NaN, false);
     }
 
-    /** A report of so many requests held and of nothing else. */
+    /** Returns a load report with only the requests in flight. */
     static LoadReport reportOf(double outstanding) {
         return new LoadReport(outstanding, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
     }
--- a/src/test/java/rillyard/balancer/BalancerTest.java
+++ b/src/test/java/rillyard/balancer/BalancerTest.java
@@ -62,11 +62,11 @@
             serve(balancer, i, 10);
         }
         balancer.onRequest(fixture.now, BalancerFixture.request(1_000, SAFE, 800));
-        long silent = fixture.lastSend().host();
+        long unresponsive = fixture.lastSend().host();
         fixture.now += 300;
         for (int i = 2_000; i < 2_100; i++) {
             serve(balancer, i, 1);
-            assertThat(fixture.lastSend().host()).isNotEqualTo(silent);
+            assertThat(fixture.lastSend().host()).isNotEqualTo(unresponsive);
         }
     }
 
@@ -165,13 +165,13 @@
         }
         balancer.onWatchEvent(
                 fixture.now, WatchEvent.DELTA, List.of(BalancerFixture.host(3, Condition.READY, fixture.now)));
-        int cold = 0;
+        int sendsWhileWarmingUp = 0;
         for (int i = 1_000; i < 1_500; i++) {
             serve(balancer, i, 4);
-            cold += fixture.lastSend().host() == 3 ? 1 : 0;
+            sendsWhileWarmingUp += fixture.lastSend().host() == 3 ? 1 : 0;
         }
         // An even share would be 83; the host has 30 to 50 parts in 100 of its capacity.
-        assertThat(cold).isBetween(5, 55);
+        assertThat(sendsWhileWarmingUp).isBetween(5, 55);
     }
 
     @Test
--- a/src/test/java/rillyard/balancer/FleetEjectionTest.java
+++ b/src/test/java/rillyard/balancer/FleetEjectionTest.java
@@ -80,8 +80,8 @@
         assertThat(settings.proxyIndex()).isZero();
     }
 
-    /** Requests that a host gets in its first three seconds after a cold start, of 40 proxies that send six hosts 50 a second. */
-    private static int countFirstSendsToWarmingHost(boolean coldFirst) {
+    /** Returns the requests to a host in its first three seconds, from 40 proxies that send six hosts 50 a second. */
+    private static int countFirstSendsToWarmingHost(boolean preferWarmingUp) {
         int got = 0;
         for (int proxy = 0; proxy < 40; proxy++) {
             BalancerFixture fixture = new BalancerFixture();
@@ -92,7 +92,7 @@
                     fixture);
             balancer.onStart(fixture.now);
             balancer.onWatchEvent(fixture.now, WatchEvent.FULL, BalancerFixture.hosts(6));
-            balancer.onSubsetPosition(new SubsetPosition(0, 1, 1, coldFirst));
+            balancer.onSubsetPosition(new SubsetPosition(0, 1, 1, preferWarmingUp));
             fixture.now += proxy * 20;
             double started = 31_000; // each has sent for half a minute by then
             for (int i = 0; fixture.now < started + 3_000; i++) {
--- a/src/test/java/rillyard/balancer/FleetFaultTest.java
+++ b/src/test/java/rillyard/balancer/FleetFaultTest.java
@@ -28,17 +28,17 @@
     private final Settings settings = BalancerFixture.settings(
             BalancerFixture.requestClass("claim", Settings.Semantics.AT_MOST_ONCE, Settings.Scope.ALL));
     private final Balancer balancer = new Balancer(settings, 11, fixture);
-    private final PriorityQueue<End> ends = new PriorityQueue<>((a, b) -> Double.compare(a.at(), b.at()));
+    private final PriorityQueue<End> pendingEnds = new PriorityQueue<>((a, b) -> Double.compare(a.at(), b.at()));
     private final Map<Long, Integer> served = new HashMap<>();
-    private int seen;
+    private int handledSends;
     private long next;
 
     /** Plays {@code ms} of one request every {@code gap} ms. */
     private void play(double ms, double gap, Hosts hosts) {
         double until = fixture.now + ms;
         for (double at = fixture.now; at < until; at += gap) {
-            while (!ends.isEmpty() && ends.peek().at() <= at) {
-                finish(ends.poll(), hosts);
+            while (!pendingEnds.isEmpty() && pendingEnds.peek().at() <= at) {
+                finish(pendingEnds.poll(), hosts);
             }
             fixture.now = at;
             balancer.onRequest(at, BalancerFixture.request(next++, "claim", 800));
@@ -57,12 +57,12 @@
     }
 
     private void take(Hosts hosts) {
-        for (; seen < fixture.sends.size(); seen++) {
-            BalancerFixture.Send send = fixture.sends.get(seen);
+        for (; handledSends < fixture.sends.size(); handledSends++) {
+            BalancerFixture.Send send = fixture.sends.get(handledSends);
             Reply reply = hosts.reply(send.host(), send.at());
             served.merge(send.host(), reply.result() == AttemptOutcome.OK ? 1 : 0, Integer::sum);
             double spent = reply.result() == null ? 800 : reply.after();
-            ends.add(new End(
+            pendingEnds.add(new End(
                     send.at() + spent,
                     send.request(),
                     send.number(),
@@ -86,22 +86,22 @@
         Set<Long> lost = Set.of(0L, 1L, 2L, 3L);
         balancer.onWatchEvent(fixture.now, WatchEvent.CACHED, BalancerFixture.hosts(15));
         play(3_000, 10, (host, time) -> ok());
-        double silent = fixture.now;
+        double faultStart = fixture.now;
         play(4_000, 10, (host, time) -> lost.contains(host) ? new Reply(null, 0) : ok());
         long even = 100 * lost.size() * 2 / 12; // of two seconds, to the twelve hosts of the own zone
-        assertThat(sentTo(lost, silent + 2_000, silent + 4_000)).isLessThan(even / 4);
+        assertThat(sentTo(lost, faultStart + 2_000, faultStart + 4_000)).isLessThan(even / 4);
         assertThat(fixture.rejected).isEmpty(); // eight hosts in twelve have room
-        double back = fixture.now;
-        List<EndpointEntry> cold = new ArrayList<>();
-        lost.forEach(host -> cold.add(BalancerFixture.host(host, Condition.READY, back)));
-        balancer.onWatchEvent(fixture.now, WatchEvent.DELTA, cold);
+        double restartedAt = fixture.now;
+        List<EndpointEntry> warmingUp = new ArrayList<>();
+        lost.forEach(host -> warmingUp.add(BalancerFixture.host(host, Condition.READY, restartedAt)));
+        balancer.onWatchEvent(fixture.now, WatchEvent.DELTA, warmingUp);
         play(12_000, 10, (host, time) -> ok());
         for (long host : lost) {
             // One proxy alone: 3 x 0.38 of a warm host's 12 in 1.5 s; and warm ones in the end.
-            assertThat(sentTo(Set.of(host), back, back + 1_500))
+            assertThat(sentTo(Set.of(host), restartedAt, restartedAt + 1_500))
                     .as("host %d", host)
                     .isLessThan(14);
-            assertThat(sentTo(Set.of(host), back + 9_000, back + 12_000))
+            assertThat(sentTo(Set.of(host), restartedAt + 9_000, restartedAt + 12_000))
                     .as("host %d", host)
                     .isGreaterThan(10);
         }
@@ -110,65 +110,67 @@
 
     @Test
     void rollingReplacementWithFailingHostsKeepsServing() {
-        SplittableRandom chance = new SplittableRandom(3);
+        SplittableRandom random = new SplittableRandom(3);
         balancer.onWatchEvent(fixture.now, WatchEvent.CACHED, BalancerFixture.hosts(20));
         Hosts hosts = (host, time) ->
-                host % 100 >= 16 && host < 100 && chance.nextInt(2) == 0 ? new Reply(AttemptOutcome.ERROR, 10) : ok();
+                host % 100 >= 16 && host < 100 && random.nextInt(2) == 0 ? new Reply(AttemptOutcome.ERROR, 10) : ok();
         play(3_000, 10, hosts);
         Map<Long, Double> drained = new HashMap<>();
-        Set<Long> fresh = new HashSet<>();
-        for (long old = 0; old < 12; old++) {
-            long young = 100 + old;
-            fresh.add(young);
-            drained.put(old, fixture.now);
+        Set<Long> newHosts = new HashSet<>();
+        for (long oldHost = 0; oldHost < 12; oldHost++) {
+            long newHost = 100 + oldHost;
+            newHosts.add(newHost);
+            drained.put(oldHost, fixture.now);
             balancer.onWatchEvent(
                     fixture.now,
                     WatchEvent.DELTA,
                     List.of(
-                            BalancerFixture.host(old, Condition.TERMINATING, 0),
-                            BalancerFixture.host(young, Condition.READY, fixture.now)));
+                            BalancerFixture.host(oldHost, Condition.TERMINATING, 0),
+                            BalancerFixture.host(newHost, Condition.READY, fixture.now)));
             play(580, 10, hosts);
-            balancer.onWatchEvent(fixture.now, WatchEvent.DELTA, List.of(BalancerFixture.host(old, Condition.GONE, 0)));
+            balancer.onWatchEvent(
+                    fixture.now, WatchEvent.DELTA, List.of(BalancerFixture.host(oldHost, Condition.GONE, 0)));
         }
         double done = fixture.now;
         play(9_000, 10, hosts);
         drained.forEach((host, at) -> assertThat(sentTo(Set.of(host), at, Double.MAX_VALUE))
                 .as("host %d", host)
                 .isZero());
-        long toFresh = sentTo(fresh, done, done + 9_000);
+        long toFresh = sentTo(newHosts, done, done + 9_000);
         assertThat(toFresh).isGreaterThan(900 * 12 / 20 / 2); // they are found and warmed
-        fresh.removeIf(host -> host % 5 == 4); // of the other zone
-        fresh.forEach(host -> assertThat(served.get(host)).as("host %d", host).isPositive());
+        newHosts.removeIf(host -> host % 5 == 4); // of the other zone
+        newHosts.forEach(
+                host -> assertThat(served.get(host)).as("host %d", host).isPositive());
         // A fifth of the hosts errs half of the time: a blind draw would lose a tenth of the requests.
         assertThat(fixture.failed.size()).isLessThan((int) next / 20);
         assertThat(fixture.rejected.size()).isLessThan((int) next / 100);
     }
 
     /**
-     * Half of the hosts start anew while most of the others lose what they get: the cold ones are needed most
-     * just then, and are lent their part of what a host served before, not of what is served in the jam.
+     * Half of the hosts restart while most of the others lose requests: the warming hosts are needed most just then, and get
+     * their part of what a host served before rather than of what is served under overload.
      */
     @Test
     void overloadOfWarmHostsKeepsSlowStartAllowance() {
         balancer.onWatchEvent(fixture.now, WatchEvent.CACHED, BalancerFixture.hosts(15));
         play(10_000, 10, (host, time) -> ok());
-        Set<Long> cold = Set.of(0L, 1L, 2L, 3L, 5L, 6L);
+        Set<Long> warmingUp = Set.of(0L, 1L, 2L, 3L, 5L, 6L);
         double since = fixture.now;
-        cold.forEach(host -> balancer.onWatchEvent(
+        warmingUp.forEach(host -> balancer.onWatchEvent(
                 since, WatchEvent.DELTA, List.of(BalancerFixture.host(host, Condition.READY, since))));
-        play(4_000, 10, (host, time) -> cold.contains(host) ? ok() : new Reply(null, 0));
-        // At most 1.5 times 0.3 to 0.65 of a warm host's 8.3 a second, 6 hosts, 4 s; a part is refused early.
-        assertThat(sentTo(cold, since, since + 4_000)).isBetween(45L, 140L);
-        cold.forEach(host -> assertThat(sentTo(Set.of(host), since, since + 1_500))
+        play(4_000, 10, (host, time) -> warmingUp.contains(host) ? ok() : new Reply(null, 0));
+        // At most 1.5 times 0.3 to 0.65 of a warm host's 8.3 a second, 6 hosts, 4 s; a part is shed.
+        assertThat(sentTo(warmingUp, since, since + 4_000)).isBetween(45L, 140L);
+        warmingUp.forEach(host -> assertThat(sentTo(Set.of(host), since, since + 1_500))
                 .as("host %d", host)
                 .isLessThan(14));
     }
 
     @Test
     void rareErrorsDoNotEjectHosts() {
-        SplittableRandom chance = new SplittableRandom(5);
+        SplittableRandom random = new SplittableRandom(5);
         balancer.onWatchEvent(fixture.now, WatchEvent.CACHED, BalancerFixture.hosts(15));
-        play(60_000, 10, (host, time) -> chance.nextInt(300) == 0 ? new Reply(AttemptOutcome.ERROR, 10) : ok());
+        play(60_000, 10, (host, time) -> random.nextInt(300) == 0 ? new Reply(AttemptOutcome.ERROR, 10) : ok());
         assertThat(fixture.logs).noneMatch(line -> line.contains("ejected"));
         assertThat(fixture.rejected).isEmpty();
         for (EndpointEntry entry : BalancerFixture.hosts(15)) {
--- a/src/test/java/rillyard/balancer/IdempotencyWindowTest.java
+++ b/src/test/java/rillyard/balancer/IdempotencyWindowTest.java
@@ -16,7 +16,7 @@
     private final BalancerFixture fixture = new BalancerFixture();
 
     private Balancer balancer(Semantics semantics) {
-        BalancerActions heard = new BalancerActions() {
+        BalancerActions actions = new BalancerActions() {
             @Override
             public void send(long request, long host, double giveUpAfter, double latest) {
                 notAfter.add(latest);
@@ -46,7 +46,7 @@
             public void log(String line) {}
         };
         Balancer balancer = new Balancer(
-                BalancerFixture.settings(BalancerFixture.requestClass("c", semantics, Scope.ALL)), 1, heard);
+                BalancerFixture.settings(BalancerFixture.requestClass("c", semantics, Scope.ALL)), 1, actions);
         balancer.onStart(fixture.now);
         balancer.onWatchEvent(fixture.now, WatchEvent.FULL, BalancerFixture.hosts(4));
         return balancer;
--- a/src/test/java/rillyard/balancer/JointRestartTest.java
+++ b/src/test/java/rillyard/balancer/JointRestartTest.java
@@ -28,7 +28,7 @@
     private final PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingDouble(Event::at));
     private final BalancerFixture[] fixtures = new BalancerFixture[PROXIES];
     private final Balancer[] proxies = new Balancer[PROXIES];
-    private final double[] toldAt = new double[PROXIES];
+    private final double[] listReceivedAt = new double[PROXIES];
     private final List<Double> calls = new ArrayList<>();
     private double freeAt;
 
@@ -48,7 +48,7 @@
         double at = freeAt;
         events.add(new Event(at, proxy, () -> {
             proxies[proxy].onWatchEvent(at, WatchEvent.FULL, BalancerFixture.hosts(HOSTS));
-            toldAt[proxy] = at;
+            listReceivedAt[proxy] = at;
         }));
     }
 
@@ -98,7 +98,9 @@
             assertThat(fixtures[proxyIndex].sends)
                     .as("proxy %d served at once", proxyIndex)
                     .hasSize(1);
-            assertThat(toldAt[proxyIndex]).as("proxy %d told", proxyIndex).isBetween(1_000.0, 2_000.0 + 10_000);
+            assertThat(listReceivedAt[proxyIndex])
+                    .as("proxy %d told", proxyIndex)
+                    .isBetween(1_000.0, 2_000.0 + 10_000);
         }
         // Each that fails asks again, later each time: little more than one call in service or in the queue.
         assertThat(calls.size()).isBetween(PROXIES, 3 * PROXIES);
--- a/src/test/java/rillyard/balancer/LatencyPressureTest.java
+++ b/src/test/java/rillyard/balancer/LatencyPressureTest.java
@@ -93,12 +93,12 @@
                             true,
                             null));
         }
-        int refused = fixture.rejected.size();
+        int rejectedBefore = fixture.rejected.size();
         for (int i = 1_000; i < 1_050; i++) {
             fixture.now += 20;
             balancer.onRequest(fixture.now, BalancerFixture.request(i, SAFE, 800));
         }
-        assertThat(fixture.rejected.size() - refused).isGreaterThan(20);
+        assertThat(fixture.rejected.size() - rejectedBefore).isGreaterThan(20);
     }
 
     /** A host that holds five takes six turns of 60 ms: too late to begin with an aim of 400 ms. */
--- a/src/test/java/rillyard/balancer/ManyProxiesTest.java
+++ b/src/test/java/rillyard/balancer/ManyProxiesTest.java
@@ -17,8 +17,8 @@
     private static final int PROXIES = 14;
     private static final int HOSTS = 20;
 
-    /** The host that starts cold, and when (ms). */
-    private static final long COLD = 3;
+    /** The host that restarts, and when (ms). */
+    private static final long WARMING_HOST = 3;
 
     private static final double RESTART = 20_000;
 
@@ -69,8 +69,8 @@
     }
 
     /**
-     * One proxy of a hundred has sixty requests in flight: spread over sixty hosts they take no more connections
-     * than over the few that it may keep idle ones to, and jam none.
+     * One proxy of a hundred has sixty requests in flight: spread over sixty hosts they take no more connections than over
+     * the few hosts of its usual subset, and overload none.
      */
     @Test
     void busyProxyUsesOneHostPerRequestInFlight() {
@@ -98,7 +98,7 @@
         assertThat(used).isEqualTo(40); // 24 at sixty proxies a host
     }
 
-    /** Five hosts of which one is idle: where own counts tie, its report is seen in most draws. */
+    /** Five hosts of which one is idle: where own counts tie, its report decides most selections. */
     @Test
     void lightProxyFindsIdleHost() {
         BalancerFixture fixture = new BalancerFixture();
@@ -117,7 +117,7 @@
         assertThat(idle).isGreaterThan(700);
     }
 
-    /** Guards rule 4 over the sum of all proxies: the cold host looks idle, only its budget holds them back. */
+    /** Rule 4 over the sum of all proxies: the warming host looks idle, so only its allowance holds them back. */
     @Test
     void allProxiesTogetherKeepSlowStartLimit() {
         double[] sent = sendsToWarmingHost(50, 50, false, false);
@@ -126,15 +126,15 @@
     }
 
     /**
-     * The warm hosts fall silent as the cold one starts, so that every proxy's draw finds nobody, also of those
-     * in whose pool it is not: they must not add their part to the parts of those that lend it from their pool.
+     * The warm hosts become unresponsive as the warming one starts, so that no proxy finds a host in its subset: those whose
+     * subset does not contain the warming host must not add their part to that of the others.
      */
     @Test
     void unresponsiveWarmHostsKeepSlowStartLimit() {
         assertWithinBudget(sendsToWarmingHost(10, 10, true, false), 10);
     }
 
-    /** Answers take so long that proxies draw from both zones: the parts of the other zone's add up too. */
+    /** Latency is so high that proxies use both zones: the parts of the other zone's proxies add up as well. */
     @Test
     void spilloverFromOtherZoneKeepsSlowStartLimit() {
         double[] sent = sendsToWarmingHost(10, 160, false, true);
@@ -143,27 +143,27 @@
     }
 
     /**
-     * Sends at the cold host in slots of 100 ms from its start on, over proxies of which each second one has
-     * itself just started and the others are told of it while under way. Each brings a request
-     * every {@code gap} ms; answers take {@code spent} ms, and warm hosts report three held. Where these fall
-     * silent, they do so as it starts. With zones, half of hosts and proxies are in each of two.
+     * Returns the sends to the warming host in slots of 100 ms from its start on, summed over proxies of which every second
+     * one has just started itself, while the others learn of the restart in operation. Each proxy gets a request every
+     * {@code gap} ms; answers take {@code spent} ms, and warm hosts report three requests. If {@code unresponsive}, the warm
+     * hosts stop answering as it starts. With {@code zones}, half of the hosts and proxies are in each of two.
      */
-    private static double[] sendsToWarmingHost(double gap, double spent, boolean silent, boolean zones) {
+    private static double[] sendsToWarmingHost(double gap, double spent, boolean unresponsive, boolean zones) {
         double[] sent = new double[100];
         for (int proxy = 0; proxy < PROXIES; proxy++) {
             BalancerFixture fixture = new BalancerFixture();
-            boolean told = proxy % 2 == 0; // as it starts itself: of the restart it knows from the list only
-            fixture.now = told ? RESTART : 1_000;
+            boolean restartKnown = proxy % 2 == 0; // it starts itself then and knows of the restart from the list only
+            fixture.now = restartKnown ? RESTART : 1_000;
             List<EndpointEntry> hosts = new ArrayList<>();
             for (long host = 0; host < HOSTS; host++) {
-                hosts.add(entry(host, told && host == COLD ? RESTART : 0));
+                hosts.add(entry(host, restartKnown && host == WARMING_HOST ? RESTART : 0));
             }
             Balancer balancer = start(fixture, proxy, zones ? zone(proxy / 2) : null, hosts);
             ArrayDeque<BalancerFixture.Send> out = new ArrayDeque<>();
             for (int i = 0; fixture.now < RESTART + 10_000; i++) {
-                if (!told && fixture.now >= RESTART) {
-                    told = true;
-                    balancer.onWatchEvent(fixture.now, WatchEvent.DELTA, List.of(entry(COLD, RESTART)));
+                if (!restartKnown && fixture.now >= RESTART) {
+                    restartKnown = true;
+                    balancer.onWatchEvent(fixture.now, WatchEvent.DELTA, List.of(entry(WARMING_HOST, RESTART)));
                 }
                 while (!out.isEmpty() && out.peek().at() + 800 <= fixture.now) {
                     BalancerFixture.Send send = out.poll();
@@ -177,20 +177,24 @@
                 double at = fixture.now;
                 fixture.now += gap;
                 if (fixture.sends.size() == before) {
-                    continue; // refused
+                    continue; // rejected
                 }
-                boolean cold = fixture.lastSend().host() == COLD;
-                if (told && cold) {
+                boolean toWarmingHost = fixture.lastSend().host() == WARMING_HOST;
+                if (restartKnown && toWarmingHost) {
                     sent[(int) ((at - RESTART) / 100)]++;
                 }
-                if (told && silent && !cold) {
+                if (restartKnown && unresponsive && !toWarmingHost) {
                     out.add(fixture.lastSend());
                 } else {
                     balancer.onAttemptEnded(
                             fixture.now,
                             i,
                             new AttemptResult(
-                                    0, AttemptOutcome.OK, spent, true, BalancerFixture.reportOf(told && cold ? 0 : 3)));
+                                    0,
+                                    AttemptOutcome.OK,
+                                    spent,
+                                    true,
+                                    BalancerFixture.reportOf(restartKnown && toWarmingHost ? 0 : 3)));
                 }
             }
         }
--- a/src/test/java/rillyard/balancer/MeanInFlightTest.java
+++ b/src/test/java/rillyard/balancer/MeanInFlightTest.java
@@ -24,8 +24,8 @@
     }
 
     /**
-     * Hosts that limit their rate turn nearly all away, at once, and report nothing held. Taken into the
-     * mean they had every host that was not just heard of believed idle, and work went to queues of 9.
+     * Hosts that limit their rate reject nearly all requests at once and report none in flight. If they counted in the mean,
+     * each host without a recent report would be taken for idle, and requests would go to queues of 9.
      */
     @Test
     void rejectingHostsAreLeftOutOfMeanQueue() {
--- a/src/test/java/rillyard/balancer/OutlierDetectorTest.java
+++ b/src/test/java/rillyard/balancer/OutlierDetectorTest.java
@@ -46,8 +46,8 @@
             balancer.onRequest(fixture.now, BalancerFixture.request(next++, ONCE, 400));
             if (fixture.sends.size() > before) {
                 BalancerFixture.Send send = fixture.lastSend();
-                boolean gone = send.host() == 0 && lost.test(sent++);
-                due.add(Map.entry(fixture.now + (gone ? 400 : 40), send));
+                boolean isLost = send.host() == 0 && lost.test(sent++);
+                due.add(Map.entry(fixture.now + (isLost ? 400 : 40), send));
             }
         }
         return sent;
@@ -76,10 +76,10 @@
     @Test
     void lossyHostIsUsedAndHangingHostIsEjected() {
         Settings once = BalancerFixture.settings(BalancerFixture.requestClass(ONCE, Semantics.AT_MOST_ONCE, Scope.ALL));
-        int some = countSendsToHostZero(balancer(once, BalancerFixture.hosts(3)), count -> count % 3 == 2);
+        int sendsToLossyHost = countSendsToHostZero(balancer(once, BalancerFixture.hosts(3)), count -> count % 3 == 2);
         assertThat(fixture.logs).noneMatch(line -> line.startsWith("outlier: host ejected, host=0 "));
-        int all = countSendsToHostZero(balancer(once, BalancerFixture.hosts(3)), count -> true);
+        int sendsToHangingHost = countSendsToHostZero(balancer(once, BalancerFixture.hosts(3)), count -> true);
         assertThat(fixture.logs).anyMatch(line -> line.startsWith("outlier: host ejected, host=0 "));
-        assertThat(some).isGreaterThan(2 * all);
+        assertThat(sendsToLossyHost).isGreaterThan(2 * sendsToHangingHost);
     }
 }
--- a/src/test/java/rillyard/balancer/OverloadTest.java
+++ b/src/test/java/rillyard/balancer/OverloadTest.java
@@ -43,11 +43,11 @@
         assertThat(fixture.rejected).hasSizeGreaterThan(20);
         assertThat(fixture.sends).hasSizeGreaterThan(sent);
         fixture.now += 60_000;
-        int refused = fixture.rejected.size();
+        int rejected = fixture.rejected.size();
         for (int i = 2_000; i < 2_050; i++) {
             balancer.onRequest(fixture.now, BalancerFixture.request(i, SAFE, 800));
         }
-        assertThat(fixture.rejected).hasSize(refused);
+        assertThat(fixture.rejected).hasSize(rejected);
     }
 
     /** A proxy with few requests must not forget an overload between two timeouts (incident i6d1b83). */
@@ -82,8 +82,8 @@
                     i,
                     new AttemptResult(send.number(), AttemptOutcome.OK, spent, true, BalancerFixture.reportOf(10)));
         }
-        // A mean of 132 ms for 11 held makes a queue of 25 too long for the aim; a median of 60 does not.
-        int refused = fixture.rejected.size();
+        // A mean of 132 ms for 11 held makes a queue of 25 too long for the objective; a median of 60 does not.
+        int rejected = fixture.rejected.size();
         fixture.now += 15_000; // pressure fades
         for (int i = 200; i < 203; i++) {
             balancer.onRequest(fixture.now, BalancerFixture.request(i, SAFE, 800));
@@ -94,7 +94,7 @@
                             fixture.lastSend().number(), AttemptOutcome.OK, 60, true, BalancerFixture.reportOf(25)));
         }
         balancer.onRequest(fixture.now, BalancerFixture.request(900, SAFE, 800));
-        assertThat(fixture.rejected).hasSize(refused);
+        assertThat(fixture.rejected).hasSize(rejected);
     }
 
     /** A tenant's burst must not displace requests of tenants within their quota. */
@@ -113,7 +113,7 @@
         for (int i = 0; i < 90; i++) {
             balancer.onAttemptEnded(fixture.now, i, new AttemptResult(0, AttemptOutcome.OK, 300, true, null));
         }
-        int[] refused = new int[2];
+        int[] rejected = new int[2];
         for (int i = 0; i < 180; i++) {
             int before = fixture.rejected.size();
             boolean isSecondTenant = i % 9 == 0;
@@ -121,17 +121,17 @@
             balancer.onRequest(
                     fixture.now,
                     new IncomingRequest(1_000 + i, SAFE, isSecondTenant ? "y" : "x", 800, Double.NaN, false));
-            refused[isSecondTenant ? 1 : 0] += fixture.rejected.size() - before;
+            rejected[isSecondTenant ? 1 : 0] += fixture.rejected.size() - before;
         }
         // 160 of x, 20 of y
-        assertThat(refused[0] / 160.0).isGreaterThan(1.3 * refused[1] / 20.0);
+        assertThat(rejected[0] / 160.0).isGreaterThan(1.3 * rejected[1] / 20.0);
     }
 
     /** Retries under overload must not overload a host that is warming up (i8a3c58). */
     @Test
     void overloadKeepsSlowStartLimit() {
         Balancer balancer = safe(5);
-        int cold = 0;
+        int sendsWhileWarmingUp = 0;
         int served = 0;
         for (int i = 0; i < 4_000; i++) {
             fixture.now += 1;
@@ -146,7 +146,7 @@
             for (int index = before; index < fixture.sends.size(); index++) {
                 BalancerFixture.Send send = fixture.sends.get(index);
                 boolean ok = index % 10 == 0; // hosts serve a tenth of what comes
-                cold += i >= 2_000 && send.host() == 3 ? 1 : 0;
+                sendsWhileWarmingUp += i >= 2_000 && send.host() == 3 ? 1 : 0;
                 served += i >= 2_000 && ok ? 1 : 0;
                 balancer.onAttemptEnded(
                         fixture.now,
@@ -155,8 +155,8 @@
                                 send.number(), ok ? AttemptOutcome.OK : AttemptOutcome.REJECTED, 2, ok, null));
             }
         }
-        // A warm host serves a fifth of that, and a cold one may get at most three times as much.
-        assertThat(cold).isLessThan(3 * Math.max(10, served / 5));
+        // A warm host serves a fifth of that, and a warming one may get at most three times as much.
+        assertThat(sendsWhileWarmingUp).isLessThan(3 * Math.max(10, served / 5));
     }
 
     @Test
@@ -174,7 +174,7 @@
             assertThat(i).isLessThan(100);
         }
         int before = fixture.sends.size();
-        fixture.now += 2_400; // six aims: nobody was asked, and nothing newer was heard
+        fixture.now += 2_400; // six objectives without a request, and so without a newer report
         for (int i = 0; i < 20; i++) {
             balancer.onRequest(fixture.now, BalancerFixture.request(1_000 + i, SAFE, 800));
         }
--- a/src/test/java/rillyard/balancer/RandomWorld.java
+++ b/src/test/java/rillyard/balancer/RandomWorld.java
@@ -135,7 +135,7 @@
                     && !(request.requestClass.semantics() == Semantics.DEDUPLICATED
                             && request.requestClass.keyScope() == Scope.ALL
                             && now - attempt.sentAt < WINDOW)) {
-                violations.add("rule 2: refused where it may have run");
+                violations.add("rule 2: rejected although it may have been executed");
             }
         }
         end(id);
@@ -168,21 +168,21 @@
 
     void change(int hosts) {
         long id = random.nextInt(hosts);
-        EndpointEntry old = endpoints.get(id);
+        EndpointEntry previous = endpoints.get(id);
         Condition condition =
                 switch (random.nextInt(5)) {
                     case 0 -> Condition.TERMINATING;
                     case 1 -> Condition.GONE;
                     default -> Condition.READY;
                 };
-        double since = random.nextInt(3) == 0 ? now : old == null ? 0 : old.onlineSince();
+        double since = random.nextInt(3) == 0 ? now : previous == null ? 0 : previous.onlineSince();
         EndpointEntry entry = BalancerFixture.host(id, condition, since);
         endpoints.put(id, entry);
         if (random.nextInt(4) > 0) {
             balancer.onWatchEvent(now, WatchEvent.DELTA, List.of(entry));
             return;
         }
-        List<EndpointEntry> all = new ArrayList<>();
+        List<EndpointEntry> entries = new ArrayList<>();
         for (long hostId : new java.util.TreeSet<>(endpoints.keySet())) {
             EndpointEntry endpointEntry = endpoints.get(hostId);
             if (endpointEntry.condition() == Condition.GONE) {
@@ -191,10 +191,10 @@
             if (random.nextInt(10) == 0) {
                 endpoints.put(hostId, BalancerFixture.host(hostId, Condition.GONE, endpointEntry.onlineSince()));
             } else {
-                all.add(endpointEntry);
+                entries.add(endpointEntry);
             }
         }
-        balancer.onWatchEvent(now, WatchEvent.FULL, all);
+        balancer.onWatchEvent(now, WatchEvent.FULL, entries);
     }
 
     void run(int hosts, double length) {
--- a/src/test/java/rillyard/balancer/RulesTest.java
+++ b/src/test/java/rillyard/balancer/RulesTest.java
@@ -15,7 +15,7 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 7, 24})
     void rulesHoldUnderRandomEvents(int hosts) {
-        Set<String> faults = new HashSet<>();
+        Set<String> violations = new HashSet<>();
         int answered = 0;
         for (long seed = 0; seed < 12; seed++) {
             RandomWorld world = new RandomWorld(seed * 31 + hosts);
@@ -24,16 +24,16 @@
             } else {
                 world.run(hosts, 4_000);
             }
-            faults.addAll(world.violations);
+            violations.addAll(world.violations);
             answered += world.answered;
-            checkSlowStart(world, hosts, faults);
+            checkSlowStart(world, hosts, violations);
         }
-        assertThat(faults).isEmpty();
+        assertThat(violations).isEmpty();
         assertThat(answered).isGreaterThan(10);
     }
 
-    /** Rule 4: 125 requests a second over the hosts; the proxy's own share of a cold host. */
-    private static void checkSlowStart(RandomWorld world, int hosts, Set<String> faults) {
+    /** Rule 4: 125 requests a second over the hosts; the proxy's own share of a warming host. */
+    private static void checkSlowStart(RandomWorld world, int hosts, Set<String> violations) {
         if (hosts < 2) {
             return;
         }
@@ -50,7 +50,7 @@
                 double warm = 0.3 + 0.7 * Math.max(0, sends.get(i) + 1_500 - since) / 8_000;
                 double share = 125.0 / Math.max(1, hosts / 2.0) * 1.5;
                 if (count > 3 * Math.min(1, warm) * share + 3) {
-                    faults.add("rule 4: " + count + " sends to a cold host");
+                    violations.add("rule 4: " + count + " sends to a warming host");
                 }
             }
         }
