--- a/src/main/java/rillyard/proxy/dispatch/OutcomeRecorder.java
+++ b/src/main/java/rillyard/proxy/dispatch/OutcomeRecorder.java
@@ -36,7 +36,8 @@
         }
         if (trace != null) {
             double hostAge = clock.now() - elapsedMillis - host.entry().onlineSince();
-            trace.recordAttempt(host.name(), outcome, elapsedMillis, hostAge >= 0 && hostAge < warmUpMillis);
+            trace.recordAttempt(
+                    host.name(), outcome.traceWord(), elapsedMillis, hostAge >= 0 && hostAge < warmUpMillis);
         }
     }
 
@@ -44,7 +45,7 @@
     void recordFinalOutcome(ProxyMetrics.RequestOutcome outcome, AttemptOutcome lastOutcome) {
         if (trace != null && outcome != ProxyMetrics.RequestOutcome.COMPLETED) {
             Kind kind = outcome == ProxyMetrics.RequestOutcome.REJECTED ? Kind.REFUSED : Kind.FAILED;
-            trace.recordRejection(kind, lastOutcome);
+            trace.recordRejection(kind, lastOutcome == null ? null : lastOutcome.traceWord());
         }
     }
 }
--- a/src/main/java/rillyard/proxy/dispatch/RequestExchange.java
+++ b/src/main/java/rillyard/proxy/dispatch/RequestExchange.java
@@ -7,6 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import rillyard.balancer.AttemptOutcome;
+import rillyard.balancer.AttemptResult;
 import rillyard.balancer.LoadReport;
 import rillyard.proxy.resources.BufferedBody;
 import rillyard.proxy.upstream.UpstreamHost;
@@ -161,7 +162,8 @@
         if (request.isUpload() && !response.isStreamOf(attempt)) {
             onUploadAttemptEnded(attempt, outcome);
         }
-        driver.onAttemptOutcome(this, attempt.number(), outcome, elapsedMillis, response.isDecided(), report);
+        driver.onAttemptEnded(
+                this, new AttemptResult(attempt.number(), outcome, elapsedMillis, response.isDecided(), report));
         closeIfDone();
     }
 
--- a/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
+++ b/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
@@ -139,23 +139,23 @@
 
     @Override
     public void onNotNeeded() {
-        finish(AttemptOutcome.MOOT);
+        finish(AttemptOutcome.NOT_SENT);
     }
 
     private void onWriteDeadline() {
         if (!mayHaveRun()) {
-            finish(AttemptOutcome.MOOT);
+            finish(AttemptOutcome.NOT_SENT);
         }
     }
 
     /** Ends it as its time is up. What was not written completely never ran, whatever it waited for. */
     void onTimeout() {
-        finish(mayHaveRun() ? AttemptOutcome.TIMEOUT : AttemptOutcome.MOOT);
+        finish(mayHaveRun() ? AttemptOutcome.TIMEOUT : AttemptOutcome.NOT_SENT);
     }
 
     /** Ends it as its response is not wanted. */
     void cancel() {
-        finish(mayHaveRun() ? AttemptOutcome.CANCELLED : AttemptOutcome.MOOT);
+        finish(mayHaveRun() ? AttemptOutcome.CANCELLED : AttemptOutcome.NOT_SENT);
     }
 
     // --- the response
@@ -176,7 +176,7 @@
         boolean isProvenNotProcessed = (status == SERVICE_UNAVAILABLE || status == GATEWAY_TIMEOUT)
                 && "1".equals(errorResponse.headers().get(ProtocolHeaders.NOT_PROCESSED));
         if (isProvenNotProcessed) {
-            return AttemptOutcome.FULL;
+            return AttemptOutcome.REJECTED;
         }
         return mayHaveRun() ? AttemptOutcome.ERROR : AttemptOutcome.CONNECT_FAILED;
     }
