--- a/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
+++ b/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
@@ -7,13 +7,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import rillyard.admin.ProxyMetrics;
-import rillyard.balancer.AttemptOutcome;
 import rillyard.balancer.AttemptResult;
 import rillyard.balancer.Balancer;
 import rillyard.balancer.BalancerActions;
 import rillyard.balancer.EndpointEntry;
 import rillyard.balancer.IncomingRequest;
-import rillyard.balancer.LoadReport;
 import rillyard.balancer.Settings;
 import rillyard.balancer.WatchEvent;
 import rillyard.endpoints.DisabledHosts;
@@ -237,19 +235,9 @@
         events.deliver(exchange, () -> balancer.onRequestComplete(now(), exchange.id(), remainingMillis));
     }
 
-    void onAttemptOutcome(
-            RequestExchange exchange,
-            int attemptNumber,
-            AttemptOutcome outcome,
-            double elapsedMillis,
-            boolean isRequestDecided,
-            LoadReport report) {
-        events.deliver(
-                exchange,
-                () -> balancer.onAttemptEnded(
-                        now(),
-                        exchange.id(),
-                        new AttemptResult(attemptNumber, outcome, elapsedMillis, isRequestDecided, report)));
+    /** An attempt of a request has ended. */
+    void onAttemptEnded(RequestExchange exchange, AttemptResult result) {
+        events.deliver(exchange, () -> balancer.onAttemptEnded(now(), exchange.id(), result));
     }
 
     void onClientDisconnected(RequestExchange exchange) {
