--- a/src/main/java/rillyard/faultinjection/FaultInjectionResult.java
+++ b/src/main/java/rillyard/faultinjection/FaultInjectionResult.java
@@ -156,7 +156,7 @@
             appendAudit(out);
         }
         if (imbalance != null) {
-            out.append(imbalance.words(zero));
+            out.append(imbalance.format(zero));
         }
         return out.toString();
     }
