--- a/src/test/java/rillyard/adapter/RecordedDecisionsTest.java
+++ b/src/test/java/rillyard/simulation/RecordedDecisionsTest.java
@@ -1,4 +1,4 @@
-package rillyard.adapter;
+package rillyard.simulation;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -13,7 +13,6 @@
 import java.util.List;
 import java.util.zip.GZIPInputStream;
 import org.junit.jupiter.api.Test;
-import rillyard.simulation.SimulatorSession;
 
 /**
  * Replays events that were recorded with revision 9259448 on the simulator's wire and compares the decisions byte for
