--- /dev/null
+++ b/src/main/java/rillyard/config/RequestClassKeys.java
@@ -0,0 +1,36 @@
+package rillyard.config;
+
+import java.util.Set;
+
+/**
+ * The keys of a {@code [[class]]} table that the plans of the load generator and of the test hosts share.
+ *
+ * @param name name of the class, unique in its file
+ * @param latencyObjectiveMs response time up to which a response has its full worth, 1 ms to 1 h
+ * @param deadlineMs time after which the client has given up, no less than the objective
+ */
+public record RequestClassKeys(String name, double latencyObjectiveMs, double deadlineMs) {
+    private static final String NAME_FORMAT = "[A-Za-z0-9._-]{1,64}";
+    private static final double DEFAULT_LATENCY_OBJECTIVE_MS = 400;
+    private static final double MAX_MS = 3_600_000;
+
+    /**
+     * Reads the keys; what is wrong becomes a problem of the table.
+     *
+     * @param knownNames names of the classes read so far, to which this one's is added
+     */
+    public static RequestClassKeys read(TomlTable table, Set<String> knownNames) {
+        String name = table.text("name");
+        if (!name.matches(NAME_FORMAT)) {
+            table.error("name", "found '" + name + "', expected 1 to 64 letters, digits, dots, - or _");
+        } else if (!knownNames.add(name)) {
+            table.error("name", "'" + name + "' is another class's too");
+        }
+        double objective = table.number("aim_ms", DEFAULT_LATENCY_OBJECTIVE_MS, 1, MAX_MS);
+        double deadline = table.number("deadline_ms", 2 * objective, 1, MAX_MS);
+        if (deadline < objective) {
+            table.error("deadline_ms", "found " + deadline + ", expected no less than aim_ms, " + objective);
+        }
+        return new RequestClassKeys(name, objective, deadline);
+    }
+}
--- a/src/main/java/rillyard/loadgen/LoadPlanReader.java
+++ b/src/main/java/rillyard/loadgen/LoadPlanReader.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Set;
 import rillyard.config.InvalidConfigException;
+import rillyard.config.RequestClassKeys;
 import rillyard.config.TomlTable;
 
 /** Reads a plan from TOML. What is left out has its default; an error names its line. */
@@ -112,17 +113,7 @@
         List<LoadClass> out = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (TomlTable table : root.tables("class")) {
-            String name = table.text("name");
-            if (!name.matches("[A-Za-z0-9._-]{1,64}")) {
-                table.error("name", "found '" + name + "', expected 1 to 64 letters, digits, dots, - or _");
-            } else if (!names.add(name)) {
-                table.error("name", "'" + name + "' is another class's too");
-            }
-            double aim = table.number("aim_ms", 400, 1, 3_600_000);
-            double deadline = table.number("deadline_ms", 2 * aim, 1, 3_600_000);
-            if (deadline < aim) {
-                table.error("deadline_ms", "found " + deadline + ", expected no less than aim_ms, " + aim);
-            }
+            RequestClassKeys keys = RequestClassKeys.read(table, names);
             LoadClass.Semantics semantics =
                     table.choice("semantics", LoadClass.Semantics.class, LoadClass.Semantics.AT_MOST_ONCE);
             int body =
@@ -131,11 +122,11 @@
                 table.error("body_bytes", "found " + body + ", expected 0 for a class that is sent with GET");
             }
             out.add(new LoadClass(
-                    name,
+                    keys.name(),
                     table.number("share", 1, 0, 1e9),
                     semantics,
-                    aim,
-                    deadline,
+                    keys.latencyObjectiveMs(),
+                    keys.deadlineMs(),
                     table.number("window_ms", 750, 0, 3_600_000),
                     body,
                     (int) table.integer("keys", 0, 0, 100_000_000)));
--- a/src/main/java/rillyard/testserver/TestClusterPlanReader.java
+++ b/src/main/java/rillyard/testserver/TestClusterPlanReader.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Set;
 import rillyard.config.InvalidConfigException;
+import rillyard.config.RequestClassKeys;
 import rillyard.config.TomlTable;
 
 /** Reads a fault schedule: hosts, classes, rules and faults, in TOML. What is left out has its default. */
@@ -164,24 +165,14 @@
         List<RequestClassSpec> out = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (TomlTable table : root.tables("class")) {
-            String name = table.text("name");
-            if (!name.matches("[A-Za-z0-9._-]{1,64}")) {
-                table.error("name", "found '" + name + "', expected 1 to 64 letters, digits, dots, - or _");
-            } else if (!names.add(name)) {
-                table.error("name", "'" + name + "' is another class's too");
-            }
-            double aim = table.number("aim_ms", 400, 1, 3_600_000);
-            double deadline = table.number("deadline_ms", 2 * aim, 1, 3_600_000);
-            if (deadline < aim) {
-                table.error("deadline_ms", "found " + deadline + ", expected no less than aim_ms, " + aim);
-            }
+            RequestClassKeys keys = RequestClassKeys.read(table, names);
             out.add(new RequestClassSpec(
-                    name,
+                    keys.name(),
                     table.choice(
                             "semantics", RequestClassSpec.Semantics.class, RequestClassSpec.Semantics.AT_MOST_ONCE),
                     table.choice("scope", RequestClassSpec.Scope.class, RequestClassSpec.Scope.CELL),
-                    aim,
-                    deadline,
+                    keys.latencyObjectiveMs(),
+                    keys.deadlineMs(),
                     table.number("window_ms", 750, 0, 3_600_000),
                     table.number("worth", 1, 0, 1e9),
                     work(table.table("work")),
