--- a/src/test/java/rillyard/proxy/AttemptOutcomeTest.java
+++ b/src/test/java/rillyard/proxy/AttemptOutcomeTest.java
@@ -21,13 +21,13 @@
     /** Sends an unsafe request to a host of this script; its one attempt decides the answer. */
     private static TestPeer.Message claimAt(ScriptedServer host) throws Exception {
         try (host;
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
-            return rig.call(claim());
+                ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()))) {
+            return fixture.call(claim());
         }
     }
 
     /** A host that never answers and tells when its connection has ended. */
-    private static ScriptedServer silent(CountDownLatch ended) throws Exception {
+    private static ScriptedServer unresponsiveHost(CountDownLatch ended) throws Exception {
         return new ScriptedServer(peer -> {
             peer.read();
             peer.awaitEnd();
@@ -36,17 +36,17 @@
     }
 
     @Test
-    void servesTheBodyUnchangedAndReadsTheReport() throws Exception {
+    void successfulResponseIsForwardedUnchanged() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(
                         message -> "HTTP/1.1 200 OK\r\nX-Server-Load: rif=3,fail_rate=0.5\r\nX-Kept: yes\r\n"
                                 + "Content-Length: 5\r\n\r\nh\0llo");
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
-            TestPeer.Message answer = rig.call(ProxyFixture.post("claim", 800, "X-Tenant-Id: acme\r\n", "visit=1"));
+                ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()))) {
+            TestPeer.Message answer = fixture.call(ProxyFixture.post("claim", 800, "X-Tenant-Id: acme\r\n", "visit=1"));
             assertThat(answer.status()).isEqualTo(200);
             assertThat(answer.text()).isEqualTo("h\0llo");
             assertThat(answer.header("X-Kept")).isEqualTo("yes");
-            TestPeer.Message seen = host.request();
-            assertThat(seen.line()).isEqualTo("POST /claim HTTP/1.1");
+            TestPeer.Message seen = host.nextRequest();
+            assertThat(seen.startLine()).isEqualTo("POST /claim HTTP/1.1");
             assertThat(seen.text()).isEqualTo("visit=1");
             assertThat(seen.header("X-Request-ID")).isNotBlank();
             assertThat(seen.header("X-Tenant-Id")).isEqualTo("acme");
@@ -56,8 +56,8 @@
 
     @Test
     void refusedConnectNeverRan() throws Exception {
-        try (ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", ProxyFixture.freePort()))) {
-            assertThat(rig.call(claim()).status()).isEqualTo(503);
+        try (ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", ProxyFixture.freePort()))) {
+            assertThat(fixture.call(claim()).status()).isEqualTo(503);
         }
     }
 
@@ -68,8 +68,8 @@
             for (int i = 0; i < 2; i++) { // a backlog of one holds two
                 filling.add(new Socket(InetAddress.getLoopbackAddress(), full.getLocalPort()));
             }
-            try (ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", full.getLocalPort()))) {
-                assertThat(rig.call(claim()).status()).isEqualTo(503);
+            try (ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", full.getLocalPort()))) {
+                assertThat(fixture.call(claim()).status()).isEqualTo(503);
             }
         } finally {
             for (Socket socket : filling) {
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void breakAfterTheLastByteMayHaveRun() throws Exception {
+    void resetAfterLastByteMayHaveRun() throws Exception {
         ScriptedServer host = new ScriptedServer(peer -> {
             peer.read();
             peer.reset();
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void endAfterTheLastByteMayHaveRun() throws Exception {
+    void closeAfterLastByteMayHaveRun() throws Exception {
         assertThat(claimAt(new ScriptedServer(TestPeer::read)).status()).isEqualTo(502);
     }
 
@@ -100,75 +100,75 @@
     }
 
     @Test
-    void fullWithoutTheHeaderMayHaveRun() throws Exception {
+    void unavailableWithoutNotProcessedHeaderMayHaveRun() throws Exception {
         assertThat(claimAt(ScriptedServer.host(message -> ScriptedServer.status(503, "")))
                         .status())
                 .isEqualTo(502);
     }
 
     @Test
-    void turnedAwayNeverRanAndIsSentElsewhere() throws Exception {
+    void rejectionNeverRanAndIsRetriedElsewhere() throws Exception {
         for (int status : new int[] {503, 504}) {
-            CountDownLatch turned = new CountDownLatch(1);
+            CountDownLatch rejected = new CountDownLatch(1);
             ScriptedServer.Reply reply = message -> {
-                if (turned.getCount() > 0) {
-                    turned.countDown();
+                if (rejected.getCount() > 0) {
+                    rejected.countDown();
                     return ScriptedServer.status(status, "X-Not-Processed: 1\r\n");
                 }
                 return ScriptedServer.ok("done");
             };
-            try (ScriptedServer server = ScriptedServer.host(reply);
-                    ScriptedServer scriptedServer = ScriptedServer.host(reply);
-                    ProxyFixture rig = new ProxyFixture(
-                            ProxyFixture.server("a", server.port()), ProxyFixture.server("b", scriptedServer.port()))) {
-                assertThat(rig.call(claim()).text()).isEqualTo("done");
-                assertThat(server.requests).hasSize(1);
-                assertThat(scriptedServer.requests).hasSize(1);
+            try (ScriptedServer hostA = ScriptedServer.host(reply);
+                    ScriptedServer hostB = ScriptedServer.host(reply);
+                    ProxyFixture fixture = new ProxyFixture(
+                            ProxyFixture.endpoint("a", hostA.port()), ProxyFixture.endpoint("b", hostB.port()))) {
+                assertThat(fixture.call(claim()).text()).isEqualTo("done");
+                assertThat(hostA.requests).hasSize(1);
+                assertThat(hostB.requests).hasSize(1);
             }
         }
     }
 
     @Test
-    void silenceEndsAtTheDeadline() throws Exception {
+    void unresponsiveHostTimesOutAtDeadline() throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
-        ScriptedServer host = silent(ended);
+        ScriptedServer host = unresponsiveHost(ended);
         try (host;
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
-            assertThat(rig.call(ProxyFixture.post("claim", 150, "", "x")).status())
+                ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()))) {
+            assertThat(fixture.call(ProxyFixture.post("claim", 150, "", "x")).status())
                     .isEqualTo(504);
             ended.await(); // the time-out has closed the host's connection
         }
     }
 
     @Test
-    void keyedRequestIsRepeatedInItsCellOnly() throws Exception {
+    void requestWithIdempotencyKeyIsRetriedInItsCellOnly() throws Exception {
         ScriptedServer.Reply error = message -> ScriptedServer.status(500, "");
-        try (ScriptedServer server = ScriptedServer.host(error);
-                ScriptedServer scriptedServer = ScriptedServer.host(error);
+        try (ScriptedServer hostA = ScriptedServer.host(error);
+                ScriptedServer hostB = ScriptedServer.host(error);
                 ScriptedServer other = ScriptedServer.host(error);
-                ProxyFixture rig = new ProxyFixture(
-                        ProxyFixture.server("a", server.port(), 1, "up"),
-                        ProxyFixture.server("b", scriptedServer.port(), 1, "up"),
-                        ProxyFixture.server("c", other.port(), 2, "draining"))) {
-            rig.tell(2, false, ProxyFixture.server("c", other.port(), 2, "up"));
+                ProxyFixture fixture = new ProxyFixture(
+                        ProxyFixture.endpoint("a", hostA.port(), 1, "up"),
+                        ProxyFixture.endpoint("b", hostB.port(), 1, "up"),
+                        ProxyFixture.endpoint("c", other.port(), 2, "draining"))) {
+            fixture.announce(2, false, ProxyFixture.endpoint("c", other.port(), 2, "up"));
             for (int i = 0; i < 20; i++) {
-                rig.call(ProxyFixture.post("log", 1_200, "Idempotency-Key: k" + i + "\r\n", "x"));
+                fixture.call(ProxyFixture.post("log", 1_200, "Idempotency-Key: k" + i + "\r\n", "x"));
             }
             java.util.Map<String, Boolean> cells = new java.util.HashMap<>();
-            for (TestPeer.Message m : other.requests) {
-                cells.put(m.header("Idempotency-Key"), true);
+            for (TestPeer.Message request : other.requests) {
+                cells.put(request.header("Idempotency-Key"), true);
             }
-            for (ScriptedServer s : List.of(server, scriptedServer)) {
-                for (TestPeer.Message m : s.requests) {
-                    assertThat(cells).doesNotContainKey(m.header("Idempotency-Key"));
+            for (ScriptedServer host : List.of(hostA, hostB)) {
+                for (TestPeer.Message request : host.requests) {
+                    assertThat(cells).doesNotContainKey(request.header("Idempotency-Key"));
                 }
             }
-            assertThat(server.requests.size() + scriptedServer.requests.size()).isPositive();
+            assertThat(hostA.requests.size() + hostB.requests.size()).isPositive();
         }
     }
 
     @Test
-    void malformedReplyIsAReset() throws Exception {
+    void malformedResponseIsReset() throws Exception {
         for (String reply : List.of(
                 "garbage\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
@@ -184,79 +184,79 @@
     }
 
     @Test
-    void surplusBytesNeverReachTheNextRequest() throws Exception {
+    void surplusBytesNeverReachNextRequest() throws Exception {
         try (ScriptedServer host =
                         ScriptedServer.host(message -> ScriptedServer.ok("mine") + ScriptedServer.ok("stray"));
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
+                ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()))) {
             for (int i = 0; i < 5; i++) {
-                assertThat(rig.call(claim()).text()).isEqualTo("mine");
+                assertThat(fixture.call(claim()).text()).isEqualTo("mine");
             }
         }
     }
 
     @Test
-    void pooledConnectionThatEndedIsNotWrittenTo() throws Exception {
+    void closedPooledConnectionIsNotWrittenTo() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
-                TestPeer client = rig.client()) {
+                ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()));
+                TestPeer client = fixture.client()) {
             client.write(claim());
             assertThat(client.read().status()).isEqualTo(200);
             // The request and the end of the connection it would be sent on come in the same turn.
-            CountDownLatch open = rig.blockLoop();
+            CountDownLatch unblock = fixture.blockLoop();
             client.write(claim());
-            host.accepted().close();
-            open.countDown();
+            host.nextConnection().close();
+            unblock.countDown();
             assertThat(client.read().status()).isEqualTo(200);
         }
     }
 
     @Test
-    void connectionThatHasStoodIsTakenBeforeOneThatMayBeEnding() {
-        long ms = 1_000_000;
-        ArrayDeque<Long> idle = new ArrayDeque<>(List.of(10 * ms, 20 * ms, 95 * ms, 99 * ms));
-        assertThat(UpstreamPool.selectIdle(idle, at -> at, 100 * ms)).isEqualTo(20 * ms);
-        assertThat(UpstreamPool.selectIdle(idle, at -> at, 200 * ms)).isEqualTo(99 * ms);
-        assertThat(UpstreamPool.selectIdle(idle, at -> at, 30 * ms)).isEqualTo(10 * ms); // none has stood
+    void settledIdleConnectionIsPreferredToOneThatMayBeClosing() {
+        long millis = 1_000_000;
+        ArrayDeque<Long> idle = new ArrayDeque<>(List.of(10 * millis, 20 * millis, 95 * millis, 99 * millis));
+        assertThat(UpstreamPool.selectIdle(idle, at -> at, 100 * millis)).isEqualTo(20 * millis);
+        assertThat(UpstreamPool.selectIdle(idle, at -> at, 200 * millis)).isEqualTo(99 * millis);
+        assertThat(UpstreamPool.selectIdle(idle, at -> at, 30 * millis)).isEqualTo(10 * millis); // none has stood
         assertThat(UpstreamPool.selectIdle(new ArrayDeque<Long>(), at -> at, 0)).isNull();
     }
 
     @Test
-    void connectionIsKeptForTheNextRequest() throws Exception {
+    void connectionIsReusedForNextRequest() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
-            rig.call(claim());
-            rig.call(claim());
-            host.accepted();
-            assertThat(host.acceptedMore()).isFalse();
+                ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()))) {
+            fixture.call(claim());
+            fixture.call(claim());
+            host.nextConnection();
+            assertThat(host.hasMoreConnections()).isFalse();
         }
     }
 
     @Test
-    void clientThatLeavesEndsItsAttempt() throws Exception {
+    void clientDisconnectEndsAttempt() throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
-        ScriptedServer host = silent(ended);
+        ScriptedServer host = unresponsiveHost(ended);
         try (host;
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
-            try (TestPeer peer = rig.client()) {
+                ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()))) {
+            try (TestPeer peer = fixture.client()) {
                 peer.write(ProxyFixture.post("claim", 600_000, "", "x"));
-                host.accepted();
+                host.nextConnection();
             }
             ended.await();
         }
     }
 
     @Test
-    void answerThatStopsHalfWayIsAResetLongBeforeTheDeadline() throws Exception {
-        for (String begun : List.of("HTTP/1.1 200 O", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")) {
+    void stalledResponseIsResetBeforeDeadline() throws Exception {
+        for (String start : List.of("HTTP/1.1 200 O", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")) {
             ScriptedServer host = new ScriptedServer(peer -> {
                 peer.read();
-                peer.write(begun);
+                peer.write(start);
                 peer.awaitEnd();
             });
             try (host;
-                    ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
+                    ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()))) {
                 // With this deadline only the stall can end it before the test's own reads give up.
-                assertThat(rig.call(ProxyFixture.post("claim", 600_000, "", "x"))
+                assertThat(fixture.call(ProxyFixture.post("claim", 600_000, "", "x"))
                                 .status())
                         .isEqualTo(502);
             }
@@ -264,14 +264,14 @@
     }
 
     @Test
-    void interimAnswerIsNoAnswerThatHasBegun() throws Exception {
+    void interimResponseDoesNotBeginResponse() throws Exception {
         ScriptedServer host = ScriptedServer.host(
                 message -> "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + ScriptedServer.ok("later"));
         assertThat(claimAt(host).text()).isEqualTo("later");
     }
 
     @Test
-    void answerWithoutALengthEndsWithItsConnection() throws Exception {
+    void responseWithoutLengthEndsWithConnection() throws Exception {
         for (int size : new int[] {0, 5, 60_000}) {
             String body = "x".repeat(size);
             ScriptedServer host = new ScriptedServer(peer -> {
@@ -283,9 +283,9 @@
     }
 
     @Test
-    void answerThatCantBeReadOrIsTooLongIsNotServed() throws Exception {
+    void malformedOrOverlongResponseIsNotServed() throws Exception {
         String report = "X-Server-Load: rif=1,fail_rate=0\r\n";
-        for (String bad : new String[] {
+        for (String response : new String[] {
             "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 1\r\n\r\nx",
             "HTTP/1.1 200 OK\r\nContent-Length : 1\r\n\r\nx",
             "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
@@ -295,15 +295,15 @@
         }) {
             ScriptedServer host = new ScriptedServer(peer -> {
                 peer.read();
-                peer.write(bad);
+                peer.write(response);
                 peer.awaitEnd();
             });
-            assertThat(claimAt(host).status()).as(bad.substring(0, 40)).isEqualTo(502);
+            assertThat(claimAt(host).status()).as(response.substring(0, 40)).isEqualTo(502);
         }
     }
 
     @Test
-    void answerWithoutALengthThatIsResetIsNotServed() throws Exception {
+    void responseWithoutLengthThatIsResetIsNotServed() throws Exception {
         ScriptedServer host = new ScriptedServer(peer -> {
             peer.read();
             peer.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart");
--- a/src/test/java/rillyard/proxy/ClientConnectionTest.java
+++ b/src/test/java/rillyard/proxy/ClientConnectionTest.java
@@ -44,11 +44,11 @@
         "405, 'CONNECT a:1 HTTP/1.1\r\nX-Request-ID: a\r\n\r\n'",
         "505, 'GET /read HTTP/1.0\r\nX-Request-ID: a\r\n\r\n'"
     })
-    void malformedRequestIsAnsweredAndItsConnectionEnds(int status, String request) throws Exception {
+    void malformedRequestIsAnsweredAndConnectionClosed(int status, String request) throws Exception {
         try (ScriptedServer host = ScriptedServer.host(OK);
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
-                TestPeer other = rig.client();
-                TestPeer peer = rig.client()) {
+                ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()));
+                TestPeer other = fixture.client();
+                TestPeer peer = fixture.client()) {
             peer.write(request);
             assertThat(peer.read().status()).isEqualTo(status);
             assertThat(peer.read()).isNull();
@@ -59,57 +59,57 @@
     }
 
     @Test
-    void overlongHeadIsAnswered431() throws Exception {
-        try (ProxyFixture rig = new ProxyFixture();
-                TestPeer peer = rig.client()) {
+    void overlongHeadIsRejected() throws Exception {
+        try (ProxyFixture fixture = new ProxyFixture();
+                TestPeer peer = fixture.client()) {
             peer.write(ProxyFixture.head("GET", "read", 800, "X-Long: " + "y".repeat(60_000) + "\r\n") + "\r\n");
             assertThat(peer.read().status()).isEqualTo(431);
         }
     }
 
     @Test
-    void idOfAnothersRequestIsTurnedAwayAndTheOtherIsServed() throws Exception {
+    void duplicateRequestIdIsRejectedAndFirstRequestServed() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         try (ScriptedServer host = ScriptedServer.host(message -> {
                     release.await();
                     return ScriptedServer.ok("mine");
                 });
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
-                TestPeer first = rig.client()) {
+                ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()));
+                TestPeer first = fixture.client()) {
             String request = ProxyFixture.post("claim", 20_000, "", "x");
             first.write(request);
-            host.request();
-            assertThat(rig.call(request).status()).isEqualTo(409);
+            host.nextRequest();
+            assertThat(fixture.call(request).status()).isEqualTo(409);
             release.countDown();
             assertThat(first.read().text()).isEqualTo("mine");
-            assertThat(rig.call(request).status()).isEqualTo(409); // nor just after its end
+            assertThat(fixture.call(request).status()).isEqualTo(409); // nor just after its end
             assertThat(host.requests).isEmpty();
         }
     }
 
     @Test
-    void clientThatSaysNothingOrHalfARequestIsLetGo() throws Exception {
-        try (ProxyFixture rig = new ProxyFixture();
-                TestPeer silent = rig.client();
-                TestPeer half = rig.client()) {
-            half.write("POST /claim HTTP/1.1\r\nX-Request-ID: a\r\n");
-            assertThat(half.read().status()).isEqualTo(408);
+    void silentClientAndIncompleteHeadTimeOut() throws Exception {
+        try (ProxyFixture fixture = new ProxyFixture();
+                TestPeer silent = fixture.client();
+                TestPeer incomplete = fixture.client()) {
+            incomplete.write("POST /claim HTTP/1.1\r\nX-Request-ID: a\r\n");
+            assertThat(incomplete.read().status()).isEqualTo(408);
             assertThat(silent.read()).isNull();
         }
     }
 
     @Test
-    void drainEndsTheIdleConnectionsThatCameMeanwhile() throws Exception {
-        try (ProxyFixture rig = new ProxyFixture()) {
-            rig.proxy.drain();
-            try (TestPeer late = rig.client()) {
+    void drainClosesIdleConnectionsAcceptedMeanwhile() throws Exception {
+        try (ProxyFixture fixture = new ProxyFixture()) {
+            fixture.proxy.drain();
+            try (TestPeer late = fixture.client()) {
                 late.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
                 assertThat(late.read().status()).isEqualTo(503);
-                try (TestPeer idle = rig.client()) {
-                    rig.proxy.awaitEnd();
-                    assertThat(rig.proxy
+                try (TestPeer idle = fixture.client()) {
+                    fixture.proxy.awaitEnd();
+                    assertThat(fixture.proxy
                                     .loop()
-                                    .submit(rig.proxy::clientConnections)
+                                    .submit(fixture.proxy::clientConnections)
                                     .get())
                             .isZero();
                     assertThat(idle.read()).isNull();
@@ -119,15 +119,15 @@
     }
 
     @Test
-    void silentConnectionsMakeRoomBeforeThoseInUse() throws Exception {
+    void unusedConnectionsAreClosedBeforeUsedOnes() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(OK);
-                ProxyFixture rig = new ProxyFixture(limit("sockets", 64), ProxyFixture.server("a", host.port()));
-                TestPeer used = rig.client()) {
+                ProxyFixture fixture = new ProxyFixture(limit("sockets", 64), ProxyFixture.endpoint("a", host.port()));
+                TestPeer used = fixture.client()) {
             used.write(ProxyFixture.get("read", 800));
             assertThat(used.read().status()).isEqualTo(200);
             List<TestPeer> silent = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                silent.add(rig.client());
+                silent.add(fixture.client());
                 if (i % 8 == 0) { // so that it stands idle for a few connects only
                     used.write(ProxyFixture.get("read", 800));
                     assertThat(used.read().status()).isEqualTo(200);
@@ -143,9 +143,9 @@
     }
 
     @Test
-    void endlessBodyIsCutOffAfterItsAnswer() throws Exception {
-        try (ProxyFixture rig = new ProxyFixture();
-                TestPeer peer = rig.client()) {
+    void endlessBodyIsCutOffAfterResponse() throws Exception {
+        try (ProxyFixture fixture = new ProxyFixture();
+                TestPeer peer = fixture.client()) {
             peer.write(ProxyFixture.head("POST", "claim", 800, "") + "Content-Length: 60000000\r\n\r\n");
             assertThat(peer.read().status()).isEqualTo(413);
             byte[] part = new byte[1 << 20];
@@ -159,10 +159,10 @@
     }
 
     @Test
-    void pipelinedRequestsAreAnsweredInTheirOrder() throws Exception {
+    void pipelinedRequestsAreAnsweredInOrder() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok(message.text()));
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
-                TestPeer peer = rig.client()) {
+                ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()));
+                TestPeer peer = fixture.client()) {
             peer.write(ProxyFixture.post("claim", 800, "", "one")
                     + ProxyFixture.post("claim", 800, "", "two")
                     + ProxyFixture.post("claim", 800, "Connection: close\r\n", "three"));
@@ -174,14 +174,14 @@
     }
 
     @Test
-    void healthFollowsTheList() throws Exception {
+    void healthCheckFollowsEndpointList() throws Exception {
         String health = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
         try (ScriptedServer host = ScriptedServer.host(OK);
-                ProxyFixture rig = new ProxyFixture();
-                TestPeer peer = rig.client()) {
+                ProxyFixture fixture = new ProxyFixture();
+                TestPeer peer = fixture.client()) {
             peer.write(health);
             assertThat(peer.read().status()).isEqualTo(503);
-            rig.tell(2, true, ProxyFixture.server("a", host.port()));
+            fixture.announce(2, true, ProxyFixture.endpoint("a", host.port()));
             int status = 0;
             while (status != 200) { // the list is on its way
                 peer.write(health);
@@ -193,12 +193,13 @@
     }
 
     @Test
-    void idleClientsMakeRoomForNewOnes() throws Exception {
+    void idleConnectionsAreClosedForNewOnes() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(OK);
-                ProxyFixture rig = new ProxyFixture(limit("sockets", 64), ProxyFixture.server("a", host.port()))) {
+                ProxyFixture fixture =
+                        new ProxyFixture(limit("sockets", 64), ProxyFixture.endpoint("a", host.port()))) {
             TestPeer[] idle = new TestPeer[40];
             for (int i = 0; i < idle.length; i++) {
-                idle[i] = rig.client();
+                idle[i] = fixture.client();
                 idle[i].write(ProxyFixture.get("read", 800));
                 assertThat(idle[i].read().status()).isEqualTo(200);
             }
@@ -210,11 +211,11 @@
     }
 
     @Test
-    void configurationThatMakesNoSenseIsOnePlainLine() throws Exception {
+    void invalidConfigurationIsReportedInOneLine() throws Exception {
         assertThatThrownBy(() -> ProxyConfig.load(Map.of())).hasMessageContaining("BALANCER_CONFIG");
         assertThatThrownBy(() -> ProxyConfig.load(Map.of("BALANCER_CONFIG", "/none")))
                 .isInstanceOf(ConfigException.class);
-        java.nio.file.Path file = ProxyFixture.config(1, config -> config.put("listen", "nowhere"));
+        java.nio.file.Path file = ProxyFixture.writeConfig(1, config -> config.put("listen", "nowhere"));
         Map<String, String> env = Map.of("BALANCER_CONFIG", file.toString());
         assertThatThrownBy(() -> ProxyConfig.load(env)).hasMessage("listen is not IP:port: 'nowhere'");
         java.nio.file.Files.writeString(file, "{");
@@ -223,81 +224,81 @@
                 .message()
                 .doesNotContain("\n");
         java.nio.file.Files.delete(file);
-        try (ProxyFixture rig = new ProxyFixture()) {
-            assertThatThrownBy(() -> new ProxyFixture(c -> c.put("listen", "127.0.0.1:" + rig.port)))
+        try (ProxyFixture fixture = new ProxyFixture()) {
+            assertThatThrownBy(() -> new ProxyFixture(json -> json.put("listen", "127.0.0.1:" + fixture.port)))
                     .isInstanceOf(ConfigException.class)
                     .hasMessageContaining("can't listen");
         }
     }
 
     @Test
-    void requestsThatFindNoMemoryAreRefusedUnsentAndTheRestIsServed() throws Exception {
+    void requestsWithoutBodyMemoryAreRejectedUnsentAndOthersServed() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         try (ScriptedServer host = ScriptedServer.host(message -> {
                     release.await();
                     return ScriptedServer.ok("held");
                 });
-                ProxyFixture rig = new ProxyFixture(SMALL_MEMORY, ProxyFixture.server("a", host.port()))) {
+                ProxyFixture fixture = new ProxyFixture(SMALL_MEMORY, ProxyFixture.endpoint("a", host.port()))) {
             String body = "x".repeat(64 * 1024);
             List<TestPeer> clients = new ArrayList<>();
             for (int i = 0; i < 150; i++) { // 9.4 MB, and the budget is 8 MB
-                TestPeer peer = rig.client();
+                TestPeer peer = fixture.client();
                 clients.add(peer);
                 peer.write(ProxyFixture.post("claim", 600_000, "", body));
             }
             // Which of them finds none depends on the order in which they are read.
-            long until = System.nanoTime() + 20_000_000_000L;
-            while (!rig.log().contains("reason=body_memory") && System.nanoTime() < until) {
+            long deadline = System.nanoTime() + 20_000_000_000L;
+            while (!fixture.log().contains("reason=body_memory") && System.nanoTime() < deadline) {
                 Thread.sleep(5);
             }
             release.countDown();
-            int refused = 0;
+            int rejected = 0;
             int served = 0;
-            for (TestPeer testPeer : clients) {
-                int status = testPeer.read().status();
+            for (TestPeer peer : clients) {
+                int status = peer.read().status();
                 served += status == 200 ? 1 : 0;
-                refused += status == 503 ? 1 : 0;
-                testPeer.close();
+                rejected += status == 503 ? 1 : 0;
+                peer.close();
             }
             assertThat(served).isPositive();
-            assertThat(refused).isPositive();
-            assertThat(served + refused).isEqualTo(clients.size());
+            assertThat(rejected).isPositive();
+            assertThat(served + rejected).isEqualTo(clients.size());
             assertThat(host.requests).hasSize(served);
         }
     }
 
     @Test
-    void requestOfAClientThatLeftWhileTheLoopWasBusyIsNotBegun() throws Exception {
+    void requestOfDisconnectedClientIsNotStarted() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(OK);
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
-                TestPeer stays = rig.client()) {
-            CountDownLatch open = rig.blockLoop();
+                ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()));
+                TestPeer stays = fixture.client()) {
+            CountDownLatch unblock = fixture.blockLoop();
             for (int i = 0; i < 20; i++) {
-                try (TestPeer leaves = rig.client()) {
+                try (TestPeer leaves = fixture.client()) {
                     leaves.write(ProxyFixture.post("claim", 800, "", "left"));
                 }
             }
             stays.write(ProxyFixture.post("claim", 800, "", "stays"));
-            open.countDown();
+            unblock.countDown();
             assertThat(stays.read().status()).isEqualTo(200);
             assertThat(host.requests).extracting(TestPeer.Message::text).containsExactly("stays");
         }
     }
 
     @Test
-    void requestThatFollowsInTheNextReadKeepsItsFirstByte() throws Exception {
+    void pipelinedRequestInNextReadKeepsFirstByte() throws Exception {
         // The first read of a connection takes 2 kB: the second request begins within it or behind it.
         for (int size = 1_700; size < 2_100; size += 20) {
             String first = "x".repeat(size);
             try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok(message.text()));
-                    ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
-                    TestPeer peer = rig.client()) {
-                CountDownLatch open = rig.blockLoop();
+                    ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()));
+                    TestPeer peer = fixture.client()) {
+                CountDownLatch unblock = fixture.blockLoop();
                 peer.write(
                         ProxyFixture.post("claim", 5_000, "", first) + ProxyFixture.post("claim", 5_000, "", "second"));
-                open.countDown();
+                unblock.countDown();
                 TestPeer.Message answer = peer.read();
-                assertThat(answer.status()).as(rig.log()).isEqualTo(200);
+                assertThat(answer.status()).as(fixture.log()).isEqualTo(200);
                 assertThat(answer.text()).isEqualTo(first);
                 assertThat(peer.read().text()).isEqualTo("second");
             }
@@ -306,22 +307,25 @@
 
     /** Guards against clients that ask once, keep their connection and so take all places. */
     @Test
-    void connectionsThatWereOfUseMakeRoomForNewOnes() throws Exception {
+    void usedIdleConnectionsAreClosedForNewOnes() throws Exception {
         List<TestPeer> kept = new ArrayList<>();
         try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
-                ProxyFixture rig = new ProxyFixture(limit("sockets", 160), ProxyFixture.server("a", host.port()))) {
+                ProxyFixture fixture =
+                        new ProxyFixture(limit("sockets", 160), ProxyFixture.endpoint("a", host.port()))) {
             for (int i = 0; i < 60; i++) {
-                TestPeer peer = rig.client();
+                TestPeer peer = fixture.client();
                 kept.add(peer);
                 peer.write(ProxyFixture.get("read", 60_000));
                 assertThat(peer.read().status()).isEqualTo(200);
             }
-            int open =
-                    rig.proxy.loop().submit(() -> rig.proxy.clientConnections()).get();
+            int open = fixture.proxy
+                    .loop()
+                    .submit(() -> fixture.proxy.clientConnections())
+                    .get();
             assertThat(open).isLessThanOrEqualTo(41); // a quarter, and the one that came last
         } finally {
-            for (TestPeer testPeer : kept) {
-                testPeer.close();
+            for (TestPeer peer : kept) {
+                peer.close();
             }
         }
     }
--- a/src/test/java/rillyard/proxy/ConnectionEndTest.java
+++ b/src/test/java/rillyard/proxy/ConnectionEndTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
 import java.net.SocketException;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
@@ -13,25 +14,25 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The instants in which something ends while something is still owed; see docs/design/endings.md. */
+/** Ends of connections and requests while something is in flight; see docs/design/endings.md. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class ConnectionEndTest {
-    private static final long FAR_NANOS = 20_000_000_000L;
+    private static final long AWAIT_NANOS = 20_000_000_000L;
 
     private static Consumer<ObjectNode> limits(Consumer<ObjectNode> change) {
         return config -> change.accept((ObjectNode) config.get("settings").get("limits"));
     }
 
-    /** Waits for something that is true on the proxy's loop, as it can be asked there only. */
-    private static void await(ProxyFixture rig, Callable<Boolean> what) throws Exception {
-        long until = System.nanoTime() + FAR_NANOS;
-        while (!rig.proxy.loop().submit(what).get()) {
-            assertThat(System.nanoTime()).as("time is up").isLessThan(until);
+    /** Waits until a condition holds, which is evaluated on the proxy's event loop. */
+    private static void await(ProxyFixture fixture, Callable<Boolean> condition) throws Exception {
+        long deadline = System.nanoTime() + AWAIT_NANOS;
+        while (!fixture.proxy.loop().submit(condition).get()) {
+            assertThat(System.nanoTime()).as("time is up").isLessThan(deadline);
             Thread.sleep(1);
         }
     }
 
-    private static void awaitQuietly(CountDownLatch latch) {
+    private static void awaitUninterrupted(CountDownLatch latch) {
         try {
             latch.await();
         } catch (InterruptedException e) {
@@ -39,157 +40,170 @@
         }
     }
 
-    private static void awaitRequests(ProxyFixture rig, int n) throws Exception {
-        await(rig, () -> rig.proxy.openRequests() == n);
+    /** A host that reads one request, never responds, and counts down once its connection has ended. */
+    private static ScriptedServer unresponsiveHost(CountDownLatch ended) throws IOException {
+        return new ScriptedServer(peer -> {
+            peer.read();
+            peer.awaitEnd();
+            ended.countDown();
+        });
+    }
+
+    /** A host that responds with the body of the request. */
+    private static ScriptedServer echoHost() throws IOException {
+        return ScriptedServer.host(message -> ScriptedServer.ok(message.text()));
     }
 
-    /** Ends the watch and waits for the next, so that all that was told before has been applied. */
-    private static void awaitApplied(ProxyFixture rig) throws Exception {
-        rig.news.add("");
-        while (!rig.watches.poll(20, TimeUnit.SECONDS).contains("since=2 ")) {
+    /** A host that responds with {@code x}. */
+    private static ScriptedServer servingHost() throws IOException {
+        return ScriptedServer.host(message -> ScriptedServer.ok("x"));
+    }
+
+    private static void awaitRequests(ProxyFixture fixture, int count) throws Exception {
+        await(fixture, () -> fixture.proxy.openRequests() == count);
+    }
+
+    /** Ends the watch and waits for the next one: the lists before it have been applied then. */
+    private static void awaitListsApplied(ProxyFixture fixture) throws Exception {
+        fixture.discoveryLines.add("");
+        while (!fixture.watchRequests.poll(20, TimeUnit.SECONDS).contains("since=2 ")) {
             continue;
         }
     }
 
     @Test
-    void aRepeatWhoseConnectionIsNotUpByTheEndOfItsWindowIsGivenUp() throws Exception {
-        repeatAtALateConnection((rig, late, client) -> {
+    void retryWithPendingConnectAtEndOfIdempotencyWindowIsAbandoned() throws Exception {
+        retryAtLateConnection((fixture, lateServer, client) -> {
             assertThat(client.read().status()).isEqualTo(502); // 504 by the deadline of 15 s
-            awaitRequests(rig, 0);
+            awaitRequests(fixture, 0);
         });
     }
 
     @Test
-    void aConnectionThatIsUpAheadOfTheTimerThatEndsItsWindowGetsNothing() throws Exception {
-        repeatAtALateConnection((rig, late, client) -> {
-            CountDownLatch open = rig.blockLoop();
-            late.makeRoom(); // it is up a second after it was begun: past the window of 750 ms
-            try (TestPeer host = late.accept()) {
-                open.countDown();
+    void connectCompletedPastIdempotencyWindowGetsNoRetry() throws Exception {
+        retryAtLateConnection((fixture, lateServer, client) -> {
+            CountDownLatch unblock = fixture.blockLoop();
+            lateServer.freeBacklog(); // connected 1 s after the start: past the idempotency window of 750 ms
+            try (TestPeer host = lateServer.accept()) {
+                unblock.countDown();
                 assertThat(host.read()).isNull();
             }
             assertThat(client.read().status()).isEqualTo(502);
         });
     }
 
-    private interface LateRepeat {
-        void check(ProxyFixture rig, LateConnectServer late, TestPeer client) throws Exception;
+    private interface LateRetry {
+        void check(ProxyFixture fixture, LateConnectServer lateServer, TestPeer client) throws Exception;
     }
 
-    /** A keyed request has failed at one host, and the connection for its repeat at another is on its way. */
-    private static void repeatAtALateConnection(LateRepeat then) throws Exception {
-        try (LateConnectServer late = new LateConnectServer()) {
-            ProxyFixture[] rig = new ProxyFixture[1];
+    /** Has a request with an idempotency key fail at one host, with the connect for its retry at another pending. */
+    private static void retryAtLateConnection(LateRetry check) throws Exception {
+        try (LateConnectServer lateServer = new LateConnectServer()) {
+            ProxyFixture[] fixture = new ProxyFixture[1];
             ScriptedServer first = ScriptedServer.host(message -> {
-                rig[0].tell(2, false, ProxyFixture.server("b", late.port()));
-                awaitApplied(rig[0]); // the repeat has somewhere to go
+                fixture[0].announce(2, false, ProxyFixture.endpoint("b", lateServer.port()));
+                awaitListsApplied(fixture[0]); // there is a host for the retry
                 return ScriptedServer.status(500, "");
             });
             try (first;
-                    ProxyFixture made = new ProxyFixture(
-                            limits(l -> l.put("connectTimeout", 15_000)), ProxyFixture.server("a", first.port()));
-                    TestPeer client = made.client()) {
-                rig[0] = made;
-                client.write(ProxyFixture.post("log", 15_000, "Idempotency-Key: k\r\n", "x")); // its window is 750 ms
-                first.request();
-                await(made, () -> made.proxy.hostConnections() == 2);
-                then.check(made, late, client);
+                    ProxyFixture madeFixture = new ProxyFixture(
+                            limits(limits -> limits.put("connectTimeout", 15_000)),
+                            ProxyFixture.endpoint("a", first.port()));
+                    TestPeer client = madeFixture.client()) {
+                fixture[0] = madeFixture;
+                client.write(
+                        ProxyFixture.post("log", 15_000, "Idempotency-Key: k\r\n", "x")); // idempotency window: 750 ms
+                first.nextRequest();
+                await(madeFixture, () -> madeFixture.proxy.hostConnections() == 2);
+                check.check(madeFixture, lateServer, client);
             }
         }
     }
 
     @Test
-    void nothingBeginsForAClientThatLeftWhileItsConnectionWasComingUp() throws Exception {
-        try (LateConnectServer late = new LateConnectServer();
-                ProxyFixture rig = new ProxyFixture( // nothing else can end the attempt, and it may not be called off
-                        limits(l -> l.put("connectTimeout", 600_000).put("cancel", false)),
-                        ProxyFixture.server("a", late.port()))) {
-            try (TestPeer client = rig.client()) {
+    void clientDisconnectDuringConnectStartsNoAttempt() throws Exception {
+        try (LateConnectServer lateServer = new LateConnectServer();
+                ProxyFixture fixture =
+                        new ProxyFixture( // nothing else can end the attempt, and it may not be cancelled
+                                limits(limits ->
+                                        limits.put("connectTimeout", 600_000).put("cancel", false)),
+                                ProxyFixture.endpoint("a", lateServer.port()))) {
+            try (TestPeer client = fixture.client()) {
                 client.write(ProxyFixture.post("claim", 600_000, "", "x"));
-                awaitRequests(rig, 1);
+                awaitRequests(fixture, 1);
             }
-            awaitRequests(rig, 0);
+            awaitRequests(fixture, 0);
         }
     }
 
     @Test
-    void theEndOfAConnectionIsSeenBehindRequestsSentAhead() throws Exception {
+    void clientDisconnectBehindPipelinedRequestsIsNoticed() throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
-        ScriptedServer host = new ScriptedServer(peer -> {
-            peer.read();
-            peer.awaitEnd();
-            ended.countDown();
-        });
-        try (host;
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
-            try (TestPeer client = rig.client()) {
+        try (ScriptedServer host = unresponsiveHost(ended);
+                ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()))) {
+            try (TestPeer client = fixture.client()) {
                 client.write(ProxyFixture.post("claim", 600_000, "", "first"));
-                host.accepted();
+                host.nextConnection();
                 client.write(ProxyFixture.post("claim", 600_000, "", "second"));
                 client.write(ProxyFixture.post("claim", 600_000, "", "third " + "x".repeat(10_000)));
             }
-            ended.await(); // the first is called off
-            awaitRequests(rig, 0);
-            assertThat(host.acceptedMore()).isFalse(); // and the others never begun
+            ended.await(); // the first is cancelled
+            awaitRequests(fixture, 0);
+            assertThat(host.hasMoreConnections()).isFalse(); // and the others are never sent
         }
     }
 
     @Test
-    void aResetOfTheClientsEndsItsAttempt() throws Exception {
+    void clientResetEndsAttempt() throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
-        ScriptedServer host = new ScriptedServer(peer -> {
-            peer.read();
-            peer.awaitEnd();
-            ended.countDown();
-        });
-        try (host;
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
-                TestPeer client = rig.client()) {
+        try (ScriptedServer host = unresponsiveHost(ended);
+                ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()));
+                TestPeer client = fixture.client()) {
             client.write(ProxyFixture.post("claim", 600_000, "", "x"));
-            host.accepted();
+            host.nextConnection();
             client.reset();
             ended.await();
-            awaitRequests(rig, 0);
+            awaitRequests(fixture, 0);
         }
     }
 
     @Test
-    void aRequestBehindTheLastAnswerOfAConnectionIsSentNowhere() throws Exception {
-        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok(message.text()));
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
-                TestPeer client = rig.client()) {
+    void requestBehindLastResponseIsNotSent() throws Exception {
+        try (ScriptedServer host = echoHost();
+                ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()));
+                TestPeer client = fixture.client()) {
             client.write(ProxyFixture.post("claim", 20_000, "Connection: close\r\n", "last")
                     + ProxyFixture.post("claim", 20_000, "", "behind"));
             assertThat(client.read().text()).isEqualTo("last");
             assertThat(client.read()).isNull();
-            await(rig, () -> rig.proxy.clientConnections() == 0);
+            await(fixture, () -> fixture.proxy.clientConnections() == 0);
             assertThat(host.requests).extracting(TestPeer.Message::text).containsExactly("last");
         }
     }
 
     @Test
-    void manyRequestsSentAheadAreAnsweredInOrderHoweverTheyAreCut() throws Exception {
-        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok(message.text()));
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
-                TestPeer client = rig.client()) {
-            int n = 200; // 60 kB: more than is held
+    void pipelinedRequestsInAnyFragmentationAreAnsweredInOrder() throws Exception {
+        try (ScriptedServer host = echoHost();
+                ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()));
+                TestPeer client = fixture.client()) {
+            int count = 200; // 60 kB: more than is buffered
             StringBuilder all = new StringBuilder();
-            for (int i = 0; i < n; i++) {
+            for (int i = 0; i < count; i++) {
                 all.append(ProxyFixture.post("claim", 20_000, "", "r" + i + "x".repeat(150)));
             }
-            CountDownLatch open = rig.blockLoop();
+            CountDownLatch unblock = fixture.blockLoop();
             Thread writer = new Thread(() -> {
                 try {
                     for (int from = 0; from < all.length(); from += 777) {
                         client.write(all.substring(from, Math.min(all.length(), from + 777)));
                     }
-                } catch (java.io.IOException e) {
+                } catch (IOException e) {
                     // the reads below fail
                 }
             });
             writer.start();
-            open.countDown();
-            for (int i = 0; i < n; i++) {
+            unblock.countDown();
+            for (int i = 0; i < count; i++) {
                 assertThat(client.read().text()).startsWith("r" + i + "x");
             }
             writer.join();
@@ -197,113 +211,114 @@
     }
 
     @Test
-    void aRequestThatCrossesTheEndOfAnIdleConnectionIsSentNowhereAndNoResetAnswersIt() throws Exception {
-        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
-                TestPeer client = rig.client()) {
+    void requestCrossingIdleCloseIsNeitherSentNorReset() throws Exception {
+        try (ScriptedServer host = servingHost();
+                ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()));
+                TestPeer client = fixture.client()) {
             client.write(ProxyFixture.post("claim", 800, "", "first"));
             assertThat(client.read().status()).isEqualTo(200);
-            // The drain ends the sending, and the loop does nothing more until the client has written.
-            CountDownLatch begin = rig.blockLoop();
-            rig.proxy.drain();
-            CountDownLatch goOn = new CountDownLatch(1);
-            rig.proxy.loop().execute(() -> awaitQuietly(goOn));
-            begin.countDown();
-            assertThat(client.read()).as("the end of the sending").isNull();
+            // The drain shuts the output down, and the loop is blocked until the client has written.
+            CountDownLatch unblock = fixture.blockLoop();
+            fixture.proxy.drain();
+            CountDownLatch resume = new CountDownLatch(1);
+            fixture.proxy.loop().execute(() -> awaitUninterrupted(resume));
+            unblock.countDown();
+            assertThat(client.read()).as("end of the output").isNull();
             client.write(ProxyFixture.post("claim", 800, "", "late"));
-            client.write(ProxyFixture.post("claim", 800, "", "later")); // fails where the first was answered by a reset
-            goOn.countDown();
+            client.write(ProxyFixture.post("claim", 800, "", "later")); // fails if the first was answered by a reset
+            resume.countDown();
             client.socket.shutdownOutput();
-            rig.proxy.awaitEnd();
+            fixture.proxy.awaitEnd();
             assertThat(host.requests).extracting(TestPeer.Message::text).containsExactly("first");
         }
     }
 
     @Test
-    void aConnectionThatMakesRoomTakesNoAnswerWithIt() throws Exception {
-        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
-                ProxyFixture rig = new ProxyFixture(
+    void idleConnectionClosedForCapacityKeepsItsResponse() throws Exception {
+        try (ScriptedServer host = servingHost();
+                ProxyFixture fixture = new ProxyFixture(
                         config -> ((ObjectNode) config.get("limits")).put("sockets", 64),
-                        ProxyFixture.server("a", host.port()));
-                TestPeer client = rig.client()) {
+                        ProxyFixture.endpoint("a", host.port()));
+                TestPeer client = fixture.client()) {
             client.write(ProxyFixture.post("claim", 20_000, "", "first"));
-            host.request();
-            await(rig, () -> rig.proxy.openRequests() == 0);
-            // The answer lies unread at its client while others take its place.
-            TestPeer[] more = new TestPeer[40];
-            for (int i = 0; i < more.length; i++) {
-                more[i] = rig.client();
+            host.nextRequest();
+            await(fixture, () -> fixture.proxy.openRequests() == 0);
+            // The response is not read while other connections take the place of this one.
+            TestPeer[] others = new TestPeer[40];
+            for (int i = 0; i < others.length; i++) {
+                others[i] = fixture.client();
             }
             assertThat(client.read().text()).isEqualTo("x");
             assertThat(client.read()).isNull();
-            for (TestPeer peer : more) {
+            for (TestPeer peer : others) {
                 peer.close();
             }
         }
     }
 
-    /** The platform kills 3.7 s after SIGTERM at the latest, whatever the longest deadline is. */
+    /** SIGKILL comes 3.7 s after SIGTERM at the latest, whatever the longest deadline is. */
     @ParameterizedTest
     @ValueSource(ints = {1_200, 600_000})
-    void whatADrainStillHoldsIsAnsweredBeforeTheEnd(int longest) throws Exception {
+    void openRequestIsAnsweredBeforeDrainEnds(int longestDeadlineMillis) throws Exception {
         CountDownLatch never = new CountDownLatch(1);
         try (ScriptedServer host = ScriptedServer.host(message -> {
                     never.await();
                     return "";
                 });
-                ProxyFixture rig = new ProxyFixture(
-                        config -> ((ObjectNode) config.at("/settings/classes/1")).put("deadline", longest),
-                        ProxyFixture.server("a", host.port()));
-                TestPeer client = rig.client()) {
+                ProxyFixture fixture = new ProxyFixture(
+                        config ->
+                                ((ObjectNode) config.at("/settings/classes/1")).put("deadline", longestDeadlineMillis),
+                        ProxyFixture.endpoint("a", host.port()));
+                TestPeer client = fixture.client()) {
             client.write(ProxyFixture.post("claim", 600_000, "", "x")); // far longer than a drain may take
-            host.request();
-            rig.proxy.drain();
+            host.nextRequest();
+            fixture.proxy.drain();
             TestPeer.Message answer = client.read();
             assertThat(answer.status()).isEqualTo(502);
             assertThat(answer.header("Connection")).isEqualTo("close");
-            rig.proxy.awaitEnd();
+            fixture.proxy.awaitEnd();
             never.countDown();
         }
     }
 
     @Test
-    void aLineCutOffWithinAnAnswerAheadOfACloseIsNoAnswer() throws Exception {
+    void responseCutWithinHeaderLineIsNotServed() throws Exception {
         ScriptedServer host = new ScriptedServer(peer -> {
             peer.read();
             peer.write("HTTP/1.1 200 OK\r\nContent-Le");
         });
         try (host;
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
-            assertThat(rig.call(ProxyFixture.post("claim", 20_000, "", "x")).status())
+                ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()))) {
+            assertThat(fixture.call(ProxyFixture.post("claim", 20_000, "", "x")).status())
                     .isEqualTo(502);
         }
     }
 
     @Test
-    void anAnswerWithoutALengthThatIsResetOnceItIsPassedOnIsSeenToBeCut() throws Exception {
-        CountDownLatch passed = new CountDownLatch(1);
+    void forwardedResponseWithoutLengthThatIsResetIsVisiblyIncomplete() throws Exception {
+        CountDownLatch forwarded = new CountDownLatch(1);
         ScriptedServer host = new ScriptedServer(peer -> {
             peer.read();
             peer.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "x".repeat(70_000));
-            passed.await();
+            forwarded.await();
             peer.reset();
         });
         try (host;
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
-                TestPeer client = rig.client()) {
+                ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()));
+                TestPeer client = fixture.client()) {
             client.write(ProxyFixture.post("claim", 20_000, "", "x"));
             assertThat(client.readHead()).contains("200");
-            passed.countDown();
-            boolean whole = false;
+            forwarded.countDown();
+            boolean complete = false;
             try {
                 String line;
                 while ((line = client.readLine()) != null) {
-                    whole |= line.equals("0"); // the last chunk
+                    complete |= line.equals("0"); // the last chunk
                 }
             } catch (SocketException e) {
-                // a reset tells the client as well
+                // the client notices a reset as well
             }
-            assertThat(whole).isFalse();
+            assertThat(complete).isFalse();
         }
     }
 }
--- a/src/test/java/rillyard/proxy/DescriptorLimitIT.java
+++ b/src/test/java/rillyard/proxy/DescriptorLimitIT.java
@@ -35,12 +35,14 @@
 
     /** Idle clients take all that they can get while discovery refuses: its return is seen all the same. */
     @Test
-    void idleClientsKeepNeitherDiscoveryNorHostsNorSignalsFromTheirDescriptors() throws Exception {
+    void idleClientsLeaveDescriptorsForDiscoveryHostsAndSignals() throws Exception {
         int port = ProxyFixture.freePort();
         try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("served"))) {
             Path config = folder.resolve("config.json");
             Files.move(
-                    ProxyFixture.config(port, c -> ((ObjectNode) c.get("limits")).put("sockets", DESCRIPTORS)), config);
+                    ProxyFixture.writeConfig(
+                            port, json -> ((ObjectNode) json.get("limits")).put("sockets", DESCRIPTORS)),
+                    config);
             List<TestPeer> idle = new ArrayList<>();
             try (ProxyProcess proxy =
                     ProxyProcess.launch(limited(), config, ProxyProcess.freeAddress(), folder.resolve("log"))) {
@@ -50,16 +52,16 @@
                 }
                 ScriptedServer discovery = new ScriptedServer(port, peer -> {
                     peer.read();
-                    String line = ProxyFixture.list(2, true, ProxyFixture.server("a", host.port())) + "\n";
+                    String line = ProxyFixture.endpointList(2, true, ProxyFixture.endpoint("a", host.port())) + "\n";
                     peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                             + Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
                     peer.awaitEnd();
                 });
                 try (discovery) {
                     proxy.await(ProxyProcess.State.READY);
-                    try (TestPeer testPeer = TestPeer.connect(proxy.address().getPort())) {
-                        testPeer.write(ProxyFixture.post("claim", 5_000, "", "x"));
-                        assertThat(testPeer.read().text()).isEqualTo("served");
+                    try (TestPeer client = TestPeer.connect(proxy.address().getPort())) {
+                        client.write(ProxyFixture.post("claim", 5_000, "", "x"));
+                        assertThat(client.read().text()).isEqualTo("served");
                     }
                     proxy.process().terminate();
                     assertThat(proxy.process().await()).isZero();
@@ -68,8 +70,8 @@
                         .contains("drained")
                         .doesNotContain("Exception");
             } finally {
-                for (TestPeer c : idle) {
-                    c.close();
+                for (TestPeer client : idle) {
+                    client.close();
                 }
             }
         }
--- a/src/test/java/rillyard/proxy/EventLoopStallTest.java
+++ b/src/test/java/rillyard/proxy/EventLoopStallTest.java
@@ -9,27 +9,27 @@
 /** A loop that stands still while requests come, and what it does first when it goes on. */
 @Timeout(60)
 class EventLoopStallTest {
-    private static final int TIME_MS = 300;
+    private static final int TIMEOUT_MILLIS = 300;
 
     /** Stands still for longer than a request's time. */
-    private static void standStill(CountDownLatch open, long ms) throws InterruptedException {
-        Thread.sleep(ms); // the gap itself
-        open.countDown();
+    private static void stall(CountDownLatch unblock, long millis) throws InterruptedException {
+        Thread.sleep(millis); // the gap itself
+        unblock.countDown();
     }
 
     @Test
-    void whatWaitedPastItsTimeIsRefusedAtOnceAndSentNowhere() throws Exception {
+    void requestPastDeadlineAfterStallIsRejectedUnsent() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("served"));
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
-                TestPeer kept = rig.client()) {
+                ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()));
+                TestPeer kept = fixture.client()) {
             kept.write(ProxyFixture.get("read", 1_000));
             assertThat(kept.read().text()).isEqualTo("served");
-            host.request();
-            CountDownLatch open = rig.blockLoop();
-            kept.write(ProxyFixture.post("claim", TIME_MS, "", "x"));
-            try (TestPeer fresh = rig.client()) { // waits unaccepted
-                fresh.write(ProxyFixture.post("claim", TIME_MS, "", "x"));
-                standStill(open, 2 * TIME_MS);
+            host.nextRequest();
+            CountDownLatch unblock = fixture.blockLoop();
+            kept.write(ProxyFixture.post("claim", TIMEOUT_MILLIS, "", "x"));
+            try (TestPeer fresh = fixture.client()) { // waits unaccepted
+                fresh.write(ProxyFixture.post("claim", TIMEOUT_MILLIS, "", "x"));
+                stall(unblock, 2 * TIMEOUT_MILLIS);
                 assertThat(kept.read().status()).isEqualTo(503);
                 assertThat(fresh.read().status()).isEqualTo(503);
             }
@@ -38,63 +38,65 @@
     }
 
     @Test
-    void whatIsLeftOfItsTimeIsAllThatAHostIsTold() throws Exception {
+    void stallIsDeductedFromTimeoutSentToHost() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("served"));
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()));
-                TestPeer peer = rig.client()) {
+                ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()));
+                TestPeer peer = fixture.client()) {
             peer.write(ProxyFixture.get("read", 1_000));
             peer.read();
-            host.request();
-            CountDownLatch open = rig.blockLoop();
+            host.nextRequest();
+            CountDownLatch unblock = fixture.blockLoop();
             peer.write(ProxyFixture.get("read", 800));
-            standStill(open, 400);
+            stall(unblock, 400);
             assertThat(peer.read().text()).isEqualTo("served");
-            assertThat(Integer.parseInt(host.request().header("X-Timeout-Ms"))).isBetween(1, 400);
+            assertThat(Integer.parseInt(host.nextRequest().header("X-Timeout-Ms")))
+                    .isBetween(1, 400);
         }
     }
 
     @Test
-    void whatIsPastItsTimeIsAnsweredAndTheHostNotBlamed() throws Exception {
+    void overdueRequestAfterStallIsAnsweredWithoutBlamingHost() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         try (ScriptedServer host = ScriptedServer.host(message -> {
                     answer.await();
                     return ScriptedServer.ok("served");
                 });
-                ProxyFixture rig = new ProxyFixture(true, null, config -> {}, ProxyFixture.server("a", host.port()));
-                TestPeer peer = rig.client()) {
-            peer.write(ProxyFixture.post("claim", TIME_MS, "", "x"));
-            host.request();
-            CountDownLatch open = rig.blockLoop();
-            standStill(open, 2 * TIME_MS);
+                ProxyFixture fixture =
+                        new ProxyFixture(true, null, config -> {}, ProxyFixture.endpoint("a", host.port()));
+                TestPeer peer = fixture.client()) {
+            peer.write(ProxyFixture.post("claim", TIMEOUT_MILLIS, "", "x"));
+            host.nextRequest();
+            CountDownLatch unblock = fixture.blockLoop();
+            stall(unblock, 2 * TIMEOUT_MILLIS);
             assertThat(peer.read().status()).isEqualTo(504);
-            assertThat(rig.log()).contains("attempt a CANCELLED").doesNotContain("TIMEOUT");
+            assertThat(fixture.log()).contains("attempt a CANCELLED").doesNotContain("TIMEOUT");
             answer.countDown();
         }
     }
 
     @Test
-    void aListThatCameMeanwhileIsReadBeforeARequestThatCameSooner() throws Exception {
-        try (ScriptedServer server = ScriptedServer.host(message -> ScriptedServer.ok("a"));
-                ScriptedServer scriptedServer = ScriptedServer.host(r -> ScriptedServer.ok("b"));
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", server.port()));
-                TestPeer peer = rig.client()) {
-            rig.tell(2, true, ProxyFixture.server("b", scriptedServer.port()));
-            String by;
+    void endpointListIsAppliedBeforeEarlierRequestAfterStall() throws Exception {
+        try (ScriptedServer hostA = ScriptedServer.host(message -> ScriptedServer.ok("a"));
+                ScriptedServer hostB = ScriptedServer.host(message -> ScriptedServer.ok("b"));
+                ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", hostA.port()));
+                TestPeer peer = fixture.client()) {
+            fixture.announce(2, true, ProxyFixture.endpoint("b", hostB.port()));
+            String responder;
             do { // until the watch is open and has been read
                 peer.write(ProxyFixture.get("read", 2_000));
-                by = peer.read().text();
-            } while (!by.equals("b"));
-            scriptedServer.requests.clear();
-            CountDownLatch open = rig.blockLoop();
+                responder = peer.read().text();
+            } while (!responder.equals("b"));
+            hostB.requests.clear();
+            CountDownLatch unblock = fixture.blockLoop();
             peer.write(ProxyFixture.get("read", 2_000));
-            rig.tell(
+            fixture.announce(
                     3,
                     true,
-                    ProxyFixture.server("a", server.port()),
-                    ProxyFixture.server("b", scriptedServer.port(), 0, "draining"));
-            standStill(open, TIME_MS);
+                    ProxyFixture.endpoint("a", hostA.port()),
+                    ProxyFixture.endpoint("b", hostB.port(), 0, "draining"));
+            stall(unblock, TIMEOUT_MILLIS);
             assertThat(peer.read().text()).isEqualTo("a");
-            assertThat(scriptedServer.requests).isEmpty();
+            assertThat(hostB.requests).isEmpty();
         }
     }
 }
--- a/src/test/java/rillyard/proxy/FailureRateByClassTest.java
+++ b/src/test/java/rillyard/proxy/FailureRateByClassTest.java
@@ -14,37 +14,37 @@
     }
 
     @Test
-    void hostThatLosesOneClassGetsTheOthers() throws Exception {
+    void hostFailingOneClassStillGetsOthers() throws Exception {
         AtomicInteger claims = new AtomicInteger();
         AtomicInteger logs = new AtomicInteger();
         ScriptedServer.Reply lossy = message -> {
-            if (message.line().contains("/claim")) {
+            if (message.startLine().contains("/claim")) {
                 claims.incrementAndGet();
                 Thread.sleep(600_000);
             }
             logs.incrementAndGet();
             return ScriptedServer.ok("x");
         };
-        ScriptedServer.Reply sound = r -> {
+        ScriptedServer.Reply sound = message -> {
             Thread.sleep(20);
             return ScriptedServer.ok("x");
         };
-        try (ScriptedServer server = ScriptedServer.host(lossy);
-                ScriptedServer scriptedServer = ScriptedServer.host(sound);
-                ProxyFixture rig = new ProxyFixture(
-                        ProxyFixture.server("a", server.port()), ProxyFixture.server("b", scriptedServer.port()));
-                TestPeer claim = rig.client();
-                TestPeer one = rig.client();
-                TestPeer two = rig.client();
-                TestPeer three = rig.client()) {
+        try (ScriptedServer hostA = ScriptedServer.host(lossy);
+                ScriptedServer hostB = ScriptedServer.host(sound);
+                ProxyFixture fixture = new ProxyFixture(
+                        ProxyFixture.endpoint("a", hostA.port()), ProxyFixture.endpoint("b", hostB.port()));
+                TestPeer claim = fixture.client();
+                TestPeer one = fixture.client();
+                TestPeer two = fixture.client();
+                TestPeer three = fixture.client()) {
             for (int i = 0; i < ROUNDS; i++) {
                 claim.write(ProxyFixture.post("claim", 250, "", "x"));
                 // While it is out, so many logs that each host gets one: the lost claim is overtaken.
                 for (TestPeer peer : new TestPeer[] {one, two, three}) {
                     peer.write(log());
                 }
-                for (TestPeer testPeer : new TestPeer[] {one, two, three, claim}) {
-                    testPeer.read();
+                for (TestPeer peer : new TestPeer[] {one, two, three, claim}) {
+                    peer.read();
                 }
             }
         }
--- a/src/test/java/rillyard/proxy/HotRestartIT.java
+++ b/src/test/java/rillyard/proxy/HotRestartIT.java
@@ -29,32 +29,32 @@
     private static final class Load implements AutoCloseable {
         final AtomicInteger served = new AtomicInteger();
         /** What became of each request without an answer of a host's, and when (ms since the load began). */
-        final Queue<String> lost = new ConcurrentLinkedQueue<>();
+        final Queue<String> failures = new ConcurrentLinkedQueue<>();
 
-        private final long began = System.nanoTime();
-        private final AtomicBoolean over = new AtomicBoolean();
+        private final long startNanos = System.nanoTime();
+        private final AtomicBoolean stopped = new AtomicBoolean();
 
-        Load(InetSocketAddress to) {
+        Load(InetSocketAddress address) {
             for (int i = 0; i < CLIENTS; i++) {
-                Thread thread = new Thread(() -> run(to));
+                Thread thread = new Thread(() -> run(address));
                 thread.setDaemon(true);
                 thread.start();
             }
         }
 
-        private void lose(String how) {
-            lost.add((System.nanoTime() - began) / 1_000_000 + " ms: " + how);
+        private void recordFailure(String description) {
+            failures.add((System.nanoTime() - startNanos) / 1_000_000 + " ms: " + description);
         }
 
-        private void run(InetSocketAddress to) {
+        private void run(InetSocketAddress address) {
             TestPeer peer = null;
-            while (!over.get()) {
+            while (!stopped.get()) {
                 try {
-                    peer = peer == null ? TestPeer.connect(to.getPort()) : peer;
+                    peer = peer == null ? TestPeer.connect(address.getPort()) : peer;
                     peer.write(ProxyFixture.post("claim", 1_500, "", "x"));
                     TestPeer.Message message = peer.read();
                     if (message == null || message.status() != 200) {
-                        lose(message == null ? "ended without an answer" : message.line());
+                        recordFailure(message == null ? "ended without an answer" : message.startLine());
                     } else {
                         served.incrementAndGet();
                     }
@@ -64,7 +64,7 @@
                     }
                     Thread.sleep(2);
                 } catch (IOException e) {
-                    lose((peer == null ? "connecting: " : "on a connection: ") + e);
+                    recordFailure((peer == null ? "connecting: " : "on a connection: ") + e);
                     peer = null;
                 } catch (InterruptedException e) {
                     return;
@@ -81,7 +81,7 @@
 
         @Override
         public void close() {
-            over.set(true); // each ends with its present request
+            stopped.set(true); // each ends with its present request
         }
     }
 
@@ -90,7 +90,9 @@
             throws Exception {
         Path config = folder.resolve(name + ".json");
         Files.move(
-                ProxyFixture.config(discovery.port(), c -> c.put("operator", "127.0.0.1:" + operator), known), config);
+                ProxyFixture.writeConfig(
+                        discovery.port(), json -> json.put("operator", "127.0.0.1:" + operator), known),
+                config);
         LaunchCommand built = LaunchCommand.platform(Path.of("").toAbsolutePath())
                 .with("TMPDIR", folder.resolve("tmp").toString());
         return ProxyProcess.launch(built, config, listen, folder.resolve(name + ".log"));
@@ -100,9 +102,10 @@
         return Files.readString(folder.resolve(name + ".log"));
     }
 
-    private static int call(int operator, String what, String body) throws IOException {
+    private static int call(int operator, String methodAndTarget, String body) throws IOException {
         try (TestPeer peer = TestPeer.connect(operator)) {
-            peer.write(what + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+            peer.write(
+                    methodAndTarget + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             return peer.read().status();
         }
     }
@@ -121,73 +124,73 @@
     }
 
     @Test
-    void aSuccessorTakesOverUnderLoadAndKnowsWhatIsOut() throws Exception {
+    void successorTakesOverUnderLoadWithDisabledHosts() throws Exception {
         Files.createDirectory(folder.resolve("tmp"));
         InetSocketAddress listen = ProxyProcess.freeAddress();
         int oldOperator = ProxyProcess.freeAddress().getPort();
         int newOperator = ProxyProcess.freeAddress().getPort();
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
-                ScriptedServer server = ScriptedServer.host(message -> ScriptedServer.ok("a"));
-                ScriptedServer scriptedServer = ScriptedServer.host(r -> ScriptedServer.ok("b"));
-                ProxyProcess old = launch(
+                ScriptedServer hostA = ScriptedServer.host(message -> ScriptedServer.ok("a"));
+                ScriptedServer hostB = ScriptedServer.host(message -> ScriptedServer.ok("b"));
+                ProxyProcess predecessor = launch(
                         silent,
                         "old",
                         listen,
                         oldOperator,
-                        ProxyFixture.server("a", server.port()),
-                        ProxyFixture.server("b", scriptedServer.port()))) {
+                        ProxyFixture.endpoint("a", hostA.port()),
+                        ProxyFixture.endpoint("b", hostB.port()))) {
             awaitReady(oldOperator);
             try (Load load = new Load(listen)) {
                 load.awaitServed(200);
                 assertThat(call(oldOperator, "POST /_hosts/detach", "a")).isEqualTo(200);
-                try (ProxyProcess next = launch(
+                try (ProxyProcess successor = launch(
                         silent,
                         "next",
                         listen,
                         newOperator,
-                        ProxyFixture.server("a", server.port()),
-                        ProxyFixture.server("b", scriptedServer.port()))) {
+                        ProxyFixture.endpoint("a", hostA.port()),
+                        ProxyFixture.endpoint("b", hostB.port()))) {
                     awaitReady(newOperator);
                     load.awaitServed(200);
-                    server.requests.clear();
-                    old.process().terminate();
-                    assertThat(old.process().await()).isZero();
+                    hostA.requests.clear();
+                    predecessor.process().terminate();
+                    assertThat(predecessor.process().await()).isZero();
                     assertThat(log("old")).contains("draining, successor=true", "drained");
                     load.awaitServed(400);
-                    assertThat(load.lost).isEmpty();
-                    assertThat(server.requests).isEmpty();
+                    assertThat(load.failures).isEmpty();
+                    assertThat(hostA.requests).isEmpty();
                     assertThat(call(newOperator, "POST /_hosts/attach", "a")).isEqualTo(200);
-                    while (server.requests.isEmpty()) {
+                    while (hostA.requests.isEmpty()) {
                         load.awaitServed(1);
                     }
-                    assertThat(next.process().isAlive()).isTrue();
+                    assertThat(successor.process().isAlive()).isTrue();
                 }
             }
         }
     }
 
     @Test
-    void aSuccessorThatDiesLeavesTheFirstOneServing() throws Exception {
+    void failedSuccessorLeavesPredecessorServing() throws Exception {
         Files.createDirectory(folder.resolve("tmp"));
         InetSocketAddress listen = ProxyProcess.freeAddress();
         int oldOperator = ProxyProcess.freeAddress().getPort();
         int newOperator = ProxyProcess.freeAddress().getPort();
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
-                ScriptedServer server = ScriptedServer.host(message -> ScriptedServer.ok("a"));
-                ProxyProcess old =
-                        launch(silent, "old", listen, oldOperator, ProxyFixture.server("a", server.port()))) {
+                ScriptedServer hostA = ScriptedServer.host(message -> ScriptedServer.ok("a"));
+                ProxyProcess predecessor =
+                        launch(silent, "old", listen, oldOperator, ProxyFixture.endpoint("a", hostA.port()))) {
             awaitReady(oldOperator);
-            try (ProxyProcess next =
-                    launch(silent, "next", listen, newOperator, ProxyFixture.server("a", server.port()))) {
+            try (ProxyProcess successor =
+                    launch(silent, "next", listen, newOperator, ProxyFixture.endpoint("a", hostA.port()))) {
                 awaitReady(newOperator);
-                next.process().kill();
+                successor.process().kill();
             }
             try (Load load = new Load(listen)) {
                 load.awaitServed(100);
-                assertThat(load.lost).isEmpty();
+                assertThat(load.failures).isEmpty();
             }
-            old.process().terminate();
-            assertThat(old.process().await()).isZero();
+            predecessor.process().terminate();
+            assertThat(predecessor.process().await()).isZero();
             assertThat(log("old")).contains("draining, successor=false").doesNotContain("successor=true");
         }
     }
--- a/src/test/java/rillyard/proxy/IncompleteListTest.java
+++ b/src/test/java/rillyard/proxy/IncompleteListTest.java
@@ -19,7 +19,7 @@
 /** Whole lists with most hosts missing, where they are doubted and where they are not. */
 class IncompleteListTest {
     private static final String[] NAMES = {"a", "b", "c", "d"};
-    private static final double LONG_MS = 3_600_000;
+    private static final double LONG_HOLD_MILLIS = 3_600_000;
 
     private final List<ScriptedServer> hosts = new ArrayList<>();
 
@@ -40,65 +40,68 @@
         }
     }
 
-    private String[] all() {
+    private String[] allEndpoints() {
         String[] servers = new String[NAMES.length];
         for (int i = 0; i < NAMES.length; i++) {
-            servers[i] = ProxyFixture.server(NAMES[i], hosts.get(i).port());
+            servers[i] = ProxyFixture.endpoint(NAMES[i], hosts.get(i).port());
         }
         return servers;
     }
 
     /** Who answers now, after the proxy has surely read what discovery said. */
-    private static Set<String> answering(ProxyFixture rig) throws Exception {
-        rig.news.add(""); // ends the watch; the next one is opened after all of it was read
-        assertThat(rig.watches.poll(20, TimeUnit.SECONDS)).isNotNull();
-        assertThat(rig.watches.poll(20, TimeUnit.SECONDS)).isNotNull();
-        Set<String> who = new TreeSet<>();
+    private static Set<String> respondingHosts(ProxyFixture fixture) throws Exception {
+        fixture.discoveryLines.add(""); // ends the watch; the next one is opened after all of it was read
+        assertThat(fixture.watchRequests.poll(20, TimeUnit.SECONDS)).isNotNull();
+        assertThat(fixture.watchRequests.poll(20, TimeUnit.SECONDS)).isNotNull();
+        Set<String> names = new TreeSet<>();
         for (int i = 0; i < 5; i++) {
-            List<TestPeer> calls = new ArrayList<>();
-            for (int n = 0; n < 12; n++) {
-                TestPeer peer = rig.client();
+            List<TestPeer> clients = new ArrayList<>();
+            for (int call = 0; call < 12; call++) {
+                TestPeer peer = fixture.client();
                 peer.write(ProxyFixture.post("claim", 20_000, "", "x"));
-                calls.add(peer);
+                clients.add(peer);
             }
-            for (TestPeer testPeer : calls) {
-                who.add(testPeer.read().text());
-                testPeer.close();
+            for (TestPeer client : clients) {
+                names.add(client.read().text());
+                client.close();
             }
         }
-        return who;
+        return names;
     }
 
     @Test
-    void withTheGuardTheServiceGoesOnWithAllAndADrainIsObeyed() throws Exception {
-        try (ProxyFixture rig = new ProxyFixture(false, new EndpointListGuard(0.5, LONG_MS), config -> {}, all())) {
+    void guardKeepsMissingHostsInUseAndAppliesDrain() throws Exception {
+        try (ProxyFixture fixture =
+                new ProxyFixture(false, new EndpointListGuard(0.5, LONG_HOLD_MILLIS), config -> {}, allEndpoints())) {
             // One is left of four, and one of the others was told to drain in the same breath.
-            rig.tell(2, true, all()[0].replace("\"up\"", "\"draining\""));
-            assertThat(answering(rig)).containsExactly("b", "c", "d");
-            assertThat(rig.log()).contains("full list not believed for now, hosts=1 missing_in_use=3");
-            rig.tell(3, false, all()[1].replace("\"up\"", "\"removed\""));
-            assertThat(answering(rig)).containsExactly("c", "d");
+            fixture.announce(2, true, allEndpoints()[0].replace("\"up\"", "\"draining\""));
+            assertThat(respondingHosts(fixture)).containsExactly("b", "c", "d");
+            assertThat(fixture.log()).contains("full list not believed for now, hosts=1 missing_in_use=3");
+            fixture.announce(3, false, allEndpoints()[1].replace("\"up\"", "\"removed\""));
+            assertThat(respondingHosts(fixture)).containsExactly("c", "d");
         }
     }
 
     @Test
-    void whatNoListNamesAgainIsGoneInTheEnd() throws Exception {
-        try (ProxyFixture rig = new ProxyFixture(false, new EndpointListGuard(0.5, 1), config -> {}, all())) {
-            rig.tell(2, true, all()[0]);
-            rig.news.add("");
-            assertThat(rig.watches.poll(20, TimeUnit.SECONDS)).isNotNull();
-            assertThat(rig.watches.poll(20, TimeUnit.SECONDS)).isNotNull();
-            long until = System.nanoTime() + 20_000_000_000L;
-            while (rig.log()
+    void hostMissingPastHoldTimeIsRemoved() throws Exception {
+        try (ProxyFixture fixture =
+                new ProxyFixture(false, new EndpointListGuard(0.5, 1), config -> {}, allEndpoints())) {
+            fixture.announce(2, true, allEndpoints()[0]);
+            fixture.discoveryLines.add("");
+            assertThat(fixture.watchRequests.poll(20, TimeUnit.SECONDS)).isNotNull();
+            assertThat(fixture.watchRequests.poll(20, TimeUnit.SECONDS)).isNotNull();
+            long deadline = System.nanoTime() + 20_000_000_000L;
+            while (fixture.log()
                                     .lines()
-                                    .filter(l -> l.contains("watch: missing host removed"))
+                                    .filter(line -> line.contains("watch: missing host removed"))
                                     .count()
                             < 3
-                    && System.nanoTime() < until) {
+                    && System.nanoTime() < deadline) {
                 Thread.onSpinWait();
             }
             for (int i = 0; i < 20; i++) {
-                assertThat(rig.call(ProxyFixture.post("claim", 800, "", "x")).text())
+                assertThat(fixture.call(ProxyFixture.post("claim", 800, "", "x"))
+                                .text())
                         .isEqualTo("a");
             }
         }
@@ -106,26 +109,26 @@
 
     /** The platform's rule, and what holds where no guard is asked for. */
     @Test
-    void withoutTheGuardTheListIsBelieved() throws Exception {
-        try (ProxyFixture rig = new ProxyFixture(all())) {
-            rig.tell(2, true, all()[0]);
-            assertThat(answering(rig)).containsExactly("a");
+    void incompleteListIsAppliedWithoutGuard() throws Exception {
+        try (ProxyFixture fixture = new ProxyFixture(allEndpoints())) {
+            fixture.announce(2, true, allEndpoints()[0]);
+            assertThat(respondingHosts(fixture)).containsExactly("a");
         }
     }
 
     @Test
-    void theGuardIsAskedForByProperties() throws Exception {
-        Properties p = new Properties();
-        assertThat(EndpointListOptions.createGuard(p)).isNull();
-        p.setProperty(EndpointListOptions.HOLD, "30000");
-        assertThat(EndpointListOptions.createGuard(p)).isNotNull();
-        p.setProperty(EndpointListOptions.LEAST_SHARE, "1.5");
-        assertThatThrownBy(() -> EndpointListOptions.createGuard(p))
+    void guardIsConfiguredByProperties() throws Exception {
+        Properties properties = new Properties();
+        assertThat(EndpointListOptions.createGuard(properties)).isNull();
+        properties.setProperty(EndpointListOptions.HOLD, "30000");
+        assertThat(EndpointListOptions.createGuard(properties)).isNotNull();
+        properties.setProperty(EndpointListOptions.LEAST_SHARE, "1.5");
+        assertThatThrownBy(() -> EndpointListOptions.createGuard(properties))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining("least_share")
                 .hasMessageContaining("expected 0 to 1, found 1.5");
-        p.setProperty(EndpointListOptions.HOLD, "soon");
-        assertThatThrownBy(() -> EndpointListOptions.createGuard(p))
+        properties.setProperty(EndpointListOptions.HOLD, "soon");
+        assertThatThrownBy(() -> EndpointListOptions.createGuard(properties))
                 .isInstanceOf(ConfigException.class)
                 .hasMessage("-Drillyard.lists.hold_ms: expected a number, found 'soon'");
     }
--- a/src/test/java/rillyard/proxy/JarIT.java
+++ b/src/test/java/rillyard/proxy/JarIT.java
@@ -27,7 +27,7 @@
         }
         line.addAll(List.of("-jar", "target/rillyard.jar", command));
         ProcessBuilder builder = new ProcessBuilder(line);
-        builder.environment().keySet().removeIf(k -> k.startsWith("BALANCER_"));
+        builder.environment().keySet().removeIf(name -> name.startsWith("BALANCER_"));
         if (config != null) {
             builder.environment().put("BALANCER_CONFIG", config.toString());
         }
@@ -46,18 +46,20 @@
         private final Path config;
 
         Running(ScriptedServer host) throws Exception {
-            config = ProxyFixture.config(
-                    discovery.port(), c -> c.put("listen", "127.0.0.1:" + port), ProxyFixture.server("a", host.port()));
+            config = ProxyFixture.writeConfig(
+                    discovery.port(),
+                    json -> json.put("listen", "127.0.0.1:" + port),
+                    ProxyFixture.endpoint("a", host.port()));
             process = start(config, "proxy");
             awaitReady();
         }
 
         /** The same configuration but for discovery's address, in a file of its own. */
         Path newConfig(ScriptedServer discovery, ScriptedServer host) throws IOException {
-            return ProxyFixture.config(
+            return ProxyFixture.writeConfig(
                     discovery.port(),
                     config -> config.put("listen", "127.0.0.1:" + port),
-                    ProxyFixture.server("a", host.port()));
+                    ProxyFixture.endpoint("a", host.port()));
         }
 
         void signal(String name) throws Exception {
@@ -90,7 +92,7 @@
     }
 
     @Test
-    void proxyServesAndOnSigtermAnswersAllItHoldsAndExitsWithZero() throws Exception {
+    void sigtermAnswersOpenRequestsAndExitsWithZero() throws Exception {
         java.util.concurrent.CountDownLatch answer = new java.util.concurrent.CountDownLatch(1);
         try (ScriptedServer host = ScriptedServer.host(message -> {
                     if (message.text().equals("slow")) {
@@ -103,16 +105,16 @@
                     TestPeer idle = TestPeer.connect(proxy.port)) {
                 idle.write(ProxyFixture.post("claim", 800, "", "x"));
                 assertThat(idle.read().status()).isEqualTo(200);
-                host.request();
+                host.nextRequest();
                 held.write(ProxyFixture.post("claim", 1_200, "", "slow"));
-                host.request();
+                host.nextRequest();
                 proxy.process.toHandle().destroy(); // SIGTERM; the process's own method would close its streams
                 assertThat(idle.read()).isNull();
                 try (TestPeer late = TestPeer.connect(proxy.port)) {
                     late.write(ProxyFixture.post("claim", 800, "", "x"));
-                    TestPeer.Message m = late.read();
-                    assertThat(m.status()).isEqualTo(200);
-                    assertThat(m.header("Connection")).isEqualToIgnoringCase("close");
+                    TestPeer.Message response = late.read();
+                    assertThat(response.status()).isEqualTo(200);
+                    assertThat(response.header("Connection")).isEqualToIgnoringCase("close");
                 }
                 answer.countDown();
                 assertThat(held.read().text()).isEqualTo("served");
@@ -124,10 +126,10 @@
     }
 
     @Test
-    void manyLargeBodiesLeaveTheProcessUnderItsLimit() throws Exception {
+    void manyLargeBodiesStayWithinMemoryLimit() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("" + message.body().length));
                 Running proxy = new Running(host)) {
-            byte[] most = new byte[(64 << 10) - 1];
+            byte[] body = new byte[(64 << 10) - 1];
             List<TestPeer> clients = new ArrayList<>();
             for (int i = 0; i < 400; i++) { // 25 MB at once, if all came in
                 TestPeer peer = TestPeer.connect(proxy.port);
@@ -136,9 +138,9 @@
                     try {
                         peer.write(ProxyFixture.head("POST", "claim", 20_000, "")
                                 + "Content-Length: "
-                                + (most.length + 1)
+                                + (body.length + 1)
                                 + "\r\n\r\n");
-                        peer.write(most);
+                        peer.write(body);
                         peer.write("x");
                     } catch (IOException e) {
                         // refused half way: its answer is there all the same
@@ -147,9 +149,9 @@
                 thread.setDaemon(true);
                 thread.start();
             }
-            for (TestPeer testPeer : clients) {
-                assertThat(testPeer.read().status()).isIn(200, 503);
-                testPeer.close();
+            for (TestPeer peer : clients) {
+                assertThat(peer.read().status()).isIn(200, 503);
+                peer.close();
             }
             String status = Files.readString(Path.of("/proc/" + proxy.process.pid() + "/status"));
             String peak = status.replaceAll("(?s).*VmHWM:\\s*(\\d+) kB.*", "$1");
@@ -158,7 +160,7 @@
     }
 
     @Test
-    void proxyLoadsItsClassesFromTheArchive() throws Exception {
+    void proxyLoadsClassesFromArchive() throws Exception {
         Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "@deploy/proxy.jvm",
@@ -197,17 +199,17 @@
                 // recorder's events, libraries for logs that are not there.
                 .doesNotContain("databind.ObjectMapper ", "jdk.jfr.internal.EventClassBuilder", "Slf4JLogger");
         long outside = log.lines()
-                .filter(l -> l.contains(" source: ") && !l.contains("shared objects file"))
+                .filter(line -> line.contains(" source: ") && !line.contains("shared objects file"))
                 .count();
         assertThat(outside).as("classes from outside the archive").isBetween(1L, OUTSIDE_ARCHIVE);
     }
 
     @Test
-    void hangUpMovesTheWatchAndEndsNothing() throws Exception {
+    void sighupMovesWatchAndKeepsServing() throws Exception {
         BlockingQueue<String> asked = new LinkedBlockingQueue<>();
         try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("served"));
                 ScriptedServer moved = new ScriptedServer(peer -> {
-                    asked.add(peer.read().line());
+                    asked.add(peer.read().startLine());
                     peer.awaitEnd();
                 });
                 Running proxy = new Running(host)) {
@@ -230,14 +232,14 @@
     }
 
     @Test
-    void proxyWithoutConfigurationEndsWithOneLine() throws Exception {
+    void missingConfigurationExitsWithOneLine() throws Exception {
         Process process = start(null, "proxy");
         assertThat(process.waitFor()).isEqualTo(1);
         assertThat(errors(process)).isEqualTo("rillyard: BALANCER_CONFIG is not set\n");
     }
 
     @Test
-    void adapterAnswersABatch() throws Exception {
+    void adapterAnswersBatch() throws Exception {
         Process process = start(null, "adapter");
         process.getOutputStream().write("sync wall=1.0\neob\n".getBytes(StandardCharsets.UTF_8));
         process.getOutputStream().close();
--- a/src/test/java/rillyard/proxy/LateConnectServer.java
+++ b/src/test/java/rillyard/proxy/LateConnectServer.java
@@ -8,17 +8,17 @@
 import java.util.List;
 
 /**
- * A host whose queue of connections is full: the next connect waits, and comes up some time after
- * {@link #makeRoom}, when the kernel of the one that connects asks again (1 s after the first time).
+ * A host whose accept backlog is full: the next connect stays pending until {@link #freeBacklog}, and completes when the
+ * connecting kernel sends its SYN again, 1 s after the first.
  */
 final class LateConnectServer implements AutoCloseable {
     private final ServerSocket server;
-    private final List<Socket> filling = new ArrayList<>();
+    private final List<Socket> backlog = new ArrayList<>();
 
     LateConnectServer() throws IOException {
         server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         for (int i = 0; i < 2; i++) { // a backlog of one holds two
-            filling.add(new Socket(InetAddress.getLoopbackAddress(), server.getLocalPort()));
+            backlog.add(new Socket(InetAddress.getLoopbackAddress(), server.getLocalPort()));
         }
     }
 
@@ -26,14 +26,14 @@
         return server.getLocalPort();
     }
 
-    /** Takes those that fill the queue out of it. */
-    void makeRoom() throws IOException {
-        for (int i = 0; i < filling.size(); i++) {
+    /** Accepts and closes the connections that fill the backlog. */
+    void freeBacklog() throws IOException {
+        for (int i = 0; i < backlog.size(); i++) {
             server.accept().close();
         }
     }
 
-    /** The connection that was late. */
+    /** Accepts the connection that was pending. */
     TestPeer accept() throws IOException {
         server.setSoTimeout(20_000);
         return new TestPeer(server.accept());
@@ -41,7 +41,7 @@
 
     @Override
     public void close() throws IOException {
-        for (Socket socket : filling) {
+        for (Socket socket : backlog) {
             socket.close();
         }
         server.close();
--- a/src/test/java/rillyard/proxy/LoadSheddingTest.java
+++ b/src/test/java/rillyard/proxy/LoadSheddingTest.java
@@ -15,8 +15,8 @@
         return ProxyFixture.post("claim", timeout, "", "visit=1");
     }
 
-    private static String report(int held) {
-        return "HTTP/1.1 200 OK\r\nX-Server-Load: rif=" + held + "\r\nContent-Length: 2\r\n\r\nok";
+    private static String responseWithReport(int requestsInFlight) {
+        return "HTTP/1.1 200 OK\r\nX-Server-Load: rif=" + requestsInFlight + "\r\nContent-Length: 2\r\n\r\nok";
     }
 
     /**
@@ -24,26 +24,26 @@
      * report, and must not count as its queue for ever.
      */
     @Test
-    void refusalsEndAfterWhatRaisedThem() throws Exception {
+    void rejectionsEndAfterTheirCause() throws Exception {
         AtomicInteger seen = new AtomicInteger();
         ScriptedServer.Reply reply = message -> {
-            int n = seen.incrementAndGet();
-            if (n == 1) {
+            int count = seen.incrementAndGet();
+            if (count == 1) {
                 Thread.sleep(350); // one of a queue of six: each takes long
-                return report(6);
+                return responseWithReport(6);
             }
-            if (n <= 9) {
+            if (count <= 9) {
                 Thread.sleep(600_000); // lost
             }
-            return report(0);
+            return responseWithReport(0);
         };
         try (ScriptedServer host = ScriptedServer.host(reply);
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
-            assertThat(rig.call(claim(60_000)).status()).isEqualTo(200);
-            long until = System.nanoTime() + 30_000_000_000L;
+                ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()))) {
+            assertThat(fixture.call(claim(60_000)).status()).isEqualTo(200);
+            long deadline = System.nanoTime() + 30_000_000_000L;
             int status = 0;
-            while (status != 200 && System.nanoTime() < until) {
-                status = rig.call(claim(100)).status();
+            while (status != 200 && System.nanoTime() < deadline) {
+                status = fixture.call(claim(100)).status();
             }
             assertThat(status).isEqualTo(200);
         }
@@ -53,24 +53,24 @@
      * Guards against retries whose aim is past taking the place of requests that can still be of use.
      */
     @Test
-    void whatComesTooLateIsRefusedBeforeTheRest() throws Exception {
+    void lateRequestsAreShedFirst() throws Exception {
         ScriptedServer.Reply slow = message -> {
             Thread.sleep(240); // six tenths of the aim
             return ScriptedServer.ok("ok");
         };
         try (ScriptedServer host = ScriptedServer.host(slow);
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
+                ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()))) {
             for (int i = 0; i < 16; i++) {
-                rig.call(claim(800));
+                fixture.call(claim(800));
             }
             int served = host.requests.size();
             for (int i = 0; i < 10; i++) {
-                assertThat(rig.call(claim(300)).status()).isEqualTo(503); // 500 ms of 800 are gone
+                assertThat(fixture.call(claim(300)).status()).isEqualTo(503); // 500 ms of 800 are gone
             }
             assertThat(host.requests).hasSize(served);
             int status = 0;
             for (int i = 0; i < 200 && status != 200; i++) {
-                status = rig.call(claim(800)).status();
+                status = fixture.call(claim(800)).status();
             }
             assertThat(status).isEqualTo(200);
         }
@@ -78,32 +78,32 @@
 
     /** Guards against clients that come back at once until chance lets them through. */
     @Test
-    void triesAtOnceMeetTheSameAnswer() throws Exception {
+    void simultaneousRetriesGetSameDecision() throws Exception {
         ScriptedServer.Reply slow = message -> {
             Thread.sleep(300); // about half are refused at three quarters of the aim
             return ScriptedServer.ok("ok");
         };
         List<TestPeer> clients = new ArrayList<>();
         try (ScriptedServer host = ScriptedServer.host(slow);
-                ProxyFixture rig = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
+                ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()))) {
             for (int i = 0; i < 8; i++) {
-                clients.add(rig.client());
+                clients.add(fixture.client());
             }
-            int mixed = 0;
+            int mixedRounds = 0;
             for (int i = 0; i < 24; i++) {
                 for (TestPeer peer : clients) {
                     peer.write(claim(800));
                 }
                 Set<Integer> answers = new HashSet<>();
-                for (TestPeer testPeer : clients) {
-                    answers.add(testPeer.read().status());
+                for (TestPeer peer : clients) {
+                    answers.add(peer.read().status());
                 }
-                mixed += i >= 8 && answers.size() > 1 ? 1 : 0; // the first ones raise the pressure
+                mixedRounds += i >= 8 && answers.size() > 1 ? 1 : 0; // the first ones raise the pressure
             }
-            assertThat(mixed).isLessThan(8); // of 16; chance for each mixes nearly all
+            assertThat(mixedRounds).isLessThan(8); // of 16; chance for each mixes nearly all
         } finally {
-            for (TestPeer c : clients) {
-                c.close();
+            for (TestPeer client : clients) {
+                client.close();
             }
         }
     }
--- a/src/test/java/rillyard/proxy/PlatformRunIT.java
+++ b/src/test/java/rillyard/proxy/PlatformRunIT.java
@@ -45,7 +45,8 @@
     private ProxyProcess launch(LaunchCommand launch, ScriptedServer discovery) throws Exception {
         Path config = folder.resolve("config.json");
         Files.move(
-                ProxyFixture.config(discovery.port(), c -> {}, ProxyFixture.server("a", ProxyFixture.freePort())),
+                ProxyFixture.writeConfig(
+                        discovery.port(), json -> {}, ProxyFixture.endpoint("a", ProxyFixture.freePort())),
                 config);
         return ProxyProcess.launch(launch, config, ProxyProcess.freeAddress(), folder.resolve("log"));
     }
@@ -67,19 +68,19 @@
         Map<String, Long> ticks = new HashMap<>();
         for (Path thread : threads(proxy)) {
             String stat = Files.readString(thread.resolve("stat"));
-            String[] f = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+            String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
             String name = thread.getFileName() + " " + stat.substring(stat.indexOf('('), stat.lastIndexOf(')') + 1);
-            ticks.put(name, Long.parseLong(f[11]) + Long.parseLong(f[12]));
+            ticks.put(name, Long.parseLong(fields[11]) + Long.parseLong(fields[12]));
         }
         return ticks;
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"balancer.toml", "launcher.toml"})
-    void itIsOneProcessThatTheShellHasBecome(String file) throws Exception {
+    void shellIsReplacedByProxyProcess(String file) throws Exception {
         boolean launcher = file.startsWith("launcher") && Files.isExecutable(LAUNCHER);
-        try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
-                ProxyProcess proxy = launch(shell(ROOT, file), silent)) {
+        try (ScriptedServer discovery = new ScriptedServer(TestPeer::awaitEnd);
+                ProxyProcess proxy = launch(shell(ROOT, file), discovery)) {
             proxy.await(ProxyProcess.State.READY);
             assertThat(program(proxy)).isEqualTo(launcher ? "start" : "java");
             assertThat(ProcessHandle.of(proxy.pid()).orElseThrow().children()).isEmpty();
@@ -89,12 +90,12 @@
     }
 
     @Test
-    void aBuildWithoutALauncherStartsByTheJdks() throws Exception {
+    void buildWithoutLauncherStartsByJdk() throws Exception {
         Files.createSymbolicLink(folder.resolve("deploy"), ROOT.resolve("deploy"));
         Files.createDirectory(folder.resolve("target"));
         Files.createSymbolicLink(folder.resolve("target/rillyard.jar"), ROOT.resolve("target/rillyard.jar"));
-        try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
-                ProxyProcess proxy = launch(shell(folder, "launcher.toml"), silent)) {
+        try (ScriptedServer discovery = new ScriptedServer(TestPeer::awaitEnd);
+                ProxyProcess proxy = launch(shell(folder, "launcher.toml"), discovery)) {
             proxy.await(ProxyProcess.State.READY);
             assertThat(program(proxy)).isEqualTo("java");
         }
@@ -102,10 +103,10 @@
 
     /** A start that is starved: a third of one core for all of its threads, and none of them may spin. */
     @Test
-    void starvedOfItsCoreItGetsReadyAndThenRests() throws Exception {
+    void starvedProxyGetsReadyAndIdles() throws Exception {
         try (CpuContention neighbours = new CpuContention("0", 1 / 3.0);
-                ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
-                ProxyProcess proxy = launch(shell(ROOT, "balancer.toml").on("0"), silent)) {
+                ScriptedServer discovery = new ScriptedServer(TestPeer::awaitEnd);
+                ProxyProcess proxy = launch(shell(ROOT, "balancer.toml").on("0"), discovery)) {
             proxy.await(ProxyProcess.State.READY);
             Map<String, Long> before = ticks(proxy);
             Thread.sleep(2_000); // what is counted is processor time, which an idle thread does not take
@@ -123,18 +124,18 @@
         ProcessBuilder builder = new ProcessBuilder(line).redirectErrorStream(true);
         builder.environment().putAll(environment);
         Process process = builder.start();
-        String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertThat(process.waitFor()).as(said).isEqualTo(code);
-        return said;
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertThat(process.waitFor()).as(output).isEqualTo(code);
+        return output;
     }
 
     @Test
-    void theLauncherTakesArgumentsAsJavaDoes() throws Exception {
+    void launcherParsesArgumentsAsJava() throws Exception {
         Path file = folder.resolve("options");
         Files.writeString(file, "# a comment\n-Done=1 \"-Dtwo=a b\"\n-Xss300k\n");
-        String said = launched(
+        String output = launched(
                 Map.of(), 0, "@" + file, "-Dthree=3", "-XX:+PrintFlagsFinal", "-XshowSettings:properties", "-version");
-        assertThat(said)
+        assertThat(output)
                 .contains("one = 1")
                 .contains("two = a b")
                 .contains("three = 3")
@@ -146,9 +147,9 @@
 
     /** The JDK's launcher reads this variable; what stands in its place hands over to it. */
     @Test
-    void optionsInTheEnvironmentAreNotLost() throws Exception {
-        String said =
+    void launcherKeepsOptionsOfEnvironment() throws Exception {
+        String output =
                 launched(Map.of("JDK_JAVA_OPTIONS", "-Dfrom=outside"), 0, "-XshowSettings:properties", "-version");
-        assertThat(said).contains("from = outside");
+        assertThat(output).contains("from = outside");
     }
 }
--- a/src/test/java/rillyard/proxy/ProcessPauseIT.java
+++ b/src/test/java/rillyard/proxy/ProcessPauseIT.java
@@ -27,13 +27,13 @@
     private static final LaunchCommand BUILT =
             LaunchCommand.platform(Path.of("").toAbsolutePath()).on("0");
     private static final int CLIENTS = 8;
-    private static final int TIME_MS = 1_500;
+    private static final int TIMEOUT_MILLIS = 1_500;
 
     /** More than a loop accepts in one turn. */
     private static final int BURST = 40;
 
     /** The protocol's: a final answer may be late by so much (ms) before it counts as none. */
-    private static final long SLACK_MS = 550;
+    private static final long SLACK_MILLIS = 550;
 
     @TempDir
     Path folder;
@@ -42,52 +42,54 @@
         Path config = folder.resolve("config.json");
         String[] known = new String[hosts.length];
         for (int i = 0; i < hosts.length; i++) {
-            known[i] = ProxyFixture.server("h" + i, hosts[i].port());
+            known[i] = ProxyFixture.endpoint("h" + i, hosts[i].port());
         }
-        Files.move(ProxyFixture.config(discovery.port(), c -> {}, known), config);
+        Files.move(ProxyFixture.writeConfig(discovery.port(), json -> {}, known), config);
         ProxyProcess proxy = ProxyProcess.launch(BUILT, config, ProxyProcess.freeAddress(), folder.resolve("log"));
         proxy.await(ProxyProcess.State.READY);
         return proxy;
     }
 
     /** A time (ns) in which the process stood still. */
-    private record Gap(long from, long to) {}
+    private record Pause(long fromNanos, long toNanos) {}
 
     /** A request and when (ns) its answer came; none where the connection ended with no answer. */
-    private record Asked(long sent, long answered, boolean whole) {
+    private record Exchange(long sentNanos, long endedNanos, boolean isComplete) {
         /**
          * Whether it is lost: past its time and the slack. One whose time was up while the process stood still can
          * be answered no sooner than that goes on; the slack counts from there.
          */
-        boolean lost(List<Gap> gaps) {
-            long due = sent + TIME_MS * 1_000_000L;
-            for (Gap gap : gaps) {
-                if (gap.from <= due && due <= gap.to) {
-                    due = gap.to;
+        boolean isLost(List<Pause> pauses) {
+            long due = sentNanos + TIMEOUT_MILLIS * 1_000_000L;
+            for (Pause pause : pauses) {
+                if (pause.fromNanos <= due && due <= pause.toNanos) {
+                    due = pause.toNanos;
                 }
             }
-            return !whole || answered > due + SLACK_MS * 1_000_000;
+            return !isComplete || endedNanos > due + SLACK_MILLIS * 1_000_000;
         }
 
-        String told(List<Gap> gaps, long zero) {
-            return "sent " + (sent - zero) / 1_000_000 + ", answered " + (answered - zero) / 1_000_000 + ", gaps "
-                    + gaps.stream()
-                            .map(gap -> (gap.from - zero) / 1_000_000 + "-" + (gap.to - zero) / 1_000_000)
+        String describe(List<Pause> pauses, long startNanos) {
+            return "sent " + (sentNanos - startNanos) / 1_000_000 + ", answered "
+                    + (endedNanos - startNanos) / 1_000_000 + ", gaps "
+                    + pauses.stream()
+                            .map(pause -> (pause.fromNanos - startNanos) / 1_000_000 + "-"
+                                    + (pause.toNanos - startNanos) / 1_000_000)
                             .toList();
         }
     }
 
     /** One client, one request after another on a kept connection, until told to end. */
-    private static void ask(ProxyProcess proxy, Queue<Asked> seen, AtomicLong latest, AtomicInteger on)
-            throws Exception {
+    private static void sendRequests(
+            ProxyProcess proxy, Queue<Exchange> exchanges, AtomicLong latest, AtomicInteger running) throws Exception {
         TestPeer peer = TestPeer.connect(proxy.address().getPort());
         try {
-            while (on.get() > 0) {
+            while (running.get() > 0) {
                 long sent = System.nanoTime();
                 latest.set(sent);
-                peer.write(ProxyFixture.post("claim", TIME_MS, "", "x"));
+                peer.write(ProxyFixture.post("claim", TIMEOUT_MILLIS, "", "x"));
                 TestPeer.Message message = peer.read();
-                seen.add(new Asked(sent, System.nanoTime(), message != null));
+                exchanges.add(new Exchange(sent, System.nanoTime(), message != null));
                 if (message == null || "close".equals(message.header("Connection"))) {
                     peer.close();
                     peer = TestPeer.connect(proxy.address().getPort());
@@ -101,12 +103,12 @@
     /** Every third request meets a host that hangs, so that nothing but its time ends it. */
     @ParameterizedTest
     @ValueSource(ints = {50, 150, 500, 1_000})
-    void eachRequestGetsItsOneAnswerInTimeAcrossGaps(int gapMs) throws Exception {
+    void requestsAcrossPausesAreAnsweredOnceInTime(int pauseMillis) throws Exception {
         AtomicInteger count = new AtomicInteger();
-        AtomicInteger on = new AtomicInteger(1);
-        Queue<Asked> seen = new ConcurrentLinkedQueue<>();
-        List<Gap> gaps = new ArrayList<>();
-        long zero = System.nanoTime();
+        AtomicInteger running = new AtomicInteger(1);
+        Queue<Exchange> exchanges = new ConcurrentLinkedQueue<>();
+        List<Pause> pauses = new ArrayList<>();
+        long startNanos = System.nanoTime();
         ExecutorService clients = Executors.newCachedThreadPool();
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
                 ScriptedServer host = new ScriptedServer(peer -> {
@@ -126,37 +128,39 @@
                 AtomicLong mine = new AtomicLong();
                 latest.add(mine);
                 asking.add(clients.submit(() -> {
-                    ask(proxy, seen, mine, on);
+                    sendRequests(proxy, exchanges, mine, running);
                     return null;
                 }));
             }
             for (int i = 0; i < 4; i++) {
                 // What was asked in one gap has its answer before the next: two that meet one request would hide each
                 // other.
-                long since = gaps.isEmpty() ? zero : gaps.get(i - 1).to;
+                long since = pauses.isEmpty() ? startNanos : pauses.get(i - 1).toNanos;
                 while (latest.stream().anyMatch(sent -> sent.get() <= since)) {
                     Thread.sleep(1);
                 }
                 long from = System.nanoTime();
                 proxy.process().pause();
-                Thread.sleep(gapMs); // the gap itself
+                Thread.sleep(pauseMillis); // the gap itself
                 proxy.process().resume();
-                gaps.add(new Gap(from, System.nanoTime()));
+                pauses.add(new Pause(from, System.nanoTime()));
             }
-            on.set(0);
-            for (Future<?> f : asking) {
-                f.get();
+            running.set(0);
+            for (Future<?> sender : asking) {
+                sender.get();
             }
         } finally {
             clients.shutdownNow();
         }
-        assertThat(seen.stream().filter(asked -> asked.lost(gaps)).map(a -> a.told(gaps, zero)))
+        assertThat(exchanges.stream()
+                        .filter(exchange -> exchange.isLost(pauses))
+                        .map(exchange -> exchange.describe(pauses, startNanos)))
                 .isEmpty();
     }
 
     /** More new connections than a loop accepts in one turn, and a reload, come while it stands still. */
     @Test
-    void aBurstAndAReloadInAGapAreServed() throws Exception {
+    void burstAndReloadDuringPauseAreServed() throws Exception {
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
                 ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("served"));
                 ProxyProcess proxy = launch(silent, host)) {
@@ -167,17 +171,17 @@
                     proxy.process().signal("HUP");
                     for (int i = 0; i < BURST; i++) {
                         TestPeer peer = TestPeer.connect(proxy.address().getPort());
-                        peer.write(ProxyFixture.post("claim", TIME_MS, "", "x"));
+                        peer.write(ProxyFixture.post("claim", TIMEOUT_MILLIS, "", "x"));
                         burst.add(peer);
                     }
                     Thread.sleep(300); // the gap itself
                     proxy.process().resume();
-                    for (TestPeer testPeer : burst) {
-                        assertThat(testPeer.read()).isNotNull();
+                    for (TestPeer client : burst) {
+                        assertThat(client.read()).isNotNull();
                     }
                 } finally {
-                    for (TestPeer c : burst) {
-                        c.close();
+                    for (TestPeer client : burst) {
+                        client.close();
                     }
                 }
             }
@@ -186,13 +190,13 @@
 
     /** SIGTERM and new connections come while it stands still, for longer than it would accept them. */
     @Test
-    void aDrainThatBeginsInAGapAnswersWhatCameInIt() throws Exception {
+    void drainAcrossPauseAnswersWaitingConnections() throws Exception {
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
                 ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("served"));
                 ProxyProcess proxy = launch(silent, host)) {
             List<TestPeer> waiting = new ArrayList<>();
             try (TestPeer kept = TestPeer.connect(proxy.address().getPort())) {
-                kept.write(ProxyFixture.post("claim", TIME_MS, "", "x"));
+                kept.write(ProxyFixture.post("claim", TIMEOUT_MILLIS, "", "x"));
                 assertThat(kept.read().text()).isEqualTo("served");
                 proxy.process().terminate();
                 while (!Files.readString(folder.resolve("log")).contains("draining")) {
@@ -201,17 +205,17 @@
                 proxy.process().pause();
                 for (int i = 0; i < BURST; i++) {
                     TestPeer peer = TestPeer.connect(proxy.address().getPort());
-                    peer.write(ProxyFixture.post("claim", 2 * TIME_MS, "", "x"));
+                    peer.write(ProxyFixture.post("claim", 2 * TIMEOUT_MILLIS, "", "x"));
                     waiting.add(peer);
                 }
                 Thread.sleep(1_000); // past the time for which new connections are accepted
                 proxy.process().resume();
-                for (TestPeer testPeer : waiting) {
-                    assertThat(testPeer.read()).isNotNull();
+                for (TestPeer client : waiting) {
+                    assertThat(client.read()).isNotNull();
                 }
             } finally {
-                for (TestPeer c : waiting) {
-                    c.close();
+                for (TestPeer client : waiting) {
+                    client.close();
                 }
             }
             assertThat(proxy.process().await()).isZero();
--- a/src/test/java/rillyard/proxy/ProxyFixture.java
+++ b/src/test/java/rillyard/proxy/ProxyFixture.java
@@ -20,10 +20,10 @@
 import rillyard.proxy.logging.ProxyLog;
 import rillyard.trace.ProxyTrace;
 
-/** A client proxy on loopback, with a discovery that says what the test has it say. */
+/** A client proxy on loopback, with a discovery service whose lists the test announces. */
 public final class ProxyFixture implements AutoCloseable {
-    /** Ids of requests: none twice, whichever thread asks, as a second one is a conflict (409). */
-    private static final AtomicLong IDS = new AtomicLong(System.nanoTime());
+    /** Request ids, unique across threads, as a second request with an id is a conflict (409). */
+    private static final AtomicLong REQUEST_IDS = new AtomicLong(System.nanoTime());
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String SETTINGS =
@@ -40,9 +40,9 @@
        "rules":{"cold":8700,"startCapacity":0.3,"fall":1500,"fallMultiple":3,"drainGrace":500}}
       """;
 
-    final BlockingQueue<String> news = new LinkedBlockingQueue<>();
-    final BlockingQueue<String> watches = new LinkedBlockingQueue<>();
-    private final AtomicReference<Thread> watcher = new AtomicReference<>();
+    final BlockingQueue<String> discoveryLines = new LinkedBlockingQueue<>();
+    final BlockingQueue<String> watchRequests = new LinkedBlockingQueue<>();
+    private final AtomicReference<Thread> currentWatcher = new AtomicReference<>();
     final ScriptedServer discovery;
     final ClientProxy proxy;
     final int port;
@@ -52,31 +52,31 @@
         this(config -> {}, servers);
     }
 
-    /** {@code servers} are entries as {@link #server} makes them; {@code change} edits the rest. */
+    /** Starts a proxy; {@code servers} are entries as of {@link #endpoint}, {@code change} edits the configuration. */
     public ProxyFixture(Consumer<ObjectNode> change, String... servers) throws Exception {
         this(false, null, change, servers);
     }
 
-    /** {@code traced} has the log hold the trace as well; {@code guard} may be null. */
+    /** Starts a proxy; {@code traced} writes the trace to the log, and {@code guard} may be null. */
     ProxyFixture(boolean traced, EndpointListGuard guard, Consumer<ObjectNode> change, String... servers)
             throws Exception {
         discovery = new ScriptedServer(peer -> {
-            String request = peer.read().line();
-            Thread before = watcher.getAndSet(Thread.currentThread());
-            if (before != null) {
-                before.interrupt(); // what is told from now on belongs to the new watch
+            String request = peer.read().startLine();
+            Thread previous = currentWatcher.getAndSet(Thread.currentThread());
+            if (previous != null) {
+                previous.interrupt(); // what is announced from now on belongs to the new watch
             }
-            watches.add(request);
+            watchRequests.add(request);
             peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             while (true) {
-                String line = news.take();
+                String line = discoveryLines.take();
                 if (line.isEmpty()) {
-                    return; // ends the watch
+                    return; // an empty line ends the watch
                 }
                 peer.write(Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
             }
         });
-        Path file = config(discovery.port(), change, servers);
+        Path file = writeConfig(discovery.port(), change, servers);
         PrintStream out = new PrintStream(log, true, StandardCharsets.UTF_8);
         proxy = new ClientProxy(
                 ProxyConfig.load(Map.of("BALANCER_CONFIG", file.toString())),
@@ -88,41 +88,42 @@
         port = proxy.address().getPort();
     }
 
-    /** Writes a configuration to a file of its own. */
-    public static Path config(int discoveryPort, Consumer<ObjectNode> change, String... servers) throws IOException {
+    /** Writes a configuration to a temporary file. */
+    public static Path writeConfig(int discoveryPort, Consumer<ObjectNode> change, String... servers)
+            throws IOException {
         ObjectNode config = JSON.createObjectNode();
         config.put("name", "n0").put("listen", "127.0.0.1:0").put("discovery", "127.0.0.1:" + discoveryPort);
         config.put("seed", "8c1f30d27a5be964");
         config.putObject("limits").put("cores", 1.0).put("memory_mb", 128).put("sockets", 1024);
         config.set("settings", JSON.readTree(SETTINGS));
-        config.set("known", JSON.readTree(list(1, true, servers)));
+        config.set("known", JSON.readTree(endpointList(1, true, servers)));
         change.accept(config);
         return Files.write(Files.createTempFile("rillyard", ".json"), JSON.writeValueAsBytes(config));
     }
 
-    public static String server(String id, int port) {
-        return server(id, port, 0, "up");
+    public static String endpoint(String id, int port) {
+        return endpoint(id, port, 0, "up");
     }
 
-    static String server(String id, int port, int cell, String state) {
+    static String endpoint(String id, int port, int cell, String state) {
         return "{\"id\":\"" + id + "\",\"addr\":\"127.0.0.1:" + port + "\",\"zone\":\"z\",\"kind\":\"k\"," + "\"cell\":"
                 + cell + ",\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":0}";
     }
 
-    static String list(int version, boolean full, String... servers) {
+    static String endpointList(int version, boolean full, String... servers) {
         return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", servers) + "]}";
     }
 
-    /** Has discovery say this on the watch. */
-    void tell(int version, boolean full, String... servers) {
-        news.add(list(version, full, servers) + "\n");
+    /** Has discovery send a list on the watch. */
+    void announce(int version, boolean full, String... servers) {
+        discoveryLines.add(endpointList(version, full, servers) + "\n");
     }
 
     public TestPeer client() throws IOException {
         return TestPeer.connect(port);
     }
 
-    /** One request on a connection of its own. */
+    /** Sends one request on a connection of its own and returns the response. */
     public TestPeer.Message call(String request) throws IOException {
         try (TestPeer peer = client()) {
             peer.write(request);
@@ -140,31 +141,31 @@
 
     static String head(String method, String type, int timeout, String headers) {
         return method + " /" + type + " HTTP/1.1\r\nHost: api.internal\r\nX-Request-ID: "
-                + Long.toHexString(IDS.incrementAndGet()) + "\r\nX-Priority-Class: " + type
+                + Long.toHexString(REQUEST_IDS.incrementAndGet()) + "\r\nX-Priority-Class: " + type
                 + "\r\nX-Timeout-Ms: " + timeout + "\r\n" + headers;
     }
 
-    /** Keeps the loop busy until the latch is opened; what comes meanwhile waits in its sockets. */
+    /** Blocks the event loop until the returned latch is counted down; input waits in its sockets meanwhile. */
     CountDownLatch blockLoop() throws InterruptedException {
         CountDownLatch blocked = new CountDownLatch(1);
-        CountDownLatch open = new CountDownLatch(1);
+        CountDownLatch unblock = new CountDownLatch(1);
         proxy.loop().execute(() -> {
             blocked.countDown();
             try {
-                open.await();
+                unblock.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
         blocked.await();
-        return open;
+        return unblock;
     }
 
     String log() {
         return log.toString(StandardCharsets.UTF_8);
     }
 
-    /** Ports of loopback on which nothing listens. */
+    /** Returns a port of loopback on which nothing listens. */
     static int freePort() throws IOException {
         try (java.net.ServerSocket server = new java.net.ServerSocket(0)) {
             return server.getLocalPort();
--- a/src/test/java/rillyard/proxy/RestartIT.java
+++ b/src/test/java/rillyard/proxy/RestartIT.java
@@ -25,14 +25,14 @@
             LaunchCommand.platform(Path.of("").toAbsolutePath()).with(List.of("-Drillyard.marks=true"));
 
     /** Far more than the 0.3 s that the requests have, and far less than a hang. */
-    private static final long MUCH_NANOS = 5_000_000_000L;
+    private static final long MAX_LATENCY_NANOS = 5_000_000_000L;
 
     @TempDir
     Path folder;
 
     private ProxyProcess launch(ScriptedServer discovery, String... known) throws Exception {
         Path config = folder.resolve("config.json");
-        Files.move(ProxyFixture.config(discovery.port(), c -> {}, known), config);
+        Files.move(ProxyFixture.writeConfig(discovery.port(), json -> {}, known), config);
         return ProxyProcess.launch(BUILT, config, ProxyProcess.freeAddress(), folder.resolve("log"));
     }
 
@@ -43,9 +43,9 @@
     /** From the loop on there is something to drain, whether or not it listens yet. */
     @ParameterizedTest
     @ValueSource(strings = {"loop", "listening", "warm-up"})
-    void aTermDuringTheStartEndsItInOrder(String mark) throws Exception {
+    void sigtermDuringStartDrains(String mark) throws Exception {
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
-                ProxyProcess proxy = launch(silent, ProxyFixture.server("a", ProxyFixture.freePort()))) {
+                ProxyProcess proxy = launch(silent, ProxyFixture.endpoint("a", ProxyFixture.freePort()))) {
             while (!log().contains("mark " + mark + " ") && proxy.process().isAlive()) {
                 Thread.sleep(1);
             }
@@ -56,34 +56,34 @@
     }
 
     @Test
-    void aSecondTermChangesNothingForWhatIsUnderWay() throws Exception {
+    void secondSigtermKeepsOpenRequests() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
                 ScriptedServer host = ScriptedServer.host(message -> {
                     answer.await();
                     return ScriptedServer.ok("served");
                 });
-                ProxyProcess proxy = launch(silent, ProxyFixture.server("a", host.port()))) {
+                ProxyProcess proxy = launch(silent, ProxyFixture.endpoint("a", host.port()))) {
             proxy.await(ProxyProcess.State.READY);
-            try (TestPeer held = TestPeer.connect(proxy.address().getPort())) {
-                held.write(ProxyFixture.post("claim", 1_500, "", "x"));
-                host.request();
+            try (TestPeer client = TestPeer.connect(proxy.address().getPort())) {
+                client.write(ProxyFixture.post("claim", 1_500, "", "x"));
+                host.nextRequest();
                 proxy.process().terminate();
                 proxy.process().terminate();
                 answer.countDown();
-                assertThat(held.read().text()).isEqualTo("served");
+                assertThat(client.read().text()).isEqualTo("served");
             }
             assertThat(proxy.process().await()).isZero();
         }
     }
 
     @Test
-    void aKnownListOfHostsThatAreAllGoneEndsEachRequestInTime() throws Exception {
+    void requestsToUnreachableHostsEndInTime() throws Exception {
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
                 ProxyProcess proxy = launch(
                         silent,
-                        ProxyFixture.server("a", ProxyFixture.freePort()),
-                        ProxyFixture.server("b", ProxyFixture.freePort()))) {
+                        ProxyFixture.endpoint("a", ProxyFixture.freePort()),
+                        ProxyFixture.endpoint("b", ProxyFixture.freePort()))) {
             proxy.await(ProxyProcess.State.READY);
             for (String request :
                     new String[] {ProxyFixture.get("read", 300), ProxyFixture.post("claim", 300, "", "x")}) {
@@ -91,17 +91,17 @@
                     long sent = System.nanoTime();
                     peer.write(request);
                     assertThat(peer.read().status()).isIn(502, 503, 504);
-                    assertThat(System.nanoTime() - sent).isLessThan(MUCH_NANOS);
+                    assertThat(System.nanoTime() - sent).isLessThan(MAX_LATENCY_NANOS);
                 }
             }
         }
     }
 
     @Test
-    void aThousandClientsAtOnceDuringTheWarmUpKeepNobodyFromBeingServedAfter() throws Exception {
+    void manyConnectionsDuringWarmUpDoNotBlockLaterRequests() throws Exception {
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
                 ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("served"));
-                ProxyProcess proxy = launch(silent, ProxyFixture.server("a", host.port()))) {
+                ProxyProcess proxy = launch(silent, ProxyFixture.endpoint("a", host.port()))) {
             proxy.await(ProxyProcess.State.LISTENING);
             List<TestPeer> crowd = new ArrayList<>();
             try {
@@ -114,8 +114,8 @@
                     assertThat(peer.read().text()).isEqualTo("served");
                 }
             } finally {
-                for (TestPeer testPeer : crowd) {
-                    testPeer.close();
+                for (TestPeer client : crowd) {
+                    client.close();
                 }
             }
         }
@@ -127,15 +127,15 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"missing", "noise", "of another jar"})
-    void aStartGoesOnWithoutAnArchiveThatIsNoneOfIts(String kind) throws Exception {
-        Path made = Path.of("target/rillyard.jsa").toAbsolutePath();
+    void startSucceedsWithoutMatchingClassArchive(String kind) throws Exception {
+        Path builtArchive = Path.of("target/rillyard.jsa").toAbsolutePath();
         Path archive = folder.resolve("archive.jsa");
         Path jar = Path.of("target/rillyard.jar").toAbsolutePath();
         switch (kind) {
             case "noise" ->
                 Files.write(archive, "no archive at all".repeat(10_000).getBytes(StandardCharsets.US_ASCII));
             case "of another jar" -> {
-                Files.copy(made, archive);
+                Files.copy(builtArchive, archive);
                 jar = Files.copy(jar, folder.resolve("other.jar"));
             }
             default -> assertThat(archive).doesNotExist();
--- a/src/test/java/rillyard/proxy/ScriptedServer.java
+++ b/src/test/java/rillyard/proxy/ScriptedServer.java
@@ -7,16 +7,16 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A host or a discovery that does to each connection what the test's script says. */
+/** A TCP server that runs the test's script on each connection, on a thread of its own: a host or discovery. */
 public final class ScriptedServer implements AutoCloseable {
-    /** What happens on one connection; the connection is closed after it. */
+    /** Serves one connection, which is closed after it. */
     public interface Script {
         void serve(TestPeer peer) throws Exception;
     }
 
-    /** The answer to one request. */
+    /** Makes the response to one request. */
     public interface Reply {
-        String to(TestPeer.Message request) throws Exception;
+        String respond(TestPeer.Message request) throws Exception;
     }
 
     private final ServerSocket server;
@@ -28,24 +28,24 @@
         this(0, script);
     }
 
-    /** On this port; 0 is any that is free. */
+    /** Creates a server on a port; 0 is any free one. */
     ScriptedServer(int port, Script script) throws IOException {
         this.server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
         this.script = script;
-        thread(this::accept);
+        startThread(this::acceptConnections);
     }
 
-    /** A host that answers each request on a kept connection. */
+    /** Creates a host that answers each request on a persistent connection. */
     public static ScriptedServer host(Reply reply) throws IOException {
-        ScriptedServer[] self = new ScriptedServer[1];
-        self[0] = new ScriptedServer(peer -> {
+        ScriptedServer[] server = new ScriptedServer[1];
+        server[0] = new ScriptedServer(peer -> {
             TestPeer.Message message;
             while ((message = peer.read()) != null) {
-                self[0].requests.add(message);
-                peer.write(reply.to(message));
+                server[0].requests.add(message);
+                peer.write(reply.respond(message));
             }
         });
-        return self[0];
+        return server[0];
     }
 
     public static String ok(String body) {
@@ -60,25 +60,26 @@
         return server.getLocalPort();
     }
 
-    /** The next connection that came. */
-    TestPeer accepted() throws InterruptedException {
+    /** Returns the next accepted connection, null if none comes in time. */
+    TestPeer nextConnection() throws InterruptedException {
         return accepted.poll(20, TimeUnit.SECONDS);
     }
 
-    /** Whether a connection has come that {@link #accepted} has not returned. */
-    boolean acceptedMore() {
+    /** Returns whether a connection was accepted that {@link #accepted} has not returned. */
+    boolean hasMoreConnections() {
         return !accepted.isEmpty();
     }
 
-    TestPeer.Message request() throws InterruptedException {
+    /** Returns the next request of a {@link #host}, null if none comes in time. */
+    TestPeer.Message nextRequest() throws InterruptedException {
         return requests.poll(20, TimeUnit.SECONDS);
     }
 
-    private void accept() throws Exception {
+    private void acceptConnections() throws Exception {
         while (true) {
             TestPeer peer = new TestPeer(server.accept());
             accepted.add(peer);
-            thread(() -> {
+            startThread(() -> {
                 try (peer) {
                     script.serve(peer);
                 }
@@ -90,12 +91,12 @@
         void run() throws Exception;
     }
 
-    private static void thread(Work work) {
+    private static void startThread(Work work) {
         Thread thread = new Thread(() -> {
             try {
                 work.run();
             } catch (Exception e) {
-                // the connection or the server ended: the test sees that on its own side
+                // the connection or the server was closed, which the test sees on its own side
             }
         });
         thread.setDaemon(true);
--- a/src/test/java/rillyard/proxy/SlowStartIT.java
+++ b/src/test/java/rillyard/proxy/SlowStartIT.java
@@ -30,18 +30,18 @@
     private static final LaunchCommand BUILT =
             LaunchCommand.platform(Path.of("").toAbsolutePath());
     private static final int WARM_HOSTS = 5;
-    private static final double COLD_MS = 8_700;
-    private static final double FROM = 0.3;
+    private static final double WARM_UP_MILLIS = 8_700;
+    private static final double INITIAL_CAPACITY = 0.3;
     /** Low, so that a host which gets what each of the others gets has got too much. */
-    private static final double MULTIPLE = 0.6;
+    private static final double FALL_MULTIPLE = 0.6;
 
-    private static final double WINDOW_MS = 1_500;
+    private static final double WINDOW_MILLIS = 1_500;
 
     /** Requests a second of each process: few, so that each knows little of the fleet. */
-    private static final double RATE = 3;
+    private static final double REQUESTS_PER_SECOND = 3;
 
     /** The part of their capacity that hosts are used to. */
-    private static final double USED = 0.8;
+    private static final double UTILIZATION = 0.8;
 
     private static final long SEED = 20_261_202;
 
@@ -49,28 +49,28 @@
     Path folder;
 
     private final Queue<Long> arrivals = new ConcurrentLinkedQueue<>();
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> resources = new ArrayList<>();
 
-    private <T extends AutoCloseable> T kept(T resource) {
-        synchronized (open) {
-            open.add(resource);
+    private <T extends AutoCloseable> T closeLater(T resource) {
+        synchronized (resources) {
+            resources.add(resource);
         }
         return resource;
     }
 
     private static String entry(String id, int port, long startedMs) throws IOException {
         ObjectMapper json = new ObjectMapper();
-        return ((ObjectNode) json.readTree(ProxyFixture.server(id, port)))
+        return ((ObjectNode) json.readTree(ProxyFixture.endpoint(id, port)))
                 .put("started_ms", startedMs)
                 .toString();
     }
 
     /** Says that it lives until the latch opens, then the list, and goes on to say that it lives. */
-    private static ScriptedServer discovery(CountDownLatch told, String[] list) throws IOException {
+    private static ScriptedServer discovery(CountDownLatch announced, String[] list) throws IOException {
         return new ScriptedServer(peer -> {
             peer.read();
             peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            while (!told.await(500, TimeUnit.MILLISECONDS)) {
+            while (!announced.await(500, TimeUnit.MILLISECONDS)) {
                 peer.write("1\r\n\n\r\n");
             }
             String line = list[0] + "\n";
@@ -82,20 +82,21 @@
         });
     }
 
-    private ProxyProcess launch(int number, int of, int discovery, String... known) throws Exception {
+    private ProxyProcess launch(int number, int processes, int discovery, String... known) throws Exception {
         Path config = folder.resolve("config-" + number + ".json");
         Files.move(
-                ProxyFixture.config(
+                ProxyFixture.writeConfig(
                         discovery,
-                        c -> {
-                            c.put("seed", Long.toHexString(SEED * (number + 1)));
-                            ObjectNode settings = (ObjectNode) c.get("settings");
-                            settings.put("balancers", of).put("position", number);
-                            ((ObjectNode) settings.get("rules")).put("fallMultiple", MULTIPLE);
+                        json -> {
+                            json.put("seed", Long.toHexString(SEED * (number + 1)));
+                            ObjectNode settings = (ObjectNode) json.get("settings");
+                            settings.put("balancers", processes).put("position", number);
+                            ((ObjectNode) settings.get("rules")).put("fallMultiple", FALL_MULTIPLE);
                         },
                         known),
                 config);
-        return kept(ProxyProcess.launch(BUILT, config, ProxyProcess.freeAddress(), folder.resolve("log-" + number)));
+        return closeLater(
+                ProxyProcess.launch(BUILT, config, ProxyProcess.freeAddress(), folder.resolve("log-" + number)));
     }
 
     /** Sends at random times until the latch opens. */
@@ -103,7 +104,9 @@
         Thread thread = new Thread(() -> {
             Random random = new Random(SEED + number);
             try (TestPeer peer = TestPeer.connect(proxy.address().getPort())) {
-                while (!end.await((long) (-Math.log(1 - random.nextDouble()) * 1_000 / RATE), TimeUnit.MILLISECONDS)) {
+                while (!end.await(
+                        (long) (-Math.log(1 - random.nextDouble()) * 1_000 / REQUESTS_PER_SECOND),
+                        TimeUnit.MILLISECONDS)) {
                     peer.write(ProxyFixture.get("read", 800));
                     peer.read();
                 }
@@ -118,20 +121,20 @@
 
     @ParameterizedTest
     @CsvSource({"20, 6", "30, 10", "30, 30"})
-    void allTogetherSendAColdHostLittleMoreThanItMayGet(int processes, int fresh) throws Exception {
+    void fleetKeepsSlowStartAllowanceOfNewHost(int processes, int fresh) throws Exception {
         try {
-            CountDownLatch told = new CountDownLatch(1);
+            CountDownLatch announced = new CountDownLatch(1);
             CountDownLatch end = new CountDownLatch(1);
             String[] list = new String[1];
-            ScriptedServer discovery = kept(discovery(told, list));
+            ScriptedServer discovery = closeLater(discovery(announced, list));
             List<String> warm = new ArrayList<>();
             for (int i = 0; i < WARM_HOSTS; i++) {
-                warm.add(ProxyFixture.server(
+                warm.add(ProxyFixture.endpoint(
                         "warm" + i,
-                        kept(ScriptedServer.host(message -> ScriptedServer.ok("w")))
+                        closeLater(ScriptedServer.host(message -> ScriptedServer.ok("w")))
                                 .port()));
             }
-            ScriptedServer cold = kept(ScriptedServer.host(r -> {
+            ScriptedServer cold = closeLater(ScriptedServer.host(message -> {
                 arrivals.add(System.nanoTime());
                 return ScriptedServer.ok("c");
             }));
@@ -148,7 +151,7 @@
             List<ProxyProcess> begun = new ArrayList<>();
             long startedMs = System.currentTimeMillis();
             warm.add(entry("cold", cold.port(), startedMs));
-            list[0] = ProxyFixture.list(2, true, warm.toArray(String[]::new));
+            list[0] = ProxyFixture.endpointList(2, true, warm.toArray(String[]::new));
             for (int i = 0; i < fresh; i++) {
                 begun.add(launch(i, processes, discovery.port(), warm.toArray(String[]::new)));
             }
@@ -156,44 +159,47 @@
                 proxy.await(ProxyProcess.State.READY);
             }
             long startedNanos = System.nanoTime() - (System.currentTimeMillis() - startedMs) * 1_000_000;
-            told.countDown();
+            announced.countDown();
             for (int i = 0; i < begun.size(); i++) {
                 senders.add(clients(begun.get(i), i, end));
             }
-            while (System.nanoTime() - startedNanos < (COLD_MS + WINDOW_MS) * 1e6) {
+            while (System.nanoTime() - startedNanos < (WARM_UP_MILLIS + WINDOW_MILLIS) * 1e6) {
                 Thread.sleep(50);
             }
             end.countDown();
             for (Thread thread : senders) {
                 thread.join();
             }
-            check(processes, startedNanos);
+            checkAllowance(processes, startedNanos);
         } finally {
-            for (int i = open.size() - 1; i >= 0; i--) {
-                open.get(i).close();
+            for (int i = resources.size() - 1; i >= 0; i--) {
+                resources.get(i).close();
             }
         }
     }
 
-    private void check(int processes, long startedNanos) {
-        double capacity = processes * RATE / (WARM_HOSTS + 1) / USED; // requests a second, warm
-        List<Double> at =
-                arrivals.stream().map(a -> (a - startedNanos) / 1e6).sorted().toList();
-        System.out.printf("cold ramp: %d processes, %d requests in %.0f ms%n", processes, at.size(), COLD_MS);
+    private void checkAllowance(int processes, long startedNanos) {
+        double capacity = processes * REQUESTS_PER_SECOND / (WARM_HOSTS + 1) / UTILIZATION; // requests a second, warm
+        List<Double> arrivalMillis = arrivals.stream()
+                .map(arrival -> (arrival - startedNanos) / 1e6)
+                .sorted()
+                .toList();
+        System.out.printf(
+                "cold ramp: %d processes, %d requests in %.0f ms%n", processes, arrivalMillis.size(), WARM_UP_MILLIS);
         int from = 0;
-        for (int to = 0; to < at.size(); to++) {
-            while (at.get(to) - at.get(from) > WINDOW_MS) {
+        for (int to = 0; to < arrivalMillis.size(); to++) {
+            while (arrivalMillis.get(to) - arrivalMillis.get(from) > WINDOW_MILLIS) {
                 from++;
             }
-            double age = Math.max(0, at.get(from));
-            double warmth = Math.min(1, FROM + (1 - FROM) * age / COLD_MS);
-            double allowed = MULTIPLE * warmth * capacity * WINDOW_MS / 1_000;
+            double age = Math.max(0, arrivalMillis.get(from));
+            double warmth = Math.min(1, INITIAL_CAPACITY + (1 - INITIAL_CAPACITY) * age / WARM_UP_MILLIS);
+            double allowed = FALL_MULTIPLE * warmth * capacity * WINDOW_MILLIS / 1_000;
             assertThat((double) (to - from + 1))
                     .as(
                             "requests within %.0f ms up to %.0f ms after the start, of which the settings allow %.1f",
-                            WINDOW_MS, at.get(to), allowed)
+                            WINDOW_MILLIS, arrivalMillis.get(to), allowed)
                     .isLessThanOrEqualTo(allowed + 2 * Math.sqrt(allowed) + 2);
         }
-        assertThat(at).as("what is lent is used").isNotEmpty();
+        assertThat(arrivalMillis).as("what is lent is used").isNotEmpty();
     }
 }
--- a/src/test/java/rillyard/proxy/TestPeer.java
+++ b/src/test/java/rillyard/proxy/TestPeer.java
@@ -10,25 +10,25 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** One end of a connection, spoken byte by byte: a client's, a host's or discovery's. */
+/** One end of a TCP connection that speaks HTTP byte by byte: a client's, a host's or discovery's. */
 public final class TestPeer implements AutoCloseable {
-    /** Reads give up after this long: a test that waits for ever is a failure too. */
-    private static final int READ_TIMEOUT_MS = 20_000;
+    /** Time after which a read fails, so that no test waits for ever. */
+    private static final int READ_TIMEOUT_MILLIS = 20_000;
 
-    /** A message as it came: its head without the blank line, and its body. */
+    /** A received message: its head without the blank line, and its body. */
     public record Message(String head, byte[] body) {
-        String line() {
+        String startLine() {
             return head.split("\r\n", 2)[0];
         }
 
         public int status() {
-            return Integer.parseInt(line().split(" ")[1]);
+            return Integer.parseInt(startLine().split(" ")[1]);
         }
 
         String header(String name) {
-            for (String l : head.split("\r\n")) {
-                if (l.toLowerCase(Locale.ROOT).startsWith(name.toLowerCase(Locale.ROOT) + ":")) {
-                    return l.substring(name.length() + 1).trim();
+            for (String line : head.split("\r\n")) {
+                if (line.toLowerCase(Locale.ROOT).startsWith(name.toLowerCase(Locale.ROOT) + ":")) {
+                    return line.substring(name.length() + 1).trim();
                 }
             }
             return null;
@@ -44,7 +44,7 @@
 
     public TestPeer(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(READ_TIMEOUT_MS);
+        socket.setSoTimeout(READ_TIMEOUT_MILLIS);
         socket.setTcpNoDelay(true);
         this.in = socket.getInputStream();
     }
@@ -63,7 +63,7 @@
         socket.getOutputStream().write(bytes);
     }
 
-    /** The next message, whole; null if the connection ended before its first byte. */
+    /** Reads the next complete message; null if the connection ended before its first byte. */
     public Message read() throws IOException {
         String head = readHead();
         if (head == null) {
@@ -72,16 +72,16 @@
         Message message = new Message(head, new byte[0]);
         if (message.header("Transfer-Encoding") != null) {
             ByteArrayOutputStream body = new ByteArrayOutputStream();
-            int n;
-            while ((n = Integer.parseInt(readLine(), 16)) > 0) {
-                body.write(exactly(n));
+            int length;
+            while ((length = Integer.parseInt(readLine(), 16)) > 0) {
+                body.write(readExactly(length));
                 readLine();
             }
             readLine();
             return new Message(head, body.toByteArray());
         }
         String length = message.header("Content-Length");
-        return length == null ? message : new Message(head, exactly(Integer.parseInt(length)));
+        return length == null ? message : new Message(head, readExactly(Integer.parseInt(length)));
     }
 
     String readHead() throws IOException {
@@ -103,27 +103,27 @@
 
     public String readLine() throws IOException {
         StringBuilder line = new StringBuilder();
-        int b;
-        while ((b = in.read()) != '\n') {
-            if (b < 0) {
+        int bytes;
+        while ((bytes = in.read()) != '\n') {
+            if (bytes < 0) {
                 return line.length() == 0 ? null : line.toString();
             }
-            if (b != '\r') {
-                line.append((char) b);
+            if (bytes != '\r') {
+                line.append((char) bytes);
             }
         }
         return line.toString();
     }
 
-    byte[] exactly(int n) throws IOException {
-        byte[] b = in.readNBytes(n);
-        if (b.length < n) {
-            throw new EOFException("after " + b.length + " of " + n + " bytes");
+    byte[] readExactly(int length) throws IOException {
+        byte[] bytes = in.readNBytes(length);
+        if (bytes.length < length) {
+            throw new EOFException("after " + bytes.length + " of " + length + " bytes");
         }
-        return b;
+        return bytes;
     }
 
-    /** Waits for the other side to end the connection, by whatever means. */
+    /** Waits until the other side has closed or reset the connection. */
     public void awaitEnd() throws IOException {
         try {
             byte[] rest = new byte[8_192];
@@ -131,11 +131,11 @@
                 continue;
             }
         } catch (java.net.SocketException e) {
-            // a reset is an end too
+            // a reset ends it, too
         }
     }
 
-    /** Ends the connection by a reset. */
+    /** Resets the connection. */
     public void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
--- a/src/test/java/rillyard/proxy/ThreadCountIT.java
+++ b/src/test/java/rillyard/proxy/ThreadCountIT.java
@@ -24,7 +24,7 @@
     private static final int BURST = 200;
 
     /** Longer than the quiet after which idle threads of JVM or library have been seen to end (1 to 3 s). */
-    private static final long QUIET_MS = 5_000;
+    private static final long QUIET_MILLIS = 5_000;
 
     /** The JDK makes one for each signal and ends it at once. */
     private static final String SIGNAL = "SIGHUP handler";
@@ -61,11 +61,13 @@
     }
 
     @Test
-    void theSameThreadsFromReadyOn() throws Exception {
+    void threadsAreConstantOnceReady() throws Exception {
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
                 ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("served"))) {
             Path config = folder.resolve("config.json");
-            Files.move(ProxyFixture.config(silent.port(), c -> {}, ProxyFixture.server("a", host.port())), config);
+            Files.move(
+                    ProxyFixture.writeConfig(silent.port(), json -> {}, ProxyFixture.endpoint("a", host.port())),
+                    config);
             LaunchCommand built = LaunchCommand.platform(Path.of("").toAbsolutePath());
             try (ProxyProcess proxy =
                     ProxyProcess.launch(built, config, ProxyProcess.freeAddress(), folder.resolve("log"))) {
@@ -83,20 +85,20 @@
                 List<TestPeer> burst = new ArrayList<>();
                 try {
                     for (int i = 0; i < BURST; i++) {
-                        TestPeer testPeer = TestPeer.connect(proxy.address().getPort());
-                        burst.add(testPeer);
-                        testPeer.write(ProxyFixture.get("read", 1_500));
+                        TestPeer client = TestPeer.connect(proxy.address().getPort());
+                        burst.add(client);
+                        client.write(ProxyFixture.get("read", 1_500));
                     }
-                    for (TestPeer c : burst) {
-                        assertThat(c.read()).isNotNull();
+                    for (TestPeer client : burst) {
+                        assertThat(client.read()).isNotNull();
                     }
                 } finally {
-                    for (TestPeer c : burst) {
-                        c.close();
+                    for (TestPeer client : burst) {
+                        client.close();
                     }
                 }
                 assertThat(threads(proxy)).as("after a reload and a burst").isEqualTo(ready);
-                Thread.sleep(QUIET_MS); // quiet is the fault here
+                Thread.sleep(QUIET_MILLIS); // quiet is the fault here
                 assertThat(threads(proxy)).as("after quiet").isEqualTo(ready);
             }
         }
--- a/src/test/java/rillyard/proxy/discovery/EndpointRegistryTest.java
+++ b/src/test/java/rillyard/proxy/discovery/EndpointRegistryTest.java
@@ -35,7 +35,7 @@
                 });
                 ProxyFixture proxy = new ProxyFixture(
                         config -> ((ObjectNode) config.path("settings")).put("balancers", 14),
-                        ProxyFixture.server("a", host.port()))) {
+                        ProxyFixture.endpoint("a", host.port()))) {
             List<TestPeer> clients = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
                 TestPeer client = proxy.client();
@@ -70,7 +70,7 @@
                     return ScriptedServer.ok("unlimited");
                 });
                 ProxyFixture proxy = new ProxyFixture(
-                        ProxyFixture.server("a", limited.port()), ProxyFixture.server("b", unlimited.port()))) {
+                        ProxyFixture.endpoint("a", limited.port()), ProxyFixture.endpoint("b", unlimited.port()))) {
             for (int i = 0; i < 5; i++) {
                 assertThat(callConcurrently(proxy, 8)).hasSize(8).containsOnly("unlimited");
             }
--- a/src/test/java/rillyard/proxy/lifecycle/WarmupTest.java
+++ b/src/test/java/rillyard/proxy/lifecycle/WarmupTest.java
@@ -11,32 +11,32 @@
 import rillyard.proxy.config.ProxyConfig;
 
 class WarmupTest {
-    private static final long MOST_MS = 30_000;
+    private static final long MAX_WARM_UP_MILLIS = 30_000;
 
     /** What is sent before a proxy is ready is paid by each restart: counted, so that it doesn't grow unseen. */
     @Test
-    void fewRequestsAreSentAllAreAnsweredAndNothingIsLeftBehind() throws Exception {
-        Path file = ProxyFixture.config(1, config -> {}, ProxyFixture.server("a", 1));
+    void warmUpAnswersAllRequestsAndLeavesNoThreads() throws Exception {
+        Path file = ProxyFixture.writeConfig(1, config -> {}, ProxyFixture.endpoint("a", 1));
         Set<Thread> before = Thread.getAllStackTraces().keySet();
-        int answered = new Warmup(ProxyConfig.load(Map.of("BALANCER_CONFIG", file.toString()))).run(MOST_MS);
+        int answered = new Warmup(ProxyConfig.load(Map.of("BALANCER_CONFIG", file.toString()))).run(MAX_WARM_UP_MILLIS);
         Files.delete(file);
         assertThat(answered).isBetween(20, 200);
         for (Thread thread : Thread.getAllStackTraces().keySet()) {
             if (!before.contains(thread) && thread.getName().startsWith("loop-")) {
-                thread.join(MOST_MS);
+                thread.join(MAX_WARM_UP_MILLIS);
                 assertThat(thread.isAlive()).as(thread.getName()).isFalse();
             }
         }
     }
 
     @Test
-    void aServiceWithoutClassesHasNothingToSendAndIsNotHeldUpForLong() throws Exception {
-        Path file = ProxyFixture.config(
-                1, config -> config.withObject("/settings").putArray("classes"), ProxyFixture.server("a", 1));
+    void configurationWithoutClassesSkipsWarmUp() throws Exception {
+        Path file = ProxyFixture.writeConfig(
+                1, config -> config.withObject("/settings").putArray("classes"), ProxyFixture.endpoint("a", 1));
         long from = System.nanoTime();
-        int answered = new Warmup(ProxyConfig.load(Map.of("BALANCER_CONFIG", file.toString()))).run(MOST_MS);
+        int answered = new Warmup(ProxyConfig.load(Map.of("BALANCER_CONFIG", file.toString()))).run(MAX_WARM_UP_MILLIS);
         Files.delete(file);
         assertThat(answered).isZero();
-        assertThat(System.nanoTime() - from).isLessThan(MOST_MS * 1_000_000 / 2);
+        assertThat(System.nanoTime() - from).isLessThan(MAX_WARM_UP_MILLIS * 1_000_000 / 2);
     }
 }
--- a/src/test/java/rillyard/proxy/upstream/IdleResetStatsTest.java
+++ b/src/test/java/rillyard/proxy/upstream/IdleResetStatsTest.java
@@ -36,7 +36,7 @@
             peer.reset();
         });
         try (host;
-                ProxyFixture proxy = new ProxyFixture(ProxyFixture.server("a", host.port()))) {
+                ProxyFixture proxy = new ProxyFixture(ProxyFixture.endpoint("a", host.port()))) {
             int failed = 0;
             for (int i = 0; i < 24; i++) {
                 failed += proxy.call(ProxyFixture.post("claim", 5_000, "", "x")).status() == 200 ? 0 : 1;
