--- a/src/main/java/rillyard/proxy/downstream/ClientConnection.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientConnection.java
@@ -236,7 +236,7 @@
             return true;
         }
         decoder.checkHeldByte();
-        return channel.hasHeldByte();
+        return channel.hasPeekedByte();
     }
 
     // --- idle and busy
--- a/src/main/java/rillyard/proxy/downstream/ClientRequestDecoder.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientRequestDecoder.java
@@ -49,7 +49,7 @@
             discard(ctx, (ByteBuf) msg);
             return;
         }
-        ByteBuf read = ((PeekableSocketChannel) ctx.channel()).prependHeldByte((ByteBuf) msg);
+        ByteBuf read = ((PeekableSocketChannel) ctx.channel()).prependPeekedByte((ByteBuf) msg);
         if (!pipelineBuffer.isHoldingBytes()) {
             super.channelRead(ctx, read);
         } else if (pipelineBuffer.addBytes(read)) {
@@ -98,7 +98,7 @@
 
     /** Counts a byte that a look at the socket has read as the start of a request. */
     void checkHeldByte() {
-        receiving |= ((PeekableSocketChannel) context.channel()).hasHeldByte();
+        receiving |= ((PeekableSocketChannel) context.channel()).hasPeekedByte();
     }
 
     /** The request being received is complete. */
