--- a/src/test/java/rillyard/proxy/AdminEndpointTest.java
+++ b/src/test/java/rillyard/proxy/AdminEndpointTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The second address of a proxy: readiness, figures, hosts out by hand. */
+/** The admin address of a proxy: readiness, metrics, disabled hosts. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class AdminEndpointTest {
     @TempDir
@@ -38,7 +38,7 @@
         return call(fixture, "POST /_hosts/" + path, host).status();
     }
 
-    /** The figure once it has this value; a test that waits for another one runs out of time. */
+    /** Waits until a metric has a value; the test times out if it never has. */
     private static void awaitMetric(ProxyFixture fixture, String line) throws Exception {
         while (!call(fixture, "GET /_vars", "").text().contains(line + "\n")) {
             Thread.sleep(10);
@@ -154,10 +154,10 @@
                 peer.write("GET /_vars HT");
                 silent.add(peer);
             }
-            CountDownLatch unblock = fixture.blockLoop(); // nor is the proxy's own work
+            CountDownLatch unblock = fixture.blockLoop(); // nor does a busy event loop
             assertThat(call(fixture, "GET /_vars", "").text()).contains("proxy.pending:0|g");
             unblock.countDown();
-            assertThat(silent.get(0).read()).isNull(); // the oldest gave way
+            assertThat(silent.get(0).read()).isNull(); // the oldest was closed
         } finally {
             for (TestPeer peer : silent) {
                 peer.close();
--- a/src/test/java/rillyard/proxy/AttemptOutcomeTest.java
+++ b/src/test/java/rillyard/proxy/AttemptOutcomeTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.api.Test;
 import rillyard.proxy.upstream.UpstreamPool;
 
-/** Every way an attempt can end, told apart by what may be done next. */
+/** Outcomes of attempts, by whether the request may be retried. */
 class AttemptOutcomeTest {
     private static String claim() {
         return ProxyFixture.post("claim", 800, "", "visit=1");
     }
 
-    /** Sends an unsafe request to a host of this script; its one attempt decides the answer. */
+    /** Sends a request that may run at most once to a host; its only attempt decides the response. */
     private static TestPeer.Message claimAt(ScriptedServer host) throws Exception {
         try (host;
                 ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()))) {
@@ -26,7 +26,7 @@
         }
     }
 
-    /** A host that never answers and tells when its connection has ended. */
+    /** A host that never responds, and counts down once its connection has ended. */
     private static ScriptedServer unresponsiveHost(CountDownLatch ended) throws Exception {
         return new ScriptedServer(peer -> {
             peer.read();
@@ -136,7 +136,7 @@
                 ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()))) {
             assertThat(fixture.call(ProxyFixture.post("claim", 150, "", "x")).status())
                     .isEqualTo(504);
-            ended.await(); // the time-out has closed the host's connection
+            ended.await(); // the timeout has closed the host's connection
         }
     }
 
@@ -201,7 +201,8 @@
                 TestPeer client = fixture.client()) {
             client.write(claim());
             assertThat(client.read().status()).isEqualTo(200);
-            // The request and the end of the connection it would be sent on come in the same turn.
+            // The request, and the close of the connection that it would be sent on, are read in the same loop
+            // iteration.
             CountDownLatch unblock = fixture.blockLoop();
             client.write(claim());
             host.nextConnection().close();
@@ -216,7 +217,7 @@
         ArrayDeque<Long> idle = new ArrayDeque<>(List.of(10 * millis, 20 * millis, 95 * millis, 99 * millis));
         assertThat(UpstreamPool.selectIdle(idle, at -> at, 100 * millis)).isEqualTo(20 * millis);
         assertThat(UpstreamPool.selectIdle(idle, at -> at, 200 * millis)).isEqualTo(99 * millis);
-        assertThat(UpstreamPool.selectIdle(idle, at -> at, 30 * millis)).isEqualTo(10 * millis); // none has stood
+        assertThat(UpstreamPool.selectIdle(idle, at -> at, 30 * millis)).isEqualTo(10 * millis); // none has settled
         assertThat(UpstreamPool.selectIdle(new ArrayDeque<Long>(), at -> at, 0)).isNull();
     }
 
--- a/src/test/java/rillyard/proxy/ClientConnectionTest.java
+++ b/src/test/java/rillyard/proxy/ClientConnectionTest.java
@@ -15,11 +15,11 @@
 import rillyard.proxy.config.ConfigException;
 import rillyard.proxy.config.ProxyConfig;
 
-/** What clients may send, and what they get for it. */
+/** Requests of clients, valid and not, and the responses to them. */
 class ClientConnectionTest {
     private static final ScriptedServer.Reply OK = message -> ScriptedServer.ok("x");
 
-    /** Leaves 8 MB for bodies, which no limit goes below. */
+    /** Leaves 8 MB for bodies, the least there is. */
     private static final Consumer<ObjectNode> SMALL_MEMORY = limit("memory_mb", 64);
 
     private static Consumer<ObjectNode> limit(String name, int value) {
@@ -82,7 +82,7 @@
             assertThat(fixture.call(request).status()).isEqualTo(409);
             release.countDown();
             assertThat(first.read().text()).isEqualTo("mine");
-            assertThat(fixture.call(request).status()).isEqualTo(409); // nor just after its end
+            assertThat(fixture.call(request).status()).isEqualTo(409); // nor just after the first has ended
             assertThat(host.requests).isEmpty();
         }
     }
@@ -128,12 +128,12 @@
             List<TestPeer> silent = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 silent.add(fixture.client());
-                if (i % 8 == 0) { // so that it stands idle for a few connects only
+                if (i % 8 == 0) { // so that it is idle for a few connects only
                     used.write(ProxyFixture.get("read", 800));
                     assertThat(used.read().status()).isEqualTo(200);
                 }
             }
-            silent.get(0).awaitEnd(); // the flood is above what may be held
+            silent.get(0).awaitEnd(); // the unused connections are more than may be open
             used.write(ProxyFixture.get("read", 800));
             assertThat(used.read().status()).isEqualTo(200);
             for (TestPeer peer : silent) {
@@ -183,7 +183,7 @@
             assertThat(peer.read().status()).isEqualTo(503);
             fixture.announce(2, true, ProxyFixture.endpoint("a", host.port()));
             int status = 0;
-            while (status != 200) { // the list is on its way
+            while (status != 200) { // the list has not been applied yet
                 peer.write(health);
                 status = peer.read().status();
             }
@@ -203,7 +203,7 @@
                 idle[i].write(ProxyFixture.get("read", 800));
                 assertThat(idle[i].read().status()).isEqualTo(200);
             }
-            idle[0].awaitEnd(); // the oldest one had to go
+            idle[0].awaitEnd(); // the oldest one is closed
             for (TestPeer peer : idle) {
                 peer.close();
             }
@@ -246,7 +246,7 @@
                 clients.add(peer);
                 peer.write(ProxyFixture.post("claim", 600_000, "", body));
             }
-            // Which of them finds none depends on the order in which they are read.
+            // Which of them are rejected depends on the order in which they are read.
             long deadline = System.nanoTime() + 20_000_000_000L;
             while (!fixture.log().contains("reason=body_memory") && System.nanoTime() < deadline) {
                 Thread.sleep(5);
@@ -305,7 +305,7 @@
         }
     }
 
-    /** Guards against clients that ask once, keep their connection and so take all places. */
+    /** Clients that send one request and keep their connections would take all descriptors otherwise. */
     @Test
     void usedIdleConnectionsAreClosedForNewOnes() throws Exception {
         List<TestPeer> kept = new ArrayList<>();
--- a/src/test/java/rillyard/proxy/EndpointWatchTest.java
+++ b/src/test/java/rillyard/proxy/EndpointWatchTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import rillyard.proxy.discovery.EndpointWatch;
 
-/** What discovery says, how its watch breaks, and what that means for connections. */
+/** Endpoint lists, failures of the watch, and their effect on connections. */
 class EndpointWatchTest {
     private static String claim() {
         return ProxyFixture.post("claim", 800, "", "x");
@@ -64,7 +64,7 @@
     void silentWatchIsReopened() throws Exception {
         try (ProxyFixture fixture = new ProxyFixture()) {
             assertThat(nextWatchRequest(fixture)).isNotNull();
-            assertThat(nextWatchRequest(fixture)).contains("since=1 "); // nothing was said on the first one
+            assertThat(nextWatchRequest(fixture)).contains("since=1 "); // the first one was silent
         }
     }
 
@@ -84,7 +84,7 @@
         }
     }
 
-    /** What never gets whole is no sign of life, however long bytes of it come. */
+    /** A list that never ends is no sign of life, however long its bytes arrive. */
     @Test
     void endlessListCountsAsSilence() throws Exception {
         try (ProxyFixture fixture = new ProxyFixture()) {
@@ -100,11 +100,11 @@
         }
     }
 
-    /** A change counts as told 6 s after discovery had it, and after a silence began: the steps add up. */
+    /** A change has to be applied within 6 s, also after the watch fell silent: the steps add up. */
     @Test
     void worstCaseStepsStayWithinPropagationTime() {
         long maintenanceMillis = 250;
-        long maxBackoffMillis = 2_100; // BalancerTest holds the module to it, and pushed lists wait for less
+        long maxBackoffMillis = 2_100; // held by BalancerTest; less where lists are pushed
         long silenceMillis = EndpointWatch.SILENCE_NANOS / 1_000_000;
         long unansweredMillis = EndpointWatch.UNANSWERED_NANOS / 1_000_000;
         assertThat(maxBackoffMillis + EndpointWatch.CONNECT_TIMEOUT_MS + unansweredMillis + maintenanceMillis)
@@ -212,7 +212,7 @@
                         ProxyFixture.endpoint("a", full.getLocalPort()));
                 TestPeer client = fixture.client()) {
             assertThat(first.socket.isConnected() && second.socket.isConnected())
-                    .isTrue(); // it is full
+                    .isTrue(); // the backlog is full
             client.write(ProxyFixture.post("claim", 600_000, "", "x"));
             fixture.announce(2, false, ProxyFixture.endpoint("a", full.getLocalPort(), 0, "draining"));
             assertThat(client.read().status()).isEqualTo(503);
--- a/src/test/java/rillyard/proxy/EventLoopStallTest.java
+++ b/src/test/java/rillyard/proxy/EventLoopStallTest.java
@@ -6,14 +6,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A loop that stands still while requests come, and what it does first when it goes on. */
+/** A stall of the event loop while requests arrive, and what the loop does first after it. */
 @Timeout(60)
 class EventLoopStallTest {
     private static final int TIMEOUT_MILLIS = 300;
 
-    /** Stands still for longer than a request's time. */
+    /** Lets the stall last for a time, and ends it. */
     private static void stall(CountDownLatch unblock, long millis) throws InterruptedException {
-        Thread.sleep(millis); // the gap itself
+        Thread.sleep(millis); // the stall itself
         unblock.countDown();
     }
 
@@ -82,7 +82,7 @@
                 TestPeer peer = fixture.client()) {
             fixture.announce(2, true, ProxyFixture.endpoint("b", hostB.port()));
             String responder;
-            do { // until the watch is open and has been read
+            do { // until the list has been applied
                 peer.write(ProxyFixture.get("read", 2_000));
                 responder = peer.read().text();
             } while (!responder.equals("b"));
--- a/src/test/java/rillyard/proxy/FailureRateByClassTest.java
+++ b/src/test/java/rillyard/proxy/FailureRateByClassTest.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** A host that never answers requests of one class and is quick with those of another. */
+/** A host that never responds to one request class and is fast with another. */
 class FailureRateByClassTest {
     private static final int ROUNDS = 40;
 
--- a/src/test/java/rillyard/proxy/HotRestartIT.java
+++ b/src/test/java/rillyard/proxy/HotRestartIT.java
@@ -17,7 +17,7 @@
 import rillyard.childprocess.LaunchCommand;
 import rillyard.childprocess.ProxyProcess;
 
-/** The built jar, replaced by a second process under load. Discovery never answers. */
+/** The built jar, replaced by a successor process under load. Discovery never responds. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class HotRestartIT {
     private static final int CLIENTS = 8;
@@ -25,10 +25,10 @@
     @TempDir
     Path folder;
 
-    /** Clients as the application has them: they keep connections, and move when they are told to. */
+    /** Clients with persistent connections, which connect anew after a response with {@code Connection: close}. */
     private static final class Load implements AutoCloseable {
         final AtomicInteger served = new AtomicInteger();
-        /** What became of each request without an answer of a host's, and when (ms since the load began). */
+        /** Requests without a host's response, each with its time (ms since the start). */
         final Queue<String> failures = new ConcurrentLinkedQueue<>();
 
         private final long startNanos = System.nanoTime();
--- a/src/test/java/rillyard/proxy/IncompleteListTest.java
+++ b/src/test/java/rillyard/proxy/IncompleteListTest.java
@@ -16,7 +16,7 @@
 import rillyard.proxy.config.ConfigException;
 import rillyard.proxy.discovery.EndpointListOptions;
 
-/** Whole lists with most hosts missing, where they are doubted and where they are not. */
+/** Full lists that lack most hosts, with and without the guard. */
 class IncompleteListTest {
     private static final String[] NAMES = {"a", "b", "c", "d"};
     private static final double LONG_HOLD_MILLIS = 3_600_000;
@@ -27,7 +27,7 @@
     void start() throws Exception {
         for (String name : NAMES) {
             hosts.add(ScriptedServer.host(message -> {
-                Thread.sleep(20); // its work: so that calls made together are spread
+                Thread.sleep(20); // so that simultaneous requests are spread over the hosts
                 return ScriptedServer.ok(name);
             }));
         }
@@ -48,7 +48,7 @@
         return servers;
     }
 
-    /** Who answers now, after the proxy has surely read what discovery said. */
+    /** Returns the hosts that respond once the announced lists have been applied. */
     private static Set<String> respondingHosts(ProxyFixture fixture) throws Exception {
         fixture.discoveryLines.add(""); // ends the watch; the next one is opened after all of it was read
         assertThat(fixture.watchRequests.poll(20, TimeUnit.SECONDS)).isNotNull();
@@ -73,7 +73,7 @@
     void guardKeepsMissingHostsInUseAndAppliesDrain() throws Exception {
         try (ProxyFixture fixture =
                 new ProxyFixture(false, new EndpointListGuard(0.5, LONG_HOLD_MILLIS), config -> {}, allEndpoints())) {
-            // One is left of four, and one of the others was told to drain in the same breath.
+            // The full list names one of four hosts, and that one as draining.
             fixture.announce(2, true, allEndpoints()[0].replace("\"up\"", "\"draining\""));
             assertThat(respondingHosts(fixture)).containsExactly("b", "c", "d");
             assertThat(fixture.log()).contains("full list not believed for now, hosts=1 missing_in_use=3");
@@ -107,7 +107,7 @@
         }
     }
 
-    /** The platform's rule, and what holds where no guard is asked for. */
+    /** The platform's rule, which holds without the guard. */
     @Test
     void incompleteListIsAppliedWithoutGuard() throws Exception {
         try (ProxyFixture fixture = new ProxyFixture(allEndpoints())) {
--- a/src/test/java/rillyard/proxy/LoadSheddingTest.java
+++ b/src/test/java/rillyard/proxy/LoadSheddingTest.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** What is refused, and for how long, seen from the application's side. */
+/** Load shedding as clients see it: what is rejected, and for how long. */
 class LoadSheddingTest {
     private static String claim(int timeout) {
         return ProxyFixture.post("claim", timeout, "", "visit=1");
@@ -33,7 +33,7 @@
                 return responseWithReport(6);
             }
             if (count <= 9) {
-                Thread.sleep(600_000); // lost
+                Thread.sleep(600_000); // no response
             }
             return responseWithReport(0);
         };
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Guards against clients that come back at once until chance lets them through. */
+    /** Clients that retry at once must not get through by chance. */
     @Test
     void simultaneousRetriesGetSameDecision() throws Exception {
         ScriptedServer.Reply slow = message -> {
--- a/src/test/java/rillyard/proxy/ProcessPauseIT.java
+++ b/src/test/java/rillyard/proxy/ProcessPauseIT.java
@@ -21,7 +21,7 @@
 import rillyard.childprocess.LaunchCommand;
 import rillyard.childprocess.ProxyProcess;
 
-/** The built jar, which stands still (SIGSTOP) again and again while requests come. */
+/** The built jar, paused (SIGSTOP) again and again while requests arrive. */
 @Timeout(120)
 class ProcessPauseIT {
     private static final LaunchCommand BUILT =
@@ -50,10 +50,10 @@
         return proxy;
     }
 
-    /** A time (ns) in which the process stood still. */
+    /** A time in which the process was paused. */
     private record Pause(long fromNanos, long toNanos) {}
 
-    /** A request and when (ns) its answer came; none where the connection ended with no answer. */
+    /** A request and its response, which is not complete if the connection ended before. */
     private record Exchange(long sentNanos, long endedNanos, boolean isComplete) {
         /**
          * Whether it is lost: past its time and the slack. One whose time was up while the process stood still can
@@ -141,7 +141,7 @@
                 }
                 long from = System.nanoTime();
                 proxy.process().pause();
-                Thread.sleep(pauseMillis); // the gap itself
+                Thread.sleep(pauseMillis); // the pause itself
                 proxy.process().resume();
                 pauses.add(new Pause(from, System.nanoTime()));
             }
@@ -174,7 +174,7 @@
                         peer.write(ProxyFixture.post("claim", TIMEOUT_MILLIS, "", "x"));
                         burst.add(peer);
                     }
-                    Thread.sleep(300); // the gap itself
+                    Thread.sleep(300); // the pause itself
                     proxy.process().resume();
                     for (TestPeer client : burst) {
                         assertThat(client.read()).isNotNull();
--- a/src/test/java/rillyard/proxy/ProxyTraceTest.java
+++ b/src/test/java/rillyard/proxy/ProxyTraceTest.java
@@ -9,7 +9,7 @@
 import rillyard.trace.TraceEvent;
 import rillyard.trace.TraceEvent.Kind;
 
-/** What a proxy writes down of itself where that is asked for. */
+/** The trace that a proxy writes if it is enabled. */
 class ProxyTraceTest {
     private static List<TraceEvent> traceEvents(ProxyFixture fixture) {
         return fixture.log()
@@ -19,7 +19,7 @@
                 .toList();
     }
 
-    /** A cold host that can do all of its work: it is told as cold, and lent without a wait. */
+    /** A host that warms up, at full capacity from the start, so that it gets requests at once. */
     private static void startAtFullCapacity(ObjectNode config) {
         ((ObjectNode) config.path("settings").path("rules")).put("startCapacity", 1);
     }
--- a/src/test/java/rillyard/proxy/RestartIT.java
+++ b/src/test/java/rillyard/proxy/RestartIT.java
@@ -18,13 +18,13 @@
 import rillyard.childprocess.LaunchCommand;
 import rillyard.childprocess.ProxyProcess;
 
-/** The built jar at its start and its end, with what goes wrong there. Discovery never answers. */
+/** Start and end of the built jar, with faults. Discovery never responds. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class RestartIT {
     private static final LaunchCommand BUILT =
             LaunchCommand.platform(Path.of("").toAbsolutePath()).with(List.of("-Drillyard.marks=true"));
 
-    /** Far more than the 0.3 s that the requests have, and far less than a hang. */
+    /** Far more than the timeout of the requests, 0.3 s, and far less than a hang. */
     private static final long MAX_LATENCY_NANOS = 5_000_000_000L;
 
     @TempDir
@@ -40,7 +40,7 @@
         return Files.readString(folder.resolve("log"));
     }
 
-    /** From the loop on there is something to drain, whether or not it listens yet. */
+    /** From the mark {@code loop} on a signal drains the proxy, whether or not it listens yet. */
     @ParameterizedTest
     @ValueSource(strings = {"loop", "listening", "warm-up"})
     void sigtermDuringStartDrains(String mark) throws Exception {
--- a/src/test/java/rillyard/proxy/StreamingBodyTest.java
+++ b/src/test/java/rillyard/proxy/StreamingBodyTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Bodies that are longer than may be held, in both directions. */
+/** Bodies that are longer than may be buffered, in both directions. */
 @Timeout(value = 90, unit = TimeUnit.SECONDS)
 class StreamingBodyTest {
     private static final int MIB = 1 << 20;
@@ -36,7 +36,7 @@
         return ProxyFixture.head("POST", "claim", 800, "") + "Content-Length: " + length + "\r\n\r\n";
     }
 
-    /** A host that reads a head and nothing more, and tells when its connection has ended. */
+    /** A host that reads a head and nothing more, and counts down once its connection has ended. */
     private static ScriptedServer unresponsiveHost(CountDownLatch ended) throws Exception {
         return new ScriptedServer(peer -> {
             peer.readHead();
@@ -62,7 +62,7 @@
             client.write(claim());
             assertThat(client.readHead()).contains("200 OK").containsIgnoringCase("content-length: 100000");
             assertThat(client.readExactly(10)).isEqualTo(Arrays.copyOf(body, 10));
-            Thread.sleep(1_000); // past the deadline of the class: what has begun is not cut off
+            Thread.sleep(1_000); // past the deadline of the class: a response that has begun goes on
             seen.countDown();
             assertThat(client.readExactly(body.length - 10)).isEqualTo(Arrays.copyOfRange(body, 10, body.length));
         }
@@ -120,12 +120,12 @@
                 before = sentBytes.get();
                 Thread.sleep(300);
             } while (before < MIB || sentBytes.get() != before);
-            assertThat(sentBytes.get()).isLessThan(length); // it waits, with what the kernel holds on its way
+            assertThat(sentBytes.get()).isLessThan(length); // it waits, with the kernel's buffers full
             InputStream in = client.socket.getInputStream();
             for (int received = 0; received < length; received += part.length) {
                 assertThat(in.readNBytes(part.length)).isEqualTo(part);
             }
-            client.write(claim()); // the connection is of use again
+            client.write(claim()); // the connection is usable again
             client.readHead();
         }
     }
@@ -144,7 +144,7 @@
             client.write(ProxyFixture.post("log", 1_200, "Idempotency-Key: k\r\n", "x"));
             client.readHead();
             assertThat(client.socket.getInputStream().readAllBytes().length).isLessThan(200_000);
-            assertThat(asked.get()).isEqualTo(1); // it has its answer: nothing more is sent for it
+            assertThat(asked.get()).isEqualTo(1); // it has its response, so that there is no retry
         }
     }
 
@@ -169,7 +169,7 @@
             client.write(upload(body.length));
             client.socket.getOutputStream().write(body, 0, 2 * MIB);
             halfReceived.await();
-            Thread.sleep(1_000); // its time runs from its last byte
+            Thread.sleep(1_000); // the timeout runs from the last byte
             client.socket.getOutputStream().write(body, 2 * MIB, MIB);
             assertThat(client.read().text()).isEqualTo("whole");
             assertThat(received[0]).isEqualTo(body);
@@ -189,10 +189,10 @@
                 TestPeer client = fixture.client()) {
             client.write(upload(MIB));
             client.write(randomBytes(MIB / 2));
-            assertThat(client.read().status()).isEqualTo(503); // it never ran: harmless to ask again
+            assertThat(client.read().status()).isEqualTo(503); // it never ran: a retry is harmless
             assertThat(connections.get()).isEqualTo(1);
             client.write(randomBytes(MIB / 2));
-            client.write(ProxyFixture.head("GET", "read", 800, "") + "\r\n"); // behind the rest of what was refused
+            client.write(ProxyFixture.head("GET", "read", 800, "") + "\r\n"); // behind the rest of the rejected request
             assertThat(client.read()).isNotNull();
         }
     }
@@ -223,7 +223,7 @@
     void unresponsiveHostDuringUploadIsGivenUp() throws Exception {
         try (ScriptedServer host = new ScriptedServer(peer -> {
                     peer.readHead();
-                    new CountDownLatch(1).await(); // takes what its kernel takes
+                    new CountDownLatch(1).await(); // only its kernel reads
                 });
                 ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()));
                 TestPeer client = fixture.client()) {
@@ -232,13 +232,13 @@
                     client.write(upload(32 * MIB));
                     client.write(randomBytes(32 * MIB));
                 } catch (java.io.IOException e) {
-                    // the answer is there all the same
+                    // the response is there all the same
                 }
             });
             writer.setDaemon(true);
             writer.start();
             assertThat(client.read().status()).isEqualTo(503);
-            writer.join(); // the rest is read and thrown away
+            writer.join(); // the rest is read and discarded
         }
     }
 
