--- a/src/main/java/rillyard/proxy/DrainController.java
+++ b/src/main/java/rillyard/proxy/DrainController.java
@@ -56,6 +56,7 @@
 
     /** Starts the drain; with a successor this proxy accepts no more, and its clients are told to move. */
     void start(boolean hasSuccessor) {
+        assert loop.inEventLoop();
         long now = System.nanoTime();
         acceptUntilNanos = now + (hasSuccessor ? MIGRATION_MILLIS : ACCEPT_MILLIS) * NANOS_PER_MILLI;
         double drainMillis = Math.min(longestDeadlineMillis, MAX_DEADLINE_MILLIS) + DRAIN_MARGIN_MILLIS;
--- a/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
+++ b/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
@@ -226,6 +226,7 @@
     // --- events of requests
 
     void onRequest(RequestExchange exchange, IncomingRequest request) {
+        assert loop.inEventLoop();
         openRequests.add(exchange);
         events.deliver(exchange, () -> balancer.onRequest(now(), request));
     }
--- a/src/test/java/rillyard/proxy/ConnectionEndTest.java
+++ b/src/test/java/rillyard/proxy/ConnectionEndTest.java
@@ -66,9 +66,10 @@
     /** Ends the watch and waits for the next one: the lists before it have been applied then. */
     private static void awaitListsApplied(ProxyFixture fixture) throws Exception {
         fixture.discoveryLines.add("");
-        while (!fixture.watchRequests.poll(20, TimeUnit.SECONDS).contains("since=2 ")) {
-            continue;
-        }
+        String request;
+        do {
+            request = fixture.watchRequests.poll(20, TimeUnit.SECONDS);
+        } while (!request.contains("since=2 "));
     }
 
     @Test
--- a/src/test/java/rillyard/proxy/TestPeer.java
+++ b/src/test/java/rillyard/proxy/TestPeer.java
@@ -127,9 +127,10 @@
     public void awaitEnd() throws IOException {
         try {
             byte[] rest = new byte[8_192];
-            while (in.read(rest) >= 0) {
-                continue;
-            }
+            int count;
+            do {
+                count = in.read(rest);
+            } while (count >= 0);
         } catch (java.net.SocketException e) {
             // a reset ends it, too
         }
