--- a/src/main/java/rillyard/cli/MembersCommand.java
+++ b/src/main/java/rillyard/cli/MembersCommand.java
@@ -43,7 +43,7 @@
     @Override
     public Integer call() throws Exception {
         PrintWriter out = spec.commandLine().getOut();
-        JsonNode view = MemberAdminClient.ask(admin);
+        JsonNode view = MemberAdminClient.fetchView(admin);
         if (json) {
             out.println(view);
         } else {
@@ -54,7 +54,7 @@
             GracefulShutdown ending = new GracefulShutdown(end::countDown);
             Map<String, String> before = beliefs(view);
             while (!end.await(EVERY_MS, TimeUnit.MILLISECONDS)) {
-                Map<String, String> now = beliefs(MemberAdminClient.ask(admin));
+                Map<String, String> now = beliefs(MemberAdminClient.fetchView(admin));
                 changes(before, now).forEach(out::println);
                 before = now;
             }
--- a/src/main/java/rillyard/faultinjection/ResourceUsage.java
+++ b/src/main/java/rillyard/faultinjection/ResourceUsage.java
@@ -23,7 +23,7 @@
         Map<String, JsonNode> out = new HashMap<>();
         for (FleetProcess process : fleet.members()) {
             try {
-                out.put(process.name(), MemberAdminClient.ask(fleet.admin(process)));
+                out.put(process.name(), MemberAdminClient.fetchView(fleet.admin(process)));
             } catch (IOException e) {
                 // it has ended, or stands still: it is left out
             }
--- a/src/main/java/rillyard/membership/AttributeStore.java
+++ b/src/main/java/rillyard/membership/AttributeStore.java
@@ -1,7 +1,6 @@
 package rillyard.membership;
 
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -12,231 +11,255 @@
 import java.util.TreeSet;
 
 /**
- * The facts that are known, and which of them to pass on. A fact is believed of a member that is present, in the life that
- * said it, until it ends; the owner says it again in time. One that ended is kept until its member is forgotten, so that no
- * older one is believed after it. Bounded by the members that are kept, times the kinds.
+ * The attributes of all members, and which of them are to be piggybacked on messages.
+ *
+ * <p>An attribute holds while its owner is present in the incarnation that published it, until it expires; the owner
+ * renews it in time. An expired one is kept until its member is removed, so that no older version is accepted after it.
+ * Bounded by the member table times the kinds. Not thread-safe.
  */
 final class AttributeStore {
-    /** An owner says a fact again when this share of its time is over: two of its tellings may get lost. */
-    private static final double AGAIN = 1 / 3.0;
+    /** Share of its time to live after which an attribute is renewed, so that two renewals may be lost. */
+    private static final double RENEW_AFTER = 1 / 3.0;
 
-    /** An owner's facts of a kind change at most so often a second over its life, but for the first. */
-    private static final double MOST_A_SECOND = 10;
+    /** Versions a second that a process can publish over its life, after the initial ones. */
+    private static final double MAX_VERSIONS_PER_SECOND = 10;
 
-    private static final long FIRST = 1_024;
+    private static final long INITIAL_VERSIONS = 1_024;
 
-    private record Key(String owner, int kind) {}
+    private record Key(String owner, int kind) {
+        static final Comparator<Key> ORDER = Comparator.comparing(Key::owner).thenComparingInt(Key::kind);
 
-    /** A fact, and when (ms) its owner said it. */
-    private record StoredAttribute(MemberAttribute fact, double bornAt) {
-        double age(double now) {
-            return Math.max(0, now - bornAt);
+        static Key of(MemberAttribute attribute) {
+            return new Key(attribute.owner(), attribute.kind());
+        }
+    }
+
+    /** An attribute and when its owner published it. */
+    private record StoredAttribute(MemberAttribute attribute, double publishedAt) {
+        double ageMillis(double now) {
+            return Math.max(0, now - publishedAt);
         }
 
-        boolean over(double now) {
-            return age(now) >= fact.ttlMillis();
+        boolean isExpired(double now) {
+            return ageMillis(now) >= attribute.ttlMillis();
         }
 
-        /** As it is passed on at a time. */
+        /** Returns the attribute with its present age. */
         MemberAttribute at(double now) {
-            return new MemberAttribute(
-                    fact.owner(),
-                    fact.start(),
-                    fact.kind(),
-                    fact.version(),
-                    Math.min(MemberAttribute.MAX_MS, age(now)),
-                    fact.ttlMillis(),
-                    fact.value());
+            return attribute.withAge(Math.min(MemberAttribute.MAX_MILLIS, ageMillis(now)));
         }
     }
 
-    private final Map<Key, StoredAttribute> held = new HashMap<>();
-    private final Set<Integer> ownKinds = new TreeSet<>();
-    private final BroadcastQueue<Key> turns =
-            new BroadcastQueue<>(Comparator.comparing(Key::owner).thenComparingInt(Key::kind));
-    /** Those of the turns that are worth a datagram of their own: they say something new. */
-    private final Set<Key> urgent = new HashSet<>();
+    private final Map<Key, StoredAttribute> stored = new HashMap<>();
+    private final Set<Integer> renewedKinds = new TreeSet<>();
+    private final BroadcastQueue<Key> queue = new BroadcastQueue<>(Key.ORDER);
+
+    /** Queued keys whose value is new, which justifies a datagram of their own. */
+    private final Set<Key> newKeys = new HashSet<>();
 
     /**
-     * Says a fact of this member's own, an empty value to take it back.
+     * Publishes an attribute of this member; an empty value withdraws it.
      *
-     * @param again whether it is said again in time
+     * @param renew whether it is renewed until it is published otherwise
      * @param unixNow this machine's Unix time (ms)
-     * @return whether it is said; not if this member has said so many that nobody would believe one more
+     * @return false if this member has published so many versions that others would reject one more
      */
-    boolean say(MemberUpdate self, int kind, byte[] value, double lasts, boolean again, long unixNow, double now) {
-        StoredAttribute before = held.get(new Key(self.identity().name(), kind));
-        long version = before == null ? 0 : before.fact.version() + 1;
-        if (!possible(version, self.incarnation().startedAtMillis(), unixNow)) {
+    boolean publish(
+            MemberUpdate self, int kind, byte[] value, double ttlMillis, boolean renew, long unixNow, double now) {
+        String owner = self.identity().name();
+        long startedAt = self.incarnation().startedAtMillis();
+        StoredAttribute previous = stored.get(new Key(owner, kind));
+        long version = previous == null ? 0 : previous.attribute.version() + 1;
+        if (!isPlausible(version, startedAt, unixNow)) {
             return false;
         }
-        if (again) {
-            ownKinds.add(kind);
+        if (renew) {
+            renewedKinds.add(kind);
         } else {
-            ownKinds.remove(kind);
+            renewedKinds.remove(kind);
         }
-        take(
-                new MemberAttribute(
-                        self.identity().name(), self.incarnation().startedAtMillis(), kind, version, 0, lasts, value),
-                now,
-                true);
+        store(new MemberAttribute(owner, startedAt, kind, version, 0, ttlMillis, value), now, true);
         return true;
     }
 
-    /** What this member says of itself it says again in time. */
-    void tick(MemberUpdate self, double now) {
-        for (int kind : ownKinds) {
-            StoredAttribute attribute = held.get(new Key(self.identity().name(), kind));
-            MemberAttribute memberAttribute = attribute.fact;
-            if (!memberAttribute.withdrawn() && attribute.age(now) >= memberAttribute.ttlMillis() * AGAIN) {
-                take(
-                        new MemberAttribute(
-                                memberAttribute.owner(),
-                                memberAttribute.start(),
-                                kind,
-                                memberAttribute.version() + 1,
-                                0,
-                                memberAttribute.ttlMillis(),
-                                memberAttribute.value()),
-                        now,
-                        false);
+    /** Renews this member's own attributes that are due. */
+    void renewOwn(MemberUpdate self, double now) {
+        for (int kind : renewedKinds) {
+            StoredAttribute own = stored.get(new Key(self.identity().name(), kind));
+            MemberAttribute attribute = own.attribute;
+            if (!attribute.isWithdrawn() && own.ageMillis(now) >= attribute.ttlMillis() * RENEW_AFTER) {
+                store(nextVersion(attribute, 0, attribute.ttlMillis(), attribute.value()), now, false);
             }
         }
     }
 
-    private void take(MemberAttribute attribute, double now, boolean isNew) {
-        Key key = new Key(attribute.owner(), attribute.kind());
-        held.put(key, new StoredAttribute(attribute, now - attribute.ageMillis()));
-        turns.add(key);
+    private static MemberAttribute nextVersion(
+            MemberAttribute attribute, double ageMillis, double ttlMillis, byte[] value) {
+        return new MemberAttribute(
+                attribute.owner(),
+                attribute.ownerStartedAtMillis(),
+                attribute.kind(),
+                attribute.version() + 1,
+                ageMillis,
+                ttlMillis,
+                value);
+    }
+
+    private void store(MemberAttribute attribute, double now, boolean isNew) {
+        Key key = Key.of(attribute);
+        stored.put(key, new StoredAttribute(attribute, now - attribute.ageMillis()));
+        queue.add(key);
         if (isNew) {
-            urgent.add(key);
+            newKeys.add(key);
         } else {
-            urgent.remove(key);
+            newKeys.remove(key);
         }
     }
 
-    private void drop(Key key) {
-        turns.remove(key);
-        urgent.remove(key);
+    private void removeFromQueue(Key key) {
+        queue.remove(key);
+        newKeys.remove(key);
     }
 
     /**
-     * A fact has come, by whomever.
+     * Handles an attribute that was received, from whichever member.
      *
-     * @param life of its owner as this member holds it, null where it is unknown or gone
+     * @param ownerIncarnation the incarnation of its owner that this member knows, or null if the owner is not present
      * @param unixNow this machine's Unix time (ms)
      */
-    void heard(MemberAttribute attribute, MemberUpdate self, Incarnation life, long unixNow, double now) {
-        boolean own = attribute.owner().equals(self.identity().name());
-        Incarnation of = own ? self.incarnation() : life;
-        if (of == null
-                || of.startedAtMillis() != attribute.start()
-                || !possible(attribute.version(), attribute.start(), unixNow)) {
+    void onReceived(
+            MemberAttribute attribute, MemberUpdate self, Incarnation ownerIncarnation, long unixNow, double now) {
+        boolean isOwn = attribute.owner().equals(self.identity().name());
+        Incarnation incarnation = isOwn ? self.incarnation() : ownerIncarnation;
+        if (incarnation == null
+                || incarnation.startedAtMillis() != attribute.ownerStartedAtMillis()
+                || !isPlausible(attribute.version(), attribute.ownerStartedAtMillis(), unixNow)) {
             return;
         }
-        StoredAttribute storedAttribute = held.get(new Key(attribute.owner(), attribute.kind()));
-        boolean sameLife = storedAttribute != null && storedAttribute.fact.start() == attribute.start();
-        if (own) {
-            ownComesBack(attribute, storedAttribute, now);
-        } else if (!sameLife || attribute.version() > storedAttribute.fact.version()) {
-            take(attribute, now, !sameLife || !Arrays.equals(storedAttribute.fact.value(), attribute.value()));
-            if (attribute.ageMillis() >= attribute.ttlMillis() && !attribute.withdrawn()) {
-                drop(new Key(attribute.owner(), attribute.kind())); // over already: not passed on
-            }
+        StoredAttribute known = stored.get(Key.of(attribute));
+        if (isOwn) {
+            onOwnReceived(attribute, known, now);
+        } else {
+            onOthersReceived(attribute, known, now);
         }
     }
 
-    /** Somebody has one of this member's name that it never said: the member has the last word. */
-    private void ownComesBack(MemberAttribute attribute, StoredAttribute said, double now) {
-        if (said == null
-                || attribute.version() > said.fact.version()
-                || attribute.version() == said.fact.version() && !Arrays.equals(attribute.value(), said.fact.value())) {
-            byte[] value = said == null ? new byte[0] : said.fact.value();
-            double lasts = said == null ? attribute.ttlMillis() : said.fact.ttlMillis();
-            double age = said == null ? 0 : said.age(now); // it was said then, and may end by itself
-            take(
-                    new MemberAttribute(
-                            attribute.owner(),
-                            attribute.start(),
-                            attribute.kind(),
-                            attribute.version() + 1,
-                            Math.min(MemberAttribute.MAX_MS, age),
-                            lasts,
-                            value),
-                    now,
-                    true);
-        }
-    }
-
-    /** Whether an owner of that start can have said so many: guards against made-up versions that none could follow. */
-    private static boolean possible(long version, long start, long unixNow) {
-        double lived = unixNow + IncarnationValidator.CLOCKS_APART - start;
-        return version < Math.min(MemberAttribute.MAX_VERSION, FIRST + lived / 1_000 * MOST_A_SECOND);
-    }
-
-    /** Whether there are facts that are worth a datagram of their own. */
-    boolean urgent() {
-        return !urgent.isEmpty();
-    }
-
-    /** Facts to pass on, least told first, as far as the room (bytes) goes. */
-    List<MemberAttribute> pick(int room, int transmits, double now) {
-        List<MemberAttribute> out = new ArrayList<>();
-        List<Key> over = new ArrayList<>();
-        int[] left = {room};
-        List<Key> told = turns.offer(transmits, () -> left[0] >= MemberAttribute.LEAST_SIZE, key -> {
-            StoredAttribute attribute = held.get(key);
-            if (attribute.over(now)) {
-                over.add(key);
+    private void onOthersReceived(MemberAttribute attribute, StoredAttribute known, double now) {
+        boolean isSameProcess =
+                known != null && known.attribute.ownerStartedAtMillis() == attribute.ownerStartedAtMillis();
+        if (isSameProcess && attribute.version() <= known.attribute.version()) {
+            return;
+        }
+        store(attribute, now, !isSameProcess || !known.attribute.hasValueOf(attribute));
+        if (attribute.ageMillis() >= attribute.ttlMillis() && !attribute.isWithdrawn()) {
+            removeFromQueue(Key.of(attribute)); // expired already: not passed on
+        }
+    }
+
+    /** Overrides a version of this member's own attribute that it did not publish. */
+    private void onOwnReceived(MemberAttribute attribute, StoredAttribute own, double now) {
+        if (own == null) {
+            store(nextVersion(attribute, 0, attribute.ttlMillis(), new byte[0]), now, true);
+            return;
+        }
+        boolean isForged = attribute.version() > own.attribute.version()
+                || (attribute.version() == own.attribute.version() && !attribute.hasValueOf(own.attribute));
+        if (isForged) {
+            // With its present age, as it may expire unrenewed.
+            double ageMillis = Math.min(MemberAttribute.MAX_MILLIS, own.ageMillis(now));
+            store(nextVersion(attribute, ageMillis, own.attribute.ttlMillis(), own.attribute.value()), now, true);
+        }
+    }
+
+    /** Returns whether a process of that start can have published so many versions. */
+    private static boolean isPlausible(long version, long startedAt, long unixNow) {
+        double maxLifetimeMillis = unixNow + IncarnationValidator.MAX_CLOCK_SKEW_MILLIS - startedAt;
+        double maxVersions = INITIAL_VERSIONS + maxLifetimeMillis / 1_000 * MAX_VERSIONS_PER_SECOND;
+        return version < Math.min(MemberAttribute.MAX_VERSION, maxVersions);
+    }
+
+    /** Returns whether there are attributes with new values to send. */
+    boolean hasNew() {
+        return !newKeys.isEmpty();
+    }
+
+    /** Selects attributes for one datagram, least sent first, as far as the capacity (bytes) allows. */
+    List<MemberAttribute> select(int capacity, int maxTransmissions, double now) {
+        Selection selection = new Selection(capacity, now);
+        List<Key> removed = queue.offer(
+                maxTransmissions, () -> selection.remainingBytes >= MemberAttribute.MIN_SIZE, selection::take);
+        newKeys.removeAll(removed);
+        selection.expired.forEach(this::removeFromQueue);
+        return selection.attributes;
+    }
+
+    private final class Selection {
+        private final List<MemberAttribute> attributes = new ArrayList<>();
+        private final List<Key> expired = new ArrayList<>();
+        private final double now;
+        private int remainingBytes;
+
+        Selection(int capacity, double now) {
+            this.remainingBytes = capacity;
+            this.now = now;
+        }
+
+        boolean take(Key key) {
+            StoredAttribute candidate = stored.get(key);
+            if (candidate.isExpired(now)) {
+                expired.add(key);
                 return false;
             }
-            if (attribute.fact.size() > left[0]) {
+            if (candidate.attribute.size() > remainingBytes) {
                 return false;
             }
-            left[0] -= attribute.fact.size();
-            return out.add(attribute.at(now));
-        });
-        urgent.removeAll(told);
-        over.forEach(this::drop);
-        return out;
-    }
-
-    /** The facts of a kind that hold now, by owner; those whose owner is not present in that life are left out. */
-    Map<String, MemberAttribute> holding(int kind, MemberUpdate self, Map<String, MemberState> beliefs, double now) {
-        Map<String, MemberAttribute> out = new TreeMap<>();
-        for (StoredAttribute attribute : held.values()) {
-            MemberAttribute memberAttribute = attribute.fact;
-            if (memberAttribute.kind() == kind && !memberAttribute.withdrawn() && !attribute.over(now)) {
-                MemberState member = beliefs.get(memberAttribute.owner());
-                boolean own = memberAttribute.owner().equals(self.identity().name());
-                if (own
-                        || member != null
-                                && member.status().present()
-                                && member.word.incarnation().startedAtMillis() == memberAttribute.start()) {
-                    out.put(memberAttribute.owner(), attribute.at(now));
-                }
+            remainingBytes -= candidate.attribute.size();
+            return attributes.add(candidate.at(now));
+        }
+    }
+
+    /** Returns the attributes of a kind that hold at present, by owner. */
+    Map<String, MemberAttribute> current(int kind, MemberUpdate self, Map<String, MemberState> members, double now) {
+        Map<String, MemberAttribute> current = new TreeMap<>();
+        for (StoredAttribute candidate : stored.values()) {
+            MemberAttribute attribute = candidate.attribute;
+            boolean isHeld = attribute.kind() == kind && !attribute.isWithdrawn() && !candidate.isExpired(now);
+            if (isHeld && isOwnerPresent(attribute, self, members)) {
+                current.put(attribute.owner(), candidate.at(now));
             }
         }
-        return out;
+        return current;
+    }
+
+    /** Returns whether the owner is present in the process that published the attribute. */
+    private static boolean isOwnerPresent(
+            MemberAttribute attribute, MemberUpdate self, Map<String, MemberState> members) {
+        if (attribute.owner().equals(self.identity().name())) {
+            return true;
+        }
+        MemberState owner = members.get(attribute.owner());
+        return owner != null
+                && owner.status().isPresent()
+                && owner.update().incarnation().startedAtMillis() == attribute.ownerStartedAtMillis();
     }
 
-    /** The owner, another member, is forgotten. */
+    /** Removes all attributes of another member. */
     void forget(String owner) {
         for (int kind = 0; kind <= MemberAttribute.MAX_KIND; kind++) {
             Key key = new Key(owner, kind);
-            if (held.remove(key) != null) {
-                drop(key);
+            if (stored.remove(key) != null) {
+                removeFromQueue(key);
             }
         }
     }
 
-    /** All that is held, in words; times count from {@code now}. */
+    /** Describes the state for the model checker; times are relative to the given one. */
     String state(double now) {
         StringBuilder out = new StringBuilder();
-        held.entrySet().stream()
-                .sorted(Map.Entry.comparingByKey(
-                        Comparator.comparing(Key::owner).thenComparingInt(Key::kind)))
-                .forEach(e -> out.append("; fact ").append(e.getValue().at(now)).append(urgent.contains(e.getKey())));
-        return out.append(turns.state()).toString();
+        stored.entrySet().stream().sorted(Map.Entry.comparingByKey(Key.ORDER)).forEach(entry -> out.append(
+                        "; attribute ")
+                .append(entry.getValue().at(now))
+                .append(newKeys.contains(entry.getKey())));
+        return out.append(queue.state()).toString();
     }
 }
--- a/src/main/java/rillyard/membership/BroadcastQueue.java
+++ b/src/main/java/rillyard/membership/BroadcastQueue.java
@@ -11,87 +11,91 @@
 import java.util.function.Predicate;
 
 /**
- * What is to be passed on, and how often it has been: the least told first, each only so often. Kept in that order, as
- * thousands join at once and each datagram takes ten.
+ * Keys that are to be piggybacked on messages, in the order of how often they have been sent, least first.
+ *
+ * <p>The order is maintained incrementally, as thousands of members may join at once and each datagram takes ten. Not
+ * thread-safe.
  */
 final class BroadcastQueue<K> {
+    private static final int TYPICAL_SELECTION = 10;
+
     private static final class Entry<K> {
         final K key;
-        int told;
+        int transmissions;
 
         Entry(K key) {
             this.key = key;
         }
     }
 
-    private final Map<K, Entry<K>> turns = new HashMap<>();
+    private final Map<K, Entry<K>> entries = new HashMap<>();
     private final TreeSet<Entry<K>> order;
-    private final Comparator<K> ties;
+    private final Comparator<K> tieBreaker;
 
-    /** Of two that were told alike the first by {@code ties} comes first. */
-    BroadcastQueue(Comparator<K> ties) {
-        this.ties = ties;
-        this.order = new TreeSet<>(
-                Comparator.<Entry<K>>comparingInt(entry -> entry.told).thenComparing(t -> t.key, ties));
+    /** Creates an empty queue; {@code tieBreaker} orders keys that have been sent equally often. */
+    BroadcastQueue(Comparator<K> tieBreaker) {
+        this.tieBreaker = tieBreaker;
+        this.order = new TreeSet<>(Comparator.<Entry<K>>comparingInt(entry -> entry.transmissions)
+                .thenComparing(entry -> entry.key, tieBreaker));
     }
 
-    /** There is something new about this: its turns begin anew. */
+    /** Adds a key, or resets its count if it is queued. */
     void add(K key) {
         remove(key);
         Entry<K> entry = new Entry<>(key);
-        turns.put(key, entry);
+        entries.put(key, entry);
         order.add(entry);
     }
 
     void remove(K key) {
-        Entry<K> entry = turns.remove(key);
+        Entry<K> entry = entries.remove(key);
         if (entry != null) {
             order.remove(entry);
         }
     }
 
     boolean isEmpty() {
-        return turns.isEmpty();
+        return entries.isEmpty();
     }
 
     /**
-     * Offers all in turn.
+     * Offers all keys in order and counts those that are taken.
      *
-     * @param times those taken so often leave
-     * @param more whether any further one could be taken at all
-     * @param taken takes one, or doesn't; to change nothing here
-     * @return those that have left
+     * @param maxTransmissions count at which a key leaves the queue
+     * @param hasCapacity whether any further key could be taken at all
+     * @param take takes a key, or returns false; must not change the queue
+     * @return the keys that have left the queue
      */
-    List<K> offer(int times, BooleanSupplier more, Predicate<K> taken) {
-        List<Entry<K>> told = new ArrayList<>(10);
+    List<K> offer(int maxTransmissions, BooleanSupplier hasCapacity, Predicate<K> take) {
+        List<Entry<K>> taken = new ArrayList<>(TYPICAL_SELECTION);
         for (Entry<K> entry : order) {
-            if (!more.getAsBoolean()) {
+            if (!hasCapacity.getAsBoolean()) {
                 break;
             }
-            if (taken.test(entry.key)) {
-                told.add(entry);
+            if (take.test(entry.key)) {
+                taken.add(entry);
             }
         }
-        List<K> left = new ArrayList<>();
-        for (Entry<K> t : told) {
-            order.remove(t);
-            t.told++;
-            if (t.told < times) {
-                order.add(t);
+        List<K> removed = new ArrayList<>();
+        for (Entry<K> entry : taken) {
+            order.remove(entry);
+            entry.transmissions++;
+            if (entry.transmissions < maxTransmissions) {
+                order.add(entry);
             } else {
-                turns.remove(t.key);
-                left.add(t.key);
+                entries.remove(entry.key);
+                removed.add(entry.key);
             }
         }
-        return left;
+        return removed;
     }
 
-    /** What is waiting, and how often it was told. */
+    /** Describes the state for the model checker. */
     String state() {
         StringBuilder out = new StringBuilder();
-        Map<K, Entry<K>> sorted = new TreeMap<>(ties);
-        sorted.putAll(turns);
-        sorted.values().forEach(entry -> out.append("; tell ").append(entry.key).append(entry.told));
+        Map<K, Entry<K>> sorted = new TreeMap<>(tieBreaker);
+        sorted.putAll(entries);
+        sorted.values().forEach(entry -> out.append("; tell ").append(entry.key).append(entry.transmissions));
         return out.toString();
     }
 }
--- a/src/main/java/rillyard/membership/Incarnation.java
+++ b/src/main/java/rillyard/membership/Incarnation.java
@@ -1,32 +1,36 @@
 package rillyard.membership;
 
 /**
- * Which word of a member's about itself is the newer one: first by when its process started (Unix time, ms),
- * then by how often it has spoken up since. Only the member itself makes new ones.
+ * Orders the updates of a member about itself; only the member itself creates new ones.
+ *
+ * @param startedAtMillis Unix time at which its process started, 0 to {@link #MAX_STARTED_AT_MILLIS}
+ * @param counter how often it has refuted since, 0 to {@link #MAX_COUNTER}
  */
 public record Incarnation(long startedAtMillis, int counter) implements Comparable<Incarnation> {
-    /** Start times have 48 bits on the wire, incarnations 16. */
-    public static final long MAX_START = (1L << 48) - 1;
+    /** Latest start time, which has 48 bits in datagrams. */
+    public static final long MAX_STARTED_AT_MILLIS = (1L << 48) - 1;
 
-    public static final int MAX_INCARNATION = 65_535;
+    /** Largest counter, which has 16 bits in datagrams. */
+    public static final int MAX_COUNTER = 65_535;
 
+    /** Checks both ranges. */
     public Incarnation {
-        if (startedAtMillis < 0 || startedAtMillis > MAX_START || counter < 0 || counter > MAX_INCARNATION) {
-            throw new IllegalArgumentException("no life: " + startedAtMillis + ", " + counter);
+        if (startedAtMillis < 0 || startedAtMillis > MAX_STARTED_AT_MILLIS || counter < 0 || counter > MAX_COUNTER) {
+            throw new IllegalArgumentException("no incarnation: " + startedAtMillis + ", " + counter);
         }
     }
 
-    /** The next word of the same process; past the range it counts as one that started a moment later. */
+    /** Returns the next incarnation of the same process; beyond the counter's range its start moves by a millisecond. */
     Incarnation next() {
-        return counter < MAX_INCARNATION
+        return counter < MAX_COUNTER
                 ? new Incarnation(startedAtMillis, counter + 1)
                 : new Incarnation(startedAtMillis + 1, 0);
     }
 
     @Override
-    public int compareTo(Incarnation o) {
-        return startedAtMillis != o.startedAtMillis
-                ? Long.compare(startedAtMillis, o.startedAtMillis)
-                : Integer.compare(counter, o.counter);
+    public int compareTo(Incarnation other) {
+        return startedAtMillis != other.startedAtMillis
+                ? Long.compare(startedAtMillis, other.startedAtMillis)
+                : Integer.compare(counter, other.counter);
     }
 }
--- a/src/main/java/rillyard/membership/IncarnationValidator.java
+++ b/src/main/java/rillyard/membership/IncarnationValidator.java
@@ -1,25 +1,26 @@
 package rillyard.membership;
 
-/** Which words are possible at all: guards against members that make up lives, to have the last word for ever. */
+/** Rejects implausible incarnations, by which a faulty member could override all later updates of another. */
 final class IncarnationValidator {
-    /** A start this far (ms) ahead of this machine's Unix time is none: clocks of a fleet are nearer than that. */
-    static final long CLOCKS_APART = 3_600_000;
+    /** Milliseconds by which a start may be ahead of this machine's Unix time; clocks of a fleet are closer. */
+    static final long MAX_CLOCK_SKEW_MILLIS = 3_600_000;
 
-    /** A word so much newer than the last known of the same process was made up: nobody speaks up so often. */
-    private static final int LEAP = 1_024;
+    /** Largest plausible step of the counter of one process; no process refutes so often between two updates. */
+    private static final int MAX_COUNTER_STEP = 1_024;
 
     private IncarnationValidator() {}
 
     /**
-     * Whether a life can be, beside what is known.
+     * Returns whether an incarnation is plausible.
      *
-     * @param known the last word of that member, or null
+     * @param known the last known incarnation of that member, or null
      * @param unixNow this machine's Unix time (ms)
      */
-    static boolean possible(Incarnation life, Incarnation known, long unixNow) {
-        if (known != null && known.startedAtMillis() == life.startedAtMillis()) {
-            return life.counter() <= known.counter() + LEAP;
+    static boolean isPlausible(Incarnation incarnation, Incarnation known, long unixNow) {
+        if (known != null && known.startedAtMillis() == incarnation.startedAtMillis()) {
+            return incarnation.counter() <= known.counter() + MAX_COUNTER_STEP;
         }
-        return life.startedAtMillis() <= unixNow + CLOCKS_APART && life.counter() <= LEAP;
+        return incarnation.startedAtMillis() <= unixNow + MAX_CLOCK_SKEW_MILLIS
+                && incarnation.counter() <= MAX_COUNTER_STEP;
     }
 }
--- a/src/main/java/rillyard/membership/IndirectProbes.java
+++ b/src/main/java/rillyard/membership/IndirectProbes.java
@@ -6,60 +6,72 @@
 import java.util.List;
 import java.util.Map;
 
-/** Questions put to members for others that got no answer themselves. Bounded; each ends with its answer or a no. */
+/**
+ * The indirect probes that this member carries out for others, until each ends with an ack or a nack. Bounded; not
+ * thread-safe.
+ */
 final class IndirectProbes {
-    /** Part of what is left of the asker's probe after which it is told that there is no answer here either. */
-    private static final double NO_AFTER = 0.8;
+    /** Share of the requester's remaining probe time after which it receives a nack. */
+    private static final double NACK_AFTER = 0.8;
 
-    /** One question: under which number the asker knows it, who and where that is, when it is told no. */
-    record IndirectProbe(int sequence, String asker, MemberAddress askerAt, double noAt) {}
+    private static final int MAX_PROBES_PER_MEMBER = 4;
 
-    private final Map<Integer, IndirectProbe> open = new LinkedHashMap<>();
+    /**
+     * One indirect probe.
+     *
+     * @param sequence the requester's sequence number
+     * @param requester the requester's name
+     * @param requesterAddress the address that the request came from
+     * @param nackAt when the requester receives a nack
+     */
+    record IndirectProbe(int sequence, String requester, MemberAddress requesterAddress, double nackAt) {}
+
+    private final Map<Integer, IndirectProbe> openProbes = new LinkedHashMap<>();
     private final MembershipSettings settings;
 
     IndirectProbes(MembershipSettings settings) {
         this.settings = settings;
     }
 
-    boolean room() {
-        return open.size() < 4 * settings.maxMembers();
+    boolean hasCapacity() {
+        return openProbes.size() < MAX_PROBES_PER_MEMBER * settings.maxMembers();
     }
 
-    /** Takes one on, asked under a number of our own. */
-    void take(int own, Message message, MemberAddress askerAt, double now) {
-        double noAt = now + NO_AFTER * (settings.probeIntervalMillis() - settings.probeTimeoutMillis());
-        open.put(
-                own,
-                new IndirectProbe(
-                        message.sequence(), message.sender().identity().name(), askerAt, noAt));
+    /** Begins a probe that was requested, under a sequence number of this member. */
+    void begin(int ownSequence, Message request, MemberAddress requesterAddress, double now) {
+        double nackAt = now + NACK_AFTER * (settings.probeIntervalMillis() - settings.probeTimeoutMillis());
+        String requester = request.sender().identity().name();
+        openProbes.put(ownSequence, new IndirectProbe(request.sequence(), requester, requesterAddress, nackAt));
     }
 
-    /** The errand that an answer to this number of ours ends, or null. */
-    IndirectProbe answered(int own) {
-        return open.remove(own);
+    /** Ends and returns the probe of a sequence number of this member; null if there is none. */
+    IndirectProbe onAck(int ownSequence) {
+        return openProbes.remove(ownSequence);
     }
 
-    /** Ends those whose askers are to be told no. */
-    List<IndirectProbe> overdue(double now) {
-        List<IndirectProbe> out = new ArrayList<>(0);
-        for (Iterator<IndirectProbe> i = open.values().iterator(); i.hasNext(); ) {
-            IndirectProbe probe = i.next();
-            if (now >= probe.noAt()) {
-                out.add(probe);
-                i.remove();
+    /** Ends and returns the probes whose requesters are to receive a nack. */
+    List<IndirectProbe> removeOverdue(double now) {
+        List<IndirectProbe> overdue = new ArrayList<>(0);
+        for (Iterator<IndirectProbe> probes = openProbes.values().iterator(); probes.hasNext(); ) {
+            IndirectProbe probe = probes.next();
+            if (now >= probe.nackAt()) {
+                overdue.add(probe);
+                probes.remove();
             }
         }
-        return out;
+        return overdue;
     }
 
     void clear() {
-        open.clear();
+        openProbes.clear();
     }
 
+    /** Describes the state for the model checker; times are relative to the given one. */
     String state(double now) {
         StringBuilder out = new StringBuilder();
-        open.values()
-                .forEach(probe -> out.append("; for ").append(probe.asker()).append(probe.noAt() - now));
+        openProbes
+                .values()
+                .forEach(probe -> out.append("; for ").append(probe.requester()).append(probe.nackAt() - now));
         return out.toString();
     }
 }
--- a/src/main/java/rillyard/membership/LocalHealth.java
+++ b/src/main/java/rillyard/membership/LocalHealth.java
@@ -1,23 +1,25 @@
 package rillyard.membership;
 
 /**
- * How much this member trusts itself (Lifeguard, 3.1): the worse it does, the longer it waits for others,
- * who may be well and only not heard here.
+ * The local health multiplier (Lifeguard, 3.1): the less this member trusts itself, the longer it waits for others, who
+ * may be well and only not heard here. Not thread-safe.
  */
 final class LocalHealth {
-    private static final int WORST = 8;
+    private static final int MAX_SCORE = 8;
 
     private int score;
 
-    void worse(int by) {
-        score = Math.min(WORST, score + by);
+    /** Lowers the health by so many points. */
+    void degrade(int points) {
+        score = Math.min(MAX_SCORE, score + points);
     }
 
-    void better() {
+    /** Raises the health by a point. */
+    void improve() {
         score = Math.max(0, score - 1);
     }
 
-    /** What to multiply times by: 1 where all is well, up to 9. */
+    /** Returns the factor for probe times: 1 for a healthy member, up to 9. */
     int factor() {
         return score + 1;
     }
--- a/src/main/java/rillyard/membership/LocalMember.java
+++ b/src/main/java/rillyard/membership/LocalMember.java
@@ -1,90 +1,115 @@
 package rillyard.membership;
 
-/** Who a member is: its word about itself, and what is said under its name by others. */
+/** This member's own identity and incarnation, and its reactions to what others claim under its name. Not thread-safe. */
 final class LocalMember {
-    /** What a word under this name asks for. */
-    enum Claim {
-        NOTHING,
-        /** This member has spoken up: its word is a new one. */
-        SPOKEN_UP,
-        /** A later process may have the name; only its own word counts, so it is to be asked. */
-        ASK
+    /** What an update under this member's name requires. */
+    enum Reaction {
+        /** Nothing. */
+        NONE,
+        /** This member has refuted the update: its own update has a new incarnation. */
+        REFUTED,
+        /** A later process may have the name; as only its own update counts, it is to be pinged. */
+        PING
     }
 
-    private final double askEvery;
-    private MemberUpdate word;
+    private final double pingIntervalMillis;
+    private MemberUpdate update;
     private boolean silent;
-    private double askedAt = Double.NEGATIVE_INFINITY;
+    private double pingedAt = Double.NEGATIVE_INFINITY;
 
-    /** One that has just started; {@code askEvery} (ms) is how often it asks for a namesake at most. */
-    LocalMember(MemberIdentity card, long start, double askEvery) {
-        this.askEvery = askEvery;
-        this.word = new MemberUpdate(card, new Incarnation(start, 0), MemberStatus.ALIVE, MemberUpdate.by(card.name()));
+    /**
+     * Creates a member that has just started.
+     *
+     * @param startedUnix the Unix time (ms) of its start
+     * @param pingIntervalMillis least time between two pings to processes of the same name
+     */
+    LocalMember(MemberIdentity identity, long startedUnix, double pingIntervalMillis) {
+        this.pingIntervalMillis = pingIntervalMillis;
+        this.update = new MemberUpdate(
+                identity,
+                new Incarnation(startedUnix, 0),
+                MemberStatus.ALIVE,
+                MemberUpdate.reporterId(identity.name()));
+    }
+
+    /** Returns this member's update about itself. */
+    MemberUpdate update() {
+        return update;
     }
 
-    MemberUpdate word() {
-        return word;
+    String name() {
+        return update.identity().name();
     }
 
-    /** Whether it has left, or another has its name. */
-    boolean silent() {
+    /** Returns whether it has left, or another process has its name. */
+    boolean isSilent() {
         return silent;
     }
 
-    boolean isName(String name) {
-        return word.identity().name().equals(name);
+    boolean hasName(String name) {
+        return name().equals(name);
     }
 
-    /** It goes: this is its last word. */
+    /** Changes its update to its last one. */
     void leave() {
-        word = new MemberUpdate(word.identity(), word.incarnation(), MemberStatus.LEFT, word.by());
+        update = new MemberUpdate(update.identity(), update.incarnation(), MemberStatus.LEFT, update.reporterId());
     }
 
     void fallSilent() {
         silent = true;
     }
 
-    /** A process of this name speaks itself: the one that started later has the name. Returns whether that is this one. */
-    boolean outlives(MemberUpdate other, long unixNow) {
-        if (other.incarnation().startedAtMillis() > word.incarnation().startedAtMillis()
-                && IncarnationValidator.possible(other.incarnation(), null, unixNow)) {
+    /**
+     * Handles an update that a process of the same name sent itself: the process that started later has the name.
+     *
+     * @return whether this process started later
+     */
+    boolean onNamesake(MemberUpdate other, long unixNow) {
+        long otherStart = other.incarnation().startedAtMillis();
+        long ownStart = update.incarnation().startedAtMillis();
+        if (otherStart > ownStart && IncarnationValidator.isPlausible(other.incarnation(), null, unixNow)) {
             silent = true;
         }
-        return other.incarnation().startedAtMillis() < word.incarnation().startedAtMillis();
+        return otherStart < ownStart;
     }
 
-    /** Others hold this member for ill or dead, or remember a life of its name before this one: it speaks up. */
-    Claim heard(MemberUpdate update, double now, long unixNow) {
-        if (!IncarnationValidator.possible(update.incarnation(), word.incarnation(), unixNow)) {
-            return Claim.NOTHING; // nobody but itself can have said so
+    /** Handles an update about this member's name that others pass on, and refutes it where it is wrong. */
+    Reaction onUpdate(MemberUpdate claimed, double now, long unixNow) {
+        Incarnation own = update.incarnation();
+        if (!IncarnationValidator.isPlausible(claimed.incarnation(), own, unixNow)) {
+            return Reaction.NONE; // nobody but this member can have created it
         }
-        // A life before this one may have had a later start: this machine's clock was set back in between. One at
-        // another address may be a process that took the name over.
-        if (update.incarnation().startedAtMillis() > word.incarnation().startedAtMillis()
-                && !update.identity().address().equals(word.identity().address())
-                && update.status().present()) {
-            if (now - askedAt < askEvery) {
-                return Claim.NOTHING;
+        if (mayBeSuccessor(claimed)) {
+            if (now - pingedAt < pingIntervalMillis) {
+                return Reaction.NONE;
             }
-            askedAt = now;
-            return Claim.ASK;
+            pingedAt = now;
+            return Reaction.PING;
         }
-        boolean later = update.incarnation().compareTo(word.incarnation()) > 0;
-        if (!later
-                && (update.status() == MemberStatus.ALIVE
-                        || !update.incarnation().equals(word.incarnation()))) {
-            return Claim.NOTHING;
+        boolean isLater = claimed.incarnation().compareTo(own) > 0;
+        boolean isWrong =
+                claimed.status() != MemberStatus.ALIVE && claimed.incarnation().equals(own);
+        if (!isLater && !isWrong) {
+            return Reaction.NONE;
         }
-        word = new MemberUpdate(
-                word.identity(),
-                (later ? update.incarnation() : word.incarnation()).next(),
-                MemberStatus.ALIVE,
-                word.by());
-        return Claim.SPOKEN_UP;
+        Incarnation refuting = (isLater ? claimed.incarnation() : own).next();
+        update = new MemberUpdate(update.identity(), refuting, MemberStatus.ALIVE, update.reporterId());
+        return Reaction.REFUTED;
+    }
+
+    /**
+     * Returns whether an update may be of a process that took over the name.
+     *
+     * <p>At the same address a later start is one of an earlier process, after which the machine's clock was set back.
+     */
+    private boolean mayBeSuccessor(MemberUpdate claimed) {
+        return claimed.incarnation().startedAtMillis() > update.incarnation().startedAtMillis()
+                && !claimed.identity().address().equals(update.identity().address())
+                && claimed.status().isPresent();
     }
 
-    /** All that its next steps depend on, in words; times count from {@code now}. */
+    /** Describes the state for the model checker; times are relative to the given one. */
     String state(double now) {
-        return word + " " + silent + (now - askedAt);
+        return update + " " + silent + (now - pingedAt);
     }
 }
--- a/src/main/java/rillyard/membership/LoopHealth.java
+++ b/src/main/java/rillyard/membership/LoopHealth.java
@@ -1,51 +1,66 @@
 package rillyard.membership;
 
-/** How late a member's own steps come, over the last while: how ill its process is, as it can tell itself. */
+/** How late this member's own periodic steps run, over the last 10 to 20 s. Not thread-safe. */
 public final class LoopHealth {
-    /** The kind of fact by which members tell each other; its value is the ordinal of a {@link Level}. */
-    public static final int FACT = 0;
+    /** The kind of attribute by which members publish their level; its value is the level's code. */
+    public static final int ATTRIBUTE_KIND = 0;
 
-    /** How late steps come. */
+    /** Levels of lateness. */
     public enum Level {
         /** Less than 50 ms. */
-        WELL(0),
-        /** Less than 500 ms. */
-        LATE(50),
-        /** More. */
-        ILL(500);
+        WELL(0, 0),
+        /** At least 50 ms, less than 500 ms. */
+        LATE(1, 50),
+        /** At least 500 ms. */
+        ILL(2, 500);
 
-        private final double from;
+        private final int code;
+        private final double minLateMillis;
 
-        Level(double from) {
-            this.from = from;
+        Level(int code, double minLateMillis) {
+            this.code = code;
+            this.minLateMillis = minLateMillis;
+        }
+
+        /** Returns the code of the level in attributes. */
+        public int code() {
+            return code;
+        }
+
+        /** Returns the level of a code, or null if there is none. */
+        public static Level ofCode(int code) {
+            return switch (code) {
+                case 0 -> WELL;
+                case 1 -> LATE;
+                case 2 -> ILL;
+                default -> null;
+            };
         }
     }
 
-    /** The worst of so long (ms) counts, at least; of twice that at most. */
-    private static final double WHILE = 10_000;
+    /** Length of a period; the worst of the present and of the previous one counts. */
+    private static final double PERIOD_MILLIS = 10_000;
 
-    private double begun = Double.NaN;
-    private double worst;
-    private double worstBefore;
+    private double periodBeganAt = Double.NaN;
+    private double worstMillis;
+    private double previousWorstMillis;
 
-    /** A step comes, so much (ms) later than it should. */
-    public void step(double now, double late) {
-        if (Double.isNaN(begun) || now - begun >= WHILE) {
-            worstBefore = worst;
-            worst = 0;
-            begun = now;
+    /** Records a step that runs so many milliseconds later than planned. */
+    public void onStep(double now, double lateMillis) {
+        if (Double.isNaN(periodBeganAt) || now - periodBeganAt >= PERIOD_MILLIS) {
+            previousWorstMillis = worstMillis;
+            worstMillis = 0;
+            periodBeganAt = now;
         }
-        worst = Math.max(worst, late);
+        worstMillis = Math.max(worstMillis, lateMillis);
     }
 
-    /** The level as of the last step. */
+    /** Returns the level as of the last step. */
     public Level level() {
-        Level level = Level.WELL;
-        for (Level l : Level.values()) {
-            if (Math.max(worst, worstBefore) >= l.from) {
-                level = l;
-            }
+        double worst = Math.max(worstMillis, previousWorstMillis);
+        if (worst >= Level.ILL.minLateMillis) {
+            return Level.ILL;
         }
-        return level;
+        return worst >= Level.LATE.minLateMillis ? Level.LATE : Level.WELL;
     }
 }
--- a/src/main/java/rillyard/membership/MemberAddress.java
+++ b/src/main/java/rillyard/membership/MemberAddress.java
@@ -1,15 +1,23 @@
 package rillyard.membership;
 
-/** Where a member is reached: an IPv4 address, its first byte the highest, and a port from 1 to 65535. */
+/**
+ * The address of a member.
+ *
+ * @param ip an IPv4 address, its first byte the most significant
+ * @param port a port from 1 to 65535
+ */
 public record MemberAddress(int ip, int port) {
+    private static final int MAX_PORT = 65_535;
+
+    /** Checks the range of the port. */
     public MemberAddress {
-        if (port < 1 || port > 65_535) {
+        if (port < 1 || port > MAX_PORT) {
             throw new IllegalArgumentException("port " + port + ", expected 1 to 65535");
         }
     }
 
     @Override
     public String toString() {
-        return (ip >>> 24) + "." + (ip >> 16 & 255) + "." + (ip >> 8 & 255) + "." + (ip & 255) + ":" + port;
+        return (ip >>> 24) + "." + ((ip >> 16) & 255) + "." + ((ip >> 8) & 255) + "." + (ip & 255) + ":" + port;
     }
 }
--- a/src/main/java/rillyard/membership/MemberSnapshot.java
+++ b/src/main/java/rillyard/membership/MemberSnapshot.java
@@ -1,9 +1,10 @@
 package rillyard.membership;
 
 /**
- * What is believed of a member.
+ * What is known of a member.
  *
- * @param since ms since this process started
- * @param by whose word it is, as {@link MembershipEvent#by}
+ * @param update the update that holds
+ * @param sinceMillis since when it holds, in milliseconds since this process started
+ * @param source who reported it, as {@link MembershipEvent#source}
  */
-public record MemberSnapshot(MemberUpdate word, double since, String by) {}
+public record MemberSnapshot(MemberUpdate update, double sinceMillis, String source) {}
--- a/src/main/java/rillyard/membership/MemberState.java
+++ b/src/main/java/rillyard/membership/MemberState.java
@@ -3,46 +3,92 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What is believed of one member, and since when. */
+/** What is known of one other member, and since when. Not thread-safe. */
 final class MemberState {
-    /** More than that change nothing. */
-    private static final int MOST_ACCUSERS = 8;
-
-    MemberUpdate word;
-    double since;
-    /** By whose word, as {@link MembershipEvent#by}. */
-    String by = "";
-    /** When a suspect is asked again. */
-    double askAt;
-    /** Who suspects it, by number: independent words shorten the time that it has to speak up. */
+    /** Suspectors beyond which further ones change nothing. */
+    private static final int MAX_SUSPECTORS = 8;
+
+    private MemberUpdate update;
+    private double sinceMillis;
+    private String source = "";
+    private double nextPingAtMillis;
+
+    /** The reporters that suspect the member; most members are never suspected, and keep no set. */
     private Set<Integer> suspectors = Set.of();
 
-    MemberState(MemberUpdate word, double since) {
-        this.word = word;
-        this.since = since;
+    MemberState(MemberUpdate update, double sinceMillis) {
+        this.update = update;
+        this.sinceMillis = sinceMillis;
+    }
+
+    /** Returns the update that holds. */
+    MemberUpdate update() {
+        return update;
+    }
+
+    MemberStatus status() {
+        return update.status();
+    }
+
+    String name() {
+        return update.identity().name();
+    }
+
+    MemberAddress address() {
+        return update.identity().address();
+    }
+
+    double sinceMillis() {
+        return sinceMillis;
+    }
+
+    /** Returns who reported the status, as {@link MembershipEvent#source}. */
+    String source() {
+        return source;
+    }
+
+    void setSource(String source) {
+        this.source = source;
+    }
+
+    /** Replaces the update by one that overrides it. */
+    void override(MemberUpdate newUpdate, double now) {
+        update = newUpdate;
+        sinceMillis = now;
+        suspectors = Set.of();
+    }
+
+    /** Replaces the update by an independent one of the same status and incarnation. */
+    void confirm(MemberUpdate newUpdate) {
+        update = newUpdate;
+    }
+
+    /** Extends the time for which the member has had its status, after a pause of this process. */
+    void extend(double pauseMillis) {
+        sinceMillis += pauseMillis;
+    }
+
+    /** Returns when a suspect is pinged next. */
+    double nextPingAtMillis() {
+        return nextPingAtMillis;
+    }
+
+    void scheduleNextPing(double atMillis) {
+        nextPingAtMillis = atMillis;
     }
 
-    /** Who accuses it, by number; most members are never accused, and keep no set. */
     Set<Integer> suspectors() {
         return suspectors;
     }
 
-    /** Adds one; whether it is new, and there is room for it. */
-    boolean addSuspector(int by) {
-        if (suspectors.size() >= MOST_ACCUSERS) {
+    /** Adds a suspector; returns whether it is new and its confirmation counts. */
+    boolean addSuspector(int reporterId) {
+        if (suspectors.size() >= MAX_SUSPECTORS) {
             return false;
         }
         if (suspectors.isEmpty()) {
             suspectors = new HashSet<>(4);
         }
-        return suspectors.add(by);
-    }
-
-    void clearSuspicion() {
-        suspectors = Set.of();
-    }
-
-    MemberStatus status() {
-        return word.status();
+        return suspectors.add(reporterId);
     }
 }
--- a/src/main/java/rillyard/membership/MemberTable.java
+++ b/src/main/java/rillyard/membership/MemberTable.java
@@ -1,6 +1,7 @@
 package rillyard.membership;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.Iterator;
 import java.util.LinkedHashSet;
@@ -11,152 +12,164 @@
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
 
-/** The other members that are known, and in which order they are probed: a random one, dealt anew each round. */
+/**
+ * The other members that are known, and the order in which they are probed: a random permutation for each round (SWIM,
+ * 4.3). Not thread-safe.
+ */
 final class MemberTable {
-    private final Map<String, MemberState> beliefs = new HashMap<>();
-    private final List<String> round = new ArrayList<>();
-    private final List<String> all = new ArrayList<>();
-    /** Those that are suspected, in the order in which they came to be: asked for many times an interval. */
+    /** Draws for each member that is wanted at random, and at the least. */
+    private static final int DRAWS_PER_MEMBER = 3;
+
+    private static final int MIN_DRAWS = 8;
+    private static final int DRAWS_FOR_DEAD = 16;
+
+    private final Map<String, MemberState> members = new HashMap<>();
+    private final List<String> probeRound = new ArrayList<>();
+    private final List<String> names = new ArrayList<>();
+
+    /** Suspects in the order in which they became suspected; checked many times a protocol period. */
     private final Set<MemberState> suspects = new LinkedHashSet<>();
 
     private final RandomGenerator random;
-    private int next;
-    private int cursor;
-    private int present;
+    private int nextInRound;
+    private int pageCursor;
+    private int presentCount;
     private int digest;
 
     MemberTable(RandomGenerator random) {
         this.random = random;
     }
 
-    Map<String, MemberState> beliefs() {
-        return beliefs;
+    /** Returns all members by name, as a view. */
+    Map<String, MemberState> members() {
+        return members;
     }
 
-    /** Suspects as of now; they may be changed meanwhile. */
+    /** Returns the present suspects; the table may be changed meanwhile. */
     List<MemberState> suspects() {
         return suspects.isEmpty() ? List.of() : new ArrayList<>(suspects);
     }
 
+    /** Returns the member of a name, or null. */
     MemberState get(String name) {
-        return beliefs.get(name);
+        return members.get(name);
     }
 
-    /** Others that are alive or suspected. */
-    int present() {
-        return present;
+    /** Returns how many members are alive or suspected. */
+    int presentCount() {
+        return presentCount;
     }
 
-    void add(MemberState member) {
-        String name = member.word.identity().name();
-        beliefs.put(name, member);
-        all.add(name);
-        // At a random place, so that those who join together are not probed together for ever.
-        round.add(round.isEmpty() ? 0 : random.nextInt(round.size() + 1), name);
-        count(member.word, 1);
-        mark(member);
+    /** Returns a number for all members that are present; two tables with the same members have the same. */
+    int digest() {
+        return digest;
     }
 
-    private void mark(MemberState member) {
-        if (member.status() == MemberStatus.SUSPECT) {
-            suspects.add(member);
-        } else {
-            suspects.remove(member);
-        }
+    /** Returns the part of the digest for a present member; it depends on the name and the start of its process. */
+    static int digestOf(MemberUpdate update) {
+        int hash = update.identity().name().hashCode() * 31
+                + Long.hashCode(update.incarnation().startedAtMillis());
+        hash = (hash ^ (hash >>> 16)) * 0x85EBCA6B;
+        return hash ^ (hash >>> 13);
     }
 
-    private void count(MemberUpdate update, int sign) {
-        if (update.status().present()) {
-            present += sign;
-            digest += sign * mark(update);
-        }
+    // --- changes
+
+    void add(MemberState member) {
+        String name = member.name();
+        members.put(name, member);
+        names.add(name);
+        // At a random position, so that members that join together are not probed together for ever.
+        probeRound.add(probeRound.isEmpty() ? 0 : random.nextInt(probeRound.size() + 1), name);
+        count(member.update(), 1);
+        trackSuspicion(member);
     }
 
-    /** A number for one who is present, by name and start: words that change often don't change it. */
-    static int mark(MemberUpdate update) {
-        int h = update.identity().name().hashCode() * 31
-                + Long.hashCode(update.incarnation().startedAtMillis());
-        h = (h ^ h >>> 16) * 0x85EBCA6B;
-        return h ^ h >>> 13;
+    /** Applies an update that overrides the present one of a member. */
+    void override(MemberState member, MemberUpdate update, double now) {
+        count(member.update(), -1);
+        count(update, 1);
+        member.override(update, now);
+        trackSuspicion(member);
     }
 
-    /** A number for all who are present: two tables that hold the same have the same. */
-    int digest() {
-        return digest;
+    private void count(MemberUpdate update, int sign) {
+        if (update.status().isPresent()) {
+            presentCount += sign;
+            digest += sign * digestOf(update);
+        }
     }
 
-    void set(MemberState member, MemberUpdate word, double now) {
-        count(member.word, -1);
-        count(word, 1);
-        member.word = word;
-        member.since = now;
-        member.clearSuspicion();
-        mark(member);
+    private void trackSuspicion(MemberState member) {
+        if (member.status() == MemberStatus.SUSPECT) {
+            suspects.add(member);
+        } else {
+            suspects.remove(member);
+        }
     }
 
-    /** Forgets members that have been dead or gone since before {@code until}; returns their names. */
-    List<String> forget(double until) {
-        List<String> gone = new ArrayList<>();
-        for (Iterator<MemberState> i = beliefs.values().iterator(); i.hasNext(); ) {
-            MemberState member = i.next();
-            if (!member.status().present() && member.since < until) {
-                i.remove();
-                gone.add(member.word.identity().name());
+    /** Removes members that have been dead or have left since before a time; returns their names. */
+    List<String> removeDepartedBefore(double time) {
+        List<String> removed = new ArrayList<>();
+        for (Iterator<MemberState> states = members.values().iterator(); states.hasNext(); ) {
+            MemberState member = states.next();
+            if (!member.status().isPresent() && member.sinceMillis() < time) {
+                states.remove();
+                removed.add(member.name());
             }
         }
-        if (!gone.isEmpty()) {
-            all.removeIf(n -> !beliefs.containsKey(n));
-            round.removeIf(n -> !beliefs.containsKey(n));
-            next = Math.min(next, round.size());
+        if (!removed.isEmpty()) {
+            names.removeIf(name -> !members.containsKey(name));
+            probeRound.removeIf(name -> !members.containsKey(name));
+            nextInRound = Math.min(nextInRound, probeRound.size());
         }
-        return gone;
+        return removed;
     }
 
-    /** The member to probe next, null if there is none. */
+    // --- selection
+
+    /** Returns the member to probe next, or null if there is none. */
     MemberState nextToProbe() {
-        for (int looked = 0; looked <= round.size(); looked++) {
-            if (next >= round.size()) {
-                shuffle();
-                next = 0;
+        for (int examined = 0; examined <= probeRound.size(); examined++) {
+            if (nextInRound >= probeRound.size()) {
+                shuffleRound();
+                nextInRound = 0;
             }
-            if (round.isEmpty()) {
+            if (probeRound.isEmpty()) {
                 return null;
             }
-            MemberState member = beliefs.get(round.get(next++));
-            if (member.status().present()) {
+            MemberState member = members.get(probeRound.get(nextInRound++));
+            if (member.status().isPresent()) {
                 return member;
             }
         }
         return null;
     }
 
-    private void shuffle() {
-        for (int i = round.size() - 1; i > 0; i--) {
-            int k = random.nextInt(i + 1);
-            String s = round.get(i);
-            round.set(i, round.get(k));
-            round.set(k, s);
+    private void shuffleRound() {
+        for (int i = probeRound.size() - 1; i > 0; i--) {
+            Collections.swap(probeRound, i, random.nextInt(i + 1));
         }
     }
 
-    /** Up to so many others at random, without this one, and without suspects unless these are asked for. */
-    List<MemberState> some(int n, String without, boolean suspects) {
-        List<MemberState> out = new ArrayList<>(n);
-        for (int looked = 0; looked < 3 * n + 8 && out.size() < n && !all.isEmpty(); looked++) {
-            MemberState member = beliefs.get(all.get(random.nextInt(all.size())));
-            if ((suspects ? member.status().present() : member.status() == MemberStatus.ALIVE)
-                    && !member.word.identity().name().equals(without)
-                    && !out.contains(member)) {
-                out.add(member);
+    /** Returns up to {@code count} present members at random, without the given name; suspects only if included. */
+    List<MemberState> pickRandom(int count, String without, boolean includeSuspects) {
+        List<MemberState> picked = new ArrayList<>(count);
+        int draws = DRAWS_PER_MEMBER * count + MIN_DRAWS;
+        for (int i = 0; i < draws && picked.size() < count && !names.isEmpty(); i++) {
+            MemberState member = drawRandom();
+            boolean isEligible = includeSuspects ? member.status().isPresent() : member.status() == MemberStatus.ALIVE;
+            if (isEligible && !member.name().equals(without) && !picked.contains(member)) {
+                picked.add(member);
             }
         }
-        return out;
+        return picked;
     }
 
-    /** One that is believed dead, at random; null if the draw finds none. */
-    MemberState someDead() {
-        for (int looked = 0; looked < 16 && !all.isEmpty(); looked++) {
-            MemberState member = beliefs.get(all.get(random.nextInt(all.size())));
+    /** Returns a dead member at random, or null if the draws find none. */
+    MemberState pickRandomDead() {
+        for (int i = 0; i < DRAWS_FOR_DEAD && !names.isEmpty(); i++) {
+            MemberState member = drawRandom();
             if (member.status() == MemberStatus.DEAD) {
                 return member;
             }
@@ -164,42 +177,47 @@
         return null;
     }
 
-    /** What is believed, and whose turn it is. */
-    String state(double now) {
-        StringBuilder out = new StringBuilder();
-        new TreeMap<>(beliefs).values().forEach(member -> out.append("; ")
-                .append(member.word)
-                .append(now - member.since)
-                .append(' ')
-                .append(member.askAt - now)
-                .append(new TreeSet<>(member.suspectors())));
-        suspects.forEach(memberState -> out.append(memberState.word.identity().name()));
-        return out + "; " + round + next + " " + all + cursor;
-    }
-
-    /** The next words in turn that fit into the room: page after page the whole table. */
-    List<MemberUpdate> page(int room) {
-        List<MemberUpdate> out = new ArrayList<>(12);
-        int left = room;
-        for (int i = 0; i < all.size(); i++) {
-            MemberUpdate update = beliefs.get(all.get(cursor % all.size())).word;
-            left -= MessageCodec.size(update);
-            if (left < 0) {
+    private MemberState drawRandom() {
+        return members.get(names.get(random.nextInt(names.size())));
+    }
+
+    /** Returns the next updates in turn that fit into the capacity (bytes): page by page the whole table. */
+    List<MemberUpdate> nextPage(int capacity) {
+        List<MemberUpdate> page = new ArrayList<>(12);
+        int remaining = capacity;
+        for (int i = 0; i < names.size(); i++) {
+            MemberUpdate update =
+                    members.get(names.get(pageCursor % names.size())).update();
+            remaining -= MessageCodec.size(update);
+            if (remaining < 0) {
                 break;
             }
-            out.add(update);
-            cursor = (cursor + 1) % all.size();
+            page.add(update);
+            pageCursor = (pageCursor + 1) % names.size();
         }
-        return out;
+        return page;
     }
 
-    /** Names from a random place on, to fill datagrams with: so all tables become one, whatever was lost. */
-    List<String> fill(int n) {
-        List<String> out = new ArrayList<>(n);
-        int from = all.isEmpty() ? 0 : random.nextInt(all.size());
-        for (int i = 0; i < Math.min(n, all.size()); i++) {
-            out.add(all.get((from + i) % all.size()));
+    /** Returns up to {@code count} names from a random position on. */
+    List<String> namesFromRandomPosition(int count) {
+        List<String> selected = new ArrayList<>(count);
+        int start = names.isEmpty() ? 0 : random.nextInt(names.size());
+        for (int i = 0; i < Math.min(count, names.size()); i++) {
+            selected.add(names.get((start + i) % names.size()));
         }
-        return out;
+        return selected;
+    }
+
+    /** Describes the state for the model checker; times are relative to the given one. */
+    String state(double now) {
+        StringBuilder out = new StringBuilder();
+        new TreeMap<>(members).values().forEach(member -> out.append("; ")
+                .append(member.update())
+                .append(now - member.sinceMillis())
+                .append(' ')
+                .append(member.nextPingAtMillis() - now)
+                .append(new TreeSet<>(member.suspectors())));
+        suspects.forEach(suspect -> out.append(suspect.name()));
+        return out + "; " + probeRound + nextInRound + " " + names + pageCursor;
     }
 }
--- a/src/main/java/rillyard/membership/MemberUpdate.java
+++ b/src/main/java/rillyard/membership/MemberUpdate.java
@@ -1,25 +1,27 @@
 package rillyard.membership;
 
 /**
- * One word about a member.
+ * A statement about a member, which members pass on.
  *
- * @param identity who it is
- * @param incarnation which of its lives, and which word of it, this is about
- * @param status what it is held for
- * @param by a number for who first said so, made from its name; independent words are counted by it
+ * @param identity the member
+ * @param incarnation the member's incarnation that it is about
+ * @param status the member's status
+ * @param reporterId the id of the member that made the statement first, by which independent ones are counted
  */
-public record MemberUpdate(MemberIdentity identity, Incarnation incarnation, MemberStatus status, int by) {
-    /** Whether this word holds against another about the same member. */
+public record MemberUpdate(MemberIdentity identity, Incarnation incarnation, MemberStatus status, int reporterId) {
+    private static final int HASH_MULTIPLIER = 0x9E3779B1;
+
+    /** Returns whether this update overrides another one about the same member. */
     boolean overrides(MemberUpdate other) {
-        int c = incarnation.compareTo(other.incarnation);
-        return c > 0
-                ? status != MemberStatus.SUSPECT || other.status.present()
-                : c == 0 && status.compareTo(other.status) > 0;
+        int order = incarnation.compareTo(other.incarnation);
+        if (order == 0) {
+            return status.compareTo(other.status) > 0;
+        }
+        return order > 0 && (status != MemberStatus.SUSPECT || other.status.isPresent());
     }
 
-    /** The number for a name, 0 to 65535. */
-    public static int by(String name) {
-        int h = name.hashCode() * 0x9E3779B1;
-        return h >>> 16;
+    /** Returns the reporter id of a name, 0 to 65535. */
+    public static int reporterId(String name) {
+        return (name.hashCode() * HASH_MULTIPLIER) >>> 16;
     }
 }
--- a/src/main/java/rillyard/membership/MembershipEvent.java
+++ b/src/main/java/rillyard/membership/MembershipEvent.java
@@ -1,11 +1,11 @@
 package rillyard.membership;
 
 /**
- * A belief that changed.
+ * A change of a member's status.
  *
- * @param at ms since this member's process started
- * @param now what is believed from then on
- * @param before what was believed, null where the member was not known
- * @param by who says so: the member itself, another's number as {@code #NUMBER}, or this member's clock
+ * @param atMillis milliseconds since this member's process started
+ * @param update the update that holds from then on
+ * @param previousStatus the status before, or null if the member was not known
+ * @param source who reported it: the member's name, another's number as {@code #NUMBER}, or what this member found
  */
-public record MembershipEvent(double at, MemberUpdate now, MemberStatus before, String by) {}
+public record MembershipEvent(double atMillis, MemberUpdate update, MemberStatus previousStatus, String source) {}
--- a/src/main/java/rillyard/membership/Message.java
+++ b/src/main/java/rillyard/membership/Message.java
@@ -3,15 +3,16 @@
 import java.util.List;
 
 /**
- * One datagram.
+ * The content of a datagram.
  *
- * @param sequence which question it asks or answers
- * @param sender the sender's word about itself
- * @param target for a question, whom it is for; empty for anybody at that address, and in answers
- * @param targetAt where the target is, for {@link Kind#ASK_FOR_ME}; else null
- * @param digest of the members that the sender holds present, as {@link MemberTable#digest}
- * @param updates words about others
- * @param attributes that members say of themselves
+ * @param kind the kind of message
+ * @param sequence the number of the ping that it is, requests or answers; 0 for gossip
+ * @param digest a number for the members that the sender has present, as {@link MemberTable#digest}
+ * @param sender the sender's update about itself
+ * @param target the name of the member that a ping is for; empty for any at that address
+ * @param targetAt the address of the target for {@link Kind#PING_REQUEST}; else null
+ * @param updates updates about other members
+ * @param attributes attributes of members
  */
 public record Message(
         Kind kind,
@@ -22,7 +23,7 @@
         MemberAddress targetAt,
         List<MemberUpdate> updates,
         List<MemberAttribute> attributes) {
-    /** Without facts. */
+    /** Creates a message without attributes. */
     public Message(
             Kind kind,
             int sequence,
@@ -30,21 +31,48 @@
             MemberUpdate sender,
             String target,
             MemberAddress targetAt,
-            List<MemberUpdate> news) {
-        this(kind, sequence, digest, sender, target, targetAt, news, List.of());
+            List<MemberUpdate> updates) {
+        this(kind, sequence, digest, sender, target, targetAt, updates, List.of());
     }
 
-    /** What a datagram is for. */
+    /** Kinds of messages. */
     public enum Kind {
-        /** Are you there? */
-        PING,
-        /** The one asked for is there. */
-        ACK,
-        /** Ask the target for me, and tell me. */
-        ASK_FOR_ME,
-        /** It has not answered me either, but I am there. */
-        NACK,
-        /** Nothing but news. */
-        NEWS
+        /** Asks the target for an ack. */
+        PING(0),
+        /** Answers a ping, directly or on behalf of a helper. */
+        ACK(1),
+        /** Asks a helper to ping the target (indirect probe). */
+        PING_REQUEST(2),
+        /** Tells the requester of an indirect probe that the target did not answer the helper either. */
+        NACK(3),
+        /** Carries updates and attributes only. */
+        GOSSIP(4);
+
+        private final int code;
+
+        Kind(int code) {
+            this.code = code;
+        }
+
+        /** Returns the code of the kind in datagrams. */
+        int code() {
+            return code;
+        }
+
+        /**
+         * Returns the kind of a code.
+         *
+         * @throws IllegalArgumentException if there is none
+         */
+        static Kind ofCode(int code) {
+            return switch (code) {
+                case 0 -> PING;
+                case 1 -> ACK;
+                case 2 -> PING_REQUEST;
+                case 3 -> NACK;
+                case 4 -> GOSSIP;
+                default -> throw new IllegalArgumentException("kind or status " + code + ", expected 0 to 4");
+            };
+        }
     }
 }
--- a/src/main/java/rillyard/membership/MessageCodec.java
+++ b/src/main/java/rillyard/membership/MessageCodec.java
@@ -7,76 +7,86 @@
 import java.util.List;
 
 /**
- * Datagrams of the fleet as bytes, big-endian: version, kind, sequence (4), digest (4), sender, target, its address for
- * {@link Message.Kind#ASK_FOR_ME}, then words and facts until the end. A word: status, by (2), start (6), incarnation
- * (2), address (4), port (2), zone, region, name's length and name. A fact: 64 and its kind, owner's length and name, start (6),
- * version (4), age and end (2 each, in 100 ms), value's length and value.
+ * Encodes and decodes the datagrams of the fleet; fields are big-endian, lengths in bytes are in parentheses.
+ *
+ * <p>A datagram is version (1), kind (1), sequence (4), digest (4), sender, target, the target's address for
+ * {@link Message.Kind#PING_REQUEST}, then updates and attributes until the end. An update is status (1), reporter (2),
+ * start (6), counter (2), address (4), port (2), zone (1), region (1) and the name. An attribute is 64 plus its kind
+ * (1), the owner's name, start (6), version (4), age and time to live (2 each, in 100 ms) and the value. Names and
+ * values follow their lengths (1).
  */
 public final class MessageCodec {
-    /** A platform may carry no more. */
+    /** Bytes of the largest datagram, which any platform carries. */
     public static final int MAX_BYTES = 256;
 
     private static final byte VERSION = 1;
-    private static final int WORD = 20;
 
-    /** The bytes of the shortest word. */
-    static final int LEAST_WORD = WORD + 1;
+    /** Bytes of an update without its name. */
+    private static final int UPDATE_FIXED_SIZE = 20;
 
-    /** The first byte of a fact is this and its kind; a word's is its status, which is less. */
-    private static final int FACT = 64;
+    /** Bytes of a message without updates, sender, target and the target's address. */
+    private static final int HEADER_SIZE = 11;
 
-    /** The unit (ms) of the times of facts. */
-    private static final double UNIT = 100;
+    private static final int ADDRESS_SIZE = 6;
+
+    /** Bytes of the shortest update. */
+    static final int MIN_UPDATE_SIZE = UPDATE_FIXED_SIZE + 1;
+
+    /** Added to the kind in an attribute's first byte; an update's first byte is its status, which is less. */
+    private static final int ATTRIBUTE_MARK = 64;
+
+    /** Unit of the times of attributes. */
+    private static final double TIME_UNIT_MILLIS = 100;
 
     private MessageCodec() {}
 
-    /** The bytes that a word takes. */
+    /** Returns the bytes of an update. */
     static int size(MemberUpdate update) {
-        return WORD + update.identity().name().length();
+        return UPDATE_FIXED_SIZE + update.identity().name().length();
     }
 
-    /** The bytes that a message without news takes. */
-    static int emptySize(MemberUpdate sender, String target, boolean withAddress) {
-        return 11 + size(sender) + target.length() + (withAddress ? 6 : 0);
+    /** Returns the bytes of a message without updates and attributes. */
+    static int emptySize(MemberUpdate sender, String target, boolean hasTargetAddress) {
+        return HEADER_SIZE + size(sender) + target.length() + (hasTargetAddress ? ADDRESS_SIZE : 0);
     }
 
     /**
-     * Writes a message.
+     * Encodes a message.
      *
-     * @throws IllegalArgumentException if it does not fit into {@code room} bytes
+     * @throws IllegalArgumentException if it needs more than {@code maxBytes}
      */
-    public static byte[] encode(Message message, int room) {
+    public static byte[] encode(Message message, int maxBytes) {
         ByteBuffer buffer = ByteBuffer.allocate(4 * MAX_BYTES);
         buffer.put(VERSION)
-                .put((byte) message.kind().ordinal())
+                .put((byte) message.kind().code())
                 .putInt(message.sequence())
                 .putInt(message.digest());
         put(buffer, message.sender());
         put(buffer, message.target());
-        if (message.kind() == Message.Kind.ASK_FOR_ME) {
+        if (message.kind() == Message.Kind.PING_REQUEST) {
             put(buffer, message.targetAt());
         }
         for (MemberUpdate update : message.updates()) {
             put(buffer, update);
-            if (buffer.position() > room) {
+            if (buffer.position() > maxBytes) {
                 break;
             }
         }
         for (MemberAttribute attribute : message.attributes()) {
-            if (buffer.position() <= room) {
+            if (buffer.position() <= maxBytes) {
                 put(buffer, attribute);
             }
         }
-        if (buffer.position() > room) {
-            throw new IllegalArgumentException("a datagram of more than " + room + " bytes");
+        if (buffer.position() > maxBytes) {
+            throw new IllegalArgumentException("a datagram of more than " + maxBytes + " bytes");
         }
-        byte[] out = new byte[buffer.position()];
-        buffer.flip().get(out);
-        return out;
+        byte[] encoded = new byte[buffer.position()];
+        buffer.flip().get(encoded);
+        return encoded;
     }
 
     private static void put(ByteBuffer buffer, MemberUpdate update) {
-        buffer.put((byte) update.status().ordinal()).putShort((short) update.by());
+        buffer.put((byte) update.status().code()).putShort((short) update.reporterId());
         putStart(buffer, update.incarnation().startedAtMillis());
         buffer.putShort((short) update.incarnation().counter());
         put(buffer, update.identity().address());
@@ -85,12 +95,12 @@
     }
 
     private static void put(ByteBuffer buffer, MemberAttribute attribute) {
-        buffer.put((byte) (FACT + attribute.kind()));
+        buffer.put((byte) (ATTRIBUTE_MARK + attribute.kind()));
         put(buffer, attribute.owner());
-        putStart(buffer, attribute.start());
+        putStart(buffer, attribute.ownerStartedAtMillis());
         buffer.putInt((int) attribute.version())
-                .putShort((short) (attribute.ageMillis() / UNIT))
-                .putShort((short) (attribute.ttlMillis() / UNIT));
+                .putShort((short) (attribute.ageMillis() / TIME_UNIT_MILLIS))
+                .putShort((short) (attribute.ttlMillis() / TIME_UNIT_MILLIS));
         buffer.put((byte) attribute.value().length).put(attribute.value());
     }
 
@@ -102,14 +112,14 @@
         buffer.putInt(address.ip()).putShort((short) address.port());
     }
 
-    private static void put(ByteBuffer buffer, String s) {
-        buffer.put((byte) s.length()).put(s.getBytes(StandardCharsets.US_ASCII));
+    private static void put(ByteBuffer buffer, String text) {
+        buffer.put((byte) text.length()).put(text.getBytes(StandardCharsets.US_ASCII));
     }
 
     /**
-     * Reads a message.
+     * Decodes a message.
      *
-     * @throws IllegalArgumentException if the bytes are none; says what was expected
+     * @throws IllegalArgumentException if the bytes are no message; its text says what was expected
      */
     public static Message decode(byte[] bytes) {
         if (bytes.length > MAX_BYTES) {
@@ -121,84 +131,98 @@
             if (version != VERSION) {
                 throw new IllegalArgumentException("version " + version + ", expected " + VERSION);
             }
-            Message.Kind kind = value(Message.Kind.values(), buffer.get());
+            Message.Kind kind = Message.Kind.ofCode(buffer.get());
             int sequence = buffer.getInt();
             int digest = buffer.getInt();
-            MemberUpdate sender = word(buffer);
-            if (sender.status() != MemberStatus.ALIVE && sender.status() != MemberStatus.LEFT) {
-                throw new IllegalArgumentException("a sender that calls itself " + sender.status());
-            }
-            String target = text(buffer);
-            if (!target.isEmpty() && !MemberIdentity.isName(target)) {
-                throw new IllegalArgumentException("a target that is no name");
-            }
-            MemberAddress at = kind == Message.Kind.ASK_FOR_ME ? endpoint(buffer) : null;
-            List<MemberUpdate> news = new ArrayList<>();
-            List<MemberAttribute> facts = new ArrayList<>();
+            MemberUpdate sender = readSender(buffer);
+            String target = readTarget(buffer);
+            MemberAddress targetAddress = kind == Message.Kind.PING_REQUEST ? readAddress(buffer) : null;
+            List<MemberUpdate> updates = new ArrayList<>();
+            List<MemberAttribute> attributes = new ArrayList<>();
             while (buffer.hasRemaining()) {
-                if (buffer.get(buffer.position()) >= FACT) {
-                    facts.add(fact(buffer));
+                if (buffer.get(buffer.position()) >= ATTRIBUTE_MARK) {
+                    attributes.add(readAttribute(buffer));
                 } else {
-                    news.add(word(buffer));
+                    updates.add(readUpdate(buffer));
                 }
             }
-            return new Message(kind, sequence, digest, sender, target, at, List.copyOf(news), List.copyOf(facts));
+            return new Message(
+                    kind,
+                    sequence,
+                    digest,
+                    sender,
+                    target,
+                    targetAddress,
+                    List.copyOf(updates),
+                    List.copyOf(attributes));
         } catch (BufferUnderflowException e) {
             throw new IllegalArgumentException("cut off after " + bytes.length + " bytes", e);
         }
     }
 
-    private static <T> T value(T[] all, byte ordinal) {
-        if (ordinal < 0 || ordinal >= all.length) {
-            throw new IllegalArgumentException("kind or status " + ordinal + ", expected 0 to " + (all.length - 1));
+    private static MemberUpdate readSender(ByteBuffer buffer) {
+        MemberUpdate sender = readUpdate(buffer);
+        if (sender.status() != MemberStatus.ALIVE && sender.status() != MemberStatus.LEFT) {
+            throw new IllegalArgumentException("a sender that calls itself " + sender.status());
+        }
+        return sender;
+    }
+
+    private static String readTarget(ByteBuffer buffer) {
+        String target = readText(buffer);
+        if (!target.isEmpty() && !MemberIdentity.isName(target)) {
+            throw new IllegalArgumentException("a target that is no name");
         }
-        return all[ordinal];
+        return target;
     }
 
-    private static MemberUpdate word(ByteBuffer buffer) {
-        MemberStatus status = value(MemberStatus.values(), buffer.get());
-        int by = buffer.getShort() & 0xFFFF;
-        long start = start(buffer);
-        Incarnation life = new Incarnation(start, buffer.getShort() & 0xFFFF);
-        MemberAddress at = endpoint(buffer);
+    private static MemberUpdate readUpdate(ByteBuffer buffer) {
+        MemberStatus status = MemberStatus.ofCode(buffer.get());
+        int reporterId = buffer.getShort() & 0xFFFF;
+        long startedAt = readStart(buffer);
+        Incarnation incarnation = new Incarnation(startedAt, buffer.getShort() & 0xFFFF);
+        MemberAddress address = readAddress(buffer);
         int zone = buffer.get() & 255;
         int region = buffer.get() & 255;
-        return new MemberUpdate(new MemberIdentity(text(buffer), at, zone, region), life, status, by);
+        return new MemberUpdate(
+                new MemberIdentity(readText(buffer), address, zone, region), incarnation, status, reporterId);
     }
 
-    private static MemberAttribute fact(ByteBuffer buffer) {
-        int kind = buffer.get() - FACT;
-        String owner = text(buffer);
-        long start = start(buffer);
+    private static MemberAttribute readAttribute(ByteBuffer buffer) {
+        int kind = buffer.get() - ATTRIBUTE_MARK;
+        String owner = readText(buffer);
+        long startedAt = readStart(buffer);
         long version = buffer.getInt() & 0xFFFFFFFFL;
-        double age = UNIT * (buffer.getShort() & 0xFFFF);
-        double lasts = UNIT * (buffer.getShort() & 0xFFFF);
-        int n = buffer.get();
-        if (n < 0 || n > MemberAttribute.MAX_VALUE) {
+        double ageMillis = TIME_UNIT_MILLIS * (buffer.getShort() & 0xFFFF);
+        double ttlMillis = TIME_UNIT_MILLIS * (buffer.getShort() & 0xFFFF);
+        int length = buffer.get();
+        if (length < 0 || length > MemberAttribute.MAX_VALUE) {
             throw new IllegalArgumentException(
-                    "a value of " + n + " bytes, expected " + MemberAttribute.MAX_VALUE + " at most");
+                    "a value of " + length + " bytes, expected " + MemberAttribute.MAX_VALUE + " at most");
         }
-        byte[] value = new byte[n];
+        byte[] value = new byte[length];
         buffer.get(value);
-        return new MemberAttribute(owner, start, kind, version, age, lasts, value);
+        return new MemberAttribute(owner, startedAt, kind, version, ageMillis, ttlMillis, value);
     }
 
-    private static long start(ByteBuffer buffer) {
-        return (buffer.getShort() & 0xFFFFL) << 32 | buffer.getInt() & 0xFFFFFFFFL;
+    private static long readStart(ByteBuffer buffer) {
+        long high = buffer.getShort() & 0xFFFFL;
+        long low = buffer.getInt() & 0xFFFFFFFFL;
+        return (high << 32) | low;
     }
 
-    private static MemberAddress endpoint(ByteBuffer buffer) {
+    private static MemberAddress readAddress(ByteBuffer buffer) {
         return new MemberAddress(buffer.getInt(), buffer.getShort() & 0xFFFF);
     }
 
-    private static String text(ByteBuffer buffer) {
-        int n = buffer.get();
-        if (n < 0 || n > MemberIdentity.MAX_NAME) {
+    private static String readText(ByteBuffer buffer) {
+        int length = buffer.get();
+        if (length < 0 || length > MemberIdentity.MAX_NAME) {
             throw new IllegalArgumentException(
-                    "a name of " + n + " bytes, expected " + MemberIdentity.MAX_NAME + " at most");
+                    "a name of " + length + " bytes, expected " + MemberIdentity.MAX_NAME + " at most");
         }
-        byte[] s = new byte[n];
-        buffer.get(s);
-        return new String(s, StandardCharsets.US_ASCII);
+        byte[] text = new byte[length];
+        buffer.get(text);
+        return new String(text, StandardCharsets.US_ASCII);
     }
 }
--- a/src/main/java/rillyard/membership/SuspicionTimeout.java
+++ b/src/main/java/rillyard/membership/SuspicionTimeout.java
@@ -1,21 +1,26 @@
 package rillyard.membership;
 
 /**
- * How long a suspect has to speak up (Lifeguard, 3.2): long while one member alone says so, who may be the
- * one that is ill; the shorter, the more say so independently.
+ * The time that a suspect has to refute (Lifeguard, 3.2): long while one member alone suspects it, who may itself be
+ * unhealthy, and shorter with each independent confirmation.
  */
 final class SuspicionTimeout {
-    /** So many words besides the first bring it down to the least. */
-    private static final int ENOUGH = 3;
+    /** Confirmations that reduce the time to its minimum. */
+    private static final int MAX_CONFIRMATIONS = 3;
 
     private SuspicionTimeout() {}
 
-    /** The time (ms) from the first word to death, with so many independent ones in a fleet of {@code members}. */
-    static double time(MembershipSettings settings, int members, int accusers) {
-        double least = settings.leastSuspicion(members);
-        double most = least * settings.maxSuspicionMultiplier();
-        int enough = Math.max(1, Math.min(ENOUGH, members - 2));
-        double part = Math.log(Math.max(1, accusers)) / Math.log(enough + 1.0);
-        return Math.max(least, most - (most - least) * part);
+    /**
+     * Returns the time from the first suspicion to death.
+     *
+     * @param members members that are present
+     * @param suspectors members that suspect it independently
+     */
+    static double millis(MembershipSettings settings, int members, int suspectors) {
+        double min = settings.minSuspicionMillis(members);
+        double max = min * settings.maxSuspicionMultiplier();
+        int confirmations = Math.max(1, Math.min(MAX_CONFIRMATIONS, members - 2));
+        double share = Math.log(Math.max(1, suspectors)) / Math.log(confirmations + 1.0);
+        return Math.max(min, max - (max - min) * share);
     }
 }
--- a/src/main/java/rillyard/membership/UpdateQueue.java
+++ b/src/main/java/rillyard/membership/UpdateQueue.java
@@ -7,68 +7,70 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The words to pass on: the newest of each member. Bounded by the members that are kept. */
+/** The members whose newest updates are to be piggybacked on messages. Bounded by the member table; not thread-safe. */
 final class UpdateQueue {
-    private final BroadcastQueue<String> turns = new BroadcastQueue<>(Comparator.<String>naturalOrder());
+    private final BroadcastQueue<String> names = new BroadcastQueue<>(Comparator.<String>naturalOrder());
 
-    /** There is a new word about this member. */
-    void changed(String name) {
-        turns.add(name);
+    /** Queues a new update about a member. */
+    void enqueue(String name) {
+        names.add(name);
     }
 
     boolean isEmpty() {
-        return turns.isEmpty();
+        return names.isEmpty();
     }
 
-    /** What is queued, and how often it was passed on. */
-    String state() {
-        return turns.state();
-    }
-
-    void forget(String name) {
-        turns.remove(name);
+    void remove(String name) {
+        names.remove(name);
     }
 
     /**
-     * Picks words for one datagram.
+     * Selects updates for one datagram.
      *
-     * @param first names that come first, whatever was sent of them before
-     * @param room bytes that are left
-     * @param transmits how often a word is passed on
+     * @param first names that come first, however often they have been sent
+     * @param capacity bytes that are available
+     * @param maxTransmissions how often an update is sent
      */
-    List<MemberUpdate> pick(Map<String, MemberState> beliefs, List<String> first, int room, int transmits) {
-        Selection page = new Selection(room);
-        first.forEach(name -> page.add(beliefs.get(name)));
-        turns.offer(transmits, () -> page.left >= MessageCodec.LEAST_WORD, name -> page.add(beliefs.get(name)));
-        return page.words;
+    List<MemberUpdate> select(
+            Map<String, MemberState> members, List<String> first, int capacity, int maxTransmissions) {
+        Selection selection = new Selection(capacity);
+        first.forEach(name -> selection.add(members.get(name)));
+        names.offer(
+                maxTransmissions,
+                () -> selection.remainingBytes >= MessageCodec.MIN_UPDATE_SIZE,
+                name -> selection.add(members.get(name)));
+        return selection.updates;
     }
 
-    /** Adds words about these, where there is room left, in their order. */
-    void fill(Map<String, MemberState> beliefs, List<MemberUpdate> out, int room, List<String> fill) {
-        Selection page = new Selection(room);
-        out.forEach(update -> page.names.add(update.identity().name()));
-        fill.forEach(name -> page.add(beliefs.get(name)));
-        out.addAll(page.words);
+    /** Appends updates about the given members to a selection, in their order, as far as the capacity (bytes) allows. */
+    void fill(Map<String, MemberState> members, List<MemberUpdate> selected, int capacity, List<String> candidates) {
+        Selection selection = new Selection(capacity);
+        selected.forEach(update -> selection.names.add(update.identity().name()));
+        candidates.forEach(name -> selection.add(members.get(name)));
+        selected.addAll(selection.updates);
+    }
+
+    /** Describes the state for the model checker. */
+    String state() {
+        return names.state();
     }
 
-    /** Words that go into one datagram, none about one member twice. */
+    /** Updates for one datagram, at most one about each member. */
     private static final class Selection {
-        final List<MemberUpdate> words = new ArrayList<>(10);
-        final Set<String> names = new HashSet<>();
-        int left;
+        private final List<MemberUpdate> updates = new ArrayList<>(10);
+        private final Set<String> names = new HashSet<>();
+        private int remainingBytes;
 
-        Selection(int room) {
-            this.left = room;
+        Selection(int capacity) {
+            this.remainingBytes = capacity;
         }
 
         boolean add(MemberState member) {
-            if (member == null
-                    || MessageCodec.size(member.word) > left
-                    || !names.add(member.word.identity().name())) {
+            if (member == null || MessageCodec.size(member.update()) > remainingBytes || !names.add(member.name())) {
                 return false;
             }
-            words.add(member.word);
-            left -= MessageCodec.size(member.word);
+            updates.add(member.update());
+            remainingBytes -= MessageCodec.size(member.update());
             return true;
         }
     }
--- a/src/main/java/rillyard/membership/net/DatagramCipher.java
+++ b/src/main/java/rillyard/membership/net/DatagramCipher.java
@@ -13,89 +13,88 @@
 import rillyard.membership.MemberAddress;
 
 /**
- * Datagrams sealed with a key of the group (AES-256-GCM of the JDK). Each sender's key is made from the
- * group's and its address, so that no two senders share a nonce and nobody can seal for another address
- * that is checked here. A nonce is the sender's start (Unix ms, 48 bits) and a count (48 bits): what was
- * opened once, or comes from a process before the last one heard there, is turned away.
+ * Encrypts and authenticates datagrams with a key of the fleet (AES-256-GCM).
  *
- * <p>The first key seals; all of them open, so that a fleet changes its key in two rounds: the new one second
- * everywhere, then first. Not safe for use from several threads at once.
+ * <p>Each sender's key is derived from the fleet's and its address, so that no two senders share a nonce and no member
+ * can seal for another address. A nonce is the sender's start (Unix ms, 48 bits) and a count (48 bits). Datagrams that
+ * were opened before, or that come from an earlier process of the sender, are rejected.
+ *
+ * <p>The first key seals; all keys open, so that a fleet changes its key in two rounds: the new one second everywhere,
+ * then first. Not thread-safe.
  */
 final class DatagramCipher {
-    /** What a seal adds to a datagram: its mark, the nonce, the tag. */
-    static final int BYTES = 1 + 12 + 16;
+    private static final int NONCE_BYTES = 12;
+    private static final int TAG_BYTES = 16;
 
-    private static final byte MARK = (byte) 0x81;
-    private static final int KEY_BYTES = 32;
-    private static final int TAG_BITS = 128;
+    /** Bytes that sealing adds to a datagram: the mark, the nonce and the tag. */
+    static final int OVERHEAD_BYTES = 1 + NONCE_BYTES + TAG_BYTES;
 
-    /** Late datagrams may be so many behind the newest of their sender. */
-    private static final int WINDOW = 64;
+    /** First byte of a sealed datagram. */
+    private static final byte MARK = (byte) 0x81;
 
-    /** What was opened of one sender: its start, the newest count, and which of those before it. */
-    private static final class ReplayWindow {
-        long start = -1;
-        long newest;
-        long before;
-    }
+    private static final int MAX_KEYS = 2;
+    private static final int KEY_BYTES = 32;
+    private static final String CIPHER = "AES/GCM/NoPadding";
+    private static final String MAC = "HmacSHA256";
+    private static final String KEY_CONTEXT = "rillyard fleet 1 ";
 
-    private record SenderState(List<SecretKeySpec> keys, ReplayWindow opened) {}
+    private record SenderState(List<SecretKeySpec> keys, ReplayWindow window) {}
 
-    private final List<byte[]> keys;
+    private final List<byte[]> fleetKeys;
     private final Map<MemberAddress, SenderState> senders;
-    private final SecretKeySpec own;
-    private final long start;
+    private final SecretKeySpec ownKey;
+    private final long startedAt;
     private long count;
 
     /**
-     * Makes the seal of one process.
+     * Creates the cipher of one process.
      *
-     * @param keys of 32 bytes each, one or two
-     * @param self where datagrams of this process come from
-     * @param start of this process, Unix time (ms)
-     * @param most senders that are remembered; guards against made-up addresses without end
+     * @param fleetKeys one or two keys of 32 bytes
+     * @param self the address that datagrams of this process come from
+     * @param startedAt the Unix time (ms) of the start of this process
+     * @param maxSenders senders that are remembered, which bounds what forged addresses can add
      */
-    DatagramCipher(List<byte[]> keys, MemberAddress self, long start, int most) {
-        if (keys.isEmpty() || keys.size() > 2 || keys.stream().anyMatch(k -> k.length != KEY_BYTES)) {
+    DatagramCipher(List<byte[]> fleetKeys, MemberAddress self, long startedAt, int maxSenders) {
+        boolean areValid = fleetKeys.stream().allMatch(key -> key.length == KEY_BYTES);
+        if (fleetKeys.isEmpty() || fleetKeys.size() > MAX_KEYS || !areValid) {
             throw new IllegalArgumentException("expected one or two keys of " + KEY_BYTES + " bytes");
         }
-        this.keys = List.copyOf(keys);
-        this.start = start;
-        this.own = derived(keys.get(0), self);
+        this.fleetKeys = List.copyOf(fleetKeys);
+        this.startedAt = startedAt;
+        this.ownKey = deriveKey(fleetKeys.get(0), self);
         this.senders = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1;
 
             @Override
             protected boolean removeEldestEntry(Map.Entry<MemberAddress, SenderState> eldest) {
-                return size() > most;
+                return size() > maxSenders;
             }
         };
     }
 
-    private static SecretKeySpec derived(byte[] key, MemberAddress at) {
+    private static SecretKeySpec deriveKey(byte[] fleetKey, MemberAddress sender) {
         try {
-            Mac mac = Mac.getInstance("HmacSHA256");
-            mac.init(new SecretKeySpec(key, "HmacSHA256"));
-            return new SecretKeySpec(
-                    mac.doFinal(("rillyard fleet 1 " + at).getBytes(StandardCharsets.US_ASCII)), "AES");
+            Mac mac = Mac.getInstance(MAC);
+            mac.init(new SecretKeySpec(fleetKey, MAC));
+            return new SecretKeySpec(mac.doFinal((KEY_CONTEXT + sender).getBytes(StandardCharsets.US_ASCII)), "AES");
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException(e); // every JDK has it
+            throw new IllegalStateException(e); // every JDK provides both algorithms
         }
     }
 
     /** Seals a datagram of this process. */
     byte[] seal(byte[] plain) {
-        ByteBuffer nonce = ByteBuffer.allocate(12);
-        put48(nonce, start);
-        put48(nonce, ++count);
+        ByteBuffer nonce = ByteBuffer.allocate(NONCE_BYTES);
+        putUnsigned48(nonce, startedAt);
+        putUnsigned48(nonce, ++count);
         try {
-            Cipher c = Cipher.getInstance("AES/GCM/NoPadding");
-            c.init(Cipher.ENCRYPT_MODE, own, new GCMParameterSpec(TAG_BITS, nonce.array()));
-            c.updateAAD(new byte[] {MARK});
-            return ByteBuffer.allocate(plain.length + BYTES)
+            Cipher cipher = Cipher.getInstance(CIPHER);
+            cipher.init(Cipher.ENCRYPT_MODE, ownKey, new GCMParameterSpec(8 * TAG_BYTES, nonce.array()));
+            cipher.updateAAD(new byte[] {MARK});
+            return ByteBuffer.allocate(plain.length + OVERHEAD_BYTES)
                     .put(MARK)
                     .put(nonce.array())
-                    .put(c.doFinal(plain))
+                    .put(cipher.doFinal(plain))
                     .array();
         } catch (GeneralSecurityException e) {
             throw new IllegalStateException(e);
@@ -105,65 +104,56 @@
     /**
      * Opens a datagram.
      *
-     * @throws IllegalArgumentException if it is not sealed by a member at that address, or was opened before
+     * @throws IllegalArgumentException if it was not sealed by a member at that address, or is replayed
      */
     byte[] open(MemberAddress from, byte[] sealed) {
-        if (sealed.length < BYTES || sealed[0] != MARK) {
+        if (sealed.length < OVERHEAD_BYTES || sealed[0] != MARK) {
             throw new IllegalArgumentException("not sealed");
         }
-        ByteBuffer nonce = ByteBuffer.wrap(sealed, 1, 12);
-        long began = get48(nonce);
-        long number = get48(nonce);
+        ByteBuffer nonce = ByteBuffer.wrap(sealed, 1, NONCE_BYTES);
+        long senderStartedAt = getUnsigned48(nonce);
+        long senderCount = getUnsigned48(nonce);
         SenderState known = senders.get(from);
-        SenderState state = known != null
-                ? known
-                : new SenderState(keys.stream().map(k -> derived(k, from)).toList(), new ReplayWindow());
-        if (known != null && replayed(state.opened, began, number)) {
+        if (known != null && known.window.isReplayed(senderStartedAt, senderCount)) {
             throw new IllegalArgumentException("opened before, or of an older process");
         }
+        SenderState state = known != null ? known : newSender(from);
         for (SecretKeySpec key : state.keys) {
-            try {
-                Cipher c = Cipher.getInstance("AES/GCM/NoPadding");
-                c.init(Cipher.DECRYPT_MODE, key, new GCMParameterSpec(TAG_BITS, sealed, 1, 12));
-                c.updateAAD(sealed, 0, 1);
-                byte[] plain = c.doFinal(sealed, 13, sealed.length - 13);
-                senders.put(from, state); // only who holds a key takes a place
-                opened(state.opened, began, number);
+            byte[] plain = decrypt(sealed, key);
+            if (plain != null) {
+                senders.put(from, state); // only a sender with a key is remembered
+                state.window.accept(senderStartedAt, senderCount);
                 return plain;
-            } catch (GeneralSecurityException e) {
-                // another key, or none of ours
             }
         }
         throw new IllegalArgumentException("sealed by no key of this fleet for that address");
     }
 
-    private static boolean replayed(ReplayWindow window, long began, long number) {
-        if (began != window.start) {
-            return began < window.start;
-        }
-        long behind = window.newest - number;
-        return behind >= WINDOW || behind >= 0 && (window.before >>> behind & 1) == 1;
+    private SenderState newSender(MemberAddress from) {
+        return new SenderState(
+                fleetKeys.stream().map(key -> deriveKey(key, from)).toList(), new ReplayWindow());
     }
 
-    private static void opened(ReplayWindow window, long began, long number) {
-        if (began != window.start) {
-            window.start = began;
-            window.newest = number;
-            window.before = 1;
-        } else if (number > window.newest) {
-            long ahead = number - window.newest;
-            window.before = (ahead >= WINDOW ? 0 : window.before << ahead) | 1;
-            window.newest = number;
-        } else {
-            window.before |= 1L << window.newest - number;
+    /** Returns the plain text, or null if the datagram was not sealed with the key. */
+    private static byte[] decrypt(byte[] sealed, SecretKeySpec key) {
+        try {
+            Cipher cipher = Cipher.getInstance(CIPHER);
+            cipher.init(Cipher.DECRYPT_MODE, key, new GCMParameterSpec(8 * TAG_BYTES, sealed, 1, NONCE_BYTES));
+            cipher.updateAAD(sealed, 0, 1);
+            int headerBytes = 1 + NONCE_BYTES;
+            return cipher.doFinal(sealed, headerBytes, sealed.length - headerBytes);
+        } catch (GeneralSecurityException ignored) {
+            return null;
         }
     }
 
-    private static void put48(ByteBuffer buffer, long v) {
-        buffer.putShort((short) (v >> 32)).putInt((int) v);
+    private static void putUnsigned48(ByteBuffer buffer, long value) {
+        buffer.putShort((short) (value >> 32)).putInt((int) value);
     }
 
-    private static long get48(ByteBuffer buffer) {
-        return (buffer.getShort() & 0xFFFFL) << 32 | buffer.getInt() & 0xFFFFFFFFL;
+    private static long getUnsigned48(ByteBuffer buffer) {
+        long high = buffer.getShort() & 0xFFFFL;
+        long low = buffer.getInt() & 0xFFFFFFFFL;
+        return (high << 32) | low;
     }
 }
--- a/src/main/java/rillyard/membership/net/FleetConfig.java
+++ b/src/main/java/rillyard/membership/net/FleetConfig.java
@@ -8,22 +8,23 @@
 import rillyard.membership.MembershipSettings;
 
 /**
- * One member's settings.
+ * The configuration of one member.
  *
- * @param listen where its datagrams come in and go out
- * @param identity who it is, with the address at which others reach it
- * @param seeds where others may be
- * @param keys of the group, the first seals and all open; empty where datagrams are not sealed
- * @param history file that gets a line for each change of belief; null for none
- * @param admin where `members --admin` may ask; null for nowhere
- * @param outlierGossip whether proxies tell each other which hosts fail, and how much each sends
- * @param clockRate ms that pass in one on the clock that decisions are fed with; 1 but in trials of bad clocks
+ * @param listen the address of its datagram socket
+ * @param identity the member, with the address at which others reach it
+ * @param seeds addresses of other members
+ * @param membership the parameters of the protocol
+ * @param keys the fleet's keys; the first seals, all open; empty if datagrams are not sealed
+ * @param history the file of the event log, or null
+ * @param admin the address for {@code members --admin}, or null
+ * @param outlierGossip whether proxies gossip about failing hosts
+ * @param clockRate milliseconds that pass in one on the member's clock; not 1 in tests of bad clocks only
  */
 public record FleetConfig(
         InetSocketAddress listen,
         MemberIdentity identity,
         List<MemberAddress> seeds,
-        MembershipSettings member,
+        MembershipSettings membership,
         List<byte[]> keys,
         Path history,
         InetSocketAddress admin,
--- a/src/main/java/rillyard/membership/net/FleetConfigReader.java
+++ b/src/main/java/rillyard/membership/net/FleetConfigReader.java
@@ -20,55 +20,75 @@
 import rillyard.membership.MembershipSettings;
 import rillyard.membership.MessageCodec;
 
-/** Reads {@code deploy/fleet.toml}. */
+/** Reads the configuration of a member, as {@code deploy/fleet.toml}. */
 public final class FleetConfigReader {
+    private static final int KEY_BYTES = 32;
+    private static final int MAX_KEYS = 2;
+    private static final int HEX_DIGITS_PER_BYTE = 2;
+
+    /** Stands for an address that is missing or invalid, which is reported. */
+    private static final MemberAddress INVALID_ADDRESS = new MemberAddress(0x7F000001, 1);
+
     private FleetConfigReader() {}
 
     /**
-     * Reads a file; where it names no member, {@code BALANCER_NAME} does.
+     * Reads a file. The name of the member is that of {@code BALANCER_NAME} unless the file has one.
      *
-     * @throws InvalidConfigException with all findings, by line
+     * @throws InvalidConfigException with all problems, by line
      */
     public static FleetConfig read(Path file, Map<String, String> environment) throws InvalidConfigException {
         TomlTable root = TomlTable.read(file);
         TomlTable self = root.table("self");
         String name = self.text("name", environment.getOrDefault("BALANCER_NAME", ""));
-        MemberAddress listen = endpoint(self, "listen", self.text("listen"));
-        MemberAddress advertise = self.has("advertise") ? endpoint(self, "advertise", self.text("advertise")) : listen;
-        MemberIdentity card = null;
-        try {
-            card = new MemberIdentity(
-                    name, advertise, (int) self.integer("zone", 0, 0, 255), (int) self.integer("region", 0, 0, 255));
-        } catch (IllegalArgumentException e) {
-            self.error("name", e.getMessage());
-        }
+        MemberAddress listen = readAddress(self, "listen", self.text("listen"));
+        MemberIdentity identity = readIdentity(self, name, listen);
         String history = self.text("history", null);
-        InetSocketAddress admin = self.has("admin") ? address(endpoint(self, "admin", self.text("admin"))) : null;
-        List<MemberAddress> seeds = new ArrayList<>();
-        for (String s : root.text("seeds", "").split("[,\\s]+")) {
-            if (!s.isEmpty()) {
-                seeds.add(endpoint(root, "seeds", s));
-            }
-        }
-        List<byte[]> keys = keys(root);
-        MembershipSettings member = member(root.table("membership"), keys.isEmpty() ? 0 : DatagramCipher.BYTES);
-        boolean spread = root.table("spread").flag("news", false);
+        InetSocketAddress admin =
+                self.has("admin") ? toSocketAddress(readAddress(self, "admin", self.text("admin"))) : null;
+        List<MemberAddress> seeds = readSeeds(root);
+        List<byte[]> keys = readKeys(root);
+        int sealOverhead = keys.isEmpty() ? 0 : DatagramCipher.OVERHEAD_BYTES;
+        MembershipSettings membership = readMembership(root.table("membership"), sealOverhead);
+        boolean outlierGossip = root.table("spread").flag("news", false);
         double clockRate = root.table("test").number("clock_rate", 1, 0.01, 100);
         root.finish();
         return new FleetConfig(
-                address(listen),
-                card,
+                toSocketAddress(listen),
+                identity,
                 seeds,
-                member,
+                membership,
                 keys,
                 history == null ? null : Path.of(history),
                 admin,
-                spread,
+                outlierGossip,
                 clockRate);
     }
 
-    /** One or two keys, a line of 64 hexadecimal digits each, in a file that only this process's user may read. */
-    private static List<byte[]> keys(TomlTable root) {
+    private static MemberIdentity readIdentity(TomlTable self, String name, MemberAddress listen) {
+        MemberAddress advertised =
+                self.has("advertise") ? readAddress(self, "advertise", self.text("advertise")) : listen;
+        int zone = (int) self.integer("zone", 0, 0, 255);
+        int region = (int) self.integer("region", 0, 0, 255);
+        try {
+            return new MemberIdentity(name, advertised, zone, region);
+        } catch (IllegalArgumentException e) {
+            self.error("name", e.getMessage());
+            return null; // the problem ends the reading
+        }
+    }
+
+    private static List<MemberAddress> readSeeds(TomlTable root) {
+        List<MemberAddress> seeds = new ArrayList<>();
+        for (String seed : root.text("seeds", "").split("[,\\s]+", 0)) {
+            if (!seed.isEmpty()) {
+                seeds.add(readAddress(root, "seeds", seed));
+            }
+        }
+        return seeds;
+    }
+
+    /** Reads one or two keys, a line of 64 hexadecimal digits each, from a file that only its owner may read. */
+    private static List<byte[]> readKeys(TomlTable root) {
         String file = root.text("key_file", null);
         if (file == null) {
             return List.of();
@@ -76,16 +96,12 @@
         try {
             Path path = Path.of(file);
             if (Files.getPosixFilePermissions(path).stream()
-                    .anyMatch(p -> !p.name().startsWith("OWNER"))) {
+                    .anyMatch(permission -> !permission.name().startsWith("OWNER"))) {
                 root.error("key_file", file + " may be read by others, expected mode 600");
             }
-            List<byte[]> keys = new ArrayList<>();
-            for (String line : Files.readAllLines(path)) {
-                if (!line.isBlank()) {
-                    keys.add(line.strip().length() == 64 ? HexFormat.of().parseHex(line.strip()) : new byte[0]);
-                }
-            }
-            if (keys.isEmpty() || keys.size() > 2 || keys.stream().anyMatch(k -> k.length != 32)) {
+            List<byte[]> keys = parseKeys(Files.readAllLines(path));
+            boolean areValid = keys.stream().allMatch(key -> key.length == KEY_BYTES);
+            if (keys.isEmpty() || keys.size() > MAX_KEYS || !areValid) {
                 root.error("key_file", file + ": expected one or two lines of 64 hexadecimal digits");
                 return List.of();
             }
@@ -96,10 +112,24 @@
         }
     }
 
-    private static MembershipSettings member(TomlTable table, int seal) {
-        MembershipSettings settings = MembershipSettings.DEFAULT;
-        double interval = table.number("interval_ms", settings.probeIntervalMillis(), 100, 60_000);
-        double timeout = table.number("timeout_ms", Math.min(settings.probeTimeoutMillis(), interval / 2), 10, 30_000);
+    /** Returns the keys of all lines that are not blank; a line of another length gives an empty key. */
+    private static List<byte[]> parseKeys(List<String> lines) {
+        List<byte[]> keys = new ArrayList<>();
+        for (String line : lines) {
+            String digits = line.strip();
+            if (!digits.isEmpty()) {
+                boolean hasKeyLength = digits.length() == HEX_DIGITS_PER_BYTE * KEY_BYTES;
+                keys.add(hasKeyLength ? HexFormat.of().parseHex(digits) : new byte[0]);
+            }
+        }
+        return keys;
+    }
+
+    /** Reads the protocol's parameters; sealing takes {@code sealOverhead} bytes of each datagram. */
+    private static MembershipSettings readMembership(TomlTable table, int sealOverhead) {
+        MembershipSettings defaults = MembershipSettings.DEFAULT;
+        double interval = table.number("interval_ms", defaults.probeIntervalMillis(), 100, 60_000);
+        double timeout = table.number("timeout_ms", Math.min(defaults.probeTimeoutMillis(), interval / 2), 10, 30_000);
         if (timeout > interval / 2) {
             table.error("timeout_ms", "found " + timeout + ", expected at most half of interval_ms, " + interval / 2);
             timeout = interval / 2;
@@ -107,35 +137,37 @@
         return new MembershipSettings(
                 interval,
                 timeout,
-                (int) table.integer("helpers", settings.indirectProbes(), 1, 10),
-                table.number("suspicion", settings.suspicionMultiplier(), 1, 20),
-                table.number("suspicion_most", settings.maxSuspicionMultiplier(), 1, 20),
-                (int) table.integer("spread", settings.retransmitMultiplier(), 1, 10),
-                1_000 * table.number("forget_s", settings.forgetAfterMillis() / 1_000, 10, 3_600),
-                (int) table.integer("most", settings.maxMembers(), 2, 100_000),
-                (int) table.integer("datagram_bytes", settings.datagramBytes(), 128 + seal, MessageCodec.MAX_BYTES)
-                        - seal);
+                (int) table.integer("helpers", defaults.indirectProbes(), 1, 10),
+                table.number("suspicion", defaults.suspicionMultiplier(), 1, 20),
+                table.number("suspicion_most", defaults.maxSuspicionMultiplier(), 1, 20),
+                (int) table.integer("spread", defaults.retransmitMultiplier(), 1, 10),
+                1_000 * table.number("forget_s", defaults.forgetAfterMillis() / 1_000, 10, 3_600),
+                (int) table.integer("most", defaults.maxMembers(), 2, 100_000),
+                (int) table.integer(
+                                "datagram_bytes", defaults.datagramBytes(), 128 + sealOverhead, MessageCodec.MAX_BYTES)
+                        - sealOverhead);
     }
 
-    /** An {@code IPv4:port}; names are not looked up. */
-    private static MemberAddress endpoint(TomlTable table, String key, String s) {
-        InetSocketAddress address = SocketAddresses.parse(s);
+    /** Reads an {@code IPv4:port}; host names are not resolved. */
+    private static MemberAddress readAddress(TomlTable table, String key, String text) {
+        InetSocketAddress address = SocketAddresses.parse(text);
         if (address != null && address.getPort() > 0 && address.getAddress() instanceof Inet4Address) {
-            return endpoint(address);
+            return toMemberAddress(address);
         }
-        if (!s.isEmpty()) { // that it is missing is told already
-            table.error(key, "found '" + s + "', expected IPv4:port, as 10.1.0.4:7400");
+        if (!text.isEmpty()) { // a missing one is reported already
+            table.error(key, "found '" + text + "', expected IPv4:port, as 10.1.0.4:7400");
         }
-        return new MemberAddress(0x7F000001, 1);
+        return INVALID_ADDRESS;
     }
 
-    /** The endpoint of an IPv4 address. */
-    static MemberAddress endpoint(InetSocketAddress address) {
+    /** Converts an IPv4 socket address. */
+    static MemberAddress toMemberAddress(InetSocketAddress address) {
         return new MemberAddress(
                 ByteBuffer.wrap(address.getAddress().getAddress()).getInt(), address.getPort());
     }
 
-    static InetSocketAddress address(MemberAddress address) {
+    /** Converts a member's address. */
+    static InetSocketAddress toSocketAddress(MemberAddress address) {
         try {
             byte[] ip = {
                 (byte) (address.ip() >> 24),
@@ -144,8 +176,8 @@
                 (byte) address.ip()
             };
             return new InetSocketAddress(InetAddress.getByAddress(ip), address.port());
-        } catch (UnknownHostException x) {
-            throw new IllegalStateException(x); // four bytes are an address
+        } catch (UnknownHostException e) {
+            throw new IllegalStateException(e); // four bytes are always an address
         }
     }
 }
--- a/src/main/java/rillyard/membership/net/FleetMember.java
+++ b/src/main/java/rillyard/membership/net/FleetMember.java
@@ -32,127 +32,138 @@
 import rillyard.membership.Message;
 import rillyard.membership.MessageCodec;
 
-/** This process's membership of the fleet: one socket, one thread, the decisions of {@link Membership}. */
+/**
+ * Runs a {@link Membership} on a datagram socket and an event loop of its own.
+ *
+ * <p>Thread-safe where a method says so; the rest is confined to the event loop.
+ */
 public final class FleetMember implements AutoCloseable {
-    /** Steps of its clock in an interval. */
-    private static final double STEPS = 10;
+    /** Ticks in a protocol period. */
+    private static final double TICKS_PER_PERIOD = 10;
 
-    /** What this process says of its loop holds for so long, and is said again in time. */
-    private static final double HEALTH_LASTS_MS = 600_000;
+    /** Time to live of the published loop health, which is renewed. */
+    private static final double LOOP_HEALTH_TTL_MS = 600_000;
 
-    /** What is known is copied so often (ms) for those who follow facts. */
-    private static final double COPY_MS = 200;
+    /** Period at which a snapshot is taken for followers of attributes. */
+    private static final double SNAPSHOT_PERIOD_MS = 200;
+
+    /** One log line is written for so many rejected datagrams. */
+    private static final int REJECTIONS_PER_LOG_LINE = 1_000;
 
     /**
-     * What this member held a moment ago.
+     * What this member knew at some recent time. Immutable.
      *
-     * @param self its name
-     * @param present names of all who are present, this one's among them; empty before the first copy
-     * @param followed facts of the kinds that are followed, by owner
-     * @param at nanoseconds of this JVM's clock when it held them
+     * @param selfName the name of this member
+     * @param presentNames the names of all members that are present, this one included; empty before the first snapshot
+     * @param attributesByKind attributes of the followed kinds, by kind and owner
+     * @param takenAtNanos when it was taken ({@link System#nanoTime})
      */
     public record FleetSnapshot(
-            String self, List<String> present, Map<Integer, Map<String, MemberAttribute>> followed, long at) {
-        /** The facts of a kind that is followed. */
+            String selfName,
+            List<String> presentNames,
+            Map<Integer, Map<String, MemberAttribute>> attributesByKind,
+            long takenAtNanos) {
+        /** Returns the attributes of a followed kind, by owner. */
         public Map<String, MemberAttribute> attributes(int kind) {
-            return followed.getOrDefault(kind, Map.of());
+            return attributesByKind.getOrDefault(kind, Map.of());
         }
 
-        /** How old a fact of these is by now (ms), also where this member has ended and holds nothing newer. */
-        public double age(MemberAttribute attribute) {
-            return attribute.ageMillis() + (System.nanoTime() - at) / 1e6;
+        /** Returns the present age of an attribute of this snapshot, also if this member has ended since. */
+        public double ageMillis(MemberAttribute attribute) {
+            return attribute.ageMillis() + (System.nanoTime() - takenAtNanos) / 1e6;
         }
     }
 
-    private final FleetConfig settings;
+    private final FleetConfig config;
     private final PrintStream log;
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("fleet", true), NioIoHandler.newFactory());
     private final long startedUnix = System.currentTimeMillis();
     private final long startedAt = System.nanoTime();
-    private final Membership member;
-    private final MembershipEventLog history;
-    private final DatagramCipher seal;
+    private final Membership membership;
+    private final MembershipEventLog eventLog; // null if there is none
+    private final DatagramCipher cipher; // null if datagrams are not sealed
     private volatile Channel channel; // set on the loop, before the first datagram
-    private final ResourceUsage costs = new ResourceUsage();
+    private final ResourceUsage usage = new ResourceUsage();
     private final LoopHealth loopHealth = new LoopHealth();
-    private LoopHealth.Level said = LoopHealth.Level.WELL;
-    private double nextStep = Double.NaN;
-    private int[] followed = {};
-    private double copiedAt = Double.NEGATIVE_INFINITY;
-    private volatile FleetSnapshot known;
+    private LoopHealth.Level publishedLevel = LoopHealth.Level.WELL;
+    private double nextTickAt = Double.NaN;
+    private int[] followedKinds = {};
+    private double lastSnapshotAt = Double.NEGATIVE_INFINITY;
+    private volatile FleetSnapshot snapshot;
 
     /**
-     * Makes one; {@link #start} has it join.
+     * Creates a member that has not joined.
      *
-     * @throws IOException if its history can't be written
+     * @throws IOException if its event log can't be opened
      */
-    public FleetMember(FleetConfig settings, long seed, PrintStream log) throws IOException {
-        this.settings = settings;
+    public FleetMember(FleetConfig config, long seed, PrintStream log) throws IOException {
+        this.config = config;
         this.log = log;
-        this.history = settings.history() == null
+        this.eventLog = config.history() == null
                 ? null
-                : new MembershipEventLog(settings.history(), settings.identity().name());
-        this.seal = settings.keys().isEmpty()
+                : new MembershipEventLog(config.history(), config.identity().name());
+        this.cipher = config.keys().isEmpty()
                 ? null
                 : new DatagramCipher(
-                        settings.keys(),
-                        settings.identity().address(),
+                        config.keys(),
+                        config.identity().address(),
                         startedUnix,
-                        settings.member().maxMembers());
-        this.member = new Membership(
-                settings.member(),
-                settings.identity(),
+                        config.membership().maxMembers());
+        this.membership = new Membership(
+                config.membership(),
+                config.identity(),
                 startedUnix,
-                settings.seeds(),
+                config.seeds(),
                 new SplittableRandom(seed),
                 new SocketOutput());
-        this.known = new FleetSnapshot(settings.identity().name(), List.of(), Map.of(), startedAt);
+        this.snapshot = new FleetSnapshot(config.identity().name(), List.of(), Map.of(), startedAt);
     }
 
-    /** Facts of these kinds are to be found in {@link #known}; to be called before {@link #start}. */
-    public void follow(int... kinds) {
-        followed = kinds.clone();
+    /** Includes attributes of these kinds in snapshots; to be called before {@link #start}. */
+    public void followAttributes(int... kinds) {
+        followedKinds = kinds.clone();
     }
 
-    /** What it knew a moment ago; may be asked on any thread. */
+    /** Returns the latest snapshot. Thread-safe. */
     public FleetSnapshot snapshot() {
-        return known;
+        return snapshot;
     }
 
     /**
-     * Says something of this member to all, as {@link Membership#setAttribute}; may be called on any thread once started, and says
-     * nothing once this member has ended.
+     * Publishes an attribute, as {@link Membership#setAttribute}; does nothing once this member has ended. Thread-safe
+     * once it has started.
      *
-     * @param again whether it is said again in time; else it ends by itself
+     * @param ttlMillis the time after which it expires unless it is renewed
+     * @param renew whether it is renewed
      */
-    public void setAttribute(int kind, byte[] value, double lasts, boolean again) {
+    public void setAttribute(int kind, byte[] value, double ttlMillis, boolean renew) {
         try {
             channel.eventLoop().execute(() -> {
-                if (!member.setAttribute(now(), kind, value, lasts, again)) {
-                    log.println("rillyard: fleet: a fact of kind " + kind + " is not said: too many of them");
+                if (!membership.setAttribute(now(), kind, value, ttlMillis, renew)) {
+                    log.println("rillyard: fleet: attribute rejected, kind=" + kind + " cause=rate limit");
                 }
             });
-        } catch (RejectedExecutionException e) {
-            // it has left, while the proxy beside it still drains
+        } catch (RejectedExecutionException ignored) {
+            // this member has left, while its proxy still drains
         }
     }
 
-    private void copy(double now) {
-        if (followed.length == 0 || now - copiedAt < COPY_MS) {
+    private void takeSnapshot(double now) {
+        if (followedKinds.length == 0 || now - lastSnapshotAt < SNAPSHOT_PERIOD_MS) {
             return;
         }
-        copiedAt = now;
-        Map<Integer, Map<String, MemberAttribute>> facts = new HashMap<>();
-        for (int kind : followed) {
-            facts.put(kind, member.attributes(now, kind));
+        lastSnapshotAt = now;
+        Map<Integer, Map<String, MemberAttribute>> attributes = new HashMap<>();
+        for (int kind : followedKinds) {
+            attributes.put(kind, membership.attributes(now, kind));
         }
-        List<String> present = new ArrayList<>(List.of(settings.identity().name()));
-        member.others().stream()
-                .filter(update -> update.status().present())
-                .forEach(memberUpdate -> present.add(memberUpdate.identity().name()));
-        known = new FleetSnapshot(
-                settings.identity().name(), List.copyOf(present), Map.copyOf(facts), System.nanoTime());
+        List<String> presentNames = new ArrayList<>(List.of(config.identity().name()));
+        membership.others().stream()
+                .filter(update -> update.status().isPresent())
+                .forEach(update -> presentNames.add(update.identity().name()));
+        snapshot = new FleetSnapshot(
+                config.identity().name(), List.copyOf(presentNames), Map.copyOf(attributes), System.nanoTime());
     }
 
     /**
@@ -165,71 +176,72 @@
             new Bootstrap()
                     .group(group)
                     .channel(NioDatagramChannel.class)
-                    // A byte more than any datagram may have: a longer one is seen to be longer, and turned away.
+                    // One byte more than the largest datagram, so that a longer one is recognized and rejected.
                     .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MessageCodec.MAX_BYTES + 1))
                     .handler(new DatagramHandler())
-                    .bind(settings.listen())
+                    .bind(config.listen())
                     .sync();
         } catch (Exception e) {
             close();
-            throw new IOException("fleet: can't listen on " + settings.listen() + ": " + e.getMessage(), e);
+            throw new IOException("fleet: can't listen on " + config.listen() + ": " + e.getMessage(), e);
         }
-        if (settings.admin() != null) {
+        if (config.admin() != null) {
             try {
-                new MemberAdminServer(() -> MembershipView.of(member, startedUnix, now(), costs))
-                        .listen(group, settings.admin());
+                new MemberAdminServer(() -> MembershipView.toJson(membership, startedUnix, now(), usage))
+                        .listen(group, config.admin());
             } catch (IOException e) {
                 close();
                 throw e;
             }
         }
-        if (history != null) {
-            history.line(
+        if (eventLog != null) {
+            eventLog.append(
                     startedUnix,
                     new MembershipEvent(
-                            0, member.self(), null, settings.identity().name()));
+                            0, membership.self(), null, config.identity().name()));
         }
-        long step = (long) (settings.member().probeIntervalMillis() / STEPS * 1e6);
-        channel.eventLoop().scheduleWithFixedDelay(this::tick, 0, step, TimeUnit.NANOSECONDS);
+        long periodNanos = (long) (config.membership().probeIntervalMillis() / TICKS_PER_PERIOD * 1e6);
+        channel.eventLoop().scheduleWithFixedDelay(this::tick, 0, periodNanos, TimeUnit.NANOSECONDS);
     }
 
     private double now() {
-        return (System.nanoTime() - startedAt) / 1e6 * settings.clockRate();
+        return (System.nanoTime() - startedAt) / 1e6 * config.clockRate();
     }
 
     private void tick() {
-        long from = System.nanoTime();
+        long tickBeganAt = System.nanoTime();
         try {
             double now = now();
-            double step = settings.member().probeIntervalMillis() / STEPS;
-            loopHealth.step(now, Double.isNaN(nextStep) ? 0 : Math.max(0, now - nextStep));
-            nextStep = now + step;
-            if (loopHealth.level() != said) {
-                said = loopHealth.level();
-                member.setAttribute(now, LoopHealth.FACT, new byte[] {(byte) said.ordinal()}, HEALTH_LASTS_MS, true);
+            double period = config.membership().probeIntervalMillis() / TICKS_PER_PERIOD;
+            loopHealth.onStep(now, Double.isNaN(nextTickAt) ? 0 : Math.max(0, now - nextTickAt));
+            nextTickAt = now + period;
+            if (loopHealth.level() != publishedLevel) {
+                publishedLevel = loopHealth.level();
+                byte[] value = {(byte) publishedLevel.code()};
+                membership.setAttribute(now, LoopHealth.ATTRIBUTE_KIND, value, LOOP_HEALTH_TTL_MS, true);
             }
-            member.onTick(now);
-            copy(now);
+            membership.onTick(now);
+            takeSnapshot(now);
         } catch (RuntimeException e) {
-            // Guards against a periodic task that ends for ever with its first exception.
-            log.println("rillyard: fleet: a step failed: " + e);
+            // An exception would cancel the periodic task.
+            log.println("rillyard: fleet: tick failed, cause=" + e);
         }
-        costs.busySince(from);
+        usage.addBusySince(tickBeganAt);
     }
 
-    /** Says that it goes, as far as it can, and ends. */
+    /** Announces that this member leaves and closes its socket. */
     @Override
     public void close() {
         if (channel != null) {
-            channel.eventLoop().submit(() -> member.leave(now())).awaitUninterruptibly();
+            channel.eventLoop().submit(() -> membership.leave(now())).awaitUninterruptibly();
         }
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
         try {
-            if (history != null) {
-                history.close();
+            if (eventLog != null) {
+                eventLog.close();
             }
         } catch (IOException e) {
-            log.println("rillyard: fleet: the history could not be closed: " + e);
+            log.println("rillyard: fleet: event log not closed, cause=" + e);
         }
     }
 
@@ -243,28 +255,33 @@
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             byte[] bytes = new byte[packet.content().readableBytes()];
             packet.content().readBytes(bytes);
-            long began = System.nanoTime();
-            costs.received++;
-            costs.receivedBytes += bytes.length;
+            long receivedAt = System.nanoTime();
+            usage.onReceived(bytes.length);
             try {
                 InetSocketAddress sender = packet.sender();
                 if (sender.getAddress() instanceof Inet4Address) {
-                    MemberAddress from = FleetConfigReader.endpoint(sender);
-                    member.onMessage(now(), from, MessageCodec.decode(seal == null ? bytes : seal.open(from, bytes)));
+                    MemberAddress from = FleetConfigReader.toMemberAddress(sender);
+                    membership.onMessage(
+                            now(), from, MessageCodec.decode(cipher == null ? bytes : cipher.open(from, bytes)));
                 }
             } catch (IllegalArgumentException e) {
-                if (costs.turnedAway++ % 1_000 == 0) {
-                    log.println("rillyard: fleet: datagram from " + packet.sender() + " turned away, "
-                            + costs.turnedAway + " so far: " + e.getMessage());
-                }
+                onRejected(packet.sender(), e);
+            }
+            usage.addBusySince(receivedAt);
+        }
+
+        private void onRejected(InetSocketAddress sender, IllegalArgumentException cause) {
+            if (usage.rejectedDatagrams() % REJECTIONS_PER_LOG_LINE == 0) {
+                log.println("rillyard: fleet: datagram rejected, sender=" + sender + " count="
+                        + (usage.rejectedDatagrams() + 1) + " cause=" + cause.getMessage());
             }
-            costs.busySince(began);
+            usage.onRejected();
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            if (!(cause instanceof IOException)) { // a port that is unreachable somewhere is told here, and is none
-                log.println("rillyard: fleet: a datagram could not be taken: " + cause);
+            if (!(cause instanceof IOException)) { // an unreachable port elsewhere is reported here, too
+                log.println("rillyard: fleet: datagram handler failed, cause=" + cause);
             }
         }
     }
@@ -272,22 +289,22 @@
     private final class SocketOutput implements Membership.Output {
         @Override
         public void send(MemberAddress to, Message message) {
-            byte[] plain = MessageCodec.encode(message, settings.member().datagramBytes());
-            ByteBuf bytes = Unpooled.wrappedBuffer(seal == null ? plain : seal.seal(plain));
-            costs.sent++;
-            costs.sentBytes += bytes.readableBytes();
-            channel.writeAndFlush(new DatagramPacket(bytes, FleetConfigReader.address(to)), channel.voidPromise());
+            byte[] plain = MessageCodec.encode(message, config.membership().datagramBytes());
+            ByteBuf bytes = Unpooled.wrappedBuffer(cipher == null ? plain : cipher.seal(plain));
+            usage.onSent(bytes.readableBytes());
+            channel.writeAndFlush(
+                    new DatagramPacket(bytes, FleetConfigReader.toSocketAddress(to)), channel.voidPromise());
         }
 
         @Override
         public void onMembershipEvent(MembershipEvent event) {
-            if (history == null) {
+            if (eventLog == null) {
                 return;
             }
             try {
-                history.line(startedUnix + (long) event.at(), event);
+                eventLog.append(startedUnix + (long) event.atMillis(), event);
             } catch (IOException e) {
-                log.println("rillyard: fleet: a line of the history is lost: " + e);
+                log.println("rillyard: fleet: event not logged, cause=" + e);
             }
         }
     }
--- a/src/main/java/rillyard/membership/net/MemberAdminClient.java
+++ b/src/main/java/rillyard/membership/net/MemberAdminClient.java
@@ -1,46 +1,55 @@
 package rillyard.membership.net;
 
+import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 
-/** Asks a member what it holds. */
+/** Fetches the view of a member from its admin address. */
 public final class MemberAdminClient {
-    private static final int WAIT_MS = 3_000;
+    private static final int TIMEOUT_MS = 3_000;
 
     /** Some 300 bytes for each of 100,000 members. */
-    private static final int MOST_BYTES = 64 << 20;
+    private static final int MAX_BYTES = 64 << 20;
 
     private MemberAdminClient() {}
 
     /**
-     * Asks.
+     * Fetches a view.
      *
-     * @throws IOException if nobody is there, takes too long, or says what no member says
+     * @throws IOException if nobody answers in time, or the answer is no view
      */
-    public static JsonNode ask(InetSocketAddress at) throws IOException {
-        byte[] bytes;
-        try (Socket socket = new Socket()) {
-            socket.connect(at, WAIT_MS);
-            socket.setSoTimeout(WAIT_MS);
-            bytes = socket.getInputStream().readNBytes(MOST_BYTES);
-        } catch (IOException e) {
-            throw new IOException("no answer from " + at + ": " + e.getMessage(), e);
-        }
-        JsonNode node = null;
+    public static JsonNode fetchView(InetSocketAddress address) throws IOException {
+        byte[] response = read(address);
+        JsonNode view;
         try {
-            node = new ObjectMapper().readTree(bytes);
-        } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
-            // said below
+            view = new ObjectMapper().readTree(response);
+        } catch (JsonProcessingException e) {
+            throw noView(address, response, e);
         }
-        if (node == null
-                || !node.path("self").isObject()
-                || !node.path("members").isArray()) {
-            throw new IOException(
-                    at + " is no member's `admin` address: " + bytes.length + " bytes that are no view of a fleet");
+        if (view == null
+                || !view.path("self").isObject()
+                || !view.path("members").isArray()) {
+            throw noView(address, response, null);
+        }
+        return view;
+    }
+
+    private static byte[] read(InetSocketAddress address) throws IOException {
+        try (Socket socket = new Socket()) {
+            socket.connect(address, TIMEOUT_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
+            return socket.getInputStream().readNBytes(MAX_BYTES);
+        } catch (IOException e) {
+            throw new IOException("no answer from " + address + ": " + e.getMessage(), e);
         }
-        return node;
+    }
+
+    private static IOException noView(InetSocketAddress address, byte[] response, JsonProcessingException cause) {
+        return new IOException(
+                address + " is no member's `admin` address: " + response.length + " bytes that are no view of a fleet",
+                cause);
     }
 }
--- a/src/main/java/rillyard/membership/net/MemberAdminServer.java
+++ b/src/main/java/rillyard/membership/net/MemberAdminServer.java
@@ -1,6 +1,7 @@
 package rillyard.membership.net;
 
 import io.netty.bootstrap.ServerBootstrap;
+import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelInitializer;
@@ -13,18 +14,22 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** Tells whoever connects what this member holds: one line, and the connection ends. It takes nothing in. */
+/**
+ * Sends the view of a member, one line, to whoever connects, and closes the connection; reads nothing.
+ *
+ * <p>Confined to its event loop.
+ */
 final class MemberAdminServer {
-    /** Connections at a time; past it one that comes is ended at once. */
-    private static final int MOST_OPEN = 8;
+    /** Connections open at a time; further ones are closed at once. */
+    private static final int MAX_CONNECTIONS = 8;
 
-    /** How long (ms) a caller may take to read. */
-    private static final long CALL_MS = 2_500;
+    /** Milliseconds after which a connection is closed. */
+    private static final long CONNECTION_TIMEOUT_MS = 2_500;
 
     private final Supplier<String> view;
-    private int open;
+    private int connections;
 
-    /** {@code view} is asked on the loop. */
+    /** Creates a server; {@code view} is called on the event loop. */
     MemberAdminServer(Supplier<String> view) {
         this.view = view;
     }
@@ -32,9 +37,10 @@
     /**
      * Listens.
      *
+     * @param loop a group of one event loop
      * @throws IOException if the address can't be bound
      */
-    void listen(EventLoopGroup loop, InetSocketAddress at) throws IOException {
+    void listen(EventLoopGroup loop, InetSocketAddress address) throws IOException {
         try {
             new ServerBootstrap()
                     .group(loop)
@@ -42,27 +48,30 @@
                     .childHandler(new ChannelInitializer<SocketChannel>() {
                         @Override
                         protected void initChannel(SocketChannel channel) {
-                            called(channel);
+                            onAccepted(channel);
                         }
                     })
-                    .bind(at)
+                    .bind(address)
                     .sync();
         } catch (Exception e) {
-            throw new IOException("fleet: can't listen on " + at + " for `members --admin`: " + e.getMessage(), e);
+            throw new IOException("fleet: can't listen on " + address + " for `members --admin`: " + e.getMessage(), e);
         }
     }
 
-    private void called(SocketChannel channel) {
-        if (open >= MOST_OPEN) {
+    private void onAccepted(SocketChannel channel) {
+        if (connections >= MAX_CONNECTIONS) {
             channel.close();
             return;
         }
-        open++;
-        channel.closeFuture().addListener(f -> open--);
-        channel.eventLoop().schedule(() -> channel.close(), CALL_MS, TimeUnit.MILLISECONDS);
-        // Registration is not over yet: what is written now would be lost.
-        channel.eventLoop()
-                .execute(() -> channel.writeAndFlush(Unpooled.copiedBuffer(view.get() + "\n", StandardCharsets.UTF_8))
-                        .addListener(ChannelFutureListener.CLOSE));
+        connections++;
+        channel.closeFuture().addListener(closed -> connections--);
+        channel.eventLoop().schedule(() -> channel.close(), CONNECTION_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        // The registration has not completed yet: what is written before would be lost.
+        channel.eventLoop().execute(() -> sendView(channel));
+    }
+
+    private void sendView(SocketChannel channel) {
+        ByteBuf line = Unpooled.copiedBuffer(view.get() + "\n", StandardCharsets.UTF_8);
+        channel.writeAndFlush(line).addListener(ChannelFutureListener.CLOSE);
     }
 }
--- a/src/main/java/rillyard/membership/net/MembershipEventLog.java
+++ b/src/main/java/rillyard/membership/net/MembershipEventLog.java
@@ -10,37 +10,46 @@
 import rillyard.membership.MemberUpdate;
 import rillyard.membership.MembershipEvent;
 
-/** What one process believed and since when, a JSON object a line; each line is out at once. */
+/** Appends the membership events of one process to a file, one JSON object a line; each line is flushed. */
 final class MembershipEventLog implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final Writer out;
+    private final Writer writer;
     private final String member;
 
-    /** Goes on where the file has lines of an earlier process of that name. */
+    /** Opens the log of a member; appends to the lines of earlier processes. */
     MembershipEventLog(Path file, String member) throws IOException {
-        this.out = Files.newBufferedWriter(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+        this.writer = Files.newBufferedWriter(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
         this.member = member;
     }
 
-    /** {@code unixMs} is when; an IOException costs the line, never the member. */
-    void line(long unixMs, MembershipEvent event) throws IOException {
-        MemberUpdate update = event.now();
-        ObjectNode node = JSON.createObjectNode();
-        node.put("at", unixMs)
+    /**
+     * Appends an event.
+     *
+     * @param unixMillis when it happened
+     * @throws IOException if the line can't be written; the log can be used on
+     */
+    void append(long unixMillis, MembershipEvent event) throws IOException {
+        MemberUpdate update = event.update();
+        ObjectNode line = JSON.createObjectNode();
+        line.put("at", unixMillis)
                 .put("member", member)
                 .put("about", update.identity().name())
                 .put("status", update.status().name());
-        node.put("before", event.before() == null ? null : event.before().name())
+        line.put(
+                        "before",
+                        event.previousStatus() == null
+                                ? null
+                                : event.previousStatus().name())
                 .put("start", update.incarnation().startedAtMillis());
-        node.put("incarnation", update.incarnation().counter()).put("by", event.by());
-        out.write(JSON.writeValueAsString(node));
-        out.write('\n');
-        out.flush();
+        line.put("incarnation", update.incarnation().counter()).put("by", event.source());
+        writer.write(JSON.writeValueAsString(line));
+        writer.write('\n');
+        writer.flush();
     }
 
     @Override
     public void close() throws IOException {
-        out.close();
+        writer.close();
     }
 }
--- a/src/main/java/rillyard/membership/net/MembershipView.java
+++ b/src/main/java/rillyard/membership/net/MembershipView.java
@@ -12,64 +12,79 @@
 import rillyard.membership.MemberUpdate;
 import rillyard.membership.Membership;
 
-/** All that a member holds, as a JSON object on one line. */
+/** Writes what a member knows of the fleet as a JSON object on one line, for {@code members --admin}. */
 final class MembershipView {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private MembershipView() {}
 
     /**
-     * Writes it.
+     * Returns the view.
      *
-     * @param startedUnix when this process started, Unix time (ms)
-     * @param now ms since then
+     * @param startedUnix the Unix time (ms) of the start of this process
+     * @param now milliseconds since then
      */
-    static String of(Membership membership, long startedUnix, double now, ResourceUsage costs) {
-        Map<String, MemberAttribute> health = membership.attributes(now, LoopHealth.FACT);
-        Map<String, String> names = new HashMap<>();
-        List<MemberSnapshot> seen = membership.snapshot();
-        seen.forEach(member -> names.put(
-                "#" + MemberUpdate.by(member.word().identity().name()),
-                member.word().identity().name()));
-        names.put("#" + membership.self().by(), membership.self().identity().name());
-        ObjectNode node = JSON.createObjectNode();
-        node.put("at", startedUnix + (long) now)
+    static String toJson(Membership membership, long startedUnix, double now, ResourceUsage usage) {
+        Map<String, MemberAttribute> loopHealth = membership.attributes(now, LoopHealth.ATTRIBUTE_KIND);
+        List<MemberSnapshot> snapshots = membership.snapshot();
+        Map<String, String> namesBySource = namesBySource(membership.self(), snapshots);
+        ObjectNode view = JSON.createObjectNode();
+        view.put("at", startedUnix + (long) now)
                 .put("over", membership.hasLeft())
-                .put("present", membership.present());
-        node.put("distrust", membership.localHealthFactor());
-        node.set("self", word(membership.self(), health));
-        ArrayNode members = node.putArray("members");
-        for (MemberSnapshot memberSnapshot : seen) {
-            ObjectNode o = word(memberSnapshot.word(), health);
-            o.put("since", startedUnix + (long) memberSnapshot.since())
-                    .put("by", names.getOrDefault(memberSnapshot.by(), memberSnapshot.by()));
-            members.add(o);
+                .put("present", membership.presentCount());
+        view.put("distrust", membership.localHealthFactor());
+        view.set("self", member(membership.self(), loopHealth));
+        ArrayNode members = view.putArray("members");
+        for (MemberSnapshot snapshot : snapshots) {
+            ObjectNode member = member(snapshot.update(), loopHealth);
+            member.put("since", startedUnix + (long) snapshot.sinceMillis())
+                    .put("by", namesBySource.getOrDefault(snapshot.source(), snapshot.source()));
+            members.add(member);
+        }
+        addUsage(view, usage, now);
+        return view.toString();
+    }
+
+    /** Returns the names of all members by the source that stands for their reporter ids. */
+    private static Map<String, String> namesBySource(MemberUpdate self, List<MemberSnapshot> snapshots) {
+        Map<String, String> names = new HashMap<>();
+        for (MemberSnapshot snapshot : snapshots) {
+            String name = snapshot.update().identity().name();
+            names.put("#" + MemberUpdate.reporterId(name), name);
         }
-        node.putObject("costs")
-                .put("datagrams_sent", costs.sent)
-                .put("bytes_sent", costs.sentBytes)
-                .put("datagrams_received", costs.received)
-                .put("bytes_received", costs.receivedBytes)
-                .put("turned_away", costs.turnedAway)
-                .put("busy_ms", costs.busyNanos / 1_000_000)
+        names.put("#" + self.reporterId(), self.identity().name());
+        return names;
+    }
+
+    private static void addUsage(ObjectNode view, ResourceUsage usage, double now) {
+        view.putObject("costs")
+                .put("datagrams_sent", usage.sentDatagrams())
+                .put("bytes_sent", usage.sentBytes())
+                .put("datagrams_received", usage.receivedDatagrams())
+                .put("bytes_received", usage.receivedBytes())
+                .put("turned_away", usage.rejectedDatagrams())
+                .put("busy_ms", usage.busyMillis())
                 .put("up_ms", (long) now);
-        return node.toString();
     }
 
-    private static ObjectNode word(MemberUpdate update, Map<String, MemberAttribute> health) {
-        ObjectNode o = JSON.createObjectNode();
-        o.put("name", update.identity().name())
+    private static ObjectNode member(MemberUpdate update, Map<String, MemberAttribute> loopHealth) {
+        ObjectNode member = JSON.createObjectNode();
+        member.put("name", update.identity().name())
                 .put("address", update.identity().address().toString())
                 .put("zone", update.identity().zone());
-        o.put("region", update.identity().region())
+        member.put("region", update.identity().region())
                 .put("status", update.status().name())
                 .put("start", update.incarnation().startedAtMillis());
-        o.put("incarnation", update.incarnation().counter());
-        MemberAttribute attribute = health.get(update.identity().name());
-        int level = attribute == null ? 0 : attribute.value()[0];
-        // Members say it when it changes: who has never been anything else has said nothing.
-        boolean known = level >= 0 && level < LoopHealth.Level.values().length;
-        o.put("loop", known ? LoopHealth.Level.values()[level].name() : "unknown");
-        return o;
+        member.put("incarnation", update.incarnation().counter());
+        member.put("loop", levelName(loopHealth.get(update.identity().name())));
+        return member;
+    }
+
+    /** Returns the name of the published level; members publish changes only, so one without has always been well. */
+    private static String levelName(MemberAttribute published) {
+        LoopHealth.Level level = published == null
+                ? LoopHealth.Level.WELL
+                : LoopHealth.Level.ofCode(published.value()[0]);
+        return level == null ? "unknown" : level.name();
     }
 }
--- a/src/main/java/rillyard/membership/net/ResourceUsage.java
+++ b/src/main/java/rillyard/membership/net/ResourceUsage.java
@@ -1,16 +1,54 @@
 package rillyard.membership.net;
 
-/** What membership has cost this process so far; used on the fleet's thread only. */
+/** What membership has cost this process so far. Confined to the event loop of the fleet. */
 final class ResourceUsage {
-    long sent;
-    long sentBytes;
-    long received;
-    long receivedBytes;
-    long turnedAway;
-    long busyNanos;
-
-    /** Counts the time since {@code from} (ns) as work. */
-    void busySince(long from) {
-        busyNanos += System.nanoTime() - from;
+    private long sentDatagrams;
+    private long sentBytes;
+    private long receivedDatagrams;
+    private long receivedBytes;
+    private long rejectedDatagrams;
+    private long busyNanos;
+
+    void onSent(int bytes) {
+        sentDatagrams++;
+        sentBytes += bytes;
+    }
+
+    void onReceived(int bytes) {
+        receivedDatagrams++;
+        receivedBytes += bytes;
+    }
+
+    void onRejected() {
+        rejectedDatagrams++;
+    }
+
+    /** Counts the time since {@code startNanos} ({@link System#nanoTime}) as work. */
+    void addBusySince(long startNanos) {
+        busyNanos += System.nanoTime() - startNanos;
+    }
+
+    long sentDatagrams() {
+        return sentDatagrams;
+    }
+
+    long sentBytes() {
+        return sentBytes;
+    }
+
+    long receivedDatagrams() {
+        return receivedDatagrams;
+    }
+
+    long receivedBytes() {
+        return receivedBytes;
+    }
+
+    long rejectedDatagrams() {
+        return rejectedDatagrams;
+    }
+
+    long busyMillis() {
+        return busyNanos / 1_000_000;
     }
 }
--- a/src/main/java/rillyard/membership/net/package-info.java
+++ b/src/main/java/rillyard/membership/net/package-info.java
@@ -1,2 +1,2 @@
-/** Membership on datagrams: settings, the socket and its clock, a history of what was believed. */
+/** Runs the membership protocol over UDP: sockets, encryption, configuration, event log and the admin view. */
 package rillyard.membership.net;
--- a/src/main/java/rillyard/membership/package-info.java
+++ b/src/main/java/rillyard/membership/package-info.java
@@ -1,5 +1,8 @@
 /**
- * Decides which processes of the fleet live: SWIM (Das, Gupta, Motivala 2002) with Lifeguard's local health
- * and suspicion (Dadgar, Phillips, Currey 2017). No I/O, clock or threads: messages and a time come in.
+ * Decides which processes of the fleet are alive: SWIM (Das, Gupta, Motivala 2002) with Lifeguard's local health and
+ * suspicion (Dadgar, Phillips, Currey 2017).
+ *
+ * <p>The package has no I/O, clock or threads: messages and times are passed in. Unless stated otherwise times are
+ * milliseconds since the process of the member started, by a clock that never goes back.
  */
 package rillyard.membership;
--- a/src/main/java/rillyard/outlier/net/ObservationGossip.java
+++ b/src/main/java/rillyard/outlier/net/ObservationGossip.java
@@ -58,7 +58,7 @@
     public ObservationGossip(FleetMember member, FleetOutlierSettings settings, long seed) {
         this.member = member;
         this.words = new FleetOutlierDetector(settings, new SplittableRandom(seed), new Decided());
-        member.follow(FIRST_KIND, FIRST_KIND + 1, FIRST_KIND + 2, RATE);
+        member.followAttributes(FIRST_KIND, FIRST_KIND + 1, FIRST_KIND + 2, RATE);
     }
 
     @Override
@@ -80,7 +80,8 @@
             listed.forEach(h -> names.put(HostObservation.number(h), h));
         }
         FleetMember.FleetSnapshot known = member.snapshot();
-        List<HostObservation> mine = words.step(votes(known), known.present().size(), listed.size(), now);
+        List<HostObservation> mine =
+                words.step(votes(known), known.presentNames().size(), listed.size(), now);
         tell(mine, now);
         byte[] news = rate.attributeValue(now);
         if (news != null) {
@@ -97,11 +98,11 @@
         Map<String, List<HostObservation>> byOwner = new HashMap<>();
         for (int kind = FIRST_KIND; kind < FIRST_KIND + KINDS; kind++) {
             known.attributes(kind).forEach((owner, fact) -> {
-                if (owner.equals(known.self())) {
+                if (owner.equals(known.selfName())) {
                     return;
                 }
                 try {
-                    for (HostObservation observation : ObservationCodec.decode(fact.value(), known.age(fact))) {
+                    for (HostObservation observation : ObservationCodec.decode(fact.value(), known.ageMillis(fact))) {
                         if (names.containsKey(observation.host())) {
                             byOwner.computeIfAbsent(owner, o -> new ArrayList<>())
                                     .add(observation);
@@ -144,7 +145,8 @@
                 strange(owner, e);
             }
         });
-        SubsetPosition position = known.present().isEmpty() ? null : pools.update(known.self(), known.present(), rates);
+        SubsetPosition position =
+                known.presentNames().isEmpty() ? null : pools.update(known.selfName(), known.presentNames(), rates);
         if (position != null) {
             heed.moveSubset(position);
             heed.log(String.format(
--- a/src/test/java/rillyard/membership/MembershipModel.java
+++ b/src/test/java/rillyard/membership/MembershipModel.java
@@ -11,17 +11,17 @@
 import java.util.function.UnaryOperator;
 import rillyard.modelcheck.Model;
 
-/** Three members that know each other, and all that a network and a bounded number of restarts do to them. */
+/** A model of three members that know each other, with all that a network and a bounded number of restarts can do. */
 final class MembershipModel implements Model<String> {
     private static final int MEMBERS = 3;
-    private static final double STEP = 250;
-    private static final int IN_FLIGHT = 6;
-    private static final int CHOICES = 3;
-    private static final int RESTARTS = 1;
+    private static final double STEP_MILLIS = 250;
+    private static final int MAX_IN_FLIGHT = 6;
+    private static final int MAX_CHOICES = 3;
+    private static final int MAX_RESTARTS = 1;
     private static final int JOIN_STEPS = 12;
     private static final int FAIR_STEPS = 240;
 
-    private record Flying(String from, MemberAddress source, MemberAddress to, Message message) {
+    private record InFlightMessage(String from, MemberAddress source, MemberAddress to, Message message) {
         @Override
         public String toString() {
             return message.kind() + " of " + from + " to m" + (to.ip() - 1) + " "
@@ -33,114 +33,116 @@
         }
     }
 
-    private final UnaryOperator<Message> change;
-    private final BiPredicate<String, Message> passes;
+    private final UnaryOperator<Message> messageFault;
+    private final BiPredicate<String, Message> sendFilter;
 
     /**
-     * A model with a fault put in.
+     * Creates a model with an injected fault.
      *
-     * @param change what becomes of each message on its way
-     * @param passes which messages of which sender are sent at all, once all know each other
+     * @param messageFault changes each message in transit
+     * @param sendFilter decides which messages of which sender are sent at all, once all members have joined
      */
-    MembershipModel(UnaryOperator<Message> change, BiPredicate<String, Message> passes) {
-        this.change = change;
-        this.passes = passes;
+    MembershipModel(UnaryOperator<Message> messageFault, BiPredicate<String, Message> sendFilter) {
+        this.messageFault = messageFault;
+        this.sendFilter = sendFilter;
     }
 
     MembershipModel() {
-        this(message -> message, (from, m) -> true);
+        this(message -> message, (from, message) -> true);
     }
 
     @Override
     public Run<String> start() {
-        return new OneRun();
+        return new ModelRun();
     }
 
-    private final class OneRun implements Run<String> {
+    private final class ModelRun implements Run<String> {
         private final Map<String, Membership> members = new TreeMap<>();
         private final Map<String, Double> startedAt = new HashMap<>();
-        private final List<Flying> flying = new ArrayList<>();
-        private final Map<String, Set<Incarnation>> spoken = new HashMap<>();
-        private Map<String, Incarnation> before = new HashMap<>();
+        private final List<InFlightMessage> inFlight = new ArrayList<>();
+        private final Map<String, Set<Incarnation>> announcedIncarnations = new HashMap<>();
+        private Map<String, Incarnation> previousIncarnations = new HashMap<>();
         private double now;
         private boolean joined;
         private int restarts;
-        private String broken;
+        private String violation;
 
-        OneRun() {
+        ModelRun() {
             for (int i = 0; i < MEMBERS; i++) {
-                begin(i, 1_000);
+                startMember(i, 1_000);
             }
             for (int i = 0; i < JOIN_STEPS; i++) {
                 step();
                 deliverAll();
             }
-            before = lives();
+            previousIncarnations = knownIncarnations();
             joined = true;
         }
 
-        private MemberAddress at(int i) {
+        private MemberAddress address(int i) {
             return new MemberAddress(1 + i, 1);
         }
 
-        private void begin(int i, long start) {
+        private void startMember(int i, long start) {
             String name = "m" + i;
             startedAt.put(name, now);
             Membership.Output out = new Membership.Output() {
                 @Override
                 public void send(MemberAddress to, Message message) {
-                    spoken.computeIfAbsent(name, n -> new HashSet<>())
+                    announcedIncarnations
+                            .computeIfAbsent(name, n -> new HashSet<>())
                             .add(message.sender().incarnation());
-                    if ((!joined || passes.test(name, message)) && flying.size() < IN_FLIGHT * (now == 0 ? 100 : 1)) {
-                        flying.add(new Flying(name, at(i), to, change.apply(message)));
+                    if ((!joined || sendFilter.test(name, message))
+                            && inFlight.size() < MAX_IN_FLIGHT * (now == 0 ? 100 : 1)) {
+                        inFlight.add(new InFlightMessage(name, address(i), to, messageFault.apply(message)));
                     }
                 }
 
                 @Override
                 public void onMembershipEvent(MembershipEvent event) {}
             };
-            List<MemberAddress> seeds = List.of(at(0), at(1), at(2));
-            // Chance is taken away: each draw is its least.
+            List<MemberAddress> seeds = List.of(address(0), address(1), address(2));
+            // No randomness: each draw is the least value.
             members.put(
                     name,
                     new Membership(
                             MembershipSettings.DEFAULT,
-                            new MemberIdentity(name, at(i), 0, 0),
+                            new MemberIdentity(name, address(i), 0, 0),
                             start,
                             seeds,
                             () -> 0L,
                             out));
         }
 
-        private double time(String name) {
+        private double localTime(String name) {
             return now - startedAt.get(name);
         }
 
         private void step() {
-            now += STEP;
-            members.forEach((name, membership) -> membership.onTick(time(name)));
+            now += STEP_MILLIS;
+            members.forEach((name, membership) -> membership.onTick(localTime(name)));
         }
 
-        private void deliver(Flying flying) {
+        private void deliver(InFlightMessage flying) {
             String to = "m" + (flying.to.ip() - 1);
-            members.get(to).onMessage(time(to), flying.source, flying.message);
+            members.get(to).onMessage(localTime(to), flying.source, flying.message);
         }
 
         private void deliverAll() {
-            while (!flying.isEmpty()) {
-                deliver(flying.remove(0));
+            while (!inFlight.isEmpty()) {
+                deliver(inFlight.remove(0));
             }
         }
 
         @Override
         public List<String> actions() {
             List<String> all = new ArrayList<>(List.of("time"));
-            for (int i = 0; i < Math.min(CHOICES, flying.size()); i++) {
-                all.add("deliver " + i + ": " + flying.get(i));
-                all.add("lose " + i + ": " + flying.get(i));
-                all.add("double " + i + ": " + flying.get(i));
+            for (int i = 0; i < Math.min(MAX_CHOICES, inFlight.size()); i++) {
+                all.add("deliver " + i + ": " + inFlight.get(i));
+                all.add("lose " + i + ": " + inFlight.get(i));
+                all.add("double " + i + ": " + inFlight.get(i));
             }
-            if (restarts < RESTARTS) {
+            if (restarts < MAX_RESTARTS) {
                 all.add("restart m0");
                 all.add("restart m0 with its clock set back");
             }
@@ -153,21 +155,21 @@
                 step();
             } else if (action.startsWith("restart")) {
                 restarts++;
-                before.keySet().removeIf(k -> k.startsWith("m0:"));
-                begin(0, action.endsWith("back") ? 500 : 9_000);
+                previousIncarnations.keySet().removeIf(k -> k.startsWith("m0:"));
+                startMember(0, action.endsWith("back") ? 500 : 9_000);
             } else {
                 int i = action.charAt(action.indexOf(' ') + 1) - '0';
                 switch (action.charAt(0) + "" + action.charAt(1)) {
-                    case "de" -> deliver(flying.remove(i));
-                    case "lo" -> flying.remove(i);
-                    default -> deliver(flying.get(i));
+                    case "de" -> deliver(inFlight.remove(i));
+                    case "lo" -> inFlight.remove(i);
+                    default -> deliver(inFlight.get(i));
                 }
             }
             check();
         }
 
-        /** The lives that each holds of the others. */
-        private Map<String, Incarnation> lives() {
+        /** Returns the incarnation that each member knows of each other one. */
+        private Map<String, Incarnation> knownIncarnations() {
             Map<String, Incarnation> all = new HashMap<>();
             members.forEach((name, membership) -> membership
                     .others()
@@ -176,29 +178,29 @@
         }
 
         private void check() {
-            Map<String, Incarnation> after = lives();
+            Map<String, Incarnation> after = knownIncarnations();
             after.forEach((who, life) -> {
-                Incarnation old = before.get(who);
+                Incarnation old = previousIncarnations.get(who);
                 if (old != null && life.compareTo(old) < 0) {
-                    broken = "an older life has overridden a newer one: " + who;
+                    violation = "an older life has overridden a newer one: " + who;
                 }
                 String about = who.substring(3);
-                if (!spoken.getOrDefault(about, Set.of()).contains(life)) {
-                    broken = "somebody has spoken for another's incarnation: " + who + " holds " + life;
+                if (!announcedIncarnations.getOrDefault(about, Set.of()).contains(life)) {
+                    violation = "somebody has spoken for another's incarnation: " + who + " holds " + life;
                 }
             });
-            before = after;
+            previousIncarnations = after;
         }
 
         @Override
         public String broken() {
-            return broken;
+            return violation;
         }
 
         @Override
         public String state() {
-            StringBuilder out = new StringBuilder().append(restarts).append(flying);
-            members.forEach((name, membership) -> out.append('\n').append(membership.state(time(name))));
+            StringBuilder out = new StringBuilder().append(restarts).append(inFlight);
+            members.forEach((name, membership) -> out.append('\n').append(membership.state(localTime(name))));
             return out.toString();
         }
 
@@ -209,15 +211,15 @@
                 step();
             }
             deliverAll();
-            for (Map.Entry<String, Membership> e : members.entrySet()) {
-                for (MemberUpdate update : e.getValue().others()) {
+            for (Map.Entry<String, Membership> entry : members.entrySet()) {
+                for (MemberUpdate update : entry.getValue().others()) {
                     if (update.status() != MemberStatus.ALIVE) {
                         return "a live process that is heard stays " + update.status() + ": "
-                                + update.identity().name() + " to " + e.getKey();
+                                + update.identity().name() + " to " + entry.getKey();
                     }
                 }
-                if (e.getValue().present() != MEMBERS) {
-                    return e.getKey() + " does not know all";
+                if (entry.getValue().presentCount() != MEMBERS) {
+                    return entry.getKey() + " does not know all";
                 }
             }
             return null;
--- a/src/test/java/rillyard/membership/MembershipModelTest.java
+++ b/src/test/java/rillyard/membership/MembershipModelTest.java
@@ -7,24 +7,27 @@
 import rillyard.membership.Message.Kind;
 import rillyard.modelcheck.ModelChecker;
 
-/** Every order of messages, losses, doubles, restarts and time, over the very classes; -Drillyard.check.depth for more. */
+/**
+ * Explores every order of deliveries, losses, duplicates, restarts and time steps of the production classes;
+ * {@code -Drillyard.modelcheck.depth} goes deeper.
+ */
 class MembershipModelTest {
     private static final int DEPTH = Integer.getInteger("rillyard.modelcheck.depth", 7);
     private static final int STATES = Integer.getInteger("rillyard.modelcheck.states", 40_000);
     private static final int FAIR_EVERY = 100;
 
     @Test
-    void noOrderOfThingsBreaksWhatMembersMayRelyOn() {
+    void noScheduleViolatesInvariants() {
         ModelChecker.Result<String> result = new ModelChecker<>(new MembershipModel()).walk(DEPTH, STATES, FAIR_EVERY);
         System.out.println("membership model: " + result);
         assertThat(result.breach()).as(result.toString()).isNull();
         assertThat(result.states()).isGreaterThan(20_000);
     }
 
-    /** Planted: members that make their word about another count for more than its own; m0 is cut off. */
+    /** Injected fault: members increment the incarnation of a suspect; m0 is partitioned. */
     @Test
-    void oneWhoSpeaksForAnothersIncarnationIsFoundByTheShortestHistory() {
-        MembershipModel planted = new MembershipModel(
+    void forgedIncarnationIsFoundByShortestHistory() {
+        MembershipModel faulty = new MembershipModel(
                 message -> new Message(
                         message.kind(),
                         message.sequence(),
@@ -38,32 +41,33 @@
                                                 update.identity(),
                                                 update.incarnation().next(),
                                                 update.status(),
-                                                update.by())
+                                                update.reporterId())
                                         : update)
                                 .toList()),
-                (from, m) -> !from.equals("m0") && !m.target().equals("m0"));
-        ModelChecker.Result<String> result = new ModelChecker<>(planted).walk(8, STATES, 0);
+                (from, message) -> !from.equals("m0") && !message.target().equals("m0"));
+        ModelChecker.Result<String> result = new ModelChecker<>(faulty).walk(8, STATES, 0);
         assertThat(result.breach()).as(result.toString()).startsWith("somebody has spoken for another's incarnation");
         assertThat(result.history()).hasSizeLessThanOrEqualTo(8).contains("time");
     }
 
-    /** Planted: m1 and m2 never ask m0 again, and its own questions get lost. */
+    /** Injected fault: m1 and m2 never ping m0 again, and its own messages are lost. */
     @Test
-    void oneWhoStaysDeadAlthoughItLivesIsFound() {
-        MembershipModel planted = new MembershipModel(
+    void memberThatStaysDeadAlthoughItRunsIsFound() {
+        MembershipModel faulty = new MembershipModel(
                 message -> message,
-                (from, m) -> !(m.kind() == Kind.PING && m.target().equals("m0")) && !from.equals("m0"));
-        ModelChecker.Result<String> result = new ModelChecker<>(planted).walk(2, STATES, 1);
+                (from, message) ->
+                        !(message.kind() == Kind.PING && message.target().equals("m0")) && !from.equals("m0"));
+        ModelChecker.Result<String> result = new ModelChecker<>(faulty).walk(2, STATES, 1);
         assertThat(result.breach()).as(result.toString()).startsWith("a live process that is heard stays DEAD");
         assertThat(result.history()).hasSize(1);
     }
 
     @Test
-    void theWalkIsAlikeEachTime() {
-        ModelChecker.Result<String> one = new ModelChecker<>(new MembershipModel()).walk(3, STATES, 0);
-        ModelChecker.Result<String> two = new ModelChecker<>(new MembershipModel()).walk(3, STATES, 0);
-        assertThat(one).isEqualTo(two);
-        assertThat(one.whole()).isTrue();
-        assertThat(List.of(one.depth())).containsExactly(3);
+    void walkIsDeterministic() {
+        ModelChecker.Result<String> first = new ModelChecker<>(new MembershipModel()).walk(3, STATES, 0);
+        ModelChecker.Result<String> second = new ModelChecker<>(new MembershipModel()).walk(3, STATES, 0);
+        assertThat(first).isEqualTo(second);
+        assertThat(first.whole()).isTrue();
+        assertThat(List.of(first.depth())).containsExactly(3);
     }
 }
--- a/src/test/java/rillyard/membership/MembershipPropertiesTest.java
+++ b/src/test/java/rillyard/membership/MembershipPropertiesTest.java
@@ -14,12 +14,12 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.LongRange;
 
-/** Fleets of any size under any faults: once these are over all that live hold just each other. */
+/** Fleets of any size under any faults converge once the faults are over. */
 class MembershipPropertiesTest {
-    private static final double S = 1_000;
+    private static final double SECOND = 1_000;
 
-    /** What may happen. */
-    enum What {
+    /** Kinds of faults. */
+    enum Fault {
         KILL,
         RESTART,
         STOP,
@@ -29,49 +29,49 @@
         HEAL
     }
 
-    /** Something that happens to member {@code who}, and how much time (ms) passes after. */
-    record Step(What what, int who, int ms) {}
+    /** A fault of a member, and the time that passes after it. */
+    record FaultStep(Fault fault, int member, int durationMillis) {}
 
     @Provide
-    Arbitrary<List<Step>> steps() {
+    Arbitrary<List<FaultStep>> steps() {
         return Combinators.combine(
-                        Arbitraries.of(What.class),
+                        Arbitraries.of(Fault.class),
                         Arbitraries.integers().between(0, 59),
                         Arbitraries.integers().between(0, 15_000))
-                .as(Step::new)
+                .as(FaultStep::new)
                 .list()
                 .ofMinSize(1)
                 .ofMaxSize(12);
     }
 
     @Property(tries = 40, seed = "20261201")
-    void allThatLiveAreOneAgain(
+    void runningMembersConvergeAfterFaults(
             @ForAll @LongRange(min = 0, max = 1_000_000) long seed,
             @ForAll @IntRange(min = 2, max = 60) int members,
-            @ForAll("steps") List<Step> steps) {
+            @ForAll("steps") List<FaultStep> steps) {
         VirtualFleet fleet = new VirtualFleet(seed, members);
-        assertThat(fleet.untilAgreed(30 * S)).as("joined").isNotNegative();
+        assertThat(fleet.runUntilConverged(30 * SECOND)).as("join (ms)").isNotNegative();
         Map<String, Incarnation> spoken = new HashMap<>();
-        for (Step step : steps) {
-            happens(fleet, step, step.who() % members);
-            fleet.run(step.ms());
-            noLifeThatWasNotSpoken(fleet);
-            noOwnLifeGoesBack(fleet, spoken);
+        for (FaultStep step : steps) {
+            apply(fleet, step, step.member() % members);
+            fleet.run(step.durationMillis());
+            assertNoUnannouncedIncarnation(fleet);
+            assertOwnIncarnationsNeverDecrease(fleet, spoken);
         }
         heal(fleet);
-        fleet.run(15 * S); // stops are over
-        assertThat(fleet.untilAgreed(90 * S)).as("agreed").isNotNegative();
+        fleet.run(15 * SECOND); // pauses are over
+        assertThat(fleet.runUntilConverged(90 * SECOND)).as("convergence (ms)").isNotNegative();
         int deaths = fleet.deaths.size();
-        fleet.run(30 * S);
+        fleet.run(30 * SECOND);
         assertThat(fleet.deaths.subList(deaths, fleet.deaths.size()))
-                .as("deaths where nothing is wrong any more")
+                .as("deaths after all faults")
                 .isEmpty();
     }
 
-    private static void happens(VirtualFleet fleet, Step step, int who) {
-        switch (step.what()) {
+    private static void apply(VirtualFleet fleet, FaultStep step, int who) {
+        switch (step.fault()) {
             case KILL -> {
-                if (fleet.nodes.values().stream().filter(node -> !node.dead).count() > 2
+                if (fleet.nodes.values().stream().filter(node -> !node.isKilled).count() > 2
                         && who > 2) { // seeds stay, as advised
                     fleet.kill(who);
                 }
@@ -81,30 +81,30 @@
                 fleet.run(50);
                 fleet.start(who);
             }
-            case STOP -> fleet.stop(who, step.ms());
-            case CUT -> fleet.links = (a, b) -> number(a) % (2 + who % 2) == number(b) % (2 + who % 2);
-            case ONE_WAY -> fleet.links = (a, b) -> number(a) != who;
+            case STOP -> fleet.pause(who, step.durationMillis());
+            case CUT -> fleet.connectivity = (from, to) -> number(from) % (2 + who % 2) == number(to) % (2 + who % 2);
+            case ONE_WAY -> fleet.connectivity = (from, to) -> number(from) != who;
             case LOSE -> {
-                fleet.loss = 0.3;
-                fleet.doubled = 0.3;
-                fleet.delay = 40;
+                fleet.lossProbability = 0.3;
+                fleet.duplicationProbability = 0.3;
+                fleet.maxDelayMillis = 40;
             }
             case HEAL -> heal(fleet);
         }
     }
 
     private static void heal(VirtualFleet fleet) {
-        fleet.links = (a, b) -> true;
-        fleet.loss = 0;
-        fleet.doubled = 0;
-        fleet.delay = 2;
+        fleet.connectivity = (from, to) -> true;
+        fleet.lossProbability = 0;
+        fleet.duplicationProbability = 0;
+        fleet.maxDelayMillis = 2;
     }
 
     private static int number(String name) {
         return Integer.parseInt(name.substring(1));
     }
 
-    private static void noLifeThatWasNotSpoken(VirtualFleet fleet) {
+    private static void assertNoUnannouncedIncarnation(VirtualFleet fleet) {
         for (VirtualFleet.Node node : fleet.nodes.values()) {
             for (MemberUpdate update : node.member.others()) {
                 Incarnation own =
@@ -116,7 +116,7 @@
         }
     }
 
-    private static void noOwnLifeGoesBack(VirtualFleet fleet, Map<String, Incarnation> spoken) {
+    private static void assertOwnIncarnationsNeverDecrease(VirtualFleet fleet, Map<String, Incarnation> spoken) {
         for (VirtualFleet.Node node : fleet.nodes.values()) {
             Incarnation now = node.member.self().incarnation();
             Incarnation before = spoken.put(node.name, now);
