--- a/src/test/java/rillyard/membership/MembershipTest.java
+++ b/src/test/java/rillyard/membership/MembershipTest.java
@@ -7,147 +7,153 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Whole fleets on a virtual clock; the seeds stand in the calls. */
+/** The membership protocol in whole fleets on a virtual clock; random seeds are in the calls. */
 class MembershipTest {
-    private static final double S = 1_000;
+    private static final double SECOND = 1_000;
 
-    private static VirtualFleet joined(long seed, int members) {
+    private static VirtualFleet joinedFleet(long seed, int members) {
         VirtualFleet fleet = new VirtualFleet(seed, members);
-        assertThat(fleet.untilAgreed(30 * S)).as("joined").isNotNegative();
-        fleet.run(5 * S);
+        assertThat(fleet.runUntilConverged(30 * SECOND)).as("join (ms)").isNotNegative();
+        fleet.run(5 * SECOND);
         assertThat(fleet.deaths).isEmpty();
         return fleet;
     }
 
     @ParameterizedTest
     @ValueSource(ints = {2, 10, 50, 200})
-    void allFindEachOtherByThreeSeeds(int members) {
-        joined(1, members);
+    void membersFindEachOtherThroughSeeds(int members) {
+        joinedFleet(1, members);
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {0, 0.05, 0.3})
-    void aKilledMemberIsHeldDeadByAllAndNobodyElseIs(double loss) {
-        VirtualFleet fleet = joined(2, 50);
-        fleet.loss = loss;
+    void killedMemberIsReportedDeadByAllAndNoOther(double loss) {
+        VirtualFleet fleet = joinedFleet(2, 50);
+        fleet.lossProbability = loss;
         fleet.kill(7);
-        assertThat(fleet.until(40 * S, () -> fleet.allHold("m7", MemberStatus.DEAD)))
+        assertThat(fleet.runUntil(40 * SECOND, () -> fleet.allReport("m7", MemberStatus.DEAD)))
                 .as("time (ms)")
-                .isBetween(0.0, 40 * S);
-        fleet.run(60 * S);
+                .isBetween(0.0, 40 * SECOND);
+        fleet.run(60 * SECOND);
         assertThat(fleet.deaths).containsOnly("m7");
     }
 
     @Test
-    void lossDoublesAndDisorderKillNobodyInTenMinutes() {
-        VirtualFleet fleet = joined(3, 30);
-        fleet.loss = 0.3;
-        fleet.doubled = 0.3;
-        fleet.delay = 40;
-        fleet.run(600 * S);
+    void lossDuplicationAndReorderingCauseNoFalseDeathInTenMinutes() {
+        VirtualFleet fleet = joinedFleet(3, 30);
+        fleet.lossProbability = 0.3;
+        fleet.duplicationProbability = 0.3;
+        fleet.maxDelayMillis = 40;
+        fleet.run(600 * SECOND);
         assertThat(fleet.deaths).isEmpty();
     }
 
     @Test
-    void oneThatStoodStillHasNobodyDeclaredDeadAndIsBackSoon() {
-        VirtualFleet fleet = joined(4, 40);
-        fleet.stop(5, 10 * S);
-        fleet.run(10 * S);
+    void pausedProcessDeclaresNobodyDeadAndRejoinsSoon() {
+        VirtualFleet fleet = joinedFleet(4, 40);
+        fleet.pause(5, 10 * SECOND);
+        fleet.run(10 * SECOND);
         assertThat(fleet.node(6).member.others())
                 .anyMatch(update -> update.identity().name().equals("m5") && update.status() == MemberStatus.DEAD);
-        assertThat(fleet.untilAgreed(10 * S)).as("agreed").isNotNegative();
+        assertThat(fleet.runUntilConverged(10 * SECOND)).as("convergence (ms)").isNotNegative();
         assertThat(fleet.deaths).containsOnly("m5");
-        fleet.run(20 * S);
+        fleet.run(20 * SECOND);
         assertThat(fleet.deaths).containsOnly("m5");
     }
 
     @Test
-    void halvesThatWereCutApartAreOneAgain() {
-        VirtualFleet fleet = joined(5, 40);
-        fleet.links = (a, b) -> half(a) == half(b);
-        fleet.run(60 * S);
-        assertThat(fleet.node(0).member.present()).isEqualTo(20);
-        fleet.links = (a, b) -> true;
-        assertThat(fleet.untilAgreed(30 * S)).as("agreed").isNotNegative();
+    void partitionInTwoHeals() {
+        VirtualFleet fleet = joinedFleet(5, 40);
+        fleet.connectivity = (from, to) -> half(from) == half(to);
+        fleet.run(60 * SECOND);
+        assertThat(fleet.node(0).member.presentCount()).isEqualTo(20);
+        fleet.connectivity = (from, to) -> true;
+        assertThat(fleet.runUntilConverged(30 * SECOND)).as("convergence (ms)").isNotNegative();
     }
 
     @Test
-    void partsThatWereCutInThreeAreOneAgain() {
-        VirtualFleet fleet = joined(14, 45);
-        fleet.links = (a, b) -> number(a) % 3 == number(b) % 3;
-        fleet.run(60 * S);
-        assertThat(fleet.node(0).member.present()).isEqualTo(15);
-        fleet.links = (a, b) -> true;
-        assertThat(fleet.untilAgreed(30 * S)).as("agreed").isNotNegative();
+    void partitionInThreeHeals() {
+        VirtualFleet fleet = joinedFleet(14, 45);
+        fleet.connectivity = (from, to) -> number(from) % 3 == number(to) % 3;
+        fleet.run(60 * SECOND);
+        assertThat(fleet.node(0).member.presentCount()).isEqualTo(15);
+        fleet.connectivity = (from, to) -> true;
+        assertThat(fleet.runUntilConverged(30 * SECOND)).as("convergence (ms)").isNotNegative();
     }
 
-    /** Between two members that costs nobody its life; all links of one may cost its own, and it is back. */
+    /** A flapping link between two members causes no death; if all links of one flap, only it may be reported dead. */
     @Test
-    void linksThatFlapEverySecondForAMinuteTakeNobodyElse() {
-        VirtualFleet fleet = joined(15, 40);
-        fleet.links = (a, b) -> !(a.equals("m3") && b.equals("m9") || a.equals("m9") && b.equals("m3"))
-                || (long) (fleet.now / S) % 2 == 0;
-        fleet.run(60 * S);
+    void flappingLinksCauseNoFalseDeathOfOthers() {
+        VirtualFleet fleet = joinedFleet(15, 40);
+        fleet.connectivity = (from, to) -> !isLink(from, to, "m3", "m9") || (long) (fleet.now / SECOND) % 2 == 0;
+        fleet.run(60 * SECOND);
         assertThat(fleet.deaths).isEmpty();
-        fleet.links = (a, b) -> !a.equals("m9") && !b.equals("m9") || (long) (fleet.now / S) % 2 == 0;
-        fleet.run(60 * S);
-        assertThat(fleet.deaths.stream().filter(d -> !d.equals("m9"))).isEmpty();
-        fleet.links = (a, b) -> true;
-        assertThat(fleet.untilAgreed(30 * S)).as("agreed").isNotNegative();
+        fleet.connectivity =
+                (from, to) -> (!from.equals("m9") && !to.equals("m9")) || (long) (fleet.now / SECOND) % 2 == 0;
+        fleet.run(60 * SECOND);
+        assertThat(fleet.deaths.stream().filter(name -> !name.equals("m9"))).isEmpty();
+        fleet.connectivity = (from, to) -> true;
+        assertThat(fleet.runUntilConverged(30 * SECOND)).as("convergence (ms)").isNotNegative();
     }
 
     @Test
-    void twoHundredRestartedWithinASecondAreOneFleetAgain() {
-        VirtualFleet fleet = joined(16, 200);
+    void fleetRestartedWithinSecondConverges() {
+        VirtualFleet fleet = joinedFleet(16, 200);
         for (int i = 0; i < 200; i++) {
             fleet.kill(i);
             fleet.run(5);
             fleet.start(i);
         }
-        assertThat(fleet.untilAgreed(30 * S)).as("agreed").isNotNegative();
+        assertThat(fleet.runUntilConverged(30 * SECOND)).as("convergence (ms)").isNotNegative();
         assertThat(fleet.deaths).isEmpty();
     }
 
     @Test
-    void aRollingRestartATenthAtATimeCostsNobodyElseItsLife() {
-        VirtualFleet fleet = joined(17, 60);
+    void rollingRestartCausesNoFalseDeath() {
+        VirtualFleet fleet = joinedFleet(17, 60);
         for (int tenth = 0; tenth < 10; tenth++) {
             for (int i = tenth; i < 60; i += 10) {
                 fleet.kill(i);
             }
-            fleet.run(3 * S);
+            fleet.run(3 * SECOND);
             for (int i = tenth; i < 60; i += 10) {
                 fleet.start(i);
             }
-            fleet.run(2 * S);
+            fleet.run(2 * SECOND);
         }
-        assertThat(fleet.untilAgreed(30 * S)).as("agreed").isNotNegative();
+        assertThat(fleet.runUntilConverged(30 * SECOND)).as("convergence (ms)").isNotNegative();
         assertThat(fleet.deaths).isEmpty();
     }
 
-    /** The word that it lives passes one by, who alone can ask it; the others' words don't come to that one. */
+    /** The refutation does not reach one member, which can still ping the suspect, but no other member. */
     @ParameterizedTest
     @ValueSource(longs = {20, 23})
-    void aSuspectWhoseWordDoesNotComeRoundIsAskedBeforeItsTimeIsUp(long seed) {
-        VirtualFleet fleet = joined(seed, 200);
-        VirtualFleet.Node one = fleet.node(9);
-        fleet.links = (a, b) -> !a.equals("m9") && !b.equals("m9") || a.equals("m4") || b.equals("m4");
+    void suspectWhoseRefutationIsLostIsPingedBeforeTimeout(long seed) {
+        VirtualFleet fleet = joinedFleet(seed, 200);
+        VirtualFleet.Node observer = fleet.node(9);
+        fleet.connectivity =
+                (from, to) -> (!from.equals("m9") && !to.equals("m9")) || from.equals("m4") || to.equals("m4");
         MemberUpdate m4 = fleet.node(4).member.self();
         MemberUpdate suspect =
-                new MemberUpdate(m4.identity(), m4.incarnation(), MemberStatus.SUSPECT, MemberUpdate.by("m5"));
-        one.member.onMessage(
+                new MemberUpdate(m4.identity(), m4.incarnation(), MemberStatus.SUSPECT, MemberUpdate.reporterId("m5"));
+        observer.member.onMessage(
                 fleet.now,
-                fleet.node(5).at,
-                new Message(Message.Kind.NEWS, 0, 0, fleet.node(5).member.self(), "", null, List.of(suspect)));
-        assertThat(one.member.others()).contains(suspect);
-        fleet.run(40 * S);
-        assertThat(one.changes.stream()
-                        .filter(event -> event.now().status() == MemberStatus.DEAD)
-                        .map(membershipEvent -> membershipEvent.now().identity().name()))
+                fleet.node(5).address,
+                new Message(Message.Kind.GOSSIP, 0, 0, fleet.node(5).member.self(), "", null, List.of(suspect)));
+        assertThat(observer.member.others()).contains(suspect);
+        fleet.run(40 * SECOND);
+        assertThat(observer.events.stream()
+                        .filter(event -> event.update().status() == MemberStatus.DEAD)
+                        .map(membershipEvent ->
+                                membershipEvent.update().identity().name()))
                 .doesNotContain("m4");
         assertThat(fleet.node(4).member.self().incarnation().counter()).isPositive();
     }
 
+    private static boolean isLink(String from, String to, String one, String other) {
+        return (from.equals(one) && to.equals(other)) || (from.equals(other) && to.equals(one));
+    }
+
     private static int number(String name) {
         return Integer.parseInt(name.substring(1));
     }
@@ -156,105 +162,111 @@
         return Integer.parseInt(name.substring(1)) % 2;
     }
 
-    /** Heard by none: the fleet holds it dead. Hearing none: it may hold others dead, but takes nobody with it. */
+    /** A member that no other hears is reported dead; one that hears no other must not make others so. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void oneWayDeafnessCostsNobodyElseItsLife(boolean heardByNone) {
-        VirtualFleet fleet = joined(6, 40);
-        fleet.links = (a, b) -> !(heardByNone ? a : b).equals("m9");
-        fleet.run(60 * S);
+    void oneWayPartitionCausesNoFalseDeathOfOthers(boolean isSenderCut) {
+        VirtualFleet fleet = joinedFleet(6, 40);
+        fleet.connectivity = (from, to) -> !(isSenderCut ? from : to).equals("m9");
+        fleet.run(60 * SECOND);
         for (int i = 0; i < 40; i++) {
             if (i != 9) {
-                assertThat(fleet.node(i).member.present())
+                assertThat(fleet.node(i).member.presentCount())
                         .as("members that m%d holds", i)
                         .isGreaterThanOrEqualTo(39);
             }
         }
-        fleet.links = (a, b) -> true;
-        assertThat(fleet.untilAgreed(30 * S)).as("agreed").isNotNegative();
+        fleet.connectivity = (from, to) -> true;
+        assertThat(fleet.runUntilConverged(30 * SECOND)).as("convergence (ms)").isNotNegative();
     }
 
     @Test
-    void seventyOfAHundredKilledAtOnceAreHeldDeadAndTheRestLives() {
-        VirtualFleet fleet = joined(7, 100);
+    void massFailureIsDetectedAndSurvivorsConverge() {
+        VirtualFleet fleet = joinedFleet(7, 100);
         for (int i = 0; i < 70; i++) {
             fleet.kill(i);
         }
-        assertThat(fleet.untilAgreed(120 * S)).as("agreed").isNotNegative();
+        assertThat(fleet.runUntilConverged(120 * SECOND)).as("convergence (ms)").isNotNegative();
         assertThat(fleet.deaths).doesNotContain("m70", "m85", "m99");
     }
 
     @Test
-    void aNewLifeUnderTheOldNameAndAddressIsHeldAtOnceAndAnOldWordChangesNothing() {
-        VirtualFleet fleet = joined(8, 20);
+    void restartedMemberIsAcceptedAndOutdatedUpdatesAreIgnored() {
+        VirtualFleet fleet = joinedFleet(8, 20);
         MemberUpdate old = fleet.node(4).member.self();
         fleet.kill(4);
-        fleet.run(1 * S);
+        fleet.run(1 * SECOND);
         fleet.start(4);
-        assertThat(fleet.untilAgreed(10 * S)).as("agreed").isNotNegative();
-        fleet.run(30 * S);
+        assertThat(fleet.runUntilConverged(10 * SECOND)).as("convergence (ms)").isNotNegative();
+        fleet.run(30 * SECOND);
         MemberUpdate now = fleet.node(4).member.self();
         assertThat(now.incarnation().startedAtMillis())
                 .isGreaterThan(old.incarnation().startedAtMillis());
         Membership other = fleet.node(5).member;
         for (MemberStatus status : MemberStatus.values()) {
-            MemberUpdate late = new MemberUpdate(old.identity(), old.incarnation(), status, old.by());
+            MemberUpdate late = new MemberUpdate(old.identity(), old.incarnation(), status, old.reporterId());
             other.onMessage(
                     fleet.now,
-                    fleet.node(6).at,
-                    new Message(Message.Kind.NEWS, 0, 0, fleet.node(6).member.self(), "", null, List.of(late)));
+                    fleet.node(6).address,
+                    new Message(Message.Kind.GOSSIP, 0, 0, fleet.node(6).member.self(), "", null, List.of(late)));
         }
         assertThat(other.others()).contains(now);
     }
 
     @Test
-    void aProcessWhoseClockWasSetBackBetweenItsLivesIsBackAllTheSame() {
-        VirtualFleet fleet = joined(12, 10);
+    void memberRestartedWithClockSetBackRejoins() {
+        VirtualFleet fleet = joinedFleet(12, 10);
         fleet.kill(4);
-        fleet.run(1 * S);
-        fleet.clock -= 600_000;
+        fleet.run(1 * SECOND);
+        fleet.clockOffsetMillis -= 600_000;
         fleet.start(4);
-        fleet.clock += 600_000;
-        assertThat(fleet.untilAgreed(30 * S)).as("agreed").isNotNegative();
+        fleet.clockOffsetMillis += 600_000;
+        assertThat(fleet.runUntilConverged(30 * SECOND)).as("convergence (ms)").isNotNegative();
     }
 
     @Test
-    void oneThatLeavesIsGoneWithoutBeingSuspected() {
-        VirtualFleet fleet = joined(9, 20);
+    void leavingMemberIsNeverSuspected() {
+        VirtualFleet fleet = joinedFleet(9, 20);
         fleet.node(3).member.leave(fleet.now);
         fleet.kill(3);
-        assertThat(fleet.untilAgreed(5 * S)).as("agreed").isNotNegative();
+        assertThat(fleet.runUntilConverged(5 * SECOND)).as("convergence (ms)").isNotNegative();
         assertThat(fleet.deaths).isEmpty();
     }
 
     @Test
-    void aLiarCanNeitherKillForLongNorSpeakForOthersNorUseUpTheIncarnations() {
-        VirtualFleet fleet = joined(10, 20);
-        VirtualFleet.Node liar = fleet.node(0);
+    void forgedUpdatesAreRefutedOrIgnored() {
+        VirtualFleet fleet = joinedFleet(10, 20);
+        VirtualFleet.Node forger = fleet.node(0);
         VirtualFleet.Node victim = fleet.node(1);
         for (int round = 0; round < 50; round++) {
             for (VirtualFleet.Node node : fleet.nodes.values()) {
                 MemberUpdate dead = new MemberUpdate(
                         victim.member.self().identity(), victim.member.self().incarnation(), MemberStatus.DEAD, 1);
-                MemberUpdate end = new MemberUpdate(
+                MemberUpdate lastIncarnation = new MemberUpdate(
                         dead.identity(),
-                        new Incarnation(dead.incarnation().startedAtMillis(), Incarnation.MAX_INCARNATION),
+                        new Incarnation(dead.incarnation().startedAtMillis(), Incarnation.MAX_COUNTER),
                         MemberStatus.DEAD,
                         1);
                 MemberUpdate future = new MemberUpdate(
-                        dead.identity(), new Incarnation(Incarnation.MAX_START, 0), MemberStatus.DEAD, 1);
-                if (node != liar) {
+                        dead.identity(), new Incarnation(Incarnation.MAX_STARTED_AT_MILLIS, 0), MemberStatus.DEAD, 1);
+                if (node != forger) {
                     node.member.onMessage(
                             fleet.now - node.startedAt,
-                            liar.at,
+                            forger.address,
                             new Message(
-                                    Message.Kind.NEWS, 0, 0, liar.member.self(), "", null, List.of(dead, end, future)));
-                    // In the name of another, from the liar's own place.
+                                    Message.Kind.GOSSIP,
+                                    0,
+                                    0,
+                                    forger.member.self(),
+                                    "",
+                                    null,
+                                    List.of(dead, lastIncarnation, future)));
+                    // In the name of another member, from the forger's own address.
                     node.member.onMessage(
                             fleet.now - node.startedAt,
-                            liar.at,
+                            forger.address,
                             new Message(
-                                    Message.Kind.NEWS,
+                                    Message.Kind.GOSSIP,
                                     0,
                                     0,
                                     new MemberUpdate(
@@ -275,29 +287,31 @@
             }
             fleet.run(100);
         }
-        assertThat(fleet.untilAgreed(15 * S)).as("agreed").isNotNegative();
+        assertThat(fleet.runUntilConverged(15 * SECOND)).as("convergence (ms)").isNotNegative();
         assertThat(victim.member.self().incarnation().counter()).isBetween(1, 200);
         assertThat(fleet.node(2).member.self().incarnation().counter()).isZero();
     }
 
-    /** Its successor has another address: nobody writes to the old one any more, until it writes itself. */
+    /** The successor has another address: no member sends to the old one until it sends itself. */
     @Test
-    void oneThatWasReplacedWhileItStoodStillFallsSilentSoonAfterItWakes() {
-        VirtualFleet fleet = joined(13, 20);
+    void memberReplacedDuringPauseFallsSilentAfterIt() {
+        VirtualFleet fleet = joinedFleet(13, 20);
         VirtualFleet.Node old = fleet.node(4);
-        fleet.stop(4, 20 * S);
-        fleet.run(10 * S);
+        fleet.pause(4, 20 * SECOND);
+        fleet.run(10 * SECOND);
         VirtualFleet.Node successor = fleet.startElsewhere(4, 90);
-        fleet.run(10 * S);
-        assertThat(fleet.until(10 * S, old.member::hasLeft)).as("time (ms)").isNotNegative();
+        fleet.run(10 * SECOND);
+        assertThat(fleet.runUntil(10 * SECOND, old.member::hasLeft))
+                .as("time (ms)")
+                .isNotNegative();
         assertThat(successor.member.hasLeft()).isFalse();
-        fleet.run(10 * S);
+        fleet.run(10 * SECOND);
         assertThat(fleet.node(6).member.others()).contains(successor.member.self());
     }
 
     @Test
-    void aLaterProcessOfTheSameNameSilencesTheOldOneThatWakes() {
-        VirtualFleet fleet = joined(11, 10);
+    void laterProcessOfSameNameSilencesEarlierOne() {
+        VirtualFleet fleet = joinedFleet(11, 10);
         Membership old = fleet.node(2).member;
         MemberIdentity moved = new MemberIdentity("m2", new MemberAddress(0x7F00FF01, 4_000), 0, 0);
         MemberUpdate later = new MemberUpdate(
--- a/src/test/java/rillyard/membership/MessageCodecTest.java
+++ b/src/test/java/rillyard/membership/MessageCodecTest.java
@@ -10,14 +10,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
+/** Encoding and decoding of datagrams, hostile ones included. */
 class MessageCodecTest {
     private static final long SEED = 20_261_201;
-    private static final int HOSTILE = 1_000_000;
+    private static final int HOSTILE_DATAGRAMS = 1_000_000;
 
-    private static MemberUpdate word(String name, MemberStatus status) {
+    private static MemberUpdate update(String name, MemberStatus status) {
         return new MemberUpdate(
                 new MemberIdentity(name, new MemberAddress(0xC0A80001, 65_535), 255, 7),
-                new Incarnation(Incarnation.MAX_START, Incarnation.MAX_INCARNATION),
+                new Incarnation(Incarnation.MAX_STARTED_AT_MILLIS, Incarnation.MAX_COUNTER),
                 status,
                 65_535);
     }
@@ -27,41 +28,46 @@
                 kind,
                 -5,
                 77,
-                word("a", MemberStatus.ALIVE),
+                update("a", MemberStatus.ALIVE),
                 "sixteen-letters!",
-                kind == Message.Kind.ASK_FOR_ME ? new MemberAddress(1, 1) : null,
-                List.of(word("b", MemberStatus.SUSPECT), word("c", MemberStatus.DEAD), word("d", MemberStatus.LEFT)));
+                kind == Message.Kind.PING_REQUEST ? new MemberAddress(1, 1) : null,
+                List.of(
+                        update("b", MemberStatus.SUSPECT),
+                        update("c", MemberStatus.DEAD),
+                        update("d", MemberStatus.LEFT)));
     }
 
     @ParameterizedTest
     @EnumSource(Message.Kind.class)
-    void whatIsWrittenIsReadAlikeAtTheEndsOfAllRanges(Message.Kind kind) {
-        Message m = message(kind);
-        assertThat(MessageCodec.decode(MessageCodec.encode(m, MessageCodec.MAX_BYTES)))
-                .isEqualTo(m);
-        int words = m.updates().stream().mapToInt(MessageCodec::size).sum();
-        assertThat(MessageCodec.encode(m, MessageCodec.MAX_BYTES))
-                .hasSize(MessageCodec.emptySize(m.sender(), m.target(), m.targetAt() != null) + words);
+    void encodedMessageIsDecodedUnchangedAtLimits(Message.Kind kind) {
+        Message message = message(kind);
+        assertThat(MessageCodec.decode(MessageCodec.encode(message, MessageCodec.MAX_BYTES)))
+                .isEqualTo(message);
+        int updateBytes =
+                message.updates().stream().mapToInt(MessageCodec::size).sum();
+        assertThat(MessageCodec.encode(message, MessageCodec.MAX_BYTES))
+                .hasSize(MessageCodec.emptySize(message.sender(), message.target(), message.targetAt() != null)
+                        + updateBytes);
     }
 
     @Test
-    void whatIsCutOffAnywhereWithinAWordIsTurnedAway() {
-        Message message = new Message(Message.Kind.PING, 1, 2, word("a", MemberStatus.ALIVE), "b", null, List.of());
-        byte[] whole = MessageCodec.encode(message, MessageCodec.MAX_BYTES);
-        for (int n = 0; n < whole.length; n++) {
-            byte[] part = Arrays.copyOf(whole, n);
-            assertThatThrownBy(() -> MessageCodec.decode(part)).isInstanceOf(IllegalArgumentException.class);
+    void truncatedMessageIsRejected() {
+        Message message = new Message(Message.Kind.PING, 1, 2, update("a", MemberStatus.ALIVE), "b", null, List.of());
+        byte[] complete = MessageCodec.encode(message, MessageCodec.MAX_BYTES);
+        for (int length = 0; length < complete.length; length++) {
+            byte[] truncated = Arrays.copyOf(complete, length);
+            assertThatThrownBy(() -> MessageCodec.decode(truncated)).isInstanceOf(IllegalArgumentException.class);
         }
     }
 
-    /** Bytes at random, and good datagrams with some bytes changed: read, or turned away in words, never else. */
+    /** Random bytes, and valid datagrams with some bytes changed, are decoded or rejected with a reason. */
     @Test
-    void hostileBytesAreTurnedAwayOrReadAndChangeNothingThatIsNotTheirs() {
+    void hostileBytesAreRejectedOrHarmless() {
         SplittableRandom random = new SplittableRandom(SEED);
         VirtualFleet fleet = new VirtualFleet(SEED, 3);
         fleet.run(5_000);
         VirtualFleet.Node node = fleet.node(0);
-        byte[] good = MessageCodec.encode(
+        byte[] valid = MessageCodec.encode(
                 new Message(
                         Message.Kind.PING,
                         1,
@@ -79,27 +85,27 @@
                                 60_000,
                                 new byte[] {1}))),
                 MessageCodec.MAX_BYTES);
-        int read = 0;
-        for (int i = 0; i < HOSTILE; i++) {
-            byte[] b = good.clone();
+        int decoded = 0;
+        for (int i = 0; i < HOSTILE_DATAGRAMS; i++) {
+            byte[] datagram = valid.clone();
             if (i % 2 == 0) {
-                b = new byte[random.nextInt(300)];
-                random.nextBytes(b);
+                datagram = new byte[random.nextInt(300)];
+                random.nextBytes(datagram);
             } else {
                 for (int k = 0; k <= random.nextInt(4); k++) {
-                    b[random.nextInt(b.length)] = (byte) random.nextInt(256);
+                    datagram[random.nextInt(datagram.length)] = (byte) random.nextInt(256);
                 }
             }
             try {
-                Message message = MessageCodec.decode(b);
-                read++;
+                Message message = MessageCodec.decode(datagram);
+                decoded++;
                 node.member.onMessage(fleet.now, message.sender().identity().address(), message);
             } catch (IllegalArgumentException e) {
                 assertThat(e).hasMessageNotContaining("null");
             }
         }
-        assertThat(read).as("seed %d", SEED).isBetween(1, HOSTILE / 2);
+        assertThat(decoded).as("seed %d", SEED).isBetween(1, HOSTILE_DATAGRAMS / 2);
         assertThat(node.member.others()).hasSizeLessThanOrEqualTo(fleet.settings.maxMembers());
-        assertThat(node.member.self().incarnation().counter()).isLessThan(Incarnation.MAX_INCARNATION);
+        assertThat(node.member.self().incarnation().counter()).isLessThan(Incarnation.MAX_COUNTER);
     }
 }
--- a/src/test/java/rillyard/membership/VirtualFleet.java
+++ b/src/test/java/rillyard/membership/VirtualFleet.java
@@ -12,32 +12,32 @@
 import java.util.function.BiPredicate;
 import java.util.function.BooleanSupplier;
 
-/** Members on a virtual clock, every datagram written to bytes and read again, with faults between them. */
+/** Members on a virtual clock; every datagram is encoded and decoded, and faults can be injected between them. */
 final class VirtualFleet {
-    /** Unix time (ms) at which the clock begins. */
-    private static final long BEGIN = 1_700_000_000_000L;
+    /** Unix time at which the clock begins. */
+    private static final long START_UNIX_MILLIS = 1_700_000_000_000L;
 
-    private static final double TICK = 20;
+    private static final double TICK_MILLIS = 20;
 
-    private record Event(double at, long order, Runnable what) {}
+    private record Event(double at, long order, Runnable action) {}
 
     /** One process. */
     final class Node implements Membership.Output {
         final String name;
         final double startedAt = now;
-        final MemberAddress at;
+        final MemberAddress address;
         final Membership member;
-        final List<MembershipEvent> changes = new ArrayList<>();
-        double stoppedUntil;
-        boolean dead;
+        final List<MembershipEvent> events = new ArrayList<>();
+        double pausedUntil;
+        boolean isKilled;
 
         Node(String name, int index) {
             this.name = name;
-            this.at = new MemberAddress(0x7F000001 + index, 4_000);
+            this.address = new MemberAddress(0x7F000001 + index, 4_000);
             this.member = new Membership(
                     settings,
-                    new MemberIdentity(name, at, index % 3, 0),
-                    BEGIN + (long) now + clock,
+                    new MemberIdentity(name, address, index % 3, 0),
+                    START_UNIX_MILLIS + (long) now + clockOffsetMillis,
                     seeds,
                     random.split(),
                     this);
@@ -48,51 +48,52 @@
         }
 
         private void tick() {
-            if (!dead) {
-                if (now >= stoppedUntil) {
+            if (!isKilled) {
+                if (now >= pausedUntil) {
                     member.onTick(time());
                 }
-                after(TICK * (0.9 + 0.2 * random.nextDouble()), this::tick);
+                schedule(TICK_MILLIS * (0.9 + 0.2 * random.nextDouble()), this::tick);
             }
         }
 
         @Override
         public void send(MemberAddress to, Message message) {
             byte[] bytes = MessageCodec.encode(message, MessageCodec.MAX_BYTES);
-            sent++;
+            sentDatagrams++;
             sentBytes += bytes.length;
-            int copies = random.nextDouble() < loss ? 0 : random.nextDouble() < doubled ? 2 : 1;
+            int copies =
+                    random.nextDouble() < lossProbability ? 0 : random.nextDouble() < duplicationProbability ? 2 : 1;
             for (int i = 0; i < copies; i++) {
-                after(0.2 + random.nextDouble() * delay, () -> deliver(to, bytes));
+                schedule(0.2 + random.nextDouble() * maxDelayMillis, () -> deliver(to, bytes));
             }
         }
 
         private void deliver(MemberAddress to, byte[] bytes) {
             Node node = byAddress.get(to);
-            if (node == null || node.dead || !links.test(name, node.name)) {
+            if (node == null || node.isKilled || !connectivity.test(name, node.name)) {
                 return;
             }
-            if (now < node.stoppedUntil) {
-                after(node.stoppedUntil - now + 0.1, () -> deliver(to, bytes)); // it lies in its socket
+            if (now < node.pausedUntil) {
+                schedule(node.pausedUntil - now + 0.1, () -> deliver(to, bytes)); // it waits in the socket
             } else {
-                node.member.onMessage(node.time(), at, shared(MessageCodec.decode(bytes)));
+                node.member.onMessage(node.time(), address, intern(MessageCodec.decode(bytes)));
             }
         }
 
         @Override
         public void onMembershipEvent(MembershipEvent event) {
-            if (large) {
+            if (isLarge) {
                 deaths.addAll(
-                        event.now().status() == MemberStatus.DEAD
-                                ? List.of(event.now().identity().name())
+                        event.update().status() == MemberStatus.DEAD
+                                ? List.of(event.update().identity().name())
                                 : List.of());
                 return;
             }
-            changes.add(event);
-            history.add(name + " holds " + event.now().identity().name() + " "
-                    + event.now().status() + " at " + (long) now);
-            if (event.now().status() == MemberStatus.DEAD) {
-                deaths.add(event.now().identity().name());
+            events.add(event);
+            history.add(name + " holds " + event.update().identity().name() + " "
+                    + event.update().status() + " at " + (long) now);
+            if (event.update().status() == MemberStatus.DEAD) {
+                deaths.add(event.update().identity().name());
             }
         }
     }
@@ -100,29 +101,29 @@
     final MembershipSettings settings;
     final SplittableRandom random;
     final List<String> history = new ArrayList<>();
-    /** Names that anyone came to hold dead, once for each who did. */
+    /** Names of members that were reported dead, once for each member that reported it. */
     final List<String> deaths = new ArrayList<>();
 
     final Map<String, Node> nodes = new LinkedHashMap<>();
     private final Map<MemberAddress, Node> byAddress = new HashMap<>();
     private final List<MemberAddress> seeds = new ArrayList<>();
-    private final Map<MemberUpdate, MemberUpdate> words = new HashMap<>();
-    /** No histories are kept then. */
-    private final boolean large;
+    private final Map<MemberUpdate, MemberUpdate> internedUpdates = new HashMap<>();
+    /** Whether the fleet is so large that no histories are kept. */
+    private final boolean isLarge;
 
     private final PriorityQueue<Event> events =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
-    private long order;
+    private long nextEventOrder;
     double now;
-    /** What the wall clock is ahead by (ms), at the start of the next process. */
-    long clock;
+    /** Offset of the wall clock at the start of the next process. */
+    long clockOffsetMillis;
 
-    double loss;
-    double doubled;
-    double delay = 2;
-    long sent;
+    double lossProbability;
+    double duplicationProbability;
+    double maxDelayMillis = 2;
+    long sentDatagrams;
     long sentBytes;
-    BiPredicate<String, String> links = (from, to) -> true;
+    BiPredicate<String, String> connectivity = (from, to) -> true;
 
     VirtualFleet(long seed, int members) {
         this(seed, members, MembershipSettings.DEFAULT);
@@ -131,7 +132,7 @@
     VirtualFleet(long seed, int members, MembershipSettings settings) {
         this.random = new SplittableRandom(seed);
         this.settings = settings;
-        this.large = members > 500;
+        this.isLarge = members > 500;
         for (int i = 0; i < Math.min(3, members); i++) {
             seeds.add(new MemberAddress(0x7F000001 + i, 4_000));
         }
@@ -148,7 +149,7 @@
         return nodes.get(name(i));
     }
 
-    /** Starts member {@code i}, also in the place of one that ended. */
+    /** Starts member {@code i}, also in place of one that ended. */
     Node start(int i) {
         return startElsewhere(i, i);
     }
@@ -157,66 +158,66 @@
     Node startElsewhere(int i, int place) {
         Node node = new Node(name(i), place);
         nodes.put(node.name, node);
-        byAddress.put(node.at, node);
-        after(random.nextDouble() * TICK, node::tick);
+        byAddress.put(node.address, node);
+        schedule(random.nextDouble() * TICK_MILLIS, node::tick);
         return node;
     }
 
     void kill(int i) {
-        node(i).dead = true;
+        node(i).isKilled = true;
     }
 
-    void stop(int i, double ms) {
-        node(i).stoppedUntil = now + ms;
+    void pause(int i, double ms) {
+        node(i).pausedUntil = now + ms;
     }
 
-    void after(double ms, Runnable what) {
-        events.add(new Event(now + ms, order++, what));
+    void schedule(double ms, Runnable what) {
+        events.add(new Event(now + ms, nextEventOrder++, what));
     }
 
-    /** In large fleets all members hold one object for one word: millions of them would not fit otherwise. */
-    private Message shared(Message message) {
-        if (!large) {
+    /** Shares equal updates among the members of large fleets, as millions of them would not fit into memory. */
+    private Message intern(Message message) {
+        if (!isLarge) {
             return message;
         }
-        List<MemberUpdate> news = message.updates().stream().map(this::shared).toList();
+        List<MemberUpdate> news = message.updates().stream().map(this::intern).toList();
         return new Message(
                 message.kind(),
                 message.sequence(),
                 message.digest(),
-                shared(message.sender()),
+                intern(message.sender()),
                 message.target(),
                 message.targetAt(),
                 news,
                 message.attributes());
     }
 
-    private MemberUpdate shared(MemberUpdate update) {
-        return words.computeIfAbsent(update, memberUpdate -> memberUpdate);
+    private MemberUpdate intern(MemberUpdate update) {
+        return internedUpdates.computeIfAbsent(update, memberUpdate -> memberUpdate);
     }
 
-    /** Lets time pass. */
+    /** Runs for so many milliseconds. */
     void run(double ms) {
         double until = now + ms;
         Event event;
         while ((event = events.peek()) != null && event.at <= until) {
             events.poll();
             now = event.at;
-            event.what.run();
+            event.action.run();
         }
         now = until;
     }
 
-    /** Lets time pass until all that live hold just those that live; returns how long it took, or -1. */
-    double untilAgreed(double most) {
-        return until(most, this::agreed);
+    /** Runs until all running members know just the running ones; returns the milliseconds it took, or -1. */
+    double runUntilConverged(double maxMillis) {
+        return runUntil(maxMillis, this::hasConverged);
     }
 
-    /** Lets time pass until this holds; returns how long it took, or -1. */
-    double until(double most, BooleanSupplier what) {
+    /** Runs until a condition holds; returns the milliseconds it took, or -1. */
+    double runUntil(double maxMillis, BooleanSupplier condition) {
         double from = now;
-        while (now - from < most) {
-            if (what.getAsBoolean()) {
+        while (now - from < maxMillis) {
+            if (condition.getAsBoolean()) {
                 return now - from;
             }
             run(50);
@@ -224,29 +225,29 @@
         return -1;
     }
 
-    /** Whether all that live hold this of one member. */
-    boolean allHold(String name, MemberStatus status) {
+    /** Returns whether all other running members have this status of one member. */
+    boolean allReport(String name, MemberStatus status) {
         return nodes.values().stream()
-                .filter(node -> !node.dead && !node.name.equals(name))
-                .allMatch(n -> n.member.others().stream()
+                .filter(node -> !node.isKilled && !node.name.equals(name))
+                .allMatch(node -> node.member.others().stream()
                         .anyMatch(update -> update.identity().name().equals(name) && update.status() == status));
     }
 
-    boolean agreed() {
-        Set<String> living = new HashSet<>();
-        nodes.values().stream().filter(node -> !node.dead).forEach(n -> living.add(n.name));
-        for (Node n : nodes.values()) {
-            if (!n.dead) {
-                Set<String> held = new HashSet<>();
-                for (MemberUpdate update : n.member.others()) {
+    boolean hasConverged() {
+        Set<String> running = new HashSet<>();
+        nodes.values().stream().filter(node -> !node.isKilled).forEach(node -> running.add(node.name));
+        for (Node node : nodes.values()) {
+            if (!node.isKilled) {
+                Set<String> known = new HashSet<>();
+                for (MemberUpdate update : node.member.others()) {
                     if (update.status() == MemberStatus.SUSPECT) {
                         return false;
                     } else if (update.status() == MemberStatus.ALIVE) {
-                        held.add(update.identity().name());
+                        known.add(update.identity().name());
                     }
                 }
-                held.add(n.name);
-                if (!held.equals(living)) {
+                known.add(node.name);
+                if (!known.equals(running)) {
                     return false;
                 }
             }
--- a/src/test/java/rillyard/membership/net/DatagramCipherTest.java
+++ b/src/test/java/rillyard/membership/net/DatagramCipherTest.java
@@ -8,86 +8,87 @@
 import org.junit.jupiter.api.Test;
 import rillyard.membership.MemberAddress;
 
+/** Sealing and opening of datagrams, replays and key changes. */
 class DatagramCipherTest {
     private static final MemberAddress A = new MemberAddress(0x0A010004, 7_400);
     private static final MemberAddress B = new MemberAddress(0x0A020004, 7_400);
-    private static final byte[] WORD = {1, 2, 3};
+    private static final byte[] PLAIN = {1, 2, 3};
 
     private static byte[] key(int fill) {
-        byte[] k = new byte[32];
-        Arrays.fill(k, (byte) fill);
-        return k;
+        byte[] key = new byte[32];
+        Arrays.fill(key, (byte) fill);
+        return key;
     }
 
-    private static DatagramCipher seal(MemberAddress at, long start, int... keys) {
+    private static DatagramCipher cipher(MemberAddress at, long start, int... keys) {
         return new DatagramCipher(
                 Arrays.stream(keys).mapToObj(DatagramCipherTest::key).toList(), at, start, 100);
     }
 
     @Test
-    void whatIsSealedIsOpenedOnceAndByItsSendersAddressOnly() {
-        DatagramCipher cipher = seal(A, 1_000, 1);
-        DatagramCipher datagramCipher = seal(B, 1_000, 1);
-        byte[] sealed = cipher.seal(WORD);
-        assertThat(sealed).hasSize(WORD.length + DatagramCipher.BYTES);
-        assertThatThrownBy(() -> datagramCipher.open(B, sealed))
+    void sealedDatagramIsOpenedOnceAndForItsSenderAddressOnly() {
+        DatagramCipher sender = cipher(A, 1_000, 1);
+        DatagramCipher receiver = cipher(B, 1_000, 1);
+        byte[] sealed = sender.seal(PLAIN);
+        assertThat(sealed).hasSize(PLAIN.length + DatagramCipher.OVERHEAD_BYTES);
+        assertThatThrownBy(() -> receiver.open(B, sealed))
                 .hasMessageContaining("no key of this fleet for that address");
-        assertThat(datagramCipher.open(A, sealed)).isEqualTo(WORD);
-        assertThatThrownBy(() -> datagramCipher.open(A, sealed)).hasMessageContaining("opened before");
+        assertThat(receiver.open(A, sealed)).isEqualTo(PLAIN);
+        assertThatThrownBy(() -> receiver.open(A, sealed)).hasMessageContaining("opened before");
     }
 
     @Test
-    void lateOnesAreOpenedWithinTheWindowAndNotBehindIt() {
-        DatagramCipher cipher = seal(A, 1_000, 1);
-        DatagramCipher datagramCipher = seal(B, 1_000, 1);
-        byte[] first = cipher.seal(WORD);
-        byte[] second = cipher.seal(WORD);
-        byte[] third = cipher.seal(WORD);
-        datagramCipher.open(A, third);
-        assertThat(datagramCipher.open(A, second)).isEqualTo(WORD);
-        assertThatThrownBy(() -> datagramCipher.open(A, second)).hasMessageContaining("opened before");
+    void lateDatagramsAreOpenedWithinReplayWindowOnly() {
+        DatagramCipher sender = cipher(A, 1_000, 1);
+        DatagramCipher receiver = cipher(B, 1_000, 1);
+        byte[] first = sender.seal(PLAIN);
+        byte[] second = sender.seal(PLAIN);
+        byte[] third = sender.seal(PLAIN);
+        receiver.open(A, third);
+        assertThat(receiver.open(A, second)).isEqualTo(PLAIN);
+        assertThatThrownBy(() -> receiver.open(A, second)).hasMessageContaining("opened before");
         byte[] newest = third;
         for (int i = 0; i < 64; i++) {
-            newest = cipher.seal(WORD);
+            newest = sender.seal(PLAIN);
         }
-        datagramCipher.open(A, newest);
-        assertThatThrownBy(() -> datagramCipher.open(A, first)).hasMessageContaining("opened before");
+        receiver.open(A, newest);
+        assertThatThrownBy(() -> receiver.open(A, first)).hasMessageContaining("opened before");
     }
 
     @Test
-    void whatAnOlderProcessOfThatAddressSealedIsTurnedAway() {
-        DatagramCipher before = seal(A, 1_000, 1);
-        byte[] recorded = before.seal(WORD);
-        DatagramCipher cipher = seal(B, 1_000, 1);
-        cipher.open(A, seal(A, 2_000, 1).seal(WORD));
+    void datagramOfEarlierProcessIsRejected() {
+        DatagramCipher before = cipher(A, 1_000, 1);
+        byte[] recorded = before.seal(PLAIN);
+        DatagramCipher cipher = cipher(B, 1_000, 1);
+        cipher.open(A, cipher(A, 2_000, 1).seal(PLAIN));
         assertThatThrownBy(() -> cipher.open(A, recorded)).hasMessageContaining("older process");
     }
 
     @Test
-    void aFleetChangesItsKeyInTwoRounds() {
-        DatagramCipher old = seal(A, 1_000, 1);
-        DatagramCipher both = seal(B, 1_000, 1, 2);
-        DatagramCipher fresh = seal(A, 2_000, 2, 1);
-        assertThat(both.open(A, old.seal(WORD))).isEqualTo(WORD);
-        assertThat(both.open(A, fresh.seal(WORD))).isEqualTo(WORD);
-        assertThat(fresh.open(B, both.seal(WORD))).isEqualTo(WORD);
-        assertThatThrownBy(() -> old.open(A, fresh.seal(WORD))).hasMessageContaining("no key");
+    void fleetChangesItsKeyInTwoRounds() {
+        DatagramCipher old = cipher(A, 1_000, 1);
+        DatagramCipher both = cipher(B, 1_000, 1, 2);
+        DatagramCipher fresh = cipher(A, 2_000, 2, 1);
+        assertThat(both.open(A, old.seal(PLAIN))).isEqualTo(PLAIN);
+        assertThat(both.open(A, fresh.seal(PLAIN))).isEqualTo(PLAIN);
+        assertThat(fresh.open(B, both.seal(PLAIN))).isEqualTo(PLAIN);
+        assertThatThrownBy(() -> old.open(A, fresh.seal(PLAIN))).hasMessageContaining("no key");
     }
 
     @Test
-    void anyByteChangedIsTurnedAwayAndTakesNoPlace() {
-        DatagramCipher cipher = seal(B, 1_000, 1);
-        byte[] good = seal(A, 1_000, 1).seal(WORD);
+    void modifiedDatagramIsRejectedAndNotRecorded() {
+        DatagramCipher cipher = cipher(B, 1_000, 1);
+        byte[] good = cipher(A, 1_000, 1).seal(PLAIN);
         for (int i = 0; i < good.length; i++) {
             byte[] bad = good.clone();
             bad[i] ^= 1;
             assertThatThrownBy(() -> cipher.open(A, bad)).isInstanceOf(IllegalArgumentException.class);
         }
-        assertThat(cipher.open(A, good)).isEqualTo(WORD);
+        assertThat(cipher.open(A, good)).isEqualTo(PLAIN);
     }
 
     @Test
-    void keysOfAnotherLengthAreNone() {
+    void keysOfWrongLengthOrNumberAreRejected() {
         assertThatThrownBy(() -> new DatagramCipher(List.of(new byte[16]), A, 1, 10))
                 .hasMessageContaining("32 bytes");
         assertThatThrownBy(() -> new DatagramCipher(List.of(), A, 1, 10)).hasMessageContaining("one or two keys");
--- a/src/test/java/rillyard/membership/net/FleetConfigReaderTest.java
+++ b/src/test/java/rillyard/membership/net/FleetConfigReaderTest.java
@@ -10,7 +10,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import rillyard.config.InvalidConfigException;
+import rillyard.membership.MembershipSettings;
 
+/** Reading of a member's configuration, and its problems. */
 class FleetConfigReaderTest {
     @TempDir
     Path folder;
@@ -21,27 +23,27 @@
     }
 
     @Test
-    void theFileUnderDeployIsRight() throws Exception {
+    void deployedFileIsValid() throws Exception {
         FleetConfig config = FleetConfigReader.read(Path.of("deploy/fleet.toml"), Map.of("BALANCER_NAME", "app-17"));
         assertThat(config.identity().name()).isEqualTo("app-17");
         assertThat(config.seeds()).hasSize(3);
-        assertThat(config.member()).isEqualTo(rillyard.membership.MembershipSettings.DEFAULT);
+        assertThat(config.membership()).isEqualTo(MembershipSettings.DEFAULT);
         assertThat(config.history()).isNull();
-        assertThat(config.outlierGossip()).as("news of hosts").isFalse();
+        assertThat(config.outlierGossip()).as("outlier gossip").isFalse();
         assertThat(read("[self]\nlisten = \"127.0.0.1:7400\"\n[spread]\nnews = true\n")
                         .outlierGossip())
                 .isTrue();
     }
 
     @Test
-    void othersAreToldTheAddressThatIsAdvertised() throws Exception {
+    void identityHasAdvertisedAddress() throws Exception {
         FleetConfig config = read("[self]\nlisten = \"127.0.0.1:7400\"\nadvertise = \"10.9.8.7:65535\"\n");
         assertThat(config.identity().address()).hasToString("10.9.8.7:65535");
         assertThat(config.listen().getPort()).isEqualTo(7400);
     }
 
     @Test
-    void keysAreReadFromAFileThatOthersMayNotRead() throws Exception {
+    void keysAreReadFromPrivateFileOnly() throws Exception {
         Path key = Files.writeString(folder.resolve("key"), "ab".repeat(32) + "\n" + "cd".repeat(32) + "\n");
         String text = "key_file = \"" + key + "\"\n[self]\nlisten = \"127.0.0.1:7400\"\n";
         Files.setPosixFilePermissions(key, PosixFilePermissions.fromString("rw-r--r--"));
@@ -50,18 +52,18 @@
                 .hasMessageContaining("expected mode 600");
         Files.setPosixFilePermissions(key, PosixFilePermissions.fromString("rw-------"));
         assertThat(read(text).keys()).hasSize(2);
-        assertThat(read(text).member().datagramBytes()).isEqualTo(256 - DatagramCipher.BYTES);
+        assertThat(read(text).membership().datagramBytes()).isEqualTo(256 - DatagramCipher.OVERHEAD_BYTES);
         Files.writeString(key, "xy".repeat(32));
         assertThatThrownBy(() -> read(text)).hasMessageContaining("key_file");
     }
 
     @Test
-    void anAddressIsFourNumbersAndAPortAndNothingElse() {
-        for (String bad : new String[] {
+    void addressesOtherThanIpv4AndPortAreRejected() {
+        for (String invalid : new String[] {
             "10.1.0.4.7400", "10:1:0:4:7400", "10.1.0.256:1", "10.1.0.4:0", "10.1.0.4:65536", "[::1]:7400"
         }) {
-            assertThatThrownBy(() -> read("[self]\nlisten = \"" + bad + "\"\n"))
-                    .as(bad)
+            assertThatThrownBy(() -> read("[self]\nlisten = \"" + invalid + "\"\n"))
+                    .as(invalid)
                     .hasMessageContaining("fleet.toml:2")
                     .hasMessageContaining("expected IPv4:port");
         }
@@ -69,9 +71,19 @@
     }
 
     @Test
-    void allThatIsWrongIsToldByLine() {
-        assertThatThrownBy(() -> read("seeds = \"10.1.0.4\"\n[self]\nname = \"more than sixteen letters\"\n"
-                        + "listen = \"host:1\"\nzone = 300\n[membership]\ntimeout_ms = 400\nintervall_ms = 1\n"))
+    void allProblemsAreReportedByLine() {
+        assertThatThrownBy(
+                        () -> read(
+                                """
+                        seeds = "10.1.0.4"
+                        [self]
+                        name = "more than sixteen letters"
+                        listen = "host:1"
+                        zone = 300
+                        [membership]
+                        timeout_ms = 400
+                        intervall_ms = 1
+                        """))
                 .isInstanceOf(InvalidConfigException.class)
                 .hasMessageContaining("fleet.toml:1")
                 .hasMessageContaining("expected IPv4:port")
--- a/src/test/java/rillyard/membership/net/MemberAdminServerTest.java
+++ b/src/test/java/rillyard/membership/net/MemberAdminServerTest.java
@@ -22,13 +22,17 @@
 import org.junit.jupiter.api.io.TempDir;
 import rillyard.cli.Cli;
 
-/** Two members over sockets, asked what they hold. */
+/** The admin view of members that run on sockets. */
 @Timeout(30)
 class MemberAdminServerTest {
     @TempDir
     Path folder;
 
-    private FleetConfig settings(String name, int port, int seed, int admin) throws Exception {
+    private FleetMember newMember(String name, int port, int seedPort, int adminPort, long seed) throws Exception {
+        return new FleetMember(config(name, port, seedPort, adminPort), seed, System.err);
+    }
+
+    private FleetConfig config(String name, int port, int seed, int admin) throws Exception {
         Path file = folder.resolve(name + ".toml");
         Files.writeString(
                 file,
@@ -39,47 +43,49 @@
     }
 
     private static int[] freePorts() throws IOException {
-        InetAddress at = InetAddress.getByName("127.0.0.1");
-        try (DatagramSocket a = new DatagramSocket(0, at);
-                DatagramSocket b = new DatagramSocket(0, at);
-                ServerSocket server = new ServerSocket(0, 1, at);
-                ServerSocket d = new ServerSocket(0, 1, at)) {
-            return new int[] {a.getLocalPort(), b.getLocalPort(), server.getLocalPort(), d.getLocalPort()};
+        InetAddress loopback = InetAddress.getLoopbackAddress();
+        try (DatagramSocket first = new DatagramSocket(0, loopback);
+                DatagramSocket second = new DatagramSocket(0, loopback);
+                ServerSocket firstAdmin = new ServerSocket(0, 1, loopback);
+                ServerSocket secondAdmin = new ServerSocket(0, 1, loopback)) {
+            return new int[] {
+                first.getLocalPort(), second.getLocalPort(), firstAdmin.getLocalPort(), secondAdmin.getLocalPort()
+            };
         }
     }
 
     @Test
-    void tellsWhoLivesSinceWhenByWhomAndWhatItCosts() throws Exception {
-        int[] p = freePorts();
-        InetSocketAddress admin = new InetSocketAddress("127.0.0.1", p[2]);
-        try (FleetMember member = new FleetMember(settings("a", p[0], p[1], p[2]), 1, System.err)) {
+    void viewHasMembersTheirSourcesAndCosts() throws Exception {
+        int[] ports = freePorts();
+        InetSocketAddress admin = new InetSocketAddress(InetAddress.getLoopbackAddress(), ports[2]);
+        try (FleetMember member = newMember("a", ports[0], ports[1], ports[2], 1)) {
             member.start();
-            try (FleetMember fleetMember = new FleetMember(settings("b", p[1], p[0], p[3]), 2, System.err)) {
-                fleetMember.start();
-                JsonNode view = MemberAdminClient.ask(admin);
+            try (FleetMember other = newMember("b", ports[1], ports[0], ports[3], 2)) {
+                other.start();
+                JsonNode view = MemberAdminClient.fetchView(admin);
                 while (view.path("present").asInt() < 2) {
-                    view = MemberAdminClient.ask(admin);
+                    view = MemberAdminClient.fetchView(admin);
                 }
-                JsonNode of = view.path("members").path(0);
-                assertThat(of.path("name").asText()).isEqualTo("b");
-                assertThat(of.path("by").asText()).isEqualTo("b");
-                assertThat(of.path("since").asLong())
+                JsonNode listed = view.path("members").path(0);
+                assertThat(listed.path("name").asText()).isEqualTo("b");
+                assertThat(listed.path("by").asText()).isEqualTo("b");
+                assertThat(listed.path("since").asLong())
                         .isBetween(
                                 view.path("self").path("start").asLong(),
                                 view.path("at").asLong());
                 assertThat(view.path("costs").path("datagrams_received").asLong())
                         .isPositive();
                 StringWriter out = new StringWriter();
-                int rc = Cli.run(
+                int exitCode = Cli.run(
                         new PrintWriter(out, true),
                         new PrintWriter(out, true),
                         "members",
                         "--admin",
-                        "127.0.0.1:" + p[2]);
-                assertThat(rc).as(out.toString()).isEqualTo(Cli.DONE);
+                        "127.0.0.1:" + ports[2]);
+                assertThat(exitCode).as(out.toString()).isEqualTo(Cli.DONE);
                 assertThat(out.toString()).contains("a holds 2 present", "ALIVE", "datagrams");
             }
-            while (!MemberAdminClient.ask(admin)
+            while (!MemberAdminClient.fetchView(admin)
                     .path("members")
                     .path(0)
                     .path("status")
@@ -87,29 +93,30 @@
                     .equals("LEFT")) {
                 Thread.onSpinWait();
             }
-            assertThat(MemberAdminClient.ask(admin).path("present").asInt()).isEqualTo(1);
+            assertThat(MemberAdminClient.fetchView(admin).path("present").asInt())
+                    .isEqualTo(1);
         }
-        assertThatThrownBy(() -> MemberAdminClient.ask(admin))
+        assertThatThrownBy(() -> MemberAdminClient.fetchView(admin))
                 .isInstanceOf(IOException.class)
                 .hasMessageContaining("no answer");
     }
 
     @Test
-    void callersThatStayDoNotShutOthersOutForever() throws Exception {
-        int[] p = freePorts();
-        InetSocketAddress admin = new InetSocketAddress("127.0.0.1", p[2]);
+    void idleCallersDoNotBlockOthers() throws Exception {
+        int[] ports = freePorts();
+        InetSocketAddress admin = new InetSocketAddress(InetAddress.getLoopbackAddress(), ports[2]);
         List<Socket> idle = new ArrayList<>();
-        try (FleetMember member = new FleetMember(settings("a", p[0], p[1], p[2]), 1, System.err)) {
+        try (FleetMember member = newMember("a", ports[0], ports[1], ports[2], 1)) {
             member.start();
             for (int i = 0; i < 50; i++) {
-                idle.add(new Socket("127.0.0.1", p[2]));
+                idle.add(new Socket(InetAddress.getLoopbackAddress(), ports[2]));
             }
             JsonNode view = null;
             while (view == null) {
                 try {
-                    view = MemberAdminClient.ask(admin);
+                    view = MemberAdminClient.fetchView(admin);
                 } catch (IOException e) {
-                    Thread.sleep(5); // full for the moment
+                    Thread.sleep(5); // at capacity
                 }
             }
             assertThat(view.path("self").path("name").asText()).isEqualTo("a");
--- a/src/test/java/rillyard/membership/net/StoredMembershipHistoryTest.java
+++ b/src/test/java/rillyard/membership/net/StoredMembershipHistoryTest.java
@@ -50,7 +50,7 @@
                 line.path("by").textValue());
         try (MembershipEventLog log =
                 new MembershipEventLog(file, line.path("member").textValue())) {
-            log.line(line.path("at").longValue(), event);
+            log.append(line.path("at").longValue(), event);
         }
         return Files.readString(file);
     }
--- a/src/test/java/rillyard/outlier/net/ObservationGossipTest.java
+++ b/src/test/java/rillyard/outlier/net/ObservationGossipTest.java
@@ -102,7 +102,8 @@
     @Test
     void whoSawNothingLeavesTheHostThatThreeOthersSawFailAndComesBackWithThem() throws Exception {
         start(5);
-        while (!members.stream().allMatch(member -> member.snapshot().present().size() == 5)) {
+        while (!members.stream()
+                .allMatch(member -> member.snapshot().presentNames().size() == 5)) {
             stepAll();
         }
         while (heeded.get(4).left.isEmpty()) {
@@ -153,9 +154,9 @@
         ended.close();
         FleetMember.FleetSnapshot known = ended.snapshot();
         MemberAttribute fact = known.attributes(ObservationGossip.RATE).get("p0");
-        double age = known.age(fact);
+        double age = known.ageMillis(fact);
         news.get(0).onAttemptEnded("a", AttemptOutcome.ERROR, now());
         stepAll(); // while the proxy beside it drains
-        assertThat(known.age(fact)).isGreaterThan(age);
+        assertThat(known.ageMillis(fact)).isGreaterThan(age);
     }
 }
