--- a/src/main/java/rillyard/childprocess/ProxyProcess.java
+++ b/src/main/java/rillyard/childprocess/ProxyProcess.java
@@ -15,7 +15,7 @@
 public final class ProxyProcess implements AutoCloseable {
     /** How far one has come, as a client can see it. */
     public enum State {
-        /** Connections are refused. */
+        /** Connections are rejected. */
         ABSENT,
         /** It listens, and is not ready. */
         LISTENING,
@@ -80,7 +80,7 @@
 
     /** An address of loopback that was free a moment ago. */
     public static InetSocketAddress freeAddress() throws IOException {
-        InetAddress here = InetAddress.getByName("127.0.0.1");
+        InetAddress here = InetAddress.getLoopbackAddress();
         try (ServerSocket server = new ServerSocket(0, 1, here)) {
             return new InetSocketAddress(here, server.getLocalPort());
         }
@@ -93,15 +93,16 @@
      */
     public void await(State least) throws IOException, InterruptedException {
         long until = System.nanoTime() + READY_NANOS;
-        State now;
-        while ((now = state(address)).compareTo(least) < 0) {
+        State now = state(address);
+        while (now.compareTo(least) < 0) {
             if (!process.isAlive() || System.nanoTime() > until) {
                 String said = Files.exists(log) ? Files.readString(log) : "";
                 throw new IOException(
                         "the proxy did not come up; it said:\n" + said.substring(Math.max(0, said.length() - 2_000)));
             }
-            // Guards against asking so often that it is the questions which warm the proxy up, or starve it.
+            // Prevents asking so often that it is the questions which warm the proxy up, or starve it.
             Thread.sleep(now == State.ABSENT ? 1 : ASK_EVERY_MS);
+            now = state(address);
         }
     }
 
--- a/src/main/java/rillyard/cli/ProxyCommands.java
+++ b/src/main/java/rillyard/cli/ProxyCommands.java
@@ -10,9 +10,9 @@
 import rillyard.membership.net.FleetMember;
 import rillyard.outlier.FleetOutlierSettings;
 import rillyard.outlier.net.ObservationGossip;
-import rillyard.proxy.ClientProxy;
 import rillyard.proxy.dispatch.PeerGossip;
 import rillyard.proxy.lifecycle.ClassArchiveTraining;
+import rillyard.proxy.lifecycle.ProxyLauncher;
 import rillyard.settings.MalformedInputException;
 import rillyard.simulation.SimulatorSession;
 
@@ -38,18 +38,18 @@
         @Override
         public Integer call() throws Exception {
             if (fleet == null) {
-                ClientProxy.run(System.getenv());
+                ProxyLauncher.run(System.getenv());
                 return Cli.DONE;
             }
             SecureRandom random = new SecureRandom();
             FleetConfig settings = FleetConfigReader.read(fleet, System.getenv());
             FleetMember member = new FleetMember(settings, random.nextLong(), System.err);
             PeerGossip news = settings.outlierGossip()
-                    ? new ObservationGossip(member, FleetOutlierSettings.USUAL, random.nextLong())
+                    ? new ObservationGossip(member, FleetOutlierSettings.DEFAULT, random.nextLong())
                     : null;
             member.start();
             Runtime.getRuntime().addShutdownHook(new Thread(member::close, "leave"));
-            ClientProxy.run(System.getenv(), news);
+            ProxyLauncher.run(System.getenv(), news);
             return Cli.DONE;
         }
     }
--- a/src/main/java/rillyard/cli/TestClusterCommand.java
+++ b/src/main/java/rillyard/cli/TestClusterCommand.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
+import java.io.PrintStream;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -67,27 +68,28 @@
         CountDownLatch end = new CountDownLatch(1);
         GracefulShutdown ending = new GracefulShutdown(end::countDown);
         LogHeader head = new LogHeader("hosts", UnixClock.micros(), plan.seed());
-        try (RequestLogWriter ledger =
+        PrintStream hostLog = System.err;
+        try (RequestLogWriter requestLog =
                         ledgerFile == null ? RequestLogWriter.disabled() : RequestLogWriter.open(ledgerFile, head);
-                TestCluster standIn = new TestCluster(plan, listen, threads, ledger, System.err)) {
-            standIn.start();
-            standIn.startTimetable();
+                TestCluster cluster = new TestCluster(plan, listen, threads, requestLog, hostLog)) {
+            cluster.start();
+            cluster.startFaultSchedule();
             if (readyFile != null) {
                 writeWhole(
                         readyFile,
-                        new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsBytes(standIn.ready()));
+                        new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsBytes(cluster.ready()));
             }
-            System.out.println("rillyard: " + plan.hosts().size() + " hosts, discovery at " + text(standIn.discovery())
-                    + ", faults at http://" + text(standIn.control()) + "/faults");
+            System.out.println("rillyard: " + plan.hosts().size() + " hosts, discovery at " + text(cluster.discovery())
+                    + ", faults at http://" + text(cluster.control()) + "/faults");
             while (!end.await(1, TimeUnit.SECONDS)) {
-                ledger.flush();
+                requestLog.flush();
             }
         }
         ending.over();
         return Cli.DONE;
     }
 
-    /** Guards against a reader that finds half of it: the name appears with all of it. */
+    /** Prevents a reader that finds half of it: the name appears with all of it. */
     private static void writeWhole(Path file, byte[] bytes) throws IOException {
         Path beside = file.resolveSibling(file.getFileName() + ".part");
         Files.write(beside, bytes);
--- a/src/main/java/rillyard/demo/JvmWarmup.java
+++ b/src/main/java/rillyard/demo/JvmWarmup.java
@@ -1,5 +1,6 @@
 package rillyard.demo;
 
+import java.io.PrintStream;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -13,9 +14,9 @@
 import rillyard.testserver.TestClusterPlanReader;
 
 /**
- * Guards against the first second of a generator or a stand-in: cold code takes some ten times as
+ * Prevents the first second of a generator or a test cluster: cold code takes some ten times as
  * long, a schedule can't be kept, and what is measured is the JVM. Each sends requests through the
- * very same classes to stand-ins in its own process first; nothing of that is counted.
+ * very same classes to test hosts in its own process first; nothing of that is counted.
  */
 public final class JvmWarmup {
     private static final String HOSTS =
@@ -57,11 +58,12 @@
     public static void run() throws Exception {
         TestClusterPlan hosts = TestClusterPlanReader.parse("warm-up", HOSTS, 0);
         LoadPlan load = LoadPlanReader.parse("warm-up", PLAN, Path.of("."));
-        InetSocketAddress any = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0);
-        try (RequestLogWriter ledger = RequestLogWriter.disabled();
-                TestCluster standIn = new TestCluster(hosts, any, 1, ledger, System.err)) {
-            standIn.start();
-            new LoadRun(load, List.of(standIn.address("s-0"), standIn.address("s-1")), ledger, null).run();
+        InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        PrintStream hostLog = System.err;
+        try (RequestLogWriter requestLog = RequestLogWriter.disabled();
+                TestCluster cluster = new TestCluster(hosts, any, 1, requestLog, hostLog)) {
+            cluster.start();
+            new LoadRun(load, List.of(cluster.address("s-0"), cluster.address("s-1")), requestLog, null).run();
         }
     }
 }
--- a/src/main/java/rillyard/faultinjection/DatagramNetwork.java
+++ b/src/main/java/rillyard/faultinjection/DatagramNetwork.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The network between the processes of a trial: one socket for each, its public address. It knows who sends
+ * The network between the processes of a fault-injection run: one socket for each, its public address. It knows who sends
  * by the source, and passes on from the sender's own socket, so that the receiver sees the public address.
  */
 final class DatagramNetwork implements AutoCloseable {
@@ -50,7 +50,7 @@
                         .group(loop)
                         .channel(NioDatagramChannel.class)
                         .handler(new Passing(process))
-                        .bind(InetAddress.getByName("127.0.0.1"), 0)
+                        .bind(InetAddress.getLoopbackAddress(), 0)
                         .sync()
                         .channel();
             }
--- a/src/main/java/rillyard/trace/ProxyTrace.java
+++ b/src/main/java/rillyard/trace/ProxyTrace.java
@@ -31,13 +31,13 @@
      * @param spentMillis milliseconds since it was sent
      * @param isWarmingUp whether the host was in its slow start then
      */
-    public void recordAttempt(String host, Enum<?> outcome, double spentMillis, boolean isWarmingUp) {
-        write(TraceEvent.Kind.ATTEMPT, host, outcome.name(), Math.round(spentMillis), isWarmingUp);
+    public void recordAttempt(String host, String outcome, double spentMillis, boolean isWarmingUp) {
+        write(TraceEvent.Kind.ATTEMPT, host, outcome, Math.round(spentMillis), isWarmingUp);
     }
 
     /** Records a final response of the proxy itself; {@code lastOutcome} is null if no attempt was made. */
-    public void recordRejection(TraceEvent.Kind kind, Enum<?> lastOutcome) {
-        write(kind, TraceEvent.NONE, lastOutcome == null ? TraceEvent.NONE : lastOutcome.name(), 0, false);
+    public void recordRejection(TraceEvent.Kind kind, String lastOutcome) {
+        write(kind, TraceEvent.NONE, lastOutcome == null ? TraceEvent.NONE : lastOutcome, 0, false);
     }
 
     private void write(TraceEvent.Kind kind, String host, String detail, long durationMillis, boolean isWarmingUp) {
--- a/src/test/java/rillyard/demo/DemoAuditTest.java
+++ b/src/test/java/rillyard/demo/DemoAuditTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
+import java.io.PrintStream;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -33,20 +34,21 @@
         Path path = folder.resolve("h");
         Path c = folder.resolve("c");
         AuditSettings settings;
-        try (RequestLogWriter hostLedger = RequestLogWriter.open(path, new LogHeader("hosts", 1, 1));
-                RequestLogWriter ledger = RequestLogWriter.open(c, new LogHeader("clients", 1, 1));
+        PrintStream messages = System.err;
+        try (RequestLogWriter hostLog = RequestLogWriter.open(path, new LogHeader("hosts", 1, 1));
+                RequestLogWriter requestLog = RequestLogWriter.open(c, new LogHeader("clients", 1, 1));
                 TestCluster cluster = new TestCluster(
                         TestClusterPlanReader.parse("h", hosts, 0),
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         1,
-                        hostLedger,
-                        System.err)) {
+                        hostLog,
+                        messages)) {
             cluster.start();
             settings = AuditSettings.of(
                     new ObjectMapper().readTree(cluster.ready().path("settings").toString()));
-            LoadRun run =
-                    new LoadRun(LoadPlanReader.parse("p", plan, folder), List.of(cluster.address("s-0")), ledger, null);
-            cluster.startTimetable();
+            LoadRun run = new LoadRun(
+                    LoadPlanReader.parse("p", plan, folder), List.of(cluster.address("s-0")), requestLog, null);
+            cluster.startFaultSchedule();
             run.run();
         }
         Audit.Verdict verdict = Audit.of(c, path, settings);
--- a/src/test/java/rillyard/faultinjection/ObservationGossipIT.java
+++ b/src/test/java/rillyard/faultinjection/ObservationGossipIT.java
@@ -56,18 +56,18 @@
         FaultInjectionResult result = new FaultInjectionRun(
                         FaultInjectionPlanReader.parse("plan", PLAN, folder), out, System.out)
                 .run(LaunchCommand.platform(Path.of("").toAbsolutePath()));
-        assertThat(result.good()).as(result.report()).isTrue();
+        assertThat(result.isClean()).as(result.report()).isTrue();
         for (int i = 0; i < 10; i++) {
             List<String> said = new ArrayList<>();
             Files.readAllLines(out.resolve("m" + i + ".log")).stream()
                     .filter(l -> l.contains("fleet: host"))
                     .forEach(said::add);
-            assertThat(said).as("m" + i).allMatch(l -> l.contains("host s-3 "));
+            assertThat(said).as("m" + i).allMatch(l -> l.contains("host=s-3 "));
             if (i < 3) {
-                assertThat(said).as("m" + i + ", which hears nobody").noneMatch(l -> l.contains("left"));
+                assertThat(said).as("m" + i + ", which hears nobody").noneMatch(l -> l.contains("host ejected"));
             } else {
-                assertThat(said).as("m" + i).anyMatch(l -> l.contains("host s-3 left"));
-                assertThat(said.get(said.size() - 1)).as("m" + i).contains("serves again");
+                assertThat(said).as("m" + i).anyMatch(l -> l.contains("fleet: host ejected, host=s-3 "));
+                assertThat(said.get(said.size() - 1)).as("m" + i).contains("fleet: host readmitted, host=s-3 ");
             }
         }
     }
