--- a/src/test/java/rillyard/membership/MembershipModelTest.java
+++ b/src/test/java/rillyard/membership/MembershipModelTest.java
@@ -18,9 +18,9 @@
 
     @Test
     void noScheduleViolatesInvariants() {
-        ModelChecker.Result<String> result = new ModelChecker<>(new MembershipModel()).walk(DEPTH, STATES, FAIR_EVERY);
+        ModelChecker.Result<String> result = new ModelChecker<>(new MembershipModel()).check(DEPTH, STATES, FAIR_EVERY);
         System.out.println("membership model: " + result);
-        assertThat(result.breach()).as(result.toString()).isNull();
+        assertThat(result.violation()).as(result.toString()).isNull();
         assertThat(result.states()).isGreaterThan(20_000);
     }
 
@@ -45,8 +45,10 @@
                                         : update)
                                 .toList()),
                 (from, message) -> !from.equals("m0") && !message.target().equals("m0"));
-        ModelChecker.Result<String> result = new ModelChecker<>(faulty).walk(8, STATES, 0);
-        assertThat(result.breach()).as(result.toString()).startsWith("somebody has spoken for another's incarnation");
+        ModelChecker.Result<String> result = new ModelChecker<>(faulty).check(8, STATES, 0);
+        assertThat(result.violation())
+                .as(result.toString())
+                .startsWith("somebody has spoken for another's incarnation");
         assertThat(result.history()).hasSizeLessThanOrEqualTo(8).contains("time");
     }
 
@@ -57,17 +59,17 @@
                 message -> message,
                 (from, message) ->
                         !(message.kind() == Kind.PING && message.target().equals("m0")) && !from.equals("m0"));
-        ModelChecker.Result<String> result = new ModelChecker<>(faulty).walk(2, STATES, 1);
-        assertThat(result.breach()).as(result.toString()).startsWith("a live process that is heard stays DEAD");
+        ModelChecker.Result<String> result = new ModelChecker<>(faulty).check(2, STATES, 1);
+        assertThat(result.violation()).as(result.toString()).startsWith("a live process that is heard stays DEAD");
         assertThat(result.history()).hasSize(1);
     }
 
     @Test
     void walkIsDeterministic() {
-        ModelChecker.Result<String> first = new ModelChecker<>(new MembershipModel()).walk(3, STATES, 0);
-        ModelChecker.Result<String> second = new ModelChecker<>(new MembershipModel()).walk(3, STATES, 0);
+        ModelChecker.Result<String> first = new ModelChecker<>(new MembershipModel()).check(3, STATES, 0);
+        ModelChecker.Result<String> second = new ModelChecker<>(new MembershipModel()).check(3, STATES, 0);
         assertThat(first).isEqualTo(second);
-        assertThat(first.whole()).isTrue();
+        assertThat(first.complete()).isTrue();
         assertThat(List.of(first.depth())).containsExactly(3);
     }
 }
