--- a/src/test/java/rillyard/balancer/AdmissionControllerTest.java
+++ b/src/test/java/rillyard/balancer/AdmissionControllerTest.java
@@ -10,9 +10,7 @@
 /** The measured rate of a proxy's own requests. */
 class AdmissionControllerTest {
     private static final String SAFE = "safe";
-    private static final String ONCE = "once";
     private final BalancerFixture fixture = new BalancerFixture();
-    private long next;
 
     /** Otherwise a process that takes over would send warming hosts next to nothing in its first seconds. */
     @Test
--- a/src/test/java/rillyard/balancer/BalancerTest.java
+++ b/src/test/java/rillyard/balancer/BalancerTest.java
@@ -13,7 +13,6 @@
 /** Decisions of a balancer that is fed events by hand. */
 class BalancerTest {
     private static final String SAFE = "safe";
-    private static final String ONCE = "once";
     private final BalancerFixture fixture = new BalancerFixture();
 
     private Balancer balancer(Settings settings, List<EndpointEntry> hosts) {
