--- a/src/test/java/rillyard/balancer/FleetFaultTest.java
+++ b/src/test/java/rillyard/balancer/FleetFaultTest.java
@@ -88,7 +88,7 @@
         play(3_000, 10, (host, time) -> ok());
         double faultStart = fixture.now;
         play(4_000, 10, (host, time) -> lost.contains(host) ? new Reply(null, 0) : ok());
-        long even = 100 * lost.size() * 2 / 12; // of two seconds, to the twelve hosts of the own zone
+        long even = 100L * lost.size() * 2 / 12; // of two seconds, to the twelve hosts of the own zone
         assertThat(sentTo(lost, faultStart + 2_000, faultStart + 4_000)).isLessThan(even / 4);
         assertThat(fixture.rejected).isEmpty(); // eight hosts in twelve have room
         double restartedAt = fixture.now;
--- a/src/test/java/rillyard/balancer/HostSelectorTest.java
+++ b/src/test/java/rillyard/balancer/HostSelectorTest.java
@@ -12,7 +12,6 @@
 /** The choice among hosts, and the subset it is made from. */
 class HostSelectorTest {
     private static final String SAFE = "safe";
-    private static final String ONCE = "once";
     private final BalancerFixture fixture = new BalancerFixture();
 
     private Balancer balancer(Settings settings, List<EndpointEntry> hosts) {
--- a/src/test/java/rillyard/balancer/RandomWorld.java
+++ b/src/test/java/rillyard/balancer/RandomWorld.java
@@ -11,6 +11,15 @@
 
 /** Plays random legal events against a balancer, and checks what it does against the rules without sharing code with it. */
 final class RandomWorld implements BalancerActions {
+    private static final List<AttemptOutcome> ANY_OUTCOME = List.of(
+            AttemptOutcome.OK,
+            AttemptOutcome.ERROR,
+            AttemptOutcome.REJECTED,
+            AttemptOutcome.TIMEOUT,
+            AttemptOutcome.CONNECT_FAILED,
+            AttemptOutcome.RESET,
+            AttemptOutcome.CANCELLED);
+
     private static final double SLACK = 20;
     private static final double WINDOW = 300;
 
@@ -69,8 +78,8 @@
         double spent = Math.min(left, -60 * Math.log(1 - random.nextDouble()));
         AttemptOutcome end = chance < 0.5 && spent < left
                 ? AttemptOutcome.OK
-                : chance < 0.6 ? AttemptOutcome.TIMEOUT : AttemptOutcome.values()[random.nextInt(7)];
-        if (end == AttemptOutcome.TIMEOUT || end == AttemptOutcome.OK && spent >= left) {
+                : chance < 0.6 ? AttemptOutcome.TIMEOUT : ANY_OUTCOME.get(random.nextInt(ANY_OUTCOME.size()));
+        if (end == AttemptOutcome.TIMEOUT || (end == AttemptOutcome.OK && spent >= left)) {
             end = AttemptOutcome.TIMEOUT;
             spent = left;
         }
--- a/src/test/java/rillyard/imbalance/ImbalanceReportTest.java
+++ b/src/test/java/rillyard/imbalance/ImbalanceReportTest.java
@@ -59,7 +59,7 @@
     void shortHerdIsFoundWithProxiesAndPrecedingEvents() {
         List<HostArrival> arrivals = uniformArrivals(5);
         for (int proxy = 0; proxy < 30; proxy++) {
-            arrivals.add(arrival(10 * SECOND_MICROS + proxy * 500, 7, proxy, 0));
+            arrivals.add(arrival(10 * SECOND_MICROS + proxy * 500L, 7, proxy, 0));
         }
         List<TimelineEvent> marks = List.of(
                 new TimelineEvent(3 * SECOND_MICROS, "", "a list"),
@@ -101,7 +101,7 @@
     void retriesAreNoHerd() {
         List<HostArrival> arrivals = uniformArrivals(5);
         for (int proxy = 0; proxy < 30; proxy++) {
-            arrivals.add(new HostArrival(10 * SECOND_MICROS + proxy * 500, "s-7", "m" + proxy, false, 0, 20_000));
+            arrivals.add(new HostArrival(10 * SECOND_MICROS + proxy * 500L, "s-7", "m" + proxy, false, 0, 20_000));
         }
         assertThat(ImbalanceReport.of(arrivals, allHostsAvailable(), List.of(), SECOND_MICROS)
                         .herds())
--- a/src/test/java/rillyard/outlier/net/ObservationGossipTest.java
+++ b/src/test/java/rillyard/outlier/net/ObservationGossipTest.java
@@ -70,7 +70,7 @@
         int seed = 0;
         for (int i = 0; i < count; i++) {
             int port;
-            try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
+            try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
                 port = socket.getLocalPort();
             }
             seed = i == 0 ? port : seed;
