--- a/src/main/java/rillyard/benchmark/StartupBenchmark.java
+++ b/src/main/java/rillyard/benchmark/StartupBenchmark.java
@@ -78,7 +78,7 @@
                 hostLog)) {
             hosts.start();
             Path config = folder.resolve("ready.json");
-            new ObjectMapper().writeValue(config.toFile(), hosts.ready());
+            new ObjectMapper().writeValue(config.toFile(), hosts.readyFile());
             for (int i = 0; i < starts; i++) {
                 for (Map.Entry<String, Path> b : builds.entrySet()) {
                     try (CpuContention neighbours = new CpuContention(CORE, share)) {
--- a/src/main/java/rillyard/cli/TestClusterCommand.java
+++ b/src/main/java/rillyard/cli/TestClusterCommand.java
@@ -77,10 +77,11 @@
             if (readyFile != null) {
                 writeWhole(
                         readyFile,
-                        new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsBytes(cluster.ready()));
+                        new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsBytes(cluster.readyFile()));
             }
-            System.out.println("rillyard: " + plan.hosts().size() + " hosts, discovery at " + text(cluster.discovery())
-                    + ", faults at http://" + text(cluster.control()) + "/faults");
+            System.out.println(
+                    "rillyard: " + plan.hosts().size() + " hosts, discovery at " + text(cluster.discoveryAddress())
+                            + ", faults at http://" + text(cluster.controlAddress()) + "/faults");
             while (!end.await(1, TimeUnit.SECONDS)) {
                 requestLog.flush();
             }
--- a/src/main/java/rillyard/demo/Demo.java
+++ b/src/main/java/rillyard/demo/Demo.java
@@ -116,7 +116,7 @@
                 TestCluster cluster = new TestCluster(
                         hosts, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 2, hostLog, messages)) {
             cluster.start();
-            new ObjectMapper().writerWithDefaultPrettyPrinter().writeValue(ready.toFile(), cluster.ready());
+            new ObjectMapper().writerWithDefaultPrettyPrinter().writeValue(ready.toFile(), cluster.readyFile());
             progress.println("rillyard: " + hosts.hosts().size() + " hosts are up, a proxy starts");
             try (ProxyProcess proxy = ProxyProcess.start(ready, folder.resolve("proxy.log"))) {
                 progress.println(
--- a/src/main/java/rillyard/faultinjection/ProcessFleet.java
+++ b/src/main/java/rillyard/faultinjection/ProcessFleet.java
@@ -88,7 +88,7 @@
         new SecureRandom().nextBytes(bytes);
         Files.writeString(key, HexFormat.of().formatHex(bytes));
         Files.setPosixFilePermissions(key, PosixFilePermissions.fromString("rw-------"));
-        JSON.writeValue(config().toFile(), hosts.ready());
+        JSON.writeValue(config().toFile(), hosts.readyFile());
         for (FleetProcess fleetProcess : members) {
             configure(fleetProcess);
         }
@@ -114,8 +114,9 @@
     /** Opens a process's ways to discovery and to all hosts, and writes its configuration. */
     private void configure(FleetProcess process) throws Exception {
         InetAddress address = own.get(process.index()).getAddress();
-        ObjectNode config = hosts.ready();
-        InetSocketAddress discovery = connections.open(process, address, HostPattern.DISCOVERY, "", hosts.discovery());
+        ObjectNode config = hosts.readyFile();
+        InetSocketAddress discovery =
+                connections.open(process, address, HostPattern.DISCOVERY, "", hosts.discoveryAddress());
         config.put("name", process.name())
                 .put("listen", text(serving.get(process.index())))
                 .put("discovery", text(discovery));
--- a/src/main/java/rillyard/faultinjection/RelayTarget.java
+++ b/src/main/java/rillyard/faultinjection/RelayTarget.java
@@ -51,7 +51,7 @@
     ChannelFuture call(InetAddress from) {
         return new Bootstrap()
                 .group(loop)
-                .channel(EventLoops.connecting())
+                .channel(EventLoops.clientChannelType())
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.AUTO_READ, false)
                 .handler(new ChannelInboundHandlerAdapter())
--- a/src/main/java/rillyard/faultinjection/TcpRelay.java
+++ b/src/main/java/rillyard/faultinjection/TcpRelay.java
@@ -50,7 +50,7 @@
     private ServerBootstrap listen() {
         return new ServerBootstrap()
                 .group(loop)
-                .channel(EventLoops.listening())
+                .channel(EventLoops.serverChannelType())
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.AUTO_READ, false)
--- a/src/main/java/rillyard/loadgen/HttpConnection.java
+++ b/src/main/java/rillyard/loadgen/HttpConnection.java
@@ -25,9 +25,9 @@
     private HttpExchange exchange;
     private String lastId;
     private boolean written;
-    private boolean skipping;
-    private boolean keep;
-    private boolean used;
+    private boolean informational;
+    private boolean keepAlive;
+    private boolean hasServed;
     private long idleSince;
 
     HttpConnection(HttpTransport transport, SocketChannel channel, int client) {
@@ -61,13 +61,13 @@
     void run(HttpExchange httpExchange) {
         exchange = httpExchange;
         httpExchange.channel(channel);
-        keep = false;
+        keepAlive = false;
         written = false;
         ChannelFuture future = channel.writeAndFlush(httpExchange.bytes(channel.alloc()));
         if (future.isDone()) {
             written = future.isSuccess();
         } else {
-            future.addListener(x -> written = future.isSuccess());
+            future.addListener(completed -> written = future.isSuccess());
         }
     }
 
@@ -96,29 +96,29 @@
             return;
         }
         if (part instanceof HttpResponse response) {
-            skipping = response.status().code() < 200; // 1xx go ahead of the answer
-            if (!skipping) {
-                exchange.head(response);
-                keep = HttpUtil.isKeepAlive(response);
+            informational = response.status().code() < 200; // 1xx go ahead of the answer
+            if (!informational) {
+                exchange.onResponseHead(response);
+                keepAlive = HttpUtil.isKeepAlive(response);
             }
         }
-        if (skipping || !exchange.begun()) {
+        if (informational || !exchange.hasResponseHead()) {
             return;
         }
-        if (part instanceof HttpContent content && !exchange.body(content)) {
+        if (part instanceof HttpContent content && !exchange.onResponseBody(content)) {
             end(new Transport.AttemptResult(ClientOutcome.GARBLED, 0, 0), false);
         } else if (part instanceof LastHttpContent) {
             Transport.AttemptResult result = exchange.result();
-            end(result, keep && result.outcome() != ClientOutcome.GARBLED);
+            end(result, keepAlive && result.outcome() != ClientOutcome.GARBLED);
         }
     }
 
-    private void end(Transport.AttemptResult result, boolean keepIt) {
+    private void end(Transport.AttemptResult result, boolean reusable) {
         HttpExchange ended = exchange;
         exchange = null;
         lastId = ended.request().id();
-        used = true;
-        if (keepIt) {
+        hasServed = true;
+        if (reusable) {
             idleSince = System.nanoTime();
             transport.onIdle(this);
         } else {
@@ -130,10 +130,10 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         if (exchange != null && !exchange.ended()) {
-            ClientOutcome how = !written
+            ClientOutcome outcome = !written
                     ? ClientOutcome.UNREACHABLE
-                    : used && !exchange.begun() ? ClientOutcome.STALE : ClientOutcome.BROKEN;
-            end(new Transport.AttemptResult(how, 0, 0), false);
+                    : hasServed && !exchange.hasResponseHead() ? ClientOutcome.STALE : ClientOutcome.BROKEN;
+            end(new Transport.AttemptResult(outcome, 0, 0), false);
         }
     }
 
--- a/src/main/java/rillyard/loadgen/HttpExchange.java
+++ b/src/main/java/rillyard/loadgen/HttpExchange.java
@@ -24,7 +24,7 @@
     private Channel channel;
     private HttpResponse head;
     private final StringBuilder body = new StringBuilder();
-    private long length;
+    private long bodyBytes;
     private boolean ended;
 
     HttpExchange(Transport.OutgoingRequest request, Transport.Listener listener, boolean verify) {
@@ -91,32 +91,32 @@
 
     /** A body that differs from request to request, so that two that are mixed up are told apart. */
     private byte[] payload() {
-        byte[] p = new byte[request.requestClass().bodyBytes()];
+        byte[] payload = new byte[request.requestClass().bodyBytes()];
         byte[] id = request.id().getBytes(StandardCharsets.US_ASCII);
-        for (int i = 0; i < p.length; i++) {
-            p[i] = id[i % id.length];
+        for (int i = 0; i < payload.length; i++) {
+            payload[i] = id[i % id.length];
         }
-        return p;
+        return payload;
     }
 
     /** The answer's head has come. */
-    void head(HttpResponse response) {
+    void onResponseHead(HttpResponse response) {
         head = response;
     }
 
-    boolean begun() {
+    boolean hasResponseHead() {
         return head != null;
     }
 
     /** A part of the body has come; false if there is too much of it. */
-    boolean body(HttpContent content) {
+    boolean onResponseBody(HttpContent content) {
         ByteBuf buffer = content.content();
-        length += buffer.readableBytes();
-        int n = Math.min(buffer.readableBytes(), MAX_KEPT_BYTES - body.length());
-        if (n > 0) {
-            body.append(buffer.toString(buffer.readerIndex(), n, StandardCharsets.US_ASCII));
+        bodyBytes += buffer.readableBytes();
+        int keptBytes = Math.min(buffer.readableBytes(), MAX_KEPT_BYTES - body.length());
+        if (keptBytes > 0) {
+            body.append(buffer.toString(buffer.readerIndex(), keptBytes, StandardCharsets.US_ASCII));
         }
-        return length <= MAX_RESPONSE_BYTES;
+        return bodyBytes <= MAX_RESPONSE_BYTES;
     }
 
     /** The answer is whole. */
@@ -134,20 +134,21 @@
 
     /** Whether the answer names this request and the body that was sent with it. */
     private boolean belongsToRequest() {
-        String s = body.toString();
-        if (!s.startsWith("id=" + request.id() + " ")) {
+        String text = body.toString();
+        if (!text.startsWith("id=" + request.id() + " ")) {
             return false;
         }
-        byte[] p = request.requestClass().semantics() == LoadClass.Semantics.IDEMPOTENT ? new byte[0] : payload();
+        byte[] sentBody =
+                request.requestClass().semantics() == LoadClass.Semantics.IDEMPOTENT ? new byte[0] : payload();
         CRC32 crc = new CRC32();
-        crc.update(p);
-        return s.stripTrailing().endsWith(" len=" + p.length + " crc=" + Long.toHexString(crc.getValue()));
+        crc.update(sentBody);
+        return text.stripTrailing().endsWith(" len=" + sentBody.length + " crc=" + Long.toHexString(crc.getValue()));
     }
 
     private long retryAfter() {
-        String s = head.headers().get(HttpHeaderNames.RETRY_AFTER);
+        String value = head.headers().get(HttpHeaderNames.RETRY_AFTER);
         try {
-            double seconds = s == null ? 0 : Double.parseDouble(s.trim());
+            double seconds = value == null ? 0 : Double.parseDouble(value.trim());
             return seconds > 0 && seconds < 1e6 ? (long) (1e6 * seconds) : 0;
         } catch (NumberFormatException e) {
             return 0; // a date, or no number: no advice that these clients take
--- a/src/main/java/rillyard/loadgen/HttpTransport.java
+++ b/src/main/java/rillyard/loadgen/HttpTransport.java
@@ -30,40 +30,40 @@
     private final EventLoop loop;
     private final Bootstrap bootstrap;
     private final List<InetSocketAddress> targets;
-    private final boolean own;
+    private final boolean targetPerClient;
     private final long idleNanos;
     private final boolean verify;
     private final java.util.function.Consumer<String> onUnexpectedResponse;
     private final Map<Integer, ArrayDeque<HttpConnection>> idle = new HashMap<>();
     private final Set<HttpConnection> open = new HashSet<>();
-    private int turn;
-    private long opened;
+    private int nextTarget;
+    private long connectCount;
 
     /**
      * Makes one; to be used on the loop.
      *
      * @param targets where requests go
-     * @param own whether each client has a target of its own, by its number; else they are taken in turn
+     * @param targetPerClient whether each client has a target of its own, by its number; else they are taken in turn
      * @param idleMs a connection that has stood idle for so long is closed
      * @param verify whether an answer must be a test cluster's answer to the very request
-     * @param surplus hears of the id behind whose answer more came
+     * @param onUnexpectedResponse hears of the id behind whose answer more came
      */
     HttpTransport(
             EventLoop loop,
             List<InetSocketAddress> targets,
-            boolean own,
+            boolean targetPerClient,
             double idleMs,
             boolean verify,
-            java.util.function.Consumer<String> surplus) {
+            java.util.function.Consumer<String> onUnexpectedResponse) {
         this.loop = loop;
         this.targets = targets;
-        this.own = own;
+        this.targetPerClient = targetPerClient;
         this.idleNanos = (long) (1e6 * idleMs);
         this.verify = verify;
-        this.onUnexpectedResponse = surplus;
+        this.onUnexpectedResponse = onUnexpectedResponse;
         this.bootstrap = new Bootstrap()
                 .group(loop)
-                .channel(EventLoops.connecting())
+                .channel(EventLoops.clientChannelType())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<SocketChannel>() {
@@ -76,9 +76,11 @@
     @Override
     public PendingAttempt send(OutgoingRequest request, Listener listener) {
         HttpExchange exchange = new HttpExchange(request, listener, verify);
-        ArrayDeque<HttpConnection> kept = idle.get(request.client());
+        ArrayDeque<HttpConnection> idleConnections = idle.get(request.client());
         HttpConnection connection;
-        while (!request.newConnection() && kept != null && (connection = kept.pollLast()) != null) {
+        while (!request.newConnection()
+                && idleConnections != null
+                && (connection = idleConnections.pollLast()) != null) {
             if (connection.isUsable()) {
                 connection.run(exchange);
                 return exchange;
@@ -90,11 +92,11 @@
     }
 
     private void connect(HttpExchange exchange) {
-        ChannelFuture future =
-                bootstrap.connect(targets.get((own ? exchange.request().client() : turn++) % targets.size()));
-        opened++;
+        ChannelFuture future = bootstrap.connect(
+                targets.get((targetPerClient ? exchange.request().client() : nextTarget++) % targets.size()));
+        connectCount++;
         exchange.channel(future.channel());
-        future.addListener(x -> {
+        future.addListener(completed -> {
             if (exchange.ended()) {
                 future.channel().close();
             } else if (future.isSuccess()) {
@@ -118,10 +120,10 @@
 
     void onClosed(HttpConnection connection) {
         open.remove(connection);
-        ArrayDeque<HttpConnection> kept = idle.get(connection.client());
-        if (kept != null) {
-            kept.remove(connection);
-            if (kept.isEmpty()) {
+        ArrayDeque<HttpConnection> idleConnections = idle.get(connection.client());
+        if (idleConnections != null) {
+            idleConnections.remove(connection);
+            if (idleConnections.isEmpty()) {
                 idle.remove(connection.client());
             }
         }
@@ -133,8 +135,8 @@
 
     private void closeIdle() {
         long now = System.nanoTime();
-        for (Iterator<HttpConnection> i = new ArrayList<>(open).iterator(); i.hasNext(); ) {
-            HttpConnection connection = i.next();
+        for (Iterator<HttpConnection> iterator = new ArrayList<>(open).iterator(); iterator.hasNext(); ) {
+            HttpConnection connection = iterator.next();
             if (connection.idleNanos(now) > idleNanos) {
                 connection.close();
             }
@@ -147,7 +149,7 @@
     }
 
     /** Connections that were opened, or tried to be, so far. */
-    long opened() {
-        return opened;
+    long connectCount() {
+        return connectCount;
     }
 }
--- a/src/main/java/rillyard/loadgen/LoadClass.java
+++ b/src/main/java/rillyard/loadgen/LoadClass.java
@@ -33,7 +33,7 @@
         /** Nothing. */
         AT_MOST_ONCE;
 
-        boolean keyed() {
+        boolean hasIdempotencyKey() {
             return this == KEYED || this == KEYED_EVERYWHERE;
         }
     }
--- a/src/main/java/rillyard/loadgen/LoadGenerator.java
+++ b/src/main/java/rillyard/loadgen/LoadGenerator.java
@@ -24,32 +24,32 @@
     private final Transport transport;
     private final RequestLogWriter requestLog;
     private final RunStatistics statistics;
-    private final SplittableRandom names;
+    private final SplittableRandom idRandom;
     private final SplittableRandom random;
     private final Set<LogicalRequest> openRequests = new LinkedHashSet<>();
-    private final Runnable whenDone;
+    private final Runnable onDone;
     private ScheduledRequest next;
     private long startedAt;
-    private long number;
+    private long nextRequestNumber;
     private boolean stopped;
 
     /** {@code whenDone} is run once, when the last request is over. */
     LoadGenerator(
             LoadPlan plan,
-            Scheduler timers,
+            Scheduler scheduler,
             Transport transport,
             RequestLogWriter requestLog,
             RunStatistics statistics,
-            Runnable whenDone) {
+            Runnable onDone) {
         this.plan = plan;
         this.schedule = new RequestSchedule(plan);
-        this.scheduler = timers;
+        this.scheduler = scheduler;
         this.transport = transport;
         this.requestLog = requestLog;
         this.statistics = statistics;
-        this.whenDone = whenDone;
+        this.onDone = onDone;
         SplittableRandom seed = new SplittableRandom(plan.seed() ^ 0x5DEECE66DL);
-        this.names = seed.split();
+        this.idRandom = seed.split();
         this.random = seed.split();
     }
 
@@ -76,10 +76,11 @@
     }
 
     private void send(ScheduledRequest request, long now) {
-        LogicalRequest logicalRequest = new LogicalRequest(number++, request, startedAt + request.atNanos(), this);
+        LogicalRequest logicalRequest =
+                new LogicalRequest(nextRequestNumber++, request, startedAt + request.atNanos(), this);
         statistics.onScheduled(logicalRequest, now);
         if (openRequests.size() >= plan.maxOpen()) {
-            logicalRequest.skip();
+            logicalRequest.markNotSent();
             return;
         }
         openRequests.add(logicalRequest);
@@ -93,7 +94,7 @@
         }
         stopped = true;
         for (LogicalRequest request : new ArrayList<>(openRequests)) {
-            request.leave();
+            request.abandon();
         }
         finishIfIdle();
     }
@@ -104,7 +105,7 @@
         if (!done && openRequests.isEmpty() && (stopped || next == null)) {
             done = true;
             statistics.onEnded(scheduler.now());
-            whenDone.run();
+            onDone.run();
         }
     }
 
@@ -116,7 +117,7 @@
     // --- what calls need
 
     @Override
-    public Scheduler timers() {
+    public Scheduler scheduler() {
         return scheduler;
     }
 
@@ -139,7 +140,7 @@
     public String randomId(int digits) {
         StringBuilder out = new StringBuilder(digits);
         while (out.length() < digits) {
-            String hex = Long.toHexString(names.nextLong());
+            String hex = Long.toHexString(idRandom.nextLong());
             out.append("0".repeat(16 - hex.length())).append(hex);
         }
         out.setLength(digits);
@@ -147,9 +148,9 @@
     }
 
     @Override
-    public void onAttemptEnded(LogicalRequest request, ClientAttempt line) {
-        requestLog.append(line);
-        statistics.onAttempt(line);
+    public void onAttemptEnded(LogicalRequest request, ClientAttempt attempt) {
+        requestLog.append(attempt);
+        statistics.onAttempt(attempt);
     }
 
     @Override
--- a/src/main/java/rillyard/loadgen/LoadPlanReader.java
+++ b/src/main/java/rillyard/loadgen/LoadPlanReader.java
@@ -11,7 +11,7 @@
 
 /** Reads a plan from TOML. What is left out has its default; an error names its line. */
 public final class LoadPlanReader {
-    private enum Kind {
+    private enum ProfileKind {
         STEADY,
         POISSON,
         RAMP,
@@ -31,16 +31,16 @@
      * @throws InvalidConfigException with all findings
      */
     public static LoadPlan read(Path file) throws InvalidConfigException {
-        Path beside = file.toAbsolutePath().getParent();
-        return read(TomlTable.read(file), beside);
+        Path directory = file.toAbsolutePath().getParent();
+        return read(TomlTable.read(file), directory);
     }
 
     /** Reads a text; {@code name} stands for it in findings, and traces are looked up in {@code in}. */
-    public static LoadPlan parse(String name, String text, Path in) throws InvalidConfigException {
-        return read(TomlTable.parse(name, text), in);
+    public static LoadPlan parse(String name, String text, Path directory) throws InvalidConfigException {
+        return read(TomlTable.parse(name, text), directory);
     }
 
-    private static LoadPlan read(TomlTable root, Path beside) throws InvalidConfigException {
+    private static LoadPlan read(TomlTable root, Path directory) throws InvalidConfigException {
         long seed = root.integer("seed", 1, 0, Long.MAX_VALUE);
         int maxOpen = (int) root.integer("max_open", 20_000, 1, 1_000_000);
         double lateness = root.number("lateness_ms", 5, 0.01, 60_000);
@@ -48,43 +48,43 @@
         List<LoadClass> classes = classes(root);
         List<LoadPlan.Tenant> tenants = tenants(root);
         ClientSpec clients = clients(root.table("clients"));
-        List<RateProfile> shapes = new ArrayList<>();
+        List<RateProfile> profiles = new ArrayList<>();
         for (TomlTable table : root.tables("shape")) {
-            shapes.add(shape(table));
+            profiles.add(profile(table));
         }
         boolean traced = root.has("trace");
-        if (traced == !shapes.isEmpty()) {
+        if (traced == !profiles.isEmpty()) {
             root.error(
                     traced ? "trace" : "shape",
                     traced
                             ? "found besides [[shape]], expected one of the two"
                             : "expected a [[shape]] at least, or a [trace]");
         }
-        TomlTable tomlTable = root.table("trace");
-        String file = traced ? tomlTable.text("file") : "";
-        TraceReader.Form form = tomlTable.choice("form", TraceReader.Form.class, TraceReader.Form.CSV);
-        double speed = tomlTable.number("speed", 1, 0.001, 10_000);
+        TomlTable traceTable = root.table("trace");
+        String file = traced ? traceTable.text("file") : "";
+        TraceReader.Form form = traceTable.choice("form", TraceReader.Form.class, TraceReader.Form.CSV);
+        double speed = traceTable.number("speed", 1, 0.001, 10_000);
         root.finish();
-        RecordedTrace trace = traced ? TraceReader.read(beside.resolve(file), form, classes, speed) : null;
-        return new LoadPlan(seed, shapes, trace, classes, tenants, clients, maxOpen, lateness, verify);
+        RecordedTrace trace = traced ? TraceReader.read(directory.resolve(file), form, classes, speed) : null;
+        return new LoadPlan(seed, profiles, trace, classes, tenants, clients, maxOpen, lateness, verify);
     }
 
-    private static RateProfile shape(TomlTable table) {
-        Kind kind = table.choice("kind", Kind.class, Kind.POISSON);
-        double s = table.number("for_s", 10, 0.001, MAX_SECONDS);
-        boolean random = table.flag("random", kind != Kind.STEADY);
+    private static RateProfile profile(TomlTable table) {
+        ProfileKind kind = table.choice("kind", ProfileKind.class, ProfileKind.POISSON);
+        double seconds = table.number("for_s", 10, 0.001, MAX_SECONDS);
+        boolean random = table.flag("random", kind != ProfileKind.STEADY);
         return switch (kind) {
-            case STEADY, POISSON -> new RateProfile.Steady(s, rate(table, "rate"), random);
-            case RAMP -> new RateProfile.Ramp(s, rate(table, "from"), rate(table, "to"), random);
+            case STEADY, POISSON -> new RateProfile.Steady(seconds, rate(table, "rate"), random);
+            case RAMP -> new RateProfile.Ramp(seconds, rate(table, "from"), rate(table, "to"), random);
             case WAVE ->
                 new RateProfile.Wave(
-                        s,
+                        seconds,
                         rate(table, "rate"),
                         table.number("swing", 0.3, 0, 1),
                         table.number("period_s", 60, 0.01, MAX_SECONDS),
                         random);
-            case STEP -> new RateProfile.Step(s, table.numbers("rates", new double[] {100}, 0, MAX_RATE), random);
-            case SURGE -> surge(table, s, random);
+            case STEP -> new RateProfile.Step(seconds, table.numbers("rates", new double[] {100}, 0, MAX_RATE), random);
+            case SURGE -> surge(table, seconds, random);
         };
     }
 
--- a/src/main/java/rillyard/loadgen/LoadRun.java
+++ b/src/main/java/rillyard/loadgen/LoadRun.java
@@ -19,7 +19,7 @@
 
 /** One run of a plan against targets, on one event loop thread. */
 public final class LoadRun {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long PROGRESS_INTERVAL_NANOS = 1_000_000_000L;
 
     private final LoadPlan plan;
     private final RequestLogWriter requestLog;
@@ -51,7 +51,7 @@
     public LoadRun(
             LoadPlan plan,
             List<InetSocketAddress> targets,
-            boolean own,
+            boolean targetPerClient,
             RequestLogWriter requestLog,
             PrintStream progress) {
         this.plan = plan;
@@ -59,7 +59,7 @@
         this.progress = progress;
         this.statistics = new RunStatistics(plan.seconds());
         this.transport = new HttpTransport(
-                loop, targets, own, plan.clients().idleMs(), plan.verify(), this::onUnexpectedResponse);
+                loop, targets, targetPerClient, plan.clients().idleMs(), plan.verify(), this::onUnexpectedResponse);
         this.generator = new LoadGenerator(
                 plan, new EventLoopScheduler(loop), transport, requestLog, statistics, done::countDown);
     }
@@ -75,27 +75,28 @@
      * @throws InterruptedException if the waiting thread is
      */
     public void run() throws InterruptedException {
-        double before = cpu();
+        double cpuSecondsBefore = processCpuSeconds();
         loop.execute(() -> {
             startedMicros = UnixClock.micros();
             generator.start();
         });
-        Future<?> shown = progress == null
+        Future<?> progressTask = progress == null
                 ? null
-                : loop.scheduleAtFixedRate(this::showProgress, SECOND, SECOND, TimeUnit.NANOSECONDS);
+                : loop.scheduleAtFixedRate(
+                        this::showProgress, PROGRESS_INTERVAL_NANOS, PROGRESS_INTERVAL_NANOS, TimeUnit.NANOSECONDS);
         try {
             done.await();
         } finally {
-            cpuSeconds = cpu() - before;
-            if (shown != null) {
-                shown.cancel(false);
+            cpuSeconds = processCpuSeconds() - cpuSecondsBefore;
+            if (progressTask != null) {
+                progressTask.cancel(false);
             }
             group.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS).syncUninterruptibly();
             requestLog.flush();
         }
     }
 
-    private static double cpu() {
+    private static double processCpuSeconds() {
         return ProcessHandle.current()
                         .info()
                         .totalCpuDuration()
@@ -123,24 +124,24 @@
 
     private void showProgress() {
         long offered = statistics.offered();
-        long over = statistics.onFinished();
+        long finished = statistics.finishedCount();
         RunStatistics.ClassStatistics all = statistics.total();
         progress.printf(
                 Locale.ROOT,
                 "%5.0f s  sent %6d/s  answered %6d/s  open %5d  in aim %6.2f %%  p99 %8.2f ms%n",
                 (UnixClock.micros() - startedMicros) / 1e6,
                 offered - shownOffered,
-                over - shownFinished,
+                finished - shownFinished,
                 generator.openRequests(),
-                100.0 * all.withinObjective / Math.max(1, over),
+                100.0 * all.withinObjective / Math.max(1, finished),
                 all.latency.getValueAtPercentile(99) / 1_000.0);
         shownOffered = offered;
-        shownFinished = over;
+        shownFinished = finished;
     }
 
     /** What came of it; to be asked once {@link #run} has returned. */
     public RunReport report(List<RunReport.Mark> marks) {
-        return RunReport.of(plan, statistics, interrupted, cpuSeconds, transport.opened(), marks);
+        return RunReport.of(plan, statistics, interrupted, cpuSeconds, transport.connectCount(), marks);
     }
 
     /** Writes the histograms; to be asked once {@link #run} has returned. */
--- a/src/main/java/rillyard/loadgen/LogicalRequest.java
+++ b/src/main/java/rillyard/loadgen/LogicalRequest.java
@@ -13,7 +13,7 @@
 final class LogicalRequest implements Transport.Listener {
     /** What a call needs and reports to. */
     interface Context {
-        Scheduler timers();
+        Scheduler scheduler();
 
         Transport transport();
 
@@ -25,7 +25,7 @@
         String randomId(int digits);
 
         /** An attempt has ended. */
-        void onAttemptEnded(LogicalRequest request, ClientAttempt line);
+        void onAttemptEnded(LogicalRequest request, ClientAttempt attempt);
 
         /** The request is over with this outcome. */
         void onFinished(LogicalRequest request, ClientOutcome outcome, long endedAt);
@@ -49,14 +49,15 @@
     private boolean finished;
 
     /** {@code intended} is when the schedule has it be sent, on the clock of the timers. */
-    LogicalRequest(long number, ScheduledRequest arrival, long intended, Context host) {
+    LogicalRequest(long number, ScheduledRequest arrival, long scheduledAt, Context context) {
         this.number = number;
         this.arrival = arrival;
-        this.scheduledAt = intended;
-        this.context = host;
-        this.idempotencyKey = arrival.requestClass().semantics().keyed() ? host.randomId(32) : null;
-        this.deadline = intended + toNanos(arrival.requestClass().deadlineMs());
-        this.honorsRetryAfter = host.random().nextDouble() < host.clients().retryAfterShare();
+        this.scheduledAt = scheduledAt;
+        this.context = context;
+        this.idempotencyKey = arrival.requestClass().semantics().hasIdempotencyKey() ? context.randomId(32) : null;
+        this.deadline = scheduledAt + toNanos(arrival.requestClass().deadlineMs());
+        this.honorsRetryAfter =
+                context.random().nextDouble() < context.clients().retryAfterShare();
     }
 
     private static long toNanos(double ms) {
@@ -70,36 +71,37 @@
 
     /** Sends the first attempt. */
     void start() {
-        firstSent = context.timers().now();
-        attempt(context.randomId(16), false, false);
+        firstSent = context.scheduler().now();
+        sendAttempt(context.randomId(16), false, false);
     }
 
     /** It can't be sent: the generator is at its bound. */
-    void skip() {
-        sentAt = context.timers().now();
+    void markNotSent() {
+        sentAt = context.scheduler().now();
         firstSent = sentAt;
         id = context.randomId(16);
         finishAttempt(ClientOutcome.NOT_SENT, 0, 0, false);
     }
 
     /** The run is over: leaves, if it is still under way. */
-    void leave() {
+    void abandon() {
         if (!finished) {
             abandonAttempt(ClientOutcome.ABANDONED, false);
         }
     }
 
-    private void attempt(String as, boolean retried, boolean fresh) {
+    private void sendAttempt(String attemptId, boolean retried, boolean newConnection) {
         ClientSpec spec = context.clients();
-        id = as;
-        sentAt = context.timers().now();
-        long left = deadline - sentAt;
+        id = attemptId;
+        sentAt = context.scheduler().now();
+        long remaining = deadline - sentAt;
         double share = spec.minTimeoutShare()
                 + (spec.maxTimeoutShare() - spec.minTimeoutShare())
                         * context.random().nextDouble();
-        long patience = Math.max(
-                1_000_000, Math.min(left, toNanos(share * arrival.requestClass().deadlineMs())));
-        timeoutNanos = Math.max(1_000_000, spec.announcesTimeout() ? patience : left);
+        long waitLimit = Math.max(
+                1_000_000,
+                Math.min(remaining, toNanos(share * arrival.requestClass().deadlineMs())));
+        timeoutNanos = Math.max(1_000_000, spec.announcesTimeout() ? waitLimit : remaining);
         pendingAttempt = context.transport()
                 .send(
                         new Transport.OutgoingRequest(
@@ -111,29 +113,31 @@
                                 arrival.client(),
                                 timeoutNanos / 1_000_000,
                                 retried,
-                                fresh),
+                                newConnection),
                         this);
         if (context.random().nextDouble() < spec.abandonShare()) {
-            long leaves = (long) (context.random().nextDouble() * patience);
-            timer = context.timers().scheduleAt(sentAt + leaves, () -> abandonAttempt(ClientOutcome.ABANDONED, true));
-        } else if (spec.announcesTimeout() || patience >= left) {
-            timer = context.timers()
+            long abandonAfter = (long) (context.random().nextDouble() * waitLimit);
+            timer = context.scheduler()
+                    .scheduleAt(sentAt + abandonAfter, () -> abandonAttempt(ClientOutcome.ABANDONED, true));
+        } else if (spec.announcesTimeout() || waitLimit >= remaining) {
+            timer = context.scheduler()
                     .scheduleAt(
-                            sentAt + patience + toNanos(spec.graceMs()),
+                            sentAt + waitLimit + toNanos(spec.graceMs()),
                             () -> abandonAttempt(ClientOutcome.UNANSWERED, true));
         } else {
-            timer = context.timers().scheduleAt(sentAt + patience, () -> abandonAttempt(ClientOutcome.ABANDONED, true));
+            timer = context.scheduler()
+                    .scheduleAt(sentAt + waitLimit, () -> abandonAttempt(ClientOutcome.ABANDONED, true));
         }
     }
 
-    private void abandonAttempt(ClientOutcome how, boolean mayRetry) {
+    private void abandonAttempt(ClientOutcome outcome, boolean mayRetry) {
         if (pendingAttempt != null) {
             pendingAttempt.abandon();
             pendingAttempt = null;
-            finishAttempt(how, 0, 0, mayRetry);
+            finishAttempt(outcome, 0, 0, mayRetry);
         } else {
             timer.cancel(); // it waits for its next try
-            finish(how);
+            finish(outcome);
         }
     }
 
@@ -148,9 +152,9 @@
     }
 
     private void finishAttempt(ClientOutcome outcome, int status, long retryAfter, boolean mayRetry) {
-        long now = context.timers().now();
+        long now = context.scheduler().now();
         attempts++;
-        long wait = mayRetry ? waitBeforeNext(outcome, retryAfter, now) : -1;
+        long delayNanos = mayRetry ? retryDelayNanos(outcome, retryAfter, now) : -1;
         context.onAttemptEnded(
                 this,
                 new ClientAttempt(
@@ -168,19 +172,19 @@
                         outcome,
                         status,
                         retryAfter,
-                        wait < 0));
-        if (wait < 0) {
+                        delayNanos < 0));
+        if (delayNanos < 0) {
             finish(outcome);
         } else if (outcome == ClientOutcome.STALE) {
-            attempt(id, false, true); // the same one once more, as it was not taken
+            sendAttempt(id, false, true); // the same one once more, as it was not taken
         } else {
             retries++;
-            timer = context.timers().scheduleAfter(wait, () -> attempt(context.randomId(16), true, false));
+            timer = context.scheduler().scheduleAfter(delayNanos, () -> sendAttempt(context.randomId(16), true, false));
         }
     }
 
     /** How long (ns) until the next try, or below 0 if there is none. */
-    private long waitBeforeNext(ClientOutcome outcome, long retryAfter, long now) {
+    private long retryDelayNanos(ClientOutcome outcome, long retryAfter, long now) {
         ClientSpec spec = context.clients();
         if (outcome == ClientOutcome.SERVED || outcome == ClientOutcome.NOT_SENT || attempts >= spec.attempts()) {
             return -1;
@@ -191,11 +195,11 @@
         if (retries >= spec.retries() || !mayRetry(outcome, now)) {
             return -1;
         }
-        long wait = toNanos(spec.backoffMs() * Math.pow(spec.backoffFactor(), retries));
+        long delayNanos = toNanos(spec.backoffMs() * Math.pow(spec.backoffFactor(), retries));
         if (retryAfter > 0 && honorsRetryAfter) {
-            wait = Math.max(wait, Math.min(1_000 * retryAfter, toNanos(spec.maxRetryAfterMs())));
+            delayNanos = Math.max(delayNanos, Math.min(1_000 * retryAfter, toNanos(spec.maxRetryAfterMs())));
         }
-        return now + wait < deadline - 1_000_000 ? wait : -1;
+        return now + delayNanos < deadline - 1_000_000 ? delayNanos : -1;
     }
 
     /** What clients may send again: all that was not taken, and of the rest what does no harm. */
@@ -213,6 +217,6 @@
 
     private void finish(ClientOutcome outcome) {
         finished = true;
-        context.onFinished(this, outcome, context.timers().now());
+        context.onFinished(this, outcome, context.scheduler().now());
     }
 }
--- a/src/main/java/rillyard/loadgen/RateProfile.java
+++ b/src/main/java/rillyard/loadgen/RateProfile.java
@@ -96,12 +96,14 @@
 
         @Override
         public double rate(double time) {
-            double s = time - at;
-            double share = s < 0
+            double sinceStart = time - at;
+            double share = sinceStart < 0
                     ? 0
-                    : s < rise
-                            ? s / rise
-                            : s < rise + hold ? 1 : s < rise + hold + fall ? 1 - (s - rise - hold) / fall : 0;
+                    : sinceStart < rise
+                            ? sinceStart / rise
+                            : sinceStart < rise + hold
+                                    ? 1
+                                    : sinceStart < rise + hold + fall ? 1 - (sinceStart - rise - hold) / fall : 0;
             return base + (peak - base) * share;
         }
 
@@ -111,16 +113,17 @@
     }
 
     /** A sine around a mean; {@code swing} is its amplitude as a share of the mean, at most 1. */
-    record Wave(double seconds, double mean, double swing, double period, boolean isPoisson) implements RateProfile {
+    record Wave(double seconds, double mean, double amplitude, double period, boolean isPoisson)
+            implements RateProfile {
         @Override
         public double expectedArrivals(double time) {
             double angularFrequency = 2 * Math.PI / period;
-            return mean * (time + swing / angularFrequency * (1 - Math.cos(angularFrequency * time)));
+            return mean * (time + amplitude / angularFrequency * (1 - Math.cos(angularFrequency * time)));
         }
 
         @Override
         public double rate(double time) {
-            return mean * (1 + swing * Math.sin(2 * Math.PI * time / period));
+            return mean * (1 + amplitude * Math.sin(2 * Math.PI * time / period));
         }
     }
 
--- a/src/main/java/rillyard/loadgen/RecordedTrace.java
+++ b/src/main/java/rillyard/loadgen/RecordedTrace.java
@@ -18,12 +18,12 @@
      * One recorded request.
      *
      * @param micros when it came, on the clock of the recording
-     * @param type its class
+     * @param requestClass its class
      * @param tenant its tenant, or null
      * @param client who sent it, or null where that is not known
      * @param routeKey what it was about, or null
      */
-    public record RecordedRequest(long micros, LoadClass type, String tenant, String client, String routeKey) {}
+    public record RecordedRequest(long micros, LoadClass requestClass, String tenant, String client, String routeKey) {}
 
     /** When an entry is to be sent: nanoseconds from the first one. */
     long at(RecordedRequest request) {
--- a/src/main/java/rillyard/loadgen/ReportHtml.java
+++ b/src/main/java/rillyard/loadgen/ReportHtml.java
@@ -55,7 +55,7 @@
 
     private static void table(StringBuilder out, RunReport report) {
         out.append("<table><tr>");
-        for (String h : List.of(
+        for (String heading : List.of(
                 "class, tenant",
                 "offered",
                 "rate/s",
@@ -71,7 +71,7 @@
                 "p99.9",
                 "max",
                 "tries")) {
-            out.append("<th>").append(h).append("</th>");
+            out.append("<th>").append(heading).append("</th>");
         }
         out.append("</tr>");
         report.rows().forEach(row -> row(out, row, ""));
@@ -85,19 +85,19 @@
                         report.total().service().max()));
     }
 
-    private static void row(StringBuilder out, RunReport.Row row, String mark) {
-        double n = Math.max(1, row.offered()) / 100.0;
+    private static void row(StringBuilder out, RunReport.Row row, String attribute) {
+        double percent = Math.max(1, row.offered()) / 100.0;
         out.append("<tr")
-                .append(mark)
+                .append(attribute)
                 .append("><td>")
                 .append(escape(row.tenant() == null ? row.type() : row.type() + ", " + row.tenant()))
                 .append("</td>");
         for (String cell : new String[] {
             Long.toString(row.offered()),
             format("%.1f", row.rate()),
-            format("%.2f", row.inAim() / n),
-            format("%.2f", row.late() / n),
-            format("%.2f", row.refused() / n),
+            format("%.2f", row.inAim() / percent),
+            format("%.2f", row.late() / percent),
+            format("%.2f", row.refused() / percent),
             Long.toString(row.failed()),
             Long.toString(row.lost()),
             Long.toString(row.abandoned()),
@@ -123,12 +123,12 @@
         latency.line("max", "#bbbbbb", points(report, RunReport.Point::max));
         SvgPlot rate = new SvgPlot("requests a second", end, false);
         rate.line("offered", "#222222", points(report, point -> point.offered() / width));
-        rate.line("in aim", "#41ae76", points(report, p -> p.inAim() / width));
-        SvgPlot rest = new SvgPlot("not in aim, a second", end, false);
-        rest.line("late", "#e6862a", points(report, p -> p.late() / width));
-        rest.line("refused", "#2c7fb8", points(report, p -> p.refused() / width));
-        rest.line("failed, lost, left", "#c0392b", points(report, p -> p.failed() / width));
-        for (SvgPlot plot : List.of(latency, rate, rest)) {
+        rate.line("in aim", "#41ae76", points(report, point -> point.inAim() / width));
+        SvgPlot outsideObjective = new SvgPlot("not in aim, a second", end, false);
+        outsideObjective.line("late", "#e6862a", points(report, point -> point.late() / width));
+        outsideObjective.line("refused", "#2c7fb8", points(report, point -> point.refused() / width));
+        outsideObjective.line("failed, lost, left", "#c0392b", points(report, point -> point.failed() / width));
+        for (SvgPlot plot : List.of(latency, rate, outsideObjective)) {
             report.marks().forEach(mark -> plot.mark(mark.at(), mark.host() + " " + mark.what()));
             out.append(plot.svg());
         }
--- a/src/main/java/rillyard/loadgen/RequestSchedule.java
+++ b/src/main/java/rillyard/loadgen/RequestSchedule.java
@@ -8,24 +8,24 @@
 /** The arrivals of a plan, one by one in the order of their times; knows no clock. */
 public final class RequestSchedule implements Iterator<ScheduledRequest> {
     private final LoadPlan plan;
-    private final SplittableRandom gaps;
-    private final SplittableRandom marks;
+    private final SplittableRandom arrivalRandom;
+    private final SplittableRandom requestRandom;
     private final WeightedSampler classes;
     private final WeightedSampler tenants;
     private final WeightedSampler clients;
     private final Iterator<RecordedTrace.RecordedRequest> trace;
-    private int shape;
-    private double shapeFrom;
-    private double within;
-    private double count;
+    private int profileIndex;
+    private double profileStart;
+    private double secondsInProfile;
+    private double arrivalsInProfile;
     private ScheduledRequest next;
 
     /** The same plan gives the same arrivals. */
     public RequestSchedule(LoadPlan plan) {
         this.plan = plan;
         SplittableRandom seed = new SplittableRandom(plan.seed());
-        this.gaps = seed.split();
-        this.marks = seed.split();
+        this.arrivalRandom = seed.split();
+        this.requestRandom = seed.split();
         this.classes =
                 weights(plan.classes().stream().mapToDouble(LoadClass::share).toArray());
         this.tenants = weights(
@@ -56,32 +56,32 @@
     }
 
     private ScheduledRequest nextOfProfile() {
-        List<RateProfile> shapes = plan.profiles();
-        while (shape < shapes.size()) {
-            RateProfile profile = shapes.get(shape);
-            count += profile.isPoisson() ? gaps.nextExponential() : 1;
-            double at = profile.timeOf(count, within);
+        List<RateProfile> profiles = plan.profiles();
+        while (profileIndex < profiles.size()) {
+            RateProfile profile = profiles.get(profileIndex);
+            arrivalsInProfile += profile.isPoisson() ? arrivalRandom.nextExponential() : 1;
+            double at = profile.timeOf(arrivalsInProfile, secondsInProfile);
             if (!Double.isNaN(at)) {
-                within = at;
-                return withClassAndClient((long) (1e9 * (shapeFrom + at)));
+                secondsInProfile = at;
+                return withClassAndClient((long) (1e9 * (profileStart + at)));
             }
             // What is left of the gap is not carried over: the next shape begins on its own.
-            shape++;
-            shapeFrom += profile.seconds();
-            within = 0;
-            count = 0;
+            profileIndex++;
+            profileStart += profile.seconds();
+            secondsInProfile = 0;
+            arrivalsInProfile = 0;
         }
         return null;
     }
 
     private ScheduledRequest withClassAndClient(long at) {
-        LoadClass type = plan.classes().get(classes.sample(marks));
+        LoadClass requestClass = plan.classes().get(classes.sample(requestRandom));
         String tenant = tenants == null
                 ? null
-                : plan.tenants().get(tenants.sample(marks)).name();
-        int client = clients.sample(marks);
-        String key = type.keys() == 0 ? null : "k" + marks.nextInt(type.keys());
-        return new ScheduledRequest(at, type, tenant, client, key);
+                : plan.tenants().get(tenants.sample(requestRandom)).name();
+        int client = clients.sample(requestRandom);
+        String key = requestClass.keys() == 0 ? null : "k" + requestRandom.nextInt(requestClass.keys());
+        return new ScheduledRequest(at, requestClass, tenant, client, key);
     }
 
     private ScheduledRequest nextOfTrace() {
@@ -90,9 +90,9 @@
         }
         RecordedTrace.RecordedRequest request = trace.next();
         int client = request.client() == null
-                ? clients.sample(marks)
+                ? clients.sample(requestRandom)
                 : Math.floorMod(request.client().hashCode(), plan.clients().count());
         return new ScheduledRequest(
-                plan.trace().at(request), request.type(), request.tenant(), client, request.routeKey());
+                plan.trace().at(request), request.requestClass(), request.tenant(), client, request.routeKey());
     }
 }
--- a/src/main/java/rillyard/loadgen/RunReport.java
+++ b/src/main/java/rillyard/loadgen/RunReport.java
@@ -103,14 +103,14 @@
             double cpuSeconds,
             long connections,
             List<Mark> marks) {
-        String because = null;
+        String invalidBecause = null;
         Quantiles lateness = Quantiles.of(statistics.lateness());
         RunStatistics.ClassStatistics all = statistics.total();
         if (lateness.p99() > plan.maxLatenessMs()) {
-            because = "one send of a hundred was more than " + lateness.p99() + " ms late, expected "
+            invalidBecause = "one send of a hundred was more than " + lateness.p99() + " ms late, expected "
                     + plan.maxLatenessMs() + " at most: the generator could not keep its schedule";
         } else if (all.notSent > 0) {
-            because = all.notSent + " requests were not sent, as " + plan.maxOpen()
+            invalidBecause = all.notSent + " requests were not sent, as " + plan.maxOpen()
                     + " were under way: the schedule was not kept";
         }
         double seconds = Math.max(1e-9, statistics.seconds());
@@ -121,8 +121,8 @@
             series.add(point(series.size() * statistics.intervalSeconds(), intervalStatistics));
         }
         return new RunReport(
-                because == null,
-                because,
+                invalidBecause == null,
+                invalidBecause,
                 interrupted,
                 plan.seed(),
                 seconds,
--- a/src/main/java/rillyard/loadgen/RunStatistics.java
+++ b/src/main/java/rillyard/loadgen/RunStatistics.java
@@ -14,7 +14,7 @@
     static final long MAX_MICROS = 3_600_000_000L;
 
     /** Stretches of time that are kept apart at most; a long run has longer ones. */
-    private static final int INTERVALS = 300;
+    private static final int MAX_INTERVALS = 300;
 
     /** Figures of one class and tenant; {@code tenant} is null where there are none. */
     static final class ClassStatistics {
@@ -32,8 +32,8 @@
         long notSent;
         long attempts;
 
-        ClassStatistics(LoadClass type, String tenant) {
-            this.requestClass = type;
+        ClassStatistics(LoadClass requestClass, String tenant) {
+            this.requestClass = requestClass;
             this.tenant = tenant;
         }
 
@@ -65,15 +65,15 @@
     private final Map<String, ClassStatistics> rows = new TreeMap<>();
     private final List<IntervalStatistics> intervals = new ArrayList<>();
     private final Histogram lateness = new Histogram(MAX_MICROS, 3);
-    private final long width;
+    private final long intervalNanos;
     private long startedAt;
     private long endedAt;
     private long offered;
-    private long over;
-    private long surplus;
+    private long finished;
+    private long unexpectedResponses;
 
     RunStatistics(double seconds) {
-        width = 1_000_000_000L * (long) Math.max(1, Math.ceil(seconds / INTERVALS));
+        intervalNanos = 1_000_000_000L * (long) Math.max(1, Math.ceil(seconds / MAX_INTERVALS));
     }
 
     void onStarted(long at) {
@@ -91,17 +91,17 @@
         intervalOf(request).offered++;
     }
 
-    void onAttempt(ClientAttempt line) {
-        rows.get(name(line.requestClass(), line.tenant())).attempts++;
+    void onAttempt(ClientAttempt attempt) {
+        rows.get(name(attempt.requestClass(), attempt.tenant())).attempts++;
     }
 
     /** More came on a connection than the one answer. */
     void onUnexpectedResponse() {
-        surplus++;
+        unexpectedResponses++;
     }
 
     void onFinished(LogicalRequest request, ClientOutcome outcome, long at) {
-        over++;
+        finished++;
         ClassStatistics statistics = row(request);
         IntervalStatistics intervalStatistics = intervalOf(request);
         switch (outcome) {
@@ -140,7 +140,7 @@
     private ClassStatistics row(LogicalRequest request) {
         return rows.computeIfAbsent(
                 name(request.arrival.requestClass().name(), request.arrival.tenant()),
-                n -> new ClassStatistics(request.arrival.requestClass(), request.arrival.tenant()));
+                key -> new ClassStatistics(request.arrival.requestClass(), request.arrival.tenant()));
     }
 
     private static String name(String type, String tenant) {
@@ -148,11 +148,11 @@
     }
 
     private IntervalStatistics intervalOf(LogicalRequest request) {
-        int i = (int) Math.max(0, (request.scheduledAt - startedAt) / width);
-        while (intervals.size() <= i) {
+        int index = (int) Math.max(0, (request.scheduledAt - startedAt) / intervalNanos);
+        while (intervals.size() <= index) {
             intervals.add(new IntervalStatistics());
         }
-        return intervals.get(i);
+        return intervals.get(index);
     }
 
     List<ClassStatistics> rows() {
@@ -171,7 +171,7 @@
     }
 
     double intervalSeconds() {
-        return width / 1e9;
+        return intervalNanos / 1e9;
     }
 
     /** How late the generator's own sends were (microseconds). */
@@ -187,11 +187,11 @@
         return offered;
     }
 
-    long onFinished() {
-        return over;
+    long finishedCount() {
+        return finished;
     }
 
     long unexpectedResponses() {
-        return surplus;
+        return unexpectedResponses;
     }
 }
--- a/src/main/java/rillyard/loadgen/SvgPlot.java
+++ b/src/main/java/rillyard/loadgen/SvgPlot.java
@@ -43,9 +43,9 @@
         double high = 0;
         double low = Double.MAX_VALUE;
         for (Line line : lines) {
-            for (double[] p : line.points()) {
-                high = Math.max(high, p[1]);
-                low = p[1] > 0 ? Math.min(low, p[1]) : low;
+            for (double[] point : line.points()) {
+                high = Math.max(high, point[1]);
+                low = point[1] > 0 ? Math.min(low, point[1]) : low;
             }
         }
         high = high == 0 ? 1 : high;
@@ -63,13 +63,13 @@
                     "<line x1=\"%1$.1f\" x2=\"%1$.1f\" y1=\"%2$d\" y2=\"%3$d\" stroke=\"#c0392b\" stroke-dasharray=\"3 3\"><title>%4$s</title></line>",
                     x(mark.at()), TOP, HEIGHT - BOTTOM, ReportHtml.escape(mark.text())));
         }
-        for (Line l : lines) {
+        for (Line line : lines) {
             out.append("<polyline fill=\"none\" stroke=\"")
-                    .append(l.colour())
+                    .append(line.colour())
                     .append("\" stroke-width=\"1.5\" points=\"");
-            for (double[] p : l.points()) {
-                if (!logarithmic || p[1] > 0) {
-                    out.append(ReportHtml.format("%.1f,%.1f ", x(p[0]), y(p[1], from, to)));
+            for (double[] point : line.points()) {
+                if (!logarithmic || point[1] > 0) {
+                    out.append(ReportHtml.format("%.1f,%.1f ", x(point[0]), y(point[1], from, to)));
                 }
             }
             out.append("\"/>");
@@ -91,36 +91,36 @@
     private void axes(StringBuilder out, double from, double to) {
         List<Double> levels = new ArrayList<>();
         if (logarithmic) {
-            for (double v = from; v <= to * 1.001; v *= 10) {
-                levels.add(v);
+            for (double level = from; level <= to * 1.001; level *= 10) {
+                levels.add(level);
             }
         } else {
-            double step = nice(to / 4);
-            for (double v = 0; v <= to; v += step) {
-                levels.add(v);
+            double step = roundStep(to / 4);
+            for (double level = 0; level <= to; level += step) {
+                levels.add(level);
             }
         }
-        for (double v : levels) {
-            double y = y(v, from, to);
+        for (double level : levels) {
+            double y = y(level, from, to);
             out.append(ReportHtml.format(
                     "<line x1=\"%d\" x2=\"%d\" y1=\"%3$.1f\" y2=\"%3$.1f\" stroke=\"#e4e4e4\"/>",
                     LEFT, WIDTH - RIGHT, y));
             out.append(ReportHtml.format(
                     "<text x=\"%d\" y=\"%.1f\" text-anchor=\"end\" fill=\"#666\">%s</text>",
-                    LEFT - 6, y + 4, v == Math.rint(v) ? Long.toString((long) v) : Double.toString(v)));
+                    LEFT - 6, y + 4, level == Math.rint(level) ? Long.toString((long) level) : Double.toString(level)));
         }
-        double step = nice(end / 8);
-        for (double t = 0; t <= end; t += step) {
+        double step = roundStep(end / 8);
+        for (double seconds = 0; seconds <= end; seconds += step) {
             out.append(ReportHtml.format(
                     "<text x=\"%.1f\" y=\"%d\" text-anchor=\"middle\" fill=\"#666\">%.4g s</text>",
-                    x(t), HEIGHT - 8, t));
+                    x(seconds), HEIGHT - 8, seconds));
         }
     }
 
-    private static double nice(double step) {
-        double ten = Math.pow(10, Math.floor(Math.log10(step)));
-        double m = step / ten;
-        return ten * (m <= 1 ? 1 : m <= 2 ? 2 : m <= 5 ? 5 : 10);
+    private static double roundStep(double step) {
+        double power = Math.pow(10, Math.floor(Math.log10(step)));
+        double mantissa = step / power;
+        return power * (mantissa <= 1 ? 1 : mantissa <= 2 ? 2 : mantissa <= 5 ? 5 : 10);
     }
 
     private double x(double time) {
--- a/src/main/java/rillyard/loadgen/TimelineEvents.java
+++ b/src/main/java/rillyard/loadgen/TimelineEvents.java
@@ -24,13 +24,13 @@
         List<RunReport.Mark> out = new ArrayList<>();
         RequestLogReader.read(hosts, "hosts", line -> {
             if (line instanceof HostEvent event && event.at() >= from && out.size() < MAX_EVENTS) {
-                out.add(new RunReport.Mark((event.at() - from) / 1e6, event.host(), words(event)));
+                out.add(new RunReport.Mark((event.at() - from) / 1e6, event.host(), description(event)));
             }
         });
         return out;
     }
 
-    private static String words(HostEvent event) {
+    private static String description(HostEvent event) {
         return switch (event.kind()) {
             case FAULT -> event.detail();
             case FAULT_ENDED -> event.detail() + " ends";
--- a/src/main/java/rillyard/loadgen/TraceReader.java
+++ b/src/main/java/rillyard/loadgen/TraceReader.java
@@ -117,11 +117,11 @@
                     return;
                 }
             } else if (form == Form.CSV) {
-                csv(columns, text);
+                addCsvLine(columns, text);
             } else if (form == Form.JSONL) {
-                json(text);
+                addJsonLine(text);
             } else {
-                httplog(text);
+                addHttplogLine(text);
             }
         }
     }
@@ -138,18 +138,18 @@
         return names;
     }
 
-    private void csv(List<String> columns, String text) {
-        String[] v = text.split(",", -1);
-        if (v.length != columns.size()) {
-            addProblem("expected " + columns.size() + " values, found " + v.length);
+    private void addCsvLine(List<String> columns, String text) {
+        String[] values = text.split(",", -1);
+        if (values.length != columns.size()) {
+            addProblem("expected " + columns.size() + " values, found " + values.length);
             return;
         }
-        entry(
-                v[columns.indexOf("time_ms")].trim(),
-                v[columns.indexOf("class")].trim(),
-                value(columns, v, "tenant"),
-                value(columns, v, "client"),
-                value(columns, v, "route_key"));
+        addEntry(
+                values[columns.indexOf("time_ms")].trim(),
+                values[columns.indexOf("class")].trim(),
+                value(columns, values, "tenant"),
+                value(columns, values, "client"),
+                value(columns, values, "route_key"));
     }
 
     private static String value(List<String> columns, String[] values, String name) {
@@ -157,7 +157,7 @@
         return i < 0 || values[i].isBlank() ? null : values[i].trim();
     }
 
-    private void json(String text) {
+    private void addJsonLine(String text) {
         JsonNode node;
         try {
             node = JSON.readTree(text);
@@ -169,7 +169,7 @@
             addProblem("expected a JSON object, found " + text);
             return;
         }
-        entry(
+        addEntry(
                 node.path("time_ms").asText(),
                 node.path("class").asText(),
                 node.hasNonNull("tenant") ? node.get("tenant").asText() : null,
@@ -177,7 +177,7 @@
                 node.hasNonNull("route_key") ? node.get("route_key").asText() : null);
     }
 
-    private void entry(String time, String type, String tenant, String client, String key) {
+    private void addEntry(String time, String type, String tenant, String client, String key) {
         double ms;
         try {
             ms = Double.parseDouble(time);
@@ -196,7 +196,7 @@
         entries.add(new RecordedTrace.RecordedRequest((long) (1_000 * ms), requestClass, tenant, client, key));
     }
 
-    private void httplog(String text) {
+    private void addHttplogLine(String text) {
         Matcher matcher = HTTPLOG.matcher(text);
         if (!matcher.find()) {
             addProblem("expected a line of HAProxy's option httplog");
--- a/src/main/java/rillyard/scheduling/EventLoopScheduler.java
+++ b/src/main/java/rillyard/scheduling/EventLoopScheduler.java
@@ -19,8 +19,8 @@
     }
 
     @Override
-    public ScheduledTask scheduleAt(long at, Runnable what) {
-        Future<?> f = loop.schedule(what, Math.max(0, at - now()), TimeUnit.NANOSECONDS);
-        return () -> f.cancel(false);
+    public ScheduledTask scheduleAt(long atNanos, Runnable task) {
+        Future<?> future = loop.schedule(task, Math.max(0, atNanos - now()), TimeUnit.NANOSECONDS);
+        return () -> future.cancel(false);
     }
 }
--- a/src/main/java/rillyard/scheduling/EventLoops.java
+++ b/src/main/java/rillyard/scheduling/EventLoops.java
@@ -39,12 +39,12 @@
     }
 
     /** The kind of channel that listens on such loops. */
-    public static Class<? extends ServerChannel> listening() {
+    public static Class<? extends ServerChannel> serverChannelType() {
         return EPOLL ? EpollServerSocketChannel.class : NioServerSocketChannel.class;
     }
 
     /** The kind of channel that connects on such loops. */
-    public static Class<? extends SocketChannel> connecting() {
+    public static Class<? extends SocketChannel> clientChannelType() {
         return EPOLL ? EpollSocketChannel.class : NioSocketChannel.class;
     }
 }
--- a/src/main/java/rillyard/scheduling/Scheduler.java
+++ b/src/main/java/rillyard/scheduling/Scheduler.java
@@ -6,11 +6,11 @@
     long now();
 
     /** Runs something when the clock reads {@code at} (ns), in the next turn if that is past. */
-    ScheduledTask scheduleAt(long at, Runnable what);
+    ScheduledTask scheduleAt(long atNanos, Runnable task);
 
     /** Runs something after {@code delay} ns. */
-    default ScheduledTask scheduleAfter(long delay, Runnable what) {
-        return scheduleAt(now() + delay, what);
+    default ScheduledTask scheduleAfter(long delayNanos, Runnable task) {
+        return scheduleAt(now() + delayNanos, task);
     }
 
     /** Something that is to happen. */
--- a/src/main/java/rillyard/testserver/ActiveFaults.java
+++ b/src/main/java/rillyard/testserver/ActiveFaults.java
@@ -33,6 +33,6 @@
     /** Whether a fault of this kind meets the request at hand: a draw of chance by its share. */
     boolean applies(HostFault.Kind kind) {
         HostFault fault = active.get(kind);
-        return fault != null && (fault.size() >= 1 || random.nextDouble() < fault.size());
+        return fault != null && (fault.magnitude() >= 1 || random.nextDouble() < fault.magnitude());
     }
 }
--- a/src/main/java/rillyard/testserver/AdvertisedAddresses.java
+++ b/src/main/java/rillyard/testserver/AdvertisedAddresses.java
@@ -6,7 +6,7 @@
 @FunctionalInterface
 public interface AdvertisedAddresses {
     /** All are told where the hosts are. */
-    AdvertisedAddresses SAME = (caller, address) -> address;
+    AdvertisedAddresses UNCHANGED = (caller, address) -> address;
 
     /**
      * The address to tell.
--- a/src/main/java/rillyard/testserver/DiscoveryServer.java
+++ b/src/main/java/rillyard/testserver/DiscoveryServer.java
@@ -37,40 +37,44 @@
 /** Discovery: the list, and watches on it. All of it on one event loop. */
 final class DiscoveryServer {
     /** While nothing changes a watch gets an empty line so often. */
-    private static final long BLANK_MS = 2_000;
+    private static final long KEEPALIVE_MILLIS = 2_000;
 
     private final EventLoop loop;
     private final EndpointCatalog catalog;
-    private final RequestLogWriter ledger;
-    private final AdvertisedAddresses view;
+    private final RequestLogWriter requestLog;
+    private final AdvertisedAddresses advertisedAddresses;
     private final Set<Watch> watches = new LinkedHashSet<>();
     private Channel listener;
-    private long watchers;
+    private long watchCount;
     private boolean stale;
-    private boolean silent;
+    private boolean unresponsive;
 
-    DiscoveryServer(EventLoop loop, EndpointCatalog catalog, RequestLogWriter requestLog, AdvertisedAddresses view) {
+    DiscoveryServer(
+            EventLoop loop,
+            EndpointCatalog catalog,
+            RequestLogWriter requestLog,
+            AdvertisedAddresses advertisedAddresses) {
         this.loop = loop;
         this.catalog = catalog;
-        this.ledger = requestLog;
-        this.view = view;
+        this.requestLog = requestLog;
+        this.advertisedAddresses = advertisedAddresses;
     }
 
     /** Listens; throws what the bind throws. */
     InetSocketAddress start(InetSocketAddress at) throws Exception {
         listener = new ServerBootstrap()
                 .group(loop)
-                .channel(EventLoops.listening())
+                .channel(EventLoops.serverChannelType())
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        channel.pipeline().addLast(new HttpServerCodec(), new Caller());
+                        channel.pipeline().addLast(new HttpServerCodec(), new CatalogHandler());
                     }
                 })
                 .bind(at)
                 .sync()
                 .channel();
-        loop.scheduleAtFixedRate(this::blank, BLANK_MS, BLANK_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(this::sendKeepAlive, KEEPALIVE_MILLIS, KEEPALIVE_MILLIS, TimeUnit.MILLISECONDS);
         return (InetSocketAddress) listener.localAddress();
     }
 
@@ -80,13 +84,14 @@
 
     /** Takes a change over and tells it, unless discovery is stale or silent; to be called on the loop. */
     void change(EndpointCatalog.Entry entry) {
-        EndpointCatalog.Change change = catalog.change(entry);
-        ledger.append(new WatchNotification(UnixClock.micros(), 0, entry.spec().id(), entry.state(), change.version()));
-        tell();
+        EndpointCatalog.Change change = catalog.apply(entry);
+        requestLog.append(
+                new WatchNotification(UnixClock.micros(), 0, entry.spec().id(), entry.state(), change.version()));
+        notifyWatches();
     }
 
-    private void tell() {
-        if (!stale && !silent) {
+    private void notifyWatches() {
+        if (!stale && !unresponsive) {
             watches.forEach(Watch::catchUp);
         }
     }
@@ -97,17 +102,17 @@
     }
 
     /** Begins or ends a fault; what was held back is told at its end. To be called on the loop. */
-    void fault(HostFault.Kind kind, boolean on) {
+    void setFault(HostFault.Kind kind, boolean active) {
         if (kind == HostFault.Kind.DISCOVERY_STALE) {
-            stale = on;
+            stale = active;
         } else {
-            silent = on;
+            unresponsive = active;
         }
-        tell();
+        notifyWatches();
     }
 
-    private void blank() {
-        if (!silent) {
+    private void sendKeepAlive() {
+        if (!unresponsive) {
             for (Watch watch : watches) {
                 watch.write("");
             }
@@ -115,17 +120,17 @@
     }
 
     /** The addresses that a caller is told. */
-    private UnaryOperator<String> told(Channel caller) {
+    private UnaryOperator<String> advertisedTo(Channel caller) {
         InetAddress from = ((InetSocketAddress) caller.remoteAddress()).getAddress();
-        return address -> view.address(from, address);
+        return address -> advertisedAddresses.address(from, address);
     }
 
     /** One watch. */
     private final class Watch {
         private final Channel channel;
-        private final long number = ++watchers;
+        private final long number = ++watchCount;
         private long version;
-        private boolean begun;
+        private boolean started;
 
         Watch(Channel channel, long since) {
             this.channel = channel;
@@ -138,20 +143,20 @@
 
         /** Tells what came after what it was told last; the first line of a watch is never left out. */
         void catchUp() {
-            if (begun && version == catalog.version()) {
+            if (started && version == catalog.version()) {
                 return;
             }
-            begun = true;
-            write(catalog.since(version, told(channel)));
+            started = true;
+            write(catalog.changesSince(version, advertisedTo(channel)));
             for (EndpointCatalog.Entry entry : catalog.entriesSince(version)) {
-                ledger.append(new WatchNotification(
+                requestLog.append(new WatchNotification(
                         UnixClock.micros(), number, entry.spec().id(), entry.state(), catalog.version()));
             }
             version = catalog.version();
         }
     }
 
-    private final class Caller extends ChannelInboundHandlerAdapter {
+    private final class CatalogHandler extends ChannelInboundHandlerAdapter {
         private HttpRequest head;
         private Watch watch;
 
@@ -165,36 +170,37 @@
                 if (msg instanceof HttpRequest request) {
                     head = request;
                 }
-                if (msg instanceof LastHttpContent && head != null && watch == null && !silent) {
-                    asked(ctx, head);
+                if (msg instanceof LastHttpContent && head != null && watch == null && !unresponsive) {
+                    handleRequest(ctx, head);
                 }
             } finally {
                 ReferenceCountUtil.release(msg);
             }
         }
 
-        private void asked(ChannelHandlerContext ctx, HttpRequest request) {
-            QueryStringDecoder q = new QueryStringDecoder(request.uri());
-            if (!q.path().equals("/catalog/members")) {
+        private void handleRequest(ChannelHandlerContext ctx, HttpRequest request) {
+            QueryStringDecoder query = new QueryStringDecoder(request.uri());
+            if (!query.path().equals("/catalog/members")) {
                 respond(ctx, HttpResponseStatus.NOT_FOUND, "");
                 return;
             }
-            boolean follow = q.parameters().getOrDefault("follow", List.of()).contains("1");
+            boolean follow =
+                    query.parameters().getOrDefault("follow", List.of()).contains("1");
             long since = 0;
             try {
                 since = Long.parseLong(
-                        q.parameters().getOrDefault("since", List.of("0")).get(0));
+                        query.parameters().getOrDefault("since", List.of("0")).get(0));
             } catch (NumberFormatException e) {
                 respond(ctx, HttpResponseStatus.BAD_REQUEST, "since is no number");
                 return;
             }
             if (!follow) {
-                respond(ctx, HttpResponseStatus.OK, catalog.all(told(ctx.channel())));
+                respond(ctx, HttpResponseStatus.OK, catalog.fullList(advertisedTo(ctx.channel())));
                 return;
             }
-            DefaultHttpResponse answer = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-            answer.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-            ctx.write(answer);
+            DefaultHttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+            response.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+            ctx.write(response);
             watch = new Watch(ctx.channel(), since);
             watches.add(watch);
             if (stale) {
@@ -206,10 +212,10 @@
 
         private void respond(ChannelHandlerContext ctx, HttpResponseStatus status, String body) {
             byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-            DefaultFullHttpResponse answer =
+            DefaultFullHttpResponse response =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(bytes));
-            answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, bytes.length);
-            ctx.writeAndFlush(answer);
+            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, bytes.length);
+            ctx.writeAndFlush(response);
         }
 
         @Override
--- a/src/main/java/rillyard/testserver/EndpointCatalog.java
+++ b/src/main/java/rillyard/testserver/EndpointCatalog.java
@@ -12,7 +12,7 @@
 /** The list of hosts and the changes that made it, by version. Used on discovery's loop only. */
 final class EndpointCatalog {
     /** Changes kept for those that ask for what came after a version; past it they get the whole list. */
-    private static final int KEPT = 1_000;
+    private static final int MAX_CACHED_CHANGES = 1_000;
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -36,7 +36,7 @@
     }
 
     /** Takes a change over; state {@code removed} takes the entry off the list. */
-    Change change(Entry entry) {
+    Change apply(Entry entry) {
         if (entry.state().equals("removed")) {
             entries.remove(entry.spec().id());
         } else {
@@ -44,7 +44,7 @@
         }
         Change change = new Change(++version, entry);
         changes.add(change);
-        if (changes.size() > KEPT) {
+        if (changes.size() > MAX_CACHED_CHANGES) {
             changes.remove(0);
         }
         return change;
@@ -57,7 +57,7 @@
 
     /** What is told of the changes after a version: these, or all where they are not kept any more. */
     List<Entry> entriesSince(long since) {
-        if (!whole(since)) {
+        if (!needsFullList(since)) {
             return changes.stream()
                     .filter(change -> change.version() > since)
                     .map(Change::entry)
@@ -66,24 +66,24 @@
         return List.copyOf(entries.values());
     }
 
-    private boolean whole(long since) {
+    private boolean needsFullList(long since) {
         return since <= 0 || since > version || since < version - changes.size();
     }
 
     /** The line that tells what came after a version, or the whole list; addresses as they are to be told. */
-    String since(long since, UnaryOperator<String> address) {
-        return line(whole(since), entriesSince(since), address);
+    String changesSince(long since, UnaryOperator<String> address) {
+        return line(needsFullList(since), entriesSince(since), address);
     }
 
     /** The whole list. */
-    String all(UnaryOperator<String> address) {
+    String fullList(UnaryOperator<String> address) {
         return line(true, entries.values(), address);
     }
 
-    private String line(boolean full, Iterable<Entry> told, UnaryOperator<String> address) {
+    private String line(boolean full, Iterable<Entry> listed, UnaryOperator<String> address) {
         ObjectNode node = JSON.createObjectNode().put("version", version).put("full", full);
         ArrayNode servers = node.putArray("servers");
-        told.forEach(entry -> put(servers, entry, address));
+        listed.forEach(entry -> put(servers, entry, address));
         return node.toString();
     }
 
--- a/src/main/java/rillyard/testserver/FaultControlServer.java
+++ b/src/main/java/rillyard/testserver/FaultControlServer.java
@@ -29,22 +29,26 @@
  * one has begun.
  */
 final class FaultControlServer {
-    private static final int MOST = 64 * 1024;
+    private static final int MAX_REQUEST_BYTES = 64 * 1024;
 
-    private final TestCluster standIn;
+    private final TestCluster cluster;
 
-    FaultControlServer(TestCluster standIn) {
-        this.standIn = standIn;
+    FaultControlServer(TestCluster cluster) {
+        this.cluster = cluster;
     }
 
     InetSocketAddress start(EventLoopGroup loop, InetSocketAddress at) throws Exception {
         return (InetSocketAddress) new ServerBootstrap()
                 .group(loop)
-                .channel(EventLoops.listening())
+                .channel(EventLoops.serverChannelType())
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST), new Caller());
+                        channel.pipeline()
+                                .addLast(
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(MAX_REQUEST_BYTES),
+                                        new FaultHandler());
                     }
                 })
                 .bind(at)
@@ -53,7 +57,7 @@
                 .localAddress();
     }
 
-    private final class Caller extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class FaultHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             if (!request.uri().equals("/faults") || !request.method().equals(HttpMethod.POST)) {
@@ -64,7 +68,7 @@
                 List<HostFault> faults =
                         TestClusterPlanReader.faults("faults", request.content().toString(StandardCharsets.UTF_8));
                 for (HostFault fault : faults) {
-                    if (!fault.kind().ofDiscovery() && standIn.address(fault.host()) == null) {
+                    if (!fault.kind().isDiscoveryFault() && cluster.address(fault.host()) == null) {
                         respond(ctx, HttpResponseStatus.BAD_REQUEST, "no host '" + fault.host() + "'\n");
                         return;
                     }
@@ -78,27 +82,27 @@
         /** Answers when the last has begun: what the caller sends next may be on another loop. */
         private void begin(ChannelHandlerContext ctx, List<HostFault> faults) {
             PromiseCombiner all = new PromiseCombiner(ctx.executor());
-            faults.forEach(fault -> all.add(standIn.begin(fault)));
+            faults.forEach(fault -> all.add(cluster.begin(fault)));
             Promise<Void> begun = ctx.executor().newPromise();
             all.finish(begun);
-            begun.addListener(f -> {
-                if (f.isSuccess()) {
+            begun.addListener(result -> {
+                if (result.isSuccess()) {
                     respond(ctx, HttpResponseStatus.OK, faults.size() + " begun\n");
                 } else {
                     respond(
                             ctx,
                             HttpResponseStatus.INTERNAL_SERVER_ERROR,
-                            f.cause().getMessage() + "\n");
+                            result.cause().getMessage() + "\n");
                 }
             });
         }
 
         private void respond(ChannelHandlerContext ctx, HttpResponseStatus status, String text) {
             byte[] body = text.getBytes(StandardCharsets.UTF_8);
-            DefaultFullHttpResponse answer =
+            DefaultFullHttpResponse response =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
-            answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
-            ctx.writeAndFlush(answer);
+            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
+            ctx.writeAndFlush(response);
         }
 
         @Override
--- a/src/main/java/rillyard/testserver/HostConnection.java
+++ b/src/main/java/rillyard/testserver/HostConnection.java
@@ -18,7 +18,7 @@
 /** One connection to a host: it carries one request at a time. */
 final class HostConnection extends ChannelInboundHandlerAdapter {
     /** A body may not be larger; past it the connection ends. */
-    private static final long MOST_BODY = 64 << 10;
+    private static final long MAX_BODY_BYTES = 64 << 10;
 
     /** Notes when the first byte of a request came. */
     static final class FirstByte extends ChannelInboundHandlerAdapter {
@@ -31,7 +31,7 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object msg) throws Exception {
             if (connection.firstByte == 0) {
-                connection.firstByte = connection.host.timers.now();
+                connection.firstByte = connection.host.scheduler.now();
             }
             super.channelRead(ctx, msg);
         }
@@ -39,34 +39,34 @@
 
     private final HostServer host;
     private final SocketChannel channel;
-    private final boolean turnedAway;
+    private final boolean rejected;
     private final long readyAt;
     private long idleSince;
     private long firstByte;
     private HttpRequest head;
     private CRC32 crc;
-    private long length;
+    private long bodyBytes;
     private Exchange exchange;
 
     /** {@code turnedAway} marks a connection past the host's bound. */
-    HostConnection(HostServer host, SocketChannel channel, boolean turnedAway) {
+    HostConnection(HostServer host, SocketChannel channel, boolean rejected) {
         this.host = host;
         this.channel = channel;
-        this.turnedAway = turnedAway;
-        this.idleSince = host.timers.now();
+        this.rejected = rejected;
+        this.idleSince = host.scheduler.now();
         this.readyAt = idleSince + (long) (host.spec.handshakeMs() * 1e6);
     }
 
-    void reading(boolean on) {
-        channel.config().setAutoRead(on);
+    void setReading(boolean enabled) {
+        channel.config().setAutoRead(enabled);
     }
 
-    boolean busy() {
+    boolean isBusy() {
         return head != null || exchange != null;
     }
 
     void closeIfIdle(long nanos) {
-        if (!busy() && firstByte == 0 && host.timers.now() - idleSince >= nanos) {
+        if (!isBusy() && firstByte == 0 && host.scheduler.now() - idleSince >= nanos) {
             channel.close();
         }
     }
@@ -74,7 +74,7 @@
     /** The host has died. */
     void kill() {
         if (exchange != null) {
-            exchange.killed();
+            exchange.onKilled();
         }
         reset();
     }
@@ -87,30 +87,30 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
         try {
-            take((HttpObject) msg);
+            onPart((HttpObject) msg);
         } finally {
             ReferenceCountUtil.release(msg);
         }
     }
 
-    private void take(HttpObject part) {
+    private void onPart(HttpObject part) {
         if (!channel.isOpen()) {
             return;
         }
         if (part.decoderResult().isFailure() || (part instanceof HttpRequest && exchange != null)) {
-            refuse(400, false, true); // not a request, or a second one before the first is answered
+            reject(400, false, true); // not a request, or a second one before the first is answered
             return;
         }
         if (part instanceof HttpRequest request) {
             head = request;
             crc = new CRC32();
-            length = 0;
+            bodyBytes = 0;
         }
         if (part instanceof HttpContent content && head != null) {
             ByteBuf buffer = content.content();
-            length += buffer.readableBytes();
-            if (length > MOST_BODY) {
-                refuse(413, false, true);
+            bodyBytes += buffer.readableBytes();
+            if (bodyBytes > MAX_BODY_BYTES) {
+                reject(413, false, true);
                 return;
             }
             crc.update(buffer.nioBuffer());
@@ -124,12 +124,12 @@
         HttpRequest request = head;
         head = null;
         if (request.uri().equals("/ping")) {
-            answer(HostResponse.text(channel.alloc(), 200, ""));
+            respond(HostResponse.text(channel.alloc(), 200, ""));
             return;
         }
         if (request.uri().equals("/_load")) {
-            String load = host.load();
-            answer(
+            String load = host.loadReport();
+            respond(
                     load == null
                             ? HostResponse.status(channel.alloc(), 404, false, false)
                             : HostResponse.text(channel.alloc(), 200, load));
@@ -137,32 +137,32 @@
         }
         HttpHeaders headers = request.headers();
         String id = headers.get("X-Request-ID");
-        RequestClassSpec spec = host.context().type(type(request.uri()));
+        RequestClassSpec spec = host.context().requestClass(className(request.uri()));
         if (id == null || spec == null) {
-            refuse(404, false, false);
+            reject(404, false, false);
             return;
         }
         String key = headers.get("Idempotency-Key");
         if (spec.semantics() == RequestClassSpec.Semantics.DEDUPLICATED && key == null) {
-            refuse(400, false, false);
+            reject(400, false, false);
             return;
         }
-        long now = host.timers.now();
-        long until = now + (long) (timeout(headers.get("X-Timeout-Ms"), spec.deadlineMs()) * 1e6);
-        exchange =
-                new Exchange(new HostRequest(id, key, spec, request.uri(), length, crc.getValue(), firstByte, until));
-        if (turnedAway) {
-            exchange.turnAway(503, true);
+        long now = host.scheduler.now();
+        long deadline = now + (long) (timeout(headers.get("X-Timeout-Ms"), spec.deadlineMs()) * 1e6);
+        exchange = new Exchange(
+                new HostRequest(id, key, spec, request.uri(), bodyBytes, crc.getValue(), firstByte, deadline));
+        if (rejected) {
+            exchange.rejectRequest(503, true);
         } else if (now < readyAt) {
-            Exchange e = exchange;
-            host.timers.scheduleAt(readyAt, e::begin);
+            Exchange pending = exchange;
+            host.scheduler.scheduleAt(readyAt, pending::begin);
         } else {
             exchange.begin();
         }
     }
 
     /** The first part of a path. */
-    static String type(String uri) {
+    static String className(String uri) {
         int to = 1;
         while (to < uri.length() && uri.charAt(to) != '/' && uri.charAt(to) != '?') {
             to++;
@@ -170,46 +170,46 @@
         return uri.isEmpty() ? "" : uri.substring(1, to);
     }
 
-    private static double timeout(String text, double otherwise) {
+    private static double timeout(String text, double defaultMillis) {
         try {
-            return text == null ? otherwise : Math.max(0, Math.min(3_600_000, Long.parseLong(text)));
+            return text == null ? defaultMillis : Math.max(0, Math.min(3_600_000, Long.parseLong(text)));
         } catch (NumberFormatException e) {
-            return otherwise;
+            return defaultMillis;
         }
     }
 
-    private void refuse(int status, boolean unseen, boolean close) {
+    private void reject(int status, boolean notProcessed, boolean close) {
         head = null;
-        var written = channel.writeAndFlush(HostResponse.status(channel.alloc(), status, unseen, close));
+        var written = channel.writeAndFlush(HostResponse.status(channel.alloc(), status, notProcessed, close));
         if (close) {
             written.addListener(ChannelFutureListener.CLOSE);
         } else {
-            over();
+            onExchangeEnded();
         }
     }
 
-    private void answer(ByteBuf bytes) {
+    private void respond(ByteBuf bytes) {
         channel.writeAndFlush(bytes);
-        over();
+        onExchangeEnded();
     }
 
-    private void over() {
+    private void onExchangeEnded() {
         exchange = null;
         firstByte = 0;
-        idleSince = host.timers.now();
+        idleSince = host.scheduler.now();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         if (exchange != null) {
-            exchange.left();
+            exchange.onClientLeft();
         }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            host.context().failed(host.spec.id() + ": a connection failed", cause);
+            host.context().onFailure(host.spec.id() + ": a connection failed", cause);
         }
         channel.close();
     }
@@ -219,50 +219,50 @@
         private final HostRequest request;
         private final int attempt;
         private final HostQueue.Job job;
-        private boolean fresh;
-        private boolean hung;
-        private boolean over;
+        private boolean ownsKey;
+        private boolean unresponsive;
+        private boolean logged;
 
         Exchange(HostRequest request) {
             this.request = request;
-            this.attempt = host.context().attempt(request.id());
-            this.job = new HostQueue.Job(request.spec().work().sample(host.random) * 1e6) {
+            this.attempt = host.context().nextAttemptNumber(request.id());
+            this.job = new HostQueue.Job(request.spec().serviceTime().sample(host.random) * 1e6) {
                 @Override
-                boolean starts() {
-                    return Exchange.this.starts();
+                boolean mayStart() {
+                    return Exchange.this.mayStart();
                 }
 
                 @Override
-                void finished() {
-                    Exchange.this.finished();
+                void onFinished() {
+                    Exchange.this.onFinished();
                 }
             };
         }
 
         void begin() {
-            if (over) {
+            if (logged) {
                 return;
             }
             if (host.faults.applies(HostFault.Kind.ERRORS)) {
-                ledger(host.timers.now(), ExecutionResult.ERROR);
-                answer(HostResponse.status(channel.alloc(), 500, false, false));
+                log(host.scheduler.now(), ExecutionResult.ERROR);
+                respond(HostResponse.status(channel.alloc(), 500, false, false));
             } else if (request.spec().semantics() != RequestClassSpec.Semantics.DEDUPLICATED) {
                 offer();
             } else {
-                IdempotencyKeyStore memory = host.context().memory(request.spec(), host.spec);
-                switch (memory.seen(request.idempotencyKey(), host.timers.now(), () -> host.loop()
+                IdempotencyKeyStore keyStore = host.context().idempotencyKeys(request.spec(), host.spec);
+                switch (keyStore.register(request.idempotencyKey(), host.scheduler.now(), () -> host.loop()
                         .execute(this::begin))) {
                     case NEW -> {
-                        fresh = true;
+                        ownsKey = true;
                         offer();
                     }
                     case DONE -> {
                         if (host.faults.applies(HostFault.Kind.HANG)) {
-                            hung = true;
+                            unresponsive = true;
                             return;
                         }
-                        ledger(0, ExecutionResult.REMEMBERED);
-                        answer(HostResponse.good(channel.alloc(), request, host.spec.id(), host.load()));
+                        log(0, ExecutionResult.REMEMBERED);
+                        respond(HostResponse.success(channel.alloc(), request, host.spec.id(), host.loadReport()));
                     }
                     case RUNNING -> {
                         // the answer of the first one is this one's too
@@ -273,81 +273,81 @@
 
         private void offer() {
             if (!host.queue.enqueue(job)) {
-                turnAway(503, false);
+                rejectRequest(503, false);
             }
         }
 
-        void turnAway(int status, boolean close) {
+        void rejectRequest(int status, boolean close) {
             forgetKey();
-            ledger(0, ExecutionResult.TURNED_AWAY);
-            refuse(status, true, close);
+            log(0, ExecutionResult.TURNED_AWAY);
+            reject(status, true, close);
         }
 
-        private boolean starts() {
-            if (over) {
+        private boolean mayStart() {
+            if (logged) {
                 return false;
             }
-            if (host.timers.now() >= request.until()) {
-                turnAway(504, false); // its client has stopped waiting: it is over, and has not run
+            if (host.scheduler.now() >= request.deadline()) {
+                rejectRequest(504, false); // its client has stopped waiting: it is over, and has not run
                 return false;
             }
             return true;
         }
 
-        private void finished() {
-            if (fresh) {
-                host.context().memory(request.spec(), host.spec).done(request.idempotencyKey());
+        private void onFinished() {
+            if (ownsKey) {
+                host.context().idempotencyKeys(request.spec(), host.spec).markDone(request.idempotencyKey());
             }
-            if (over) {
+            if (logged) {
                 return;
             }
             if (host.faults.applies(HostFault.Kind.HANG)) {
-                hung = true; // written down when its connection ends, or the test cluster does
+                unresponsive = true; // written down when its connection ends, or the test cluster does
             } else if (host.faults.applies(HostFault.Kind.RESET)) {
-                ledger(job.startedAt(), ExecutionResult.RESET);
-                ByteBuf whole = HostResponse.good(channel.alloc(), request, host.spec.id(), host.load());
-                channel.writeAndFlush(whole.readSlice(whole.readableBytes() / 2))
+                log(job.startedAt(), ExecutionResult.RESET);
+                ByteBuf response = HostResponse.success(channel.alloc(), request, host.spec.id(), host.loadReport());
+                channel.writeAndFlush(response.readSlice(response.readableBytes() / 2))
                         .addListener(f -> reset());
             } else if (host.faults.applies(HostFault.Kind.GARBLE)) {
-                ledger(job.startedAt(), ExecutionResult.GARBLED);
-                channel.writeAndFlush(HostResponse.spoilt(channel.alloc(), host.random.nextInt()));
+                log(job.startedAt(), ExecutionResult.GARBLED);
+                channel.writeAndFlush(HostResponse.malformed(channel.alloc(), host.random.nextInt()));
             } else {
-                ledger(job.startedAt(), ExecutionResult.DONE);
-                answer(HostResponse.good(channel.alloc(), request, host.spec.id(), host.load()));
+                log(job.startedAt(), ExecutionResult.DONE);
+                respond(HostResponse.success(channel.alloc(), request, host.spec.id(), host.loadReport()));
             }
         }
 
         /** The client has ended the connection. */
-        void left() {
-            if (host.queue.withdraw(job) || (!job.running() && !hung)) {
+        void onClientLeft() {
+            if (host.queue.withdraw(job) || (!job.isRunning() && !unresponsive)) {
                 forgetKey();
-                ledger(0, ExecutionResult.DROPPED);
+                log(0, ExecutionResult.DROPPED);
             } else {
-                ledger(job.startedAt(), hung ? ExecutionResult.HUNG : ExecutionResult.LEFT);
+                log(job.startedAt(), unresponsive ? ExecutionResult.HUNG : ExecutionResult.LEFT);
             }
         }
 
-        void killed() {
-            if (hung) {
-                ledger(job.startedAt(), ExecutionResult.HUNG);
+        void onKilled() {
+            if (unresponsive) {
+                log(job.startedAt(), ExecutionResult.HUNG);
                 return;
             }
-            boolean ran = job.running();
+            boolean wasRunning = job.isRunning();
             forgetKey(); // what a dead host had not finished had no effect that anybody remembers
-            ledger(ran ? job.startedAt() : 0, ran ? ExecutionResult.KILLED : ExecutionResult.DROPPED);
+            log(wasRunning ? job.startedAt() : 0, wasRunning ? ExecutionResult.KILLED : ExecutionResult.DROPPED);
         }
 
         private void forgetKey() {
-            if (fresh) {
-                fresh = false;
-                host.context().memory(request.spec(), host.spec).forget(request.idempotencyKey());
+            if (ownsKey) {
+                ownsKey = false;
+                host.context().idempotencyKeys(request.spec(), host.spec).forget(request.idempotencyKey());
             }
         }
 
-        private void ledger(long startedAt, ExecutionResult result) {
-            if (!over) {
-                over = true;
-                host.ran(request, attempt, startedAt, job.work, result);
+        private void log(long startedAt, ExecutionResult result) {
+            if (!logged) {
+                logged = true;
+                host.logExecution(request, attempt, startedAt, job.workNanos, result);
             }
         }
     }
--- a/src/main/java/rillyard/testserver/HostContext.java
+++ b/src/main/java/rillyard/testserver/HostContext.java
@@ -6,26 +6,26 @@
 interface HostContext {
     TestClusterPlan plan();
 
-    RequestLogWriter ledger();
+    RequestLogWriter requestLog();
 
     /** The class of this name, or null. */
-    RequestClassSpec type(String name);
+    RequestClassSpec requestClass(String name);
 
     /** The memory of keys of a class that a host shares. */
-    IdempotencyKeyStore memory(RequestClassSpec type, HostSpec host);
+    IdempotencyKeyStore idempotencyKeys(RequestClassSpec requestClass, HostSpec host);
 
     /** How many times this id has come before, at whatever host. */
-    int attempt(String id);
+    int nextAttemptNumber(String id);
 
     /** The host is to drain, and to stop when the fault's time is up. */
-    void draining(HostServer host, HostFault fault);
+    void onDraining(HostServer host, HostFault fault);
 
     /** The host has died. */
-    void stopped(HostServer host, HostFault fault);
+    void onStopped(HostServer host, HostFault fault);
 
     /** The host listens again. */
-    void restarted(HostServer host);
+    void onRestarted(HostServer host);
 
     /** A failure of our own code. */
-    void failed(String what, Throwable cause);
+    void onFailure(String message, Throwable cause);
 }
--- a/src/main/java/rillyard/testserver/HostFault.java
+++ b/src/main/java/rillyard/testserver/HostFault.java
@@ -5,17 +5,23 @@
 /**
  * Something that goes wrong.
  *
- * @param atMs when it begins, from the start of the test cluster
- * @param forMs how long it lasts; for a drain, until the host stops; 0 where it has no end
+ * @param startMillis when it begins, from the start of the test cluster
+ * @param durationMillis how long it lasts; for a drain, until the host stops; 0 where it has no end
  * @param kind what it is
  * @param host id of the host; empty for faults of discovery
- * @param size the share of requests, from 0 to 1, that it meets; the factor of {@code SLOW}
- * @param restartMs for {@code KILL} and {@code DRAIN}: a host starts in its place so long after it has
+ * @param magnitude the share of requests, from 0 to 1, that it meets; the factor of {@code SLOW}
+ * @param restartMillis for {@code KILL} and {@code DRAIN}: a host starts in its place so long after it has
  *     stopped; below 0 for never
  * @param newId whether that host has a new id
  */
 public record HostFault(
-        double atMs, double forMs, Kind kind, String host, double size, double restartMs, boolean newId) {
+        double startMillis,
+        double durationMillis,
+        Kind kind,
+        String host,
+        double magnitude,
+        double restartMillis,
+        boolean newId) {
 
     /** What can go wrong. */
     public enum Kind {
@@ -40,17 +46,17 @@
         /** Discovery says nothing at all. */
         DISCOVERY_SILENT;
 
-        boolean ofDiscovery() {
+        boolean isDiscoveryFault() {
             return this == DISCOVERY_STALE || this == DISCOVERY_SILENT;
         }
     }
 
     /** In words, for request logs and reports. */
-    public String words() {
+    public String description() {
         String name = kind.name().toLowerCase(Locale.ROOT).replace('_', ' ');
         return switch (kind) {
-            case SLOW -> name + " x" + size;
-            case ERRORS, RESET, GARBLE -> size < 1 ? name + " " + Math.round(100 * size) + " %" : name;
+            case SLOW -> name + " x" + magnitude;
+            case ERRORS, RESET, GARBLE -> magnitude < 1 ? name + " " + Math.round(100 * magnitude) + " %" : name;
             default -> name;
         };
     }
--- a/src/main/java/rillyard/testserver/HostQueue.java
+++ b/src/main/java/rillyard/testserver/HostQueue.java
@@ -13,9 +13,9 @@
 final class HostQueue {
     /** A piece of work. */
     abstract static class Job {
-        final double work;
+        final double workNanos;
         private long startedAt;
-        private double left;
+        private double remainingNanos;
         private long resumedAt;
         private double rate;
         private Scheduler.ScheduledTask timer;
@@ -23,18 +23,18 @@
         private boolean running;
 
         /** {@code work} is core time of a warm core of speed 1, in ns. */
-        Job(double work) {
-            this.work = work;
+        Job(double workNanos) {
+            this.workNanos = workNanos;
         }
 
         /** Its turn has come; false if it is not to run after all. */
-        abstract boolean starts();
+        abstract boolean mayStart();
 
         /** It has run. */
-        abstract void finished();
+        abstract void onFinished();
 
         /** Whether it holds a core. */
-        boolean running() {
+        boolean isRunning() {
             return running;
         }
 
@@ -45,36 +45,36 @@
     }
 
     private final HostSpec spec;
-    private final Scheduler timers;
+    private final Scheduler scheduler;
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
     private final Set<Job> running = new LinkedHashSet<>();
-    private double slow = 1;
-    private long warmFrom;
-    private boolean cold;
+    private double slowdown = 1;
+    private long startedAt;
+    private boolean warmingUp;
     private boolean paused;
     private double busyNanos;
-    private long countedAt;
-    private long usedFrom;
+    private long busyCountedAt;
+    private long utilisationSince;
 
-    HostQueue(HostSpec spec, Scheduler timers) {
+    HostQueue(HostSpec spec, Scheduler scheduler) {
         this.spec = spec;
-        this.timers = timers;
-        this.countedAt = timers.now();
-        this.usedFrom = countedAt;
+        this.scheduler = scheduler;
+        this.busyCountedAt = scheduler.now();
+        this.utilisationSince = busyCountedAt;
     }
 
     /** The host starts now; a cold one gets warm evenly over its time. */
-    void started(boolean asCold) {
-        cold = asCold;
-        warmFrom = timers.now();
+    void onStarted(boolean isWarmingUp) {
+        warmingUp = isWarmingUp;
+        startedAt = scheduler.now();
     }
 
     /** The share of its full speed that the host has by now. */
-    double warmth() {
-        if (!cold || spec.warmUpMs() <= 0) {
+    double capacityShare() {
+        if (!warmingUp || spec.warmUpMs() <= 0) {
             return 1;
         }
-        double share = (timers.now() - warmFrom) / (spec.warmUpMs() * 1e6);
+        double share = (scheduler.now() - startedAt) / (spec.warmUpMs() * 1e6);
         return Math.min(1, spec.initialCapacityShare() + (1 - spec.initialCapacityShare()) * share);
     }
 
@@ -87,20 +87,20 @@
         if (queue.size() >= spec.queue()) {
             return false;
         }
-        put(job);
+        addToQueue(job);
         return true;
     }
 
     /** Takes a job whether or not there is room. */
-    void force(Job job) {
+    void enqueueUnbounded(Job job) {
         if (!paused && running.size() < spec.cores()) {
             begin(job);
         } else {
-            put(job);
+            addToQueue(job);
         }
     }
 
-    private void put(Job job) {
+    private void addToQueue(Job job) {
         job.queued = true;
         queue.addLast(job);
     }
@@ -116,32 +116,32 @@
 
     private void begin(Job job) {
         job.queued = false;
-        if (!job.starts()) {
+        if (!job.mayStart()) {
             return;
         }
-        count();
+        countBusyTime();
         job.running = true;
-        job.startedAt = timers.now();
-        job.left = job.work;
+        job.startedAt = scheduler.now();
+        job.remainingNanos = job.workNanos;
         running.add(job);
         run(job);
     }
 
     private void run(Job job) {
-        job.resumedAt = timers.now();
-        job.rate = spec.speed() * warmth() / slow;
-        job.timer = timers.scheduleAt(job.resumedAt + (long) (job.left / job.rate), () -> finish(job));
+        job.resumedAt = scheduler.now();
+        job.rate = spec.speed() * capacityShare() / slowdown;
+        job.timer = scheduler.scheduleAt(job.resumedAt + (long) (job.remainingNanos / job.rate), () -> finish(job));
     }
 
     private void finish(Job job) {
-        count();
+        countBusyTime();
         running.remove(job);
         job.running = false;
-        job.finished();
-        fill();
+        job.onFinished();
+        startQueued();
     }
 
-    private void fill() {
+    private void startQueued() {
         while (!paused && running.size() < spec.cores() && !queue.isEmpty()) {
             begin(queue.pollFirst());
         }
@@ -152,11 +152,11 @@
         if (paused) {
             return;
         }
-        count();
+        countBusyTime();
         paused = true;
         for (Job job : running) {
             job.timer.cancel();
-            job.left = Math.max(0, job.left - (timers.now() - job.resumedAt) * job.rate);
+            job.remainingNanos = Math.max(0, job.remainingNanos - (scheduler.now() - job.resumedAt) * job.rate);
         }
     }
 
@@ -165,22 +165,22 @@
         if (!paused) {
             return;
         }
-        count();
+        countBusyTime();
         paused = false;
         for (Job job : new ArrayList<>(running)) {
             run(job);
         }
-        fill();
+        startQueued();
     }
 
     /** From now on what starts takes so many times as long. */
-    void slow(double factor) {
-        slow = factor;
+    void setSlowdown(double factor) {
+        slowdown = factor;
     }
 
     /** All work is lost: nothing of it finishes. */
     void kill() {
-        count();
+        countBusyTime();
         for (Job job : running) {
             job.timer.cancel();
             job.running = false;
@@ -188,7 +188,7 @@
         running.clear();
         queue.clear();
         paused = false;
-        slow = 1;
+        slowdown = 1;
     }
 
     int running() {
@@ -201,17 +201,17 @@
 
     /** Mean share of the cores in use since the last call, from 0 to 1. */
     double utilisation() {
-        count();
-        long now = timers.now();
-        double share = now == usedFrom ? 0 : busyNanos / ((double) (now - usedFrom) * spec.cores());
-        usedFrom = now;
+        countBusyTime();
+        long now = scheduler.now();
+        double share = now == utilisationSince ? 0 : busyNanos / ((double) (now - utilisationSince) * spec.cores());
+        utilisationSince = now;
         busyNanos = 0;
         return Math.min(1, share);
     }
 
-    private void count() {
-        long now = timers.now();
-        busyNanos += paused ? 0 : (double) (now - countedAt) * running.size();
-        countedAt = now;
+    private void countBusyTime() {
+        long now = scheduler.now();
+        busyNanos += paused ? 0 : (double) (now - busyCountedAt) * running.size();
+        busyCountedAt = now;
     }
 }
--- a/src/main/java/rillyard/testserver/HostRequest.java
+++ b/src/main/java/rillyard/testserver/HostRequest.java
@@ -7,17 +7,17 @@
  * @param idempotencyKey what {@code Idempotency-Key} said, or null
  * @param spec its class
  * @param path path and query as they came
- * @param length bytes of its body
+ * @param bodyBytes bytes of its body
  * @param crc CRC-32 of its body
  * @param firstByte when its first byte came, nanoseconds of the host's clock
- * @param until when its client stops waiting, on the same clock
+ * @param deadline when its client stops waiting, on the same clock
  */
 record HostRequest(
         String id,
         String idempotencyKey,
         RequestClassSpec spec,
         String path,
-        long length,
+        long bodyBytes,
         long crc,
         long firstByte,
-        long until) {}
+        long deadline) {}
--- a/src/main/java/rillyard/testserver/HostResponse.java
+++ b/src/main/java/rillyard/testserver/HostResponse.java
@@ -13,7 +13,7 @@
  * and is filled up with spaces to the size that the class asks for.
  */
 public final class HostResponse {
-    private static final byte[] NOISE =
+    private static final byte[] NON_HTTP_BYTES =
             "\u0001\u0002 this is no answer \u0003\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
     private HostResponse() {}
@@ -23,9 +23,9 @@
         return "id=" + id + " host=" + host + " len=" + length + " crc=" + Long.toHexString(crc);
     }
 
-    static ByteBuf good(ByteBufAllocator alloc, HostRequest request, String host, String load) {
-        String body = body(request.id(), host, request.length(), request.crc());
-        int size = Math.max(body.length(), request.spec().answerBytes());
+    static ByteBuf success(ByteBufAllocator alloc, HostRequest request, String host, String load) {
+        String body = body(request.id(), host, request.bodyBytes(), request.crc());
+        int size = Math.max(body.length(), request.spec().responseBytes());
         String head = "HTTP/1.1 200 OK\r\nContent-Length: " + size + "\r\n"
                 + (load == null ? "" : "X-Server-Load: " + load + "\r\n") + "\r\n";
         ByteBuf buffer = alloc.buffer(head.length() + size);
@@ -37,9 +37,9 @@
         return buffer;
     }
 
-    static ByteBuf status(ByteBufAllocator alloc, int status, boolean unseen, boolean close) {
+    static ByteBuf status(ByteBufAllocator alloc, int status, boolean notProcessed, boolean close) {
         String head = "HTTP/1.1 " + status + " X\r\nContent-Length: 0\r\n"
-                + (unseen ? "X-Not-Processed: 1\r\n" : "")
+                + (notProcessed ? "X-Not-Processed: 1\r\n" : "")
                 + (close ? "Connection: close\r\n" : "") + "\r\n";
         ByteBuf buffer = alloc.buffer(head.length());
         buffer.writeCharSequence(head, StandardCharsets.US_ASCII);
@@ -56,10 +56,10 @@
     }
 
     /** One of four that can't be read as an answer: noise, no end of a line, a wrong length, no length. */
-    static ByteBuf spoilt(ByteBufAllocator alloc, int which) {
+    static ByteBuf malformed(ByteBufAllocator alloc, int variant) {
         ByteBuf buffer = alloc.buffer(64);
-        switch (which & 3) {
-            case 0 -> buffer.writeBytes(NOISE);
+        switch (variant & 3) {
+            case 0 -> buffer.writeBytes(NON_HTTP_BYTES);
             case 1 ->
                 buffer.writeCharSequence("HTTP/1.1 200 OK\r\nContent-Length: 12\r\nX-Half", StandardCharsets.US_ASCII);
             case 2 ->
--- a/src/main/java/rillyard/testserver/HostServer.java
+++ b/src/main/java/rillyard/testserver/HostServer.java
@@ -27,32 +27,32 @@
 
 /** One host: its listener, its connections, its work, its faults. All of it on one event loop. */
 final class HostServer {
-    private static final long SWEEP_MS = 100;
-    private static final long RETRY_NANOS = 50_000_000;
+    private static final long IDLE_SWEEP_MILLIS = 100;
+    private static final long BIND_RETRY_NANOS = 50_000_000;
 
     final HostSpec spec;
     final SplittableRandom random;
     final ActiveFaults faults;
     final HostQueue queue;
-    final Scheduler timers;
+    final Scheduler scheduler;
     private final EventLoop loop;
     private final HostContext context;
     private final Set<HostConnection> connections = new LinkedHashSet<>();
     private Channel listener;
     private InetSocketAddress address;
     private boolean up;
-    private String load;
-    private long loadAt;
-    private Future<?> sweeping;
+    private String loadReport;
+    private long loadMeasuredAt;
+    private Future<?> idleSweep;
 
-    HostServer(HostSpec spec, EventLoop loop, HostContext fleet, long seed) {
+    HostServer(HostSpec spec, EventLoop loop, HostContext context, long seed) {
         this.spec = spec;
         this.loop = loop;
-        this.context = fleet;
-        this.timers = new EventLoopScheduler(loop);
+        this.context = context;
+        this.scheduler = new EventLoopScheduler(loop);
         this.random = new SplittableRandom(seed);
         this.faults = new ActiveFaults(random.split());
-        this.queue = new HostQueue(spec, timers);
+        this.queue = new HostQueue(spec, scheduler);
     }
 
     EventLoop loop() {
@@ -68,10 +68,10 @@
     }
 
     /** Listens; throws what the bind throws. Not to be called on the loop. */
-    void start(InetSocketAddress at, boolean cold) throws Exception {
+    void start(InetSocketAddress at, boolean warmingUp) throws Exception {
         listener = listen(at).sync().channel();
         address = (InetSocketAddress) listener.localAddress();
-        loop.submit(() -> began(cold)).sync();
+        loop.submit(() -> onListening(warmingUp)).sync();
     }
 
     /** Listens, cold, where it did before, or another did that has stopped; to be called on the loop. */
@@ -80,11 +80,11 @@
         listen(at).addListener((ChannelFuture future) -> {
             if (future.isSuccess()) {
                 listener = future.channel();
-                began(true);
-                context.restarted(this);
+                onListening(true);
+                context.onRestarted(this);
             } else {
                 // The port is held by a connection that is not over yet.
-                timers.scheduleAfter(RETRY_NANOS, () -> restart(at));
+                scheduler.scheduleAfter(BIND_RETRY_NANOS, () -> restart(at));
             }
         });
     }
@@ -92,44 +92,45 @@
     private ChannelFuture listen(InetSocketAddress at) {
         return new ServerBootstrap()
                 .group(loop)
-                .channel(EventLoops.listening())
+                .channel(EventLoops.serverChannelType())
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.SO_BACKLOG, 1_024)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        accepted(channel);
+                        onAccepted(channel);
                     }
                 })
                 .bind(at);
     }
 
-    private void began(boolean cold) {
+    private void onListening(boolean warmingUp) {
         up = true;
-        queue.started(cold);
-        if (sweeping == null) {
-            sweeping = loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        queue.onStarted(warmingUp);
+        if (idleSweep == null) {
+            idleSweep = loop.scheduleAtFixedRate(
+                    this::closeExpired, IDLE_SWEEP_MILLIS, IDLE_SWEEP_MILLIS, TimeUnit.MILLISECONDS);
         }
-        context.ledger()
+        context.requestLog()
                 .append(new HostEvent(
                         UnixClock.micros(),
                         spec.id(),
                         HostEvent.Kind.STARTED,
                         null,
                         spec.cores() * spec.speed(),
-                        cold ? spec.initialCapacityShare() : 1,
-                        cold ? (long) (1_000 * spec.warmUpMs()) : 0));
+                        warmingUp ? spec.initialCapacityShare() : 1,
+                        warmingUp ? (long) (1_000 * spec.warmUpMs()) : 0));
     }
 
-    private void accepted(SocketChannel channel) {
+    private void onAccepted(SocketChannel channel) {
         boolean full = connections.size() >= spec.connections();
         HostConnection connection = new HostConnection(this, channel, full);
         connections.add(connection);
         channel.closeFuture().addListener(f -> connections.remove(connection));
         channel.pipeline().addLast(new HostConnection.FirstByte(connection), new HttpRequestDecoder(), connection);
         if (!full && spec.handshakeWorkMs() > 0) {
-            queue.force(handshake());
+            queue.enqueueUnbounded(handshake());
         }
         if (faults.has(HostFault.Kind.PAUSE)) {
             channel.config().setAutoRead(false);
@@ -139,35 +140,36 @@
     private HostQueue.Job handshake() {
         return new HostQueue.Job(spec.handshakeWorkMs() * 1e6) {
             @Override
-            boolean starts() {
+            boolean mayStart() {
                 return true;
             }
 
             @Override
-            void finished() {}
+            void onFinished() {}
         };
     }
 
     // --- faults; all on the loop
 
     void begin(HostFault fault) {
-        context.ledger().append(new HostEvent(UnixClock.micros(), spec.id(), HostEvent.Kind.FAULT, fault.words()));
+        context.requestLog()
+                .append(new HostEvent(UnixClock.micros(), spec.id(), HostEvent.Kind.FAULT, fault.description()));
         switch (fault.kind()) {
             case PAUSE -> {
                 faults.begin(fault);
                 queue.pause();
-                reading(false);
+                setReading(false);
             }
             case SLOW -> {
                 faults.begin(fault);
-                queue.slow(fault.size());
+                queue.setSlowdown(fault.magnitude());
             }
             case KILL -> kill(fault);
-            case DRAIN -> context.draining(this, fault);
+            case DRAIN -> context.onDraining(this, fault);
             default -> faults.begin(fault);
         }
-        if (fault.forMs() > 0 && fault.kind() != HostFault.Kind.KILL && fault.kind() != HostFault.Kind.DRAIN) {
-            timers.scheduleAfter((long) (fault.forMs() * 1e6), () -> end(fault));
+        if (fault.durationMillis() > 0 && fault.kind() != HostFault.Kind.KILL && fault.kind() != HostFault.Kind.DRAIN) {
+            scheduler.scheduleAfter((long) (fault.durationMillis() * 1e6), () -> end(fault));
         }
     }
 
@@ -175,22 +177,22 @@
         if (!faults.end(fault)) {
             return;
         }
-        context.ledger()
-                .append(new HostEvent(UnixClock.micros(), spec.id(), HostEvent.Kind.FAULT_ENDED, fault.words()));
+        context.requestLog()
+                .append(new HostEvent(UnixClock.micros(), spec.id(), HostEvent.Kind.FAULT_ENDED, fault.description()));
         if (fault.kind() == HostFault.Kind.PAUSE) {
             queue.resume();
-            reading(true);
+            setReading(true);
         } else if (fault.kind() == HostFault.Kind.SLOW) {
-            queue.slow(1);
+            queue.setSlowdown(1);
         }
     }
 
-    private void reading(boolean on) {
+    private void setReading(boolean enabled) {
         if (listener.isOpen()) {
-            listener.config().setAutoRead(on);
+            listener.config().setAutoRead(enabled);
         }
         for (HostConnection connection : connections) {
-            connection.reading(on);
+            connection.setReading(enabled);
         }
     }
 
@@ -198,19 +200,19 @@
         if (!up) {
             return;
         }
-        down(HostEvent.Kind.KILLED);
-        context.stopped(this, fault);
+        stop(HostEvent.Kind.KILLED);
+        context.onStopped(this, fault);
     }
 
     /** Ends the host: its listener, its connections, what it runs. */
-    void down(HostEvent.Kind how) {
+    void stop(HostEvent.Kind kind) {
         if (!up) {
             return;
         }
         up = false;
-        sweeping.cancel(false);
-        sweeping = null;
-        context.ledger().append(new HostEvent(UnixClock.micros(), spec.id(), how, null));
+        idleSweep.cancel(false);
+        idleSweep = null;
+        context.requestLog().append(new HostEvent(UnixClock.micros(), spec.id(), kind, null));
         listener.close();
         for (HostConnection connection : new ArrayList<>(connections)) {
             connection.kill();
@@ -219,7 +221,7 @@
         faults.clear();
     }
 
-    boolean up() {
+    boolean isUp() {
         return up;
     }
 
@@ -230,16 +232,16 @@
         }
     }
 
-    boolean busy() {
+    boolean isBusy() {
         for (HostConnection connection : connections) {
-            if (connection.busy()) {
+            if (connection.isBusy()) {
                 return true;
             }
         }
         return false;
     }
 
-    private void sweep() {
+    private void closeExpired() {
         if (!faults.has(HostFault.Kind.PAUSE)) {
             for (HostConnection connection : new ArrayList<>(connections)) {
                 connection.closeIfIdle((long) (spec.idleMs() * 1e6));
@@ -250,34 +252,37 @@
     // --- what connections need
 
     /** The load report, made anew when the last is as old as it may be; null where there is none. */
-    String load() {
+    String loadReport() {
         List<String> fields = context.plan().reportFields();
         if (fields.isEmpty()) {
             return null;
         }
-        long now = timers.now();
-        if (load == null || now - loadAt >= context.plan().reportPeriodMs() * 1e6) {
+        long now = scheduler.now();
+        if (loadReport == null || now - loadMeasuredAt >= context.plan().reportPeriodMs() * 1e6) {
             StringBuilder out = new StringBuilder();
-            for (String f : fields) {
-                double v =
-                        switch (f) {
+            for (String field : fields) {
+                double value =
+                        switch (field) {
                             case "inflight", "rif" -> queue.running() + queue.queued();
                             case "queue", "q" -> queue.queued();
                             case "util", "busy" -> queue.utilisation();
                             default -> 0;
                         };
-                out.append(out.isEmpty() ? "" : ",").append(f).append('=');
-                out.append(v == Math.rint(v) ? Long.toString((long) v) : String.format(Locale.ROOT, "%.3f", v));
+                out.append(out.isEmpty() ? "" : ",").append(field).append('=');
+                out.append(
+                        value == Math.rint(value)
+                                ? Long.toString((long) value)
+                                : String.format(Locale.ROOT, "%.3f", value));
             }
-            load = out.toString();
-            loadAt = now;
+            loadReport = out.toString();
+            loadMeasuredAt = now;
         }
-        return load;
+        return loadReport;
     }
 
     /** Writes down what became of a request; {@code startedAt} 0 if it never ran. */
-    void ran(HostRequest request, int attempt, long startedAt, double workNanos, ExecutionResult result) {
-        context.ledger()
+    void logExecution(HostRequest request, int attempt, long startedAt, double workNanos, ExecutionResult result) {
+        context.requestLog()
                 .append(new HostExecution(
                         request.id(),
                         request.idempotencyKey(),
@@ -288,7 +293,7 @@
                         attempt,
                         UnixClock.micros(request.firstByte()),
                         startedAt == 0 ? 0 : UnixClock.micros(startedAt),
-                        UnixClock.micros(timers.now()),
+                        UnixClock.micros(scheduler.now()),
                         (long) (workNanos / 1_000),
                         result));
     }
--- a/src/main/java/rillyard/testserver/HostSpec.java
+++ b/src/main/java/rillyard/testserver/HostSpec.java
@@ -16,7 +16,7 @@
  * @param idleMs a connection that has stood idle for so long is closed
  * @param warmUpMs how long a host that has started takes to become warm
  * @param initialCapacityShare share of its speed with which it starts, above 0
- * @param startsCold whether it is cold when the test cluster starts
+ * @param startsWarmingUp whether it is cold when the test cluster starts
  */
 public record HostSpec(
         String id,
@@ -32,12 +32,12 @@
         double idleMs,
         double warmUpMs,
         double initialCapacityShare,
-        boolean startsCold) {
+        boolean startsWarmingUp) {
 
     /** The same machine under another id. */
-    HostSpec named(String other) {
+    HostSpec withId(String newId) {
         return new HostSpec(
-                other,
+                newId,
                 zone,
                 kind,
                 cell,
@@ -50,6 +50,6 @@
                 idleMs,
                 warmUpMs,
                 initialCapacityShare,
-                startsCold);
+                startsWarmingUp);
     }
 }
--- a/src/main/java/rillyard/testserver/IdempotencyKeyStore.java
+++ b/src/main/java/rillyard/testserver/IdempotencyKeyStore.java
@@ -14,18 +14,18 @@
  */
 final class IdempotencyKeyStore {
     private static final class Entry {
-        final long until;
+        final long expiresAt;
         boolean done;
         List<Runnable> waiting = List.of();
 
-        Entry(long until) {
-            this.until = until;
+        Entry(long expiresAt) {
+            this.expiresAt = expiresAt;
         }
     }
 
     /** What a key is to a host that receives it. */
-    enum Known {
-        /** New: the request runs, and {@link IdempotencyKeyStore#done} is to follow. */
+    enum KeyState {
+        /** New: the request runs, and {@link IdempotencyKeyStore#markDone} is to follow. */
         NEW,
         /** Answered before. */
         DONE,
@@ -33,34 +33,34 @@
         RUNNING
     }
 
-    private final long window;
+    private final long windowNanos;
     private final Map<String, Entry> keys = new LinkedHashMap<>();
 
     /** {@code window} in ns. */
-    IdempotencyKeyStore(long window) {
-        this.window = window;
+    IdempotencyKeyStore(long windowNanos) {
+        this.windowNanos = windowNanos;
     }
 
     /** A request of this key has come; {@code later} is run once a running one is done. */
-    synchronized Known seen(String key, long now, Runnable later) {
-        for (Iterator<Entry> i = keys.values().iterator(); i.hasNext() && i.next().until <= now; ) {
+    synchronized KeyState register(String key, long now, Runnable onCompleted) {
+        for (Iterator<Entry> i = keys.values().iterator(); i.hasNext() && i.next().expiresAt <= now; ) {
             i.remove();
         }
         Entry entry = keys.get(key);
-        if (entry == null || entry.until <= now) {
-            keys.put(key, new Entry(now + window));
-            return Known.NEW;
+        if (entry == null || entry.expiresAt <= now) {
+            keys.put(key, new Entry(now + windowNanos));
+            return KeyState.NEW;
         }
         if (entry.done) {
-            return Known.DONE;
+            return KeyState.DONE;
         }
         entry.waiting = new ArrayList<>(entry.waiting);
-        entry.waiting.add(later);
-        return Known.RUNNING;
+        entry.waiting.add(onCompleted);
+        return KeyState.RUNNING;
     }
 
     /** The request that was new has run. */
-    void done(String key) {
+    void markDone(String key) {
         List<Runnable> waiting;
         synchronized (this) {
             Entry entry = keys.get(key);
--- a/src/main/java/rillyard/testserver/ReadyFile.java
+++ b/src/main/java/rillyard/testserver/ReadyFile.java
@@ -35,7 +35,7 @@
 
     private static JsonNode list(List<EndpointCatalog.Entry> entries) {
         try {
-            return JSON.readTree(new EndpointCatalog(entries).all(UnaryOperator.identity()));
+            return JSON.readTree(new EndpointCatalog(entries).fullList(UnaryOperator.identity()));
         } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
             throw new IllegalStateException(e); // never: it was made as JSON
         }
--- a/src/main/java/rillyard/testserver/RequestClassSpec.java
+++ b/src/main/java/rillyard/testserver/RequestClassSpec.java
@@ -12,8 +12,8 @@
  * @param deadlineMs how long clients wait in all
  * @param idempotencyWindowMs how long keys are remembered, from the receipt of the request
  * @param priorityWeight worth of one answer
- * @param work its work
- * @param answerBytes size of an answer
+ * @param serviceTime its work
+ * @param responseBytes size of an answer
  */
 public record RequestClassSpec(
         String name,
@@ -23,8 +23,8 @@
         double deadlineMs,
         double idempotencyWindowMs,
         double priorityWeight,
-        ServiceTime work,
-        int answerBytes) {
+        ServiceTime serviceTime,
+        int responseBytes) {
 
     /** What may be repeated. */
     public enum Semantics {
--- a/src/main/java/rillyard/testserver/ServiceTime.java
+++ b/src/main/java/rillyard/testserver/ServiceTime.java
@@ -6,7 +6,7 @@
 /** How much work a request is: core time of a warm host of speed 1, in ms. */
 public sealed interface ServiceTime {
     /** Work is held to this (ms), so that no draw blocks a core for good. */
-    double MOST = 600_000;
+    double MAX_MILLIS = 600_000;
 
     /** Draws one. */
     double sample(RandomGenerator random);
@@ -31,7 +31,7 @@
     record Exponential(double mean) implements ServiceTime {
         @Override
         public double sample(RandomGenerator random) {
-            return Math.min(MOST, mean * random.nextExponential());
+            return Math.min(MAX_MILLIS, mean * random.nextExponential());
         }
     }
 
@@ -46,7 +46,7 @@
         public double sample(RandomGenerator random) {
             double variance = Math.log1p(cv * cv);
             double mu = Math.log(mean) - variance / 2;
-            return Math.min(MOST, Math.exp(mu + Math.sqrt(variance) * random.nextGaussian()));
+            return Math.min(MAX_MILLIS, Math.exp(mu + Math.sqrt(variance) * random.nextGaussian()));
         }
     }
 
--- a/src/main/java/rillyard/testserver/TestCluster.java
+++ b/src/main/java/rillyard/testserver/TestCluster.java
@@ -22,38 +22,38 @@
 /** Hosts, discovery and a control port, all in this process, until it is closed. */
 public final class TestCluster implements AutoCloseable {
     /** Ids whose attempts are counted; the oldest make room. */
-    private static final int IDS = 65_536;
+    private static final int MAX_TRACKED_REQUEST_IDS = 65_536;
 
     /** How long a host that stops waits for what it has (ms), and how often it looks. */
-    private static final long STOP_MS = 5_000;
+    private static final long STOP_TIMEOUT_MILLIS = 5_000;
 
-    private static final long LOOK_MS = 10;
+    private static final long STOP_POLL_MILLIS = 10;
 
     private final TestClusterPlan plan;
     private final RequestLogWriter requestLog;
-    private final AdvertisedAddresses view;
+    private final AdvertisedAddresses advertisedAddresses;
     private final PrintStream errors;
     private final InetSocketAddress listen;
     private final EventLoopGroup loops;
-    private final EventLoopGroup control = EventLoops.group(1, "stand-in-control");
-    private final Map<String, RequestClassSpec> classes = new HashMap<>();
+    private final EventLoopGroup controlLoops = EventLoops.group(1, "stand-in-control");
+    private final Map<String, RequestClassSpec> requestClasses = new HashMap<>();
     private final Map<String, HostServer> hosts = new ConcurrentHashMap<>();
-    private final Map<String, IdempotencyKeyStore> memories = new ConcurrentHashMap<>();
-    private final Map<String, Integer> attempts = new LinkedHashMap<>() {
+    private final Map<String, IdempotencyKeyStore> keyStores = new ConcurrentHashMap<>();
+    private final Map<String, Integer> attemptCounts = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Integer> eldest) {
-            return size() > IDS;
+            return size() > MAX_TRACKED_REQUEST_IDS;
         }
     };
     private final SplittableRandom seeds;
-    private final HostContext fleet = new Belongings();
+    private final HostContext hostContext = new ClusterContext();
     private DiscoveryServer discovery;
     private InetSocketAddress discoveryAddress;
     private InetSocketAddress controlAddress;
     private volatile boolean closed;
-    private int replaced;
+    private int replacementCount;
 
     /**
      * Makes one; nothing is opened yet.
@@ -68,7 +68,7 @@
             int threads,
             RequestLogWriter requestLog,
             PrintStream errors) {
-        this(plan, listen, threads, requestLog, errors, AdvertisedAddresses.SAME);
+        this(plan, listen, threads, requestLog, errors, AdvertisedAddresses.UNCHANGED);
     }
 
     /** As above, with addresses told to each caller as {@code view} has them. */
@@ -78,15 +78,15 @@
             int threads,
             RequestLogWriter requestLog,
             PrintStream errors,
-            AdvertisedAddresses view) {
+            AdvertisedAddresses advertisedAddresses) {
         this.plan = plan;
-        this.view = view;
+        this.advertisedAddresses = advertisedAddresses;
         this.listen = listen;
         this.requestLog = requestLog;
         this.errors = errors;
         this.loops = EventLoops.group(threads, "stand-in");
         this.seeds = new SplittableRandom(plan.seed());
-        plan.classes().forEach(spec -> classes.put(spec.name(), spec));
+        plan.classes().forEach(spec -> requestClasses.put(spec.name(), spec));
     }
 
     /**
@@ -96,16 +96,17 @@
      */
     public void start() throws Exception {
         try {
-            InetSocketAddress any = new InetSocketAddress(listen.getAddress(), 0);
+            InetSocketAddress anyPort = new InetSocketAddress(listen.getAddress(), 0);
             List<EndpointCatalog.Entry> entries = new ArrayList<>();
             for (HostSpec hostSpec : plan.hosts()) {
                 HostServer hostServer = host(hostSpec, loops.next());
-                hostServer.start(any, hostSpec.startsCold());
-                entries.add(entry(hostServer, "up", hostSpec.startsCold()));
+                hostServer.start(anyPort, hostSpec.startsWarmingUp());
+                entries.add(entry(hostServer, "up", hostSpec.startsWarmingUp()));
             }
-            discovery = new DiscoveryServer(control.next(), new EndpointCatalog(entries), requestLog, view);
+            discovery = new DiscoveryServer(
+                    controlLoops.next(), new EndpointCatalog(entries), requestLog, advertisedAddresses);
             discoveryAddress = discovery.start(listen);
-            controlAddress = new FaultControlServer(this).start(control, any);
+            controlAddress = new FaultControlServer(this).start(controlLoops, anyPort);
         } catch (Exception e) {
             close();
             throw e;
@@ -118,19 +119,21 @@
     }
 
     private HostServer host(HostSpec host, EventLoop loop) {
-        HostServer hostServer = new HostServer(host, loop, fleet, seeds.nextLong());
+        HostServer hostServer = new HostServer(host, loop, hostContext, seeds.nextLong());
         hosts.put(host.id(), hostServer);
         return hostServer;
     }
 
     private void plan(HostFault fault) {
-        control.next().schedule(() -> timely(fault), (long) (fault.atMs() * 1e6), TimeUnit.NANOSECONDS);
+        controlLoops
+                .next()
+                .schedule(() -> beginScheduled(fault), (long) (fault.startMillis() * 1e6), TimeUnit.NANOSECONDS);
     }
 
-    private void timely(HostFault fault) {
+    private void beginScheduled(HostFault fault) {
         begin(fault).addListener((Future<Object> begun) -> {
             if (!begun.isSuccess()) {
-                errors.println("rillyard: the fault " + fault.words() + " has not begun: "
+                errors.println("rillyard: the fault " + fault.description() + " has not begun: "
                         + begun.cause().getMessage());
             }
         });
@@ -143,33 +146,33 @@
      *     meets it. Fails with {@link IllegalArgumentException} if there is no such host
      */
     public Future<?> begin(HostFault fault) {
-        if (fault.kind().ofDiscovery()) {
-            return discovery.loop().submit(() -> discoveryFault(fault));
+        if (fault.kind().isDiscoveryFault()) {
+            return discovery.loop().submit(() -> beginDiscoveryFault(fault));
         }
         HostServer host = hosts.get(fault.host());
         return host == null
-                ? control.next().newFailedFuture(new IllegalArgumentException("no host '" + fault.host() + "'"))
+                ? controlLoops.next().newFailedFuture(new IllegalArgumentException("no host '" + fault.host() + "'"))
                 : host.loop().submit(() -> host.begin(fault));
     }
 
-    private void discoveryFault(HostFault fault) {
-        note(HostEvent.Kind.FAULT, fault);
-        discovery.fault(fault.kind(), true);
-        if (fault.forMs() > 0) {
+    private void beginDiscoveryFault(HostFault fault) {
+        logDiscoveryEvent(HostEvent.Kind.FAULT, fault);
+        discovery.setFault(fault.kind(), true);
+        if (fault.durationMillis() > 0) {
             discovery
                     .loop()
                     .schedule(
                             () -> {
-                                discovery.fault(fault.kind(), false);
-                                note(HostEvent.Kind.FAULT_ENDED, fault);
+                                discovery.setFault(fault.kind(), false);
+                                logDiscoveryEvent(HostEvent.Kind.FAULT_ENDED, fault);
                             },
-                            (long) (fault.forMs() * 1e6),
+                            (long) (fault.durationMillis() * 1e6),
                             TimeUnit.NANOSECONDS);
         }
     }
 
-    private void note(HostEvent.Kind what, HostFault fault) {
-        requestLog.append(new HostEvent(UnixClock.micros(), "discovery", what, fault.words()));
+    private void logDiscoveryEvent(HostEvent.Kind kind, HostFault fault) {
+        requestLog.append(new HostEvent(UnixClock.micros(), "discovery", kind, fault.description()));
     }
 
     private static EndpointCatalog.Entry entry(HostServer host, String state, boolean started) {
@@ -182,31 +185,33 @@
     }
 
     /** Has discovery hear of a host's state after its notice. */
-    private void hear(HostServer host, String state, boolean started) {
-        EndpointCatalog.Entry e = entry(host, state, started);
+    private void announce(HostServer host, String state, boolean started) {
+        EndpointCatalog.Entry entry = entry(host, state, started);
         discovery
                 .loop()
                 .schedule(
                         () -> {
-                            EndpointCatalog.Entry had = discovery.get(e.spec().id());
-                            long since = started || had == null ? e.startedMs() : had.startedMs();
-                            discovery.change(new EndpointCatalog.Entry(e.spec(), e.address(), state, since));
+                            EndpointCatalog.Entry previous =
+                                    discovery.get(entry.spec().id());
+                            long startedMillis = started || previous == null ? entry.startedMs() : previous.startedMs();
+                            discovery.change(
+                                    new EndpointCatalog.Entry(entry.spec(), entry.address(), state, startedMillis));
                         },
                         (long) (plan.noticeMs() * 1e6),
                         TimeUnit.NANOSECONDS);
     }
 
-    private void stop(HostServer host, HostFault fault, long until) {
-        if (!host.up()) {
+    private void stop(HostServer host, HostFault fault, long deadline) {
+        if (!host.isUp()) {
             return;
         }
         host.closeIdle();
-        if (host.busy() && host.timers.now() < until) {
-            host.timers.scheduleAfter(LOOK_MS * 1_000_000, () -> stop(host, fault, until));
+        if (host.isBusy() && host.scheduler.now() < deadline) {
+            host.scheduler.scheduleAfter(STOP_POLL_MILLIS * 1_000_000, () -> stop(host, fault, deadline));
             return;
         }
-        host.down(HostEvent.Kind.STOPPED);
-        fleet.stopped(host, fault);
+        host.stop(HostEvent.Kind.STOPPED);
+        hostContext.onStopped(host, fault);
     }
 
     private void replace(HostServer hostServer, HostFault fault) {
@@ -219,19 +224,19 @@
         }
         String id;
         synchronized (this) {
-            id = hostServer.spec.id().replaceFirst("\\+\\d+$", "") + "+" + ++replaced;
+            id = hostServer.spec.id().replaceFirst("\\+\\d+$", "") + "+" + ++replacementCount;
         }
         hosts.remove(hostServer.spec.id());
-        host(hostServer.spec.named(id), hostServer.loop()).restart(hostServer.address());
+        host(hostServer.spec.withId(id), hostServer.loop()).restart(hostServer.address());
     }
 
     /** Where discovery listens. */
-    public InetSocketAddress discovery() {
+    public InetSocketAddress discoveryAddress() {
         return discoveryAddress;
     }
 
     /** Where faults can be asked for. */
-    public InetSocketAddress control() {
+    public InetSocketAddress controlAddress() {
         return controlAddress;
     }
 
@@ -255,7 +260,7 @@
      * The platform's configuration of a proxy before these hosts, which is also what the file of
      * {@code --ready-file} holds, with {@code hosts} and {@code control} besides.
      */
-    public ObjectNode ready() {
+    public ObjectNode readyFile() {
         List<EndpointCatalog.Entry> entries = new ArrayList<>();
         for (HostSpec host : plan.hosts()) {
             HostServer hostServer = hosts.get(host.id());
@@ -274,72 +279,74 @@
         }
         closed = true;
         for (HostServer host : hosts.values()) {
-            host.loop().submit(() -> host.down(HostEvent.Kind.STOPPED)).syncUninterruptibly();
+            host.loop().submit(() -> host.stop(HostEvent.Kind.STOPPED)).syncUninterruptibly();
         }
         loops.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS).syncUninterruptibly();
-        control.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS).syncUninterruptibly();
+        controlLoops.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS).syncUninterruptibly();
         requestLog.flush();
     }
 
-    private final class Belongings implements HostContext {
+    private final class ClusterContext implements HostContext {
         @Override
         public TestClusterPlan plan() {
             return plan;
         }
 
         @Override
-        public RequestLogWriter ledger() {
+        public RequestLogWriter requestLog() {
             return requestLog;
         }
 
         @Override
-        public RequestClassSpec type(String name) {
-            return classes.get(name);
+        public RequestClassSpec requestClass(String name) {
+            return requestClasses.get(name);
         }
 
         @Override
-        public IdempotencyKeyStore memory(RequestClassSpec type, HostSpec host) {
+        public IdempotencyKeyStore idempotencyKeys(RequestClassSpec requestClass, HostSpec host) {
             String group =
-                    switch (type.scope()) {
+                    switch (requestClass.scope()) {
                         case ALL -> "";
                         case ZONE -> host.zone();
                         case CELL -> Long.toString(host.cell());
                     };
-            return memories.computeIfAbsent(
-                    type.name() + "/" + group, k -> new IdempotencyKeyStore((long) (type.idempotencyWindowMs() * 1e6)));
+            return keyStores.computeIfAbsent(
+                    requestClass.name() + "/" + group,
+                    key -> new IdempotencyKeyStore((long) (requestClass.idempotencyWindowMs() * 1e6)));
         }
 
         @Override
-        public int attempt(String id) {
-            synchronized (attempts) {
-                return attempts.merge(id, 1, Integer::sum) - 1;
+        public int nextAttemptNumber(String id) {
+            synchronized (attemptCounts) {
+                return attemptCounts.merge(id, 1, Integer::sum) - 1;
             }
         }
 
         @Override
-        public void draining(HostServer host, HostFault fault) {
+        public void onDraining(HostServer host, HostFault fault) {
             requestLog.append(new HostEvent(UnixClock.micros(), host.spec.id(), HostEvent.Kind.DRAINING, null));
-            hear(host, "draining", false);
-            host.timers.scheduleAfter(
-                    (long) (fault.forMs() * 1e6), () -> stop(host, fault, host.timers.now() + STOP_MS * 1_000_000));
+            announce(host, "draining", false);
+            host.scheduler.scheduleAfter(
+                    (long) (fault.durationMillis() * 1e6),
+                    () -> stop(host, fault, host.scheduler.now() + STOP_TIMEOUT_MILLIS * 1_000_000));
         }
 
         @Override
-        public void stopped(HostServer host, HostFault fault) {
-            hear(host, "removed", false);
-            if (fault.restartMs() >= 0) {
-                host.timers.scheduleAfter((long) (fault.restartMs() * 1e6), () -> replace(host, fault));
+        public void onStopped(HostServer host, HostFault fault) {
+            announce(host, "removed", false);
+            if (fault.restartMillis() >= 0) {
+                host.scheduler.scheduleAfter((long) (fault.restartMillis() * 1e6), () -> replace(host, fault));
             }
         }
 
         @Override
-        public void restarted(HostServer host) {
-            hear(host, "up", true);
+        public void onRestarted(HostServer host) {
+            announce(host, "up", true);
         }
 
         @Override
-        public void failed(String what, Throwable cause) {
-            errors.println("rillyard: " + what);
+        public void onFailure(String message, Throwable cause) {
+            errors.println("rillyard: " + message);
             cause.printStackTrace(errors);
         }
     }
--- a/src/main/java/rillyard/testserver/TestClusterPlanReader.java
+++ b/src/main/java/rillyard/testserver/TestClusterPlanReader.java
@@ -12,14 +12,14 @@
 
 /** Reads a fault schedule: hosts, classes, rules and faults, in TOML. What is left out has its default. */
 public final class TestClusterPlanReader {
-    private static final HostSpec DEFAULT =
+    private static final HostSpec DEFAULT_HOST =
             new HostSpec("", "z1", "std", 0, 4, 1, 64, 1_000, 0, 0, 60_000, 8_000, 0.3, false);
 
-    private static final int HOSTS = 8;
-    private static final int CELL = 4;
+    private static final int DEFAULT_HOST_COUNT = 8;
+    private static final int DEFAULT_CELL_SIZE = 4;
 
     /** Names of service time distributions. */
-    private enum Shape {
+    private enum Distribution {
         CONSTANT,
         EXPONENTIAL,
         LOGNORMAL,
@@ -67,7 +67,7 @@
         TomlTable discovery = root.table("discovery");
         double notice = discovery.number("notice_ms", 100, 0, 60_000);
         TomlTable report = root.table("report");
-        List<String> fields = fields(report);
+        List<String> fields = reportFields(report);
         double period = report.number("period_ms", 100, 0, 60_000);
         TomlTable table = root.table("rules");
         TestClusterPlan.Rules rules = new TestClusterPlan.Rules(
@@ -83,27 +83,27 @@
         return new TestClusterPlan(seed, hosts, classes, fields, period, notice, rules, faults);
     }
 
-    private static List<String> fields(TomlTable report) {
-        String s = report.text("fields", "inflight,util");
-        if (s.equals("none")) {
+    private static List<String> reportFields(TomlTable report) {
+        String text = report.text("fields", "inflight,util");
+        if (text.equals("none")) {
             return List.of();
         }
-        List<String> out = new ArrayList<>();
-        for (String f : s.split(",")) {
-            if (!Set.of("inflight", "queue", "util").contains(f.trim())) {
-                report.error("fields", "found '" + f.trim() + "', expected inflight, queue, util or none");
+        List<String> fields = new ArrayList<>();
+        for (String field : text.split(",")) {
+            if (!Set.of("inflight", "queue", "util").contains(field.trim())) {
+                report.error("fields", "found '" + field.trim() + "', expected inflight, queue, util or none");
             }
-            out.add(f.trim());
+            fields.add(field.trim());
         }
-        return out;
+        return fields;
     }
 
     private static List<HostSpec> hosts(TomlTable root, int count) {
         TomlTable common = root.table("hosts");
-        int number = (int) common.integer("count", HOSTS, 1, 10_000);
+        int number = (int) common.integer("count", DEFAULT_HOST_COUNT, 1, 10_000);
         number = count > 0 ? count : number;
-        int cell = (int) common.integer("cell_size", CELL, 1, 10_000);
-        HostSpec defaults = host(common, DEFAULT);
+        int cellSize = (int) common.integer("cell_size", DEFAULT_CELL_SIZE, 1, 10_000);
+        HostSpec defaults = host(common, DEFAULT_HOST);
         List<HostSpec> out = new ArrayList<>();
         Set<String> ids = new HashSet<>();
         List<TomlTable> named = root.tables("host");
@@ -115,12 +115,12 @@
             } else if (!ids.add(id)) {
                 table.error("id", "'" + id + "' is another host's too");
             }
-            HostSpec hostSpec = host(table, defaults.named(id));
-            long c = table.integer("cell", i / cell, 0, Integer.MAX_VALUE);
-            out.add(inCell(hostSpec, c));
+            HostSpec hostSpec = host(table, defaults.withId(id));
+            long cellNumber = table.integer("cell", i / cellSize, 0, Integer.MAX_VALUE);
+            out.add(inCell(hostSpec, cellNumber));
         }
         for (int i = 0; named.isEmpty() && i < number; i++) {
-            out.add(inCell(defaults.named("s-" + i), i / cell));
+            out.add(inCell(defaults.withId("s-" + i), i / cellSize));
         }
         return out;
     }
@@ -140,7 +140,7 @@
                 host.idleMs(),
                 host.warmUpMs(),
                 host.initialCapacityShare(),
-                host.startsCold());
+                host.startsWarmingUp());
     }
 
     private static HostSpec host(TomlTable table, HostSpec host) {
@@ -158,7 +158,7 @@
                 table.number("idle_ms", host.idleMs(), 1, 3_600_000),
                 table.number("cold_ms", host.warmUpMs(), 0, 3_600_000),
                 table.number("start_share", host.initialCapacityShare(), 0.01, 1),
-                table.flag("starts_cold", host.startsCold()));
+                table.flag("starts_cold", host.startsWarmingUp()));
     }
 
     private static List<RequestClassSpec> classes(TomlTable root) {
@@ -175,7 +175,7 @@
                     keys.deadlineMs(),
                     table.number("window_ms", 750, 0, 3_600_000),
                     table.number("worth", 1, 0, 1e9),
-                    work(table.table("work")),
+                    serviceTime(table.table("work")),
                     (int) table.integer("answer_bytes", 256, 0, 65_536)));
         }
         return out.isEmpty() ? standardClasses() : out;
@@ -216,18 +216,18 @@
                         128));
     }
 
-    private static ServiceTime work(TomlTable tomlTable) {
-        Shape shape = tomlTable.choice("dist", Shape.class, Shape.LOGNORMAL);
-        double mean = tomlTable.number("mean_ms", 12, 0.001, 60_000);
-        double cv = tomlTable.number("cv", 0.6, 0.01, 10);
-        double[] table = tomlTable.numbers("table_ms", new double[] {10, 10}, 0, 60_000);
-        if (shape == Shape.TABLE && (!tomlTable.has("table_ms") || table.length < 2)) {
-            tomlTable.error("table_ms", "expected two times or more for the distribution 'table'");
+    private static ServiceTime serviceTime(TomlTable section) {
+        Distribution distribution = section.choice("dist", Distribution.class, Distribution.LOGNORMAL);
+        double mean = section.number("mean_ms", 12, 0.001, 60_000);
+        double variation = section.number("cv", 0.6, 0.01, 10);
+        double[] table = section.numbers("table_ms", new double[] {10, 10}, 0, 60_000);
+        if (distribution == Distribution.TABLE && (!section.has("table_ms") || table.length < 2)) {
+            section.error("table_ms", "expected two times or more for the distribution 'table'");
         }
-        return switch (shape) {
+        return switch (distribution) {
             case CONSTANT -> new ServiceTime.Constant(mean);
             case EXPONENTIAL -> new ServiceTime.Exponential(mean);
-            case LOGNORMAL -> new ServiceTime.Lognormal(mean, cv);
+            case LOGNORMAL -> new ServiceTime.Lognormal(mean, variation);
             case TABLE -> new ServiceTime.Empirical(table);
         };
     }
@@ -239,7 +239,7 @@
             if (!table.has("kind")) {
                 table.error("kind", "is missing, expected what goes wrong");
             }
-            String host = kind.ofDiscovery() ? "" : table.text("host");
+            String host = kind.isDiscoveryFault() ? "" : table.text("host");
             if (!host.isEmpty() && ids != null && !ids.contains(host)) {
                 table.error("host", "there is no host '" + host + "'");
             }
@@ -257,7 +257,7 @@
                     1_000 * table.number("restart_s", -0.001, -0.001, 86_400),
                     table.flag("new_id", false)));
         }
-        out.sort(Comparator.comparingDouble(HostFault::atMs));
+        out.sort(Comparator.comparingDouble(HostFault::startMillis));
         return out;
     }
 }
--- a/src/test/java/rillyard/demo/DemoAuditTest.java
+++ b/src/test/java/rillyard/demo/DemoAuditTest.java
@@ -44,8 +44,8 @@
                         hostLog,
                         messages)) {
             cluster.start();
-            settings = AuditSettings.of(
-                    new ObjectMapper().readTree(cluster.ready().path("settings").toString()));
+            settings = AuditSettings.of(new ObjectMapper()
+                    .readTree(cluster.readyFile().path("settings").toString()));
             LoadRun run = new LoadRun(
                     LoadPlanReader.parse("p", plan, folder), List.of(cluster.address("s-0")), requestLog, null);
             cluster.startFaultSchedule();
--- a/src/test/java/rillyard/loadgen/FakeTransport.java
+++ b/src/test/java/rillyard/loadgen/FakeTransport.java
@@ -9,43 +9,43 @@
 /** A target on the virtual clock: the test says after how long each attempt ends, and how. */
 final class FakeTransport implements Transport {
     /** What becomes of an attempt: its end after {@code ms}, or nothing at all if it is null. */
-    record Fate(double ms, AttemptResult end) {
-        static Fate of(double ms, ClientOutcome outcome, int status) {
-            return new Fate(ms, new AttemptResult(outcome, status, 0));
+    record ScriptedResult(double ms, AttemptResult end) {
+        static ScriptedResult of(double ms, ClientOutcome outcome, int status) {
+            return new ScriptedResult(ms, new AttemptResult(outcome, status, 0));
         }
 
-        static Fate served(double ms) {
+        static ScriptedResult served(double ms) {
             return of(ms, ClientOutcome.SERVED, 200);
         }
 
-        static Fate refused(double ms, double retryAfterMs) {
-            return new Fate(ms, new AttemptResult(ClientOutcome.REFUSED, 503, (long) (1_000 * retryAfterMs)));
+        static ScriptedResult rejected(double ms, double retryAfterMs) {
+            return new ScriptedResult(ms, new AttemptResult(ClientOutcome.REFUSED, 503, (long) (1_000 * retryAfterMs)));
         }
 
-        static Fate silence() {
-            return new Fate(0, null);
+        static ScriptedResult noResponse() {
+            return new ScriptedResult(0, null);
         }
     }
 
-    final List<OutgoingRequest> tries = new ArrayList<>();
-    final List<Long> at = new ArrayList<>();
+    final List<OutgoingRequest> sentRequests = new ArrayList<>();
+    final List<Long> sentAt = new ArrayList<>();
     int abandoned;
-    private final Scheduler timers;
-    private final Function<OutgoingRequest, Fate> fates;
+    private final Scheduler scheduler;
+    private final Function<OutgoingRequest, ScriptedResult> script;
 
-    FakeTransport(Scheduler timers, Function<OutgoingRequest, Fate> fates) {
-        this.timers = timers;
-        this.fates = fates;
+    FakeTransport(Scheduler scheduler, Function<OutgoingRequest, ScriptedResult> script) {
+        this.scheduler = scheduler;
+        this.script = script;
     }
 
     @Override
     public PendingAttempt send(OutgoingRequest request, Listener listener) {
-        tries.add(request);
-        at.add(timers.now());
-        Fate fate = fates.apply(request);
-        Scheduler.ScheduledTask due = fate.end() == null
+        sentRequests.add(request);
+        sentAt.add(scheduler.now());
+        ScriptedResult scripted = script.apply(request);
+        Scheduler.ScheduledTask due = scripted.end() == null
                 ? () -> {}
-                : timers.scheduleAfter((long) (1e6 * fate.ms()), () -> listener.onEnded(fate.end()));
+                : scheduler.scheduleAfter((long) (1e6 * scripted.ms()), () -> listener.onEnded(scripted.end()));
         return () -> {
             abandoned++;
             due.cancel();
--- a/src/test/java/rillyard/loadgen/LoadPlanReaderTest.java
+++ b/src/test/java/rillyard/loadgen/LoadPlanReaderTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void everyShapeIsRead() throws Exception {
+    void everyProfileKindIsRead() throws Exception {
         LoadPlan plan = parse(
                 """
             [[shape]]
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void everyErrorNamesItsLineInOnePass() {
+    void allErrorsAreReportedWithTheirLines() {
         InvalidConfigException exception = fails(
                 """
             max_opne = 5
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void thereIsEitherAShapeOrATrace() {
+    void planNeedsEitherShapeOrTrace() {
         assertThat(fails("seed = 1\n").getMessage()).contains("expected a [[shape]] at least, or a [trace]");
         assertThat(fails("[trace]\nfile = 'x'\n[[shape]]\nrate = 1\n").getMessage())
                 .contains("expected one of the two");
--- a/src/test/java/rillyard/loadgen/LoadRunTest.java
+++ b/src/test/java/rillyard/loadgen/LoadRunTest.java
@@ -31,30 +31,32 @@
 /** The generator against test hosts and against targets that are none, on loopback. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class LoadRunTest {
-    private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    private static final InetSocketAddress ANY_PORT = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
-    private static final String CLASS =
+    private static final String CLASS_TOML =
             "[[class]]\nname = 'c'\nsemantics = 'idempotent'\naim_ms = 400\ndeadline_ms = 20000\n";
 
-    private static final int RUNS = 6;
+    private static final int MAX_RUNS = 6;
 
     @TempDir
     Path folder;
 
-    private static String hosts(String work, String faults) {
+    private static String hostsToml(String serviceTime, String faults) {
         return "[hosts]\ncount = 1\ncores = 2000\nqueue = 100000\nconnections = 100000\n"
-                + "[[class]]\nname = 'c'\nsemantics = 'idempotent'\naim_ms = 400\ndeadline_ms = 20000\nwork = " + work
+                + "[[class]]\nname = 'c'\nsemantics = 'idempotent'\naim_ms = 400\ndeadline_ms = 20000\nwork = "
+                + serviceTime
                 + "\n" + faults;
     }
 
     /** Plays a plan against one test cluster host. */
-    private RunReport play(String hosts, String plan) throws Exception {
-        PrintStream hostLog = System.err;
-        try (RequestLogWriter hostLedger = RequestLogWriter.open(folder.resolve("h"), new LogHeader("hosts", 1, 1));
+    private RunReport runAgainstCluster(String hosts, String plan) throws Exception {
+        PrintStream errors = System.err;
+        try (RequestLogWriter hostRequestLog =
+                        RequestLogWriter.open(folder.resolve("h"), new LogHeader("hosts", 1, 1));
                 RequestLogWriter requestLog =
                         RequestLogWriter.open(folder.resolve("c"), new LogHeader("clients", 1, 1));
-                TestCluster cluster =
-                        new TestCluster(TestClusterPlanReader.parse("h", hosts, 0), ANY, 1, hostLedger, hostLog)) {
+                TestCluster cluster = new TestCluster(
+                        TestClusterPlanReader.parse("h", hosts, 0), ANY_PORT, 1, hostRequestLog, errors)) {
             cluster.start();
             LoadRun run = new LoadRun(
                     LoadPlanReader.parse("p", plan, folder), List.of(cluster.address("s-0")), requestLog, null);
@@ -64,38 +66,38 @@
         }
     }
 
-    private <T extends LogRecord> List<T> ledger(String of, Class<T> kind) throws Exception {
-        List<T> out = new ArrayList<>();
-        boolean whole = RequestLogReader.read(folder.resolve(of.substring(0, 1)), of, line -> {
+    private <T extends LogRecord> List<T> records(String role, Class<T> kind) throws Exception {
+        List<T> records = new ArrayList<>();
+        boolean complete = RequestLogReader.read(folder.resolve(role.substring(0, 1)), role, line -> {
             if (kind.isInstance(line)) {
-                out.add(kind.cast(line));
+                records.add(kind.cast(line));
             }
         });
-        assertThat(whole).isTrue();
-        return out;
+        assertThat(complete).isTrue();
+        return records;
     }
 
     @Test
-    void aPauseOfTwoSecondsIsTwoSecondsOfLateAnswersAndNoGap() throws Exception {
+    void pauseShowsAsLateResponsesWithoutOmission() throws Exception {
         int rate = 300;
-        RunReport report = play(
-                hosts(
+        RunReport report = runAgainstCluster(
+                hostsToml(
                         "{ dist = 'constant', mean_ms = 1 }",
                         "[[fault]]\nkind = 'pause'\nhost = 's-0'\nat_s = 1\nfor_s = 2\n"),
-                "lateness_ms = 5000\n" + CLASS + "[clients]\nretries = 0\ntry_share = [1, 1]\n"
+                "lateness_ms = 5000\n" + CLASS_TOML + "[clients]\nretries = 0\ntry_share = [1, 1]\n"
                         + "[[shape]]\nkind = 'steady'\nfor_s = 4\nrate = " + rate + "\n");
         assertThat(report.total().offered()).isEqualTo(4L * rate);
         assertThat(report.total().inAim() + report.total().late()).isEqualTo(4L * rate);
-        List<ClientAttempt> tries = ledger("clients", ClientAttempt.class);
-        for (double x = 0.2; x < 2; x += 0.2) {
-            double seconds = x;
-            long later = tries.stream()
+        List<ClientAttempt> attempts = records("clients", ClientAttempt.class);
+        for (double threshold = 0.2; threshold < 2; threshold += 0.2) {
+            double seconds = threshold;
+            long later = attempts.stream()
                     .filter(attempt -> attempt.endedAt() - attempt.scheduledAt() > 1e6 * seconds)
                     .count();
             // The pause begins and ends on the test cluster's own clock: some tens of ms of either side.
             assertThat(later)
-                    .as("later than %.1f s", x)
-                    .isCloseTo(Math.round(rate * (2 - x)), within(Math.round(0.15 * rate)));
+                    .as("later than %.1f s", threshold)
+                    .isCloseTo(Math.round(rate * (2 - threshold)), within(Math.round(0.15 * rate)));
         }
     }
 
@@ -104,40 +106,41 @@
      * must see what was injected. A histogram that is wrong is so in all of them.
      */
     @Test
-    void quantilesAreThoseOfTheInjectedDistribution() throws Exception {
-        String hosts = hosts("{ dist = 'lognormal', mean_ms = 100, cv = 0.7 }", "");
-        String plan = CLASS + "[clients]\nretries = 0\ntry_share = [1, 1]\n"
+    void quantilesMatchInjectedDistribution() throws Exception {
+        String hosts = hostsToml("{ dist = 'lognormal', mean_ms = 100, cv = 0.7 }", "");
+        String plan = CLASS_TOML + "[clients]\nretries = 0\ntry_share = [1, 1]\n"
                 + "[[shape]]\nkind = 'poisson'\nfor_s = 2.5\nrate = 500\n";
-        List<String> seen = new ArrayList<>();
-        for (int i = 0; i < RUNS; i++) {
-            RunReport report = play(hosts, plan);
+        List<String> mismatches = new ArrayList<>();
+        for (int i = 0; i < MAX_RUNS; i++) {
+            RunReport report = runAgainstCluster(hosts, plan);
             // What the hosts drew is in their request log: the generator must see these very times.
-            double[] drawn = ledger("hosts", HostExecution.class).stream()
+            double[] drawn = records("hosts", HostExecution.class).stream()
                     .mapToDouble(execution -> execution.workMicros() / 1_000.0)
                     .sorted()
                     .toArray();
             assertThat((long) drawn.length).isEqualTo(report.total().offered());
             RunReport.Quantiles quantiles = report.total().service();
-            if (near(quantiles.p50(), at(drawn, 0.5))
-                    && near(quantiles.p90(), at(drawn, 0.9))
-                    && near(quantiles.p99(), at(drawn, 0.99))
-                    && near(quantiles.p999(), at(drawn, 0.999))) {
+            if (isNear(quantiles.p50(), quantile(drawn, 0.5))
+                    && isNear(quantiles.p90(), quantile(drawn, 0.9))
+                    && isNear(quantiles.p99(), quantile(drawn, 0.99))
+                    && isNear(quantiles.p999(), quantile(drawn, 0.999))) {
                 // And they are a sample of the distribution that was asked for, whose median is known.
-                assertThat(at(drawn, 0.5)).isCloseTo(100 / Math.sqrt(1.49), within(8.0));
+                assertThat(quantile(drawn, 0.5)).isCloseTo(100 / Math.sqrt(1.49), within(8.0));
                 return;
             }
-            seen.add(quantiles + " for " + at(drawn, 0.5) + " " + at(drawn, 0.9) + " " + at(drawn, 0.99));
+            mismatches.add(quantiles + " for " + quantile(drawn, 0.5) + " " + quantile(drawn, 0.9) + " "
+                    + quantile(drawn, 0.99));
         }
-        assertThat(seen).as("quantiles that are all off").isEmpty();
+        assertThat(mismatches).as("quantiles that are all off").isEmpty();
     }
 
-    private static double at(double[] sorted, double share) {
+    private static double quantile(double[] sorted, double share) {
         return sorted[(int) Math.min(sorted.length - 1, Math.ceil(share * sorted.length) - 1)];
     }
 
     /** Within 3 % or 1 ms. */
-    private static boolean near(double seen, double injected) {
-        return Math.abs(seen - injected) <= Math.max(0.03 * injected, 1);
+    private static boolean isNear(double measured, double injected) {
+        return Math.abs(measured - injected) <= Math.max(0.03 * injected, 1);
     }
 
     private interface Target {
@@ -145,7 +148,7 @@
     }
 
     /** Plays a plan against a target that does to each connection what it is told to. */
-    private RunReport against(Target target, String plan) throws Exception {
+    private RunReport runAgainstTarget(Target target, String plan) throws Exception {
         try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
                 RequestLogWriter requestLog =
                         RequestLogWriter.open(folder.resolve("c"), new LogHeader("clients", 1, 1))) {
@@ -171,50 +174,50 @@
         }
     }
 
-    private static final String SHORT =
+    private static final String SHORT_PLAN =
             "max_open = 2000\n[[class]]\nname = 'c'\nsemantics = 'idempotent'\naim_ms = 100\ndeadline_ms = 300\n"
                     + "[[shape]]\nkind = 'poisson'\nfor_s = 1\nrate = 300\n";
 
     private void assertAllEnded(RunReport report, ClientOutcome only) throws Exception {
         assertThat(report.total().offered()).isGreaterThan(200);
         assertThat(report.total().inAim() + report.total().late()).isZero();
-        List<ClientAttempt> tries = ledger("clients", ClientAttempt.class);
-        assertThat(tries.stream().filter(ClientAttempt::lastAttempt).count())
+        List<ClientAttempt> attempts = records("clients", ClientAttempt.class);
+        assertThat(attempts.stream().filter(ClientAttempt::lastAttempt).count())
                 .isEqualTo(report.total().offered());
-        assertThat(tries.stream().map(ClientAttempt::outcome).filter(outcome -> outcome == only))
+        assertThat(attempts.stream().map(ClientAttempt::outcome).filter(outcome -> outcome == only))
                 .isNotEmpty();
-        assertThat(tries).allMatch(attempt -> attempt.attemptNumber() < 6);
+        assertThat(attempts).allMatch(attempt -> attempt.attemptNumber() < 6);
     }
 
     @Test
-    void aTargetThatResetsEverything() throws Exception {
-        RunReport report = against(
+    void resettingTargetLosesOrFailsEveryRequest() throws Exception {
+        RunReport report = runAgainstTarget(
                 socket -> {
                     socket.setSoLinger(true, 0);
                     socket.close();
                 },
-                SHORT);
+                SHORT_PLAN);
         assertAllEnded(report, report.total().lost() > 0 ? ClientOutcome.BROKEN : ClientOutcome.UNREACHABLE);
         assertThat(report.total().lost() + report.total().failed())
                 .isEqualTo(report.total().offered());
     }
 
     @Test
-    void aTargetThatAnswersGarbage() throws Exception {
-        RunReport report = against(
+    void garbageResponsesAreLost() throws Exception {
+        RunReport report = runAgainstTarget(
                 socket -> {
                     socket.getOutputStream().write("garbage\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
                     socket.getOutputStream().flush();
                 },
-                SHORT);
+                SHORT_PLAN);
         assertAllEnded(report, ClientOutcome.GARBLED);
         assertThat(report.total().lost()).isEqualTo(report.total().offered());
     }
 
     @Test
-    void aTargetThatTakesAllAndAnswersNothing() throws Exception {
-        List<Socket> held = new ArrayList<>();
-        RunReport report = against(held::add, SHORT);
+    void unresponsiveTargetEndsEveryRequest() throws Exception {
+        List<Socket> openSockets = new ArrayList<>();
+        RunReport report = runAgainstTarget(openSockets::add, SHORT_PLAN);
         assertAllEnded(report, ClientOutcome.UNANSWERED);
         assertThat(report.total().lost()
                         + report.total().notSent()
@@ -223,7 +226,7 @@
     }
 
     @Test
-    void aTargetThatAcceptsNothing() throws Exception {
+    void unreachableTargetFailsEveryRequest() throws Exception {
         int port;
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = server.getLocalPort();
@@ -231,7 +234,7 @@
         RunReport report;
         try (RequestLogWriter requestLog = RequestLogWriter.open(folder.resolve("c"), new LogHeader("clients", 1, 1))) {
             LoadRun run = new LoadRun(
-                    LoadPlanReader.parse("p", SHORT, folder),
+                    LoadPlanReader.parse("p", SHORT_PLAN, folder),
                     List.of(new InetSocketAddress(InetAddress.getLoopbackAddress(), port)),
                     requestLog,
                     null);
@@ -243,57 +246,57 @@
     }
 
     @Test
-    void anAnswerForAnotherRequestIsNoneOfOurs() throws Exception {
-        RunReport report = against(
+    void responseToOtherRequestIsGarbled() throws Exception {
+        RunReport report = runAgainstTarget(
                 socket -> {
                     socket.getInputStream().read(new byte[4_096]);
                     socket.getOutputStream()
                             .write("HTTP/1.1 200 OK\r\nContent-Length: 27\r\n\r\nid=other host=h len=0 crc=0"
                                     .getBytes(StandardCharsets.US_ASCII));
                 },
-                SHORT);
+                SHORT_PLAN);
         assertAllEnded(report, ClientOutcome.GARBLED);
     }
 
     @Test
-    void aClientThatAbandonsClosesItsConnectionAndItsLateAnswerIsNotCounted() throws Exception {
-        RunReport report = play(
-                hosts("{ dist = 'constant', mean_ms = 400 }", ""),
+    void abandoningClientClosesConnectionAndLateResponseIsNotCounted() throws Exception {
+        RunReport report = runAgainstCluster(
+                hostsToml("{ dist = 'constant', mean_ms = 400 }", ""),
                 "[[class]]\nname = 'c'\nsemantics = 'at-most-once'\naim_ms = 400\ndeadline_ms = 500\nbody_bytes = 0\n"
                         + "[clients]\nretries = 0\nannounced = false\ntry_share = [0.2, 0.2]\n"
                         + "[[shape]]\nkind = 'steady'\nfor_s = 1\nrate = 50\n");
         assertThat(report.total().abandoned()).isEqualTo(50);
         assertThat(report.total().latency().count()).isZero();
-        assertThat(ledger("clients", ClientAttempt.class))
+        assertThat(records("clients", ClientAttempt.class))
                 .allMatch(attempt -> attempt.outcome() == ClientOutcome.ABANDONED);
         // The host saw each connection end while the request ran.
-        List<HostExecution> runs = ledger("hosts", HostExecution.class);
-        assertThat(runs).hasSize(50).allMatch(execution -> execution.result() == ExecutionResult.LEFT);
+        List<HostExecution> executions = records("hosts", HostExecution.class);
+        assertThat(executions).hasSize(50).allMatch(execution -> execution.result() == ExecutionResult.LEFT);
     }
 
     @Test
-    void anInterruptedRunReportsWhatItHasAndItsLedgerIsWhole() throws Exception {
+    void interruptedRunReportsPartialResultsAndCompleteRequestLog() throws Exception {
         RunReport report;
-        PrintStream hostLog = System.err;
-        try (RequestLogWriter hostLedger = RequestLogWriter.disabled();
+        PrintStream errors = System.err;
+        try (RequestLogWriter hostRequestLog = RequestLogWriter.disabled();
                 RequestLogWriter requestLog =
                         RequestLogWriter.open(folder.resolve("c"), new LogHeader("clients", 1, 1));
                 TestCluster cluster = new TestCluster(
-                        TestClusterPlanReader.parse("h", hosts("{ dist = 'constant', mean_ms = 5 }", ""), 0),
-                        ANY,
+                        TestClusterPlanReader.parse("h", hostsToml("{ dist = 'constant', mean_ms = 5 }", ""), 0),
+                        ANY_PORT,
                         1,
-                        hostLedger,
-                        hostLog)) {
+                        hostRequestLog,
+                        errors)) {
             cluster.start();
             LoadRun run = new LoadRun(
                     LoadPlanReader.parse(
-                            "p", CLASS + "[[shape]]\nkind = 'poisson'\nfor_s = 3600\nrate = 200\n", folder),
+                            "p", CLASS_TOML + "[[shape]]\nkind = 'poisson'\nfor_s = 3600\nrate = 200\n", folder),
                     List.of(cluster.address("s-0")),
                     requestLog,
                     null);
             Thread thread = new Thread(() -> {
-                long until = System.nanoTime() + 30_000_000_000L;
-                while (requestLog.recordCount() < 100 && System.nanoTime() < until) {
+                long deadline = System.nanoTime() + 30_000_000_000L;
+                while (requestLog.recordCount() < 100 && System.nanoTime() < deadline) {
                     Thread.onSpinWait();
                 }
                 run.interrupt();
@@ -305,17 +308,17 @@
         assertThat(report.interrupted()).isTrue();
         assertThat(report.total().inAim() + report.total().late()).isGreaterThan(50);
         assertThat(ReportTable.of(report)).contains("interrupted");
-        assertThat(ledger("clients", ClientAttempt.class).stream()
+        assertThat(records("clients", ClientAttempt.class).stream()
                         .filter(ClientAttempt::lastAttempt)
                         .count())
                 .isEqualTo(report.total().offered());
     }
 
     @Test
-    void theReportIsAPageOfItsOwnAndHistogramsAreWritten() throws Exception {
-        RunReport report = play(
-                hosts("{ dist = 'constant', mean_ms = 2 }", ""),
-                CLASS + "[[tenant]]\nname = 't1'\n" + "[[shape]]\nkind = 'poisson'\nfor_s = 1\nrate = 100\n");
+    void reportPageIsSelfContained() throws Exception {
+        RunReport report = runAgainstCluster(
+                hostsToml("{ dist = 'constant', mean_ms = 2 }", ""),
+                CLASS_TOML + "[[tenant]]\nname = 't1'\n" + "[[shape]]\nkind = 'poisson'\nfor_s = 1\nrate = 100\n");
         ReportFiles.write(folder, report, "a <title>");
         String page = java.nio.file.Files.readString(folder.resolve("report.html"));
         assertThat(page)
--- a/src/test/java/rillyard/loadgen/RateProfileTest.java
+++ b/src/test/java/rillyard/loadgen/RateProfileTest.java
@@ -21,14 +21,14 @@
 
     @ParameterizedTest
     @MethodSource("all")
-    void theCumulativeRateIsTheIntegralOfTheRate(RateProfile profile) {
+    void expectedArrivalsAreIntegralOfRate(RateProfile profile) {
         double sum = 0;
         int steps = 200_000;
-        double dt = profile.seconds() / steps;
+        double stepSeconds = profile.seconds() / steps;
         for (int i = 0; i < steps; i++) {
-            sum += profile.rate((i + 0.5) * dt) * dt;
+            sum += profile.rate((i + 0.5) * stepSeconds) * stepSeconds;
             if (i % 10_000 == 0) {
-                assertThat(profile.expectedArrivals((i + 1) * dt)).isCloseTo(sum, within(0.02 + 1e-4 * sum));
+                assertThat(profile.expectedArrivals((i + 1) * stepSeconds)).isCloseTo(sum, within(0.02 + 1e-4 * sum));
             }
         }
         assertThat(profile.expectedArrivals(profile.seconds())).isCloseTo(sum, within(1e-3 * sum));
@@ -36,14 +36,14 @@
 
     @ParameterizedTest
     @MethodSource("all")
-    void theTimeOfAnArrivalIsWhereTheCumulativeRateReachesIt(RateProfile profile) {
+    void arrivalTimeIsWhereExpectedArrivalsReachCount(RateProfile profile) {
         double from = 0;
         double total = profile.expectedArrivals(profile.seconds());
-        for (double n = 0.5; n < total; n += 1.7) {
-            double at = profile.timeOf(n, from);
-            assertThat(profile.expectedArrivals(at)).isCloseTo(n, within(1e-3));
-            assertThat(at).isGreaterThanOrEqualTo(from);
-            from = at;
+        for (double count = 0.5; count < total; count += 1.7) {
+            double time = profile.timeOf(count, from);
+            assertThat(profile.expectedArrivals(time)).isCloseTo(count, within(1e-3));
+            assertThat(time).isGreaterThanOrEqualTo(from);
+            from = time;
         }
         assertThat(profile.timeOf(total + 1, from)).isNaN();
     }
--- a/src/test/java/rillyard/loadgen/RequestScheduleTest.java
+++ b/src/test/java/rillyard/loadgen/RequestScheduleTest.java
@@ -12,12 +12,12 @@
 
 class RequestScheduleTest {
     private static List<ScheduledRequest> arrivals(String plan) throws Exception {
-        List<ScheduledRequest> out = new ArrayList<>();
-        new RequestSchedule(LoadPlanReader.parse("p", plan, Path.of("."))).forEachRemaining(out::add);
-        return out;
+        List<ScheduledRequest> requests = new ArrayList<>();
+        new RequestSchedule(LoadPlanReader.parse("p", plan, Path.of("."))).forEachRemaining(requests::add);
+        return requests;
     }
 
-    private static final String TWO =
+    private static final String TWO_PROFILES =
             """
       seed = 5
       [clients]
@@ -40,19 +40,19 @@
       """;
 
     @Test
-    void theSameSeedGivesTheSameArrivalsAndAnotherGivesOthers() throws Exception {
-        assertThat(arrivals(TWO)).isEqualTo(arrivals(TWO));
-        assertThat(arrivals(TWO.replace("seed = 5", "seed = 6"))).isNotEqualTo(arrivals(TWO));
+    void sameSeedGivesSameArrivals() throws Exception {
+        assertThat(arrivals(TWO_PROFILES)).isEqualTo(arrivals(TWO_PROFILES));
+        assertThat(arrivals(TWO_PROFILES.replace("seed = 5", "seed = 6"))).isNotEqualTo(arrivals(TWO_PROFILES));
     }
 
     @Test
-    void arrivalsComeInOrderAtTheRatesOfTheShapesOneAfterTheOther() throws Exception {
-        List<ScheduledRequest> all = arrivals(TWO);
+    void arrivalsFollowRatesOfProfilesInOrder() throws Exception {
+        List<ScheduledRequest> requests = arrivals(TWO_PROFILES);
         int[] perSecond = new int[20];
-        long before = 0;
-        for (ScheduledRequest request : all) {
-            assertThat(request.atNanos()).isGreaterThanOrEqualTo(before);
-            before = request.atNanos();
+        long previousNanos = 0;
+        for (ScheduledRequest request : requests) {
+            assertThat(request.atNanos()).isGreaterThanOrEqualTo(previousNanos);
+            previousNanos = request.atNanos();
             perSecond[(int) (request.atNanos() / 1_000_000_000L)]++;
         }
         for (int i = 0; i < 10; i++) {
@@ -64,31 +64,32 @@
 
     @Test
     void steadyArrivalsAreEvenlySpaced() throws Exception {
-        List<ScheduledRequest> all = arrivals("[[shape]]\nkind = 'steady'\nfor_s = 2\nrate = 100\n");
-        assertThat(all).hasSize(200);
-        for (int i = 1; i < all.size(); i++) {
-            assertThat(all.get(i).atNanos() - all.get(i - 1).atNanos()).isCloseTo(10_000_000L, within(1_000L));
+        List<ScheduledRequest> requests = arrivals("[[shape]]\nkind = 'steady'\nfor_s = 2\nrate = 100\n");
+        assertThat(requests).hasSize(200);
+        for (int i = 1; i < requests.size(); i++) {
+            assertThat(requests.get(i).atNanos() - requests.get(i - 1).atNanos())
+                    .isCloseTo(10_000_000L, within(1_000L));
         }
     }
 
     @Test
-    void classesTenantsAndClientsHaveTheirShares() throws Exception {
+    void classesTenantsAndClientsGetTheirShares() throws Exception {
         Map<String, Integer> counts = new HashMap<>();
-        List<ScheduledRequest> all = arrivals(TWO);
-        for (ScheduledRequest request : all) {
+        List<ScheduledRequest> requests = arrivals(TWO_PROFILES);
+        for (ScheduledRequest request : requests) {
             counts.merge(request.requestClass().name(), 1, Integer::sum);
             counts.merge(request.tenant(), 1, Integer::sum);
             counts.merge("c" + request.client(), 1, Integer::sum);
         }
-        double n = all.size();
-        assertThat(counts.get("list") / n).isCloseTo(0.6, within(0.02));
-        assertThat(counts.get("claim") / n).isCloseTo(0.1, within(0.02));
-        assertThat(counts.get("t1") / n).isCloseTo(0.75, within(0.02));
+        double total = requests.size();
+        assertThat(counts.get("list") / total).isCloseTo(0.6, within(0.02));
+        assertThat(counts.get("claim") / total).isCloseTo(0.1, within(0.02));
+        assertThat(counts.get("t1") / total).isCloseTo(0.75, within(0.02));
         double harmonic = 0;
         for (int k = 1; k <= 20; k++) {
             harmonic += 1.0 / k;
         }
-        assertThat(counts.get("c0") / n).isCloseTo(1 / harmonic, within(0.02));
-        assertThat(counts.get("c19") / n).isCloseTo(1 / harmonic / 20, within(0.01));
+        assertThat(counts.get("c0") / total).isCloseTo(1 / harmonic, within(0.02));
+        assertThat(counts.get("c19") / total).isCloseTo(1 / harmonic / 20, within(0.01));
     }
 }
--- a/src/test/java/rillyard/loadgen/TraceReaderTest.java
+++ b/src/test/java/rillyard/loadgen/TraceReaderTest.java
@@ -30,11 +30,11 @@
     }
 
     @Test
-    void csvInAnyOrderOfColumnsAndLines() throws Exception {
+    void csvIsReadInAnyColumnAndLineOrder() throws Exception {
         RecordedTrace trace =
                 read(TraceReader.Form.CSV, "class,time_ms,tenant\nclaim,1500.5,t1\nlist,1000,\n\nlist,3000,t2\n");
         assertThat(trace.entries())
-                .extracting(request -> request.type().name())
+                .extracting(request -> request.requestClass().name())
                 .containsExactly("list", "claim", "list");
         assertThat(trace.entries())
                 .extracting(RecordedTrace.RecordedRequest::tenant)
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void jsonLines() throws Exception {
+    void jsonLinesAreRead() throws Exception {
         RecordedTrace trace = read(
                 TraceReader.Form.JSONL,
                 "{\"time_ms\":5,\"class\":\"list\",\"client\":\"c1\",\"route_key\":\"r\"}\n"
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void linesOfHttplog() throws Exception {
+    void httplogLinesAreRead() throws Exception {
         String before = "Nov 30 08:14:14 lb haproxy[14389]: ";
         RecordedTrace trace = read(
                 TraceReader.Form.HAPROXY,
@@ -68,7 +68,9 @@
                         + "200 +2750 - - ---- 1/1/1/1/0 0/0 \"GET /images/a.png HTTP/1.1\"\n"
                         + before + "10.0.1.5:33320 [30/Nov/2026:08:14:16.000] http-in http-in/<NOSRV> "
                         + "-1/-1/-1/-1/2 400 187 - - PR-- 0/0/0/0/0 0/0 \"<BADREQ>\"\n");
-        assertThat(trace.entries()).extracting(request -> request.type().name()).containsExactly("claim", "list");
+        assertThat(trace.entries())
+                .extracting(request -> request.requestClass().name())
+                .containsExactly("claim", "list");
         assertThat(trace.entries())
                 .extracting(RecordedTrace.RecordedRequest::client)
                 .containsExactly("10.0.1.3", "10.0.1.2");
@@ -76,7 +78,7 @@
     }
 
     @Test
-    void whatCantBeReadNamesEachLine() {
+    void eachUnreadableLineIsNamed() {
         assertThat(fails(TraceReader.Form.CSV, "class,when\nlist,1\n").getMessage())
                 .contains(":1: expected column names with 'time_ms' among them");
         assertThat(fails(TraceReader.Form.CSV, "class,time_ms\nlist,x\nlist\nlsit,4\nlist,-1\nlist,NaN\n")
@@ -93,7 +95,7 @@
     }
 
     @Test
-    void aScheduleSendsTheTraceAtItsTimes() throws Exception {
+    void scheduleReplaysTraceAtRecordedTimes() throws Exception {
         Files.writeString(folder.resolve("t.csv"), "time_ms,class,client\n1000,list,a\n1400,claim,b\n1500,list,a\n");
         LoadPlan plan = LoadPlanReader.parse("p", "[trace]\nfile = 't.csv'\nspeed = 0.5\n", folder);
         List<ScheduledRequest> all = new ArrayList<>();
--- a/src/test/java/rillyard/scheduling/VirtualScheduler.java
+++ b/src/test/java/rillyard/scheduling/VirtualScheduler.java
@@ -5,16 +5,16 @@
 
 /** A clock that a test moves. */
 public final class VirtualScheduler implements Scheduler {
-    private static final class Due implements ScheduledTask {
+    private static final class VirtualTask implements ScheduledTask {
         final long at;
         final long order;
-        final Runnable what;
+        final Runnable action;
         boolean cancelled;
 
-        Due(long at, long order, Runnable what) {
+        VirtualTask(long at, long order, Runnable action) {
             this.at = at;
             this.order = order;
-            this.what = what;
+            this.action = action;
         }
 
         @Override
@@ -23,8 +23,8 @@
         }
     }
 
-    private final PriorityQueue<Due> due =
-            new PriorityQueue<>(Comparator.<Due>comparingLong(d -> d.at).thenComparingLong(d -> d.order));
+    private final PriorityQueue<VirtualTask> due = new PriorityQueue<>(
+            Comparator.<VirtualTask>comparingLong(task -> task.at).thenComparingLong(task -> task.order));
     private long now = 1_000_000_000L;
     private long order;
 
@@ -34,20 +34,20 @@
     }
 
     @Override
-    public ScheduledTask scheduleAt(long at, Runnable what) {
-        Due d = new Due(Math.max(now, at), order++, what);
-        due.add(d);
-        return d;
+    public ScheduledTask scheduleAt(long at, Runnable action) {
+        VirtualTask task = new VirtualTask(Math.max(now, at), order++, action);
+        due.add(task);
+        return task;
     }
 
     /** Lets so much time (ns) pass. */
-    public void pass(long nanos) {
+    public void advance(long nanos) {
         long until = now + nanos;
         while (!due.isEmpty() && due.peek().at <= until) {
-            Due d = due.poll();
-            if (!d.cancelled) {
-                now = Math.max(now, d.at);
-                d.what.run();
+            VirtualTask task = due.poll();
+            if (!task.cancelled) {
+                now = Math.max(now, task.at);
+                task.action.run();
             }
         }
         now = Math.max(now, until);
@@ -59,17 +59,17 @@
     }
 
     /** Lets so many milliseconds pass. */
-    public void passMs(double ms) {
-        pass((long) (ms * 1e6));
+    public void advanceMillis(double ms) {
+        advance((long) (ms * 1e6));
     }
 
     /** Runs all that is to happen, however late. */
     public void drain() {
-        while (due.removeIf(d -> d.cancelled) || !due.isEmpty()) {
+        while (due.removeIf(task -> task.cancelled) || !due.isEmpty()) {
             if (due.isEmpty()) {
                 return;
             }
-            pass(Math.max(0, due.peek().at - now));
+            advance(Math.max(0, due.peek().at - now));
         }
     }
 }
--- a/src/test/java/rillyard/testserver/EndpointCatalogTest.java
+++ b/src/test/java/rillyard/testserver/EndpointCatalogTest.java
@@ -10,45 +10,50 @@
 
 class EndpointCatalogTest {
     private static EndpointCatalog.Entry entry(String id, String state) {
-        HostSpec spec = TestClusterPlanReader.standard(1).hosts().get(0).named(id);
+        HostSpec spec = TestClusterPlanReader.standard(1).hosts().get(0).withId(id);
         return new EndpointCatalog.Entry(spec, "127.0.0.1:1", state, 0);
     }
 
-    private static JsonNode json(String line) throws Exception {
+    private static JsonNode parse(String line) throws Exception {
         return new ObjectMapper().readTree(line);
     }
 
     @Test
-    void tellsTheWholeListOrWhatChangedSince() throws Exception {
+    void fullListOrChangesSinceVersionAreReturned() throws Exception {
         EndpointCatalog catalog = new EndpointCatalog(List.of(entry("a", "up"), entry("b", "up")));
-        assertThat(json(catalog.since(0, UnaryOperator.identity())).path("full").asBoolean())
+        assertThat(parse(catalog.changesSince(0, UnaryOperator.identity()))
+                        .path("full")
+                        .asBoolean())
                 .isTrue();
-        assertThat(json(catalog.since(0, UnaryOperator.identity())).path("servers"))
+        assertThat(parse(catalog.changesSince(0, UnaryOperator.identity())).path("servers"))
                 .hasSize(2);
-        catalog.change(entry("a", "draining"));
-        catalog.change(entry("a", "removed"));
-        JsonNode since = json(catalog.since(1, UnaryOperator.identity()));
-        assertThat(since.path("version").asLong()).isEqualTo(3);
-        assertThat(since.path("full").asBoolean()).isFalse();
-        assertThat(since.path("servers")).hasSize(2);
-        assertThat(json(catalog.all(UnaryOperator.identity())).path("servers")).hasSize(1);
-        assertThat(json(catalog.since(3, UnaryOperator.identity())).path("servers"))
+        catalog.apply(entry("a", "draining"));
+        catalog.apply(entry("a", "removed"));
+        JsonNode changes = parse(catalog.changesSince(1, UnaryOperator.identity()));
+        assertThat(changes.path("version").asLong()).isEqualTo(3);
+        assertThat(changes.path("full").asBoolean()).isFalse();
+        assertThat(changes.path("servers")).hasSize(2);
+        assertThat(parse(catalog.fullList(UnaryOperator.identity())).path("servers"))
+                .hasSize(1);
+        assertThat(parse(catalog.changesSince(3, UnaryOperator.identity())).path("servers"))
                 .isEmpty();
-        assertThat(json(catalog.since(99, UnaryOperator.identity()))
+        assertThat(parse(catalog.changesSince(99, UnaryOperator.identity()))
                         .path("full")
                         .asBoolean())
                 .isTrue();
     }
 
     @Test
-    void whoAsksForMoreThanIsKeptGetsTheWholeList() throws Exception {
+    void versionOlderThanCachedChangesGetsFullList() throws Exception {
         EndpointCatalog catalog = new EndpointCatalog(List.of(entry("a", "up")));
         for (int i = 0; i < 1_500; i++) {
-            catalog.change(entry("a", i % 2 == 0 ? "draining" : "up"));
+            catalog.apply(entry("a", i % 2 == 0 ? "draining" : "up"));
         }
-        assertThat(json(catalog.since(2, UnaryOperator.identity())).path("full").asBoolean())
+        assertThat(parse(catalog.changesSince(2, UnaryOperator.identity()))
+                        .path("full")
+                        .asBoolean())
                 .isTrue();
-        assertThat(json(catalog.since(1_000, UnaryOperator.identity()))
+        assertThat(parse(catalog.changesSince(1_000, UnaryOperator.identity()))
                         .path("full")
                         .asBoolean())
                 .isFalse();
--- a/src/test/java/rillyard/testserver/IdempotencyKeyStoreTest.java
+++ b/src/test/java/rillyard/testserver/IdempotencyKeyStoreTest.java
@@ -6,37 +6,37 @@
 import org.junit.jupiter.api.Test;
 
 class IdempotencyKeyStoreTest {
-    private final IdempotencyKeyStore memory = new IdempotencyKeyStore(100);
-    private final AtomicInteger woken = new AtomicInteger();
+    private final IdempotencyKeyStore keyStore = new IdempotencyKeyStore(100);
+    private final AtomicInteger completions = new AtomicInteger();
 
-    private IdempotencyKeyStore.Known seen(String key, long now) {
-        return memory.seen(key, now, woken::incrementAndGet);
+    private IdempotencyKeyStore.KeyState register(String key, long now) {
+        return keyStore.register(key, now, completions::incrementAndGet);
     }
 
     @Test
-    void aKeyIsNewOnceThenKnownUntilItsWindowIsPast() {
-        assertThat(seen("a", 0)).isEqualTo(IdempotencyKeyStore.Known.NEW);
-        assertThat(seen("a", 10)).isEqualTo(IdempotencyKeyStore.Known.RUNNING);
-        memory.done("a");
-        assertThat(woken).hasValue(1);
-        assertThat(seen("a", 99)).isEqualTo(IdempotencyKeyStore.Known.DONE);
-        assertThat(seen("a", 100)).isEqualTo(IdempotencyKeyStore.Known.NEW);
+    void keyIsNewOnceAndKnownWithinWindow() {
+        assertThat(register("a", 0)).isEqualTo(IdempotencyKeyStore.KeyState.NEW);
+        assertThat(register("a", 10)).isEqualTo(IdempotencyKeyStore.KeyState.RUNNING);
+        keyStore.markDone("a");
+        assertThat(completions).hasValue(1);
+        assertThat(register("a", 99)).isEqualTo(IdempotencyKeyStore.KeyState.DONE);
+        assertThat(register("a", 100)).isEqualTo(IdempotencyKeyStore.KeyState.NEW);
     }
 
     @Test
-    void aKeyWhoseFirstDidNotRunIsNewAgain() {
-        seen("a", 0);
-        seen("a", 1);
-        memory.forget("a");
-        assertThat(woken).hasValue(1);
-        assertThat(seen("a", 2)).isEqualTo(IdempotencyKeyStore.Known.NEW);
+    void keyOfRequestThatDidNotRunIsNewAgain() {
+        register("a", 0);
+        register("a", 1);
+        keyStore.forget("a");
+        assertThat(completions).hasValue(1);
+        assertThat(register("a", 2)).isEqualTo(IdempotencyKeyStore.KeyState.NEW);
     }
 
     @Test
-    void whatIsPastItsWindowMakesRoom() {
+    void expiredKeysAreEvicted() {
         for (int i = 0; i < 10_000; i++) {
-            seen("k" + i, i);
+            register("k" + i, i);
         }
-        assertThat(memory.size()).isLessThanOrEqualTo(101);
+        assertThat(keyStore.size()).isLessThanOrEqualTo(101);
     }
 }
