--- a/src/test/java/rillyard/testserver/RawClient.java
+++ b/src/test/java/rillyard/testserver/RawClient.java
@@ -14,9 +14,9 @@
     public final Socket socket = new Socket();
     private final InputStream in;
 
-    public RawClient(InetSocketAddress to) throws IOException {
+    public RawClient(InetSocketAddress address) throws IOException {
         socket.setSoTimeout(TIMEOUT_MS);
-        socket.connect(to);
+        socket.connect(address);
         in = socket.getInputStream();
     }
 
@@ -25,36 +25,36 @@
     }
 
     /** A request as the proxy sends it; {@code key} may be null. */
-    public static String request(String type, String id, String key, String body) {
-        return (body == null ? "GET /" : "POST /") + type + " HTTP/1.1\r\nHost: h\r\nX-Request-ID: " + id
-                + "\r\nX-Priority-Class: " + type + "\r\nX-Timeout-Ms: 10000\r\n"
+    public static String request(String requestClass, String id, String key, String body) {
+        return (body == null ? "GET /" : "POST /") + requestClass + " HTTP/1.1\r\nHost: h\r\nX-Request-ID: " + id
+                + "\r\nX-Priority-Class: " + requestClass + "\r\nX-Timeout-Ms: 10000\r\n"
                 + (key == null ? "" : "Idempotency-Key: " + key + "\r\n")
                 + (body == null ? "\r\n" : "Content-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
     /** Head and body of the next answer with a length, or null if the connection ended before. */
-    public String answer() throws IOException {
+    public String readResponse() throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
-            int b = in.read();
-            if (b < 0) {
+            int next = in.read();
+            if (next < 0) {
                 return head.isEmpty() ? null : head.toString();
             }
-            head.append((char) b);
+            head.append((char) next);
         }
         int length = Integer.parseInt(head.toString().replaceAll("(?si).*content-length: *(\\d+).*", "$1"));
         return head + new String(in.readNBytes(length), StandardCharsets.ISO_8859_1);
     }
 
     /** A line of an answer without a length, as a watch has them; null at the end. */
-    public String line() throws IOException {
+    public String readLine() throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
-        int b;
-        while ((b = in.read()) != '\n') {
-            if (b < 0) {
+        int next;
+        while ((next = in.read()) != '\n') {
+            if (next < 0) {
                 return null;
             }
-            line.write(b);
+            line.write(next);
         }
         return line.toString(StandardCharsets.UTF_8).trim();
     }
--- a/src/test/java/rillyard/testserver/ServiceTimeTest.java
+++ b/src/test/java/rillyard/testserver/ServiceTimeTest.java
@@ -20,11 +20,11 @@
 
     @ParameterizedTest
     @MethodSource("all")
-    void drawsHaveTheMeanThatIsStated(ServiceTime time) {
+    void samplesHaveStatedMean(ServiceTime time) {
         SplittableRandom random = new SplittableRandom(3);
         double mean = Stream.generate(() -> time.sample(random))
                 .limit(200_000)
-                .mapToDouble(d -> d)
+                .mapToDouble(value -> value)
                 .average()
                 .orElseThrow();
         assertThat(mean).isCloseTo(time.mean(), within(0.02 * time.mean()));
@@ -32,11 +32,11 @@
 
     @ParameterizedTest
     @MethodSource("all")
-    void theMedianLiesWhereTheDistributionHasIt(ServiceTime time) {
+    void samplesHaveMedianOfDistribution(ServiceTime time) {
         SplittableRandom random = new SplittableRandom(4);
         double[] drawn = Stream.generate(() -> time.sample(random))
                 .limit(100_001)
-                .mapToDouble(d -> d)
+                .mapToDouble(value -> value)
                 .toArray();
         Arrays.sort(drawn);
         double expected = time instanceof ServiceTime.Exponential exponential
--- a/src/test/java/rillyard/testserver/TestClusterPlanReaderTest.java
+++ b/src/test/java/rillyard/testserver/TestClusterPlanReaderTest.java
@@ -9,7 +9,7 @@
 
 class TestClusterPlanReaderTest {
     @Test
-    void hostsHaveWhatTheFileSaysOfAllAndOfEach() throws Exception {
+    void hostSettingsOverrideCommonSettings() throws Exception {
         TestClusterPlan plan = TestClusterPlanReader.parse(
                 "t",
                 """
@@ -37,14 +37,14 @@
                 0);
         assertThat(plan.hosts()).extracting(HostSpec::cores).containsExactly(8, 2);
         assertThat(plan.hosts()).extracting(HostSpec::cell).containsExactly(0L, 7L);
-        assertThat(plan.classes().get(0).work()).isEqualTo(new ServiceTime.Exponential(5));
+        assertThat(plan.classes().get(0).serviceTime()).isEqualTo(new ServiceTime.Exponential(5));
         assertThat(plan.faults())
                 .extracting(HostFault::kind)
                 .containsExactly(HostFault.Kind.DISCOVERY_SILENT, HostFault.Kind.SLOW);
     }
 
     @Test
-    void everyErrorNamesItsLine() {
+    void eachErrorNamesItsLine() {
         InvalidConfigException exception = catchThrowableOfType(
                 InvalidConfigException.class,
                 () -> TestClusterPlanReader.parse(
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void withoutAFileHostsAreInCellsOfFour() {
+    void standardPlanHasCellsOfFourHosts() {
         assertThat(TestClusterPlanReader.standard(6).hosts())
                 .extracting(HostSpec::cell)
                 .containsExactly(0L, 0L, 0L, 0L, 1L, 1L);
--- a/src/test/java/rillyard/testserver/TestClusterTest.java
+++ b/src/test/java/rillyard/testserver/TestClusterTest.java
@@ -56,40 +56,40 @@
     @TempDir
     Path folder;
 
-    private RequestLogWriter ledger;
-    private TestCluster standIn;
+    private RequestLogWriter requestLog;
+    private TestCluster cluster;
 
     @BeforeEach
     void start() throws Exception {
-        ledger = RequestLogWriter.open(file(), new LogHeader("hosts", 1, 1));
-        standIn = new TestCluster(
+        requestLog = RequestLogWriter.open(logFile(), new LogHeader("hosts", 1, 1));
+        cluster = new TestCluster(
                 TestClusterPlanReader.parse("t", HOSTS, 0),
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 1,
-                ledger,
+                requestLog,
                 System.err);
-        standIn.start();
+        cluster.start();
     }
 
     @AfterEach
     void stop() throws IOException {
-        standIn.close();
-        ledger.close();
+        cluster.close();
+        requestLog.close();
     }
 
-    private Path file() {
+    private Path logFile() {
         return folder.resolve("hosts.jsonl");
     }
 
-    private RawClient host(int n) throws IOException {
-        return new RawClient(standIn.address("s-" + n));
+    private RawClient connect(int number) throws IOException {
+        return new RawClient(cluster.address("s-" + number));
     }
 
     /** Ends the test cluster and reads what it wrote down. */
-    private <T extends LogRecord> List<T> ledger(Class<T> kind) throws Exception {
+    private <T extends LogRecord> List<T> records(Class<T> kind) throws Exception {
         stop();
         List<T> out = new ArrayList<>();
-        assertThat(RequestLogReader.read(file(), "hosts", line -> {
+        assertThat(RequestLogReader.read(logFile(), "hosts", line -> {
                     if (kind.isInstance(line)) {
                         out.add(kind.cast(line));
                     }
@@ -98,88 +98,91 @@
         return out;
     }
 
-    private String fault(String toml) throws IOException {
-        try (RawClient client = new RawClient(standIn.control())) {
+    private String postFault(String toml) throws IOException {
+        try (RawClient client = new RawClient(cluster.controlAddress())) {
             client.write("POST /faults HTTP/1.1\r\nHost: h\r\nContent-Length: " + toml.length() + "\r\n\r\n" + toml);
-            return client.answer();
+            return client.readResponse();
         }
     }
 
-    private void faulty(String kind, int host, String more) throws IOException {
-        String answer = fault("[[fault]]\nkind = \"" + kind + "\"\nhost = \"s-" + host + "\"\n" + more + "\n");
+    private void beginFault(String kind, int host, String more) throws IOException {
+        String answer = postFault("[[fault]]\nkind = \"" + kind + "\"\nhost = \"s-" + host + "\"\n" + more + "\n");
         assertThat(answer).startsWith("HTTP/1.1 200").endsWith("1 begun\n");
     }
 
     @Test
-    void anAnswerNamesItsRequestAndItsBody() throws Exception {
-        try (RawClient client = host(0)) {
+    void responseNamesRequestAndBody() throws Exception {
+        try (RawClient client = connect(0)) {
             client.write(RawClient.request("list", "a1", null, null));
-            assertThat(client.answer())
+            assertThat(client.readResponse())
                     .startsWith("HTTP/1.1 200")
                     .contains("X-Server-Load: inflight=")
                     .contains("id=a1 host=s-0 len=0 crc=0");
             client.write(RawClient.request("claim", "a2", null, "123456789"));
-            assertThat(client.answer()).contains("id=a2 host=s-0 len=9 crc=cbf43926"); // the check value of CRC-32
+            assertThat(client.readResponse())
+                    .contains("id=a2 host=s-0 len=9 crc=cbf43926"); // the check value of CRC-32
             client.write("GET /ping HTTP/1.1\r\nHost: h\r\n\r\n");
-            assertThat(client.answer()).startsWith("HTTP/1.1 200");
+            assertThat(client.readResponse()).startsWith("HTTP/1.1 200");
             client.write("GET /list HTTP/1.1\r\nHost: h\r\n\r\n"); // no id
-            assertThat(client.answer()).startsWith("HTTP/1.1 404");
+            assertThat(client.readResponse()).startsWith("HTTP/1.1 404");
         }
-        assertThat(ledger(HostExecution.class))
+        assertThat(records(HostExecution.class))
                 .extracting(HostExecution::requestId)
                 .containsExactly("a1", "a2");
     }
 
     @Test
-    void aKeyRunsOnceInItsCellWhicheverHostItComesTo() throws Exception {
+    void idempotencyKeyRunsOncePerCell() throws Exception {
         for (int i = 0; i < 2; i++) {
-            try (RawClient client = host(i)) {
+            try (RawClient client = connect(i)) {
                 client.write(RawClient.request("log", "b" + i, "k", "x"));
-                assertThat(client.answer()).contains("id=b" + i);
+                assertThat(client.readResponse()).contains("id=b" + i);
             }
         }
-        assertThat(ledger(HostExecution.class))
+        assertThat(records(HostExecution.class))
                 .extracting(HostExecution::result)
                 .containsExactly(ExecutionResult.DONE, ExecutionResult.REMEMBERED);
     }
 
     @Test
-    void whatHasNoRoomIsTurnedAwayUnseen() throws Exception {
-        List<RawClient> all = new ArrayList<>();
+    void requestOverCapacityIsRejectedAsNotProcessed() throws Exception {
+        List<RawClient> clients = new ArrayList<>();
         for (int i = 0; i < 4; i++) { // one runs, one waits, one is too many; the fourth connection too
-            RawClient client = host(0);
-            all.add(client);
+            RawClient client = connect(0);
+            clients.add(client);
             client.write(RawClient.request("claim", "c" + i, null, "x"));
         }
         List<String> answers = new ArrayList<>();
-        for (RawClient rawClient : all) {
-            answers.add(rawClient.answer());
+        for (RawClient rawClient : clients) {
+            answers.add(rawClient.readResponse());
             rawClient.close();
         }
-        assertThat(answers).filteredOn(a -> a.startsWith("HTTP/1.1 200")).hasSize(2);
         assertThat(answers)
-                .filteredOn(a -> a.startsWith("HTTP/1.1 503") && a.contains("X-Not-Processed: 1"))
+                .filteredOn(answer -> answer.startsWith("HTTP/1.1 200"))
                 .hasSize(2);
-        assertThat(ledger(HostExecution.class))
+        assertThat(answers)
+                .filteredOn(answer -> answer.startsWith("HTTP/1.1 503") && answer.contains("X-Not-Processed: 1"))
+                .hasSize(2);
+        assertThat(records(HostExecution.class))
                 .filteredOn(execution -> execution.result() == ExecutionResult.TURNED_AWAY)
                 .hasSize(2)
                 .allMatch(hostExecution -> !hostExecution.mayHaveRun());
     }
 
     @Test
-    void aClientThatLeavesIsWrittenDown() throws Exception {
-        try (RawClient runs = host(0);
-                RawClient waits = host(0)) {
-            runs.write(RawClient.request("claim", "d0", null, "x"));
-            runs.write(""); // in this order, as the second connection's bytes come after its own
-            awaitLoad(host(0), "inflight=1");
-            waits.write(RawClient.request("claim", "d1", null, "x"));
-            awaitLoad(host(0), "inflight=2");
+    void disconnectedClientIsLogged() throws Exception {
+        try (RawClient running = connect(0);
+                RawClient queued = connect(0)) {
+            running.write(RawClient.request("claim", "d0", null, "x"));
+            running.write(""); // in this order, as the second connection's bytes come after its own
+            awaitLoad(connect(0), "inflight=1");
+            queued.write(RawClient.request("claim", "d1", null, "x"));
+            awaitLoad(connect(0), "inflight=2");
         }
-        awaitLoad(host(0), "inflight=0");
-        List<HostExecution> runs = ledger(HostExecution.class);
-        assertThat(runs).extracting(HostExecution::requestId).containsExactlyInAnyOrder("d0", "d1");
-        for (HostExecution execution : runs) {
+        awaitLoad(connect(0), "inflight=0");
+        List<HostExecution> executions = records(HostExecution.class);
+        assertThat(executions).extracting(HostExecution::requestId).containsExactlyInAnyOrder("d0", "d1");
+        for (HostExecution execution : executions) {
             assertThat(execution.result())
                     .isEqualTo(execution.requestId().equals("d0") ? ExecutionResult.LEFT : ExecutionResult.DROPPED);
         }
@@ -187,118 +190,120 @@
 
     private static void awaitLoad(RawClient client, String load) throws IOException {
         try (client) {
-            long until = System.nanoTime() + 20_000_000_000L;
+            long deadline = System.nanoTime() + 20_000_000_000L;
             String answer;
             do {
                 client.write("GET /_load HTTP/1.1\r\nHost: h\r\n\r\n");
-                answer = client.answer();
-            } while (!answer.contains(load) && System.nanoTime() < until);
+                answer = client.readResponse();
+            } while (!answer.contains(load) && System.nanoTime() < deadline);
             assertThat(answer).contains(load);
         }
     }
 
     @Test
-    void faultsAreDoneToRequestsAndWrittenDown() throws Exception {
-        try (RawClient client = host(0)) {
-            faulty("errors", 0, "");
+    void faultsAffectRequestsAndAreLogged() throws Exception {
+        try (RawClient client = connect(0)) {
+            beginFault("errors", 0, "");
             client.write(RawClient.request("list", "e0", null, null));
-            assertThat(client.answer()).startsWith("HTTP/1.1 500");
+            assertThat(client.readResponse()).startsWith("HTTP/1.1 500");
         }
-        faulty("reset", 1, "");
-        try (RawClient rawClient = host(1)) {
+        beginFault("reset", 1, "");
+        try (RawClient rawClient = connect(1)) {
             rawClient.write(RawClient.request("list", "e1", null, null));
             assertThatThrownBy(() -> {
-                        String a;
-                        while ((a = rawClient.answer()) != null) {
-                            assertThat(a).doesNotContain("id=e1 host=s-1 len=0 crc=0");
+                        String answer;
+                        while ((answer = rawClient.readResponse()) != null) {
+                            assertThat(answer).doesNotContain("id=e1 host=s-1 len=0 crc=0");
                         }
                         throw new SocketException("ended");
                     })
                     .isInstanceOf(IOException.class);
         }
-        assertThat(ledger(HostExecution.class))
+        assertThat(records(HostExecution.class))
                 .extracting(HostExecution::result)
                 .containsExactly(ExecutionResult.ERROR, ExecutionResult.RESET);
     }
 
     @Test
-    void aFaultIsCalledBegunOnceItsHostHasIt() throws Exception {
-        CountDownLatch free = new CountDownLatch(1);
-        standIn.host("s-0").loop().execute(() -> awaitQuietly(free));
-        try (RawClient asks = new RawClient(standIn.control())) {
+    void faultIsConfirmedAfterHostApplied() throws Exception {
+        CountDownLatch loopReleased = new CountDownLatch(1);
+        cluster.host("s-0").loop().execute(() -> awaitQuietly(loopReleased));
+        try (RawClient controlClient = new RawClient(cluster.controlAddress())) {
             String toml = "[[fault]]\nkind = \"errors\"\nhost = \"s-0\"\n";
-            asks.write("POST /faults HTTP/1.1\r\nHost: h\r\nContent-Length: " + toml.length() + "\r\n\r\n" + toml);
+            controlClient.write(
+                    "POST /faults HTTP/1.1\r\nHost: h\r\nContent-Length: " + toml.length() + "\r\n\r\n" + toml);
             // Answered on the same loop, after the question above was read there.
-            assertThat(fault("[[fault]]\nkind = \"errors\"\nhost = \"s-9\"\n")).startsWith("HTTP/1.1 400");
-            assertThat(asks.socket.getInputStream().available()).isZero();
-            free.countDown();
-            assertThat(asks.answer()).startsWith("HTTP/1.1 200").endsWith("1 begun\n");
+            assertThat(postFault("[[fault]]\nkind = \"errors\"\nhost = \"s-9\"\n"))
+                    .startsWith("HTTP/1.1 400");
+            assertThat(controlClient.socket.getInputStream().available()).isZero();
+            loopReleased.countDown();
+            assertThat(controlClient.readResponse()).startsWith("HTTP/1.1 200").endsWith("1 begun\n");
         } finally {
-            free.countDown();
+            loopReleased.countDown();
         }
     }
 
-    private static void awaitQuietly(CountDownLatch l) {
+    private static void awaitQuietly(CountDownLatch latch) {
         try {
-            l.await();
+            latch.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     @Test
-    void aHostThatHangsAnswersNothingAndAPauseOnlyWaits() throws Exception {
-        faulty("hang", 0, "");
-        faulty("pause", 1, "for_s = 0.3");
-        try (RawClient hung = host(0);
-                RawClient paused = host(1)) {
-            hung.write(RawClient.request("list", "f0", null, null));
+    void unresponsiveHostNeverRespondsAndPausedHostRespondsLate() throws Exception {
+        beginFault("hang", 0, "");
+        beginFault("pause", 1, "for_s = 0.3");
+        try (RawClient unresponsive = connect(0);
+                RawClient paused = connect(1)) {
+            unresponsive.write(RawClient.request("list", "f0", null, null));
             paused.write(RawClient.request("list", "f1", null, null));
-            assertThat(paused.answer()).contains("id=f1");
-            hung.socket.setSoTimeout(50);
-            assertThatThrownBy(hung::answer).isInstanceOf(java.net.SocketTimeoutException.class);
+            assertThat(paused.readResponse()).contains("id=f1");
+            unresponsive.socket.setSoTimeout(50);
+            assertThatThrownBy(unresponsive::readResponse).isInstanceOf(java.net.SocketTimeoutException.class);
         }
-        List<HostExecution> runs = ledger(HostExecution.class);
-        assertThat(runs)
+        List<HostExecution> executions = records(HostExecution.class);
+        assertThat(executions)
                 .anyMatch(execution -> execution.requestId().equals("f0")
                         && execution.result() == ExecutionResult.HUNG
                         && execution.mayHaveRun());
-        assertThat(runs)
+        assertThat(executions)
                 .anyMatch(hostExecution ->
                         hostExecution.requestId().equals("f1") && hostExecution.result() == ExecutionResult.DONE);
     }
 
     @Test
-    void aHostThatIsKilledComesBackUnderAnotherIdAndDiscoveryTells() throws Exception {
-        try (RawClient watch = new RawClient(standIn.discovery());
-                RawClient client = host(0)) {
+    void killedHostRestartsUnderNewIdAndWatchIsNotified() throws Exception {
+        try (RawClient watch = new RawClient(cluster.discoveryAddress());
+                RawClient client = connect(0)) {
             watch.write("GET /catalog/members?follow=1&since=1 HTTP/1.1\r\nHost: h\r\n\r\n");
             client.write(RawClient.request("claim", "g0", null, "x"));
-            awaitLoad(host(0), "inflight=1");
-            InetSocketAddress was = standIn.address("s-0");
-            faulty("kill", 0, "restart_s = 0.2\nnew_id = true");
-            assertThatThrownBy(client::answer).isInstanceOf(SocketException.class);
-            assertThatThrownBy(() -> new RawClient(was).close()).isInstanceOf(ConnectException.class);
-            assertThat(told(watch, "s-0")).isEqualTo("removed");
-            assertThat(told(watch, "s-0+1")).isEqualTo("up");
-            assertThat(standIn.address("s-0+1")).isEqualTo(was);
-            try (RawClient again = new RawClient(was)) {
-                again.write(RawClient.request("list", "g1", null, null));
-                assertThat(again.answer()).contains("host=s-0+1");
+            awaitLoad(connect(0), "inflight=1");
+            InetSocketAddress address = cluster.address("s-0");
+            beginFault("kill", 0, "restart_s = 0.2\nnew_id = true");
+            assertThatThrownBy(client::readResponse).isInstanceOf(SocketException.class);
+            assertThatThrownBy(() -> new RawClient(address).close()).isInstanceOf(ConnectException.class);
+            assertThat(awaitState(watch, "s-0")).isEqualTo("removed");
+            assertThat(awaitState(watch, "s-0+1")).isEqualTo("up");
+            assertThat(cluster.address("s-0+1")).isEqualTo(address);
+            try (RawClient newClient = new RawClient(address)) {
+                newClient.write(RawClient.request("list", "g1", null, null));
+                assertThat(newClient.readResponse()).contains("host=s-0+1");
             }
         }
-        assertThat(ledger(HostExecution.class))
+        assertThat(records(HostExecution.class))
                 .anyMatch(execution ->
                         execution.requestId().equals("g0") && execution.result() == ExecutionResult.KILLED);
     }
 
     /** The next state of a host that the watch is told. */
-    private static String told(RawClient watch, String host) throws IOException {
+    private static String awaitState(RawClient watch, String host) throws IOException {
         String line;
-        while ((line = watch.line()) != null) {
+        while ((line = watch.readLine()) != null) {
             if (line.startsWith("{")) {
-                JsonNode news = new ObjectMapper().readTree(line);
-                for (JsonNode node : news.path("servers")) {
+                JsonNode event = new ObjectMapper().readTree(line);
+                for (JsonNode node : event.path("servers")) {
                     if (node.path("id").asText().equals(host)) {
                         return node.path("state").asText();
                     }
@@ -309,19 +314,19 @@
     }
 
     @Test
-    void aHostThatDrainsIsToldOfAndStopsWhenItIsDone() throws Exception {
-        try (RawClient watch = new RawClient(standIn.discovery());
-                RawClient client = host(0)) {
+    void drainingHostIsAnnouncedAndStopsWhenIdle() throws Exception {
+        try (RawClient watch = new RawClient(cluster.discoveryAddress());
+                RawClient client = connect(0)) {
             watch.write("GET /catalog/members?follow=1&since=0 HTTP/1.1\r\nHost: h\r\n\r\n");
-            assertThat(told(watch, "s-0")).isEqualTo("up");
+            assertThat(awaitState(watch, "s-0")).isEqualTo("up");
             client.write(RawClient.request("claim", "h0", null, "x"));
-            awaitLoad(host(0), "inflight=1");
-            faulty("drain", 0, "for_s = 0.05");
-            assertThat(told(watch, "s-0")).isEqualTo("draining");
-            assertThat(client.answer()).contains("id=h0"); // it has what it had, and finishes it
-            assertThat(told(watch, "s-0")).isEqualTo("removed");
+            awaitLoad(connect(0), "inflight=1");
+            beginFault("drain", 0, "for_s = 0.05");
+            assertThat(awaitState(watch, "s-0")).isEqualTo("draining");
+            assertThat(client.readResponse()).contains("id=h0"); // it has what it had, and finishes it
+            assertThat(awaitState(watch, "s-0")).isEqualTo("removed");
         }
-        assertThat(ledger(WatchNotification.class))
+        assertThat(records(WatchNotification.class))
                 .filteredOn(notification ->
                         notification.watcher() == 1 && notification.host().equals("s-0"))
                 .extracting(WatchNotification::state)
@@ -329,45 +334,45 @@
     }
 
     @Test
-    void aStaleDiscoveryTellsNothingNewUntilItIsOver() throws Exception {
-        assertThat(fault("[[fault]]\nkind = \"discovery-stale\"\nfor_s = 0.4\n"))
+    void staleDiscoveryWithholdsChangesUntilFaultEnds() throws Exception {
+        assertThat(postFault("[[fault]]\nkind = \"discovery-stale\"\nfor_s = 0.4\n"))
                 .contains("1 begun");
-        try (RawClient watch = new RawClient(standIn.discovery())) {
+        try (RawClient watch = new RawClient(cluster.discoveryAddress())) {
             watch.write("GET /catalog/members?follow=1&since=1 HTTP/1.1\r\nHost: h\r\n\r\n");
-            faulty("kill", 0, "");
-            assertThat(told(watch, "s-0")).isEqualTo("removed");
+            beginFault("kill", 0, "");
+            assertThat(awaitState(watch, "s-0")).isEqualTo("removed");
         }
-        List<LogRecord> lines = ledger(LogRecord.class);
-        int ends = -1;
-        int told = -1;
-        for (int i = 0; i < lines.size(); i++) {
-            if (lines.get(i) instanceof HostEvent event
+        List<LogRecord> records = records(LogRecord.class);
+        int faultEndIndex = -1;
+        int notificationIndex = -1;
+        for (int i = 0; i < records.size(); i++) {
+            if (records.get(i) instanceof HostEvent event
                     && event.host().equals("discovery")
                     && event.kind() == HostEvent.Kind.FAULT_ENDED) {
-                ends = i;
-            } else if (lines.get(i) instanceof WatchNotification notification
+                faultEndIndex = i;
+            } else if (records.get(i) instanceof WatchNotification notification
                     && notification.watcher() > 0
                     && notification.host().equals("s-0")) {
-                told = i;
+                notificationIndex = i;
             }
         }
-        assertThat(told).isGreaterThan(0);
+        assertThat(notificationIndex).isGreaterThan(0);
         // The fault's end is written right behind what it lets through.
-        assertThat(ends).isBetween(told, told + 2);
+        assertThat(faultEndIndex).isBetween(notificationIndex, notificationIndex + 2);
     }
 
     @Test
-    void aHostThatIsKilledMayComeBackUnderTheSameIdColdAndWithAFreshStart() throws Exception {
+    void killedHostRestartsUnderSameIdWarmingUp() throws Exception {
         long before = System.currentTimeMillis();
-        try (RawClient watch = new RawClient(standIn.discovery())) {
+        try (RawClient watch = new RawClient(cluster.discoveryAddress())) {
             watch.write("GET /catalog/members?follow=1&since=1 HTTP/1.1\r\nHost: h\r\n\r\n");
-            faulty("kill", 1, "restart_s = 0.1");
-            assertThat(told(watch, "s-1")).isEqualTo("removed");
-            assertThat(told(watch, "s-1")).isEqualTo("up");
+            beginFault("kill", 1, "restart_s = 0.1");
+            assertThat(awaitState(watch, "s-1")).isEqualTo("removed");
+            assertThat(awaitState(watch, "s-1")).isEqualTo("up");
         }
-        try (RawClient client = new RawClient(standIn.discovery())) {
+        try (RawClient client = new RawClient(cluster.discoveryAddress())) {
             client.write("GET /catalog/members HTTP/1.1\r\nHost: h\r\n\r\n");
-            JsonNode list = new ObjectMapper().readTree(client.answer().split("\r\n\r\n", 2)[1]);
+            JsonNode list = new ObjectMapper().readTree(client.readResponse().split("\r\n\r\n", 2)[1]);
             for (JsonNode node : list.path("servers")) {
                 long started = node.path("started_ms").asLong();
                 assertThat(started)
@@ -375,21 +380,21 @@
             }
             assertThat(list.path("servers")).hasSize(2);
         }
-        assertThat(ledger(HostEvent.class))
+        assertThat(records(HostEvent.class))
                 .filteredOn(event -> event.host().equals("s-1") && event.kind() == HostEvent.Kind.STARTED)
                 .extracting(HostEvent::startsCold)
                 .containsExactly(false, true);
     }
 
     @Test
-    void aSpoiltAnswerRanAndASlowHostTakesLonger() throws Exception {
-        faulty("garble", 0, "");
-        try (RawClient client = host(0)) {
+    void malformedResponseIsLoggedAsRunAndSlowHostTakesLonger() throws Exception {
+        beginFault("garble", 0, "");
+        try (RawClient client = connect(0)) {
             client.socket.setSoTimeout(200);
             client.write(RawClient.request("list", "i0", null, null));
             String answer = null;
             try {
-                answer = client.answer();
+                answer = client.readResponse();
             } catch (IOException | RuntimeException e) {
                 // half an answer, or one that a reader of answers can't read
             }
@@ -397,12 +402,12 @@
                 assertThat(answer).doesNotContain("id=i0 host=s-0 len=0 crc=0");
             }
         }
-        faulty("slow", 1, "size = 400");
-        try (RawClient rawClient = host(1)) {
+        beginFault("slow", 1, "size = 400");
+        try (RawClient rawClient = connect(1)) {
             rawClient.write(RawClient.request("list", "i1", null, null));
-            assertThat(rawClient.answer()).contains("id=i1");
+            assertThat(rawClient.readResponse()).contains("id=i1");
         }
-        for (HostExecution execution : ledger(HostExecution.class)) {
+        for (HostExecution execution : records(HostExecution.class)) {
             assertThat(execution.result())
                     .isEqualTo(execution.requestId().equals("i0") ? ExecutionResult.GARBLED : ExecutionResult.DONE);
             if (execution.requestId().equals("i1")) {
@@ -412,57 +417,58 @@
     }
 
     @Test
-    void aNewConnectionWaitsForItsHandshakeAndCostsTheHostWork() throws Exception {
+    void newConnectionWaitsForHandshake() throws Exception {
         stop();
-        ledger = RequestLogWriter.open(file(), new LogHeader("hosts", 1, 1));
-        standIn = new TestCluster(
+        requestLog = RequestLogWriter.open(logFile(), new LogHeader("hosts", 1, 1));
+        cluster = new TestCluster(
                 TestClusterPlanReader.parse(
                         "t", HOSTS.replace("[hosts]", "[hosts]\nhandshake_ms = 150\nhandshake_work_ms = 60"), 0),
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 1,
-                ledger,
+                requestLog,
                 System.err);
-        standIn.start();
-        try (RawClient client = host(0)) {
+        cluster.start();
+        try (RawClient client = connect(0)) {
             for (int i = 0; i < 2; i++) {
                 client.write(RawClient.request("list", "j" + i, null, null));
-                assertThat(client.answer()).contains("id=j" + i);
+                assertThat(client.readResponse()).contains("id=j" + i);
             }
         }
-        List<HostExecution> runs = ledger(HostExecution.class);
-        assertThat(runs.get(0).startedAt() - runs.get(0).receivedAt()).isGreaterThan(100_000);
-        assertThat(runs).extracting(HostExecution::result).containsOnly(ExecutionResult.DONE);
+        List<HostExecution> executions = records(HostExecution.class);
+        assertThat(executions.get(0).startedAt() - executions.get(0).receivedAt())
+                .isGreaterThan(100_000);
+        assertThat(executions).extracting(HostExecution::result).containsOnly(ExecutionResult.DONE);
     }
 
     @Test
-    void aSilentDiscoverySaysNothingAtAll() throws Exception {
-        assertThat(fault("[[fault]]\nkind = \"discovery-silent\"\n")).contains("1 begun");
-        try (RawClient client = new RawClient(standIn.discovery())) {
+    void unresponsiveDiscoverySendsNothing() throws Exception {
+        assertThat(postFault("[[fault]]\nkind = \"discovery-silent\"\n")).contains("1 begun");
+        try (RawClient client = new RawClient(cluster.discoveryAddress())) {
             client.socket.setSoTimeout(100);
             client.write("GET /catalog/members?follow=1&since=0 HTTP/1.1\r\nHost: h\r\n\r\n");
-            assertThatThrownBy(client::line).isInstanceOf(java.net.SocketTimeoutException.class);
+            assertThatThrownBy(client::readLine).isInstanceOf(java.net.SocketTimeoutException.class);
         }
     }
 
     @Test
-    void aFaultThatIsNoneIsRefusedWithItsLine() throws Exception {
-        assertThat(fault("[[fault]]\nkind = \"hnag\"\nhost = \"s-0\"\n"))
+    void invalidFaultIsRejectedWithItsLine() throws Exception {
+        assertThat(postFault("[[fault]]\nkind = \"hnag\"\nhost = \"s-0\"\n"))
                 .startsWith("HTTP/1.1 400")
                 .contains("faults:2: fault[0].kind: found 'hnag'")
                 .contains("did you mean 'hang'?");
-        assertThat(fault("[[fault]]\nkind = \"hang\"\nhost = \"s-9\"\n"))
+        assertThat(postFault("[[fault]]\nkind = \"hang\"\nhost = \"s-9\"\n"))
                 .startsWith("HTTP/1.1 400")
                 .contains("no host 's-9'");
     }
 
     @Test
-    void theReadyFileIsAConfigurationOfAProxy() {
-        JsonNode ready = standIn.ready();
+    void readyFileIsProxyConfiguration() {
+        JsonNode ready = cluster.readyFile();
         assertThat(ready.path("known").path("servers")).hasSize(2);
         assertThat(ready.path("settings").path("classes")).hasSize(3);
         assertThat(ready.path("discovery").asText())
-                .endsWith(":" + standIn.discovery().getPort());
+                .endsWith(":" + cluster.discoveryAddress().getPort());
         assertThat(ready.path("hosts").get(0).path("addr").asText())
-                .endsWith(":" + standIn.address("s-0").getPort());
+                .endsWith(":" + cluster.address("s-0").getPort());
     }
 }
