--- a/src/main/java/rillyard/outlier/net/ObservationGossip.java
+++ b/src/main/java/rillyard/outlier/net/ObservationGossip.java
@@ -64,7 +64,8 @@
     public ObservationGossip(FleetMember member, FleetOutlierSettings settings, long seed) {
         this.member = member;
         this.detector = new FleetOutlierDetector(settings, new SplittableRandom(seed), new DecisionListener());
-        member.follow(FIRST_OBSERVATION_KIND, FIRST_OBSERVATION_KIND + 1, FIRST_OBSERVATION_KIND + 2, RATE_KIND);
+        member.followAttributes(
+                FIRST_OBSERVATION_KIND, FIRST_OBSERVATION_KIND + 1, FIRST_OBSERVATION_KIND + 2, RATE_KIND);
     }
 
     @Override
@@ -88,7 +89,7 @@
         }
         FleetMember.FleetSnapshot snapshot = member.snapshot();
         List<HostObservation> own = detector.evaluate(
-                observationsOfPeers(snapshot), snapshot.present().size(), listedHosts.size(), now);
+                observationsOfPeers(snapshot), snapshot.presentNames().size(), listedHosts.size(), now);
         publish(own, now);
         byte[] rate = requestRate.attributeValue(now);
         if (rate != null) {
@@ -105,8 +106,8 @@
         Map<String, List<HostObservation>> byOwner = new HashMap<>();
         for (int index = 0; index < OBSERVATION_KINDS; index++) {
             snapshot.attributes(FIRST_OBSERVATION_KIND + index).forEach((owner, attribute) -> {
-                if (!owner.equals(snapshot.self())) {
-                    addObservations(byOwner, owner, attribute.value(), snapshot.age(attribute));
+                if (!owner.equals(snapshot.selfName())) {
+                    addObservations(byOwner, owner, attribute.value(), snapshot.ageMillis(attribute));
                 }
             });
         }
@@ -156,8 +157,8 @@
                 logMalformed(owner, e);
             }
         });
-        if (!snapshot.present().isEmpty()) {
-            planner.update(snapshot.self(), snapshot.present(), rates).ifPresent(this::moveSubset);
+        if (!snapshot.presentNames().isEmpty()) {
+            planner.update(snapshot.selfName(), snapshot.presentNames(), rates).ifPresent(this::moveSubset);
         }
     }
 
--- a/src/test/java/rillyard/outlier/net/ObservationGossipTest.java
+++ b/src/test/java/rillyard/outlier/net/ObservationGossipTest.java
@@ -102,7 +102,8 @@
     @Test
     void hostReportedByThreePeersIsEjectedAndReadmitted() throws Exception {
         start(5);
-        while (!members.stream().allMatch(member -> member.snapshot().present().size() == 5)) {
+        while (!members.stream()
+                .allMatch(member -> member.snapshot().presentNames().size() == 5)) {
             stepAll();
         }
         while (listeners.get(4).ejected.isEmpty()) {
@@ -155,9 +156,9 @@
         FleetMember.FleetSnapshot known = ended.snapshot();
         MemberAttribute attribute =
                 known.attributes(ObservationGossip.RATE_KIND).get("p0");
-        double age = known.age(attribute);
+        double age = known.ageMillis(attribute);
         gossips.get(0).onAttemptEnded("a", AttemptOutcome.ERROR, now());
         stepAll(); // while the proxy beside it drains
-        assertThat(known.age(attribute)).isGreaterThan(age);
+        assertThat(known.ageMillis(attribute)).isGreaterThan(age);
     }
 }
