--- a/src/main/java/rillyard/loadgen/HttpExchange.java
+++ b/src/main/java/rillyard/loadgen/HttpExchange.java
@@ -68,7 +68,7 @@
         header(out, "X-Priority-Class", requestClass.name());
         header(out, "X-Tenant-Id", request.tenant());
         header(out, "X-Route-Key", request.routeKey());
-        header(out, "X-Timeout-Ms", Long.toString(request.timeoutMs()));
+        header(out, "X-Timeout-Ms", Long.toString(request.timeoutMillis()));
         header(out, "X-Retried", request.retried() ? "1" : null);
         header(out, "Idempotency-Key", request.idempotencyKey());
         if (!get) {
--- a/src/main/java/rillyard/loadgen/HttpTransport.java
+++ b/src/main/java/rillyard/loadgen/HttpTransport.java
@@ -44,7 +44,7 @@
      *
      * @param targets where requests go
      * @param targetPerClient whether each client has a target of its own, by its number; else they are taken in turn
-     * @param idleMs a connection that has stood idle for so long is closed
+     * @param idleMillis a connection that has stood idle for so long is closed
      * @param verify whether an answer must be a test cluster's answer to the very request
      * @param onUnexpectedResponse hears of the id behind whose answer more came
      */
@@ -52,13 +52,13 @@
             EventLoop loop,
             List<InetSocketAddress> targets,
             boolean targetPerClient,
-            double idleMs,
+            double idleMillis,
             boolean verify,
             java.util.function.Consumer<String> onUnexpectedResponse) {
         this.loop = loop;
         this.targets = targets;
         this.targetPerClient = targetPerClient;
-        this.idleNanos = (long) (1e6 * idleMs);
+        this.idleNanos = (long) (1e6 * idleMillis);
         this.verify = verify;
         this.onUnexpectedResponse = onUnexpectedResponse;
         this.bootstrap = new Bootstrap()
--- a/src/main/java/rillyard/loadgen/LoadClass.java
+++ b/src/main/java/rillyard/loadgen/LoadClass.java
@@ -6,9 +6,9 @@
  * @param name first part of the path, and {@code X-Priority-Class}
  * @param share weight among the classes
  * @param semantics what clients may repeat
- * @param latencyObjectiveMs an answer within it is in time
- * @param deadlineMs how long a client waits in all, over all of its attempts
- * @param idempotencyWindowMs how long after its first attempt a request with an idempotency key may be repeated
+ * @param latencyObjectiveMillis an answer within it is in time
+ * @param deadlineMillis how long a client waits in all, over all of its attempts
+ * @param idempotencyWindowMillis how long after its first attempt a request with an idempotency key may be repeated
  * @param bodyBytes size of the body
  * @param keys number of distinct route keys; 0 for none
  */
@@ -16,9 +16,9 @@
         String name,
         double share,
         Semantics semantics,
-        double latencyObjectiveMs,
-        double deadlineMs,
-        double idempotencyWindowMs,
+        double latencyObjectiveMillis,
+        double deadlineMillis,
+        double idempotencyWindowMillis,
         int bodyBytes,
         int keys) {
 
--- a/src/main/java/rillyard/loadgen/LoadPlan.java
+++ b/src/main/java/rillyard/loadgen/LoadPlan.java
@@ -12,7 +12,7 @@
  * @param tenants the tenants; empty for none
  * @param clients how clients behave
  * @param maxOpen requests that may be under way at once; past it none is sent, and the run is invalid
- * @param maxLatenessMs how late the generator's sends may be (99th percentile) in a valid run
+ * @param maxLatenessMillis how late the generator's sends may be (99th percentile) in a valid run
  * @param verify whether answers are checked to be a test cluster's answer to the very request
  */
 public record LoadPlan(
@@ -23,7 +23,7 @@
         List<Tenant> tenants,
         ClientSpec clients,
         int maxOpen,
-        double maxLatenessMs,
+        double maxLatenessMillis,
         boolean verify) {
 
     /** Copies the lists. */
--- a/src/main/java/rillyard/loadgen/LoadRun.java
+++ b/src/main/java/rillyard/loadgen/LoadRun.java
@@ -59,7 +59,7 @@
         this.progress = progress;
         this.statistics = new RunStatistics(plan.seconds());
         this.transport = new HttpTransport(
-                loop, targets, targetPerClient, plan.clients().idleMs(), plan.verify(), this::onUnexpectedResponse);
+                loop, targets, targetPerClient, plan.clients().idleMillis(), plan.verify(), this::onUnexpectedResponse);
         this.generator = new LoadGenerator(
                 plan, new EventLoopScheduler(loop), transport, requestLog, statistics, done::countDown);
     }
--- a/src/main/java/rillyard/loadgen/LogicalRequest.java
+++ b/src/main/java/rillyard/loadgen/LogicalRequest.java
@@ -32,7 +32,7 @@
     }
 
     final long number;
-    final ScheduledRequest arrival;
+    final ScheduledRequest scheduled;
     final long scheduledAt;
     private final Context context;
     private final String idempotencyKey;
@@ -49,13 +49,13 @@
     private boolean finished;
 
     /** {@code intended} is when the schedule has it be sent, on the clock of the timers. */
-    LogicalRequest(long number, ScheduledRequest arrival, long scheduledAt, Context context) {
+    LogicalRequest(long number, ScheduledRequest scheduled, long scheduledAt, Context context) {
         this.number = number;
-        this.arrival = arrival;
+        this.scheduled = scheduled;
         this.scheduledAt = scheduledAt;
         this.context = context;
-        this.idempotencyKey = arrival.requestClass().semantics().hasIdempotencyKey() ? context.randomId(32) : null;
-        this.deadline = scheduledAt + toNanos(arrival.requestClass().deadlineMs());
+        this.idempotencyKey = scheduled.requestClass().semantics().hasIdempotencyKey() ? context.randomId(32) : null;
+        this.deadline = scheduledAt + toNanos(scheduled.requestClass().deadlineMillis());
         this.honorsRetryAfter =
                 context.random().nextDouble() < context.clients().retryAfterShare();
     }
@@ -100,17 +100,17 @@
                         * context.random().nextDouble();
         long waitLimit = Math.max(
                 1_000_000,
-                Math.min(remaining, toNanos(share * arrival.requestClass().deadlineMs())));
+                Math.min(remaining, toNanos(share * scheduled.requestClass().deadlineMillis())));
         timeoutNanos = Math.max(1_000_000, spec.announcesTimeout() ? waitLimit : remaining);
         pendingAttempt = context.transport()
                 .send(
                         new Transport.OutgoingRequest(
                                 id,
                                 idempotencyKey,
-                                arrival.requestClass(),
-                                arrival.tenant(),
-                                arrival.routeKey(),
-                                arrival.client(),
+                                scheduled.requestClass(),
+                                scheduled.tenant(),
+                                scheduled.routeKey(),
+                                scheduled.client(),
                                 timeoutNanos / 1_000_000,
                                 retried,
                                 newConnection),
@@ -122,7 +122,7 @@
         } else if (spec.announcesTimeout() || waitLimit >= remaining) {
             timer = context.scheduler()
                     .scheduleAt(
-                            sentAt + waitLimit + toNanos(spec.graceMs()),
+                            sentAt + waitLimit + toNanos(spec.graceMillis()),
                             () -> abandonAttempt(ClientOutcome.UNANSWERED, true));
         } else {
             timer = context.scheduler()
@@ -162,9 +162,9 @@
                         attempts - 1,
                         id,
                         idempotencyKey,
-                        arrival.requestClass().name(),
-                        arrival.tenant(),
-                        arrival.client(),
+                        scheduled.requestClass().name(),
+                        scheduled.tenant(),
+                        scheduled.client(),
                         UnixClock.micros(scheduledAt),
                         UnixClock.micros(sentAt),
                         UnixClock.micros(now),
@@ -195,9 +195,9 @@
         if (retries >= spec.retries() || !mayRetry(outcome, now)) {
             return -1;
         }
-        long delayNanos = toNanos(spec.backoffMs() * Math.pow(spec.backoffFactor(), retries));
+        long delayNanos = toNanos(spec.backoffMillis() * Math.pow(spec.backoffFactor(), retries));
         if (retryAfter > 0 && honorsRetryAfter) {
-            delayNanos = Math.max(delayNanos, Math.min(1_000 * retryAfter, toNanos(spec.maxRetryAfterMs())));
+            delayNanos = Math.max(delayNanos, Math.min(1_000 * retryAfter, toNanos(spec.maxRetryAfterMillis())));
         }
         return now + delayNanos < deadline - 1_000_000 ? delayNanos : -1;
     }
@@ -207,10 +207,10 @@
         if (outcome == ClientOutcome.REFUSED || outcome == ClientOutcome.UNREACHABLE) {
             return true;
         }
-        LoadClass requestClass = arrival.requestClass();
+        LoadClass requestClass = scheduled.requestClass();
         return switch (requestClass.semantics()) {
             case IDEMPOTENT -> true;
-            case KEYED_EVERYWHERE -> now - firstSent < toNanos(requestClass.idempotencyWindowMs());
+            case KEYED_EVERYWHERE -> now - firstSent < toNanos(requestClass.idempotencyWindowMillis());
             case KEYED, AT_MOST_ONCE -> false;
         };
     }
--- a/src/main/java/rillyard/loadgen/RunReport.java
+++ b/src/main/java/rillyard/loadgen/RunReport.java
@@ -106,9 +106,9 @@
         String invalidBecause = null;
         Quantiles lateness = Quantiles.of(statistics.lateness());
         RunStatistics.ClassStatistics all = statistics.total();
-        if (lateness.p99() > plan.maxLatenessMs()) {
+        if (lateness.p99() > plan.maxLatenessMillis()) {
             invalidBecause = "one send of a hundred was more than " + lateness.p99() + " ms late, expected "
-                    + plan.maxLatenessMs() + " at most: the generator could not keep its schedule";
+                    + plan.maxLatenessMillis() + " at most: the generator could not keep its schedule";
         } else if (all.notSent > 0) {
             invalidBecause = all.notSent + " requests were not sent, as " + plan.maxOpen()
                     + " were under way: the schedule was not kept";
--- a/src/main/java/rillyard/loadgen/RunStatistics.java
+++ b/src/main/java/rillyard/loadgen/RunStatistics.java
@@ -110,7 +110,7 @@
                 statistics.latency.recordValue(micros);
                 statistics.service.recordValue(Math.min(MAX_MICROS, Math.max(0, (at - request.firstSent()) / 1_000)));
                 intervalStatistics.latency.recordValue(micros);
-                if (micros <= 1_000 * request.arrival.requestClass().latencyObjectiveMs()) {
+                if (micros <= 1_000 * request.scheduled.requestClass().latencyObjectiveMillis()) {
                     statistics.withinObjective++;
                     intervalStatistics.withinObjective++;
                 } else {
@@ -139,8 +139,8 @@
 
     private ClassStatistics row(LogicalRequest request) {
         return rows.computeIfAbsent(
-                name(request.arrival.requestClass().name(), request.arrival.tenant()),
-                key -> new ClassStatistics(request.arrival.requestClass(), request.arrival.tenant()));
+                name(request.scheduled.requestClass().name(), request.scheduled.tenant()),
+                key -> new ClassStatistics(request.scheduled.requestClass(), request.scheduled.tenant()));
     }
 
     private static String name(String type, String tenant) {
--- a/src/main/java/rillyard/loadgen/Transport.java
+++ b/src/main/java/rillyard/loadgen/Transport.java
@@ -7,7 +7,7 @@
     /**
      * One attempt as it goes out.
      *
-     * @param timeoutMs what {@code X-Timeout-Ms} says
+     * @param timeoutMillis what {@code X-Timeout-Ms} says
      * @param retried whether it repeats one that has failed or was rejected
      * @param newConnection whether it needs a connection of its own
      */
@@ -18,7 +18,7 @@
             String tenant,
             String routeKey,
             int client,
-            long timeoutMs,
+            long timeoutMillis,
             boolean retried,
             boolean newConnection) {}
 
--- a/src/main/java/rillyard/testserver/EndpointCatalog.java
+++ b/src/main/java/rillyard/testserver/EndpointCatalog.java
@@ -17,7 +17,7 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /** One entry, as it is told. */
-    record Entry(HostSpec spec, String address, String state, long startedMs) {}
+    record Entry(HostSpec spec, String address, String state, long startedMillis) {}
 
     /** One change. */
     record Change(long version, Entry entry) {}
@@ -96,6 +96,6 @@
                 .put("cell", entry.spec().cell())
                 .put("state", entry.state())
                 .put("weight", entry.spec().cores() * entry.spec().speed())
-                .put("started_ms", entry.startedMs());
+                .put("started_ms", entry.startedMillis());
     }
 }
--- a/src/main/java/rillyard/testserver/HostConnection.java
+++ b/src/main/java/rillyard/testserver/HostConnection.java
@@ -54,7 +54,7 @@
         this.channel = channel;
         this.rejected = rejected;
         this.idleSince = host.scheduler.now();
-        this.readyAt = idleSince + (long) (host.spec.handshakeMs() * 1e6);
+        this.readyAt = idleSince + (long) (host.spec.handshakeMillis() * 1e6);
     }
 
     void setReading(boolean enabled) {
@@ -148,7 +148,7 @@
             return;
         }
         long now = host.scheduler.now();
-        long deadline = now + (long) (timeout(headers.get("X-Timeout-Ms"), spec.deadlineMs()) * 1e6);
+        long deadline = now + (long) (timeout(headers.get("X-Timeout-Ms"), spec.deadlineMillis()) * 1e6);
         exchange = new Exchange(
                 new HostRequest(id, key, spec, request.uri(), bodyBytes, crc.getValue(), firstByte, deadline));
         if (rejected) {
--- a/src/main/java/rillyard/testserver/HostQueue.java
+++ b/src/main/java/rillyard/testserver/HostQueue.java
@@ -71,10 +71,10 @@
 
     /** The share of its full speed that the host has by now. */
     double capacityShare() {
-        if (!warmingUp || spec.warmUpMs() <= 0) {
+        if (!warmingUp || spec.warmUpMillis() <= 0) {
             return 1;
         }
-        double share = (scheduler.now() - startedAt) / (spec.warmUpMs() * 1e6);
+        double share = (scheduler.now() - startedAt) / (spec.warmUpMillis() * 1e6);
         return Math.min(1, spec.initialCapacityShare() + (1 - spec.initialCapacityShare()) * share);
     }
 
--- a/src/main/java/rillyard/testserver/HostServer.java
+++ b/src/main/java/rillyard/testserver/HostServer.java
@@ -120,7 +120,7 @@
                         null,
                         spec.cores() * spec.speed(),
                         warmingUp ? spec.initialCapacityShare() : 1,
-                        warmingUp ? (long) (1_000 * spec.warmUpMs()) : 0));
+                        warmingUp ? (long) (1_000 * spec.warmUpMillis()) : 0));
     }
 
     private void onAccepted(SocketChannel channel) {
@@ -129,7 +129,7 @@
         connections.add(connection);
         channel.closeFuture().addListener(f -> connections.remove(connection));
         channel.pipeline().addLast(new HostConnection.FirstByte(connection), new HttpRequestDecoder(), connection);
-        if (!full && spec.handshakeWorkMs() > 0) {
+        if (!full && spec.handshakeWorkMillis() > 0) {
             queue.enqueueUnbounded(handshake());
         }
         if (faults.has(HostFault.Kind.PAUSE)) {
@@ -138,7 +138,7 @@
     }
 
     private HostQueue.Job handshake() {
-        return new HostQueue.Job(spec.handshakeWorkMs() * 1e6) {
+        return new HostQueue.Job(spec.handshakeWorkMillis() * 1e6) {
             @Override
             boolean mayStart() {
                 return true;
@@ -244,7 +244,7 @@
     private void closeExpired() {
         if (!faults.has(HostFault.Kind.PAUSE)) {
             for (HostConnection connection : new ArrayList<>(connections)) {
-                connection.closeIfIdle((long) (spec.idleMs() * 1e6));
+                connection.closeIfIdle((long) (spec.idleMillis() * 1e6));
             }
         }
     }
@@ -258,7 +258,7 @@
             return null;
         }
         long now = scheduler.now();
-        if (loadReport == null || now - loadMeasuredAt >= context.plan().reportPeriodMs() * 1e6) {
+        if (loadReport == null || now - loadMeasuredAt >= context.plan().reportPeriodMillis() * 1e6) {
             StringBuilder out = new StringBuilder();
             for (String field : fields) {
                 double value =
--- a/src/main/java/rillyard/testserver/HostSpec.java
+++ b/src/main/java/rillyard/testserver/HostSpec.java
@@ -11,10 +11,10 @@
  * @param speed work (ms) that a core does in one, once warm
  * @param queue requests that wait at most; further ones are rejected
  * @param connections connections at most; further ones are rejected
- * @param handshakeMs how long the first request on a new connection waits
- * @param handshakeWorkMs work that a new connection costs a core
- * @param idleMs a connection that has stood idle for so long is closed
- * @param warmUpMs how long a host that has started takes to become warm
+ * @param handshakeMillis how long the first request on a new connection waits
+ * @param handshakeWorkMillis work that a new connection costs a core
+ * @param idleMillis a connection that has stood idle for so long is closed
+ * @param warmUpMillis how long a host that has started takes to become warm
  * @param initialCapacityShare share of its speed with which it starts, above 0
  * @param startsWarmingUp whether it is cold when the test cluster starts
  */
@@ -27,10 +27,10 @@
         double speed,
         int queue,
         int connections,
-        double handshakeMs,
-        double handshakeWorkMs,
-        double idleMs,
-        double warmUpMs,
+        double handshakeMillis,
+        double handshakeWorkMillis,
+        double idleMillis,
+        double warmUpMillis,
         double initialCapacityShare,
         boolean startsWarmingUp) {
 
@@ -45,10 +45,10 @@
                 speed,
                 queue,
                 connections,
-                handshakeMs,
-                handshakeWorkMs,
-                idleMs,
-                warmUpMs,
+                handshakeMillis,
+                handshakeWorkMillis,
+                idleMillis,
+                warmUpMillis,
                 initialCapacityShare,
                 startsWarmingUp);
     }
--- a/src/main/java/rillyard/testserver/ReadyFile.java
+++ b/src/main/java/rillyard/testserver/ReadyFile.java
@@ -54,10 +54,10 @@
         TestClusterPlan.Rules rules = plan.rules();
         settings.putObject("rules")
                 .put("answerSlack", 20.0)
-                .put("drainGrace", rules.drainGraceMs())
-                .put("cold", firstHost.warmUpMs())
+                .put("drainGrace", rules.drainGraceMillis())
+                .put("cold", firstHost.warmUpMillis())
                 .put("startCapacity", firstHost.initialCapacityShare())
-                .put("fall", rules.overloadWindowMs())
+                .put("fall", rules.overloadWindowMillis())
                 .put("fallMultiple", rules.overloadMultiple());
         settings.putArray("tenants");
         return settings;
@@ -67,19 +67,19 @@
         for (RequestClassSpec spec : plan.classes()) {
             classes.addObject()
                     .put("name", spec.name())
-                    .put("aim", spec.latencyObjectiveMs())
-                    .put("deadline", spec.deadlineMs())
+                    .put("aim", spec.latencyObjectiveMillis())
+                    .put("deadline", spec.deadlineMillis())
                     .put("semantics", spec.semantics().setting())
                     .put("keyScope", spec.scope().setting())
-                    .put("repeatWindow", spec.idempotencyWindowMs())
+                    .put("repeatWindow", spec.idempotencyWindowMillis())
                     .put("value", spec.priorityWeight());
         }
     }
 
     private static void addLimits(TestClusterPlan plan, ObjectNode limits) {
         limits.put("cancel", true)
-                .put("connIdle", plan.hosts().get(0).idleMs())
-                .put("connectTimeout", plan.rules().connectTimeoutMs())
+                .put("connIdle", plan.hosts().get(0).idleMillis())
+                .put("connectTimeout", plan.rules().connectTimeoutMillis())
                 .put("maxAttempts", plan.rules().maxAttempts())
                 .put("maxOpen", 20_000)
                 .put("parallelTries", true)
--- a/src/main/java/rillyard/testserver/RequestClassSpec.java
+++ b/src/main/java/rillyard/testserver/RequestClassSpec.java
@@ -8,9 +8,9 @@
  * @param name first part of the path
  * @param semantics whether it may be repeated
  * @param scope hosts that know each other's keys
- * @param latencyObjectiveMs an answer within it is worth all
- * @param deadlineMs how long clients wait in all
- * @param idempotencyWindowMs how long keys are remembered, from the receipt of the request
+ * @param latencyObjectiveMillis an answer within it is worth all
+ * @param deadlineMillis how long clients wait in all
+ * @param idempotencyWindowMillis how long keys are remembered, from the receipt of the request
  * @param priorityWeight worth of one answer
  * @param serviceTime its work
  * @param responseBytes size of an answer
@@ -19,9 +19,9 @@
         String name,
         Semantics semantics,
         Scope scope,
-        double latencyObjectiveMs,
-        double deadlineMs,
-        double idempotencyWindowMs,
+        double latencyObjectiveMillis,
+        double deadlineMillis,
+        double idempotencyWindowMillis,
         double priorityWeight,
         ServiceTime serviceTime,
         int responseBytes) {
--- a/src/main/java/rillyard/testserver/ServiceTime.java
+++ b/src/main/java/rillyard/testserver/ServiceTime.java
@@ -15,15 +15,15 @@
     double mean();
 
     /** Always the same. */
-    record Constant(double ms) implements ServiceTime {
+    record Constant(double millis) implements ServiceTime {
         @Override
         public double sample(RandomGenerator random) {
-            return ms;
+            return millis;
         }
 
         @Override
         public double mean() {
-            return ms;
+            return millis;
         }
     }
 
--- a/src/main/java/rillyard/testserver/TestCluster.java
+++ b/src/main/java/rillyard/testserver/TestCluster.java
@@ -193,11 +193,12 @@
                         () -> {
                             EndpointCatalog.Entry previous =
                                     discovery.get(entry.spec().id());
-                            long startedMillis = started || previous == null ? entry.startedMs() : previous.startedMs();
+                            long startedMillis =
+                                    started || previous == null ? entry.startedMillis() : previous.startedMillis();
                             discovery.change(
                                     new EndpointCatalog.Entry(entry.spec(), entry.address(), state, startedMillis));
                         },
-                        (long) (plan.noticeMs() * 1e6),
+                        (long) (plan.discoveryDelayMillis() * 1e6),
                         TimeUnit.NANOSECONDS);
     }
 
@@ -312,7 +313,7 @@
                     };
             return keyStores.computeIfAbsent(
                     requestClass.name() + "/" + group,
-                    key -> new IdempotencyKeyStore((long) (requestClass.idempotencyWindowMs() * 1e6)));
+                    key -> new IdempotencyKeyStore((long) (requestClass.idempotencyWindowMillis() * 1e6)));
         }
 
         @Override
--- a/src/main/java/rillyard/testserver/TestClusterPlan.java
+++ b/src/main/java/rillyard/testserver/TestClusterPlan.java
@@ -9,8 +9,8 @@
  * @param hosts the hosts at the start; ids differ
  * @param classes the classes; names differ
  * @param reportFields fields of {@code X-Server-Load} in answers; none if empty
- * @param reportPeriodMs how old a report may be
- * @param noticeMs how long discovery takes to hear of a change
+ * @param reportPeriodMillis how old a report may be
+ * @param discoveryDelayMillis how long discovery takes to hear of a change
  * @param rules values of the rules, for the proxy's settings and the auditor
  * @param faults what goes wrong, in the order of its times
  */
@@ -19,8 +19,8 @@
         List<HostSpec> hosts,
         List<RequestClassSpec> classes,
         List<String> reportFields,
-        double reportPeriodMs,
-        double noticeMs,
+        double reportPeriodMillis,
+        double discoveryDelayMillis,
         Rules rules,
         List<HostFault> faults) {
 
@@ -35,16 +35,16 @@
     /**
      * The values of the rules (ms, but for the multiple).
      *
-     * @param drainGraceMs how long after it was told a proxy may send to a host that drains
-     * @param overloadWindowMs the window of the warming-up host's budget
+     * @param drainGraceMillis how long after it was told a proxy may send to a host that drains
+     * @param overloadWindowMillis the window of the warming-up host's budget
      * @param overloadMultiple how often its present capacity may be sent to it within the window
-     * @param connectTimeoutMs a proxy gives up a connection that has not come up in this time
+     * @param connectTimeoutMillis a proxy gives up a connection that has not come up in this time
      * @param maxAttempts attempts of one request
      */
     public record Rules(
-            double drainGraceMs,
-            double overloadWindowMs,
+            double drainGraceMillis,
+            double overloadWindowMillis,
             double overloadMultiple,
-            double connectTimeoutMs,
+            double connectTimeoutMillis,
             int maxAttempts) {}
 }
--- a/src/main/java/rillyard/testserver/TestClusterPlanReader.java
+++ b/src/main/java/rillyard/testserver/TestClusterPlanReader.java
@@ -135,10 +135,10 @@
                 host.speed(),
                 host.queue(),
                 host.connections(),
-                host.handshakeMs(),
-                host.handshakeWorkMs(),
-                host.idleMs(),
-                host.warmUpMs(),
+                host.handshakeMillis(),
+                host.handshakeWorkMillis(),
+                host.idleMillis(),
+                host.warmUpMillis(),
                 host.initialCapacityShare(),
                 host.startsWarmingUp());
     }
@@ -153,10 +153,10 @@
                 table.number("speed", host.speed(), 0.001, 1_000),
                 (int) table.integer("queue", host.queue(), 0, 1_000_000),
                 (int) table.integer("connections", host.connections(), 1, 1_000_000),
-                table.number("handshake_ms", host.handshakeMs(), 0, 60_000),
-                table.number("handshake_work_ms", host.handshakeWorkMs(), 0, 60_000),
-                table.number("idle_ms", host.idleMs(), 1, 3_600_000),
-                table.number("cold_ms", host.warmUpMs(), 0, 3_600_000),
+                table.number("handshake_ms", host.handshakeMillis(), 0, 60_000),
+                table.number("handshake_work_ms", host.handshakeWorkMillis(), 0, 60_000),
+                table.number("idle_ms", host.idleMillis(), 1, 3_600_000),
+                table.number("cold_ms", host.warmUpMillis(), 0, 3_600_000),
                 table.number("start_share", host.initialCapacityShare(), 0.01, 1),
                 table.flag("starts_cold", host.startsWarmingUp()));
     }
@@ -244,13 +244,13 @@
                 table.error("host", "there is no host '" + host + "'");
             }
             boolean slow = kind == HostFault.Kind.SLOW;
-            double forMs = 1_000 * table.number("for_s", 0, 0, 86_400);
-            if (kind == HostFault.Kind.PAUSE && forMs == 0) {
+            double durationMillis = 1_000 * table.number("for_s", 0, 0, 86_400);
+            if (kind == HostFault.Kind.PAUSE && durationMillis == 0) {
                 table.error("for_s", "expected how long the pause lasts, above 0");
             }
             out.add(new HostFault(
                     1_000 * table.number("at_s", 0, 0, 86_400),
-                    forMs,
+                    durationMillis,
                     kind,
                     host,
                     slow ? table.number("size", 4, 1, 1_000) : table.number("size", 1, 0, 1),
