--- a/src/main/java/rillyard/scheduling/EventLoopScheduler.java
+++ b/src/main/java/rillyard/scheduling/EventLoopScheduler.java
@@ -4,11 +4,11 @@
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** Timers of an event loop; to be used on its thread only. */
+/** A {@link Scheduler} on a Netty event loop and the system's monotonic clock. Used on the loop's thread only. */
 public final class EventLoopScheduler implements Scheduler {
     private final EventLoop loop;
 
-    /** The timers of this loop. */
+    /** Creates a scheduler whose tasks run on the given loop. */
     public EventLoopScheduler(EventLoop loop) {
         this.loop = loop;
     }
--- a/src/main/java/rillyard/scheduling/EventLoops.java
+++ b/src/main/java/rillyard/scheduling/EventLoops.java
@@ -15,9 +15,11 @@
 import io.netty.util.concurrent.DefaultThreadFactory;
 
 /**
- * Event loops with fine timers. The JDK's selector waits in whole milliseconds, which a schedule of
- * some thousand sends a second can't bear; epoll waits in nanoseconds. Elsewhere than on Linux the
- * selector has to do, and timers are up to a millisecond late.
+ * Creates event loops with precise timers, and names the channel types that run on them.
+ *
+ * <p>The JDK's selector waits in whole milliseconds, too coarse for a schedule of several thousand sends per second;
+ * epoll waits in nanoseconds. On platforms other than Linux the selector is used, and timers are up to a millisecond
+ * late.
  */
 public final class EventLoops {
     private static final boolean EPOLL;
@@ -32,18 +34,23 @@
 
     private EventLoops() {}
 
-    /** So many loops, each on a daemon thread of its own. */
+    /**
+     * Creates a group of event loops, each on a daemon thread of its own.
+     *
+     * @param threads number of loops, at least 1
+     * @param name prefix of the threads' names
+     */
     public static EventLoopGroup group(int threads, String name) {
         IoHandlerFactory io = EPOLL ? EpollIoHandler.newFactory() : NioIoHandler.newFactory();
         return new MultiThreadIoEventLoopGroup(threads, new DefaultThreadFactory(name, true), io);
     }
 
-    /** The kind of channel that listens on such loops. */
+    /** Returns the server channel type for these loops. */
     public static Class<? extends ServerChannel> serverChannelType() {
         return EPOLL ? EpollServerSocketChannel.class : NioServerSocketChannel.class;
     }
 
-    /** The kind of channel that connects on such loops. */
+    /** Returns the client channel type for these loops. */
     public static Class<? extends SocketChannel> clientChannelType() {
         return EPOLL ? EpollSocketChannel.class : NioSocketChannel.class;
     }
--- a/src/main/java/rillyard/scheduling/Scheduler.java
+++ b/src/main/java/rillyard/scheduling/Scheduler.java
@@ -1,21 +1,27 @@
 package rillyard.scheduling;
 
-/** A clock, and things that happen when it reads so much; all on one thread. */
+/** A monotonic clock with one-shot timers. All tasks run on one thread, and all methods are called on that thread. */
 public interface Scheduler {
-    /** Nanoseconds from a point of no meaning; never goes back. */
+    /** Returns the current time in nanoseconds from an arbitrary origin. The value never decreases. */
     long now();
 
-    /** Runs something when the clock reads {@code at} (ns), in the next turn if that is past. */
+    /**
+     * Schedules a task for an absolute time.
+     *
+     * @param atNanos time on the clock of {@link #now()}, in nanoseconds; a task whose time is past runs soon, but
+     *     never from within this call
+     * @param task what to run
+     */
     ScheduledTask scheduleAt(long atNanos, Runnable task);
 
-    /** Runs something after {@code delay} ns. */
+    /** Schedules a task to run after {@code delayNanos} nanoseconds. */
     default ScheduledTask scheduleAfter(long delayNanos, Runnable task) {
         return scheduleAt(now() + delayNanos, task);
     }
 
-    /** Something that is to happen. */
+    /** A task that has been scheduled and may be cancelled. */
     interface ScheduledTask {
-        /** Has it not happen; without effect once it has. */
+        /** Cancels the task. Has no effect once the task has run. */
         void cancel();
     }
 }
--- a/src/test/java/rillyard/scheduling/VirtualScheduler.java
+++ b/src/test/java/rillyard/scheduling/VirtualScheduler.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** A clock that a test moves. */
+/** A {@link Scheduler} whose clock moves only when a test advances it. */
 public final class VirtualScheduler implements Scheduler {
     private static final class VirtualTask implements ScheduledTask {
         final long at;
@@ -40,7 +40,10 @@
         return task;
     }
 
-    /** Lets so much time (ns) pass. */
+    /**
+     * Advances the clock by {@code nanos} nanoseconds and runs the tasks that become due, in the order of their
+     * times.
+     */
     public void advance(long nanos) {
         long until = now + nanos;
         while (!due.isEmpty() && due.peek().at <= until) {
@@ -53,17 +56,20 @@
         now = Math.max(now, until);
     }
 
-    /** The clock goes on by so much (ns) with nothing run, as when the one thread is held up. */
+    /**
+     * Advances the clock by {@code nanos} nanoseconds without running tasks, as when the scheduler's thread is
+     * blocked.
+     */
     public void skip(long nanos) {
         now += nanos;
     }
 
-    /** Lets so many milliseconds pass. */
+    /** Advances the clock by {@code ms} milliseconds and runs the tasks that become due. */
     public void advanceMillis(double ms) {
         advance((long) (ms * 1e6));
     }
 
-    /** Runs all that is to happen, however late. */
+    /** Advances the clock until no task is left. */
     public void drain() {
         while (due.removeIf(task -> task.cancelled) || !due.isEmpty()) {
             if (due.isEmpty()) {
