--- a/src/main/java/rillyard/testserver/ActiveFaults.java
+++ b/src/main/java/rillyard/testserver/ActiveFaults.java
@@ -4,7 +4,10 @@
 import java.util.Map;
 import java.util.random.RandomGenerator;
 
-/** What is wrong with a host at present. Faults of one kind don't add up: the latest holds. */
+/**
+ * Holds the faults that are active on one host. Of several faults of one kind only the latest is active. Confined to
+ * the host's event loop.
+ */
 final class ActiveFaults {
     private final Map<HostFault.Kind, HostFault> active = new EnumMap<>(HostFault.Kind.class);
     private final RandomGenerator random;
@@ -13,24 +16,30 @@
         this.random = random;
     }
 
+    /** Activates a fault, in place of an active one of its kind. */
     void begin(HostFault fault) {
         active.put(fault.kind(), fault);
     }
 
-    /** Ends a fault; false if another of its kind has taken its place. */
+    /** Deactivates a fault. Returns false if another fault of its kind has replaced it. */
     boolean end(HostFault fault) {
         return active.remove(fault.kind(), fault);
     }
 
+    /** Deactivates all faults. */
     void clear() {
         active.clear();
     }
 
+    /** Returns whether a fault of this kind is active. */
     boolean has(HostFault.Kind kind) {
         return active.containsKey(kind);
     }
 
-    /** Whether a fault of this kind meets the request at hand: a draw of chance by its share. */
+    /**
+     * Returns whether a fault of this kind affects the current request: a random draw with the fault's share of
+     * requests.
+     */
     boolean applies(HostFault.Kind kind) {
         HostFault fault = active.get(kind);
         return fault != null && (fault.magnitude() >= 1 || random.nextDouble() < fault.magnitude());
--- a/src/main/java/rillyard/testserver/AdvertisedAddresses.java
+++ b/src/main/java/rillyard/testserver/AdvertisedAddresses.java
@@ -2,17 +2,20 @@
 
 import java.net.InetAddress;
 
-/** Where each caller of discovery is told that a host is: with a relay between them each has its own way there. */
+/**
+ * Maps a host's address to the one that discovery advertises to a given client. With a relay between proxies and
+ * hosts, each proxy gets the address of its own relay. Called on discovery's event loop.
+ */
 @FunctionalInterface
 public interface AdvertisedAddresses {
-    /** All are told where the hosts are. */
+    /** Advertises each host's own address to every client. */
     AdvertisedAddresses UNCHANGED = (caller, address) -> address;
 
     /**
-     * The address to tell.
+     * Returns the address to advertise, as {@code IP:port}.
      *
-     * @param caller where the call came from
-     * @param address where the host listens, {@code IP:port}
+     * @param caller IP address of the discovery client
+     * @param address address that the host listens on, {@code IP:port}
      */
     String address(InetAddress caller, String address);
 }
--- a/src/main/java/rillyard/testserver/DiscoveryServer.java
+++ b/src/main/java/rillyard/testserver/DiscoveryServer.java
@@ -34,9 +34,15 @@
 import rillyard.requestlog.WatchNotification;
 import rillyard.scheduling.EventLoops;
 
-/** Discovery: the list, and watches on it. All of it on one event loop. */
+/**
+ * Serves the endpoint list and watches on it over HTTP. Confined to one event loop; other threads call {@link #start}
+ * and {@link #loop} only.
+ */
 final class DiscoveryServer {
-    /** While nothing changes a watch gets an empty line so often. */
+    /**
+     * Interval at which a watch without changes gets an empty line, so that its client can tell an idle watch from a
+     * lost one.
+     */
     private static final long KEEPALIVE_MILLIS = 2_000;
 
     private final EventLoop loop;
@@ -60,7 +66,11 @@
         this.advertisedAddresses = advertisedAddresses;
     }
 
-    /** Listens; throws what the bind throws. */
+    /**
+     * Starts to listen and returns the bound address. Must not be called on the event loop.
+     *
+     * @throws Exception if the bind fails
+     */
     InetSocketAddress start(InetSocketAddress at) throws Exception {
         listener = new ServerBootstrap()
                 .group(loop)
@@ -78,11 +88,12 @@
         return (InetSocketAddress) listener.localAddress();
     }
 
+    /** Returns the event loop that all other methods must be called on. */
     EventLoop loop() {
         return loop;
     }
 
-    /** Takes a change over and tells it, unless discovery is stale or silent; to be called on the loop. */
+    /** Applies a change to the endpoint list and sends it to the watches, unless discovery is stale or unresponsive. */
     void change(EndpointCatalog.Entry entry) {
         EndpointCatalog.Change change = catalog.apply(entry);
         requestLog.append(
@@ -96,12 +107,12 @@
         }
     }
 
-    /** The entry of a host, or null; to be called on the loop. */
+    /** Returns a host's entry, or null if the list has none. */
     EndpointCatalog.Entry get(String id) {
         return catalog.get(id);
     }
 
-    /** Begins or ends a fault; what was held back is told at its end. To be called on the loop. */
+    /** Begins or ends a fault of discovery. Changes that were withheld are sent when it ends. */
     void setFault(HostFault.Kind kind, boolean active) {
         if (kind == HostFault.Kind.DISCOVERY_STALE) {
             stale = active;
@@ -119,13 +130,13 @@
         }
     }
 
-    /** The addresses that a caller is told. */
+    /** Returns the mapping from a host's address to the one that the given client is told. */
     private UnaryOperator<String> advertisedTo(Channel caller) {
         InetAddress from = ((InetSocketAddress) caller.remoteAddress()).getAddress();
         return address -> advertisedAddresses.address(from, address);
     }
 
-    /** One watch. */
+    /** One client's watch: the version that it has received, and the channel that it is streamed on. */
     private final class Watch {
         private final Channel channel;
         private final long number = ++watchCount;
@@ -141,7 +152,7 @@
             channel.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(line + "\n", StandardCharsets.UTF_8)));
         }
 
-        /** Tells what came after what it was told last; the first line of a watch is never left out. */
+        /** Sends the changes since the last version sent. The first line is always sent, even without a change. */
         void catchUp() {
             if (started && version == catalog.version()) {
                 return;
@@ -156,6 +167,7 @@
         }
     }
 
+    /** Handles the requests of one connection: a list, or a watch, after which the connection carries nothing else. */
     private final class CatalogHandler extends ChannelInboundHandlerAdapter {
         private HttpRequest head;
         private Watch watch;
--- a/src/main/java/rillyard/testserver/EndpointCatalog.java
+++ b/src/main/java/rillyard/testserver/EndpointCatalog.java
@@ -9,33 +9,50 @@
 import java.util.Map;
 import java.util.function.UnaryOperator;
 
-/** The list of hosts and the changes that made it, by version. Used on discovery's loop only. */
+/**
+ * The versioned endpoint list of the simulated discovery service, with its latest changes. Confined to discovery's
+ * event loop.
+ */
 final class EndpointCatalog {
-    /** Changes kept for those that ask for what came after a version; past it they get the whole list. */
+    /**
+     * Number of changes cached for clients that continue from an earlier version; an older version gets the full
+     * list.
+     */
     private static final int MAX_CACHED_CHANGES = 1_000;
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** One entry, as it is told. */
+    /**
+     * One host as it is listed.
+     *
+     * @param spec the host's identity and capacity
+     * @param address where the host listens, {@code IP:port}
+     * @param state {@code up}, {@code draining} or {@code removed}
+     * @param startedMillis Unix time in milliseconds at which the host started, or 0 for a host that was warmed up at
+     *     the cluster's start
+     */
     record Entry(HostSpec spec, String address, String state, long startedMillis) {}
 
-    /** One change. */
+    /** A change of one entry, and the version of the list that it led to. */
     record Change(long version, Entry entry) {}
 
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final List<Change> changes = new ArrayList<>();
     private long version = 1;
 
-    /** The list at the start, which has version 1. */
+    /** Creates a list of version 1 with these entries. */
     EndpointCatalog(List<Entry> initial) {
         initial.forEach(entry -> entries.put(entry.spec().id(), entry));
     }
 
+    /** Returns the current version; each change increments it. */
     long version() {
         return version;
     }
 
-    /** Takes a change over; state {@code removed} takes the entry off the list. */
+    /**
+     * Applies a change and returns it with its version. An entry in the state {@code removed} is taken off the list.
+     */
     Change apply(Entry entry) {
         if (entry.state().equals("removed")) {
             entries.remove(entry.spec().id());
@@ -50,12 +67,15 @@
         return change;
     }
 
-    /** The entry of a host, or null. */
+    /** Returns a host's entry, or null if the list has none. */
     Entry get(String id) {
         return entries.get(id);
     }
 
-    /** What is told of the changes after a version: these, or all where they are not kept any more. */
+    /**
+     * Returns the entries that changed after a version, one for each change, or all entries if those changes are no
+     * longer cached.
+     */
     List<Entry> entriesSince(long since) {
         if (!needsFullList(since)) {
             return changes.stream()
@@ -70,12 +90,22 @@
         return since <= 0 || since > version || since < version - changes.size();
     }
 
-    /** The line that tells what came after a version, or the whole list; addresses as they are to be told. */
+    /**
+     * Returns the JSON line for the changes after a version, or for the full list if those changes are no longer
+     * cached.
+     *
+     * @param since version that the client has
+     * @param address maps a host's address to the one that the client is told
+     */
     String changesSince(long since, UnaryOperator<String> address) {
         return line(needsFullList(since), entriesSince(since), address);
     }
 
-    /** The whole list. */
+    /**
+     * Returns the JSON line for the full list.
+     *
+     * @param address maps a host's address to the one that the client is told
+     */
     String fullList(UnaryOperator<String> address) {
         return line(true, entries.values(), address);
     }
--- a/src/main/java/rillyard/testserver/FaultControlServer.java
+++ b/src/main/java/rillyard/testserver/FaultControlServer.java
@@ -24,9 +24,9 @@
 import rillyard.scheduling.EventLoops;
 
 /**
- * Faults on demand: {@code POST /faults} takes {@code [[fault]]} tables as a fault schedule holds them and
- * begins them at once, or says what is wrong with them and begins none. Its answer comes when the last
- * one has begun.
+ * Starts faults on demand over HTTP. {@code POST /faults} takes {@code [[fault]]} tables in the format of a fault
+ * schedule and begins all of them at once; if one is invalid, it begins none and responds with the errors. The
+ * response is sent when the last fault has begun.
  */
 final class FaultControlServer {
     private static final int MAX_REQUEST_BYTES = 64 * 1024;
@@ -37,6 +37,11 @@
         this.cluster = cluster;
     }
 
+    /**
+     * Starts to listen and returns the bound address. Must not be called on the event loop.
+     *
+     * @throws Exception if the bind fails
+     */
     InetSocketAddress start(EventLoopGroup loop, InetSocketAddress at) throws Exception {
         return (InetSocketAddress) new ServerBootstrap()
                 .group(loop)
@@ -57,6 +62,7 @@
                 .localAddress();
     }
 
+    /** Handles the requests of one connection. */
     private final class FaultHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
@@ -79,7 +85,10 @@
             }
         }
 
-        /** Answers when the last has begun: what the caller sends next may be on another loop. */
+        /**
+         * Responds when the last fault has begun, as the client's next request may reach a host on another event
+         * loop.
+         */
         private void begin(ChannelHandlerContext ctx, List<HostFault> faults) {
             PromiseCombiner all = new PromiseCombiner(ctx.executor());
             faults.forEach(fault -> all.add(cluster.begin(fault)));
--- a/src/main/java/rillyard/testserver/HostConnection.java
+++ b/src/main/java/rillyard/testserver/HostConnection.java
@@ -15,12 +15,18 @@
 import java.util.zip.CRC32;
 import rillyard.requestlog.ExecutionResult;
 
-/** One connection to a host: it carries one request at a time. */
+/**
+ * The host's side of one connection: decodes requests, one at a time, and runs each as an {@link Exchange}. Confined
+ * to the host's event loop.
+ */
 final class HostConnection extends ChannelInboundHandlerAdapter {
-    /** A body may not be larger; past it the connection ends. */
+    /** Largest request body; a larger one gets 413 and the connection is closed. */
     private static final long MAX_BODY_BYTES = 64 << 10;
 
-    /** Notes when the first byte of a request came. */
+    /**
+     * Records when the first byte of a request arrived. It precedes the HTTP decoder in the pipeline, which would
+     * hide it.
+     */
     static final class FirstByte extends ChannelInboundHandlerAdapter {
         private final HostConnection connection;
 
@@ -48,7 +54,11 @@
     private long bodyBytes;
     private Exchange exchange;
 
-    /** {@code turnedAway} marks a connection past the host's bound. */
+    /**
+     * Creates the handler of an accepted connection.
+     *
+     * @param rejected whether the connection exceeds the host's limit, so that its requests are rejected
+     */
     HostConnection(HostServer host, SocketChannel channel, boolean rejected) {
         this.host = host;
         this.channel = channel;
@@ -57,21 +67,24 @@
         this.readyAt = idleSince + (long) (host.spec.handshakeMillis() * 1e6);
     }
 
+    /** Enables or disables reading from the socket; a paused host does not read. */
     void setReading(boolean enabled) {
         channel.config().setAutoRead(enabled);
     }
 
+    /** Returns whether a request is being received or handled. */
     boolean isBusy() {
         return head != null || exchange != null;
     }
 
+    /** Closes the connection if it has been idle for at least {@code nanos} nanoseconds. */
     void closeIfIdle(long nanos) {
         if (!isBusy() && firstByte == 0 && host.scheduler.now() - idleSince >= nanos) {
             channel.close();
         }
     }
 
-    /** The host has died. */
+    /** Resets the connection because its host has died, and logs what became of its request. */
     void kill() {
         if (exchange != null) {
             exchange.onKilled();
@@ -98,7 +111,7 @@
             return;
         }
         if (part.decoderResult().isFailure() || (part instanceof HttpRequest && exchange != null)) {
-            reject(400, false, true); // not a request, or a second one before the first is answered
+            reject(400, false, true); // malformed, or pipelined before the response to the first request
             return;
         }
         if (part instanceof HttpRequest request) {
@@ -161,7 +174,7 @@
         }
     }
 
-    /** The first part of a path. */
+    /** Returns the first segment of a path, which names the request's class; empty for an empty path. */
     static String className(String uri) {
         int to = 1;
         while (to < uri.length() && uri.charAt(to) != '/' && uri.charAt(to) != '?') {
@@ -214,7 +227,7 @@
         channel.close();
     }
 
-    /** One request, from its last byte to the line in the request log, which it writes exactly once. */
+    /** One request, from its last byte to its record in the request log, which is written exactly once. */
     private final class Exchange {
         private final HostRequest request;
         private final int attempt;
@@ -239,6 +252,10 @@
             };
         }
 
+        /**
+         * Handles the request once the connection's handshake is over. A request whose key is already running calls
+         * this again when the first one has completed.
+         */
         void begin() {
             if (logged) {
                 return;
@@ -265,7 +282,7 @@
                         respond(HostResponse.success(channel.alloc(), request, host.spec.id(), host.loadReport()));
                     }
                     case RUNNING -> {
-                        // the answer of the first one is this one's too
+                        // the response follows when the first request of this key has completed
                     }
                 }
             }
@@ -277,6 +294,11 @@
             }
         }
 
+        /**
+         * Rejects the request as not processed and logs it.
+         *
+         * @param close whether to close the connection after the response
+         */
         void rejectRequest(int status, boolean close) {
             forgetKey();
             log(0, ExecutionResult.TURNED_AWAY);
@@ -288,7 +310,7 @@
                 return false;
             }
             if (host.scheduler.now() >= request.deadline()) {
-                rejectRequest(504, false); // its client has stopped waiting: it is over, and has not run
+                rejectRequest(504, false); // the client's deadline has passed, so running it would waste a core
                 return false;
             }
             return true;
@@ -302,7 +324,7 @@
                 return;
             }
             if (host.faults.applies(HostFault.Kind.HANG)) {
-                unresponsive = true; // written down when its connection ends, or the test cluster does
+                unresponsive = true; // logged when its connection is closed or the cluster stops
             } else if (host.faults.applies(HostFault.Kind.RESET)) {
                 log(job.startedAt(), ExecutionResult.RESET);
                 ByteBuf response = HostResponse.success(channel.alloc(), request, host.spec.id(), host.loadReport());
@@ -317,7 +339,7 @@
             }
         }
 
-        /** The client has ended the connection. */
+        /** Logs the request after its client closed the connection. */
         void onClientLeft() {
             if (host.queue.withdraw(job) || (!job.isRunning() && !unresponsive)) {
                 forgetKey();
@@ -327,13 +349,14 @@
             }
         }
 
+        /** Logs the request after its host was killed. */
         void onKilled() {
             if (unresponsive) {
                 log(job.startedAt(), ExecutionResult.HUNG);
                 return;
             }
             boolean wasRunning = job.isRunning();
-            forgetKey(); // what a dead host had not finished had no effect that anybody remembers
+            forgetKey(); // unfinished work of a killed host has no effect, so the key may run again
             log(wasRunning ? job.startedAt() : 0, wasRunning ? ExecutionResult.KILLED : ExecutionResult.DROPPED);
         }
 
--- a/src/main/java/rillyard/testserver/HostContext.java
+++ b/src/main/java/rillyard/testserver/HostContext.java
@@ -2,30 +2,35 @@
 
 import rillyard.requestlog.RequestLogWriter;
 
-/** What a host needs of the test cluster it belongs to. */
+/**
+ * What a host uses of the cluster it belongs to. Methods are called on the host's event loop; implementations are
+ * thread-safe, as the hosts of a cluster run on several loops.
+ */
 interface HostContext {
+    /** Returns the cluster's plan. */
     TestClusterPlan plan();
 
+    /** Returns the request log that hosts write to. */
     RequestLogWriter requestLog();
 
-    /** The class of this name, or null. */
+    /** Returns the class of this name, or null if there is none. */
     RequestClassSpec requestClass(String name);
 
-    /** The memory of keys of a class that a host shares. */
+    /** Returns the key store of a class that this host shares with the others in its scope. */
     IdempotencyKeyStore idempotencyKeys(RequestClassSpec requestClass, HostSpec host);
 
-    /** How many times this id has come before, at whatever host. */
+    /** Counts an attempt and returns how many attempts with this request id any host received before it, from 0. */
     int nextAttemptNumber(String id);
 
-    /** The host is to drain, and to stop when the fault's time is up. */
+    /** Called when the host starts to drain. It stops when the fault's duration is over. */
     void onDraining(HostServer host, HostFault fault);
 
-    /** The host has died. */
+    /** Called when the host has stopped, with the fault that stopped it. */
     void onStopped(HostServer host, HostFault fault);
 
-    /** The host listens again. */
+    /** Called when the host listens again after a restart. */
     void onRestarted(HostServer host);
 
-    /** A failure of our own code. */
+    /** Called on an internal error of the test server, as opposed to an injected fault. */
     void onFailure(String message, Throwable cause);
 }
--- a/src/main/java/rillyard/testserver/HostFault.java
+++ b/src/main/java/rillyard/testserver/HostFault.java
@@ -3,16 +3,16 @@
 import java.util.Locale;
 
 /**
- * Something that goes wrong.
+ * A fault to inject into a host or into discovery.
  *
- * @param startMillis when it begins, from the start of the test cluster
- * @param durationMillis how long it lasts; for a drain, until the host stops; 0 where it has no end
- * @param kind what it is
+ * @param startMillis start time in milliseconds from the start of the fault schedule
+ * @param durationMillis duration in milliseconds; for {@code DRAIN} the time until the host stops; 0 for no end
+ * @param kind kind of fault
  * @param host id of the host; empty for faults of discovery
- * @param magnitude the share of requests, from 0 to 1, that it meets; the factor of {@code SLOW}
- * @param restartMillis for {@code KILL} and {@code DRAIN}: a host starts in its place so long after it has
- *     stopped; below 0 for never
- * @param newId whether that host has a new id
+ * @param magnitude share of requests affected, 0 to 1; for {@code SLOW} the factor on the service time
+ * @param restartMillis for {@code KILL} and {@code DRAIN}, delay in milliseconds from the stop until a host starts in
+ *     its place; negative for never
+ * @param newId whether the replacement has a new id
  */
 public record HostFault(
         double startMillis,
@@ -23,35 +23,36 @@
         double restartMillis,
         boolean newId) {
 
-    /** What can go wrong. */
+    /** Kinds of fault. */
     public enum Kind {
-        /** All stands still, as in a long collection of garbage; what came meanwhile is served after. */
+        /** The process stalls, as in a long garbage collection; what arrives meanwhile is served afterwards. */
         PAUSE,
-        /** Takes work and answers nothing. */
+        /** Requests are accepted and run but never answered. */
         HANG,
-        /** Runs nothing and answers 500 at once. */
+        /** Requests are not run and get 500 at once. */
         ERRORS,
-        /** Runs the request and resets the connection in the middle of the answer. */
+        /** Requests are run and the connection is reset in the middle of the response. */
         RESET,
-        /** Takes longer. */
+        /** Requests take longer. */
         SLOW,
-        /** Runs the request and spoils the answer. */
+        /** Requests are run and get a malformed response. */
         GARBLE,
-        /** Dies: connections are reset, new ones rejected. */
+        /** The process dies: its connections are reset and new ones are refused. */
         KILL,
-        /** Discovery says that it drains; it stops when the time is up. */
+        /** Discovery announces that the host is draining; it stops when the fault's duration is over. */
         DRAIN,
-        /** Discovery keeps its watches and tells nothing new. */
+        /** Discovery keeps its watches open but sends no changes. */
         DISCOVERY_STALE,
-        /** Discovery says nothing at all. */
+        /** Discovery is unresponsive: it sends nothing at all. */
         DISCOVERY_SILENT;
 
+        /** Returns whether this fault concerns discovery rather than a host. */
         boolean isDiscoveryFault() {
             return this == DISCOVERY_STALE || this == DISCOVERY_SILENT;
         }
     }
 
-    /** In words, for request logs and reports. */
+    /** Returns a short description for request logs and reports. */
     public String description() {
         String name = kind.name().toLowerCase(Locale.ROOT).replace('_', ' ');
         return switch (kind) {
--- a/src/main/java/rillyard/testserver/HostQueue.java
+++ b/src/main/java/rillyard/testserver/HostQueue.java
@@ -7,11 +7,11 @@
 import rillyard.scheduling.Scheduler;
 
 /**
- * The cores of a host and the queue before them: first come, first served. Does no I/O; runs on
- * whatever clock it is given, on one thread.
+ * Models the cores of a host and a FIFO queue in front of them. Does no I/O and uses the scheduler's clock, real or
+ * virtual. Confined to the scheduler's thread.
  */
 final class HostQueue {
-    /** A piece of work. */
+    /** A unit of work for one core. */
     abstract static class Job {
         final double workNanos;
         private long startedAt;
@@ -22,23 +22,27 @@
         private boolean queued;
         private boolean running;
 
-        /** {@code work} is core time of a warm core of speed 1, in ns. */
+        /**
+         * Creates a job.
+         *
+         * @param workNanos time in nanoseconds that it takes on a core of speed 1 that is warmed up
+         */
         Job(double workNanos) {
             this.workNanos = workNanos;
         }
 
-        /** Its turn has come; false if it is not to run after all. */
+        /** Called when a core is free. Returns false to discard the job, for example because its client has left. */
         abstract boolean mayStart();
 
-        /** It has run. */
+        /** Called when the job has completed. */
         abstract void onFinished();
 
-        /** Whether it holds a core. */
+        /** Returns whether the job occupies a core. */
         boolean isRunning() {
             return running;
         }
 
-        /** When it began to run, on the clock of the host; 0 if it has not. */
+        /** Returns when the job started, in nanoseconds of the scheduler's clock, or 0 if it has not. */
         long startedAt() {
             return startedAt;
         }
@@ -63,13 +67,13 @@
         this.utilisationSince = busyCountedAt;
     }
 
-    /** The host starts now; a cold one gets warm evenly over its time. */
+    /** Records that the host starts now. A host that warms up gains speed linearly over its warm-up time. */
     void onStarted(boolean isWarmingUp) {
         warmingUp = isWarmingUp;
         startedAt = scheduler.now();
     }
 
-    /** The share of its full speed that the host has by now. */
+    /** Returns the current share of the host's full speed, above 0 and at most 1. */
     double capacityShare() {
         if (!warmingUp || spec.warmUpMillis() <= 0) {
             return 1;
@@ -78,7 +82,7 @@
         return Math.min(1, spec.initialCapacityShare() + (1 - spec.initialCapacityShare()) * share);
     }
 
-    /** Takes a job; false if the queue is full. */
+    /** Starts or queues a job. Returns false if the queue is full. */
     boolean enqueue(Job job) {
         if (!paused && running.size() < spec.cores()) {
             begin(job);
@@ -91,7 +95,7 @@
         return true;
     }
 
-    /** Takes a job whether or not there is room. */
+    /** Starts or queues a job regardless of the queue's limit. */
     void enqueueUnbounded(Job job) {
         if (!paused && running.size() < spec.cores()) {
             begin(job);
@@ -105,7 +109,7 @@
         queue.addLast(job);
     }
 
-    /** Takes a job that waits out of the queue; false if it doesn't wait. */
+    /** Removes a waiting job from the queue. Returns false if it was not waiting. */
     boolean withdraw(Job job) {
         if (!job.queued) {
             return false;
@@ -147,7 +151,7 @@
         }
     }
 
-    /** All stands still. */
+    /** Stops all progress until {@link #resume}, as a stall of the process would. */
     void pause() {
         if (paused) {
             return;
@@ -160,7 +164,7 @@
         }
     }
 
-    /** All goes on from where it stood. */
+    /** Continues after {@link #pause}. Running jobs keep the progress they had. */
     void resume() {
         if (!paused) {
             return;
@@ -173,12 +177,12 @@
         startQueued();
     }
 
-    /** From now on what starts takes so many times as long. */
+    /** Sets the factor on the duration of jobs that start from now on; 1 is normal speed. */
     void setSlowdown(double factor) {
         slowdown = factor;
     }
 
-    /** All work is lost: nothing of it finishes. */
+    /** Discards all running and waiting jobs, none of which completes, and ends a pause and a slowdown. */
     void kill() {
         countBusyTime();
         for (Job job : running) {
@@ -191,15 +195,17 @@
         slowdown = 1;
     }
 
+    /** Returns the number of running jobs. */
     int running() {
         return running.size();
     }
 
+    /** Returns the number of waiting jobs. */
     int queued() {
         return queue.size();
     }
 
-    /** Mean share of the cores in use since the last call, from 0 to 1. */
+    /** Returns the mean share of busy cores since the previous call, 0 to 1. */
     double utilisation() {
         countBusyTime();
         long now = scheduler.now();
--- a/src/main/java/rillyard/testserver/HostRequest.java
+++ b/src/main/java/rillyard/testserver/HostRequest.java
@@ -1,16 +1,16 @@
 package rillyard.testserver;
 
 /**
- * A request that has come whole.
+ * A request that has been received to its last byte.
  *
- * @param id what {@code X-Request-ID} said
- * @param idempotencyKey what {@code Idempotency-Key} said, or null
- * @param spec its class
- * @param path path and query as they came
- * @param bodyBytes bytes of its body
- * @param crc CRC-32 of its body
- * @param firstByte when its first byte came, nanoseconds of the host's clock
- * @param deadline when its client stops waiting, on the same clock
+ * @param id value of {@code X-Request-ID}
+ * @param idempotencyKey value of {@code Idempotency-Key}, or null
+ * @param spec the request's class
+ * @param path path and query as received
+ * @param bodyBytes length of the body in bytes
+ * @param crc CRC-32 of the body
+ * @param firstByte arrival of the first byte, in nanoseconds of the host's clock
+ * @param deadline end of the client's wait, on the same clock
  */
 record HostRequest(
         String id,
--- a/src/main/java/rillyard/testserver/HostResponse.java
+++ b/src/main/java/rillyard/testserver/HostResponse.java
@@ -5,12 +5,12 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The answers of hosts. The body of a good one names the request that it was made for, the host, and
- * what the host received, so that a client can tell its own from another's:
+ * Builds the responses of simulated hosts. The body of a successful response names the request, the host and what the
+ * host received, so that a client can detect a response to another request:
  *
  * <pre>id=9b1f03aa host=s-3 len=212 crc=1c291ca3</pre>
  *
- * and is filled up with spaces to the size that the class asks for.
+ * <p>It is padded with spaces to the size that the class specifies.
  */
 public final class HostResponse {
     private static final byte[] NON_HTTP_BYTES =
@@ -18,11 +18,21 @@
 
     private HostResponse() {}
 
-    /** The body of a good answer. */
+    /**
+     * Returns the body of a successful response, without padding.
+     *
+     * @param length length of the request body in bytes
+     * @param crc CRC-32 of the request body
+     */
     public static String body(String id, String host, long length, long crc) {
         return "id=" + id + " host=" + host + " len=" + length + " crc=" + Long.toHexString(crc);
     }
 
+    /**
+     * Returns a successful response.
+     *
+     * @param load value of {@code X-Server-Load}, or null for none
+     */
     static ByteBuf success(ByteBufAllocator alloc, HostRequest request, String host, String load) {
         String body = body(request.id(), host, request.bodyBytes(), request.crc());
         int size = Math.max(body.length(), request.spec().responseBytes());
@@ -37,6 +47,12 @@
         return buffer;
     }
 
+    /**
+     * Returns a response with an empty body.
+     *
+     * @param notProcessed whether to mark the request as not processed
+     * @param close whether to announce that the connection will be closed
+     */
     static ByteBuf status(ByteBufAllocator alloc, int status, boolean notProcessed, boolean close) {
         String head = "HTTP/1.1 " + status + " X\r\nContent-Length: 0\r\n"
                 + (notProcessed ? "X-Not-Processed: 1\r\n" : "")
@@ -46,6 +62,7 @@
         return buffer;
     }
 
+    /** Returns a response with a plain-text body. */
     static ByteBuf text(ByteBufAllocator alloc, int status, String text) {
         byte[] body = text.getBytes(StandardCharsets.UTF_8);
         String head = "HTTP/1.1 " + status + " X\r\nContent-Length: " + body.length + "\r\n\r\n";
@@ -55,7 +72,10 @@
         return buffer;
     }
 
-    /** One of four that can't be read as an answer: noise, no end of a line, a wrong length, no length. */
+    /**
+     * Returns one of four malformed responses, chosen by the low two bits of {@code variant}: bytes that are not
+     * HTTP, an unterminated header, a negative content length, or an invalid status code.
+     */
     static ByteBuf malformed(ByteBufAllocator alloc, int variant) {
         ByteBuf buffer = alloc.buffer(64);
         switch (variant & 3) {
--- a/src/main/java/rillyard/testserver/HostServer.java
+++ b/src/main/java/rillyard/testserver/HostServer.java
@@ -25,7 +25,10 @@
 import rillyard.scheduling.EventLoops;
 import rillyard.scheduling.Scheduler;
 
-/** One host: its listener, its connections, its work, its faults. All of it on one event loop. */
+/**
+ * One simulated host: its listener, connections, work queue and active faults. Confined to one event loop; other
+ * threads call {@link #start}, {@link #loop} and {@link #address} only.
+ */
 final class HostServer {
     private static final long IDLE_SWEEP_MILLIS = 100;
     private static final long BIND_RETRY_NANOS = 50_000_000;
@@ -55,26 +58,34 @@
         this.queue = new HostQueue(spec, scheduler);
     }
 
+    /** Returns the event loop that the host is confined to. */
     EventLoop loop() {
         return loop;
     }
 
+    /** Returns the cluster that the host belongs to. */
     HostContext context() {
         return context;
     }
 
+    /** Returns the address that the host listens on; a restarted host keeps it. */
     InetSocketAddress address() {
         return address;
     }
 
-    /** Listens; throws what the bind throws. Not to be called on the loop. */
+    /**
+     * Starts to listen on a free port or the given one. Must not be called on the event loop.
+     *
+     * @param warmingUp whether the host starts with reduced capacity
+     * @throws Exception if the bind fails
+     */
     void start(InetSocketAddress at, boolean warmingUp) throws Exception {
         listener = listen(at).sync().channel();
         address = (InetSocketAddress) listener.localAddress();
         loop.submit(() -> onListening(warmingUp)).sync();
     }
 
-    /** Listens, cold, where it did before, or another did that has stopped; to be called on the loop. */
+    /** Starts, warming up, on an address that this or another host used before; retries while the port is in use. */
     void restart(InetSocketAddress at) {
         address = at;
         listen(at).addListener((ChannelFuture future) -> {
@@ -83,7 +94,7 @@
                 onListening(true);
                 context.onRestarted(this);
             } else {
-                // The port is held by a connection that is not over yet.
+                // A connection of the previous host still occupies the port.
                 scheduler.scheduleAfter(BIND_RETRY_NANOS, () -> restart(at));
             }
         });
@@ -149,8 +160,9 @@
         };
     }
 
-    // --- faults; all on the loop
+    // --- faults
 
+    /** Begins a fault, logs it, and schedules its end if it has a duration. */
     void begin(HostFault fault) {
         context.requestLog()
                 .append(new HostEvent(UnixClock.micros(), spec.id(), HostEvent.Kind.FAULT, fault.description()));
@@ -204,7 +216,11 @@
         context.onStopped(this, fault);
     }
 
-    /** Ends the host: its listener, its connections, what it runs. */
+    /**
+     * Stops the host: closes the listener, resets connections and discards running work. No effect if it is down.
+     *
+     * @param kind event to log
+     */
     void stop(HostEvent.Kind kind) {
         if (!up) {
             return;
@@ -221,17 +237,19 @@
         faults.clear();
     }
 
+    /** Returns whether the host is listening. */
     boolean isUp() {
         return up;
     }
 
-    /** Ends the connections that carry nothing, as a host does that is about to stop. */
+    /** Closes idle connections, as a host does before it stops. */
     void closeIdle() {
         for (HostConnection connection : new ArrayList<>(connections)) {
             connection.closeIfIdle(0);
         }
     }
 
+    /** Returns whether a connection carries a request. */
     boolean isBusy() {
         for (HostConnection connection : connections) {
             if (connection.isBusy()) {
@@ -249,9 +267,9 @@
         }
     }
 
-    // --- what connections need
+    // --- used by connections
 
-    /** The load report, made anew when the last is as old as it may be; null where there is none. */
+    /** Returns the load report, at most one report period old, or null if the plan names no report fields. */
     String loadReport() {
         List<String> fields = context.plan().reportFields();
         if (fields.isEmpty()) {
@@ -280,7 +298,11 @@
         return loadReport;
     }
 
-    /** Writes down what became of a request; {@code startedAt} 0 if it never ran. */
+    /**
+     * Logs the outcome of a request.
+     *
+     * @param startedAt start on the host's clock in nanoseconds, or 0 if it never ran
+     */
     void logExecution(HostRequest request, int attempt, long startedAt, double workNanos, ExecutionResult result) {
         context.requestLog()
                 .append(new HostExecution(
--- a/src/main/java/rillyard/testserver/HostSpec.java
+++ b/src/main/java/rillyard/testserver/HostSpec.java
@@ -1,22 +1,22 @@
 package rillyard.testserver;
 
 /**
- * What a host can do.
+ * Capacity and location of a simulated host.
  *
- * @param id its id; a host that is replaced has a new one
- * @param zone its zone
- * @param kind its kind of machine
- * @param cell the hosts of a cell share the memory of keys
- * @param cores requests that run at a time
- * @param speed work (ms) that a core does in one, once warm
- * @param queue requests that wait at most; further ones are rejected
- * @param connections connections at most; further ones are rejected
- * @param handshakeMillis how long the first request on a new connection waits
- * @param handshakeWorkMillis work that a new connection costs a core
- * @param idleMillis a connection that has stood idle for so long is closed
- * @param warmUpMillis how long a host that has started takes to become warm
- * @param initialCapacityShare share of its speed with which it starts, above 0
- * @param startsWarmingUp whether it is cold when the test cluster starts
+ * @param id host id; unique in a cluster
+ * @param zone availability zone
+ * @param kind machine type
+ * @param cell number of the cell; hosts of a cell share idempotency keys of scope {@code CELL}
+ * @param cores number of requests that run at a time
+ * @param speed milliseconds of work that a warmed-up core does per millisecond
+ * @param queue number of requests that may wait; further ones are rejected
+ * @param connections number of connections; requests on further ones are rejected
+ * @param handshakeMillis delay in milliseconds before the first request on a new connection is handled
+ * @param handshakeWorkMillis core time in milliseconds that a new connection costs
+ * @param idleMillis time in milliseconds after which an idle connection is closed
+ * @param warmUpMillis time in milliseconds from start to full capacity
+ * @param initialCapacityShare share of the speed at the start of the warm-up, above 0 and at most 1
+ * @param startsWarmingUp whether the host warms up when the cluster starts
  */
 public record HostSpec(
         String id,
@@ -34,7 +34,7 @@
         double initialCapacityShare,
         boolean startsWarmingUp) {
 
-    /** The same machine under another id. */
+    /** Returns a copy of this specification with another id. */
     HostSpec withId(String newId) {
         return new HostSpec(
                 newId,
--- a/src/main/java/rillyard/testserver/IdempotencyKeyStore.java
+++ b/src/main/java/rillyard/testserver/IdempotencyKeyStore.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 
 /**
- * The keys that the hosts of one group have seen of one class. A key that is known is answered once
- * the first request of that key is, with no second effect; after its window it is new again. Safe for
- * the threads of several hosts. Keys past their window make room, so that it holds as many as come
- * within one.
+ * Remembers the idempotency keys that a group of hosts received for one class. A request whose key is known is
+ * answered once the first request of that key has completed, without a second execution. A key expires a fixed time
+ * after its first receipt, which bounds the number of stored keys. Thread-safe.
  */
 final class IdempotencyKeyStore {
+    /** State of one key. */
     private static final class Entry {
         final long expiresAt;
         boolean done;
@@ -23,25 +23,35 @@
         }
     }
 
-    /** What a key is to a host that receives it. */
+    /** Whether a received key is new. */
     enum KeyState {
-        /** New: the request runs, and {@link IdempotencyKeyStore#markDone} is to follow. */
+        /** Unknown so far: the caller runs the request and then calls {@link #markDone} or {@link #forget}. */
         NEW,
-        /** Answered before. */
+        /** The first request of this key has completed. */
         DONE,
-        /** Running: the answer comes later. */
+        /** The first request of this key is running. */
         RUNNING
     }
 
     private final long windowNanos;
     private final Map<String, Entry> keys = new LinkedHashMap<>();
 
-    /** {@code window} in ns. */
+    /**
+     * Creates an empty store.
+     *
+     * @param windowNanos lifetime of a key in nanoseconds
+     */
     IdempotencyKeyStore(long windowNanos) {
         this.windowNanos = windowNanos;
     }
 
-    /** A request of this key has come; {@code later} is run once a running one is done. */
+    /**
+     * Registers the receipt of a key and returns its state.
+     *
+     * @param now current time in nanoseconds, on a clock that all callers share
+     * @param onCompleted run once when a running first request completes or is forgotten, on the thread that reports
+     *     it; used only if the result is {@code RUNNING}
+     */
     synchronized KeyState register(String key, long now, Runnable onCompleted) {
         for (Iterator<Entry> i = keys.values().iterator(); i.hasNext() && i.next().expiresAt <= now; ) {
             i.remove();
@@ -59,7 +69,7 @@
         return KeyState.RUNNING;
     }
 
-    /** The request that was new has run. */
+    /** Records that the first request of a key has completed, and runs the waiting callbacks. */
     void markDone(String key) {
         List<Runnable> waiting;
         synchronized (this) {
@@ -74,7 +84,7 @@
         waiting.forEach(Runnable::run);
     }
 
-    /** The request that was new has not run after all. */
+    /** Removes a key whose first request did not run after all, and runs the waiting callbacks. */
     void forget(String key) {
         List<Runnable> waiting;
         synchronized (this) {
@@ -84,6 +94,7 @@
         waiting.forEach(Runnable::run);
     }
 
+    /** Returns the number of stored keys. */
     synchronized int size() {
         return keys.size();
     }
--- a/src/main/java/rillyard/testserver/ReadyFile.java
+++ b/src/main/java/rillyard/testserver/ReadyFile.java
@@ -8,12 +8,16 @@
 import java.util.List;
 import java.util.function.UnaryOperator;
 
-/** What a test cluster tells once it is ready: a proxy's configuration, and where all listens. */
+/**
+ * Builds the JSON that a test cluster publishes when it is ready: a proxy configuration, and the addresses of hosts,
+ * discovery and fault control.
+ */
 final class ReadyFile {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private ReadyFile() {}
 
+    /** Returns the JSON of a cluster with these entries. */
     static ObjectNode of(
             TestClusterPlan plan,
             List<EndpointCatalog.Entry> entries,
@@ -37,7 +41,7 @@
         try {
             return JSON.readTree(new EndpointCatalog(entries).fullList(UnaryOperator.identity()));
         } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
-            throw new IllegalStateException(e); // never: it was made as JSON
+            throw new IllegalStateException(e); // unreachable: the text was generated as JSON
         }
     }
 
--- a/src/main/java/rillyard/testserver/RequestClassSpec.java
+++ b/src/main/java/rillyard/testserver/RequestClassSpec.java
@@ -3,17 +3,17 @@
 import java.util.Locale;
 
 /**
- * A class of requests, as the proxy is told of it and as hosts serve it.
+ * A request class as hosts serve it and as the proxy is configured for it.
  *
- * @param name first part of the path
- * @param semantics whether it may be repeated
- * @param scope hosts that know each other's keys
- * @param latencyObjectiveMillis an answer within it is worth all
- * @param deadlineMillis how long clients wait in all
- * @param idempotencyWindowMillis how long keys are remembered, from the receipt of the request
- * @param priorityWeight worth of one answer
- * @param serviceTime its work
- * @param responseBytes size of an answer
+ * @param name first segment of the path
+ * @param semantics whether requests may run twice
+ * @param scope hosts that share idempotency keys
+ * @param latencyObjectiveMillis response time in milliseconds up to which a response has its full weight
+ * @param deadlineMillis total time in milliseconds that a client waits
+ * @param idempotencyWindowMillis time in milliseconds from receipt during which a key is remembered
+ * @param priorityWeight weight of one response beside those of other classes
+ * @param serviceTime distribution of the service time
+ * @param responseBytes size of the response body in bytes
  */
 public record RequestClassSpec(
         String name,
@@ -26,25 +26,35 @@
         ServiceTime serviceTime,
         int responseBytes) {
 
-    /** What may be repeated. */
+    /** Whether requests of a class may run twice. */
     public enum Semantics {
+        /** Any request may run twice. */
         IDEMPOTENT,
+
+        /** Hosts recognise repeats by their idempotency key. */
         DEDUPLICATED,
+
+        /** No request may run twice. */
         AT_MOST_ONCE;
 
-        /** The name in the platform's settings. */
+        /** Returns the name in the platform's settings. */
         String setting() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
 
-    /** The hosts that share the memory of keys. */
+    /** The hosts that share idempotency keys. */
     public enum Scope {
+        /** All hosts. */
         ALL,
+
+        /** The hosts of a zone. */
         ZONE,
+
+        /** The hosts of a cell. */
         CELL;
 
-        /** The name in the platform's settings. */
+        /** Returns the name in the platform's settings. */
         String setting() {
             return name().toLowerCase(Locale.ROOT);
         }
--- a/src/main/java/rillyard/testserver/ServiceTime.java
+++ b/src/main/java/rillyard/testserver/ServiceTime.java
@@ -3,18 +3,21 @@
 import java.util.Arrays;
 import java.util.random.RandomGenerator;
 
-/** How much work a request is: core time of a warm host of speed 1, in ms. */
+/**
+ * Distribution of service times, in milliseconds of core time on a warmed-up host of speed 1. Implementations are
+ * immutable.
+ */
 public sealed interface ServiceTime {
-    /** Work is held to this (ms), so that no draw blocks a core for good. */
+    /** Upper bound on a sample in milliseconds, so that no request blocks a core for the rest of a run. */
     double MAX_MILLIS = 600_000;
 
-    /** Draws one. */
+    /** Returns a sample in milliseconds. */
     double sample(RandomGenerator random);
 
-    /** The mean (ms). */
+    /** Returns the mean in milliseconds, before the bound on samples. */
     double mean();
 
-    /** Always the same. */
+    /** Always the same service time. */
     record Constant(double millis) implements ServiceTime {
         @Override
         public double sample(RandomGenerator random) {
@@ -27,7 +30,7 @@
         }
     }
 
-    /** Exponential, as of a server without memory. */
+    /** Exponential distribution, as of a memoryless server. */
     record Exponential(double mean) implements ServiceTime {
         @Override
         public double sample(RandomGenerator random) {
@@ -36,10 +39,10 @@
     }
 
     /**
-     * Lognormal, by its mean and its coefficient of variation (standard deviation over mean).
+     * Lognormal distribution.
      *
-     * @param mean above 0
-     * @param cv above 0
+     * @param mean mean in milliseconds, above 0
+     * @param cv coefficient of variation (standard deviation over mean), above 0
      */
     record Lognormal(double mean, double cv) implements ServiceTime {
         @Override
@@ -51,11 +54,13 @@
     }
 
     /**
-     * A table of measured times: a draw falls between two neighbours of the sorted table, at any place
-     * with the same chance.
+     * Distribution interpolated from measured times: a sample lies between two neighbours of the sorted values,
+     * uniformly.
+     *
+     * @param sorted measured times in milliseconds, ascending
      */
     record Empirical(double[] sorted) implements ServiceTime {
-        /** Sorts a copy; needs two values at least. */
+        /** Sorts a copy of the values, of which there must be two at least. */
         public Empirical {
             sorted = sorted.clone();
             Arrays.sort(sorted);
--- a/src/main/java/rillyard/testserver/TestCluster.java
+++ b/src/main/java/rillyard/testserver/TestCluster.java
@@ -19,14 +19,20 @@
 import rillyard.requestlog.UnixClock;
 import rillyard.scheduling.EventLoops;
 
-/** Hosts, discovery and a control port, all in this process, until it is closed. */
+/**
+ * Runs simulated hosts, discovery and the fault control endpoint in this process until it is closed.
+ *
+ * <p>{@link #start}, {@link #startFaultSchedule} and {@link #close} are called by the owner's thread, never on an
+ * event loop; {@link #begin} may be called from any thread once the cluster has started.
+ */
 public final class TestCluster implements AutoCloseable {
-    /** Ids whose attempts are counted; the oldest make room. */
+    /** Number of request ids whose attempts are counted; the oldest are evicted. */
     private static final int MAX_TRACKED_REQUEST_IDS = 65_536;
 
-    /** How long a host that stops waits for what it has (ms), and how often it looks. */
+    /** How long a stopping host waits for requests in flight. */
     private static final long STOP_TIMEOUT_MILLIS = 5_000;
 
+    /** Interval at which a stopping host checks for requests in flight. */
     private static final long STOP_POLL_MILLIS = 10;
 
     private final TestClusterPlan plan;
@@ -56,11 +62,12 @@
     private int replacementCount;
 
     /**
-     * Makes one; nothing is opened yet.
+     * Creates a cluster whose hosts advertise their own addresses; nothing is opened yet.
      *
-     * @param listen where discovery listens; hosts and the control port have free ports of that address
-     * @param threads event loops for the hosts
-     * @param errors where failures of our own code go
+     * @param listen address of discovery; hosts and fault control use free ports of the same IP address
+     * @param threads number of event loops for the hosts
+     * @param requestLog where hosts log executions and events; stays open when the cluster is closed
+     * @param errors where internal errors are printed
      */
     public TestCluster(
             TestClusterPlan plan,
@@ -71,7 +78,10 @@
         this(plan, listen, threads, requestLog, errors, AdvertisedAddresses.UNCHANGED);
     }
 
-    /** As above, with addresses told to each caller as {@code view} has them. */
+    /**
+     * Creates a cluster as the other constructor does, with addresses advertised as {@code advertisedAddresses} maps
+     * them.
+     */
     public TestCluster(
             TestClusterPlan plan,
             InetSocketAddress listen,
@@ -90,9 +100,9 @@
     }
 
     /**
-     * Opens all; nothing goes wrong yet.
+     * Opens hosts, discovery and fault control. The fault schedule does not run yet.
      *
-     * @throws Exception what a bind throws; what was opened is closed then
+     * @throws Exception if a bind fails; everything opened before is closed then
      */
     public void start() throws Exception {
         try {
@@ -113,7 +123,7 @@
         }
     }
 
-    /** Has the fault schedule begin now. */
+    /** Starts the fault schedule: start times of faults count from this call. */
     public void startFaultSchedule() {
         plan.faults().forEach(this::plan);
     }
@@ -140,10 +150,10 @@
     }
 
     /**
-     * Has something go wrong now, whatever its time says.
+     * Begins a fault now, whatever its start time.
      *
-     * @return done once it has begun, on the loop of its host or of discovery: what is read there later
-     *     meets it. Fails with {@link IllegalArgumentException} if there is no such host
+     * @return completes when the fault has begun, on the event loop of its host or of discovery, so that everything
+     *     read there later is affected; fails with {@link IllegalArgumentException} if there is no such host
      */
     public Future<?> begin(HostFault fault) {
         if (fault.kind().isDiscoveryFault()) {
@@ -184,7 +194,11 @@
                 started ? System.currentTimeMillis() : 0);
     }
 
-    /** Has discovery hear of a host's state after its notice. */
+    /**
+     * Publishes a host's state in discovery after the plan's discovery delay.
+     *
+     * @param started whether the host has just started, so that its start time changes
+     */
     private void announce(HostServer host, String state, boolean started) {
         EndpointCatalog.Entry entry = entry(host, state, started);
         discovery
@@ -231,35 +245,35 @@
         host(hostServer.spec.withId(id), hostServer.loop()).restart(hostServer.address());
     }
 
-    /** Where discovery listens. */
+    /** Returns the address that discovery listens on, or null before {@link #start}. */
     public InetSocketAddress discoveryAddress() {
         return discoveryAddress;
     }
 
-    /** Where faults can be asked for. */
+    /** Returns the address of the fault control endpoint, or null before {@link #start}. */
     public InetSocketAddress controlAddress() {
         return controlAddress;
     }
 
-    /** What is to be had from it. */
+    /** Returns the plan that this cluster runs. */
     public TestClusterPlan plan() {
         return plan;
     }
 
-    /** The host, or null if there is no such host. */
+    /** Returns the host of this id, or null if there is none. */
     HostServer host(String id) {
         return hosts.get(id);
     }
 
-    /** The host's address, or null if there is no such host. */
+    /** Returns a host's address, or null if there is no such host. */
     public InetSocketAddress address(String id) {
         HostServer hostServer = host(id);
         return hostServer == null ? null : hostServer.address();
     }
 
     /**
-     * The platform's configuration of a proxy before these hosts, which is also what the file of
-     * {@code --ready-file} holds, with {@code hosts} and {@code control} besides.
+     * Returns a proxy configuration for these hosts, with {@code hosts} and {@code control} added: the content of the
+     * file that {@code --ready-file} names.
      */
     public ObjectNode readyFile() {
         List<EndpointCatalog.Entry> entries = new ArrayList<>();
@@ -272,7 +286,7 @@
         return ReadyFile.of(plan, entries, discoveryAddress, controlAddress);
     }
 
-    /** Ends all hosts and writes down what they still held; the request log stays open. */
+    /** Stops all hosts, logs the requests they still held, and closes all ports. The request log stays open. */
     @Override
     public void close() {
         if (closed) {
@@ -287,6 +301,7 @@
         requestLog.flush();
     }
 
+    /** The cluster as its hosts see it. Thread-safe, as hosts run on several event loops. */
     private final class ClusterContext implements HostContext {
         @Override
         public TestClusterPlan plan() {
--- a/src/main/java/rillyard/testserver/TestClusterPlan.java
+++ b/src/main/java/rillyard/testserver/TestClusterPlan.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * All that a test cluster is to be and to do.
+ * Configuration of a test cluster.
  *
- * @param seed of all draws of chance
- * @param hosts the hosts at the start; ids differ
- * @param classes the classes; names differ
- * @param reportFields fields of {@code X-Server-Load} in answers; none if empty
- * @param reportPeriodMillis how old a report may be
- * @param discoveryDelayMillis how long discovery takes to hear of a change
- * @param rules values of the rules, for the proxy's settings and the auditor
- * @param faults what goes wrong, in the order of its times
+ * @param seed seed of all random draws
+ * @param hosts hosts at the start, with distinct ids
+ * @param classes request classes, with distinct names
+ * @param reportFields fields of {@code X-Server-Load} in responses; empty for no load report
+ * @param reportPeriodMillis maximum age of a load report in milliseconds
+ * @param discoveryDelayMillis delay in milliseconds until discovery learns of a change
+ * @param rules limits that the proxy is configured with and the auditor checks
+ * @param faults fault schedule, by ascending start time
  */
 public record TestClusterPlan(
         long seed,
@@ -33,13 +33,14 @@
     }
 
     /**
-     * The values of the rules (ms, but for the multiple).
+     * Limits that proxies must keep.
      *
-     * @param drainGraceMillis how long after it was told a proxy may send to a host that drains
-     * @param overloadWindowMillis the window of the warming-up host's budget
-     * @param overloadMultiple how often its present capacity may be sent to it within the window
-     * @param connectTimeoutMillis a proxy gives up a connection that has not come up in this time
-     * @param maxAttempts attempts of one request
+     * @param drainGraceMillis time in milliseconds after the announcement during which a proxy may still send to a
+     *     draining host
+     * @param overloadWindowMillis window in milliseconds of the slow-start limit
+     * @param overloadMultiple multiple of a warming-up host's current capacity that it may be sent within the window
+     * @param connectTimeoutMillis time in milliseconds after which a proxy abandons a connect
+     * @param maxAttempts maximum number of attempts of one request
      */
     public record Rules(
             double drainGraceMillis,
--- a/src/main/java/rillyard/testserver/TestClusterPlanReader.java
+++ b/src/main/java/rillyard/testserver/TestClusterPlanReader.java
@@ -10,7 +10,7 @@
 import rillyard.config.RequestClassKeys;
 import rillyard.config.TomlTable;
 
-/** Reads a fault schedule: hosts, classes, rules and faults, in TOML. What is left out has its default. */
+/** Reads a test cluster's plan from TOML: hosts, classes, rules and the fault schedule. Missing keys have defaults. */
 public final class TestClusterPlanReader {
     private static final HostSpec DEFAULT_HOST =
             new HostSpec("", "z1", "std", 0, 4, 1, 64, 1_000, 0, 0, 60_000, 8_000, 0.3, false);
@@ -18,7 +18,7 @@
     private static final int DEFAULT_HOST_COUNT = 8;
     private static final int DEFAULT_CELL_SIZE = 4;
 
-    /** Names of service time distributions. */
+    /** Names of service time distributions in the file. */
     private enum Distribution {
         CONSTANT,
         EXPONENTIAL,
@@ -28,31 +28,41 @@
 
     private TestClusterPlanReader() {}
 
-    /** The plan without a file: so many hosts in cells of four, three classes, no faults. */
+    /** Returns the default plan: the given number of hosts in cells of four, three classes and no faults. */
     public static TestClusterPlan standard(int hosts) {
         try {
             return read(TomlTable.parse("standard", ""), hosts);
         } catch (InvalidConfigException e) {
-            throw new IllegalStateException(e); // never: there is nothing to read
+            throw new IllegalStateException(e); // unreachable: the text is empty
         }
     }
 
     /**
-     * Reads a file.
+     * Reads a plan from a file.
      *
-     * @param hosts how many hosts there are if the file names none; 0 leaves that to the file
-     * @throws InvalidConfigException with all findings
+     * @param hosts number of hosts if the file does not list them; 0 to take it from the file
+     * @throws InvalidConfigException with all problems found
      */
     public static TestClusterPlan read(Path file, int hosts) throws InvalidConfigException {
         return read(TomlTable.read(file), hosts);
     }
 
-    /** Reads a text; {@code name} stands for it in findings. */
+    /**
+     * Reads a plan from text.
+     *
+     * @param name name of the text in error messages
+     * @param hosts number of hosts if the text does not list them; 0 to take it from the text
+     * @throws InvalidConfigException with all problems found
+     */
     public static TestClusterPlan parse(String name, String text, int hosts) throws InvalidConfigException {
         return read(TomlTable.parse(name, text), hosts);
     }
 
-    /** Reads faults alone, whose hosts the caller has to know. */
+    /**
+     * Reads {@code [[fault]]} tables alone. The caller checks that their hosts exist.
+     *
+     * @throws InvalidConfigException with all problems found
+     */
     static List<HostFault> faults(String name, String text) throws InvalidConfigException {
         TomlTable root = TomlTable.parse(name, text);
         List<HostFault> faults = faults(root, null);
--- a/src/main/java/rillyard/testserver/package-info.java
+++ b/src/main/java/rillyard/testserver/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Hosts and a discovery that stand in for the real ones, on loopback: they speak the platform's
- * protocol, take as long as they are told to, fail on a fault schedule, and write down all that they ran.
- * Nothing in the proxy may use this package.
+ * Simulated hosts and a simulated discovery service on loopback, for tests, load runs and fault injection.
+ *
+ * <p>They speak the platform's protocol, serve each request for a configured service time, inject faults on a
+ * schedule or on demand, and log every execution in the request log. The proxy must not depend on this package.
  */
 package rillyard.testserver;
--- a/src/test/java/rillyard/testserver/TestClusterTest.java
+++ b/src/test/java/rillyard/testserver/TestClusterTest.java
@@ -27,7 +27,7 @@
 import rillyard.requestlog.RequestLogWriter;
 import rillyard.requestlog.WatchNotification;
 
-/** Stand-ins on loopback, spoken to byte by byte; what they did is read from their request log. */
+/** Runs a test cluster on loopback with raw clients, and checks the records in its request log. */
 class TestClusterTest {
     private static final String HOSTS =
             """
@@ -85,7 +85,7 @@
         return new RawClient(cluster.address("s-" + number));
     }
 
-    /** Ends the test cluster and reads what it wrote down. */
+    /** Stops the cluster and returns the records of one type from its request log. */
     private <T extends LogRecord> List<T> records(Class<T> kind) throws Exception {
         stop();
         List<T> out = new ArrayList<>();
@@ -174,7 +174,7 @@
         try (RawClient running = connect(0);
                 RawClient queued = connect(0)) {
             running.write(RawClient.request("claim", "d0", null, "x"));
-            running.write(""); // in this order, as the second connection's bytes come after its own
+            running.write(""); // the queued request is sent only after the load report shows this one running
             awaitLoad(connect(0), "inflight=1");
             queued.write(RawClient.request("claim", "d1", null, "x"));
             awaitLoad(connect(0), "inflight=2");
@@ -232,7 +232,7 @@
             String toml = "[[fault]]\nkind = \"errors\"\nhost = \"s-0\"\n";
             controlClient.write(
                     "POST /faults HTTP/1.1\r\nHost: h\r\nContent-Length: " + toml.length() + "\r\n\r\n" + toml);
-            // Answered on the same loop, after the question above was read there.
+            // Handled by the same event loop, after the request above was read there.
             assertThat(postFault("[[fault]]\nkind = \"errors\"\nhost = \"s-9\"\n"))
                     .startsWith("HTTP/1.1 400");
             assertThat(controlClient.socket.getInputStream().available()).isZero();
@@ -297,7 +297,7 @@
                         execution.requestId().equals("g0") && execution.result() == ExecutionResult.KILLED);
     }
 
-    /** The next state of a host that the watch is told. */
+    /** Returns the next state of a host that the watch receives. */
     private static String awaitState(RawClient watch, String host) throws IOException {
         String line;
         while ((line = watch.readLine()) != null) {
@@ -323,7 +323,7 @@
             awaitLoad(connect(0), "inflight=1");
             beginFault("drain", 0, "for_s = 0.05");
             assertThat(awaitState(watch, "s-0")).isEqualTo("draining");
-            assertThat(client.readResponse()).contains("id=h0"); // it has what it had, and finishes it
+            assertThat(client.readResponse()).contains("id=h0"); // a draining host completes its requests
             assertThat(awaitState(watch, "s-0")).isEqualTo("removed");
         }
         assertThat(records(WatchNotification.class))
@@ -357,7 +357,7 @@
             }
         }
         assertThat(notificationIndex).isGreaterThan(0);
-        // The fault's end is written right behind what it lets through.
+        // The end of the fault is logged right after the changes that it releases.
         assertThat(faultEndIndex).isBetween(notificationIndex, notificationIndex + 2);
     }
 
@@ -396,7 +396,7 @@
             try {
                 answer = client.readResponse();
             } catch (IOException | RuntimeException e) {
-                // half an answer, or one that a reader of answers can't read
+                // the malformed response was incomplete or not parseable
             }
             if (answer != null) {
                 assertThat(answer).doesNotContain("id=i0 host=s-0 len=0 crc=0");
