--- a/src/main/java/rillyard/loadgen/ClientSpec.java
+++ b/src/main/java/rillyard/loadgen/ClientSpec.java
@@ -1,23 +1,25 @@
 package rillyard.loadgen;
 
 /**
- * How clients behave.
+ * Behaviour of the simulated clients.
  *
- * @param count how many there are
- * @param skew how unlike their rates are: client k asks in proportion to 1 / k^skew (Zipf); 0 for alike
- * @param retries how often a request is tried again, at most
- * @param attempts how often it is sent at most, sends for a connection that had gone included
- * @param backoffMillis the wait before a retry
- * @param backoffFactor factor by which that wait grows from retry to retry; 1 for none
- * @param minTimeoutShare an attempt is given up after a share of the deadline that is drawn from here ...
- * @param maxTimeoutShare ... to here
- * @param announcesTimeout whether {@code X-Timeout-Ms} says when an attempt is given up; else it says what is
- *     left of the deadline, and the client leaves before it
- * @param abandonShare share of attempts that are given up at any time before, unannounced
- * @param retryAfterShare share of requests whose client heeds {@code Retry-After}
- * @param maxRetryAfterMillis the longest wait that is heeded
- * @param graceMillis how long past the announced time a client waits for the answer it is owed
- * @param idleMillis a connection that has stood idle for so long is closed by its client
+ * @param count number of clients
+ * @param skew exponent of the Zipf distribution of rates: client k sends in proportion to 1 / k^skew; 0 for equal
+ *     rates
+ * @param retries maximum number of retries of a request
+ * @param attempts maximum number of attempts of a request, including resends after a stale connection
+ * @param backoffMillis delay in milliseconds before the first retry
+ * @param backoffFactor factor by which the delay grows with each retry; 1 for a constant delay
+ * @param minTimeoutShare lower bound of the attempt timeout, as a share of the deadline; the timeout is drawn
+ *     uniformly
+ * @param maxTimeoutShare upper bound of the attempt timeout, as a share of the deadline
+ * @param announcesTimeout whether {@code X-Timeout-Ms} carries the attempt timeout; otherwise it carries the
+ *     remaining time to the deadline, and the client abandons the attempt before
+ * @param abandonShare share of attempts that are abandoned at a random time before their timeout, unannounced
+ * @param retryAfterShare share of requests whose client honors {@code Retry-After}
+ * @param maxRetryAfterMillis upper bound in milliseconds on an honored {@code Retry-After}
+ * @param graceMillis time in milliseconds that a client waits for a response after the announced timeout
+ * @param idleMillis time in milliseconds after which a client closes an idle connection
  */
 public record ClientSpec(
         int count,
--- a/src/main/java/rillyard/loadgen/HistogramFiles.java
+++ b/src/main/java/rillyard/loadgen/HistogramFiles.java
@@ -7,12 +7,17 @@
 import java.nio.file.Path;
 import org.HdrHistogram.Histogram;
 
-/** Histograms in the form of HdrHistogram's percentile output, which its plotter reads; in ms. */
+/** Writes histograms in HdrHistogram's percentile format, in milliseconds, for its plotter. */
 final class HistogramFiles {
     private static final int TICKS = 10;
 
     private HistogramFiles() {}
 
+    /**
+     * Writes the files {@code *.hgrm} of a run into an existing folder.
+     *
+     * @throws IOException if a file cannot be written
+     */
     static void write(Path folder, RunStatistics statistics) throws IOException {
         write(folder.resolve("latency.hgrm"), statistics.total().latency);
         write(folder.resolve("service.hgrm"), statistics.total().service);
--- a/src/main/java/rillyard/loadgen/HttpConnection.java
+++ b/src/main/java/rillyard/loadgen/HttpConnection.java
@@ -14,7 +14,7 @@
 import io.netty.util.ReferenceCountUtil;
 import rillyard.requestlog.ClientOutcome;
 
-/** One connection of a client. */
+/** One connection of a client, which carries one attempt at a time. Confined to the transport's event loop. */
 final class HttpConnection extends ChannelInboundHandlerAdapter {
     private static final HttpDecoderConfig LIMITS =
             new HttpDecoderConfig().setMaxInitialLineLength(4_096).setMaxHeaderSize(16_384);
@@ -36,28 +36,36 @@
         this.client = client;
     }
 
+    /** Installs the handlers in the channel's pipeline. */
     void begin() {
         channel.pipeline().addLast(new HttpResponseDecoder(LIMITS), this);
         channel.closeFuture().addListener(f -> transport.onClosed(this));
     }
 
+    /** Returns the number of the client that owns the connection. */
     int client() {
         return client;
     }
 
+    /** Returns whether the connection is open and carries no attempt. */
     boolean isUsable() {
         return channel.isActive() && exchange == null;
     }
 
+    /** Closes the connection. */
     void close() {
         channel.close();
     }
 
-    /** How long (ns) it has stood idle; 0 while it carries an attempt. */
+    /**
+     * Returns how long the connection has been idle in nanoseconds, or 0 while it carries an attempt or before its
+     * first one.
+     */
     long idleNanos(long now) {
         return exchange == null && idleSince != 0 ? now - idleSince : 0;
     }
 
+    /** Sends an attempt on this connection, which must be usable. */
     void run(HttpExchange httpExchange) {
         exchange = httpExchange;
         httpExchange.channel(channel);
@@ -96,7 +104,7 @@
             return;
         }
         if (part instanceof HttpResponse response) {
-            informational = response.status().code() < 200; // 1xx go ahead of the answer
+            informational = response.status().code() < 200; // 1xx responses precede the final one
             if (!informational) {
                 exchange.onResponseHead(response);
                 keepAlive = HttpUtil.isKeepAlive(response);
@@ -139,6 +147,6 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        channel.close(); // the end of the channel tells the rest
+        channel.close(); // channelInactive ends the attempt
     }
 }
--- a/src/main/java/rillyard/loadgen/HttpExchange.java
+++ b/src/main/java/rillyard/loadgen/HttpExchange.java
@@ -10,12 +10,12 @@
 import java.util.zip.CRC32;
 import rillyard.requestlog.ClientOutcome;
 
-/** One attempt on its way: the request's bytes, and the check of the answer. */
+/** One attempt over HTTP: encodes the request and verifies the response. Confined to the transport's event loop. */
 final class HttpExchange implements Transport.PendingAttempt {
-    /** What of an answer is kept for the check. */
+    /** Number of bytes of a response body that are kept for verification. */
     private static final int MAX_KEPT_BYTES = 256;
 
-    /** A larger answer is none. */
+    /** Largest response body; a larger one counts as garbled. */
     private static final long MAX_RESPONSE_BYTES = 4 << 20;
 
     private final Transport.OutgoingRequest request;
@@ -33,14 +33,17 @@
         this.verify = verify;
     }
 
+    /** Returns the request of this attempt. */
     Transport.OutgoingRequest request() {
         return request;
     }
 
+    /** Sets the channel that the attempt uses, which {@link #abandon} closes. */
     void channel(Channel newChannel) {
         channel = newChannel;
     }
 
+    /** Returns whether the attempt has ended or was abandoned. */
     boolean ended() {
         return ended;
     }
@@ -51,6 +54,7 @@
         channel.close();
     }
 
+    /** Ends the attempt and notifies the listener, unless it has ended before. */
     void end(Transport.AttemptResult result) {
         if (!ended) {
             ended = true;
@@ -58,7 +62,7 @@
         }
     }
 
-    /** The whole request. */
+    /** Returns the encoded request with its body. */
     ByteBuf bytes(ByteBufAllocator alloc) {
         LoadClass requestClass = request.requestClass();
         boolean get = requestClass.semantics() == LoadClass.Semantics.IDEMPOTENT;
@@ -89,7 +93,7 @@
         }
     }
 
-    /** A body that differs from request to request, so that two that are mixed up are told apart. */
+    /** Returns a body derived from the request id, so that a mix-up of two requests shows in the checksum. */
     private byte[] payload() {
         byte[] payload = new byte[request.requestClass().bodyBytes()];
         byte[] id = request.id().getBytes(StandardCharsets.US_ASCII);
@@ -99,16 +103,17 @@
         return payload;
     }
 
-    /** The answer's head has come. */
+    /** Called with the head of the final response. */
     void onResponseHead(HttpResponse response) {
         head = response;
     }
 
+    /** Returns whether the head of the final response has been received. */
     boolean hasResponseHead() {
         return head != null;
     }
 
-    /** A part of the body has come; false if there is too much of it. */
+    /** Called with a part of the response body. Returns false if the body exceeds its limit. */
     boolean onResponseBody(HttpContent content) {
         ByteBuf buffer = content.content();
         bodyBytes += buffer.readableBytes();
@@ -119,7 +124,7 @@
         return bodyBytes <= MAX_RESPONSE_BYTES;
     }
 
-    /** The answer is whole. */
+    /** Returns the result of a complete response. */
     Transport.AttemptResult result() {
         int status = head.status().code();
         if (status == 200) {
@@ -132,7 +137,7 @@
         return new Transport.AttemptResult(ClientOutcome.FAILED, status, 0);
     }
 
-    /** Whether the answer names this request and the body that was sent with it. */
+    /** Returns whether the response names this request and the body that was sent with it. */
     private boolean belongsToRequest() {
         String text = body.toString();
         if (!text.startsWith("id=" + request.id() + " ")) {
@@ -151,7 +156,7 @@
             double seconds = value == null ? 0 : Double.parseDouble(value.trim());
             return seconds > 0 && seconds < 1e6 ? (long) (1e6 * seconds) : 0;
         } catch (NumberFormatException e) {
-            return 0; // a date, or no number: no advice that these clients take
+            return 0; // dates are not supported, and a malformed value is ignored
         }
     }
 }
--- a/src/main/java/rillyard/loadgen/HttpTransport.java
+++ b/src/main/java/rillyard/loadgen/HttpTransport.java
@@ -20,8 +20,8 @@
 import rillyard.scheduling.EventLoops;
 
 /**
- * Tries over HTTP/1.1, as the operators' app sends them: one at a time on a connection, which its
- * client keeps; another is opened when all are busy. All on one event loop.
+ * Sends attempts over HTTP/1.1. Each client keeps its connections alive, sends one attempt at a time on a connection,
+ * and opens another if all are busy. Confined to one event loop.
  */
 final class HttpTransport implements Transport {
     private static final int CONNECT_TIMEOUT_MS = 1_000;
@@ -40,13 +40,15 @@
     private long connectCount;
 
     /**
-     * Makes one; to be used on the loop.
+     * Creates a transport without connections.
      *
-     * @param targets where requests go
-     * @param targetPerClient whether each client has a target of its own, by its number; else they are taken in turn
-     * @param idleMillis a connection that has stood idle for so long is closed
-     * @param verify whether an answer must be a test cluster's answer to the very request
-     * @param onUnexpectedResponse hears of the id behind whose answer more came
+     * @param targets addresses to send to, at least one
+     * @param targetPerClient whether a client's number selects its target; otherwise connections go to the targets in
+     *     turn
+     * @param idleMillis time in milliseconds after which an idle connection is closed
+     * @param verify whether a response must be a test cluster's response to this very request
+     * @param onUnexpectedResponse called with the id of the preceding request when data arrives that no request is
+     *     waiting for
      */
     HttpTransport(
             EventLoop loop,
@@ -108,16 +110,18 @@
                 connection.begin();
                 connection.run(exchange);
             } else {
-                // Never from within send: a rejected connection may be known at once.
+                // A refused connect may fail within send, from which the listener must not be called.
                 loop.execute(() -> exchange.end(new AttemptResult(ClientOutcome.UNREACHABLE, 0, 0)));
             }
         });
     }
 
+    /** Called when a connection has become idle and may be reused. */
     void onIdle(HttpConnection connection) {
         idle.computeIfAbsent(connection.client(), k -> new ArrayDeque<>(2)).addLast(connection);
     }
 
+    /** Called when a connection was closed. */
     void onClosed(HttpConnection connection) {
         open.remove(connection);
         ArrayDeque<HttpConnection> idleConnections = idle.get(connection.client());
@@ -129,6 +133,7 @@
         }
     }
 
+    /** Called when data arrived after the response to the request of this id. */
     void onUnexpectedResponse(String id) {
         onUnexpectedResponse.accept(id);
     }
@@ -143,12 +148,12 @@
         }
     }
 
-    /** Connections that are open. */
+    /** Returns the number of open connections. */
     int connections() {
         return open.size();
     }
 
-    /** Connections that were opened, or tried to be, so far. */
+    /** Returns the number of connects so far, including failed ones. */
     long connectCount() {
         return connectCount;
     }
--- a/src/main/java/rillyard/loadgen/LoadClass.java
+++ b/src/main/java/rillyard/loadgen/LoadClass.java
@@ -1,15 +1,16 @@
 package rillyard.loadgen;
 
 /**
- * A class of requests as clients send them.
+ * A request class as clients send it.
  *
- * @param name first part of the path, and {@code X-Priority-Class}
+ * @param name first segment of the path, and value of {@code X-Priority-Class}
  * @param share weight among the classes
- * @param semantics what clients may repeat
- * @param latencyObjectiveMillis an answer within it is in time
- * @param deadlineMillis how long a client waits in all, over all of its attempts
- * @param idempotencyWindowMillis how long after its first attempt a request with an idempotency key may be repeated
- * @param bodyBytes size of the body
+ * @param semantics what clients may retry
+ * @param latencyObjectiveMillis response time in milliseconds up to which a response is in time
+ * @param deadlineMillis total time in milliseconds that a client waits, over all attempts
+ * @param idempotencyWindowMillis time in milliseconds after the first attempt during which a request with an
+ *     idempotency key may be retried
+ * @param bodyBytes size of the request body in bytes
  * @param keys number of distinct route keys; 0 for none
  */
 public record LoadClass(
@@ -22,17 +23,18 @@
         int bodyBytes,
         int keys) {
 
-    /** What clients may repeat after a failure; after a rejection they may repeat anything. */
+    /** What clients may retry after a failure. After a rejection any request may be retried. */
     public enum Semantics {
-        /** Anything, with GET. */
+        /** Every request may be retried; sent with GET. */
         IDEMPOTENT,
-        /** Anything within the window: every host knows every key. */
+        /** Requests may be retried within the idempotency window, as every host knows every key. */
         KEYED_EVERYWHERE,
-        /** Nothing, as another host may not know the key; has one all the same. */
+        /** Requests carry an idempotency key but are not retried, as another host may not know the key. */
         KEYED,
-        /** Nothing. */
+        /** No request may be retried. */
         AT_MOST_ONCE;
 
+        /** Returns whether requests carry an idempotency key. */
         boolean hasIdempotencyKey() {
             return this == KEYED || this == KEYED_EVERYWHERE;
         }
--- a/src/main/java/rillyard/loadgen/LoadGenerator.java
+++ b/src/main/java/rillyard/loadgen/LoadGenerator.java
@@ -11,11 +11,11 @@
 import rillyard.scheduling.Scheduler;
 
 /**
- * Sends what the schedule says when it says so, whatever becomes of what was sent before. Knows no
- * sockets; all on one thread, on whatever clock it is given.
+ * Sends requests at their scheduled times, regardless of the progress of earlier ones (open loop). Does no I/O of its
+ * own and uses the scheduler's clock, real or virtual. Confined to the scheduler's thread.
  */
 final class LoadGenerator implements LogicalRequest.Context {
-    /** What is due within this time (ns) is sent in the same turn: a timer is no finer. */
+    /** Requests due within this time are sent in the same turn, as timers are no more precise. */
     private static final long TICK_NANOS = 20_000;
 
     private final LoadPlan plan;
@@ -33,7 +33,11 @@
     private long nextRequestNumber;
     private boolean stopped;
 
-    /** {@code whenDone} is run once, when the last request is over. */
+    /**
+     * Creates a generator.
+     *
+     * @param onDone run once, when the last request has ended
+     */
     LoadGenerator(
             LoadPlan plan,
             Scheduler scheduler,
@@ -53,7 +57,7 @@
         this.random = seed.split();
     }
 
-    /** Begins now. */
+    /** Starts the schedule now. */
     void start() {
         startedAt = scheduler.now();
         statistics.onStarted(startedAt);
@@ -87,7 +91,7 @@
         logicalRequest.start();
     }
 
-    /** Sends nothing more, and leaves what is under way. */
+    /** Sends nothing more and abandons the open requests. */
     void stop() {
         if (stopped) {
             return;
@@ -109,12 +113,12 @@
         }
     }
 
-    /** Requests that are under way. */
+    /** Returns the number of requests in flight or waiting for a retry. */
     int openRequests() {
         return openRequests.size();
     }
 
-    // --- what calls need
+    // --- LogicalRequest.Context
 
     @Override
     public Scheduler scheduler() {
--- a/src/main/java/rillyard/loadgen/LoadPlan.java
+++ b/src/main/java/rillyard/loadgen/LoadPlan.java
@@ -3,17 +3,18 @@
 import java.util.List;
 
 /**
- * What is to be sent.
+ * What a load run sends.
  *
- * @param seed of all draws of chance: the same seed gives the same arrivals
- * @param profiles one after the other; empty where a trace is replayed
- * @param trace what is replayed, or null
- * @param classes the classes, one at least
- * @param tenants the tenants; empty for none
- * @param clients how clients behave
- * @param maxOpen requests that may be under way at once; past it none is sent, and the run is invalid
- * @param maxLatenessMillis how late the generator's sends may be (99th percentile) in a valid run
- * @param verify whether answers are checked to be a test cluster's answer to the very request
+ * @param seed seed of all random draws; the same seed gives the same arrivals
+ * @param profiles rate profiles, one after the other; empty if a trace is replayed
+ * @param trace trace to replay, or null
+ * @param classes request classes, at least one
+ * @param tenants tenants; empty for none
+ * @param clients behaviour of the clients
+ * @param maxOpen maximum number of open requests; requests beyond it are not sent, which makes the run invalid
+ * @param maxLatenessMillis upper bound in milliseconds on the 99th percentile of the generator's own lateness in a
+ *     valid run
+ * @param verify whether a response must be a test cluster's response to this very request
  */
 public record LoadPlan(
         long seed,
@@ -36,7 +37,7 @@
     /** A tenant and its weight among the tenants. */
     public record Tenant(String name, double share) {}
 
-    /** Seconds from the first to the last arrival, as far as the plan tells. */
+    /** Returns the planned duration in seconds: the sum of the profiles' durations, or the time span of the trace. */
     public double seconds() {
         return trace != null
                 ? trace.seconds()
--- a/src/main/java/rillyard/loadgen/LoadPlanReader.java
+++ b/src/main/java/rillyard/loadgen/LoadPlanReader.java
@@ -9,8 +9,9 @@
 import rillyard.config.RequestClassKeys;
 import rillyard.config.TomlTable;
 
-/** Reads a plan from TOML. What is left out has its default; an error names its line. */
+/** Reads a load plan from TOML. Missing keys have defaults; errors name their lines. */
 public final class LoadPlanReader {
+    /** Names of rate profiles in the file. */
     private enum ProfileKind {
         STEADY,
         POISSON,
@@ -26,16 +27,22 @@
     private LoadPlanReader() {}
 
     /**
-     * Reads a file; a trace is looked up beside it.
+     * Reads a plan from a file. The path of a trace is resolved against the file's folder.
      *
-     * @throws InvalidConfigException with all findings
+     * @throws InvalidConfigException with all problems found
      */
     public static LoadPlan read(Path file) throws InvalidConfigException {
         Path directory = file.toAbsolutePath().getParent();
         return read(TomlTable.read(file), directory);
     }
 
-    /** Reads a text; {@code name} stands for it in findings, and traces are looked up in {@code in}. */
+    /**
+     * Reads a plan from text.
+     *
+     * @param name name of the text in error messages
+     * @param directory folder that the path of a trace is resolved against
+     * @throws InvalidConfigException with all problems found
+     */
     public static LoadPlan parse(String name, String text, Path directory) throws InvalidConfigException {
         return read(TomlTable.parse(name, text), directory);
     }
--- a/src/main/java/rillyard/loadgen/LoadRun.java
+++ b/src/main/java/rillyard/loadgen/LoadRun.java
@@ -17,8 +17,12 @@
 import rillyard.scheduling.EventLoopScheduler;
 import rillyard.scheduling.EventLoops;
 
-/** One run of a plan against targets, on one event loop thread. */
+/**
+ * One run of a load plan against targets, on an event loop of its own. {@link #interrupt} may be called from any
+ * thread.
+ */
 public final class LoadRun {
+    /** Interval of progress lines. */
     private static final long PROGRESS_INTERVAL_NANOS = 1_000_000_000L;
 
     private final LoadPlan plan;
@@ -37,17 +41,22 @@
     private long shownOffered;
 
     /**
-     * Makes one; nothing is sent yet.
+     * Creates a run that sends to the targets in turn; nothing is sent yet.
      *
-     * @param targets taken in turn, one at least
-     * @param requestLog stays open behind the run
-     * @param progress gets a line a second, or null for none
+     * @param targets addresses to send to, at least one
+     * @param requestLog where attempts are logged; stays open after the run
+     * @param progress gets a progress line each second, or null for none
      */
     public LoadRun(LoadPlan plan, List<InetSocketAddress> targets, RequestLogWriter requestLog, PrintStream progress) {
         this(plan, targets, false, requestLog, progress);
     }
 
-    /** As above; with {@code own} each client has the target of its number, as an app beside its proxy. */
+    /**
+     * Creates a run; nothing is sent yet.
+     *
+     * @param targetPerClient whether a client's number selects its target, as with one proxy beside each client;
+     *     otherwise the targets are used in turn
+     */
     public LoadRun(
             LoadPlan plan,
             List<InetSocketAddress> targets,
@@ -70,9 +79,9 @@
     }
 
     /**
-     * Runs it to its end, or until it is interrupted.
+     * Runs the plan until it ends or is interrupted. May be called once.
      *
-     * @throws InterruptedException if the waiting thread is
+     * @throws InterruptedException if the calling thread is interrupted
      */
     public void run() throws InterruptedException {
         double cpuSecondsBefore = processCpuSeconds();
@@ -105,19 +114,19 @@
                 / 1e9;
     }
 
-    /** Ends it early: nothing more is sent, and what is under way is left. Harmless at any time. */
+    /** Ends the run early: nothing more is sent and open requests are abandoned. No effect after the run. */
     public void interrupt() {
         if (done.getCount() > 0) {
             interrupted = true;
             try {
                 loop.execute(generator::stop);
             } catch (java.util.concurrent.RejectedExecutionException e) {
-                // it has just ended by itself
+                // the run ended meanwhile
             }
         }
     }
 
-    /** When the run began, microseconds of Unix time; 0 before. */
+    /** Returns the start of the run in microseconds of Unix time, or 0 before it. */
     public long startedMicros() {
         return startedMicros;
     }
@@ -139,12 +148,20 @@
         shownFinished = finished;
     }
 
-    /** What came of it; to be asked once {@link #run} has returned. */
+    /**
+     * Returns the report, once {@link #run} has returned.
+     *
+     * @param marks events of hosts to show on the timeline
+     */
     public RunReport report(List<RunReport.Mark> marks) {
         return RunReport.of(plan, statistics, interrupted, cpuSeconds, transport.connectCount(), marks);
     }
 
-    /** Writes the histograms; to be asked once {@link #run} has returned. */
+    /**
+     * Writes the histograms into an existing folder, once {@link #run} has returned.
+     *
+     * @throws IOException if a file cannot be written
+     */
     public void writeHistograms(java.nio.file.Path folder) throws IOException {
         HistogramFiles.write(folder, statistics);
     }
--- a/src/main/java/rillyard/loadgen/LogicalRequest.java
+++ b/src/main/java/rillyard/loadgen/LogicalRequest.java
@@ -7,27 +7,35 @@
 import rillyard.scheduling.Scheduler;
 
 /**
- * One request of a client, over all of its attempts: when each is given up, whether there is another,
- * and when. Does no I/O, and runs on whatever clock it is given.
+ * One request of a client over all of its attempts: decides when an attempt times out, and whether and when to retry.
+ * Does no I/O and uses the scheduler's clock, real or virtual. Confined to the scheduler's thread.
  */
 final class LogicalRequest implements Transport.Listener {
-    /** What a call needs and reports to. */
+    /** What a request uses of its generator, and what it reports to it. */
     interface Context {
+        /** Returns the clock and timers. */
         Scheduler scheduler();
 
+        /** Returns the transport that attempts are sent with. */
         Transport transport();
 
+        /** Returns the behaviour of the clients. */
         ClientSpec clients();
 
+        /** Returns the source of random draws. */
         RandomGenerator random();
 
-        /** A new id, or key. */
+        /** Returns a new random id of this many hexadecimal digits. */
         String randomId(int digits);
 
-        /** An attempt has ended. */
+        /** Called when an attempt has ended. */
         void onAttemptEnded(LogicalRequest request, ClientAttempt attempt);
 
-        /** The request is over with this outcome. */
+        /**
+         * Called when the request has ended.
+         *
+         * @param endedAt end on the scheduler's clock, in nanoseconds
+         */
         void onFinished(LogicalRequest request, ClientOutcome outcome, long endedAt);
     }
 
@@ -48,7 +56,12 @@
     private Scheduler.ScheduledTask timer;
     private boolean finished;
 
-    /** {@code intended} is when the schedule has it be sent, on the clock of the timers. */
+    /**
+     * Creates a request that has not been sent.
+     *
+     * @param number number in the run, from 0
+     * @param scheduledAt scheduled send time on the scheduler's clock, in nanoseconds
+     */
     LogicalRequest(long number, ScheduledRequest scheduled, long scheduledAt, Context context) {
         this.number = number;
         this.scheduled = scheduled;
@@ -64,7 +77,7 @@
         return (long) (1e6 * ms);
     }
 
-    /** When its first attempt was really sent. */
+    /** Returns when the first attempt was actually sent, in nanoseconds of the scheduler's clock. */
     long firstSent() {
         return firstSent;
     }
@@ -75,7 +88,7 @@
         sendAttempt(context.randomId(16), false, false);
     }
 
-    /** It can't be sent: the generator is at its bound. */
+    /** Ends the request without sending it, as the generator has reached its limit of open requests. */
     void markNotSent() {
         sentAt = context.scheduler().now();
         firstSent = sentAt;
@@ -83,7 +96,7 @@
         finishAttempt(ClientOutcome.NOT_SENT, 0, 0, false);
     }
 
-    /** The run is over: leaves, if it is still under way. */
+    /** Abandons the request because the run is over. No effect if it has ended. */
     void abandon() {
         if (!finished) {
             abandonAttempt(ClientOutcome.ABANDONED, false);
@@ -136,7 +149,7 @@
             pendingAttempt = null;
             finishAttempt(outcome, 0, 0, mayRetry);
         } else {
-            timer.cancel(); // it waits for its next try
+            timer.cancel(); // the request is waiting for its retry
             finish(outcome);
         }
     }
@@ -176,14 +189,14 @@
         if (delayNanos < 0) {
             finish(outcome);
         } else if (outcome == ClientOutcome.STALE) {
-            sendAttempt(id, false, true); // the same one once more, as it was not taken
+            sendAttempt(id, false, true); // the connection was stale, so the same attempt is sent again
         } else {
             retries++;
             timer = context.scheduler().scheduleAfter(delayNanos, () -> sendAttempt(context.randomId(16), true, false));
         }
     }
 
-    /** How long (ns) until the next try, or below 0 if there is none. */
+    /** Returns the delay in nanoseconds until the next attempt, or a negative value if there is none. */
     private long retryDelayNanos(ClientOutcome outcome, long retryAfter, long now) {
         ClientSpec spec = context.clients();
         if (outcome == ClientOutcome.SERVED || outcome == ClientOutcome.NOT_SENT || attempts >= spec.attempts()) {
@@ -202,7 +215,10 @@
         return now + delayNanos < deadline - 1_000_000 ? delayNanos : -1;
     }
 
-    /** What clients may send again: all that was not taken, and of the rest what does no harm. */
+    /**
+     * Returns whether clients may send the request again: always if it was not processed, otherwise if a repeat is
+     * harmless.
+     */
     private boolean mayRetry(ClientOutcome outcome, long now) {
         if (outcome == ClientOutcome.REFUSED || outcome == ClientOutcome.UNREACHABLE) {
             return true;
--- a/src/main/java/rillyard/loadgen/RateProfile.java
+++ b/src/main/java/rillyard/loadgen/RateProfile.java
@@ -1,27 +1,30 @@
 package rillyard.loadgen;
 
 /**
- * How the rate of arrivals goes over a stretch of time. A shape is its cumulative rate: how many
- * arrivals are expected by a time. Arrivals are drawn at rate one and put where the cumulative rate
- * reaches them (the time change of an inhomogeneous Poisson process; Çinlar 1975, section 4.7), so
- * that all shapes share one source of chance.
+ * Arrival rate over a period of time, defined by its cumulative rate: the number of arrivals expected up to a time.
+ *
+ * <p>Arrivals are drawn at rate one and placed where the cumulative rate reaches them (the time change of an
+ * inhomogeneous Poisson process; Çinlar 1975, section 4.7), so that all profiles share one random source. Times are
+ * in seconds from the start of the profile, rates in arrivals per second. Implementations are immutable.
  */
 public sealed interface RateProfile {
-    /** How long it lasts (s). */
+    /** Returns the duration in seconds. */
     double seconds();
 
-    /** Arrivals expected in its first {@code t} seconds; never falls, from 0. */
+    /** Returns the number of arrivals expected up to a time; 0 at time 0 and never decreasing. */
     double expectedArrivals(double time);
 
-    /** Whether arrivals come by chance, rather than evenly. */
+    /** Returns whether arrivals form a Poisson process, rather than being evenly spaced. */
     boolean isPoisson();
 
-    /** The rate (1/s) at a time. */
+    /** Returns the rate at a time. */
     double rate(double time);
 
     /**
-     * The time at which so many arrivals are expected, not before {@code from}, or NaN if it ends
+     * Returns the time at which the expected number of arrivals reaches {@code arrivals}, or NaN if the profile ends
      * before.
+     *
+     * @param from lower bound of the result, in seconds
      */
     default double timeOf(double arrivals, double from) {
         double high = seconds();
@@ -29,7 +32,7 @@
             return Double.NaN;
         }
         double low = from;
-        // The next one is near as a rule: widen from there, then halve down to a tenth of a microsecond.
+        // The next arrival is usually near, so widen a bracket from there and bisect it to a tenth of a microsecond.
         double step = 1e-4;
         while (low + step < high && expectedArrivals(low + step) < arrivals) {
             low += step;
@@ -47,7 +50,7 @@
         return high;
     }
 
-    /** The same rate all the time; evenly spaced, or as a Poisson process. */
+    /** A constant rate. */
     record Steady(double seconds, double rate, boolean isPoisson) implements RateProfile {
         @Override
         public double expectedArrivals(double time) {
@@ -60,7 +63,7 @@
         }
     }
 
-    /** From one rate to another in a straight line. */
+    /** A rate that changes linearly from one value to another. */
     record Ramp(double seconds, double from, double to, boolean isPoisson) implements RateProfile {
         @Override
         public double expectedArrivals(double time) {
@@ -73,7 +76,14 @@
         }
     }
 
-    /** A base rate that rises to a peak, holds, and falls back, in straight lines. */
+    /**
+     * A base rate that rises linearly to a peak, holds it, and falls back linearly.
+     *
+     * @param at start of the rise in seconds
+     * @param rise duration of the rise in seconds
+     * @param hold duration of the peak in seconds
+     * @param fall duration of the fall in seconds
+     */
     record Surge(
             double seconds,
             double base,
@@ -112,7 +122,12 @@
         }
     }
 
-    /** A sine around a mean; {@code swing} is its amplitude as a share of the mean, at most 1. */
+    /**
+     * A sine around a mean rate.
+     *
+     * @param amplitude amplitude as a share of the mean, 0 to 1
+     * @param period period in seconds
+     */
     record Wave(double seconds, double mean, double amplitude, double period, boolean isPoisson)
             implements RateProfile {
         @Override
@@ -127,7 +142,7 @@
         }
     }
 
-    /** One rate after another, each for as long. */
+    /** Several rates in sequence, each for an equal part of the duration. */
     record Step(double seconds, double[] rates, boolean isPoisson) implements RateProfile {
         /** Copies the rates. */
         public Step {
--- a/src/main/java/rillyard/loadgen/RecordedTrace.java
+++ b/src/main/java/rillyard/loadgen/RecordedTrace.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * Requests that were recorded, to be sent again.
+ * Recorded requests to replay.
  *
- * @param entries in the order of their times, one at least
- * @param speed how much faster than recorded
+ * @param entries requests in ascending order of time, at least one
+ * @param speed factor by which the replay is faster than the recording
  */
 public record RecordedTrace(List<RecordedRequest> entries, double speed) {
     /** Copies the list. */
@@ -17,19 +17,20 @@
     /**
      * One recorded request.
      *
-     * @param micros when it came, on the clock of the recording
-     * @param requestClass its class
-     * @param tenant its tenant, or null
-     * @param client who sent it, or null where that is not known
-     * @param routeKey what it was about, or null
+     * @param micros arrival in microseconds of the recording's clock
+     * @param requestClass the request's class
+     * @param tenant tenant, or null
+     * @param client name of the client, or null if unknown
+     * @param routeKey route key, or null
      */
     public record RecordedRequest(long micros, LoadClass requestClass, String tenant, String client, String routeKey) {}
 
-    /** When an entry is to be sent: nanoseconds from the first one. */
+    /** Returns when a request is to be sent, in nanoseconds from the first one. */
     long at(RecordedRequest request) {
         return (long) ((request.micros() - entries.get(0).micros()) * 1_000 / speed);
     }
 
+    /** Returns the duration of the replay in seconds. */
     double seconds() {
         return at(entries.get(entries.size() - 1)) / 1e9;
     }
--- a/src/main/java/rillyard/loadgen/ReportFiles.java
+++ b/src/main/java/rillyard/loadgen/ReportFiles.java
@@ -5,11 +5,15 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** A report as files: {@code report.json} and {@code report.html}. */
+/** Writes a report as {@code report.json} and {@code report.html}. */
 public final class ReportFiles {
     private ReportFiles() {}
 
-    /** Writes both into a folder that is there. */
+    /**
+     * Writes both files into an existing folder.
+     *
+     * @throws IOException if a file cannot be written
+     */
     public static void write(Path folder, RunReport report, String title) throws IOException {
         Files.writeString(
                 folder.resolve("report.json"),
--- a/src/main/java/rillyard/loadgen/ReportHtml.java
+++ b/src/main/java/rillyard/loadgen/ReportHtml.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import java.util.function.ToDoubleFunction;
 
-/** A report as one page that needs nothing else: tables, and plots over time as SVG. */
+/** Formats a report as a self-contained HTML page with tables and SVG plots over time. */
 public final class ReportHtml {
     private static final String STYLE =
             """
@@ -20,7 +20,7 @@
 
     private ReportHtml() {}
 
-    /** The page. */
+    /** Returns the page. */
     public static String of(RunReport report, String title) {
         StringBuilder out = new StringBuilder(32_768);
         out.append("<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
@@ -157,10 +157,12 @@
         out.append("</table>");
     }
 
+    /** Formats with the root locale, so that numbers are the same on every machine. */
     static String format(String pattern, Object... args) {
         return String.format(Locale.ROOT, pattern, args);
     }
 
+    /** Escapes text for HTML content and attribute values. */
     static String escape(String text) {
         return text.replace("&", "&amp;")
                 .replace("<", "&lt;")
--- a/src/main/java/rillyard/loadgen/ReportTable.java
+++ b/src/main/java/rillyard/loadgen/ReportTable.java
@@ -2,13 +2,13 @@
 
 import java.util.Locale;
 
-/** A report as lines of text for a terminal. */
+/** Formats a report as text for a terminal. */
 public final class ReportTable {
     private ReportTable() {}
 
     /**
-     * Formats a report: a row for each class and tenant, the service time, the generator's own lateness, and the reasons
-     * why the run is invalid.
+     * Returns a row for each class and tenant, the service time, the generator's own lateness, and the reasons why
+     * the run is invalid.
      */
     public static String of(RunReport report) {
         StringBuilder out = new StringBuilder();
--- a/src/main/java/rillyard/loadgen/RequestSchedule.java
+++ b/src/main/java/rillyard/loadgen/RequestSchedule.java
@@ -5,7 +5,10 @@
 import java.util.NoSuchElementException;
 import java.util.SplittableRandom;
 
-/** The arrivals of a plan, one by one in the order of their times; knows no clock. */
+/**
+ * Iterates over the requests of a plan in the order of their scheduled times. Uses no clock: times are relative to
+ * the start of the run.
+ */
 public final class RequestSchedule implements Iterator<ScheduledRequest> {
     private final LoadPlan plan;
     private final SplittableRandom arrivalRandom;
@@ -20,7 +23,7 @@
     private double arrivalsInProfile;
     private ScheduledRequest next;
 
-    /** The same plan gives the same arrivals. */
+    /** Creates a schedule. The same plan gives the same requests. */
     public RequestSchedule(LoadPlan plan) {
         this.plan = plan;
         SplittableRandom seed = new SplittableRandom(plan.seed());
@@ -65,7 +68,7 @@
                 secondsInProfile = at;
                 return withClassAndClient((long) (1e9 * (profileStart + at)));
             }
-            // What is left of the gap is not carried over: the next shape begins on its own.
+            // The remaining interval is not carried over: the next profile starts afresh.
             profileIndex++;
             profileStart += profile.seconds();
             secondsInProfile = 0;
--- a/src/main/java/rillyard/loadgen/RunReport.java
+++ b/src/main/java/rillyard/loadgen/RunReport.java
@@ -6,22 +6,23 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What came of a run. Latency counts from the time at which the schedule had the request be sent,
- * service time from its first real send; both in ms, and of served requests only.
+ * Result of a load run. Latency counts from the scheduled send time and service time from the actual first send, both
+ * in milliseconds and for served requests only. The names of the components are those of {@code report.json}.
  *
- * @param valid whether the generator kept its schedule and sent all of it
- * @param invalidBecause why not, or null
- * @param interrupted whether it was ended before its schedule was
- * @param seconds from the first arrival to the last end
- * @param cpuSeconds CPU time of the generator's process meanwhile
- * @param lateness how late the generator's own sends were
- * @param surplus answers behind the one that was owed
- * @param connections connections that were opened
- * @param rows by class and tenant
- * @param total all of them
- * @param stretchSeconds length of each of the {@code series}
- * @param series over time, by when requests were to be sent
- * @param marks what happened to hosts meanwhile, where a request log of theirs was given
+ * @param valid whether the generator kept its schedule and sent every request
+ * @param invalidBecause reason why the run is invalid, or null
+ * @param interrupted whether the run ended before its schedule
+ * @param seed seed of the plan
+ * @param seconds time in seconds from the first arrival to the end of the last request
+ * @param cpuSeconds CPU time of the generator's process during the run, in seconds
+ * @param lateness lateness of the generator's own sends
+ * @param surplus number of unexpected responses
+ * @param connections number of connections opened
+ * @param rows results by class and tenant
+ * @param total results of all requests
+ * @param stretchSeconds length of one interval of {@code series}, in seconds
+ * @param series results over time, by scheduled send time
+ * @param marks events of hosts during the run; empty without the hosts' request log
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
 public record RunReport(
@@ -40,8 +41,9 @@
         List<Point> series,
         List<Mark> marks) {
 
-    /** Quantiles in ms; all 0 where nothing was recorded. */
+    /** Quantiles in milliseconds; all 0 if nothing was recorded. */
     public record Quantiles(long count, double mean, double p50, double p90, double p99, double p999, double max) {
+        /** Returns the quantiles of a histogram in microseconds. */
         static Quantiles of(Histogram histogram) {
             return new Quantiles(
                     histogram.getTotalCount(),
@@ -62,7 +64,7 @@
         }
     }
 
-    /** Figures of one class and tenant. Offered is the sum of the seven ends behind it. */
+    /** Results of one class and tenant. {@code offered} is the sum of the seven outcomes that follow {@code rate}. */
     @JsonInclude(JsonInclude.Include.NON_NULL)
     public record Row(
             String type,
@@ -80,7 +82,7 @@
             Quantiles latency,
             Quantiles service) {}
 
-    /** Figures of one stretch of time; {@code at} in seconds from the start. */
+    /** Results of one interval; {@code at} is its start in seconds from the start of the run. */
     public record Point(
             double at,
             long offered,
@@ -93,9 +95,10 @@
             double p99,
             double max) {}
 
-    /** Something that happened to a host; {@code at} in seconds from the start. */
+    /** An event of a host; {@code at} is in seconds from the start of the run. */
     public record Mark(double at, String host, String what) {}
 
+    /** Returns the report of a run with these statistics. */
     static RunReport of(
             LoadPlan plan,
             RunStatistics statistics,
--- a/src/main/java/rillyard/loadgen/RunStatistics.java
+++ b/src/main/java/rillyard/loadgen/RunStatistics.java
@@ -8,15 +8,17 @@
 import rillyard.requestlog.ClientAttempt;
 import rillyard.requestlog.ClientOutcome;
 
-/** Counts what came of a run: by class and tenant, and over time. Used on one thread. */
+/**
+ * Counts the results of a run by class and tenant, and over time. Confined to the generator's thread during the run.
+ */
 final class RunStatistics {
-    /** Times are recorded in microseconds, to three digits, up to an hour. */
+    /** Upper bound of recorded times in microseconds: one hour. */
     static final long MAX_MICROS = 3_600_000_000L;
 
-    /** Stretches of time that are kept apart at most; a long run has longer ones. */
+    /** Upper bound on the number of intervals; longer runs have longer intervals. */
     private static final int MAX_INTERVALS = 300;
 
-    /** Figures of one class and tenant; {@code tenant} is null where there are none. */
+    /** Counters of one class and tenant; {@code tenant} is null if the plan has none. Both are null in a total. */
     static final class ClassStatistics {
         final LoadClass requestClass;
         final String tenant;
@@ -37,6 +39,7 @@
             this.tenant = tenant;
         }
 
+        /** Adds the counters of another instance to these. */
         void add(ClassStatistics statistics) {
             latency.add(statistics.latency);
             service.add(statistics.service);
@@ -52,7 +55,7 @@
         }
     }
 
-    /** Figures of one stretch of time, by when requests were to be sent. */
+    /** Counters of one interval, by scheduled send time. */
     static final class IntervalStatistics {
         final Histogram latency = new Histogram(2);
         long offered;
@@ -72,18 +75,26 @@
     private long finished;
     private long unexpectedResponses;
 
+    /**
+     * Creates empty statistics.
+     *
+     * @param seconds planned duration of the run, which determines the length of the intervals
+     */
     RunStatistics(double seconds) {
         intervalNanos = 1_000_000_000L * (long) Math.max(1, Math.ceil(seconds / MAX_INTERVALS));
     }
 
+    /** Called when the run starts, with the time in nanoseconds of the scheduler's clock. */
     void onStarted(long at) {
         startedAt = at;
     }
 
+    /** Called when the run ends, with the time in nanoseconds of the scheduler's clock. */
     void onEnded(long at) {
         endedAt = at;
     }
 
+    /** Called when a request is due; {@code now} is the actual time in nanoseconds of the scheduler's clock. */
     void onScheduled(LogicalRequest request, long now) {
         offered++;
         lateness.recordValue(Math.max(0, Math.min(MAX_MICROS, (now - request.scheduledAt) / 1_000)));
@@ -91,15 +102,17 @@
         intervalOf(request).offered++;
     }
 
+    /** Called when an attempt has ended. */
     void onAttempt(ClientAttempt attempt) {
         rows.get(name(attempt.requestClass(), attempt.tenant())).attempts++;
     }
 
-    /** More came on a connection than the one answer. */
+    /** Called when data arrived that no request was waiting for. */
     void onUnexpectedResponse() {
         unexpectedResponses++;
     }
 
+    /** Called when a request has ended; {@code at} is in nanoseconds of the scheduler's clock. */
     void onFinished(LogicalRequest request, ClientOutcome outcome, long at) {
         finished++;
         ClassStatistics statistics = row(request);
@@ -155,42 +168,49 @@
         return intervals.get(index);
     }
 
+    /** Returns the statistics by class and tenant, sorted by class and tenant name. */
     List<ClassStatistics> rows() {
         return List.copyOf(rows.values());
     }
 
-    /** All rows in one. */
+    /** Returns the sum of all rows. */
     ClassStatistics total() {
         ClassStatistics all = new ClassStatistics(null, null);
         rows.values().forEach(all::add);
         return all;
     }
 
+    /** Returns the statistics over time. */
     List<IntervalStatistics> intervals() {
         return List.copyOf(intervals);
     }
 
+    /** Returns the length of one interval in seconds. */
     double intervalSeconds() {
         return intervalNanos / 1e9;
     }
 
-    /** How late the generator's own sends were (microseconds). */
+    /** Returns the lateness of the generator's own sends, in microseconds. */
     Histogram lateness() {
         return lateness;
     }
 
+    /** Returns the duration of the run in seconds. */
     double seconds() {
         return (endedAt - startedAt) / 1e9;
     }
 
+    /** Returns the number of requests that were due. */
     long offered() {
         return offered;
     }
 
+    /** Returns the number of requests that have ended. */
     long finishedCount() {
         return finished;
     }
 
+    /** Returns the number of unexpected responses. */
     long unexpectedResponses() {
         return unexpectedResponses;
     }
--- a/src/main/java/rillyard/loadgen/SvgPlot.java
+++ b/src/main/java/rillyard/loadgen/SvgPlot.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One plot over time: lines, marks, axes. */
+/** Draws a plot over time as SVG, with lines, event marks and axes. */
 final class SvgPlot {
     private static final int WIDTH = 1_000;
     private static final int HEIGHT = 240;
@@ -22,23 +22,31 @@
     private final List<Line> lines = new ArrayList<>();
     private final List<Mark> marks = new ArrayList<>();
 
-    /** {@code end} is where the time axis ends (s). */
+    /**
+     * Creates an empty plot.
+     *
+     * @param end end of the time axis in seconds
+     * @param logarithmic whether the value axis is logarithmic
+     */
     SvgPlot(String title, double end, boolean logarithmic) {
         this.title = title;
         this.end = end;
         this.logarithmic = logarithmic;
     }
 
+    /** Adds a line through points of time in seconds and value. */
     void line(String name, String colour, double[][] points) {
         lines.add(new Line(name, colour, points));
     }
 
+    /** Adds a vertical mark at a time in seconds, unless that is beyond the time axis. */
     void mark(double at, String text) {
         if (at >= 0 && at <= end) {
             marks.add(new Mark(at, text));
         }
     }
 
+    /** Returns the SVG element. */
     String svg() {
         double high = 0;
         double low = Double.MAX_VALUE;
--- a/src/main/java/rillyard/loadgen/TimelineEvents.java
+++ b/src/main/java/rillyard/loadgen/TimelineEvents.java
@@ -8,17 +8,18 @@
 import rillyard.requestlog.HostEvent;
 import rillyard.requestlog.RequestLogReader;
 
-/** What happened to hosts during a run, from their request log. */
+/** Reads the events of hosts during a run from their request log. */
 public final class TimelineEvents {
-    /** More marks than this hide the plot. */
+    /** Upper bound on events, as more marks would obscure the plot. */
     private static final int MAX_EVENTS = 200;
 
     private TimelineEvents() {}
 
     /**
-     * Reads the request log of hosts; {@code from} is the start of the run, microseconds of Unix time.
+     * Returns the events of a hosts' request log.
      *
-     * @throws InvalidConfigException if it is none
+     * @param from start of the run in microseconds of Unix time; earlier events are left out
+     * @throws InvalidConfigException if the file is not a request log of hosts
      */
     public static List<RunReport.Mark> read(Path hosts, long from) throws InvalidConfigException {
         List<RunReport.Mark> out = new ArrayList<>();
--- a/src/main/java/rillyard/loadgen/TraceReader.java
+++ b/src/main/java/rillyard/loadgen/TraceReader.java
@@ -24,29 +24,34 @@
 import rillyard.config.InvalidConfigException;
 
 /**
- * Reads recorded requests. Three forms are known:
+ * Reads recorded requests from a file in one of three formats:
  *
  * <ul>
- *   <li>CSV: a first line of column names, of which {@code time_ms} and {@code class} must be there
- *       and {@code tenant}, {@code client} and {@code route_key} may be; values without quotes.
- *   <li>JSON lines: one object a line with the same names.
- *   <li>HAProxy's {@code option httplog} (configuration manual, section 8.2.3): the accept date, the
- *       client's address and the request line are used; the class is the first part of the path, and
- *       lines whose class the plan does not name are left out and counted.
+ *   <li>CSV: the first line has the column names. {@code time_ms} and {@code class} are required; {@code tenant},
+ *       {@code client} and {@code route_key} are optional. Values are not quoted.
+ *   <li>JSON lines: one object per line with the same names.
+ *   <li>HAProxy's {@code option httplog} (configuration manual, section 8.2.3): the accept date, the client's address
+ *       and the request line are used. The class is the first segment of the path; lines whose class is not in the
+ *       plan are skipped and counted.
  * </ul>
  */
 public final class TraceReader {
-    /** The form of a file. */
+    /** Format of a trace file. */
     public enum Form {
+        /** Comma-separated values with column names in the first line. */
         CSV,
+
+        /** One JSON object per line. */
         JSONL,
+
+        /** HAProxy's HTTP log. */
         HAPROXY
     }
 
-    /** More findings than this help nobody. */
+    /** Number of problems after which reading stops. */
     private static final int MAX_PROBLEMS = 50;
 
-    /** Bounds the memory that a trace takes. */
+    /** Upper bound on requests, which bounds the memory of a trace. */
     private static final int MAX_REQUESTS = 5_000_000;
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -56,6 +61,7 @@
             Pattern.compile("(?:^|\\s)(\\S+):(\\d+) \\[(\\d{2}/[A-Z][a-z]{2}/\\d{4}:\\d{2}:\\d{2}:\\d{2}\\.\\d{3})\\] "
                     + "\\S+ \\S+/\\S+ [-+0-9/]+ -?\\d+ \\+?\\d+ .*\"(?:([A-Z]+) (\\S+) HTTP/[0-9.]+|<BADREQ>)\"");
 
+    /** Format of the accept date in HAProxy's HTTP log. */
     private static final DateTimeFormatter DATE = DateTimeFormatter.ofPattern("dd/MMM/yyyy:HH:mm:ss.SSS", Locale.ROOT);
 
     private final String file;
@@ -71,9 +77,10 @@
     }
 
     /**
-     * Reads a file; entries may stand in any order.
+     * Reads a trace; its entries may be in any order.
      *
-     * @throws InvalidConfigException with the lines that can't be used, or if none can
+     * @param speed factor by which the replay is faster than the recording
+     * @throws InvalidConfigException with the lines that are invalid, or if no request remains
      */
     public static RecordedTrace read(Path file, Form form, List<LoadClass> classes, double speed)
             throws InvalidConfigException {
@@ -203,7 +210,7 @@
             return;
         }
         if (matcher.group(5) == null) {
-            skippedLines++; // what the proxy could not read can't be sent again
+            skippedLines++; // a request that the proxy could not parse cannot be replayed
             return;
         }
         long micros;
--- a/src/main/java/rillyard/loadgen/Transport.java
+++ b/src/main/java/rillyard/loadgen/Transport.java
@@ -2,14 +2,14 @@
 
 import rillyard.requestlog.ClientOutcome;
 
-/** Carries attempts to the target. All calls are made on the generator's thread. */
+/** Sends attempts to the target. Confined to the generator's thread. */
 interface Transport {
     /**
-     * One attempt as it goes out.
+     * One attempt to be sent.
      *
-     * @param timeoutMillis what {@code X-Timeout-Ms} says
-     * @param retried whether it repeats one that has failed or was rejected
-     * @param newConnection whether it needs a connection of its own
+     * @param timeoutMillis value of {@code X-Timeout-Ms}
+     * @param retried whether an earlier attempt failed or was rejected
+     * @param newConnection whether the attempt must use a new connection
      */
     record OutgoingRequest(
             String id,
@@ -22,19 +22,26 @@
             boolean retried,
             boolean newConnection) {}
 
-    /** How it ended; {@code retryAfter} in microseconds, 0 without one. */
+    /**
+     * Result of an attempt.
+     *
+     * @param status HTTP status, or 0 without a response
+     * @param retryAfterMicros value of {@code Retry-After} in microseconds, or 0 if absent
+     */
     record AttemptResult(ClientOutcome outcome, int status, long retryAfterMicros) {}
 
-    /** Hears of the end, once, and never from within {@link #send}. */
+    /** Receives the result of an attempt. */
     interface Listener {
+        /** Called once when the attempt ends, unless it was abandoned; never from within {@link #send}. */
         void onEnded(AttemptResult end);
     }
 
-    /** An attempt that is under way. */
+    /** An attempt in flight. */
     interface PendingAttempt {
-        /** Gives it up: its connection is closed, and nothing is heard of it any more. */
+        /** Abandons the attempt: closes its connection, and the listener is not called any more. */
         void abandon();
     }
 
+    /** Sends an attempt and returns a handle to abandon it with. */
     PendingAttempt send(OutgoingRequest request, Listener listener);
 }
--- a/src/main/java/rillyard/loadgen/WeightedSampler.java
+++ b/src/main/java/rillyard/loadgen/WeightedSampler.java
@@ -3,11 +3,11 @@
 import java.util.Arrays;
 import java.util.random.RandomGenerator;
 
-/** Draws an index in proportion to weights. */
+/** Draws an index with a probability proportional to its weight. Immutable. */
 final class WeightedSampler {
     private final double[] cumulativeWeights;
 
-    /** Weights are 0 or more, one of them above 0. */
+    /** Creates a sampler. Weights are at least 0, and one of them is above 0. */
     WeightedSampler(double[] weights) {
         cumulativeWeights = weights.clone();
         for (int i = 1; i < cumulativeWeights.length; i++) {
@@ -15,7 +15,7 @@
         }
     }
 
-    /** Zipf's weights, 1 / k^skew. */
+    /** Returns a sampler with Zipf weights: index k has the weight 1 / (k + 1)^skew. */
     static WeightedSampler zipf(int count, double skew) {
         double[] weights = new double[count];
         for (int i = 0; i < count; i++) {
@@ -24,10 +24,11 @@
         return new WeightedSampler(weights);
     }
 
+    /** Returns a random index. */
     int sample(RandomGenerator random) {
         double drawn = random.nextDouble() * cumulativeWeights[cumulativeWeights.length - 1];
         int index = Arrays.binarySearch(cumulativeWeights, drawn);
-        // An exact hit belongs to the next one, as a weight of 0 must never be drawn.
+        // An exact hit belongs to the next index, as one with weight 0 must never be drawn.
         return Math.min(cumulativeWeights.length - 1, index < 0 ? -index - 1 : index + 1);
     }
 }
--- a/src/main/java/rillyard/loadgen/package-info.java
+++ b/src/main/java/rillyard/loadgen/package-info.java
@@ -1,7 +1,8 @@
 /**
- * The load generator: open-loop arrivals on a schedule that the target can't slow down, and clients
- * that give up, come back and retry as the operators' app does. Latency counts from the time at
- * which the schedule had a request be sent (Gil Tene's "coordinated omission"), so a target that
- * stalls shows as late answers, not as a gap. Nothing in the proxy may use this package.
+ * The load generator: an open-loop arrival schedule that the target cannot slow down, and simulated clients that time
+ * out, abandon and retry.
+ *
+ * <p>Latency counts from the scheduled send time, which avoids coordinated omission (Gil Tene): a stalled target
+ * shows as late responses, not as a gap in the load. The proxy must not depend on this package.
  */
 package rillyard.loadgen;
--- a/src/test/java/rillyard/loadgen/FakeTransport.java
+++ b/src/test/java/rillyard/loadgen/FakeTransport.java
@@ -6,9 +6,9 @@
 import rillyard.requestlog.ClientOutcome;
 import rillyard.scheduling.Scheduler;
 
-/** A target on the virtual clock: the test says after how long each attempt ends, and how. */
+/** A transport on a virtual clock whose results a test scripts. */
 final class FakeTransport implements Transport {
-    /** What becomes of an attempt: its end after {@code ms}, or nothing at all if it is null. */
+    /** Result of an attempt {@code ms} milliseconds after it was sent; no response at all if {@code end} is null. */
     record ScriptedResult(double ms, AttemptResult end) {
         static ScriptedResult of(double ms, ClientOutcome outcome, int status) {
             return new ScriptedResult(ms, new AttemptResult(outcome, status, 0));
--- a/src/test/java/rillyard/loadgen/LoadGeneratorTest.java
+++ b/src/test/java/rillyard/loadgen/LoadGeneratorTest.java
@@ -11,7 +11,7 @@
 import rillyard.requestlog.RequestLogWriter;
 import rillyard.scheduling.VirtualScheduler;
 
-/** Whole plans on a virtual clock. */
+/** Runs complete plans on a virtual clock. */
 class LoadGeneratorTest {
     private static final String CLIENTS = "[clients]\nretries = 0\ntry_share = [1, 1]\n"
             + "[[class]]\nname = 'c'\nsemantics = 'idempotent'\naim_ms = 400\ndeadline_ms = 60000\n";
@@ -32,7 +32,7 @@
 
     @Test
     void stalledTargetShowsAsLateResponsesAtOfferedRate() throws Exception {
-        // From 5 s to 7 s all stands still; what came meanwhile is answered at its end.
+        // The target stalls from 5 s to 7 s and responds to what arrived meanwhile at the end of the stall.
         FakeTransport transport = new FakeTransport(scheduler, request -> {
             double seconds = (scheduler.now() - startNanos) / 1e9;
             return FakeTransport.ScriptedResult.served(seconds < 5 || seconds >= 7 ? 1 : 1 + 1_000 * (7 - seconds));
@@ -61,7 +61,7 @@
         for (double percentile : new double[] {50, 90, 99, 99.9}) {
             double injected = drawn.get((int) Math.ceil(percentile / 100 * drawn.size()) - 1);
             double measured = statistics.total().latency.getValueAtPercentile(percentile) / 1_000.0;
-            assertThat(measured).isCloseTo(injected, within(0.002 * injected)); // three digits
+            assertThat(measured).isCloseTo(injected, within(0.002 * injected)); // three significant digits
         }
     }
 
@@ -88,7 +88,7 @@
 
     @Test
     void delayedGeneratorMarksRunInvalid() throws Exception {
-        // Each send takes 3 ms of the generator's one thread, of which 2 ms apart are due.
+        // Each send blocks the generator's only thread for 3 ms, while sends are due every 2 ms.
         FakeTransport transport = new FakeTransport(scheduler, request -> {
             scheduler.skip(3_000_000);
             return FakeTransport.ScriptedResult.served(1);
--- a/src/test/java/rillyard/loadgen/LoadRunTest.java
+++ b/src/test/java/rillyard/loadgen/LoadRunTest.java
@@ -28,7 +28,7 @@
 import rillyard.testserver.TestCluster;
 import rillyard.testserver.TestClusterPlanReader;
 
-/** The generator against test hosts and against targets that are none, on loopback. */
+/** Runs the generator against test clusters and against faulty targets on loopback. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class LoadRunTest {
     private static final InetSocketAddress ANY_PORT = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
@@ -48,7 +48,7 @@
                 + "\n" + faults;
     }
 
-    /** Plays a plan against one test cluster host. */
+    /** Runs a plan against a test cluster of one host. */
     private RunReport runAgainstCluster(String hosts, String plan) throws Exception {
         PrintStream errors = System.err;
         try (RequestLogWriter hostRequestLog =
@@ -94,7 +94,7 @@
             long later = attempts.stream()
                     .filter(attempt -> attempt.endedAt() - attempt.scheduledAt() > 1e6 * seconds)
                     .count();
-            // The pause begins and ends on the test cluster's own clock: some tens of ms of either side.
+            // The pause runs on the test cluster's own timer, so both ends may be off by some tens of milliseconds.
             assertThat(later)
                     .as("later than %.1f s", threshold)
                     .isCloseTo(Math.round(rate * (2 - threshold)), within(Math.round(0.15 * rate)));
@@ -102,8 +102,8 @@
     }
 
     /**
-     * Noise of the machine only ever adds to what is seen, and is not in every run: of a few runs one
-     * must see what was injected. A histogram that is wrong is so in all of them.
+     * Noise of the machine only ever adds to a measured time and is not in every run, so one of a few runs must
+     * measure what was injected. A wrong histogram would be wrong in all of them.
      */
     @Test
     void quantilesMatchInjectedDistribution() throws Exception {
@@ -113,7 +113,7 @@
         List<String> mismatches = new ArrayList<>();
         for (int i = 0; i < MAX_RUNS; i++) {
             RunReport report = runAgainstCluster(hosts, plan);
-            // What the hosts drew is in their request log: the generator must see these very times.
+            // The hosts' request log has the service times drawn, which the generator must measure.
             double[] drawn = records("hosts", HostExecution.class).stream()
                     .mapToDouble(execution -> execution.workMicros() / 1_000.0)
                     .sorted()
@@ -124,7 +124,7 @@
                     && isNear(quantiles.p90(), quantile(drawn, 0.9))
                     && isNear(quantiles.p99(), quantile(drawn, 0.99))
                     && isNear(quantiles.p999(), quantile(drawn, 0.999))) {
-                // And they are a sample of the distribution that was asked for, whose median is known.
+                // The drawn times are a sample of the configured distribution, whose median is known.
                 assertThat(quantile(drawn, 0.5)).isCloseTo(100 / Math.sqrt(1.49), within(8.0));
                 return;
             }
@@ -138,7 +138,7 @@
         return sorted[(int) Math.min(sorted.length - 1, Math.ceil(share * sorted.length) - 1)];
     }
 
-    /** Within 3 % or 1 ms. */
+    /** Returns whether a measured time is within 3 % or 1 ms of the injected one. */
     private static boolean isNear(double measured, double injected) {
         return Math.abs(measured - injected) <= Math.max(0.03 * injected, 1);
     }
@@ -147,7 +147,7 @@
         void serve(Socket socket) throws IOException;
     }
 
-    /** Plays a plan against a target that does to each connection what it is told to. */
+    /** Runs a plan against a server that calls {@code target} with each connection. */
     private RunReport runAgainstTarget(Target target, String plan) throws Exception {
         try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
                 RequestLogWriter requestLog =
@@ -158,7 +158,7 @@
                         Socket socket = server.accept();
                         target.serve(socket);
                     } catch (IOException e) {
-                        // the next one, or the end of the test
+                        // continue with the next connection; the loop ends with the server socket
                     }
                 }
             });
@@ -269,7 +269,7 @@
         assertThat(report.total().latency().count()).isZero();
         assertThat(records("clients", ClientAttempt.class))
                 .allMatch(attempt -> attempt.outcome() == ClientOutcome.ABANDONED);
-        // The host saw each connection end while the request ran.
+        // Each connection was closed while its request was running.
         List<HostExecution> executions = records("hosts", HostExecution.class);
         assertThat(executions).hasSize(50).allMatch(execution -> execution.result() == ExecutionResult.LEFT);
     }
--- a/src/test/java/rillyard/loadgen/LogicalRequestTest.java
+++ b/src/test/java/rillyard/loadgen/LogicalRequestTest.java
@@ -16,7 +16,7 @@
 import rillyard.requestlog.RequestLogWriter;
 import rillyard.scheduling.VirtualScheduler;
 
-/** The app that is modelled, on a virtual clock: when it gives up, comes back, and stops asking. */
+/** Tests timeouts, retries and backoff of a simulated client on a virtual clock. */
 class LogicalRequestTest {
     private static final String CLIENTS = "[clients]\ncount = 1\ntry_share = [0.5, 0.5]\nheeding = 1\n";
     private static final String ONE_REQUEST = "[[shape]]\nkind = 'steady'\nfor_s = 1\nrate = 1\n";
@@ -28,7 +28,7 @@
     private FakeTransport transport;
     private RunStatistics statistics;
 
-    /** Plays one request whose attempts have these fates, and returns what the request log says. */
+    /** Runs one request whose attempts have the scripted results, and returns its records in the request log. */
     private List<ClientAttempt> run(String semantics, String clients, FakeTransport.ScriptedResult... script)
             throws Exception {
         Iterator<FakeTransport.ScriptedResult> next = List.of(script).iterator();
@@ -131,7 +131,7 @@
         assertThat(attempts).extracting(ClientAttempt::outcome).containsOnly(ClientOutcome.UNANSWERED);
         assertThat(attempts.get(0).timeoutMicros()).isEqualTo(500_000);
         assertThat(attempts.get(0).endedAt() - attempts.get(0).sentAt()).isEqualTo(570_000);
-        assertThat(attempts.get(1).timeoutMicros()).isEqualTo(430_000); // what was left of the deadline
+        assertThat(attempts.get(1).timeoutMicros()).isEqualTo(430_000); // the remaining time to the deadline
         assertThat(attempts).hasSize(2);
         assertThat(transport.abandoned).isEqualTo(2);
     }
@@ -144,7 +144,7 @@
         assertThat(attempts.get(0).timeoutMicros()).isEqualTo(1_000_000);
         assertThat(attempts.get(0).endedAt() - attempts.get(0).sentAt()).isEqualTo(500_000);
         assertThat(statistics.total().abandoned).isEqualTo(1);
-        assertThat(statistics.total().latency.getTotalCount()).isZero(); // the late answer isn't counted
+        assertThat(statistics.total().latency.getTotalCount()).isZero(); // the late response is not counted
     }
 
     @Test
