--- a/src/main/java/rillyard/loadgen/TraceReader.java
+++ b/src/main/java/rillyard/loadgen/TraceReader.java
@@ -24,7 +24,7 @@
 import rillyard.config.InvalidConfigException;
 
 /**
- * Reads recorded requests from a file in one of three formats:
+ * Reads recorded requests from a file. Three formats are supported:
  *
  * <ul>
  *   <li>CSV: the first line has the column names. {@code time_ms} and {@code class} are required; {@code tenant},
