--- a/src/main/java/rillyard/loadgen/HttpConnection.java
+++ b/src/main/java/rillyard/loadgen/HttpConnection.java
@@ -14,7 +14,7 @@
 import io.netty.util.ReferenceCountUtil;
 import rillyard.requestlog.ClientOutcome;
 
-/** One connection of a client. */
+/** One connection of a client, which carries one attempt at a time. Confined to the transport's event loop. */
 final class HttpConnection extends ChannelInboundHandlerAdapter {
     private static final HttpDecoderConfig LIMITS =
             new HttpDecoderConfig().setMaxInitialLineLength(4_096).setMaxHeaderSize(16_384);
@@ -25,9 +25,9 @@
     private HttpExchange exchange;
     private String lastId;
     private boolean written;
-    private boolean skipping;
-    private boolean keep;
-    private boolean used;
+    private boolean informational;
+    private boolean keepAlive;
+    private boolean hasServed;
     private long idleSince;
 
     HttpConnection(HttpTransport transport, SocketChannel channel, int client) {
@@ -36,38 +36,46 @@
         this.client = client;
     }
 
+    /** Installs the handlers in the channel's pipeline. */
     void begin() {
         channel.pipeline().addLast(new HttpResponseDecoder(LIMITS), this);
         channel.closeFuture().addListener(f -> transport.onClosed(this));
     }
 
+    /** Returns the number of the client that owns the connection. */
     int client() {
         return client;
     }
 
+    /** Returns whether the connection is open and carries no attempt. */
     boolean isUsable() {
         return channel.isActive() && exchange == null;
     }
 
+    /** Closes the connection. */
     void close() {
         channel.close();
     }
 
-    /** How long (ns) it has stood idle; 0 while it carries an attempt. */
+    /**
+     * Returns how long the connection has been idle in nanoseconds, or 0 while it carries an attempt or before its
+     * first one.
+     */
     long idleNanos(long now) {
         return exchange == null && idleSince != 0 ? now - idleSince : 0;
     }
 
+    /** Sends an attempt on this connection, which must be usable. */
     void run(HttpExchange httpExchange) {
         exchange = httpExchange;
         httpExchange.channel(channel);
-        keep = false;
+        keepAlive = false;
         written = false;
         ChannelFuture future = channel.writeAndFlush(httpExchange.bytes(channel.alloc()));
         if (future.isDone()) {
             written = future.isSuccess();
         } else {
-            future.addListener(x -> written = future.isSuccess());
+            future.addListener(completed -> written = future.isSuccess());
         }
     }
 
@@ -96,29 +104,29 @@
             return;
         }
         if (part instanceof HttpResponse response) {
-            skipping = response.status().code() < 200; // 1xx go ahead of the answer
-            if (!skipping) {
-                exchange.head(response);
-                keep = HttpUtil.isKeepAlive(response);
+            informational = response.status().code() < 200; // 1xx responses precede the final one
+            if (!informational) {
+                exchange.onResponseHead(response);
+                keepAlive = HttpUtil.isKeepAlive(response);
             }
         }
-        if (skipping || !exchange.begun()) {
+        if (informational || !exchange.hasResponseHead()) {
             return;
         }
-        if (part instanceof HttpContent content && !exchange.body(content)) {
+        if (part instanceof HttpContent content && !exchange.onResponseBody(content)) {
             end(new Transport.AttemptResult(ClientOutcome.GARBLED, 0, 0), false);
         } else if (part instanceof LastHttpContent) {
             Transport.AttemptResult result = exchange.result();
-            end(result, keep && result.outcome() != ClientOutcome.GARBLED);
+            end(result, keepAlive && result.outcome() != ClientOutcome.GARBLED);
         }
     }
 
-    private void end(Transport.AttemptResult result, boolean keepIt) {
+    private void end(Transport.AttemptResult result, boolean reusable) {
         HttpExchange ended = exchange;
         exchange = null;
         lastId = ended.request().id();
-        used = true;
-        if (keepIt) {
+        hasServed = true;
+        if (reusable) {
             idleSince = System.nanoTime();
             transport.onIdle(this);
         } else {
@@ -130,15 +138,15 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         if (exchange != null && !exchange.ended()) {
-            ClientOutcome how = !written
+            ClientOutcome outcome = !written
                     ? ClientOutcome.UNREACHABLE
-                    : used && !exchange.begun() ? ClientOutcome.STALE : ClientOutcome.BROKEN;
-            end(new Transport.AttemptResult(how, 0, 0), false);
+                    : hasServed && !exchange.hasResponseHead() ? ClientOutcome.STALE : ClientOutcome.BROKEN;
+            end(new Transport.AttemptResult(outcome, 0, 0), false);
         }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        channel.close(); // the end of the channel tells the rest
+        channel.close(); // channelInactive ends the attempt
     }
 }
--- a/src/main/java/rillyard/loadgen/HttpTransport.java
+++ b/src/main/java/rillyard/loadgen/HttpTransport.java
@@ -20,8 +20,8 @@
 import rillyard.scheduling.EventLoops;
 
 /**
- * Tries over HTTP/1.1, as the operators' app sends them: one at a time on a connection, which its
- * client keeps; another is opened when all are busy. All on one event loop.
+ * Sends attempts over HTTP/1.1. Each client keeps its connections alive, sends one attempt at a time on a connection,
+ * and opens another if all are busy. Confined to one event loop.
  */
 final class HttpTransport implements Transport {
     private static final int CONNECT_TIMEOUT_MS = 1_000;
@@ -30,40 +30,42 @@
     private final EventLoop loop;
     private final Bootstrap bootstrap;
     private final List<InetSocketAddress> targets;
-    private final boolean own;
+    private final boolean targetPerClient;
     private final long idleNanos;
     private final boolean verify;
     private final java.util.function.Consumer<String> onUnexpectedResponse;
     private final Map<Integer, ArrayDeque<HttpConnection>> idle = new HashMap<>();
     private final Set<HttpConnection> open = new HashSet<>();
-    private int turn;
-    private long opened;
+    private int nextTarget;
+    private long connectCount;
 
     /**
-     * Makes one; to be used on the loop.
+     * Creates a transport without connections.
      *
-     * @param targets where requests go
-     * @param own whether each client has a target of its own, by its number; else they are taken in turn
-     * @param idleMs a connection that has stood idle for so long is closed
-     * @param verify whether an answer must be a test cluster's answer to the very request
-     * @param surplus hears of the id behind whose answer more came
+     * @param targets addresses to send to, at least one
+     * @param targetPerClient whether a client's number selects its target; otherwise connections go to the targets in
+     *     turn
+     * @param idleMillis time in milliseconds after which an idle connection is closed
+     * @param verify whether a response must be a test cluster's response to this very request
+     * @param onUnexpectedResponse called with the id of the preceding request when data arrives that no request is
+     *     waiting for
      */
     HttpTransport(
             EventLoop loop,
             List<InetSocketAddress> targets,
-            boolean own,
-            double idleMs,
+            boolean targetPerClient,
+            double idleMillis,
             boolean verify,
-            java.util.function.Consumer<String> surplus) {
+            java.util.function.Consumer<String> onUnexpectedResponse) {
         this.loop = loop;
         this.targets = targets;
-        this.own = own;
-        this.idleNanos = (long) (1e6 * idleMs);
+        this.targetPerClient = targetPerClient;
+        this.idleNanos = (long) (1e6 * idleMillis);
         this.verify = verify;
-        this.onUnexpectedResponse = surplus;
+        this.onUnexpectedResponse = onUnexpectedResponse;
         this.bootstrap = new Bootstrap()
                 .group(loop)
-                .channel(EventLoops.connecting())
+                .channel(EventLoops.clientChannelType())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<SocketChannel>() {
@@ -76,9 +78,11 @@
     @Override
     public PendingAttempt send(OutgoingRequest request, Listener listener) {
         HttpExchange exchange = new HttpExchange(request, listener, verify);
-        ArrayDeque<HttpConnection> kept = idle.get(request.client());
+        ArrayDeque<HttpConnection> idleConnections = idle.get(request.client());
         HttpConnection connection;
-        while (!request.newConnection() && kept != null && (connection = kept.pollLast()) != null) {
+        while (!request.newConnection()
+                && idleConnections != null
+                && (connection = idleConnections.pollLast()) != null) {
             if (connection.isUsable()) {
                 connection.run(exchange);
                 return exchange;
@@ -90,11 +94,11 @@
     }
 
     private void connect(HttpExchange exchange) {
-        ChannelFuture future =
-                bootstrap.connect(targets.get((own ? exchange.request().client() : turn++) % targets.size()));
-        opened++;
+        ChannelFuture future = bootstrap.connect(
+                targets.get((targetPerClient ? exchange.request().client() : nextTarget++) % targets.size()));
+        connectCount++;
         exchange.channel(future.channel());
-        future.addListener(x -> {
+        future.addListener(completed -> {
             if (exchange.ended()) {
                 future.channel().close();
             } else if (future.isSuccess()) {
@@ -106,48 +110,51 @@
                 connection.begin();
                 connection.run(exchange);
             } else {
-                // Never from within send: a rejected connection may be known at once.
+                // A refused connect may fail within send, from which the listener must not be called.
                 loop.execute(() -> exchange.end(new AttemptResult(ClientOutcome.UNREACHABLE, 0, 0)));
             }
         });
     }
 
+    /** Called when a connection has become idle and may be reused. */
     void onIdle(HttpConnection connection) {
         idle.computeIfAbsent(connection.client(), k -> new ArrayDeque<>(2)).addLast(connection);
     }
 
+    /** Called when a connection was closed. */
     void onClosed(HttpConnection connection) {
         open.remove(connection);
-        ArrayDeque<HttpConnection> kept = idle.get(connection.client());
-        if (kept != null) {
-            kept.remove(connection);
-            if (kept.isEmpty()) {
+        ArrayDeque<HttpConnection> idleConnections = idle.get(connection.client());
+        if (idleConnections != null) {
+            idleConnections.remove(connection);
+            if (idleConnections.isEmpty()) {
                 idle.remove(connection.client());
             }
         }
     }
 
+    /** Called when data arrived after the response to the request of this id. */
     void onUnexpectedResponse(String id) {
         onUnexpectedResponse.accept(id);
     }
 
     private void closeIdle() {
         long now = System.nanoTime();
-        for (Iterator<HttpConnection> i = new ArrayList<>(open).iterator(); i.hasNext(); ) {
-            HttpConnection connection = i.next();
+        for (Iterator<HttpConnection> iterator = new ArrayList<>(open).iterator(); iterator.hasNext(); ) {
+            HttpConnection connection = iterator.next();
             if (connection.idleNanos(now) > idleNanos) {
                 connection.close();
             }
         }
     }
 
-    /** Connections that are open. */
+    /** Returns the number of open connections. */
     int connections() {
         return open.size();
     }
 
-    /** Connections that were opened, or tried to be, so far. */
-    long opened() {
-        return opened;
+    /** Returns the number of connects so far, including failed ones. */
+    long connectCount() {
+        return connectCount;
     }
 }
--- a/src/main/java/rillyard/loadgen/LoadGenerator.java
+++ b/src/main/java/rillyard/loadgen/LoadGenerator.java
@@ -11,11 +11,11 @@
 import rillyard.scheduling.Scheduler;
 
 /**
- * Sends what the schedule says when it says so, whatever becomes of what was sent before. Knows no
- * sockets; all on one thread, on whatever clock it is given.
+ * Sends requests at their scheduled times, regardless of the progress of earlier ones (open loop). Does no I/O of its
+ * own and uses the scheduler's clock, real or virtual. Confined to the scheduler's thread.
  */
 final class LoadGenerator implements LogicalRequest.Context {
-    /** What is due within this time (ns) is sent in the same turn: a timer is no finer. */
+    /** Requests due within this time are sent in the same turn, as timers are no more precise. */
     private static final long TICK_NANOS = 20_000;
 
     private final LoadPlan plan;
@@ -24,36 +24,40 @@
     private final Transport transport;
     private final RequestLogWriter requestLog;
     private final RunStatistics statistics;
-    private final SplittableRandom names;
+    private final SplittableRandom idRandom;
     private final SplittableRandom random;
     private final Set<LogicalRequest> openRequests = new LinkedHashSet<>();
-    private final Runnable whenDone;
+    private final Runnable onDone;
     private ScheduledRequest next;
     private long startedAt;
-    private long number;
+    private long nextRequestNumber;
     private boolean stopped;
 
-    /** {@code whenDone} is run once, when the last request is over. */
+    /**
+     * Creates a generator.
+     *
+     * @param onDone run once, when the last request has ended
+     */
     LoadGenerator(
             LoadPlan plan,
-            Scheduler timers,
+            Scheduler scheduler,
             Transport transport,
             RequestLogWriter requestLog,
             RunStatistics statistics,
-            Runnable whenDone) {
+            Runnable onDone) {
         this.plan = plan;
         this.schedule = new RequestSchedule(plan);
-        this.scheduler = timers;
+        this.scheduler = scheduler;
         this.transport = transport;
         this.requestLog = requestLog;
         this.statistics = statistics;
-        this.whenDone = whenDone;
+        this.onDone = onDone;
         SplittableRandom seed = new SplittableRandom(plan.seed() ^ 0x5DEECE66DL);
-        this.names = seed.split();
+        this.idRandom = seed.split();
         this.random = seed.split();
     }
 
-    /** Begins now. */
+    /** Starts the schedule now. */
     void start() {
         startedAt = scheduler.now();
         statistics.onStarted(startedAt);
@@ -76,24 +80,25 @@
     }
 
     private void send(ScheduledRequest request, long now) {
-        LogicalRequest logicalRequest = new LogicalRequest(number++, request, startedAt + request.atNanos(), this);
+        LogicalRequest logicalRequest =
+                new LogicalRequest(nextRequestNumber++, request, startedAt + request.atNanos(), this);
         statistics.onScheduled(logicalRequest, now);
         if (openRequests.size() >= plan.maxOpen()) {
-            logicalRequest.skip();
+            logicalRequest.markNotSent();
             return;
         }
         openRequests.add(logicalRequest);
         logicalRequest.start();
     }
 
-    /** Sends nothing more, and leaves what is under way. */
+    /** Sends nothing more and abandons the open requests. */
     void stop() {
         if (stopped) {
             return;
         }
         stopped = true;
         for (LogicalRequest request : new ArrayList<>(openRequests)) {
-            request.leave();
+            request.abandon();
         }
         finishIfIdle();
     }
@@ -104,19 +109,19 @@
         if (!done && openRequests.isEmpty() && (stopped || next == null)) {
             done = true;
             statistics.onEnded(scheduler.now());
-            whenDone.run();
+            onDone.run();
         }
     }
 
-    /** Requests that are under way. */
+    /** Returns the number of requests in flight or waiting for a retry. */
     int openRequests() {
         return openRequests.size();
     }
 
-    // --- what calls need
+    // --- LogicalRequest.Context
 
     @Override
-    public Scheduler timers() {
+    public Scheduler scheduler() {
         return scheduler;
     }
 
@@ -139,7 +144,7 @@
     public String randomId(int digits) {
         StringBuilder out = new StringBuilder(digits);
         while (out.length() < digits) {
-            String hex = Long.toHexString(names.nextLong());
+            String hex = Long.toHexString(idRandom.nextLong());
             out.append("0".repeat(16 - hex.length())).append(hex);
         }
         out.setLength(digits);
@@ -147,9 +152,9 @@
     }
 
     @Override
-    public void onAttemptEnded(LogicalRequest request, ClientAttempt line) {
-        requestLog.append(line);
-        statistics.onAttempt(line);
+    public void onAttemptEnded(LogicalRequest request, ClientAttempt attempt) {
+        requestLog.append(attempt);
+        statistics.onAttempt(attempt);
     }
 
     @Override
--- a/src/main/java/rillyard/loadgen/LogicalRequest.java
+++ b/src/main/java/rillyard/loadgen/LogicalRequest.java
@@ -7,32 +7,40 @@
 import rillyard.scheduling.Scheduler;
 
 /**
- * One request of a client, over all of its attempts: when each is given up, whether there is another,
- * and when. Does no I/O, and runs on whatever clock it is given.
+ * One request of a client over all of its attempts: decides when an attempt times out, and whether and when to retry.
+ * Does no I/O and uses the scheduler's clock, real or virtual. Confined to the scheduler's thread.
  */
 final class LogicalRequest implements Transport.Listener {
-    /** What a call needs and reports to. */
+    /** What a request uses of its generator, and what it reports to it. */
     interface Context {
-        Scheduler timers();
+        /** Returns the clock and timers. */
+        Scheduler scheduler();
 
+        /** Returns the transport that attempts are sent with. */
         Transport transport();
 
+        /** Returns the behaviour of the clients. */
         ClientSpec clients();
 
+        /** Returns the source of random draws. */
         RandomGenerator random();
 
-        /** A new id, or key. */
+        /** Returns a new random id of this many hexadecimal digits. */
         String randomId(int digits);
 
-        /** An attempt has ended. */
-        void onAttemptEnded(LogicalRequest request, ClientAttempt line);
+        /** Called when an attempt has ended. */
+        void onAttemptEnded(LogicalRequest request, ClientAttempt attempt);
 
-        /** The request is over with this outcome. */
+        /**
+         * Called when the request has ended.
+         *
+         * @param endedAt end on the scheduler's clock, in nanoseconds
+         */
         void onFinished(LogicalRequest request, ClientOutcome outcome, long endedAt);
     }
 
     final long number;
-    final ScheduledRequest arrival;
+    final ScheduledRequest scheduled;
     final long scheduledAt;
     private final Context context;
     private final String idempotencyKey;
@@ -48,92 +56,101 @@
     private Scheduler.ScheduledTask timer;
     private boolean finished;
 
-    /** {@code intended} is when the schedule has it be sent, on the clock of the timers. */
-    LogicalRequest(long number, ScheduledRequest arrival, long intended, Context host) {
+    /**
+     * Creates a request that has not been sent.
+     *
+     * @param number number in the run, from 0
+     * @param scheduledAt scheduled send time on the scheduler's clock, in nanoseconds
+     */
+    LogicalRequest(long number, ScheduledRequest scheduled, long scheduledAt, Context context) {
         this.number = number;
-        this.arrival = arrival;
-        this.scheduledAt = intended;
-        this.context = host;
-        this.idempotencyKey = arrival.requestClass().semantics().keyed() ? host.randomId(32) : null;
-        this.deadline = intended + toNanos(arrival.requestClass().deadlineMs());
-        this.honorsRetryAfter = host.random().nextDouble() < host.clients().retryAfterShare();
+        this.scheduled = scheduled;
+        this.scheduledAt = scheduledAt;
+        this.context = context;
+        this.idempotencyKey = scheduled.requestClass().semantics().hasIdempotencyKey() ? context.randomId(32) : null;
+        this.deadline = scheduledAt + toNanos(scheduled.requestClass().deadlineMillis());
+        this.honorsRetryAfter =
+                context.random().nextDouble() < context.clients().retryAfterShare();
     }
 
     private static long toNanos(double ms) {
         return (long) (1e6 * ms);
     }
 
-    /** When its first attempt was really sent. */
+    /** Returns when the first attempt was actually sent, in nanoseconds of the scheduler's clock. */
     long firstSent() {
         return firstSent;
     }
 
     /** Sends the first attempt. */
     void start() {
-        firstSent = context.timers().now();
-        attempt(context.randomId(16), false, false);
+        firstSent = context.scheduler().now();
+        sendAttempt(context.randomId(16), false, false);
     }
 
-    /** It can't be sent: the generator is at its bound. */
-    void skip() {
-        sentAt = context.timers().now();
+    /** Ends the request without sending it, as the generator has reached its limit of open requests. */
+    void markNotSent() {
+        sentAt = context.scheduler().now();
         firstSent = sentAt;
         id = context.randomId(16);
         finishAttempt(ClientOutcome.NOT_SENT, 0, 0, false);
     }
 
-    /** The run is over: leaves, if it is still under way. */
-    void leave() {
+    /** Abandons the request because the run is over. No effect if it has ended. */
+    void abandon() {
         if (!finished) {
             abandonAttempt(ClientOutcome.ABANDONED, false);
         }
     }
 
-    private void attempt(String as, boolean retried, boolean fresh) {
+    private void sendAttempt(String attemptId, boolean retried, boolean newConnection) {
         ClientSpec spec = context.clients();
-        id = as;
-        sentAt = context.timers().now();
-        long left = deadline - sentAt;
+        id = attemptId;
+        sentAt = context.scheduler().now();
+        long remaining = deadline - sentAt;
         double share = spec.minTimeoutShare()
                 + (spec.maxTimeoutShare() - spec.minTimeoutShare())
                         * context.random().nextDouble();
-        long patience = Math.max(
-                1_000_000, Math.min(left, toNanos(share * arrival.requestClass().deadlineMs())));
-        timeoutNanos = Math.max(1_000_000, spec.announcesTimeout() ? patience : left);
+        long waitLimit = Math.max(
+                1_000_000,
+                Math.min(remaining, toNanos(share * scheduled.requestClass().deadlineMillis())));
+        timeoutNanos = Math.max(1_000_000, spec.announcesTimeout() ? waitLimit : remaining);
         pendingAttempt = context.transport()
                 .send(
                         new Transport.OutgoingRequest(
                                 id,
                                 idempotencyKey,
-                                arrival.requestClass(),
-                                arrival.tenant(),
-                                arrival.routeKey(),
-                                arrival.client(),
+                                scheduled.requestClass(),
+                                scheduled.tenant(),
+                                scheduled.routeKey(),
+                                scheduled.client(),
                                 timeoutNanos / 1_000_000,
                                 retried,
-                                fresh),
+                                newConnection),
                         this);
         if (context.random().nextDouble() < spec.abandonShare()) {
-            long leaves = (long) (context.random().nextDouble() * patience);
-            timer = context.timers().scheduleAt(sentAt + leaves, () -> abandonAttempt(ClientOutcome.ABANDONED, true));
-        } else if (spec.announcesTimeout() || patience >= left) {
-            timer = context.timers()
+            long abandonAfter = (long) (context.random().nextDouble() * waitLimit);
+            timer = context.scheduler()
+                    .scheduleAt(sentAt + abandonAfter, () -> abandonAttempt(ClientOutcome.ABANDONED, true));
+        } else if (spec.announcesTimeout() || waitLimit >= remaining) {
+            timer = context.scheduler()
                     .scheduleAt(
-                            sentAt + patience + toNanos(spec.graceMs()),
+                            sentAt + waitLimit + toNanos(spec.graceMillis()),
                             () -> abandonAttempt(ClientOutcome.UNANSWERED, true));
         } else {
-            timer = context.timers().scheduleAt(sentAt + patience, () -> abandonAttempt(ClientOutcome.ABANDONED, true));
+            timer = context.scheduler()
+                    .scheduleAt(sentAt + waitLimit, () -> abandonAttempt(ClientOutcome.ABANDONED, true));
         }
     }
 
-    private void abandonAttempt(ClientOutcome how, boolean mayRetry) {
+    private void abandonAttempt(ClientOutcome outcome, boolean mayRetry) {
         if (pendingAttempt != null) {
             pendingAttempt.abandon();
             pendingAttempt = null;
-            finishAttempt(how, 0, 0, mayRetry);
+            finishAttempt(outcome, 0, 0, mayRetry);
         } else {
-            timer.cancel(); // it waits for its next try
-            finish(how);
+            timer.cancel(); // the request is waiting for its retry
+            finish(outcome);
         }
     }
 
@@ -148,9 +165,9 @@
     }
 
     private void finishAttempt(ClientOutcome outcome, int status, long retryAfter, boolean mayRetry) {
-        long now = context.timers().now();
+        long now = context.scheduler().now();
         attempts++;
-        long wait = mayRetry ? waitBeforeNext(outcome, retryAfter, now) : -1;
+        long delayNanos = mayRetry ? retryDelayNanos(outcome, retryAfter, now) : -1;
         context.onAttemptEnded(
                 this,
                 new ClientAttempt(
@@ -158,9 +175,9 @@
                         attempts - 1,
                         id,
                         idempotencyKey,
-                        arrival.requestClass().name(),
-                        arrival.tenant(),
-                        arrival.client(),
+                        scheduled.requestClass().name(),
+                        scheduled.tenant(),
+                        scheduled.client(),
                         UnixClock.micros(scheduledAt),
                         UnixClock.micros(sentAt),
                         UnixClock.micros(now),
@@ -168,19 +185,19 @@
                         outcome,
                         status,
                         retryAfter,
-                        wait < 0));
-        if (wait < 0) {
+                        delayNanos < 0));
+        if (delayNanos < 0) {
             finish(outcome);
         } else if (outcome == ClientOutcome.STALE) {
-            attempt(id, false, true); // the same one once more, as it was not taken
+            sendAttempt(id, false, true); // the connection was stale, so the same attempt is sent again
         } else {
             retries++;
-            timer = context.timers().scheduleAfter(wait, () -> attempt(context.randomId(16), true, false));
+            timer = context.scheduler().scheduleAfter(delayNanos, () -> sendAttempt(context.randomId(16), true, false));
         }
     }
 
-    /** How long (ns) until the next try, or below 0 if there is none. */
-    private long waitBeforeNext(ClientOutcome outcome, long retryAfter, long now) {
+    /** Returns the delay in nanoseconds until the next attempt, or a negative value if there is none. */
+    private long retryDelayNanos(ClientOutcome outcome, long retryAfter, long now) {
         ClientSpec spec = context.clients();
         if (outcome == ClientOutcome.SERVED || outcome == ClientOutcome.NOT_SENT || attempts >= spec.attempts()) {
             return -1;
@@ -191,28 +208,31 @@
         if (retries >= spec.retries() || !mayRetry(outcome, now)) {
             return -1;
         }
-        long wait = toNanos(spec.backoffMs() * Math.pow(spec.backoffFactor(), retries));
+        long delayNanos = toNanos(spec.backoffMillis() * Math.pow(spec.backoffFactor(), retries));
         if (retryAfter > 0 && honorsRetryAfter) {
-            wait = Math.max(wait, Math.min(1_000 * retryAfter, toNanos(spec.maxRetryAfterMs())));
+            delayNanos = Math.max(delayNanos, Math.min(1_000 * retryAfter, toNanos(spec.maxRetryAfterMillis())));
         }
-        return now + wait < deadline - 1_000_000 ? wait : -1;
+        return now + delayNanos < deadline - 1_000_000 ? delayNanos : -1;
     }
 
-    /** What clients may send again: all that was not taken, and of the rest what does no harm. */
+    /**
+     * Returns whether clients may send the request again: always if it was not processed, otherwise if a repeat is
+     * harmless.
+     */
     private boolean mayRetry(ClientOutcome outcome, long now) {
         if (outcome == ClientOutcome.REFUSED || outcome == ClientOutcome.UNREACHABLE) {
             return true;
         }
-        LoadClass requestClass = arrival.requestClass();
+        LoadClass requestClass = scheduled.requestClass();
         return switch (requestClass.semantics()) {
             case IDEMPOTENT -> true;
-            case KEYED_EVERYWHERE -> now - firstSent < toNanos(requestClass.idempotencyWindowMs());
+            case KEYED_EVERYWHERE -> now - firstSent < toNanos(requestClass.idempotencyWindowMillis());
             case KEYED, AT_MOST_ONCE -> false;
         };
     }
 
     private void finish(ClientOutcome outcome) {
         finished = true;
-        context.onFinished(this, outcome, context.timers().now());
+        context.onFinished(this, outcome, context.scheduler().now());
     }
 }
--- a/src/main/java/rillyard/loadgen/TraceReader.java
+++ b/src/main/java/rillyard/loadgen/TraceReader.java
@@ -24,29 +24,34 @@
 import rillyard.config.InvalidConfigException;
 
 /**
- * Reads recorded requests. Three forms are known:
+ * Reads recorded requests from a file. Three formats are supported:
  *
  * <ul>
- *   <li>CSV: a first line of column names, of which {@code time_ms} and {@code class} must be there
- *       and {@code tenant}, {@code client} and {@code route_key} may be; values without quotes.
- *   <li>JSON lines: one object a line with the same names.
- *   <li>HAProxy's {@code option httplog} (configuration manual, section 8.2.3): the accept date, the
- *       client's address and the request line are used; the class is the first part of the path, and
- *       lines whose class the plan does not name are left out and counted.
+ *   <li>CSV: the first line has the column names. {@code time_ms} and {@code class} are required; {@code tenant},
+ *       {@code client} and {@code route_key} are optional. Values are not quoted.
+ *   <li>JSON lines: one object per line with the same names.
+ *   <li>HAProxy's {@code option httplog} (configuration manual, section 8.2.3): the accept date, the client's address
+ *       and the request line are used. The class is the first segment of the path; lines whose class is not in the
+ *       plan are skipped and counted.
  * </ul>
  */
 public final class TraceReader {
-    /** The form of a file. */
+    /** Format of a trace file. */
     public enum Form {
+        /** Comma-separated values with column names in the first line. */
         CSV,
+
+        /** One JSON object per line. */
         JSONL,
+
+        /** HAProxy's HTTP log. */
         HAPROXY
     }
 
-    /** More findings than this help nobody. */
+    /** Number of problems after which reading stops. */
     private static final int MAX_PROBLEMS = 50;
 
-    /** Bounds the memory that a trace takes. */
+    /** Upper bound on requests, which bounds the memory of a trace. */
     private static final int MAX_REQUESTS = 5_000_000;
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -56,6 +61,7 @@
             Pattern.compile("(?:^|\\s)(\\S+):(\\d+) \\[(\\d{2}/[A-Z][a-z]{2}/\\d{4}:\\d{2}:\\d{2}:\\d{2}\\.\\d{3})\\] "
                     + "\\S+ \\S+/\\S+ [-+0-9/]+ -?\\d+ \\+?\\d+ .*\"(?:([A-Z]+) (\\S+) HTTP/[0-9.]+|<BADREQ>)\"");
 
+    /** Format of the accept date in HAProxy's HTTP log. */
     private static final DateTimeFormatter DATE = DateTimeFormatter.ofPattern("dd/MMM/yyyy:HH:mm:ss.SSS", Locale.ROOT);
 
     private final String file;
@@ -71,9 +77,10 @@
     }
 
     /**
-     * Reads a file; entries may stand in any order.
+     * Reads a trace; its entries may be in any order.
      *
-     * @throws InvalidConfigException with the lines that can't be used, or if none can
+     * @param speed factor by which the replay is faster than the recording
+     * @throws InvalidConfigException with the lines that are invalid, or if no request remains
      */
     public static RecordedTrace read(Path file, Form form, List<LoadClass> classes, double speed)
             throws InvalidConfigException {
@@ -117,11 +124,11 @@
                     return;
                 }
             } else if (form == Form.CSV) {
-                csv(columns, text);
+                addCsvLine(columns, text);
             } else if (form == Form.JSONL) {
-                json(text);
+                addJsonLine(text);
             } else {
-                httplog(text);
+                addHttplogLine(text);
             }
         }
     }
@@ -138,18 +145,18 @@
         return names;
     }
 
-    private void csv(List<String> columns, String text) {
-        String[] v = text.split(",", -1);
-        if (v.length != columns.size()) {
-            addProblem("expected " + columns.size() + " values, found " + v.length);
+    private void addCsvLine(List<String> columns, String text) {
+        String[] values = text.split(",", -1);
+        if (values.length != columns.size()) {
+            addProblem("expected " + columns.size() + " values, found " + values.length);
             return;
         }
-        entry(
-                v[columns.indexOf("time_ms")].trim(),
-                v[columns.indexOf("class")].trim(),
-                value(columns, v, "tenant"),
-                value(columns, v, "client"),
-                value(columns, v, "route_key"));
+        addEntry(
+                values[columns.indexOf("time_ms")].trim(),
+                values[columns.indexOf("class")].trim(),
+                value(columns, values, "tenant"),
+                value(columns, values, "client"),
+                value(columns, values, "route_key"));
     }
 
     private static String value(List<String> columns, String[] values, String name) {
@@ -157,7 +164,7 @@
         return i < 0 || values[i].isBlank() ? null : values[i].trim();
     }
 
-    private void json(String text) {
+    private void addJsonLine(String text) {
         JsonNode node;
         try {
             node = JSON.readTree(text);
@@ -169,7 +176,7 @@
             addProblem("expected a JSON object, found " + text);
             return;
         }
-        entry(
+        addEntry(
                 node.path("time_ms").asText(),
                 node.path("class").asText(),
                 node.hasNonNull("tenant") ? node.get("tenant").asText() : null,
@@ -177,7 +184,7 @@
                 node.hasNonNull("route_key") ? node.get("route_key").asText() : null);
     }
 
-    private void entry(String time, String type, String tenant, String client, String key) {
+    private void addEntry(String time, String type, String tenant, String client, String key) {
         double ms;
         try {
             ms = Double.parseDouble(time);
@@ -196,14 +203,14 @@
         entries.add(new RecordedTrace.RecordedRequest((long) (1_000 * ms), requestClass, tenant, client, key));
     }
 
-    private void httplog(String text) {
+    private void addHttplogLine(String text) {
         Matcher matcher = HTTPLOG.matcher(text);
         if (!matcher.find()) {
             addProblem("expected a line of HAProxy's option httplog");
             return;
         }
         if (matcher.group(5) == null) {
-            skippedLines++; // what the proxy could not read can't be sent again
+            skippedLines++; // a request that the proxy could not parse cannot be replayed
             return;
         }
         long micros;
--- a/src/main/java/rillyard/testserver/HostQueue.java
+++ b/src/main/java/rillyard/testserver/HostQueue.java
@@ -7,78 +7,82 @@
 import rillyard.scheduling.Scheduler;
 
 /**
- * The cores of a host and the queue before them: first come, first served. Does no I/O; runs on
- * whatever clock it is given, on one thread.
+ * Models the cores of a host and a FIFO queue in front of them. Does no I/O and uses the scheduler's clock, real or
+ * virtual. Confined to the scheduler's thread.
  */
 final class HostQueue {
-    /** A piece of work. */
+    /** A unit of work for one core. */
     abstract static class Job {
-        final double work;
+        final double workNanos;
         private long startedAt;
-        private double left;
+        private double remainingNanos;
         private long resumedAt;
         private double rate;
         private Scheduler.ScheduledTask timer;
         private boolean queued;
         private boolean running;
 
-        /** {@code work} is core time of a warm core of speed 1, in ns. */
-        Job(double work) {
-            this.work = work;
+        /**
+         * Creates a job.
+         *
+         * @param workNanos time in nanoseconds that it takes on a core of speed 1 that is warmed up
+         */
+        Job(double workNanos) {
+            this.workNanos = workNanos;
         }
 
-        /** Its turn has come; false if it is not to run after all. */
-        abstract boolean starts();
+        /** Called when a core is free. Returns false to discard the job, for example because its client has left. */
+        abstract boolean mayStart();
 
-        /** It has run. */
-        abstract void finished();
+        /** Called when the job has completed. */
+        abstract void onFinished();
 
-        /** Whether it holds a core. */
-        boolean running() {
+        /** Returns whether the job occupies a core. */
+        boolean isRunning() {
             return running;
         }
 
-        /** When it began to run, on the clock of the host; 0 if it has not. */
+        /** Returns when the job started, in nanoseconds of the scheduler's clock, or 0 if it has not. */
         long startedAt() {
             return startedAt;
         }
     }
 
     private final HostSpec spec;
-    private final Scheduler timers;
+    private final Scheduler scheduler;
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
     private final Set<Job> running = new LinkedHashSet<>();
-    private double slow = 1;
-    private long warmFrom;
-    private boolean cold;
+    private double slowdown = 1;
+    private long startedAt;
+    private boolean warmingUp;
     private boolean paused;
     private double busyNanos;
-    private long countedAt;
-    private long usedFrom;
+    private long busyCountedAt;
+    private long utilisationSince;
 
-    HostQueue(HostSpec spec, Scheduler timers) {
+    HostQueue(HostSpec spec, Scheduler scheduler) {
         this.spec = spec;
-        this.timers = timers;
-        this.countedAt = timers.now();
-        this.usedFrom = countedAt;
+        this.scheduler = scheduler;
+        this.busyCountedAt = scheduler.now();
+        this.utilisationSince = busyCountedAt;
     }
 
-    /** The host starts now; a cold one gets warm evenly over its time. */
-    void started(boolean asCold) {
-        cold = asCold;
-        warmFrom = timers.now();
+    /** Records that the host starts now. A host that warms up gains speed linearly over its warm-up time. */
+    void onStarted(boolean isWarmingUp) {
+        warmingUp = isWarmingUp;
+        startedAt = scheduler.now();
     }
 
-    /** The share of its full speed that the host has by now. */
-    double warmth() {
-        if (!cold || spec.warmUpMs() <= 0) {
+    /** Returns the current share of the host's full speed, above 0 and at most 1. */
+    double capacityShare() {
+        if (!warmingUp || spec.warmUpMillis() <= 0) {
             return 1;
         }
-        double share = (timers.now() - warmFrom) / (spec.warmUpMs() * 1e6);
+        double share = (scheduler.now() - startedAt) / (spec.warmUpMillis() * 1e6);
         return Math.min(1, spec.initialCapacityShare() + (1 - spec.initialCapacityShare()) * share);
     }
 
-    /** Takes a job; false if the queue is full. */
+    /** Starts or queues a job. Returns false if the queue is full. */
     boolean enqueue(Job job) {
         if (!paused && running.size() < spec.cores()) {
             begin(job);
@@ -87,25 +91,25 @@
         if (queue.size() >= spec.queue()) {
             return false;
         }
-        put(job);
+        addToQueue(job);
         return true;
     }
 
-    /** Takes a job whether or not there is room. */
-    void force(Job job) {
+    /** Starts or queues a job regardless of the queue's limit. */
+    void enqueueUnbounded(Job job) {
         if (!paused && running.size() < spec.cores()) {
             begin(job);
         } else {
-            put(job);
+            addToQueue(job);
         }
     }
 
-    private void put(Job job) {
+    private void addToQueue(Job job) {
         job.queued = true;
         queue.addLast(job);
     }
 
-    /** Takes a job that waits out of the queue; false if it doesn't wait. */
+    /** Removes a waiting job from the queue. Returns false if it was not waiting. */
     boolean withdraw(Job job) {
         if (!job.queued) {
             return false;
@@ -116,71 +120,71 @@
 
     private void begin(Job job) {
         job.queued = false;
-        if (!job.starts()) {
+        if (!job.mayStart()) {
             return;
         }
-        count();
+        countBusyTime();
         job.running = true;
-        job.startedAt = timers.now();
-        job.left = job.work;
+        job.startedAt = scheduler.now();
+        job.remainingNanos = job.workNanos;
         running.add(job);
         run(job);
     }
 
     private void run(Job job) {
-        job.resumedAt = timers.now();
-        job.rate = spec.speed() * warmth() / slow;
-        job.timer = timers.scheduleAt(job.resumedAt + (long) (job.left / job.rate), () -> finish(job));
+        job.resumedAt = scheduler.now();
+        job.rate = spec.speed() * capacityShare() / slowdown;
+        job.timer = scheduler.scheduleAt(job.resumedAt + (long) (job.remainingNanos / job.rate), () -> finish(job));
     }
 
     private void finish(Job job) {
-        count();
+        countBusyTime();
         running.remove(job);
         job.running = false;
-        job.finished();
-        fill();
+        job.onFinished();
+        startQueued();
     }
 
-    private void fill() {
+    private void startQueued() {
         while (!paused && running.size() < spec.cores() && !queue.isEmpty()) {
             begin(queue.pollFirst());
         }
     }
 
-    /** All stands still. */
+    /** Stops all progress until {@link #resume}, as a stall of the process would. */
     void pause() {
         if (paused) {
             return;
         }
-        count();
+        countBusyTime();
         paused = true;
         for (Job job : running) {
             job.timer.cancel();
-            job.left = Math.max(0, job.left - (timers.now() - job.resumedAt) * job.rate);
+            job.remainingNanos = Math.max(0, job.remainingNanos - (scheduler.now() - job.resumedAt) * job.rate);
         }
     }
 
-    /** All goes on from where it stood. */
+    /** Continues after {@link #pause}. Running jobs keep the progress they had. */
     void resume() {
         if (!paused) {
             return;
         }
-        count();
+        countBusyTime();
         paused = false;
         for (Job job : new ArrayList<>(running)) {
             run(job);
         }
-        fill();
+        startQueued();
     }
 
-    /** From now on what starts takes so many times as long. */
-    void slow(double factor) {
-        slow = factor;
+    /** Sets the factor on the duration of jobs that start from now on; 1 is normal speed. */
+    void setSlowdown(double factor) {
+        slowdown = factor;
     }
 
-    /** All work is lost: nothing of it finishes. */
+    /** Discards all running and waiting jobs, none of which completes, and ends a pause and a slowdown. */
     void kill() {
-        count();
+        countBusyTime();
         for (Job job : running) {
             job.timer.cancel();
             job.running = false;
@@ -188,30 +192,32 @@
         running.clear();
         queue.clear();
         paused = false;
-        slow = 1;
+        slowdown = 1;
     }
 
+    /** Returns the number of running jobs. */
     int running() {
         return running.size();
     }
 
+    /** Returns the number of waiting jobs. */
     int queued() {
         return queue.size();
     }
 
-    /** Mean share of the cores in use since the last call, from 0 to 1. */
+    /** Returns the mean share of busy cores since the previous call, 0 to 1. */
     double utilisation() {
-        count();
-        long now = timers.now();
-        double share = now == usedFrom ? 0 : busyNanos / ((double) (now - usedFrom) * spec.cores());
-        usedFrom = now;
+        countBusyTime();
+        long now = scheduler.now();
+        double share = now == utilisationSince ? 0 : busyNanos / ((double) (now - utilisationSince) * spec.cores());
+        utilisationSince = now;
         busyNanos = 0;
         return Math.min(1, share);
     }
 
-    private void count() {
-        long now = timers.now();
-        busyNanos += paused ? 0 : (double) (now - countedAt) * running.size();
-        countedAt = now;
+    private void countBusyTime() {
+        long now = scheduler.now();
+        busyNanos += paused ? 0 : (double) (now - busyCountedAt) * running.size();
+        busyCountedAt = now;
     }
 }
--- a/src/main/java/rillyard/testserver/ReadyFile.java
+++ b/src/main/java/rillyard/testserver/ReadyFile.java
@@ -8,12 +8,16 @@
 import java.util.List;
 import java.util.function.UnaryOperator;
 
-/** What a test cluster tells once it is ready: a proxy's configuration, and where all listens. */
+/**
+ * Builds the JSON that a test cluster publishes when it is ready: a proxy configuration, and the addresses of hosts,
+ * discovery and fault control.
+ */
 final class ReadyFile {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private ReadyFile() {}
 
+    /** Returns the JSON of a cluster with these entries. */
     static ObjectNode of(
             TestClusterPlan plan,
             List<EndpointCatalog.Entry> entries,
@@ -35,9 +39,9 @@
 
     private static JsonNode list(List<EndpointCatalog.Entry> entries) {
         try {
-            return JSON.readTree(new EndpointCatalog(entries).all(UnaryOperator.identity()));
+            return JSON.readTree(new EndpointCatalog(entries).fullList(UnaryOperator.identity()));
         } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
-            throw new IllegalStateException(e); // never: it was made as JSON
+            throw new IllegalStateException(e); // unreachable: the text was generated as JSON
         }
     }
 
@@ -54,10 +58,10 @@
         TestClusterPlan.Rules rules = plan.rules();
         settings.putObject("rules")
                 .put("answerSlack", 20.0)
-                .put("drainGrace", rules.drainGraceMs())
-                .put("cold", firstHost.warmUpMs())
+                .put("drainGrace", rules.drainGraceMillis())
+                .put("cold", firstHost.warmUpMillis())
                 .put("startCapacity", firstHost.initialCapacityShare())
-                .put("fall", rules.overloadWindowMs())
+                .put("fall", rules.overloadWindowMillis())
                 .put("fallMultiple", rules.overloadMultiple());
         settings.putArray("tenants");
         return settings;
@@ -67,19 +71,19 @@
         for (RequestClassSpec spec : plan.classes()) {
             classes.addObject()
                     .put("name", spec.name())
-                    .put("aim", spec.latencyObjectiveMs())
-                    .put("deadline", spec.deadlineMs())
+                    .put("aim", spec.latencyObjectiveMillis())
+                    .put("deadline", spec.deadlineMillis())
                     .put("semantics", spec.semantics().setting())
                     .put("keyScope", spec.scope().setting())
-                    .put("repeatWindow", spec.idempotencyWindowMs())
+                    .put("repeatWindow", spec.idempotencyWindowMillis())
                     .put("value", spec.priorityWeight());
         }
     }
 
     private static void addLimits(TestClusterPlan plan, ObjectNode limits) {
         limits.put("cancel", true)
-                .put("connIdle", plan.hosts().get(0).idleMs())
-                .put("connectTimeout", plan.rules().connectTimeoutMs())
+                .put("connIdle", plan.hosts().get(0).idleMillis())
+                .put("connectTimeout", plan.rules().connectTimeoutMillis())
                 .put("maxAttempts", plan.rules().maxAttempts())
                 .put("maxOpen", 20_000)
                 .put("parallelTries", true)
