--- a/src/main/java/rillyard/audit/AtMostOnceRule.java
+++ b/src/main/java/rillyard/audit/AtMostOnceRule.java
@@ -21,32 +21,33 @@
 
     void check(Consumer<Violation> violations) {
         Set<String> seen = new HashSet<>();
-        for (List<ClientAttempt> tries : evidence.attemptsByRequest().values()) {
-            List<HostExecution> ran = new ArrayList<>();
+        for (List<ClientAttempt> attempts : evidence.attemptsByRequest().values()) {
+            List<HostExecution> executions = new ArrayList<>();
             Set<String> ids = new HashSet<>();
-            for (ClientAttempt attempt : tries) {
+            for (ClientAttempt attempt : attempts) {
                 if (ids.add(attempt.requestId())) {
                     evidence.executionsById(attempt.requestId()).stream()
                             .filter(HostExecution::mayHaveRun)
-                            .forEach(ran::add);
+                            .forEach(executions::add);
                 }
-                checkRefusal(attempt, violations);
+                checkRejection(attempt, violations);
             }
             seen.addAll(ids);
-            once(tries.get(0).requestClass(), "request " + tries.get(0).request(), ran, violations);
+            checkExecutedOnce(
+                    attempts.get(0).requestClass(), "request " + attempts.get(0).request(), executions, violations);
         }
-        evidence.executionsById().forEach((id, runs) -> {
+        evidence.executionsById().forEach((id, executions) -> {
             if (!seen.contains(id)) { // a client that keeps no request log sent it
-                once(
-                        runs.get(0).requestClass(),
+                checkExecutedOnce(
+                        executions.get(0).requestClass(),
                         "id " + id,
-                        runs.stream().filter(HostExecution::mayHaveRun).toList(),
+                        executions.stream().filter(HostExecution::mayHaveRun).toList(),
                         violations);
             }
         });
-        evidence.executionsByKey().forEach((key, runs) -> {
+        evidence.executionsByKey().forEach((key, executions) -> {
             List<HostExecution> effects =
-                    runs.stream().filter(HostExecution::hadEffect).toList();
+                    executions.stream().filter(HostExecution::hadEffect).toList();
             if (effects.size() > 1) {
                 HostExecution second = effects.get(1);
                 violations.accept(new Violation(
@@ -58,18 +59,20 @@
         });
     }
 
-    private void once(String type, String what, List<HostExecution> ran, Consumer<Violation> violations) {
-        if (ran.size() > 1 && settings.requestClass(type).semantics() == AuditSettings.Semantics.AT_MOST_ONCE) {
-            HostExecution second = ran.get(1);
+    private void checkExecutedOnce(
+            String className, String subject, List<HostExecution> executions, Consumer<Violation> violations) {
+        if (executions.size() > 1
+                && settings.requestClass(className).semantics() == AuditSettings.Semantics.AT_MOST_ONCE) {
+            HostExecution second = executions.get(1);
             violations.accept(new Violation(
                     Violation.Rule.EFFECT,
                     second.receivedAt(),
-                    what + " of " + type + " may have run " + ran.size() + " times",
+                    subject + " of " + className + " may have run " + executions.size() + " times",
                     evidence.history(second.requestId())));
         }
     }
 
-    private void checkRefusal(ClientAttempt attempt, Consumer<Violation> violations) {
+    private void checkRejection(ClientAttempt attempt, Consumer<Violation> violations) {
         AuditSettings.RequestClass requestClass = settings.requestClass(attempt.requestClass());
         boolean harmless = requestClass.semantics() == AuditSettings.Semantics.IDEMPOTENT
                 || (requestClass.semantics() == AuditSettings.Semantics.DEDUPLICATED
--- a/src/main/java/rillyard/audit/Audit.java
+++ b/src/main/java/rillyard/audit/Audit.java
@@ -61,8 +61,8 @@
     }
 
     /** Adds a record of either log. */
-    public void add(LogRecord line) {
-        evidence.add(line);
+    public void add(LogRecord logRecord) {
+        evidence.add(logRecord);
     }
 
     /** Checks all rules against the records added so far. */
--- a/src/main/java/rillyard/audit/AuditSettings.java
+++ b/src/main/java/rillyard/audit/AuditSettings.java
@@ -115,8 +115,8 @@
                 rules.path("fallMultiple").asDouble(3));
     }
 
-    private static long micros(double ms) {
-        return (long) (1_000 * ms);
+    private static long micros(double millis) {
+        return (long) (1_000 * millis);
     }
 
     /** The class of a name; one that is not known is taken for the strictest kind. */
--- a/src/main/java/rillyard/audit/DrainingRule.java
+++ b/src/main/java/rillyard/audit/DrainingRule.java
@@ -19,8 +19,8 @@
         long notifiedAt;
         long endedAt = Long.MAX_VALUE;
 
-        Span(long changed) {
-            this.changedAt = changed;
+        Span(long changedAt) {
+            this.changedAt = changedAt;
         }
     }
 
@@ -35,18 +35,18 @@
     void check(Consumer<Violation> violations) {
         spans().forEach((host, spans) -> {
             for (Span span : spans) {
-                long counted = span.changedAt + settings.maxNotificationDelay();
-                long told = span.notifiedAt == 0 ? counted : Math.min(counted, span.notifiedAt);
-                check(host, span, told + settings.drainGrace() + settings.socketSlack(), told, violations);
+                long latestNotifiedAt = span.changedAt + settings.maxNotificationDelay();
+                long notifiedAt = span.notifiedAt == 0 ? latestNotifiedAt : Math.min(latestNotifiedAt, span.notifiedAt);
+                check(host, span, notifiedAt + settings.drainGrace() + settings.socketSlack(), notifiedAt, violations);
             }
         });
     }
 
-    private void check(String host, Span span, long from, long told, Consumer<Violation> violations) {
+    private void check(String host, Span span, long graceEndsAt, long notifiedAt, Consumer<Violation> violations) {
         int count = 0;
         HostExecution first = null;
         for (HostExecution execution : evidence.executionsByHost(host)) {
-            if (execution.receivedAt() > from && execution.receivedAt() < span.endedAt) {
+            if (execution.receivedAt() > graceEndsAt && execution.receivedAt() < span.endedAt) {
                 first = first == null ? execution : first;
                 count++;
             }
@@ -67,16 +67,16 @@
                     Violation.Rule.DRAIN,
                     first.receivedAt(),
                     "host " + host + " drains or is gone, and got " + count + " requests past the grace, the"
-                            + " first, id " + first.requestId() + ", " + (first.receivedAt() - told) / 1_000
+                            + " first, id " + first.requestId() + ", " + (first.receivedAt() - notifiedAt) / 1_000
                             + " ms after that was told",
                     history));
         }
     }
 
     private Map<String, List<Span>> spans() {
-        Map<String, List<Span>> all = new HashMap<>();
+        Map<String, List<Span>> spansByHost = new HashMap<>();
         for (WatchNotification notification : evidence.notifications) {
-            List<Span> spans = all.computeIfAbsent(notification.host(), h -> new ArrayList<>());
+            List<Span> spans = spansByHost.computeIfAbsent(notification.host(), h -> new ArrayList<>());
             Span last = spans.isEmpty() ? null : spans.get(spans.size() - 1);
             boolean open = last != null && last.endedAt == Long.MAX_VALUE;
             if (notification.state().equals("up")) {
@@ -93,6 +93,6 @@
                 last.notifiedAt = notification.at();
             }
         }
-        return all;
+        return spansByHost;
     }
 }
--- a/src/main/java/rillyard/audit/Evidence.java
+++ b/src/main/java/rillyard/audit/Evidence.java
@@ -26,25 +26,25 @@
     private final Map<Long, List<ClientAttempt>> attemptsByRequest = new HashMap<>();
     private final Map<String, Long> requestById = new HashMap<>();
 
-    void add(LogRecord line) {
-        if (line instanceof ClientAttempt attempt) {
+    void add(LogRecord logRecord) {
+        if (logRecord instanceof ClientAttempt attempt) {
             attempts.add(attempt);
             attemptsByRequest
                     .computeIfAbsent(attempt.request(), k -> new ArrayList<>(1))
                     .add(attempt);
             requestById.put(attempt.requestId(), attempt.request());
-        } else if (line instanceof UnexpectedResponse response) {
+        } else if (logRecord instanceof UnexpectedResponse response) {
             unexpectedResponses.add(response);
-        } else if (line instanceof HostExecution execution) {
+        } else if (logRecord instanceof HostExecution execution) {
             executions.add(execution);
             put(executionsById, execution.requestId(), execution);
             put(executionsByHost, execution.host(), execution);
             if (execution.idempotencyKey() != null) {
                 put(executionsByKey, execution.requestClass() + "/" + execution.idempotencyKey(), execution);
             }
-        } else if (line instanceof HostEvent event) {
+        } else if (logRecord instanceof HostEvent event) {
             hostEvents.add(event);
-        } else if (line instanceof WatchNotification notification) {
+        } else if (logRecord instanceof WatchNotification notification) {
             notifications.add(notification);
         }
     }
@@ -88,46 +88,51 @@
     /** All that is known of the request that an id belongs to. */
     List<String> history(String id) {
         Long request = requestById.get(id);
-        List<ClientAttempt> of = request == null ? List.of() : attemptsByRequest.getOrDefault(request, List.of());
-        List<HostExecution> ran = new ArrayList<>();
-        if (of.isEmpty()) {
-            ran.addAll(executionsById(id));
+        List<ClientAttempt> requestAttempts =
+                request == null ? List.of() : attemptsByRequest.getOrDefault(request, List.of());
+        List<HostExecution> requestExecutions = new ArrayList<>();
+        if (requestAttempts.isEmpty()) {
+            requestExecutions.addAll(executionsById(id));
         }
-        of.stream().map(ClientAttempt::requestId).distinct().forEach(i -> ran.addAll(executionsById(i)));
-        return history(of, ran);
+        requestAttempts.stream()
+                .map(ClientAttempt::requestId)
+                .distinct()
+                .forEach(requestId -> requestExecutions.addAll(executionsById(requestId)));
+        return history(requestAttempts, requestExecutions);
     }
 
     /** Lines for a reader, in the order of the times, which count in ms from the first. */
-    static List<String> history(List<ClientAttempt> tries, List<HostExecution> runs) {
+    static List<String> history(List<ClientAttempt> attempts, List<HostExecution> executions) {
         record At(long at, String text) {}
-        List<At> all = new ArrayList<>();
-        for (ClientAttempt attempt : tries) {
-            all.add(new At(
+        List<At> entries = new ArrayList<>();
+        for (ClientAttempt attempt : attempts) {
+            entries.add(new At(
                     attempt.sentAt(),
                     "client " + attempt.client() + " sends try " + attempt.attemptNumber() + " of request "
                             + attempt.request() + " (" + attempt.requestClass() + "), id " + attempt.requestId()
                             + (attempt.idempotencyKey() == null ? "" : ", key " + attempt.idempotencyKey())
                             + ", waits " + attempt.timeoutMicros() / 1_000 + " ms"));
-            all.add(new At(
+            entries.add(new At(
                     attempt.endedAt(),
                     "client has try " + attempt.attemptNumber() + " end: " + attempt.outcome()
                             + (attempt.status() == 0 ? "" : " " + attempt.status())));
         }
-        for (HostExecution execution : runs) {
-            all.add(new At(
+        for (HostExecution execution : executions) {
+            entries.add(new At(
                     execution.receivedAt(),
                     "host " + execution.host() + " (cell " + execution.cell() + ") receives id " + execution.requestId()
                             + ", the " + (execution.attempt() + 1) + ". time it comes"));
             if (execution.startedAt() != 0) {
-                all.add(new At(execution.startedAt(), "host " + execution.host() + " begins to run it"));
+                entries.add(new At(execution.startedAt(), "host " + execution.host() + " begins to run it"));
             }
-            all.add(new At(
+            entries.add(new At(
                     execution.endedAt(), "host " + execution.host() + " is done with it: " + execution.result()));
         }
-        all.sort(Comparator.comparingLong(At::at));
-        long zero = all.isEmpty() ? 0 : all.get(0).at();
-        return all.stream()
-                .map(a -> String.format(Locale.ROOT, "%+10.3f ms  %s", (a.at() - zero) / 1_000.0, a.text()))
+        entries.sort(Comparator.comparingLong(At::at));
+        long firstMicros = entries.isEmpty() ? 0 : entries.get(0).at();
+        return entries.stream()
+                .map(entry -> String.format(
+                        Locale.ROOT, "%+10.3f ms  %s", (entry.at() - firstMicros) / 1_000.0, entry.text()))
                 .toList();
     }
 }
--- a/src/main/java/rillyard/audit/IdempotencyKeyRule.java
+++ b/src/main/java/rillyard/audit/IdempotencyKeyRule.java
@@ -15,14 +15,14 @@
     }
 
     void check(Consumer<Violation> violations) {
-        for (List<HostExecution> runs : evidence.executionsById().values()) {
+        for (List<HostExecution> executions : evidence.executionsById().values()) {
             AuditSettings.RequestClass requestClass =
-                    settings.requestClass(runs.get(0).requestClass());
+                    settings.requestClass(executions.get(0).requestClass());
             if (requestClass.semantics() != AuditSettings.Semantics.DEDUPLICATED) {
                 continue;
             }
             HostExecution first = null;
-            for (HostExecution execution : runs) {
+            for (HostExecution execution : executions) {
                 if (first != null) {
                     check(requestClass, first, execution, violations);
                 } else if (execution.mayHaveRun()) {
@@ -35,27 +35,28 @@
     private void check(
             AuditSettings.RequestClass requestClass,
             HostExecution first,
-            HostExecution again,
+            HostExecution repeat,
             Consumer<Violation> violations) {
-        boolean group =
+        boolean inScope =
                 switch (requestClass.keyScope()) {
                     case ALL -> true;
-                    case ZONE -> first.zone().equals(again.zone());
-                    case CELL -> first.cell() == again.cell();
+                    case ZONE -> first.zone().equals(repeat.zone());
+                    case CELL -> first.cell() == repeat.cell();
                 };
-        long late = again.receivedAt() - first.receivedAt() - requestClass.idempotencyWindow() - settings.socketSlack();
-        if (!group || late > 0) {
+        long latenessMicros =
+                repeat.receivedAt() - first.receivedAt() - requestClass.idempotencyWindow() - settings.socketSlack();
+        if (!inScope || latenessMicros > 0) {
             violations.accept(new Violation(
                     Violation.Rule.KEYED,
-                    again.receivedAt(),
-                    "id " + again.requestId() + " of " + requestClass.name() + " came again "
-                            + (group
-                                    ? late / 1_000 + " ms past its window"
+                    repeat.receivedAt(),
+                    "id " + repeat.requestId() + " of " + requestClass.name() + " came again "
+                            + (inScope
+                                    ? latenessMicros / 1_000 + " ms past its window"
                                     : "outside of its "
                                             + requestClass.keyScope().name().toLowerCase(java.util.Locale.ROOT)
                                             + ", at "
-                                            + again.host()),
-                    evidence.history(again.requestId())));
+                                            + repeat.host()),
+                    evidence.history(repeat.requestId())));
         }
     }
 }
--- a/src/main/java/rillyard/audit/SingleResponseRule.java
+++ b/src/main/java/rillyard/audit/SingleResponseRule.java
@@ -19,20 +19,20 @@
     }
 
     void check(Consumer<Violation> violations) {
-        for (List<ClientAttempt> tries : evidence.attemptsByRequest().values()) {
-            for (int i = 0; i < tries.size(); i++) {
-                ClientAttempt attempt = tries.get(i);
+        for (List<ClientAttempt> attempts : evidence.attemptsByRequest().values()) {
+            for (int i = 0; i < attempts.size(); i++) {
+                ClientAttempt attempt = attempts.get(i);
                 if (attempt.attemptNumber() != i) {
-                    violations.accept(breach(
+                    violations.accept(violation(
                             attempt,
                             "request " + attempt.request() + " has two ends of try " + attempt.attemptNumber()
                                     + ", or none of try " + i));
                 }
                 check(attempt, violations);
             }
-            ClientAttempt last = tries.get(tries.size() - 1);
+            ClientAttempt last = attempts.get(attempts.size() - 1);
             if (!last.lastAttempt()) {
-                violations.accept(breach(last, "request " + last.request() + " has no final answer in the ledger"));
+                violations.accept(violation(last, "request " + last.request() + " has no final answer in the ledger"));
             }
         }
         for (UnexpectedResponse response : evidence.unexpectedResponses) {
@@ -46,31 +46,31 @@
 
     private void check(ClientAttempt attempt, Consumer<Violation> violations) {
         ClientOutcome outcome = attempt.outcome();
-        long due = attempt.sentAt() + attempt.timeoutMicros() + settings.answerSlack() + settings.socketSlack();
+        long deadline = attempt.sentAt() + attempt.timeoutMicros() + settings.answerSlack() + settings.socketSlack();
         if (outcome.isLost()) {
-            violations.accept(breach(attempt, "id " + attempt.requestId() + " was lost: " + outcome));
-        } else if (answered(outcome) && attempt.endedAt() > due) {
-            violations.accept(breach(
+            violations.accept(violation(attempt, "id " + attempt.requestId() + " was lost: " + outcome));
+        } else if (hasResponse(outcome) && attempt.endedAt() > deadline) {
+            violations.accept(violation(
                     attempt,
-                    "id " + attempt.requestId() + " was answered " + (attempt.endedAt() - due) / 1_000
+                    "id " + attempt.requestId() + " was answered " + (attempt.endedAt() - deadline) / 1_000
                             + " ms too late: " + outcome));
-        } else if (outcome == ClientOutcome.SERVED && !made(attempt.requestId())) {
+        } else if (outcome == ClientOutcome.SERVED && !wasExecuted(attempt.requestId())) {
             violations.accept(
-                    breach(attempt, "id " + attempt.requestId() + " was served with what no host made for it"));
-        } else if (outcome == ClientOutcome.STALE && received(attempt)) {
-            violations.accept(breach(
+                    violation(attempt, "id " + attempt.requestId() + " was served with what no host made for it"));
+        } else if (outcome == ClientOutcome.STALE && wasReceived(attempt)) {
+            violations.accept(violation(
                     attempt,
                     "id " + attempt.requestId() + " was taken and passed on, and its connection ended"
                             + " without an answer"));
         }
     }
 
-    private static boolean answered(ClientOutcome outcome) {
+    private static boolean hasResponse(ClientOutcome outcome) {
         return outcome == ClientOutcome.SERVED || outcome == ClientOutcome.REFUSED || outcome == ClientOutcome.FAILED;
     }
 
-    private boolean made(String id) {
-        for (HostExecution execution : evidence.executionsById(id)) {
+    private boolean wasExecuted(String requestId) {
+        for (HostExecution execution : evidence.executionsById(requestId)) {
             if (execution.result() == ExecutionResult.DONE || execution.result() == ExecutionResult.REMEMBERED) {
                 return true;
             }
@@ -78,13 +78,14 @@
         return false;
     }
 
-    private boolean received(ClientAttempt attempt) {
+    private boolean wasReceived(ClientAttempt attempt) {
         return evidence.executionsById(attempt.requestId()).stream()
                 .anyMatch(execution -> execution.receivedAt() <= attempt.endedAt()
                         && execution.result() != ExecutionResult.TURNED_AWAY);
     }
 
-    private Violation breach(ClientAttempt attempt, String what) {
-        return new Violation(Violation.Rule.ANSWER, attempt.endedAt(), what, evidence.history(attempt.requestId()));
+    private Violation violation(ClientAttempt attempt, String description) {
+        return new Violation(
+                Violation.Rule.ANSWER, attempt.endedAt(), description, evidence.history(attempt.requestId()));
     }
 }
--- a/src/main/java/rillyard/audit/SlowStartRule.java
+++ b/src/main/java/rillyard/audit/SlowStartRule.java
@@ -81,12 +81,13 @@
     /** Work that the host can do between two times: its share rises evenly while it gets warm. */
     private static double capacity(HostEvent start, long from, long to) {
         // A window that began before the host did has its whole length, at the share of the start.
-        double a = from - start.at();
-        double b = to - start.at();
-        double before = Math.max(0, -a) * start.initialCapacityShare();
-        double low = Math.max(0, a);
+        double fromOffset = from - start.at();
+        double toOffset = to - start.at();
+        double before = Math.max(0, -fromOffset) * start.initialCapacityShare();
+        double rampOffset = Math.max(0, fromOffset);
         double slope = (1 - start.initialCapacityShare()) / start.warmUpMicros();
-        double rise = start.initialCapacityShare() * (b - low) + slope * (b * b - low * low) / 2;
+        double rise = start.initialCapacityShare() * (toOffset - rampOffset)
+                + slope * (toOffset * toOffset - rampOffset * rampOffset) / 2;
         return start.capacity() * (before + rise);
     }
 }
--- a/src/main/java/rillyard/benchmark/CpuContention.java
+++ b/src/main/java/rillyard/benchmark/CpuContention.java
@@ -11,7 +11,7 @@
  * start, which is all work, and kinder than a quota to what comes after it.
  */
 public final class CpuContention implements AutoCloseable {
-    private final List<Process> all = new ArrayList<>();
+    private final List<Process> processes = new ArrayList<>();
 
     /**
      * Starts them.
@@ -21,9 +21,10 @@
      * @throws IOException if one can't be started, as where {@code taskset} is missing
      */
     public CpuContention(String core, double share) throws IOException {
-        int n = (int) Math.round(1 / share) - 1;
-        for (int i = 0; i < n; i++) {
-            all.add(new ProcessBuilder("/usr/bin/taskset", "-c", core, "/bin/sh", "-c", "while :; do :; done").start());
+        int count = (int) Math.round(1 / share) - 1;
+        for (int i = 0; i < count; i++) {
+            processes.add(
+                    new ProcessBuilder("/usr/bin/taskset", "-c", core, "/bin/sh", "-c", "while :; do :; done").start());
         }
     }
 
@@ -33,7 +34,7 @@
      * @throws IllegalStateException if one has ended by itself
      */
     public void checkRunning() {
-        for (Process process : all) {
+        for (Process process : processes) {
             if (!process.isAlive()) {
                 throw new IllegalStateException("a busy neighbour has ended by itself");
             }
@@ -42,6 +43,6 @@
 
     @Override
     public void close() {
-        all.forEach(Process::destroyForcibly);
+        processes.forEach(Process::destroyForcibly);
     }
 }
--- a/src/main/java/rillyard/benchmark/FleetTraceStatistics.java
+++ b/src/main/java/rillyard/benchmark/FleetTraceStatistics.java
@@ -30,11 +30,11 @@
         final List<Long> sendsWhileWarmingUp = new ArrayList<>();
 
         /** The most that it was sent while cold within any stretch of so many ms. */
-        int mostCold(long stretch) {
+        int maxSendsWithin(long windowMillis) {
             sendsWhileWarmingUp.sort(Comparator.naturalOrder());
             int most = 0;
             for (int first = 0, last = 0; last < sendsWhileWarmingUp.size(); last++) {
-                while (sendsWhileWarmingUp.get(last) - sendsWhileWarmingUp.get(first) >= stretch) {
+                while (sendsWhileWarmingUp.get(last) - sendsWhileWarmingUp.get(first) >= windowMillis) {
                     first++;
                 }
                 most = Math.max(most, last - first + 1);
@@ -46,29 +46,29 @@
     /** Results of attempts of which nothing came to the host. */
     private static final Set<String> UNSENT = Set.of("CONNECT_FAILED", "MOOT");
 
-    private record Told(String proxy, int number, TraceEvent line) {}
+    private record ProxyEvent(String proxy, int number, TraceEvent event) {}
 
-    private final long window;
-    private final long coldWindow;
-    private final List<Told> events = new ArrayList<>();
+    private final long windowMillis;
+    private final long warmUpWindowMillis;
+    private final List<ProxyEvent> events = new ArrayList<>();
     private final Map<String, HostCount> hosts = new TreeMap<>();
     private final Map<String, Integer> attempts = new TreeMap<>();
-    private final Map<String, Integer> refused = new TreeMap<>();
-    private final Map<String, Integer> failed = new TreeMap<>();
+    private final Map<String, Integer> rejections = new TreeMap<>();
+    private final Map<String, Integer> failures = new TreeMap<>();
     private int proxies;
     private int starts;
-    private int lists;
-    private int torn;
+    private int listRequests;
+    private int tornLines;
 
     /**
      * Starts with nothing.
      *
-     * @param window the length (ms) of a row of the fault schedule
-     * @param coldWindow the stretch (ms) over which work at a warming-up host is summed
+     * @param windowMillis the length (ms) of a row of the fault schedule
+     * @param warmUpWindowMillis the stretch (ms) over which work at a warming-up host is summed
      */
-    public FleetTraceStatistics(long window, long coldWindow) {
-        this.window = window;
-        this.coldWindow = coldWindow;
+    public FleetTraceStatistics(long windowMillis, long warmUpWindowMillis) {
+        this.windowMillis = windowMillis;
+        this.warmUpWindowMillis = warmUpWindowMillis;
     }
 
     /**
@@ -78,83 +78,87 @@
      * @throws IOException what reading throws
      */
     public void read(String proxy, BufferedReader log) throws IOException {
-        boolean any = false;
+        boolean hasEvents = false;
         String line;
         while ((line = log.readLine()) != null) {
             try {
                 TraceEvent event = TraceEvent.parse(line);
                 if (event != null) {
-                    any = true;
-                    events.add(new Told(proxy, events.size(), event));
+                    hasEvents = true;
+                    events.add(new ProxyEvent(proxy, events.size(), event));
                 }
             } catch (IllegalArgumentException e) {
-                torn++;
+                tornLines++;
             }
         }
-        proxies += any ? 1 : 0;
+        proxies += hasEvents ? 1 : 0;
     }
 
     /** Whether any trace was found. */
-    public boolean empty() {
+    public boolean isEmpty() {
         return events.isEmpty();
     }
 
     /** Sums up in the order of time, whatever the order of the logs; to be called once. */
     FleetTraceStatistics sum() {
-        events.sort(Comparator.comparingLong((Told t) -> t.line().unixMillis()).thenComparingInt(Told::number));
+        events.sort(Comparator.comparingLong(
+                        (ProxyEvent proxyEvent) -> proxyEvent.event().unixMillis())
+                .thenComparingInt(ProxyEvent::number));
         Map<String, Map<String, Integer>> open = new HashMap<>(); // by proxy and host
-        for (Told t : events) {
-            TraceEvent event = t.line();
-            Map<String, Integer> mine = open.computeIfAbsent(t.proxy(), p -> new HashMap<>());
+        for (ProxyEvent proxyEvent : events) {
+            TraceEvent event = proxyEvent.event();
+            Map<String, Integer> openByHost = open.computeIfAbsent(proxyEvent.proxy(), p -> new HashMap<>());
             switch (event.kind()) {
                 case STARTED -> {
                     starts++;
-                    mine.forEach((h, n) -> host(h).open -= n);
-                    mine.clear();
+                    openByHost.forEach((hostName, count) -> host(hostName).open -= count);
+                    openByHost.clear();
                 }
                 case CONNECTED -> {
                     HostCount counts = host(event.host());
                     counts.connects++;
                     counts.open++;
                     counts.maxOpen = Math.max(counts.maxOpen, counts.open);
-                    mine.merge(event.host(), 1, Integer::sum);
+                    openByHost.merge(event.host(), 1, Integer::sum);
                 }
                 case CONNECT_FAILED -> host(event.host()).failedConnects++;
                 case CLOSED -> {
                     host(event.host()).open--;
-                    mine.merge(event.host(), -1, Integer::sum);
+                    openByHost.merge(event.host(), -1, Integer::sum);
                 }
-                case ATTEMPT -> {
-                    HostCount hostCount = host(event.host());
-                    hostCount.attempts++;
-                    hostCount.rejected += event.detail().equals("FULL") ? 1 : 0;
-                    if (event.warmingUp() && !UNSENT.contains(event.detail())) {
-                        hostCount.sendsWhileWarmingUp.add(event.unixMillis() - event.durationMillis());
-                    }
-                    attempts.merge(event.detail(), 1, Integer::sum);
-                }
-                case REFUSED -> refused.merge(event.detail(), 1, Integer::sum);
-                case FAILED -> failed.merge(event.detail(), 1, Integer::sum);
-                case LIST -> lists++;
+                case ATTEMPT -> addAttempt(event);
+                case REFUSED -> rejections.merge(event.detail(), 1, Integer::sum);
+                case FAILED -> failures.merge(event.detail(), 1, Integer::sum);
+                case LIST -> listRequests++;
             }
         }
         return this;
     }
 
+    private void addAttempt(TraceEvent event) {
+        HostCount counts = host(event.host());
+        counts.attempts++;
+        counts.rejected += event.detail().equals("FULL") ? 1 : 0;
+        if (event.warmingUp() && !UNSENT.contains(event.detail())) {
+            counts.sendsWhileWarmingUp.add(event.unixMillis() - event.durationMillis());
+        }
+        attempts.merge(event.detail(), 1, Integer::sum);
+    }
+
     HostCount host(String name) {
         return hosts.computeIfAbsent(name, h -> new HostCount());
     }
 
-    Map<String, Integer> refusedAfter() {
-        return refused;
+    Map<String, Integer> rejectionsByLastResult() {
+        return rejections;
     }
 
     int starts() {
         return starts;
     }
 
-    int torn() {
-        return torn;
+    int tornLines() {
+        return tornLines;
     }
 
     /** Sums up and prints the tables, in Markdown. */
@@ -162,39 +166,42 @@
         sum();
         out.println("| over the fleet | |\n| --- | --- |");
         out.println("| proxies, their starts | " + proxies + ", " + starts + " |");
-        out.println("| attempts by result | " + words(attempts) + " |");
-        out.println("| refused, by the last attempt's result | " + words(refused) + " |");
-        out.println("| failed, by the last attempt's result | " + words(failed) + " |");
-        out.println("| calls for the list | " + lists + " |");
-        out.println("| torn lines | " + torn + " |");
+        out.println("| attempts by result | " + format(attempts) + " |");
+        out.println("| refused, by the last attempt's result | " + format(rejections) + " |");
+        out.println("| failed, by the last attempt's result | " + format(failures) + " |");
+        out.println("| calls for the list | " + listRequests + " |");
+        out.println("| torn lines | " + tornLines + " |");
         out.println("\n| of " + hosts.size() + " hosts, each | mean | most |\n| --- | --- | --- |");
-        row(out, "connections opened", counts -> counts.connects);
-        row(out, "connects that failed", hostCount -> hostCount.failedConnects);
-        row(out, "open at once", h -> h.maxOpen);
-        row(out, "attempts", h -> h.attempts);
-        row(out, "turned away", h -> h.rejected);
-        row(out, "sends while cold", h -> h.sendsWhileWarmingUp.size());
-        row(out, "of them within " + coldWindow + " ms", h -> h.mostCold(coldWindow));
-        timetable(out);
+        printRow(out, "connections opened", counts -> counts.connects);
+        printRow(out, "connects that failed", counts -> counts.failedConnects);
+        printRow(out, "open at once", counts -> counts.maxOpen);
+        printRow(out, "attempts", counts -> counts.attempts);
+        printRow(out, "turned away", counts -> counts.rejected);
+        printRow(out, "sends while cold", counts -> counts.sendsWhileWarmingUp.size());
+        printRow(
+                out,
+                "of them within " + warmUpWindowMillis + " ms",
+                counts -> counts.maxSendsWithin(warmUpWindowMillis));
+        printTimeline(out);
     }
 
-    private void row(PrintStream out, String what, ToIntFunction<HostCount> count) {
+    private void printRow(PrintStream out, String label, ToIntFunction<HostCount> count) {
         out.printf(
                 Locale.ROOT,
                 "| %s | %.1f | %d |%n",
-                what,
+                label,
                 hosts.values().stream().mapToInt(count).average().orElse(0),
                 hosts.values().stream().mapToInt(count).max().orElse(0));
     }
 
-    private void timetable(PrintStream out) {
+    private void printTimeline(PrintStream out) {
         out.println("\n| from, s | attempts | answered | turned away | lost, failed | refused |"
                 + "\n| --- | --- | --- | --- | --- | --- |");
         Map<Long, int[]> rows = new TreeMap<>();
-        long first = events.isEmpty() ? 0 : events.get(0).line().unixMillis();
-        for (Told t : events) {
-            TraceEvent event = t.line();
-            int[] row = rows.computeIfAbsent((event.unixMillis() - first) / window, w -> new int[5]);
+        long first = events.isEmpty() ? 0 : events.get(0).event().unixMillis();
+        for (ProxyEvent proxyEvent : events) {
+            TraceEvent event = proxyEvent.event();
+            int[] row = rows.computeIfAbsent((event.unixMillis() - first) / windowMillis, rowNumber -> new int[5]);
             if (event.kind() == TraceEvent.Kind.ATTEMPT) {
                 row[0]++;
                 switch (event.detail()) {
@@ -207,16 +214,23 @@
                 row[4]++;
             }
         }
-        rows.forEach((w, n) -> out.printf(
-                Locale.ROOT, "| %.1f | %d | %d | %d | %d | %d |%n", w * window / 1e3, n[0], n[1], n[2], n[3], n[4]));
+        rows.forEach((rowNumber, counts) -> out.printf(
+                Locale.ROOT,
+                "| %.1f | %d | %d | %d | %d | %d |%n",
+                rowNumber * windowMillis / 1e3,
+                counts[0],
+                counts[1],
+                counts[2],
+                counts[3],
+                counts[4]));
     }
 
-    private static String words(Map<String, Integer> counts) {
+    private static String format(Map<String, Integer> counts) {
         StringBuilder out = new StringBuilder();
-        counts.forEach((how, n) -> out.append(out.isEmpty() ? "" : ", ")
-                .append(how.equals(TraceEvent.NONE) ? "none" : how)
+        counts.forEach((result, count) -> out.append(out.isEmpty() ? "" : ", ")
+                .append(result.equals(TraceEvent.NONE) ? "none" : result)
                 .append(' ')
-                .append(n));
+                .append(count));
         return out.isEmpty() ? "none" : out.toString();
     }
 }
--- a/src/main/java/rillyard/benchmark/ProxyOverheadBenchmark.java
+++ b/src/main/java/rillyard/benchmark/ProxyOverheadBenchmark.java
@@ -150,14 +150,14 @@
      *
      * @throws Exception if a process could not be started
      */
-    public void highestRate(int from, int step, int most, int seconds) throws Exception {
+    public void highestRate(int firstRate, int step, int maxRate, int seconds) throws Exception {
         try (ChildProcess hosts = hosts()) {
             Path ready = folder.resolve("ready.json");
             hosts.awaitFile(ready);
             String direct = addresses(ready);
             out.printf("%8s %9s %9s %11s %s%n", "rate 1/s", "p50 ms", "p99", "us/request", "");
             int failures = 0;
-            for (int rate = from; rate <= most && failures < 2; rate += step) {
+            for (int rate = firstRate; rate <= maxRate && failures < 2; rate += step) {
                 Run run = load(hosts::cpuTime, direct, rate, seconds);
                 failures += run.valid ? 0 : 1;
                 out.printf(
@@ -175,30 +175,30 @@
     private ChildProcess hosts() throws IOException {
         Path ready = folder.resolve("ready.json");
         Files.deleteIfExists(ready);
-        Path timetable = Files.writeString(folder.resolve("hosts.toml"), HOSTS);
+        Path hostsFile = Files.writeString(folder.resolve("hosts.toml"), HOSTS);
         return ChildProcess.start(
                 LaunchCommand.self().on("2-5"),
                 folder.resolve("hosts.log"),
                 null,
                 "stand-in",
                 "--timetable",
-                timetable.toString(),
+                hostsFile.toString(),
                 "--ready-file",
                 ready.toString(),
                 "--threads",
                 "4");
     }
 
-    private Run load(Supplier<Duration> bearer, String target, int rate, int seconds)
+    private Run load(Supplier<Duration> cpuTime, String target, int rate, int seconds)
             throws IOException, InterruptedException {
         Path plan = Files.writeString(
                 folder.resolve("plan.toml"),
                 "seed = " + ++runs + "\n[clients]\ncount = 100\n[[shape]]\nkind = \"poisson\"\nfor_s = " + seconds
                         + "\nrate = " + rate + "\n");
-        Path json = folder.resolve("run-" + runs + ".json");
+        Path reportFile = folder.resolve("run-" + runs + ".json");
         try (ChildProcess load = ChildProcess.start(
                 LaunchCommand.self().with(List.of("@deploy/load.jvm")).on("0"),
-                json,
+                reportFile,
                 null,
                 "load",
                 "--target",
@@ -206,34 +206,34 @@
                 "--plan",
                 plan.toString(),
                 "--json")) {
-            double before = bearer.get().toNanos() / 1e3;
+            double cpuBefore = cpuTime.get().toNanos() / 1e3;
             load.await();
-            double cpu = bearer.get().toNanos() / 1e3 - before;
-            JsonNode node = JSON.readTree(json.toFile());
-            JsonNode all = node.path("total");
-            double offered = all.path("offered").asDouble();
+            double cpu = cpuTime.get().toNanos() / 1e3 - cpuBefore;
+            JsonNode node = JSON.readTree(reportFile.toFile());
+            JsonNode total = node.path("total");
+            double offered = total.path("offered").asDouble();
             return new Run(
                     node.path("valid").asBoolean(),
-                    all.path("latency").path("p50").asDouble(),
-                    all.path("latency").path("p99").asDouble(),
+                    total.path("latency").path("p50").asDouble(),
+                    total.path("latency").path("p99").asDouble(),
                     1e6 * node.path("cpuSeconds").asDouble() / offered,
                     cpu / offered,
-                    (all.path("inAim").asDouble() + all.path("late").asDouble()) / offered);
+                    (total.path("inAim").asDouble() + total.path("late").asDouble()) / offered);
         }
     }
 
     private static String addresses(Path ready) throws IOException {
-        List<String> all = new ArrayList<>();
+        List<String> addresses = new ArrayList<>();
         JSON.readTree(ready.toFile())
                 .path("hosts")
-                .forEach(node -> all.add(node.path("addr").asText()));
-        return String.join(",", all);
+                .forEach(node -> addresses.add(node.path("addr").asText()));
+        return String.join(",", addresses);
     }
 
     /** Reads rates, as {@code 500,1000}. */
     public static int[] rates(String text) {
         return Arrays.stream(text.split(","))
-                .mapToInt(s -> Integer.parseInt(s.trim()))
+                .mapToInt(rate -> Integer.parseInt(rate.trim()))
                 .toArray();
     }
 }
--- a/src/main/java/rillyard/benchmark/StartupBenchmark.java
+++ b/src/main/java/rillyard/benchmark/StartupBenchmark.java
@@ -22,7 +22,7 @@
 /** What a start costs, from exec to the first thousand answers, in turn for several builds. */
 public final class StartupBenchmark {
     private static final String CORE = "1";
-    private static final int[] FIRST = {1, 10, 100, 1_000};
+    private static final int[] REQUEST_COUNTS = {1, 10, 100, 1_000};
     private static final String HOSTS =
             """
       [hosts]
@@ -80,67 +80,76 @@
             Path config = folder.resolve("ready.json");
             new ObjectMapper().writeValue(config.toFile(), hosts.ready());
             for (int i = 0; i < starts; i++) {
-                for (Map.Entry<String, Path> b : builds.entrySet()) {
-                    try (CpuContention neighbours = new CpuContention(CORE, share)) {
-                        neighbours.checkRunning();
+                for (Map.Entry<String, Path> build : builds.entrySet()) {
+                    try (CpuContention contention = new CpuContention(CORE, share)) {
+                        contention.checkRunning();
                         LaunchCommand launch = LaunchCommand.platform(
-                                        b.getValue().toAbsolutePath())
+                                        build.getValue().toAbsolutePath())
                                 .on(CORE)
                                 .with(options);
                         StartupRun run = StartupRun.of(launch, config.toAbsolutePath(), plan, folder);
-                        runs.computeIfAbsent(b.getKey(), k -> new ArrayList<>()).add(run);
-                        line(b.getKey(), i + 1, run);
+                        runs.computeIfAbsent(build.getKey(), k -> new ArrayList<>())
+                                .add(run);
+                        printRun(build.getKey(), i + 1, run);
                     }
                 }
             }
         }
-        runs.forEach(this::summary);
+        runs.forEach(this::printSummary);
     }
 
-    private void line(String build, int number, StartupRun run) {
+    private void printRun(String build, int number, StartupRun run) {
         out.printf(
                 Locale.ROOT,
                 "%-8s %2d  listening %5.0f/%4.0f ms  ready %5.0f/%4.0f ms  %3d MB  first %s ms%n",
                 build,
                 number,
-                run.listening().wall(),
-                run.listening().cpu(),
-                run.ready().wall(),
-                run.ready().cpu(),
-                run.resident() >> 10,
-                latencies(n -> run.latency(n, 0.99)));
+                run.listening().wallMillis(),
+                run.listening().cpuMillis(),
+                run.ready().wallMillis(),
+                run.ready().cpuMillis(),
+                run.residentKib() >> 10,
+                formatLatencies(count -> run.latency(count, 0.99)));
     }
 
-    private static String latencies(ToDoubleFunction<Integer> of) {
-        StringBuilder out = new StringBuilder();
-        for (int n : FIRST) {
-            out.append(String.format(Locale.ROOT, " %d: %.0f", n, of.applyAsDouble(n)));
+    private static String formatLatencies(ToDoubleFunction<Integer> latency) {
+        StringBuilder text = new StringBuilder();
+        for (int count : REQUEST_COUNTS) {
+            text.append(String.format(Locale.ROOT, " %d: %.0f", count, latency.applyAsDouble(count)));
         }
-        return out.toString();
+        return text.toString();
     }
 
-    private void summary(String build, List<StartupRun> all) {
-        out.printf("%n%s, %d starts: least, median, greatest%n", build, all.size());
-        row("exec to listening, wall ms", all, run -> run.listening().wall());
-        row("exec to listening, CPU ms", all, startupRun -> startupRun
-                .listening()
-                .cpu());
-        row("exec to ready, wall ms", all, r -> r.ready().wall());
-        row("exec to ready, CPU ms", all, r -> r.ready().cpu());
-        for (String mark : all.get(0).marks().keySet()) {
-            row("  mark " + mark + ", wall ms", all, r -> r.marks().get(mark).wall());
-            row("  mark " + mark + ", CPU ms", all, r -> r.marks().get(mark).cpu());
+    private void printSummary(String build, List<StartupRun> runs) {
+        out.printf("%n%s, %d starts: least, median, greatest%n", build, runs.size());
+        printRow("exec to listening, wall ms", runs, run -> run.listening().wallMillis());
+        printRow("exec to listening, CPU ms", runs, run -> run.listening().cpuMillis());
+        printRow("exec to ready, wall ms", runs, run -> run.ready().wallMillis());
+        printRow("exec to ready, CPU ms", runs, run -> run.ready().cpuMillis());
+        for (String mark : runs.get(0).marks().keySet()) {
+            printRow("  mark " + mark + ", wall ms", runs, run -> run.marks()
+                    .get(mark)
+                    .wallMillis());
+            printRow("  mark " + mark + ", CPU ms", runs, run -> run.marks()
+                    .get(mark)
+                    .cpuMillis());
         }
-        row("resident when ready, MB", all, r -> r.resident() / 1024.0);
-        for (int n : FIRST) {
-            row("p50 of the first " + n + ", ms", all, r -> r.latency(n, 0.5));
-            row("p99 of the first " + n + ", ms", all, r -> r.latency(n, 0.99));
+        printRow("resident when ready, MB", runs, run -> run.residentKib() / 1024.0);
+        for (int count : REQUEST_COUNTS) {
+            printRow("p50 of the first " + count + ", ms", runs, run -> run.latency(count, 0.5));
+            printRow("p99 of the first " + count + ", ms", runs, run -> run.latency(count, 0.99));
         }
-        row("CPU a request after ready, us", all, r -> 1e3 * r.loadCpu() / r.latencies().length);
+        printRow("CPU a request after ready, us", runs, run -> 1e3 * run.loadCpuMillis() / run.latencies().length);
     }
 
-    private void row(String what, List<StartupRun> all, ToDoubleFunction<StartupRun> of) {
-        double[] v = all.stream().mapToDouble(of).sorted().toArray();
-        out.printf(Locale.ROOT, "  %-32s %8.1f %8.1f %8.1f%n", what, v[0], v[v.length / 2], v[v.length - 1]);
+    private void printRow(String label, List<StartupRun> runs, ToDoubleFunction<StartupRun> metric) {
+        double[] sorted = runs.stream().mapToDouble(metric).sorted().toArray();
+        out.printf(
+                Locale.ROOT,
+                "  %-32s %8.1f %8.1f %8.1f%n",
+                label,
+                sorted[0],
+                sorted[sorted.length / 2],
+                sorted[sorted.length - 1]);
     }
 }
--- a/src/main/java/rillyard/benchmark/StartupRun.java
+++ b/src/main/java/rillyard/benchmark/StartupRun.java
@@ -25,15 +25,20 @@
  * @param marks wall and CPU time from exec to each mark, ms; empty for a build that says none
  * @param listening to the first connection accepted, as seen from outside
  * @param ready to the first {@code /_health} 200, as seen from outside
- * @param resident memory when ready, KiB
+ * @param residentKib memory when ready, KiB
  * @param latencies of the first requests in the order of the schedule, ms, from the instant at
  *     which the schedule had each be sent
- * @param loadCpu what the proxy took for them, ms
+ * @param loadCpuMillis what the proxy took for them, ms
  */
 record StartupRun(
-        Map<String, Mark> marks, Mark listening, Mark ready, long resident, double[] latencies, double loadCpu) {
+        Map<String, Mark> marks,
+        Mark listening,
+        Mark ready,
+        long residentKib,
+        double[] latencies,
+        double loadCpuMillis) {
     /** Milliseconds from exec. */
-    record Mark(double wall, double cpu) {}
+    record Mark(double wallMillis, double cpuMillis) {}
 
     private static final String MARK = "rillyard: mark ";
 
@@ -41,48 +46,51 @@
     static StartupRun of(LaunchCommand launch, Path config, LoadPlan plan, Path folder) throws Exception {
         Path log = folder.resolve("proxy.log");
         Path clients = folder.resolve("clients.jsonl");
-        LaunchCommand marked = launch.with(List.of("-Drillyard.marks=true"));
-        long exec = System.nanoTime();
-        try (ProxyProcess proxy = ProxyProcess.launch(marked, config, ProxyProcess.freeAddress(), log)) {
+        LaunchCommand command = launch.with(List.of("-Drillyard.marks=true"));
+        long startNanos = System.nanoTime();
+        try (ProxyProcess proxy = ProxyProcess.launch(command, config, ProxyProcess.freeAddress(), log)) {
             proxy.await(ProxyProcess.State.LISTENING);
-            Mark listening = now(exec, proxy);
+            Mark listening = elapsed(startNanos, proxy);
             proxy.await(ProxyProcess.State.READY);
-            Mark ready = now(exec, proxy);
-            long resident = proxy.residentKb();
+            Mark ready = elapsed(startNanos, proxy);
+            long residentKib = proxy.residentKb();
             try (RequestLogWriter requestLog =
                     RequestLogWriter.open(clients, new LogHeader("clients", UnixClock.micros(), plan.seed()))) {
                 new LoadRun(plan, List.of(proxy.address()), requestLog, null).run();
             }
-            double cpu = proxy.cpuTime().toNanos() / 1e6 - ready.cpu();
-            return new StartupRun(marks(log, exec), listening, ready, resident, latencies(clients), cpu);
+            double loadCpuMillis = proxy.cpuTime().toNanos() / 1e6 - ready.cpuMillis();
+            return new StartupRun(
+                    marks(log, startNanos), listening, ready, residentKib, latencies(clients), loadCpuMillis);
         }
     }
 
-    private static Mark now(long exec, ProxyProcess proxy) {
-        return new Mark((System.nanoTime() - exec) / 1e6, proxy.cpuTime().toNanos() / 1e6);
+    private static Mark elapsed(long startNanos, ProxyProcess proxy) {
+        return new Mark((System.nanoTime() - startNanos) / 1e6, proxy.cpuTime().toNanos() / 1e6);
     }
 
-    private static Map<String, Mark> marks(Path log, long exec) throws IOException {
+    private static Map<String, Mark> marks(Path log, long startNanos) throws IOException {
         Map<String, Mark> marks = new LinkedHashMap<>();
         for (String line : Files.readAllLines(log)) {
             if (line.startsWith(MARK)) {
                 String[] fields = line.substring(MARK.length()).split(" ");
-                marks.put(fields[0], new Mark((Long.parseLong(fields[1]) - exec) / 1e6, Double.parseDouble(fields[2])));
+                marks.put(
+                        fields[0],
+                        new Mark((Long.parseLong(fields[1]) - startNanos) / 1e6, Double.parseDouble(fields[2])));
             }
         }
         return marks;
     }
 
     private static double[] latencies(Path clients) throws Exception {
-        List<ClientAttempt> first = new ArrayList<>();
+        List<ClientAttempt> attempts = new ArrayList<>();
         RequestLogReader.read(clients, "clients", line -> {
             if (line instanceof ClientAttempt attempt && attempt.attemptNumber() == 0) {
-                first.add(attempt);
+                attempts.add(attempt);
             }
         });
-        return first.stream()
+        return attempts.stream()
                 .sorted(Comparator.comparingLong(ClientAttempt::scheduledAt))
-                .mapToDouble(clientAttempt -> (clientAttempt.endedAt() - clientAttempt.scheduledAt()) / 1e3)
+                .mapToDouble(attempt -> (attempt.endedAt() - attempt.scheduledAt()) / 1e3)
                 .toArray();
     }
 
--- a/src/main/java/rillyard/childprocess/ChildProcess.java
+++ b/src/main/java/rillyard/childprocess/ChildProcess.java
@@ -8,7 +8,7 @@
 
 /** A process of this program's; it ends by SIGTERM, and by force if that takes too long. */
 public final class ChildProcess implements AutoCloseable {
-    private static final int END_S = 30;
+    private static final int TERMINATION_TIMEOUT_SECONDS = 30;
 
     private final Process process;
 
@@ -94,9 +94,9 @@
         Process kill = new ProcessBuilder("/bin/sh", "-c", "kill -" + name + " " + pid())
                 .redirectErrorStream(true)
                 .start();
-        String said = new String(kill.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
+        String output = new String(kill.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
         if (kill.waitFor() != 0) {
-            throw new IOException("SIG" + name + " to " + pid() + " failed: " + said.strip());
+            throw new IOException("SIG" + name + " to " + pid() + " failed: " + output.strip());
         }
     }
 
@@ -109,7 +109,7 @@
     public void close() {
         process.destroy();
         try {
-            if (!process.waitFor(END_S, TimeUnit.SECONDS)) {
+            if (!process.waitFor(TERMINATION_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 process.destroyForcibly();
             }
         } catch (InterruptedException e) {
--- a/src/main/java/rillyard/childprocess/LaunchCommand.java
+++ b/src/main/java/rillyard/childprocess/LaunchCommand.java
@@ -82,19 +82,19 @@
 
     /** The process to be, for a command of this program. */
     ProcessBuilder builder(String... command) {
-        List<String> line = new ArrayList<>();
+        List<String> arguments = new ArrayList<>();
         if (cores != null && Files.isExecutable(TASKSET)) {
-            line.addAll(List.of(TASKSET.toString(), "-c", cores));
+            arguments.addAll(List.of(TASKSET.toString(), "-c", cores));
         }
-        line.add(java.toString());
-        line.addAll(options);
-        line.addAll(program);
-        line.addAll(List.of(command));
-        ProcessBuilder builder = new ProcessBuilder(line);
+        arguments.add(java.toString());
+        arguments.addAll(options);
+        arguments.addAll(program);
+        arguments.addAll(List.of(command));
+        ProcessBuilder builder = new ProcessBuilder(arguments);
         if (folder != null) {
             builder.directory(folder.toFile());
         }
-        builder.environment().keySet().removeIf(k -> k.startsWith("BALANCER_"));
+        builder.environment().keySet().removeIf(variable -> variable.startsWith("BALANCER_"));
         builder.environment().putAll(environment);
         return builder;
     }
--- a/src/main/java/rillyard/childprocess/ProxyProcess.java
+++ b/src/main/java/rillyard/childprocess/ProxyProcess.java
@@ -23,13 +23,13 @@
         READY
     }
 
-    private static final long READY_NANOS = 60_000_000_000L;
-    private static final int ASK_MS = 1_000;
-    private static final int ASK_EVERY_MS = 10;
-    private static final int STARTS = 3;
-    private static final byte[] ASK =
+    private static final long READY_TIMEOUT_NANOS = 60_000_000_000L;
+    private static final int HEALTH_TIMEOUT_MS = 1_000;
+    private static final int HEALTH_INTERVAL_MS = 10;
+    private static final int MAX_STARTS = 3;
+    private static final byte[] HEALTH_REQUEST =
             "GET /_health HTTP/1.1\r\nHost: proxy\r\nConnection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-    private static final byte[] YES = "HTTP/1.1 200".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] HEALTHY_RESPONSE = "HTTP/1.1 200".getBytes(StandardCharsets.US_ASCII);
 
     private final ChildProcess process;
     private final InetSocketAddress address;
@@ -52,7 +52,7 @@
         LaunchCommand launch =
                 LaunchCommand.self().with(List.of("-XX:+UseSerialGC", "-Xmx64m", "-XX:MaxDirectMemorySize=140m"));
         IOException failure = null;
-        for (int i = 0; i < STARTS; i++) { // another may take the free port first
+        for (int i = 0; i < MAX_STARTS; i++) { // another may take the free port first
             ProxyProcess proxy = launch(launch, config, freeAddress(), log);
             try {
                 proxy.await(State.READY);
@@ -73,16 +73,16 @@
      */
     public static ProxyProcess launch(LaunchCommand launch, Path config, InetSocketAddress listen, Path log)
             throws IOException {
-        LaunchCommand told = launch.with("BALANCER_CONFIG", config.toString())
+        LaunchCommand command = launch.with("BALANCER_CONFIG", config.toString())
                 .with("BALANCER_LISTEN", listen.getAddress().getHostAddress() + ":" + listen.getPort());
-        return new ProxyProcess(ChildProcess.start(told, log, log, "proxy"), listen, log);
+        return new ProxyProcess(ChildProcess.start(command, log, log, "proxy"), listen, log);
     }
 
     /** An address of loopback that was free a moment ago. */
     public static InetSocketAddress freeAddress() throws IOException {
-        InetAddress here = InetAddress.getLoopbackAddress();
-        try (ServerSocket server = new ServerSocket(0, 1, here)) {
-            return new InetSocketAddress(here, server.getLocalPort());
+        InetAddress loopback = InetAddress.getLoopbackAddress();
+        try (ServerSocket server = new ServerSocket(0, 1, loopback)) {
+            return new InetSocketAddress(loopback, server.getLocalPort());
         }
     }
 
@@ -91,30 +91,30 @@
      *
      * @throws IOException if it ends first or takes more than a minute; holds the end of its log
      */
-    public void await(State least) throws IOException, InterruptedException {
-        long until = System.nanoTime() + READY_NANOS;
-        State now = state(address);
-        while (now.compareTo(least) < 0) {
-            if (!process.isAlive() || System.nanoTime() > until) {
-                String said = Files.exists(log) ? Files.readString(log) : "";
-                throw new IOException(
-                        "the proxy did not come up; it said:\n" + said.substring(Math.max(0, said.length() - 2_000)));
+    public void await(State required) throws IOException, InterruptedException {
+        long deadlineNanos = System.nanoTime() + READY_TIMEOUT_NANOS;
+        State current = state(address);
+        while (current.compareTo(required) < 0) {
+            if (!process.isAlive() || System.nanoTime() > deadlineNanos) {
+                String output = Files.exists(log) ? Files.readString(log) : "";
+                throw new IOException("the proxy did not come up; it said:\n"
+                        + output.substring(Math.max(0, output.length() - 2_000)));
             }
             // Prevents asking so often that it is the questions which warm the proxy up, or starve it.
-            Thread.sleep(now == State.ABSENT ? 1 : ASK_EVERY_MS);
-            now = state(address);
+            Thread.sleep(current == State.ABSENT ? 1 : HEALTH_INTERVAL_MS);
+            current = state(address);
         }
     }
 
     /** How far the proxy at an address has come. */
     public static State state(InetSocketAddress address) {
         try (Socket socket = new Socket()) {
-            socket.connect(address, ASK_MS);
-            socket.setSoTimeout(ASK_MS);
+            socket.connect(address, HEALTH_TIMEOUT_MS);
+            socket.setSoTimeout(HEALTH_TIMEOUT_MS);
             try {
-                socket.getOutputStream().write(ASK);
-                byte[] head = socket.getInputStream().readNBytes(YES.length);
-                return java.util.Arrays.equals(head, YES) ? State.READY : State.LISTENING;
+                socket.getOutputStream().write(HEALTH_REQUEST);
+                byte[] head = socket.getInputStream().readNBytes(HEALTHY_RESPONSE.length);
+                return java.util.Arrays.equals(head, HEALTHY_RESPONSE) ? State.READY : State.LISTENING;
             } catch (IOException e) {
                 return State.LISTENING;
             }
--- a/src/main/java/rillyard/cli/AuditCommand.java
+++ b/src/main/java/rillyard/cli/AuditCommand.java
@@ -47,15 +47,17 @@
         for (int i = 0; i < Math.min(most, verdict.violations().size()); i++) {
             Violation violation = verdict.violations().get(i);
             out.println("BROKEN " + violation.rule() + ": " + violation.description());
-            violation.history().forEach(h -> out.println("    " + h));
+            violation.history().forEach(line -> out.println("    " + line));
         }
         if (verdict.violations().size() > most) {
             out.println((verdict.violations().size() - most) + " more");
         }
-        verdict.warnings().forEach(d -> out.println("NOT PROVED: " + d));
+        verdict.warnings().forEach(warning -> out.println("NOT PROVED: " + warning));
         for (Violation.Rule rule : Violation.Rule.values()) {
-            long n = verdict.violations().stream().filter(b -> b.rule() == rule).count();
-            out.printf("%-7s %s%n", rule, n == 0 ? "kept" : n + " times broken");
+            long count = verdict.violations().stream()
+                    .filter(violation -> violation.rule() == rule)
+                    .count();
+            out.printf("%-7s %s%n", rule, count == 0 ? "kept" : count + " times broken");
         }
         out.println("audit: " + verdict.attempts() + " tries of clients and " + verdict.executions()
                 + " receipts of hosts, " + verdict.violations().size() + " breaches"
--- a/src/main/java/rillyard/cli/BenchmarkCommand.java
+++ b/src/main/java/rillyard/cli/BenchmarkCommand.java
@@ -143,7 +143,7 @@
                 System.err.println("rillyard: expected --window and --cold-window of 1 ms or more");
                 return Cli.USAGE;
             }
-            FleetTraceStatistics count = new FleetTraceStatistics(window, coldWindow);
+            FleetTraceStatistics statistics = new FleetTraceStatistics(window, coldWindow);
             for (Path log : logs) {
                 if (!Files.isRegularFile(log) || !Files.isReadable(log)) {
                     System.err.println("rillyard: " + log + ": expected a log that can be read");
@@ -152,16 +152,18 @@
             }
             for (Path log : logs) {
                 // Logs hold what peers sent: a byte that is no UTF-8 must not end the count, as a strict reader would.
-                try (BufferedReader in = new BufferedReader(new InputStreamReader(Files.newInputStream(log), UTF_8))) {
-                    count.read(
-                            log.toAbsolutePath().normalize().toString(), in); // names alike on all machines are usual
+                try (BufferedReader reader =
+                        new BufferedReader(new InputStreamReader(Files.newInputStream(log), UTF_8))) {
+                    statistics.read(
+                            log.toAbsolutePath().normalize().toString(),
+                            reader); // names alike on all machines are usual
                 }
             }
-            if (count.empty()) {
+            if (statistics.isEmpty()) {
                 System.err.println("rillyard: no trace in these logs: expected proxies run with -Drillyard.trace=true");
                 return Cli.FAILED;
             }
-            count.print(System.out);
+            statistics.print(System.out);
             return Cli.DONE;
         }
     }
--- a/src/main/java/rillyard/cli/Cli.java
+++ b/src/main/java/rillyard/cli/Cli.java
@@ -49,22 +49,23 @@
 
     /** As above, with help and errors written elsewhere. */
     public static int run(PrintWriter out, PrintWriter err, String... args) {
-        CommandLine line = new CommandLine(new Cli());
-        line.setOut(out);
-        line.setErr(err);
-        line.setCaseInsensitiveEnumValuesAllowed(true);
-        line.setExecutionExceptionHandler((e, command, result) -> {
-            if (e instanceof InvalidConfigException) {
-                err.println(e.getMessage());
+        CommandLine commandLine = new CommandLine(new Cli());
+        commandLine.setOut(out);
+        commandLine.setErr(err);
+        commandLine.setCaseInsensitiveEnumValuesAllowed(true);
+        commandLine.setExecutionExceptionHandler((exception, command, result) -> {
+            if (exception instanceof InvalidConfigException) {
+                err.println(exception.getMessage());
                 return USAGE;
             }
-            err.println("rillyard: " + (e.getMessage() == null ? e.toString() : e.getMessage()));
+            err.println(
+                    "rillyard: " + (exception.getMessage() == null ? exception.toString() : exception.getMessage()));
             return FAILED;
         });
         if (args.length == 0) {
-            line.usage(err);
+            commandLine.usage(err);
             return USAGE;
         }
-        return line.execute(args);
+        return commandLine.execute(args);
     }
 }
--- a/src/main/java/rillyard/cli/FaultInjectionCommand.java
+++ b/src/main/java/rillyard/cli/FaultInjectionCommand.java
@@ -60,7 +60,7 @@
 
         @Override
         public Integer call() throws Exception {
-            var read = FaultInjectionPlanReader.read(plan);
+            var faultPlan = FaultInjectionPlanReader.read(plan);
             if (Files.exists(out)) {
                 System.err.println("rillyard: " + out + " is there already, expected a new folder");
                 return Cli.USAGE;
@@ -73,10 +73,10 @@
             }
             if (!nemesis.isEmpty()) {
                 System.out.println("nemesis of seed " + seed);
-                read = read.with(RandomFaultSchedule.draw(read, nemesis, seed));
+                faultPlan = faultPlan.withFaults(RandomFaultSchedule.draw(faultPlan, nemesis, seed));
             }
-            FaultInjectionResult result =
-                    new FaultInjectionRun(read, out, System.out).run(LaunchCommand.platform(build.toAbsolutePath()));
+            FaultInjectionResult result = new FaultInjectionRun(faultPlan, out, System.out)
+                    .run(LaunchCommand.platform(build.toAbsolutePath()));
             String report = result.report();
             Files.writeString(out.resolve("report.txt"), report);
             System.out.print(report);
--- a/src/main/java/rillyard/cli/GracefulShutdown.java
+++ b/src/main/java/rillyard/cli/GracefulShutdown.java
@@ -5,20 +5,20 @@
  * goes. Without it the JVM ends while request logs lack their last lines.
  */
 final class GracefulShutdown {
-    private static final long MOST_MS = 20_000;
+    private static final long MAX_WAIT_MS = 20_000;
 
     private final Thread main = Thread.currentThread();
     private final Thread hook;
     private volatile boolean signalled;
 
     /** {@code first} is run at the signal, on a thread of its own; then the command is waited for. */
-    GracefulShutdown(Runnable first) {
+    GracefulShutdown(Runnable onSignal) {
         hook = new Thread(
                 () -> {
                     signalled = true;
-                    first.run();
+                    onSignal.run();
                     try {
-                        main.join(MOST_MS);
+                        main.join(MAX_WAIT_MS);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
@@ -28,7 +28,7 @@
     }
 
     /** The command has done all that it had to; a signal is of no more interest. */
-    void over() {
+    void cancel() {
         try {
             Runtime.getRuntime().removeShutdownHook(hook);
         } catch (IllegalStateException e) {
@@ -36,7 +36,7 @@
         }
     }
 
-    boolean signalled() {
+    boolean isSignalled() {
         return signalled;
     }
 }
--- a/src/main/java/rillyard/cli/LoadCommand.java
+++ b/src/main/java/rillyard/cli/LoadCommand.java
@@ -64,14 +64,14 @@
         if (report != null) {
             Files.createDirectories(report);
         }
-        LogHeader head = new LogHeader("clients", UnixClock.micros(), plan.seed());
+        LogHeader header = new LogHeader("clients", UnixClock.micros(), plan.seed());
         RunReport runReport;
         LoadRun run;
-        GracefulShutdown ending;
+        GracefulShutdown shutdown;
         try (RequestLogWriter requestLog =
-                ledgerFile == null ? RequestLogWriter.disabled() : RequestLogWriter.open(ledgerFile, head)) {
+                ledgerFile == null ? RequestLogWriter.disabled() : RequestLogWriter.open(ledgerFile, header)) {
             run = new LoadRun(plan, targets, requestLog, json ? null : System.out);
-            ending = new GracefulShutdown(run::interrupt);
+            shutdown = new GracefulShutdown(run::interrupt);
             run.run();
             runReport = run.report(marks == null ? List.of() : TimelineEvents.read(marks, run.startedMicros()));
         }
@@ -84,7 +84,7 @@
                         ? new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(runReport) + "\n"
                         : ReportTable.of(runReport));
         System.out.flush();
-        ending.over();
+        shutdown.cancel();
         return runReport.valid() ? Cli.DONE : Cli.FAILED;
     }
 }
--- a/src/main/java/rillyard/cli/MembersCommand.java
+++ b/src/main/java/rillyard/cli/MembersCommand.java
@@ -22,7 +22,7 @@
         mixinStandardHelpOptions = true,
         versionProvider = VersionProvider.class)
 final class MembersCommand implements Callable<Integer> {
-    private static final int EVERY_MS = 1_000;
+    private static final int POLL_INTERVAL_MS = 1_000;
 
     @Spec
     private CommandSpec spec;
@@ -47,23 +47,23 @@
         if (json) {
             out.println(view);
         } else {
-            table(view, out);
+            printTable(view, out);
         }
         if (watch) {
-            CountDownLatch end = new CountDownLatch(1);
-            GracefulShutdown ending = new GracefulShutdown(end::countDown);
-            Map<String, String> before = beliefs(view);
-            while (!end.await(EVERY_MS, TimeUnit.MILLISECONDS)) {
-                Map<String, String> now = beliefs(MemberAdminClient.ask(admin));
+            CountDownLatch stopSignal = new CountDownLatch(1);
+            GracefulShutdown shutdown = new GracefulShutdown(stopSignal::countDown);
+            Map<String, String> before = memberStates(view);
+            while (!stopSignal.await(POLL_INTERVAL_MS, TimeUnit.MILLISECONDS)) {
+                Map<String, String> now = memberStates(MemberAdminClient.ask(admin));
                 changes(before, now).forEach(out::println);
                 before = now;
             }
-            ending.over();
+            shutdown.cancel();
         }
         return Cli.DONE;
     }
 
-    private static void table(JsonNode view, PrintWriter out) {
+    private static void printTable(JsonNode view, PrintWriter out) {
         JsonNode self = view.path("self");
         long at = view.path("at").asLong();
         out.printf(
@@ -75,30 +75,30 @@
         out.printf(
                 "%-16s %-21s %4s %6s %-7s %-7s %9s  %s%n",
                 "name", "address", "zone", "region", "status", "loop", "for s", "by");
-        row(self, "-", "itself", out);
+        printRow(self, "-", "itself", out);
         for (JsonNode node : view.path("members")) {
-            row(
+            printRow(
                     node,
                     String.format(Locale.ROOT, "%.1f", (at - node.path("since").asLong()) / 1e3),
                     node.path("by").asText(),
                     out);
         }
-        JsonNode c = view.path("costs");
-        double up = Math.max(1, c.path("up_ms").asDouble()) / 1e3;
+        JsonNode usage = view.path("costs");
+        double upSeconds = Math.max(1, usage.path("up_ms").asDouble()) / 1e3;
         out.printf(
                 Locale.ROOT,
                 "a second, over %.0f s: %.1f datagrams and %.0f bytes sent, %.1f and %.0f received; %d turned away;"
                         + " its thread busy %.2f %% of the time%n",
-                up,
-                c.path("datagrams_sent").asLong() / up,
-                c.path("bytes_sent").asLong() / up,
-                c.path("datagrams_received").asLong() / up,
-                c.path("bytes_received").asLong() / up,
-                c.path("turned_away").asLong(),
-                c.path("busy_ms").asLong() / up / 10);
+                upSeconds,
+                usage.path("datagrams_sent").asLong() / upSeconds,
+                usage.path("bytes_sent").asLong() / upSeconds,
+                usage.path("datagrams_received").asLong() / upSeconds,
+                usage.path("bytes_received").asLong() / upSeconds,
+                usage.path("turned_away").asLong(),
+                usage.path("busy_ms").asLong() / upSeconds / 10);
     }
 
-    private static void row(JsonNode node, String seconds, String by, PrintWriter out) {
+    private static void printRow(JsonNode node, String seconds, String by, PrintWriter out) {
         out.printf(
                 "%-16s %-21s %4d %6d %-7s %-7s %9s  %s%n",
                 node.path("name").asText(),
@@ -111,29 +111,29 @@
                 by);
     }
 
-    private static Map<String, String> beliefs(JsonNode view) {
-        Map<String, String> out = new TreeMap<>();
+    private static Map<String, String> memberStates(JsonNode view) {
+        Map<String, String> states = new TreeMap<>();
         for (JsonNode node : view.path("members")) {
-            out.put(
+            states.put(
                     node.path("name").asText(),
                     node.path("status").asText() + ", loop " + node.path("loop").asText() + ", by "
                             + node.path("by").asText());
         }
-        return out;
+        return states;
     }
 
     private static java.util.List<String> changes(Map<String, String> before, Map<String, String> now) {
-        java.util.List<String> out = new java.util.ArrayList<>();
-        now.forEach((name, is) -> {
-            String was = before.get(name);
-            if (!is.equals(was)) {
-                out.add(java.time.Instant.now() + " " + name + " is " + is
-                        + (was == null ? " (new)" : " (was " + was + ")"));
+        java.util.List<String> lines = new java.util.ArrayList<>();
+        now.forEach((name, state) -> {
+            String previousState = before.get(name);
+            if (!state.equals(previousState)) {
+                lines.add(java.time.Instant.now() + " " + name + " is " + state
+                        + (previousState == null ? " (new)" : " (was " + previousState + ")"));
             }
         });
         before.keySet().stream()
-                .filter(n -> !now.containsKey(n))
-                .forEach(n -> out.add(java.time.Instant.now() + " " + n + " is forgotten"));
-        return out;
+                .filter(name -> !now.containsKey(name))
+                .forEach(name -> lines.add(java.time.Instant.now() + " " + name + " is forgotten"));
+        return lines;
     }
 }
--- a/src/main/java/rillyard/cli/ProxyCommands.java
+++ b/src/main/java/rillyard/cli/ProxyCommands.java
@@ -44,12 +44,12 @@
             SecureRandom random = new SecureRandom();
             FleetConfig settings = FleetConfigReader.read(fleet, System.getenv());
             FleetMember member = new FleetMember(settings, random.nextLong(), System.err);
-            PeerGossip news = settings.outlierGossip()
+            PeerGossip gossip = settings.outlierGossip()
                     ? new ObservationGossip(member, FleetOutlierSettings.DEFAULT, random.nextLong())
                     : null;
             member.start();
             Runtime.getRuntime().addShutdownHook(new Thread(member::close, "leave"));
-            ProxyLauncher.run(System.getenv(), news);
+            ProxyLauncher.run(System.getenv(), gossip);
             return Cli.DONE;
         }
     }
--- a/src/main/java/rillyard/cli/SubsetCommand.java
+++ b/src/main/java/rillyard/cli/SubsetCommand.java
@@ -35,7 +35,7 @@
             versionProvider = VersionProvider.class)
     static final class Plan implements Callable<Integer> {
         /** Instances times hosts; more take longer than anyone waits, as every subset is laid out. */
-        private static final long MOST = 10_000_000;
+        private static final long MAX_PAIRS = 10_000_000;
 
         @Spec
         private CommandSpec spec;
@@ -68,36 +68,37 @@
             PrintWriter err = spec.commandLine().getErr();
             if (instances < 1
                     || hosts < SubsetSize.MIN_HOSTS
-                    || (long) instances * hosts > MOST
+                    || (long) instances * hosts > MAX_PAIRS
                     || cap < 1
                     || each < 1
                     || !(reserve >= 0 && reserve < 1)) {
                 err.println("rillyard: expected --instances of 1 or more, --hosts of " + SubsetSize.MIN_HOSTS
-                        + " or more, both times" + " each other up to " + MOST
+                        + " or more, both times" + " each other up to " + MAX_PAIRS
                         + ", --cap and --each of 1 or more, --reserve from 0 to below 1");
                 return Cli.USAGE;
             }
-            boolean any = false;
+            boolean anyFeasible = false;
             out.println("| way | hosts each | instances a host: least, mean, most | connections a host, most |"
                     + " neighbours alike | shared by two | moved when a host goes | when an instance comes |");
             out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
-            for (SubsettingAlgorithm way : SubsettingAlgorithm.values()) {
+            for (SubsettingAlgorithm algorithm : SubsettingAlgorithm.values()) {
                 try {
-                    SubsetSize size = SubsetSize.largest(way, instances, hosts, cap, each, reserve);
-                    row(out, way, size, SubsetStatistics.of(way, instances, hosts, size.hosts()));
-                    any = true;
+                    SubsetSize size = SubsetSize.largest(algorithm, instances, hosts, cap, each, reserve);
+                    printRow(out, algorithm, size, SubsetStatistics.of(algorithm, instances, hosts, size.hosts()));
+                    anyFeasible = true;
                 } catch (SubsetSize.TooManyConnectionsException e) {
-                    out.println("| " + way.optionName() + " | none: " + e.getMessage() + " | | | | | | |");
+                    out.println("| " + algorithm.optionName() + " | none: " + e.getMessage() + " | | | | | | |");
                 }
             }
-            return any ? Cli.DONE : Cli.FAILED;
+            return anyFeasible ? Cli.DONE : Cli.FAILED;
         }
 
-        private void row(PrintWriter out, SubsettingAlgorithm way, SubsetSize size, SubsetStatistics statistics) {
+        private void printRow(
+                PrintWriter out, SubsettingAlgorithm algorithm, SubsetSize size, SubsetStatistics statistics) {
             out.println(String.format(
                     Locale.ROOT,
                     "| %s | %d | %d, %.0f, %d | %d of %d | %d | %.2f | %.2f | %.2f |",
-                    way.optionName(),
+                    algorithm.optionName(),
                     size.hosts(),
                     statistics.minInstances(),
                     statistics.meanInstances(),
--- a/src/main/java/rillyard/cli/TestClusterCommand.java
+++ b/src/main/java/rillyard/cli/TestClusterCommand.java
@@ -65,38 +65,38 @@
         if (!cold) {
             JvmWarmup.run();
         }
-        CountDownLatch end = new CountDownLatch(1);
-        GracefulShutdown ending = new GracefulShutdown(end::countDown);
-        LogHeader head = new LogHeader("hosts", UnixClock.micros(), plan.seed());
+        CountDownLatch stopSignal = new CountDownLatch(1);
+        GracefulShutdown shutdown = new GracefulShutdown(stopSignal::countDown);
+        LogHeader header = new LogHeader("hosts", UnixClock.micros(), plan.seed());
         PrintStream hostLog = System.err;
         try (RequestLogWriter requestLog =
-                        ledgerFile == null ? RequestLogWriter.disabled() : RequestLogWriter.open(ledgerFile, head);
+                        ledgerFile == null ? RequestLogWriter.disabled() : RequestLogWriter.open(ledgerFile, header);
                 TestCluster cluster = new TestCluster(plan, listen, threads, requestLog, hostLog)) {
             cluster.start();
             cluster.startFaultSchedule();
             if (readyFile != null) {
-                writeWhole(
+                writeAtomically(
                         readyFile,
                         new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsBytes(cluster.ready()));
             }
-            System.out.println("rillyard: " + plan.hosts().size() + " hosts, discovery at " + text(cluster.discovery())
-                    + ", faults at http://" + text(cluster.control()) + "/faults");
-            while (!end.await(1, TimeUnit.SECONDS)) {
+            System.out.println("rillyard: " + plan.hosts().size() + " hosts, discovery at "
+                    + format(cluster.discovery()) + ", faults at http://" + format(cluster.control()) + "/faults");
+            while (!stopSignal.await(1, TimeUnit.SECONDS)) {
                 requestLog.flush();
             }
         }
-        ending.over();
+        shutdown.cancel();
         return Cli.DONE;
     }
 
     /** Prevents a reader that finds half of it: the name appears with all of it. */
-    private static void writeWhole(Path file, byte[] bytes) throws IOException {
-        Path beside = file.resolveSibling(file.getFileName() + ".part");
-        Files.write(beside, bytes);
-        Files.move(beside, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+    private static void writeAtomically(Path file, byte[] bytes) throws IOException {
+        Path partFile = file.resolveSibling(file.getFileName() + ".part");
+        Files.write(partFile, bytes);
+        Files.move(partFile, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 }
--- a/src/main/java/rillyard/cli/VersionProvider.java
+++ b/src/main/java/rillyard/cli/VersionProvider.java
@@ -6,9 +6,9 @@
 final class VersionProvider implements IVersionProvider {
     @Override
     public String[] getVersion() {
-        String v = Cli.class.getPackage().getImplementationVersion();
+        String version = Cli.class.getPackage().getImplementationVersion();
         return new String[] {
-            "rillyard " + (v == null ? "(not from a jar)" : v), "Java " + System.getProperty("java.version")
+            "rillyard " + (version == null ? "(not from a jar)" : version), "Java " + System.getProperty("java.version")
         };
     }
 }
--- a/src/main/java/rillyard/config/DidYouMean.java
+++ b/src/main/java/rillyard/config/DidYouMean.java
@@ -5,19 +5,19 @@
 /** The known name that a mistyped one was most likely meant to be. */
 public final class DidYouMean {
     /** More edits than this part of the word make it another word. */
-    private static final double MOST_EDITS = 0.4;
+    private static final double MAX_EDIT_SHARE = 0.4;
 
     private DidYouMean() {}
 
     /** The known name with the fewest edits, or null if none is near. */
     public static String suggest(String word, Collection<String> known) {
         String best = null;
-        int fewest = (int) Math.max(1, MOST_EDITS * word.length()) + 1;
-        for (String k : known) {
-            int d = distance(word, k);
-            if (d < fewest) {
-                fewest = d;
-                best = k;
+        int fewestEdits = (int) Math.max(1, MAX_EDIT_SHARE * word.length()) + 1;
+        for (String candidate : known) {
+            int edits = distance(word, candidate);
+            if (edits < fewestEdits) {
+                fewestEdits = edits;
+                best = candidate;
             }
         }
         return best;
--- a/src/main/java/rillyard/config/TomlLines.java
+++ b/src/main/java/rillyard/config/TomlLines.java
@@ -16,8 +16,8 @@
     private final String text;
     private final Map<String, Integer> lines = new HashMap<>();
     private final Map<String, Integer> elements = new HashMap<>();
-    private String table = "";
-    private int at;
+    private String currentTable = "";
+    private int position;
     private int line = 1;
 
     private TomlLines(String text) {
@@ -25,117 +25,117 @@
     }
 
     /** The line of each path, from 1. */
-    static Map<String, Integer> of(String text) {
+    static Map<String, Integer> lineNumbers(String text) {
         TomlLines lines = new TomlLines(text);
         lines.scan();
         return lines.lines;
     }
 
     private void scan() {
-        while (at < text.length()) {
-            char c = text.charAt(at);
-            if (c == '\n') {
+        while (position < text.length()) {
+            char character = text.charAt(position);
+            if (character == '\n') {
                 line++;
-                at++;
-            } else if (Character.isWhitespace(c)) {
-                at++;
-            } else if (c == '#') {
+                position++;
+            } else if (Character.isWhitespace(character)) {
+                position++;
+            } else if (character == '#') {
                 skipComment();
-            } else if (c == '[') {
-                header();
+            } else if (character == '[') {
+                readHeader();
             } else {
-                int on = line;
-                String key = path('=');
-                lines.putIfAbsent(join(table, key), on);
+                int keyLine = line;
+                String key = readPath('=');
+                lines.putIfAbsent(join(currentTable, key), keyLine);
                 skipValue();
             }
         }
     }
 
-    private void header() {
-        boolean element = text.startsWith("[[", at);
-        at += element ? 2 : 1;
-        String name = resolve(path(']'));
-        at += element ? 1 : 0;
-        if (element) {
-            int n = elements.merge(name, 1, Integer::sum) - 1;
-            name = name + "." + n;
+    private void readHeader() {
+        boolean isElement = text.startsWith("[[", position);
+        position += isElement ? 2 : 1;
+        String name = resolve(readPath(']'));
+        position += isElement ? 1 : 0;
+        if (isElement) {
+            int index = elements.merge(name, 1, Integer::sum) - 1;
+            name = name + "." + index;
         }
         lines.putIfAbsent(name, line);
-        table = name;
+        currentTable = name;
     }
 
     /** A header's path, with the index of the last element put behind each array of tables. */
     private String resolve(String name) {
-        String path = "";
+        String resolved = "";
         String[] keys = name.split("\\.");
         for (int i = 0; i < keys.length; i++) {
-            path = join(path, keys[i]);
-            Integer n = i < keys.length - 1 ? elements.get(path) : null;
-            path = n == null ? path : path + "." + (n - 1);
+            resolved = join(resolved, keys[i]);
+            Integer elementCount = i < keys.length - 1 ? elements.get(resolved) : null;
+            resolved = elementCount == null ? resolved : resolved + "." + (elementCount - 1);
         }
-        return path;
+        return resolved;
     }
 
     /** A key, dotted or not, up to the mark that ends it. */
-    private String path(char end) {
+    private String readPath(char end) {
         StringBuilder key = new StringBuilder();
-        while (at < text.length() && text.charAt(at) != end && text.charAt(at) != '\n') {
-            char c = text.charAt(at++);
-            if (c == '"' || c == '\'') {
-                int close = text.indexOf(c, at);
-                close = close < 0 ? text.length() : close;
-                key.append(text, at, close);
-                at = Math.min(text.length(), close + 1);
-            } else if (!Character.isWhitespace(c)) {
-                key.append(c);
+        while (position < text.length() && text.charAt(position) != end && text.charAt(position) != '\n') {
+            char character = text.charAt(position++);
+            if (character == '"' || character == '\'') {
+                int closingQuote = text.indexOf(character, position);
+                closingQuote = closingQuote < 0 ? text.length() : closingQuote;
+                key.append(text, position, closingQuote);
+                position = Math.min(text.length(), closingQuote + 1);
+            } else if (!Character.isWhitespace(character)) {
+                key.append(character);
             }
         }
-        at = Math.min(text.length(), at + 1);
+        position = Math.min(text.length(), position + 1);
         return key.toString();
     }
 
     private void skipValue() {
         int depth = 0;
-        while (at < text.length()) {
-            char c = text.charAt(at);
-            if (c == '\n' && depth == 0) {
+        while (position < text.length()) {
+            char character = text.charAt(position);
+            if (character == '\n' && depth == 0) {
                 return;
             }
-            if (c == '"' || c == '\'') {
-                skipString(c);
-            } else if (c == '#') {
+            if (character == '"' || character == '\'') {
+                skipString(character);
+            } else if (character == '#') {
                 skipComment();
             } else {
-                depth += c == '[' || c == '{' ? 1 : c == ']' || c == '}' ? -1 : 0;
-                line += c == '\n' ? 1 : 0;
-                at++;
+                depth += character == '[' || character == '{' ? 1 : character == ']' || character == '}' ? -1 : 0;
+                line += character == '\n' ? 1 : 0;
+                position++;
             }
         }
     }
 
     private void skipString(char quote) {
-        String three = String.valueOf(quote).repeat(3);
-        boolean block = text.startsWith(three, at);
-        at += block ? 3 : 1;
-        while (at < text.length()) {
-            char c = text.charAt(at);
-            if (c == '\\' && quote == '"') {
-                line += at + 1 < text.length() && text.charAt(at + 1) == '\n' ? 1 : 0;
-                at += 2;
-            } else if (block ? text.startsWith(three, at) : c == quote) {
-                at += block ? 3 : 1;
+        String tripleQuote = String.valueOf(quote).repeat(3);
+        boolean multiLine = text.startsWith(tripleQuote, position);
+        position += multiLine ? 3 : 1;
+        while (position < text.length()) {
+            char character = text.charAt(position);
+            if (character == '\\' && quote == '"') {
+                line += position + 1 < text.length() && text.charAt(position + 1) == '\n' ? 1 : 0;
+                position += 2;
+            } else if (multiLine ? text.startsWith(tripleQuote, position) : character == quote) {
+                position += multiLine ? 3 : 1;
                 return;
             } else {
-                line += c == '\n' ? 1 : 0;
-                at++;
+                line += character == '\n' ? 1 : 0;
+                position++;
             }
         }
     }
 
     private void skipComment() {
-        while (at < text.length() && text.charAt(at) != '\n') {
-            at++;
+        while (position < text.length() && text.charAt(position) != '\n') {
+            position++;
         }
     }
 
--- a/src/main/java/rillyard/config/TomlTable.java
+++ b/src/main/java/rillyard/config/TomlTable.java
@@ -32,7 +32,7 @@
     private final Source source;
     private final String path;
     private final ObjectNode node;
-    private final Set<String> known = new LinkedHashSet<>();
+    private final Set<String> knownKeys = new LinkedHashSet<>();
 
     private TomlTable(Source source, String path, ObjectNode node) {
         this.source = source;
@@ -62,55 +62,57 @@
     public static TomlTable parse(String name, String text) throws InvalidConfigException {
         try {
             JsonNode root = new TomlMapper().readTree(text);
-            ObjectNode table = root instanceof ObjectNode o ? o : JsonNodeFactory.instance.objectNode();
-            return new TomlTable(new Source(name, TomlLines.of(text), new ArrayList<>(), new ArrayList<>()), "", table);
+            ObjectNode table =
+                    root instanceof ObjectNode objectNode ? objectNode : JsonNodeFactory.instance.objectNode();
+            return new TomlTable(
+                    new Source(name, TomlLines.lineNumbers(text), new ArrayList<>(), new ArrayList<>()), "", table);
         } catch (JsonProcessingException e) {
-            JsonLocation at = e.getLocation();
-            int line = at == null ? 0 : Math.max(0, at.getLineNr());
+            JsonLocation location = e.getLocation();
+            int line = location == null ? 0 : Math.max(0, location.getLineNr());
             throw new InvalidConfigException(name, line, "not TOML: " + e.getOriginalMessage());
         }
     }
 
     /** Whether the key is there. */
     public boolean has(String key) {
-        known.add(key);
+        knownKeys.add(key);
         return node.has(key);
     }
 
     /** The line of a key, or of the table where the key is absent. */
     public int line(String key) {
-        String at = path.isEmpty() ? key : path + "." + key;
-        while (!at.isEmpty()) {
-            Integer line = source.lines.get(at);
+        String keyPath = path.isEmpty() ? key : path + "." + key;
+        while (!keyPath.isEmpty()) {
+            Integer line = source.lines.get(keyPath);
             if (line != null) {
                 return line;
             }
-            int dot = at.lastIndexOf('.');
-            at = dot < 0 ? "" : at.substring(0, dot);
+            int dot = keyPath.lastIndexOf('.');
+            keyPath = dot < 0 ? "" : keyPath.substring(0, dot);
         }
         return 0;
     }
 
     /** Adds a finding at a key. */
     public void error(String key, String message) {
-        String where = path.isEmpty() ? key : path.replaceAll("\\.(\\d+)", "[$1]") + "." + key;
-        source.problems.add(new ConfigProblem(source.file, line(key), where + ": " + message));
+        String location = path.isEmpty() ? key : path.replaceAll("\\.(\\d+)", "[$1]") + "." + key;
+        source.problems.add(new ConfigProblem(source.file, line(key), location + ": " + message));
     }
 
     private JsonNode get(String key) {
-        known.add(key);
+        knownKeys.add(key);
         return node.get(key);
     }
 
     /** A text, or the default. */
-    public String text(String key, String otherwise) {
+    public String text(String key, String defaultValue) {
         JsonNode node = get(key);
         if (node == null) {
-            return otherwise;
+            return defaultValue;
         }
         if (!node.isTextual() || node.asText().isBlank()) {
             error(key, "found " + node + ", expected a text that is not empty");
-            return otherwise;
+            return defaultValue;
         }
         return node.asText();
     }
@@ -118,7 +120,7 @@
     /** A text that must be there; empty where it is not, which is a finding. */
     public String text(String key) {
         if (!node.has(key)) {
-            known.add(key);
+            knownKeys.add(key);
             error(key, "is missing, expected a text");
             return "";
         }
@@ -126,96 +128,96 @@
     }
 
     /** One of a few names, in lower case with _ or - alike; or the default. */
-    public <E extends Enum<E>> E choice(String key, Class<E> type, E otherwise) {
-        String s = text(key, null);
-        if (s == null) {
-            return otherwise;
+    public <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) {
+        String text = text(key, null);
+        if (text == null) {
+            return defaultValue;
         }
-        for (E e : type.getEnumConstants()) {
-            if (name(e).equals(s.replace('_', '-'))) {
-                return e;
+        for (E constant : type.getEnumConstants()) {
+            if (optionName(constant).equals(text.replace('_', '-'))) {
+                return constant;
             }
         }
         List<String> names = new ArrayList<>();
-        for (E e : type.getEnumConstants()) {
-            names.add(name(e));
+        for (E constant : type.getEnumConstants()) {
+            names.add(optionName(constant));
         }
-        String near = DidYouMean.suggest(s, names);
+        String suggestion = DidYouMean.suggest(text, names);
         error(
                 key,
-                "found '" + s + "', expected one of " + String.join(", ", names)
-                        + (near == null ? "" : "; did you mean '" + near + "'?"));
-        return otherwise;
+                "found '" + text + "', expected one of " + String.join(", ", names)
+                        + (suggestion == null ? "" : "; did you mean '" + suggestion + "'?"));
+        return defaultValue;
     }
 
-    private static String name(Enum<?> constant) {
+    private static String optionName(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
     /** True or false, or the default. */
-    public boolean flag(String key, boolean otherwise) {
+    public boolean flag(String key, boolean defaultValue) {
         JsonNode node = get(key);
         if (node == null) {
-            return otherwise;
+            return defaultValue;
         }
         if (!node.isBoolean()) {
             error(key, "found " + node + ", expected true or false");
-            return otherwise;
+            return defaultValue;
         }
         return node.asBoolean();
     }
 
     /** A finite number within a range, ends included, or the default. */
-    public double number(String key, double otherwise, double least, double most) {
+    public double number(String key, double defaultValue, double min, double max) {
         JsonNode node = get(key);
         if (node == null) {
-            return otherwise;
+            return defaultValue;
         }
-        return inRange(key, node, least, most) ? node.asDouble() : otherwise;
+        return inRange(key, node, min, max) ? node.asDouble() : defaultValue;
     }
 
     /** A whole number within a range, ends included, or the default. */
-    public long integer(String key, long otherwise, long least, long most) {
+    public long integer(String key, long defaultValue, long min, long max) {
         JsonNode node = get(key);
         if (node == null) {
-            return otherwise;
+            return defaultValue;
         }
-        if (!node.isIntegralNumber() || !node.canConvertToLong() || node.asLong() < least || node.asLong() > most) {
-            error(key, "found " + node + ", expected a whole number from " + least + " to " + most);
-            return otherwise;
+        if (!node.isIntegralNumber() || !node.canConvertToLong() || node.asLong() < min || node.asLong() > max) {
+            error(key, "found " + node + ", expected a whole number from " + min + " to " + max);
+            return defaultValue;
         }
         return node.asLong();
     }
 
     /** Numbers within a range, or the default. */
-    public double[] numbers(String key, double[] otherwise, double least, double most) {
+    public double[] numbers(String key, double[] defaultValue, double min, double max) {
         JsonNode node = get(key);
         if (node == null) {
-            return otherwise.clone();
+            return defaultValue.clone();
         }
         if (!node.isArray() || node.isEmpty()) {
             error(key, "found " + node + ", expected a list of numbers");
-            return otherwise.clone();
+            return defaultValue.clone();
         }
-        double[] out = new double[node.size()];
-        for (int i = 0; i < out.length; i++) {
-            if (!inRange(key, node.get(i), least, most)) {
-                return otherwise.clone();
+        double[] numbers = new double[node.size()];
+        for (int i = 0; i < numbers.length; i++) {
+            if (!inRange(key, node.get(i), min, max)) {
+                return defaultValue.clone();
             }
-            out[i] = node.get(i).asDouble();
+            numbers[i] = node.get(i).asDouble();
         }
-        return out;
+        return numbers;
     }
 
-    private boolean inRange(String key, JsonNode node, double least, double most) {
-        if (node.isNumber() && node.asDouble() >= least && node.asDouble() <= most) {
+    private boolean inRange(String key, JsonNode node, double min, double max) {
+        if (node.isNumber() && node.asDouble() >= min && node.asDouble() <= max) {
             return true;
         }
-        error(key, "found " + node + ", expected a number from " + plain(least) + " to " + plain(most));
+        error(key, "found " + node + ", expected a number from " + format(min) + " to " + format(max));
         return false;
     }
 
-    private static String plain(double number) {
+    private static String format(double number) {
         return number == Math.rint(number) && Math.abs(number) < 1e15
                 ? Long.toString((long) number)
                 : Double.toString(number);
@@ -227,29 +229,32 @@
         if (node != null && !node.isObject()) {
             error(key, "found " + node + ", expected a table");
         }
-        String at = path.isEmpty() ? key : path + "." + key;
-        return new TomlTable(source, at, node instanceof ObjectNode o ? o : JsonNodeFactory.instance.objectNode());
+        String tablePath = path.isEmpty() ? key : path + "." + key;
+        return new TomlTable(
+                source,
+                tablePath,
+                node instanceof ObjectNode objectNode ? objectNode : JsonNodeFactory.instance.objectNode());
     }
 
     /** The tables of an array of tables; none where the key is absent. */
     public List<TomlTable> tables(String key) {
         JsonNode node = get(key);
-        List<TomlTable> out = new ArrayList<>();
+        List<TomlTable> tables = new ArrayList<>();
         if (node == null) {
-            return out;
+            return tables;
         }
         if (!node.isArray()) {
             error(key, "found " + node + ", expected tables, each headed [[" + key + "]]");
-            return out;
+            return tables;
         }
         for (int i = 0; i < node.size(); i++) {
-            if (node.get(i) instanceof ObjectNode o) {
-                out.add(new TomlTable(source, (path.isEmpty() ? key : path + "." + key) + "." + i, o));
+            if (node.get(i) instanceof ObjectNode objectNode) {
+                tables.add(new TomlTable(source, (path.isEmpty() ? key : path + "." + key) + "." + i, objectNode));
             } else {
                 error(key, "found " + node.get(i) + ", expected a table");
             }
         }
-        return out;
+        return tables;
     }
 
     /**
@@ -259,16 +264,16 @@
      */
     public void finish() throws InvalidConfigException {
         for (TomlTable table : source.tables) {
-            table.node.fieldNames().forEachRemaining(k -> {
-                if (!table.known.contains(k)) {
-                    String near = DidYouMean.suggest(k, table.known);
+            table.node.fieldNames().forEachRemaining(key -> {
+                if (!table.knownKeys.contains(key)) {
+                    String suggestion = DidYouMean.suggest(key, table.knownKeys);
                     table.error(
-                            k,
+                            key,
                             "unknown key"
-                                    + (near != null
-                                            ? "; did you mean '" + near + "'?"
+                                    + (suggestion != null
+                                            ? "; did you mean '" + suggestion + "'?"
                                             : ", expected one of "
-                                                    + table.known.stream()
+                                                    + table.knownKeys.stream()
                                                             .sorted()
                                                             .collect(Collectors.joining(", "))));
                 }
--- a/src/main/java/rillyard/demo/Demo.java
+++ b/src/main/java/rillyard/demo/Demo.java
@@ -28,7 +28,7 @@
 
 /** A surge over eight hosts, one of which hangs and one of which drains, through one proxy. */
 public final class Demo {
-    private static final String TIMETABLE =
+    private static final String FAULT_SCHEDULE =
             """
       seed = 20
       [hosts]
@@ -47,7 +47,7 @@
       new_id = true
       """;
 
-    private static final String PLAN =
+    private static final String LOAD_PLAN =
             """
       seed = 20
       [clients]
@@ -68,18 +68,18 @@
     public record Result(RunReport report, Audit.Verdict verdict) {}
 
     private final PrintStream out;
-    private final String timetable;
-    private final String plan;
+    private final String faultSchedule;
+    private final String loadPlan;
 
     /** A demo whose progress goes to {@code out}. */
     public Demo(PrintStream out) {
-        this(out, TIMETABLE, PLAN);
+        this(out, FAULT_SCHEDULE, LOAD_PLAN);
     }
 
-    Demo(PrintStream out, String timetable, String plan) {
+    Demo(PrintStream out, String faultSchedule, String loadPlan) {
         this.out = out;
-        this.timetable = timetable;
-        this.plan = plan;
+        this.faultSchedule = faultSchedule;
+        this.loadPlan = loadPlan;
     }
 
     /**
@@ -100,19 +100,20 @@
     }
 
     private Result run(Path folder, PrintStream progress) throws Exception {
-        TestClusterPlan hosts = TestClusterPlanReader.parse("demo", timetable, 0);
-        LoadPlan load = LoadPlanReader.parse("demo", plan, folder);
+        TestClusterPlan hosts = TestClusterPlanReader.parse("demo", faultSchedule, 0);
+        LoadPlan load = LoadPlanReader.parse("demo", loadPlan, folder);
         Path clientsFile = folder.resolve("clients.jsonl");
         Path hostsFile = folder.resolve("hosts.jsonl");
         Path ready = folder.resolve("ready.json");
         progress.println("rillyard: warming up");
         JvmWarmup.run();
-        long now = UnixClock.micros();
+        long nowMicros = UnixClock.micros();
         LoadRun run;
         PrintStream messages = System.err;
-        try (RequestLogWriter hostLog = RequestLogWriter.open(hostsFile, new LogHeader("hosts", now, hosts.seed()));
-                RequestLogWriter clientLedger =
-                        RequestLogWriter.open(clientsFile, new LogHeader("clients", now, load.seed()));
+        try (RequestLogWriter hostLog =
+                        RequestLogWriter.open(hostsFile, new LogHeader("hosts", nowMicros, hosts.seed()));
+                RequestLogWriter clientLog =
+                        RequestLogWriter.open(clientsFile, new LogHeader("clients", nowMicros, load.seed()));
                 TestCluster cluster = new TestCluster(
                         hosts, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 2, hostLog, messages)) {
             cluster.start();
@@ -121,7 +122,7 @@
             try (ProxyProcess proxy = ProxyProcess.start(ready, folder.resolve("proxy.log"))) {
                 progress.println(
                         "rillyard: the proxy is ready at " + proxy.address().getPort() + "; the surge begins");
-                run = new LoadRun(load, List.of(proxy.address()), clientLedger, progress);
+                run = new LoadRun(load, List.of(proxy.address()), clientLog, progress);
                 cluster.startFaultSchedule();
                 run.run();
             }
@@ -133,8 +134,8 @@
     }
 
     private static void delete(Path folder) throws IOException {
-        try (Stream<Path> all = Files.walk(folder)) {
-            for (Path path : all.sorted(Comparator.reverseOrder()).toList()) {
+        try (Stream<Path> paths = Files.walk(folder)) {
+            for (Path path : paths.sorted(Comparator.reverseOrder()).toList()) {
                 Files.deleteIfExists(path);
             }
         }
--- a/src/main/java/rillyard/demo/JvmWarmup.java
+++ b/src/main/java/rillyard/demo/JvmWarmup.java
@@ -58,10 +58,10 @@
     public static void run() throws Exception {
         TestClusterPlan hosts = TestClusterPlanReader.parse("warm-up", HOSTS, 0);
         LoadPlan load = LoadPlanReader.parse("warm-up", PLAN, Path.of("."));
-        InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         PrintStream hostLog = System.err;
         try (RequestLogWriter requestLog = RequestLogWriter.disabled();
-                TestCluster cluster = new TestCluster(hosts, any, 1, requestLog, hostLog)) {
+                TestCluster cluster = new TestCluster(hosts, anyPort, 1, requestLog, hostLog)) {
             cluster.start();
             new LoadRun(load, List.of(cluster.address("s-0"), cluster.address("s-1")), requestLog, null).run();
         }
--- a/src/main/java/rillyard/faultinjection/ConnectionFaults.java
+++ b/src/main/java/rillyard/faultinjection/ConnectionFaults.java
@@ -3,14 +3,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Decides what becomes of a process's connections to a host, by the faults that are under way. */
+/** Tracks the active connection faults and computes their effect. Confined to the relays' event loop. */
 final class ConnectionFaults {
     /**
-     * How a connection fares.
+     * The combined effect of the active faults on one connection.
      *
-     * @param lateMs by how much all bytes come later
+     * @param refused whether new connections are refused
+     * @param reset whether open and new connections are reset
+     * @param silent whether connections stay open but forward nothing
+     * @param delayMs delay of each forwarded piece in milliseconds, 0 for none
      */
-    record Way(boolean refused, boolean reset, boolean silent, double lateMs) {}
+    record Effect(boolean refused, boolean reset, boolean silent, double delayMs) {}
 
     private final List<InjectedFault> active = new ArrayList<>();
 
@@ -22,20 +25,20 @@
         active.remove(fault);
     }
 
-    /** How this process's connections to this host fare now. */
-    Way way(FleetProcess from, String host, String zone) {
+    /** Returns the effect of the active faults on connections from a process to a host; delays add up. */
+    Effect effect(FleetProcess from, String host, String zone) {
         boolean refused = false;
         boolean reset = false;
         boolean silent = false;
-        double late = 0;
+        double delayMs = 0;
         for (InjectedFault fault : active) {
             if (fault.sources().matches(from) && fault.hosts().matches(host, zone)) {
                 refused |= fault.kind() == InjectedFault.Kind.REFUSED;
                 reset |= fault.kind() == InjectedFault.Kind.RESET;
                 silent |= fault.kind() == InjectedFault.Kind.SILENT;
-                late += fault.kind() == InjectedFault.Kind.SLOW ? fault.delayMs() : 0;
+                delayMs += fault.kind() == InjectedFault.Kind.SLOW ? fault.delayMs() : 0;
             }
         }
-        return new Way(refused, reset, silent, late);
+        return new Effect(refused, reset, silent, delayMs);
     }
 }
--- a/src/main/java/rillyard/faultinjection/CpuThrottle.java
+++ b/src/main/java/rillyard/faultinjection/CpuThrottle.java
@@ -6,25 +6,29 @@
 import rillyard.childprocess.ChildProcess;
 
 /**
- * Gives processes a share of their core only: each stands still for the rest of every {@value #PERIOD_MS} ms, as
- * under a quota of processor time that is used up.
+ * Limits the CPU time of processes as an exhausted CPU quota does: each is stopped for a share of every
+ * {@value #PERIOD_MS} ms by SIGSTOP and SIGCONT. Thread-safe; each throttled process has a daemon thread.
  */
 final class CpuThrottle implements AutoCloseable {
-    /** The period (ms) that quotas of processor time usually have. */
+    /** Period in milliseconds, the default of Linux CPU quotas. */
     private static final int PERIOD_MS = 100;
 
     private final Map<ChildProcess, Thread> threads = new ConcurrentHashMap<>();
 
-    /** Has it stand still for this share of its time until {@link #end}. */
+    /**
+     * Starts throttling a process; does nothing if it is throttled already.
+     *
+     * @param share share of its time for which the process is stopped, between 0 and 1
+     */
     void begin(ChildProcess child, double share) {
-        Thread thread = new Thread(() -> starve(child, share), "starve-" + child.pid());
+        Thread thread = new Thread(() -> throttle(child, share), "starve-" + child.pid());
         thread.setDaemon(true);
         if (threads.putIfAbsent(child, thread) == null) {
             thread.start();
         }
     }
 
-    private void starve(ChildProcess child, double share) {
+    private void throttle(ChildProcess child, double share) {
         try {
             while (child.isAlive() && threads.containsKey(child)) {
                 child.pause();
@@ -33,13 +37,13 @@
                 Thread.sleep((long) ((1 - share) * PERIOD_MS));
             }
         } catch (IOException e) {
-            // it has ended meanwhile
+            // the process has ended, so that there is nothing left to throttle
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Has it run as before; returns once it does. */
+    /** Stops throttling a process and waits until it runs again. */
     void end(ChildProcess child) throws InterruptedException {
         Thread thread = threads.remove(child);
         if (thread != null) {
--- a/src/main/java/rillyard/faultinjection/DatagramFaults.java
+++ b/src/main/java/rillyard/faultinjection/DatagramFaults.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Decides what becomes of a datagram between two processes, by the faults that are under way. */
+/** Tracks the active datagram faults and draws their effect on each datagram. Confined to the network's event loop. */
 final class DatagramFaults {
     private final List<InjectedFault> active = new ArrayList<>();
     private final SplittableRandom random;
@@ -21,28 +21,28 @@
         active.remove(fault);
     }
 
-    /** For how long (ms) each copy is held that arrives; none where it is lost. */
-    double[] copies(FleetProcess from, FleetProcess to) {
+    /** Returns the delay in milliseconds of each copy of a datagram that is delivered; empty if it is lost. */
+    double[] copyDelays(FleetProcess from, FleetProcess to) {
         int copies = 1;
-        double late = 0;
+        double maxDelayMs = 0;
         for (InjectedFault fault : active) {
             if (fault.affects(from, to)) {
-                boolean met = fault.kind() == InjectedFault.Kind.DELAY || random.nextDouble() < fault.share();
-                if (met) {
+                boolean applies = fault.kind() == InjectedFault.Kind.DELAY || random.nextDouble() < fault.share();
+                if (applies) {
                     switch (fault.kind()) {
                         case LOSE -> {
                             return new double[0];
                         }
                         case DOUBLE -> copies = 2;
-                        default -> late = Math.max(late, fault.delayMs());
+                        default -> maxDelayMs = Math.max(maxDelayMs, fault.delayMs());
                     }
                 }
             }
         }
-        double[] held = new double[copies];
+        double[] delaysMs = new double[copies];
         for (int i = 0; i < copies; i++) {
-            held[i] = late * random.nextDouble();
+            delaysMs[i] = maxDelayMs * random.nextDouble();
         }
-        return held;
+        return delaysMs;
     }
 }
--- a/src/main/java/rillyard/faultinjection/DatagramNetwork.java
+++ b/src/main/java/rillyard/faultinjection/DatagramNetwork.java
@@ -19,8 +19,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The network between the processes of a fault-injection run: one socket for each, its public address. It knows who sends
- * by the source, and passes on from the sender's own socket, so that the receiver sees the public address.
+ * Relays datagrams between the processes of a fault-injection run. Each process has one relay socket, which is its
+ * advertised address. The sender is identified by its source address, and the datagram is forwarded from the sender's
+ * relay socket, so that the receiver sees the advertised address. The faults are confined to the event loop.
  */
 final class DatagramNetwork implements AutoCloseable {
     private final MultiThreadIoEventLoopGroup group =
@@ -28,28 +29,29 @@
     private final EventLoop loop = (EventLoop) group.next();
     private final DatagramFaults faults;
     private final List<FleetProcess> members;
-    private final List<InetSocketAddress> own;
+    private final List<InetSocketAddress> processAddresses;
     private final Map<InetSocketAddress, FleetProcess> bySource = new HashMap<>();
     private final Channel[] sockets;
 
     /**
-     * Opens them.
+     * Opens a relay socket for each process.
      *
-     * @param own where the processes themselves listen, in the order of {@code members}
-     * @throws IOException if a socket can't be had
+     * @param processAddresses the addresses on which the processes listen, in the order of {@code members}
+     * @throws IOException if a socket can't be opened
      */
-    DatagramNetwork(List<FleetProcess> members, List<InetSocketAddress> own, DatagramFaults faults) throws IOException {
+    DatagramNetwork(List<FleetProcess> members, List<InetSocketAddress> processAddresses, DatagramFaults faults)
+            throws IOException {
         this.members = members;
-        this.own = own;
+        this.processAddresses = processAddresses;
         this.faults = faults;
         this.sockets = new Channel[members.size()];
         try {
             for (FleetProcess process : members) {
-                bySource.put(own.get(process.index()), process);
+                bySource.put(processAddresses.get(process.index()), process);
                 sockets[process.index()] = new Bootstrap()
                         .group(loop)
                         .channel(NioDatagramChannel.class)
-                        .handler(new Passing(process))
+                        .handler(new Forwarder(process))
                         .bind(InetAddress.getLoopbackAddress(), 0)
                         .sync()
                         .channel();
@@ -60,7 +62,7 @@
         }
     }
 
-    /** Where the others reach this one. */
+    /** Returns the advertised address of a process: its relay socket. */
     InetSocketAddress address(FleetProcess process) {
         return (InetSocketAddress) sockets[process.index()].localAddress();
     }
@@ -78,28 +80,30 @@
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
 
-    private final class Passing extends SimpleChannelInboundHandler<DatagramPacket> {
-        private final FleetProcess to;
+    /** Forwards the datagrams that arrive at one process's relay socket, as the active faults allow. */
+    private final class Forwarder extends SimpleChannelInboundHandler<DatagramPacket> {
+        private final FleetProcess receiver;
 
-        Passing(FleetProcess to) {
-            this.to = to;
+        Forwarder(FleetProcess receiver) {
+            this.receiver = receiver;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            FleetProcess from = bySource.get(packet.sender());
-            if (from == null || !members.contains(from)) {
-                return; // no process of this trial
+            FleetProcess sender = bySource.get(packet.sender());
+            if (sender == null || !members.contains(sender)) {
+                return; // not sent by a process of this run
             }
-            for (double held : faults.copies(from, to)) {
-                DatagramPacket copy = new DatagramPacket(packet.content().retainedDuplicate(), own.get(to.index()));
-                Channel out = sockets[from.index()];
-                if (held < 0.5) {
-                    out.writeAndFlush(copy, out.voidPromise());
+            for (double delayMs : faults.copyDelays(sender, receiver)) {
+                DatagramPacket copy = new DatagramPacket(
+                        packet.content().retainedDuplicate(), processAddresses.get(receiver.index()));
+                Channel socket = sockets[sender.index()];
+                if (delayMs < 0.5) {
+                    socket.writeAndFlush(copy, socket.voidPromise());
                 } else {
                     loop.schedule(
-                            () -> out.writeAndFlush(copy, out.voidPromise()),
-                            (long) (held * 1_000),
+                            () -> socket.writeAndFlush(copy, socket.voidPromise()),
+                            (long) (delayMs * 1_000),
                             TimeUnit.MICROSECONDS);
                 }
             }
@@ -107,7 +111,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // The process is gone, and its port answers so: the datagram is lost.
+            // The receiver has ended and the kernel reports its port as unreachable: the datagram is lost.
         }
     }
 }
--- a/src/main/java/rillyard/faultinjection/FaultInjectionAudit.java
+++ b/src/main/java/rillyard/faultinjection/FaultInjectionAudit.java
@@ -10,50 +10,56 @@
 import rillyard.requestlog.RequestLogReader;
 
 /**
- * The audit of a fault-injection run's request logs. A request whose own proxy was killed or stood still under it is owed no answer;
- * all else holds for it too.
+ * The audit of a fault-injection run's request logs. No response is owed to an attempt whose proxy was killed or
+ * stopped while the attempt was in flight; all other rules apply to it too.
  *
- * @param abandonedAttempts attempts that were excused so
+ * @param verdict the result of the audit
+ * @param abandonedAttempts number of attempts that were owed no response
  */
 public record FaultInjectionAudit(Audit.Verdict verdict, int abandonedAttempts) {
-    /** What a process that was stopped may still owe when it goes on (us): the slack of an answer, and the turn it is in. */
-    private static final long AFTER_US = 1_000_000;
+    /** Time in microseconds for which a resumed process may still respond late. */
+    private static final long AFTER_HALT_MICROS = 1_000_000;
 
-    /** Reads both request logs. */
+    /** Reads and audits both request logs. */
     static FaultInjectionAudit of(
-            Path clients, Path hosts, Path config, FaultInjectionPlan plan, List<FaultInjectionResult.Done> done)
+            Path clients,
+            Path hosts,
+            Path config,
+            FaultInjectionPlan plan,
+            List<FaultInjectionResult.ExecutedStep> executedSteps)
             throws InvalidConfigException {
         Audit audit = new Audit(AuditSettings.read(config));
-        int[] notOwed = {0};
-        boolean whole = RequestLogReader.read(clients, "clients", line -> {
-            if (line instanceof ClientAttempt attempt && hit(attempt, plan, done)) {
-                notOwed[0]++;
+        int[] abandonedCount = {0};
+        boolean complete = RequestLogReader.read(clients, "clients", logRecord -> {
+            if (logRecord instanceof ClientAttempt attempt && wasHalted(attempt, plan, executedSteps)) {
+                abandonedCount[0]++;
                 audit.add(abandoned(attempt));
             } else {
-                audit.add(line);
+                audit.add(logRecord);
             }
         });
-        whole &= RequestLogReader.read(hosts, "hosts", audit::add);
+        complete &= RequestLogReader.read(hosts, "hosts", audit::add);
         Audit.Verdict verdict = audit.evaluate();
-        if (!whole) {
-            List<String> doubts = new java.util.ArrayList<>(verdict.warnings());
-            doubts.add("a ledger was not closed: its last lines may be missing");
-            verdict = new Audit.Verdict(verdict.attempts(), verdict.executions(), verdict.violations(), doubts);
+        if (!complete) {
+            List<String> warnings = new java.util.ArrayList<>(verdict.warnings());
+            warnings.add("a ledger was not closed: its last lines may be missing");
+            verdict = new Audit.Verdict(verdict.attempts(), verdict.executions(), verdict.violations(), warnings);
         }
-        return new FaultInjectionAudit(verdict, notOwed[0]);
+        return new FaultInjectionAudit(verdict, abandonedCount[0]);
     }
 
-    /** Whether its process was killed or stood still while it was under way. */
-    private static boolean hit(ClientAttempt attempt, FaultInjectionPlan plan, List<FaultInjectionResult.Done> done) {
-        FleetProcess own = plan.serving(attempt.client());
-        for (FaultInjectionResult.Done d : done) {
-            InjectedFault fault = d.fault();
-            boolean halts = fault.target() == InjectedFault.Place.PROCESSES
+    /** Returns whether the attempt's proxy was halted while the attempt was in flight. */
+    private static boolean wasHalted(
+            ClientAttempt attempt, FaultInjectionPlan plan, List<FaultInjectionResult.ExecutedStep> executedSteps) {
+        FleetProcess process = plan.servingProcess(attempt.client());
+        for (FaultInjectionResult.ExecutedStep step : executedSteps) {
+            InjectedFault fault = step.fault();
+            boolean halts = fault.target() == InjectedFault.Target.PROCESSES
                     && fault.kind() != InjectedFault.Kind.TERM
-                    && fault.sources().matches(own);
-            long from = d.at() * 1_000;
-            long until = from + (long) (fault.durationMs() * 1_000) + AFTER_US;
-            if (d.begin() && halts && attempt.sentAt() <= until && attempt.endedAt() >= from) {
+                    && fault.sources().matches(process);
+            long fromMicros = step.at() * 1_000;
+            long untilMicros = fromMicros + (long) (fault.durationMs() * 1_000) + AFTER_HALT_MICROS;
+            if (step.begins() && halts && attempt.sentAt() <= untilMicros && attempt.endedAt() >= fromMicros) {
                 return true;
             }
         }
@@ -66,7 +72,7 @@
                                 && attempt.endedAt() <= attempt.sentAt() + attempt.timeoutMicros())
                 ? attempt.outcome()
                 : ClientOutcome.ABANDONED;
-        long ended = outcome == ClientOutcome.SERVED
+        long endedAt = outcome == ClientOutcome.SERVED
                 ? Math.min(attempt.endedAt(), attempt.sentAt() + attempt.timeoutMicros())
                 : attempt.endedAt();
         return new ClientAttempt(
@@ -79,7 +85,7 @@
                 attempt.client(),
                 attempt.scheduledAt(),
                 attempt.sentAt(),
-                ended,
+                endedAt,
                 attempt.timeoutMicros(),
                 outcome,
                 attempt.status(),
--- a/src/main/java/rillyard/faultinjection/FaultInjectionPlan.java
+++ b/src/main/java/rillyard/faultinjection/FaultInjectionPlan.java
@@ -5,26 +5,28 @@
 import rillyard.testserver.TestClusterPlan;
 
 /**
- * What a fault-injection run starts and does.
+ * The plan of a fault-injection run.
  *
- * @param processes how many processes of this program
- * @param zones processes are dealt to them in turn
- * @param regions zones are dealt to them in turn
- * @param lasts ms of the fault schedule, from when all have found each other
+ * @param seed seed of the random faults and of the datagram network
+ * @param processes number of proxy processes
+ * @param zones number of zones; processes are assigned to them round-robin
+ * @param regions number of regions; zones are assigned to them round-robin
+ * @param durationMs length of the fault schedule in milliseconds, from when all processes have found each other
  * @param membership lines for the {@code [membership]} table of each process's settings
- * @param news whether the processes tell each other which hosts fail, and how much each sends
- * @param hosts what the processes send to; its own faults begin with the fault schedule
- * @param load what clients ask of the processes, client k of number k modulo the processes; null for nothing
- * @param clocks processes whose clocks go wrong
+ * @param gossip whether the processes exchange observations of failing hosts and their request rates
+ * @param hosts the test hosts; their own faults begin with the fault schedule
+ * @param load the load, or null for none; client k is served by process k modulo the number of processes
+ * @param clocks processes whose clocks run at a wrong rate
+ * @param faults the faults, in the order of their starts
  */
 public record FaultInjectionPlan(
         long seed,
         int processes,
         int zones,
         int regions,
-        double lasts,
+        double durationMs,
         String membership,
-        boolean news,
+        boolean gossip,
         TestClusterPlan hosts,
         LoadPlan load,
         List<Clock> clocks,
@@ -35,8 +37,13 @@
         faults = List.copyOf(faults);
     }
 
-    /** Processes whose clock passes so many ms in one. */
-    record Clock(ProcessPattern on, double rate) {}
+    /**
+     * Processes with a wrong clock rate.
+     *
+     * @param processes the processes
+     * @param rate milliseconds that their clock advances in one millisecond
+     */
+    record Clock(ProcessPattern processes, double rate) {}
 
     List<FleetProcess> members() {
         return java.util.stream.IntStream.range(0, processes)
@@ -48,26 +55,26 @@
         return FleetProcess.of(index, zones, regions);
     }
 
-    /** The process that serves a client: {@link rillyard.loadgen.LoadRun} gives each the target of its number. */
-    FleetProcess serving(int client) {
+    /** Returns the process that serves a client: {@link rillyard.loadgen.LoadRun} assigns targets round-robin. */
+    FleetProcess servingProcess(int client) {
         return member(client % processes);
     }
 
-    /** The rate of a process's clock, 1 as a rule. */
+    /** Returns the clock rate of a process, 1 unless the plan sets another. */
     double clockRate(FleetProcess process) {
         return clocks.stream()
-                .filter(clock -> clock.on().matches(process))
+                .filter(clock -> clock.processes().matches(process))
                 .mapToDouble(Clock::rate)
                 .findFirst()
                 .orElse(1);
     }
 
-    /** The same with these faults besides. */
-    public FaultInjectionPlan with(List<InjectedFault> more) {
+    /** Returns a copy of this plan with additional faults. */
+    public FaultInjectionPlan withFaults(List<InjectedFault> additional) {
         List<InjectedFault> all = new java.util.ArrayList<>(faults);
-        all.addAll(more);
+        all.addAll(additional);
         all.sort(java.util.Comparator.comparingDouble(InjectedFault::startMs));
         return new FaultInjectionPlan(
-                seed, processes, zones, regions, lasts, membership, news, hosts, load, clocks, all);
+                seed, processes, zones, regions, durationMs, membership, gossip, hosts, load, clocks, all);
     }
 }
--- a/src/main/java/rillyard/faultinjection/FaultInjectionResult.java
+++ b/src/main/java/rillyard/faultinjection/FaultInjectionResult.java
@@ -9,131 +9,163 @@
 import java.util.Set;
 import rillyard.imbalance.ImbalanceReport;
 
-/** What came of a fault-injection run. */
+/** The result of a fault-injection run: membership, audit, host load and resource usage. */
 public final class FaultInjectionResult {
-    /** A part of the fault schedule that was carried out: a fault that began, or ended. */
-    record Done(long at, InjectedFault fault, boolean begin) {}
+    /**
+     * A step of the fault schedule that was executed.
+     *
+     * @param at Unix time in milliseconds
+     * @param fault the fault
+     * @param begins whether the fault began at this step; otherwise it ended
+     */
+    record ExecutedStep(long at, InjectedFault fault, boolean begins) {}
 
-    /** A member that was held dead by one who could have heard it. */
+    /**
+     * A member that was declared dead although the observer could have heard it.
+     *
+     * @param by name of the observer
+     * @param about name of the member
+     * @param atSeconds seconds from the start of the fault schedule
+     */
     public record FalseDeath(String by, String about, double atSeconds) {}
 
-    /** So long (ms) after a fault beliefs may still come of it. */
+    /** Time in milliseconds after a fault's end for which it still excuses a change of member state. */
     private static final long AFTERMATH_MS = 15_000;
 
-    /** The report lists no more false deaths, and no more violations, than this. */
+    /** Maximum number of false deaths, and of violations, that the report lists. */
     private static final int MAX_LISTED = 10;
 
     private final FaultInjectionPlan plan;
-    private final long begun;
-    private final List<Done> done;
+    private final long startMillis;
+    private final List<ExecutedStep> executedSteps;
     private final Set<String> survivors;
     private final MembershipTimeline timeline;
     private final String resourceReport;
     private FaultInjectionAudit audit;
     private ImbalanceReport imbalance;
-    private long zero;
+    private long zeroMicros;
 
     FaultInjectionResult(
             FaultInjectionPlan plan,
-            long begun,
-            List<Done> done,
-            Set<String> living,
-            MembershipTimeline beliefs,
-            String expense) {
+            long startMillis,
+            List<ExecutedStep> executedSteps,
+            Set<String> survivors,
+            MembershipTimeline timeline,
+            String resourceReport) {
         this.plan = plan;
-        this.begun = begun;
-        this.done = List.copyOf(done);
-        this.survivors = Set.copyOf(living);
-        this.timeline = beliefs;
-        this.resourceReport = expense;
+        this.startMillis = startMillis;
+        this.executedSteps = List.copyOf(executedSteps);
+        this.survivors = Set.copyOf(survivors);
+        this.timeline = timeline;
+        this.resourceReport = resourceReport;
     }
 
-    /** What of the fault schedule was carried out, in its order. */
-    List<Done> done() {
-        return done;
+    /** Returns the steps of the fault schedule that were executed, in their order. */
+    List<ExecutedStep> executedSteps() {
+        return executedSteps;
     }
 
-    /** The audit of what clients asked for, and how the hosts were loaded; times of the latter count from {@code zero} (us). */
-    void setServed(FaultInjectionAudit audit, ImbalanceReport report, long zero) {
+    /**
+     * Sets the results of a run with load.
+     *
+     * @param zeroMicros Unix time in microseconds from which the times of the imbalance report count
+     */
+    void setLoadResults(FaultInjectionAudit audit, ImbalanceReport imbalance, long zeroMicros) {
         this.audit = audit;
-        this.imbalance = report;
-        this.zero = zero;
+        this.imbalance = imbalance;
+        this.zeroMicros = zeroMicros;
     }
 
-    /** How the hosts were loaded; null where clients asked for nothing. */
+    /** Returns how evenly the hosts were loaded, or null for a run without load. */
     public ImbalanceReport imbalance() {
         return imbalance;
     }
 
-    /** The audit of what clients asked for; null where they asked for nothing. */
+    /** Returns the audit of the request logs, or null for a run without load. */
     public FaultInjectionAudit audit() {
         return audit;
     }
 
-    /** Whether nobody who could be heard was held dead, all agree in the end, and no rule was broken. */
+    /** Returns whether there was no false death, all survivors agree in the end, and no rule was violated. */
     public boolean isClean() {
         return falseDeaths().isEmpty()
                 && !Double.isNaN(convergedSince())
                 && (audit == null || audit.verdict().isClean());
     }
 
-    /** Writes what all believed, one line for each change, in the order of their times. */
+    /** Writes the changes of member state that all processes recorded, one line each, in the order of their times. */
     void write(Path file) throws IOException {
         timeline.write(file);
     }
 
-    /** The names of those that live in the end. */
+    /** Returns the names of the processes that are alive in the end. */
     public Set<String> survivors() {
         return survivors;
     }
 
-    /** Seconds of the fault schedule since when all that live hold just these present; NaN if they don't. */
+    /**
+     * Returns the time since which each survivor has seen exactly the survivors as present, in seconds from the start
+     * of the fault schedule; NaN if they do not agree in the end.
+     */
     public double convergedSince() {
         long since = timeline.agreedSince(survivors);
-        return since < 0 ? Double.NaN : Math.max(0, since - begun) / 1e3;
+        return since < 0 ? Double.NaN : Math.max(0, since - startMillis) / 1e3;
     }
 
-    /** For each of the living, seconds from the fault until it held this member gone; those that never did lack. */
+    /**
+     * Returns the detection delays of a fault in seconds, in ascending order: one for each survivor that declared the
+     * member absent after the fault.
+     *
+     * @param about name of the member
+     * @param faultSeconds start of the fault, in seconds from the start of the fault schedule
+     */
     public List<Double> detectionDelays(String about, double faultSeconds) {
-        long from = begun + (long) (faultSeconds * 1_000);
+        long fromMillis = startMillis + (long) (faultSeconds * 1_000);
         Set<String> observers = new HashSet<>(survivors);
         observers.remove(about);
-        List<Double> out = new ArrayList<>();
-        timeline.heldGone(about, from, observers).values().forEach(at -> out.add((at - from) / 1e3));
-        out.sort(null);
-        return out;
+        List<Double> delays = new ArrayList<>();
+        timeline.detectionTimes(about, fromMillis, observers)
+                .values()
+                .forEach(at -> delays.add((at - fromMillis) / 1e3));
+        delays.sort(null);
+        return delays;
     }
 
-    /** Deaths of members that ran, and were cut off from nobody that has to do with it, at the time and just before. */
+    /**
+     * Returns the declared deaths that no fault excuses: the member was running and not partitioned from the observer,
+     * both at the time and for a while before.
+     */
     public List<FalseDeath> falseDeaths() {
-        List<FalseDeath> out = new ArrayList<>();
-        for (MembershipTimeline.Belief belief : timeline.all()) {
-            if (belief.status().equals("DEAD") && belief.at() >= begun && !excused(belief)) {
-                out.add(new FalseDeath(belief.member(), belief.about(), (belief.at() - begun) / 1e3));
+        List<FalseDeath> deaths = new ArrayList<>();
+        for (MembershipTimeline.StateChange change : timeline.changes()) {
+            if (change.status().equals("DEAD") && change.at() >= startMillis && !isExcused(change)) {
+                deaths.add(new FalseDeath(change.observer(), change.subject(), (change.at() - startMillis) / 1e3));
             }
         }
-        return out;
-    }
-
-    private boolean excused(MembershipTimeline.Belief belief) {
-        FleetProcess by = member(belief.member());
-        FleetProcess about = member(belief.about());
-        for (Done d : done) {
-            InjectedFault fault = d.fault();
-            boolean forGood = fault.kind() == InjectedFault.Kind.KILL || fault.kind() == InjectedFault.Kind.TERM;
-            boolean over = !forGood && belief.at() > d.at() + fault.durationMs() + AFTERMATH_MS;
-            if (d.begin() && d.at() <= belief.at() && !over) {
-                boolean away = fault.target() == InjectedFault.Place.PROCESSES
+        return deaths;
+    }
+
+    private boolean isExcused(MembershipTimeline.StateChange change) {
+        FleetProcess observer = member(change.observer());
+        FleetProcess subject = member(change.subject());
+        for (ExecutedStep step : executedSteps) {
+            InjectedFault fault = step.fault();
+            boolean permanent = fault.kind() == InjectedFault.Kind.KILL || fault.kind() == InjectedFault.Kind.TERM;
+            boolean expired = !permanent && change.at() > step.at() + fault.durationMs() + AFTERMATH_MS;
+            if (step.begins() && step.at() <= change.at() && !expired) {
+                boolean halted = fault.target() == InjectedFault.Target.PROCESSES
                         && fault.kind() != InjectedFault.Kind.STARVE
-                        && fault.sources().matches(about);
-                // Under a cut, who can hear each other must not hold each other dead; after it words of both sides mix.
-                boolean apart = fault.affects(by, about) || fault.affects(about, by);
-                boolean mixed = fault.target() == InjectedFault.Place.DATAGRAMS
-                        && belief.at() > d.at() + fault.durationMs()
-                        && (fault.sources().matches(about)
-                                || fault.destinations().matches(about));
-                boolean cut = fault.kind() == InjectedFault.Kind.LOSE && fault.share() > 0.9 && (apart || mixed);
-                if (away || cut) {
+                        && fault.sources().matches(subject);
+                // Members on one side of a partition must not declare each other dead; afterwards updates of both
+                // sides mix.
+                boolean separated = fault.affects(observer, subject) || fault.affects(subject, observer);
+                boolean converging = fault.target() == InjectedFault.Target.DATAGRAMS
+                        && change.at() > step.at() + fault.durationMs()
+                        && (fault.sources().matches(subject)
+                                || fault.destinations().matches(subject));
+                boolean partitioned =
+                        fault.kind() == InjectedFault.Kind.LOSE && fault.share() > 0.9 && (separated || converging);
+                if (halted || partitioned) {
                     return true;
                 }
             }
@@ -145,10 +177,10 @@
         return plan.member(Integer.parseInt(name.substring(1)));
     }
 
-    /** Formats the result as text: detection of each fault, agreement in the end, cost, audit and imbalance. */
+    /** Returns the result as text: detection of each fault, agreement in the end, cost, audit and imbalance. */
     public String report() {
         StringBuilder out = new StringBuilder();
-        done.forEach(step -> appendDetection(step, out));
+        executedSteps.forEach(step -> appendDetection(step, out));
         appendFalseDeaths(out);
         appendAgreement(out);
         out.append(resourceReport);
@@ -156,15 +188,15 @@
             appendAudit(out);
         }
         if (imbalance != null) {
-            out.append(imbalance.format(zero));
+            out.append(imbalance.format(zeroMicros));
         }
         return out.toString();
     }
 
-    private void appendDetection(Done step, StringBuilder out) {
+    private void appendDetection(ExecutedStep step, StringBuilder out) {
         InjectedFault fault = step.fault();
-        if (!step.begin()
-                || fault.target() != InjectedFault.Place.PROCESSES
+        if (!step.begins()
+                || fault.target() != InjectedFault.Target.PROCESSES
                 || fault.kind() == InjectedFault.Kind.STARVE
                 || fault.kind() == InjectedFault.Kind.RESTART) {
             return;
@@ -176,8 +208,8 @@
         }
     }
 
-    private void appendDetection(Done step, FleetProcess process, StringBuilder out) {
-        List<Double> delays = detectionDelays(process.name(), (step.at() - begun) / 1e3);
+    private void appendDetection(ExecutedStep step, FleetProcess process, StringBuilder out) {
+        List<Double> delays = detectionDelays(process.name(), (step.at() - startMillis) / 1e3);
         out.append(String.format(
                 Locale.ROOT,
                 "%s: held gone by %d of %d living",
@@ -211,7 +243,7 @@
             out.append(String.format(
                     Locale.ROOT, "all %d living hold just each other since %.1f s%n", survivors.size(), agreed));
         }
-        timeline.present(Long.MAX_VALUE).forEach((observer, present) -> {
+        timeline.presentMembers(Long.MAX_VALUE).forEach((observer, present) -> {
             if (survivors.contains(observer) && !present.equals(survivors)) {
                 out.append("  ")
                         .append(observer)
--- a/src/main/java/rillyard/faultinjection/FaultInjectionRun.java
+++ b/src/main/java/rillyard/faultinjection/FaultInjectionRun.java
@@ -23,27 +23,32 @@
 import rillyard.requestlog.RequestLogWriter;
 import rillyard.requestlog.UnixClock;
 
-/** Runs a plan: starts the processes, carries the fault schedule out, and tells what they believed. */
+/** Executes a fault-injection plan: starts the processes, injects the faults on schedule, and collects the results. */
 public final class FaultInjectionRun {
-    /** All have to have found each other after so long (ms) and a share for each process. */
-    private static final long JOIN_MS = 30_000;
+    /** Time in milliseconds within which all processes must find each other, plus a share for each process. */
+    private static final long JOIN_TIMEOUT_MS = 30_000;
 
-    private static final long JOIN_EACH_MS = 300;
+    private static final long JOIN_TIMEOUT_PER_PROCESS_MS = 300;
     private static final long POLL_MS = 100;
-    private static final int STARTS_A_CORE = 2;
+    private static final int STARTS_PER_CORE = 2;
     private static final long START_POLL_MS = 20;
-    private static final long SHOW_NANOS = 5_000_000_000L;
+    private static final long PROGRESS_INTERVAL_NANOS = 5_000_000_000L;
     private static final String CLIENTS = "clients.jsonl";
     private static final String HOSTS = "hosts.jsonl";
 
-    /** One thing to do at its time. */
-    private record Step(double at, InjectedFault fault, boolean begin) {}
+    /** One step of the fault schedule: a fault begins or ends, {@code at} milliseconds from the schedule's start. */
+    private record Step(double at, InjectedFault fault, boolean begins) {}
 
     private final FaultInjectionPlan plan;
     private final Path folder;
     private final PrintStream out;
 
-    /** Files go to the folder, progress to {@code out}. */
+    /**
+     * Creates a run.
+     *
+     * @param folder folder for logs and reports; created if it does not exist
+     * @param out receives progress messages
+     */
     public FaultInjectionRun(FaultInjectionPlan plan, Path folder, PrintStream out) {
         this.plan = plan;
         this.folder = folder;
@@ -51,35 +56,37 @@
     }
 
     /**
-     * Runs it; no process is left, whatever comes of it.
+     * Executes the plan and returns its result. Ends all processes that it started, also if it fails.
      *
      * @param launch how the processes are started
-     * @throws Exception if they can't be started, or don't find each other
+     * @throws Exception if the processes can't be started, or do not find each other in time
      */
     public FaultInjectionResult run(LaunchCommand launch) throws Exception {
         out.println("seed " + plan.seed() + ", " + plan.processes() + " processes in " + plan.zones() + " zones");
         plan.faults().forEach(fault -> out.println("  " + fault));
         Files.createDirectories(folder);
-        long now = UnixClock.micros();
-        LogHeader head = new LogHeader("clients", now, plan.seed());
+        long nowMicros = UnixClock.micros();
+        LogHeader header = new LogHeader("clients", nowMicros, plan.seed());
         FaultInjectionResult result;
         Path config;
         LoadRun load;
-        try (RequestLogWriter hosts = RequestLogWriter.open(file(HOSTS), new LogHeader("hosts", now, plan.seed()));
-                RequestLogWriter clients =
-                        plan.load() == null ? RequestLogWriter.disabled() : RequestLogWriter.open(file(CLIENTS), head);
+        try (RequestLogWriter hosts =
+                        RequestLogWriter.open(file(HOSTS), new LogHeader("hosts", nowMicros, plan.seed()));
+                RequestLogWriter clients = plan.load() == null
+                        ? RequestLogWriter.disabled()
+                        : RequestLogWriter.open(file(CLIENTS), header);
                 ProcessFleet fleet = new ProcessFleet(plan, launch, folder, hosts)) {
             config = fleet.config();
-            load = plan.load() == null ? null : new LoadRun(plan.load(), fleet.serving(), true, clients, null);
-            Thread end = new Thread(fleet::killAll, "trial-end");
-            Runtime.getRuntime().addShutdownHook(end);
+            load = plan.load() == null ? null : new LoadRun(plan.load(), fleet.proxyAddresses(), true, clients, null);
+            Thread shutdownHook = new Thread(fleet::killAll, "trial-end");
+            Runtime.getRuntime().addShutdownHook(shutdownHook);
             try {
                 result = run(fleet, load);
             } finally {
                 try {
-                    Runtime.getRuntime().removeShutdownHook(end);
+                    Runtime.getRuntime().removeShutdownHook(shutdownHook);
                 } catch (IllegalStateException e) {
-                    // this process is told to end, and the hook ends the others
+                    // this JVM is shutting down, and the hook ends the processes
                 }
             }
         }
@@ -91,17 +98,17 @@
     }
 
     private void audit(FaultInjectionResult result, LoadRun load, Path config) throws Exception {
-        result.setServed(
-                FaultInjectionAudit.of(file(CLIENTS), file(HOSTS), config, plan, result.done()),
-                RunImbalance.of(file(CLIENTS), file(HOSTS), plan, result.done()),
+        result.setLoadResults(
+                FaultInjectionAudit.of(file(CLIENTS), file(HOSTS), config, plan, result.executedSteps()),
+                RunImbalance.of(file(CLIENTS), file(HOSTS), plan, result.executedSteps()),
                 load.startedMicros());
         List<RunReport.Mark> marks = new ArrayList<>(TimelineEvents.read(file(HOSTS), load.startedMicros()));
-        for (FaultInjectionResult.Done done : result.done()) {
-            String where = done.fault().target() == InjectedFault.Place.PROCESSES ? "processes" : "network";
+        for (FaultInjectionResult.ExecutedStep step : result.executedSteps()) {
+            String lane = step.fault().target() == InjectedFault.Target.PROCESSES ? "processes" : "network";
             marks.add(new RunReport.Mark(
-                    (done.at() - load.startedMicros() / 1_000) / 1e3,
-                    where,
-                    done.fault().description() + (done.begin() ? "" : " ends")));
+                    (step.at() - load.startedMicros() / 1_000) / 1e3,
+                    lane,
+                    step.fault().description() + (step.begins() ? "" : " ends")));
         }
         marks.sort(Comparator.comparingDouble(RunReport.Mark::at));
         ReportFiles.write(
@@ -113,32 +120,36 @@
     }
 
     private FaultInjectionResult run(ProcessFleet fleet, LoadRun load) throws Exception {
-        long from = System.currentTimeMillis();
+        long joinStartMillis = System.currentTimeMillis();
         startAll(fleet);
-        Set<String> all = fleet.members().stream().map(FleetProcess::name).collect(Collectors.toSet());
-        awaitAgreement(fleet, all, JOIN_MS + plan.processes() * JOIN_EACH_MS);
-        out.printf(Locale.ROOT, "all have found each other after %.1f s%n", (System.currentTimeMillis() - from) / 1e3);
-        ResourceUsage expense = new ResourceUsage(fleet);
-        Thread asking = load == null ? null : asking(load);
-        fleet.hosts.startFaultSchedule();
-        long begun = System.currentTimeMillis();
-        List<FaultInjectionResult.Done> done = new ArrayList<>();
+        Set<String> names = fleet.members().stream().map(FleetProcess::name).collect(Collectors.toSet());
+        awaitAgreement(fleet, names, JOIN_TIMEOUT_MS + plan.processes() * JOIN_TIMEOUT_PER_PROCESS_MS);
+        out.printf(
+                Locale.ROOT,
+                "all have found each other after %.1f s%n",
+                (System.currentTimeMillis() - joinStartMillis) / 1e3);
+        ResourceUsage resourceUsage = new ResourceUsage(fleet);
+        Thread loadThread = load == null ? null : startLoad(load);
+        fleet.testCluster.startFaultSchedule();
+        long startMillis = System.currentTimeMillis();
+        List<FaultInjectionResult.ExecutedStep> executedSteps = new ArrayList<>();
         try {
-            execute(fleet, begun, done);
-            awaitEnd(fleet, all, begun + (long) plan.lasts());
-            if (asking != null) {
-                asking.join();
+            execute(fleet, startMillis, executedSteps);
+            awaitEnd(fleet, names, startMillis + (long) plan.durationMs());
+            if (loadThread != null) {
+                loadThread.join();
             }
         } finally {
-            if (asking != null) {
+            if (loadThread != null) {
                 load.interrupt();
-                asking.join();
+                loadThread.join();
             }
         }
-        return new FaultInjectionResult(plan, begun, done, living(all, fleet), read(fleet), expense.words());
+        return new FaultInjectionResult(
+                plan, startMillis, executedSteps, survivors(names, fleet), readTimeline(fleet), resourceUsage.report());
     }
 
-    private static Thread asking(LoadRun load) {
+    private static Thread startLoad(LoadRun load) {
         Thread thread = new Thread(
                 () -> {
                     try {
@@ -152,29 +163,32 @@
         return thread;
     }
 
-    /** Starts them, some at a time: all at once they are so slow that they take each other for dead. */
+    /**
+     * Starts the processes, a few at a time: if all started at once, they would be slow enough to suspect each other.
+     */
     private void startAll(ProcessFleet fleet) throws Exception {
-        int atOnce = Math.max(4, STARTS_A_CORE * Runtime.getRuntime().availableProcessors());
+        int maxConcurrent = Math.max(4, STARTS_PER_CORE * Runtime.getRuntime().availableProcessors());
         Deque<FleetProcess> starting = new ArrayDeque<>();
-        long shown = System.nanoTime();
+        long lastProgressNanos = System.nanoTime();
         int started = 0;
         for (FleetProcess process : fleet.members()) {
-            while (starting.size() >= atOnce) {
-                starting.removeIf(fleetProcess ->
-                        ProxyProcess.state(fleet.serving().get(fleetProcess.index())) == ProxyProcess.State.READY);
+            while (starting.size() >= maxConcurrent) {
+                starting.removeIf(candidate ->
+                        ProxyProcess.state(fleet.proxyAddresses().get(candidate.index())) == ProxyProcess.State.READY);
                 checkAlive(fleet, starting);
                 Thread.sleep(START_POLL_MS);
             }
             fleet.start(process);
             starting.add(process);
             started++;
-            if (System.nanoTime() - shown > SHOW_NANOS) {
-                shown = System.nanoTime();
+            if (System.nanoTime() - lastProgressNanos > PROGRESS_INTERVAL_NANOS) {
+                lastProgressNanos = System.nanoTime();
                 out.println("started " + started + " of " + plan.processes());
             }
         }
         while (!starting.isEmpty()) {
-            starting.removeIf(s -> ProxyProcess.state(fleet.serving().get(s.index())) == ProxyProcess.State.READY);
+            starting.removeIf(candidate ->
+                    ProxyProcess.state(fleet.proxyAddresses().get(candidate.index())) == ProxyProcess.State.READY);
             checkAlive(fleet, starting);
             Thread.sleep(START_POLL_MS);
         }
@@ -188,43 +202,45 @@
         }
     }
 
-    private static MembershipTimeline read(ProcessFleet fleet) throws IOException {
+    private static MembershipTimeline readTimeline(ProcessFleet fleet) throws IOException {
         return MembershipTimeline.read(
                 fleet.members().stream().map(fleet::history).toList());
     }
 
-    private static Set<String> living(Set<String> all, ProcessFleet fleet) {
-        Set<String> living = new HashSet<>(all);
+    private static Set<String> survivors(Set<String> names, ProcessFleet fleet) {
+        Set<String> survivors = new HashSet<>(names);
         fleet.members().stream()
                 .filter(process -> !fleet.child(process).isAlive())
-                .forEach(fleetProcess -> living.remove(fleetProcess.name()));
-        return living;
+                .forEach(process -> survivors.remove(process.name()));
+        return survivors;
     }
 
-    private static void awaitAgreement(ProcessFleet fleet, Set<String> living, long mostMs) throws Exception {
-        long until = System.nanoTime() + mostMs * 1_000_000;
-        while (read(fleet).agreedSince(living) < 0) {
+    private static void awaitAgreement(ProcessFleet fleet, Set<String> names, long timeoutMs) throws Exception {
+        long deadlineNanos = System.nanoTime() + timeoutMs * 1_000_000;
+        while (readTimeline(fleet).agreedSince(names) < 0) {
             checkAlive(fleet, fleet.members());
-            if (System.nanoTime() > until) {
-                throw new IOException("the processes did not find each other within " + mostMs / 1_000 + " s");
+            if (System.nanoTime() > deadlineNanos) {
+                throw new IOException("the processes did not find each other within " + timeoutMs / 1_000 + " s");
             }
-            pause(fleet);
+            waitForNextPoll(fleet);
         }
     }
 
-    /** Each look reads all histories anew: the larger they are together, the seldomer. */
-    private static void pause(ProcessFleet fleet) throws InterruptedException {
+    /** Sleeps until the next poll. Each poll reads all histories again, so that the interval grows with the fleet. */
+    private static void waitForNextPoll(ProcessFleet fleet) throws InterruptedException {
         Thread.sleep(POLL_MS * Math.max(1, fleet.members().size() / 20));
     }
 
-    /** Waits until those that live agree, all faults being done, and no longer than until {@code most}. */
-    private static void awaitEnd(ProcessFleet fleet, Set<String> all, long most) throws Exception {
-        while (System.currentTimeMillis() < most && read(fleet).agreedSince(living(all, fleet)) < 0) {
-            pause(fleet);
+    /** Waits after the last fault until the survivors agree, at most until {@code deadlineMillis} (Unix time). */
+    private static void awaitEnd(ProcessFleet fleet, Set<String> names, long deadlineMillis) throws Exception {
+        while (System.currentTimeMillis() < deadlineMillis
+                && readTimeline(fleet).agreedSince(survivors(names, fleet)) < 0) {
+            waitForNextPoll(fleet);
         }
     }
 
-    private void execute(ProcessFleet fleet, long begun, List<FaultInjectionResult.Done> done) throws Exception {
+    private void execute(ProcessFleet fleet, long startMillis, List<FaultInjectionResult.ExecutedStep> executedSteps)
+            throws Exception {
         List<Step> steps = new ArrayList<>();
         for (InjectedFault fault : plan.faults()) {
             steps.add(new Step(fault.startMs(), fault, true));
@@ -234,10 +250,10 @@
         }
         steps.sort(Comparator.comparingDouble(Step::at));
         for (Step step : steps) {
-            Thread.sleep(Math.max(0, begun + (long) step.at() - System.currentTimeMillis()));
+            Thread.sleep(Math.max(0, startMillis + (long) step.at() - System.currentTimeMillis()));
             long at = System.currentTimeMillis();
             execute(fleet, step);
-            done.add(new FaultInjectionResult.Done(at, step.fault(), step.begin()));
+            executedSteps.add(new FaultInjectionResult.ExecutedStep(at, step.fault(), step.begins()));
         }
     }
 
@@ -245,22 +261,22 @@
         InjectedFault fault = step.fault();
         switch (fault.target()) {
             case DATAGRAMS -> {
-                if (step.begin()) {
-                    fleet.datagrams.begin(fault);
+                if (step.begins()) {
+                    fleet.datagramNetwork.begin(fault);
                 } else {
-                    fleet.datagrams.end(fault);
+                    fleet.datagramNetwork.end(fault);
                 }
             }
             case CONNECTIONS -> {
-                if (step.begin()) {
-                    fleet.connections.begin(fault);
+                if (step.begins()) {
+                    fleet.tcpRelays.begin(fault);
                 } else {
-                    fleet.connections.end(fault);
+                    fleet.tcpRelays.end(fault);
                 }
             }
             case PROCESSES -> {
                 for (FleetProcess process : fleet.members()) {
-                    if (fault.sources().matches(process) && step.begin()) {
+                    if (fault.sources().matches(process) && step.begins()) {
                         fleet.begin(fault, process);
                     } else if (fault.sources().matches(process)) {
                         fleet.end(fault, process);
@@ -269,9 +285,9 @@
                 if (fault.kind() == InjectedFault.Kind.RESTART) {
                     // Prevents kills that wait behind the starts of others: they would come seconds after their
                     // time.
-                    for (FleetProcess fleetProcess : fleet.members()) {
-                        if (fault.sources().matches(fleetProcess)) {
-                            fleet.start(fleetProcess);
+                    for (FleetProcess process : fleet.members()) {
+                        if (fault.sources().matches(process)) {
+                            fleet.start(process);
                         }
                     }
                 }
--- a/src/main/java/rillyard/faultinjection/HostPattern.java
+++ b/src/main/java/rillyard/faultinjection/HostPattern.java
@@ -2,28 +2,28 @@
 
 import java.util.List;
 
-/** Some hosts of a fault-injection run, in words: {@code all}, {@code zone:a}, {@code s-2}, by commas; or {@code discovery}. */
+/** A comma-separated pattern that selects hosts: {@code all}, {@code zone:a}, {@code s-2}; or {@code discovery}. */
 final class HostPattern {
-    /** No host: for faults that are none of theirs. */
+    /** Matches no host; used by faults that are not about connections. */
     static final HostPattern NONE = new HostPattern("none");
 
-    /** What {@code discovery} is called where it is called. */
+    /** Id under which the relays and the plans refer to discovery. */
     static final String DISCOVERY = "discovery";
 
-    private final List<String> words;
+    private final List<String> elements;
 
-    HostPattern(String words) {
-        this.words = List.of(words.split("\\s*,\\s*"));
+    HostPattern(String text) {
+        this.elements = List.of(text.split("\\s*,\\s*"));
     }
 
-    /** Whether it has the host; discovery only where it is named. */
+    /** Returns whether the pattern matches a host; discovery is matched only by its name. */
     boolean matches(String id, String zone) {
-        return words.contains(id)
-                || (!id.equals(DISCOVERY) && (words.contains("all") || words.contains("zone:" + zone)));
+        return elements.contains(id)
+                || (!id.equals(DISCOVERY) && (elements.contains("all") || elements.contains("zone:" + zone)));
     }
 
     @Override
     public String toString() {
-        return String.join(",", words);
+        return String.join(",", elements);
     }
 }
--- a/src/main/java/rillyard/faultinjection/InjectedFault.java
+++ b/src/main/java/rillyard/faultinjection/InjectedFault.java
@@ -3,16 +3,18 @@
 import java.util.Locale;
 
 /**
- * Something done to processes, to the datagrams between them, or to their connections to hosts and discovery.
+ * A fault that is injected into processes, into the datagrams between them, or into their connections to hosts and
+ * discovery.
  *
- * @param startMs ms from the start of the fault schedule
- * @param sources which processes; for datagrams those that send them
- * @param destinations for datagrams those that they are for; else unused
- * @param hosts for connections those that are called; else {@link HostPattern#NONE}
- * @param oneWay for datagrams whether those the other way are left alone
- * @param durationMs ms; 0 for what happens at one instant
- * @param share of the datagrams that are lost, or doubled; of its time that a starved process stands still
- * @param delayMs the longest that datagrams are held, each for a time of its own; for how long all bytes are
+ * @param startMs start in milliseconds from the start of the fault schedule
+ * @param kind what is done
+ * @param sources the processes concerned; for a datagram fault, the senders
+ * @param destinations the receivers of a datagram fault; otherwise unused
+ * @param hosts the hosts of a connection fault; otherwise {@link HostPattern#NONE}
+ * @param oneWay whether a datagram fault leaves the opposite direction alone
+ * @param durationMs duration in milliseconds; 0 for an instantaneous fault
+ * @param share share of the datagrams that are lost or duplicated, or of its time that a starved process is stopped
+ * @param delayMs maximum delay of each datagram, or the delay of all bytes of a connection, in milliseconds
  */
 public record InjectedFault(
         double startMs,
@@ -24,67 +26,67 @@
         double durationMs,
         double share,
         double delayMs) {
-    /** To what it is done. */
-    enum Place {
+    /** What a fault is injected into. */
+    enum Target {
         PROCESSES,
         DATAGRAMS,
         CONNECTIONS
     }
 
-    /** What is done. */
+    /** The kinds of faults; plans and reports name them in lower case. */
     public enum Kind {
-        KILL(Place.PROCESSES),
-        TERM(Place.PROCESSES),
-        STOP(Place.PROCESSES),
-        RESTART(Place.PROCESSES),
-        /** It gets a share of its core only. */
-        STARVE(Place.PROCESSES),
-        LOSE(Place.DATAGRAMS),
-        DOUBLE(Place.DATAGRAMS),
-        DELAY(Place.DATAGRAMS),
-        /** Connections stand, and nothing passes. */
-        SILENT(Place.CONNECTIONS),
-        /** Connections are reset, new ones too. */
-        RESET(Place.CONNECTIONS),
-        SLOW(Place.CONNECTIONS),
-        /** New connections are rejected. */
-        REFUSED(Place.CONNECTIONS);
+        KILL(Target.PROCESSES),
+        TERM(Target.PROCESSES),
+        STOP(Target.PROCESSES),
+        RESTART(Target.PROCESSES),
+        /** The process gets only a share of the CPU time. */
+        STARVE(Target.PROCESSES),
+        LOSE(Target.DATAGRAMS),
+        DOUBLE(Target.DATAGRAMS),
+        DELAY(Target.DATAGRAMS),
+        /** Connections stay open, but nothing is forwarded. */
+        SILENT(Target.CONNECTIONS),
+        /** Open and new connections are reset. */
+        RESET(Target.CONNECTIONS),
+        SLOW(Target.CONNECTIONS),
+        /** New connections are refused. */
+        REFUSED(Target.CONNECTIONS);
 
-        final Place target;
+        final Target target;
 
-        Kind(Place place) {
-            this.target = place;
+        Kind(Target target) {
+            this.target = target;
         }
 
-        boolean lasting() {
-            return target != Place.PROCESSES || this == STOP || this == STARVE;
+        boolean isLasting() {
+            return target != Target.PROCESSES || this == STOP || this == STARVE;
         }
     }
 
-    Place target() {
+    Target target() {
         return kind.target;
     }
 
-    /** Whether it touches a datagram of this process to that one. */
+    /** Returns whether this is a datagram fault that concerns datagrams between two processes in this direction. */
     boolean affects(FleetProcess from, FleetProcess to) {
-        return target() == Place.DATAGRAMS
+        return target() == Target.DATAGRAMS
                 && ((sources.matches(from) && this.destinations.matches(to))
                         || (!oneWay && sources.matches(to) && this.destinations.matches(from)));
     }
 
-    /** What is done, in words without its times. */
+    /** Returns a description of the fault without its times, for reports. */
     String description() {
-        String what = kind.name().toLowerCase(Locale.ROOT) + " " + sources;
-        if (target() == Place.DATAGRAMS) {
-            what += (oneWay ? " to " : " with ")
+        String text = kind.name().toLowerCase(Locale.ROOT) + " " + sources;
+        if (target() == Target.DATAGRAMS) {
+            text += (oneWay ? " to " : " with ")
                     + destinations
                     + (kind == Kind.DELAY ? " by up to " + delayMs + " ms" : " share " + share);
-        } else if (target() == Place.CONNECTIONS) {
-            what += " to hosts " + hosts + (kind == Kind.SLOW ? " by " + delayMs + " ms" : "");
+        } else if (target() == Target.CONNECTIONS) {
+            text += " to hosts " + hosts + (kind == Kind.SLOW ? " by " + delayMs + " ms" : "");
         } else if (kind == Kind.STARVE) {
-            what += " share " + share;
+            text += " share " + share;
         }
-        return what;
+        return text;
     }
 
     @Override
--- a/src/main/java/rillyard/faultinjection/MembershipTimeline.java
+++ b/src/main/java/rillyard/faultinjection/MembershipTimeline.java
@@ -14,43 +14,45 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** What all processes of a fault-injection run believed of each other, in the order in which they came to. */
+/** The changes of member state that all processes of a fault-injection run recorded, in the order of their times. */
 final class MembershipTimeline {
     /**
-     * One change of one process's belief.
+     * A change of one member's state in the view of one process.
      *
-     * @param at Unix time (ms)
-     * @param about equals {@code member} where a process has just started and believes nothing yet
-     * @param line as the process wrote it
+     * @param at Unix time in milliseconds
+     * @param observer name of the process that recorded the change
+     * @param subject name of the member; equals {@code observer} when a process has just started with an empty view
+     * @param status name of the new state
+     * @param line the line that the process wrote
      */
-    record Belief(long at, String member, String about, String status, String line) {
-        Belief(long at, String member, String about, String status) {
-            this(at, member, about, status, "");
+    record StateChange(long at, String observer, String subject, String status, String line) {
+        StateChange(long at, String observer, String subject, String status) {
+            this(at, observer, subject, status, "");
         }
 
-        boolean present() {
+        boolean isPresent() {
             return status.equals("ALIVE") || status.equals("SUSPECT");
         }
     }
 
-    private final List<Belief> all;
+    private final List<StateChange> changes;
 
-    MembershipTimeline(List<Belief> all) {
-        this.all = new ArrayList<>(all);
-        this.all.sort(Comparator.comparingLong(Belief::at));
+    MembershipTimeline(List<StateChange> changes) {
+        this.changes = new ArrayList<>(changes);
+        this.changes.sort(Comparator.comparingLong(StateChange::at));
     }
 
     /**
-     * Reads the files that processes wrote; a last line that a killed process did not end is left out.
+     * Reads the histories that the processes wrote; an incomplete last line of a killed process is skipped.
      *
-     * @throws IOException if one can't be read, or holds a whole line that is none
+     * @throws IOException if a file can't be read, or has a malformed line
      */
     static MembershipTimeline read(List<Path> histories) throws IOException {
         ObjectMapper json = new ObjectMapper();
-        List<Belief> all = new ArrayList<>();
+        List<StateChange> changes = new ArrayList<>();
         for (Path file : histories) {
             if (!Files.exists(file)) {
-                continue; // its process never came so far
+                continue; // its process ended before it wrote a history
             }
             String text = Files.readString(file);
             int number = 0;
@@ -67,7 +69,7 @@
                     throw new IOException(
                             file + ":" + number + ": expected at, member, about and status, found " + line);
                 }
-                all.add(new Belief(
+                changes.add(new StateChange(
                         node.path("at").asLong(),
                         node.path("member").asText(),
                         node.path("about").asText(),
@@ -75,75 +77,83 @@
                         line));
             }
         }
-        return new MembershipTimeline(all);
+        return new MembershipTimeline(changes);
     }
 
-    /** Writes all lines into one file. */
+    /** Writes the lines of all changes into one file. */
     void write(Path file) throws IOException {
-        Files.write(file, all.stream().map(Belief::line).toList());
+        Files.write(file, changes.stream().map(StateChange::line).toList());
     }
 
-    List<Belief> all() {
-        return all;
+    List<StateChange> changes() {
+        return changes;
     }
 
-    /** When each of the observers first held this one gone, at or after a time; those that never did are left out. */
-    Map<String, Long> heldGone(String about, long from, Set<String> observers) {
+    /**
+     * Returns when each observer first declared a member absent, in Unix milliseconds by observer name.
+     *
+     * @param fromMillis Unix time in milliseconds; earlier changes are ignored
+     * @param observers the processes to consider; one that never declared the member absent is not in the result
+     */
+    Map<String, Long> detectionTimes(String subject, long fromMillis, Set<String> observers) {
         Map<String, Long> first = new TreeMap<>();
-        for (Belief belief : all) {
-            if (belief.at >= from
-                    && belief.about.equals(about)
-                    && !belief.present()
-                    && observers.contains(belief.member)) {
-                first.putIfAbsent(belief.member, belief.at);
+        for (StateChange change : changes) {
+            if (change.at >= fromMillis
+                    && change.subject.equals(subject)
+                    && !change.isPresent()
+                    && observers.contains(change.observer)) {
+                first.putIfAbsent(change.observer, change.at);
             }
         }
         return first;
     }
 
-    /** What each process holds present at a time, itself among them. */
-    Map<String, Set<String>> present(long at) {
-        Map<String, Set<String>> held = new HashMap<>();
-        for (Belief belief : all) {
-            if (belief.at > at) {
+    /** Returns the members that each process saw as present at a Unix time in milliseconds, itself included. */
+    Map<String, Set<String>> presentMembers(long unixMillis) {
+        Map<String, Set<String>> views = new HashMap<>();
+        for (StateChange change : changes) {
+            if (change.at > unixMillis) {
                 break;
             }
-            apply(held, belief);
+            apply(views, change);
         }
-        return held;
+        return views;
     }
 
-    private static void apply(Map<String, Set<String>> held, Belief belief) {
-        Set<String> of = held.computeIfAbsent(belief.member, m -> new HashSet<>());
-        if (belief.about.equals(belief.member)) {
-            of.clear();
-            of.add(belief.member);
-        } else if (belief.present()) {
-            of.add(belief.about);
+    private static void apply(Map<String, Set<String>> views, StateChange change) {
+        Set<String> view = views.computeIfAbsent(change.observer, m -> new HashSet<>());
+        if (change.subject.equals(change.observer)) {
+            view.clear();
+            view.add(change.observer);
+        } else if (change.isPresent()) {
+            view.add(change.subject);
         } else {
-            of.remove(belief.about);
+            view.remove(change.subject);
         }
     }
 
-    /** Since when all of these have held just these present; -1 if they don't in the end. */
-    long agreedSince(Set<String> living) {
-        Map<String, Set<String>> held = new HashMap<>();
-        Set<String> wrong = new HashSet<>(living);
-        long since = -1;
-        for (Belief belief : all) {
-            apply(held, belief);
-            if (living.contains(belief.member)) {
-                boolean before = wrong.isEmpty();
-                if (held.get(belief.member).equals(living)) {
-                    wrong.remove(belief.member);
+    /**
+     * Returns the Unix time in milliseconds since which each of the members has seen exactly these members as present,
+     * or -1 if they do not agree in the end.
+     */
+    long agreedSince(Set<String> members) {
+        Map<String, Set<String>> views = new HashMap<>();
+        Set<String> disagreeing = new HashSet<>(members);
+        long agreedSinceMillis = -1;
+        for (StateChange change : changes) {
+            apply(views, change);
+            if (members.contains(change.observer)) {
+                boolean agreedBefore = disagreeing.isEmpty();
+                if (views.get(change.observer).equals(members)) {
+                    disagreeing.remove(change.observer);
                 } else {
-                    wrong.add(belief.member);
+                    disagreeing.add(change.observer);
                 }
-                if (wrong.isEmpty() && !before) {
-                    since = belief.at;
+                if (disagreeing.isEmpty() && !agreedBefore) {
+                    agreedSinceMillis = change.at;
                 }
             }
         }
-        return wrong.isEmpty() ? since : -1;
+        return disagreeing.isEmpty() ? agreedSinceMillis : -1;
     }
 }
--- a/src/main/java/rillyard/faultinjection/ProcessFleet.java
+++ b/src/main/java/rillyard/faultinjection/ProcessFleet.java
@@ -20,12 +20,17 @@
 import rillyard.requestlog.RequestLogWriter;
 import rillyard.testserver.TestCluster;
 
-/** The processes of a fault-injection run and what they need: hosts, a folder, addresses of its own and relays before each. */
+/**
+ * The processes of a fault-injection run with what they need: test hosts, a folder, addresses, and relays in front of
+ * each process's peers and hosts.
+ */
 final class ProcessFleet implements AutoCloseable {
-    /** Processes that all others may ask for the way in. */
-    private static final int SEEDS = 3;
+    /** Number of processes that the others use as seeds to join the fleet. */
+    private static final int SEED_COUNT = 3;
 
-    /** Ports below those that Linux gives out by itself (from 32,768 on), which ways and their connections have. */
+    /**
+     * First port for the processes: below the ephemeral range of Linux (from 32,768), which relays and connections use.
+     */
     private static final int FIRST_PORT = 20_000;
 
     private static final int LAST_PORT = 30_000;
@@ -36,22 +41,22 @@
     private final Path folder;
     private final LaunchCommand launch;
     private final List<FleetProcess> members;
-    private final List<InetSocketAddress> own = new ArrayList<>();
-    private final List<InetSocketAddress> admin = new ArrayList<>();
-    private final List<InetSocketAddress> serving = new ArrayList<>();
+    private final List<InetSocketAddress> gossipAddresses = new ArrayList<>();
+    private final List<InetSocketAddress> adminAddresses = new ArrayList<>();
+    private final List<InetSocketAddress> proxyAddresses = new ArrayList<>();
     private final ChildProcess[] children;
-    private final Path key;
-    private boolean over;
-    final TestCluster hosts;
-    final DatagramNetwork datagrams;
-    final TcpRelays connections = new TcpRelays();
-    final CpuThrottle starving = new CpuThrottle();
+    private final Path keyFile;
+    private boolean closed;
+    final TestCluster testCluster;
+    final DatagramNetwork datagramNetwork;
+    final TcpRelays tcpRelays = new TcpRelays();
+    final CpuThrottle cpuThrottle = new CpuThrottle();
 
     /**
-     * Takes addresses and starts the hosts; processes are started by {@link #start}.
+     * Allocates addresses and starts the test hosts; the processes are started by {@link #start}.
      *
-     * @param requestLog of the hosts; stays open behind the fleet
-     * @throws IOException if memory or descriptors won't do for so many, or an address can't be had
+     * @param requestLog request log of the hosts; left open when the fleet is closed
+     * @throws IOException if memory or descriptors are insufficient, or an address can't be allocated
      */
     ProcessFleet(FaultInjectionPlan plan, LaunchCommand launch, Path folder, RequestLogWriter requestLog)
             throws Exception {
@@ -63,40 +68,45 @@
         MachineCapacity.check(members.size(), plan.hosts().hosts().size());
         long pid = ProcessHandle.current().pid();
         for (FleetProcess process : members) {
-            // A network of this run's own, and ports that no connection is given by itself: what is free now is free
-            // still
-            // when the process starts, and when it starts again.
+            // A loopback network of this run's own, and ports outside the ephemeral range: a port that is free now is
+            // still free when the process starts, and when it is restarted.
             byte[] ip = {
                 127, (byte) (10 + pid % 200), (byte) (process.index() / 250), (byte) (1 + process.index() % 250)
             };
             InetAddress address = InetAddress.getByAddress(ip);
-            own.add(free(address, FIRST_PORT, true));
-            serving.add(free(address, FIRST_PORT, false));
-            admin.add(free(address, serving.get(process.index()).getPort() + 1, false));
+            gossipAddresses.add(freeAddress(address, FIRST_PORT, true));
+            proxyAddresses.add(freeAddress(address, FIRST_PORT, false));
+            adminAddresses.add(
+                    freeAddress(address, proxyAddresses.get(process.index()).getPort() + 1, false));
         }
-        this.datagrams = new DatagramNetwork(members, own, new DatagramFaults(plan.seed()));
-        this.hosts = new TestCluster(
+        this.datagramNetwork = new DatagramNetwork(members, gossipAddresses, new DatagramFaults(plan.seed()));
+        this.testCluster = new TestCluster(
                 plan.hosts(),
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 2,
                 requestLog,
                 System.err,
-                (caller, address) -> connections.told(caller, address));
-        hosts.start();
-        this.key = folder.resolve("fleet.key");
+                (caller, address) -> tcpRelays.relayAddress(caller, address));
+        testCluster.start();
+        this.keyFile = folder.resolve("fleet.key");
         byte[] bytes = new byte[32];
         new SecureRandom().nextBytes(bytes);
-        Files.writeString(key, HexFormat.of().formatHex(bytes));
-        Files.setPosixFilePermissions(key, PosixFilePermissions.fromString("rw-------"));
-        JSON.writeValue(config().toFile(), hosts.ready());
+        Files.writeString(keyFile, HexFormat.of().formatHex(bytes));
+        Files.setPosixFilePermissions(keyFile, PosixFilePermissions.fromString("rw-------"));
+        JSON.writeValue(config().toFile(), testCluster.ready());
         for (FleetProcess fleetProcess : members) {
             configure(fleetProcess);
         }
     }
 
-    /** The first port from {@code from} on that nobody has. */
-    private static InetSocketAddress free(InetAddress address, int from, boolean datagrams) throws IOException {
-        for (int port = from; port < LAST_PORT; port++) {
+    /**
+     * Returns the first free port from {@code firstPort} on.
+     *
+     * @param datagrams whether the port is for UDP; otherwise for TCP
+     */
+    private static InetSocketAddress freeAddress(InetAddress address, int firstPort, boolean datagrams)
+            throws IOException {
+        for (int port = firstPort; port < LAST_PORT; port++) {
             try {
                 if (datagrams) {
                     new DatagramSocket(port, address).close();
@@ -105,25 +115,27 @@
                 }
                 return new InetSocketAddress(address, port);
             } catch (BindException e) {
-                // taken: the next
+                // in use: try the next port
             }
         }
-        throw new IOException("no port from " + from + " to " + LAST_PORT + " is free on " + address.getHostAddress());
+        throw new IOException(
+                "no port from " + firstPort + " to " + LAST_PORT + " is free on " + address.getHostAddress());
     }
 
-    /** Opens a process's ways to discovery and to all hosts, and writes its configuration. */
+    /** Opens a process's relays to discovery and to all hosts, and writes its configuration. */
     private void configure(FleetProcess process) throws Exception {
-        InetAddress address = own.get(process.index()).getAddress();
-        ObjectNode config = hosts.ready();
-        InetSocketAddress discovery = connections.open(process, address, HostPattern.DISCOVERY, "", hosts.discovery());
+        InetAddress address = gossipAddresses.get(process.index()).getAddress();
+        ObjectNode config = testCluster.ready();
+        InetSocketAddress discovery =
+                tcpRelays.open(process, address, HostPattern.DISCOVERY, "", testCluster.discovery());
         config.put("name", process.name())
-                .put("listen", text(serving.get(process.index())))
-                .put("discovery", text(discovery));
+                .put("listen", format(proxyAddresses.get(process.index())))
+                .put("discovery", format(discovery));
         for (var node : config.path("known").path("servers")) {
             String host = node.path("id").asText();
-            InetSocketAddress way =
-                    connections.open(process, address, host, node.path("zone").asText(), hosts.address(host));
-            ((ObjectNode) node).put("addr", text(way));
+            InetSocketAddress relayAddress =
+                    tcpRelays.open(process, address, host, node.path("zone").asText(), testCluster.address(host));
+            ((ObjectNode) node).put("addr", format(relayAddress));
         }
         ObjectNode settings = (ObjectNode) config.path("settings");
         settings.put("balancers", members.size()).put("position", process.index());
@@ -135,7 +147,7 @@
         JSON.writeValue(folder.resolve(process.name() + ".json").toFile(), config);
     }
 
-    /** The configuration of a proxy before these hosts, for the auditor. */
+    /** Returns a proxy configuration with the hosts' own addresses, for the audit. */
     Path config() {
         return folder.resolve("config.json");
     }
@@ -144,80 +156,89 @@
         return members;
     }
 
-    /** Where the processes serve, in their order. */
-    List<InetSocketAddress> serving() {
-        return serving;
+    /** Returns the addresses on which the processes accept requests, in their order. */
+    List<InetSocketAddress> proxyAddresses() {
+        return proxyAddresses;
     }
 
-    /** Where a process tells what it holds. */
-    InetSocketAddress admin(FleetProcess process) {
-        return admin.get(process.index());
+    /** Returns the address of a process's membership admin endpoint. */
+    InetSocketAddress adminAddress(FleetProcess process) {
+        return adminAddresses.get(process.index());
     }
 
     Path history(FleetProcess process) {
         return folder.resolve(process.name() + ".history");
     }
 
-    /** Starts a process, also again under its old name and addresses. */
+    /**
+     * Starts a process, or restarts it under its old name and addresses.
+     *
+     * @throws IOException if the fleet is closed or the process can't be started
+     */
     synchronized void start(FleetProcess process) throws IOException {
-        if (over) {
+        if (closed) {
             throw new IOException("the trial is over, " + process.name() + " is not started");
         }
         StringBuilder seeds = new StringBuilder();
-        for (FleetProcess fleetProcess : members.subList(0, Math.min(SEEDS, members.size()))) {
-            seeds.append(seeds.isEmpty() ? "" : ",").append(text(datagrams.address(fleetProcess)));
+        for (FleetProcess seed : members.subList(0, Math.min(SEED_COUNT, members.size()))) {
+            seeds.append(seeds.isEmpty() ? "" : ",").append(format(datagramNetwork.address(seed)));
         }
         Path settings = folder.resolve(process.name() + ".toml");
         Files.writeString(
                 settings,
-                "key_file = \"" + key.toAbsolutePath() + "\"\nseeds = \"" + seeds
-                        + "\"\n[self]\nname = \"" + process.name() + "\"\nlisten = \"" + text(own.get(process.index()))
+                "key_file = \"" + keyFile.toAbsolutePath() + "\"\nseeds = \"" + seeds
+                        + "\"\n[self]\nname = \"" + process.name() + "\"\nlisten = \""
+                        + format(gossipAddresses.get(process.index()))
                         + "\"\nadvertise = \""
-                        + text(datagrams.address(process)) + "\"\nzone = " + process.zone() + "\nregion = "
+                        + format(datagramNetwork.address(process)) + "\"\nzone = " + process.zone() + "\nregion = "
                         + process.region()
-                        + "\nadmin = \"" + text(admin.get(process.index())) + "\"\nhistory = \""
-                        + history(process).toAbsolutePath() + "\"\n[spread]\nnews = " + plan.news()
+                        + "\nadmin = \"" + format(adminAddresses.get(process.index())) + "\"\nhistory = \""
+                        + history(process).toAbsolutePath() + "\"\n[spread]\nnews = " + plan.gossip()
                         + "\n[test]\nclock_rate = " + plan.clockRate(process)
                         + "\n[membership]\n" + plan.membership());
         Path log = folder.resolve(process.name() + ".log");
         Path config = folder.resolve(process.name() + ".json");
-        LaunchCommand told =
+        LaunchCommand command =
                 launch.with("BALANCER_CONFIG", config.toAbsolutePath().toString());
         children[process.index()] = ChildProcess.start(
-                told, log, log, "proxy", "--fleet", settings.toAbsolutePath().toString());
+                command, log, log, "proxy", "--fleet", settings.toAbsolutePath().toString());
     }
 
     ChildProcess child(FleetProcess process) {
         return children[process.index()];
     }
 
-    /** Begins what is done to a process; what lasts does until {@link #end}, who is restarted is to be started. */
+    /**
+     * Injects a fault into a process. A lasting fault continues until {@link #end}; a process to be restarted is only
+     * killed here, and must be started again by {@link #start}.
+     */
     void begin(InjectedFault fault, FleetProcess process) throws IOException, InterruptedException {
         switch (fault.kind()) {
             case KILL -> child(process).kill();
             case TERM -> child(process).terminate();
             case STOP -> child(process).pause();
-            case STARVE -> starving.begin(child(process), fault.share());
-            case RESTART -> child(process).kill(); // started again once all that the fault is about are down
+            case STARVE -> cpuThrottle.begin(child(process), fault.share());
+            case RESTART -> child(process).kill(); // restarted once all processes of the fault are down
             default -> throw new IllegalArgumentException(fault.kind() + " is done to no process");
         }
     }
 
+    /** Ends a lasting fault of a process; does nothing for a stopped process that has ended. */
     void end(InjectedFault fault, FleetProcess process) throws IOException, InterruptedException {
         if (fault.kind() == InjectedFault.Kind.STARVE) {
-            starving.end(child(process));
+            cpuThrottle.end(child(process));
         } else if (child(process).isAlive()) {
             child(process).resume();
         }
     }
 
-    private static String text(InetSocketAddress address) {
-        return TcpRelays.text(address);
+    private static String format(InetSocketAddress address) {
+        return TcpRelays.format(address);
     }
 
-    /** Ends every process, by force: what they believed is written down already. None is started after. */
+    /** Kills all processes and prevents further starts. Their histories are already on disk. */
     synchronized void killAll() {
-        over = true;
+        closed = true;
         for (ChildProcess process : children) {
             if (process != null) {
                 try {
@@ -231,10 +252,10 @@
 
     @Override
     public void close() {
-        starving.close();
+        cpuThrottle.close();
         killAll();
-        datagrams.close();
-        connections.close();
-        hosts.close();
+        datagramNetwork.close();
+        tcpRelays.close();
+        testCluster.close();
     }
 }
