--- a/src/main/java/rillyard/faultinjection/RandomFaultSchedule.java
+++ b/src/main/java/rillyard/faultinjection/RandomFaultSchedule.java
@@ -6,17 +6,17 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** Draws a fault schedule of faults from a seed; the same seed, plan and kinds give the same. */
+/** Draws a random fault schedule; the same seed, plan and kinds give the same schedule. */
 public final class RandomFaultSchedule {
-    /** What it may do. */
+    /** The groups of faults to draw from; the names are values of a command-line option. */
     public enum Kind {
-        /** Datagrams lost, doubled, late; zones cut off, one way or both. */
+        /** Datagram loss, duplication and delay, and zones partitioned in one or both directions. */
         LINKS,
-        /** Processes stopped, or starved of their core. */
+        /** Processes stopped, or starved of CPU time. */
         PAUSES,
-        /** Processes killed and started again, or killed for good. */
+        /** Processes killed and restarted, or killed permanently. */
         KILLS,
-        /** Connections to hosts silent, reset, slow, rejected. */
+        /** Connections to hosts that are silent, reset, slow or refused. */
         HOSTS
     }
 
@@ -24,16 +24,16 @@
     private static final List<InjectedFault.Kind> CONNECTION_FAULTS = List.of(
             InjectedFault.Kind.SILENT, InjectedFault.Kind.RESET, InjectedFault.Kind.SLOW, InjectedFault.Kind.REFUSED);
 
-    /** Mean time (ms) between the starts of two faults, which may overlap. */
+    /** Mean time in milliseconds between the starts of two faults, which may overlap. */
     private static final double MEAN_INTERVAL_MS = 4_000;
 
     private static final double MIN_DURATION_MS = 500;
     private static final double MAX_DURATION_MS = 8_000;
 
-    /** At the end all is quiet for this share of the time, so that it shows whether all agree again. */
+    /** Share of the schedule without faults at its end, in which all processes should converge. */
     private static final double QUIET_SHARE = 0.35;
 
-    /** At most this share of all processes is killed for good. */
+    /** Maximum share of the processes that is killed permanently. */
     private static final double MAX_KILLED_SHARE = 0.25;
 
     private final FaultInjectionPlan plan;
@@ -47,50 +47,50 @@
         this.kinds = kinds.stream().sorted().toList();
     }
 
-    /** The faults, in the order of their times. */
+    /** Draws the faults of a plan, in the order of their starts. */
     public static List<InjectedFault> draw(FaultInjectionPlan plan, Set<Kind> kinds, long seed) {
         RandomFaultSchedule schedule = new RandomFaultSchedule(plan, kinds, seed);
-        List<InjectedFault> out = new ArrayList<>();
-        double until = plan.lasts() * (1 - QUIET_SHARE);
-        double at = schedule.random.nextExponential() * MEAN_INTERVAL_MS;
-        while (at < until && !schedule.kinds.isEmpty()) {
-            out.add(schedule.fault(at, until));
-            at += schedule.random.nextExponential() * MEAN_INTERVAL_MS;
+        List<InjectedFault> faults = new ArrayList<>();
+        double endMs = plan.durationMs() * (1 - QUIET_SHARE);
+        double startMs = schedule.random.nextExponential() * MEAN_INTERVAL_MS;
+        while (startMs < endMs && !schedule.kinds.isEmpty()) {
+            faults.add(schedule.nextFault(startMs, endMs));
+            startMs += schedule.random.nextExponential() * MEAN_INTERVAL_MS;
         }
-        out.sort(Comparator.comparingDouble(InjectedFault::startMs));
-        return List.copyOf(out);
+        faults.sort(Comparator.comparingDouble(InjectedFault::startMs));
+        return List.copyOf(faults);
     }
 
-    private InjectedFault fault(double at, double until) {
-        double duration = Math.min(
+    private InjectedFault nextFault(double startMs, double endMs) {
+        double durationMs = Math.min(
                 MIN_DURATION_MS + random.nextDouble() * (MAX_DURATION_MS - MIN_DURATION_MS),
-                Math.max(MIN_DURATION_MS, until - at));
+                Math.max(MIN_DURATION_MS, endMs - startMs));
         return switch (kinds.get(random.nextInt(kinds.size()))) {
-            case LINKS -> datagramFault(at, duration);
-            case PAUSES -> pause(at, duration);
-            case KILLS -> kill(at);
-            case HOSTS -> connectionFault(at, duration);
+            case LINKS -> datagramFault(startMs, durationMs);
+            case PAUSES -> pause(startMs, durationMs);
+            case KILLS -> kill(startMs);
+            case HOSTS -> connectionFault(startMs, durationMs);
         };
     }
 
-    private InjectedFault pause(double at, double duration) {
+    private InjectedFault pause(double startMs, double durationMs) {
         boolean starve = random.nextBoolean();
         InjectedFault.Kind kind = starve ? InjectedFault.Kind.STARVE : InjectedFault.Kind.STOP;
         ProcessPattern process = anyProcess();
         double share = starve ? 0.5 + 0.4 * random.nextDouble() : 0;
-        return new InjectedFault(at, kind, process, ALL, HostPattern.NONE, false, duration, share, 0);
+        return new InjectedFault(startMs, kind, process, ALL, HostPattern.NONE, false, durationMs, share, 0);
     }
 
-    private InjectedFault kill(double at) {
+    private InjectedFault kill(double startMs) {
         boolean permanent = killed + 1 <= MAX_KILLED_SHARE * plan.processes() && random.nextInt(3) == 0;
         killed += permanent ? 1 : 0;
-        // Those that end for good are counted from the end, so that none of them is stopped or started again.
+        // Permanently killed processes are taken from the last one down, so that no other fault concerns them.
         ProcessPattern process = permanent ? new ProcessPattern("m" + (plan.processes() - killed)) : anyProcess();
         InjectedFault.Kind kind = permanent ? InjectedFault.Kind.KILL : InjectedFault.Kind.RESTART;
-        return new InjectedFault(at, kind, process, process, HostPattern.NONE, false, 0, 0, 0);
+        return new InjectedFault(startMs, kind, process, process, HostPattern.NONE, false, 0, 0, 0);
     }
 
-    private InjectedFault connectionFault(double at, double duration) {
+    private InjectedFault connectionFault(double startMs, double durationMs) {
         var hosts = plan.hosts().hosts();
         HostPattern target = new HostPattern(
                 random.nextInt(5) == 0
@@ -98,44 +98,44 @@
                         : hosts.get(random.nextInt(hosts.size())).id());
         InjectedFault.Kind kind = CONNECTION_FAULTS.get(random.nextInt(CONNECTION_FAULTS.size()));
         ProcessPattern processes = anyGroup();
-        double delay = 20 + random.nextInt(200);
-        return new InjectedFault(at, kind, processes, ALL, target, false, duration, 0, delay);
+        double delayMs = 20 + random.nextInt(200);
+        return new InjectedFault(startMs, kind, processes, ALL, target, false, durationMs, 0, delayMs);
     }
 
-    private InjectedFault datagramFault(double at, double duration) {
-        ProcessPattern on = anyGroup();
+    private InjectedFault datagramFault(double startMs, double durationMs) {
+        ProcessPattern processes = anyGroup();
         return switch (random.nextInt(4)) {
             case 0 -> {
                 double share = random.nextDouble();
-                yield datagramFault(at, InjectedFault.Kind.DOUBLE, on, false, duration, share, 0);
+                yield datagramFault(startMs, InjectedFault.Kind.DOUBLE, processes, false, durationMs, share, 0);
             }
             case 1 -> {
-                double delay = 5 + random.nextInt(60);
-                yield datagramFault(at, InjectedFault.Kind.DELAY, on, false, duration, 0, delay);
+                double delayMs = 5 + random.nextInt(60);
+                yield datagramFault(startMs, InjectedFault.Kind.DELAY, processes, false, durationMs, 0, delayMs);
             }
             case 2 -> {
                 double share = 0.3 * random.nextDouble();
-                yield datagramFault(at, InjectedFault.Kind.LOSE, on, false, duration, share, 0);
+                yield datagramFault(startMs, InjectedFault.Kind.LOSE, processes, false, durationMs, share, 0);
             }
             default -> {
                 boolean oneWay = random.nextBoolean();
-                yield datagramFault(at, InjectedFault.Kind.LOSE, on, oneWay, duration, 1, 0);
+                yield datagramFault(startMs, InjectedFault.Kind.LOSE, processes, oneWay, durationMs, 1, 0);
             }
         };
     }
 
     private static InjectedFault datagramFault(
-            double at,
+            double startMs,
             InjectedFault.Kind kind,
-            ProcessPattern on,
+            ProcessPattern processes,
             boolean oneWay,
-            double duration,
+            double durationMs,
             double share,
-            double delay) {
-        return new InjectedFault(at, kind, on, ALL, HostPattern.NONE, oneWay, duration, share, delay);
+            double delayMs) {
+        return new InjectedFault(startMs, kind, processes, ALL, HostPattern.NONE, oneWay, durationMs, share, delayMs);
     }
 
-    /** One that is not among those that may end for good. */
+    /** Returns a pattern of one process, which is not among those that may be killed permanently. */
     private ProcessPattern anyProcess() {
         return new ProcessPattern("m" + random.nextInt(Math.max(1, (int) (plan.processes() * (1 - MAX_KILLED_SHARE)))));
     }
--- a/src/main/java/rillyard/faultinjection/RelayTarget.java
+++ b/src/main/java/rillyard/faultinjection/RelayTarget.java
@@ -13,74 +13,77 @@
 import java.util.concurrent.TimeUnit;
 import rillyard.scheduling.EventLoops;
 
-/** A host, or discovery, with all ways to it. While it rejects, so do they. All on one event loop. */
+/**
+ * A host or discovery, with all relays to it. While the target refuses connections, its relays do. Confined to the
+ * event loop.
+ */
 final class RelayTarget {
-    /** So long (ms) after a target rejected it is called again. One asks for all ways, whatever their number. */
-    private static final long LOOK_MS = 50;
+    /** Interval in milliseconds at which a target that refused is retried, once for all of its relays. */
+    private static final long RETRY_INTERVAL_MS = 50;
 
     final String host;
     final String zone;
-    private final InetSocketAddress at;
+    private final InetSocketAddress address;
     private final EventLoop loop;
-    private final List<TcpRelay> links = new ArrayList<>();
+    private final List<TcpRelay> relays = new ArrayList<>();
     private boolean down;
 
-    RelayTarget(String host, String zone, InetSocketAddress at, EventLoop loop) {
+    RelayTarget(String host, String zone, InetSocketAddress address, EventLoop loop) {
         this.host = host;
         this.zone = zone;
-        this.at = at;
+        this.address = address;
         this.loop = loop;
     }
 
-    /** One more way to it; to be called on the loop. */
-    void add(TcpRelay link) {
-        links.add(link);
+    /** Adds a relay; must be called on the event loop. */
+    void add(TcpRelay relay) {
+        relays.add(relay);
     }
 
-    /** Faults have begun or ended. */
-    void changed() {
-        links.forEach(TcpRelay::changed);
+    /** Applies a change of the active faults or of the target's availability to all relays. */
+    void onChange() {
+        relays.forEach(TcpRelay::onChange);
     }
 
-    /** Whether it rejected when it was called last. */
-    boolean down() {
+    /** Returns whether the target refused the last connection attempt. */
+    boolean isDown() {
         return down;
     }
 
-    /** Calls it from a process's own address, by which discovery knows the process. */
-    ChannelFuture call(InetAddress from) {
+    /** Connects to the target from a process's own address, by which discovery identifies the process. */
+    ChannelFuture connect(InetAddress localAddress) {
         return new Bootstrap()
                 .group(loop)
                 .channel(EventLoops.connecting())
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.AUTO_READ, false)
                 .handler(new ChannelInboundHandlerAdapter())
-                .connect(at, new InetSocketAddress(from, 0));
+                .connect(address, new InetSocketAddress(localAddress, 0));
     }
 
-    /** A call was rejected. */
-    void refused() {
+    /** Handles a refused connection: the relays refuse connections too, until a retry succeeds. */
+    void onRefused() {
         if (!down) {
             down = true;
-            changed();
-            lookSoon();
+            onChange();
+            scheduleRetry();
         }
     }
 
-    private void lookSoon() {
+    private void scheduleRetry() {
         if (!loop.isShuttingDown()) {
-            loop.schedule(this::look, LOOK_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::retryConnect, RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void look() {
-        call(at.getAddress()).addListener((ChannelFutureListener) future -> {
+    private void retryConnect() {
+        connect(address.getAddress()).addListener((ChannelFutureListener) future -> {
             if (future.isSuccess()) {
                 future.channel().close();
                 down = false;
-                changed();
+                onChange();
             } else {
-                lookSoon();
+                scheduleRetry();
             }
         });
     }
--- a/src/main/java/rillyard/faultinjection/RelayedConnection.java
+++ b/src/main/java/rillyard/faultinjection/RelayedConnection.java
@@ -7,61 +7,63 @@
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
 
-/** A connection of a process's and the one to its host that goes with it. */
+/**
+ * A relayed connection: the process's side (downstream) and the host's side (upstream). Confined to the event loop.
+ */
 final class RelayedConnection {
-    private final SocketChannel front;
-    private final TcpRelay link;
-    private final Passing there;
-    private SocketChannel back;
-    private Passing here;
+    private final SocketChannel downstream;
+    private final TcpRelay relay;
+    private final Forwarder toUpstream;
+    private SocketChannel upstream;
+    private Forwarder toDownstream;
     private boolean connecting;
 
-    RelayedConnection(SocketChannel front, TcpRelay link) {
-        this.front = front;
-        this.link = link;
-        this.there = new Passing(front);
+    RelayedConnection(SocketChannel downstream, TcpRelay relay) {
+        this.downstream = downstream;
+        this.relay = relay;
+        this.toUpstream = new Forwarder(downstream);
     }
 
-    void connecting() {
+    void markConnecting() {
         connecting = true;
     }
 
-    void connected(SocketChannel channel) {
-        back = channel;
-        if (!front.isActive()) {
+    void onConnected(SocketChannel channel) {
+        upstream = channel;
+        if (!downstream.isActive()) {
             channel.close();
             return;
         }
-        here = new Passing(channel);
-        goOn();
+        toDownstream = new Forwarder(channel);
+        resume();
     }
 
-    private void goOn() {
-        there.goOn();
-        here.goOn();
+    private void resume() {
+        toUpstream.resume();
+        toDownstream.resume();
     }
 
-    /** Goes on, or ends, as the faults that are under way now have it. */
-    void changed(ConnectionFaults.Way way) {
-        if (way.reset()) {
+    /** Applies a change of the active faults: resumes, connects, closes or resets the connection. */
+    void onChange(ConnectionFaults.Effect effect) {
+        if (effect.reset()) {
             reset();
-        } else if (!way.silent() && back == null) {
+        } else if (!effect.silent() && upstream == null) {
             if (!connecting) {
-                link.connect(this);
+                relay.connect(this);
             }
-        } else if (!way.silent() && front.isActive() && back.isActive()) {
-            goOn();
-        } else if (!way.silent()) {
-            front.close();
-            back.close();
+        } else if (!effect.silent() && downstream.isActive() && upstream.isActive()) {
+            resume();
+        } else if (!effect.silent()) {
+            downstream.close();
+            upstream.close();
         }
     }
 
-    /** Ends both with a reset. */
+    /** Resets both sides. */
     void reset() {
-        reset(front);
-        if (back != null) {
-            reset(back);
+        reset(downstream);
+        if (upstream != null) {
+            reset(upstream);
         }
     }
 
@@ -72,87 +74,89 @@
         }
     }
 
-    /** Whether nothing is left of it. */
-    boolean over() {
-        return !front.isOpen() && (back == null || !back.isOpen());
+    /** Returns whether both sides are closed. */
+    boolean isClosed() {
+        return !downstream.isOpen() && (upstream == null || !upstream.isOpen());
     }
 
     /**
-     * One way: a piece is read, held as long as the faults say, and forwarded before the next is read, so that none
-     * overtakes another when a fault ends.
+     * Forwards one direction. A piece is read, delayed as the faults require, and forwarded before the next one is
+     * read, so that no piece overtakes another when a fault ends.
      */
-    private final class Passing extends ChannelInboundHandlerAdapter {
-        private final SocketChannel from;
-        private boolean busy;
-        private Object waiting;
-        private boolean ended;
-
-        Passing(SocketChannel from) {
-            this.from = from;
-            from.pipeline().addLast(this);
+    private final class Forwarder extends ChannelInboundHandlerAdapter {
+        private final SocketChannel source;
+        private boolean forwarding;
+        private Object pending;
+        private boolean sourceClosed;
+
+        Forwarder(SocketChannel source) {
+            this.source = source;
+            source.pipeline().addLast(this);
         }
 
-        private SocketChannel to() {
-            return from == front ? back : front;
+        private SocketChannel destination() {
+            return source == downstream ? upstream : downstream;
         }
 
-        /** Passes on what came during a silence, or reads the next piece. */
-        void goOn() {
-            if (waiting != null) {
-                Object piece = waiting;
-                waiting = null;
-                hold(piece);
-            } else if (!busy) {
-                from.read();
+        /** Forwards a piece that was read before a silence, or reads the next one. */
+        void resume() {
+            if (pending != null) {
+                Object piece = pending;
+                pending = null;
+                forwardDelayed(piece);
+            } else if (!forwarding) {
+                source.read();
             }
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object piece) {
-            busy = true;
-            if (link.way().silent()) {
-                waiting = piece; // its read was asked for before the silence
+            forwarding = true;
+            if (relay.effect().silent()) {
+                pending = piece; // the read was requested before the silence began
             } else {
-                hold(piece);
+                forwardDelayed(piece);
             }
         }
 
-        private void hold(Object piece) {
-            double late = link.way().lateMs();
-            if (late > 0) {
-                from.eventLoop().schedule(() -> pass(piece), (long) (late * 1_000), TimeUnit.MICROSECONDS);
+        private void forwardDelayed(Object piece) {
+            double delayMs = relay.effect().delayMs();
+            if (delayMs > 0) {
+                source.eventLoop().schedule(() -> forward(piece), (long) (delayMs * 1_000), TimeUnit.MICROSECONDS);
             } else {
-                pass(piece);
+                forward(piece);
             }
         }
 
-        private void pass(Object piece) {
-            to().writeAndFlush(piece).addListener(f -> {
-                busy = false;
-                if (ended) {
-                    to().close();
-                } else if (f.isSuccess() && !link.way().silent()) {
-                    from.read();
+        private void forward(Object piece) {
+            destination().writeAndFlush(piece).addListener(future -> {
+                forwarding = false;
+                if (sourceClosed) {
+                    destination().close();
+                } else if (future.isSuccess() && !relay.effect().silent()) {
+                    source.read();
                 }
             });
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            ended = true;
-            ReferenceCountUtil.release(waiting);
-            busy &= waiting == null;
-            waiting = null;
-            if (to() != null && !busy && !link.way().silent()) { // its end would be a sign of life where nothing passes
-                to().close();
+            sourceClosed = true;
+            ReferenceCountUtil.release(pending);
+            forwarding &= pending == null;
+            pending = null;
+            if (destination() != null
+                    && !forwarding
+                    && !relay.effect().silent()) { // a silent connection must not forward a close either
+                destination().close();
             }
-            link.closed(RelayedConnection.this);
+            relay.onClosed(RelayedConnection.this);
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (cause instanceof IOException) {
-                reset(); // one side was reset: so is the other
+                reset(); // a reset of one side is forwarded to the other
             } else {
                 ctx.close();
             }
--- a/src/main/java/rillyard/faultinjection/ResourceUsage.java
+++ b/src/main/java/rillyard/faultinjection/ResourceUsage.java
@@ -9,43 +9,43 @@
 import java.util.Map;
 import rillyard.membership.net.MemberAdminClient;
 
-/** What membership costs the processes of a fault-injection run, from one look at them to the next. */
+/** Measures the cost of membership in the processes of a fault-injection run between construction and the report. */
 final class ResourceUsage {
     private final ProcessFleet fleet;
     private final Map<String, JsonNode> first;
 
     ResourceUsage(ProcessFleet fleet) {
         this.fleet = fleet;
-        this.first = look();
+        this.first = poll();
     }
 
-    private Map<String, JsonNode> look() {
-        Map<String, JsonNode> out = new HashMap<>();
+    private Map<String, JsonNode> poll() {
+        Map<String, JsonNode> views = new HashMap<>();
         for (FleetProcess process : fleet.members()) {
             try {
-                out.put(process.name(), MemberAdminClient.ask(fleet.admin(process)));
+                views.put(process.name(), MemberAdminClient.ask(fleet.adminAddress(process)));
             } catch (IOException e) {
-                // it has ended, or stands still: it is left out
+                // it has ended or is stopped, and is left out
             }
         }
-        return out;
+        return views;
     }
 
-    /** The costs since the first look, in words; processes that are not the same ones any more are left out. */
-    String words() {
+    /** Returns the costs since the construction as text; processes that were restarted meanwhile are left out. */
+    String report() {
         List<Double> busy = new ArrayList<>();
         double datagrams = 0;
         double bytes = 0;
-        for (Map.Entry<String, JsonNode> e : look().entrySet()) {
-            JsonNode before = first.get(e.getKey());
+        for (Map.Entry<String, JsonNode> entry : poll().entrySet()) {
+            JsonNode before = first.get(entry.getKey());
             if (before != null
                     && before.path("self")
                             .path("start")
-                            .equals(e.getValue().path("self").path("start"))) {
-                double s = Math.max(0.001, since(before, e.getValue(), "up_ms") / 1e3);
-                busy.add(since(before, e.getValue(), "busy_ms") / s / 10);
-                datagrams += since(before, e.getValue(), "datagrams_sent") / s;
-                bytes += since(before, e.getValue(), "bytes_sent") / s;
+                            .equals(entry.getValue().path("self").path("start"))) {
+                double seconds = Math.max(0.001, increase(before, entry.getValue(), "up_ms") / 1e3);
+                busy.add(increase(before, entry.getValue(), "busy_ms") / seconds / 10);
+                datagrams += increase(before, entry.getValue(), "datagrams_sent") / seconds;
+                bytes += increase(before, entry.getValue(), "bytes_sent") / seconds;
             }
         }
         if (busy.isEmpty()) {
@@ -62,8 +62,8 @@
                 busy.get(busy.size() - 1));
     }
 
-    private static double since(JsonNode before, JsonNode now, String what) {
-        return now.path("costs").path(what).asDouble()
-                - before.path("costs").path(what).asDouble();
+    private static double increase(JsonNode before, JsonNode now, String field) {
+        return now.path("costs").path(field).asDouble()
+                - before.path("costs").path(field).asDouble();
     }
 }
--- a/src/main/java/rillyard/faultinjection/RunImbalance.java
+++ b/src/main/java/rillyard/faultinjection/RunImbalance.java
@@ -16,79 +16,83 @@
 import rillyard.requestlog.RequestLogReader;
 import rillyard.requestlog.WatchNotification;
 
-/** How evenly the processes of a fault-injection run together loaded the hosts, from both request logs. */
+/** Computes from both request logs how evenly the processes of a fault-injection run loaded the hosts. */
 final class RunImbalance {
-    private static final long WINDOW_US = 1_000_000;
+    private static final long WINDOW_MICROS = 1_000_000;
 
     private final FaultInjectionPlan plan;
-    private final Map<String, Integer> clients = new HashMap<>();
+    private final Map<String, Integer> clientByRequestId = new HashMap<>();
     private final List<HostArrival> arrivals = new ArrayList<>();
-    private final List<TimelineEvent> marks = new ArrayList<>();
-    private final Map<String, HostEvent> up = new HashMap<>();
-    private final HostAvailability times = new HostAvailability();
-    private long last;
+    private final List<TimelineEvent> events = new ArrayList<>();
+    private final Map<String, HostEvent> startEvents = new HashMap<>();
+    private final HostAvailability availability = new HostAvailability();
+    private long lastMicros;
 
     private RunImbalance(FaultInjectionPlan plan) {
         this.plan = plan;
     }
 
-    /** Reads them. A host is there from its start until it drains, stops or is killed. */
-    static ImbalanceReport of(Path clients, Path hosts, FaultInjectionPlan plan, List<FaultInjectionResult.Done> done)
+    /**
+     * Reads both logs and returns the report. A host counts as available from its start until it drains, stops or is
+     * killed.
+     */
+    static ImbalanceReport of(
+            Path clients, Path hosts, FaultInjectionPlan plan, List<FaultInjectionResult.ExecutedStep> executedSteps)
             throws InvalidConfigException {
         RunImbalance imbalance = new RunImbalance(plan);
-        RequestLogReader.read(clients, "clients", line -> {
-            if (line instanceof ClientAttempt attempt) {
-                imbalance.clients.put(attempt.requestId(), attempt.client());
+        RequestLogReader.read(clients, "clients", logRecord -> {
+            if (logRecord instanceof ClientAttempt attempt) {
+                imbalance.clientByRequestId.put(attempt.requestId(), attempt.client());
             }
         });
-        RequestLogReader.read(hosts, "hosts", line -> {
-            if (line instanceof HostExecution execution) {
-                imbalance.arrived(execution);
-            } else if (line instanceof HostEvent event) {
-                imbalance.heard(event);
-            } else if (line instanceof WatchNotification notification && notification.watcher() == 0) {
-                imbalance.marks.add(new TimelineEvent(
+        RequestLogReader.read(hosts, "hosts", logRecord -> {
+            if (logRecord instanceof HostExecution execution) {
+                imbalance.addArrival(execution);
+            } else if (logRecord instanceof HostEvent event) {
+                imbalance.addHostEvent(event);
+            } else if (logRecord instanceof WatchNotification notification && notification.watcher() == 0) {
+                imbalance.events.add(new TimelineEvent(
                         notification.at(),
                         notification.host(),
                         "discovery has " + notification.host() + " " + notification.state()));
             }
         });
-        imbalance.up.forEach(
-                (host, hostEvent) -> imbalance.times.add(host, hostEvent.capacity(), hostEvent.at(), imbalance.last));
-        for (FaultInjectionResult.Done d : done) {
-            imbalance.marks.add(
-                    new TimelineEvent(d.at() * 1_000, "", d.fault().description() + (d.begin() ? "" : " ends")));
+        imbalance.startEvents.forEach((host, hostEvent) ->
+                imbalance.availability.add(host, hostEvent.capacity(), hostEvent.at(), imbalance.lastMicros));
+        for (FaultInjectionResult.ExecutedStep step : executedSteps) {
+            imbalance.events.add(new TimelineEvent(
+                    step.at() * 1_000, "", step.fault().description() + (step.begins() ? "" : " ends")));
         }
-        return ImbalanceReport.of(imbalance.arrivals, imbalance.times, imbalance.marks, WINDOW_US);
+        return ImbalanceReport.of(imbalance.arrivals, imbalance.availability, imbalance.events, WINDOW_MICROS);
     }
 
-    private void arrived(HostExecution execution) {
-        last = Math.max(last, execution.receivedAt());
-        Integer client = clients.get(execution.requestId());
-        String proxy = client == null ? "?" : plan.serving(client).name();
-        long waited =
+    private void addArrival(HostExecution execution) {
+        lastMicros = Math.max(lastMicros, execution.receivedAt());
+        Integer client = clientByRequestId.get(execution.requestId());
+        String proxy = client == null ? "?" : plan.servingProcess(client).name();
+        long queuedMicros =
                 (execution.startedAt() == 0 ? execution.endedAt() : execution.startedAt()) - execution.receivedAt();
         arrivals.add(new HostArrival(
                 execution.receivedAt(),
                 execution.host(),
                 proxy,
                 execution.attempt() == 0,
-                waited,
+                queuedMicros,
                 execution.endedAt() - execution.receivedAt()));
     }
 
-    private void heard(HostEvent event) {
+    private void addHostEvent(HostEvent event) {
         switch (event.kind()) {
-            case STARTED -> up.put(event.host(), event);
+            case STARTED -> startEvents.put(event.host(), event);
             case DRAINING, STOPPED, KILLED -> {
-                HostEvent began = up.remove(event.host());
-                if (began != null) {
-                    times.add(event.host(), began.capacity(), began.at(), event.at());
+                HostEvent start = startEvents.remove(event.host());
+                if (start != null) {
+                    availability.add(event.host(), start.capacity(), start.at(), event.at());
                 }
             }
             default -> {}
         }
-        marks.add(new TimelineEvent(
+        events.add(new TimelineEvent(
                 event.at(),
                 event.host(),
                 event.host() + " "
--- a/src/main/java/rillyard/faultinjection/TcpRelay.java
+++ b/src/main/java/rillyard/faultinjection/TcpRelay.java
@@ -14,40 +14,44 @@
 import java.util.concurrent.TimeUnit;
 import rillyard.scheduling.EventLoops;
 
-/** One process's way to one host: a listener of its own and the connections on it. All on one event loop. */
+/** Relays the connections of one process to one host through a listener of its own. Confined to the event loop. */
 final class TcpRelay {
-    /** So long (ms) after its port was still held the way attempts to listen again. */
-    private static final long AGAIN_MS = 20;
+    /** Delay in milliseconds before the listener binds again if its port was still in use. */
+    private static final long REBIND_DELAY_MS = 20;
 
-    private final FleetProcess from;
+    private final FleetProcess process;
     private final RelayTarget target;
     private final EventLoop loop;
     private final ConnectionFaults faults;
-    private final Set<RelayedConnection> pairs = new LinkedHashSet<>();
+    private final Set<RelayedConnection> connections = new LinkedHashSet<>();
     private InetSocketAddress address;
     private Channel listener;
 
-    TcpRelay(FleetProcess from, RelayTarget target, EventLoop loop, ConnectionFaults faults) {
-        this.from = from;
+    TcpRelay(FleetProcess process, RelayTarget target, EventLoop loop, ConnectionFaults faults) {
+        this.process = process;
         this.target = target;
         this.loop = loop;
         this.faults = faults;
     }
 
-    /** Listens on a free port of the process's own address; throws what the bind throws. Not to be called on the loop. */
-    void open(InetAddress own) throws Exception {
-        address = new InetSocketAddress(own, 0);
-        listener = listen().bind(address).sync().channel();
+    /**
+     * Starts listening on a free port of the process's address. Must not be called on the event loop.
+     *
+     * @throws Exception if the bind fails
+     */
+    void open(InetAddress processAddress) throws Exception {
+        address = new InetSocketAddress(processAddress, 0);
+        listener = listenerBootstrap().bind(address).sync().channel();
         address = (InetSocketAddress) listener.localAddress();
         loop.submit(() -> target.add(this)).sync();
     }
 
-    /** Where the process is to call. */
+    /** Returns the address to which the process connects. */
     InetSocketAddress address() {
         return address;
     }
 
-    private ServerBootstrap listen() {
+    private ServerBootstrap listenerBootstrap() {
         return new ServerBootstrap()
                 .group(loop)
                 .channel(EventLoops.listening())
@@ -57,66 +61,67 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        accepted(channel);
+                        onAccepted(channel);
                     }
                 });
     }
 
-    ConnectionFaults.Way way() {
-        return faults.way(from, target.host, target.zone);
+    ConnectionFaults.Effect effect() {
+        return faults.effect(process, target.host, target.zone);
     }
 
-    /** Faults have begun or ended, or the host rejects, or is back. */
-    void changed() {
-        ConnectionFaults.Way way = way();
-        boolean listening = !way.refused() && !target.down();
+    /** Applies a change of the active faults or of the host's availability to the listener and the connections. */
+    void onChange() {
+        ConnectionFaults.Effect effect = effect();
+        boolean listening = !effect.refused() && !target.isDown();
         if (!listening && listener != null) {
             listener.close();
             listener = null;
         } else if (listening && listener == null) {
-            listener = listen().bind(address)
-                    .addListener(f -> {
-                        if (!f.isSuccess()) { // what closed a moment ago may hold the port still
+            listener = listenerBootstrap()
+                    .bind(address)
+                    .addListener(future -> {
+                        if (!future.isSuccess()) { // a socket closed a moment ago may still hold the port
                             listener = null;
-                            loop.schedule(this::changed, AGAIN_MS, TimeUnit.MILLISECONDS);
+                            loop.schedule(this::onChange, REBIND_DELAY_MS, TimeUnit.MILLISECONDS);
                         }
                     })
                     .channel();
         }
-        for (RelayedConnection connection : Set.copyOf(pairs)) {
-            connection.changed(way);
+        for (RelayedConnection connection : Set.copyOf(connections)) {
+            connection.onChange(effect);
         }
     }
 
-    private void accepted(SocketChannel channel) {
-        ConnectionFaults.Way way = way();
-        if (way.reset() || way.refused()) {
+    private void onAccepted(SocketChannel channel) {
+        ConnectionFaults.Effect effect = effect();
+        if (effect.reset() || effect.refused()) {
             RelayedConnection.reset(channel);
             return;
         }
-        RelayedConnection pair = new RelayedConnection(channel, this);
-        pairs.add(pair);
-        if (!way.silent()) {
-            connect(pair);
+        RelayedConnection connection = new RelayedConnection(channel, this);
+        connections.add(connection);
+        if (!effect.silent()) {
+            connect(connection);
         }
     }
 
-    /** One side of a connection has ended. */
-    void closed(RelayedConnection pair) {
-        if (pair.over()) {
-            pairs.remove(pair);
+    /** Handles the close of one side of a connection. */
+    void onClosed(RelayedConnection connection) {
+        if (connection.isClosed()) {
+            connections.remove(connection);
         }
     }
 
-    /** Calls the host for a connection. */
-    void connect(RelayedConnection pair) {
-        pair.connecting();
-        target.call(address.getAddress()).addListener((ChannelFutureListener) future -> {
+    /** Connects a relayed connection to the host; resets it if the host refuses. */
+    void connect(RelayedConnection connection) {
+        connection.markConnecting();
+        target.connect(address.getAddress()).addListener((ChannelFutureListener) future -> {
             if (future.isSuccess()) {
-                pair.connected((SocketChannel) future.channel());
+                connection.onConnected((SocketChannel) future.channel());
             } else {
-                pair.reset();
-                target.refused();
+                connection.reset();
+                target.onRefused();
             }
         });
     }
--- a/src/main/java/rillyard/faultinjection/TcpRelays.java
+++ b/src/main/java/rillyard/faultinjection/TcpRelays.java
@@ -10,47 +10,56 @@
 import java.util.concurrent.TimeUnit;
 import rillyard.scheduling.EventLoops;
 
-/** The ways from each process of a fault-injection run to each host, and to discovery: a listener for each pair. */
+/**
+ * The relays from each process of a fault-injection run to each host and to discovery. Thread-safe; the relays run on
+ * one event loop.
+ */
 final class TcpRelays implements AutoCloseable {
     private final EventLoopGroup group = EventLoops.group(1, "host-relays");
     private final EventLoop loop = group.next();
     private final ConnectionFaults faults = new ConnectionFaults();
     private final Map<InetSocketAddress, RelayTarget> targets = new HashMap<>();
-    /** By the process's address and the host's: what a process is told instead. */
-    private final Map<InetAddress, Map<String, String>> told = new HashMap<>();
+    /** Relay addresses by the process's address and the host's. */
+    private final Map<InetAddress, Map<String, String>> relayAddresses = new HashMap<>();
 
     /**
-     * Opens the ways of one process to one host.
+     * Opens the relay from a process to a host.
      *
-     * @param own the process's own address
-     * @return where the process is to call
-     * @throws Exception what the bind throws
+     * @param processAddress the process's own address
+     * @return the address to which the process connects
+     * @throws Exception if the bind fails
      */
     synchronized InetSocketAddress open(
-            FleetProcess from, InetAddress own, String host, String zone, InetSocketAddress target) throws Exception {
-        RelayTarget called = targets.computeIfAbsent(target, address -> new RelayTarget(host, zone, address, loop));
-        TcpRelay link = new TcpRelay(from, called, loop, faults);
-        link.open(own);
-        told.computeIfAbsent(own, a -> new HashMap<>()).put(text(target), text(link.address()));
-        return link.address();
+            FleetProcess process, InetAddress processAddress, String host, String zone, InetSocketAddress target)
+            throws Exception {
+        RelayTarget relayTarget =
+                targets.computeIfAbsent(target, address -> new RelayTarget(host, zone, address, loop));
+        TcpRelay relay = new TcpRelay(process, relayTarget, loop, faults);
+        relay.open(processAddress);
+        relayAddresses
+                .computeIfAbsent(processAddress, a -> new HashMap<>())
+                .put(format(target), format(relay.address()));
+        return relay.address();
     }
 
-    /** What a process is told of a host's address; as it is where no way was opened. */
-    synchronized String told(InetAddress caller, String address) {
-        return told.getOrDefault(caller, Map.of()).getOrDefault(address, address);
+    /**
+     * Returns the address that discovery announces to a process for a host: the relay's, or the host's own without one.
+     */
+    synchronized String relayAddress(InetAddress caller, String address) {
+        return relayAddresses.getOrDefault(caller, Map.of()).getOrDefault(address, address);
     }
 
     void begin(InjectedFault fault) {
         loop.execute(() -> {
             faults.begin(fault);
-            targets().forEach(RelayTarget::changed);
+            targets().forEach(RelayTarget::onChange);
         });
     }
 
     void end(InjectedFault fault) {
         loop.execute(() -> {
             faults.end(fault);
-            targets().forEach(RelayTarget::changed);
+            targets().forEach(RelayTarget::onChange);
         });
     }
 
@@ -58,7 +67,7 @@
         return List.copyOf(targets.values());
     }
 
-    static String text(InetSocketAddress address) {
+    static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
--- a/src/main/java/rillyard/faultinjection/package-info.java
+++ b/src/main/java/rillyard/faultinjection/package-info.java
@@ -1,2 +1,5 @@
-/** Trials of many processes of this program, with faults between them. */
+/**
+ * Fault-injection runs: many proxy processes on one machine, whose datagrams and connections pass through relays.
+ * Faults lose, delay or cut what passes the relays, and stop, throttle, kill and restart processes.
+ */
 package rillyard.faultinjection;
--- a/src/main/java/rillyard/requestlog/ExecutionResult.java
+++ b/src/main/java/rillyard/requestlog/ExecutionResult.java
@@ -26,9 +26,9 @@
     private final boolean mayHaveRun;
     private final boolean hadEffect;
 
-    ExecutionResult(boolean mayHaveRun, boolean effect) {
+    ExecutionResult(boolean mayHaveRun, boolean hadEffect) {
         this.mayHaveRun = mayHaveRun;
-        this.hadEffect = effect;
+        this.hadEffect = hadEffect;
     }
 
     /** Returns whether the sender must assume that the request had its effect. */
--- a/src/main/java/rillyard/requestlog/HostEvent.java
+++ b/src/main/java/rillyard/requestlog/HostEvent.java
@@ -42,8 +42,8 @@
     }
 
     /** Creates an event without capacity values. */
-    public HostEvent(long at, String host, Kind what, String detail) {
-        this(at, host, what, detail, 0, 1, 0);
+    public HostEvent(long at, String host, Kind kind, String detail) {
+        this(at, host, kind, detail, 0, 1, 0);
     }
 
     @Override
--- a/src/main/java/rillyard/requestlog/JsonFields.java
+++ b/src/main/java/rillyard/requestlog/JsonFields.java
@@ -8,11 +8,11 @@
     private JsonFields() {}
 
     static String text(JsonNode node, String key) {
-        JsonNode v = node.path(key);
-        if (!v.isTextual()) {
-            throw new IllegalArgumentException(key + ": found " + found(v) + ", expected a text");
+        JsonNode value = node.path(key);
+        if (!value.isTextual()) {
+            throw new IllegalArgumentException(key + ": found " + found(value) + ", expected a text");
         }
-        return v.asText();
+        return value.asText();
     }
 
     static String textOrNull(JsonNode node, String key) {
@@ -20,22 +20,22 @@
     }
 
     static long integer(JsonNode node, String key) {
-        JsonNode v = node.path(key);
-        if (!v.isIntegralNumber() || !v.canConvertToLong()) {
-            throw new IllegalArgumentException(key + ": found " + found(v) + ", expected a whole number");
+        JsonNode value = node.path(key);
+        if (!value.isIntegralNumber() || !value.canConvertToLong()) {
+            throw new IllegalArgumentException(key + ": found " + found(value) + ", expected a whole number");
         }
-        return v.asLong();
+        return value.asLong();
     }
 
     static <E extends Enum<E>> E enumValue(JsonNode node, String key, Class<E> type) {
-        String s = text(node, key);
-        for (E e : type.getEnumConstants()) {
-            if (e.name().equals(s)) {
-                return e;
+        String name = text(node, key);
+        for (E constant : type.getEnumConstants()) {
+            if (constant.name().equals(name)) {
+                return constant;
             }
         }
         throw new IllegalArgumentException(
-                key + ": found '" + s + "', expected one of " + Arrays.toString(type.getEnumConstants()));
+                key + ": found '" + name + "', expected one of " + Arrays.toString(type.getEnumConstants()));
     }
 
     private static String found(JsonNode node) {
--- a/src/test/java/rillyard/audit/AuditTest.java
+++ b/src/test/java/rillyard/audit/AuditTest.java
@@ -119,7 +119,7 @@
     // --- rule 1
 
     @Test
-    void whatIsServedRefusedFailedOrAbandonedInOrderIsNoBreach() throws Exception {
+    void permittedOutcomesAreNoViolation() throws Exception {
         served("list", "a", 0);
         tried("claim", "b", 0, 5, ClientOutcome.REFUSED);
         tried("claim", "c", 0, 400, ClientOutcome.FAILED);
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void aRequestWithoutAnAnswerIsFound() throws Exception {
+    void requestWithoutResponseIsFound() throws Exception {
         tried("list", "a", 0, 470, ClientOutcome.UNANSWERED);
         assertThat(broken(Violation.Rule.ANSWER, "id a was lost: UNANSWERED").history())
                 .anyMatch(h -> h.contains("client 1 sends try 0"))
@@ -138,19 +138,19 @@
     }
 
     @Test
-    void aConnectionThatEndsWithoutTheAnswerIsFound() throws Exception {
+    void connectionClosedBeforeResponseIsFound() throws Exception {
         tried("list", "a", 0, 5, ClientOutcome.BROKEN);
         broken(Violation.Rule.ANSWER, "id a was lost: BROKEN");
     }
 
     @Test
-    void anAnswerThatIsSpoiltIsFound() throws Exception {
+    void corruptResponseIsFound() throws Exception {
         tried("list", "a", 0, 5, ClientOutcome.GARBLED);
         broken(Violation.Rule.ANSWER, "id a was lost: GARBLED");
     }
 
     @Test
-    void aLateAnswerIsFoundPastTheSlackAndNotBefore() throws Exception {
+    void lateResponseIsFoundPastSlackOnly() throws Exception {
         tried("list", "in", 0, 469, ClientOutcome.FAILED);
         clean();
         tried("list", "out", 0, 475, ClientOutcome.FAILED);
@@ -158,38 +158,38 @@
     }
 
     @Test
-    void aSecondAnswerIsFound() throws Exception {
+    void secondResponseIsFound() throws Exception {
         served("list", "a", 0);
         lines.add(new UnexpectedResponse(START + 20 * MS, "a"));
         broken(Violation.Rule.ANSWER, "more came behind the one answer to id a");
     }
 
     @Test
-    void anAnswerThatNoHostMadeIsFound() throws Exception {
+    void responseWithoutHostExecutionIsFound() throws Exception {
         tried("list", "a", 0, 5, ClientOutcome.SERVED);
         ran("list", "a", "s-1", 1, ExecutionResult.GARBLED);
         broken(Violation.Rule.ANSWER, "id a was served with what no host made for it");
     }
 
     @Test
-    void aTryThatEndsTwiceIsFound() throws Exception {
-        long r = requests++;
-        tried(r, 0, "list", "a", null, 0, 5, ClientOutcome.REFUSED, false);
-        tried(r, 0, "list", "a", null, 0, 9, ClientOutcome.REFUSED, true);
+    void attemptEndedTwiceIsFound() throws Exception {
+        long request = requests++;
+        tried(request, 0, "list", "a", null, 0, 5, ClientOutcome.REFUSED, false);
+        tried(request, 0, "list", "a", null, 0, 9, ClientOutcome.REFUSED, true);
         broken(Violation.Rule.ANSWER, "has two ends of try 0");
     }
 
     @Test
-    void aRequestThatNeverEndsIsFound() throws Exception {
+    void requestWithoutLastAttemptIsFound() throws Exception {
         tried(requests++, 0, "list", "a", null, 0, 5, ClientOutcome.REFUSED, false);
         broken(Violation.Rule.ANSWER, "has no final answer");
     }
 
     @Test
-    void aConnectionThatEndsBetweenRequestsIsNoBreachUnlessTheRequestWasPassedOn() throws Exception {
-        long r = requests++;
-        tried(r, 0, "claim", "a", null, 0, 5, ClientOutcome.STALE, false);
-        tried(r, 1, "claim", "a", null, 6, 9, ClientOutcome.SERVED, true);
+    void staleConnectionIsViolationOnlyIfRequestWasForwarded() throws Exception {
+        long request = requests++;
+        tried(request, 0, "claim", "a", null, 0, 5, ClientOutcome.STALE, false);
+        tried(request, 1, "claim", "a", null, 6, 9, ClientOutcome.SERVED, true);
         ran("claim", "a", "s-1", 8, ExecutionResult.DONE);
         clean();
         tried(requests++, 0, "list", "b", null, 0, 5, ClientOutcome.STALE, true);
@@ -200,7 +200,7 @@
     // --- rule 2
 
     @Test
-    void anUnsafeRequestThatRunsTwiceIsFound() throws Exception {
+    void nonIdempotentRequestExecutedTwiceIsFound() throws Exception {
         served("claim", "a", 0);
         ran("claim", "a", "s-2", 100, ExecutionResult.DONE);
         assertThat(broken(Violation.Rule.EFFECT, "may have run 2 times").history())
@@ -209,7 +209,7 @@
     }
 
     @Test
-    void anUnsafeRequestMayComeAgainWhereItNeverRan() throws Exception {
+    void nonIdempotentRetryWithoutExecutionIsPermitted() throws Exception {
         served("claim", "a", 0);
         ran("claim", "a", "s-2", 0, ExecutionResult.TURNED_AWAY);
         ran("claim", "a", "s-3", 0, ExecutionResult.DROPPED);
@@ -217,31 +217,31 @@
     }
 
     @Test
-    void anUnsafeRequestThatIsSentAgainAfterAnErrorIsFound() throws Exception {
+    void nonIdempotentRetryAfterErrorIsFound() throws Exception {
         served("claim", "a", 5);
         ran("claim", "a", "s-2", 0, ExecutionResult.ERROR);
         broken(Violation.Rule.EFFECT, "may have run 2 times");
     }
 
     @Test
-    void anUnsafeRequestThatRanAndIsTriedAgainUnderAnotherIdIsFound() throws Exception {
-        long r = requests++;
-        tried(r, 0, "claim", "a", null, 0, 5, ClientOutcome.UNREACHABLE, false);
-        tried(r, 1, "claim", "b", null, 6, 9, ClientOutcome.SERVED, true);
+    void nonIdempotentRetryUnderOtherIdIsFound() throws Exception {
+        long request = requests++;
+        tried(request, 0, "claim", "a", null, 0, 5, ClientOutcome.UNREACHABLE, false);
+        tried(request, 1, "claim", "b", null, 6, 9, ClientOutcome.SERVED, true);
         ran("claim", "a", "s-1", 1, ExecutionResult.DONE);
         ran("claim", "b", "s-1", 7, ExecutionResult.DONE);
         broken(Violation.Rule.EFFECT, "may have run 2 times");
     }
 
     @Test
-    void aRefusalOfWhatRanIsFound() throws Exception {
+    void rejectionOfExecutedRequestIsFound() throws Exception {
         tried("claim", "a", 0, 5, ClientOutcome.REFUSED);
         ran("claim", "a", "s-1", 1, ExecutionResult.LEFT);
         broken(Violation.Rule.EFFECT, "id a of claim was refused and may have run at s-1");
     }
 
     @Test
-    void aRefusalOfAKeyThatOnlyItsCellKnowsIsFoundAndOneThatAllKnowIsNot() throws Exception {
+    void rejectionOfCellScopedKeyIsFoundAndOfGlobalKeyIsNot() throws Exception {
         tried("everywhere", "a", 0, 5, ClientOutcome.REFUSED);
         ran("everywhere", "a", "s-1", 1, ExecutionResult.LEFT);
         tried("list", "b", 0, 5, ClientOutcome.REFUSED);
@@ -253,14 +253,14 @@
     }
 
     @Test
-    void aKeyThatHasItsEffectTwiceIsFound() throws Exception {
+    void idempotencyKeyWithTwoEffectsIsFound() throws Exception {
         ran("log", "a", "k", "s-1", 0, 0, ExecutionResult.DONE);
         ran("log", "b", "k", "s-9", 2, 900, ExecutionResult.DONE);
         broken(Violation.Rule.EFFECT, "key k had its effect 2 times");
     }
 
     @Test
-    void aStrangersUnsafeRequestThatRunsTwiceIsFound() throws Exception {
+    void nonIdempotentRequestOfUnknownClientExecutedTwiceIsFound() throws Exception {
         ran("claim", "x", "s-1", 0, ExecutionResult.DONE);
         ran("claim", "x", "s-2", 5, ExecutionResult.RESET);
         broken(Violation.Rule.EFFECT, "id x of claim may have run 2 times");
@@ -269,7 +269,7 @@
     // --- keyed
 
     @Test
-    void aKeyedRequestMayComeAgainInItsCellWithinItsWindow() throws Exception {
+    void retryWithKeyInCellWithinWindowIsPermitted() throws Exception {
         tried("log", "a", 0, 300, ClientOutcome.SERVED);
         ran("log", "a", "k", "s-1", 3, 1, ExecutionResult.HUNG);
         ran("log", "a", "k", "s-2", 3, 700, ExecutionResult.REMEMBERED);
@@ -277,21 +277,21 @@
     }
 
     @Test
-    void aKeyedRequestOutsideOfItsCellIsFound() throws Exception {
+    void retryWithKeyOutsideCellIsFound() throws Exception {
         ran("log", "a", "k", "s-1", 3, 0, ExecutionResult.KILLED);
         ran("log", "a", "k", "s-9", 4, 100, ExecutionResult.DONE);
         broken(Violation.Rule.KEYED, "outside of its cell, at s-9");
     }
 
     @Test
-    void aKeyedRequestMayLeaveItsCellWhereItNeverRan() throws Exception {
+    void retryWithKeyOutsideCellWithoutExecutionIsPermitted() throws Exception {
         ran("log", "a", "k", "s-1", 3, 0, ExecutionResult.TURNED_AWAY);
         ran("log", "a", "k", "s-9", 4, 100, ExecutionResult.DONE);
         clean();
     }
 
     @Test
-    void aKeyedRequestPastItsWindowIsFound() throws Exception {
+    void retryWithKeyPastWindowIsFound() throws Exception {
         ran("log", "a", "k", "s-1", 3, 0, ExecutionResult.KILLED);
         ran("log", "a", "k", "s-2", 3, 810, ExecutionResult.DONE);
         broken(Violation.Rule.KEYED, "10 ms past its window");
@@ -304,7 +304,7 @@
     }
 
     @Test
-    void aRequestToAHostThatDrainsIsFoundPastTheGraceAndNotBefore() throws Exception {
+    void requestToDrainingHostIsFoundPastGraceOnly() throws Exception {
         told(100, 0, "s-1", "draining");
         told(200, 1, "s-1", "draining");
         served("list", "in", 745);
@@ -316,7 +316,7 @@
     }
 
     @Test
-    void aHostThatIsUpAgainMayBeSentTo() throws Exception {
+    void requestToReturnedHostIsPermitted() throws Exception {
         told(100, 0, "s-1", "draining");
         told(101, 1, "s-1", "draining");
         told(500, 0, "s-1", "removed");
@@ -327,7 +327,7 @@
     }
 
     @Test
-    void whatNobodyWasToldCountsAsToldInTheEnd() throws Exception {
+    void unnotifiedDrainCountsAsNotifiedAfterLimit() throws Exception {
         told(0, 0, "s-1", "removed");
         served("list", "a", 6_400);
         clean();
@@ -351,21 +351,21 @@
     }
 
     @Test
-    void aColdHostThatGetsWhatItCanBearIsNoBreach() throws Exception {
+    void warmingUpHostWithinBudgetIsNoViolation() throws Exception {
         cold(4); // at first one ms of work a ms; three times that is its budget
         flood(400, 4);
         clean();
     }
 
     @Test
-    void aColdHostThatIsPushedOverIsFound() throws Exception {
+    void overloadOfWarmingUpHostIsFound() throws Exception {
         cold(4);
         flood(1_600, 1);
         broken(Violation.Rule.COLD, "host cold, cold for ");
     }
 
     @Test
-    void aShortHeavyBurstIsFoundToo() throws Exception {
+    void shortBurstToWarmingUpHostIsFound() throws Exception {
         cold(1); // three quarters of a ms a ms, for 1.5 s: 1,125 ms
         for (int i = 0; i < 200; i++) {
             long at = START + (100 + i / 50) * MS;
@@ -376,7 +376,7 @@
     }
 
     @Test
-    void aWarmHostMayBeSentWhatever() throws Exception {
+    void overloadOfWarmHostIsPermitted() throws Exception {
         lines.add(new HostEvent(START, "cold", HostEvent.Kind.STARTED, null, 4, 1, 0));
         flood(1_600, 1);
         clean();
@@ -385,7 +385,7 @@
     // --- proof
 
     @Test
-    void ledgersThatProveNothingSaySo() throws Exception {
+    void inconclusiveRequestLogsGiveWarnings() throws Exception {
         lines.clear();
         assertThat(judge().isClean()).isFalse();
         assertThat(judge().warnings()).anyMatch(d -> d.contains("nothing was proved"));
--- a/src/test/java/rillyard/benchmark/FleetTraceStatisticsTest.java
+++ b/src/test/java/rillyard/benchmark/FleetTraceStatisticsTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void connectionsOfAllProxiesStandOpenTogether() throws Exception {
+    void openConnectionsAreSummedOverAllProxies() throws Exception {
         log("n1", did(0, Kind.STARTED, "-") + did(10, Kind.CONNECTED, "a") + did(40, Kind.CLOSED, "a"));
         log("n2", did(0, Kind.STARTED, "-") + did(20, Kind.CONNECTED, "a") + did(30, Kind.CONNECT_FAILED, "a"));
         log("n3", did(0, Kind.STARTED, "-") + did(50, Kind.CONNECTED, "a"));
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aProxyThatStartsAnewHasNothingOpen() throws Exception {
+    void restartedProxyHasNoOpenConnections() throws Exception {
         log(
                 "n1",
                 did(0, Kind.STARTED, "-")
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void workAtAColdHostIsSummedOverTheFleetByWhenItWasSent() throws Exception {
+    void workAtWarmingUpHostIsSummedOverFleetBySendTime() throws Exception {
         log(
                 "n1",
                 attempt(0, 900, "a", "OK", true)
@@ -69,21 +69,21 @@
         FleetTraceStatistics.HostCount counts = count.sum().host("a");
         assertThat(counts.attempts).isEqualTo(8);
         assertThat(counts.sendsWhileWarmingUp).hasSize(5);
-        assertThat(counts.mostCold(500)).isEqualTo(3); // 0, 250, 499; and 250, 499, 500
+        assertThat(counts.maxSendsWithin(500)).isEqualTo(3); // 0, 250, 499; and 250, 499, 500
     }
 
     @Test
-    void refusalsAreCountedByWhatCameBefore() throws Exception {
+    void rejectionsAreCountedByPrecedingEvent() throws Exception {
         log(
                 "n1",
                 new TraceEvent(5, Kind.REFUSED, "-", "FULL", 0, false).text() + "\n" + did(6, Kind.REFUSED, "-")
                         + "something else\n" + did(7, Kind.LIST, "-").substring(0, 30));
-        assertThat(count.sum().refusedAfter()).isEqualTo(Map.of("FULL", 1, "-", 1));
-        assertThat(count.torn()).isEqualTo(1);
+        assertThat(count.sum().rejectionsByLastResult()).isEqualTo(Map.of("FULL", 1, "-", 1));
+        assertThat(count.tornLines()).isEqualTo(1);
     }
 
     @Test
-    void tablesHoldTheSums() throws Exception {
+    void printedTablesContainSums() throws Exception {
         log(
                 "n1",
                 attempt(0, 5, "a", "OK", false)
--- a/src/test/java/rillyard/cli/CliTest.java
+++ b/src/test/java/rillyard/cli/CliTest.java
@@ -28,7 +28,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"proxy", "adapter", "rehearse", "stand-in", "load", "audit", "demo", "measure", "subset"})
-    void everyCommandHasHelpAndAVersion(String command) {
+    void everyCommandHasHelpAndVersion(String command) {
         assertThat(run(command, "--help")).isZero();
         assertThat(out.toString()).contains("Usage: rillyard " + command);
         assertThat(run(command, "--version")).isZero();
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void wrongUsageEndsWithTwo() {
+    void wrongUsageReturnsExitCodeTwo() {
         assertThat(run()).isEqualTo(2);
         assertThat(run("laod")).isEqualTo(2);
         assertThat(run("load")).isEqualTo(2);
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void aCountOverTheFleetWantsTracesAndTakesAnyBytes() throws Exception {
+    void fleetStatisticsRequireTracesAndAcceptAnyBytes() throws Exception {
         Path log = folder.resolve("n1.log");
         Files.write(log, new byte[] {(byte) 0xff, '\n'});
         assertThat(run("measure", "fleet", log.toString())).isEqualTo(1); // no trace in it
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void aSubsetPlanSaysWhatEachWouldHoldOrWhatWouldDo() {
+    void subsetPlanReportsSizesOrRequiredCapacity() {
         assertThat(run("subset", "plan", "--instances", "300", "--hosts", "20", "--cap", "400"))
                 .isZero();
         assertThat(out.toString()).contains("| lots | 20 | 300, 300, 300 | 300 of 400 |");
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void aPlanWithAnErrorEndsWithTwoAndNothingIsSent() throws Exception {
+    void invalidLoadPlanReturnsExitCodeTwoAndSendsNothing() throws Exception {
         Path plan = Files.writeString(folder.resolve("plan.toml"), "seed = 1\n[[shape]]\nkind = 'stedy'\nrate = 5\n");
         try (ServerSocket target = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             assertThat(run(
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void aTimetableWithAnErrorEndsWithTwo() throws Exception {
+    void invalidFaultScheduleReturnsExitCodeTwo() throws Exception {
         Path path = Files.writeString(folder.resolve("t.toml"), "[[fault]]\nkind = 'hang'\n");
         assertThat(run(
                         "stand-in",
@@ -116,13 +116,27 @@
     }
 
     @Test
-    void anAuditOfWhatIsNoLedgerEndsWithTwo() throws Exception {
+    void auditOfMalformedLogReturnsExitCodeTwo() throws Exception {
         Path path = Files.writeString(folder.resolve("s.json"), "{\"classes\":[{\"name\":\"a\"}]}");
-        Path l = Files.writeString(folder.resolve("l.jsonl"), "no ledger\n");
-        assertThat(run("audit", "--clients", l.toString(), "--hosts", l.toString(), "--settings", path.toString()))
+        Path logFile = Files.writeString(folder.resolve("l.jsonl"), "no ledger\n");
+        assertThat(run(
+                        "audit",
+                        "--clients",
+                        logFile.toString(),
+                        "--hosts",
+                        logFile.toString(),
+                        "--settings",
+                        path.toString()))
                 .isEqualTo(2);
-        assertThat(err.toString()).startsWith(l + ":1: expected a JSON object");
-        assertThat(run("audit", "--clients", l.toString(), "--hosts", l.toString(), "--settings", l.toString()))
+        assertThat(err.toString()).startsWith(logFile + ":1: expected a JSON object");
+        assertThat(run(
+                        "audit",
+                        "--clients",
+                        logFile.toString(),
+                        "--hosts",
+                        logFile.toString(),
+                        "--settings",
+                        logFile.toString()))
                 .isEqualTo(2);
     }
 }
--- a/src/test/java/rillyard/cli/UsageIT.java
+++ b/src/test/java/rillyard/cli/UsageIT.java
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void standInLoadAndAuditAsWritten() throws Exception {
+    void documentedTestClusterLoadAndAuditCommandsWork() throws Exception {
         Files.writeString(folder.resolve("faults.toml"), "[[fault]]\nkind = 'slow'\nhost = 's-3'\nat_s = 0\n");
         Files.writeString(
                 folder.resolve("plan.toml"),
@@ -100,8 +100,8 @@
             assertThat(load.waitFor()).isZero();
             assertThat(report.path("total").path("offered").asInt()).isBetween(140, 260);
             assertThat(report.path("total").path("inAim").asInt()).isGreaterThan(100);
-            for (String f : List.of("report.html", "report.json", "latency.hgrm", "service.hgrm")) {
-                assertThat(folder.resolve("out").resolve(f)).isNotEmptyFile();
+            for (String fileName : List.of("report.html", "report.json", "latency.hgrm", "service.hgrm")) {
+                assertThat(folder.resolve("out").resolve(fileName)).isNotEmptyFile();
             }
         }
         signal(cluster, "TERM");
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void interruptedTheRunIsReportedAndBothLedgersAreWhole() throws Exception {
+    void interruptedRunIsReportedWithCompleteRequestLogs() throws Exception {
         Files.writeString(
                 folder.resolve("plan.toml"),
                 "lateness_ms = 5000\n[[shape]]\nkind = 'poisson'\nfor_s = 3600\nrate = 300\n");
--- a/src/test/java/rillyard/config/TomlTableTest.java
+++ b/src/test/java/rillyard/config/TomlTableTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void readsWhatIsThereAndHasDefaultsForTheRest() throws Exception {
+    void presentKeysAreReadAndAbsentKeysHaveDefaults() throws Exception {
         TomlTable table = parse("a = 3\nb = 'x'\nc = true\nd = [1, 2.5]\ne = 'dark-blue'\n[s]\nf = 1.5\n");
         assertThat(table.integer("a", 0, 0, 10)).isEqualTo(3);
         assertThat(table.text("b", "")).isEqualTo("x");
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void tellsAllFindingsAtOnceEachWithItsLine() throws Exception {
+    void allProblemsAreReportedWithLineNumbers() throws Exception {
         TomlTable table = parse(
                 """
             # a comment with = and [brackets]
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void aTextThatIsNoTomlNamesItsLine() {
+    void malformedTomlIsReportedWithLineNumber() {
         InvalidConfigException exception =
                 catchThrowableOfType(InvalidConfigException.class, () -> parse("a = 1\nb = = 2\n"));
         assertThat(exception.problems()).hasSize(1);
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void aMissingTextAndAWrongKindOfValueAreFindings() throws Exception {
+    void missingTextAndWrongTypeAreReported() throws Exception {
         TomlTable table = parse("[a]\nhosts = 3\n");
         TomlTable tomlTable = table.table("a");
         assertThat(tomlTable.text("id")).isEmpty();
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void theNearestNameIsFoundAndAFarOneIsNot() {
+    void similarNameIsSuggestedAndDistantNameIsNot() {
         java.util.List<String> names = java.util.List.of("balance", "bind", "maxconn");
         assertThat(DidYouMean.suggest("maxcon", names)).isEqualTo("maxconn");
         assertThat(DidYouMean.suggest("balence", names)).isEqualTo("balance");
--- a/src/test/java/rillyard/demo/DemoAuditTest.java
+++ b/src/test/java/rillyard/demo/DemoAuditTest.java
@@ -61,12 +61,12 @@
     }
 
     @Test
-    void aRunWithoutFaultsIsClean() throws Exception {
+    void runWithoutFaultsIsClean() throws Exception {
         assertThat(broken("", plan("", 100))).isEmpty();
     }
 
     @Test
-    void sendingOnToAHostThatDrainsIsFound() throws Exception {
+    void forwardingToDrainingHostIsFound() throws Exception {
         assertThat(broken(
                         "[rules]\ndrain_grace_ms = 0\n[discovery]\nnotice_ms = 0\n"
                                 + "[[fault]]\nkind = 'drain'\nhost = 's-0'\nfor_s = 60\n",
@@ -76,19 +76,19 @@
     }
 
     @Test
-    void aFloodToAColdHostIsFound() throws Exception {
+    void overloadOfWarmingUpHostIsFound() throws Exception {
         assertThat(broken("[hosts]\ncores = 1\nqueue = 1000\nstarts_cold = true\n", plan("", 500)))
                 .contains(Violation.Rule.COLD);
     }
 
     @Test
-    void answersThatAreCutOffAreFound() throws Exception {
+    void truncatedResponsesAreFound() throws Exception {
         assertThat(broken("[[fault]]\nkind = 'reset'\nhost = 's-0'\nsize = 0.3\n", plan("", 100)))
                 .containsExactly(Violation.Rule.ANSWER);
     }
 
     @Test
-    void clientsThatRepeatWhatMayHaveRunAreFound() throws Exception {
+    void clientRetryOfPossiblyExecutedRequestIsFound() throws Exception {
         assertThat(broken(
                         "[[fault]]\nkind = 'errors'\nhost = 's-0'\nsize = 0.5\n",
                         plan("[[class]]\nname = 'claim'\nsemantics = 'keyed-everywhere'\n", 100)))
--- a/src/test/java/rillyard/demo/DemoTest.java
+++ b/src/test/java/rillyard/demo/DemoTest.java
@@ -53,7 +53,7 @@
     Path folder;
 
     @Test
-    void aProxyUnderFaultsKeepsTheRulesAndThePartsAgree() throws Exception {
+    void proxyUnderFaultsHasNoViolationAndConsistentReport() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         Demo.Result result = new Demo(new PrintStream(out, true, StandardCharsets.UTF_8), HOSTS, PLAN).run(folder);
         assertThat(result.verdict().warnings()).isEmpty();
--- a/src/test/java/rillyard/faultinjection/FaultInjectionIT.java
+++ b/src/test/java/rillyard/faultinjection/FaultInjectionIT.java
@@ -38,7 +38,7 @@
     Path folder;
 
     @Test
-    void beliefsFollowAKillAStopAndACutAndAreOneAgain() throws Exception {
+    void membershipFollowsKillStopAndPartitionAndConverges() throws Exception {
         LaunchCommand built = LaunchCommand.platform(Path.of("").toAbsolutePath());
         FaultInjectionResult result = new FaultInjectionRun(
                         FaultInjectionPlanReader.parse("plan", PLAN, folder), folder.resolve("trial"), System.out)
--- a/src/test/java/rillyard/faultinjection/FaultInjectionPartsTest.java
+++ b/src/test/java/rillyard/faultinjection/FaultInjectionPartsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import rillyard.config.InvalidConfigException;
-import rillyard.faultinjection.MembershipTimeline.Belief;
+import rillyard.faultinjection.MembershipTimeline.StateChange;
 
 class FaultInjectionPartsTest {
     private static final FleetProcess A = FleetProcess.of(0, 2, 1);
@@ -22,32 +22,32 @@
     }
 
     @Test
-    void aCutOneWayLeavesTheOther() {
+    void oneWayPartitionKeepsOtherDirection() {
         DatagramFaults faults = new DatagramFaults(1);
         InjectedFault cut = fault(InjectedFault.Kind.LOSE, "m0", "zone:1", true, 1);
         faults.begin(cut);
-        assertThat(faults.copies(A, B)).isEmpty();
-        assertThat(faults.copies(B, A)).hasSize(1);
+        assertThat(faults.copyDelays(A, B)).isEmpty();
+        assertThat(faults.copyDelays(B, A)).hasSize(1);
         faults.end(cut);
-        assertThat(faults.copies(A, B)).containsExactly(0);
+        assertThat(faults.copyDelays(A, B)).containsExactly(0);
     }
 
     @Test
-    void copiesAndTimesAreDrawnFromTheSeed() {
+    void sameSeedDrawsSameCopiesAndDelays() {
         DatagramFaults faults = new DatagramFaults(3);
         faults.begin(fault(InjectedFault.Kind.DOUBLE, "all", "all", false, 1));
         faults.begin(fault(InjectedFault.Kind.DELAY, "all", "all", false, 0));
-        double[] once = faults.copies(A, B);
+        double[] once = faults.copyDelays(A, B);
         assertThat(once).hasSize(2);
         assertThat(once[0]).isNotEqualTo(once[1]).isBetween(0.0, 40.0);
         DatagramFaults again = new DatagramFaults(3);
         again.begin(fault(InjectedFault.Kind.DOUBLE, "all", "all", false, 1));
         again.begin(fault(InjectedFault.Kind.DELAY, "all", "all", false, 0));
-        assertThat(again.copies(A, B)).containsExactly(once);
+        assertThat(again.copyDelays(A, B)).containsExactly(once);
     }
 
     @Test
-    void groupsAreReadOrTurnedAwayWithWhatWasExpected() {
+    void invalidProcessPatternIsRejectedWithExpectedForm() {
         assertThat(new ProcessPattern("m3, m10-m12").matches(FleetProcess.of(11, 1, 1)))
                 .isTrue();
         assertThat(new ProcessPattern("m3, m10-m12").matches(FleetProcess.of(4, 1, 1)))
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void aLoadThatHostsDoNotServeIsTurnedAway(@TempDir Path folder) throws Exception {
+    void loadOfUnservedClassIsRejected(@TempDir Path folder) throws Exception {
         Files.writeString(folder.resolve("load.toml"), "[[class]]\nname = \"list\"\n[[shape]]\nrate = 5\n");
         assertThatThrownBy(() -> FaultInjectionPlanReader.parse("p", "processes = 3\nload = \"load.toml\"\n", folder))
                 .isInstanceOf(InvalidConfigException.class)
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void aNemesisIsDrawnFromItsSeedAndLeavesAQuietEnd() throws Exception {
+    void randomFaultScheduleIsRepeatableAndEndsQuietly() throws Exception {
         FaultInjectionPlan plan =
                 FaultInjectionPlanReader.parse("p", "processes = 12\nzones = 3\nfor_s = 200\n", Path.of(""));
         List<InjectedFault> drawn = RandomFaultSchedule.draw(plan, Set.of(RandomFaultSchedule.Kind.values()), 5);
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void roomIsToldBeforeAnythingStarts() {
+    void insufficientCapacityIsReportedBeforeStart() {
         assertThatThrownBy(() -> MachineCapacity.check(1_000_000, 4)).hasMessageContaining("MB are free");
         assertThatThrownBy(() -> MachineCapacity.check(4, 100_000_000))
                 .hasMessageContaining("descriptors")
@@ -97,26 +97,26 @@
     }
 
     @Test
-    void agreementIsSinceTheLastOfThemCameToIt() {
+    void agreementBeginsWithLastProcessToAgree() {
         MembershipTimeline timeline = new MembershipTimeline(List.of(
-                new Belief(1, "a", "a", "ALIVE"),
-                new Belief(2, "a", "b", "ALIVE"),
-                new Belief(3, "b", "b", "ALIVE"),
-                new Belief(9, "b", "a", "ALIVE"),
-                new Belief(5, "a", "c", "ALIVE"),
-                new Belief(12, "a", "c", "DEAD")));
+                new StateChange(1, "a", "a", "ALIVE"),
+                new StateChange(2, "a", "b", "ALIVE"),
+                new StateChange(3, "b", "b", "ALIVE"),
+                new StateChange(9, "b", "a", "ALIVE"),
+                new StateChange(5, "a", "c", "ALIVE"),
+                new StateChange(12, "a", "c", "DEAD")));
         assertThat(timeline.agreedSince(Set.of("a", "b"))).isEqualTo(12);
         assertThat(timeline.agreedSince(Set.of("a", "b", "c"))).isEqualTo(-1);
-        assertThat(timeline.heldGone("c", 0, Set.of("a", "b"))).containsExactly(java.util.Map.entry("a", 12L));
-        assertThat(timeline.present(10).get("a")).containsExactlyInAnyOrder("a", "b", "c");
+        assertThat(timeline.detectionTimes("c", 0, Set.of("a", "b"))).containsExactly(java.util.Map.entry("a", 12L));
+        assertThat(timeline.presentMembers(10).get("a")).containsExactlyInAnyOrder("a", "b", "c");
     }
 
     @Test
-    void aLineThatAKilledProcessDidNotEndIsLeftOutAndOneThatIsNoneIsNamed(@TempDir Path folder) throws Exception {
+    void unterminatedLastLineIsSkippedAndMalformedLineIsReported(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("h");
         Files.writeString(file, "{\"at\":1,\"member\":\"a\",\"about\":\"b\",\"status\":\"DEAD\"}\n{\"at\":2,\"mem");
         assertThat(MembershipTimeline.read(List.of(file, folder.resolve("none")))
-                        .all())
+                        .changes())
                 .hasSize(1);
         Files.writeString(file, "{\"at\":1}\n");
         assertThatThrownBy(() -> MembershipTimeline.read(List.of(file)))
--- a/src/test/java/rillyard/faultinjection/FaultInjectionResultTest.java
+++ b/src/test/java/rillyard/faultinjection/FaultInjectionResultTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import rillyard.faultinjection.MembershipTimeline.Belief;
+import rillyard.faultinjection.MembershipTimeline.StateChange;
 
 /** Which deaths a fault excuses: m0 and m2 are in zone 0, m1 and m3 in zone 1. */
 class FaultInjectionResultTest {
@@ -14,8 +14,9 @@
     private static int falseDeaths(InjectedFault fault, String by, String about, long atMs) {
         FaultInjectionPlan plan =
                 new FaultInjectionPlan(1, 4, 2, 1, 60_000, "", false, null, null, List.of(), List.of(fault));
-        MembershipTimeline timeline = new MembershipTimeline(List.of(new Belief(BEGUN + atMs, by, about, "DEAD")));
-        FaultInjectionResult.Done done = new FaultInjectionResult.Done(BEGUN + (long) fault.startMs(), fault, true);
+        MembershipTimeline timeline = new MembershipTimeline(List.of(new StateChange(BEGUN + atMs, by, about, "DEAD")));
+        FaultInjectionResult.ExecutedStep done =
+                new FaultInjectionResult.ExecutedStep(BEGUN + (long) fault.startMs(), fault, true);
         return new FaultInjectionResult(plan, BEGUN, List.of(done), Set.of(by), timeline, "")
                 .falseDeaths()
                 .size();
@@ -27,7 +28,7 @@
     }
 
     @Test
-    void aCutExcusesThoseItKeepsApartAndNobodyWhoCanHearTheOther() {
+    void partitionExcusesSeparatedObserversOnly() {
         InjectedFault cut = fault(InjectedFault.Kind.LOSE, "zone:0", "zone:1", 8_000);
         assertThat(falseDeaths(cut, "m0", "m1", 5_000)).isZero();
         assertThat(falseDeaths(cut, "m1", "m0", 5_000)).isZero();
@@ -39,7 +40,7 @@
     }
 
     @Test
-    void aKillExcusesForGoodARestartAndAStopForAWhileOnly() {
+    void killExcusesPermanentlyRestartAndStopTemporarily() {
         assertThat(falseDeaths(fault(InjectedFault.Kind.KILL, "m1", "m1", 0), "m0", "m1", 50_000))
                 .isZero();
         assertThat(falseDeaths(fault(InjectedFault.Kind.RESTART, "m1", "m1", 0), "m0", "m1", 5_000))
--- a/src/test/java/rillyard/faultinjection/FaultInjectionServingIT.java
+++ b/src/test/java/rillyard/faultinjection/FaultInjectionServingIT.java
@@ -66,7 +66,7 @@
     Path folder;
 
     @Test
-    void rulesAreKeptWhileWaysToHostsBreakAndProcessesAreHalted() throws Exception {
+    void noViolationWhileConnectionsToHostsFailAndProcessesStop() throws Exception {
         Files.writeString(folder.resolve("hosts.toml"), "seed = 3\n[hosts]\ncount = 6\n");
         Files.writeString(
                 folder.resolve("load.toml"),
@@ -119,8 +119,8 @@
     }
 
     private static long time(FaultInjectionResult result, boolean begin) {
-        return result.done().stream()
-                .filter(done -> done.fault().kind() == InjectedFault.Kind.RESET && done.begin() == begin)
+        return result.executedSteps().stream()
+                .filter(done -> done.fault().kind() == InjectedFault.Kind.RESET && done.begins() == begin)
                 .findFirst()
                 .orElseThrow()
                 .at();
--- a/src/test/java/rillyard/faultinjection/ObservationGossipIT.java
+++ b/src/test/java/rillyard/faultinjection/ObservationGossipIT.java
@@ -47,7 +47,7 @@
     Path folder;
 
     @Test
-    void aHostOfErrorsIsLeftByThoseWhoHearOfItAndServesAllAgainAfter() throws Exception {
+    void failingHostIsEjectedByProxiesWithGossipAndReadmitted() throws Exception {
         Files.writeString(folder.resolve("hosts.toml"), HOSTS);
         Files.writeString(
                 folder.resolve("load.toml"),
@@ -60,13 +60,13 @@
         for (int i = 0; i < 10; i++) {
             List<String> said = new ArrayList<>();
             Files.readAllLines(out.resolve("m" + i + ".log")).stream()
-                    .filter(l -> l.contains("fleet: host"))
+                    .filter(line -> line.contains("fleet: host"))
                     .forEach(said::add);
-            assertThat(said).as("m" + i).allMatch(l -> l.contains("host=s-3 "));
+            assertThat(said).as("m" + i).allMatch(line -> line.contains("host=s-3 "));
             if (i < 3) {
-                assertThat(said).as("m" + i + ", which hears nobody").noneMatch(l -> l.contains("host ejected"));
+                assertThat(said).as("m" + i + ", which hears nobody").noneMatch(line -> line.contains("host ejected"));
             } else {
-                assertThat(said).as("m" + i).anyMatch(l -> l.contains("fleet: host ejected, host=s-3 "));
+                assertThat(said).as("m" + i).anyMatch(line -> line.contains("fleet: host ejected, host=s-3 "));
                 assertThat(said.get(said.size() - 1)).as("m" + i).contains("fleet: host readmitted, host=s-3 ");
             }
         }
--- a/src/test/java/rillyard/faultinjection/TcpRelaysTest.java
+++ b/src/test/java/rillyard/faultinjection/TcpRelaysTest.java
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void silenceHoldsAllOfOneProcessUntilItsEnd() throws Exception {
+    void silentFaultBlocksOneProcessUntilItEnds() throws Exception {
         try (Socket open = call(wayA);
                 Socket other = call(wayB)) {
             assertThat(echo(open)).isEqualTo(7);
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void resetsEndWhatIsOpenAndWhatComes() throws Exception {
+    void resetFaultEndsOpenAndNewConnections() throws Exception {
         try (Socket open = call(wayA);
                 Socket other = call(wayB)) {
             assertThat(echo(open)).isEqualTo(7);
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void refusalLeavesWhatIsOpenAndEnds() throws Exception {
+    void refusedFaultKeepsOpenConnectionsAndEnds() throws Exception {
         try (Socket open = call(wayA)) {
             assertThat(echo(open)).isEqualTo(7);
             InjectedFault injectedFault = fault(InjectedFault.Kind.REFUSED, 0);
@@ -153,7 +153,7 @@
     }
 
     @Test
-    void aHostThatIsDownIsRefusedOnItsWays() throws Exception {
+    void relayOfStoppedHostRefusesConnections() throws Exception {
         int port = host.getLocalPort();
         host.close();
         try (Socket first = call(wayB)) { // finds out
@@ -169,7 +169,7 @@
     }
 
     @Test
-    void manyWaysToAHostThatIsDownCallItForAllOfThemTogether() throws Exception {
+    void relaysOfStoppedHostShareReconnectAttempts() throws Exception {
         InetSocketAddress at = (InetSocketAddress) host.getLocalSocketAddress();
         List<InetSocketAddress> ways = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
@@ -189,7 +189,7 @@
     }
 
     @Test
-    void slowBytesComeLaterAndInOrder() throws Exception {
+    void slowFaultDelaysBytesInOrder() throws Exception {
         relays.begin(fault(InjectedFault.Kind.SLOW, 60));
         try (Socket socket = call(wayA)) {
             socket.setSoTimeout(10_000);
--- a/src/test/java/rillyard/requestlog/RequestLogTest.java
+++ b/src/test/java/rillyard/requestlog/RequestLogTest.java
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void whatIsWrittenIsRead() throws Exception {
+    void writtenRecordsAreReadBack() throws Exception {
         try (RequestLogWriter writer = RequestLogWriter.open(file(), head())) {
             LINES.forEach(writer::append);
         }
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void manyThreadsWriteWholeLinesOnly() throws Exception {
+    void concurrentWritersProduceCompleteLines() throws Exception {
         int threads = 8;
         int each = 5_000;
         try (RequestLogWriter writer = RequestLogWriter.open(file(), head())) {
@@ -59,8 +59,8 @@
                 thread.start();
                 all.add(thread);
             }
-            for (Thread t : all) {
-                t.join();
+            for (Thread thread : all) {
+                thread.join();
             }
         }
         int[] count = new int[1];
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void aLedgerThatWasFlushedAndNotClosedSaysSo() throws Exception {
+    void flushedButUnclosedLogIsReportedIncomplete() throws Exception {
         RequestLogWriter writer = RequestLogWriter.open(file(), head());
         writer.append(LINES.get(0));
         writer.flush();
@@ -86,9 +86,9 @@
     }
 
     @Test
-    void whatIsNoLedgerNamesItsLine() throws Exception {
+    void malformedLogIsRejectedWithLineNumber() throws Exception {
         String head = "{\"k\":\"head\",\"version\":1,\"of\":\"hosts\",\"at\":1,\"seed\":2}\n";
-        for (String[] c : new String[][] {
+        for (String[] testCase : new String[][] {
             {"", ": empty, expected a ledger of hosts"},
             {"{\"k\":\"head\",\"version\":9,\"of\":\"hosts\",\"at\":1,\"seed\":2}\n", ":1: version: found 9, expected 1"
             },
@@ -97,18 +97,18 @@
             {head + "{\"k\":\"else\"}\n", ":2: k: found \"else\", expected head"},
             {head + "{\"k\":\"told\",\"at\":1,\"wat", ":2: expected a JSON object"}
         }) {
-            Files.writeString(file(), c[0]);
+            Files.writeString(file(), testCase[0]);
             assertThatThrownBy(() -> RequestLogReader.read(file(), "hosts", line -> {}))
                     .isInstanceOf(InvalidConfigException.class)
-                    .hasMessageContaining(file() + c[1]);
+                    .hasMessageContaining(file() + testCase[1]);
         }
     }
 
     @Test
-    void theClockOfLedgersGoesOnAndIsTheWallClock() {
-        long a = UnixClock.micros();
-        long b = UnixClock.micros();
-        assertThat(b).isGreaterThanOrEqualTo(a);
-        assertThat(Math.abs(a / 1_000 - System.currentTimeMillis())).isLessThan(60_000);
+    void unixClockIsMonotonicAndMatchesWallClock() {
+        long earlier = UnixClock.micros();
+        long later = UnixClock.micros();
+        assertThat(later).isGreaterThanOrEqualTo(earlier);
+        assertThat(Math.abs(earlier / 1_000 - System.currentTimeMillis())).isLessThan(60_000);
     }
 }
