--- a/src/main/java/rillyard/audit/AtMostOnceRule.java
+++ b/src/main/java/rillyard/audit/AtMostOnceRule.java
@@ -9,7 +9,7 @@
 import rillyard.requestlog.ClientOutcome;
 import rillyard.requestlog.HostExecution;
 
-/** No effect twice, and none rejected that may have run. */
+/** Checks that no non-idempotent request is executed twice, and that none is rejected that may have been executed. */
 final class AtMostOnceRule {
     private final Evidence evidence;
     private final AuditSettings settings;
@@ -37,7 +37,7 @@
                     attempts.get(0).requestClass(), "request " + attempts.get(0).request(), executions, violations);
         }
         evidence.executionsById().forEach((id, executions) -> {
-            if (!seen.contains(id)) { // a client that keeps no request log sent it
+            if (!seen.contains(id)) { // sent by a client without a request log
                 checkExecutedOnce(
                         executions.get(0).requestClass(),
                         "id " + id,
--- a/src/main/java/rillyard/audit/Audit.java
+++ b/src/main/java/rillyard/audit/Audit.java
@@ -19,7 +19,7 @@
      *
      * @param attempts number of client attempts that were checked
      * @param executions number of host executions that were checked
-     * @param violations in the order of their times
+     * @param violations the violations, in the order of their times
      * @param warnings reasons why the logs prove less than they should; usually empty
      */
     public record Verdict(int attempts, int executions, List<Violation> violations, List<String> warnings) {
@@ -60,12 +60,12 @@
         return audit.evaluate();
     }
 
-    /** Adds a record of either log. */
+    /** Adds a record of either log, in any order. */
     public void add(LogRecord logRecord) {
         evidence.add(logRecord);
     }
 
-    /** Checks all rules against the records added so far. */
+    /** Checks all rules against the records added so far. Must be called once. */
     public Verdict evaluate() {
         evidence.sort();
         List<Violation> violations = new ArrayList<>();
--- a/src/main/java/rillyard/audit/AuditSettings.java
+++ b/src/main/java/rillyard/audit/AuditSettings.java
@@ -11,15 +11,15 @@
 import rillyard.config.InvalidConfigException;
 
 /**
- * The values of the rules, in microseconds.
+ * The limits that the rules apply; all durations are in microseconds.
  *
- * @param classes by name
- * @param answerSlack how long past a client's time an answer is still in time
- * @param drainGrace how long after it was told a proxy may send to a host that drains
- * @param maxNotificationDelay past this a change counts as told, whether or not it arrived
- * @param socketSlack what every limit of time is longer by, on sockets
- * @param overloadWindow window of the warming-up host's budget
- * @param overloadMultiple how often its present capacity may be sent to it within the window
+ * @param classes request classes by name
+ * @param answerSlack time after a client's timeout for which a response still counts as in time
+ * @param drainGrace time after the notification for which a proxy may still send to a draining host
+ * @param maxNotificationDelay time after which a change counts as notified, whether or not a notification arrived
+ * @param socketSlack tolerance added to every time limit for delays in sockets
+ * @param overloadWindow length of the window in which the work of a warming-up host is summed
+ * @param overloadMultiple multiple of its current capacity that a warming-up host may be sent within the window
  */
 public record AuditSettings(
         Map<String, RequestClass> classes,
@@ -30,24 +30,31 @@
         long overloadWindow,
         double overloadMultiple) {
 
-    /** What may be repeated. */
+    /** Whether a request may be executed more than once. */
     public enum Semantics {
         IDEMPOTENT,
         DEDUPLICATED,
         AT_MOST_ONCE
     }
 
-    /** The hosts that share the memory of keys. */
+    /** The set of hosts that share idempotency keys. */
     public enum Scope {
         ALL,
         ZONE,
         CELL
     }
 
-    /** A class; {@code window} is how long keys are remembered. */
+    /**
+     * A request class.
+     *
+     * @param name its name
+     * @param semantics whether its requests may be executed more than once
+     * @param keyScope the hosts that share its idempotency keys
+     * @param idempotencyWindow microseconds for which hosts remember a key
+     */
     public record RequestClass(String name, Semantics semantics, Scope keyScope, long idempotencyWindow) {}
 
-    /** Copies the classes. */
+    /** Copies the classes, so that the settings never change. */
     public AuditSettings {
         classes = Map.copyOf(classes);
     }
@@ -56,10 +63,10 @@
     private static final long MAX_NOTIFICATION_DELAY = 6_000_000;
 
     /**
-     * Reads the platform's settings from a file that holds them, or that holds them under
-     * {@code settings}, as a proxy's configuration does.
+     * Reads the platform's settings from a JSON file that holds them, either as its root or under {@code settings}, as
+     * a proxy's configuration does.
      *
-     * @throws InvalidConfigException if it holds none
+     * @throws InvalidConfigException if the file can't be read or has no settings with classes
      */
     public static AuditSettings read(Path file) throws InvalidConfigException {
         JsonNode root;
@@ -79,7 +86,7 @@
         return of(settings);
     }
 
-    /** Reads settings that are parsed already. */
+    /** Creates audit settings from parsed platform settings; absent limits have their defaults. */
     public static AuditSettings of(JsonNode settings) {
         Map<String, RequestClass> classes = new HashMap<>();
         for (JsonNode node : settings.path("classes")) {
@@ -87,7 +94,7 @@
                     switch (node.path("semantics").asText()) {
                         case "idempotent" -> Semantics.IDEMPOTENT;
                         case "deduplicated" -> Semantics.DEDUPLICATED;
-                        default -> Semantics.AT_MOST_ONCE; // the strictest, where a name is new
+                        default -> Semantics.AT_MOST_ONCE; // an unknown name gets the strictest semantics
                     };
             Scope scope =
                     switch (node.path("keyScope").asText()) {
@@ -119,7 +126,7 @@
         return (long) (1_000 * millis);
     }
 
-    /** The class of a name; one that is not known is taken for the strictest kind. */
+    /** Returns the class of a name; an unknown one has the strictest semantics. */
     RequestClass requestClass(String name) {
         return classes.getOrDefault(name, new RequestClass(name, Semantics.AT_MOST_ONCE, Scope.CELL, 0));
     }
--- a/src/main/java/rillyard/audit/DrainingRule.java
+++ b/src/main/java/rillyard/audit/DrainingRule.java
@@ -9,11 +9,15 @@
 import rillyard.requestlog.WatchNotification;
 
 /**
- * Nothing new to a host that drains or is gone, past the grace. A change counts as told when the
- * last watch that was open has been told, and at the latest after its time: the request logs don't say
- * which watch a request's sender had, so the latest is what all of them are held to.
+ * Checks that no request reaches a draining or removed host once the grace period is over.
+ *
+ *
+ * <p>A change counts as notified when the last open watch was notified, and at the latest after {@link
+ * AuditSettings#maxNotificationDelay}. The request logs do not record which watch the sender of a request had, so that
+ * all senders are held to the last notification.
  */
 final class DrainingRule {
+    /** A period in which a host is draining or removed; times are microseconds of Unix time, 0 for none yet. */
     private static final class Span {
         final long changedAt;
         long notifiedAt;
--- a/src/main/java/rillyard/audit/Evidence.java
+++ b/src/main/java/rillyard/audit/Evidence.java
@@ -13,7 +13,7 @@
 import rillyard.requestlog.UnexpectedResponse;
 import rillyard.requestlog.WatchNotification;
 
-/** All lines of both request logs, found by what they are about. Takes some hundred bytes a line. */
+/** Indexes the records of both request logs by what they concern. Needs some hundred bytes of memory a record. */
 final class Evidence {
     final List<ClientAttempt> attempts = new ArrayList<>();
     final List<UnexpectedResponse> unexpectedResponses = new ArrayList<>();
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Puts all in the order of the times: request logs are in the order of the ends. */
+    /** Sorts all records by time, as request logs are in the order in which attempts and executions ended. */
     void sort() {
         Comparator<HostExecution> received = Comparator.comparingLong(HostExecution::receivedAt);
         executions.sort(received);
@@ -85,7 +85,7 @@
         return attemptsByRequest;
     }
 
-    /** All that is known of the request that an id belongs to. */
+    /** Returns the history of the request that an id belongs to, over all of its attempts. */
     List<String> history(String id) {
         Long request = requestById.get(id);
         List<ClientAttempt> requestAttempts =
@@ -101,7 +101,7 @@
         return history(requestAttempts, requestExecutions);
     }
 
-    /** Lines for a reader, in the order of the times, which count in ms from the first. */
+    /** Returns a history for a human reader, one line per event, with times in milliseconds from the first event. */
     static List<String> history(List<ClientAttempt> attempts, List<HostExecution> executions) {
         record At(long at, String text) {}
         List<At> entries = new ArrayList<>();
--- a/src/main/java/rillyard/audit/IdempotencyKeyRule.java
+++ b/src/main/java/rillyard/audit/IdempotencyKeyRule.java
@@ -4,7 +4,10 @@
 import java.util.function.Consumer;
 import rillyard.requestlog.HostExecution;
 
-/** A request with an idempotency key that may have run goes again only to hosts that know its key, while they do. */
+/**
+ * Checks that a request with an idempotency key that may have been executed is repeated only at hosts that share its
+ * key, and only while they remember it.
+ */
 final class IdempotencyKeyRule {
     private final Evidence evidence;
     private final AuditSettings settings;
--- a/src/main/java/rillyard/audit/SingleResponseRule.java
+++ b/src/main/java/rillyard/audit/SingleResponseRule.java
@@ -8,7 +8,9 @@
 import rillyard.requestlog.HostExecution;
 import rillyard.requestlog.UnexpectedResponse;
 
-/** No request lost: each attempt that was taken has exactly one final answer, in time, from a host or none. */
+/**
+ * Checks that each accepted attempt has exactly one final response, in time, and that a served one was made by a host.
+ */
 final class SingleResponseRule {
     private final Evidence evidence;
     private final AuditSettings settings;
--- a/src/main/java/rillyard/audit/SlowStartRule.java
+++ b/src/main/java/rillyard/audit/SlowStartRule.java
@@ -7,9 +7,12 @@
 import rillyard.requestlog.HostExecution;
 
 /**
- * No warming-up host pushed over: the work that reaches it within any window stays under so many times its
- * capacity within that window. Chance is allowed for by three standard deviations of the work, as if
- * requests came on their own: 3 sqrt(sum of squares), Campbell's theorem for a Poisson process.
+ * Checks that no warming-up host is overloaded: the work that reaches it within any window must not exceed a multiple
+ * of its capacity in that window.
+ *
+ *
+ * <p>Random variation is allowed for by three standard deviations of the work, as if requests arrived independently: 3
+ * sqrt(sum of squares), by Campbell's theorem for a Poisson process.
  */
 final class SlowStartRule {
     private static final double DEVIATIONS = 3;
@@ -78,9 +81,12 @@
         return new Violation(Violation.Rule.COLD, now, description, Evidence.history(List.of(), window));
     }
 
-    /** Work that the host can do between two times: its share rises evenly while it gets warm. */
+    /**
+     * Returns the work that the host can do between two times, in microseconds; its capacity rises linearly during the
+     * warm-up.
+     */
     private static double capacity(HostEvent start, long from, long to) {
-        // A window that began before the host did has its whole length, at the share of the start.
+        // The part of a window before the host's start counts with the host's initial capacity.
         double fromOffset = from - start.at();
         double toOffset = to - start.at();
         double before = Math.max(0, -fromOffset) * start.initialCapacityShare();
--- a/src/main/java/rillyard/audit/Violation.java
+++ b/src/main/java/rillyard/audit/Violation.java
@@ -3,29 +3,29 @@
 import java.util.List;
 
 /**
- * A rule that was broken, with all that the request logs know of it.
+ * A violation of a rule, with the evidence of the request logs.
  *
- * @param rule which
- * @param at microseconds of Unix time
+ * @param rule the violated rule
+ * @param at Unix time in microseconds
  * @param description what happened, on one line
- * @param history what led to it, line by line, in the order of the times
+ * @param history the events that led to it, one line each, in the order of their times
  */
 public record Violation(Rule rule, long at, String description, List<String> history) {
-    /** The rules, and the ways in which they break. */
+    /** The rules; the names appear in reports. */
     public enum Rule {
-        /** Exactly one final answer, in time. */
+        /** Each request has exactly one final response, in time. */
         ANSWER,
-        /** No effect twice; none rejected that may have run. */
+        /** No request takes effect twice, and none is rejected that may have been executed. */
         EFFECT,
-        /** A request with an idempotency key again only inside its cell and window. */
+        /** A request with an idempotency key is repeated only within the key's scope and window. */
         KEYED,
-        /** Nothing new to a host that drains or is gone. */
+        /** No request is sent to a draining or removed host. */
         DRAIN,
-        /** No warming-up host pushed over. */
+        /** No warming-up host is overloaded. */
         COLD
     }
 
-    /** Copies the history. */
+    /** Copies the history, so that a violation never changes. */
     public Violation {
         history = List.copyOf(history);
     }
--- a/src/main/java/rillyard/audit/package-info.java
+++ b/src/main/java/rillyard/audit/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Checks the four rules of the protocol against the request logs of clients and hosts; the rules do no I/O.
+ * Checks the protocol's rules against the request logs of clients and hosts: one response per request, at-most-once
+ * execution, idempotency keys, draining and slow start. The rules do no I/O.
  */
 package rillyard.audit;
--- a/src/main/java/rillyard/benchmark/CpuContention.java
+++ b/src/main/java/rillyard/benchmark/CpuContention.java
@@ -5,20 +5,22 @@
 import java.util.List;
 
 /**
- * Processes that do nothing but turn, on a core that another process is to have a part of: with n
- * of them a process that is always busy gets 1 / (n + 1) of the core from Linux's fair scheduler,
- * in slices of some ms. One that mostly sleeps is favoured when it wakes, so this is true to a
- * start, which is all work, and kinder than a quota to what comes after it.
+ * Contends for a core with busy processes, so that another process gets only a share of it.
+ *
+ *
+ * <p>With n busy processes, Linux's fair scheduler gives a process that is always busy 1 / (n + 1) of the core, in
+ * slices of some milliseconds. A process that mostly sleeps is favoured when it wakes. The share is therefore accurate
+ * for a start, which is busy throughout, and more generous than a quota for what follows.
  */
 public final class CpuContention implements AutoCloseable {
     private final List<Process> processes = new ArrayList<>();
 
     /**
-     * Starts them.
+     * Starts the busy processes.
      *
-     * @param core the core, as {@code taskset -c} takes it
-     * @param share the part of the core to be left, from above 0 to 1; rounded to one over a whole number
-     * @throws IOException if one can't be started, as where {@code taskset} is missing
+     * @param core the core, in the syntax of {@code taskset -c}
+     * @param share share of the core to leave, above 0 and up to 1; rounded to one over an integer
+     * @throws IOException if a process can't be started, for example because {@code taskset} is missing
      */
     public CpuContention(String core, double share) throws IOException {
         int count = (int) Math.round(1 / share) - 1;
@@ -29,9 +31,10 @@
     }
 
     /**
-     * Prevents values of a whole core that are taken for those of a part.
+     * Checks that all busy processes are running, as otherwise results for a whole core would be reported as those for
+     * a share.
      *
-     * @throws IllegalStateException if one has ended by itself
+     * @throws IllegalStateException if one has ended
      */
     public void checkRunning() {
         for (Process process : processes) {
--- a/src/main/java/rillyard/benchmark/FleetTraceStatistics.java
+++ b/src/main/java/rillyard/benchmark/FleetTraceStatistics.java
@@ -15,11 +15,11 @@
 import rillyard.trace.TraceEvent;
 
 /**
- * Counts over a whole fleet what its proxies' traces tell; what one proxy does is seen there only. Keeps
- * every line until it has been counted, as logs are put together by time: some 200 bytes for each.
+ * Computes statistics of a whole fleet from the traces of its proxies, for effects that no single proxy can see. Keeps
+ * all events in memory until they are counted, as logs are merged by time: about 200 bytes each.
  */
 public final class FleetTraceStatistics {
-    /** What the proxies together did to one host. */
+    /** The counters of one host, summed over all proxies. */
     static final class HostCount {
         int connects;
         int failedConnects;
@@ -29,7 +29,7 @@
         int rejected;
         final List<Long> sendsWhileWarmingUp = new ArrayList<>();
 
-        /** The most that it was sent while cold within any stretch of so many ms. */
+        /** Returns the maximum number of requests sent during warm-up within a window of the given length. */
         int maxSendsWithin(long windowMillis) {
             sendsWhileWarmingUp.sort(Comparator.naturalOrder());
             int most = 0;
@@ -43,9 +43,10 @@
         }
     }
 
-    /** Results of attempts of which nothing came to the host. */
+    /** Results of attempts that did not reach the host. */
     private static final Set<String> UNSENT = Set.of("CONNECT_FAILED", "MOOT");
 
+    /** A trace event with the proxy that wrote it and its number in reading order. */
     private record ProxyEvent(String proxy, int number, TraceEvent event) {}
 
     private final long windowMillis;
@@ -61,10 +62,11 @@
     private int tornLines;
 
     /**
-     * Starts with nothing.
+     * Creates empty statistics.
      *
-     * @param windowMillis the length (ms) of a row of the fault schedule
-     * @param warmUpWindowMillis the stretch (ms) over which work at a warming-up host is summed
+     * @param windowMillis length of a row of the timeline in milliseconds
+     * @param warmUpWindowMillis length of the window in milliseconds over which requests to a warming-up host are
+     *     counted
      */
     public FleetTraceStatistics(long windowMillis, long warmUpWindowMillis) {
         this.windowMillis = windowMillis;
@@ -72,10 +74,10 @@
     }
 
     /**
-     * Takes in one proxy's log; lines that a killed process left torn are counted.
+     * Reads one proxy's log; incomplete lines, as a killed process leaves them, are counted.
      *
-     * @param proxy tells it from all others: what it had open ends where its log says that it started anew
-     * @throws IOException what reading throws
+     * @param proxy identifies the proxy: its open connections are reset where its log reports a new start
+     * @throws IOException if reading fails
      */
     public void read(String proxy, BufferedReader log) throws IOException {
         boolean hasEvents = false;
@@ -94,17 +96,17 @@
         proxies += hasEvents ? 1 : 0;
     }
 
-    /** Whether any trace was found. */
+    /** Returns whether no trace event was read. */
     public boolean isEmpty() {
         return events.isEmpty();
     }
 
-    /** Sums up in the order of time, whatever the order of the logs; to be called once. */
+    /** Computes the counters in the order of time, whatever the order of the logs; must be called once. */
     FleetTraceStatistics sum() {
         events.sort(Comparator.comparingLong(
                         (ProxyEvent proxyEvent) -> proxyEvent.event().unixMillis())
                 .thenComparingInt(ProxyEvent::number));
-        Map<String, Map<String, Integer>> open = new HashMap<>(); // by proxy and host
+        Map<String, Map<String, Integer>> open = new HashMap<>(); // by proxy, then by host
         for (ProxyEvent proxyEvent : events) {
             TraceEvent event = proxyEvent.event();
             Map<String, Integer> openByHost = open.computeIfAbsent(proxyEvent.proxy(), p -> new HashMap<>());
@@ -161,7 +163,7 @@
         return tornLines;
     }
 
-    /** Sums up and prints the tables, in Markdown. */
+    /** Computes and prints the tables, in Markdown. */
     public void print(PrintStream out) {
         sum();
         out.println("| over the fleet | |\n| --- | --- |");
@@ -207,7 +209,7 @@
                 switch (event.detail()) {
                     case "OK" -> row[1]++;
                     case "FULL" -> row[2]++;
-                    case "CANCELLED", "MOOT" -> {} // given up, not lost
+                    case "CANCELLED", "MOOT" -> {} // abandoned by the proxy, not lost
                     default -> row[3]++;
                 }
             } else if (event.kind() == TraceEvent.Kind.REFUSED) {
--- a/src/main/java/rillyard/benchmark/ProxyOverheadBenchmark.java
+++ b/src/main/java/rillyard/benchmark/ProxyOverheadBenchmark.java
@@ -17,8 +17,8 @@
 import rillyard.childprocess.ProxyProcess;
 
 /**
- * What the proxy costs beside going straight to the hosts, and what the generator costs itself; and
- * the highest rate that one core of the generator holds on schedule.
+ * Measures the latency and CPU time that the proxy adds to direct requests, the CPU time of the load generator, and the
+ * highest rate at which one core of the generator keeps its schedule.
  */
 public final class ProxyOverheadBenchmark {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -45,20 +45,25 @@
     private final PrintStream out;
     private int runs;
 
-    /** Files go to the folder, values to {@code out}. */
+    /**
+     * Creates a benchmark.
+     *
+     * @param folder folder for its files
+     * @param out receives the results
+     */
     public ProxyOverheadBenchmark(Path folder, PrintStream out) {
         this.folder = folder;
         this.out = out;
     }
 
-    /** One run of the generator. */
+    /** The results of one run of the generator: latencies in milliseconds, CPU time in microseconds per request. */
     private record Run(boolean valid, double p50, double p99, double loadMicros, double proxyMicros, double served) {}
 
     /**
-     * Measures in turn, direct and through the proxy.
+     * Measures pairs of direct and proxied runs, alternating between the two.
      *
-     * @param rates requests a second
-     * @param pairs pairs of runs for each rate
+     * @param rates requests per second
+     * @param pairs number of pairs for each rate
      * @param seconds length of each run
      * @throws Exception if a process could not be started
      */
@@ -79,7 +84,7 @@
                 out.printf(
                         "%8s %5s %9s %9s %9s %9s %9s %9s %11s %11s %7s%n",
                         "1/s", "", "p50 ms", "p99", "p50", "p99", "p50", "p99", "us/request", "us/request", "");
-                load(proxy::cpuTime, proxied, rates[rates.length - 1], seconds); // what is cold is not counted
+                load(proxy::cpuTime, proxied, rates[rates.length - 1], seconds); // warm-up, not counted
                 for (int rate : rates) {
                     measure(rate, pairs, seconds, direct, proxied, proxy::cpuTime);
                 }
@@ -146,8 +151,12 @@
     }
 
     /**
-     * Raises the rate until the generator does not hold its schedule.
+     * Raises the rate until the generator no longer keeps its schedule.
      *
+     * @param firstRate first rate in requests per second
+     * @param step increment of the rate
+     * @param maxRate last rate
+     * @param seconds length of each run
      * @throws Exception if a process could not be started
      */
     public void highestRate(int firstRate, int step, int maxRate, int seconds) throws Exception {
@@ -230,7 +239,7 @@
         return String.join(",", addresses);
     }
 
-    /** Reads rates, as {@code 500,1000}. */
+    /** Parses comma-separated rates, for example {@code 500,1000}. */
     public static int[] rates(String text) {
         return Arrays.stream(text.split(","))
                 .mapToInt(rate -> Integer.parseInt(rate.trim()))
--- a/src/main/java/rillyard/benchmark/StartupBenchmark.java
+++ b/src/main/java/rillyard/benchmark/StartupBenchmark.java
@@ -19,7 +19,7 @@
 import rillyard.testserver.TestCluster;
 import rillyard.testserver.TestClusterPlanReader;
 
-/** What a start costs, from exec to the first thousand answers, in turn for several builds. */
+/** Measures starts of several builds in turn, from exec to the first thousand responses. */
 public final class StartupBenchmark {
     private static final String CORE = "1";
     private static final int[] REQUEST_COUNTS = {1, 10, 100, 1_000};
@@ -51,18 +51,24 @@
     private final Path folder;
     private final PrintStream out;
 
-    /** Files go to the folder, values to {@code out}. */
+    /**
+     * Creates a benchmark.
+     *
+     * @param folder folder for its files
+     * @param out receives the results
+     */
     public StartupBenchmark(Path folder, PrintStream out) {
         this.folder = folder;
         this.out = out;
     }
 
     /**
-     * Starts each build so often, in turn.
+     * Starts each build several times, alternating between the builds.
      *
-     * @param builds names, and the folders that hold {@code deploy} and {@code target} of each
-     * @param options of the JVM, further ones for all
-     * @param share part of a core that the proxy is to have
+     * @param builds folders that contain {@code deploy} and {@code target} of each build, by name
+     * @param options additional JVM options for all builds
+     * @param starts number of starts of each build
+     * @param share share of a core that the proxy gets, above 0 and up to 1
      * @throws Exception if a process could not be started
      */
     public void run(Map<String, Path> builds, List<String> options, int starts, double share) throws Exception {
--- a/src/main/java/rillyard/benchmark/StartupRun.java
+++ b/src/main/java/rillyard/benchmark/StartupRun.java
@@ -22,13 +22,13 @@
 /**
  * One start of a proxy and its first requests.
  *
- * @param marks wall and CPU time from exec to each mark, ms; empty for a build that says none
- * @param listening to the first connection accepted, as seen from outside
- * @param ready to the first {@code /_health} 200, as seen from outside
- * @param residentKib memory when ready, KiB
- * @param latencies of the first requests in the order of the schedule, ms, from the instant at
- *     which the schedule had each be sent
- * @param loadCpuMillis what the proxy took for them, ms
+ * @param marks wall-clock and CPU time from exec to each mark; empty for a build without marks
+ * @param listening time to the first accepted connection, as seen from outside
+ * @param ready time to the first successful health check, as seen from outside
+ * @param residentKib resident memory when ready, in KiB
+ * @param latencies latencies of the first requests in milliseconds, in the order of the schedule and from the scheduled
+ *     time
+ * @param loadCpuMillis CPU time that the proxy used for these requests, in milliseconds
  */
 record StartupRun(
         Map<String, Mark> marks,
@@ -37,12 +37,12 @@
         long residentKib,
         double[] latencies,
         double loadCpuMillis) {
-    /** Milliseconds from exec. */
+    /** Wall-clock and CPU time in milliseconds from exec. */
     record Mark(double wallMillis, double cpuMillis) {}
 
     private static final String MARK = "rillyard: mark ";
 
-    /** Starts one, sends it the plan's requests, and ends it. */
+    /** Starts a proxy, sends it the plan's requests, and ends it. */
     static StartupRun of(LaunchCommand launch, Path config, LoadPlan plan, Path folder) throws Exception {
         Path log = folder.resolve("proxy.log");
         Path clients = folder.resolve("clients.jsonl");
@@ -94,7 +94,10 @@
                 .toArray();
     }
 
-    /** The quantile over the first n requests, by the nearest rank; NaN if there were fewer. */
+    /**
+     * Returns a quantile of the first requests' latencies by the nearest rank, in milliseconds; NaN if there were
+     * fewer.
+     */
     double latency(int count, double quantile) {
         if (latencies.length < count) {
             return Double.NaN;
--- a/src/main/java/rillyard/benchmark/package-info.java
+++ b/src/main/java/rillyard/benchmark/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Measurements that the pages quote, so that anybody can repeat them: each starts what it needs as
- * processes of their own, on cores of their own where {@code taskset} is there.
+ * Benchmarks whose results the documentation quotes. Each starts what it needs as child processes, on separate cores
+ * where {@code taskset} is available.
  */
 package rillyard.benchmark;
--- a/src/main/java/rillyard/childprocess/ChildProcess.java
+++ b/src/main/java/rillyard/childprocess/ChildProcess.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import java.util.concurrent.TimeUnit;
 
-/** A process of this program's; it ends by SIGTERM, and by force if that takes too long. */
+/** A child process. It is ended by SIGTERM, and by SIGKILL if it does not exit in time. */
 public final class ChildProcess implements AutoCloseable {
     private static final int TERMINATION_TIMEOUT_SECONDS = 30;
 
@@ -17,10 +17,12 @@
     }
 
     /**
-     * Starts one.
+     * Starts a child process.
      *
-     * @param out gets its standard output
-     * @param errors gets its standard error; null for this process's own
+     * @param launch how the program is started
+     * @param out file for its standard output
+     * @param errors file for its standard error; null for this process's own
+     * @param command command of this program with its arguments
      * @throws IOException if it could not be started
      */
     public static ChildProcess start(LaunchCommand launch, Path out, Path errors, String... command)
@@ -41,25 +43,25 @@
         return process.isAlive();
     }
 
-    /** Its process id. */
+    /** Returns the process id. */
     public long pid() {
         return process.pid();
     }
 
-    /** Waits for its end and returns its exit code. */
+    /** Waits until the process ends and returns its exit code. */
     public int await() throws InterruptedException {
         return process.waitFor();
     }
 
-    /** The CPU time that it has taken so far, to the clock tick (10 ms); zero once it has ended. */
+    /** Returns the CPU time used so far, in steps of the clock tick (10 ms); zero once the process has ended. */
     public Duration cpuTime() {
         return process.info().totalCpuDuration().orElse(Duration.ZERO);
     }
 
     /**
-     * Waits for a file that it writes.
+     * Waits until the process has written a file.
      *
-     * @throws IOException if it ends first
+     * @throws IOException if the process ends first
      */
     public void awaitFile(Path file) throws IOException, InterruptedException {
         while (!Files.exists(file)) {
@@ -75,20 +77,29 @@
         process.destroy();
     }
 
-    /** Has it stand still (SIGSTOP) until {@link #resume}; returns once it does. */
+    /**
+     * Stops the process (SIGSTOP) until {@link #resume}.
+     *
+     * @throws IOException if the process has ended
+     */
     public void pause() throws IOException, InterruptedException {
         signal("STOP");
     }
 
-    /** Has it go on (SIGCONT), without knowing that it stood still. */
+    /**
+     * Continues a stopped process (SIGCONT).
+     *
+     * @throws IOException if the process has ended
+     */
     public void resume() throws IOException, InterruptedException {
         signal("CONT");
     }
 
     /**
-     * Sends it a signal by its name without {@code SIG}.
+     * Sends a signal.
      *
-     * @throws IOException if it has ended, or the name is none
+     * @param name name of the signal without {@code SIG}
+     * @throws IOException if the process has ended, or the name is unknown
      */
     public void signal(String name) throws IOException, InterruptedException {
         Process kill = new ProcessBuilder("/bin/sh", "-c", "kill -" + name + " " + pid())
@@ -100,7 +111,7 @@
         }
     }
 
-    /** Sends SIGKILL and waits for the end. */
+    /** Sends SIGKILL and waits until the process has ended. */
     public void kill() throws InterruptedException {
         process.destroyForcibly().waitFor();
     }
--- a/src/main/java/rillyard/childprocess/LaunchCommand.java
+++ b/src/main/java/rillyard/childprocess/LaunchCommand.java
@@ -8,15 +8,14 @@
 import java.util.Map;
 
 /**
- * How to start this program, or another build of it, once more.
+ * The command line and environment with which this program, or another build of it, is started.
  *
  * @param java the JVM's executable
- * @param folder the folder to start in, or null for this process's own
- * @param cores the cores that it may use, as {@code taskset -c} takes them; null for all
- * @param options of the JVM
+ * @param folder working directory, or null for this process's own
+ * @param cores the cores that it may use, in the syntax of {@code taskset -c}; null for all
+ * @param options JVM options
  * @param program {@code -jar FILE}, or {@code -cp PATH MAIN}
- * @param environment variables besides those of this process, whose {@code BALANCER_} ones it never
- *     gets
+ * @param environment variables besides those of this process, whose {@code BALANCER_} ones are not inherited
  */
 public record LaunchCommand(
         Path java,
@@ -34,7 +33,7 @@
         environment = Map.copyOf(environment);
     }
 
-    /** This very program, on the JVM and class path of this process. */
+    /** Returns the command for this program, on the JVM and class path of this process. */
     public static LaunchCommand self() {
         return new LaunchCommand(
                 Path.of(System.getProperty("java.home"), "bin", "java"),
@@ -46,10 +45,10 @@
     }
 
     /**
-     * A build as the platform starts it: by the options and the class archive that stand beside it.
-     * An archive that is not there, or is none, is no error: the JVM starts without it.
+     * Returns the command for a build as the platform starts it, with the JVM options and the class archive beside it.
+     * A missing or invalid archive is no error: the JVM starts without it.
      *
-     * @param root the folder that holds {@code deploy} and {@code target}
+     * @param root folder that contains {@code deploy} and {@code target}
      */
     public static LaunchCommand platform(Path root) {
         return new LaunchCommand(
@@ -61,26 +60,26 @@
                 Map.of("MALLOC_ARENA_MAX", "1"));
     }
 
-    /** The same on these cores only; on all where {@code taskset} is missing. */
+    /** Returns a copy that is restricted to some cores; without {@code taskset} the process may use all. */
     public LaunchCommand on(String cores) {
         return new LaunchCommand(java, folder, cores, options, program, environment);
     }
 
-    /** The same with further options of the JVM, ahead of those it has. */
+    /** Returns a copy with further JVM options before the existing ones. */
     public LaunchCommand with(List<String> options) {
         List<String> all = new ArrayList<>(options);
         all.addAll(this.options);
         return new LaunchCommand(java, folder, cores, all, program, environment);
     }
 
-    /** The same with a further variable. */
+    /** Returns a copy with a further environment variable. */
     public LaunchCommand with(String variable, String value) {
         Map<String, String> all = new HashMap<>(environment);
         all.put(variable, value);
         return new LaunchCommand(java, folder, cores, options, program, all);
     }
 
-    /** The process to be, for a command of this program. */
+    /** Returns a process builder for a command of this program. */
     ProcessBuilder builder(String... command) {
         List<String> arguments = new ArrayList<>();
         if (cores != null && Files.isExecutable(TASKSET)) {
--- a/src/main/java/rillyard/childprocess/ProxyProcess.java
+++ b/src/main/java/rillyard/childprocess/ProxyProcess.java
@@ -11,15 +11,15 @@
 import java.time.Duration;
 import java.util.List;
 
-/** A proxy in a process of its own, as a platform would run it. */
+/** A proxy in a child process, started as a platform would start it. */
 public final class ProxyProcess implements AutoCloseable {
-    /** How far one has come, as a client can see it. */
+    /** How far a proxy's start has come, as seen by a client. */
     public enum State {
-        /** Connections are rejected. */
+        /** Connections are refused. */
         ABSENT,
-        /** It listens, and is not ready. */
+        /** It accepts connections, and is not ready. */
         LISTENING,
-        /** It says that it would serve. */
+        /** Its health check succeeds. */
         READY
     }
 
@@ -42,17 +42,17 @@
     }
 
     /**
-     * Starts one from this program's own class path, on a free port, and waits until it would serve.
+     * Starts a proxy from this program's class path on a free port, and waits until it is ready.
      *
-     * @param config its configuration, as a ready file holds it
-     * @param log gets what it writes
-     * @throws IOException if it does not come up; holds the end of its log
+     * @param config file with its configuration, in the form of a ready file
+     * @param log file for its output
+     * @throws IOException if it does not become ready; the message contains the end of its log
      */
     public static ProxyProcess start(Path config, Path log) throws IOException, InterruptedException {
         LaunchCommand launch =
                 LaunchCommand.self().with(List.of("-XX:+UseSerialGC", "-Xmx64m", "-XX:MaxDirectMemorySize=140m"));
         IOException failure = null;
-        for (int i = 0; i < MAX_STARTS; i++) { // another may take the free port first
+        for (int i = 0; i < MAX_STARTS; i++) { // another process may take the free port first
             ProxyProcess proxy = launch(launch, config, freeAddress(), log);
             try {
                 proxy.await(State.READY);
@@ -66,9 +66,12 @@
     }
 
     /**
-     * Starts one and returns at once.
+     * Starts a proxy and returns at once.
      *
-     * @param listen where it is to listen
+     * @param launch how the program is started
+     * @param config file with its configuration
+     * @param listen address on which it listens
+     * @param log file for its output
      * @throws IOException if the process could not be started
      */
     public static ProxyProcess launch(LaunchCommand launch, Path config, InetSocketAddress listen, Path log)
@@ -78,7 +81,7 @@
         return new ProxyProcess(ChildProcess.start(command, log, log, "proxy"), listen, log);
     }
 
-    /** An address of loopback that was free a moment ago. */
+    /** Returns a loopback address whose port was free a moment ago. */
     public static InetSocketAddress freeAddress() throws IOException {
         InetAddress loopback = InetAddress.getLoopbackAddress();
         try (ServerSocket server = new ServerSocket(0, 1, loopback)) {
@@ -87,9 +90,9 @@
     }
 
     /**
-     * Waits until it has come so far.
+     * Waits until the proxy has reached a state.
      *
-     * @throws IOException if it ends first or takes more than a minute; holds the end of its log
+     * @throws IOException if it ends first or takes more than a minute; the message contains the end of its log
      */
     public void await(State required) throws IOException, InterruptedException {
         long deadlineNanos = System.nanoTime() + READY_TIMEOUT_NANOS;
@@ -100,13 +103,13 @@
                 throw new IOException("the proxy did not come up; it said:\n"
                         + output.substring(Math.max(0, output.length() - 2_000)));
             }
-            // Prevents asking so often that it is the questions which warm the proxy up, or starve it.
+            // More frequent health checks would themselves warm the proxy up, or take its CPU time.
             Thread.sleep(current == State.ABSENT ? 1 : HEALTH_INTERVAL_MS);
             current = state(address);
         }
     }
 
-    /** How far the proxy at an address has come. */
+    /** Returns the state of the proxy at an address, by a health check. */
     public static State state(InetSocketAddress address) {
         try (Socket socket = new Socket()) {
             socket.connect(address, HEALTH_TIMEOUT_MS);
@@ -123,22 +126,22 @@
         }
     }
 
-    /** Where it listens. */
+    /** Returns the address on which the proxy listens. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Its process id. */
+    /** Returns the process id. */
     public long pid() {
         return process.pid();
     }
 
-    /** The CPU time that it has taken so far, to the clock tick (10 ms). */
+    /** Returns the CPU time used so far, in steps of the clock tick (10 ms). */
     public Duration cpuTime() {
         return process.cpuTime();
     }
 
-    /** Resident memory in KiB, 0 where the system does not tell. */
+    /** Returns the resident memory in KiB, or 0 where the system does not report it. */
     public long residentKb() throws IOException {
         Path status = Path.of("/proc", Long.toString(pid()), "status");
         if (!Files.exists(status)) {
@@ -152,12 +155,12 @@
         return 0;
     }
 
-    /** The process itself, to be ended in other ways than {@link #close}. */
+    /** Returns the child process, which can be ended in other ways than {@link #close}. */
     public ChildProcess process() {
         return process;
     }
 
-    /** Ends it in order; by force if that takes too long. */
+    /** Terminates the proxy gracefully, and kills it if that takes too long. */
     @Override
     public void close() {
         process.close();
--- a/src/main/java/rillyard/childprocess/package-info.java
+++ b/src/main/java/rillyard/childprocess/package-info.java
@@ -1,5 +1,2 @@
-/**
- * Processes that this program starts for a rehearsal, a measurement or a test: the one place that
- * puts their command lines together, waits for them and ends them.
- */
+/** Starts, awaits and ends child processes of this program for rehearsals, benchmarks and tests. */
 package rillyard.childprocess;
--- a/src/main/java/rillyard/cli/AuditCommand.java
+++ b/src/main/java/rillyard/cli/AuditCommand.java
@@ -9,6 +9,7 @@
 import rillyard.audit.AuditSettings;
 import rillyard.audit.Violation;
 
+/** Audits the request logs of a run. */
 @Command(
         name = "audit",
         description = {
@@ -43,6 +44,7 @@
         return verdict.isClean() ? Cli.DONE : Cli.FAILED;
     }
 
+    /** Prints the result of an audit with the history of at most {@code most} violations. */
     static void print(Audit.Verdict verdict, int most, PrintStream out) {
         for (int i = 0; i < Math.min(most, verdict.violations().size()); i++) {
             Violation violation = verdict.violations().get(i);
--- a/src/main/java/rillyard/cli/BenchmarkCommand.java
+++ b/src/main/java/rillyard/cli/BenchmarkCommand.java
@@ -17,6 +17,7 @@
 import rillyard.benchmark.ProxyOverheadBenchmark;
 import rillyard.benchmark.StartupBenchmark;
 
+/** Runs the benchmarks. */
 @Command(
         name = "measure",
         description = "Repeats the measurements of docs/PERFORMANCE.md on this machine.",
@@ -36,6 +37,7 @@
         return Cli.USAGE;
     }
 
+    /** Measures the latency and CPU time that the proxy adds. */
     @Command(
             name = "proxy",
             description = "What the proxy adds, in pairs in turn: latency, and CPU a request beside the generator's.",
@@ -63,6 +65,7 @@
         }
     }
 
+    /** Measures the start of one or two builds. */
     @Command(
             name = "start",
             description = "What a start costs: wall and CPU time to each mark, and the first requests' latency.",
@@ -113,6 +116,7 @@
         }
     }
 
+    /** Computes statistics of a fleet from the traces of its proxies. */
     @Command(
             name = "fleet",
             description = {
@@ -151,12 +155,12 @@
                 }
             }
             for (Path log : logs) {
-                // Logs hold what peers sent: a byte that is no UTF-8 must not end the count, as a strict reader would.
+                // Logs contain what peers sent: a strict reader would fail at a byte that is not UTF-8.
                 try (BufferedReader reader =
                         new BufferedReader(new InputStreamReader(Files.newInputStream(log), UTF_8))) {
                     statistics.read(
                             log.toAbsolutePath().normalize().toString(),
-                            reader); // names alike on all machines are usual
+                            reader); // file names are often the same on all machines
                 }
             }
             if (statistics.isEmpty()) {
@@ -168,6 +172,7 @@
         }
     }
 
+    /** Measures the highest rate of the load generator. */
     @Command(
             name = "generator",
             description = "The highest rate that one core of the generator holds on schedule.",
--- a/src/main/java/rillyard/cli/Cli.java
+++ b/src/main/java/rillyard/cli/Cli.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.HelpCommand;
 import rillyard.config.InvalidConfigException;
 
-/** All commands, with {@code --help} and {@code --version} on each. */
+/** The root command, with {@code --help} and {@code --version} on each subcommand. */
 @Command(
         name = "rillyard",
         description = "A client-side load-balancing proxy, and what rehearses it.",
@@ -30,13 +30,13 @@
             HelpCommand.class
         })
 public final class Cli {
-    /** Done. */
+    /** Exit code for success. */
     public static final int DONE = 0;
 
-    /** The thing asked for failed. */
+    /** Exit code for a command that failed. */
     public static final int FAILED = 1;
 
-    /** The command, an option or a file can't be used; nothing was begun. */
+    /** Exit code for an invalid command, option or file; nothing was started. */
     public static final int USAGE = 2;
 
     private Cli() {}
@@ -47,7 +47,7 @@
         return run(new PrintWriter(System.out, true, charset), new PrintWriter(System.err, true, charset), args);
     }
 
-    /** As above, with help and errors written elsewhere. */
+    /** Runs a command line with help and errors written to the given writers, and returns the exit code. */
     public static int run(PrintWriter out, PrintWriter err, String... args) {
         CommandLine commandLine = new CommandLine(new Cli());
         commandLine.setOut(out);
--- a/src/main/java/rillyard/cli/DemoCommand.java
+++ b/src/main/java/rillyard/cli/DemoCommand.java
@@ -8,6 +8,7 @@
 import rillyard.demo.Demo;
 import rillyard.loadgen.ReportTable;
 
+/** Runs the demo. */
 @Command(
         name = "demo",
         description = {
--- a/src/main/java/rillyard/cli/FaultInjectionCommand.java
+++ b/src/main/java/rillyard/cli/FaultInjectionCommand.java
@@ -13,6 +13,7 @@
 import rillyard.faultinjection.FaultInjectionRun;
 import rillyard.faultinjection.RandomFaultSchedule;
 
+/** Runs fault-injection plans. */
 @Command(
         name = "trial",
         description = "Starts many processes of this program, with faults between them.",
@@ -27,6 +28,7 @@
         return Cli.USAGE;
     }
 
+    /** Executes a plan, with random faults on request. */
     @Command(
             name = "run",
             description = {
--- a/src/main/java/rillyard/cli/FleetCommand.java
+++ b/src/main/java/rillyard/cli/FleetCommand.java
@@ -10,6 +10,7 @@
 import rillyard.membership.net.FleetConfig;
 import rillyard.membership.net.FleetConfigReader;
 
+/** Works on the settings of a fleet. */
 @Command(
         name = "fleet",
         description = "Settings of the processes that form a fleet.",
@@ -24,6 +25,7 @@
         return Cli.USAGE;
     }
 
+    /** Checks the settings of one process. */
     @Command(
             name = "check",
             description = "Reads a file as `proxy --fleet` would, and tells all that is wrong with it, by line.",
--- a/src/main/java/rillyard/cli/GracefulShutdown.java
+++ b/src/main/java/rillyard/cli/GracefulShutdown.java
@@ -1,8 +1,8 @@
 package rillyard.cli;
 
 /**
- * Has SIGINT and SIGTERM end a command in order: what is to be done first is done, then the process
- * goes. Without it the JVM ends while request logs lack their last lines.
+ * Lets a command finish on SIGINT and SIGTERM: a callback is run, and the JVM's shutdown waits for the command's
+ * thread. Without it the JVM would exit before request logs are complete.
  */
 final class GracefulShutdown {
     private static final long MAX_WAIT_MS = 20_000;
@@ -11,7 +11,11 @@
     private final Thread hook;
     private volatile boolean signalled;
 
-    /** {@code first} is run at the signal, on a thread of its own; then the command is waited for. */
+    /**
+     * Installs the shutdown hook; the creating thread is the one that the shutdown waits for.
+     *
+     * @param onSignal run at the signal, on a thread of its own
+     */
     GracefulShutdown(Runnable onSignal) {
         hook = new Thread(
                 () -> {
@@ -27,15 +31,16 @@
         Runtime.getRuntime().addShutdownHook(hook);
     }
 
-    /** The command has done all that it had to; a signal is of no more interest. */
+    /** Removes the hook, as the command has completed. */
     void cancel() {
         try {
             Runtime.getRuntime().removeShutdownHook(hook);
         } catch (IllegalStateException e) {
-            // the signal came, and waits for this thread to end
+            // the shutdown has begun, and waits for this thread to end
         }
     }
 
+    /** Returns whether a signal arrived. */
     boolean isSignalled() {
         return signalled;
     }
--- a/src/main/java/rillyard/cli/LoadCommand.java
+++ b/src/main/java/rillyard/cli/LoadCommand.java
@@ -20,6 +20,7 @@
 import rillyard.requestlog.RequestLogWriter;
 import rillyard.requestlog.UnixClock;
 
+/** Runs the load generator. */
 @Command(
         name = "load",
         description = "Sends a plan's requests on its schedule, whatever the target does, and reports.",
--- a/src/main/java/rillyard/cli/MembersCommand.java
+++ b/src/main/java/rillyard/cli/MembersCommand.java
@@ -15,6 +15,7 @@
 import picocli.CommandLine.Spec;
 import rillyard.membership.net.MemberAdminClient;
 
+/** Shows the membership view of one process. */
 @Command(
         name = "members",
         description =
--- a/src/main/java/rillyard/cli/ProxyCommands.java
+++ b/src/main/java/rillyard/cli/ProxyCommands.java
@@ -16,10 +16,14 @@
 import rillyard.settings.MalformedInputException;
 import rillyard.simulation.SimulatorSession;
 
-/** What the platform starts, for their help; given alone they are run before the parser is loaded. */
+/**
+ * The commands that the platform starts. They are declared here for their help and options; given alone they are run
+ * before the parser is loaded.
+ */
 final class ProxyCommands {
     private ProxyCommands() {}
 
+    /** Runs the proxy, optionally as a member of a fleet. */
     @Command(
             name = "proxy",
             description = {
@@ -54,6 +58,7 @@
         }
     }
 
+    /** Runs a simulator session on standard input and output. */
     @Command(
             name = "adapter",
             description = "Runs the decisions on the simulator's wire, on standard input and output.",
@@ -72,6 +77,7 @@
         }
     }
 
+    /** Runs the training for the class archive. */
     @Command(
             name = "rehearse",
             description = "Starts and warms up with nobody there; the build records what is loaded.",
--- a/src/main/java/rillyard/cli/SocketAddressConverter.java
+++ b/src/main/java/rillyard/cli/SocketAddressConverter.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.ITypeConverter;
 import picocli.CommandLine.TypeConversionException;
 
-/** Reads {@code IP:port}; names are not looked up. */
+/** Converts {@code IP:port}; host names are not resolved. */
 final class SocketAddressConverter implements ITypeConverter<InetSocketAddress> {
     @Override
     public InetSocketAddress convert(String text) {
--- a/src/main/java/rillyard/cli/SubsetCommand.java
+++ b/src/main/java/rillyard/cli/SubsetCommand.java
@@ -11,6 +11,7 @@
 import rillyard.subset.SubsetStatistics;
 import rillyard.subset.SubsettingAlgorithm;
 
+/** Plans the subsets of a fleet. */
 @Command(
         name = "subset",
         description = "What instances of a fleet would hold of its hosts.",
@@ -25,6 +26,7 @@
         return Cli.USAGE;
     }
 
+    /** Computes the largest subset whose connections the hosts can bear. */
     @Command(
             name = "plan",
             description = {
@@ -34,7 +36,7 @@
             mixinStandardHelpOptions = true,
             versionProvider = VersionProvider.class)
     static final class Plan implements Callable<Integer> {
-        /** Instances times hosts; more take longer than anyone waits, as every subset is laid out. */
+        /** Maximum number of instances times hosts; as every subset is computed, more would take too long. */
         private static final long MAX_PAIRS = 10_000_000;
 
         @Spec
--- a/src/main/java/rillyard/cli/TestClusterCommand.java
+++ b/src/main/java/rillyard/cli/TestClusterCommand.java
@@ -20,6 +20,7 @@
 import rillyard.testserver.TestClusterPlan;
 import rillyard.testserver.TestClusterPlanReader;
 
+/** Runs a test cluster: hosts and discovery. */
 @Command(
         name = "stand-in",
         description = "Runs hosts and a discovery that stand in for the real ones, until SIGINT or SIGTERM.",
@@ -89,7 +90,7 @@
         return Cli.DONE;
     }
 
-    /** Prevents a reader that finds half of it: the name appears with all of it. */
+    /** Writes a file atomically, so that no reader finds it incomplete. */
     private static void writeAtomically(Path file, byte[] bytes) throws IOException {
         Path partFile = file.resolveSibling(file.getFileName() + ".part");
         Files.write(partFile, bytes);
--- a/src/main/java/rillyard/cli/VersionProvider.java
+++ b/src/main/java/rillyard/cli/VersionProvider.java
@@ -2,7 +2,7 @@
 
 import picocli.CommandLine.IVersionProvider;
 
-/** The version that the build wrote into the jar. */
+/** Provides the version that the build wrote into the jar. */
 final class VersionProvider implements IVersionProvider {
     @Override
     public String[] getVersion() {
--- a/src/main/java/rillyard/cli/package-info.java
+++ b/src/main/java/rillyard/cli/package-info.java
@@ -1,6 +1,5 @@
 /**
- * The command line, but for what a platform starts: {@code proxy}, {@code adapter} and {@code
- * rehearse} run without it. Exit codes: 0 done, 1 the thing asked for failed, 2 wrong usage, also a
- * file that can't be used.
+ * The command line, except for the commands that a platform starts: {@code proxy}, {@code adapter} and {@code rehearse}
+ * run without it unless they have options. Exit codes: 0 success, 1 failure, 2 wrong usage or an invalid file.
  */
 package rillyard.cli;
--- a/src/main/java/rillyard/config/ConfigProblem.java
+++ b/src/main/java/rillyard/config/ConfigProblem.java
@@ -1,10 +1,10 @@
 package rillyard.config;
 
 /**
- * One thing that is wrong in a file.
+ * A problem in a configuration file.
  *
  * @param file the file as the operator named it
- * @param line the line, from 1; 0 where the file as a whole is meant
+ * @param line the line, from 1; 0 for the file as a whole
  * @param message what was found and what is allowed, on one line
  */
 public record ConfigProblem(String file, int line, String message) {
--- a/src/main/java/rillyard/config/DidYouMean.java
+++ b/src/main/java/rillyard/config/DidYouMean.java
@@ -2,14 +2,14 @@
 
 import java.util.Collection;
 
-/** The known name that a mistyped one was most likely meant to be. */
+/** Suggests the known name that a mistyped one was most likely meant to be. */
 public final class DidYouMean {
-    /** More edits than this part of the word make it another word. */
+    /** Maximum number of edits as a share of the word's length; with more it is taken for another word. */
     private static final double MAX_EDIT_SHARE = 0.4;
 
     private DidYouMean() {}
 
-    /** The known name with the fewest edits, or null if none is near. */
+    /** Returns the known name with the fewest edits, or null if none is similar. */
     public static String suggest(String word, Collection<String> known) {
         String best = null;
         int fewestEdits = (int) Math.max(1, MAX_EDIT_SHARE * word.length()) + 1;
@@ -24,8 +24,8 @@
     }
 
     /**
-     * Edits that make one of the other: letters put in, left out, changed, or two neighbours swapped
-     * (optimal string alignment, after Damerau 1964), by three rows of the table.
+     * Returns the number of edits between two words: insertions, deletions, substitutions and swaps of neighbours
+     * (optimal string alignment, after Damerau 1964), computed with three rows of the table.
      */
     static int distance(String first, String second) {
         int[] twoAbove = new int[second.length() + 1];
--- a/src/main/java/rillyard/config/InvalidConfigException.java
+++ b/src/main/java/rillyard/config/InvalidConfigException.java
@@ -3,13 +3,13 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A file can't be used; holds every finding, in the order of the lines. */
+/** Thrown if a configuration file can't be used; holds all problems, in the order of the lines. */
 public final class InvalidConfigException extends Exception {
     private static final long serialVersionUID = 1;
 
     private final transient List<ConfigProblem> problems;
 
-    /** {@code findings} holds one at least. */
+    /** Creates an exception for problems in the order of their lines; {@code problems} must not be empty. */
     public InvalidConfigException(List<ConfigProblem> problems) {
         super(problems.stream().map(ConfigProblem::toString).collect(Collectors.joining("\n")));
         this.problems = List.copyOf(problems);
--- a/src/main/java/rillyard/config/RequestClassKeys.java
+++ b/src/main/java/rillyard/config/RequestClassKeys.java
@@ -15,7 +15,7 @@
     private static final double MAX_MS = 3_600_000;
 
     /**
-     * Reads the keys; what is wrong becomes a problem of the table.
+     * Reads the keys and adds a problem to the table for each invalid one.
      *
      * @param knownNames names of the classes read so far, to which this one's is added
      */
--- a/src/main/java/rillyard/config/SocketAddresses.java
+++ b/src/main/java/rillyard/config/SocketAddresses.java
@@ -5,11 +5,14 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Addresses as people write them. */
+/** Parses socket addresses. */
 public final class SocketAddresses {
     private SocketAddresses() {}
 
-    /** An {@code IP:port} with a port from 0 to 65535, or null if it is none; names are not looked up. */
+    /**
+     * Returns the address of an {@code IP:port} text with a port from 0 to 65535, or null if it is malformed; host
+     * names are not resolved.
+     */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
--- a/src/main/java/rillyard/config/TomlLines.java
+++ b/src/main/java/rillyard/config/TomlLines.java
@@ -4,13 +4,16 @@
 import java.util.Map;
 
 /**
- * The line on which each key and table of a TOML text stands. The parser that gives the values
- * (jackson-dataformat-toml) keeps no places; this reads just so much of the grammar (TOML 1.0.0) as
- * tells keys from values: strings, comments, brackets and headers. It is used on texts that the
- * parser has accepted, so it need not find errors.
+ * Finds the line of each key and table of a TOML text.
  *
- * <p>Paths join keys with dots, and an element of an array of tables has its index as a key:
- * {@code fault.2.host}. Keys within inline tables are found by the line of the key that holds them.
+ *
+ * <p>The parser that reads the values (jackson-dataformat-toml) does not keep positions. This class reads just enough
+ * of the grammar (TOML 1.0.0) to tell keys from values: strings, comments, brackets and headers. It is used on texts
+ * that the parser has accepted, so that it does not detect errors.
+ *
+ *
+ * <p>Paths join keys with dots, and an element of an array of tables has its index as a key: {@code fault.2.host}. Keys
+ * within inline tables are found by the line of the key that contains them.
  */
 final class TomlLines {
     private final String text;
@@ -24,7 +27,7 @@
         this.text = text;
     }
 
-    /** The line of each path, from 1. */
+    /** Returns the line of each path, from 1. */
     static Map<String, Integer> lineNumbers(String text) {
         TomlLines lines = new TomlLines(text);
         lines.scan();
@@ -65,7 +68,7 @@
         currentTable = name;
     }
 
-    /** A header's path, with the index of the last element put behind each array of tables. */
+    /** Returns a header's path with the index of the last element after each array of tables. */
     private String resolve(String name) {
         String resolved = "";
         String[] keys = name.split("\\.");
@@ -77,7 +80,7 @@
         return resolved;
     }
 
-    /** A key, dotted or not, up to the mark that ends it. */
+    /** Reads a key, dotted or not, up to the character that ends it. */
     private String readPath(char end) {
         StringBuilder key = new StringBuilder();
         while (position < text.length() && text.charAt(position) != end && text.charAt(position) != '\n') {
--- a/src/main/java/rillyard/config/TomlTable.java
+++ b/src/main/java/rillyard/config/TomlTable.java
@@ -20,10 +20,9 @@
 import java.util.stream.Collectors;
 
 /**
- * One table of a TOML file, read key by key. A key that is absent has its default; one that is wrong
- * becomes a finding and has its default too, so that reading goes on and all findings come in one
- * pass. The one who reads the root calls {@link #finish} at the end: keys that nobody asked for are
- * findings then.
+ * A table of a TOML file that is read key by key. An absent key has its default. An invalid one is recorded as a
+ * problem and has its default too, so that all problems are found in one pass. The reader of the root calls {@link
+ * #finish} at the end, which reports keys that were never read. Not thread-safe.
  */
 public final class TomlTable {
     private record Source(
@@ -44,7 +43,7 @@
     /**
      * Reads a file.
      *
-     * @throws InvalidConfigException if it can't be read or is no TOML
+     * @throws InvalidConfigException if it can't be read or is not TOML
      */
     public static TomlTable read(Path file) throws InvalidConfigException {
         try {
@@ -55,9 +54,10 @@
     }
 
     /**
-     * Reads a text; {@code name} stands for it in findings.
+     * Parses a text.
      *
-     * @throws InvalidConfigException if it is no TOML
+     * @param name name of the text in problems
+     * @throws InvalidConfigException if it is not TOML
      */
     public static TomlTable parse(String name, String text) throws InvalidConfigException {
         try {
@@ -73,13 +73,16 @@
         }
     }
 
-    /** Whether the key is there. */
+    /** Returns whether the key is present, and marks it as known. */
     public boolean has(String key) {
         knownKeys.add(key);
         return node.has(key);
     }
 
-    /** The line of a key, or of the table where the key is absent. */
+    /**
+     * Returns the line of a key, or of the nearest enclosing table with a line if the key is absent; 0 if there is
+     * none.
+     */
     public int line(String key) {
         String keyPath = path.isEmpty() ? key : path + "." + key;
         while (!keyPath.isEmpty()) {
@@ -93,7 +96,7 @@
         return 0;
     }
 
-    /** Adds a finding at a key. */
+    /** Adds a problem at a key. */
     public void error(String key, String message) {
         String location = path.isEmpty() ? key : path.replaceAll("\\.(\\d+)", "[$1]") + "." + key;
         source.problems.add(new ConfigProblem(source.file, line(key), location + ": " + message));
@@ -104,7 +107,7 @@
         return node.get(key);
     }
 
-    /** A text, or the default. */
+    /** Returns a text that is not blank, or the default. */
     public String text(String key, String defaultValue) {
         JsonNode node = get(key);
         if (node == null) {
@@ -117,7 +120,7 @@
         return node.asText();
     }
 
-    /** A text that must be there; empty where it is not, which is a finding. */
+    /** Returns a required text; if it is absent, adds a problem and returns an empty text. */
     public String text(String key) {
         if (!node.has(key)) {
             knownKeys.add(key);
@@ -127,7 +130,10 @@
         return text(key, "");
     }
 
-    /** One of a few names, in lower case with _ or - alike; or the default. */
+    /**
+     * Returns the constant that a text names, in lower case and with {@code _} and {@code -} treated alike, or the
+     * default.
+     */
     public <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) {
         String text = text(key, null);
         if (text == null) {
@@ -154,7 +160,7 @@
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** True or false, or the default. */
+    /** Returns a boolean, or the default. */
     public boolean flag(String key, boolean defaultValue) {
         JsonNode node = get(key);
         if (node == null) {
@@ -167,7 +173,7 @@
         return node.asBoolean();
     }
 
-    /** A finite number within a range, ends included, or the default. */
+    /** Returns a number within a range, both ends included, or the default. */
     public double number(String key, double defaultValue, double min, double max) {
         JsonNode node = get(key);
         if (node == null) {
@@ -176,7 +182,7 @@
         return inRange(key, node, min, max) ? node.asDouble() : defaultValue;
     }
 
-    /** A whole number within a range, ends included, or the default. */
+    /** Returns an integer within a range, both ends included, or the default. */
     public long integer(String key, long defaultValue, long min, long max) {
         JsonNode node = get(key);
         if (node == null) {
@@ -189,7 +195,7 @@
         return node.asLong();
     }
 
-    /** Numbers within a range, or the default. */
+    /** Returns a list of numbers within a range, both ends included, or a copy of the default. */
     public double[] numbers(String key, double[] defaultValue, double min, double max) {
         JsonNode node = get(key);
         if (node == null) {
@@ -223,7 +229,7 @@
                 : Double.toString(number);
     }
 
-    /** A table within this one; an empty one where the key is absent. */
+    /** Returns a nested table; an empty one if the key is absent or not a table. */
     public TomlTable table(String key) {
         JsonNode node = get(key);
         if (node != null && !node.isObject()) {
@@ -236,7 +242,7 @@
                 node instanceof ObjectNode objectNode ? objectNode : JsonNodeFactory.instance.objectNode());
     }
 
-    /** The tables of an array of tables; none where the key is absent. */
+    /** Returns the tables of an array of tables; none if the key is absent. */
     public List<TomlTable> tables(String key) {
         JsonNode node = get(key);
         List<TomlTable> tables = new ArrayList<>();
@@ -258,9 +264,9 @@
     }
 
     /**
-     * Ends the reading of the whole file.
+     * Ends the reading of the file and reports all problems.
      *
-     * @throws InvalidConfigException if there is any finding, unknown keys included
+     * @throws InvalidConfigException if there is any problem; unknown keys are problems too
      */
     public void finish() throws InvalidConfigException {
         for (TomlTable table : source.tables) {
--- a/src/main/java/rillyard/config/package-info.java
+++ b/src/main/java/rillyard/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Files from outside, checked before they are believed: every finding names file, line, key, what
- * was found and what is allowed, and all findings of a file come in one pass.
+ * Reads and validates configuration files. Each problem names the file, line and key, what was found and what is
+ * allowed, and all problems of a file are reported in one pass.
  */
 package rillyard.config;
--- a/src/main/java/rillyard/demo/Demo.java
+++ b/src/main/java/rillyard/demo/Demo.java
@@ -26,7 +26,7 @@
 import rillyard.testserver.TestClusterPlan;
 import rillyard.testserver.TestClusterPlanReader;
 
-/** A surge over eight hosts, one of which hangs and one of which drains, through one proxy. */
+/** Runs a load surge through one proxy over eight hosts, one of which hangs and one of which drains. */
 public final class Demo {
     private static final String FAULT_SCHEDULE =
             """
@@ -64,14 +64,19 @@
       fall_s = 3
       """;
 
-    /** What came of it. */
+    /**
+     * The result of a demo.
+     *
+     * @param report report of the load generator
+     * @param verdict result of the audit
+     */
     public record Result(RunReport report, Audit.Verdict verdict) {}
 
     private final PrintStream out;
     private final String faultSchedule;
     private final String loadPlan;
 
-    /** A demo whose progress goes to {@code out}. */
+    /** Creates a demo that prints its progress to {@code out}. */
     public Demo(PrintStream out) {
         this(out, FAULT_SCHEDULE, LOAD_PLAN);
     }
@@ -83,9 +88,10 @@
     }
 
     /**
-     * Runs it; {@code keep} is a folder for the request logs and the report, or null if they are to go.
+     * Runs the demo.
      *
-     * @throws Exception if any part of it could not be started
+     * @param keep folder for the request logs and the report, or null to delete them
+     * @throws Exception if any part could not be started
      */
     public Result run(Path keep) throws Exception {
         Path folder = keep == null ? Files.createTempDirectory("rillyard-demo") : keep;
--- a/src/main/java/rillyard/demo/JvmWarmup.java
+++ b/src/main/java/rillyard/demo/JvmWarmup.java
@@ -14,9 +14,9 @@
 import rillyard.testserver.TestClusterPlanReader;
 
 /**
- * Prevents the first second of a generator or a test cluster: cold code takes some ten times as
- * long, a schedule can't be kept, and what is measured is the JVM. Each sends requests through the
- * very same classes to test hosts in its own process first; nothing of that is counted.
+ * Warms up the JVM of a load generator or a test cluster by sending requests through the same classes to test hosts in
+ * its own process. Without it code that is not compiled yet would be about ten times slower, the schedule could not be
+ * kept, and the JVM would be measured.
  */
 public final class JvmWarmup {
     private static final String HOSTS =
@@ -51,7 +51,7 @@
     private JvmWarmup() {}
 
     /**
-     * Runs for two and a half seconds.
+     * Runs the warm-up, which takes two and a half seconds.
      *
      * @throws Exception if loopback can't be used
      */
--- a/src/main/java/rillyard/demo/package-info.java
+++ b/src/main/java/rillyard/demo/package-info.java
@@ -1,2 +1,2 @@
-/** One command that shows the whole: test hosts, a proxy, load, and the audit of what came of it. */
+/** A demonstration of the whole system: test hosts, a proxy, load, and the audit of the run. */
 package rillyard.demo;
--- a/src/main/java/rillyard/requestlog/ClientAttempt.java
+++ b/src/main/java/rillyard/requestlog/ClientAttempt.java
@@ -5,23 +5,23 @@
 import java.io.IOException;
 
 /**
- * One attempt of a client's request, written when it has ended. Times are microseconds of Unix time.
+ * One attempt of a client's request, recorded when it has ended. Times are microseconds of Unix time.
  *
  * @param request number of the request, the same for all of its attempts
  * @param attemptNumber number of the attempt, from 0
- * @param requestId what {@code X-Request-ID} said
- * @param idempotencyKey what {@code Idempotency-Key} said, or null
+ * @param requestId value of {@code X-Request-ID}
+ * @param idempotencyKey value of {@code Idempotency-Key}, or null
  * @param requestClass class of the request
  * @param tenant its tenant, or null
  * @param client number of the client
- * @param scheduledAt when the schedule had the request's first attempt be sent
+ * @param scheduledAt when the schedule required the request's first attempt to be sent
  * @param sentAt when this attempt was sent
- * @param endedAt when its last byte came, or when the client gave it up
- * @param timeoutMicros how long the client said that it would wait
+ * @param endedAt when its last byte arrived, or when the client gave it up
+ * @param timeoutMicros the timeout that the client stated
  * @param outcome how it ended
- * @param status the status of the answer, 0 without one
- * @param retryAfterMicros what {@code Retry-After} said, 0 without one
- * @param lastAttempt whether the request ended with it
+ * @param status status of the response, 0 without one
+ * @param retryAfterMicros value of {@code Retry-After}, 0 without one
+ * @param lastAttempt whether the request ended with this attempt
  */
 public record ClientAttempt(
         long request,
--- a/src/main/java/rillyard/requestlog/ClientOutcome.java
+++ b/src/main/java/rillyard/requestlog/ClientOutcome.java
@@ -19,8 +19,8 @@
     /** No connection, or one that ended before the complete request was written: it was not accepted. */
     UNREACHABLE,
     /**
-     * A kept connection ended as the request went out, with nothing forwarded it: the target may close a
-     * connection between requests. The same request is sent once more on a new one.
+     * A cached connection was closed as the request was sent, and nothing was forwarded: the target may close a
+     * connection between requests. The same request is sent once more on a new connection.
      */
     STALE,
     /** Never sent: the load generator had reached its own limit. */
--- a/src/main/java/rillyard/requestlog/ExecutionResult.java
+++ b/src/main/java/rillyard/requestlog/ExecutionResult.java
@@ -1,26 +1,26 @@
 package rillyard.requestlog;
 
-/** What became of a request that a host received. */
+/** The result of a request that a host received; the names are stored in the log. */
 public enum ExecutionResult {
-    /** It ran and was answered. */
+    /** It was executed, and the response was sent. */
     DONE(true, true),
-    /** It was answered with an error, before it ran. */
+    /** It was answered with an error before it was executed. */
     ERROR(true, false),
-    /** It ran; the answer was cut off by a reset. */
+    /** It was executed; the response was cut off by a reset. */
     RESET(true, true),
-    /** It ran; the response was corrupted. */
+    /** It was executed; the response was corrupted. */
     GARBLED(true, true),
-    /** It was running when its client left, and ran on. */
+    /** Its client left while it was being executed, and the execution was completed. */
     LEFT(true, true),
-    /** It ran and was never answered. */
+    /** It was executed, and no response was sent. */
     HUNG(true, true),
-    /** The host was killed while it ran. */
+    /** The host was killed during the execution. */
     KILLED(true, false),
     /** Its idempotency key was known: the stored response was returned, with no second effect. */
     REMEMBERED(false, false),
     /** It was rejected without being processed. */
     TURNED_AWAY(false, false),
-    /** It waited in the queue when its client left or the host was killed. */
+    /** It was still queued when its client left or the host was killed. */
     DROPPED(false, false);
 
     private final boolean mayHaveRun;
--- a/src/main/java/rillyard/requestlog/HostEvent.java
+++ b/src/main/java/rillyard/requestlog/HostEvent.java
@@ -5,15 +5,15 @@
 import java.io.IOException;
 
 /**
- * Something that happened to a host, or a fault that began or ended.
+ * An event of a host, or the begin or end of an injected fault.
  *
- * @param at microseconds of Unix time
+ * @param at Unix time in microseconds
  * @param host id of the host; {@code discovery} for a fault of discovery
  * @param kind what happened
  * @param detail description for a human reader, or null
- * @param capacity cores times speed: microseconds of work that a warm host does in one
+ * @param capacity number of cores times speed: microseconds of work per microsecond that a warm host does
  * @param initialCapacityShare share of the capacity that the host has when it starts; 1 without slow start
- * @param warmUpMicros how long the host takes to reach its full capacity
+ * @param warmUpMicros time that the host takes to reach its full capacity
  */
 public record HostEvent(
         long at, String host, Kind kind, String detail, double capacity, double initialCapacityShare, long warmUpMicros)
@@ -26,9 +26,9 @@
         STARTED,
         /** The host finishes its requests and accepts no new ones. */
         DRAINING,
-        /** The host ended in order. */
+        /** The host shut down gracefully. */
         STOPPED,
-        /** The host ended without notice. */
+        /** The host ended without draining. */
         KILLED,
         /** An injected fault began. */
         FAULT,
--- a/src/main/java/rillyard/requestlog/HostExecution.java
+++ b/src/main/java/rillyard/requestlog/HostExecution.java
@@ -5,21 +5,20 @@
 import java.io.IOException;
 
 /**
- * One request that a host received, written when the host is done with it. Times are microseconds
- * of Unix time.
+ * One request that a host received, recorded when the host has finished with it. Times are microseconds of Unix time.
  *
- * @param requestId what {@code X-Request-ID} said
- * @param idempotencyKey what {@code Idempotency-Key} said, or null
+ * @param requestId value of {@code X-Request-ID}
+ * @param idempotencyKey value of {@code Idempotency-Key}, or null
  * @param requestClass class of the request
  * @param host id of the host
- * @param cell the cell whose hosts share the memory of keys
+ * @param cell the cell whose hosts share idempotency keys
  * @param zone the host's zone
- * @param attempt how many times this id had been received before, by all hosts together
- * @param receivedAt when its first byte came
- * @param startedAt when it began to run, 0 if it never did
- * @param endedAt when the host was done with it
- * @param workMicros what it costs in core time of a warm host, in microseconds
- * @param result what became of it
+ * @param attempt number of times that this id had been received before, by all hosts together
+ * @param receivedAt when its first byte arrived
+ * @param startedAt when its execution began, 0 if it never did
+ * @param endedAt when the host had finished with it
+ * @param workMicros its cost in core time of a warm host
+ * @param result the result
  */
 public record HostExecution(
         String requestId,
--- a/src/main/java/rillyard/requestlog/JsonFields.java
+++ b/src/main/java/rillyard/requestlog/JsonFields.java
@@ -3,7 +3,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Arrays;
 
-/** Checked reading of the fields of a line. */
+/**
+ * Reads the fields of a record and checks their types. All methods throw {@link IllegalArgumentException} that says
+ * what was expected.
+ */
 final class JsonFields {
     private JsonFields() {}
 
--- a/src/main/java/rillyard/requestlog/LogHeader.java
+++ b/src/main/java/rillyard/requestlog/LogHeader.java
@@ -5,16 +5,16 @@
 import java.io.IOException;
 
 /**
- * The first line of a request log.
+ * The first record of a request log.
  *
  * @param logKind {@code clients} or {@code hosts}
- * @param at microseconds of Unix time at which it was begun
- * @param seed the seed of the run
+ * @param at Unix time in microseconds at which the log was opened
+ * @param seed seed of the run
  */
 public record LogHeader(String logKind, long at, long seed) implements LogRecord {
     static final String KIND = "head";
 
-    /** The form of the lines; a reader rejects any other. */
+    /** Version of the record format; a reader rejects any other. */
     static final int VERSION = 1;
 
     @Override
--- a/src/main/java/rillyard/requestlog/LogTrailer.java
+++ b/src/main/java/rillyard/requestlog/LogTrailer.java
@@ -5,11 +5,11 @@
 import java.io.IOException;
 
 /**
- * The last line of a request log that was closed in order. One without it was cut off: what is missing
- * in it proves nothing.
+ * The last record of a request log that was closed in order. A log without it is truncated and proves nothing by what
+ * it lacks.
  *
- * @param at microseconds of Unix time
- * @param recordCount how many lines stand before it
+ * @param at Unix time in microseconds
+ * @param recordCount number of records before it
  */
 public record LogTrailer(long at, long recordCount) implements LogRecord {
     static final String KIND = "end";
--- a/src/main/java/rillyard/requestlog/RequestLogReader.java
+++ b/src/main/java/rillyard/requestlog/RequestLogReader.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import rillyard.config.InvalidConfigException;
 
-/** Reads a request log line by line, in memory that doesn't grow with it. */
+/** Reads a request log line by line, in constant memory. */
 public final class RequestLogReader {
     private static final ObjectMapper JSON = new ObjectMapper();
 
--- a/src/main/java/rillyard/requestlog/RequestLogWriter.java
+++ b/src/main/java/rillyard/requestlog/RequestLogWriter.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.BlockingQueue;
 
 /**
- * Writes a request log. Lines are gathered in a block and handed to a thread of its own, whole lines
- * only, so that a slow disk does not hold up an event loop until {@value #MAX_QUEUED_BLOCKS} blocks wait; from
- * there on it does, since a request log with a hole in it proves nothing. Safe for several threads.
+ * Writes a request log. Records are gathered in blocks and written by a thread of its own, so that a slow disk does not
+ * block an event loop until {@value #MAX_QUEUED_BLOCKS} blocks are queued; from then on it does, since a request log
+ * with a gap proves nothing. Thread-safe.
  */
 public final class RequestLogWriter implements AutoCloseable {
     private static final int BLOCK_BYTES = 64 * 1024;
@@ -40,7 +40,11 @@
         writer.start();
     }
 
-    /** Creates a log file, replacing an existing one, and starts its writer thread. */
+    /**
+     * Creates a log file, replacing an existing one, and starts its writer thread.
+     *
+     * @throws IOException if the file can't be created
+     */
     public static RequestLogWriter open(Path file, LogHeader header) throws IOException {
         RequestLogWriter writer = new RequestLogWriter(Files.newOutputStream(file));
         writer.append(header);
@@ -54,11 +58,14 @@
             writer.close();
             return writer;
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // never: there is nothing that could fail
+            throw new UncheckedIOException(e); // can't happen: the null stream does not fail
         }
     }
 
-    /** Appends a record; does nothing once the log is closed. Blocks while {@value #MAX_QUEUED_BLOCKS} blocks wait for the disk. */
+    /**
+     * Appends a record; does nothing once the log is closed. Blocks while {@value #MAX_QUEUED_BLOCKS} blocks wait for
+     * the disk.
+     */
     public synchronized void append(LogRecord logRecord) {
         if (closed) {
             return;
@@ -71,7 +78,7 @@
                 enqueueBlock();
             }
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // never: the block lies in memory
+            throw new UncheckedIOException(e); // can't happen: the block is in memory
         }
     }
 
@@ -88,7 +95,7 @@
         enqueue(records);
     }
 
-    /** Waits for room in the queue even when interrupted: an incomplete log proves nothing. */
+    /** Waits for space in the queue even when interrupted, as an incomplete log proves nothing. */
     private void enqueue(byte[] records) {
         boolean interrupted = false;
         boolean queued = false;
@@ -122,7 +129,7 @@
         }
     }
 
-    /** Writes a block, or discards it after a failure, so that nobody waits for a disk that is full. */
+    /** Writes a block, or discards it after a failure, so that no caller waits for a full disk. */
     private void write(byte[] records) {
         if (failure != null) {
             return;
--- a/src/main/java/rillyard/requestlog/UnexpectedResponse.java
+++ b/src/main/java/rillyard/requestlog/UnexpectedResponse.java
@@ -5,9 +5,9 @@
 import java.io.IOException;
 
 /**
- * Something that came on a client's connection behind the one answer it was owed.
+ * Bytes that arrived on a client's connection after the one response it was owed.
  *
- * @param at microseconds of Unix time
+ * @param at Unix time in microseconds
  * @param requestId id of the request that was answered last on that connection
  */
 public record UnexpectedResponse(long at, String requestId) implements LogRecord {
--- a/src/main/java/rillyard/requestlog/UnixClock.java
+++ b/src/main/java/rillyard/requestlog/UnixClock.java
@@ -3,8 +3,8 @@
 import java.time.Instant;
 
 /**
- * Microseconds of Unix time that never go back: the wall clock is read once, and the monotonic
- * clock tells what has passed since. Two processes of one machine agree to well under a millisecond.
+ * Provides Unix time in microseconds that never goes back: the wall clock is read once, and the monotonic clock gives
+ * the time since. Two processes on one machine agree to well under a millisecond. Thread-safe.
  */
 // Both clocks are meant to be read once, when the class is loaded: later readings are relative to that moment.
 @SuppressWarnings("TimeInStaticInitializer")
--- a/src/main/java/rillyard/requestlog/WatchNotification.java
+++ b/src/main/java/rillyard/requestlog/WatchNotification.java
@@ -5,13 +5,13 @@
 import java.io.IOException;
 
 /**
- * What discovery has to tell of one host, or has told.
+ * A change of a host's state that discovery made, or that a watch was notified of.
  *
- * @param at microseconds of Unix time at which it was written
- * @param watcher number of the watch, from 1; 0 marks the change itself, before any watch heard of it
+ * @param at Unix time in microseconds at which it was written
+ * @param watcher number of the watch, from 1; 0 marks the change itself, before any watch was notified
  * @param host id of the host
  * @param state {@code up}, {@code draining} or {@code removed}
- * @param version discovery's version of the list
+ * @param version discovery's version of the endpoint list
  */
 public record WatchNotification(long at, long watcher, String host, String state, long version) implements LogRecord {
     static final String KIND = "told";
--- a/src/test/java/rillyard/audit/AuditTest.java
+++ b/src/test/java/rillyard/audit/AuditTest.java
@@ -16,7 +16,7 @@
 import rillyard.requestlog.UnexpectedResponse;
 import rillyard.requestlog.WatchNotification;
 
-/** Every kind of violation is planted and must be found; what is allowed must not be. */
+/** Plants each kind of violation, which must be found, and what is permitted, which must not be. */
 class AuditTest {
     private static final String SETTINGS =
             """
@@ -34,7 +34,7 @@
     private final List<LogRecord> lines = new ArrayList<>();
     private int requests;
 
-    /** A good request, so that the request logs have one in common. */
+    /** Adds a request without a violation, so that the request logs have one in common. */
     @BeforeEach
     void good() {
         served("claim", "good", 0);
@@ -116,7 +116,7 @@
         ran(type, id, "s-1", ms + 1, ExecutionResult.DONE);
     }
 
-    // --- rule 1
+    // --- one response per request
 
     @Test
     void permittedOutcomesAreNoViolation() throws Exception {
@@ -197,7 +197,7 @@
         broken(Violation.Rule.ANSWER, "id b was taken and passed on");
     }
 
-    // --- rule 2
+    // --- at-most-once execution
 
     @Test
     void nonIdempotentRequestExecutedTwiceIsFound() throws Exception {
@@ -266,7 +266,7 @@
         broken(Violation.Rule.EFFECT, "id x of claim may have run 2 times");
     }
 
-    // --- keyed
+    // --- idempotency keys
 
     @Test
     void retryWithKeyInCellWithinWindowIsPermitted() throws Exception {
@@ -297,7 +297,7 @@
         broken(Violation.Rule.KEYED, "10 ms past its window");
     }
 
-    // --- drains
+    // --- draining hosts
 
     private void told(long ms, long watcher, String host, String state) {
         lines.add(new WatchNotification(START + ms * MS, watcher, host, state, 1));
@@ -341,7 +341,7 @@
         lines.add(new HostEvent(START, "cold", HostEvent.Kind.STARTED, null, capacity, 0.25, 8_000 * MS));
     }
 
-    /** Requests of 10 ms of work each to the warming-up host, so many ms apart. */
+    /** Adds requests of 10 ms of work each to the warming-up host, the given number of milliseconds apart. */
     private void flood(int count, int apart) {
         for (int i = 0; i < count; i++) {
             long at = START + (100L + (long) i * apart) * MS;
@@ -382,7 +382,7 @@
         clean();
     }
 
-    // --- proof
+    // --- inconclusive request logs
 
     @Test
     void inconclusiveRequestLogsGiveWarnings() throws Exception {
--- a/src/test/java/rillyard/cli/UsageIT.java
+++ b/src/test/java/rillyard/cli/UsageIT.java
@@ -18,7 +18,7 @@
 import rillyard.childprocess.ProxyProcess;
 import rillyard.requestlog.RequestLogReader;
 
-/** The built jar as the pages say to use it, each command a process of its own. */
+/** Runs the built jar as the documentation describes, each command as a process of its own. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class UsageIT {
     @TempDir
--- a/src/test/java/rillyard/faultinjection/FaultInjectionIT.java
+++ b/src/test/java/rillyard/faultinjection/FaultInjectionIT.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import rillyard.childprocess.LaunchCommand;
 
-/** Twelve processes of the built jar, one killed, one stopped for a while, a zone cut off from the others. */
+/** Runs twelve processes of the built jar: one is killed, one is stopped for a while, and a zone is partitioned. */
 @Timeout(150)
 class FaultInjectionIT {
     private static final String PLAN =
--- a/src/test/java/rillyard/faultinjection/FaultInjectionResultTest.java
+++ b/src/test/java/rillyard/faultinjection/FaultInjectionResultTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import rillyard.faultinjection.MembershipTimeline.StateChange;
 
-/** Which deaths a fault excuses: m0 and m2 are in zone 0, m1 and m3 in zone 1. */
+/** Tests which declared deaths a fault excuses: m0 and m2 are in zone 0, m1 and m3 in zone 1. */
 class FaultInjectionResultTest {
     private static final long BEGUN = 1_000_000;
 
--- a/src/test/java/rillyard/faultinjection/FaultInjectionServingIT.java
+++ b/src/test/java/rillyard/faultinjection/FaultInjectionServingIT.java
@@ -15,7 +15,7 @@
 import rillyard.requestlog.HostExecution;
 import rillyard.requestlog.RequestLogReader;
 
-/** Six processes of the built jar serve their clients while their ways to hosts break, and they are halted. */
+/** Runs six processes of the built jar under load while their connections to hosts fail and processes are stopped. */
 @Timeout(150)
 class FaultInjectionServingIT {
     private static final String PLAN =
@@ -85,8 +85,7 @@
         assertThat(result.imbalance().windows()).as(result.report()).hasSizeGreaterThan(10);
         assertThat(result.report()).contains("largest over mean", "herds: ", "idle hosts: ");
         assertThat(Files.readAllLines(out.resolve("history.jsonl"))).hasSizeGreaterThan(36);
-        // None of a port that a way, or a connection on it, is given by itself while the process is not there to hold
-        // it.
+        // No port may be in the ephemeral range: a relay or a connection could take it while its process is restarted.
         for (int i = 0; i < 6; i++) {
             String listen = new ObjectMapper()
                     .readTree(out.resolve("m" + i + ".json").toFile())
@@ -95,8 +94,9 @@
             assertThat(Integer.parseInt(listen.substring(listen.indexOf(':') + 1)))
                     .isLessThan(32_768);
         }
-        // Each client has a proxy of its own: what those of zone 1 ask for can't come to the host that is cut off from
-        // them.
+        // Each client uses one proxy, so that requests of the clients of zone 1 can't reach the host that is
+        // partitioned
+        // from its proxies.
         long from = time(result, true) + 300;
         long until = time(result, false);
         Set<String> zone1 = new HashSet<>();
--- a/src/test/java/rillyard/faultinjection/ObservationGossipIT.java
+++ b/src/test/java/rillyard/faultinjection/ObservationGossipIT.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import rillyard.childprocess.LaunchCommand;
 
-/** Ten processes that tell each other which hosts fail, three of them cut off from the others' news. */
+/** Runs ten processes that exchange observations of failing hosts; three of them are partitioned from the others. */
 @Timeout(150)
 class ObservationGossipIT {
     private static final String PLAN =
@@ -30,7 +30,7 @@
       for_s = 14
       """;
 
-    /** One host answers all with errors from 6 s to 14 s. */
+    /** One host answers every request with an error from 6 s to 14 s. */
     private static final String HOSTS =
             """
       seed = 5
--- a/src/test/java/rillyard/faultinjection/TcpRelaysTest.java
+++ b/src/test/java/rillyard/faultinjection/TcpRelaysTest.java
@@ -19,14 +19,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A host that sends back what it gets, called by two processes on ways of their own. */
+/** Tests relays with an echo host that two processes call, each through a relay of its own. */
 @Timeout(30)
 class TcpRelaysTest {
     private static final FleetProcess A = FleetProcess.of(0, 2, 1);
     private static final FleetProcess B = FleetProcess.of(1, 2, 1);
 
     private final TcpRelays relays = new TcpRelays();
-    /** Connections that ended with not a byte on them. */
+    /** Number of connections that ended without a byte. */
     private final AtomicInteger empty = new AtomicInteger();
 
     private ServerSocket host;
@@ -184,7 +184,7 @@
         for (InetSocketAddress way : ways) {
             awaitWay(way);
         }
-        relays.close(); // ends the last of what was open
+        relays.close(); // closes the remaining connections
         assertThat(empty.get()).isLessThan(5);
     }
 
@@ -208,7 +208,7 @@
             } catch (ConnectException e) {
                 return;
             } catch (SocketException e) {
-                // taken in the moment in which the way was closed, and reset
+                // accepted just as the relay was closed, and reset
             }
         }
     }
