--- a/src/main/java/rillyard/audit/DrainingRule.java
+++ b/src/main/java/rillyard/audit/DrainingRule.java
@@ -12,9 +12,9 @@
  * Checks that no request reaches a draining or removed host once the grace period is over.
  *
  *
- * <p>A change counts as notified when the last open watch was notified, and at the latest after {@link
- * AuditSettings#maxNotificationDelay}. The request logs do not record which watch the sender of a request had, so that
- * all senders are held to the last notification.
+ * <p>A change counts as notified when the last open watch was notified, and at the latest after
+ * {@link AuditSettings#maxNotificationDelay}. The request logs do not record which watch the sender of a request had,
+ * so that all senders are held to the last notification.
  */
 final class DrainingRule {
     /** A period in which a host is draining or removed; times are microseconds of Unix time, 0 for none yet. */
--- a/src/main/java/rillyard/benchmark/FleetTraceStatistics.java
+++ b/src/main/java/rillyard/benchmark/FleetTraceStatistics.java
@@ -147,18 +147,22 @@
         attempts.merge(event.detail(), 1, Integer::sum);
     }
 
+    /** Returns the counters of a host, which are created at the first call. */
     HostCount host(String name) {
         return hosts.computeIfAbsent(name, h -> new HostCount());
     }
 
+    /** Returns the number of rejected requests by the result of their last attempt. */
     Map<String, Integer> rejectionsByLastResult() {
         return rejections;
     }
 
+    /** Returns the number of proxy starts. */
     int starts() {
         return starts;
     }
 
+    /** Returns the number of incomplete lines. */
     int tornLines() {
         return tornLines;
     }
--- a/src/main/java/rillyard/config/TomlTable.java
+++ b/src/main/java/rillyard/config/TomlTable.java
@@ -21,10 +21,11 @@
 
 /**
  * A table of a TOML file that is read key by key. An absent key has its default. An invalid one is recorded as a
- * problem and has its default too, so that all problems are found in one pass. The reader of the root calls {@link
- * #finish} at the end, which reports keys that were never read. Not thread-safe.
+ * problem and has its default too, so that all problems are found in one pass. The reader of the root calls
+ * {@link #finish} at the end, which reports keys that were never read. Not thread-safe.
  */
 public final class TomlTable {
+    /** The file that a table belongs to, with the problems found so far and all tables that were read. */
     private record Source(
             String file, Map<String, Integer> lines, List<ConfigProblem> problems, List<TomlTable> tables) {}
 
--- a/src/main/java/rillyard/faultinjection/ConnectionFaults.java
+++ b/src/main/java/rillyard/faultinjection/ConnectionFaults.java
@@ -17,10 +17,12 @@
 
     private final List<InjectedFault> active = new ArrayList<>();
 
+    /** Activates a fault. */
     void begin(InjectedFault fault) {
         active.add(fault);
     }
 
+    /** Deactivates a fault. */
     void end(InjectedFault fault) {
         active.remove(fault);
     }
--- a/src/main/java/rillyard/faultinjection/DatagramFaults.java
+++ b/src/main/java/rillyard/faultinjection/DatagramFaults.java
@@ -13,10 +13,12 @@
         this.random = new SplittableRandom(seed);
     }
 
+    /** Activates a fault. */
     void begin(InjectedFault fault) {
         active.add(fault);
     }
 
+    /** Deactivates a fault. */
     void end(InjectedFault fault) {
         active.remove(fault);
     }
--- a/src/main/java/rillyard/faultinjection/DatagramNetwork.java
+++ b/src/main/java/rillyard/faultinjection/DatagramNetwork.java
@@ -67,10 +67,12 @@
         return (InetSocketAddress) sockets[process.index()].localAddress();
     }
 
+    /** Activates a fault; may be called by any thread. */
     void begin(InjectedFault fault) {
         loop.execute(() -> faults.begin(fault));
     }
 
+    /** Deactivates a fault; may be called by any thread. */
     void end(InjectedFault fault) {
         loop.execute(() -> faults.end(fault));
     }
--- a/src/main/java/rillyard/faultinjection/FaultInjectionPlan.java
+++ b/src/main/java/rillyard/faultinjection/FaultInjectionPlan.java
@@ -45,12 +45,14 @@
      */
     record Clock(ProcessPattern processes, double rate) {}
 
+    /** Returns all processes in the order of their indexes. */
     List<FleetProcess> members() {
         return java.util.stream.IntStream.range(0, processes)
                 .mapToObj(this::member)
                 .toList();
     }
 
+    /** Returns the process with an index from 0. */
     FleetProcess member(int index) {
         return FleetProcess.of(index, zones, regions);
     }
--- a/src/main/java/rillyard/faultinjection/FaultInjectionRun.java
+++ b/src/main/java/rillyard/faultinjection/FaultInjectionRun.java
@@ -283,8 +283,8 @@
                     }
                 }
                 if (fault.kind() == InjectedFault.Kind.RESTART) {
-                    // Prevents kills that wait behind the starts of others: they would come seconds after their
-                    // time.
+                    // Processes are started once all are killed: a kill that waited for a start would come seconds
+                    // late.
                     for (FleetProcess process : fleet.members()) {
                         if (fault.sources().matches(process)) {
                             fleet.start(process);
--- a/src/main/java/rillyard/faultinjection/FleetProcess.java
+++ b/src/main/java/rillyard/faultinjection/FleetProcess.java
@@ -9,6 +9,7 @@
  * @param region number of its region, from 0
  */
 record FleetProcess(int index, String name, int zone, int region) {
+    /** Creates a process with its name, zone and region derived from its index. */
     static FleetProcess of(int index, int zones, int regions) {
         return new FleetProcess(index, "m" + index, index % zones, index % zones % regions);
     }
--- a/src/main/java/rillyard/faultinjection/InjectedFault.java
+++ b/src/main/java/rillyard/faultinjection/InjectedFault.java
@@ -58,11 +58,13 @@
             this.target = target;
         }
 
+        /** Returns whether a fault of this kind has a duration; otherwise it is instantaneous. */
         boolean isLasting() {
             return target != Target.PROCESSES || this == STOP || this == STARVE;
         }
     }
 
+    /** Returns what the fault is injected into. */
     Target target() {
         return kind.target;
     }
--- a/src/main/java/rillyard/faultinjection/MembershipTimeline.java
+++ b/src/main/java/rillyard/faultinjection/MembershipTimeline.java
@@ -30,6 +30,7 @@
             this(at, observer, subject, status, "");
         }
 
+        /** Returns whether the member counts as present in the new state. */
         boolean isPresent() {
             return status.equals("ALIVE") || status.equals("SUSPECT");
         }
@@ -85,6 +86,7 @@
         Files.write(file, changes.stream().map(StateChange::line).toList());
     }
 
+    /** Returns all changes in the order of their times. */
     List<StateChange> changes() {
         return changes;
     }
--- a/src/main/java/rillyard/faultinjection/ProcessFleet.java
+++ b/src/main/java/rillyard/faultinjection/ProcessFleet.java
@@ -152,6 +152,7 @@
         return folder.resolve("config.json");
     }
 
+    /** Returns all processes in the order of their indexes. */
     List<FleetProcess> members() {
         return members;
     }
@@ -166,6 +167,7 @@
         return adminAddresses.get(process.index());
     }
 
+    /** Returns the file to which a process writes its membership history. */
     Path history(FleetProcess process) {
         return folder.resolve(process.name() + ".history");
     }
@@ -204,6 +206,7 @@
                 command, log, log, "proxy", "--fleet", settings.toAbsolutePath().toString());
     }
 
+    /** Returns the child process that was started last for a process, or null before its first start. */
     ChildProcess child(FleetProcess process) {
         return children[process.index()];
     }
--- a/src/main/java/rillyard/faultinjection/ProcessPattern.java
+++ b/src/main/java/rillyard/faultinjection/ProcessPattern.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * A comma-separated pattern that selects processes: {@code all}, {@code zone:1}, {@code region:0}, {@code m3} or {@code
- * m10-m19}.
+ * A comma-separated pattern that selects processes: {@code all}, {@code zone:1}, {@code region:0}, {@code m3} or
+ * {@code m10-m19}.
  */
 final class ProcessPattern {
     /** One element: a range of indexes, and a zone and region, where -1 stands for any. */
@@ -39,6 +39,7 @@
         }
     }
 
+    /** Returns whether any element of the pattern matches a process. */
     boolean matches(FleetProcess process) {
         return elements.stream()
                 .anyMatch(element -> process.index() >= element.first
--- a/src/main/java/rillyard/faultinjection/RelayedConnection.java
+++ b/src/main/java/rillyard/faultinjection/RelayedConnection.java
@@ -24,10 +24,12 @@
         this.toUpstream = new Forwarder(downstream);
     }
 
+    /** Records that the connection to the host has been started. */
     void markConnecting() {
         connecting = true;
     }
 
+    /** Starts forwarding, or closes the host's side if the process has closed its side meanwhile. */
     void onConnected(SocketChannel channel) {
         upstream = channel;
         if (!downstream.isActive()) {
@@ -67,6 +69,7 @@
         }
     }
 
+    /** Closes a channel with a TCP reset. */
     static void reset(SocketChannel channel) {
         if (channel.isOpen()) {
             channel.config().setSoLinger(0);
--- a/src/main/java/rillyard/faultinjection/TcpRelay.java
+++ b/src/main/java/rillyard/faultinjection/TcpRelay.java
@@ -66,6 +66,7 @@
                 });
     }
 
+    /** Returns the effect of the active faults on this relay's connections. */
     ConnectionFaults.Effect effect() {
         return faults.effect(process, target.host, target.zone);
     }
--- a/src/main/java/rillyard/faultinjection/TcpRelays.java
+++ b/src/main/java/rillyard/faultinjection/TcpRelays.java
@@ -49,6 +49,7 @@
         return relayAddresses.getOrDefault(caller, Map.of()).getOrDefault(address, address);
     }
 
+    /** Activates a fault for new and open connections. */
     void begin(InjectedFault fault) {
         loop.execute(() -> {
             faults.begin(fault);
@@ -56,6 +57,7 @@
         });
     }
 
+    /** Deactivates a fault for new and open connections. */
     void end(InjectedFault fault) {
         loop.execute(() -> {
             faults.end(fault);
@@ -67,6 +69,7 @@
         return List.copyOf(targets.values());
     }
 
+    /** Returns an address as {@code IP:port}. */
     static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
--- a/src/test/java/rillyard/audit/AuditTest.java
+++ b/src/test/java/rillyard/audit/AuditTest.java
@@ -352,7 +352,7 @@
 
     @Test
     void warmingUpHostWithinBudgetIsNoViolation() throws Exception {
-        cold(4); // at first one ms of work a ms; three times that is its budget
+        cold(4); // initially 1 ms of work per ms; the budget is three times that
         flood(400, 4);
         clean();
     }
@@ -366,7 +366,7 @@
 
     @Test
     void shortBurstToWarmingUpHostIsFound() throws Exception {
-        cold(1); // three quarters of a ms a ms, for 1.5 s: 1,125 ms
+        cold(1); // a budget of 0.75 ms of work per ms for 1.5 s: 1,125 ms
         for (int i = 0; i < 200; i++) {
             long at = START + (100 + i / 50) * MS;
             lines.add(new HostExecution(
--- a/src/test/java/rillyard/benchmark/FleetTraceStatisticsTest.java
+++ b/src/test/java/rillyard/benchmark/FleetTraceStatisticsTest.java
@@ -13,7 +13,7 @@
 import rillyard.trace.TraceEvent;
 import rillyard.trace.TraceEvent.Kind;
 
-/** Logs of several proxies, put together by time. */
+/** Tests statistics over the logs of several proxies, merged by time. */
 class FleetTraceStatisticsTest {
     private final FleetTraceStatistics count = new FleetTraceStatistics(1_000, 500);
 
--- a/src/test/java/rillyard/cli/CliTest.java
+++ b/src/test/java/rillyard/cli/CliTest.java
@@ -15,6 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Tests help texts, exit codes and error messages of the commands. */
 class CliTest {
     @TempDir
     Path folder;
--- a/src/test/java/rillyard/cli/UsageIT.java
+++ b/src/test/java/rillyard/cli/UsageIT.java
@@ -128,7 +128,7 @@
         Process load = rillyard("load", "--cold", "--target", host, "--plan", "plan.toml", "--ledger", "clients.jsonl");
         Path clients = folder.resolve("clients.jsonl");
         await(clients, load);
-        while (Files.size(clients) == 0 && load.isAlive()) { // the first whole block
+        while (Files.size(clients) == 0 && load.isAlive()) { // until the first complete block
             Thread.sleep(10);
         }
         signal(load, "INT");
--- a/src/test/java/rillyard/config/TomlTableTest.java
+++ b/src/test/java/rillyard/config/TomlTableTest.java
@@ -5,6 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Tests typed reads of TOML tables and the problems that they report. */
 class TomlTableTest {
     private enum Colour {
         RED,
--- a/src/test/java/rillyard/demo/DemoAuditTest.java
+++ b/src/test/java/rillyard/demo/DemoAuditTest.java
@@ -23,8 +23,8 @@
 import rillyard.testserver.TestClusterPlanReader;
 
 /**
- * Real runs in which rules are broken, as no proxy stands between: clients that go on sending to a
- * host that drains, flood a cold one, are cut off, and repeat what must not be repeated.
+ * Runs load without a proxy, so that rules are violated: clients keep sending to a draining host, overload a warming-up
+ * one, lose their connections, and retry what must not be retried.
  */
 class DemoAuditTest {
     @TempDir
@@ -70,7 +70,7 @@
         assertThat(broken(
                         "[rules]\ndrain_grace_ms = 0\n[discovery]\nnotice_ms = 0\n"
                                 + "[[fault]]\nkind = 'drain'\nhost = 's-0'\nfor_s = 60\n",
-                        // What counts is what discovery has to tell, and nobody watches: 6 s at the latest.
+                        // No proxy watches discovery, so that the change counts as notified after 6 s.
                         plan("", 100).replace("for_s = 1.5", "for_s = 7")))
                 .containsExactly(Violation.Rule.DRAIN);
     }
--- a/src/test/java/rillyard/demo/DemoTest.java
+++ b/src/test/java/rillyard/demo/DemoTest.java
@@ -14,7 +14,7 @@
 import rillyard.audit.AuditSettings;
 import rillyard.audit.Violation;
 
-/** The whole in one: test hosts, a proxy in a process of its own, load, audit; shorter than the demo. */
+/** Runs the whole system with test hosts, a proxy process, load and audit, for a shorter time than the demo. */
 class DemoTest {
     private static final String HOSTS =
             """
@@ -57,7 +57,7 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         Demo.Result result = new Demo(new PrintStream(out, true, StandardCharsets.UTF_8), HOSTS, PLAN).run(folder);
         assertThat(result.verdict().warnings()).isEmpty();
-        // A machine whose cores are all busy may be late by itself: time limits get a second more here.
+        // A machine with all cores busy may be late by itself: time limits are a second longer here.
         AuditSettings settings = AuditSettings.read(folder.resolve("ready.json"));
         AuditSettings patient = new AuditSettings(
                 settings.classes(),
--- a/src/test/java/rillyard/faultinjection/FaultInjectionPartsTest.java
+++ b/src/test/java/rillyard/faultinjection/FaultInjectionPartsTest.java
@@ -12,6 +12,7 @@
 import rillyard.config.InvalidConfigException;
 import rillyard.faultinjection.MembershipTimeline.StateChange;
 
+/** Tests plans, fault schedules and histories without processes. */
 class FaultInjectionPartsTest {
     private static final FleetProcess A = FleetProcess.of(0, 2, 1);
     private static final FleetProcess B = FleetProcess.of(1, 2, 1);
--- a/src/test/java/rillyard/faultinjection/TcpRelaysTest.java
+++ b/src/test/java/rillyard/faultinjection/TcpRelaysTest.java
@@ -156,7 +156,7 @@
     void relayOfStoppedHostRefusesConnections() throws Exception {
         int port = host.getLocalPort();
         host.close();
-        try (Socket first = call(wayB)) { // finds out
+        try (Socket first = call(wayB)) { // detects that the host is down
             assertThatThrownBy(() -> {
                         echo(first);
                         first.getInputStream().read();
--- a/src/test/java/rillyard/requestlog/RequestLogTest.java
+++ b/src/test/java/rillyard/requestlog/RequestLogTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import rillyard.config.InvalidConfigException;
 
+/** Tests that request logs are written completely and read back, and that malformed ones are rejected. */
 class RequestLogTest {
     private static final List<LogRecord> LINES = List.of(
             new ClientAttempt(
