--- a/src/main/java/rillyard/cli/MembersCommand.java
+++ b/src/main/java/rillyard/cli/MembersCommand.java
@@ -44,7 +44,7 @@
     @Override
     public Integer call() throws Exception {
         PrintWriter out = spec.commandLine().getOut();
-        JsonNode view = MemberAdminClient.ask(admin);
+        JsonNode view = MemberAdminClient.fetchView(admin);
         if (json) {
             out.println(view);
         } else {
@@ -55,7 +55,7 @@
             GracefulShutdown shutdown = new GracefulShutdown(stopSignal::countDown);
             Map<String, String> before = memberStates(view);
             while (!stopSignal.await(POLL_INTERVAL_MS, TimeUnit.MILLISECONDS)) {
-                Map<String, String> now = memberStates(MemberAdminClient.ask(admin));
+                Map<String, String> now = memberStates(MemberAdminClient.fetchView(admin));
                 changes(before, now).forEach(out::println);
                 before = now;
             }
--- a/src/main/java/rillyard/faultinjection/ResourceUsage.java
+++ b/src/main/java/rillyard/faultinjection/ResourceUsage.java
@@ -23,7 +23,7 @@
         Map<String, JsonNode> views = new HashMap<>();
         for (FleetProcess process : fleet.members()) {
             try {
-                views.put(process.name(), MemberAdminClient.ask(fleet.adminAddress(process)));
+                views.put(process.name(), MemberAdminClient.fetchView(fleet.adminAddress(process)));
             } catch (IOException e) {
                 // it has ended or is stopped, and is left out
             }
