--- a/src/main/java/rillyard/audit/DrainingRule.java
+++ b/src/main/java/rillyard/audit/DrainingRule.java
@@ -17,7 +17,7 @@
  * so that all senders are held to the last notification.
  */
 final class DrainingRule {
-    /** A period in which a host is draining or removed; times are microseconds of Unix time, 0 for none yet. */
+    /** A period in which a host is draining or removed, in Unix microseconds; {@code notifiedAt} is 0 for never. */
     private static final class Span {
         final long changedAt;
         long notifiedAt;
--- a/src/main/java/rillyard/faultinjection/RandomFaultSchedule.java
+++ b/src/main/java/rillyard/faultinjection/RandomFaultSchedule.java
@@ -84,7 +84,7 @@
     private InjectedFault kill(double startMs) {
         boolean permanent = killed + 1 <= MAX_KILLED_SHARE * plan.processes() && random.nextInt(3) == 0;
         killed += permanent ? 1 : 0;
-        // Permanently killed processes are taken from the last one down, so that no other fault concerns them.
+        // Permanently killed processes are taken from the last one down, so that none is stopped or restarted.
         ProcessPattern process = permanent ? new ProcessPattern("m" + (plan.processes() - killed)) : anyProcess();
         InjectedFault.Kind kind = permanent ? InjectedFault.Kind.KILL : InjectedFault.Kind.RESTART;
         return new InjectedFault(startMs, kind, process, process, HostPattern.NONE, false, 0, 0, 0);
