--- a/src/main/java/rillyard/audit/DrainingRule.java
+++ b/src/main/java/rillyard/audit/DrainingRule.java
@@ -9,18 +9,22 @@
 import rillyard.requestlog.WatchNotification;
 
 /**
- * Nothing new to a host that drains or is gone, past the grace. A change counts as told when the
- * last watch that was open has been told, and at the latest after its time: the request logs don't say
- * which watch a request's sender had, so the latest is what all of them are held to.
+ * Checks that no request reaches a draining or removed host once the grace period is over.
+ *
+ *
+ * <p>A change counts as notified when the last open watch was notified, and at the latest after
+ * {@link AuditSettings#maxNotificationDelay}. The request logs do not record which watch the sender of a request had,
+ * so that all senders are held to the last notification.
  */
 final class DrainingRule {
+    /** A period in which a host is draining or removed, in Unix microseconds; {@code notifiedAt} is 0 for never. */
     private static final class Span {
         final long changedAt;
         long notifiedAt;
         long endedAt = Long.MAX_VALUE;
 
-        Span(long changed) {
-            this.changedAt = changed;
+        Span(long changedAt) {
+            this.changedAt = changedAt;
         }
     }
 
@@ -35,18 +39,18 @@
     void check(Consumer<Violation> violations) {
         spans().forEach((host, spans) -> {
             for (Span span : spans) {
-                long counted = span.changedAt + settings.maxNotificationDelay();
-                long told = span.notifiedAt == 0 ? counted : Math.min(counted, span.notifiedAt);
-                check(host, span, told + settings.drainGrace() + settings.socketSlack(), told, violations);
+                long latestNotifiedAt = span.changedAt + settings.maxNotificationDelay();
+                long notifiedAt = span.notifiedAt == 0 ? latestNotifiedAt : Math.min(latestNotifiedAt, span.notifiedAt);
+                check(host, span, notifiedAt + settings.drainGrace() + settings.socketSlack(), notifiedAt, violations);
             }
         });
     }
 
-    private void check(String host, Span span, long from, long told, Consumer<Violation> violations) {
+    private void check(String host, Span span, long graceEndsAt, long notifiedAt, Consumer<Violation> violations) {
         int count = 0;
         HostExecution first = null;
         for (HostExecution execution : evidence.executionsByHost(host)) {
-            if (execution.receivedAt() > from && execution.receivedAt() < span.endedAt) {
+            if (execution.receivedAt() > graceEndsAt && execution.receivedAt() < span.endedAt) {
                 first = first == null ? execution : first;
                 count++;
             }
@@ -67,16 +71,16 @@
                     Violation.Rule.DRAIN,
                     first.receivedAt(),
                     "host " + host + " drains or is gone, and got " + count + " requests past the grace, the"
-                            + " first, id " + first.requestId() + ", " + (first.receivedAt() - told) / 1_000
+                            + " first, id " + first.requestId() + ", " + (first.receivedAt() - notifiedAt) / 1_000
                             + " ms after that was told",
                     history));
         }
     }
 
     private Map<String, List<Span>> spans() {
-        Map<String, List<Span>> all = new HashMap<>();
+        Map<String, List<Span>> spansByHost = new HashMap<>();
         for (WatchNotification notification : evidence.notifications) {
-            List<Span> spans = all.computeIfAbsent(notification.host(), h -> new ArrayList<>());
+            List<Span> spans = spansByHost.computeIfAbsent(notification.host(), h -> new ArrayList<>());
             Span last = spans.isEmpty() ? null : spans.get(spans.size() - 1);
             boolean open = last != null && last.endedAt == Long.MAX_VALUE;
             if (notification.state().equals("up")) {
@@ -93,6 +97,6 @@
                 last.notifiedAt = notification.at();
             }
         }
-        return all;
+        return spansByHost;
     }
 }
--- a/src/main/java/rillyard/benchmark/ProxyOverheadBenchmark.java
+++ b/src/main/java/rillyard/benchmark/ProxyOverheadBenchmark.java
@@ -17,8 +17,8 @@
 import rillyard.childprocess.ProxyProcess;
 
 /**
- * What the proxy costs beside going straight to the hosts, and what the generator costs itself; and
- * the highest rate that one core of the generator holds on schedule.
+ * Measures the latency and CPU time that the proxy adds to direct requests, the CPU time of the load generator, and the
+ * highest rate at which one core of the generator keeps its schedule.
  */
 public final class ProxyOverheadBenchmark {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -45,20 +45,25 @@
     private final PrintStream out;
     private int runs;
 
-    /** Files go to the folder, values to {@code out}. */
+    /**
+     * Creates a benchmark.
+     *
+     * @param folder folder for its files
+     * @param out receives the results
+     */
     public ProxyOverheadBenchmark(Path folder, PrintStream out) {
         this.folder = folder;
         this.out = out;
     }
 
-    /** One run of the generator. */
+    /** The results of one run of the generator: latencies in milliseconds, CPU time in microseconds per request. */
     private record Run(boolean valid, double p50, double p99, double loadMicros, double proxyMicros, double served) {}
 
     /**
-     * Measures in turn, direct and through the proxy.
+     * Measures pairs of direct and proxied runs, alternating between the two.
      *
-     * @param rates requests a second
-     * @param pairs pairs of runs for each rate
+     * @param rates requests per second
+     * @param pairs number of pairs for each rate
      * @param seconds length of each run
      * @throws Exception if a process could not be started
      */
@@ -79,7 +84,7 @@
                 out.printf(
                         "%8s %5s %9s %9s %9s %9s %9s %9s %11s %11s %7s%n",
                         "1/s", "", "p50 ms", "p99", "p50", "p99", "p50", "p99", "us/request", "us/request", "");
-                load(proxy::cpuTime, proxied, rates[rates.length - 1], seconds); // what is cold is not counted
+                load(proxy::cpuTime, proxied, rates[rates.length - 1], seconds); // warm-up, not counted
                 for (int rate : rates) {
                     measure(rate, pairs, seconds, direct, proxied, proxy::cpuTime);
                 }
@@ -146,18 +151,22 @@
     }
 
     /**
-     * Raises the rate until the generator does not hold its schedule.
+     * Raises the rate until the generator no longer keeps its schedule.
      *
+     * @param firstRate first rate in requests per second
+     * @param step increment of the rate
+     * @param maxRate last rate
+     * @param seconds length of each run
      * @throws Exception if a process could not be started
      */
-    public void highestRate(int from, int step, int most, int seconds) throws Exception {
+    public void highestRate(int firstRate, int step, int maxRate, int seconds) throws Exception {
         try (ChildProcess hosts = hosts()) {
             Path ready = folder.resolve("ready.json");
             hosts.awaitFile(ready);
             String direct = addresses(ready);
             out.printf("%8s %9s %9s %11s %s%n", "rate 1/s", "p50 ms", "p99", "us/request", "");
             int failures = 0;
-            for (int rate = from; rate <= most && failures < 2; rate += step) {
+            for (int rate = firstRate; rate <= maxRate && failures < 2; rate += step) {
                 Run run = load(hosts::cpuTime, direct, rate, seconds);
                 failures += run.valid ? 0 : 1;
                 out.printf(
@@ -175,30 +184,30 @@
     private ChildProcess hosts() throws IOException {
         Path ready = folder.resolve("ready.json");
         Files.deleteIfExists(ready);
-        Path timetable = Files.writeString(folder.resolve("hosts.toml"), HOSTS);
+        Path hostsFile = Files.writeString(folder.resolve("hosts.toml"), HOSTS);
         return ChildProcess.start(
                 LaunchCommand.self().on("2-5"),
                 folder.resolve("hosts.log"),
                 null,
                 "stand-in",
                 "--timetable",
-                timetable.toString(),
+                hostsFile.toString(),
                 "--ready-file",
                 ready.toString(),
                 "--threads",
                 "4");
     }
 
-    private Run load(Supplier<Duration> bearer, String target, int rate, int seconds)
+    private Run load(Supplier<Duration> cpuTime, String target, int rate, int seconds)
             throws IOException, InterruptedException {
         Path plan = Files.writeString(
                 folder.resolve("plan.toml"),
                 "seed = " + ++runs + "\n[clients]\ncount = 100\n[[shape]]\nkind = \"poisson\"\nfor_s = " + seconds
                         + "\nrate = " + rate + "\n");
-        Path json = folder.resolve("run-" + runs + ".json");
+        Path reportFile = folder.resolve("run-" + runs + ".json");
         try (ChildProcess load = ChildProcess.start(
                 LaunchCommand.self().with(List.of("@deploy/load.jvm")).on("0"),
-                json,
+                reportFile,
                 null,
                 "load",
                 "--target",
@@ -206,34 +215,34 @@
                 "--plan",
                 plan.toString(),
                 "--json")) {
-            double before = bearer.get().toNanos() / 1e3;
+            double cpuBefore = cpuTime.get().toNanos() / 1e3;
             load.await();
-            double cpu = bearer.get().toNanos() / 1e3 - before;
-            JsonNode node = JSON.readTree(json.toFile());
-            JsonNode all = node.path("total");
-            double offered = all.path("offered").asDouble();
+            double cpu = cpuTime.get().toNanos() / 1e3 - cpuBefore;
+            JsonNode node = JSON.readTree(reportFile.toFile());
+            JsonNode total = node.path("total");
+            double offered = total.path("offered").asDouble();
             return new Run(
                     node.path("valid").asBoolean(),
-                    all.path("latency").path("p50").asDouble(),
-                    all.path("latency").path("p99").asDouble(),
+                    total.path("latency").path("p50").asDouble(),
+                    total.path("latency").path("p99").asDouble(),
                     1e6 * node.path("cpuSeconds").asDouble() / offered,
                     cpu / offered,
-                    (all.path("inAim").asDouble() + all.path("late").asDouble()) / offered);
+                    (total.path("inAim").asDouble() + total.path("late").asDouble()) / offered);
         }
     }
 
     private static String addresses(Path ready) throws IOException {
-        List<String> all = new ArrayList<>();
+        List<String> addresses = new ArrayList<>();
         JSON.readTree(ready.toFile())
                 .path("hosts")
-                .forEach(node -> all.add(node.path("addr").asText()));
-        return String.join(",", all);
+                .forEach(node -> addresses.add(node.path("addr").asText()));
+        return String.join(",", addresses);
     }
 
-    /** Reads rates, as {@code 500,1000}. */
+    /** Parses comma-separated rates, for example {@code 500,1000}. */
     public static int[] rates(String text) {
         return Arrays.stream(text.split(","))
-                .mapToInt(s -> Integer.parseInt(s.trim()))
+                .mapToInt(rate -> Integer.parseInt(rate.trim()))
                 .toArray();
     }
 }
--- a/src/main/java/rillyard/cli/Cli.java
+++ b/src/main/java/rillyard/cli/Cli.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.HelpCommand;
 import rillyard.config.InvalidConfigException;
 
-/** All commands, with {@code --help} and {@code --version} on each. */
+/** The root command, with {@code --help} and {@code --version} on each subcommand. */
 @Command(
         name = "rillyard",
         description = "A client-side load-balancing proxy, and what rehearses it.",
@@ -30,13 +30,13 @@
             HelpCommand.class
         })
 public final class Cli {
-    /** Done. */
+    /** Exit code for success. */
     public static final int DONE = 0;
 
-    /** The thing asked for failed. */
+    /** Exit code for a command that failed. */
     public static final int FAILED = 1;
 
-    /** The command, an option or a file can't be used; nothing was begun. */
+    /** Exit code for an invalid command, option or file; nothing was started. */
     public static final int USAGE = 2;
 
     private Cli() {}
@@ -47,24 +47,25 @@
         return run(new PrintWriter(System.out, true, charset), new PrintWriter(System.err, true, charset), args);
     }
 
-    /** As above, with help and errors written elsewhere. */
+    /** Runs a command line with help and errors written to the given writers, and returns the exit code. */
     public static int run(PrintWriter out, PrintWriter err, String... args) {
-        CommandLine line = new CommandLine(new Cli());
-        line.setOut(out);
-        line.setErr(err);
-        line.setCaseInsensitiveEnumValuesAllowed(true);
-        line.setExecutionExceptionHandler((e, command, result) -> {
-            if (e instanceof InvalidConfigException) {
-                err.println(e.getMessage());
+        CommandLine commandLine = new CommandLine(new Cli());
+        commandLine.setOut(out);
+        commandLine.setErr(err);
+        commandLine.setCaseInsensitiveEnumValuesAllowed(true);
+        commandLine.setExecutionExceptionHandler((exception, command, result) -> {
+            if (exception instanceof InvalidConfigException) {
+                err.println(exception.getMessage());
                 return USAGE;
             }
-            err.println("rillyard: " + (e.getMessage() == null ? e.toString() : e.getMessage()));
+            err.println(
+                    "rillyard: " + (exception.getMessage() == null ? exception.toString() : exception.getMessage()));
             return FAILED;
         });
         if (args.length == 0) {
-            line.usage(err);
+            commandLine.usage(err);
             return USAGE;
         }
-        return line.execute(args);
+        return commandLine.execute(args);
     }
 }
--- a/src/main/java/rillyard/cli/GracefulShutdown.java
+++ b/src/main/java/rillyard/cli/GracefulShutdown.java
@@ -1,24 +1,28 @@
 package rillyard.cli;
 
 /**
- * Has SIGINT and SIGTERM end a command in order: what is to be done first is done, then the process
- * goes. Without it the JVM ends while request logs lack their last lines.
+ * Lets a command finish on SIGINT and SIGTERM: a callback is run, and the JVM's shutdown waits for the command's
+ * thread. Without it the JVM would exit before request logs are complete.
  */
 final class GracefulShutdown {
-    private static final long MOST_MS = 20_000;
+    private static final long MAX_WAIT_MS = 20_000;
 
     private final Thread main = Thread.currentThread();
     private final Thread hook;
     private volatile boolean signalled;
 
-    /** {@code first} is run at the signal, on a thread of its own; then the command is waited for. */
-    GracefulShutdown(Runnable first) {
+    /**
+     * Installs the shutdown hook; the creating thread is the one that the shutdown waits for.
+     *
+     * @param onSignal run at the signal, on a thread of its own
+     */
+    GracefulShutdown(Runnable onSignal) {
         hook = new Thread(
                 () -> {
                     signalled = true;
-                    first.run();
+                    onSignal.run();
                     try {
-                        main.join(MOST_MS);
+                        main.join(MAX_WAIT_MS);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
@@ -27,16 +31,17 @@
         Runtime.getRuntime().addShutdownHook(hook);
     }
 
-    /** The command has done all that it had to; a signal is of no more interest. */
-    void over() {
+    /** Removes the hook, as the command has completed. */
+    void cancel() {
         try {
             Runtime.getRuntime().removeShutdownHook(hook);
         } catch (IllegalStateException e) {
-            // the signal came, and waits for this thread to end
+            // the shutdown has begun, and waits for this thread to end
         }
     }
 
-    boolean signalled() {
+    /** Returns whether a signal arrived. */
+    boolean isSignalled() {
         return signalled;
     }
 }
--- a/src/main/java/rillyard/cli/SubsetCommand.java
+++ b/src/main/java/rillyard/cli/SubsetCommand.java
@@ -11,6 +11,7 @@
 import rillyard.subset.SubsetStatistics;
 import rillyard.subset.SubsettingAlgorithm;
 
+/** Plans the subsets of a fleet. */
 @Command(
         name = "subset",
         description = "What instances of a fleet would hold of its hosts.",
@@ -25,6 +26,7 @@
         return Cli.USAGE;
     }
 
+    /** Computes the largest subset whose connections the hosts can bear. */
     @Command(
             name = "plan",
             description = {
@@ -34,8 +36,8 @@
             mixinStandardHelpOptions = true,
             versionProvider = VersionProvider.class)
     static final class Plan implements Callable<Integer> {
-        /** Instances times hosts; more take longer than anyone waits, as every subset is laid out. */
-        private static final long MOST = 10_000_000;
+        /** Maximum number of instances times hosts; as every subset is computed, more would take too long. */
+        private static final long MAX_PAIRS = 10_000_000;
 
         @Spec
         private CommandSpec spec;
@@ -68,36 +70,37 @@
             PrintWriter err = spec.commandLine().getErr();
             if (instances < 1
                     || hosts < SubsetSize.MIN_HOSTS
-                    || (long) instances * hosts > MOST
+                    || (long) instances * hosts > MAX_PAIRS
                     || cap < 1
                     || each < 1
                     || !(reserve >= 0 && reserve < 1)) {
                 err.println("rillyard: expected --instances of 1 or more, --hosts of " + SubsetSize.MIN_HOSTS
-                        + " or more, both times" + " each other up to " + MOST
+                        + " or more, both times" + " each other up to " + MAX_PAIRS
                         + ", --cap and --each of 1 or more, --reserve from 0 to below 1");
                 return Cli.USAGE;
             }
-            boolean any = false;
+            boolean anyFeasible = false;
             out.println("| way | hosts each | instances a host: least, mean, most | connections a host, most |"
                     + " neighbours alike | shared by two | moved when a host goes | when an instance comes |");
             out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
-            for (SubsettingAlgorithm way : SubsettingAlgorithm.values()) {
+            for (SubsettingAlgorithm algorithm : SubsettingAlgorithm.values()) {
                 try {
-                    SubsetSize size = SubsetSize.largest(way, instances, hosts, cap, each, reserve);
-                    row(out, way, size, SubsetStatistics.of(way, instances, hosts, size.hosts()));
-                    any = true;
+                    SubsetSize size = SubsetSize.largest(algorithm, instances, hosts, cap, each, reserve);
+                    printRow(out, algorithm, size, SubsetStatistics.of(algorithm, instances, hosts, size.hosts()));
+                    anyFeasible = true;
                 } catch (SubsetSize.TooManyConnectionsException e) {
-                    out.println("| " + way.optionName() + " | none: " + e.getMessage() + " | | | | | | |");
+                    out.println("| " + algorithm.optionName() + " | none: " + e.getMessage() + " | | | | | | |");
                 }
             }
-            return any ? Cli.DONE : Cli.FAILED;
+            return anyFeasible ? Cli.DONE : Cli.FAILED;
         }
 
-        private void row(PrintWriter out, SubsettingAlgorithm way, SubsetSize size, SubsetStatistics statistics) {
+        private void printRow(
+                PrintWriter out, SubsettingAlgorithm algorithm, SubsetSize size, SubsetStatistics statistics) {
             out.println(String.format(
                     Locale.ROOT,
                     "| %s | %d | %d, %.0f, %d | %d of %d | %d | %.2f | %.2f | %.2f |",
-                    way.optionName(),
+                    algorithm.optionName(),
                     size.hosts(),
                     statistics.minInstances(),
                     statistics.meanInstances(),
--- a/src/main/java/rillyard/config/DidYouMean.java
+++ b/src/main/java/rillyard/config/DidYouMean.java
@@ -2,30 +2,30 @@
 
 import java.util.Collection;
 
-/** The known name that a mistyped one was most likely meant to be. */
+/** Suggests the known name that a mistyped one was most likely meant to be. */
 public final class DidYouMean {
-    /** More edits than this part of the word make it another word. */
-    private static final double MOST_EDITS = 0.4;
+    /** Maximum number of edits as a share of the word's length; with more it is taken for another word. */
+    private static final double MAX_EDIT_SHARE = 0.4;
 
     private DidYouMean() {}
 
-    /** The known name with the fewest edits, or null if none is near. */
+    /** Returns the known name with the fewest edits, or null if none is similar. */
     public static String suggest(String word, Collection<String> known) {
         String best = null;
-        int fewest = (int) Math.max(1, MOST_EDITS * word.length()) + 1;
-        for (String k : known) {
-            int d = distance(word, k);
-            if (d < fewest) {
-                fewest = d;
-                best = k;
+        int fewestEdits = (int) Math.max(1, MAX_EDIT_SHARE * word.length()) + 1;
+        for (String candidate : known) {
+            int edits = distance(word, candidate);
+            if (edits < fewestEdits) {
+                fewestEdits = edits;
+                best = candidate;
             }
         }
         return best;
     }
 
     /**
-     * Edits that make one of the other: letters put in, left out, changed, or two neighbours swapped
-     * (optimal string alignment, after Damerau 1964), by three rows of the table.
+     * Returns the number of edits between two words: insertions, deletions, substitutions and swaps of neighbours
+     * (optimal string alignment, after Damerau 1964), computed with three rows of the table.
      */
     static int distance(String first, String second) {
         int[] twoAbove = new int[second.length() + 1];
--- a/src/main/java/rillyard/config/TomlTable.java
+++ b/src/main/java/rillyard/config/TomlTable.java
@@ -20,19 +20,19 @@
 import java.util.stream.Collectors;
 
 /**
- * One table of a TOML file, read key by key. A key that is absent has its default; one that is wrong
- * becomes a finding and has its default too, so that reading goes on and all findings come in one
- * pass. The one who reads the root calls {@link #finish} at the end: keys that nobody asked for are
- * findings then.
+ * A table of a TOML file that is read key by key. An absent key has its default. An invalid one is recorded as a
+ * problem and has its default too, so that all problems are found in one pass. The reader of the root calls
+ * {@link #finish} at the end, which reports keys that were never read. Not thread-safe.
  */
 public final class TomlTable {
+    /** The file that a table belongs to, with the problems found so far and all tables that were read. */
     private record Source(
             String file, Map<String, Integer> lines, List<ConfigProblem> problems, List<TomlTable> tables) {}
 
     private final Source source;
     private final String path;
     private final ObjectNode node;
-    private final Set<String> known = new LinkedHashSet<>();
+    private final Set<String> knownKeys = new LinkedHashSet<>();
 
     private TomlTable(Source source, String path, ObjectNode node) {
         this.source = source;
@@ -44,7 +44,7 @@
     /**
      * Reads a file.
      *
-     * @throws InvalidConfigException if it can't be read or is no TOML
+     * @throws InvalidConfigException if it can't be read or is not TOML
      */
     public static TomlTable read(Path file) throws InvalidConfigException {
         try {
@@ -55,220 +55,232 @@
     }
 
     /**
-     * Reads a text; {@code name} stands for it in findings.
+     * Parses a text.
      *
-     * @throws InvalidConfigException if it is no TOML
+     * @param name name of the text in problems
+     * @throws InvalidConfigException if it is not TOML
      */
     public static TomlTable parse(String name, String text) throws InvalidConfigException {
         try {
             JsonNode root = new TomlMapper().readTree(text);
-            ObjectNode table = root instanceof ObjectNode o ? o : JsonNodeFactory.instance.objectNode();
-            return new TomlTable(new Source(name, TomlLines.of(text), new ArrayList<>(), new ArrayList<>()), "", table);
+            ObjectNode table =
+                    root instanceof ObjectNode objectNode ? objectNode : JsonNodeFactory.instance.objectNode();
+            return new TomlTable(
+                    new Source(name, TomlLines.lineNumbers(text), new ArrayList<>(), new ArrayList<>()), "", table);
         } catch (JsonProcessingException e) {
-            JsonLocation at = e.getLocation();
-            int line = at == null ? 0 : Math.max(0, at.getLineNr());
+            JsonLocation location = e.getLocation();
+            int line = location == null ? 0 : Math.max(0, location.getLineNr());
             throw new InvalidConfigException(name, line, "not TOML: " + e.getOriginalMessage());
         }
     }
 
-    /** Whether the key is there. */
+    /** Returns whether the key is present, and marks it as known. */
     public boolean has(String key) {
-        known.add(key);
+        knownKeys.add(key);
         return node.has(key);
     }
 
-    /** The line of a key, or of the table where the key is absent. */
+    /**
+     * Returns the line of a key, or of the nearest enclosing table with a line if the key is absent; 0 if there is
+     * none.
+     */
     public int line(String key) {
-        String at = path.isEmpty() ? key : path + "." + key;
-        while (!at.isEmpty()) {
-            Integer line = source.lines.get(at);
+        String keyPath = path.isEmpty() ? key : path + "." + key;
+        while (!keyPath.isEmpty()) {
+            Integer line = source.lines.get(keyPath);
             if (line != null) {
                 return line;
             }
-            int dot = at.lastIndexOf('.');
-            at = dot < 0 ? "" : at.substring(0, dot);
+            int dot = keyPath.lastIndexOf('.');
+            keyPath = dot < 0 ? "" : keyPath.substring(0, dot);
         }
         return 0;
     }
 
-    /** Adds a finding at a key. */
+    /** Adds a problem at a key. */
     public void error(String key, String message) {
-        String where = path.isEmpty() ? key : path.replaceAll("\\.(\\d+)", "[$1]") + "." + key;
-        source.problems.add(new ConfigProblem(source.file, line(key), where + ": " + message));
+        String location = path.isEmpty() ? key : path.replaceAll("\\.(\\d+)", "[$1]") + "." + key;
+        source.problems.add(new ConfigProblem(source.file, line(key), location + ": " + message));
     }
 
     private JsonNode get(String key) {
-        known.add(key);
+        knownKeys.add(key);
         return node.get(key);
     }
 
-    /** A text, or the default. */
-    public String text(String key, String otherwise) {
+    /** Returns a text that is not blank, or the default. */
+    public String text(String key, String defaultValue) {
         JsonNode node = get(key);
         if (node == null) {
-            return otherwise;
+            return defaultValue;
         }
         if (!node.isTextual() || node.asText().isBlank()) {
             error(key, "found " + node + ", expected a text that is not empty");
-            return otherwise;
+            return defaultValue;
         }
         return node.asText();
     }
 
-    /** A text that must be there; empty where it is not, which is a finding. */
+    /** Returns a required text; if it is absent, adds a problem and returns an empty text. */
     public String text(String key) {
         if (!node.has(key)) {
-            known.add(key);
+            knownKeys.add(key);
             error(key, "is missing, expected a text");
             return "";
         }
         return text(key, "");
     }
 
-    /** One of a few names, in lower case with _ or - alike; or the default. */
-    public <E extends Enum<E>> E choice(String key, Class<E> type, E otherwise) {
-        String s = text(key, null);
-        if (s == null) {
-            return otherwise;
+    /**
+     * Returns the constant that a text names, in lower case and with {@code _} and {@code -} treated alike, or the
+     * default.
+     */
+    public <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) {
+        String text = text(key, null);
+        if (text == null) {
+            return defaultValue;
         }
-        for (E e : type.getEnumConstants()) {
-            if (name(e).equals(s.replace('_', '-'))) {
-                return e;
+        for (E constant : type.getEnumConstants()) {
+            if (optionName(constant).equals(text.replace('_', '-'))) {
+                return constant;
             }
         }
         List<String> names = new ArrayList<>();
-        for (E e : type.getEnumConstants()) {
-            names.add(name(e));
+        for (E constant : type.getEnumConstants()) {
+            names.add(optionName(constant));
         }
-        String near = DidYouMean.suggest(s, names);
+        String suggestion = DidYouMean.suggest(text, names);
         error(
                 key,
-                "found '" + s + "', expected one of " + String.join(", ", names)
-                        + (near == null ? "" : "; did you mean '" + near + "'?"));
-        return otherwise;
+                "found '" + text + "', expected one of " + String.join(", ", names)
+                        + (suggestion == null ? "" : "; did you mean '" + suggestion + "'?"));
+        return defaultValue;
     }
 
-    private static String name(Enum<?> constant) {
+    private static String optionName(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** True or false, or the default. */
-    public boolean flag(String key, boolean otherwise) {
+    /** Returns a boolean, or the default. */
+    public boolean flag(String key, boolean defaultValue) {
         JsonNode node = get(key);
         if (node == null) {
-            return otherwise;
+            return defaultValue;
         }
         if (!node.isBoolean()) {
             error(key, "found " + node + ", expected true or false");
-            return otherwise;
+            return defaultValue;
         }
         return node.asBoolean();
     }
 
-    /** A finite number within a range, ends included, or the default. */
-    public double number(String key, double otherwise, double least, double most) {
+    /** Returns a number within a range, both ends included, or the default. */
+    public double number(String key, double defaultValue, double min, double max) {
         JsonNode node = get(key);
         if (node == null) {
-            return otherwise;
+            return defaultValue;
         }
-        return inRange(key, node, least, most) ? node.asDouble() : otherwise;
+        return inRange(key, node, min, max) ? node.asDouble() : defaultValue;
     }
 
-    /** A whole number within a range, ends included, or the default. */
-    public long integer(String key, long otherwise, long least, long most) {
+    /** Returns an integer within a range, both ends included, or the default. */
+    public long integer(String key, long defaultValue, long min, long max) {
         JsonNode node = get(key);
         if (node == null) {
-            return otherwise;
+            return defaultValue;
         }
-        if (!node.isIntegralNumber() || !node.canConvertToLong() || node.asLong() < least || node.asLong() > most) {
-            error(key, "found " + node + ", expected a whole number from " + least + " to " + most);
-            return otherwise;
+        if (!node.isIntegralNumber() || !node.canConvertToLong() || node.asLong() < min || node.asLong() > max) {
+            error(key, "found " + node + ", expected a whole number from " + min + " to " + max);
+            return defaultValue;
         }
         return node.asLong();
     }
 
-    /** Numbers within a range, or the default. */
-    public double[] numbers(String key, double[] otherwise, double least, double most) {
+    /** Returns a list of numbers within a range, both ends included, or a copy of the default. */
+    public double[] numbers(String key, double[] defaultValue, double min, double max) {
         JsonNode node = get(key);
         if (node == null) {
-            return otherwise.clone();
+            return defaultValue.clone();
         }
         if (!node.isArray() || node.isEmpty()) {
             error(key, "found " + node + ", expected a list of numbers");
-            return otherwise.clone();
+            return defaultValue.clone();
         }
-        double[] out = new double[node.size()];
-        for (int i = 0; i < out.length; i++) {
-            if (!inRange(key, node.get(i), least, most)) {
-                return otherwise.clone();
+        double[] numbers = new double[node.size()];
+        for (int i = 0; i < numbers.length; i++) {
+            if (!inRange(key, node.get(i), min, max)) {
+                return defaultValue.clone();
             }
-            out[i] = node.get(i).asDouble();
+            numbers[i] = node.get(i).asDouble();
         }
-        return out;
+        return numbers;
     }
 
-    private boolean inRange(String key, JsonNode node, double least, double most) {
-        if (node.isNumber() && node.asDouble() >= least && node.asDouble() <= most) {
+    private boolean inRange(String key, JsonNode node, double min, double max) {
+        if (node.isNumber() && node.asDouble() >= min && node.asDouble() <= max) {
             return true;
         }
-        error(key, "found " + node + ", expected a number from " + plain(least) + " to " + plain(most));
+        error(key, "found " + node + ", expected a number from " + format(min) + " to " + format(max));
         return false;
     }
 
-    private static String plain(double number) {
+    private static String format(double number) {
         return number == Math.rint(number) && Math.abs(number) < 1e15
                 ? Long.toString((long) number)
                 : Double.toString(number);
     }
 
-    /** A table within this one; an empty one where the key is absent. */
+    /** Returns a nested table; an empty one if the key is absent or not a table. */
     public TomlTable table(String key) {
         JsonNode node = get(key);
         if (node != null && !node.isObject()) {
             error(key, "found " + node + ", expected a table");
         }
-        String at = path.isEmpty() ? key : path + "." + key;
-        return new TomlTable(source, at, node instanceof ObjectNode o ? o : JsonNodeFactory.instance.objectNode());
+        String tablePath = path.isEmpty() ? key : path + "." + key;
+        return new TomlTable(
+                source,
+                tablePath,
+                node instanceof ObjectNode objectNode ? objectNode : JsonNodeFactory.instance.objectNode());
     }
 
-    /** The tables of an array of tables; none where the key is absent. */
+    /** Returns the tables of an array of tables; none if the key is absent. */
     public List<TomlTable> tables(String key) {
         JsonNode node = get(key);
-        List<TomlTable> out = new ArrayList<>();
+        List<TomlTable> tables = new ArrayList<>();
         if (node == null) {
-            return out;
+            return tables;
         }
         if (!node.isArray()) {
             error(key, "found " + node + ", expected tables, each headed [[" + key + "]]");
-            return out;
+            return tables;
         }
         for (int i = 0; i < node.size(); i++) {
-            if (node.get(i) instanceof ObjectNode o) {
-                out.add(new TomlTable(source, (path.isEmpty() ? key : path + "." + key) + "." + i, o));
+            if (node.get(i) instanceof ObjectNode objectNode) {
+                tables.add(new TomlTable(source, (path.isEmpty() ? key : path + "." + key) + "." + i, objectNode));
             } else {
                 error(key, "found " + node.get(i) + ", expected a table");
             }
         }
-        return out;
+        return tables;
     }
 
     /**
-     * Ends the reading of the whole file.
+     * Ends the reading of the file and reports all problems.
      *
-     * @throws InvalidConfigException if there is any finding, unknown keys included
+     * @throws InvalidConfigException if there is any problem; unknown keys are problems too
      */
     public void finish() throws InvalidConfigException {
         for (TomlTable table : source.tables) {
-            table.node.fieldNames().forEachRemaining(k -> {
-                if (!table.known.contains(k)) {
-                    String near = DidYouMean.suggest(k, table.known);
+            table.node.fieldNames().forEachRemaining(key -> {
+                if (!table.knownKeys.contains(key)) {
+                    String suggestion = DidYouMean.suggest(key, table.knownKeys);
                     table.error(
-                            k,
+                            key,
                             "unknown key"
-                                    + (near != null
-                                            ? "; did you mean '" + near + "'?"
+                                    + (suggestion != null
+                                            ? "; did you mean '" + suggestion + "'?"
                                             : ", expected one of "
-                                                    + table.known.stream()
+                                                    + table.knownKeys.stream()
                                                             .sorted()
                                                             .collect(Collectors.joining(", "))));
                 }
--- a/src/test/java/rillyard/cli/UsageIT.java
+++ b/src/test/java/rillyard/cli/UsageIT.java
@@ -18,7 +18,7 @@
 import rillyard.childprocess.ProxyProcess;
 import rillyard.requestlog.RequestLogReader;
 
-/** The built jar as the pages say to use it, each command a process of its own. */
+/** Runs the built jar as the documentation describes, each command as a process of its own. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class UsageIT {
     @TempDir
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void standInLoadAndAuditAsWritten() throws Exception {
+    void documentedTestClusterLoadAndAuditCommandsWork() throws Exception {
         Files.writeString(folder.resolve("faults.toml"), "[[fault]]\nkind = 'slow'\nhost = 's-3'\nat_s = 0\n");
         Files.writeString(
                 folder.resolve("plan.toml"),
@@ -100,8 +100,8 @@
             assertThat(load.waitFor()).isZero();
             assertThat(report.path("total").path("offered").asInt()).isBetween(140, 260);
             assertThat(report.path("total").path("inAim").asInt()).isGreaterThan(100);
-            for (String f : List.of("report.html", "report.json", "latency.hgrm", "service.hgrm")) {
-                assertThat(folder.resolve("out").resolve(f)).isNotEmptyFile();
+            for (String fileName : List.of("report.html", "report.json", "latency.hgrm", "service.hgrm")) {
+                assertThat(folder.resolve("out").resolve(fileName)).isNotEmptyFile();
             }
         }
         signal(cluster, "TERM");
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void interruptedTheRunIsReportedAndBothLedgersAreWhole() throws Exception {
+    void interruptedRunIsReportedWithCompleteRequestLogs() throws Exception {
         Files.writeString(
                 folder.resolve("plan.toml"),
                 "lateness_ms = 5000\n[[shape]]\nkind = 'poisson'\nfor_s = 3600\nrate = 300\n");
@@ -128,7 +128,7 @@
         Process load = rillyard("load", "--cold", "--target", host, "--plan", "plan.toml", "--ledger", "clients.jsonl");
         Path clients = folder.resolve("clients.jsonl");
         await(clients, load);
-        while (Files.size(clients) == 0 && load.isAlive()) { // the first whole block
+        while (Files.size(clients) == 0 && load.isAlive()) { // until the first complete block
             Thread.sleep(10);
         }
         signal(load, "INT");
--- a/src/test/java/rillyard/faultinjection/FaultInjectionIT.java
+++ b/src/test/java/rillyard/faultinjection/FaultInjectionIT.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import rillyard.childprocess.LaunchCommand;
 
-/** Twelve processes of the built jar, one killed, one stopped for a while, a zone cut off from the others. */
+/** Runs twelve processes of the built jar: one is killed, one is stopped for a while, and a zone is partitioned. */
 @Timeout(150)
 class FaultInjectionIT {
     private static final String PLAN =
@@ -38,7 +38,7 @@
     Path folder;
 
     @Test
-    void beliefsFollowAKillAStopAndACutAndAreOneAgain() throws Exception {
+    void membershipFollowsKillStopAndPartitionAndConverges() throws Exception {
         LaunchCommand built = LaunchCommand.platform(Path.of("").toAbsolutePath());
         FaultInjectionResult result = new FaultInjectionRun(
                         FaultInjectionPlanReader.parse("plan", PLAN, folder), folder.resolve("trial"), System.out)
--- a/src/test/java/rillyard/faultinjection/ObservationGossipIT.java
+++ b/src/test/java/rillyard/faultinjection/ObservationGossipIT.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import rillyard.childprocess.LaunchCommand;
 
-/** Ten processes that tell each other which hosts fail, three of them cut off from the others' news. */
+/** Runs ten processes that exchange observations of failing hosts; three of them are partitioned from the others. */
 @Timeout(150)
 class ObservationGossipIT {
     private static final String PLAN =
@@ -30,7 +30,7 @@
       for_s = 14
       """;
 
-    /** One host answers all with errors from 6 s to 14 s. */
+    /** One host answers every request with an error from 6 s to 14 s. */
     private static final String HOSTS =
             """
       seed = 5
@@ -47,7 +47,7 @@
     Path folder;
 
     @Test
-    void aHostOfErrorsIsLeftByThoseWhoHearOfItAndServesAllAgainAfter() throws Exception {
+    void failingHostIsEjectedByProxiesWithGossipAndReadmitted() throws Exception {
         Files.writeString(folder.resolve("hosts.toml"), HOSTS);
         Files.writeString(
                 folder.resolve("load.toml"),
@@ -60,13 +60,13 @@
         for (int i = 0; i < 10; i++) {
             List<String> said = new ArrayList<>();
             Files.readAllLines(out.resolve("m" + i + ".log")).stream()
-                    .filter(l -> l.contains("fleet: host"))
+                    .filter(line -> line.contains("fleet: host"))
                     .forEach(said::add);
-            assertThat(said).as("m" + i).allMatch(l -> l.contains("host=s-3 "));
+            assertThat(said).as("m" + i).allMatch(line -> line.contains("host=s-3 "));
             if (i < 3) {
-                assertThat(said).as("m" + i + ", which hears nobody").noneMatch(l -> l.contains("host ejected"));
+                assertThat(said).as("m" + i + ", which hears nobody").noneMatch(line -> line.contains("host ejected"));
             } else {
-                assertThat(said).as("m" + i).anyMatch(l -> l.contains("fleet: host ejected, host=s-3 "));
+                assertThat(said).as("m" + i).anyMatch(line -> line.contains("fleet: host ejected, host=s-3 "));
                 assertThat(said.get(said.size() - 1)).as("m" + i).contains("fleet: host readmitted, host=s-3 ");
             }
         }
--- a/src/test/java/rillyard/faultinjection/TcpRelaysTest.java
+++ b/src/test/java/rillyard/faultinjection/TcpRelaysTest.java
@@ -19,14 +19,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A host that sends back what it gets, called by two processes on ways of their own. */
+/** Tests relays with an echo host that two processes call, each through a relay of its own. */
 @Timeout(30)
 class TcpRelaysTest {
     private static final FleetProcess A = FleetProcess.of(0, 2, 1);
     private static final FleetProcess B = FleetProcess.of(1, 2, 1);
 
     private final TcpRelays relays = new TcpRelays();
-    /** Connections that ended with not a byte on them. */
+    /** Number of connections that ended without a byte. */
     private final AtomicInteger empty = new AtomicInteger();
 
     private ServerSocket host;
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void silenceHoldsAllOfOneProcessUntilItsEnd() throws Exception {
+    void silentFaultBlocksOneProcessUntilItEnds() throws Exception {
         try (Socket open = call(wayA);
                 Socket other = call(wayB)) {
             assertThat(echo(open)).isEqualTo(7);
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void resetsEndWhatIsOpenAndWhatComes() throws Exception {
+    void resetFaultEndsOpenAndNewConnections() throws Exception {
         try (Socket open = call(wayA);
                 Socket other = call(wayB)) {
             assertThat(echo(open)).isEqualTo(7);
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void refusalLeavesWhatIsOpenAndEnds() throws Exception {
+    void refusedFaultKeepsOpenConnectionsAndEnds() throws Exception {
         try (Socket open = call(wayA)) {
             assertThat(echo(open)).isEqualTo(7);
             InjectedFault injectedFault = fault(InjectedFault.Kind.REFUSED, 0);
@@ -153,10 +153,10 @@
     }
 
     @Test
-    void aHostThatIsDownIsRefusedOnItsWays() throws Exception {
+    void relayOfStoppedHostRefusesConnections() throws Exception {
         int port = host.getLocalPort();
         host.close();
-        try (Socket first = call(wayB)) { // finds out
+        try (Socket first = call(wayB)) { // detects that the host is down
             assertThatThrownBy(() -> {
                         echo(first);
                         first.getInputStream().read();
@@ -169,7 +169,7 @@
     }
 
     @Test
-    void manyWaysToAHostThatIsDownCallItForAllOfThemTogether() throws Exception {
+    void relaysOfStoppedHostShareReconnectAttempts() throws Exception {
         InetSocketAddress at = (InetSocketAddress) host.getLocalSocketAddress();
         List<InetSocketAddress> ways = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
@@ -184,12 +184,12 @@
         for (InetSocketAddress way : ways) {
             awaitWay(way);
         }
-        relays.close(); // ends the last of what was open
+        relays.close(); // closes the remaining connections
         assertThat(empty.get()).isLessThan(5);
     }
 
     @Test
-    void slowBytesComeLaterAndInOrder() throws Exception {
+    void slowFaultDelaysBytesInOrder() throws Exception {
         relays.begin(fault(InjectedFault.Kind.SLOW, 60));
         try (Socket socket = call(wayA)) {
             socket.setSoTimeout(10_000);
@@ -208,7 +208,7 @@
             } catch (ConnectException e) {
                 return;
             } catch (SocketException e) {
-                // taken in the moment in which the way was closed, and reset
+                // accepted just as the relay was closed, and reset
             }
         }
     }
