--- a/src/main/java/rillyard/balancer/HostSelector.java
+++ b/src/main/java/rillyard/balancer/HostSelector.java
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Adds random hosts of the pool to the candidates. Returns true if the only candidate is a half-open probe. */
+    /** Adds random hosts of the pool to the candidates; returns true if the only one is an ejected host to probe. */
     private boolean draw(List<HostState> pool, RequestState request, double now) {
         int wanted = subset.candidates();
         int found = 0;
@@ -97,8 +97,8 @@
     }
 
     /**
-     * Whether the host is expected to answer a first attempt in time. Each candidate is asked: with the winner's estimate
-     * alone, an idle host without reports that wins every comparison would have all requests rejected.
+     * Whether the host is expected to answer a first attempt in time. Checked for every candidate: were only the winner
+     * checked, an idle host without load reports could win every comparison and cause every request to be rejected.
      */
     private boolean isInTime(HostState host, RequestState request, double now) {
         return load.expectedLatency(host, now) <= request.maxExpectedLatency();
@@ -121,7 +121,7 @@
         }
     }
 
-    /** Returns any healthy host in time; an unhealthy one only if no host is healthy, as opposed to overloaded. */
+    /** Returns a healthy host in time; else, unless a healthy one is overloaded, the least loaded unhealthy host. */
     private HostState selectFromAll(RequestState request, double now) {
         List<HostState> all = hosts.ready();
         int start = all.isEmpty() ? 0 : random.nextInt(all.size());
--- a/src/main/java/rillyard/cli/TestClusterCommand.java
+++ b/src/main/java/rillyard/cli/TestClusterCommand.java
@@ -80,8 +80,9 @@
                         readyFile,
                         new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsBytes(cluster.readyFile()));
             }
-            System.out.println("rillyard: " + plan.hosts().size() + " hosts, discovery at "
-                    + format(cluster.discoveryAddress()) + ", faults at http://" + format(cluster.controlAddress()) + "/faults");
+            System.out.println(
+                    "rillyard: " + plan.hosts().size() + " hosts, discovery at " + format(cluster.discoveryAddress())
+                            + ", faults at http://" + format(cluster.controlAddress()) + "/faults");
             while (!stopSignal.await(1, TimeUnit.SECONDS)) {
                 requestLog.flush();
             }
--- a/src/main/java/rillyard/membership/FailureDetector.java
+++ b/src/main/java/rillyard/membership/FailureDetector.java
@@ -15,8 +15,8 @@
     /** Points by which a pause of this process lowers the local health. */
     private static final int PAUSE_PENALTY = 2;
 
-    /** Sources of this member's own updates, as {@link MembershipEvent#source}; part of the stored history. */
-    private static final String SOURCE_PROBE = "a probe";
+    /** Source of this member's updates ({@link MembershipEvent#source}): an unanswered probe, a suspicion timeout. */
+    private static final String SOURCE_PROBE = "a probe"; // stored in the history, as is the next
 
     private static final String SOURCE_TIMEOUT = "its time";
 
@@ -134,10 +134,10 @@
     // --- suspects
 
     /**
-     * Pings a suspect repeatedly, so that it learns of the suspicion and its refutation arrives, also where much is lost.
+     * Pings a suspect repeatedly, so that it learns of the suspicion and its refutation arrives, also if much is lost.
      *
-     * <p>Its suspectors do so, some of the other members, and every member that has not received the refutation when
-     * that should have reached all: gossip misses one member in hundreds.
+     * <p>Its suspectors do so, some of the other members and, once half of the suspicion timeout has passed, every
+     * member still without the refutation, as gossip misses about one member in several hundred.
      */
     private void pingSuspect(MemberState suspect, double now) {
         if (now < suspect.nextPingAtMillis()) {
--- a/src/main/java/rillyard/proxy/discovery/EndpointRegistry.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointRegistry.java
@@ -37,7 +37,7 @@
      */
     public record ListedEndpoint(String name, InetSocketAddress address, EndpointEntry entry) {}
 
-    private static final Pattern HOST_ID = Pattern.compile("host (\\d{1,19})");
+    private static final Pattern HOST_ID = Pattern.compile("\\bhost=(\\d{1,19})");
 
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
@@ -78,7 +78,7 @@
     public String replaceHostId(String line) {
         Matcher matcher = HOST_ID.matcher(line);
         UpstreamHost host = matcher.find() ? hostsById.get(Long.parseLong(matcher.group(1))) : null;
-        return host == null ? line : matcher.replaceFirst("host " + Matcher.quoteReplacement(host.name()));
+        return host == null ? line : matcher.replaceFirst("host=" + Matcher.quoteReplacement(host.name()));
     }
 
     /** Returns whether there is a host to which new requests may be sent. */
--- a/src/main/java/rillyard/proxy/discovery/WatchConnection.java
+++ b/src/main/java/rillyard/proxy/discovery/WatchConnection.java
@@ -136,7 +136,7 @@
             return;
         }
         watch.onList(list, state == State.UNCONFIRMED);
-        onBlankLine();
+        recordSignOfLife();
     }
 
     private EndpointRegistry.EndpointList parse(byte[] bytes, int length) throws MalformedEndpointListException {
@@ -147,9 +147,13 @@
         }
     }
 
-    /** Records a sign of life; bytes that never become a complete list are none. */
     @Override
     public void onBlankLine() {
+        recordSignOfLife();
+    }
+
+    /** Only complete lists and blank lines are signs of life; bytes that never become a complete list are none. */
+    private void recordSignOfLife() {
         if (state == State.ENDED) {
             return; // ended by something that came in the same read
         }
--- a/src/main/java/rillyard/proxy/downstream/RequestBodyReceiver.java
+++ b/src/main/java/rillyard/proxy/downstream/RequestBodyReceiver.java
@@ -12,17 +12,17 @@
 import rillyard.proxy.resources.BufferedBody;
 
 /**
- * Receives the request at hand of one client connection: buffers its body up to a bound, forwards a longer one, and
+ * Receives the current request of one client connection: buffers its body up to a bound, forwards a longer one, and
  * stops reading while there is no memory or the host takes no more.
  */
 final class RequestBodyReceiver {
-    /** What becomes of the body of the request at hand. */
+    /** What becomes of the body of the current request. */
     private enum State {
         /** No request is being received. */
         IDLE,
         /** The head is there, and what comes is buffered. */
         BUFFERING,
-        /** As {@link #BUFFERING}, while reading is paused for want of memory. */
+        /** As {@link #BUFFERING}, while reading is paused because memory is exhausted. */
         AWAITING_MEMORY,
         /** What comes is forwarded to a host. */
         UPLOADING,
@@ -42,10 +42,10 @@
         MEMORY_DEADLOCK
     }
 
-    /** The longest (ms) that a request waits for memory, and no longer than half of its time. */
+    /** Longest wait (ms) for memory; half of the request's timeout if that is shorter. */
     private static final double MAX_MEMORY_WAIT_MILLIS = 400;
 
-    /** A request that is complete so soon (ns) after a pause had been waiting in its socket. */
+    /** If a request completes within this time (ns) of a pause, its bytes are assumed to have waited in the socket. */
     private static final long RESUMED_RECENTLY_NANOS = 20_000_000L;
 
     private final RequestReader reader;
@@ -231,7 +231,7 @@
         resumeUpload();
     }
 
-    /** Reads on after a pause that the host caused, which does not count as silence of the client. */
+    /** Resumes reading; the time since the last read does not count as silence of the client. */
     void resumeUpload() {
         decoder.resetLastRead();
         channel.config().setAutoRead(true);
@@ -250,7 +250,7 @@
         decoder.onRequestComplete();
     }
 
-    /** Drops the request at hand and frees its memory; one whose rest is skipped already stays so. */
+    /** Drops the current request and releases its memory; a request that is being skipped remains so. */
     void abort() {
         endMemoryWait();
         if (buffered != null) {
--- a/src/test/java/rillyard/membership/MembershipModelTest.java
+++ b/src/test/java/rillyard/membership/MembershipModelTest.java
@@ -9,11 +9,11 @@
 
 /**
  * Explores every order of deliveries, losses, duplicates, restarts and time steps of the production classes;
- * {@code -Drillyard.modelcheck.depth} goes deeper.
+ * {@code -Drillyard.check.depth} goes deeper.
  */
 class MembershipModelTest {
-    private static final int DEPTH = Integer.getInteger("rillyard.modelcheck.depth", 7);
-    private static final int STATES = Integer.getInteger("rillyard.modelcheck.states", 40_000);
+    private static final int DEPTH = Integer.getInteger("rillyard.check.depth", 7);
+    private static final int STATES = Integer.getInteger("rillyard.check.states", 40_000);
     private static final int FAIR_EVERY = 100;
 
     @Test
--- a/src/test/java/rillyard/proxy/upstream/HostConnectionLimitTest.java
+++ b/src/test/java/rillyard/proxy/upstream/HostConnectionLimitTest.java
@@ -1,4 +1,4 @@
-package rillyard.proxy.discovery;
+package rillyard.proxy.upstream;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -15,7 +15,7 @@
 import rillyard.proxy.TestPeer;
 
 /** Connections to hosts whose connection tables are limited. */
-class EndpointRegistryTest {
+class HostConnectionLimitTest {
     private static String claim() {
         return ProxyFixture.post("claim", 800, "", "visit=1");
     }
