--- a/src/main/java/rillyard/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointListParser.java
@@ -7,13 +7,13 @@
 import rillyard.balancer.EndpointEntry;
 import rillyard.proxy.config.ProxyConfig;
 
-/** Parses endpoint lists in discovery's JSON form; changes nothing. */
+/** Parses endpoint lists in discovery's JSON form, without {@link EndpointEntry#onlineSince}; changes nothing. */
 final class EndpointListParser {
     private static final double DEFAULT_WEIGHT = 1;
 
     private final EndpointRegistry registry;
 
-    /** Creates a parser; the registry gives the hosts' ids and the balancer's clock. */
+    /** Creates a parser; the registry gives the hosts' ids. */
     EndpointListParser(EndpointRegistry registry) {
         this.registry = registry;
     }
@@ -51,8 +51,8 @@
                 server.path("cell").asLong(0),
                 condition,
                 server.path("weight").asDouble(DEFAULT_WEIGHT),
-                startedUnixMillis <= 0 ? 0 : registry.toBalancerTime(startedUnixMillis));
-        return new EndpointRegistry.ListedEndpoint(name, address, entry);
+                0);
+        return new EndpointRegistry.ListedEndpoint(name, address, entry, Math.max(0, startedUnixMillis));
     }
 
     /** Returns the condition of a state; a host in an unknown state receives nothing new. */
--- a/src/main/java/rillyard/proxy/discovery/EndpointRegistry.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointRegistry.java
@@ -1,9 +1,11 @@
 package rillyard.proxy.discovery;
 
 import java.net.InetSocketAddress;
+import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -11,6 +13,7 @@
 import java.util.regex.Pattern;
 import rillyard.balancer.EndpointEntry;
 import rillyard.endpoints.DisabledHosts;
+import rillyard.endpoints.HostStartClock;
 import rillyard.proxy.upstream.UpstreamHost;
 
 /**
@@ -34,8 +37,10 @@
      * @param name discovery's name of the host
      * @param address the host's address; may be null unless the host is ready
      * @param entry the entry as the balancer reads it
+     * @param startedUnixMillis the host's start as discovery states it, 0 for long ago
      */
-    public record ListedEndpoint(String name, InetSocketAddress address, EndpointEntry entry) {}
+    public record ListedEndpoint(
+            String name, InetSocketAddress address, EndpointEntry entry, double startedUnixMillis) {}
 
     private static final Pattern HOST_ID = Pattern.compile("\\bhost=(\\d{1,19})");
 
@@ -45,17 +50,17 @@
     private final Map<String, UpstreamHost> hostsByName = new HashMap<>();
     private final Map<Long, UpstreamHost> hostsById = new HashMap<>();
     private final DisabledHosts disabledHosts;
-    private final double unixOffsetMillis;
+    private final HostStartClock hostStartClock;
 
     /**
      * Creates a registry without hosts.
      *
-     * @param unixOffsetMillis Unix time less the balancer's clock, in milliseconds
+     * @param hostStartClock converts the start times of hosts; owned by the registry
      * @param disabledHosts the hosts that operators disabled; owned by the caller
      */
-    public EndpointRegistry(double unixOffsetMillis, DisabledHosts disabledHosts) {
+    public EndpointRegistry(HostStartClock hostStartClock, DisabledHosts disabledHosts) {
         this.disabledHosts = disabledHosts;
-        this.unixOffsetMillis = unixOffsetMillis;
+        this.hostStartClock = hostStartClock;
     }
 
     /** Returns the host of an id, or null if there is none. */
@@ -113,6 +118,46 @@
 
     // --- lists
 
+    /**
+     * Returns a list that discovery sent, or that was cached, with its hosts' starts on the balancer's clock. A delta is
+     * extended by other hosts of which it shows that they started later than was assumed.
+     *
+     * @param isCached whether it is the list that the process was started with
+     * @param now when it was received (ms, the balancer's clock)
+     */
+    public EndpointList withStartTimes(EndpointList list, boolean isCached, double now) {
+        Map<String, Double> startedUnixMillis = new LinkedHashMap<>();
+        for (ListedEndpoint listed : list.hosts()) {
+            startedUnixMillis.put(listed.name(), listed.startedUnixMillis());
+        }
+        Map<String, Double> startedAt = hostStartClock.onList(isCached, startedUnixMillis, now);
+        List<ListedEndpoint> hosts = new ArrayList<>(list.hosts().size());
+        for (ListedEndpoint listed : list.hosts()) {
+            hosts.add(withOnlineSince(listed, startedAt.get(listed.name())));
+        }
+        if (!list.full()) {
+            startedAt.forEach((name, since) -> {
+                if (!startedUnixMillis.containsKey(name) && findListed(name) != null) {
+                    hosts.add(withOnlineSince(lastAnnounced(name), since));
+                }
+            });
+        }
+        return new EndpointList(list.version(), list.full(), hosts);
+    }
+
+    private static ListedEndpoint withOnlineSince(ListedEndpoint listed, double onlineSince) {
+        EndpointEntry entry = listed.entry();
+        EndpointEntry started = new EndpointEntry(
+                entry.id(),
+                entry.zone(),
+                entry.machineKind(),
+                entry.cell(),
+                entry.condition(),
+                entry.capacityHint(),
+                onlineSince);
+        return new ListedEndpoint(listed.name(), listed.address(), started, listed.startedUnixMillis());
+    }
+
     /**
      * Applies a list.
      *
@@ -160,7 +205,7 @@
     /** Returns the last announcement of a known host, as an entry for another list. */
     public ListedEndpoint lastAnnounced(String name) {
         UpstreamHost host = hostsByName.get(name);
-        return new ListedEndpoint(name, host.address(), host.entry());
+        return new ListedEndpoint(name, host.address(), host.entry(), 0);
     }
 
     /** Returns an entry that removes a known host, as discovery would announce it. */
@@ -175,7 +220,7 @@
                 EndpointEntry.Condition.GONE,
                 entry.capacityHint(),
                 entry.onlineSince());
-        return new ListedEndpoint(name, host.address(), removed);
+        return new ListedEndpoint(name, host.address(), removed, 0);
     }
 
     /** Forgets the hosts that are off the list and carry no call, so that churn does not accumulate. */
@@ -214,12 +259,7 @@
         return entry;
     }
 
-    // --- ids and times
-
-    /** Converts Unix milliseconds to the balancer's clock; times before its start become 0. */
-    double toBalancerTime(double unixMillis) {
-        return Math.max(0, unixMillis - unixOffsetMillis);
-    }
+    // --- ids
 
     /**
      * Returns the id of a host: the 63-bit FNV-1a hash of its name, incremented while another host has that id.
--- a/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
+++ b/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
@@ -16,6 +16,7 @@
 import rillyard.balancer.WatchEvent;
 import rillyard.endpoints.DisabledHosts;
 import rillyard.endpoints.EndpointListGuard;
+import rillyard.endpoints.HostStartClock;
 import rillyard.hotrestart.DisabledHostStore;
 import rillyard.proxy.config.ProxyConfig;
 import rillyard.proxy.discovery.EndpointListListener;
@@ -76,7 +77,8 @@
         this.maxAttempts = settings.limits().maxAttempts();
         this.events = new BalancerEvents(log);
         DisabledHosts disabled = new DisabledHosts();
-        this.endpoints = new EndpointRegistry(clock.unixOffsetMillis(), disabled);
+        this.endpoints = new EndpointRegistry(
+                new HostStartClock(clock.unixOffsetMillis(), settings.rules().warmUpTime()), disabled);
         this.endpointLists = new EndpointListApplier(this, endpoints, guard, log);
         this.disabledHosts = new DisabledHostsUpdater(this, clock, endpoints, disabled, log);
         this.metrics = new ProxyMetrics(
@@ -189,7 +191,7 @@
 
     @Override
     public void onEndpointList(WatchEvent kind, EndpointRegistry.EndpointList list) {
-        endpointLists.apply(kind, list);
+        endpointLists.apply(kind, endpoints.withStartTimes(list, kind == WatchEvent.CACHED, now()));
     }
 
     @Override
--- a/src/test/java/rillyard/proxy/ProxyTraceTest.java
+++ b/src/test/java/rillyard/proxy/ProxyTraceTest.java
@@ -5,6 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.Objects;
+import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import rillyard.trace.TraceEvent;
 import rillyard.trace.TraceEvent.Kind;
@@ -56,6 +57,33 @@
         }
     }
 
+    /** The crossing of a wall clock that is an hour ahead of discovery's with the restart of a host. */
+    @Test
+    void hostThatRestartsWarmsUpAlsoIfWallClockIsAhead() throws Exception {
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
+                ProxyFixture fixture = new ProxyFixture(
+                        true, null, ProxyTraceTest::startAtFullCapacity, ProxyFixture.endpoint("a", host.port()))) {
+            fixture.announce(
+                    2, true, ProxyFixture.endpoint("a", host.port()), ProxyFixture.endpoint("b", 1, 0, "down"));
+            String restarted = ProxyFixture.endpoint("a", host.port())
+                    .replace("\"started_ms\":0", "\"started_ms\":" + (System.currentTimeMillis() - 3_600_000));
+            fixture.announce(3, false, restarted);
+
+            long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
+            while (!hasWarmingUpAttempt(fixture) && System.nanoTime() < deadline) {
+                assertThat(fixture.call(ProxyFixture.post("claim", 800, "", "x"))
+                                .status())
+                        .isEqualTo(200);
+                Thread.sleep(20);
+            }
+            assertThat(hasWarmingUpAttempt(fixture)).isTrue();
+        }
+    }
+
+    private static boolean hasWarmingUpAttempt(ProxyFixture fixture) {
+        return traceEvents(fixture).stream().anyMatch(TraceEvent::warmingUp);
+    }
+
     @Test
     void disabledTraceWritesNothing() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
--- a/src/test/java/rillyard/proxy/discovery/EndpointRegistryTest.java
+++ b/src/test/java/rillyard/proxy/discovery/EndpointRegistryTest.java
@@ -2,16 +2,26 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import com.fasterxml.jackson.databind.ObjectMapper;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 import rillyard.balancer.EndpointEntry;
 import rillyard.endpoints.DisabledHosts;
+import rillyard.endpoints.HostStartClock;
 
 /** The hosts of the endpoint list by name and id. */
 class EndpointRegistryTest {
-    private final EndpointRegistry registry = new EndpointRegistry(0, new DisabledHosts());
+    private static final double HOUR = 3_600_000;
+    private static final double WARM_UP = 8_000;
+    private static final double UNIX_OFFSET = 1.7e12;
+    private static final double NOW = 1e9;
+
+    private final EndpointRegistry registry =
+            new EndpointRegistry(new HostStartClock(UNIX_OFFSET, WARM_UP), new DisabledHosts());
 
     @Test
     void logLineOfBalancerNamesHostInPlaceOfItsId() {
@@ -32,12 +42,57 @@
                 .isEqualTo("outlier: host readmitted, host=" + (id - 1));
     }
 
+    @ParameterizedTest
+    @ValueSource(doubles = {-HOUR, -5_000, 5_000, HOUR})
+    void startLearntFromDeltaDoesNotFollowWrongWallClock(double wallClockError) throws Exception {
+        EndpointRegistry wrong =
+                new EndpointRegistry(new HostStartClock(UNIX_OFFSET + wallClockError, WARM_UP), new DisabledHosts());
+        receive(wrong, NOW, true, server("a", NOW - 5 * HOUR), server("b", NOW - 5 * HOUR));
+
+        List<EndpointEntry> entries = receive(wrong, NOW + 9_050, false, server("a", NOW + 9_000));
+
+        assertThat(entries)
+                .singleElement()
+                .extracting(EndpointEntry::onlineSince)
+                .isEqualTo(NOW + 9_050);
+    }
+
+    @Test
+    void deltaThatShowsWallClockAheadCorrectsYoungHostsOfFirstList() throws Exception {
+        EndpointRegistry wrong =
+                new EndpointRegistry(new HostStartClock(UNIX_OFFSET + HOUR, WARM_UP), new DisabledHosts());
+        receive(wrong, NOW, true, server("a", NOW - 1_000), server("b", NOW - 5 * HOUR));
+
+        List<EndpointEntry> entries = receive(wrong, NOW + 2_050, false, server("b", NOW + 2_000));
+
+        assertThat(entries).extracting(EndpointEntry::id).containsExactly(wrong.idOf("b"), wrong.idOf("a"));
+        assertThat(entries.get(1).onlineSince()).isBetween(NOW - 1_000, NOW);
+        assertThat(wrong.findListed("a").entry().onlineSince())
+                .isEqualTo(entries.get(1).onlineSince());
+    }
+
+    private static String server(String name, double startedAt) {
+        return "{\"id\":\"" + name + "\",\"addr\":\"127.0.0.1:80\",\"state\":\"up\",\"started_ms\":"
+                + (long) (UNIX_OFFSET + startedAt) + "}";
+    }
+
+    /** Has a registry read and apply a list; returns the entries for the balancer. */
+    private static List<EndpointEntry> receive(EndpointRegistry registry, double now, boolean full, String... servers)
+            throws Exception {
+        String list = "{\"version\":1,\"full\":" + full + ",\"servers\":[" + String.join(",", servers) + "]}";
+        EndpointRegistry.EndpointList parsed =
+                new EndpointListParser(registry).parse(new ObjectMapper().readTree(list));
+        EndpointRegistry.EndpointList timed = registry.withStartTimes(parsed, false, now);
+        registry.apply(timed);
+        return registry.effective(timed);
+    }
+
     private long announce(String name) {
         long id = registry.idOf(name);
         EndpointEntry entry = new EndpointEntry(id, "zone", "kind", 0, EndpointEntry.Condition.READY, 1, 0);
         InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), 80);
         registry.apply(new EndpointRegistry.EndpointList(
-                1, true, List.of(new EndpointRegistry.ListedEndpoint(name, address, entry))));
+                1, true, List.of(new EndpointRegistry.ListedEndpoint(name, address, entry, 0))));
         return id;
     }
 }
