--- a/src/main/java/rillyard/hotrestart/DisabledHostStore.java
+++ b/src/main/java/rillyard/hotrestart/DisabledHostStore.java
@@ -29,7 +29,7 @@
      * What the directory holds.
      *
      * @param disabled the names of disabled hosts
-     * @param enabledAtUnixMillis when other hosts were enabled, by name
+     * @param enabledAtUnixMillis when other hosts were enabled, by name, on the steady clock of the reader
      */
     public record Contents(Set<String> disabled, Map<String, Long> enabledAtUnixMillis) {}
 
@@ -39,7 +39,18 @@
     /** Age of an enabled host's file beyond which any slow start is over. */
     private static final long ENABLED_RETENTION_MS = 120_000;
 
+    /**
+     * A file of an enabled host.
+     *
+     * @param modifiedMillis its modification time
+     * @param enabledAtMillis when the host was enabled, on the steady clock
+     */
+    private record EnabledFile(long modifiedMillis, long enabledAtMillis) {}
+
     private final Path directory;
+    private Map<String, EnabledFile> enabledFiles = new HashMap<>();
+    private boolean hasRead;
+    private long lastReadMillis;
 
     /**
      * Opens a store.
@@ -66,15 +77,15 @@
     }
 
     /**
-     * Stores that a host was enabled at {@code now} (Unix ms); does nothing if it is not disabled.
+     * Stores that a host was enabled at {@code wallMillis} (the wall clock, Unix ms); does nothing if it is not disabled.
      *
      * @throws IOException if that can't be stored
      */
-    public void enable(String name, long now) throws IOException {
+    public void enable(String name, long wallMillis) throws IOException {
         Path enabled = file(ENABLED_PREFIX, name);
         try {
             Path disabled = file(DISABLED_PREFIX, name);
-            Files.setLastModifiedTime(disabled, FileTime.fromMillis(now));
+            Files.setLastModifiedTime(disabled, FileTime.fromMillis(wallMillis));
             Files.move(disabled, enabled, StandardCopyOption.REPLACE_EXISTING);
         } catch (NoSuchFileException ignored) {
             // not disabled
@@ -84,12 +95,16 @@
     /**
      * Reads the directory. Foreign files are ignored, outdated ones removed.
      *
-     * @param now Unix time (ms)
+     * <p>The wall clock tells the age of the files that the first call finds. From then on a file can't be older than the
+     * call before, and its age runs on with the steady clock, so that steps of the wall clock change nothing.
+     *
+     * @param wallMillis the wall clock, by which files are dated (Unix ms)
+     * @param steadyMillis Unix time that is never stepped (ms)
      * @throws IOException if the directory can't be read
      */
-    public Contents read(long now) throws IOException {
+    public Contents read(long wallMillis, long steadyMillis) throws IOException {
+        Map<String, EnabledFile> enabledNow = new HashMap<>();
         Set<String> disabled = new HashSet<>();
-        Map<String, Long> enabledAt = new HashMap<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(directory)) {
             for (Path path : files) {
                 String file = path.getFileName().toString();
@@ -99,7 +114,7 @@
                         disabled.add(name);
                     }
                 } else if (file.startsWith(ENABLED_PREFIX)) {
-                    readEnabled(path, decodeName(file, ENABLED_PREFIX), now, enabledAt);
+                    readEnabled(path, wallMillis, steadyMillis, enabledNow);
                 }
             }
         } catch (NoSuchFileException ignored) {
@@ -107,22 +122,48 @@
         } catch (DirectoryIteratorException e) {
             throw e.getCause();
         }
-        return new Contents(disabled, enabledAt);
+        enabledFiles = enabledNow;
+        lastReadMillis = steadyMillis;
+        hasRead = true;
+        return new Contents(disabled, enabledTimes());
     }
 
-    private static void readEnabled(Path file, String name, long now, Map<String, Long> enabledAt) throws IOException {
+    private void readEnabled(Path path, long wallMillis, long steadyMillis, Map<String, EnabledFile> enabledNow)
+            throws IOException {
         try {
-            long at = Files.getLastModifiedTime(file).toMillis();
-            if (now - at > ENABLED_RETENTION_MS) {
-                Files.deleteIfExists(file);
-            } else if (name != null) {
-                enabledAt.put(name, Math.min(at, now));
+            long modifiedMillis = Files.getLastModifiedTime(path).toMillis();
+            EnabledFile file = enabledFiles.get(path.getFileName().toString());
+            if (file == null || file.modifiedMillis() != modifiedMillis) {
+                long ageMillis = ageOfNewFile(wallMillis - modifiedMillis, steadyMillis);
+                file = new EnabledFile(modifiedMillis, steadyMillis - ageMillis);
+            }
+            if (steadyMillis - file.enabledAtMillis() > ENABLED_RETENTION_MS) {
+                Files.deleteIfExists(path);
+            } else {
+                enabledNow.put(path.getFileName().toString(), file);
             }
         } catch (NoSuchFileException ignored) {
             // disabled again at this moment
         }
     }
 
+    /** Returns the age of a file that this process has not seen yet, given its age by the wall clock. */
+    private long ageOfNewFile(long wallAgeMillis, long steadyMillis) {
+        long mostMillis = hasRead ? Math.max(0, steadyMillis - lastReadMillis) : Long.MAX_VALUE;
+        return Math.min(Math.max(0, wallAgeMillis), mostMillis);
+    }
+
+    private Map<String, Long> enabledTimes() {
+        Map<String, Long> times = new HashMap<>();
+        for (Map.Entry<String, EnabledFile> enabled : enabledFiles.entrySet()) {
+            String name = decodeName(enabled.getKey(), ENABLED_PREFIX);
+            if (name != null) {
+                times.put(name, enabled.getValue().enabledAtMillis());
+            }
+        }
+        return times;
+    }
+
     private Path file(String prefix, String name) {
         byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
         return directory.resolve(
--- a/src/main/java/rillyard/proxy/admin/ProxyAdmin.java
+++ b/src/main/java/rillyard/proxy/admin/ProxyAdmin.java
@@ -117,7 +117,8 @@
     }
 
     private void applyStoredHosts() throws IOException {
-        DisabledHostStore.Contents contents = disabledHostStore.read(System.currentTimeMillis());
+        DisabledHostStore.Contents contents =
+                disabledHostStore.read(System.currentTimeMillis(), driver.steadyUnixMillis());
         // Compared by field: the equals of a record is linked at run time, which would slow down the start.
         if (lastContents == null
                 || !contents.disabled().equals(lastContents.disabled())
--- a/src/main/java/rillyard/proxy/dispatch/BalancerClock.java
+++ b/src/main/java/rillyard/proxy/dispatch/BalancerClock.java
@@ -20,7 +20,12 @@
         return unixOffsetMillis;
     }
 
-    /** Converts Unix time (ms) to this clock's. */
+    /** Converts a time of this clock to Unix time (ms), which runs on from the start whatever the wall clock does. */
+    double toUnixMillis(double time) {
+        return time + unixOffsetMillis;
+    }
+
+    /** Converts what {@link #toUnixMillis} returns back to this clock's time. */
     double fromUnixMillis(double unixMillis) {
         return unixMillis - unixOffsetMillis;
     }
--- a/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
+++ b/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
@@ -94,6 +94,11 @@
         return clock.now();
     }
 
+    /** Returns Unix time (ms) that is never stepped: the wall clock at the start, run on by the monotonic one. Any thread. */
+    public long steadyUnixMillis() {
+        return (long) clock.toUnixMillis(clock.now());
+    }
+
     /** Runs something on the loop after a delay; a negative one counts as 0. */
     public Future<?> schedule(double delayMillis, Runnable action) {
         return loop.schedule(action, Math.max(0, (long) (delayMillis * NANOS_PER_MILLI)), TimeUnit.NANOSECONDS);
@@ -220,7 +225,7 @@
         return disabledHosts.setDisabled(name, disabled);
     }
 
-    /** Takes over what operators asked of another process of this proxy; times in it are Unix time (ms). */
+    /** Takes over what operators asked of another process of this proxy; times in it are {@link #steadyUnixMillis}. */
     public void setDisabled(DisabledHostStore.Contents stored) {
         disabledHosts.adopt(stored);
     }
--- a/src/test/java/rillyard/StoredDataTest.java
+++ b/src/test/java/rillyard/StoredDataTest.java
@@ -68,7 +68,7 @@
             Files.createFile(folder.resolve(name));
         }
 
-        DisabledHostStore.Contents contents = new DisabledHostStore(folder).read(now);
+        DisabledHostStore.Contents contents = new DisabledHostStore(folder).read(now, now);
 
         assertThat(contents.disabled()).containsExactlyInAnyOrder("s-1", "host/with odd:name ü");
         assertThat(contents.enabledAtUnixMillis()).containsOnlyKeys("s-3");
--- a/src/test/java/rillyard/hotrestart/HotRestartLockTest.java
+++ b/src/test/java/rillyard/hotrestart/HotRestartLockTest.java
@@ -9,9 +9,13 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /** The directory that the processes of one proxy share: its locks and its disabled hosts. */
 class HotRestartLockTest {
+    private static final long HOUR = 3_600_000;
+
     @TempDir
     Path tmp;
 
@@ -46,12 +50,14 @@
         one.disable("a");
         one.disable("a");
         other.disable(unusualName);
-        assertThat(other.read(1_000).disabled()).containsExactlyInAnyOrder("a", unusualName);
+        assertThat(other.read(1_000, 1_000).disabled()).containsExactlyInAnyOrder("a", unusualName);
         other.enable("a", 5_000);
         other.enable("a", 6_000); // enabled already: the first call counts
-        assertThat(one.read(7_000)).isEqualTo(new DisabledHostStore.Contents(Set.of(unusualName), Map.of("a", 5_000L)));
+        assertThat(one.read(7_000, 7_000))
+                .isEqualTo(new DisabledHostStore.Contents(Set.of(unusualName), Map.of("a", 5_000L)));
         one.disable("a");
-        assertThat(other.read(8_000)).isEqualTo(new DisabledHostStore.Contents(Set.of("a", unusualName), Map.of()));
+        assertThat(other.read(8_000, 8_000))
+                .isEqualTo(new DisabledHostStore.Contents(Set.of("a", unusualName), Map.of()));
     }
 
     @Test
@@ -61,8 +67,8 @@
         Files.createFile(tmp.resolve("serving"));
         store.disable("a");
         store.enable("a", 1_000);
-        assertThat(store.read(1_000_000)).isEqualTo(new DisabledHostStore.Contents(Set.of(), Map.of()));
-        assertThat(store.read(1_000)).isEqualTo(new DisabledHostStore.Contents(Set.of(), Map.of()));
+        assertThat(store.read(1_000_000, 1_000_000)).isEqualTo(new DisabledHostStore.Contents(Set.of(), Map.of()));
+        assertThat(store.read(1_000, 1_000)).isEqualTo(new DisabledHostStore.Contents(Set.of(), Map.of()));
         assertThat(tmp.resolve("out-%%")).exists();
     }
 
@@ -74,15 +80,43 @@
         try (var files = Files.list(tmp)) {
             Files.setLastModifiedTime(files.findFirst().orElseThrow(), FileTime.fromMillis(99_000));
         }
-        assertThat(store.read(5_000).enabledAtUnixMillis()).isEqualTo(Map.of("a", 5_000L));
+        assertThat(store.read(5_000, 5_000).enabledAtUnixMillis()).isEqualTo(Map.of("a", 5_000L));
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {-HOUR, HOUR})
+    void stepOfWallClockLeavesEnabledTimeAsItWas(long step) throws Exception {
+        DisabledHostStore store = new DisabledHostStore(tmp);
+        store.disable("a");
+        store.enable("a", HOUR * 2);
+        assertThat(store.read(HOUR * 2, 1_000).enabledAtUnixMillis()).isEqualTo(Map.of("a", 1_000L));
+
+        assertThat(store.read(HOUR * 2 + step, 1_150).enabledAtUnixMillis()).isEqualTo(Map.of("a", 1_000L));
+        assertThat(store.read(HOUR * 2 + step, 121_000).enabledAtUnixMillis()).isEqualTo(Map.of("a", 1_000L));
+        assertThat(store.read(HOUR * 2 + step, 121_001).enabledAtUnixMillis()).isEmpty();
+        assertThat(tmp).isEmptyDirectory();
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {-HOUR, HOUR})
+    void stepOfWallClockBetweenEnablingAndReadingCountsAsNoAge(long step) throws Exception {
+        DisabledHostStore store = new DisabledHostStore(tmp);
+        store.disable("a");
+        store.read(HOUR * 2, 1_000);
+        store.enable("a", HOUR * 2 + 100);
+
+        Map<String, Long> enabledAt = store.read(HOUR * 2 + step, 1_150).enabledAtUnixMillis();
+
+        assertThat(enabledAt).containsOnlyKeys("a");
+        assertThat(enabledAt.get("a")).isBetween(1_000L, 1_150L);
     }
 
     @Test
     void removedDirectoryIsCreatedAgain() throws Exception {
         DisabledHostStore store = new DisabledHostStore(tmp.resolve("own"));
         Files.delete(tmp.resolve("own"));
-        assertThat(store.read(0).disabled()).isEmpty();
+        assertThat(store.read(0, 0).disabled()).isEmpty();
         store.disable("a");
-        assertThat(store.read(0).disabled()).containsExactly("a");
+        assertThat(store.read(0, 0).disabled()).containsExactly("a");
     }
 }
