--- a/src/main/java/rillyard/faultinjection/FaultInjectionRun.java
+++ b/src/main/java/rillyard/faultinjection/FaultInjectionRun.java
@@ -120,18 +120,16 @@
     }
 
     private FaultInjectionResult run(ProcessFleet fleet, LoadRun load) throws Exception {
-        long joinStartMillis = System.currentTimeMillis();
+        long joinStartMillis = UnixClock.millis();
         startAll(fleet);
         Set<String> names = fleet.members().stream().map(FleetProcess::name).collect(Collectors.toSet());
         awaitAgreement(fleet, names, JOIN_TIMEOUT_MS + plan.processes() * JOIN_TIMEOUT_PER_PROCESS_MS);
         out.printf(
-                Locale.ROOT,
-                "all have found each other after %.1f s%n",
-                (System.currentTimeMillis() - joinStartMillis) / 1e3);
+                Locale.ROOT, "all have found each other after %.1f s%n", (UnixClock.millis() - joinStartMillis) / 1e3);
         ResourceUsage resourceUsage = new ResourceUsage(fleet);
         Thread loadThread = load == null ? null : startLoad(load);
         fleet.testCluster.startFaultSchedule();
-        long startMillis = System.currentTimeMillis();
+        long startMillis = UnixClock.millis();
         List<FaultInjectionResult.ExecutedStep> executedSteps = new ArrayList<>();
         try {
             execute(fleet, startMillis, executedSteps);
@@ -233,8 +231,7 @@
 
     /** Waits after the last fault until the survivors agree, at most until {@code deadlineMillis} (Unix time). */
     private static void awaitEnd(ProcessFleet fleet, Set<String> names, long deadlineMillis) throws Exception {
-        while (System.currentTimeMillis() < deadlineMillis
-                && readTimeline(fleet).agreedSince(survivors(names, fleet)) < 0) {
+        while (UnixClock.millis() < deadlineMillis && readTimeline(fleet).agreedSince(survivors(names, fleet)) < 0) {
             waitForNextPoll(fleet);
         }
     }
@@ -250,8 +247,8 @@
         }
         steps.sort(Comparator.comparingDouble(Step::at));
         for (Step step : steps) {
-            Thread.sleep(Math.max(0, startMillis + (long) step.at() - System.currentTimeMillis()));
-            long at = System.currentTimeMillis();
+            Thread.sleep(Math.max(0, startMillis + (long) step.at() - UnixClock.millis()));
+            long at = UnixClock.millis();
             execute(fleet, step);
             executedSteps.add(new FaultInjectionResult.ExecutedStep(at, step.fault(), step.begins()));
         }
--- a/src/main/java/rillyard/requestlog/UnixClock.java
+++ b/src/main/java/rillyard/requestlog/UnixClock.java
@@ -25,6 +25,11 @@
         return micros(System.nanoTime());
     }
 
+    /** Returns the current Unix time in milliseconds. */
+    public static long millis() {
+        return Math.floorDiv(micros(), 1_000L);
+    }
+
     /** Returns the Unix time in microseconds of a reading of {@link System#nanoTime}. */
     public static long micros(long nanoTime) {
         return ZERO_MICROS + Math.floorDiv(nanoTime - ZERO_NANOS, 1_000L);
--- a/src/test/java/rillyard/ArchitectureTest.java
+++ b/src/test/java/rillyard/ArchitectureTest.java
@@ -8,6 +8,9 @@
 import com.tngtech.archunit.junit.AnalyzeClasses;
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
+import java.time.Clock;
+import java.time.Instant;
+import java.util.Date;
 
 /** The arrows of docs/ARCHITECTURE.md. */
 @AnalyzeClasses(packages = "rillyard", importOptions = ImportOption.DoNotIncludeTests.class)
@@ -26,6 +29,14 @@
         "rillyard.imbalance"
     };
 
+    private static final String WALL_CLOCK_READERS = "rillyard\\.(proxy\\.dispatch\\.BalancerClock"
+            + "|proxy\\.admin\\.ProxyAdmin"
+            + "|trace\\.ProxyTrace"
+            + "|requestlog\\.UnixClock"
+            + "|membership\\.net\\.FleetMember"
+            + "|cli\\.MembersCommand"
+            + "|testserver\\.TestCluster)";
+
     @ArchTest
     static final ArchRule DECISIONS_DO_NO_IO = noClasses()
             .that()
@@ -105,6 +116,23 @@
                     "io.netty.channel.epoll..")
             .because("the platform's process loads none of it");
 
+    /** Each place is listed in docs/design/host-age.md with what a step of the wall clock does there. */
+    @ArchTest
+    static final ArchRule THE_WALL_CLOCK_IS_READ_IN_FEW_PLACES = noClasses()
+            .that()
+            .haveNameNotMatching(WALL_CLOCK_READERS)
+            .should()
+            .callMethod(System.class, "currentTimeMillis")
+            .orShould()
+            .callMethod(Instant.class, "now")
+            .orShould()
+            .dependOnClassesThat()
+            .areAssignableTo(Clock.class)
+            .orShould()
+            .dependOnClassesThat()
+            .areAssignableTo(Date.class)
+            .because("deadlines, windows, waits and graces are spans of real time, and the wall clock may be stepped");
+
     @ArchTest
     static final ArchRule WHAT_MAKES_LOAD_AND_WHAT_BEARS_IT_ARE_APART = noClasses()
             .that()
