--- a/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
+++ b/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
@@ -16,6 +16,7 @@
 import rillyard.balancer.WatchEvent;
 import rillyard.endpoints.DisabledHosts;
 import rillyard.endpoints.EndpointListGuard;
+import rillyard.endpoints.HostStartClock;
 import rillyard.hotrestart.DisabledHostStore;
 import rillyard.proxy.config.ProxyConfig;
 import rillyard.proxy.discovery.EndpointListListener;
@@ -76,7 +77,8 @@
         this.maxAttempts = settings.limits().maxAttempts();
         this.events = new BalancerEvents(log);
         DisabledHosts disabled = new DisabledHosts();
-        this.endpoints = new EndpointRegistry(clock.unixOffsetMillis(), disabled);
+        this.endpoints = new EndpointRegistry(
+                new HostStartClock(clock.unixOffsetMillis(), settings.rules().warmUpTime()), disabled);
         this.endpointLists = new EndpointListApplier(this, endpoints, guard, log);
         this.disabledHosts = new DisabledHostsUpdater(this, clock, endpoints, disabled, log);
         this.metrics = new ProxyMetrics(
@@ -92,6 +94,11 @@
         return clock.now();
     }
 
+    /** Returns Unix time (ms) that is never stepped: the wall clock at the start, run on by the monotonic one. Any thread. */
+    public long steadyUnixMillis() {
+        return (long) clock.toUnixMillis(clock.now());
+    }
+
     /** Runs something on the loop after a delay; a negative one counts as 0. */
     public Future<?> schedule(double delayMillis, Runnable action) {
         return loop.schedule(action, Math.max(0, (long) (delayMillis * NANOS_PER_MILLI)), TimeUnit.NANOSECONDS);
@@ -189,7 +196,7 @@
 
     @Override
     public void onEndpointList(WatchEvent kind, EndpointRegistry.EndpointList list) {
-        endpointLists.apply(kind, list);
+        endpointLists.apply(kind, endpoints.withStartTimes(list, kind == WatchEvent.CACHED, now()));
     }
 
     @Override
@@ -218,7 +225,7 @@
         return disabledHosts.setDisabled(name, disabled);
     }
 
-    /** Takes over what operators asked of another process of this proxy; times in it are Unix time (ms). */
+    /** Takes over what operators asked of another process of this proxy; times in it are {@link #steadyUnixMillis}. */
     public void setDisabled(DisabledHostStore.Contents stored) {
         disabledHosts.adopt(stored);
     }
