--- a/src/main/java/rillyard/proxy/discovery/EndpointWatch.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointWatch.java
@@ -10,6 +10,7 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
+import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import rillyard.balancer.WatchEvent;
@@ -23,9 +24,10 @@
  * <p>A watch resumes from the last version that was applied, so that a break loses no change. Where lists are pushed,
  * this class reopens it after a {@link ReconnectBackoff}; where discovery is polled, the listener decides when.
  *
- * <p>A change counts as announced 6 s after a watch fell silent, or after a call for it failed. Within that time a
- * silent watch is reopened, and so is one whose wait, connect and response each took their longest. A combination of
- * both may take longer: see docs/design/endings.md. Confined to the event loop.
+ * <p>A change counts as announced 6 s after a watch fell silent. To stay within that time where the repair is slow as
+ * well, a connection that is overdue is not awaited: another is opened beside it, at most {@link #MAX_CONNECTIONS} at a
+ * time, and the first that shows a sign of life ends the others. The steps add up in docs/design/endings.md. Confined to
+ * the event loop.
  */
 public final class EndpointWatch {
     /** Milliseconds after which a connect to discovery has failed. */
@@ -37,6 +39,18 @@
     /** Nanoseconds that a call may go unanswered; polled discovery lets it wait for 2 s at most. */
     public static final long UNANSWERED_NANOS = 2_400_000_000L;
 
+    /** Nanoseconds without a sign of life after which another connection is opened beside the silent one. */
+    public static final long OVERDUE_NANOS = 2_300_000_000L;
+
+    /**
+     * Nanoseconds after which the same is done for a connect, and for a call that discovery answers at once: where lists
+     * are pushed. Two calls in a row may go wrong then within the time that a change has.
+     */
+    public static final long OVERDUE_ATTEMPT_NANOS = 800_000_000L;
+
+    /** The most connections to discovery at a time, which bounds the load of many proxies on a discovery that hangs. */
+    static final int MAX_CONNECTIONS = 2;
+
     private final EventLoopGroup loop;
     private final EndpointListParser parser;
     private final EndpointListListener listener;
@@ -44,10 +58,10 @@
     private final boolean isPolling;
     private final Bootstrap bootstrap;
     private final ReconnectBackoff backoff = new ReconnectBackoff();
+    private final List<WatchConnection> connections = new ArrayList<>(MAX_CONNECTIONS);
     private InetSocketAddress address;
     private long version;
     private long malformedLists;
-    private WatchConnection connection;
     private Future<?> reconnect;
 
     /**
@@ -116,16 +130,19 @@
             reconnect.cancel(false);
             reconnect = null;
         }
-        if (connection != null) {
-            connection.close();
-            connection = null;
-        }
+        connections.forEach(WatchConnection::close);
+        connections.clear();
+        connect();
+    }
+
+    /** Opens a connection beside those that are open. */
+    private void connect() {
         if (log.trace() != null) {
             log.trace().record(TraceEvent.Kind.LIST, TraceEvent.NONE);
         }
         ChannelFuture connect = bootstrap.connect(address);
         WatchConnection opened = new WatchConnection(this, connect.channel());
-        connection = opened;
+        connections.add(opened);
         connect.addListener(connected -> {
             if (connect.isSuccess()) {
                 opened.onConnected(address, version);
@@ -142,16 +159,27 @@
      * it and be sent to hosts that drain by then.
      */
     public void readPending() {
-        if (connection != null) {
+        for (WatchConnection connection : List.copyOf(connections)) {
             connection.readPending();
         }
     }
 
-    /** Ends a watch that has been silent for too long; to be called periodically. */
+    /** Opens another connection beside an overdue one, and ends silent ones; to be called periodically. */
     public void runMaintenance() {
-        if (connection != null && connection.isSilent(System.nanoTime())) {
-            connection.fail("silent");
+        long now = System.nanoTime();
+        if (isOverdue(now) && connections.size() < MAX_CONNECTIONS) {
+            log.info("watch: overdue, another connection is opened");
+            connect();
         }
+        for (WatchConnection connection : List.copyOf(connections)) {
+            if (connection.isSilent(now)) {
+                connection.fail("silent");
+            }
+        }
+    }
+
+    private boolean isOverdue(long now) {
+        return !connections.isEmpty() && connections.get(connections.size() - 1).isOverdue(now, isPolling);
     }
 
     private void scheduleReconnect() {
@@ -162,7 +190,7 @@
         reconnect = loop.schedule(this::open, backoff.nextDelayMillis(), TimeUnit.MILLISECONDS);
     }
 
-    // --- reports of the connection, while it is the present one
+    // --- reports of the connections that are open
 
     EndpointListParser parser() {
         return parser;
@@ -172,16 +200,24 @@
         return log;
     }
 
-    /** The connection has shown its first sign of life. */
-    void onConfirmed() {
+    /** A connection has shown a sign of life: the watch needs no other. */
+    void onSignOfLife(WatchConnection live) {
         backoff.reset();
+        for (WatchConnection other : List.copyOf(connections)) {
+            if (other != live) {
+                other.close();
+                connections.remove(other);
+            }
+        }
     }
 
-    /** The connection has ended. */
-    void onEnded(String reason) {
-        connection = null;
+    /** A connection has ended. */
+    void onEnded(WatchConnection ended, String reason) {
+        connections.remove(ended);
         log.info("watch: " + reason);
-        scheduleReconnect();
+        if (connections.isEmpty()) {
+            scheduleReconnect();
+        }
     }
 
     /** A malformed list has come; the last good one stays and the changes come again from its version on. */
--- a/src/main/java/rillyard/proxy/discovery/WatchConnection.java
+++ b/src/main/java/rillyard/proxy/discovery/WatchConnection.java
@@ -40,6 +40,7 @@
     private final Channel channel;
     private final JsonObjectFramer framer = new JsonObjectFramer();
     private State state = State.UNCONFIRMED;
+    private boolean isConnected;
     private long lastSignOfLifeNanos = System.nanoTime();
 
     WatchConnection(EndpointWatch watch, Channel channel) {
@@ -53,6 +54,8 @@
             channel.close();
             return;
         }
+        isConnected = true;
+        lastSignOfLifeNanos = System.nanoTime();
         channel.pipeline().addLast(new HttpResponseDecoder(), new HttpRequestEncoder(), this);
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
@@ -69,6 +72,13 @@
         return now - lastSignOfLifeNanos > limitNanos;
     }
 
+    /** Returns whether a list or a blank line should have come by now, so that the connection may be broken. */
+    boolean isOverdue(long now, boolean isPolling) {
+        boolean mayWait = state == State.LIVE || (isPolling && isConnected); // a poll is answered after 2 s at most
+        long limitNanos = mayWait ? EndpointWatch.OVERDUE_NANOS : EndpointWatch.OVERDUE_ATTEMPT_NANOS;
+        return now - lastSignOfLifeNanos > limitNanos;
+    }
+
     /** Reads from the socket at once, if the connection is up. */
     void readPending() {
         if (channel instanceof AbstractNioChannel socket && socket.isActive()) {
@@ -87,7 +97,7 @@
         boolean isFirstEnd = state != State.ENDED;
         close();
         if (isFirstEnd) {
-            watch.onEnded(reason);
+            watch.onEnded(this, reason);
         }
     }
 
@@ -158,10 +168,8 @@
             return; // ended by something that came in the same read
         }
         lastSignOfLifeNanos = System.nanoTime();
-        if (state == State.UNCONFIRMED) {
-            state = State.LIVE;
-            watch.onConfirmed();
-        }
+        state = State.LIVE;
+        watch.onSignOfLife(this);
     }
 
     private void failMalformed(MalformedEndpointListException cause) {
--- a/src/test/java/rillyard/proxy/EndpointWatchTest.java
+++ b/src/test/java/rillyard/proxy/EndpointWatchTest.java
@@ -96,7 +96,7 @@
                 next = fixture.watchRequests.poll(10, TimeUnit.MILLISECONDS);
             }
             assertThat(next).as("a new watch").contains("since=1 ");
-            assertThat(fixture.log()).contains("watch: silent");
+            assertThat(fixture.log()).contains("watch: overdue");
         }
     }
 
@@ -107,11 +107,25 @@
         long maxBackoffMillis = 2_100; // held by BalancerTest; less where lists are pushed
         long silenceMillis = EndpointWatch.SILENCE_NANOS / 1_000_000;
         long unansweredMillis = EndpointWatch.UNANSWERED_NANOS / 1_000_000;
-        assertThat(maxBackoffMillis + EndpointWatch.CONNECT_TIMEOUT_MS + unansweredMillis + maintenanceMillis)
+        long overdueMillis = EndpointWatch.OVERDUE_NANOS / 1_000_000;
+        long overdueAttemptMillis = EndpointWatch.OVERDUE_ATTEMPT_NANOS / 1_000_000;
+        long waitMillis = 2_000; // for which polled discovery may hold a call
+        int connectMillis = EndpointWatch.CONNECT_TIMEOUT_MS;
+        assertThat(maxBackoffMillis + connectMillis + unansweredMillis + maintenanceMillis)
                 .isLessThan(6_000);
         assertThat(silenceMillis + maintenanceMillis + maxBackoffMillis).isLessThan(6_000);
-        assertThat(silenceMillis).as("a watch says something every 2 s").isGreaterThan(2_000);
-        assertThat(unansweredMillis).as("asked discovery has a call wait 2 s").isGreaterThan(2_000);
+        // Silence, then a late connect and a late answer.
+        assertThat(overdueMillis + maintenanceMillis + connectMillis + waitMillis)
+                .isLessThan(6_000);
+        // Silence, then a call that is lost after a late connect, then a connect that is late as well.
+        assertThat(overdueMillis + maintenanceMillis + 2 * overdueAttemptMillis + maintenanceMillis + connectMillis)
+                .isLessThan(6_000);
+        // A poll that is lost after a late connect, then a late connect.
+        assertThat(connectMillis + overdueMillis + maintenanceMillis + connectMillis)
+                .isLessThan(6_000);
+        assertThat(overdueMillis).as("a watch says something every 2 s").isGreaterThan(2_000);
+        assertThat(silenceMillis).as("another connection comes first").isGreaterThan(overdueMillis);
+        assertThat(unansweredMillis).as("another connection comes first").isGreaterThan(overdueMillis);
     }
 
     @Test
