--- a/src/main/java/rillyard/proxy/downstream/ClientListener.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientListener.java
@@ -106,7 +106,7 @@
 
     private void onAccepted(PeekableSocketChannel channel) {
         boolean overflow = !descriptors.hasCapacityForClient();
-        PipelineBuffer pipelineBuffer = new PipelineBuffer();
+        PipelineBuffer pipelineBuffer = new PipelineBuffer(bodyMemory);
         ClientRequestDecoder decoder = new ClientRequestDecoder(pipelineBuffer);
         ClientConnection connection = new ClientConnection(this, channel, decoder, pipelineBuffer, overflow);
         descriptors.onClientOpened();
--- a/src/main/java/rillyard/proxy/downstream/ClientRequestDecoder.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientRequestDecoder.java
@@ -76,7 +76,7 @@
         pipelineBuffer.holdBytes(context.alloc());
     }
 
-    /** Parses what was held, and from here on what is read. */
+    /** Parses the oldest of what was held; what is read from here on is parsed once nothing is held any more. */
     void releaseHeldInput() {
         ByteBuf held = pipelineBuffer.takeBytes();
         if (held == null || discardingInput) {
--- a/src/main/java/rillyard/proxy/downstream/PipelineBuffer.java
+++ b/src/main/java/rillyard/proxy/downstream/PipelineBuffer.java
@@ -6,21 +6,36 @@
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.util.ReferenceCountUtil;
 import java.util.ArrayDeque;
+import rillyard.proxy.resources.BodyMemoryBudget;
 
 /**
  * Holds what a client sends ahead of the response to its current request: parts that were parsed in the same read, and
  * behind them bytes as they came.
  *
- * <p>Nothing is allocated for a connection that does not pipeline.
+ * <p>Nothing is allocated for a connection that does not pipeline. What is held beyond {@link #FREE_BYTES} counts as
+ * memory for bodies.
  */
 final class PipelineBuffer {
     /** Bytes past which no more is read, so that a close behind them is not seen. */
-    private static final int MAX_BYTES = 32 * 1024;
+    static final int MAX_BYTES = 1024 * 1024;
+
+    /** Bytes that are held without being charged to the memory for bodies. */
+    private static final int FREE_BYTES = 32 * 1024;
+
+    /** Bytes that are parsed at a time, as parsed requests take a multiple of their bytes. */
+    private static final int MAX_TAKEN_BYTES = 32 * 1024;
 
     private static final int MAX_COMPONENTS = 64;
 
+    private final BodyMemoryBudget memory;
     private ArrayDeque<HttpObject> parts;
     private CompositeByteBuf bytes;
+    private int chargedBytes;
+
+    /** Creates an empty buffer that shares the memory for bodies. */
+    PipelineBuffer(BodyMemoryBudget memory) {
+        this.memory = memory;
+    }
 
     /** Appends a parsed part, of which the buffer takes over the reference. */
     void addPart(HttpObject part) {
@@ -64,17 +79,39 @@
     /** Appends bytes, of which the buffer takes over the reference; returns whether it is full now. */
     boolean addBytes(ByteBuf read) {
         bytes.addComponent(true, read);
-        return bytes.readableBytes() >= MAX_BYTES;
+        chargeHeldBytes();
+        return bytes.readableBytes() >= MAX_BYTES || memory.isExhausted(MAX_BYTES);
     }
 
-    /** Stops holding bytes and returns those held with their reference, null if none were to be held. */
+    /** Returns the oldest bytes with their reference, null if none were to be held; stops holding with the last ones. */
     ByteBuf takeBytes() {
-        ByteBuf taken = bytes;
-        bytes = null;
+        if (bytes == null || bytes.readableBytes() <= MAX_TAKEN_BYTES) {
+            ByteBuf taken = bytes;
+            bytes = null;
+            chargeHeldBytes();
+            return taken;
+        }
+        ByteBuf taken = bytes.readBytes(MAX_TAKEN_BYTES); // copied, as a slice would move with what is discarded
+        bytes.discardReadComponents();
+        chargeHeldBytes();
         return taken;
     }
 
     void releaseBytes() {
-        ReferenceCountUtil.release(takeBytes());
+        ReferenceCountUtil.release(bytes);
+        bytes = null;
+        chargeHeldBytes();
+    }
+
+    private void chargeHeldBytes() {
+        int heldBytes = bytes == null ? 0 : bytes.readableBytes();
+        int charge = Math.max(0, heldBytes - FREE_BYTES);
+        int before = chargedBytes;
+        chargedBytes = charge;
+        if (charge > before) {
+            memory.charge(charge - before, false);
+        } else if (charge < before) {
+            memory.release(before - charge, false);
+        }
     }
 }
--- a/src/main/java/rillyard/proxy/downstream/RequestReader.java
+++ b/src/main/java/rillyard/proxy/downstream/RequestReader.java
@@ -86,14 +86,19 @@
     }
 
     private void releaseHeldInput() {
-        if (!connection.hasExchange() && !pipelineBuffer.hasParts()) {
-            if (!body.isAwaitingMemory()) {
-                channel.config().setAutoRead(true);
-            }
+        if (mayParseHeldInput() && !body.isAwaitingMemory() && !body.isUploading()) {
+            channel.config().setAutoRead(true);
+        }
+        while (mayParseHeldInput() && pipelineBuffer.isHoldingBytes()) {
             decoder.releaseHeldInput();
         }
     }
 
+    /** Returns whether the next held bytes have their turn: no request is at hand, or it is the one they belong to. */
+    private boolean mayParseHeldInput() {
+        return body.isUploading() || (!connection.hasExchange() && !pipelineBuffer.hasParts());
+    }
+
     /** Frees what is held for a connection that is closed. */
     void close() {
         body.abort();
--- a/src/main/java/rillyard/proxy/resources/BodyMemoryBudget.java
+++ b/src/main/java/rillyard/proxy/resources/BodyMemoryBudget.java
@@ -34,7 +34,7 @@
     }
 
     /** Charges bytes that were read; {@code isIncomplete} marks those of a request that has not arrived completely. */
-    void charge(int bytes, boolean isIncomplete) {
+    public void charge(int bytes, boolean isIncomplete) {
         usedBytes += bytes;
         incompleteBytes += isIncomplete ? bytes : 0;
     }
@@ -45,7 +45,7 @@
     }
 
     /** Returns bytes to the budget and resumes readers if it has capacity again. */
-    void release(long bytes, boolean isIncomplete) {
+    public void release(long bytes, boolean isIncomplete) {
         usedBytes -= bytes;
         incompleteBytes -= isIncomplete ? bytes : 0;
         if (!waiting.isEmpty() && usedBytes < largeBodyLimit()) {
