--- a/src/main/java/rillyard/proxy/downstream/ClientConnection.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientConnection.java
@@ -134,6 +134,12 @@
         }
     }
 
+    /** What comes of a request whose response was written before can't be read: the connection ends without another. */
+    void onMalformedRest() {
+        body.completeSkipping();
+        lingeringClose();
+    }
+
     /** Returns whether the proxy would serve requests. */
     boolean isProxyReady() {
         return listener.isReady();
--- a/src/main/java/rillyard/proxy/downstream/RequestBodyReceiver.java
+++ b/src/main/java/rillyard/proxy/downstream/RequestBodyReceiver.java
@@ -168,6 +168,9 @@
     }
 
     private void pauseForMemory() {
+        if (state == State.AWAITING_MEMORY) {
+            return; // a further part of the same read: the wait has begun
+        }
         state = State.AWAITING_MEMORY;
         pausedAtNanos = System.nanoTime();
         channel.config().setAutoRead(false);
--- a/src/main/java/rillyard/proxy/downstream/RequestReader.java
+++ b/src/main/java/rillyard/proxy/downstream/RequestReader.java
@@ -117,6 +117,10 @@
         if (connection.isDiscardingInput()) {
             return;
         }
+        if (part.decoderResult().isFailure() && body.isSkipping()) {
+            connection.onMalformedRest();
+            return;
+        }
         if (part.decoderResult().isFailure()) {
             connection.reject(RequestValidator.statusOf(part.decoderResult().cause()));
             return;
@@ -254,7 +258,9 @@
      */
     void rejectForMemory() {
         dispatcher.logRejectedForMemory();
-        dispatcher.countRejected(body.requestClass());
+        if (!body.isHealthCheck()) { // which has no class
+            dispatcher.countRejected(body.requestClass());
+        }
         connection.reject(SERVICE_UNAVAILABLE);
     }
 
