--- /dev/null
+++ b/src/test/java/rillyard/proxy/lifecycle/ConfigReloadTest.java
@@ -0,0 +1,133 @@
+package rillyard.proxy.lifecycle;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.BufferedReader;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
+import java.util.AbstractMap;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import rillyard.proxy.ProxyFixture;
+import rillyard.proxy.config.ProxyConfig;
+import rillyard.proxy.logging.ProxyLog;
+
+/** Reloads of the configuration by SIGHUP. */
+@Timeout(value = 60, unit = TimeUnit.SECONDS)
+class ConfigReloadTest {
+    private static final String IGNORED = "SIGHUP is ignored by this process";
+
+    /** Starts a proxy by a shell that runs {@code preparation} first; returns the log up to the line {@code last}. */
+    private static String logOfStart(String preparation, String last) throws Exception {
+        Path config = ProxyFixture.writeConfig(1, json -> {});
+        String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
+        ProcessBuilder builder =
+                new ProcessBuilder("sh", "-c", preparation + " exec \"$0\" \"$@\"", java, "rillyard.Main", "proxy");
+        builder.environment().put("CLASSPATH", System.getProperty("java.class.path"));
+        builder.environment().put("BALANCER_CONFIG", config.toString());
+        Process process = builder.start();
+        try (BufferedReader lines = process.errorReader(StandardCharsets.UTF_8)) {
+            StringBuilder log = new StringBuilder();
+            String line;
+            while (!log.toString().contains(last) && (line = lines.readLine()) != null) {
+                log.append(line).append('\n');
+                if (line.contains("watch:") && !last.equals(IGNORED)) {
+                    process.toHandle().destroy(); // the start is past the handler when a drain is logged
+                }
+            }
+            return log.toString();
+        } finally {
+            process.destroyForcibly().waitFor();
+            Files.delete(config);
+        }
+    }
+
+    @Test
+    void ignoredSighupIsLoggedOnceAtStart() throws Exception {
+        assertThat(logOfStart("trap '' HUP;", IGNORED)).containsOnlyOnce(IGNORED);
+    }
+
+    @Test
+    void sighupThatIsNotIgnoredIsNotLogged() throws Exception {
+        assertThat(logOfStart("", "proxy: drained")).doesNotContain(IGNORED);
+    }
+
+    /** An environment whose first reader waits, and that counts those who read at a time. */
+    private static final class BlockingEnvironment extends AbstractMap<String, String> {
+        private final Path file;
+        final CountDownLatch entered = new CountDownLatch(1);
+        final CountDownLatch release = new CountDownLatch(1);
+        final AtomicInteger readers = new AtomicInteger();
+
+        BlockingEnvironment(Path file) {
+            this.file = file;
+        }
+
+        @Override
+        public String get(Object key) {
+            if (readers.incrementAndGet() == 1) {
+                entered.countDown();
+                try {
+                    release.await();
+                } catch (InterruptedException e) {
+                    Thread.currentThread().interrupt();
+                }
+            }
+            return key.equals("BALANCER_CONFIG") ? file.toString() : null;
+        }
+
+        @Override
+        public Set<Map.Entry<String, String>> entrySet() {
+            return Set.of(Map.entry("BALANCER_CONFIG", file.toString()));
+        }
+    }
+
+    @Test
+    void reloadsAtOnceTakeTurnsAndTheLastAppliesTheNewestFile() throws Exception {
+        Path file = ProxyFixture.writeConfig(1_001, json -> {});
+        BlockingEnvironment env = new BlockingEnvironment(file);
+        List<Integer> applied = Collections.synchronizedList(new ArrayList<>());
+        ByteArrayOutputStream log = new ByteArrayOutputStream();
+        ConfigReload reload = new ConfigReload(
+                env,
+                (ProxyConfig config) -> applied.add(config.discovery().getPort()),
+                new ProxyLog(new PrintStream(log, true, StandardCharsets.UTF_8)));
+        Thread first = new Thread(reload::run);
+        first.start();
+        env.entered.await();
+        Thread second = new Thread(reload::run);
+        second.start();
+        awaitBlockedOrEnded(second);
+        assertThat(env.readers.get()).as("reloads at a time").isEqualTo(1);
+        replace(file, 1_002);
+        env.release.countDown();
+        first.join();
+        second.join();
+        assertThat(applied).hasSize(2).endsWith(1_002);
+        assertThat(log.toString(StandardCharsets.UTF_8).lines()).hasSize(2).allMatch(line -> line.endsWith("reloaded"));
+        Files.delete(file);
+    }
+
+    private static void awaitBlockedOrEnded(Thread thread) throws InterruptedException {
+        while (thread.getState() != Thread.State.BLOCKED && thread.getState() != Thread.State.TERMINATED) {
+            Thread.sleep(1);
+        }
+    }
+
+    private static void replace(Path file, int discoveryPort) throws IOException {
+        Files.move(ProxyFixture.writeConfig(discoveryPort, json -> {}), file, StandardCopyOption.REPLACE_EXISTING);
+    }
+}
