--- a/src/main/java/rillyard/proxy/downstream/RequestReader.java
+++ b/src/main/java/rillyard/proxy/downstream/RequestReader.java
@@ -86,14 +86,19 @@
     }
 
     private void releaseHeldInput() {
-        if (!connection.hasExchange() && !pipelineBuffer.hasParts()) {
-            if (!body.isAwaitingMemory()) {
-                channel.config().setAutoRead(true);
-            }
+        if (mayParseHeldInput() && !body.isAwaitingMemory() && !body.isUploading()) {
+            channel.config().setAutoRead(true);
+        }
+        while (mayParseHeldInput() && pipelineBuffer.isHoldingBytes()) {
             decoder.releaseHeldInput();
         }
     }
 
+    /** Returns whether the next held bytes have their turn: no request is at hand, or it is the one they belong to. */
+    private boolean mayParseHeldInput() {
+        return body.isUploading() || (!connection.hasExchange() && !pipelineBuffer.hasParts());
+    }
+
     /** Frees what is held for a connection that is closed. */
     void close() {
         body.abort();
@@ -112,6 +117,10 @@
         if (connection.isDiscardingInput()) {
             return;
         }
+        if (part.decoderResult().isFailure() && body.isSkipping()) {
+            connection.onMalformedRest();
+            return;
+        }
         if (part.decoderResult().isFailure()) {
             connection.reject(RequestValidator.statusOf(part.decoderResult().cause()));
             return;
@@ -249,7 +258,9 @@
      */
     void rejectForMemory() {
         dispatcher.logRejectedForMemory();
-        dispatcher.countRejected(body.requestClass());
+        if (!body.isHealthCheck()) { // which has no class
+            dispatcher.countRejected(body.requestClass());
+        }
         connection.reject(SERVICE_UNAVAILABLE);
     }
 
