--- a/src/main/java/rillyard/proxy/ClientProxy.java
+++ b/src/main/java/rillyard/proxy/ClientProxy.java
@@ -20,6 +20,7 @@
 import rillyard.proxy.dispatch.BalancerDriver;
 import rillyard.proxy.dispatch.PeerGossip;
 import rillyard.proxy.downstream.ClientListener;
+import rillyard.proxy.eventloop.SocketChannelFactory;
 import rillyard.proxy.eventloop.StallAwareIoHandler;
 import rillyard.proxy.logging.ProxyLog;
 import rillyard.proxy.resources.BodyMemoryBudget;
@@ -48,6 +49,7 @@
     private final ProxyLog log;
     private final MultiThreadIoEventLoopGroup group;
     private final EventLoop loop;
+    private final SocketChannelFactory channels;
     private final BalancerDriver driver;
     private final ClientListener listener;
     private final EndpointWatch endpointWatch;
@@ -67,17 +69,28 @@
      * @param peerGossip null where there is none
      */
     public ClientProxy(ProxyConfig config, ProxyLog log, EndpointListGuard guard, PeerGossip peerGossip) {
+        this(config, log, guard, peerGossip, new SocketChannelFactory());
+    }
+
+    /** Creates a proxy whose channels come from {@code channels}; nothing is started. */
+    ClientProxy(
+            ProxyConfig config,
+            ProxyLog log,
+            EndpointListGuard guard,
+            PeerGossip peerGossip,
+            SocketChannelFactory channels) {
         this.config = config;
         this.log = log;
+        this.channels = channels;
         StallDetector stallDetector = new StallDetector(System.nanoTime());
         this.group = newGroup(StallAwareIoHandler.factory(stallDetector, this::onStall));
         this.loop = (EventLoop) group.next();
         DescriptorBudget descriptors = new DescriptorBudget(config.maxDescriptors());
         BodyMemoryBudget bodyMemory = new BodyMemoryBudget(bodyMemoryMb(config) << MEGABYTE_SHIFT);
-        UpstreamPool upstreams = new UpstreamPool(group, config, descriptors, log);
+        UpstreamPool upstreams = new UpstreamPool(group, channels, config, descriptors, log);
         this.driver = new BalancerDriver(loop, config, upstreams, bodyMemory, log, guard, peerGossip);
         this.listener = new ClientListener(driver, config, descriptors, bodyMemory, log, stallDetector);
-        this.endpointWatch = new EndpointWatch(group, config, driver.endpoints(), driver, log);
+        this.endpointWatch = new EndpointWatch(group, channels, config, driver.endpoints(), driver, log);
         this.drainController = new DrainController(loop, listener, driver, log, longestDeadline(config));
     }
 
@@ -133,7 +146,7 @@
      */
     public void listen() throws ConfigException {
         try {
-            listener.listen(group, config);
+            listener.listen(group, channels, config);
         } catch (Exception e) {
             stopGroup();
             if (e instanceof BindException || e instanceof SocketException) {
--- a/src/main/java/rillyard/proxy/discovery/EndpointWatch.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointWatch.java
@@ -7,13 +7,14 @@
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.socket.SocketChannel;
-import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import rillyard.balancer.WatchEvent;
 import rillyard.proxy.config.ProxyConfig;
+import rillyard.proxy.eventloop.PeekableSocketChannel;
+import rillyard.proxy.eventloop.SocketChannelFactory;
 import rillyard.proxy.logging.ProxyLog;
 import rillyard.trace.TraceEvent;
 
@@ -54,11 +55,13 @@
      * Creates a watch that is not open yet.
      *
      * @param loop a group of one event loop, on which the watch runs
+     * @param channels creates the channels of the connections
      * @param endpoints the registry that gives the ids of hosts
      * @param listener receives the lists
      */
     public EndpointWatch(
             EventLoopGroup loop,
+            SocketChannelFactory channels,
             ProxyConfig config,
             EndpointRegistry endpoints,
             EndpointListListener listener,
@@ -71,7 +74,7 @@
         this.isPolling = config.settings().mustSubscribe();
         this.bootstrap = new Bootstrap()
                 .group(loop)
-                .channel(NioSocketChannel.class)
+                .channelFactory(channels::newSocketChannel)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<SocketChannel>() {
@@ -124,6 +127,13 @@
             log.trace().record(TraceEvent.Kind.LIST, TraceEvent.NONE);
         }
         ChannelFuture connect = bootstrap.connect(address);
+        if (!(connect.channel() instanceof PeekableSocketChannel)) {
+            // The system has no socket. Netty's stand-in for the channel can't be closed, and the listeners of its
+            // future
+            // would run on another thread.
+            onEnded("no socket, cause=" + connect.cause().getCause());
+            return;
+        }
         WatchConnection opened = new WatchConnection(this, connect.channel());
         connection = opened;
         connect.addListener(connected -> {
--- a/src/main/java/rillyard/proxy/downstream/ClientListener.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientListener.java
@@ -14,6 +14,7 @@
 import rillyard.proxy.config.ProxyConfig;
 import rillyard.proxy.dispatch.BalancerDriver;
 import rillyard.proxy.eventloop.PeekableSocketChannel;
+import rillyard.proxy.eventloop.SocketChannelFactory;
 import rillyard.proxy.logging.ProxyLog;
 import rillyard.proxy.resources.BodyMemoryBudget;
 import rillyard.proxy.resources.DescriptorBudget;
@@ -70,14 +71,14 @@
      *
      * @throws Exception what the bind throws
      */
-    public void listen(EventLoopGroup loop, ProxyConfig config) throws Exception {
+    public void listen(EventLoopGroup loop, SocketChannelFactory channels, ProxyConfig config) throws Exception {
         ServerBootstrap bootstrap = new ServerBootstrap();
         if (config.adminAddress() != null) {
             bootstrap.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
         }
         bootstrap
                 .group(loop)
-                .channelFactory(() -> new PeekableSocketChannel.Server(stallDetector))
+                .channelFactory(() -> channels.newServerChannel(stallDetector))
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
--- a/src/main/java/rillyard/proxy/eventloop/PeekableSocketChannel.java
+++ b/src/main/java/rillyard/proxy/eventloop/PeekableSocketChannel.java
@@ -16,9 +16,9 @@
  *
  * <p>All methods are for the channel's event loop.
  */
-public final class PeekableSocketChannel extends NioSocketChannel {
+public class PeekableSocketChannel extends NioSocketChannel {
     /** A server channel that accepts {@link PeekableSocketChannel}s. */
-    public static final class Server extends NioServerSocketChannel {
+    public static class Server extends NioServerSocketChannel {
         private final StallDetector stallDetector;
 
         /** Creates an unbound server channel; the detector is that of its event loop. */
@@ -28,21 +28,31 @@
 
         @Override
         protected int doReadMessages(List<Object> accepted) throws Exception {
-            SocketChannel socket = javaChannel().accept();
+            SocketChannel socket = acceptSocket();
             if (socket == null) {
                 stallDetector.onBacklogEmpty();
                 return 0;
             }
-            accepted.add(new PeekableSocketChannel(this, socket, stallDetector));
+            accepted.add(newAcceptedChannel(socket, stallDetector));
             return 1;
         }
 
+        /** Accepts one connection of the backlog; returns null if there is none. */
+        protected SocketChannel acceptSocket() throws IOException {
+            return javaChannel().accept();
+        }
+
+        /** Creates the channel of a connection that was accepted. */
+        protected PeekableSocketChannel newAcceptedChannel(SocketChannel socket, StallDetector detector) {
+            return new PeekableSocketChannel(this, socket, detector);
+        }
+
         /** Accepts all connections of the backlog at once. */
         public void acceptPending() {
             try {
                 SocketChannel socket;
-                while ((socket = javaChannel().accept()) != null) {
-                    pipeline().fireChannelRead(new PeekableSocketChannel(this, socket, stallDetector));
+                while ((socket = acceptSocket()) != null) {
+                    pipeline().fireChannelRead(newAcceptedChannel(socket, stallDetector));
                 }
             } catch (IOException ignored) {
                 // out of descriptors, or closed: the rest of the backlog can't be accepted
@@ -71,7 +81,8 @@
         this.acceptableSince = 0;
     }
 
-    private PeekableSocketChannel(Channel parent, SocketChannel socket, StallDetector stallDetector) {
+    /** Creates a channel for a connection that {@code parent} has accepted in this turn of the event loop. */
+    protected PeekableSocketChannel(Channel parent, SocketChannel socket, StallDetector stallDetector) {
         super(parent, socket);
         this.stallDetector = stallDetector;
         this.acceptTurn = stallDetector.turn();
--- a/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
@@ -19,6 +19,7 @@
 import rillyard.connections.IdleTimeoutPolicy;
 import rillyard.proxy.config.ProxyConfig;
 import rillyard.proxy.eventloop.PeekableSocketChannel;
+import rillyard.proxy.eventloop.SocketChannelFactory;
 import rillyard.proxy.logging.ProxyLog;
 import rillyard.proxy.resources.DescriptorBudget;
 import rillyard.trace.TraceEvent.Kind;
@@ -68,14 +69,19 @@
      *
      * @param loop a group of one event loop, on which all connections live
      */
-    public UpstreamPool(EventLoopGroup loop, ProxyConfig config, DescriptorBudget descriptors, ProxyLog log) {
+    public UpstreamPool(
+            EventLoopGroup loop,
+            SocketChannelFactory channels,
+            ProxyConfig config,
+            DescriptorBudget descriptors,
+            ProxyLog log) {
         this.descriptors = descriptors;
         this.log = log;
         this.idleTimeouts = IdleTimeoutPolicy.of(
                 config.settings().proxyCount(), (long) (IDLE_TIMEOUT_FRACTION * config.idleTimeoutMs() * 1e6));
         this.bootstrap = new Bootstrap()
                 .group(loop)
-                .channelFactory(PeekableSocketChannel::new)
+                .channelFactory(channels::newSocketChannel)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, config.connectTimeoutMs()))
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, READ_BUFFER_ALLOCATOR)
@@ -135,7 +141,12 @@
 
     private void connect(UpstreamCall call, UpstreamHost host) {
         ChannelFuture future = bootstrap.connect(host.address());
-        PeekableSocketChannel channel = (PeekableSocketChannel) future.channel();
+        if (!(future.channel() instanceof PeekableSocketChannel channel)) {
+            // The system has no socket. Netty's stand-in for the channel has no event loop, and the listeners of its
+            // future would run on another thread.
+            call.onNotSent();
+            return;
+        }
         UpstreamResponseDecoder decoder = new UpstreamResponseDecoder(DECODER_CONFIG);
         UpstreamConnection connection = new UpstreamConnection(this, host, channel, decoder);
         descriptors.onUpstreamOpened();
--- a/src/test/java/rillyard/proxy/ProxyFixture.java
+++ b/src/test/java/rillyard/proxy/ProxyFixture.java
@@ -17,6 +17,7 @@
 import java.util.function.Consumer;
 import rillyard.endpoints.EndpointListGuard;
 import rillyard.proxy.config.ProxyConfig;
+import rillyard.proxy.eventloop.SocketChannelFactory;
 import rillyard.proxy.logging.ProxyLog;
 import rillyard.trace.ProxyTrace;
 
@@ -60,6 +61,21 @@
     /** Starts a proxy; {@code traced} writes the trace to the log, and {@code guard} may be null. */
     ProxyFixture(boolean traced, EndpointListGuard guard, Consumer<ObjectNode> change, String... servers)
             throws Exception {
+        this(new SocketChannelFactory(), traced, guard, change, servers);
+    }
+
+    /** Starts a proxy whose channels come from {@code channels}. */
+    ProxyFixture(SocketChannelFactory channels, String... servers) throws Exception {
+        this(channels, false, null, config -> {}, servers);
+    }
+
+    private ProxyFixture(
+            SocketChannelFactory channels,
+            boolean traced,
+            EndpointListGuard guard,
+            Consumer<ObjectNode> change,
+            String... servers)
+            throws Exception {
         discovery = new ScriptedServer(peer -> {
             String request = peer.read().startLine();
             Thread previous = currentWatcher.getAndSet(Thread.currentThread());
@@ -82,7 +98,8 @@
                 ProxyConfig.load(Map.of("BALANCER_CONFIG", file.toString())),
                 new ProxyLog(out, traced ? new ProxyTrace(out) : null),
                 guard,
-                null);
+                null,
+                channels);
         Files.delete(file);
         proxy.start();
         port = proxy.address().getPort();
--- /dev/null
+++ b/src/test/java/rillyard/proxy/SystemCallFailureTest.java
@@ -0,0 +1,73 @@
+package rillyard.proxy;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.IOException;
+import java.net.SocketException;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import rillyard.proxy.eventloop.FaultInjectingChannels;
+import rillyard.proxy.eventloop.FaultInjectingChannels.Call;
+
+/** System calls that fail for a moment: each request has its final answer, in time. */
+class SystemCallFailureTest {
+    private static IOException noBufferSpace() {
+        return new SocketException("No buffer space available");
+    }
+
+    private static String claim() {
+        return ProxyFixture.post("claim", 20_000, "", "visit=1");
+    }
+
+    private static void awaitFailures(FaultInjectingChannels channels, Call call, int count)
+            throws InterruptedException {
+        long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+        while (channels.failures(call) < count) {
+            assertThat(System.nanoTime()).as("failures of " + call).isLessThan(limit);
+            Thread.sleep(5);
+        }
+    }
+
+    @Test
+    void requestWithoutSocketIsRejectedAtOnceAndNextOneServed() throws Exception {
+        FaultInjectingChannels channels = new FaultInjectingChannels();
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
+                ProxyFixture fixture = new ProxyFixture(channels, ProxyFixture.endpoint("a", host.port()))) {
+            channels.fail(Call.SOCKET, 1, SystemCallFailureTest::noBufferSpace);
+            long sentAt = System.nanoTime();
+            assertThat(fixture.call(claim()).status()).isEqualTo(503); // of a request that never ran
+            assertThat(System.nanoTime() - sentAt).isLessThan(TimeUnit.SECONDS.toNanos(2)); // of 20 s otherwise
+            channels.heal();
+            assertThat(fixture.call(claim()).status()).isEqualTo(200);
+            assertThat(fixture.log()).doesNotContain("event failed");
+        }
+    }
+
+    @Test
+    void requestIsRetriedAtAnotherHostWhereOneSocketIsLacking() throws Exception {
+        FaultInjectingChannels channels = new FaultInjectingChannels();
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
+                ProxyFixture fixture = new ProxyFixture(
+                        channels, ProxyFixture.endpoint("a", host.port()), ProxyFixture.endpoint("b", host.port()))) {
+            channels.fail(Call.SOCKET, 2, SystemCallFailureTest::noBufferSpace);
+            assertThat(fixture.call(claim()).status()).isEqualTo(200);
+            assertThat(channels.failures(Call.SOCKET)).isEqualTo(1);
+        }
+    }
+
+    @Test
+    void watchWithoutSocketIsReopened() throws Exception {
+        FaultInjectingChannels channels = new FaultInjectingChannels();
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
+                ProxyFixture fixture = new ProxyFixture(channels)) {
+            assertThat(fixture.watchRequests.poll(10, TimeUnit.SECONDS)).isNotNull();
+            channels.fail(Call.SOCKET, 1, SystemCallFailureTest::noBufferSpace);
+            fixture.discoveryLines.add(""); // ends the watch
+            awaitFailures(channels, Call.SOCKET, 2);
+            channels.heal();
+            assertThat(fixture.watchRequests.poll(10, TimeUnit.SECONDS)).isNotNull();
+            fixture.announce(2, true, ProxyFixture.endpoint("a", host.port()));
+            assertThat(fixture.call(claim()).status()).isEqualTo(200);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/rillyard/proxy/eventloop/FaultInjectingChannels.java
@@ -0,0 +1,148 @@
+package rillyard.proxy.eventloop;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelException;
+import io.netty.channel.ChannelOutboundBuffer;
+import java.io.IOException;
+import java.net.SocketAddress;
+import java.nio.channels.SocketChannel;
+import java.util.EnumMap;
+import java.util.Map;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.Supplier;
+import rillyard.stall.StallDetector;
+
+/** Channels whose system calls fail, or transfer few bytes, as a test says; until then they work as always. */
+public final class FaultInjectingChannels extends SocketChannelFactory {
+    /** A system call that can be made to fail. */
+    public enum Call {
+        SOCKET,
+        CONNECT,
+        ACCEPT
+    }
+
+    private record Fault(int oneIn, Supplier<IOException> failure) {}
+
+    private static final int WRITES_PER_TURN = 16;
+
+    private final Map<Call, AtomicInteger> calls = new EnumMap<>(Call.class);
+    private final Map<Call, AtomicInteger> failures = new EnumMap<>(Call.class);
+    private volatile Map<Call, Fault> faults = Map.of();
+    private volatile int bytesPerRead = Integer.MAX_VALUE;
+    private volatile int bytesPerWrite = Integer.MAX_VALUE;
+
+    public FaultInjectingChannels() {
+        for (Call call : Call.values()) {
+            calls.put(call, new AtomicInteger());
+            failures.put(call, new AtomicInteger());
+        }
+    }
+
+    /** Has one in {@code oneIn} calls fail from now on. */
+    public void fail(Call call, int oneIn, Supplier<IOException> failure) {
+        Map<Call, Fault> changed = new EnumMap<>(Call.class);
+        changed.putAll(faults);
+        changed.put(call, new Fault(oneIn, failure));
+        faults = changed;
+    }
+
+    /** Ends all failures of calls. */
+    public void heal() {
+        faults = Map.of();
+    }
+
+    /** Bounds the bytes that one system call reads or writes. */
+    public void limitTransfers(int readBytes, int writtenBytes) {
+        bytesPerRead = readBytes;
+        bytesPerWrite = writtenBytes;
+    }
+
+    /** Returns how many calls have failed so far. */
+    public int failures(Call call) {
+        return failures.get(call).get();
+    }
+
+    private void check(Call call) throws IOException {
+        Fault fault = faults.get(call);
+        if (fault != null && calls.get(call).getAndIncrement() % fault.oneIn() == 0) {
+            failures.get(call).incrementAndGet();
+            throw fault.failure().get();
+        }
+    }
+
+    @Override
+    public PeekableSocketChannel newSocketChannel() {
+        try {
+            check(Call.SOCKET);
+        } catch (IOException e) {
+            throw new ChannelException("Failed to open a socket.", e); // as NioSocketChannel does
+        }
+        return new FaultySocketChannel();
+    }
+
+    @Override
+    public PeekableSocketChannel.Server newServerChannel(StallDetector stallDetector) {
+        return new FaultyServerChannel(stallDetector);
+    }
+
+    private final class FaultyServerChannel extends PeekableSocketChannel.Server {
+        FaultyServerChannel(StallDetector stallDetector) {
+            super(stallDetector);
+        }
+
+        @Override
+        protected SocketChannel acceptSocket() throws IOException {
+            check(Call.ACCEPT);
+            return super.acceptSocket();
+        }
+
+        @Override
+        protected PeekableSocketChannel newAcceptedChannel(SocketChannel socket, StallDetector detector) {
+            return new FaultySocketChannel(this, socket, detector);
+        }
+    }
+
+    private final class FaultySocketChannel extends PeekableSocketChannel {
+        FaultySocketChannel() {}
+
+        FaultySocketChannel(Channel parent, SocketChannel socket, StallDetector detector) {
+            super(parent, socket, detector);
+        }
+
+        @Override
+        protected boolean doConnect(SocketAddress remote, SocketAddress local) throws Exception {
+            check(Call.CONNECT);
+            return super.doConnect(remote, local);
+        }
+
+        @Override
+        protected int doReadBytes(ByteBuf bytes) throws Exception {
+            if (bytes.writableBytes() <= bytesPerRead) {
+                return super.doReadBytes(bytes);
+            }
+            unsafe().recvBufAllocHandle().attemptedBytesRead(bytes.writableBytes());
+            return bytes.writeBytes(javaChannel(), bytesPerRead);
+        }
+
+        @Override
+        protected void doWrite(ChannelOutboundBuffer pending) throws Exception {
+            if (bytesPerWrite == Integer.MAX_VALUE) {
+                super.doWrite(pending);
+                return;
+            }
+            for (int i = 0; i < WRITES_PER_TURN; i++) {
+                ByteBuf bytes = (ByteBuf) pending.current();
+                if (bytes == null) {
+                    clearOpWrite();
+                    return;
+                }
+                pending.progress(bytes.readBytes(javaChannel(), Math.min(bytesPerWrite, bytes.readableBytes())));
+                if (!bytes.isReadable()) {
+                    pending.remove();
+                }
+            }
+            incompleteWrite(true);
+        }
+    }
+}
