--- a/src/main/java/rillyard/balancer/AttemptOutcome.java
+++ b/src/main/java/rillyard/balancer/AttemptOutcome.java
@@ -17,7 +17,12 @@
     /** The attempt was cancelled after the request may have reached the host. */
     CANCELLED("CANCELLED", false),
     /** The attempt was given up before anything of it was sent. */
-    NOT_SENT("MOOT", true);
+    NOT_SENT("MOOT", true),
+    /**
+     * The proxy's own machine had no socket, port, buffer or route for the attempt, which tells nothing of the host. In traces
+     * it stays a failed connect.
+     */
+    LOCAL_FAILURE("CONNECT_FAILED", true);
 
     private final String traceWord;
     private final boolean provesNotExecuted;
--- a/src/main/java/rillyard/balancer/Balancer.java
+++ b/src/main/java/rillyard/balancer/Balancer.java
@@ -154,7 +154,7 @@
                 }
             }
             case RESET, CONNECT_FAILED -> outliers.onFailure(host, now, false);
-            default -> {} // cancelled or not sent: tells nothing of the host
+            default -> {} // cancelled, not sent or a local failure: tells nothing of the host
         }
     }
 
--- a/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
+++ b/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
@@ -137,6 +137,11 @@
         finish(AttemptOutcome.CONNECT_FAILED);
     }
 
+    @Override
+    public void onLocalFailure() {
+        finish(AttemptOutcome.LOCAL_FAILURE);
+    }
+
     @Override
     public void onNotNeeded() {
         finish(AttemptOutcome.NOT_SENT);
--- a/src/main/java/rillyard/proxy/upstream/UpstreamCall.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamCall.java
@@ -8,8 +8,8 @@
 /**
  * One request to one host, as a connection carries it: an attempt.
  *
- * <p>A subclass writes the request and receives the response. Of {@link #onNotSent}, {@link #onNotNeeded},
- * {@link #onResponseEnd} and {@link #onConnectionLost} at most one is called. Confined to the event loop.
+ * <p>A subclass writes the request and receives the response. Of {@link #onNotSent}, {@link #onLocalFailure},
+ * {@link #onNotNeeded}, {@link #onResponseEnd} and {@link #onConnectionLost} at most one is called. Confined to the event loop.
  */
 public abstract class UpstreamCall {
     /** Default nanoseconds without progress after which a response counts as broken; hosts pause for 0.1 s at most. */
@@ -44,6 +44,9 @@
     /** Is called when the last byte was not written: there was no connection, or it ended before. */
     public abstract void onNotSent();
 
+    /** Is called when this machine could not open a connection, whatever the host. */
+    public abstract void onLocalFailure();
+
     /** Is called when the host must not receive the request any more and no byte of it was written. */
     public abstract void onNotNeeded();
 
--- a/src/main/java/rillyard/proxy/upstream/UpstreamHost.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamHost.java
@@ -15,6 +15,8 @@
  * the event loop.
  */
 public final class UpstreamHost {
+    private static final long NOT_UNREACHABLE = -1;
+
     private final String name;
     private final long id;
     private final ArrayDeque<UpstreamConnection> idleConnections = new ArrayDeque<>(2);
@@ -24,6 +26,7 @@
     private boolean listed;
     private boolean sendable;
     private int openCalls;
+    private long unreachableMark = NOT_UNREACHABLE;
 
     /**
      * Creates a host that is neither listed nor sendable.
@@ -123,6 +126,23 @@
         return calls;
     }
 
+    /** Records that the host was reached. */
+    void onReached() {
+        unreachableMark = NOT_UNREACHABLE;
+    }
+
+    /**
+     * Records that there was no route to the host.
+     *
+     * @param reached how often any host has been reached so far
+     * @return whether another host has been reached since the failure before, if this one was not reached after that
+     */
+    boolean onUnreachable(long reached) {
+        boolean isOnlyThisHost = unreachableMark != NOT_UNREACHABLE && reached > unreachableMark;
+        unreachableMark = reached;
+        return isOnlyThisHost;
+    }
+
     /** Returns the idle connections, the one that has been idle for longest first; changed by the pool only. */
     ArrayDeque<UpstreamConnection> idleConnections() {
         return idleConnections;
--- a/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
@@ -62,6 +62,7 @@
     private final IdleTimeoutPolicy idleTimeouts;
     private final Set<UpstreamConnection> discarding = new HashSet<>();
     private final IdleResetStats idleResets = new IdleResetStats();
+    private final ConnectFailureClassifier connectFailures;
     private long rejectedAttempts;
 
     /**
@@ -77,6 +78,7 @@
             ProxyLog log) {
         this.descriptors = descriptors;
         this.log = log;
+        this.connectFailures = new ConnectFailureClassifier(log);
         this.idleTimeouts = IdleTimeoutPolicy.of(
                 config.settings().proxyCount(), (long) (IDLE_TIMEOUT_FRACTION * config.idleTimeoutMs() * 1e6));
         this.bootstrap = new Bootstrap()
@@ -111,7 +113,7 @@
             if (rejectedAttempts++ % REJECTIONS_PER_LOG_LINE == 0) {
                 log.info("descriptors: limit reached, rejected_attempts=" + rejectedAttempts);
             }
-            call.onNotSent();
+            call.onLocalFailure();
             return;
         }
         connect(call, host);
@@ -144,7 +146,7 @@
         if (!(future.channel() instanceof PeekableSocketChannel channel)) {
             // The system has no socket. Netty's stand-in for the channel has no event loop, and the listeners of its
             // future would run on another thread.
-            call.onNotSent();
+            connectFailures.reportLocal(call, future.cause());
             return;
         }
         UpstreamResponseDecoder decoder = new UpstreamResponseDecoder(DECODER_CONFIG);
@@ -158,11 +160,13 @@
             if (!host.onConnectEnded(call)) {
                 channel.close(); // the call was given up meanwhile
             } else if (!future.isSuccess()) {
-                call.onNotSent();
+                connectFailures.report(call, future.cause());
             } else if (!call.mayBegin()) {
+                connectFailures.onReached(host);
                 channel.close();
                 call.onNotNeeded();
             } else {
+                connectFailures.onReached(host);
                 channel.pipeline().addLast(decoder, new HttpRequestEncoder(), connection);
                 connection.run(call);
             }
@@ -189,6 +193,7 @@
 
     void onIdle(UpstreamHost host, UpstreamConnection connection) {
         discarding.remove(connection);
+        connectFailures.onReached(host);
         host.idleConnections().addLast(connection);
         descriptors.setUpstreamIdle(connection, true);
     }
--- a/src/test/java/rillyard/balancer/AttemptOutcomeTraceTest.java
+++ b/src/test/java/rillyard/balancer/AttemptOutcomeTraceTest.java
@@ -10,6 +10,15 @@
     @Test
     void traceWordsStayTheSame() {
         assertThat(Arrays.stream(AttemptOutcome.values()).map(AttemptOutcome::traceWord))
-                .containsExactly("OK", "ERROR", "FULL", "TIMEOUT", "CONNECT_FAILED", "RESET", "CANCELLED", "MOOT");
+                .containsExactly(
+                        "OK",
+                        "ERROR",
+                        "FULL",
+                        "TIMEOUT",
+                        "CONNECT_FAILED",
+                        "RESET",
+                        "CANCELLED",
+                        "MOOT",
+                        "CONNECT_FAILED"); // a local failure
     }
 }
--- a/src/test/java/rillyard/balancer/BalancerTest.java
+++ b/src/test/java/rillyard/balancer/BalancerTest.java
@@ -101,6 +101,24 @@
         assertThat(trials).isGreaterThan(50);
     }
 
+    @Test
+    void localFailureIsRetriedThenRejectedAndEjectsNoHost() {
+        Balancer balancer = safe(3);
+        for (int i = 0; i < 60; i++) {
+            balancer.onRequest(fixture.now, BalancerFixture.request(i, SAFE, 800));
+            int attempt = 0;
+            while (fixture.lastSend().request() == i && fixture.lastSend().number() == attempt) {
+                balancer.onAttemptEnded(
+                        fixture.now, i, new AttemptResult(attempt++, AttemptOutcome.LOCAL_FAILURE, 0, false, null));
+            }
+            assertThat(attempt).isBetween(1, 3); // one attempt a host at most
+        }
+        assertThat(fixture.rejected).hasSize(60);
+        assertThat(fixture.failed).isEmpty();
+        assertThat(fixture.sends).hasSizeLessThan(60 + 10 + 60 / 5 + 1); // retries within their budget
+        assertThat(fixture.logs).noneMatch(line -> line.startsWith("outlier: host ejected, "));
+    }
+
     @Test
     void failureOfAllHostsEjectsFewAndKeepsServing() {
         Balancer balancer = safe(3);
--- a/src/test/java/rillyard/balancer/CheckedAttempt.java
+++ b/src/test/java/rillyard/balancer/CheckedAttempt.java
@@ -15,6 +15,7 @@
         return outcome == null
                 || !(outcome == AttemptOutcome.REJECTED
                         || outcome == AttemptOutcome.CONNECT_FAILED
-                        || outcome == AttemptOutcome.NOT_SENT);
+                        || outcome == AttemptOutcome.NOT_SENT
+                        || outcome == AttemptOutcome.LOCAL_FAILURE);
     }
 }
--- a/src/test/java/rillyard/proxy/SystemCallFailureTest.java
+++ b/src/test/java/rillyard/proxy/SystemCallFailureTest.java
@@ -3,8 +3,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
+import java.net.BindException;
 import java.net.SocketException;
+import java.util.List;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
 import rillyard.proxy.eventloop.FaultInjectingChannels;
 import rillyard.proxy.eventloop.FaultInjectingChannels.Call;
@@ -55,6 +58,30 @@
         }
     }
 
+    /** Each host would be ejected after three failures of its own. */
+    @Test
+    void localFailuresOfAllConnectsEjectNoHost() throws Exception {
+        FaultInjectingChannels channels = new FaultInjectingChannels();
+        List<Supplier<IOException>> localFailures = List.of(
+                SystemCallFailureTest::noBufferSpace,
+                () -> new BindException("Cannot assign requested address"),
+                () -> new SocketException("Network is unreachable"));
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
+                ProxyFixture fixture = new ProxyFixture(
+                        channels, ProxyFixture.endpoint("a", host.port()), ProxyFixture.endpoint("b", host.port()))) {
+            for (Supplier<IOException> failure : localFailures) {
+                channels.fail(Call.CONNECT, 1, failure);
+                for (int i = 0; i < 10; i++) {
+                    assertThat(fixture.call(claim()).status()).isEqualTo(503);
+                }
+            }
+            assertThat(channels.failures(Call.CONNECT)).isLessThanOrEqualTo(60); // an attempt a host at most
+            channels.heal();
+            assertThat(fixture.call(claim()).status()).isEqualTo(200);
+            assertThat(fixture.log()).doesNotContain("host ejected").contains("upstream: local failure, count=1");
+        }
+    }
+
     @Test
     void watchWithoutSocketIsReopened() throws Exception {
         FaultInjectingChannels channels = new FaultInjectingChannels();
--- /dev/null
+++ b/src/test/java/rillyard/proxy/upstream/ConnectFailureClassifierTest.java
@@ -0,0 +1,68 @@
+package rillyard.proxy.upstream;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import io.netty.channel.ConnectTimeoutException;
+import java.io.ByteArrayOutputStream;
+import java.io.PrintStream;
+import java.net.BindException;
+import java.net.ConnectException;
+import java.net.NoRouteToHostException;
+import java.net.SocketException;
+import java.nio.charset.StandardCharsets;
+import org.junit.jupiter.api.Test;
+import rillyard.proxy.logging.ProxyLog;
+
+/** What failed connects tell of hosts. */
+class ConnectFailureClassifierTest {
+    private final SocketException noRoute = new SocketException("Network is unreachable");
+
+    private final ConnectFailureClassifier classifier = new ConnectFailureClassifier(
+            new ProxyLog(new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8)));
+    private final UpstreamHost host = new UpstreamHost("a", 1);
+    private final UpstreamHost other = new UpstreamHost("b", 2);
+
+    @Test
+    void refusedUnreachableOrLateHostHasFailed() {
+        assertThat(classifier.isOfHost(host, new ConnectException("Connection refused")))
+                .isTrue();
+        assertThat(classifier.isOfHost(host, new ConnectTimeoutException("late")))
+                .isTrue();
+        assertThat(classifier.isOfHost(host, new NoRouteToHostException("No route to host")))
+                .isTrue();
+    }
+
+    @Test
+    void lackOfPortsOrBuffersIsLocalWhoeverIsReached() {
+        for (int i = 0; i < 3; i++) {
+            classifier.onReached(other);
+            assertThat(classifier.isOfHost(host, new SocketException("No buffer space available")))
+                    .isFalse();
+            // As Netty wraps it.
+            Throwable annotated = new SocketException("Cannot assign requested address: /127.0.0.1:80");
+            annotated.initCause(new BindException("Cannot assign requested address"));
+            assertThat(classifier.isOfHost(host, annotated)).isFalse();
+        }
+    }
+
+    @Test
+    void lackOfRouteToAllHostsIsLocal() {
+        classifier.onReached(host);
+        classifier.onReached(other);
+        for (int i = 0; i < 5; i++) {
+            assertThat(classifier.isOfHost(host, noRoute)).isFalse();
+            assertThat(classifier.isOfHost(other, noRoute)).isFalse();
+        }
+    }
+
+    @Test
+    void lackOfRouteToOneHostTellsOfItWhileAnotherIsReached() {
+        assertThat(classifier.isOfHost(host, noRoute)).isFalse();
+        classifier.onReached(other);
+        assertThat(classifier.isOfHost(host, noRoute)).isTrue();
+        assertThat(classifier.isOfHost(host, noRoute)).isFalse(); // no other was reached meanwhile
+        classifier.onReached(host);
+        classifier.onReached(other);
+        assertThat(classifier.isOfHost(host, noRoute)).isFalse(); // the first one since it was reached
+    }
+}
