--- a/src/main/java/rillyard/proxy/ClientProxy.java
+++ b/src/main/java/rillyard/proxy/ClientProxy.java
@@ -285,6 +285,10 @@
         return driver.metrics();
     }
 
+    ClientListener listener() {
+        return listener;
+    }
+
     EventLoop loop() {
         return loop;
     }
--- a/src/main/java/rillyard/proxy/downstream/ClientListener.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientListener.java
@@ -7,10 +7,12 @@
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.socket.nio.NioChannelOption;
 import io.netty.handler.codec.http.HttpResponseEncoder;
+import java.io.IOException;
 import java.net.StandardSocketOptions;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.Set;
+import java.util.concurrent.locks.LockSupport;
 import rillyard.proxy.config.ProxyConfig;
 import rillyard.proxy.dispatch.BalancerDriver;
 import rillyard.proxy.eventloop.PeekableSocketChannel;
@@ -29,11 +31,17 @@
 public final class ClientListener {
     private static final int BACKLOG = 1_024;
 
+    /** Tries to empty the backlog before it is closed; together with their pauses they hold the event loop for 10 ms. */
+    private static final int MAX_PENDING_ACCEPT_TRIES = 20;
+
+    private static final long PENDING_ACCEPT_RETRY_NANOS = 500_000;
+
     private final BalancerDriver driver;
     private final DescriptorBudget descriptors;
     private final BodyMemoryBudget bodyMemory;
     private final ProxyLog log;
     private final StallDetector stallDetector;
+    private final AcceptControl acceptControl;
     private final RequestValidator validator;
     private final RequestDispatcher dispatcher;
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
@@ -59,6 +67,7 @@
         this.bodyMemory = bodyMemory;
         this.log = log;
         this.stallDetector = stallDetector;
+        this.acceptControl = new AcceptControl(descriptors, log);
         this.validator = new RequestValidator(config.settings().classes(), driver);
         this.dispatcher = new RequestDispatcher(driver, log, config.maxOpenRequests());
     }
@@ -88,6 +97,7 @@
                     @Override
                     protected void initChannel(PeekableSocketChannel.Server channel) {
                         serverChannel = channel; // before the first accept, which may come ahead of the bind's end
+                        channel.pipeline().addLast(acceptControl);
                     }
                 })
                 .childHandler(new ChannelInitializer<PeekableSocketChannel>() {
@@ -115,8 +125,7 @@
         channel.closeFuture().addListener(future -> onClosed(connection));
         channel.pipeline().addLast(decoder, new HttpResponseEncoder(), connection);
         if (descriptors.isExhausted()) {
-            // The rest waits in the backlog, as accepts would fail again and again.
-            serverChannel.config().setAutoRead(false);
+            acceptControl.update(); // the rest waits in the backlog, as accepts would fail again and again
         }
     }
 
@@ -128,24 +137,36 @@
     private void onClosed(ClientConnection connection) {
         connections.remove(connection);
         descriptors.onClientClosed(connection);
-        if (!descriptors.isExhausted() && serverChannel.isOpen()) {
-            serverChannel.config().setAutoRead(true);
-        }
+        acceptControl.update();
     }
 
     /**
      * Accepts the connections that wait and closes the server channel, as a successor listens.
      *
-     * <p>The close follows the last accept at once, as the kernel may establish connections between the two.
+     * <p>The close follows the last accept at once, as the kernel may establish connections between the two. An accept that
+     * fails is tried again for some ms before: the close would reset the connections that wait.
      */
     public void closeServerChannel() {
         PeekableSocketChannel.Server open = serverChannel;
         if (open != null && open.isOpen()) { // null if the drain began before the bind
-            open.acceptPending();
+            for (int tries = 0; tries < MAX_PENDING_ACCEPT_TRIES && !acceptPending(open); tries++) {
+                LockSupport.parkNanos(PENDING_ACCEPT_RETRY_NANOS);
+            }
             open.close();
         }
     }
 
+    /** Accepts what waits; returns whether the backlog is empty then. */
+    private boolean acceptPending(PeekableSocketChannel.Server open) {
+        try {
+            open.acceptPending();
+            return true;
+        } catch (IOException e) {
+            acceptControl.onAcceptFailed(e);
+            return false;
+        }
+    }
+
     /** Starts or goes on draining: responses close their connections, and idle connections are closed now. */
     public void drain() {
         requestClientMigration();
--- a/src/main/java/rillyard/proxy/eventloop/PeekableSocketChannel.java
+++ b/src/main/java/rillyard/proxy/eventloop/PeekableSocketChannel.java
@@ -47,17 +47,20 @@
             return new PeekableSocketChannel(this, socket, detector);
         }
 
-        /** Accepts all connections of the backlog at once. */
-        public void acceptPending() {
+        /**
+         * Accepts all connections of the backlog at once.
+         *
+         * @throws IOException if an accept has failed, before which others may have succeeded
+         */
+        public void acceptPending() throws IOException {
             try {
                 SocketChannel socket;
                 while ((socket = acceptSocket()) != null) {
                     pipeline().fireChannelRead(newAcceptedChannel(socket, stallDetector));
                 }
-            } catch (IOException ignored) {
-                // out of descriptors, or closed: the rest of the backlog can't be accepted
+            } finally {
+                pipeline().fireChannelReadComplete();
             }
-            pipeline().fireChannelReadComplete();
         }
     }
 
--- a/src/main/java/rillyard/proxy/logging/ProxyLog.java
+++ b/src/main/java/rillyard/proxy/logging/ProxyLog.java
@@ -1,6 +1,8 @@
 package rillyard.proxy.logging;
 
 import java.io.PrintStream;
+import java.io.PrintWriter;
+import java.io.StringWriter;
 import java.util.function.Supplier;
 import rillyard.trace.ProxyTrace;
 
@@ -48,12 +50,15 @@
         }
     }
 
-    /** Writes a failure of the program itself with its stack trace. */
+    /** Writes a failure of the program itself with its stack trace, each line of which counts within the rate limit. */
     public void error(String text, Throwable cause) {
-        if (acquirePermit()) {
-            out.println(PREFIX + text);
-            cause.printStackTrace(out);
+        if (!acquirePermit()) {
+            return;
         }
+        out.println(PREFIX + text);
+        StringWriter trace = new StringWriter();
+        cause.printStackTrace(new PrintWriter(trace));
+        trace.toString().lines().filter(line -> acquirePermit()).forEach(out::println);
     }
 
     /** Returns whether a line is within the rate limit, and counts it. */
--- a/src/test/java/rillyard/proxy/SystemCallFailureTest.java
+++ b/src/test/java/rillyard/proxy/SystemCallFailureTest.java
@@ -5,7 +5,9 @@
 import java.io.IOException;
 import java.net.BindException;
 import java.net.SocketException;
+import java.util.ArrayList;
 import java.util.List;
+import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
@@ -18,6 +20,10 @@
         return new SocketException("No buffer space available");
     }
 
+    private static IOException tooManyFiles() {
+        return new IOException("Too many open files in system");
+    }
+
     private static String claim() {
         return ProxyFixture.post("claim", 20_000, "", "visit=1");
     }
@@ -82,6 +88,65 @@
         }
     }
 
+    /** Netty's own acceptor would pause for a second after each failure, and log its stack trace. */
+    @Test
+    void failedAcceptsDelayClientsByMillisecondsOnly() throws Exception {
+        FaultInjectingChannels channels = new FaultInjectingChannels();
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
+                ProxyFixture fixture = new ProxyFixture(channels, ProxyFixture.endpoint("a", host.port()))) {
+            channels.fail(Call.ACCEPT, 2, SystemCallFailureTest::tooManyFiles);
+            long beganAt = System.nanoTime();
+            for (int i = 0; i < 20; i++) {
+                assertThat(fixture.call(claim()).status()).isEqualTo(200);
+            }
+            assertThat(System.nanoTime() - beganAt).isLessThan(TimeUnit.SECONDS.toNanos(5)); // of 20 s otherwise
+            assertThat(channels.failures(Call.ACCEPT)).isGreaterThan(10);
+            assertThat(fixture.log())
+                    .containsOnlyOnce("listener: accept failed, count=1 ")
+                    .doesNotContain("\tat ");
+        }
+    }
+
+    @Test
+    void lastingFailureOfAcceptsDoesNotSpin() throws Exception {
+        FaultInjectingChannels channels = new FaultInjectingChannels();
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
+                ProxyFixture fixture = new ProxyFixture(channels, ProxyFixture.endpoint("a", host.port()))) {
+            channels.fail(Call.ACCEPT, 1, SystemCallFailureTest::tooManyFiles);
+            try (TestPeer client = fixture.client()) {
+                client.write(claim());
+                Thread.sleep(500);
+                assertThat(channels.failures(Call.ACCEPT)).isBetween(2, 101); // each 5 ms
+                channels.heal();
+                assertThat(client.read().status()).isEqualTo(200);
+            }
+        }
+    }
+
+    /** The close of the server channel would reset the connections that it has not accepted. */
+    @Test
+    void backlogIsAcceptedBeforeCloseThoughAcceptsFail() throws Exception {
+        FaultInjectingChannels channels = new FaultInjectingChannels();
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
+                ProxyFixture fixture = new ProxyFixture(channels, ProxyFixture.endpoint("a", host.port()))) {
+            CountDownLatch unblock = fixture.blockLoop();
+            List<TestPeer> clients = new ArrayList<>();
+            for (int i = 0; i < 4; i++) {
+                TestPeer client = fixture.client();
+                client.write(claim());
+                clients.add(client);
+            }
+            channels.fail(Call.ACCEPT, 2, SystemCallFailureTest::tooManyFiles);
+            fixture.proxy.loop().execute(() -> fixture.proxy.listener().closeServerChannel());
+            unblock.countDown();
+            for (TestPeer client : clients) {
+                assertThat(client.read().status()).isEqualTo(200);
+                client.close();
+            }
+            assertThat(channels.failures(Call.ACCEPT)).isGreaterThanOrEqualTo(3);
+        }
+    }
+
     @Test
     void watchWithoutSocketIsReopened() throws Exception {
         FaultInjectingChannels channels = new FaultInjectingChannels();
