--- a/src/test/java/rillyard/proxy/SystemCallFailureTest.java
+++ b/src/test/java/rillyard/proxy/SystemCallFailureTest.java
@@ -147,6 +147,51 @@
         }
     }
 
+    /** Of connections of clients, to hosts and to discovery. */
+    @Test
+    void shortReadsAndWritesChangeNothing() throws Exception {
+        FaultInjectingChannels channels = new FaultInjectingChannels();
+        channels.limitTransfers(5, 7);
+        String body = "0123456789".repeat(300);
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok(message.text() + "!"));
+                ProxyFixture fixture = new ProxyFixture(channels);
+                TestPeer client = fixture.client()) {
+            fixture.announce(2, true, ProxyFixture.endpoint("a", host.port()));
+            while (!fixture.proxy
+                    .loop()
+                    .submit(() -> fixture.proxy.listener().wasRecentlyReady())
+                    .get()) {
+                Thread.sleep(10);
+            }
+            for (int i = 0; i < 10; i++) {
+                client.write(ProxyFixture.post("claim", 20_000, "", body));
+                TestPeer.Message answer = client.read();
+                assertThat(answer.status()).isEqualTo(200);
+                assertThat(answer.text()).isEqualTo(body + "!");
+            }
+        }
+    }
+
+    @Test
+    void everyThirdConnectWithoutPortCostsNoRequest() throws Exception {
+        FaultInjectingChannels channels = new FaultInjectingChannels();
+        try (ScriptedServer host = new ScriptedServer(peer -> {
+                    peer.read();
+                    peer.write("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx");
+                });
+                ProxyFixture fixture = new ProxyFixture(
+                        channels,
+                        ProxyFixture.endpoint("a", host.port()),
+                        ProxyFixture.endpoint("b", host.port()),
+                        ProxyFixture.endpoint("c", host.port()))) {
+            channels.fail(Call.CONNECT, 3, () -> new BindException("Cannot assign requested address"));
+            for (int i = 0; i < 30; i++) {
+                assertThat(fixture.call(claim()).status()).isEqualTo(200);
+            }
+            assertThat(channels.failures(Call.CONNECT)).isGreaterThan(10);
+        }
+    }
+
     @Test
     void watchWithoutSocketIsReopened() throws Exception {
         FaultInjectingChannels channels = new FaultInjectingChannels();
