--- a/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
@@ -19,6 +19,7 @@
 import rillyard.connections.IdleTimeoutPolicy;
 import rillyard.proxy.config.ProxyConfig;
 import rillyard.proxy.eventloop.PeekableSocketChannel;
+import rillyard.proxy.eventloop.SocketChannelFactory;
 import rillyard.proxy.logging.ProxyLog;
 import rillyard.proxy.resources.DescriptorBudget;
 import rillyard.trace.TraceEvent.Kind;
@@ -61,6 +62,7 @@
     private final IdleTimeoutPolicy idleTimeouts;
     private final Set<UpstreamConnection> discarding = new HashSet<>();
     private final IdleResetStats idleResets = new IdleResetStats();
+    private final ConnectFailureClassifier connectFailures;
     private long rejectedAttempts;
 
     /**
@@ -68,14 +70,20 @@
      *
      * @param loop a group of one event loop, on which all connections live
      */
-    public UpstreamPool(EventLoopGroup loop, ProxyConfig config, DescriptorBudget descriptors, ProxyLog log) {
+    public UpstreamPool(
+            EventLoopGroup loop,
+            SocketChannelFactory channels,
+            ProxyConfig config,
+            DescriptorBudget descriptors,
+            ProxyLog log) {
         this.descriptors = descriptors;
         this.log = log;
+        this.connectFailures = new ConnectFailureClassifier(log);
         this.idleTimeouts = IdleTimeoutPolicy.of(
                 config.settings().proxyCount(), (long) (IDLE_TIMEOUT_FRACTION * config.idleTimeoutMs() * 1e6));
         this.bootstrap = new Bootstrap()
                 .group(loop)
-                .channelFactory(PeekableSocketChannel::new)
+                .channelFactory(channels::newSocketChannel)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, config.connectTimeoutMs()))
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, READ_BUFFER_ALLOCATOR)
@@ -105,7 +113,7 @@
             if (rejectedAttempts++ % REJECTIONS_PER_LOG_LINE == 0) {
                 log.info("descriptors: limit reached, rejected_attempts=" + rejectedAttempts);
             }
-            call.onNotSent();
+            call.onLocalFailure();
             return;
         }
         connect(call, host);
@@ -135,7 +143,12 @@
 
     private void connect(UpstreamCall call, UpstreamHost host) {
         ChannelFuture future = bootstrap.connect(host.address());
-        PeekableSocketChannel channel = (PeekableSocketChannel) future.channel();
+        if (!(future.channel() instanceof PeekableSocketChannel channel)) {
+            // The system has no socket. Netty's stand-in for the channel has no event loop, and the listeners of its
+            // future would run on another thread.
+            connectFailures.reportLocal(call, future.cause());
+            return;
+        }
         UpstreamResponseDecoder decoder = new UpstreamResponseDecoder(DECODER_CONFIG);
         UpstreamConnection connection = new UpstreamConnection(this, host, channel, decoder);
         descriptors.onUpstreamOpened();
@@ -147,11 +160,13 @@
             if (!host.onConnectEnded(call)) {
                 channel.close(); // the call was given up meanwhile
             } else if (!future.isSuccess()) {
-                call.onNotSent();
+                connectFailures.report(call, future.cause());
             } else if (!call.mayBegin()) {
+                connectFailures.onReached(host);
                 channel.close();
                 call.onNotNeeded();
             } else {
+                connectFailures.onReached(host);
                 channel.pipeline().addLast(decoder, new HttpRequestEncoder(), connection);
                 connection.run(call);
             }
@@ -178,6 +193,7 @@
 
     void onIdle(UpstreamHost host, UpstreamConnection connection) {
         discarding.remove(connection);
+        connectFailures.onReached(host);
         host.idleConnections().addLast(connection);
         descriptors.setUpstreamIdle(connection, true);
     }
