--- a/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
+++ b/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
@@ -7,7 +7,6 @@
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.util.concurrent.Future;
-import java.util.Locale;
 import rillyard.balancer.AttemptOutcome;
 import rillyard.balancer.LoadReport;
 import rillyard.proxy.http.ProtocolHeaders;
@@ -352,12 +351,7 @@
         } else if (connection() == null) {
             received = "no_connection";
         }
-        return String.format(
-                Locale.ROOT,
-                "attempt: failed, host=%s outcome=%s elapsed_ms=%.0f received=%s",
-                host().name(),
-                outcome,
-                elapsedMillis(),
-                received);
+        return "attempt: failed, host=" + host().name() + " outcome=" + outcome + " elapsed_ms="
+                + Math.round(elapsedMillis()) + " received=" + received;
     }
 }
--- a/src/main/java/rillyard/proxy/downstream/ResponseWriter.java
+++ b/src/main/java/rillyard/proxy/downstream/ResponseWriter.java
@@ -14,14 +14,12 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
-import java.util.Locale;
 import rillyard.proxy.dispatch.ResponseReceiver;
 import rillyard.proxy.http.ProtocolHeaders;
 import rillyard.proxy.resources.BufferedBody;
 
 /** Writes the responses of one client connection, and knows since when its client takes none of them. */
 final class ResponseWriter implements ResponseReceiver {
-    private static final double MILLIS_PER_SECOND = 1_000;
 
     private final ClientConnection connection;
     private final Channel channel;
@@ -45,8 +43,7 @@
                 HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.EMPTY_BUFFER);
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
         if (retryAfterMillis > 0) {
-            String seconds = String.format(Locale.ROOT, "%.3f", retryAfterMillis / MILLIS_PER_SECOND);
-            response.headers().set(HttpHeaderNames.RETRY_AFTER, seconds);
+            response.headers().set(HttpHeaderNames.RETRY_AFTER, ProtocolHeaders.toSeconds(retryAfterMillis));
         }
         connection.onResponseWritten(channel.writeAndFlush(withConnectionHeader(response)));
     }
--- a/src/main/java/rillyard/proxy/http/ProtocolHeaders.java
+++ b/src/main/java/rillyard/proxy/http/ProtocolHeaders.java
@@ -48,8 +48,23 @@
 
     private static final int MAX_CONNECTION_TOKENS = 16;
 
+    private static final int MILLIS_PER_SECOND = 1_000;
+
     private ProtocolHeaders() {}
 
+    /**
+     * Returns a time of {@code millis} ms as seconds with three decimals, as for Retry-After.
+     *
+     * <p>Written by hand as {@link java.util.Formatter} loads the locales' data at its first use: tens of milliseconds
+     * of a fraction of a core, on the event loop.
+     */
+    public static String toSeconds(double millis) {
+        long rounded = Math.round(millis);
+        String decimals =
+                Long.toString(MILLIS_PER_SECOND + rounded % MILLIS_PER_SECOND).substring(1);
+        return rounded / MILLIS_PER_SECOND + "." + decimals;
+    }
+
     /** Removes the hop-by-hop headers, including those that Connection names, except end-to-end ones. */
     public static void dropHopByHop(HttpHeaders headers) {
         if (headers.contains(HttpHeaderNames.CONNECTION)) {
--- a/src/main/java/rillyard/proxy/lifecycle/ClassArchiveTraining.java
+++ b/src/main/java/rillyard/proxy/lifecycle/ClassArchiveTraining.java
@@ -1,6 +1,8 @@
 package rillyard.proxy.lifecycle;
 
 import java.io.IOException;
+import java.io.OutputStream;
+import java.io.PrintStream;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -8,11 +10,13 @@
 import java.nio.file.Path;
 import java.util.Comparator;
 import java.util.Map;
+import java.util.StringJoiner;
 import java.util.stream.Stream;
+import rillyard.proxy.ClientProxy;
 import rillyard.proxy.config.ConfigException;
 
 /**
- * Runs a proxy without clients through its start, warm-up and drain, for the JVM to record the classes that it loads.
+ * Runs a proxy through its start, warm-up, failing requests and its drain, for the JVM to record the classes that it loads.
  *
  * <p>The build runs it to make the class archive, which shortens the time that a restart leaves clients without a proxy.
  * A proxy without the archive starts as well, only later.
@@ -25,10 +29,11 @@
       {"name":"training","listen":"127.0.0.1:0","operator":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
        "limits":{"cores":1.0,"memory_mb":128,"sockets":1024},
        "known":{"version":1,"full":true,"servers":[
-        {"id":"a","addr":"127.0.0.1:1","zone":"z","state":"up"}]},
+        HOSTS]},
        "settings":{"balancers":1,"position":0,"zone":"z","zones":["z"],
         "membershipMode":"automatic",
         "classes":[
+         {"name":"read","aim":400,"deadline":1200,"semantics":"idempotent","keyScope":"all"},
          {"name":"keyed","aim":400,"deadline":1200,"semantics":"deduplicated","keyScope":"cell",
           "repeatWindow":750},
          {"name":"unsafe","aim":400,"deadline":800,"semantics":"at_most_once","keyScope":"all"}],
@@ -37,8 +42,20 @@
         "rules":{"cold":8700,"startCapacity":0.3,"fall":1500,"fallMultiple":3}}}
       """;
 
+    /** Hosts of the trained proxy; so many that a few failures of each do not eject all of them. */
+    private static final int HOST_COUNT = 16;
+
     private ClassArchiveTraining() {}
 
+    private static String configFor(FaultyHost host) {
+        StringJoiner hosts = new StringJoiner(",");
+        for (int i = 0; i < HOST_COUNT; i++) {
+            hosts.add("{\"id\":\"host-" + i + "\",\"addr\":\"127.0.0.1:" + host.port()
+                    + "\",\"zone\":\"z\",\"state\":\"up\"}");
+        }
+        return CONFIG.replace("HOSTS", hosts.toString());
+    }
+
     private static void call(InetSocketAddress address, String methodAndTarget, String body) throws IOException {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             String request = methodAndTarget + " HTTP/1.1\r\nHost: operator\r\nContent-Length: " + body.length()
@@ -49,26 +66,36 @@
     }
 
     /**
-     * Runs the proxy and ends the process.
-     *
-     * @throws IOException if the temporary directory can't be used, or the proxy's admin address not be called
-     * @throws ConfigException if the proxy can't be started
+     * Runs the proxy, has requests fail at it, and ends the process: with status 0, or with 1 and one line on standard
+     * error if it could not be run to the end.
      */
-    public static void run() throws IOException, ConfigException {
-        Path directory = Files.createTempDirectory("training");
+    public static void run() {
+        PrintStream standardError = System.err;
+        System.setErr(new PrintStream(OutputStream.nullOutputStream())); // the proxy logs each failure
         try {
-            Path file = Files.writeString(directory.resolve("config.json"), CONFIG);
+            train();
+        } catch (IOException | ConfigException | RuntimeException e) {
+            standardError.println("rillyard: archive: training failed, cause=" + e);
+            System.exit(1); // threads of the proxy would keep the process alive
+        }
+        System.exit(0); // as SIGTERM would end it: what a drain loads is recorded too
+    }
+
+    private static void train() throws IOException, ConfigException {
+        Path directory = Files.createTempDirectory("training");
+        try (FaultyHost host = new FaultyHost()) {
+            Path file = Files.writeString(directory.resolve("config.json"), configFor(host));
             Map<String, String> env = Map.of("BALANCER_CONFIG", file.toString(), "TMPDIR", directory.toString());
-            InetSocketAddress admin =
-                    ProxyLauncher.launch(env, MAX_WARM_UP_MILLIS, null).adminAddress();
+            ClientProxy proxy = ProxyLauncher.launch(env, MAX_WARM_UP_MILLIS, null);
+            InetSocketAddress admin = proxy.adminAddress();
             call(admin, "GET /_ready", "");
             call(admin, "GET /_vars", "");
-            call(admin, "POST /_hosts/detach", "a");
-            call(admin, "POST /_hosts/attach", "a");
+            call(admin, "POST /_hosts/detach", "host-0");
+            call(admin, "POST /_hosts/attach", "host-0");
+            new FaultPathTraining(proxy.address()).run();
         } finally {
             deleteRecursively(directory);
         }
-        System.exit(0); // as SIGTERM would end it: what a drain loads is recorded too
     }
 
     private static void deleteRecursively(Path directory) throws IOException {
--- a/src/test/java/rillyard/ArchitectureTest.java
+++ b/src/test/java/rillyard/ArchitectureTest.java
@@ -59,6 +59,18 @@
             .resideInAnyPackage("java.time..")
             .because("the caller tells the time");
 
+    @ArchTest
+    static final ArchRule NO_FORMATTER_WHILE_SERVING = noClasses()
+            .that()
+            .resideInAnyPackage("rillyard.proxy..", "rillyard.balancer..", "rillyard.endpoints..", "rillyard.admin..")
+            .should()
+            .callMethod(String.class, "format", String.class, Object[].class)
+            .orShould()
+            .callMethod(String.class, "format", java.util.Locale.class, String.class, Object[].class)
+            .orShould()
+            .callMethod(String.class, "formatted", Object[].class)
+            .because("its first use loads the data of locales: tens of milliseconds on the event loop");
+
     @ArchTest
     static final ArchRule BALANCER_STANDS_ALONE = classes()
             .that()
--- a/src/test/java/rillyard/proxy/JarIT.java
+++ b/src/test/java/rillyard/proxy/JarIT.java
@@ -9,9 +9,11 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
 /** Starts the built jar both ways, with the options the platform starts it with. */
@@ -20,6 +22,10 @@
     private static final long OUTSIDE_ARCHIVE = 25;
 
     private static Process start(Path config, String command) throws IOException {
+        return start(config, command, Map.of());
+    }
+
+    private static Process start(Path config, String command, Map<String, String> environment) throws IOException {
         List<String> line = new ArrayList<>();
         line.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         if (command.equals("proxy")) {
@@ -31,6 +37,7 @@
         if (config != null) {
             builder.environment().put("BALANCER_CONFIG", config.toString());
         }
+        builder.environment().putAll(environment);
         return builder.start();
     }
 
@@ -46,11 +53,15 @@
         private final Path config;
 
         Running(ScriptedServer host) throws Exception {
+            this(host, Map.of());
+        }
+
+        Running(ScriptedServer host, Map<String, String> environment) throws Exception {
             config = ProxyFixture.writeConfig(
                     discovery.port(),
                     json -> json.put("listen", "127.0.0.1:" + port),
                     ProxyFixture.endpoint("a", host.port()));
-            process = start(config, "proxy");
+            process = start(config, "proxy", environment);
             awaitReady();
         }
 
@@ -204,6 +215,40 @@
         assertThat(outside).as("classes from outside the archive").isBetween(1L, OUTSIDE_ARCHIVE);
     }
 
+    /** What a request loads on the event loop keeps all others waiting: 25 to 40 ms on half a core were seen. */
+    @Test
+    void firstFailuresLoadNoClassOutsideArchive() throws Exception {
+        Path loaded = Files.createTempFile("classes", ".log");
+        try (ScriptedServer host = new ScriptedServer(peer -> {
+                    peer.read();
+                    peer.reset();
+                });
+                Running proxy = new Running(host, Map.of("JAVA_TOOL_OPTIONS", "-Xlog:class+load:file=" + loaded))) {
+            long linesBefore = lineCount(loaded);
+            for (int i = 0; i < 4; i++) {
+                try (TestPeer client = TestPeer.connect(proxy.port)) {
+                    client.write(ProxyFixture.post("claim", 300, "", "x"));
+                    assertThat(client.read().status()).isIn(502, 503, 504);
+                }
+            }
+            List<String> onFailure =
+                    Files.readAllLines(loaded).stream().skip(linesBefore).toList();
+            assertThat(onFailure)
+                    .noneMatch(line -> line.contains("java.util.Formatter"))
+                    .filteredOn(line -> line.contains(" source: ") && !line.contains("shared objects file"))
+                    .filteredOn(line -> line.contains(" rillyard.") || line.contains(" io.netty."))
+                    .isEmpty();
+        } finally {
+            Files.delete(loaded);
+        }
+    }
+
+    private static long lineCount(Path file) throws IOException {
+        try (Stream<String> lines = Files.lines(file)) {
+            return lines.count();
+        }
+    }
+
     @Test
     void sighupMovesWatchAndKeepsServing() throws Exception {
         BlockingQueue<String> asked = new LinkedBlockingQueue<>();
