--- a/src/main/java/rillyard/balancer/HostSet.java
+++ b/src/main/java/rillyard/balancer/HostSet.java
@@ -2,18 +2,30 @@
 
 import java.util.Comparator;
 import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
+import java.util.NavigableSet;
+import java.util.Set;
 import java.util.SplittableRandom;
+import java.util.TreeSet;
 
-/** The hosts that the endpoint list names, and those it no longer names while attempts are in flight there. */
+/**
+ * The hosts that the endpoint list names, and those it no longer names while attempts are in flight there.
+ *
+ * <p>A delta costs time in the number of its entries, whatever the number of hosts. Not thread-safe.
+ */
 final class HostSet {
     private static final Comparator<HostState> RING_ORDER =
             Comparator.comparingLong(HostState::ringPosition).thenComparingLong(HostState::id);
 
     private final double objective;
     private final Map<Long, HostState> byId = new HashMap<>();
+    private final NavigableSet<HostState> ring = new TreeSet<>(RING_ORDER);
+    private final Set<HostState> unlisted = new HashSet<>();
     private List<HostState> ready = List.of();
+    private boolean isReadyCurrent = true;
     private int generation;
 
     HostSet(Settings settings) {
@@ -41,6 +53,10 @@
 
     /** Returns the hosts that may get requests, in ring order: an immutable list, another one after each change. */
     List<HostState> ready() {
+        if (!isReadyCurrent) {
+            ready = List.copyOf(ring);
+            isReadyCurrent = true;
+        }
         return ready;
     }
 
@@ -50,31 +66,59 @@
             return;
         }
         generation++;
-        boolean changed = false;
         for (EndpointEntry entry : entries) {
-            HostState host = byId.computeIfAbsent(entry.id(), this::newHost);
-            boolean isReady = entry.condition() == EndpointEntry.Condition.READY;
-            changed |= isReady != host.isReady();
-            boolean restarted = entry.onlineSince() != host.onlineSince();
-            host.update(entry, entry.condition() != EndpointEntry.Condition.GONE, isReady, generation);
-            if (restarted) { // its new process has neither the faults nor the queue of the former one
-                host.health().reset();
-                host.load().reset();
-                host.slowStart().reset(now, random.nextDouble());
-            }
+            apply(now, entry, random);
+        }
+        if (event != WatchEvent.DELTA) {
+            removeUnnamed();
+        }
+        forgetUnlisted();
+    }
+
+    private void apply(double now, EndpointEntry entry, SplittableRandom random) {
+        HostState host = byId.computeIfAbsent(entry.id(), this::newHost);
+        boolean isRestarted = entry.onlineSince() != host.onlineSince();
+        boolean isReady = entry.condition() == EndpointEntry.Condition.READY;
+        host.update(entry, entry.condition() != EndpointEntry.Condition.GONE, isReady, generation);
+        updateRing(host);
+        if (host.isListed()) {
+            unlisted.remove(host);
+        } else {
+            unlisted.add(host);
         }
+        if (isRestarted) { // its new process has neither the faults nor the queue of the former one
+            host.health().reset();
+            host.load().reset();
+            host.slowStart().reset(now, random.nextDouble());
+        }
+    }
+
+    private void updateRing(HostState host) {
+        boolean isChanged = host.isReady() ? ring.add(host) : ring.remove(host);
+        if (isChanged) {
+            isReadyCurrent = false;
+        }
+    }
+
+    /** Takes the hosts off the list that a full list has not named. */
+    private void removeUnnamed() {
         for (HostState host : byId.values()) {
-            if (event != WatchEvent.DELTA && host.listGeneration() != generation) {
-                changed |= host.isReady();
+            if (host.listGeneration() != generation) {
                 host.removeFromList();
+                updateRing(host);
+                unlisted.add(host);
             }
         }
-        if (changed) {
-            ready = byId.values().stream()
-                    .filter(HostState::isReady)
-                    .sorted(RING_ORDER)
-                    .toList();
+    }
+
+    /** Forgets the hosts that are off the list and have no attempt in flight, so that churn does not accumulate. */
+    private void forgetUnlisted() {
+        for (Iterator<HostState> hosts = unlisted.iterator(); hosts.hasNext(); ) {
+            HostState host = hosts.next();
+            if (host.inFlight() == 0) {
+                hosts.remove();
+                byId.remove(host.id());
+            }
         }
-        byId.values().removeIf(host -> !host.isListed() && host.inFlight() == 0); // bounds the memory
     }
 }
--- a/src/main/java/rillyard/proxy/discovery/EndpointRegistry.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointRegistry.java
@@ -5,6 +5,7 @@
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -49,6 +50,7 @@
 
     private final Map<String, UpstreamHost> hostsByName = new HashMap<>();
     private final Map<Long, UpstreamHost> hostsById = new HashMap<>();
+    private final Set<UpstreamHost> unlisted = new HashSet<>();
     private final DisabledHosts disabledHosts;
     private final HostStartClock hostStartClock;
 
@@ -177,6 +179,7 @@
             for (UpstreamHost host : hostsById.values()) {
                 if (!named.contains(host)) {
                     host.onDelisted();
+                    unlisted.add(host);
                     withdrawn.add(host);
                 }
             }
@@ -198,6 +201,11 @@
     private boolean announce(UpstreamHost host, ListedEndpoint listed) {
         InetSocketAddress previousAddress = host.address();
         host.onAnnounced(listed.entry(), listed.address());
+        if (host.isListed()) {
+            unlisted.remove(host);
+        } else {
+            unlisted.add(host);
+        }
         host.setSendable(isReady(effectiveEntry(host)));
         return !host.isSendable() || !listed.address().equals(previousAddress);
     }
@@ -225,14 +233,15 @@
 
     /** Forgets the hosts that are off the list and carry no call, so that churn does not accumulate. */
     public void removeUnused() {
-        hostsById.values().removeIf(host -> {
-            if (!host.isRemovable()) {
-                return false;
+        for (Iterator<UpstreamHost> hosts = unlisted.iterator(); hosts.hasNext(); ) {
+            UpstreamHost host = hosts.next();
+            if (host.isRemovable()) {
+                hosts.remove();
+                hostsById.remove(host.id());
+                hostsByName.remove(host.name());
+                disabledHosts.forget(host.name());
             }
-            hostsByName.remove(host.name());
-            disabledHosts.forget(host.name());
-            return true;
-        });
+        }
     }
 
     // --- disabled hosts
