--- a/src/main/java/rillyard/balancer/RequestState.java
+++ b/src/main/java/rillyard/balancer/RequestState.java
@@ -78,6 +78,11 @@
         return ended;
     }
 
+    /** Whether the next attempt is the first one. */
+    boolean isFirstAttempt() {
+        return attempts.isEmpty();
+    }
+
     /** Whether an attempt has been sent to {@code host}. */
     boolean hasTried(HostState host) {
         for (AttemptState attempt : attempts) {
