--- /dev/null
+++ b/src/main/java/rillyard/balancer/RequestClasses.java
@@ -0,0 +1,41 @@
+package rillyard.balancer;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/** The classes of requests with their statistics: those of the settings, and others as requests name them. */
+final class RequestClasses {
+    private static final double MIN_DEADLINE_MILLIS = 1; // an objective of 0 could be met by nothing
+
+    private final Map<String, RequestClassStats> byName = new HashMap<>();
+
+    RequestClasses(List<Settings.RequestClass> configured) {
+        configured.forEach(each -> byName.put(each.name(), new RequestClassStats(each)));
+    }
+
+    /** Returns the class of a request with so much time left; one that the settings do not name is added. */
+    RequestClassStats get(String name, double remainingMillis) {
+        RequestClassStats known = byName.get(name);
+        if (known != null) {
+            return known;
+        }
+        RequestClassStats added = new RequestClassStats(strictestClass(name, remainingMillis));
+        byName.put(name, added);
+        return added;
+    }
+
+    /** Returns a class that the settings do not name: nothing is assumed to be repeatable. */
+    private static Settings.RequestClass strictestClass(String name, double remainingMillis) {
+        double deadlineMillis = Math.max(MIN_DEADLINE_MILLIS, remainingMillis);
+        return new Settings.RequestClass(
+                name,
+                deadlineMillis,
+                deadlineMillis,
+                Settings.Semantics.AT_MOST_ONCE,
+                Settings.Scope.ALL,
+                0, // idempotency window
+                1, // priority weight
+                0); // weight of a late answer
+    }
+}
--- a/src/main/java/rillyard/balancer/RequestState.java
+++ b/src/main/java/rillyard/balancer/RequestState.java
@@ -53,6 +53,11 @@
         return attemptsView;
     }
 
+    /** Returns the attempt that was started last; there must be one. */
+    AttemptState lastAttempt() {
+        return attempts.get(attempts.size() - 1);
+    }
+
     /** Returns the attempt with this number that has no outcome yet, null if there is none. */
     AttemptState openAttempt(int number) {
         boolean known = number >= 0 && number < attempts.size();
