--- a/src/main/java/rillyard/balancer/AdmissionController.java
+++ b/src/main/java/rillyard/balancer/AdmissionController.java
@@ -4,6 +4,21 @@
 
 /** Measures the own load and its latency, and sheds requests early while the latency objective can't be met. */
 final class AdmissionController {
+    /** Weight of each request in the mean priority: about the last fifty count, as the classes come mixed. */
+    private static final double PRIORITY_SAMPLE_WEIGHT = 0.02;
+
+    /** The greatest weight of an answer, however long there was none: a single one must not decide on its own. */
+    private static final double MAX_PRESSURE_WEIGHT = 0.3;
+
+    /** The greatest latency, relative to the objective, that an answer counts for: outliers are no overload. */
+    private static final double MAX_RELATIVE_LATENCY = 2;
+
+    /** The least priority, relative to the mean, by which the probability of shedding is divided. */
+    private static final double MIN_RELATIVE_PRIORITY = 0.2;
+
+    /** Probability of shedding a request of mean priority from which the beginning of an overload is logged. */
+    private static final double LOGGED_SHED_PROBABILITY = 0.5;
+
     private final double objective;
     private final SplittableRandom random;
     private final BalancerActions actions;
@@ -32,7 +47,7 @@
     void onRequest(double now, Settings.RequestClass requestClass) {
         arrivals.onEvent(now);
         usualServedRate.add(now, (1 - usualServedRate.decayFactor(now)) * currentServedRate(now));
-        meanPriority.add(requestClass.priorityWeight(), 0.02);
+        meanPriority.add(requestClass.priorityWeight(), PRIORITY_SAMPLE_WEIGHT);
     }
 
     /** Records whether an attempt, or a request that was shed, was of use. */
@@ -62,7 +77,7 @@
     /** Records an answer's latency relative to the objective of its class. */
     void onAnswer(double now, double relative) {
         double weight = pressureWeight(now);
-        relativeLatency.add(now, Math.min(2, relative), weight);
+        relativeLatency.add(now, Math.min(MAX_RELATIVE_LATENCY, relative), weight);
         unansweredFraction.add(now, 0, weight);
     }
 
@@ -77,7 +92,7 @@
         // With few answers each one weighs more: they would else tell of an overload after its end.
         double elapsed = relativeLatency.millisSinceUpdate(now);
         double weight = elapsed / (Tuning.PRESSURE_WINDOW_OBJECTIVES * objective);
-        return Math.min(0.3, Math.max(Tuning.SAMPLE_WEIGHT, weight));
+        return Math.min(MAX_PRESSURE_WEIGHT, Math.max(Tuning.SAMPLE_WEIGHT, weight));
     }
 
     /** Records a rejection: if the request could still have been answered in time, there is no capacity. */
@@ -95,7 +110,7 @@
         double unexplained = Math.max(0, unansweredFraction.lastValue() - Tuning.MAX_EJECTED_FRACTION);
         double overload = unexplained / (1 - Tuning.MAX_EJECTED_FRACTION);
         double latency = relativeLatency.lastValue();
-        return relativeLatency.decayFactor(now) * (latency + overload * (2 - latency));
+        return relativeLatency.decayFactor(now) * (latency + overload * (MAX_RELATIVE_LATENCY - latency));
     }
 
     /** Whether latency is so high that a retry would only feed the overload. */
@@ -107,25 +122,42 @@
     boolean sheds(double now, RequestState request) {
         double excess = (pressure(now) - Tuning.SHED_PRESSURE) / Tuning.SHED_PRESSURE_SPAN;
         updateOverloaded(now, excess);
-        Settings.RequestClass requestClass = request.requestClass().settings();
-        if (request.requestClass().isTooLate(request.remainingObjective())
-                && (pressure(now) > Tuning.SHED_LATE_PRESSURE
-                        || now - usefulRejectedAt < Tuning.SHED_LATE_OBJECTIVES * objective)) {
-            return random.nextDouble() >= requestClass.latePriorityWeight();
+        if (request.requestClass().isTooLate(request.remainingObjective()) && isCapacityScarce(now)) {
+            return random.nextDouble() >= request.requestClass().settings().latePriorityWeight();
         }
         if (excess <= 0) {
             return false;
         }
+        double probability = excess / relativePriority(request);
+        return slotValue(now) < Math.min(Tuning.MAX_SHED_PROBABILITY, probability);
+    }
+
+    /** Whether requests that are late already would displace those in time. */
+    private boolean isCapacityScarce(double now) {
+        return pressure(now) > Tuning.SHED_LATE_PRESSURE
+                || now - usefulRejectedAt < Tuning.SHED_LATE_OBJECTIVES * objective;
+    }
+
+    /** Returns the request's priority relative to the recent mean, by its class and its tenant's quota. */
+    private double relativePriority(RequestState request) {
         double mean = meanPriority.value();
-        double weight = request.quotaWeight() * requestClass.priorityWeight();
-        double relative = mean > 0 ? Math.max(0.2, weight / mean) : 1;
-        return slotValue(now) < Math.min(Tuning.MAX_SHED_PROBABILITY, excess / relative);
+        if (mean <= 0) {
+            return 1;
+        }
+        double weight =
+                request.quotaWeight() * request.requestClass().settings().priorityWeight();
+        return Math.max(MIN_RELATIVE_PRIORITY, weight / mean);
     }
 
     private void updateOverloaded(double now, double excess) {
-        if (overloaded ? pressure(now) < Tuning.SHED_PRESSURE / 2 : excess > 0.5) {
-            overloaded = !overloaded;
-            actions.log("overload: shedding " + (overloaded ? "started" : "ended"));
+        boolean begins = !overloaded && excess > LOGGED_SHED_PROBABILITY;
+        boolean ends = overloaded && pressure(now) < Tuning.SHED_PRESSURE / 2;
+        if (begins) {
+            overloaded = true;
+            actions.log("overload: shedding started");
+        } else if (ends) {
+            overloaded = false;
+            actions.log("overload: shedding ended");
         }
     }
 
--- a/src/main/java/rillyard/balancer/HostSet.java
+++ b/src/main/java/rillyard/balancer/HostSet.java
@@ -54,7 +54,7 @@
         for (EndpointEntry entry : entries) {
             HostState host = byId.computeIfAbsent(entry.id(), this::newHost);
             boolean isReady = entry.condition() == EndpointEntry.Condition.READY;
-            changed |= isReady != host.isReady();
+            changed = changed || isReady != host.isReady();
             boolean restarted = entry.onlineSince() != host.onlineSince();
             host.update(entry, entry.condition() != EndpointEntry.Condition.GONE, isReady, generation);
             if (restarted) { // its new process has neither the faults nor the queue of the former one
@@ -65,7 +65,7 @@
         }
         for (HostState host : byId.values()) {
             if (event != WatchEvent.DELTA && host.listGeneration() != generation) {
-                changed |= host.isReady();
+                changed = changed || host.isReady();
                 host.removeFromList();
             }
         }
--- a/src/main/java/rillyard/balancer/LoadEstimator.java
+++ b/src/main/java/rillyard/balancer/LoadEstimator.java
@@ -5,6 +5,24 @@
 
 /** Estimates the speed and the queue of hosts, from the latency of their answers and from their load reports. */
 final class LoadEstimator {
+    /** The greatest relative latency that an answer counts for: a pause of the host tells nothing of its speed. */
+    private static final double MAX_RELATIVE_LATENCY = 8;
+
+    /** Answers of the mean speed that a host is taken to have given before its first one. */
+    private static final int HOST_PRIOR_SAMPLES = 2;
+
+    /** The same for a machine kind. */
+    private static final int KIND_PRIOR_SAMPLES = 4;
+
+    /** Weight of an answer in the slowness of a machine kind, of which more answers come than of a host. */
+    private static final double KIND_SAMPLE_WEIGHT = Tuning.SAMPLE_WEIGHT / 2;
+
+    /** The least weight of a load report in the mean over all hosts, for reports in quick succession. */
+    private static final double MIN_REPORT_WEIGHT = 0.02;
+
+    /** Freshness up to which a load report counts for nothing in a comparison. */
+    private static final double MIN_FRESHNESS = 0.01;
+
     private final Map<String, MachineKindStats> kinds = new HashMap<>();
     private final double reportDecay;
     private final MovingAverage meanOutstanding = new MovingAverage(0);
@@ -16,13 +34,14 @@
 
     /** Records an answer that took {@code relativeLatency} times the mean latency of its class. */
     void onAnswer(HostState host, double now, double relativeLatency) {
-        double capped = Math.min(relativeLatency, 8);
+        double capped = Math.min(relativeLatency, MAX_RELATIVE_LATENCY);
         HostLoad load = host.load();
         // The first answers weigh more: a proxy with few requests would otherwise take a minute to learn.
-        double weight = Math.max(Tuning.SAMPLE_WEIGHT, 1.0 / (load.countSample() + 2));
+        double weight = Math.max(Tuning.SAMPLE_WEIGHT, 1.0 / (load.countSample() + HOST_PRIOR_SAMPLES));
         load.slowness().add(now, kindSlowness(host), capped, weight);
         MachineKindStats kind = kindOf(host);
-        kind.slowness().add(capped, Math.max(Tuning.SAMPLE_WEIGHT / 2, 1.0 / (kind.countSample() + 4)));
+        double kindWeight = Math.max(KIND_SAMPLE_WEIGHT, 1.0 / (kind.countSample() + KIND_PRIOR_SAMPLES));
+        kind.slowness().add(capped, kindWeight);
     }
 
     /** Learns from an answer behind a queue how long a host of this kind takes for each request it holds. */
@@ -45,7 +64,7 @@
         }
         host.load().recordReport(report, now);
         if (typical) {
-            double weight = Math.max(0.02, 1 - Math.exp(-(now - lastReportAt) / reportDecay));
+            double weight = Math.max(MIN_REPORT_WEIGHT, 1 - Math.exp(-(now - lastReportAt) / reportDecay));
             meanOutstanding.add(report.outstanding(), weight);
         }
         lastReportAt = now;
@@ -98,7 +117,7 @@
     double expectedWait(HostState host, double now) {
         double outstanding = meanOutstanding.value();
         double freshness = freshness(host.load(), now);
-        if (freshness > 0.01) {
+        if (freshness > MIN_FRESHNESS) {
             outstanding += freshness * (host.load().knownOutstanding() - meanOutstanding.value());
         }
         return slowness(host, now) * (Tuning.BASE_OUTSTANDING + outstanding);
--- a/src/main/java/rillyard/balancer/OutlierDetector.java
+++ b/src/main/java/rillyard/balancer/OutlierDetector.java
@@ -4,6 +4,14 @@
 
 /** Outlier detection: unresponsive and failing hosts, ejection with backoff, half-open probes. */
 final class OutlierDetector {
+    /** Penalty below which it counts for nothing, which spares the decay's exponential for nearly all hosts. */
+    private static final double MIN_PENALTY = 0.05;
+
+    /** The least part of an ejection's length, with jitter so that many proxies do not probe at the same moment. */
+    private static final double MIN_EJECTION_JITTER = 0.75;
+
+    private static final double EJECTION_JITTER_SPAN = 0.5; // above that
+
     private final HostSet hosts;
     private final double objective;
     private final SplittableRandom random;
@@ -19,8 +27,13 @@
     /** Whether the host may get a request; one that is half-open gets one at a time. */
     boolean isAvailable(HostState host, double now, double overdueAfter) {
         HostHealth health = host.health();
-        return now >= health.ejectedUntil()
-                && (health.isEjected() ? host.inFlight() == 0 : !isUnresponsive(host, now, overdueAfter));
+        if (now < health.ejectedUntil()) {
+            return false;
+        }
+        if (health.isEjected()) {
+            return host.inFlight() == 0;
+        }
+        return !isUnresponsive(host, now, overdueAfter);
     }
 
     /** Whether the host has answered nothing for so long, with complete requests in flight, that it seems to hang. */
@@ -71,7 +84,7 @@
 
     private static double penalty(HostState host, double now) {
         DecayingCounter penalty = host.health().penalty();
-        return penalty.lastValue() < 0.05 ? 0 : penalty.valueAt(now);
+        return penalty.lastValue() < MIN_PENALTY ? 0 : penalty.valueAt(now);
     }
 
     private static void addPenalty(HostState host, double now) {
@@ -145,8 +158,8 @@
         double backoff = Tuning.BASE_EJECTION_OBJECTIVES * Math.pow(2, health.ejections());
         double length = objective * Math.min(Tuning.MAX_EJECTION_OBJECTIVES, backoff);
         health.countEjection(now);
-        // Jitter, so that many proxies do not probe the host at the same moment.
-        double ejectedUntil = now + length * (0.75 + 0.5 * random.nextDouble());
+        double jitter = MIN_EJECTION_JITTER + EJECTION_JITTER_SPAN * random.nextDouble();
+        double ejectedUntil = now + length * jitter;
         if (!health.isEjected()) {
             actions.log("outlier: host ejected, host=" + host.id() + " failures=" + health.consecutiveFailures()
                     + " backoff_ms=" + Math.round(ejectedUntil - now));
--- a/src/main/java/rillyard/balancer/RequestClassStats.java
+++ b/src/main/java/rillyard/balancer/RequestClassStats.java
@@ -2,14 +2,23 @@
 
 /** A class of requests with the latency observed for it. Times are milliseconds. */
 final class RequestClassStats {
+    /** Mean latency assumed before the first answer, as a part of the latency objective. */
+    private static final double INITIAL_LATENCY_FRACTION = 0.25;
+
+    /** Answers for which the assumed latency counts. */
+    private static final int PRIOR_SAMPLES = 4;
+
+    /** Weight of an answer: half of the usual one, as latencies of a class vary more than those of a host. */
+    private static final double LATENCY_SAMPLE_WEIGHT = Tuning.SAMPLE_WEIGHT / 2;
+
     private final Settings.RequestClass settings;
     private final MeanAndDeviation latency;
     private double firstAttemptTime;
 
     RequestClassStats(Settings.RequestClass settings) {
         this.settings = settings;
-        // The initial value holds until there are answers.
-        this.latency = new MeanAndDeviation(settings.latencyObjective() / 4, 4, Tuning.SAMPLE_WEIGHT / 2);
+        double initialLatency = INITIAL_LATENCY_FRACTION * settings.latencyObjective();
+        this.latency = new MeanAndDeviation(initialLatency, PRIOR_SAMPLES, LATENCY_SAMPLE_WEIGHT);
     }
 
     Settings.RequestClass settings() {
@@ -33,8 +42,11 @@
         double time = Math.min(remainingTime, settings.deadline());
         double decayed = firstAttemptTime + Tuning.DEADLINE_SAMPLE_WEIGHT * (time - firstAttemptTime);
         firstAttemptTime = Math.max(time, decayed);
-        boolean retry = time < Tuning.RETRY_DEADLINE_FRACTION * firstAttemptTime;
-        return settings.latencyObjective() - (retry ? settings.deadline() - time : 0);
+        if (time >= Tuning.RETRY_DEADLINE_FRACTION * firstAttemptTime) {
+            return settings.latencyObjective();
+        }
+        double spentBefore = settings.deadline() - time;
+        return settings.latencyObjective() - spentBefore;
     }
 
     /** Whether a request with so much of its objective left would be late at the latency observed now. */
--- a/src/main/java/rillyard/balancer/SubsetSelector.java
+++ b/src/main/java/rillyard/balancer/SubsetSelector.java
@@ -7,6 +7,12 @@
 
 /** Selects the part of the hosts among which this proxy chooses: a window on the ring of hosts that starts at its place. */
 final class SubsetSelector {
+    /** The least slowness taken of a host: the few first answers may make one look faster than any is. */
+    private static final double MIN_SLOWNESS = 0.05;
+
+    /** The subset is cut anew once it is this many times larger than wanted: each cut costs connections. */
+    private static final int MAX_OVERSIZE = 2;
+
     private final Settings settings;
     private final HostSet hosts;
     private final LoadEstimator load;
@@ -36,7 +42,7 @@
         double most = Math.max(Math.max(Tuning.MIN_CANDIDATES, shared), peakInFlight);
         double wanted = Tuning.BASE_SUBSET_SIZE + Tuning.SUBSET_HOSTS_PER_IN_FLIGHT * peakInFlight;
         int wantedSize = (int) (position.weight() * Math.min(wanted, most));
-        if (source != hosts.ready() || wantedSize > size || wantedSize < size / 2) {
+        if (source != hosts.ready() || wantedSize > size || wantedSize < size / MAX_OVERSIZE) {
             size = wantedSize;
             source = hosts.ready();
             Predicate<HostState> isLocal =
@@ -64,7 +70,7 @@
     /** Returns the least permitted number of candidates with which slow hosts get no more than their part. */
     private int candidatesFor(List<HostState> pool, double now) {
         double[] speeds = pool.stream()
-                .mapToDouble(host -> 1 / Math.max(0.05, load.slowness(host, now)))
+                .mapToDouble(host -> 1 / Math.max(MIN_SLOWNESS, load.slowness(host, now)))
                 .sorted()
                 .toArray();
         int proxyShare = Tuning.FLEET_CANDIDATES / settings.proxyCount();
