--- a/src/main/java/rillyard/endpoints/DisabledHosts.java
+++ b/src/main/java/rillyard/endpoints/DisabledHosts.java
@@ -118,7 +118,6 @@
                         announced.machineKind(),
                         announced.cell(),
                         condition,
-                        announced.capacityHint(),
                         onlineSince);
     }
 }
--- a/src/main/java/rillyard/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointListParser.java
@@ -9,8 +9,6 @@
 
 /** Parses endpoint lists in discovery's JSON form, without {@link EndpointEntry#onlineSince}; changes nothing. */
 final class EndpointListParser {
-    private static final double DEFAULT_WEIGHT = 1;
-
     private final EndpointRegistry registry;
 
     /** Creates a parser; the registry gives the hosts' ids. */
@@ -50,7 +48,6 @@
                 server.path("kind").asText(""),
                 server.path("cell").asLong(0),
                 condition,
-                server.path("weight").asDouble(DEFAULT_WEIGHT),
                 0);
         return new EndpointRegistry.ListedEndpoint(name, address, entry, Math.max(0, startedUnixMillis));
     }
--- a/src/main/java/rillyard/proxy/discovery/EndpointRegistry.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointRegistry.java
@@ -148,13 +148,7 @@
     private static ListedEndpoint withOnlineSince(ListedEndpoint listed, double onlineSince) {
         EndpointEntry entry = listed.entry();
         EndpointEntry started = new EndpointEntry(
-                entry.id(),
-                entry.zone(),
-                entry.machineKind(),
-                entry.cell(),
-                entry.condition(),
-                entry.capacityHint(),
-                onlineSince);
+                entry.id(), entry.zone(), entry.machineKind(), entry.cell(), entry.condition(), onlineSince);
         return new ListedEndpoint(listed.name(), listed.address(), started, listed.startedUnixMillis());
     }
 
@@ -218,7 +212,6 @@
                 entry.machineKind(),
                 entry.cell(),
                 EndpointEntry.Condition.GONE,
-                entry.capacityHint(),
                 entry.onlineSince());
         return new ListedEndpoint(name, host.address(), removed, 0);
     }
--- a/src/main/java/rillyard/proxy/dispatch/ClientRequest.java
+++ b/src/main/java/rillyard/proxy/dispatch/ClientRequest.java
@@ -34,7 +34,6 @@
         BufferedBody body,
         StreamingUpload upload,
         double timeoutMillis) {
-    private static final double MICROS_PER_MILLI = 1_000;
 
     /** Returns whether the body is forwarded as it comes, or was. */
     boolean isUpload() {
@@ -63,24 +62,8 @@
 
     /** Returns the request as the balancer sees it, under the exchange's {@code id}. */
     IncomingRequest toIncomingRequest(long id) {
-        HttpHeaders headers = head.headers();
-        return new IncomingRequest(
-                id,
-                requestClass,
-                headers.get(ProtocolHeaders.TENANT),
-                isUpload() ? Double.POSITIVE_INFINITY : timeoutMillis,
-                parseCost(headers.get(ProtocolHeaders.COST)),
-                "1".equals(headers.get(ProtocolHeaders.RETRIED)));
-    }
-
-    /** Returns the expected cost in ms, which clients state in microseconds; NaN if it is no such number. */
-    private static double parseCost(String value) {
-        try {
-            double micros = value == null ? Double.NaN : Double.parseDouble(value.trim());
-            return micros >= 0 && Double.isFinite(micros) ? micros / MICROS_PER_MILLI : Double.NaN;
-        } catch (NumberFormatException e) {
-            return Double.NaN;
-        }
+        String tenant = head.headers().get(ProtocolHeaders.TENANT);
+        return new IncomingRequest(id, requestClass, tenant, isUpload() ? Double.POSITIVE_INFINITY : timeoutMillis);
     }
 
     /**
--- a/src/main/java/rillyard/proxy/http/ProtocolHeaders.java
+++ b/src/main/java/rillyard/proxy/http/ProtocolHeaders.java
@@ -17,10 +17,6 @@
     public static final AsciiString TENANT = AsciiString.cached("X-Tenant-Id");
     /** The milliseconds for which the sender of a request waits for its response. */
     public static final AsciiString TIMEOUT_MS = AsciiString.cached("X-Timeout-Ms");
-    /** Marks a request that its client retries. */
-    public static final AsciiString RETRIED = AsciiString.cached("X-Retried");
-    /** The estimated cost of a request. */
-    public static final AsciiString COST = AsciiString.cached("X-Cost");
     /** The key by which a host recognizes a repeated request. */
     public static final AsciiString IDEMPOTENCY_KEY = AsciiString.cached("Idempotency-Key");
     /** The load report of a host. */
--- a/src/main/java/rillyard/simulation/SimulatorSession.java
+++ b/src/main/java/rillyard/simulation/SimulatorSession.java
@@ -168,10 +168,7 @@
         double remainingTime = message.decimal("budget");
         if (balancer != null) {
             String tenant = message.string("org", null);
-            double estimatedCost = message.decimal("estimate", Double.NaN);
-            boolean retry = message.flag("resent");
-            balancer.onRequest(
-                    now, new IncomingRequest(request, requestClass, tenant, remainingTime, estimatedCost, retry));
+            balancer.onRequest(now, new IncomingRequest(request, requestClass, tenant, remainingTime));
         }
     }
 
@@ -214,7 +211,6 @@
                 message.string("model", ""),
                 message.number("group", 0),
                 condition(message.string("condition", "Ready")),
-                message.decimal("capacityHint", 1),
                 message.decimal("onlineSince", 0));
     }
 
--- a/src/test/java/rillyard/balancer/BalancerFixture.java
+++ b/src/test/java/rillyard/balancer/BalancerFixture.java
@@ -57,7 +57,7 @@
     }
 
     static EndpointEntry host(long id, EndpointEntry.Condition condition, double since) {
-        return new EndpointEntry(id, id % 5 == 4 ? "b" : "a", "k" + id % 2, id / 4, condition, 1, since);
+        return new EndpointEntry(id, id % 5 == 4 ? "b" : "a", "k" + id % 2, id / 4, condition, since);
     }
 
     static List<EndpointEntry> hosts(int count) {
@@ -69,7 +69,7 @@
     }
 
     static IncomingRequest request(long id, String requestClass, double budget) {
-        return new IncomingRequest(id, requestClass, null, budget, Double.NaN, false);
+        return new IncomingRequest(id, requestClass, null, budget);
     }
 
     /** Returns a load report with only the requests in flight. */
--- a/src/test/java/rillyard/balancer/FleetEjectionTest.java
+++ b/src/test/java/rillyard/balancer/FleetEjectionTest.java
@@ -67,7 +67,7 @@
                 BalancerFixture.requestClass("visit", Settings.Semantics.IDEMPOTENT, Settings.Scope.ALL));
         List<EndpointEntry> all = BalancerFixture.hosts(40).stream()
                 .map(entry ->
-                        new EndpointEntry(entry.id(), "a", entry.machineKind(), entry.cell(), entry.condition(), 1, 0))
+                        new EndpointEntry(entry.id(), "a", entry.machineKind(), entry.cell(), entry.condition(), 0))
                 .toList();
         balancer.onWatchEvent(fixture.now, WatchEvent.FULL, all);
         Set<Long> first = used(300);
--- a/src/test/java/rillyard/balancer/HostSetTest.java
+++ b/src/test/java/rillyard/balancer/HostSetTest.java
@@ -22,7 +22,7 @@
         hosts.apply(fixture.now, WatchEvent.FULL, three, random);
         EndpointEntry first = three.get(0);
         EndpointEntry gone =
-                new EndpointEntry(first.id(), first.zone(), first.machineKind(), first.cell(), Condition.GONE, 1, 0);
+                new EndpointEntry(first.id(), first.zone(), first.machineKind(), first.cell(), Condition.GONE, 0);
         hosts.apply(fixture.now, WatchEvent.DELTA, List.of(gone), random);
         assertThat(hosts.get(first.id())).isNull();
         hosts.apply(fixture.now, WatchEvent.FULL, List.of(three.get(2)), random);
--- a/src/test/java/rillyard/balancer/ManyProxiesTest.java
+++ b/src/test/java/rillyard/balancer/ManyProxiesTest.java
@@ -206,7 +206,7 @@
     }
 
     private static EndpointEntry entry(long id, double since) {
-        return new EndpointEntry(id, zone(id), "k", id / 4, Condition.READY, 1, since);
+        return new EndpointEntry(id, zone(id), "k", id / 4, Condition.READY, since);
     }
 
     /** Half of three times the least capacity, over each 1.5 s, with a fifth and five requests for chance. */
--- a/src/test/java/rillyard/balancer/OverloadTest.java
+++ b/src/test/java/rillyard/balancer/OverloadTest.java
@@ -106,8 +106,7 @@
                         BalancerFixture.requestClass(SAFE, Semantics.IDEMPOTENT, Scope.ALL)),
                 BalancerFixture.hosts(4));
         for (int i = 0; i < 90; i++) {
-            balancer.onRequest(
-                    fixture.now, new IncomingRequest(i, SAFE, i % 9 == 0 ? "y" : "x", 800, Double.NaN, false));
+            balancer.onRequest(fixture.now, new IncomingRequest(i, SAFE, i % 9 == 0 ? "y" : "x", 800));
         }
         fixture.now += 790;
         for (int i = 0; i < 90; i++) {
@@ -118,9 +117,7 @@
             int before = fixture.rejected.size();
             boolean isSecondTenant = i % 9 == 0;
             fixture.now += 20;
-            balancer.onRequest(
-                    fixture.now,
-                    new IncomingRequest(1_000 + i, SAFE, isSecondTenant ? "y" : "x", 800, Double.NaN, false));
+            balancer.onRequest(fixture.now, new IncomingRequest(1_000 + i, SAFE, isSecondTenant ? "y" : "x", 800));
             rejected[isSecondTenant ? 1 : 0] += fixture.rejected.size() - before;
         }
         // 160 of x, 20 of y
--- a/src/test/java/rillyard/balancer/SlowStartBudgetTest.java
+++ b/src/test/java/rillyard/balancer/SlowStartBudgetTest.java
@@ -112,7 +112,7 @@
         List<EndpointEntry> entries = new ArrayList<>();
         for (long id = 0; id < HOSTS; id++) {
             entries.add(
-                    new EndpointEntry(id, null, "k", 0, Condition.READY, 1, id == WARMING_HOST ? warmingHostSince : 0));
+                    new EndpointEntry(id, null, "k", 0, Condition.READY, id == WARMING_HOST ? warmingHostSince : 0));
         }
         return entries;
     }
--- a/src/test/java/rillyard/endpoints/DisabledHostsTest.java
+++ b/src/test/java/rillyard/endpoints/DisabledHostsTest.java
@@ -14,7 +14,7 @@
     private final DisabledHosts disabledHosts = new DisabledHosts();
 
     private static EndpointEntry entry(Condition condition, double since) {
-        return new EndpointEntry(7, "z", "k", 3, condition, 1, since);
+        return new EndpointEntry(7, "z", "k", 3, condition, since);
     }
 
     private EndpointEntry effective(Condition condition, double since) {
--- a/src/test/java/rillyard/proxy/discovery/EndpointRegistryTest.java
+++ b/src/test/java/rillyard/proxy/discovery/EndpointRegistryTest.java
@@ -89,7 +89,7 @@
 
     private long announce(String name) {
         long id = registry.idOf(name);
-        EndpointEntry entry = new EndpointEntry(id, "zone", "kind", 0, EndpointEntry.Condition.READY, 1, 0);
+        EndpointEntry entry = new EndpointEntry(id, "zone", "kind", 0, EndpointEntry.Condition.READY, 0);
         InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), 80);
         registry.apply(new EndpointRegistry.EndpointList(
                 1, true, List.of(new EndpointRegistry.ListedEndpoint(name, address, entry, 0))));
