--- a/src/main/java/rillyard/balancer/AdmissionController.java
+++ b/src/main/java/rillyard/balancer/AdmissionController.java
@@ -19,7 +19,7 @@
     /** Probability of shedding a request of mean priority from which the beginning of an overload is logged. */
     private static final double LOGGED_SHED_PROBABILITY = 0.5;
 
-    private final double objective;
+    private final double objectiveMillis;
     private final SplittableRandom random;
     private final BalancerActions actions;
     private final RateEstimator arrivals = new RateEstimator(Tuning.RATE_DECAY_MILLIS, Tuning.MIN_RATE_WINDOW_MILLIS);
@@ -30,23 +30,23 @@
     private final DecayingAverage relativeLatency;
     private final DecayingAverage unansweredFraction;
     private final double slotOffset;
-    private double usefulRejectedAt = Double.NEGATIVE_INFINITY;
+    private double usefulRejectedAtMillis = Double.NEGATIVE_INFINITY;
     private boolean overloaded;
 
     AdmissionController(Settings settings, SplittableRandom random, BalancerActions actions) {
-        this.objective = settings.meanLatencyObjective();
+        this.objectiveMillis = settings.meanLatencyObjective();
         this.random = random;
         this.actions = actions;
         this.slotOffset = random.nextDouble();
-        double pressureDecay = Tuning.PRESSURE_DECAY_OBJECTIVES * objective;
-        this.relativeLatency = new DecayingAverage(pressureDecay, 0, 0);
-        this.unansweredFraction = new DecayingAverage(pressureDecay, 0, 0);
+        double pressureDecayMillis = Tuning.PRESSURE_DECAY_OBJECTIVES * objectiveMillis;
+        this.relativeLatency = new DecayingAverage(pressureDecayMillis, 0, 0);
+        this.unansweredFraction = new DecayingAverage(pressureDecayMillis, 0, 0);
     }
 
     /** Records the arrival of a request. */
-    void onRequest(double now, Settings.RequestClass requestClass) {
-        arrivals.onEvent(now);
-        usualServedRate.add(now, (1 - usualServedRate.decayFactor(now)) * currentServedRate(now));
+    void onRequest(double nowMillis, Settings.RequestClass requestClass) {
+        arrivals.onEvent(nowMillis);
+        usualServedRate.add(nowMillis, (1 - usualServedRate.decayFactor(nowMillis)) * currentServedRate(nowMillis));
         meanPriority.add(requestClass.priorityWeight(), PRIORITY_SAMPLE_WEIGHT);
     }
 
@@ -56,49 +56,49 @@
     }
 
     /** Returns the own requests per ms that are served, at least the usual number: overload does not slow a slow start. */
-    double servedRate(double now) {
-        return Math.max(usualServedRate.lastValue(), currentServedRate(now));
+    double servedRate(double nowMillis) {
+        return Math.max(usualServedRate.lastValue(), currentServedRate(nowMillis));
     }
 
-    private double currentServedRate(double now) {
-        return arrivals.rate(now) * Math.max(Tuning.MIN_SERVED_FRACTION, servedFraction.value());
+    private double currentServedRate(double nowMillis) {
+        return arrivals.rate(nowMillis) * Math.max(Tuning.MIN_SERVED_FRACTION, servedFraction.value());
     }
 
     /** Counts own attempts in flight: 1 for one that starts, -1 for one that ends. */
-    void onInFlightChange(double now, int change) {
-        inFlight.add(now, change);
+    void onInFlightChange(double nowMillis, int change) {
+        inFlight.add(nowMillis, change);
     }
 
     /** Returns the recent peak of the own attempts in flight. */
-    double peakInFlight(double now) {
-        return inFlight.valueAt(now);
+    double peakInFlight(double nowMillis) {
+        return inFlight.valueAt(nowMillis);
     }
 
     /** Records an answer's latency relative to the objective of its class. */
-    void onAnswer(double now, double relative) {
-        double weight = pressureWeight(now);
-        relativeLatency.add(now, Math.min(MAX_RELATIVE_LATENCY, relative), weight);
-        unansweredFraction.add(now, 0, weight);
+    void onAnswer(double nowMillis, double relative) {
+        double weight = pressureWeight(nowMillis);
+        relativeLatency.add(nowMillis, Math.min(MAX_RELATIVE_LATENCY, relative), weight);
+        unansweredFraction.add(nowMillis, 0, weight);
     }
 
     /** Records that an attempt brought no answer. */
-    void onNoAnswer(double now) {
-        double weight = pressureWeight(now);
-        relativeLatency.decay(now);
-        unansweredFraction.add(now, 1, weight);
+    void onNoAnswer(double nowMillis) {
+        double weight = pressureWeight(nowMillis);
+        relativeLatency.decay(nowMillis);
+        unansweredFraction.add(nowMillis, 1, weight);
     }
 
-    private double pressureWeight(double now) {
+    private double pressureWeight(double nowMillis) {
         // With few answers each one weighs more: they would else tell of an overload after its end.
-        double elapsed = relativeLatency.millisSinceUpdate(now);
-        double weight = elapsed / (Tuning.PRESSURE_WINDOW_OBJECTIVES * objective);
+        double elapsed = relativeLatency.millisSinceUpdate(nowMillis);
+        double weight = elapsed / (Tuning.PRESSURE_WINDOW_OBJECTIVES * objectiveMillis);
         return Math.min(MAX_PRESSURE_WEIGHT, Math.max(Tuning.SAMPLE_WEIGHT, weight));
     }
 
     /** Records a rejection: if the request could still have been answered in time, there is no capacity. */
-    void onRejected(double now, RequestState request) {
-        if (!request.requestClass().isTooLate(request.remainingObjective())) {
-            usefulRejectedAt = now;
+    void onRejected(double nowMillis, RequestState request) {
+        if (!request.requestClass().isTooLate(request.remainingObjectiveMillis())) {
+            usefulRejectedAtMillis = nowMillis;
         }
     }
 
@@ -106,36 +106,36 @@
      * Returns the recent latency relative to the objective, from 0 to 2. Attempts without an answer count only beyond what a
      * part of the hosts explains: for what a few hosts reject or lose there is capacity elsewhere.
      */
-    double pressure(double now) {
+    double pressure(double nowMillis) {
         double unexplained = Math.max(0, unansweredFraction.lastValue() - Tuning.MAX_EJECTED_FRACTION);
         double overload = unexplained / (1 - Tuning.MAX_EJECTED_FRACTION);
         double latency = relativeLatency.lastValue();
-        return relativeLatency.decayFactor(now) * (latency + overload * (MAX_RELATIVE_LATENCY - latency));
+        return relativeLatency.decayFactor(nowMillis) * (latency + overload * (MAX_RELATIVE_LATENCY - latency));
     }
 
     /** Whether latency is so high that a retry would only feed the overload. */
-    boolean isOverloaded(double now) {
-        return pressure(now) > Tuning.SHED_PRESSURE + Tuning.SHED_PRESSURE_SPAN / 2;
+    boolean isOverloaded(double nowMillis) {
+        return pressure(nowMillis) > Tuning.SHED_PRESSURE + Tuning.SHED_PRESSURE_SPAN / 2;
     }
 
     /** Whether to reject the request on arrival: more as latency nears the objective, those of low priority first. */
-    boolean sheds(double now, RequestState request) {
-        double excess = (pressure(now) - Tuning.SHED_PRESSURE) / Tuning.SHED_PRESSURE_SPAN;
-        updateOverloaded(now, excess);
-        if (request.requestClass().isTooLate(request.remainingObjective()) && isCapacityScarce(now)) {
+    boolean sheds(double nowMillis, RequestState request) {
+        double excess = (pressure(nowMillis) - Tuning.SHED_PRESSURE) / Tuning.SHED_PRESSURE_SPAN;
+        updateOverloaded(nowMillis, excess);
+        if (request.requestClass().isTooLate(request.remainingObjectiveMillis()) && isCapacityScarce(nowMillis)) {
             return random.nextDouble() >= request.requestClass().settings().latePriorityWeight();
         }
         if (excess <= 0) {
             return false;
         }
         double probability = excess / relativePriority(request);
-        return slotValue(now) < Math.min(Tuning.MAX_SHED_PROBABILITY, probability);
+        return slotValue(nowMillis) < Math.min(Tuning.MAX_SHED_PROBABILITY, probability);
     }
 
     /** Whether requests that are late already would displace those in time. */
-    private boolean isCapacityScarce(double now) {
-        return pressure(now) > Tuning.SHED_LATE_PRESSURE
-                || now - usefulRejectedAt < Tuning.SHED_LATE_OBJECTIVES * objective;
+    private boolean isCapacityScarce(double nowMillis) {
+        return pressure(nowMillis) > Tuning.SHED_LATE_PRESSURE
+                || nowMillis - usefulRejectedAtMillis < Tuning.SHED_LATE_OBJECTIVES * objectiveMillis;
     }
 
     /** Returns the request's priority relative to the recent mean, by its class and its tenant's quota. */
@@ -149,9 +149,9 @@
         return Math.max(MIN_RELATIVE_PRIORITY, weight / mean);
     }
 
-    private void updateOverloaded(double now, double excess) {
+    private void updateOverloaded(double nowMillis, double excess) {
         boolean begins = !overloaded && excess > LOGGED_SHED_PROBABILITY;
-        boolean ends = overloaded && pressure(now) < Tuning.SHED_PRESSURE / 2;
+        boolean ends = overloaded && pressure(nowMillis) < Tuning.SHED_PRESSURE / 2;
         if (begins) {
             overloaded = true;
             actions.log("overload: shedding started");
@@ -162,9 +162,9 @@
     }
 
     /** Returns a number from 0 to 1 that is the same throughout a time slot: an immediate retry meets the same decision. */
-    private double slotValue(double now) {
-        double turns =
-                slotOffset + Math.floor(now / (Tuning.SHED_SLOT_OBJECTIVES * objective)) * Tuning.GOLDEN_RATIO_STEP;
+    private double slotValue(double nowMillis) {
+        double turns = slotOffset
+                + Math.floor(nowMillis / (Tuning.SHED_SLOT_OBJECTIVES * objectiveMillis)) * Tuning.GOLDEN_RATIO_STEP;
         return turns - Math.floor(turns);
     }
 }
--- a/src/main/java/rillyard/balancer/AttemptController.java
+++ b/src/main/java/rillyard/balancer/AttemptController.java
@@ -31,7 +31,7 @@
     boolean start(RequestState request, double nowMillis) {
         // Under overload: no work is begun that no host can finish in time.
         request.limitExpectedLatency(Tuning.MAX_WAIT_FRACTION
-                * Math.max(0, request.remainingObjective())
+                * Math.max(0, request.remainingObjectiveMillis())
                 * Math.max(Tuning.MIN_QUOTA_WAIT_WEIGHT, request.quotaWeight()));
         return startWithinLimit(request, nowMillis);
     }
@@ -47,7 +47,7 @@
     }
 
     private void send(RequestState request, HostState host, double nowMillis) {
-        double notAfterMillis = retryPolicy.notAfter(request);
+        double notAfterMillis = retryPolicy.notAfterMillis(request);
         retryPolicy.start(request, host, nowMillis, load.outstandingNow(host, nowMillis));
         admission.onInFlightChange(nowMillis, 1);
         actions.send(request.id(), host.id(), 0, notAfterMillis);
@@ -56,9 +56,9 @@
 
     private void scheduleHedging(RequestState request, HostState host, double nowMillis) {
         RequestClassStats requestClass = request.requestClass();
-        double overdueAfterMillis = requestClass.overdueAfter() * Math.max(1, load.slowness(host, nowMillis));
+        double overdueAfterMillis = requestClass.overdueAfterMillis() * Math.max(1, load.slowness(host, nowMillis));
         if (requestClass.isRepeatable()
-                && nowMillis + overdueAfterMillis < request.deadline()
+                && nowMillis + overdueAfterMillis < request.deadlineMillis()
                 && request.attempts().size() < MAX_ATTEMPTS_WITH_TIMER) {
             actions.scheduleTimer(overdueAfterMillis, request.id());
         }
--- a/src/main/java/rillyard/balancer/AttemptState.java
+++ b/src/main/java/rillyard/balancer/AttemptState.java
@@ -8,7 +8,7 @@
     private final String zone;
     private final long cell;
     private final double outstandingAtSend;
-    private double sentAt;
+    private double sentAtMillis;
     private boolean open = true;
     private boolean mayHaveExecuted = true;
     private boolean cancelled;
@@ -16,16 +16,16 @@
     /**
      * Creates an attempt that is in flight.
      *
-     * @param sentAt when it was sent (ms); infinite while the request's body is still being received
+     * @param sentAtMillis when it was sent (ms); infinite while the request's body is still being received
      * @param outstandingAtSend requests the host held then, NaN if not known
      */
-    AttemptState(RequestState request, int number, HostState host, double sentAt, double outstandingAtSend) {
+    AttemptState(RequestState request, int number, HostState host, double sentAtMillis, double outstandingAtSend) {
         this.request = request;
         this.number = number;
         this.host = host;
         this.zone = host.zone();
         this.cell = host.cell();
-        this.sentAt = sentAt;
+        this.sentAtMillis = sentAtMillis;
         this.outstandingAtSend = outstandingAtSend;
     }
 
@@ -57,8 +57,8 @@
         return cell;
     }
 
-    double sentAt() {
-        return sentAt;
+    double sentAtMillis() {
+        return sentAtMillis;
     }
 
     double outstandingAtSend() {
@@ -86,8 +86,8 @@
     }
 
     /** Records that the request's last byte has been received: the attempt counts as sent from then on. */
-    void requestCompleted(double now) {
-        sentAt = Math.min(sentAt, now);
+    void requestCompleted(double nowMillis) {
+        sentAtMillis = Math.min(sentAtMillis, nowMillis);
     }
 
     /** Records its outcome, at the request and at the host as well. */
--- a/src/main/java/rillyard/balancer/DecayingAverage.java
+++ b/src/main/java/rillyard/balancer/DecayingAverage.java
@@ -5,30 +5,30 @@
  * caller states another one. Times are milliseconds of a clock that never goes back. Not thread-safe.
  */
 final class DecayingAverage {
-    private final double timeConstant;
+    private final double timeConstantMillis;
     private double value;
-    private double updatedAt;
+    private double updatedAtMillis;
 
     /**
      * Creates an average with an initial value.
      *
-     * @param timeConstant time (ms) in which the distance from the baseline decays to 1/e
-     * @param updatedAt time of the initial value; negative infinity if it is to count for nothing
+     * @param timeConstantMillis time (ms) in which the distance from the baseline decays to 1/e
+     * @param updatedAtMillis time of the initial value; negative infinity if it is to count for nothing
      */
-    DecayingAverage(double timeConstant, double initialValue, double updatedAt) {
-        this.timeConstant = timeConstant;
+    DecayingAverage(double timeConstantMillis, double initialValue, double updatedAtMillis) {
+        this.timeConstantMillis = timeConstantMillis;
         this.value = initialValue;
-        this.updatedAt = updatedAt;
+        this.updatedAtMillis = updatedAtMillis;
     }
 
-    /** Returns the average at {@code now}, decayed to zero. */
-    double valueAt(double now) {
-        return valueAt(now, 0);
+    /** Returns the average at {@code nowMillis}, decayed to zero. */
+    double valueAt(double nowMillis) {
+        return valueAt(nowMillis, 0);
     }
 
-    /** Returns the average at {@code now}, decayed to {@code baseline}. */
-    double valueAt(double now, double baseline) {
-        return baseline + (value - baseline) * decayFactor(now);
+    /** Returns the average at {@code nowMillis}, decayed to {@code baseline}. */
+    double valueAt(double nowMillis, double baseline) {
+        return baseline + (value - baseline) * decayFactor(nowMillis);
     }
 
     /** Returns the average as of its last change, without the decay since. */
@@ -36,34 +36,34 @@
         return value;
     }
 
-    /** Returns the part, from 0 to 1, that is left at {@code now} of the distance from the baseline. */
-    double decayFactor(double now) {
-        return Math.exp(-millisSinceUpdate(now) / timeConstant);
+    /** Returns the part, from 0 to 1, that is left at {@code nowMillis} of the distance from the baseline. */
+    double decayFactor(double nowMillis) {
+        return Math.exp(-millisSinceUpdate(nowMillis) / timeConstantMillis);
     }
 
     /** Returns the time since the last change. */
-    double millisSinceUpdate(double now) {
-        return now - updatedAt;
+    double millisSinceUpdate(double nowMillis) {
+        return nowMillis - updatedAtMillis;
     }
 
     /** Moves the decayed average towards {@code sample} by {@code weight}, from 0 to 1. */
-    void add(double now, double sample, double weight) {
-        add(now, 0, sample, weight);
+    void add(double nowMillis, double sample, double weight) {
+        add(nowMillis, 0, sample, weight);
     }
 
     /** As {@link #add(double, double, double)}, for an average that decays to {@code baseline}. */
-    void add(double now, double baseline, double sample, double weight) {
-        double decayed = valueAt(now, baseline);
-        set(now, decayed + weight * (sample - decayed));
+    void add(double nowMillis, double baseline, double sample, double weight) {
+        double decayed = valueAt(nowMillis, baseline);
+        set(nowMillis, decayed + weight * (sample - decayed));
     }
 
-    /** Makes the decay up to {@code now} permanent without adding a sample. */
-    void decay(double now) {
-        set(now, valueAt(now));
+    /** Makes the decay up to {@code nowMillis} permanent without adding a sample. */
+    void decay(double nowMillis) {
+        set(nowMillis, valueAt(nowMillis));
     }
 
-    private void set(double now, double newValue) {
+    private void set(double nowMillis, double newValue) {
         value = newValue;
-        updatedAt = now;
+        updatedAtMillis = nowMillis;
     }
 }
--- a/src/main/java/rillyard/balancer/DecayingCounter.java
+++ b/src/main/java/rillyard/balancer/DecayingCounter.java
@@ -5,18 +5,18 @@
  * which starts at 0. Not thread-safe.
  */
 final class DecayingCounter {
-    private final double timeConstant;
+    private final double timeConstantMillis;
     private double value;
-    private double updatedAt;
+    private double updatedAtMillis;
 
-    /** Creates a counter at zero that decays to 1/e within {@code timeConstant} ms. */
-    DecayingCounter(double timeConstant) {
-        this.timeConstant = timeConstant;
+    /** Creates a counter at zero that decays to 1/e within {@code timeConstantMillis} ms. */
+    DecayingCounter(double timeConstantMillis) {
+        this.timeConstantMillis = timeConstantMillis;
     }
 
-    /** Returns what is left of the sum at {@code now}. */
-    double valueAt(double now) {
-        return value * decayFactor(now);
+    /** Returns what is left of the sum at {@code nowMillis}. */
+    double valueAt(double nowMillis) {
+        return value * decayFactor(nowMillis);
     }
 
     /** Returns the sum as of its last change, without the decay since. */
@@ -24,19 +24,19 @@
         return value;
     }
 
-    /** Returns the part, from 0 to 1, that is left at {@code now} of the value at its last change. */
-    double decayFactor(double now) {
-        return Math.exp(-(now - updatedAt) / timeConstant);
+    /** Returns the part, from 0 to 1, that is left at {@code nowMillis} of the value at its last change. */
+    double decayFactor(double nowMillis) {
+        return Math.exp(-(nowMillis - updatedAtMillis) / timeConstantMillis);
     }
 
     /** Adds {@code amount} to what is left of the sum. */
-    void add(double now, double amount) {
-        set(now, valueAt(now) + amount);
+    void add(double nowMillis, double amount) {
+        set(nowMillis, valueAt(nowMillis) + amount);
     }
 
     /** Replaces the sum. */
-    void set(double now, double newValue) {
+    void set(double nowMillis, double newValue) {
         value = newValue;
-        updatedAt = now;
+        updatedAtMillis = nowMillis;
     }
 }
--- a/src/main/java/rillyard/balancer/DecayingPeak.java
+++ b/src/main/java/rillyard/balancer/DecayingPeak.java
@@ -5,18 +5,18 @@
     private final DecayingCounter peak;
     private int current;
 
-    /** Creates a peak at 0 whose distance decays to 1/e within {@code timeConstant} ms. */
-    DecayingPeak(double timeConstant) {
-        this.peak = new DecayingCounter(timeConstant);
+    /** Creates a peak at 0 whose distance decays to 1/e within {@code timeConstantMillis} ms. */
+    DecayingPeak(double timeConstantMillis) {
+        this.peak = new DecayingCounter(timeConstantMillis);
     }
 
-    void add(double now, int change) {
+    void add(double nowMillis, int change) {
         current += change;
-        peak.set(now, valueAt(now));
+        peak.set(nowMillis, valueAt(nowMillis));
     }
 
     /** Returns the recent peak, at least the current number. */
-    double valueAt(double now) {
-        return Math.max(current, peak.valueAt(now));
+    double valueAt(double nowMillis) {
+        return Math.max(current, peak.valueAt(nowMillis));
     }
 }
--- a/src/main/java/rillyard/balancer/HostEligibility.java
+++ b/src/main/java/rillyard/balancer/HostEligibility.java
@@ -29,7 +29,7 @@
 
     /** Whether the host is neither unresponsive nor ejected, or is to be probed. */
     boolean isHealthy(HostState host, RequestState request, double nowMillis) {
-        return outliers.isAvailable(host, nowMillis, request.requestClass().overdueAfter());
+        return outliers.isAvailable(host, nowMillis, request.requestClass().overdueAfterMillis());
     }
 
     /**
@@ -37,6 +37,6 @@
      * checked, an idle host without load reports could win every comparison and cause every request to be rejected.
      */
     boolean isInTime(HostState host, RequestState request, double nowMillis) {
-        return load.expectedLatency(host, nowMillis) <= request.maxExpectedLatency();
+        return load.expectedLatency(host, nowMillis) <= request.maxExpectedLatencyMillis();
     }
 }
--- a/src/main/java/rillyard/balancer/HostHealth.java
+++ b/src/main/java/rillyard/balancer/HostHealth.java
@@ -5,20 +5,20 @@
 
 /** What {@link OutlierDetector}, the only writer, has recorded of one host: plain data. Not thread-safe. */
 final class HostHealth {
-    private final double failureRateDecay;
+    private final double failureRateDecayMillis;
     private final Map<RequestClassStats, DecayingAverage> failureRates = new HashMap<>(4);
     private final DecayingCounter penalty;
     private int consecutiveFailures;
-    private double lastAnswerAt = Double.NEGATIVE_INFINITY;
+    private double lastAnswerAtMillis = Double.NEGATIVE_INFINITY;
     private boolean ejected;
     private double ejectedUntil;
     private int ejections;
-    private double lastEjectionAt = Double.NEGATIVE_INFINITY;
+    private double lastEjectionAtMillis = Double.NEGATIVE_INFINITY;
 
     /** Creates the health of a host without failures, with the time constants (ms) of its statistics. */
-    HostHealth(double penaltyDecay, double failureRateDecay) {
-        this.penalty = new DecayingCounter(penaltyDecay);
-        this.failureRateDecay = failureRateDecay;
+    HostHealth(double penaltyDecayMillis, double failureRateDecayMillis) {
+        this.penalty = new DecayingCounter(penaltyDecayMillis);
+        this.failureRateDecayMillis = failureRateDecayMillis;
     }
 
     /** Forgets the failures and the ejection, but not the backoff, for a new process of the host. */
@@ -36,16 +36,16 @@
     }
 
     /** Returns the fraction, from 0 to 1, of the requests of a class that the host has recently lost. */
-    double failureRate(RequestClassStats requestClass, double now) {
+    double failureRate(RequestClassStats requestClass, double nowMillis) {
         DecayingAverage rate = failureRates.get(requestClass);
-        return rate == null ? 0 : rate.valueAt(now);
+        return rate == null ? 0 : rate.valueAt(nowMillis);
     }
 
     /** Records whether an attempt of a class was lost, with the weight of one sample in its failure rate. */
-    void recordEnd(RequestClassStats requestClass, double now, boolean lost, double weight) {
+    void recordEnd(RequestClassStats requestClass, double nowMillis, boolean lost, double weight) {
         failureRates
-                .computeIfAbsent(requestClass, key -> new DecayingAverage(failureRateDecay, 0, 0))
-                .add(now, lost ? 1 : 0, weight);
+                .computeIfAbsent(requestClass, key -> new DecayingAverage(failureRateDecayMillis, 0, 0))
+                .add(nowMillis, lost ? 1 : 0, weight);
     }
 
     int consecutiveFailures() {
@@ -61,12 +61,12 @@
     }
 
     /** Returns when the host last sent any answer (ms), negative infinity before the first. */
-    double lastAnswerAt() {
-        return lastAnswerAt;
+    double lastAnswerAtMillis() {
+        return lastAnswerAtMillis;
     }
 
-    void recordAnswer(double now) {
-        lastAnswerAt = now;
+    void recordAnswer(double nowMillis) {
+        lastAnswerAtMillis = nowMillis;
     }
 
     /** Whether the host is ejected; it is half-open, and gets one request at a time, past {@link #ejectedUntil}. */
@@ -84,8 +84,8 @@
         return ejections;
     }
 
-    double lastEjectionAt() {
-        return lastEjectionAt;
+    double lastEjectionAtMillis() {
+        return lastEjectionAtMillis;
     }
 
     void eject(double until) {
@@ -103,9 +103,9 @@
     }
 
     /** Counts an ejection, from which the next one's backoff follows. */
-    void countEjection(double now) {
+    void countEjection(double nowMillis) {
         ejections++;
-        lastEjectionAt = now;
+        lastEjectionAtMillis = nowMillis;
     }
 
     void resetBackoff() {
--- a/src/main/java/rillyard/balancer/HostLoad.java
+++ b/src/main/java/rillyard/balancer/HostLoad.java
@@ -5,12 +5,12 @@
     private final DecayingAverage slowness;
     private int samples;
     private LoadReport report = LoadReport.NONE;
-    private double reportedAt = Double.NEGATIVE_INFINITY;
+    private double reportedAtMillis = Double.NEGATIVE_INFINITY;
     private int sentSinceReport;
 
-    /** Creates the load of a host without a report; {@code slownessDecay} is a time constant (ms). */
-    HostLoad(double slownessDecay) {
-        slowness = new DecayingAverage(slownessDecay, 1, Double.NEGATIVE_INFINITY);
+    /** Creates the load of a host without a report; {@code slownessDecayMillis} is a time constant (ms). */
+    HostLoad(double slownessDecayMillis) {
+        slowness = new DecayingAverage(slownessDecayMillis, 1, Double.NEGATIVE_INFINITY);
     }
 
     /** Returns the statistic of the host's latency relative to the mean. */
@@ -29,8 +29,8 @@
     }
 
     /** Returns when the last report came (ms), negative infinity without one. */
-    double reportedAt() {
-        return reportedAt;
+    double reportedAtMillis() {
+        return reportedAtMillis;
     }
 
     int sentSinceReport() {
@@ -42,9 +42,9 @@
         return report.outstanding() + sentSinceReport;
     }
 
-    void recordReport(LoadReport newReport, double now) {
+    void recordReport(LoadReport newReport, double nowMillis) {
         report = newReport;
-        reportedAt = now;
+        reportedAtMillis = nowMillis;
         sentSinceReport = 0;
     }
 
--- a/src/main/java/rillyard/balancer/HostSet.java
+++ b/src/main/java/rillyard/balancer/HostSet.java
@@ -11,18 +11,18 @@
     private static final Comparator<HostState> RING_ORDER =
             Comparator.comparingLong(HostState::ringPosition).thenComparingLong(HostState::id);
 
-    private final double objective;
+    private final double objectiveMillis;
     private final Map<Long, HostState> byId = new HashMap<>();
     private List<HostState> ready = List.of();
     private int generation;
 
     HostSet(Settings settings) {
-        this.objective = settings.meanLatencyObjective();
+        this.objectiveMillis = settings.meanLatencyObjective();
     }
 
     private HostState newHost(long id) {
-        double penaltyDecay = Tuning.PENALTY_DECAY_OBJECTIVES * objective;
-        HostHealth health = new HostHealth(penaltyDecay, Tuning.FAILURE_RATE_DECAY_OBJECTIVES * objective);
+        double penaltyDecayMillis = Tuning.PENALTY_DECAY_OBJECTIVES * objectiveMillis;
+        HostHealth health = new HostHealth(penaltyDecayMillis, Tuning.FAILURE_RATE_DECAY_OBJECTIVES * objectiveMillis);
         return new HostState(id, health, new HostLoad(Tuning.SLOWNESS_DECAY_MILLIS));
     }
 
@@ -45,7 +45,7 @@
     }
 
     /** Applies a watch event; {@code entries} is ignored, and may be null, for {@link WatchEvent#FAILED}. */
-    void apply(double now, WatchEvent event, List<EndpointEntry> entries, SplittableRandom random) {
+    void apply(double nowMillis, WatchEvent event, List<EndpointEntry> entries, SplittableRandom random) {
         if (event == WatchEvent.FAILED) {
             return;
         }
@@ -60,7 +60,7 @@
             if (restarted) { // its new process has neither the faults nor the queue of the former one
                 host.health().reset();
                 host.load().reset();
-                host.slowStart().reset(now, random.nextDouble());
+                host.slowStart().reset(nowMillis, random.nextDouble());
             }
         }
         for (HostState host : byId.values()) {
--- a/src/main/java/rillyard/balancer/HostState.java
+++ b/src/main/java/rillyard/balancer/HostState.java
@@ -21,7 +21,7 @@
     private boolean listed;
     private boolean ready;
     private int listGeneration;
-    private double newestAnsweredSentAt = Double.NEGATIVE_INFINITY;
+    private double newestAnsweredSentAtMillis = Double.NEGATIVE_INFINITY;
 
     /** Creates the state of a host that no list has named yet. */
     HostState(long id, HostHealth health, HostLoad load) {
@@ -109,8 +109,8 @@
     }
 
     /** Returns the latest send time (ms) of the attempts that the host has answered, negative infinity before the first. */
-    double newestAnsweredSentAt() {
-        return newestAnsweredSentAt;
+    double newestAnsweredSentAtMillis() {
+        return newestAnsweredSentAtMillis;
     }
 
     /** Records an attempt that is sent to the host. */
@@ -126,6 +126,6 @@
 
     /** Records that the host has answered an attempt. */
     void attemptAnswered(AttemptState attempt) {
-        newestAnsweredSentAt = Math.max(newestAnsweredSentAt, attempt.sentAt());
+        newestAnsweredSentAtMillis = Math.max(newestAnsweredSentAtMillis, attempt.sentAtMillis());
     }
 }
--- a/src/main/java/rillyard/balancer/LoadEstimator.java
+++ b/src/main/java/rillyard/balancer/LoadEstimator.java
@@ -24,32 +24,32 @@
     private static final double MIN_FRESHNESS = 0.01;
 
     private final Map<String, MachineKindStats> kinds = new HashMap<>();
-    private final double reportDecay;
+    private final double reportDecayMillis;
     private final MovingAverage meanOutstanding = new MovingAverage(0);
-    private double lastReportAt = Double.NEGATIVE_INFINITY;
+    private double lastReportAtMillis = Double.NEGATIVE_INFINITY;
 
     LoadEstimator(Settings settings) {
-        this.reportDecay = Tuning.REPORT_DECAY_OBJECTIVES * settings.meanLatencyObjective();
+        this.reportDecayMillis = Tuning.REPORT_DECAY_OBJECTIVES * settings.meanLatencyObjective();
     }
 
     /** Records an answer that took {@code relativeLatency} times the mean latency of its class. */
-    void onAnswer(HostState host, double now, double relativeLatency) {
+    void onAnswer(HostState host, double nowMillis, double relativeLatency) {
         double capped = Math.min(relativeLatency, MAX_RELATIVE_LATENCY);
         HostLoad load = host.load();
         // The first answers weigh more: a proxy with few requests would otherwise take a minute to learn.
         double weight = Math.max(Tuning.SAMPLE_WEIGHT, 1.0 / (load.countSample() + HOST_PRIOR_SAMPLES));
-        load.slowness().add(now, kindSlowness(host), capped, weight);
+        load.slowness().add(nowMillis, kindSlowness(host), capped, weight);
         MachineKindStats kind = kindOf(host);
         double kindWeight = Math.max(KIND_SAMPLE_WEIGHT, 1.0 / (kind.countSample() + KIND_PRIOR_SAMPLES));
         kind.slowness().add(capped, kindWeight);
     }
 
     /** Learns from an answer behind a queue how long a host of this kind takes for each request it holds. */
-    void onQueuedAnswer(HostState host, double outstandingAtSend, double latency) {
+    void onQueuedAnswer(HostState host, double outstandingAtSend, double latencyMillis) {
         double outstanding = Double.isNaN(outstandingAtSend) ? host.load().reportedOutstanding() : outstandingAtSend;
         if (outstanding >= Tuning.MIN_QUEUE_OUTSTANDING) {
             // The median: a few expensive requests do not tell how long the next one takes.
-            kindOf(host).millisPerRequest().add(latency / (outstanding + 1));
+            kindOf(host).millisPerRequest().add(latencyMillis / (outstanding + 1));
         }
     }
 
@@ -58,22 +58,23 @@
     }
 
     /** Records a load report, null for none; one that is not {@code typical} is left out of the mean over all hosts. */
-    void onReport(HostState host, double now, LoadReport report, boolean typical) {
+    void onReport(HostState host, double nowMillis, LoadReport report, boolean typical) {
         if (report == null || Double.isNaN(report.outstanding())) {
             return;
         }
-        host.load().recordReport(report, now);
+        host.load().recordReport(report, nowMillis);
         if (typical) {
-            double weight = Math.max(MIN_REPORT_WEIGHT, 1 - Math.exp(-(now - lastReportAt) / reportDecay));
+            double weight =
+                    Math.max(MIN_REPORT_WEIGHT, 1 - Math.exp(-(nowMillis - lastReportAtMillis) / reportDecayMillis));
             meanOutstanding.add(report.outstanding(), weight);
         }
-        lastReportAt = now;
+        lastReportAtMillis = nowMillis;
     }
 
     /** Returns the requests the host holds by a recent report and by what was sent since, NaN without a recent one. */
-    double outstandingNow(HostState host, double now) {
+    double outstandingNow(HostState host, double nowMillis) {
         HostLoad load = host.load();
-        return now - load.reportedAt() <= Tuning.FRESH_REPORT_MILLIS ? load.knownOutstanding() : Double.NaN;
+        return nowMillis - load.reportedAtMillis() <= Tuning.FRESH_REPORT_MILLIS ? load.knownOutstanding() : Double.NaN;
     }
 
     /**
@@ -83,24 +84,24 @@
      * rest decays, so that requests without an answer are no queue for ever. The host holds at least the own attempts in
      * flight that are not lost. Limit: a queue that lasts for objectives without any answer is underestimated.
      */
-    double expectedLatency(HostState host, double now) {
+    double expectedLatency(HostState host, double nowMillis) {
         double millisPerRequest = kindOf(host).millisPerRequest().value();
         if (millisPerRequest == 0) {
             return 0;
         }
         HostLoad load = host.load();
-        double freshness = freshness(load, now);
-        double typical = meanOutstanding.value() * Math.exp(-(now - lastReportAt) / reportDecay);
-        double undrained = load.reportedOutstanding() - (now - load.reportedAt()) / millisPerRequest;
+        double freshness = freshness(load, nowMillis);
+        double typical = meanOutstanding.value() * Math.exp(-(nowMillis - lastReportAtMillis) / reportDecayMillis);
+        double undrained = load.reportedOutstanding() - (nowMillis - load.reportedAtMillis()) / millisPerRequest;
         double reported = freshness == 0 ? 0 : Math.max(Math.min(load.reportedOutstanding(), typical), undrained);
         double outstanding = Math.max(
-                host.inFlight() - OutlierDetector.lostAttempts(host, null, now),
+                host.inFlight() - OutlierDetector.lostAttempts(host, null, nowMillis),
                 freshness * (reported + load.sentSinceReport()) + (1 - freshness) * typical);
         return outstanding > Tuning.MIN_QUEUE_OUTSTANDING ? millisPerRequest * (outstanding + 1) : 0;
     }
 
-    private double freshness(HostLoad load, double now) {
-        return Math.exp(-(now - load.reportedAt()) / reportDecay);
+    private double freshness(HostLoad load, double nowMillis) {
+        return Math.exp(-(nowMillis - load.reportedAtMillis()) / reportDecayMillis);
     }
 
     /** Returns the latency of the host's machine kind relative to the mean, 1 while it is not known. */
@@ -109,17 +110,17 @@
     }
 
     /** Returns the host's latency relative to the mean; without new answers it decays to that of its machine kind. */
-    double slowness(HostState host, double now) {
-        return host.load().slowness().valueAt(now, kindSlowness(host));
+    double slowness(HostState host, double nowMillis) {
+        return host.load().slowness().valueAt(nowMillis, kindSlowness(host));
     }
 
     /** Returns the expected wait at the host in units of the mean latency, for hosts with equal numbers of requests. */
-    double expectedWait(HostState host, double now) {
+    double expectedWait(HostState host, double nowMillis) {
         double outstanding = meanOutstanding.value();
-        double freshness = freshness(host.load(), now);
+        double freshness = freshness(host.load(), nowMillis);
         if (freshness > MIN_FRESHNESS) {
             outstanding += freshness * (host.load().knownOutstanding() - meanOutstanding.value());
         }
-        return slowness(host, now) * (Tuning.BASE_OUTSTANDING + outstanding);
+        return slowness(host, nowMillis) * (Tuning.BASE_OUTSTANDING + outstanding);
     }
 }
--- a/src/main/java/rillyard/balancer/OutcomeLearner.java
+++ b/src/main/java/rillyard/balancer/OutcomeLearner.java
@@ -40,7 +40,7 @@
         outliers.onAttemptEnded(host, requestClass, nowMillis, false);
         outliers.onSuccess(host, nowMillis);
         host.attemptAnswered(attempt);
-        double meanLatencyMillis = Math.max(MIN_MEAN_LATENCY_MILLIS, requestClass.meanLatency());
+        double meanLatencyMillis = Math.max(MIN_MEAN_LATENCY_MILLIS, requestClass.meanLatencyMillis());
         load.onAnswer(host, nowMillis, latencyMillis / meanLatencyMillis);
         requestClass.onAnswer(latencyMillis);
         load.onQueuedAnswer(host, attempt.outstandingAtSend(), latencyMillis);
--- a/src/main/java/rillyard/balancer/OutlierDetector.java
+++ b/src/main/java/rillyard/balancer/OutlierDetector.java
@@ -13,37 +13,37 @@
     private static final double EJECTION_JITTER_SPAN = 0.5; // above that
 
     private final HostSet hosts;
-    private final double objective;
+    private final double objectiveMillis;
     private final SplittableRandom random;
     private final BalancerActions actions;
 
-    OutlierDetector(HostSet hosts, double objective, SplittableRandom random, BalancerActions actions) {
+    OutlierDetector(HostSet hosts, double objectiveMillis, SplittableRandom random, BalancerActions actions) {
         this.hosts = hosts;
-        this.objective = objective;
+        this.objectiveMillis = objectiveMillis;
         this.random = random;
         this.actions = actions;
     }
 
     /** Whether the host may get a request; one that is half-open gets one at a time. */
-    boolean isAvailable(HostState host, double now, double overdueAfter) {
+    boolean isAvailable(HostState host, double nowMillis, double overdueAfterMillis) {
         HostHealth health = host.health();
-        if (now < health.ejectedUntil()) {
+        if (nowMillis < health.ejectedUntil()) {
             return false;
         }
         if (health.isEjected()) {
             return host.inFlight() == 0;
         }
-        return !isUnresponsive(host, now, overdueAfter);
+        return !isUnresponsive(host, nowMillis, overdueAfterMillis);
     }
 
     /** Whether the host has answered nothing for so long, with complete requests in flight, that it seems to hang. */
-    boolean isUnresponsive(HostState host, double now, double overdueAfter) {
+    boolean isUnresponsive(HostState host, double nowMillis, double overdueAfterMillis) {
         for (AttemptState attempt : host.attempts()) {
-            if (!isOvertaken(attempt) && attempt.sentAt() <= now) {
-                double since = Math.max(attempt.sentAt(), host.health().lastAnswerAt());
+            if (!isOvertaken(attempt) && attempt.sentAtMillis() <= nowMillis) {
+                double since = Math.max(attempt.sentAtMillis(), host.health().lastAnswerAtMillis());
                 double expected =
-                        overdueAfter * Math.max(1, host.load().slowness().lastValue());
-                return now - since > Math.max(Tuning.MIN_UNRESPONSIVE_MILLIS, expected);
+                        overdueAfterMillis * Math.max(1, host.load().slowness().lastValue());
+                return nowMillis - since > Math.max(Tuning.MIN_UNRESPONSIVE_MILLIS, expected);
             }
         }
         return false;
@@ -51,11 +51,11 @@
 
     /** Whether the host has answered a later attempt: it has lost this one, but neither hangs nor has a long queue. */
     static boolean isOvertaken(AttemptState attempt) {
-        return attempt.sentAt() < attempt.host().newestAnsweredSentAt();
+        return attempt.sentAtMillis() < attempt.host().newestAnsweredSentAtMillis();
     }
 
     /** Returns how many attempts in flight are overtaken and past their objective, without those of class {@code except}. */
-    static int lostAttempts(HostState host, RequestClassStats except, double now) {
+    static int lostAttempts(HostState host, RequestClassStats except, double nowMillis) {
         int count = 0;
         for (AttemptState attempt : host.attempts()) {
             if (!isOvertaken(attempt)) {
@@ -63,7 +63,8 @@
             }
             RequestClassStats requestClass = attempt.requestClass();
             if (requestClass != except
-                    && now - attempt.sentAt() > requestClass.settings().latencyObjective()) {
+                    && nowMillis - attempt.sentAtMillis()
+                            > requestClass.settings().latencyObjective()) {
                 count++;
             }
         }
@@ -75,53 +76,53 @@
      * with quick errors, must not look idle. It gets requests again once the others are busier by the penalty. Limit: a class
      * that all hosts lose is distributed by the penalties rather than by the load.
      */
-    double weightedInFlight(HostState host, RequestClassStats requestClass, double now) {
+    double weightedInFlight(HostState host, RequestClassStats requestClass, double nowMillis) {
         return host.inFlight()
-                - lostAttempts(host, requestClass, now)
-                + penalty(host, now)
-                + Tuning.FAILURE_RATE_PENALTY * host.health().failureRate(requestClass, now);
+                - lostAttempts(host, requestClass, nowMillis)
+                + penalty(host, nowMillis)
+                + Tuning.FAILURE_RATE_PENALTY * host.health().failureRate(requestClass, nowMillis);
     }
 
-    private static double penalty(HostState host, double now) {
+    private static double penalty(HostState host, double nowMillis) {
         DecayingCounter penalty = host.health().penalty();
-        return penalty.lastValue() < MIN_PENALTY ? 0 : penalty.valueAt(now);
+        return penalty.lastValue() < MIN_PENALTY ? 0 : penalty.valueAt(nowMillis);
     }
 
-    private static void addPenalty(HostState host, double now) {
-        host.health().penalty().set(now, penalty(host, now) + Tuning.FAILURE_PENALTY);
+    private static void addPenalty(HostState host, double nowMillis) {
+        host.health().penalty().set(nowMillis, penalty(host, nowMillis) + Tuning.FAILURE_PENALTY);
     }
 
     /** Records whether an attempt of this class was lost or answered. */
-    void onAttemptEnded(HostState host, RequestClassStats requestClass, double now, boolean lost) {
-        host.health().recordEnd(requestClass, now, lost, Tuning.SAMPLE_WEIGHT);
+    void onAttemptEnded(HostState host, RequestClassStats requestClass, double nowMillis, boolean lost) {
+        host.health().recordEnd(requestClass, nowMillis, lost, Tuning.SAMPLE_WEIGHT);
     }
 
     /** Records a successful answer, which ends an ejection. */
-    void onSuccess(HostState host, double now) {
-        host.health().recordAnswer(now);
+    void onSuccess(HostState host, double nowMillis) {
+        host.health().recordAnswer(nowMillis);
         host.health().recordSuccess();
         readmit(host);
     }
 
     /** Records a failure; {@code answered} tells whether the host has sent an answer. */
-    void onFailure(HostState host, double now, boolean answered) {
+    void onFailure(HostState host, double nowMillis, boolean answered) {
         HostHealth health = host.health();
         if (answered) {
-            health.recordAnswer(now);
+            health.recordAnswer(nowMillis);
         }
         health.recordFailure();
-        addPenalty(host, now);
-        if (now >= health.ejectedUntil()
+        addPenalty(host, nowMillis);
+        if (nowMillis >= health.ejectedUntil()
                 && (health.isEjected() || health.consecutiveFailures() >= Tuning.EJECTION_FAILURES)
                 && mayEject(host)) {
-            eject(host, now);
+            eject(host, nowMillis);
         }
     }
 
     /** Records that the host rejected an attempt as over its capacity, which gives it a penalty but is no failure. */
-    void onRejection(HostState host, double now) {
-        host.health().recordAnswer(now);
-        addPenalty(host, now);
+    void onRejection(HostState host, double nowMillis) {
+        host.health().recordAnswer(nowMillis);
+        addPenalty(host, nowMillis);
         readmit(host);
     }
 
@@ -132,13 +133,13 @@
         }
     }
 
-    /** Applies what the fleet has found: ejects the host until {@code probeAt} or later, or probes it by then. */
-    void onFleetEjection(HostState host, boolean ejected, double probeAt) {
+    /** Applies what the fleet has found: ejects the host until {@code probeAtMillis} or later, or probes it by then. */
+    void onFleetEjection(HostState host, boolean ejected, double probeAtMillis) {
         HostHealth health = host.health();
         if (!ejected) {
-            health.moveProbe(Math.min(health.ejectedUntil(), probeAt));
+            health.moveProbe(Math.min(health.ejectedUntil(), probeAtMillis));
         } else if (mayEject(host)) {
-            health.eject(Math.max(health.ejectedUntil(), probeAt));
+            health.eject(Math.max(health.ejectedUntil(), probeAtMillis));
         }
     }
 
@@ -150,19 +151,19 @@
         return ejected < Tuning.MAX_EJECTED_FRACTION * hosts.ready().size();
     }
 
-    private void eject(HostState host, double now) {
+    private void eject(HostState host, double nowMillis) {
         HostHealth health = host.health();
-        if (now - health.lastEjectionAt() > Tuning.EJECTION_RESET_OBJECTIVES * objective) {
+        if (nowMillis - health.lastEjectionAtMillis() > Tuning.EJECTION_RESET_OBJECTIVES * objectiveMillis) {
             health.resetBackoff();
         }
         double backoff = Tuning.BASE_EJECTION_OBJECTIVES * Math.pow(2, health.ejections());
-        double length = objective * Math.min(Tuning.MAX_EJECTION_OBJECTIVES, backoff);
-        health.countEjection(now);
+        double length = objectiveMillis * Math.min(Tuning.MAX_EJECTION_OBJECTIVES, backoff);
+        health.countEjection(nowMillis);
         double jitter = MIN_EJECTION_JITTER + EJECTION_JITTER_SPAN * random.nextDouble();
-        double ejectedUntil = now + length * jitter;
+        double ejectedUntil = nowMillis + length * jitter;
         if (!health.isEjected()) {
             actions.log("outlier: host ejected, host=" + host.id() + " failures=" + health.consecutiveFailures()
-                    + " backoff_ms=" + Math.round(ejectedUntil - now));
+                    + " backoff_ms=" + Math.round(ejectedUntil - nowMillis));
         }
         health.eject(ejectedUntil);
     }
--- a/src/main/java/rillyard/balancer/RateEstimator.java
+++ b/src/main/java/rillyard/balancer/RateEstimator.java
@@ -2,31 +2,31 @@
 
 /** Estimates the rate of events with an exponential memory that is corrected while it is not yet full. Not thread-safe. */
 final class RateEstimator {
-    private final double timeConstant;
-    private final double minWindow;
+    private final double timeConstantMillis;
+    private final double minWindowMillis;
     private final DecayingCounter rate;
-    private double firstAt = Double.NaN;
+    private double firstAtMillis = Double.NaN;
 
     /**
      * Creates an estimator without events.
      *
-     * @param timeConstant time (ms) after which an event counts 1/e
-     * @param minWindow least time (ms) over which the rate is taken
+     * @param timeConstantMillis time (ms) after which an event counts 1/e
+     * @param minWindowMillis least time (ms) over which the rate is taken
      */
-    RateEstimator(double timeConstant, double minWindow) {
-        this.timeConstant = timeConstant;
-        this.minWindow = minWindow;
-        this.rate = new DecayingCounter(timeConstant);
+    RateEstimator(double timeConstantMillis, double minWindowMillis) {
+        this.timeConstantMillis = timeConstantMillis;
+        this.minWindowMillis = minWindowMillis;
+        this.rate = new DecayingCounter(timeConstantMillis);
     }
 
-    void onEvent(double now) {
-        firstAt = Double.isNaN(firstAt) ? now : firstAt;
-        rate.add(now, 1 / timeConstant);
+    void onEvent(double nowMillis) {
+        firstAtMillis = Double.isNaN(firstAtMillis) ? nowMillis : firstAtMillis;
+        rate.add(nowMillis, 1 / timeConstantMillis);
     }
 
     /** Returns the events per ms. */
-    double rate(double now) {
-        double observed = 1 - Math.exp(-(now - firstAt + minWindow) / timeConstant);
-        return rate.valueAt(now) / (observed > 0 ? observed : 1);
+    double rate(double nowMillis) {
+        double observed = 1 - Math.exp(-(nowMillis - firstAtMillis + minWindowMillis) / timeConstantMillis);
+        return rate.valueAt(nowMillis) / (observed > 0 ? observed : 1);
     }
 }
--- a/src/main/java/rillyard/balancer/RequestClassStats.java
+++ b/src/main/java/rillyard/balancer/RequestClassStats.java
@@ -13,19 +13,19 @@
 
     private final Settings.RequestClass settings;
     private final MeanAndDeviation latency;
-    private double firstAttemptTime;
+    private double firstAttemptMillis;
 
     RequestClassStats(Settings.RequestClass settings) {
         this.settings = settings;
-        double initialLatency = INITIAL_LATENCY_FRACTION * settings.latencyObjective();
-        this.latency = new MeanAndDeviation(initialLatency, PRIOR_SAMPLES, LATENCY_SAMPLE_WEIGHT);
+        double initialLatencyMillis = INITIAL_LATENCY_FRACTION * settings.latencyObjective();
+        this.latency = new MeanAndDeviation(initialLatencyMillis, PRIOR_SAMPLES, LATENCY_SAMPLE_WEIGHT);
     }
 
     Settings.RequestClass settings() {
         return settings;
     }
 
-    double meanLatency() {
+    double meanLatencyMillis() {
         return latency.mean();
     }
 
@@ -38,25 +38,25 @@
      * request with less time than first attempts have is taken for a client's retry, so that retries which are late already
      * do not displace requests in time. Limit: a client that always asks for less time is shed first in an overload.
      */
-    double remainingObjective(double remainingTime) {
-        double time = Math.min(remainingTime, settings.deadline());
-        double decayed = firstAttemptTime + Tuning.DEADLINE_SAMPLE_WEIGHT * (time - firstAttemptTime);
-        firstAttemptTime = Math.max(time, decayed);
-        if (time >= Tuning.RETRY_DEADLINE_FRACTION * firstAttemptTime) {
+    double remainingObjectiveMillis(double remainingMillis) {
+        double timeMillis = Math.min(remainingMillis, settings.deadline());
+        double decayed = firstAttemptMillis + Tuning.DEADLINE_SAMPLE_WEIGHT * (timeMillis - firstAttemptMillis);
+        firstAttemptMillis = Math.max(timeMillis, decayed);
+        if (timeMillis >= Tuning.RETRY_DEADLINE_FRACTION * firstAttemptMillis) {
             return settings.latencyObjective();
         }
-        double spentBefore = settings.deadline() - time;
-        return settings.latencyObjective() - spentBefore;
+        double spentBeforeMillis = settings.deadline() - timeMillis;
+        return settings.latencyObjective() - spentBeforeMillis;
     }
 
     /** Whether a request with so much of its objective left would be late at the latency observed now. */
-    boolean isTooLate(double remainingObjective) {
-        return remainingObjective < Math.min(meanLatency(), settings.latencyObjective());
+    boolean isTooLate(double remainingObjectiveMillis) {
+        return remainingObjectiveMillis < Math.min(meanLatencyMillis(), settings.latencyObjective());
     }
 
     /** Returns the age past which an attempt is overdue; earlier hedging would waste the work of a merely long one. */
-    double overdueAfter() {
-        return meanLatency() + Tuning.OVERDUE_DEVIATIONS * latency.deviation();
+    double overdueAfterMillis() {
+        return meanLatencyMillis() + Tuning.OVERDUE_DEVIATIONS * latency.deviation();
     }
 
     /** Whether an attempt that may have been executed may be repeated at all. */
--- a/src/main/java/rillyard/balancer/RequestState.java
+++ b/src/main/java/rillyard/balancer/RequestState.java
@@ -8,26 +8,27 @@
 final class RequestState {
     private final long id;
     private final RequestClassStats requestClass;
-    private final double remainingObjective;
+    private final double remainingObjectiveMillis;
     private final double quotaWeight;
     private final List<AttemptState> attempts = new ArrayList<>(2);
     private final List<AttemptState> attemptsView = Collections.unmodifiableList(attempts);
-    private double deadline;
-    private double maxExpectedLatency;
+    private double deadlineMillis;
+    private double maxExpectedLatencyMillis;
     private int openAttempts;
     private boolean ended;
 
     /**
      * Creates a request without attempts.
      *
-     * @param remainingTime time (ms) until the client's deadline, infinite while the request is being received
+     * @param remainingMillis time (ms) until the client's deadline, infinite while the request is being received
      * @param quotaWeight weight of its tenant, 1 if it is within its quota
      */
-    RequestState(long id, RequestClassStats requestClass, double now, double remainingTime, double quotaWeight) {
+    RequestState(
+            long id, RequestClassStats requestClass, double nowMillis, double remainingMillis, double quotaWeight) {
         this.id = id;
         this.requestClass = requestClass;
-        this.deadline = now + remainingTime;
-        this.remainingObjective = requestClass.remainingObjective(remainingTime);
+        this.deadlineMillis = nowMillis + remainingMillis;
+        this.remainingObjectiveMillis = requestClass.remainingObjectiveMillis(remainingMillis);
         this.quotaWeight = quotaWeight;
     }
 
@@ -40,8 +41,8 @@
     }
 
     /** Returns the part of the latency objective (ms) that was left on arrival, below 0 if it was past. */
-    double remainingObjective() {
-        return remainingObjective;
+    double remainingObjectiveMillis() {
+        return remainingObjectiveMillis;
     }
 
     double quotaWeight() {
@@ -65,13 +66,13 @@
     }
 
     /** Returns the client's deadline (ms), infinite while the request is being received. */
-    double deadline() {
-        return deadline;
+    double deadlineMillis() {
+        return deadlineMillis;
     }
 
     /** Returns the expected latency (ms) past which a host is not given its first attempt. */
-    double maxExpectedLatency() {
-        return maxExpectedLatency;
+    double maxExpectedLatencyMillis() {
+        return maxExpectedLatencyMillis;
     }
 
     int openAttempts() {
@@ -99,18 +100,18 @@
     }
 
     void limitExpectedLatency(double millis) {
-        maxExpectedLatency = millis;
+        maxExpectedLatencyMillis = millis;
     }
 
-    /** Records that the last byte has been received, with {@code remainingTime} ms left until the deadline. */
-    void complete(double now, double remainingTime) {
-        deadline = now + remainingTime;
-        attempts.forEach(attempt -> attempt.requestCompleted(now));
+    /** Records that the last byte has been received, with {@code remainingMillis} ms left until the deadline. */
+    void complete(double nowMillis, double remainingMillis) {
+        deadlineMillis = nowMillis + remainingMillis;
+        attempts.forEach(attempt -> attempt.requestCompleted(nowMillis));
     }
 
     /** Records that the next attempt is sent to {@code host}, at the host as well. */
-    AttemptState startAttempt(HostState host, double sentAt, double outstandingAtSend) {
-        AttemptState attempt = new AttemptState(this, attempts.size(), host, sentAt, outstandingAtSend);
+    AttemptState startAttempt(HostState host, double sentAtMillis, double outstandingAtSend) {
+        AttemptState attempt = new AttemptState(this, attempts.size(), host, sentAtMillis, outstandingAtSend);
         attempts.add(attempt);
         openAttempts++;
         host.attemptStarted(attempt);
--- a/src/main/java/rillyard/balancer/RetryController.java
+++ b/src/main/java/rillyard/balancer/RetryController.java
@@ -53,11 +53,11 @@
     }
 
     private boolean isHostUnresponsive(AttemptState attempt, double nowMillis) {
-        double overdueAfterMillis = TIMER_TOLERANCE * attempt.requestClass().overdueAfter();
+        double overdueAfterMillis = TIMER_TOLERANCE * attempt.requestClass().overdueAfterMillis();
         return outliers.isUnresponsive(attempt.host(), nowMillis, overdueAfterMillis);
     }
 
     private static boolean hasTime(RequestState request, double nowMillis) {
-        return nowMillis < request.deadline() - Tuning.MIN_REMAINING_MILLIS;
+        return nowMillis < request.deadlineMillis() - Tuning.MIN_REMAINING_MILLIS;
     }
 }
--- a/src/main/java/rillyard/balancer/RetryPolicy.java
+++ b/src/main/java/rillyard/balancer/RetryPolicy.java
@@ -9,30 +9,30 @@
     }
 
     /** Whether the request may be sent to {@code target}; if that is null, whether it may be rejected as not executed. */
-    boolean permits(RequestState request, HostState target, double now) {
-        if (request.isEnded() || (target != null && !permitsAttempt(request, target, now))) {
+    boolean permits(RequestState request, HostState target, double nowMillis) {
+        if (request.isEnded() || (target != null && !permitsAttempt(request, target, nowMillis))) {
             return false;
         }
         if (request.requestClass().settings().semantics() == Settings.Semantics.IDEMPOTENT) {
             return true;
         }
         for (AttemptState attempt : request.attempts()) {
-            if (attempt.mayHaveExecuted() && (now >= repeatableUntil(attempt) || !sharesKeys(attempt, target))) {
+            if (attempt.mayHaveExecuted() && (nowMillis >= repeatableUntil(attempt) || !sharesKeys(attempt, target))) {
                 return false;
             }
         }
         return true;
     }
 
-    private boolean permitsAttempt(RequestState request, HostState target, double now) {
+    private boolean permitsAttempt(RequestState request, HostState target, double nowMillis) {
         return target.isReady()
                 && request.attempts().size() < limits.maxAttempts()
                 && (request.openAttempts() == 0 || limits.mayRunParallelAttempts())
-                && now < request.deadline();
+                && nowMillis < request.deadlineMillis();
     }
 
     /** Returns until when (ms) the next attempt must be written, as hosts forget idempotency keys after a time. */
-    double notAfter(RequestState request) {
+    double notAfterMillis(RequestState request) {
         return request.attempts().stream()
                 .filter(AttemptState::mayHaveExecuted)
                 .mapToDouble(RetryPolicy::repeatableUntil)
@@ -41,16 +41,17 @@
     }
 
     /** Starts an attempt; for a request that is still being received it counts as sent with the last byte only. */
-    AttemptState start(RequestState request, HostState host, double now, double outstandingAtSend) {
-        double sentAt = Double.isInfinite(request.deadline()) ? request.deadline() : now;
-        return request.startAttempt(host, sentAt, outstandingAtSend);
+    AttemptState start(RequestState request, HostState host, double nowMillis, double outstandingAtSend) {
+        double sentAtMillis = Double.isInfinite(request.deadlineMillis()) ? request.deadlineMillis() : nowMillis;
+        return request.startAttempt(host, sentAtMillis, outstandingAtSend);
     }
 
     private static double repeatableUntil(AttemptState attempt) {
         Settings.RequestClass settings = attempt.requestClass().settings();
         return switch (settings.semantics()) {
             case IDEMPOTENT -> Double.POSITIVE_INFINITY;
-            case DEDUPLICATED -> attempt.sentAt() + settings.idempotencyWindow() - Tuning.IDEMPOTENCY_MARGIN_MILLIS;
+            case DEDUPLICATED ->
+                attempt.sentAtMillis() + settings.idempotencyWindow() - Tuning.IDEMPOTENCY_MARGIN_MILLIS;
             case AT_MOST_ONCE -> Double.NEGATIVE_INFINITY;
         };
     }
--- a/src/main/java/rillyard/balancer/SlowStart.java
+++ b/src/main/java/rillyard/balancer/SlowStart.java
@@ -13,13 +13,13 @@
     }
 
     /** Whether the host is still warming up. */
-    boolean isWarmingUp(HostState host, double now) {
-        return capacity(host, now) < 1;
+    boolean isWarmingUp(HostState host, double nowMillis) {
+        return capacity(host, nowMillis) < 1;
     }
 
     /** Returns the least part of its full capacity that the host has by now, 1 once it is warm. */
-    private double capacity(HostState host, double now) {
-        double age = now - host.onlineSince();
+    private double capacity(HostState host, double nowMillis) {
+        double age = nowMillis - host.onlineSince();
         if (host.onlineSince() <= 0 || age >= rules.warmUpTime()) {
             return 1;
         }
@@ -30,25 +30,25 @@
      * Whether the host may get a request. A host that is warming up earns a part of what each of {@code hostCount} hosts is
      * served on average, so that all proxies together stay below the overload multiple that the settings permit.
      */
-    boolean permits(HostState host, int hostCount, double now) {
-        if (!isWarmingUp(host, now)) {
+    boolean permits(HostState host, int hostCount, double nowMillis) {
+        if (!isWarmingUp(host, nowMillis)) {
             return true;
         }
-        double servedPerHost = admission.servedRate(now) / Math.max(1, hostCount);
+        double servedPerHost = admission.servedRate(nowMillis) / Math.max(1, hostCount);
         SlowStartAllowance allowance = host.slowStart();
         double earned = Tuning.SLOW_START_SHARE
                 * rules.overloadMultiple()
-                * capacity(host, now)
+                * capacity(host, nowMillis)
                 * servedPerHost
-                * allowance.millisSinceUpdate(now)
+                * allowance.millisSinceUpdate(nowMillis)
                 / Math.max(1, load.kindSlowness(host)); // a slow kind is overloaded by less
-        allowance.add(now, earned, 1 + servedPerHost * rules.overloadWindow() / 2);
+        allowance.add(nowMillis, earned, 1 + servedPerHost * rules.overloadWindow() / 2);
         return allowance.requests() >= 1;
     }
 
     /** Takes the request that is sent to the host from its allowance, if it is warming up. */
-    void onSend(HostState host, double now) {
-        if (isWarmingUp(host, now)) {
+    void onSend(HostState host, double nowMillis) {
+        if (isWarmingUp(host, nowMillis)) {
             host.slowStart().take();
         }
     }
--- a/src/main/java/rillyard/balancer/SlowStartAllowance.java
+++ b/src/main/java/rillyard/balancer/SlowStartAllowance.java
@@ -3,21 +3,21 @@
 /** The requests that a host which is warming up may still get; {@link SlowStart} is the only writer. Not thread-safe. */
 final class SlowStartAllowance {
     private double requests;
-    private double updatedAt;
+    private double updatedAtMillis;
 
     double requests() {
         return requests;
     }
 
     /** Returns the time (ms) since the last addition. */
-    double millisSinceUpdate(double now) {
-        return now - updatedAt;
+    double millisSinceUpdate(double nowMillis) {
+        return nowMillis - updatedAtMillis;
     }
 
     /** Adds requests, up to {@code most} in all. */
-    void add(double now, double earned, double most) {
+    void add(double nowMillis, double earned, double most) {
         requests = Math.min(requests + earned, most);
-        updatedAt = now;
+        updatedAtMillis = nowMillis;
     }
 
     void take() {
@@ -25,8 +25,8 @@
     }
 
     /** Starts anew for a new process of the host. */
-    void reset(double now, double initialRequests) {
+    void reset(double nowMillis, double initialRequests) {
         requests = initialRequests;
-        updatedAt = now;
+        updatedAtMillis = nowMillis;
     }
 }
--- a/src/main/java/rillyard/balancer/SubsetSelector.java
+++ b/src/main/java/rillyard/balancer/SubsetSelector.java
@@ -36,7 +36,7 @@
     }
 
     /** Returns the subset, cut anew if the hosts have changed or its size does not fit {@code peakInFlight}. */
-    HostSubset select(double peakInFlight, double now) {
+    HostSubset select(double peakInFlight, double nowMillis) {
         // Bounds the connections of all proxies together at a host (if1c0a3); those in use add up to the same.
         double shared = Tuning.MAX_PROXIES_PER_HOST * hosts.ready().size() / settings.proxyCount();
         double most = Math.max(Math.max(Tuning.MIN_CANDIDATES, shared), peakInFlight);
@@ -50,7 +50,7 @@
             List<HostState> local = window(source.stream().filter(isLocal).toList());
             List<HostState> remote =
                     window(source.stream().filter(isLocal.negate()).toList());
-            int candidates = candidatesFor(local.isEmpty() ? remote : local, now);
+            int candidates = candidatesFor(local.isEmpty() ? remote : local, nowMillis);
             subset = new HostSubset(local, remote, candidates, position.preferWarmingUp());
         }
         return subset;
@@ -68,9 +68,9 @@
     }
 
     /** Returns the least permitted number of candidates with which slow hosts get no more than their part. */
-    private int candidatesFor(List<HostState> pool, double now) {
+    private int candidatesFor(List<HostState> pool, double nowMillis) {
         double[] speeds = pool.stream()
-                .mapToDouble(host -> 1 / Math.max(MIN_SLOWNESS, load.slowness(host, now)))
+                .mapToDouble(host -> 1 / Math.max(MIN_SLOWNESS, load.slowness(host, nowMillis)))
                 .sorted()
                 .toArray();
         int proxyShare = Tuning.FLEET_CANDIDATES / settings.proxyCount();
--- a/src/main/java/rillyard/balancer/TenantQuotas.java
+++ b/src/main/java/rillyard/balancer/TenantQuotas.java
@@ -20,13 +20,13 @@
     }
 
     /** Counts a request and returns its weight: 1 while the tenant is within its quota or has none, else less. */
-    double onRequest(double now, String tenant) {
-        allRequests.add(now, 1);
+    double onRequest(double nowMillis, String tenant) {
+        allRequests.add(nowMillis, 1);
         Usage usage = usages.get(tenant);
         if (usage == null || usage.quotaShare <= 0) {
             return 1;
         }
-        usage.requests.add(now, 1);
+        usage.requests.add(nowMillis, 1);
         double used = usage.requests.lastValue() + Tuning.QUOTA_PRIOR_REQUESTS * usage.quotaShare;
         double part = used / (allRequests.lastValue() + Tuning.QUOTA_PRIOR_REQUESTS);
         return Math.min(1, Math.max(overQuotaWeight, usage.quotaShare / part));
