--- a/src/main/java/rillyard/balancer/AdmissionController.java
+++ b/src/main/java/rillyard/balancer/AdmissionController.java
@@ -34,7 +34,7 @@
     private boolean overloaded;
 
     AdmissionController(Settings settings, SplittableRandom random, BalancerActions actions) {
-        this.objectiveMillis = settings.meanLatencyObjective();
+        this.objectiveMillis = settings.meanLatencyObjectiveMillis();
         this.random = random;
         this.actions = actions;
         this.slotOffset = random.nextDouble();
--- a/src/main/java/rillyard/balancer/Balancer.java
+++ b/src/main/java/rillyard/balancer/Balancer.java
@@ -31,7 +31,7 @@
         RetryPolicy retryPolicy = new RetryPolicy(limits);
         this.random = new SplittableRandom(seed);
         this.hosts = new HostSet(settings);
-        this.outliers = new OutlierDetector(hosts, settings.meanLatencyObjective(), random, actions);
+        this.outliers = new OutlierDetector(hosts, settings.meanLatencyObjectiveMillis(), random, actions);
         this.admission = new AdmissionController(settings, random, actions);
         this.quotas = new TenantQuotas(settings.tenants(), settings.overQuotaWeight());
         this.selector = new HostSelector(settings, hosts, load, outliers, retryPolicy, admission, random);
@@ -82,7 +82,7 @@
 
     /** Handles a client's request that is complete, or of which so much has come that the rest must be streamed. */
     public void onRequest(double nowMillis, IncomingRequest incoming) {
-        double remainingMillis = incoming.remainingTime();
+        double remainingMillis = incoming.remainingMillis();
         RequestClassStats requestClass = classes.get(incoming.requestClass(), remainingMillis);
         admission.onRequest(nowMillis, requestClass.settings());
         double quotaWeight = quotas.onRequest(nowMillis, incoming.tenant());
--- a/src/main/java/rillyard/balancer/HostSet.java
+++ b/src/main/java/rillyard/balancer/HostSet.java
@@ -17,7 +17,7 @@
     private int generation;
 
     HostSet(Settings settings) {
-        this.objectiveMillis = settings.meanLatencyObjective();
+        this.objectiveMillis = settings.meanLatencyObjectiveMillis();
     }
 
     private HostState newHost(long id) {
--- a/src/main/java/rillyard/balancer/LoadEstimator.java
+++ b/src/main/java/rillyard/balancer/LoadEstimator.java
@@ -29,7 +29,7 @@
     private double lastReportAtMillis = Double.NEGATIVE_INFINITY;
 
     LoadEstimator(Settings settings) {
-        this.reportDecayMillis = Tuning.REPORT_DECAY_OBJECTIVES * settings.meanLatencyObjective();
+        this.reportDecayMillis = Tuning.REPORT_DECAY_OBJECTIVES * settings.meanLatencyObjectiveMillis();
     }
 
     /** Records an answer that took {@code relativeLatency} times the mean latency of its class. */
--- a/src/main/java/rillyard/balancer/OutcomeLearner.java
+++ b/src/main/java/rillyard/balancer/OutcomeLearner.java
@@ -24,7 +24,7 @@
         load.onReport(host, nowMillis, result.report(), outcome != AttemptOutcome.REJECTED);
         admission.onEnded(outcome == AttemptOutcome.OK);
         switch (outcome) {
-            case OK -> onAnswer(attempt, result.latency(), nowMillis);
+            case OK -> onAnswer(attempt, result.latencyMillis(), nowMillis);
             case ERROR -> outliers.onFailure(host, nowMillis, true);
             case REJECTED -> onRejection(host, nowMillis);
             case TIMEOUT -> onTimeout(attempt, nowMillis);
@@ -44,7 +44,7 @@
         load.onAnswer(host, nowMillis, latencyMillis / meanLatencyMillis);
         requestClass.onAnswer(latencyMillis);
         load.onQueuedAnswer(host, attempt.outstandingAtSend(), latencyMillis);
-        admission.onAnswer(nowMillis, latencyMillis / requestClass.settings().latencyObjective());
+        admission.onAnswer(nowMillis, latencyMillis / requestClass.settings().latencyObjectiveMillis());
     }
 
     private void onRejection(HostState host, double nowMillis) {
--- a/src/main/java/rillyard/balancer/OutlierDetector.java
+++ b/src/main/java/rillyard/balancer/OutlierDetector.java
@@ -64,7 +64,7 @@
             RequestClassStats requestClass = attempt.requestClass();
             if (requestClass != except
                     && nowMillis - attempt.sentAtMillis()
-                            > requestClass.settings().latencyObjective()) {
+                            > requestClass.settings().latencyObjectiveMillis()) {
                 count++;
             }
         }
--- a/src/main/java/rillyard/balancer/RequestClassStats.java
+++ b/src/main/java/rillyard/balancer/RequestClassStats.java
@@ -17,7 +17,7 @@
 
     RequestClassStats(Settings.RequestClass settings) {
         this.settings = settings;
-        double initialLatencyMillis = INITIAL_LATENCY_FRACTION * settings.latencyObjective();
+        double initialLatencyMillis = INITIAL_LATENCY_FRACTION * settings.latencyObjectiveMillis();
         this.latency = new MeanAndDeviation(initialLatencyMillis, PRIOR_SAMPLES, LATENCY_SAMPLE_WEIGHT);
     }
 
@@ -39,19 +39,19 @@
      * do not displace requests in time. Limit: a client that always asks for less time is shed first in an overload.
      */
     double remainingObjectiveMillis(double remainingMillis) {
-        double timeMillis = Math.min(remainingMillis, settings.deadline());
+        double timeMillis = Math.min(remainingMillis, settings.deadlineMillis());
         double decayed = firstAttemptMillis + Tuning.DEADLINE_SAMPLE_WEIGHT * (timeMillis - firstAttemptMillis);
         firstAttemptMillis = Math.max(timeMillis, decayed);
         if (timeMillis >= Tuning.RETRY_DEADLINE_FRACTION * firstAttemptMillis) {
-            return settings.latencyObjective();
+            return settings.latencyObjectiveMillis();
         }
-        double spentBeforeMillis = settings.deadline() - timeMillis;
-        return settings.latencyObjective() - spentBeforeMillis;
+        double spentBeforeMillis = settings.deadlineMillis() - timeMillis;
+        return settings.latencyObjectiveMillis() - spentBeforeMillis;
     }
 
     /** Whether a request with so much of its objective left would be late at the latency observed now. */
     boolean isTooLate(double remainingObjectiveMillis) {
-        return remainingObjectiveMillis < Math.min(meanLatencyMillis(), settings.latencyObjective());
+        return remainingObjectiveMillis < Math.min(meanLatencyMillis(), settings.latencyObjectiveMillis());
     }
 
     /** Returns the age past which an attempt is overdue; earlier hedging would waste the work of a merely long one. */
--- a/src/main/java/rillyard/balancer/RetryPolicy.java
+++ b/src/main/java/rillyard/balancer/RetryPolicy.java
@@ -51,7 +51,7 @@
         return switch (settings.semantics()) {
             case IDEMPOTENT -> Double.POSITIVE_INFINITY;
             case DEDUPLICATED ->
-                attempt.sentAtMillis() + settings.idempotencyWindow() - Tuning.IDEMPOTENCY_MARGIN_MILLIS;
+                attempt.sentAtMillis() + settings.idempotencyWindowMillis() - Tuning.IDEMPOTENCY_MARGIN_MILLIS;
             case AT_MOST_ONCE -> Double.NEGATIVE_INFINITY;
         };
     }
--- a/src/main/java/rillyard/balancer/Settings.java
+++ b/src/main/java/rillyard/balancer/Settings.java
@@ -25,7 +25,7 @@
         double overQuotaWeight) {
 
     /** The latency objective of settings that name no class. */
-    private static final double DEFAULT_OBJECTIVE = 400;
+    private static final double DEFAULT_OBJECTIVE_MILLIS = 400;
 
     /** Copies the lists, so that settings never change. */
     public Settings {
@@ -35,12 +35,12 @@
     }
 
     /** Returns the mean latency objective over the classes, the unit of times that the settings do not state. */
-    public double meanLatencyObjective() {
+    public double meanLatencyObjectiveMillis() {
         double sum = 0;
         for (RequestClass requestClass : classes) {
-            sum += requestClass.latencyObjective();
+            sum += requestClass.latencyObjectiveMillis();
         }
-        return classes.isEmpty() ? DEFAULT_OBJECTIVE : sum / classes.size();
+        return classes.isEmpty() ? DEFAULT_OBJECTIVE_MILLIS : sum / classes.size();
     }
 
     /** What may be repeated once it may have been executed. */
@@ -66,19 +66,19 @@
     /**
      * A class of requests.
      *
-     * @param latencyObjective latency up to which an answer is of full use
-     * @param deadline time a client waits for an answer
-     * @param idempotencyWindow how long hosts remember an idempotency key
+     * @param latencyObjectiveMillis latency up to which an answer is of full use
+     * @param deadlineMillis time a client waits for an answer
+     * @param idempotencyWindowMillis how long hosts remember an idempotency key
      * @param priorityWeight value of an answer in time, relative to other classes
      * @param latePriorityWeight part of its value, from 0 to 1, that a late answer has
      */
     public record RequestClass(
             String name,
-            double latencyObjective,
-            double deadline,
+            double latencyObjectiveMillis,
+            double deadlineMillis,
             Semantics semantics,
             Scope keyScope,
-            double idempotencyWindow,
+            double idempotencyWindowMillis,
             double priorityWeight,
             double latePriorityWeight) {}
 
@@ -101,21 +101,21 @@
     /**
      * Rules of the deployment on hosts that warm up and on discovery.
      *
-     * @param warmUpTime time a host takes to reach its full capacity
+     * @param warmUpMillis time a host takes to reach its full capacity
      * @param initialCapacity part of its capacity, from 0 to 1, that it has at first
-     * @param overloadWindow time over which its load counts
+     * @param overloadWindowMillis time over which its load counts
      * @param overloadMultiple multiple of its capacity that overloads it
-     * @param maxPollInterval greatest interval between polls of discovery, 0 if not stated
+     * @param maxPollIntervalMillis greatest interval between polls of discovery, 0 if not stated
      */
     public record Rules(
-            double warmUpTime,
+            double warmUpMillis,
             double initialCapacity,
-            double overloadWindow,
+            double overloadWindowMillis,
             double overloadMultiple,
-            double maxPollInterval) {
-        /** Returns the longest wait before discovery is polled again: {@code most}, or half of the interval if that is less. */
-        double pollInterval(double most) {
-            return maxPollInterval > 0 ? Math.min(most, maxPollInterval / 2) : most;
+            double maxPollIntervalMillis) {
+        /** Returns the longest wait before discovery is polled: {@code mostMillis}, or half of the interval if that is less. */
+        double pollIntervalMillis(double mostMillis) {
+            return maxPollIntervalMillis > 0 ? Math.min(mostMillis, maxPollIntervalMillis / 2) : mostMillis;
         }
     }
 }
--- a/src/main/java/rillyard/balancer/SlowStart.java
+++ b/src/main/java/rillyard/balancer/SlowStart.java
@@ -20,10 +20,10 @@
     /** Returns the least part of its full capacity that the host has by now, 1 once it is warm. */
     private double capacity(HostState host, double nowMillis) {
         double age = nowMillis - host.onlineSince();
-        if (host.onlineSince() <= 0 || age >= rules.warmUpTime()) {
+        if (host.onlineSince() <= 0 || age >= rules.warmUpMillis()) {
             return 1;
         }
-        return rules.initialCapacity() + (1 - rules.initialCapacity()) * Math.max(0, age) / rules.warmUpTime();
+        return rules.initialCapacity() + (1 - rules.initialCapacity()) * Math.max(0, age) / rules.warmUpMillis();
     }
 
     /**
@@ -42,7 +42,7 @@
                 * servedPerHost
                 * allowance.millisSinceUpdate(nowMillis)
                 / Math.max(1, load.kindSlowness(host)); // a slow kind is overloaded by less
-        allowance.add(nowMillis, earned, 1 + servedPerHost * rules.overloadWindow() / 2);
+        allowance.add(nowMillis, earned, 1 + servedPerHost * rules.overloadWindowMillis() / 2);
         return allowance.requests() >= 1;
     }
 
--- a/src/main/java/rillyard/balancer/SubscriptionBackoff.java
+++ b/src/main/java/rillyard/balancer/SubscriptionBackoff.java
@@ -22,7 +22,7 @@
 
     SubscriptionBackoff(Settings settings, SplittableRandom random, BalancerActions actions) {
         this.mustSubscribe = settings.mustSubscribe();
-        this.maxBackoffMillis = settings.rules().pollInterval(Tuning.MAX_SUBSCRIBE_BACKOFF_MILLIS);
+        this.maxBackoffMillis = settings.rules().pollIntervalMillis(Tuning.MAX_SUBSCRIBE_BACKOFF_MILLIS);
         this.random = random;
         this.actions = actions;
     }
--- a/src/main/java/rillyard/proxy/ClientProxy.java
+++ b/src/main/java/rillyard/proxy/ClientProxy.java
@@ -101,7 +101,7 @@
     private static double longestDeadline(ProxyConfig config) {
         double longest = 0;
         for (Settings.RequestClass requestClass : config.settings().classes()) {
-            longest = Math.max(longest, requestClass.deadline());
+            longest = Math.max(longest, requestClass.deadlineMillis());
         }
         return longest;
     }
--- a/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
+++ b/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
@@ -78,7 +78,7 @@
         this.events = new BalancerEvents(log);
         DisabledHosts disabled = new DisabledHosts();
         this.endpoints = new EndpointRegistry(
-                new HostStartClock(clock.unixOffsetMillis(), settings.rules().warmUpTime()), disabled);
+                new HostStartClock(clock.unixOffsetMillis(), settings.rules().warmUpMillis()), disabled);
         this.endpointLists = new EndpointListApplier(this, endpoints, guard, log);
         this.disabledHosts = new DisabledHostsUpdater(this, clock, endpoints, disabled, log);
         this.metrics = new ProxyMetrics(
--- a/src/main/java/rillyard/proxy/dispatch/OutcomeRecorder.java
+++ b/src/main/java/rillyard/proxy/dispatch/OutcomeRecorder.java
@@ -22,7 +22,7 @@
         this.metrics = metrics;
         this.trace = trace;
         this.peerGossip = peerGossip;
-        this.warmUpMillis = settings.rules().warmUpTime();
+        this.warmUpMillis = settings.rules().warmUpMillis();
     }
 
     ProxyMetrics metrics() {
--- a/src/main/java/rillyard/proxy/downstream/RequestValidator.java
+++ b/src/main/java/rillyard/proxy/downstream/RequestValidator.java
@@ -125,7 +125,7 @@
     /** Returns the client's timeout in ms, that of the class where none is given, or NaN if it is no number. */
     private static double parseTimeout(String value, Settings.RequestClass requestClass) {
         if (value == null) {
-            return requestClass.deadline();
+            return requestClass.deadlineMillis();
         }
         if (value.isEmpty() || value.length() > MAX_TIMEOUT_DIGITS) {
             return Double.NaN;
--- a/src/test/java/rillyard/balancer/BalancerTest.java
+++ b/src/test/java/rillyard/balancer/BalancerTest.java
@@ -229,7 +229,7 @@
     void subscriptionBackoffStaysWithinPollInterval() {
         for (double askWithin : new double[] {0, 1_000, 10_000}) {
             Settings.Rules rules = new Settings.Rules(8_000, 0.3, 1_500, 3, askWithin);
-            double most = rules.pollInterval(Tuning.MAX_SUBSCRIBE_BACKOFF_MILLIS);
+            double most = rules.pollIntervalMillis(Tuning.MAX_SUBSCRIBE_BACKOFF_MILLIS);
             assertThat(most).isEqualTo(askWithin == 1_000 ? 500 : Tuning.MAX_SUBSCRIBE_BACKOFF_MILLIS);
             assertThat(1.5 * most).isLessThan(askWithin == 0 ? 6_000 : askWithin);
         }
--- a/src/test/java/rillyard/balancer/HostSelectorTest.java
+++ b/src/test/java/rillyard/balancer/HostSelectorTest.java
@@ -56,7 +56,7 @@
         var random = new java.util.SplittableRandom(1);
         hosts.apply(fixture.now, WatchEvent.FULL, BalancerFixture.hosts(2), random);
         RetryPolicy retryPolicy = new RetryPolicy(settings.limits());
-        OutlierDetector detector = new OutlierDetector(hosts, settings.meanLatencyObjective(), random, fixture);
+        OutlierDetector detector = new OutlierDetector(hosts, settings.meanLatencyObjectiveMillis(), random, fixture);
         AdmissionController admission = new AdmissionController(settings, random, fixture);
         LoadEstimator load = new LoadEstimator(settings);
         HostSelector selector = new HostSelector(settings, hosts, load, detector, retryPolicy, admission, random);
--- a/src/test/java/rillyard/balancer/OutlierDetectorTest.java
+++ b/src/test/java/rillyard/balancer/OutlierDetectorTest.java
@@ -63,7 +63,7 @@
         hosts.apply(fixture.now, WatchEvent.FULL, BalancerFixture.hosts(1), random);
         HostState host = hosts.get(0);
         RetryPolicy retryPolicy = new RetryPolicy(settings.limits());
-        OutlierDetector detector = new OutlierDetector(hosts, settings.meanLatencyObjective(), random, fixture);
+        OutlierDetector detector = new OutlierDetector(hosts, settings.meanLatencyObjectiveMillis(), random, fixture);
         double at = fixture.now;
         retryPolicy.start(new RequestState(1, type, at, Double.POSITIVE_INFINITY, 1), host, at, Double.NaN);
         assertThat(detector.isUnresponsive(host, at + 60_000, 50)).isFalse();
