--- a/src/main/java/rillyard/balancer/HostSet.java
+++ b/src/main/java/rillyard/balancer/HostSet.java
@@ -20,7 +20,7 @@
     private static final Comparator<HostState> RING_ORDER =
             Comparator.comparingLong(HostState::ringPosition).thenComparingLong(HostState::id);
 
-    private final double objective;
+    private final double objectiveMillis;
     private final Map<Long, HostState> byId = new HashMap<>();
     private final NavigableSet<HostState> ring = new TreeSet<>(RING_ORDER);
     private final Set<HostState> unlisted = new HashSet<>();
@@ -29,12 +29,12 @@
     private int generation;
 
     HostSet(Settings settings) {
-        this.objective = settings.meanLatencyObjective();
+        this.objectiveMillis = settings.meanLatencyObjectiveMillis();
     }
 
     private HostState newHost(long id) {
-        double penaltyDecay = Tuning.PENALTY_DECAY_OBJECTIVES * objective;
-        HostHealth health = new HostHealth(penaltyDecay, Tuning.FAILURE_RATE_DECAY_OBJECTIVES * objective);
+        double penaltyDecayMillis = Tuning.PENALTY_DECAY_OBJECTIVES * objectiveMillis;
+        HostHealth health = new HostHealth(penaltyDecayMillis, Tuning.FAILURE_RATE_DECAY_OBJECTIVES * objectiveMillis);
         return new HostState(id, health, new HostLoad(Tuning.SLOWNESS_DECAY_MILLIS));
     }
 
@@ -61,13 +61,13 @@
     }
 
     /** Applies a watch event; {@code entries} is ignored, and may be null, for {@link WatchEvent#FAILED}. */
-    void apply(double now, WatchEvent event, List<EndpointEntry> entries, SplittableRandom random) {
+    void apply(double nowMillis, WatchEvent event, List<EndpointEntry> entries, SplittableRandom random) {
         if (event == WatchEvent.FAILED) {
             return;
         }
         generation++;
         for (EndpointEntry entry : entries) {
-            apply(now, entry, random);
+            apply(nowMillis, entry, random);
         }
         if (event != WatchEvent.DELTA) {
             removeUnnamed();
@@ -75,7 +75,7 @@
         forgetUnlisted();
     }
 
-    private void apply(double now, EndpointEntry entry, SplittableRandom random) {
+    private void apply(double nowMillis, EndpointEntry entry, SplittableRandom random) {
         HostState host = byId.computeIfAbsent(entry.id(), this::newHost);
         boolean isRestarted = entry.onlineSince() != host.onlineSince();
         boolean isReady = entry.condition() == EndpointEntry.Condition.READY;
@@ -89,7 +89,7 @@
         if (isRestarted) { // its new process has neither the faults nor the queue of the former one
             host.health().reset();
             host.load().reset();
-            host.slowStart().reset(now, random.nextDouble());
+            host.slowStart().reset(nowMillis, random.nextDouble());
         }
     }
 
--- a/src/main/java/rillyard/balancer/RequestClassStats.java
+++ b/src/main/java/rillyard/balancer/RequestClassStats.java
@@ -2,21 +2,30 @@
 
 /** A class of requests with the latency observed for it. Times are milliseconds. */
 final class RequestClassStats {
+    /** Mean latency assumed before the first answer, as a part of the latency objective. */
+    private static final double INITIAL_LATENCY_FRACTION = 0.25;
+
+    /** Answers for which the assumed latency counts. */
+    private static final int PRIOR_SAMPLES = 4;
+
+    /** Weight of an answer: half of the usual one, as latencies of a class vary more than those of a host. */
+    private static final double LATENCY_SAMPLE_WEIGHT = Tuning.SAMPLE_WEIGHT / 2;
+
     private final Settings.RequestClass settings;
     private final MeanAndDeviation latency;
-    private double firstAttemptTime;
+    private double firstAttemptMillis;
 
     RequestClassStats(Settings.RequestClass settings) {
         this.settings = settings;
-        // The initial value holds until there are answers.
-        this.latency = new MeanAndDeviation(settings.latencyObjective() / 4, 4, Tuning.SAMPLE_WEIGHT / 2);
+        double initialLatencyMillis = INITIAL_LATENCY_FRACTION * settings.latencyObjectiveMillis();
+        this.latency = new MeanAndDeviation(initialLatencyMillis, PRIOR_SAMPLES, LATENCY_SAMPLE_WEIGHT);
     }
 
     Settings.RequestClass settings() {
         return settings;
     }
 
-    double meanLatency() {
+    double meanLatencyMillis() {
         return latency.mean();
     }
 
@@ -29,22 +38,25 @@
      * request with less time than first attempts have is taken for a client's retry, so that retries which are late already
      * do not displace requests in time. Limit: a client that always asks for less time is shed first in an overload.
      */
-    double remainingObjective(double remainingTime) {
-        double time = Math.min(remainingTime, settings.deadline());
-        double decayed = firstAttemptTime + Tuning.DEADLINE_SAMPLE_WEIGHT * (time - firstAttemptTime);
-        firstAttemptTime = Math.max(time, decayed);
-        boolean retry = time < Tuning.RETRY_DEADLINE_FRACTION * firstAttemptTime;
-        return settings.latencyObjective() - (retry ? settings.deadline() - time : 0);
+    double remainingObjectiveMillis(double remainingMillis) {
+        double timeMillis = Math.min(remainingMillis, settings.deadlineMillis());
+        double decayed = firstAttemptMillis + Tuning.DEADLINE_SAMPLE_WEIGHT * (timeMillis - firstAttemptMillis);
+        firstAttemptMillis = Math.max(timeMillis, decayed);
+        if (timeMillis >= Tuning.RETRY_DEADLINE_FRACTION * firstAttemptMillis) {
+            return settings.latencyObjectiveMillis();
+        }
+        double spentBeforeMillis = settings.deadlineMillis() - timeMillis;
+        return settings.latencyObjectiveMillis() - spentBeforeMillis;
     }
 
     /** Whether a request with so much of its objective left would be late at the latency observed now. */
-    boolean isTooLate(double remainingObjective) {
-        return remainingObjective < Math.min(meanLatency(), settings.latencyObjective());
+    boolean isTooLate(double remainingObjectiveMillis) {
+        return remainingObjectiveMillis < Math.min(meanLatencyMillis(), settings.latencyObjectiveMillis());
     }
 
     /** Returns the age past which an attempt is overdue; earlier hedging would waste the work of a merely long one. */
-    double overdueAfter() {
-        return meanLatency() + Tuning.OVERDUE_DEVIATIONS * latency.deviation();
+    double overdueAfterMillis() {
+        return meanLatencyMillis() + Tuning.OVERDUE_DEVIATIONS * latency.deviation();
     }
 
     /** Whether an attempt that may have been executed may be repeated at all. */
--- a/src/main/java/rillyard/balancer/SubsetSelector.java
+++ b/src/main/java/rillyard/balancer/SubsetSelector.java
@@ -7,6 +7,12 @@
 
 /** Selects the part of the hosts among which this proxy chooses: a window on the ring of hosts that starts at its place. */
 final class SubsetSelector {
+    /** The least slowness taken of a host: the few first answers may make one look faster than any is. */
+    private static final double MIN_SLOWNESS = 0.05;
+
+    /** The subset is cut anew once it is this many times larger than wanted: each cut costs connections. */
+    private static final int MAX_OVERSIZE = 2;
+
     private final Settings settings;
     private final HostSet hosts;
     private final LoadEstimator load;
@@ -30,13 +36,13 @@
     }
 
     /** Returns the subset, cut anew if the hosts have changed or its size does not fit {@code peakInFlight}. */
-    HostSubset select(double peakInFlight, double now) {
+    HostSubset select(double peakInFlight, double nowMillis) {
         // Bounds the connections of all proxies together at a host (if1c0a3); those in use add up to the same.
         double shared = Tuning.MAX_PROXIES_PER_HOST * hosts.ready().size() / settings.proxyCount();
         double most = Math.max(Math.max(Tuning.MIN_CANDIDATES, shared), peakInFlight);
         double wanted = Tuning.BASE_SUBSET_SIZE + Tuning.SUBSET_HOSTS_PER_IN_FLIGHT * peakInFlight;
         int wantedSize = (int) (position.weight() * Math.min(wanted, most));
-        if (source != hosts.ready() || wantedSize > size || wantedSize < size / 2) {
+        if (source != hosts.ready() || wantedSize > size || wantedSize < size / MAX_OVERSIZE) {
             size = wantedSize;
             source = hosts.ready();
             Predicate<HostState> isLocal =
@@ -44,7 +50,7 @@
             List<HostState> local = window(source.stream().filter(isLocal).toList());
             List<HostState> remote =
                     window(source.stream().filter(isLocal.negate()).toList());
-            int candidates = candidatesFor(local.isEmpty() ? remote : local, now);
+            int candidates = candidatesFor(local.isEmpty() ? remote : local, nowMillis);
             subset = new HostSubset(local, remote, candidates, position.preferWarmingUp());
         }
         return subset;
@@ -62,9 +68,9 @@
     }
 
     /** Returns the least permitted number of candidates with which slow hosts get no more than their part. */
-    private int candidatesFor(List<HostState> pool, double now) {
+    private int candidatesFor(List<HostState> pool, double nowMillis) {
         double[] speeds = pool.stream()
-                .mapToDouble(host -> 1 / Math.max(0.05, load.slowness(host, now)))
+                .mapToDouble(host -> 1 / Math.max(MIN_SLOWNESS, load.slowness(host, nowMillis)))
                 .sorted()
                 .toArray();
         int proxyShare = Tuning.FLEET_CANDIDATES / settings.proxyCount();
