--- a/src/main/java/rillyard/proxy/discovery/EndpointWatch.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointWatch.java
@@ -145,10 +145,9 @@
         }
         ChannelFuture connect = bootstrap.connect(address);
         if (!(connect.channel() instanceof PeekableSocketChannel)) {
-            // The system has no socket. Netty's stand-in for the channel can't be closed, and the listeners of its
-            // future
-            // would run on another thread.
-            onEnded("no socket, cause=" + connect.cause().getCause());
+            // The system has no socket. The channel that Netty puts in its place can't be closed, and the listeners
+            // of its future would run on another thread.
+            reconnectIfNoneIsOpen("no socket, cause=" + connect.cause().getCause());
             return;
         }
         WatchConnection opened = new WatchConnection(this, connect.channel());
@@ -224,6 +223,10 @@
     /** A connection has ended. */
     void onEnded(WatchConnection ended, String reason) {
         connections.remove(ended);
+        reconnectIfNoneIsOpen(reason);
+    }
+
+    private void reconnectIfNoneIsOpen(String reason) {
         log.info("watch: " + reason);
         if (connections.isEmpty()) {
             scheduleReconnect();
