--- a/src/main/java/rillyard/proxy/logging/ProxyLog.java
+++ b/src/main/java/rillyard/proxy/logging/ProxyLog.java
@@ -9,7 +9,7 @@
 /**
  * The log of a proxy for its operators: one line an event, rate-limited; lines above the limit are counted.
  *
- * <p>Not thread-safe.
+ * <p>Thread-safe: configurations are reloaded on a thread of their own.
  */
 public final class ProxyLog {
     private static final int MAX_LINES_PER_SECOND = 50;
@@ -44,14 +44,14 @@
     }
 
     /** Writes a line whose text is only built if it is within the rate limit. */
-    public void info(Supplier<String> text) {
+    public synchronized void info(Supplier<String> text) {
         if (acquirePermit()) {
             out.println(PREFIX + text.get().replace('\n', ' ').replace('\r', ' '));
         }
     }
 
     /** Writes a failure of the program itself with its stack trace, each line of which counts within the rate limit. */
-    public void error(String text, Throwable cause) {
+    public synchronized void error(String text, Throwable cause) {
         if (!acquirePermit()) {
             return;
         }
--- a/src/test/java/rillyard/proxy/logging/ProxyLogTest.java
+++ b/src/test/java/rillyard/proxy/logging/ProxyLogTest.java
@@ -5,11 +5,15 @@
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** The limit of the log's lines. */
 class ProxyLogTest {
     private static final int MAX_LINES_PER_SECOND = 50;
+    private static final int THREADS = 8;
+    private static final int LINES_PER_THREAD = 200_000;
 
     @Test
     void linesOfStackTracesCountWithinLimit() {
@@ -27,4 +31,35 @@
                 .contains("rillyard: test: failed")
                 .contains("IllegalStateException: cause");
     }
+
+    @Test
+    void linesOfManyThreadsAreAllCounted() throws Exception {
+        ByteArrayOutputStream written = new ByteArrayOutputStream();
+        ProxyLog log = new ProxyLog(new PrintStream(written, true, StandardCharsets.UTF_8));
+        List<Thread> threads = new ArrayList<>();
+        for (int i = 0; i < THREADS; i++) {
+            Thread thread = new Thread(() -> {
+                for (int line = 0; line < LINES_PER_THREAD; line++) {
+                    log.info("test: line");
+                }
+            });
+            threads.add(thread);
+            thread.start();
+        }
+        for (Thread thread : threads) {
+            thread.join();
+        }
+        Thread.sleep(1_001); // the next line is one of another second, and tells of those that were dropped
+        log.info("test: end");
+        List<String> lines = written.toString(StandardCharsets.UTF_8).lines().toList();
+        long counted = lines.stream().filter("rillyard: test: line"::equals).count();
+        String dropped = "rillyard: log: lines dropped, count=";
+        for (String line : lines) {
+            if (line.startsWith(dropped)) {
+                counted += Long.parseLong(line.substring(dropped.length()));
+            }
+        }
+        assertThat(counted).isEqualTo((long) THREADS * LINES_PER_THREAD);
+        assertThat(lines).endsWith("rillyard: test: end");
+    }
 }
