--- a/src/main/java/rillyard/proxy/dispatch/BalancerEvents.java
+++ b/src/main/java/rillyard/proxy/dispatch/BalancerEvents.java
@@ -40,11 +40,19 @@
     private void run(Event event) {
         try {
             event.delivery().run();
-        } catch (RuntimeException e) {
+        } catch (RuntimeException | Error e) {
             log.error("balancer: event failed", e);
             if (event.exchange() != null) {
-                event.exchange().failWithoutDecision();
+                fail(event.exchange());
             }
         }
     }
+
+    private void fail(RequestExchange exchange) {
+        try {
+            exchange.onHandlerFailed();
+        } catch (RuntimeException | Error e) {
+            log.error("balancer: request without a response", e);
+        }
+    }
 }
--- a/src/main/java/rillyard/proxy/dispatch/FinalResponse.java
+++ b/src/main/java/rillyard/proxy/dispatch/FinalResponse.java
@@ -18,6 +18,9 @@
     private final ResponseReceiver client;
     private final String requestClass;
     private boolean decided;
+    /** Whether a complete response has been decided on that the receiver has not taken yet. */
+    private boolean undelivered;
+
     private AttemptOutcome lastOutcome;
     private UpstreamAttempt streamingAttempt;
 
@@ -58,6 +61,7 @@
             return false;
         }
         client.sendStatus(SERVICE_UNAVAILABLE, retryAfterMillis);
+        undelivered = false;
         return true;
     }
 
@@ -67,6 +71,7 @@
             return false;
         }
         client.sendStatus(status, 0);
+        undelivered = false;
         return true;
     }
 
@@ -74,6 +79,7 @@
     void complete(HttpResponse response, BufferedBody body) {
         if (decide(ProxyMetrics.RequestOutcome.COMPLETED)) {
             client.sendResponse(response, body);
+            undelivered = false;
         } else if (body != null) {
             body.release();
         }
@@ -96,7 +102,13 @@
         }
         decided = true;
         streamingAttempt = attempt;
-        client.beginResponse(response, contentLength);
+        try {
+            client.beginResponse(response, contentLength);
+        } catch (RuntimeException | Error e) {
+            streamingAttempt = null; // nothing of it was written: the request may have another response
+            decided = false;
+            throw e;
+        }
         return true;
     }
 
@@ -135,10 +147,25 @@
         attempt.abandonStream();
     }
 
+    /**
+     * Ends a response that was decided on and whose delivery has thrown: with a failure if nothing of it was written, else
+     * with the client's connection.
+     */
+    void onDeliveryFailed() {
+        if (streamingAttempt != null) {
+            streamingAttempt.abandonStream();
+            endStream(false);
+        } else if (undelivered) {
+            undelivered = false;
+            client.failResponse();
+        }
+    }
+
     private boolean decide(ProxyMetrics.RequestOutcome outcome) {
         if (!discard()) {
             return false;
         }
+        undelivered = true;
         recorder.metrics().requestEnded(requestClass, outcome);
         recorder.recordFinalOutcome(outcome, lastOutcome);
         return true;
--- a/src/main/java/rillyard/proxy/dispatch/RequestExchange.java
+++ b/src/main/java/rillyard/proxy/dispatch/RequestExchange.java
@@ -43,13 +43,13 @@
      * @param client gets the response
      */
     public RequestExchange(ClientRequest request, BalancerDriver driver, ResponseReceiver client) {
+        request.prepareHeaders();
         this.id = driver.nextRequestId();
         this.request = request;
         this.driver = driver;
         this.client = client;
         this.response = new FinalResponse(driver.outcomeRecorder(), client, request.requestClass());
         this.timers = new ExchangeTimers(driver, request);
-        request.prepareHeaders();
         if (request.isUpload()) {
             deadlineAt = Double.POSITIVE_INFINITY;
         } else {
@@ -198,12 +198,39 @@
 
     /** Fails a request on which the balancer has not decided, and tells the balancer that it has ended. */
     public void failWithoutDecision() {
-        if (!response.isDecided()) {
+        if (response.isDecided()) {
+            return;
+        }
+        try {
             fail();
+        } finally {
             driver.onClientDisconnected(this);
         }
     }
 
+    /**
+     * Ends the request and its attempts, as its handling has thrown: with a failure, or, where part of a response was
+     * written, with the client's connection. The hosts are not to blame.
+     */
+    public void onHandlerFailed() {
+        try {
+            if (response.isDecided()) {
+                response.onDeliveryFailed();
+            } else {
+                failWithoutDecision();
+            }
+        } finally {
+            cancelOpenAttempts();
+            closeIfDone();
+        }
+    }
+
+    private void cancelOpenAttempts() {
+        for (int i = 0; i < attempts.size(); i++) {
+            attempts.get(i).cancel(); // without an effect on those that have ended
+        }
+    }
+
     void onResponse(HttpResponse hostResponse, BufferedBody body) {
         response.complete(hostResponse, body);
     }
--- a/src/main/java/rillyard/proxy/dispatch/ResponseReceiver.java
+++ b/src/main/java/rillyard/proxy/dispatch/ResponseReceiver.java
@@ -47,6 +47,11 @@
     /** Ends a forwarded response that broke off, so that the client notices. */
     void abortResponse();
 
+    /**
+     * Ends a response whose delivery has thrown: with a failure if nothing of it was sent, else so that the client notices.
+     */
+    void failResponse();
+
     /** Reads on the body of the request, as the host takes more of it. */
     void resumeRequestBody();
 }
--- a/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
+++ b/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
@@ -270,6 +270,11 @@
         finish(AttemptOutcome.RESET);
     }
 
+    @Override
+    public void onHandlerFailed() {
+        exchange.onHandlerFailed();
+    }
+
     // --- a response that is forwarded as it comes
 
     /**
--- a/src/main/java/rillyard/proxy/downstream/ClientConnection.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientConnection.java
@@ -27,6 +27,7 @@
     }
 
     private static final int REQUEST_TIMEOUT = 408;
+    private static final int BAD_GATEWAY = 502;
 
     private final ClientListener listener;
     private final PeekableSocketChannel channel;
@@ -38,6 +39,7 @@
     private State state = State.OPEN;
     private RequestExchange exchange;
     private boolean used;
+    private boolean awaitsResponse;
 
     /**
      * Creates the handler of an accepted channel.
@@ -89,17 +91,38 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        if (!(cause instanceof IOException)) {
-            listener.log().error("client: connection failed", cause);
-            if (exchange != null) {
-                closeAfterResponse();
-                exchange.failWithoutDecision();
-                if (exchange == null) {
-                    return; // the response was written, and the connection lingers for it
-                }
+        if (cause instanceof IOException) {
+            channel.close();
+        } else {
+            onHandlerFailed(cause);
+        }
+    }
+
+    /** A handler has thrown: answers the request at hand, unless part of a response is written, and ends the connection. */
+    private void onHandlerFailed(Throwable cause) {
+        listener.log().error("client: connection failed", cause);
+        closeAfterResponse();
+        try {
+            if (!answerFailure()) {
+                channel.close();
             }
+        } catch (RuntimeException | Error e) {
+            listener.log().error("client: failure without a response", e);
+            channel.close();
         }
-        channel.close();
+    }
+
+    /** Answers a request whose handling has failed; returns whether the connection lingers for its response. */
+    private boolean answerFailure() {
+        if (exchange != null) {
+            exchange.onHandlerFailed();
+            return exchange == null;
+        }
+        if (isDiscardingInput() || !(awaitsResponse || decoder.isReceiving())) {
+            return false;
+        }
+        reject(BAD_GATEWAY);
+        return true;
     }
 
     // --- the request at hand
@@ -108,6 +131,7 @@
     void onRequestStarted(boolean isKeepAlive) {
         listener.descriptors().setClientIdle(this, false);
         used = true;
+        awaitsResponse = true;
         state = isKeepAlive ? State.OPEN : State.CLOSE_AFTER_RESPONSE;
     }
 
@@ -158,6 +182,11 @@
     /** The end of a response has been passed to the channel; {@code written} completes when it is sent. */
     void onResponseWritten(ChannelFuture written) {
         exchange = null;
+        awaitsResponse = false;
+        if (isRefused(written)) {
+            onHandlerFailed(written.cause());
+            return;
+        }
         if (body.isUploading() && !isDiscardingInput()) {
             body.skipUpload();
         }
@@ -167,14 +196,29 @@
         }
         writer.awaitWritten(written);
         decoder.clearReceiveTimer(); // what came meanwhile had to wait, by no fault of its client's
-        if (!reader.readPipelined() && !decoder.isReceiving() && !body.isSkipping()) {
-            becomeIdle();
+        readNext();
+    }
+
+    /** Returns whether a write has failed already, and not because of the socket. */
+    static boolean isRefused(ChannelFuture written) {
+        return written.cause() != null && !(written.cause() instanceof IOException);
+    }
+
+    /** Goes on with what has come behind a request. A failure there is none of the request before. */
+    private void readNext() {
+        try {
+            if (!reader.readPipelined() && !decoder.isReceiving() && !body.isSkipping()) {
+                becomeIdle();
+            }
+        } catch (RuntimeException | Error e) {
+            onHandlerFailed(e);
         }
     }
 
     /** The response broke off: the client has to see that it is not complete. */
     void onResponseAborted() {
         exchange = null;
+        awaitsResponse = false;
         channel.close();
     }
 
--- a/src/main/java/rillyard/proxy/downstream/ClientListener.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientListener.java
@@ -2,6 +2,7 @@
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
+import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
@@ -105,6 +106,12 @@
                     protected void initChannel(PeekableSocketChannel channel) {
                         onAccepted(channel);
                     }
+
+                    @Override
+                    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+                        log.error("listener: accepted connection failed", cause);
+                        ctx.close();
+                    }
                 })
                 .bind(config.listen())
                 .sync();
--- a/src/main/java/rillyard/proxy/downstream/RequestReader.java
+++ b/src/main/java/rillyard/proxy/downstream/RequestReader.java
@@ -204,7 +204,8 @@
             connection.reject(CONFLICT);
             return;
         }
-        RequestExchange exchange = dispatcher.newExchange(head, body.requestClass(), content, remainingMillis, writer);
+        RequestExchange exchange = newExchange(head, content, remainingMillis);
+        connection.startExchange(exchange);
         if (channel.isEndOfStream()) {
             // The client left while the loop was behind. An attempt would be cancelled at once, which costs its
             // connection and has the loop fall further behind.
@@ -212,11 +213,19 @@
             channel.close();
             return;
         }
-        connection.startExchange(exchange);
         decoder.checkHeldByte();
         exchange.dispatch();
     }
 
+    private RequestExchange newExchange(HttpRequest head, BufferedBody content, double remainingMillis) {
+        try {
+            return dispatcher.newExchange(head, body.requestClass(), content, remainingMillis, writer);
+        } catch (RuntimeException | Error e) {
+            release(content);
+            throw e;
+        }
+    }
+
     /** Dispatches a request whose body is longer than may be buffered; the rest of the body follows it. */
     private void startUpload() {
         HttpRequest head = body.head();
--- a/src/main/java/rillyard/proxy/downstream/ResponseWriter.java
+++ b/src/main/java/rillyard/proxy/downstream/ResponseWriter.java
@@ -59,10 +59,7 @@
         ByteBuf content = body == null ? Unpooled.EMPTY_BUFFER : joined(body);
         DefaultFullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, HttpResponseStatus.OK, content, headers, ProtocolHeaders.NONE);
-        ChannelFuture written = channel.writeAndFlush(withConnectionHeader(response));
-        if (body != null) {
-            written.addListener(future -> body.release());
-        }
+        ChannelFuture written = write(withConnectionHeader(response), body);
         connection.onResponseWritten(written);
     }
 
@@ -76,19 +73,20 @@
             headers.remove(HttpHeaderNames.CONTENT_LENGTH);
             headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
-        channel.writeAndFlush(
-                withConnectionHeader(new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, headers)));
+        write(
+                withConnectionHeader(new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, headers)),
+                null);
     }
 
     @Override
     public boolean sendContent(ByteBuf content) {
-        channel.writeAndFlush(new DefaultHttpContent(content));
+        write(new DefaultHttpContent(content), null);
         return channel.isWritable();
     }
 
     @Override
     public void endResponse() {
-        connection.onResponseWritten(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
+        connection.onResponseWritten(write(LastHttpContent.EMPTY_LAST_CONTENT, null));
     }
 
     @Override
@@ -96,6 +94,16 @@
         connection.onResponseAborted();
     }
 
+    @Override
+    public void failResponse() {
+        connection.closeAfterResponse();
+        if (connection.hasExchange()) { // as long as no complete response was passed to the channel
+            sendStatus(HttpResponseStatus.BAD_GATEWAY.code(), 0);
+        } else {
+            connection.onResponseAborted();
+        }
+    }
+
     @Override
     public void resumeRequestBody() {
         connection.resumeUpload();
@@ -137,6 +145,22 @@
         return response;
     }
 
+    /**
+     * Writes part of a response and releases {@code body} after it, which may be null.
+     *
+     * @throws IllegalStateException if a handler refuses it; nothing of this part is written then
+     */
+    private ChannelFuture write(Object part, BufferedBody body) {
+        ChannelFuture written = channel.writeAndFlush(part);
+        if (body != null) {
+            written.addListener(future -> body.release());
+        }
+        if (ClientConnection.isRefused(written)) {
+            throw new IllegalStateException("response: not written", written.cause());
+        }
+        return written;
+    }
+
     private static ByteBuf joined(BufferedBody body) {
         ByteBuf[] blocks = body.retainedBlocks().toArray(ByteBuf[]::new);
         return blocks.length == 1 ? blocks[0] : Unpooled.wrappedBuffer(blocks);
--- a/src/main/java/rillyard/proxy/upstream/UpstreamCall.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamCall.java
@@ -70,6 +70,9 @@
     /** Is called when the connection broke or the response is malformed, after the last byte was written. */
     public abstract void onConnectionLost();
 
+    /** Is called when a handler of this program has thrown; the call is to end itself, and the host is not to blame. */
+    public abstract void onHandlerFailed();
+
     /** Returns the connection that carries the call, or null if none was assigned yet. */
     public UpstreamConnection connection() {
         return connection;
--- a/src/main/java/rillyard/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamConnection.java
@@ -3,6 +3,7 @@
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.handler.codec.DecoderException;
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpResponse;
@@ -11,6 +12,7 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 import rillyard.proxy.eventloop.PeekableSocketChannel;
@@ -103,18 +105,26 @@
         requestWritten = false;
         keepAlive = true;
         next.onAttached(this);
-        next.write(channel).addListener(written -> onWriteEnded(next, written.isSuccess()));
+        try {
+            next.write(channel).addListener(written -> onWriteEnded(next, written.isSuccess()));
+        } catch (RuntimeException | Error e) {
+            onHandlerFailed(next, e);
+        }
     }
 
     private void onWriteEnded(UpstreamCall writtenCall, boolean success) {
         if (call != writtenCall) {
             return;
         }
-        if (success) {
-            requestWritten = true;
-            writtenCall.onWritten();
-        } else {
+        if (!success) {
             fail();
+            return;
+        }
+        requestWritten = true;
+        try {
+            writtenCall.onWritten();
+        } catch (RuntimeException | Error e) {
+            onHandlerFailed(writtenCall, e);
         }
     }
 
@@ -122,8 +132,11 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
+        UpstreamCall receiver = call;
         try {
             read((HttpObject) msg);
+        } catch (RuntimeException | Error e) {
+            onHandlerFailed(receiver, e);
         } finally {
             ReferenceCountUtil.release(msg);
         }
@@ -250,6 +263,14 @@
         if (!decoder.hasBegun()) {
             reportReuse(true);
         }
+        try {
+            reportEnd(failed);
+        } catch (RuntimeException | Error e) {
+            onHandlerFailed(failed, e);
+        }
+    }
+
+    private void reportEnd(UpstreamCall failed) {
         if (requestWritten) {
             failed.onConnectionLost();
         } else {
@@ -257,6 +278,22 @@
         }
     }
 
+    /** A handler has thrown: ends the call that was at hand, null if there was none, and closes the connection. */
+    private void onHandlerFailed(UpstreamCall affected, Throwable cause) {
+        pool.onHandlerFailed(host, cause);
+        call = null;
+        state = State.CLOSED;
+        channel.close();
+        if (affected == null) {
+            return;
+        }
+        try {
+            affected.onHandlerFailed();
+        } catch (RuntimeException | Error e) {
+            pool.onHandlerFailed(host, e);
+        }
+    }
+
     private void reportReuse(boolean wasReset) {
         if (reusedAfterNanos != NOT_REUSED) {
             pool.onReuse(reusedAfterNanos, wasReset);
@@ -329,7 +366,14 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        fail();
+        if (cause instanceof IOException) {
+            fail();
+        } else if (cause instanceof DecoderException) {
+            pool.onMalformedResponse(host, cause);
+            fail();
+        } else {
+            onHandlerFailed(call, cause);
+        }
     }
 
     @Override
--- a/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
@@ -210,6 +210,10 @@
         log.info(() -> "upstream: malformed response, host=" + host.name() + " cause=" + cause);
     }
 
+    void onHandlerFailed(UpstreamHost host, Throwable cause) {
+        log.error("upstream: handler failed, host=" + host.name(), cause);
+    }
+
     void onClosed(UpstreamHost host, UpstreamConnection connection) {
         discarding.remove(connection);
         removeIdle(host, connection);
--- /dev/null
+++ b/src/test/java/rillyard/proxy/HandlerFailureTest.java
@@ -0,0 +1,242 @@
+package rillyard.proxy;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelHandler;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.channel.ChannelOutboundHandlerAdapter;
+import io.netty.channel.ChannelPromise;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpContent;
+import io.netty.handler.codec.http.HttpObject;
+import io.netty.handler.codec.http.HttpResponseEncoder;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.util.ReferenceCountUtil;
+import java.io.IOException;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import rillyard.proxy.eventloop.FaultInjectingChannels;
+
+/** Handlers that throw: the request has its final answer at once, and its attempt ends; deadlines are 20 s. */
+@Timeout(60)
+class HandlerFailureTest {
+    /** Time in which an answer counts as given at once. */
+    private static final long AT_ONCE_NANOS = TimeUnit.SECONDS.toNanos(2);
+
+    private static final int LONG_BODY_BYTES = 300_000;
+
+    private final FaultInjectingChannels channels = new FaultInjectingChannels();
+
+    private static String claim() {
+        return ProxyFixture.post("claim", 20_000, "", "visit=1");
+    }
+
+    private ProxyFixture fixture(ScriptedServer host) throws Exception {
+        return new ProxyFixture(channels, ProxyFixture.endpoint("a", host.port()));
+    }
+
+    private static ScriptedServer answeringHost() throws IOException {
+        return ScriptedServer.host(message -> ScriptedServer.ok("x"));
+    }
+
+    /** A host that takes a request and says nothing until its connection ends. */
+    private static ScriptedServer silentHost(CountDownLatch received, CountDownLatch ended) throws IOException {
+        return new ScriptedServer(peer -> {
+            peer.read();
+            received.countDown();
+            peer.awaitEnd();
+            ended.countDown();
+        });
+    }
+
+    private static void assertFailsAtOnce(ProxyFixture fixture) throws IOException {
+        try (TestPeer client = fixture.client()) {
+            long sentAt = System.nanoTime();
+            client.write(claim());
+            assertThat(client.read().status()).isEqualTo(502);
+            assertThat(System.nanoTime() - sentAt).isLessThan(AT_ONCE_NANOS);
+        }
+        assertLogged(fixture);
+    }
+
+    private static void assertLogged(ProxyFixture fixture) {
+        assertThat(fixture.log()).contains(FaultInjectingChannels.INJECTED);
+    }
+
+    private static void assertServesNext(ProxyFixture fixture) throws Exception {
+        assertThat(fixture.call(claim()).status()).isEqualTo(200);
+        assertThat(fixture.proxy.metrics().text()).contains("pending:0|");
+    }
+
+    /** Adds a handler to the connection that was accepted last, between the codec and the proxy's own handler. */
+    private void addToClientPipeline(ProxyFixture fixture, ChannelHandler handler) throws Exception {
+        Channel channel = channels.nextAccepted();
+        fixture.proxy
+                .loop()
+                .submit(() -> {
+                    String encoder = channel.pipeline()
+                            .context(HttpResponseEncoder.class)
+                            .name();
+                    channel.pipeline().addAfter(encoder, null, handler);
+                })
+                .get();
+    }
+
+    @Test
+    void throwBeforeDispatchIsAnswered() throws Exception {
+        try (ScriptedServer host = answeringHost();
+                ProxyFixture fixture = fixture(host)) {
+            channels.throwOnNextEndOfStreamCheck();
+            assertFailsAtOnce(fixture);
+            assertThat(host.requests).isEmpty();
+            assertServesNext(fixture);
+        }
+    }
+
+    @Test
+    void throwOfHandlerAheadOfRequestIsAnswered() throws Exception {
+        try (ScriptedServer host = answeringHost();
+                ProxyFixture fixture = fixture(host);
+                TestPeer client = fixture.client()) {
+            addToClientPipeline(fixture, new ChannelInboundHandlerAdapter() {
+                @Override
+                public void channelRead(ChannelHandlerContext ctx, Object message) {
+                    ReferenceCountUtil.release(message);
+                    throw new IllegalStateException(FaultInjectingChannels.INJECTED);
+                }
+            });
+            client.write(claim());
+            assertThat(client.read().status()).isEqualTo(502);
+            client.awaitEnd();
+            assertLogged(fixture);
+            assertServesNext(fixture);
+        }
+    }
+
+    @Test
+    void throwWhileAttemptIsOpenIsAnsweredAndEndsAttempt() throws Exception {
+        CountDownLatch received = new CountDownLatch(1);
+        CountDownLatch ended = new CountDownLatch(1);
+        try (ScriptedServer host = silentHost(received, ended);
+                ProxyFixture fixture = fixture(host);
+                TestPeer client = fixture.client()) {
+            Channel channel = channels.nextAccepted();
+            client.write(claim());
+            assertThat(received.await(10, TimeUnit.SECONDS)).isTrue();
+            channel.pipeline().fireExceptionCaught(new IllegalStateException(FaultInjectingChannels.INJECTED));
+            assertThat(client.read().status()).isEqualTo(502);
+            assertThat(ended.await(2, TimeUnit.SECONDS)).isTrue();
+            client.awaitEnd();
+            assertLogged(fixture);
+        }
+    }
+
+    @Test
+    void throwInWriteOfResponseIsAnswered() throws Exception {
+        try (ScriptedServer host = answeringHost();
+                ProxyFixture fixture = fixture(host)) {
+            channels.throwOnNextWrite(true, FullHttpResponse.class);
+            assertFailsAtOnce(fixture);
+            assertServesNext(fixture);
+        }
+    }
+
+    @Test
+    void responseThatHandlerRefusesIsReplaced() throws Exception {
+        try (ScriptedServer host = answeringHost();
+                ProxyFixture fixture = fixture(host);
+                TestPeer client = fixture.client()) {
+            addToClientPipeline(fixture, new ChannelOutboundHandlerAdapter() {
+                @Override
+                public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
+                    if (message instanceof FullHttpResponse response
+                            && response.status().equals(HttpResponseStatus.OK)) {
+                        response.release();
+                        throw new IllegalStateException(FaultInjectingChannels.INJECTED);
+                    }
+                    ctx.write(message, promise);
+                }
+            });
+            client.write(claim());
+            assertThat(client.read().status()).isEqualTo(502);
+            client.awaitEnd();
+            assertLogged(fixture);
+            assertServesNext(fixture);
+        }
+    }
+
+    @Test
+    void throwWithinForwardedResponseEndsBothConnections() throws Exception {
+        CountDownLatch ended = new CountDownLatch(1);
+        try (ScriptedServer host = new ScriptedServer(peer -> {
+                    peer.read();
+                    peer.write("HTTP/1.1 200 OK\r\nContent-Length: " + LONG_BODY_BYTES + "\r\n\r\n");
+                    peer.write("x".repeat(LONG_BODY_BYTES / 2));
+                    peer.awaitEnd();
+                    ended.countDown();
+                });
+                ProxyFixture fixture = fixture(host);
+                TestPeer client = fixture.client()) {
+            channels.throwOnNextWrite(true, HttpContent.class);
+            client.write(claim());
+            assertThat(client.readHead()).startsWith("HTTP/1.1 200");
+            client.awaitEnd();
+            assertThat(ended.await(2, TimeUnit.SECONDS)).isTrue();
+            assertLogged(fixture);
+        }
+    }
+
+    @Test
+    void throwAtStartOfForwardedResponseIsAnswered() throws Exception {
+        try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x".repeat(LONG_BODY_BYTES)));
+                ProxyFixture fixture = fixture(host)) {
+            channels.throwOnNextWrite(true, HttpObject.class);
+            assertFailsAtOnce(fixture);
+            assertServesNext(fixture);
+        }
+    }
+
+    @Test
+    void throwInWriteToHostIsAnswered() throws Exception {
+        try (ScriptedServer host = answeringHost();
+                ProxyFixture fixture = fixture(host)) {
+            channels.throwOnNextWrite(false, FullHttpRequest.class); // on a new connection
+            assertFailsAtOnce(fixture);
+            assertServesNext(fixture);
+            channels.throwOnNextWrite(false, FullHttpRequest.class); // on a kept one
+            assertFailsAtOnce(fixture);
+            assertServesNext(fixture);
+        }
+    }
+
+    /** The next request is handled where the response of the first is written, in the handler of its host's connection. */
+    @Test
+    void throwInPipelinedRequestIsAnsweredBehindResponseBeforeIt() throws Exception {
+        CountDownLatch received = new CountDownLatch(1);
+        CountDownLatch reply = new CountDownLatch(1);
+        try (ScriptedServer host = ScriptedServer.host(message -> {
+                    received.countDown();
+                    reply.await();
+                    return ScriptedServer.ok("x");
+                });
+                ProxyFixture fixture = fixture(host);
+                TestPeer client = fixture.client()) {
+            client.write(claim());
+            assertThat(received.await(10, TimeUnit.SECONDS)).isTrue();
+            client.write(claim());
+            Thread.sleep(100); // until the second one is read; without it the test would only force less
+            channels.throwOnNextEndOfStreamCheck();
+            reply.countDown();
+            assertThat(client.read().status()).isEqualTo(200);
+            assertThat(client.read().status()).isEqualTo(502);
+            client.awaitEnd();
+            assertLogged(fixture);
+            assertServesNext(fixture);
+        }
+    }
+}
--- a/src/test/java/rillyard/proxy/eventloop/FaultInjectingChannels.java
+++ b/src/test/java/rillyard/proxy/eventloop/FaultInjectingChannels.java
@@ -3,12 +3,16 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
+import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelOutboundBuffer;
 import java.io.IOException;
 import java.net.SocketAddress;
 import java.nio.channels.SocketChannel;
 import java.util.EnumMap;
 import java.util.Map;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Supplier;
 import rillyard.stall.StallDetector;
@@ -22,13 +26,21 @@
         ACCEPT
     }
 
+    private record WriteTrap(boolean toClient, Class<?> messageType) {}
+
     private record Fault(int oneIn, Supplier<IOException> failure) {}
 
+    /** Message of the exceptions that are thrown. */
+    public static final String INJECTED = "thrown by the test";
+
     private static final int WRITES_PER_TURN = 16;
 
     private final Map<Call, AtomicInteger> calls = new EnumMap<>(Call.class);
     private final Map<Call, AtomicInteger> failures = new EnumMap<>(Call.class);
     private volatile Map<Call, Fault> faults = Map.of();
+    private final BlockingQueue<Channel> accepted = new LinkedBlockingQueue<>();
+    private volatile WriteTrap writeTrap;
+    private volatile boolean throwsOnEndOfStreamCheck;
     private volatile int bytesPerRead = Integer.MAX_VALUE;
     private volatile int bytesPerWrite = Integer.MAX_VALUE;
 
@@ -47,6 +59,29 @@
         faults = changed;
     }
 
+    /** Has the next write of such a message throw, in the proxy's own code, on a channel to a client or to a host. */
+    public void throwOnNextWrite(boolean toClient, Class<?> messageType) {
+        writeTrap = new WriteTrap(toClient, messageType);
+    }
+
+    /** Has the next look for the end of a client's stream throw, which comes before a request is dispatched. */
+    public void throwOnNextEndOfStreamCheck() {
+        throwsOnEndOfStreamCheck = true;
+    }
+
+    /** Returns the next channel that was accepted from a client. */
+    public Channel nextAccepted() throws InterruptedException {
+        return accepted.poll(10, TimeUnit.SECONDS);
+    }
+
+    private void checkWrite(boolean toClient, Object message) {
+        WriteTrap trap = writeTrap;
+        if (trap != null && trap.toClient() == toClient && trap.messageType().isInstance(message)) {
+            writeTrap = null;
+            throw new IllegalStateException(INJECTED);
+        }
+    }
+
     /** Ends all failures of calls. */
     public void heal() {
         faults = Map.of();
@@ -99,7 +134,9 @@
 
         @Override
         protected PeekableSocketChannel newAcceptedChannel(SocketChannel socket, StallDetector detector) {
-            return new FaultySocketChannel(this, socket, detector);
+            FaultySocketChannel channel = new FaultySocketChannel(this, socket, detector);
+            accepted.add(channel);
+            return channel;
         }
     }
 
@@ -110,6 +147,21 @@
             super(parent, socket, detector);
         }
 
+        @Override
+        public ChannelFuture writeAndFlush(Object message) {
+            checkWrite(parent() != null, message);
+            return super.writeAndFlush(message);
+        }
+
+        @Override
+        public boolean isEndOfStream() {
+            if (throwsOnEndOfStreamCheck) {
+                throwsOnEndOfStreamCheck = false;
+                throw new IllegalStateException(INJECTED);
+            }
+            return super.isEndOfStream();
+        }
+
         @Override
         protected boolean doConnect(SocketAddress remote, SocketAddress local) throws Exception {
             check(Call.CONNECT);
