--- a/src/main/java/rillyard/admin/AdminServer.java
+++ b/src/main/java/rillyard/admin/AdminServer.java
@@ -54,6 +54,7 @@
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .handler(new AcceptBackoff())
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
@@ -66,6 +67,11 @@
         return (InetSocketAddress) listener.localAddress();
     }
 
+    /** Returns the channel that is listened on; null before {@link #listen}. */
+    Channel listener() {
+        return listener;
+    }
+
     /** Runs a task on the server's thread, {@code periodMillis} after each end of the last run. */
     public void schedulePeriodically(long periodMillis, Runnable task) {
         group.scheduleWithFixedDelay(task, periodMillis, periodMillis, TimeUnit.MILLISECONDS);
--- a/src/main/java/rillyard/membership/net/MemberAdminServer.java
+++ b/src/main/java/rillyard/membership/net/MemberAdminServer.java
@@ -3,6 +3,7 @@
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.EventLoopGroup;
@@ -13,6 +14,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
+import rillyard.admin.AcceptBackoff;
 
 /**
  * Sends the view of a member, one line, to whoever connects, and closes the connection; reads nothing.
@@ -38,13 +40,15 @@
      * Listens.
      *
      * @param loop a group of one event loop
+     * @return the channel that is listened on
      * @throws IOException if the address can't be bound
      */
-    void listen(EventLoopGroup loop, InetSocketAddress address) throws IOException {
+    Channel listen(EventLoopGroup loop, InetSocketAddress address) throws IOException {
         try {
-            new ServerBootstrap()
+            return new ServerBootstrap()
                     .group(loop)
                     .channel(NioServerSocketChannel.class)
+                    .handler(new AcceptBackoff())
                     .childHandler(new ChannelInitializer<SocketChannel>() {
                         @Override
                         protected void initChannel(SocketChannel channel) {
@@ -52,7 +56,8 @@
                         }
                     })
                     .bind(address)
-                    .sync();
+                    .sync()
+                    .channel();
         } catch (Exception e) {
             throw new IOException("fleet: can't listen on " + address + " for `members --admin`: " + e.getMessage(), e);
         }
--- a/src/test/java/rillyard/membership/net/MemberAdminServerTest.java
+++ b/src/test/java/rillyard/membership/net/MemberAdminServerTest.java
@@ -4,6 +4,9 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import io.netty.channel.Channel;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.io.StringWriter;
@@ -17,6 +20,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -54,6 +58,27 @@
         }
     }
 
+    /** Netty's own acceptor would pause for a second. */
+    @Test
+    void callAfterFailedAcceptIsAnsweredAtOnce() throws Exception {
+        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+        try {
+            Channel listener = new MemberAdminServer(() -> "view")
+                    .listen(group, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+            InetSocketAddress address = (InetSocketAddress) listener.localAddress();
+            for (int i = 0; i < 4; i++) { // the first loads the classes
+                long calledAt = System.nanoTime();
+                try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
+                    assertThat(socket.getInputStream().read()).isEqualTo('v');
+                }
+                assertThat(i == 0 ? 0 : System.nanoTime() - calledAt).isLessThan(TimeUnit.MILLISECONDS.toNanos(500));
+                listener.pipeline().fireExceptionCaught(new IOException("Too many open files"));
+            }
+        } finally {
+            group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
+        }
+    }
+
     @Test
     void viewHasMembersTheirSourcesAndCosts() throws Exception {
         int[] ports = freePorts();
