--- a/src/main/java/rillyard/proxy/downstream/ClientListener.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientListener.java
@@ -20,8 +20,8 @@
 import rillyard.proxy.eventloop.SocketChannelFactory;
 import rillyard.proxy.logging.ProxyLog;
 import rillyard.proxy.resources.BodyMemoryBudget;
+import rillyard.proxy.resources.ConnectionLimits;
 import rillyard.proxy.resources.DescriptorBudget;
-import rillyard.proxy.upstream.UpstreamPool;
 import rillyard.stall.StallDetector;
 
 /**
@@ -92,8 +92,8 @@
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, UpstreamPool.READ_BUFFER_ALLOCATOR)
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, UpstreamPool.WRITE_BUFFER_WATER_MARK)
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, ConnectionLimits.READ_BUFFER_ALLOCATOR)
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, ConnectionLimits.WRITE_BUFFER_WATER_MARK)
                 .handler(new ChannelInitializer<PeekableSocketChannel.Server>() {
                     @Override
                     protected void initChannel(PeekableSocketChannel.Server channel) {
--- a/src/main/java/rillyard/proxy/downstream/ClientRequestDecoder.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientRequestDecoder.java
@@ -6,7 +6,7 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.util.ReferenceCountUtil;
 import rillyard.proxy.eventloop.PeekableSocketChannel;
-import rillyard.proxy.upstream.UpstreamPool;
+import rillyard.proxy.resources.ConnectionLimits;
 
 /**
  * Parses the bytes of a client connection into requests, and knows whether and since when a request is being received.
@@ -26,7 +26,7 @@
     private long receivingSinceNanos;
 
     ClientRequestDecoder(PipelineBuffer pipelineBuffer) {
-        super(UpstreamPool.DECODER_CONFIG);
+        super(ConnectionLimits.DECODER_CONFIG);
         this.pipelineBuffer = pipelineBuffer;
     }
 
--- /dev/null
+++ b/src/main/java/rillyard/proxy/resources/ConnectionLimits.java
@@ -0,0 +1,24 @@
+package rillyard.proxy.resources;
+
+import io.netty.channel.AdaptiveRecvByteBufAllocator;
+import io.netty.channel.WriteBufferWaterMark;
+import io.netty.handler.codec.http.HttpDecoderConfig;
+
+/** Bounds on the memory of one connection, on either side of the proxy. */
+public final class ConnectionLimits {
+    /** Allocator of read buffers; small reads bound the memory of one connection. */
+    public static final AdaptiveRecvByteBufAllocator READ_BUFFER_ALLOCATOR =
+            new AdaptiveRecvByteBufAllocator(512, 2048, 16_384);
+
+    /** Marks of the write buffer (bytes); they bound the memory of one connection. */
+    public static final WriteBufferWaterMark WRITE_BUFFER_WATER_MARK = new WriteBufferWaterMark(16_384, 32_768);
+
+    /** Limits of the HTTP decoders on either side of the proxy. */
+    public static final HttpDecoderConfig DECODER_CONFIG = new HttpDecoderConfig()
+            .setMaxInitialLineLength(8_192)
+            .setMaxHeaderSize(16_384)
+            .setMaxChunkSize(16_384)
+            .setInitialBufferSize(256);
+
+    private ConnectionLimits() {}
+}
--- a/src/main/java/rillyard/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamConnection.java
@@ -14,7 +14,6 @@
 import io.netty.util.ReferenceCountUtil;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.concurrent.TimeUnit;
 import rillyard.proxy.eventloop.PeekableSocketChannel;
 import rillyard.proxy.resources.DescriptorBudget;
 
@@ -42,9 +41,6 @@
     /** Bytes of a response that are discarded before the connection is closed instead. */
     private static final int MAX_DISCARDED_BYTES = 64 * 1024;
 
-    /** Delay of a timer beyond which the event loop is behind and has reads to catch up with. */
-    private static final long LATE_TIMER_NANOS = 10_000_000L;
-
     private static final long NOT_REUSED = -1;
 
     private final UpstreamPool pool;
@@ -52,11 +48,11 @@
     private final InetSocketAddress address;
     private final PeekableSocketChannel channel;
     private final UpstreamResponseDecoder decoder;
+    private final ResponseStallCheck stallCheck;
     private State state = State.IDLE;
     private UpstreamCall call;
     private boolean requestWritten;
     private boolean keepAlive;
-    private boolean stallCheckScheduled;
     private int discardedBytes;
     private long idleSinceNanos;
     private long reusedAfterNanos = NOT_REUSED;
@@ -68,6 +64,7 @@
         this.address = host.address();
         this.channel = channel;
         this.decoder = decoder;
+        this.stallCheck = new ResponseStallCheck(this, channel, decoder);
     }
 
     /** Returns the channel of the connection. */
@@ -305,37 +302,22 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (!stallCheckScheduled && isAwaitingProgress()) {
-            scheduleStallCheck(call.stallNanos());
-        }
+        stallCheck.onReadComplete();
     }
 
     /** Returns whether the host has begun its response and the proxy reads it. */
-    private boolean isAwaitingProgress() {
+    boolean isAwaitingProgress() {
         return call != null && decoder.hasBegun() && channel.config().isAutoRead();
     }
 
-    private void scheduleStallCheck(long delayNanos) {
-        stallCheckScheduled = true;
-        long dueAt = System.nanoTime() + delayNanos;
-        channel.eventLoop().schedule(() -> checkStall(dueAt), delayNanos, TimeUnit.NANOSECONDS);
+    /** Returns the nanoseconds without progress after which the present call's response counts as broken. */
+    long stallNanos() {
+        return call.stallNanos();
     }
 
-    /** Fails a response that stopped half way on an open connection, as its client can know long before the deadline. */
-    private void checkStall(long dueAt) {
-        stallCheckScheduled = false;
-        if (!isAwaitingProgress()) {
-            return;
-        }
-        long now = System.nanoTime();
-        long remaining = decoder.lastReadNanos() + call.stallNanos() - now;
-        if (remaining > 0) {
-            scheduleStallCheck(remaining);
-        } else if (now - dueAt > LATE_TIMER_NANOS) {
-            scheduleStallCheck(LATE_TIMER_NANOS); // the loop was late: what has arrived meanwhile is read first
-        } else {
-            fail();
-        }
+    /** Ends the call, as its response has stopped half way. */
+    void onResponseStalled() {
+        fail();
     }
 
     /** Stops reading from the host until {@link #resumeReading}. */
--- a/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
@@ -1,13 +1,10 @@
 package rillyard.proxy.upstream;
 
 import io.netty.bootstrap.Bootstrap;
-import io.netty.channel.AdaptiveRecvByteBufAllocator;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
-import io.netty.channel.WriteBufferWaterMark;
-import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpRequestEncoder;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -21,6 +18,7 @@
 import rillyard.proxy.eventloop.PeekableSocketChannel;
 import rillyard.proxy.eventloop.SocketChannelFactory;
 import rillyard.proxy.logging.ProxyLog;
+import rillyard.proxy.resources.ConnectionLimits;
 import rillyard.proxy.resources.DescriptorBudget;
 import rillyard.trace.TraceEvent.Kind;
 
@@ -30,20 +28,6 @@
  * <p>Confined to the event loop.
  */
 public final class UpstreamPool {
-    /** Allocator of read buffers; small reads bound the memory of one connection. */
-    public static final AdaptiveRecvByteBufAllocator READ_BUFFER_ALLOCATOR =
-            new AdaptiveRecvByteBufAllocator(512, 2048, 16_384);
-
-    /** Marks of the write buffer (bytes); they bound the memory of one connection. */
-    public static final WriteBufferWaterMark WRITE_BUFFER_WATER_MARK = new WriteBufferWaterMark(16_384, 32_768);
-
-    /** Limits of the HTTP decoders on either side of the proxy. */
-    public static final HttpDecoderConfig DECODER_CONFIG = new HttpDecoderConfig()
-            .setMaxInitialLineLength(8_192)
-            .setMaxHeaderSize(16_384)
-            .setMaxChunkSize(16_384)
-            .setInitialBufferSize(256);
-
     /** Fraction of the host's idle timeout after which a connection is closed, well before the host does. */
     private static final double IDLE_TIMEOUT_FRACTION = 0.7;
 
@@ -86,8 +70,8 @@
                 .channelFactory(channels::newSocketChannel)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, config.connectTimeoutMs()))
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, READ_BUFFER_ALLOCATOR)
-                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_BUFFER_WATER_MARK)
+                .option(ChannelOption.RECVBUF_ALLOCATOR, ConnectionLimits.READ_BUFFER_ALLOCATOR)
+                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, ConnectionLimits.WRITE_BUFFER_WATER_MARK)
                 .handler(new ChannelInitializer<PeekableSocketChannel>() {
                     @Override
                     protected void initChannel(PeekableSocketChannel channel) {}
@@ -149,7 +133,7 @@
             connectFailures.reportLocal(call, future.cause());
             return;
         }
-        UpstreamResponseDecoder decoder = new UpstreamResponseDecoder(DECODER_CONFIG);
+        UpstreamResponseDecoder decoder = new UpstreamResponseDecoder(ConnectionLimits.DECODER_CONFIG);
         UpstreamConnection connection = new UpstreamConnection(this, host, channel, decoder);
         descriptors.onUpstreamOpened();
         channel.closeFuture().addListener(closed -> descriptors.onUpstreamClosed());
