--- a/src/main/java/rillyard/proxy/discovery/EndpointWatch.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointWatch.java
@@ -145,10 +145,9 @@
         }
         ChannelFuture connect = bootstrap.connect(address);
         if (!(connect.channel() instanceof PeekableSocketChannel)) {
-            // The system has no socket. Netty's stand-in for the channel can't be closed, and the listeners of its
-            // future
-            // would run on another thread.
-            onEnded("no socket, cause=" + connect.cause().getCause());
+            // The system has no socket. Netty's placeholder for the channel can't be closed, and the listeners of
+            // its future would run on another thread.
+            reconnectUnlessOpen("no socket, cause=" + connect.cause().getCause());
             return;
         }
         WatchConnection opened = new WatchConnection(this, connect.channel());
@@ -192,6 +191,13 @@
         return !connections.isEmpty() && connections.get(connections.size() - 1).isOverdue(now, isPolling);
     }
 
+    private void reconnectUnlessOpen(String reason) {
+        log.info("watch: " + reason);
+        if (connections.isEmpty()) {
+            scheduleReconnect();
+        }
+    }
+
     private void scheduleReconnect() {
         if (isPolling) {
             listener.onWatchFailed();
@@ -224,10 +230,7 @@
     /** A connection has ended. */
     void onEnded(WatchConnection ended, String reason) {
         connections.remove(ended);
-        log.info("watch: " + reason);
-        if (connections.isEmpty()) {
-            scheduleReconnect();
-        }
+        reconnectUnlessOpen(reason);
     }
 
     /** A malformed list has come; the last good one stays and the changes come again from its version on. */
