--- a/src/test/java/rillyard/cli/UsageIT.java
+++ b/src/test/java/rillyard/cli/UsageIT.java
@@ -5,7 +5,6 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -16,6 +15,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import rillyard.childprocess.ProxyProcess;
+import rillyard.childprocess.TestProcess;
 import rillyard.requestlog.RequestLogReader;
 
 /** Runs the built jar as the documentation describes, each command as a process of its own. */
@@ -32,7 +32,7 @@
         line.addAll(
                 List.of("-jar", Path.of("target/rillyard.jar").toAbsolutePath().toString()));
         line.addAll(List.of(args));
-        Process process = new ProcessBuilder(line).directory(folder.toFile()).start();
+        Process process = TestProcess.start(new ProcessBuilder(line).directory(folder.toFile()));
         started.add(process);
         return process;
     }
@@ -43,7 +43,7 @@
     }
 
     private static String out(Process process) throws IOException {
-        return new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        return TestProcess.read(process.getInputStream());
     }
 
     private static void await(Path file, Process process) throws InterruptedException {
@@ -54,10 +54,7 @@
     }
 
     private static void signal(Process process, String name) throws Exception {
-        assertThat(new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
-                        .start()
-                        .waitFor())
-                .isZero();
+        TestProcess.signal(process.pid(), name);
     }
 
     @Test
@@ -97,7 +94,7 @@
                     "out/",
                     "--json");
             JsonNode report = new ObjectMapper().readTree(out(load));
-            assertThat(load.waitFor()).isZero();
+            assertThat(TestProcess.exitCode(load)).isZero();
             assertThat(report.path("total").path("offered").asInt()).isBetween(140, 260);
             assertThat(report.path("total").path("inAim").asInt()).isGreaterThan(100);
             for (String fileName : List.of("report.html", "report.json", "latency.hgrm", "service.hgrm")) {
@@ -105,11 +102,11 @@
             }
         }
         signal(cluster, "TERM");
-        cluster.waitFor();
+        TestProcess.exitCode(cluster);
         Process audit =
                 rillyard("audit", "--clients", "clients.jsonl", "--hosts", "hosts.jsonl", "--settings", "ready.json");
         assertThat(out(audit)).contains("ANSWER  kept").contains(" 0 breaches\n");
-        assertThat(audit.waitFor()).isZero();
+        assertThat(TestProcess.exitCode(audit)).isZero();
     }
 
     @Test
@@ -135,9 +132,9 @@
         assertThat(out(load))
                 .contains("interrupted: what was under way was left")
                 .contains("claim");
-        load.waitFor();
+        TestProcess.exitCode(load);
         signal(cluster, "INT");
-        cluster.waitFor();
+        TestProcess.exitCode(cluster);
         int[] lines = new int[2];
         assertThat(RequestLogReader.read(clients, "clients", line -> lines[0]++))
                 .isTrue();
--- a/src/test/java/rillyard/proxy/JarIT.java
+++ b/src/test/java/rillyard/proxy/JarIT.java
@@ -13,8 +13,11 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import rillyard.childprocess.TestProcess;
 
 /** Starts the built jar both ways, with the options the platform starts it with. */
+@Timeout(value = 120, unit = TimeUnit.SECONDS)
 class JarIT {
     /** The JVM's own, made at run time: proxies of annotations, method handles, accessors; 15 now. */
     private static final long OUTSIDE_ARCHIVE = 25;
@@ -31,11 +34,11 @@
         if (config != null) {
             builder.environment().put("BALANCER_CONFIG", config.toString());
         }
-        return builder.start();
+        return TestProcess.start(builder);
     }
 
     private static String errors(Process process) throws IOException {
-        return new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
+        return TestProcess.read(process.getErrorStream());
     }
 
     /** A proxy that is ready, with one host and a discovery that says nothing. */
@@ -63,9 +66,7 @@
         }
 
         void signal(String name) throws Exception {
-            String pid = Long.toString(process.pid());
-            assertThat(new ProcessBuilder("kill", "-" + name, pid).start().waitFor())
-                    .isZero();
+            TestProcess.signal(process.pid(), name);
         }
 
         private void awaitReady() throws Exception {
@@ -161,7 +162,7 @@
 
     @Test
     void proxyLoadsClassesFromArchive() throws Exception {
-        Process process = new ProcessBuilder(
+        Process process = TestProcess.start(new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "@deploy/proxy.jvm",
                         "-XX:SharedArchiveFile=target/rillyard.jsa",
@@ -169,10 +170,9 @@
                         "-jar",
                         "target/rillyard.jar",
                         "rehearse")
-                .redirectErrorStream(true)
-                .start();
-        String log = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertThat(process.waitFor()).isZero();
+                .redirectErrorStream(true));
+        String log = TestProcess.read(process.getInputStream());
+        assertThat(TestProcess.exitCode(process)).isZero();
         assertThat(log)
                 .contains("rillyard.proxy.dispatch.BalancerDriver source: shared objects file (top)")
                 .contains("io.netty.handler.codec.http.HttpObjectDecoder source: shared objects file (top)")
@@ -234,7 +234,7 @@
     @Test
     void missingConfigurationExitsWithOneLine() throws Exception {
         Process process = start(null, "proxy");
-        assertThat(process.waitFor()).isEqualTo(1);
+        assertThat(TestProcess.exitCode(process)).isEqualTo(1);
         assertThat(errors(process)).isEqualTo("rillyard: BALANCER_CONFIG is not set\n");
     }
 
@@ -243,7 +243,7 @@
         Process process = start(null, "adapter");
         process.getOutputStream().write("sync wall=1.0\neob\n".getBytes(StandardCharsets.UTF_8));
         process.getOutputStream().close();
-        assertThat(process.getInputStream().readAllBytes()).asString().isEqualTo("ok\n");
-        assertThat(process.waitFor()).isZero();
+        assertThat(TestProcess.read(process.getInputStream())).isEqualTo("ok\n");
+        assertThat(TestProcess.exitCode(process)).isZero();
     }
 }
--- a/src/test/java/rillyard/proxy/PlatformRunIT.java
+++ b/src/test/java/rillyard/proxy/PlatformRunIT.java
@@ -5,7 +5,6 @@
 
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import java.io.IOException;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -21,6 +20,7 @@
 import rillyard.benchmark.CpuContention;
 import rillyard.childprocess.LaunchCommand;
 import rillyard.childprocess.ProxyProcess;
+import rillyard.childprocess.TestProcess;
 
 /** The texts of {@code run} under deploy, started as a platform does: by the shell, also on part of a core. */
 @Timeout(value = 180, unit = java.util.concurrent.TimeUnit.SECONDS)
@@ -123,9 +123,9 @@
         line.addAll(List.of(arguments));
         ProcessBuilder builder = new ProcessBuilder(line).redirectErrorStream(true);
         builder.environment().putAll(environment);
-        Process process = builder.start();
-        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertThat(process.waitFor()).as(output).isEqualTo(code);
+        Process process = TestProcess.start(builder);
+        String output = TestProcess.read(process.getInputStream());
+        assertThat(TestProcess.exitCode(process)).as(output).isEqualTo(code);
         return output;
     }
 
--- a/src/test/java/rillyard/proxy/ProcessPauseIT.java
+++ b/src/test/java/rillyard/proxy/ProcessPauseIT.java
@@ -20,6 +20,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import rillyard.childprocess.LaunchCommand;
 import rillyard.childprocess.ProxyProcess;
+import rillyard.childprocess.TestProcess;
 
 /** The built jar, paused (SIGSTOP) again and again while requests arrive. */
 @Timeout(120)
@@ -168,7 +169,7 @@
                 List<TestPeer> burst = new ArrayList<>();
                 try {
                     proxy.process().pause();
-                    proxy.process().signal("HUP");
+                    TestProcess.signal(proxy.pid(), "HUP");
                     for (int i = 0; i < BURST; i++) {
                         TestPeer peer = TestPeer.connect(proxy.address().getPort());
                         peer.write(ProxyFixture.post("claim", TIMEOUT_MILLIS, "", "x"));
--- a/src/test/java/rillyard/proxy/ThreadCountIT.java
+++ b/src/test/java/rillyard/proxy/ThreadCountIT.java
@@ -16,6 +16,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import rillyard.childprocess.LaunchCommand;
 import rillyard.childprocess.ProxyProcess;
+import rillyard.childprocess.TestProcess;
 
 /** The built jar makes its threads before it is ready, and none of them ends while it serves. */
 @Timeout(120)
@@ -81,7 +82,7 @@
                     }
                 }
                 assertThat(threads(proxy)).as("after %d requests", REQUESTS).isEqualTo(ready);
-                proxy.process().signal("HUP");
+                TestProcess.signal(proxy.pid(), "HUP");
                 List<TestPeer> burst = new ArrayList<>();
                 try {
                     for (int i = 0; i < BURST; i++) {
--- a/src/test/java/rillyard/proxy/lifecycle/ConfigReloadTest.java
+++ b/src/test/java/rillyard/proxy/lifecycle/ConfigReloadTest.java
@@ -21,6 +21,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import rillyard.childprocess.TestProcess;
 import rillyard.proxy.ProxyFixture;
 import rillyard.proxy.config.ProxyConfig;
 import rillyard.proxy.logging.ProxyLog;
@@ -38,7 +39,7 @@
                 new ProcessBuilder("sh", "-c", preparation + " exec \"$0\" \"$@\"", java, "rillyard.Main", "proxy");
         builder.environment().put("CLASSPATH", System.getProperty("java.class.path"));
         builder.environment().put("BALANCER_CONFIG", config.toString());
-        Process process = builder.start();
+        Process process = TestProcess.start(builder);
         try (BufferedReader lines = process.errorReader(StandardCharsets.UTF_8)) {
             StringBuilder log = new StringBuilder();
             String line;
@@ -50,7 +51,7 @@
             }
             return log.toString();
         } finally {
-            process.destroyForcibly().waitFor();
+            TestProcess.exitCode(process.destroyForcibly());
             Files.delete(config);
         }
     }
