--- a/src/test/java/rillyard/cli/UsageIT.java
+++ b/src/test/java/rillyard/cli/UsageIT.java
@@ -7,6 +7,7 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -21,6 +22,9 @@
 /** Runs the built jar as the documentation describes, each command as a process of its own. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class UsageIT {
+    /** Well below the time after which a shutdown stops waiting for its command (20 s). */
+    private static final Duration SHUTDOWN_LIMIT = Duration.ofSeconds(12);
+
     @TempDir
     Path folder;
 
@@ -57,6 +61,16 @@
         TestProcess.signal(process.pid(), name);
     }
 
+    /** Sends a signal and waits until the process has ended, as soon as its command is done. */
+    private static void end(Process process, String signalName) throws Exception {
+        long startNanos = System.nanoTime();
+        signal(process, signalName);
+        TestProcess.exitCode(process);
+        assertThat(Duration.ofNanos(System.nanoTime() - startNanos))
+                .as("time from SIG%s to the end", signalName)
+                .isLessThan(SHUTDOWN_LIMIT);
+    }
+
     @Test
     void documentedTestClusterLoadAndAuditCommandsWork() throws Exception {
         Files.writeString(folder.resolve("faults.toml"), "[[fault]]\nkind = 'slow'\nhost = 's-3'\nat_s = 0\n");
@@ -101,8 +115,7 @@
                 assertThat(folder.resolve("out").resolve(fileName)).isNotEmptyFile();
             }
         }
-        signal(cluster, "TERM");
-        TestProcess.exitCode(cluster);
+        end(cluster, "TERM");
         Process audit =
                 rillyard("audit", "--clients", "clients.jsonl", "--hosts", "hosts.jsonl", "--settings", "ready.json");
         assertThat(out(audit)).contains("ANSWER  kept").contains(" 0 breaches\n");
@@ -133,8 +146,7 @@
                 .contains("interrupted: what was under way was left")
                 .contains("claim");
         TestProcess.exitCode(load);
-        signal(cluster, "INT");
-        TestProcess.exitCode(cluster);
+        end(cluster, "INT");
         int[] lines = new int[2];
         assertThat(RequestLogReader.read(clients, "clients", line -> lines[0]++))
                 .isTrue();
