--- a/src/test/java/rillyard/cli/UsageIT.java
+++ b/src/test/java/rillyard/cli/UsageIT.java
@@ -5,9 +5,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -16,11 +16,15 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import rillyard.childprocess.ProxyProcess;
+import rillyard.childprocess.TestProcess;
 import rillyard.requestlog.RequestLogReader;
 
 /** Runs the built jar as the documentation describes, each command as a process of its own. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class UsageIT {
+    /** Well below the time after which a shutdown stops waiting for its command (20 s). */
+    private static final Duration SHUTDOWN_LIMIT = Duration.ofSeconds(12);
+
     @TempDir
     Path folder;
 
@@ -32,7 +36,7 @@
         line.addAll(
                 List.of("-jar", Path.of("target/rillyard.jar").toAbsolutePath().toString()));
         line.addAll(List.of(args));
-        Process process = new ProcessBuilder(line).directory(folder.toFile()).start();
+        Process process = TestProcess.start(new ProcessBuilder(line).directory(folder.toFile()));
         started.add(process);
         return process;
     }
@@ -43,7 +47,7 @@
     }
 
     private static String out(Process process) throws IOException {
-        return new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        return TestProcess.read(process.getInputStream());
     }
 
     private static void await(Path file, Process process) throws InterruptedException {
@@ -54,10 +58,17 @@
     }
 
     private static void signal(Process process, String name) throws Exception {
-        assertThat(new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
-                        .start()
-                        .waitFor())
-                .isZero();
+        TestProcess.signal(process.pid(), name);
+    }
+
+    /** Sends a signal and waits until the process has ended, as soon as its command is done. */
+    private static void end(Process process, String signalName) throws Exception {
+        long startNanos = System.nanoTime();
+        signal(process, signalName);
+        TestProcess.exitCode(process);
+        assertThat(Duration.ofNanos(System.nanoTime() - startNanos))
+                .as("time from SIG%s to the end", signalName)
+                .isLessThan(SHUTDOWN_LIMIT);
     }
 
     @Test
@@ -97,19 +108,18 @@
                     "out/",
                     "--json");
             JsonNode report = new ObjectMapper().readTree(out(load));
-            assertThat(load.waitFor()).isZero();
+            assertThat(TestProcess.exitCode(load)).isZero();
             assertThat(report.path("total").path("offered").asInt()).isBetween(140, 260);
             assertThat(report.path("total").path("inAim").asInt()).isGreaterThan(100);
             for (String fileName : List.of("report.html", "report.json", "latency.hgrm", "service.hgrm")) {
                 assertThat(folder.resolve("out").resolve(fileName)).isNotEmptyFile();
             }
         }
-        signal(cluster, "TERM");
-        cluster.waitFor();
+        end(cluster, "TERM");
         Process audit =
                 rillyard("audit", "--clients", "clients.jsonl", "--hosts", "hosts.jsonl", "--settings", "ready.json");
         assertThat(out(audit)).contains("ANSWER  kept").contains(" 0 breaches\n");
-        assertThat(audit.waitFor()).isZero();
+        assertThat(TestProcess.exitCode(audit)).isZero();
     }
 
     @Test
@@ -135,9 +145,8 @@
         assertThat(out(load))
                 .contains("interrupted: what was under way was left")
                 .contains("claim");
-        load.waitFor();
-        signal(cluster, "INT");
-        cluster.waitFor();
+        TestProcess.exitCode(load);
+        end(cluster, "INT");
         int[] lines = new int[2];
         assertThat(RequestLogReader.read(clients, "clients", line -> lines[0]++))
                 .isTrue();
--- a/src/test/java/rillyard/proxy/JarIT.java
+++ b/src/test/java/rillyard/proxy/JarIT.java
@@ -15,8 +15,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import rillyard.childprocess.TestProcess;
 
 /** Starts the built jar both ways, with the options the platform starts it with. */
+@Timeout(value = 120, unit = TimeUnit.SECONDS)
 class JarIT {
     /** The JVM's own, made at run time: proxies of annotations, method handles, accessors; 15 now. */
     private static final long OUTSIDE_ARCHIVE = 25;
@@ -38,11 +41,11 @@
             builder.environment().put("BALANCER_CONFIG", config.toString());
         }
         builder.environment().putAll(environment);
-        return builder.start();
+        return TestProcess.start(builder);
     }
 
     private static String errors(Process process) throws IOException {
-        return new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
+        return TestProcess.read(process.getErrorStream());
     }
 
     /** A proxy that is ready, with one host and a discovery that says nothing. */
@@ -74,9 +77,7 @@
         }
 
         void signal(String name) throws Exception {
-            String pid = Long.toString(process.pid());
-            assertThat(new ProcessBuilder("kill", "-" + name, pid).start().waitFor())
-                    .isZero();
+            TestProcess.signal(process.pid(), name);
         }
 
         private void awaitReady() throws Exception {
@@ -172,7 +173,7 @@
 
     @Test
     void proxyLoadsClassesFromArchive() throws Exception {
-        Process process = new ProcessBuilder(
+        Process process = TestProcess.start(new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "@deploy/proxy.jvm",
                         "-XX:SharedArchiveFile=target/rillyard.jsa",
@@ -180,10 +181,9 @@
                         "-jar",
                         "target/rillyard.jar",
                         "rehearse")
-                .redirectErrorStream(true)
-                .start();
-        String log = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertThat(process.waitFor()).isZero();
+                .redirectErrorStream(true));
+        String log = TestProcess.read(process.getInputStream());
+        assertThat(TestProcess.exitCode(process)).isZero();
         assertThat(log)
                 .contains("rillyard.proxy.dispatch.BalancerDriver source: shared objects file (top)")
                 .contains("io.netty.handler.codec.http.HttpObjectDecoder source: shared objects file (top)")
@@ -279,7 +279,7 @@
     @Test
     void missingConfigurationExitsWithOneLine() throws Exception {
         Process process = start(null, "proxy");
-        assertThat(process.waitFor()).isEqualTo(1);
+        assertThat(TestProcess.exitCode(process)).isEqualTo(1);
         assertThat(errors(process)).isEqualTo("rillyard: BALANCER_CONFIG is not set\n");
     }
 
@@ -288,7 +288,7 @@
         Process process = start(null, "adapter");
         process.getOutputStream().write("sync wall=1.0\neob\n".getBytes(StandardCharsets.UTF_8));
         process.getOutputStream().close();
-        assertThat(process.getInputStream().readAllBytes()).asString().isEqualTo("ok\n");
-        assertThat(process.waitFor()).isZero();
+        assertThat(TestProcess.read(process.getInputStream())).isEqualTo("ok\n");
+        assertThat(TestProcess.exitCode(process)).isZero();
     }
 }
