--- a/src/test/java/rillyard/proxy/PipelinedDisconnectTest.java
+++ b/src/test/java/rillyard/proxy/PipelinedDisconnectTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -89,11 +90,14 @@
 
     @Test
     void bytesFarAheadReturnToMemoryForBodies() throws Exception {
-        CountDownLatch ended = new CountDownLatch(1);
+        int clients = 12;
+        Semaphore received = new Semaphore(0);
+        CountDownLatch ended = new CountDownLatch(clients);
         ScriptedServer host = new ScriptedServer(peer -> {
             TestPeer.Message message;
             while ((message = peer.read()) != null) {
                 if (message.text().equals("first")) {
+                    received.release();
                     peer.awaitEnd();
                     ended.countDown();
                     return;
@@ -106,13 +110,18 @@
                         config -> ((com.fasterxml.jackson.databind.node.ObjectNode) config.get("limits"))
                                 .put("memory_mb", 64), // leaves 8 MB
                         ProxyFixture.endpoint("a", host.port()))) {
-            for (int i = 0; i < 12; i++) { // 11 MB in turn
+            for (int i = 0; i < clients; i++) { // 11 MB in turn
                 try (TestPeer client = fixture.client()) {
                     client.write(ProxyFixture.post("claim", 600_000, "", "first"));
                     client.write(requestsAhead(1_000));
+                    assertThat(received.tryAcquire(10, TimeUnit.SECONDS))
+                            .as("attempt %d", i)
+                            .isTrue();
                 }
             }
-            ended.await();
+            assertThat(ended.await(10, TimeUnit.SECONDS))
+                    .as("all attempts ended")
+                    .isTrue();
             for (int i = 0; i < 5; i++) {
                 String body = "x".repeat(60_000);
                 assertThat(fixture.call(ProxyFixture.post("claim", 800, "", body))
