--- a/src/main/java/rillyard/proxy/lifecycle/ClassArchiveTraining.java
+++ b/src/main/java/rillyard/proxy/lifecycle/ClassArchiveTraining.java
@@ -1,8 +1,6 @@
 package rillyard.proxy.lifecycle;
 
 import java.io.IOException;
-import java.io.OutputStream;
-import java.io.PrintStream;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -67,15 +65,13 @@
 
     /**
      * Runs the proxy, has requests fail at it, and ends the process: with status 0, or with 1 and one line on standard
-     * error if it could not be run to the end.
+     * error if it could not be run to the end. The proxy logs each failure on standard error, as one that serves does.
      */
     public static void run() {
-        PrintStream standardError = System.err;
-        System.setErr(new PrintStream(OutputStream.nullOutputStream())); // the proxy logs each failure
         try {
             train();
         } catch (IOException | ConfigException | RuntimeException e) {
-            standardError.println("rillyard: archive: training failed, cause=" + e);
+            System.err.println("rillyard: archive: training failed, cause=" + e);
             System.exit(1); // threads of the proxy would keep the process alive
         }
         System.exit(0); // as SIGTERM would end it: what a drain loads is recorded too
