--- a/src/main/java/rillyard/balancer/SubscriptionBackoff.java
+++ b/src/main/java/rillyard/balancer/SubscriptionBackoff.java
@@ -34,7 +34,7 @@
         }
     }
 
-    /** Schedules the next subscription after a failure; news from discovery itself reset the backoff. */
+    /** Schedules the next subscription after a failure; a list from discovery resets the backoff. */
     void onWatchEvent(WatchEvent event) {
         if (event == WatchEvent.FAILED && mustSubscribe && !pending) {
             pending = true;
--- a/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
@@ -128,8 +128,8 @@
     private void connect(UpstreamCall call, UpstreamHost host) {
         ChannelFuture future = bootstrap.connect(host.address());
         if (!(future.channel() instanceof PeekableSocketChannel channel)) {
-            // The system has no socket. Netty's stand-in for the channel has no event loop, and the listeners of its
-            // future would run on another thread.
+            // The system has no socket. The channel that Netty puts in its place has no event loop, and the listeners
+            // of its future would run on another thread.
             connectFailures.reportLocal(call, future.cause());
             return;
         }
