--- a/src/test/java/rillyard/proxy/HandlerFailureTest.java
+++ b/src/test/java/rillyard/proxy/HandlerFailureTest.java
@@ -8,7 +8,6 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelOutboundHandlerAdapter;
 import io.netty.channel.ChannelPromise;
-import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpObject;
@@ -70,7 +69,10 @@
 
     private static void assertServesNext(ProxyFixture fixture) throws Exception {
         assertThat(fixture.call(claim()).status()).isEqualTo(200);
-        assertThat(fixture.proxy.metrics().text()).contains("pending:0|");
+        // On the loop, where it comes after the turn that wrote the response's last byte and ended the request.
+        String metrics =
+                fixture.proxy.loop().submit(fixture.proxy.metrics()::text).get();
+        assertThat(metrics).contains("pending:0|");
     }
 
     /** Adds a handler to the connection that was accepted last, between the codec and the proxy's own handler. */
@@ -140,7 +142,7 @@
     void throwInWriteOfResponseIsAnswered() throws Exception {
         try (ScriptedServer host = answeringHost();
                 ProxyFixture fixture = fixture(host)) {
-            channels.throwOnNextWrite(true, FullHttpResponse.class);
+            channels.throwOnNextWriteToClient(FullHttpResponse.class);
             assertFailsAtOnce(fixture);
             assertServesNext(fixture);
         }
@@ -182,7 +184,7 @@
                 });
                 ProxyFixture fixture = fixture(host);
                 TestPeer client = fixture.client()) {
-            channels.throwOnNextWrite(true, HttpContent.class);
+            channels.throwOnNextWriteToClient(HttpContent.class);
             client.write(claim());
             assertThat(client.readHead()).startsWith("HTTP/1.1 200");
             client.awaitEnd();
@@ -195,7 +197,7 @@
     void throwAtStartOfForwardedResponseIsAnswered() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x".repeat(LONG_BODY_BYTES)));
                 ProxyFixture fixture = fixture(host)) {
-            channels.throwOnNextWrite(true, HttpObject.class);
+            channels.throwOnNextWriteToClient(HttpObject.class);
             assertFailsAtOnce(fixture);
             assertServesNext(fixture);
         }
@@ -203,12 +205,12 @@
 
     @Test
     void throwInWriteToHostIsAnswered() throws Exception {
+        channels.throwOnNextWriteToHost("claim"); // on a new connection; the watch opens first
         try (ScriptedServer host = answeringHost();
                 ProxyFixture fixture = fixture(host)) {
-            channels.throwOnNextWrite(false, FullHttpRequest.class); // on a new connection
             assertFailsAtOnce(fixture);
             assertServesNext(fixture);
-            channels.throwOnNextWrite(false, FullHttpRequest.class); // on a kept one
+            channels.throwOnNextWriteToHost("claim"); // on a kept one
             assertFailsAtOnce(fixture);
             assertServesNext(fixture);
         }
--- a/src/test/java/rillyard/proxy/eventloop/FaultInjectingChannels.java
+++ b/src/test/java/rillyard/proxy/eventloop/FaultInjectingChannels.java
@@ -5,6 +5,7 @@
 import io.netty.channel.ChannelException;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelOutboundBuffer;
+import io.netty.handler.codec.http.FullHttpRequest;
 import java.io.IOException;
 import java.net.SocketAddress;
 import java.nio.channels.SocketChannel;
@@ -14,6 +15,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.Predicate;
 import java.util.function.Supplier;
 import rillyard.stall.StallDetector;
 
@@ -26,7 +28,7 @@
         ACCEPT
     }
 
-    private record WriteTrap(boolean toClient, Class<?> messageType) {}
+    private record WriteTrap(boolean toClient, Predicate<Object> messages) {}
 
     private record Fault(int oneIn, Supplier<IOException> failure) {}
 
@@ -59,9 +61,17 @@
         faults = changed;
     }
 
-    /** Has the next write of such a message throw, in the proxy's own code, on a channel to a client or to a host. */
-    public void throwOnNextWrite(boolean toClient, Class<?> messageType) {
-        writeTrap = new WriteTrap(toClient, messageType);
+    /** Has the next write of such a message to a client throw, in the proxy's own code. */
+    public void throwOnNextWriteToClient(Class<?> messageType) {
+        writeTrap = new WriteTrap(true, messageType::isInstance);
+    }
+
+    /** Has the next write of such a request to a host throw; the watch's own request is none and passes. */
+    public void throwOnNextWriteToHost(String requestClass) {
+        writeTrap = new WriteTrap(
+                false,
+                message -> message instanceof FullHttpRequest request
+                        && request.uri().equals("/" + requestClass));
     }
 
     /** Has the next look for the end of a client's stream throw, which comes before a request is dispatched. */
@@ -76,7 +86,7 @@
 
     private void checkWrite(boolean toClient, Object message) {
         WriteTrap trap = writeTrap;
-        if (trap != null && trap.toClient() == toClient && trap.messageType().isInstance(message)) {
+        if (trap != null && trap.toClient() == toClient && trap.messages().test(message)) {
             writeTrap = null;
             throw new IllegalStateException(INJECTED);
         }
