--- a/src/main/java/rillyard/proxy/logging/ProxyLog.java
+++ b/src/main/java/rillyard/proxy/logging/ProxyLog.java
@@ -46,7 +46,7 @@
     /** Writes a line whose text is only built if it is within the rate limit. */
     public synchronized void info(Supplier<String> text) {
         if (acquirePermit()) {
-            out.println(PREFIX + text.get().replace('\n', ' ').replace('\r', ' '));
+            out.println(PREFIX + printable(text.get()));
         }
     }
 
@@ -55,10 +55,21 @@
         if (!acquirePermit()) {
             return;
         }
-        out.println(PREFIX + text);
+        out.println(PREFIX + printable(text));
         StringWriter trace = new StringWriter();
         cause.printStackTrace(new PrintWriter(trace));
-        trace.toString().lines().filter(line -> acquirePermit()).forEach(out::println);
+        trace.toString().lines().filter(line -> acquirePermit()).forEach(line -> out.println(printable(line)));
+    }
+
+    /** Returns the text with a space for each control character, as hosts and clients determine parts of it. */
+    private static String printable(String text) {
+        StringBuilder printable = new StringBuilder(text);
+        for (int i = 0; i < printable.length(); i++) {
+            if (Character.isISOControl(printable.charAt(i)) && printable.charAt(i) != '\t') {
+                printable.setCharAt(i, ' ');
+            }
+        }
+        return printable.toString();
     }
 
     /** Returns whether a line is within the rate limit, and counts it. */
--- a/src/main/java/rillyard/proxy/upstream/ConnectFailureClassifier.java
+++ b/src/main/java/rillyard/proxy/upstream/ConnectFailureClassifier.java
@@ -25,6 +25,10 @@
             "Too many open files in system",
             "Too many open files");
 
+    /** Messages of failures that a packet of the host has caused, for which the JDK has no class either. */
+    private static final Set<String> HOST_MESSAGES = Set.of(
+            "Connection reset by peer", "Connection reset", "Software caused connection abort", "Protocol error");
+
     /** One log line is written for so many local failures. */
     private static final int FAILURES_PER_LOG_LINE = 100;
 
@@ -62,9 +66,13 @@
     /** Returns whether the failure of a connect tells of the host; counts those without a route. */
     boolean isOfHost(UpstreamHost host, Throwable failure) {
         for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
-            if (cause instanceof BindException || LOCAL_MESSAGES.contains(String.valueOf(cause.getMessage()))) {
+            String message = String.valueOf(cause.getMessage());
+            if (cause instanceof BindException || LOCAL_MESSAGES.contains(message)) {
                 return false; // no port is left, or no buffer
             }
+            if (HOST_MESSAGES.contains(message)) {
+                return true;
+            }
         }
         boolean isAnsweredOrTimedOut = failure instanceof ConnectException || failure instanceof NoRouteToHostException;
         return isAnsweredOrTimedOut || !(failure instanceof SocketException) || host.onUnreachable(reached);
--- a/src/test/java/rillyard/proxy/SystemCallFailureTest.java
+++ b/src/test/java/rillyard/proxy/SystemCallFailureTest.java
@@ -147,6 +147,16 @@
         }
     }
 
+    /** Waits until the list that discovery has announced is applied. */
+    private static void awaitReady(ProxyFixture fixture) throws Exception {
+        while (!fixture.proxy
+                .loop()
+                .submit(() -> fixture.proxy.listener().wasRecentlyReady())
+                .get()) {
+            Thread.sleep(10);
+        }
+    }
+
     /** Of connections of clients, to hosts and to discovery. */
     @Test
     void shortReadsAndWritesChangeNothing() throws Exception {
@@ -157,12 +167,7 @@
                 ProxyFixture fixture = new ProxyFixture(channels);
                 TestPeer client = fixture.client()) {
             fixture.announce(2, true, ProxyFixture.endpoint("a", host.port()));
-            while (!fixture.proxy
-                    .loop()
-                    .submit(() -> fixture.proxy.listener().wasRecentlyReady())
-                    .get()) {
-                Thread.sleep(10);
-            }
+            awaitReady(fixture);
             for (int i = 0; i < 10; i++) {
                 client.write(ProxyFixture.post("claim", 20_000, "", body));
                 TestPeer.Message answer = client.read();
@@ -204,6 +209,7 @@
             channels.heal();
             assertThat(fixture.watchRequests.poll(10, TimeUnit.SECONDS)).isNotNull();
             fixture.announce(2, true, ProxyFixture.endpoint("a", host.port()));
+            awaitReady(fixture);
             assertThat(fixture.call(claim()).status()).isEqualTo(200);
         }
     }
--- a/src/test/java/rillyard/proxy/logging/ProxyLogTest.java
+++ b/src/test/java/rillyard/proxy/logging/ProxyLogTest.java
@@ -32,6 +32,17 @@
                 .contains("IllegalStateException: cause");
     }
 
+    @Test
+    void controlCharactersOfHostsDoNotReachLog() {
+        ByteArrayOutputStream written = new ByteArrayOutputStream();
+        ProxyLog log = new ProxyLog(new PrintStream(written, true, StandardCharsets.UTF_8));
+        log.info(() -> "upstream: cause=\0\033[2J\u0085\rb\nc");
+        log.error("test: \0", new IllegalStateException("\0\007d"));
+        assertThat(written.toString(StandardCharsets.UTF_8).chars())
+                .allMatch(character -> !Character.isISOControl(character) || character == '\n' || character == '\t');
+        assertThat(written.toString(StandardCharsets.UTF_8)).startsWith("rillyard: upstream: cause=  [2J  b c\n");
+    }
+
     @Test
     void linesOfManyThreadsAreAllCounted() throws Exception {
         ByteArrayOutputStream written = new ByteArrayOutputStream();
--- a/src/test/java/rillyard/proxy/upstream/ConnectFailureClassifierTest.java
+++ b/src/test/java/rillyard/proxy/upstream/ConnectFailureClassifierTest.java
@@ -32,6 +32,13 @@
                 .isTrue();
     }
 
+    @Test
+    void resetConnectIsTheHostsAtOnce() {
+        Throwable annotated = new SocketException("Connection reset by peer: /127.0.0.1:80"); // as Netty wraps it
+        annotated.initCause(new SocketException("Connection reset by peer"));
+        assertThat(classifier.isOfHost(host, annotated)).isTrue();
+    }
+
     @Test
     void lackOfPortsOrBuffersIsLocalWhoeverIsReached() {
         for (int i = 0; i < 3; i++) {
