--- a/src/main/java/rillyard/proxy/ClientProxy.java
+++ b/src/main/java/rillyard/proxy/ClientProxy.java
@@ -73,7 +73,7 @@
     }
 
     /** Creates a proxy whose channels come from {@code channels}; nothing is started. */
-    ClientProxy(
+    public ClientProxy(
             ProxyConfig config,
             ProxyLog log,
             EndpointListGuard guard,
--- a/src/main/java/rillyard/proxy/lifecycle/Warmup.java
+++ b/src/main/java/rillyard/proxy/lifecycle/Warmup.java
@@ -6,6 +6,7 @@
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
+import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelInitializer;
@@ -37,6 +38,7 @@
 import rillyard.balancer.Settings;
 import rillyard.proxy.ClientProxy;
 import rillyard.proxy.config.ProxyConfig;
+import rillyard.proxy.eventloop.SocketChannelFactory;
 import rillyard.proxy.http.ProtocolHeaders;
 import rillyard.proxy.logging.ProxyLog;
 
@@ -56,17 +58,29 @@
     private static final int REQUEST_COUNT = 200;
 
     private static final int CLIENT_COUNT = 8;
+
+    /** Milliseconds before a client connects again after a connect that failed. */
+    private static final long RECONNECT_DELAY_MILLIS = 5;
+
     private static final int HOST_COUNT = 8;
     private static final byte[] BODY = new byte[600];
     private static final int REQUEST_TIMEOUT_MILLIS = 10_000;
 
     private final ProxyConfig config;
+    private final SocketChannelFactory channels;
     private final CountDownLatch unanswered = new CountDownLatch(REQUEST_COUNT);
     private long sentRequests;
+    private long unansweredSends;
 
     /** Creates a warm-up for a proxy with this configuration. */
     public Warmup(ProxyConfig config) {
+        this(config, new SocketChannelFactory());
+    }
+
+    /** Creates a warm-up whose second proxy has its channels from {@code channels}. */
+    Warmup(ProxyConfig config, SocketChannelFactory channels) {
         this.config = config;
+        this.channels = channels;
     }
 
     /**
@@ -83,7 +97,7 @@
         try {
             InetSocketAddress hosts = startHosts(group);
             ProxyLog silentLog = new ProxyLog(new PrintStream(OutputStream.nullOutputStream()));
-            ClientProxy proxy = new ClientProxy(configFor(hosts), silentLog);
+            ClientProxy proxy = new ClientProxy(configFor(hosts), silentLog, null, null, channels);
             try {
                 proxy.start();
                 startClients(group, proxy.address());
@@ -124,7 +138,25 @@
                     }
                 });
         for (int i = 0; i < CLIENT_COUNT; i++) {
-            clients.connect(proxyAddress);
+            connect(clients, proxyAddress);
+        }
+    }
+
+    /** Connects a client, and another one after it: a connection that fails must not leave requests unsent. */
+    private void connect(Bootstrap clients, InetSocketAddress proxyAddress) {
+        clients.connect(proxyAddress).addListener((ChannelFuture connected) -> {
+            if (connected.isSuccess()) {
+                connected.channel().closeFuture().addListener(closed -> reconnect(clients, proxyAddress));
+            } else {
+                reconnect(clients, proxyAddress);
+            }
+        });
+    }
+
+    private void reconnect(Bootstrap clients, InetSocketAddress proxyAddress) {
+        EventLoopGroup group = clients.config().group();
+        if (unanswered.getCount() > 0 && !group.isShuttingDown()) {
+            group.schedule(() -> connect(clients, proxyAddress), RECONNECT_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -168,10 +200,17 @@
             }
             ReferenceCountUtil.release(msg);
         }
+
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+            ctx.close();
+        }
     }
 
-    /** Sends the next request once the last one is answered. */
+    /** Sends the next request once the last one is answered; one that is not is left to the other clients. */
     private final class Client extends ChannelInboundHandlerAdapter {
+        private boolean isAwaitingAnswer;
+
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             sendNext(ctx);
@@ -180,14 +219,29 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object msg) {
             if (msg instanceof LastHttpContent) {
+                isAwaitingAnswer = false;
                 unanswered.countDown();
                 sendNext(ctx);
             }
             ReferenceCountUtil.release(msg);
         }
 
+        @Override
+        public void channelInactive(ChannelHandlerContext ctx) {
+            if (isAwaitingAnswer) {
+                isAwaitingAnswer = false;
+                unansweredSends++;
+            }
+        }
+
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+            ctx.close();
+        }
+
         private void sendNext(ChannelHandlerContext ctx) {
-            if (sentRequests < REQUEST_COUNT) {
+            if (sentRequests - unansweredSends < REQUEST_COUNT) {
+                isAwaitingAnswer = true;
                 List<Settings.RequestClass> classes = config.settings().classes();
                 Settings.RequestClass requestClass = classes.get((int) (sentRequests % classes.size()));
                 sentRequests++;
--- a/src/test/java/rillyard/proxy/lifecycle/WarmupTest.java
+++ b/src/test/java/rillyard/proxy/lifecycle/WarmupTest.java
@@ -9,6 +9,7 @@
 import org.junit.jupiter.api.Test;
 import rillyard.proxy.ProxyFixture;
 import rillyard.proxy.config.ProxyConfig;
+import rillyard.proxy.eventloop.FaultInjectingChannels;
 
 class WarmupTest {
     private static final long MAX_WARM_UP_MILLIS = 30_000;
@@ -29,6 +30,20 @@
         }
     }
 
+    /** Requests that are not sent are code that is not compiled when the first clients come. */
+    @Test
+    void warmUpIsCompleteThoughConnectionOfClientFails() throws Exception {
+        Path file = ProxyFixture.writeConfig(1, config -> {}, ProxyFixture.endpoint("a", 1));
+        ProxyConfig config = ProxyConfig.load(Map.of("BALANCER_CONFIG", file.toString()));
+        Files.delete(file);
+        int usual = new Warmup(config).run(MAX_WARM_UP_MILLIS);
+        FaultInjectingChannels channels = new FaultInjectingChannels();
+        channels.throwOnNextEndOfStreamCheck(); // the proxy answers 502 and closes the connection
+        long from = System.nanoTime();
+        assertThat(new Warmup(config, channels).run(MAX_WARM_UP_MILLIS)).isEqualTo(usual);
+        assertThat(System.nanoTime() - from).isLessThan(MAX_WARM_UP_MILLIS * 1_000_000 / 2);
+    }
+
     @Test
     void configurationWithoutClassesSkipsWarmUp() throws Exception {
         Path file = ProxyFixture.writeConfig(
