--- a/src/main/java/rillyard/balancer/HostSet.java
+++ b/src/main/java/rillyard/balancer/HostSet.java
@@ -1,35 +1,45 @@
 package rillyard.balancer;
 
-import java.util.Comparator;
+import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
-import java.util.NavigableSet;
 import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.TreeSet;
+import java.util.function.Supplier;
 
 /**
  * The hosts that the endpoint list names, and those it no longer names while attempts are in flight there.
  *
- * <p>A delta costs time in the number of its entries, whatever the number of hosts. Not thread-safe.
+ * <p>The ready ones are kept in ring order as entries come, so that nothing is rebuilt for the request after a change. A
+ * delta costs time in the number of its entries, whatever the number of hosts, but for the shift of an array. Not
+ * thread-safe.
  */
 final class HostSet {
-    private static final Comparator<HostState> RING_ORDER =
-            Comparator.comparingLong(HostState::ringPosition).thenComparingLong(HostState::id);
-
     private final double objectiveMillis;
+    private final String zone;
     private final Map<Long, HostState> byId = new HashMap<>();
-    private final NavigableSet<HostState> ring = new TreeSet<>(RING_ORDER);
+    private final HostRing ready;
+    private final HostRing readyLocal;
+    private final HostRing readyRemote;
     private final Set<HostState> unlisted = new HashSet<>();
-    private List<HostState> ready = List.of();
-    private boolean isReadyCurrent = true;
+    private final Set<HostState> ejected = new HashSet<>();
+    private long readyVersion;
     private int generation;
 
     HostSet(Settings settings) {
+        this(settings, ArrayList::new);
+    }
+
+    /** Creates a set whose rings lie in lists that {@code emptyLists} makes. */
+    HostSet(Settings settings, Supplier<List<HostState>> emptyLists) {
         this.objectiveMillis = settings.meanLatencyObjectiveMillis();
+        this.zone = settings.zone();
+        this.ready = new HostRing(emptyLists.get());
+        this.readyLocal = new HostRing(emptyLists.get());
+        this.readyRemote = new HostRing(emptyLists.get());
     }
 
     private HostState newHost(long id) {
@@ -51,13 +61,44 @@
                 .count();
     }
 
-    /** Returns the hosts that may get requests, in ring order: an immutable list, another one after each change. */
+    /** Returns the hosts that may get requests, in ring order, as a view. */
     List<HostState> ready() {
-        if (!isReadyCurrent) {
-            ready = List.copyOf(ring);
-            isReadyCurrent = true;
+        return ready.hosts();
+    }
+
+    /** Returns those of the {@link #ready} hosts that are in the proxy's zone, all if it has none. */
+    HostRing readyLocal() {
+        return readyLocal;
+    }
+
+    /** Returns those of the {@link #ready} hosts that are in other zones. */
+    HostRing readyRemote() {
+        return readyRemote;
+    }
+
+    /** Returns a number, from 0, that grows with each change of the {@link #ready} hosts or of the zone of one. */
+    long readyVersion() {
+        return readyVersion;
+    }
+
+    /** Records that the host has been ejected, or is so no more. */
+    void onEjectionChanged(HostState host) {
+        if (host.health().isEjected()) {
+            ejected.add(host);
+        } else {
+            ejected.remove(host);
+        }
+    }
+
+    /** Returns how many {@link #ready} hosts other than {@code except} are ejected. */
+    int ejectedHostCount(HostState except) {
+        int count = 0;
+        for (HostState host : ejected) {
+            if (host != except && host.isReady()) {
+                count++;
+            }
         }
-        return ready;
+        return count;
     }
 
     /** Applies a watch event; {@code entries} is ignored, and may be null, for {@link WatchEvent#FAILED}. */
@@ -80,7 +121,7 @@
         boolean isRestarted = entry.onlineSince() != host.onlineSince();
         boolean isReady = entry.condition() == EndpointEntry.Condition.READY;
         host.update(entry, entry.condition() != EndpointEntry.Condition.GONE, isReady, generation);
-        updateRing(host);
+        updateRings(host);
         if (host.isListed()) {
             unlisted.remove(host);
         } else {
@@ -88,15 +129,19 @@
         }
         if (isRestarted) { // its new process has neither the faults nor the queue of the former one
             host.health().reset();
+            onEjectionChanged(host);
             host.load().reset();
             host.slowStart().reset(nowMillis, random.nextDouble());
         }
     }
 
-    private void updateRing(HostState host) {
-        boolean isChanged = host.isReady() ? ring.add(host) : ring.remove(host);
+    private void updateRings(HostState host) {
+        boolean isLocal = zone == null || zone.equals(host.zone());
+        boolean isChanged = ready.setMember(host, host.isReady());
+        isChanged |= readyLocal.setMember(host, host.isReady() && isLocal);
+        isChanged |= readyRemote.setMember(host, host.isReady() && !isLocal);
         if (isChanged) {
-            isReadyCurrent = false;
+            readyVersion++;
         }
     }
 
@@ -105,7 +150,7 @@
         for (HostState host : byId.values()) {
             if (host.listGeneration() != generation) {
                 host.removeFromList();
-                updateRing(host);
+                updateRings(host);
                 unlisted.add(host);
             }
         }
@@ -118,6 +163,7 @@
             if (host.inFlight() == 0) {
                 hosts.remove();
                 byId.remove(host.id());
+                ejected.remove(host);
             }
         }
     }
--- a/src/main/java/rillyard/balancer/OutlierDetector.java
+++ b/src/main/java/rillyard/balancer/OutlierDetector.java
@@ -129,6 +129,7 @@
     private void readmit(HostState host) {
         if (host.health().isEjected()) {
             host.health().readmit();
+            hosts.onEjectionChanged(host);
             actions.log("outlier: host readmitted, host=" + host.id());
         }
     }
@@ -140,15 +141,14 @@
             health.moveProbe(Math.min(health.ejectedUntil(), probeAtMillis));
         } else if (mayEject(host)) {
             health.eject(Math.max(health.ejectedUntil(), probeAtMillis));
+            hosts.onEjectionChanged(host);
         }
     }
 
     /** Whether few enough other hosts are ejected; a fault of many must not overload the rest. */
     private boolean mayEject(HostState host) {
-        long ejected = hosts.ready().stream()
-                .filter(other -> other.health().isEjected() && other != host)
-                .count();
-        return ejected < Tuning.MAX_EJECTED_FRACTION * hosts.ready().size();
+        return hosts.ejectedHostCount(host)
+                < Tuning.MAX_EJECTED_FRACTION * hosts.ready().size();
     }
 
     private void eject(HostState host, double nowMillis) {
@@ -166,5 +166,6 @@
                     + " backoff_ms=" + Math.round(ejectedUntil - nowMillis));
         }
         health.eject(ejectedUntil);
+        hosts.onEjectionChanged(host);
     }
 }
--- a/src/main/java/rillyard/balancer/SubsetSelector.java
+++ b/src/main/java/rillyard/balancer/SubsetSelector.java
@@ -1,11 +1,12 @@
 package rillyard.balancer;
 
 import java.util.List;
-import java.util.function.Predicate;
 import java.util.stream.DoubleStream;
-import java.util.stream.IntStream;
 
-/** Selects the part of the hosts among which this proxy chooses: a window on the ring of hosts that starts at its place. */
+/**
+ * Selects the part of the hosts among which this proxy chooses: a window on the ring of hosts that starts at its place. A
+ * cut looks at the hosts of the window only, however many others there are.
+ */
 final class SubsetSelector {
     /** The least slowness taken of a host: the few first answers may make one look faster than any is. */
     private static final double MIN_SLOWNESS = 0.05;
@@ -13,13 +14,15 @@
     /** The subset is cut anew once it is this many times larger than wanted: each cut costs connections. */
     private static final int MAX_OVERSIZE = 2;
 
+    private static final long NEVER_CUT = -1; // less than any version of the ready hosts
+
     private final Settings settings;
     private final HostSet hosts;
     private final LoadEstimator load;
     private HostSubset subset;
     private int size;
     private SubsetPosition position;
-    private List<HostState> source; // the list the subset was cut from; null if it has to be cut anew
+    private long cutVersion = NEVER_CUT; // of the ready hosts from which the subset was cut
 
     SubsetSelector(Settings settings, HostSet hosts, LoadEstimator load) {
         this.settings = settings;
@@ -32,7 +35,7 @@
     /** Moves the subset to another position with the next selection. */
     void moveTo(SubsetPosition newPosition) {
         position = newPosition;
-        source = null;
+        cutVersion = NEVER_CUT;
     }
 
     /** Returns the subset, cut anew if the hosts have changed or its size does not fit {@code peakInFlight}. */
@@ -42,14 +45,11 @@
         double most = Math.max(Math.max(Tuning.MIN_CANDIDATES, shared), peakInFlight);
         double wanted = Tuning.BASE_SUBSET_SIZE + Tuning.SUBSET_HOSTS_PER_IN_FLIGHT * peakInFlight;
         int wantedSize = (int) (position.weight() * Math.min(wanted, most));
-        if (source != hosts.ready() || wantedSize > size || wantedSize < size / MAX_OVERSIZE) {
+        if (cutVersion != hosts.readyVersion() || wantedSize > size || wantedSize < size / MAX_OVERSIZE) {
             size = wantedSize;
-            source = hosts.ready();
-            Predicate<HostState> isLocal =
-                    host -> settings.zone() == null || settings.zone().equals(host.zone());
-            List<HostState> local = window(source.stream().filter(isLocal).toList());
-            List<HostState> remote =
-                    window(source.stream().filter(isLocal.negate()).toList());
+            cutVersion = hosts.readyVersion();
+            List<HostState> local = window(hosts.readyLocal());
+            List<HostState> remote = window(hosts.readyRemote());
             int candidates = candidatesFor(local.isEmpty() ? remote : local, nowMillis);
             subset = new HostSubset(local, remote, candidates, position.preferWarmingUp());
         }
@@ -57,14 +57,9 @@
     }
 
     /** The windows of all proxies start evenly spaced, so that each host is in as many of them. */
-    private List<HostState> window(List<HostState> ring) {
-        if (ring.size() <= size) {
-            return ring;
-        }
+    private List<HostState> window(HostRing ring) {
         int start = (int) ((double) position.position() * ring.size() / position.proxyCount());
-        return IntStream.range(start, start + size)
-                .mapToObj(index -> ring.get(index % ring.size()))
-                .toList();
+        return ring.window(start, size);
     }
 
     /** Returns the least permitted number of candidates with which slow hosts get no more than their part. */
--- a/src/test/java/rillyard/balancer/HostSetTest.java
+++ b/src/test/java/rillyard/balancer/HostSetTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTimeoutPreemptively;
 
 import java.time.Duration;
+import java.util.AbstractList;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashSet;
@@ -63,11 +64,11 @@
         Set<Long> expected = new HashSet<>();
         for (int event = 0; event < 5_000; event++) {
             boolean isFull = random.nextInt(20) == 0;
-            List<HostState> before = hosts.ready();
+            long versionBefore = hosts.readyVersion();
             Set<Long> expectedBefore = Set.copyOf(expected);
             List<EndpointEntry> entries = new ArrayList<>();
             for (long id : distinctIds(random, isFull ? 30 : 2)) {
-                entries.add(entry(id, CONDITIONS.get(random.nextInt(CONDITIONS.size()))));
+                entries.add(BalancerFixture.host(id, CONDITIONS.get(random.nextInt(CONDITIONS.size())), 0));
             }
             if (isFull) {
                 expected.clear();
@@ -86,12 +87,110 @@
                             .sorted(Comparator.comparingLong(SplitMix64::ringPosition)
                                     .thenComparingLong(id -> id))
                             .toList());
+            assertThat(hosts.readyLocal().hosts()).isEqualTo(readyOfZone(hosts, true));
+            assertThat(hosts.readyRemote().hosts()).isEqualTo(readyOfZone(hosts, false));
             if (!expected.equals(expectedBefore)) {
-                assertThat(hosts.ready()).isNotSameAs(before);
+                assertThat(hosts.readyVersion()).isGreaterThan(versionBefore);
             }
         }
     }
 
+    private static List<HostState> readyOfZone(HostSet hosts, boolean isLocal) {
+        return hosts.ready().stream()
+                .filter(host -> host.zone().equals("a") == isLocal)
+                .toList();
+    }
+
+    /** A hundred hosts drain one after the other, and each change is followed by a request. */
+    @Test
+    void requestAfterDeltaVisitsAsManyHostsHoweverManyThereAre() {
+        long visitsOfSmallFleet = visitsOfRequestsAfterDeltas(200);
+        assertThat(visitsOfSmallFleet).isPositive();
+        assertThat(visitsOfRequestsAfterDeltas(3_200)).isEqualTo(visitsOfSmallFleet);
+        assertThat(visitsOfRequestsAfterDeltas(20_000)).isEqualTo(visitsOfSmallFleet);
+    }
+
+    private long visitsOfRequestsAfterDeltas(int hostCount) {
+        Settings settings =
+                BalancerFixture.settings(BalancerFixture.requestClass(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
+        List<CountingList> rings = new ArrayList<>();
+        HostSet hosts = new HostSet(settings, () -> newRing(rings));
+        SubsetSelector subsets = new SubsetSelector(settings, hosts, new LoadEstimator(settings));
+        SplittableRandom random = new SplittableRandom(1);
+        hosts.apply(fixture.now, WatchEvent.FULL, BalancerFixture.hosts(hostCount), random);
+        long visits = 0;
+        for (int id = 0; id < 100; id++) {
+            hosts.apply(fixture.now, WatchEvent.DELTA, List.of(entry(id, Condition.TERMINATING)), random);
+            rings.forEach(ring -> ring.visits = 0);
+            subsets.select(10, fixture.now);
+            visits += visits(rings);
+        }
+        return visits;
+    }
+
+    @Test
+    void ejectionVisitsNoHostButCountsTheEjectedOnes() {
+        Settings settings =
+                BalancerFixture.settings(BalancerFixture.requestClass(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
+        List<CountingList> rings = new ArrayList<>();
+        HostSet hosts = new HostSet(settings, () -> newRing(rings));
+        SplittableRandom random = new SplittableRandom(1);
+        OutlierDetector outliers = new OutlierDetector(hosts, settings.meanLatencyObjectiveMillis(), random, fixture);
+        hosts.apply(fixture.now, WatchEvent.FULL, BalancerFixture.hosts(100), random);
+        rings.forEach(ring -> ring.visits = 0);
+        for (long id = 0; id < 40; id++) {
+            for (int failure = 0; failure < Tuning.EJECTION_FAILURES; failure++) {
+                outliers.onFailure(hosts.get(id), fixture.now, true);
+            }
+        }
+        assertThat(visits(rings)).isZero();
+        assertThat(hosts.avoidedHostCount()).isEqualTo(30); // of a hundred: no more may be ejected
+        assertThat(hosts.ejectedHostCount(hosts.get(5))).isEqualTo(29);
+        outliers.onSuccess(hosts.get(0), fixture.now);
+        hosts.apply(fixture.now, WatchEvent.DELTA, List.of(entry(1, Condition.TERMINATING)), random);
+        hosts.apply(fixture.now, WatchEvent.DELTA, List.of(entry(2, Condition.GONE)), random);
+        EndpointEntry restarted = BalancerFixture.host(3, Condition.READY, fixture.now);
+        hosts.apply(fixture.now, WatchEvent.DELTA, List.of(restarted), random);
+        assertThat(hosts.ejectedHostCount(null)).isEqualTo(26);
+    }
+
+    private static CountingList newRing(List<CountingList> rings) {
+        CountingList ring = new CountingList();
+        rings.add(ring);
+        return ring;
+    }
+
+    private static long visits(List<CountingList> rings) {
+        return rings.stream().mapToLong(ring -> ring.visits).sum();
+    }
+
+    /** A list that counts how often a host in it is looked at. */
+    private static final class CountingList extends AbstractList<HostState> {
+        private final List<HostState> hosts = new ArrayList<>();
+        private long visits;
+
+        @Override
+        public HostState get(int index) {
+            visits++;
+            return hosts.get(index);
+        }
+
+        @Override
+        public int size() {
+            return hosts.size();
+        }
+
+        @Override
+        public void add(int index, HostState host) {
+            hosts.add(index, host);
+        }
+
+        @Override
+        public HostState remove(int index) {
+            return hosts.remove(index);
+        }
+    }
+
     private static Set<Long> distinctIds(SplittableRandom random, int count) {
         Set<Long> ids = new HashSet<>();
         while (ids.size() < count) {
