--- a/src/main/java/rillyard/balancer/DecayingPeak.java
+++ b/src/main/java/rillyard/balancer/DecayingPeak.java
@@ -15,6 +15,12 @@
         peak.set(nowMillis, valueAt(nowMillis));
     }
 
+    /** Sets the number; the peak of the time until now decays from now on, however long ago it was reached. */
+    void set(double nowMillis, int newNumber) {
+        peak.set(nowMillis, valueAt(nowMillis));
+        current = newNumber;
+    }
+
     /** Returns the recent peak, at least the current number. */
     double valueAt(double nowMillis) {
         return Math.max(current, peak.valueAt(nowMillis));
--- a/src/main/java/rillyard/balancer/HostSelector.java
+++ b/src/main/java/rillyard/balancer/HostSelector.java
@@ -30,7 +30,7 @@
         this.admission = admission;
         this.random = random;
         this.subsets = new SubsetSelector(settings, hosts, load);
-        this.slowStart = new SlowStart(settings.rules(), admission, load);
+        this.slowStart = new SlowStart(settings.rules(), hosts, admission, load);
         HostEligibility eligibility = new HostEligibility(retryPolicy, outliers, slowStart, load);
         this.candidateDraw = new CandidateDraw(eligibility, admission, random);
         this.lastResort = new LastResort(hosts, eligibility, random);
--- a/src/main/java/rillyard/balancer/HostSet.java
+++ b/src/main/java/rillyard/balancer/HostSet.java
@@ -26,6 +26,9 @@
     private final HostRing readyRemote;
     private final Set<HostState> unlisted = new HashSet<>();
     private final Set<HostState> ejected = new HashSet<>();
+    private final DecayingPeak readyPeak;
+    private int readyReference; // the number of ready hosts since many left last, or the greatest since then
+    private double manyLeftAtMillis = Double.NEGATIVE_INFINITY;
     private long readyVersion;
     private int generation;
 
@@ -37,6 +40,9 @@
     HostSet(Settings settings, Supplier<List<HostState>> emptyLists) {
         this.objectiveMillis = settings.meanLatencyObjectiveMillis();
         this.zone = settings.zone();
+        this.readyPeak = new DecayingPeak(Math.max(
+                Tuning.PEAK_DECAY_MILLIS,
+                Tuning.READY_PEAK_DECAY_WARM_UPS * settings.rules().warmUpMillis()));
         this.ready = new HostRing(emptyLists.get());
         this.readyLocal = new HostRing(emptyLists.get());
         this.readyRemote = new HostRing(emptyLists.get());
@@ -81,6 +87,16 @@
         return readyVersion;
     }
 
+    /** Returns the recent peak of the number of {@link #ready} hosts, at least their number now. */
+    double recentReadyCount(double nowMillis) {
+        return readyPeak.valueAt(nowMillis);
+    }
+
+    /** Returns when so many hosts had left last that what one of them was served is not known from the others (ms). */
+    double manyLeftAtMillis() {
+        return manyLeftAtMillis;
+    }
+
     /** Records that the host has been ejected, or is so no more. */
     void onEjectionChanged(HostState host) {
         if (host.health().isEjected()) {
@@ -114,6 +130,17 @@
             removeUnnamed();
         }
         forgetUnlisted();
+        updateReadyPeak(nowMillis);
+    }
+
+    private void updateReadyPeak(double nowMillis) {
+        int readyCount = ready.size();
+        readyPeak.set(nowMillis, readyCount);
+        if (readyCount < Tuning.MIN_READY_FRACTION * readyReference) {
+            manyLeftAtMillis = nowMillis;
+            readyReference = readyCount;
+        }
+        readyReference = Math.max(readyReference, readyCount);
     }
 
     private void apply(double nowMillis, EndpointEntry entry, SplittableRandom random) {
--- a/src/main/java/rillyard/balancer/Tuning.java
+++ b/src/main/java/rillyard/balancer/Tuning.java
@@ -71,6 +71,18 @@
     /** Fraction of the overload multiple that all proxies together may use on a host that warms up. */
     static final double SLOW_START_SHARE = 0.5;
 
+    /**
+     * Fraction of the recent number of hosts down to which the hosts that left are taken for a release in steps. The reserve of
+     * {@link #SLOW_START_SHARE} bears these; with more gone, what one host was served is no longer known from those left.
+     */
+    static final double MIN_READY_FRACTION = 0.75;
+
+    /**
+     * Decay of the peak of ready hosts, in warm-up times: a host that starts as the others leave is granted no more than the
+     * rule allows until it is warm, as {@code SLOW_START_SHARE / MIN_READY_FRACTION * exp(1 / 4)} is below 1.
+     */
+    static final double READY_PEAK_DECAY_WARM_UPS = 4;
+
     /** The least fraction taken to be served: else a fleet that fails while it warms up would not be tried again. */
     static final double MIN_SERVED_FRACTION = 0.05;
 
