--- a/src/main/java/rillyard/balancer/EndpointEntry.java
+++ b/src/main/java/rillyard/balancer/EndpointEntry.java
@@ -6,10 +6,11 @@
  * @param zone the host's zone, may be null
  * @param machineKind its kind of machine; hosts of one kind are expected to be about equally fast
  * @param cell its cell, a group of hosts that share the memory of idempotency keys
- * @param onlineSince when its process started (ms), 0 for long ago
+ * @param startedAtMillis when its process started, or was enabled again by an operator (ms of the balancer's clock), 0 for
+ *     long ago
  */
 public record EndpointEntry(
-        long id, String zone, String machineKind, long cell, Condition condition, double onlineSince) {
+        long id, String zone, String machineKind, long cell, Condition condition, double startedAtMillis) {
     /** The condition of a host by the endpoint list. */
     public enum Condition {
         /** It accepts requests. */
--- a/src/main/java/rillyard/balancer/HostHealth.java
+++ b/src/main/java/rillyard/balancer/HostHealth.java
@@ -11,7 +11,7 @@
     private int consecutiveFailures;
     private double lastAnswerAtMillis = Double.NEGATIVE_INFINITY;
     private boolean ejected;
-    private double ejectedUntil;
+    private double halfOpenAtMillis;
     private int ejections;
     private double lastEjectionAtMillis = Double.NEGATIVE_INFINITY;
 
@@ -27,7 +27,7 @@
         penalty.set(0, 0);
         consecutiveFailures = 0;
         ejected = false;
-        ejectedUntil = 0;
+        halfOpenAtMillis = 0;
     }
 
     /** Returns the statistic of requests that failures add to the host's count. */
@@ -69,14 +69,14 @@
         lastAnswerAtMillis = nowMillis;
     }
 
-    /** Whether the host is ejected; it is half-open, and gets one request at a time, past {@link #ejectedUntil}. */
+    /** Whether the host is ejected; it is half-open, and gets one request at a time, from {@link #halfOpenAtMillis} on. */
     boolean isEjected() {
         return ejected;
     }
 
-    /** Returns until when (ms) the host gets no request at all. */
-    double ejectedUntil() {
-        return ejectedUntil;
+    /** Returns when an ejected host becomes half-open (ms): until then it gets no request at all. */
+    double halfOpenAtMillis() {
+        return halfOpenAtMillis;
     }
 
     /** Returns the number of ejections since the backoff last started anew. */
@@ -88,14 +88,15 @@
         return lastEjectionAtMillis;
     }
 
-    void eject(double until) {
+    /** Ejects the host, or prolongs its ejection. */
+    void eject(double untilMillis) {
         ejected = true;
-        ejectedUntil = until;
+        halfOpenAtMillis = untilMillis;
     }
 
-    /** Moves the time of the first probe without a change of the ejection itself. */
-    void moveProbe(double until) {
-        ejectedUntil = until;
+    /** Moves the time from which an ejected host is half-open, without a change of the ejection itself. */
+    void setHalfOpenAt(double atMillis) {
+        halfOpenAtMillis = atMillis;
     }
 
     void readmit() {
--- a/src/main/java/rillyard/balancer/HostSet.java
+++ b/src/main/java/rillyard/balancer/HostSet.java
@@ -145,7 +145,7 @@
 
     private void apply(double nowMillis, EndpointEntry entry, SplittableRandom random) {
         HostState host = byId.computeIfAbsent(entry.id(), this::newHost);
-        boolean isRestarted = entry.onlineSince() != host.onlineSince();
+        boolean isRestarted = entry.startedAtMillis() != host.startedAtMillis();
         boolean isReady = entry.condition() == EndpointEntry.Condition.READY;
         host.update(entry, entry.condition() != EndpointEntry.Condition.GONE, isReady, generation);
         updateRings(host);
--- a/src/main/java/rillyard/balancer/HostState.java
+++ b/src/main/java/rillyard/balancer/HostState.java
@@ -53,8 +53,8 @@
     }
 
     /** Returns when the host's process started (ms), 0 if long ago. */
-    double onlineSince() {
-        return entry == null ? 0 : entry.onlineSince();
+    double startedAtMillis() {
+        return entry == null ? 0 : entry.startedAtMillis();
     }
 
     /** Whether the endpoint list names the host, in whatever condition. */
--- a/src/main/java/rillyard/balancer/OutlierDetector.java
+++ b/src/main/java/rillyard/balancer/OutlierDetector.java
@@ -27,7 +27,7 @@
     /** Whether the host may get a request; one that is half-open gets one at a time. */
     boolean isAvailable(HostState host, double nowMillis, double overdueAfterMillis) {
         HostHealth health = host.health();
-        if (nowMillis < health.ejectedUntil()) {
+        if (nowMillis < health.halfOpenAtMillis()) {
             return false;
         }
         if (health.isEjected()) {
@@ -112,7 +112,7 @@
         }
         health.recordFailure();
         addPenalty(host, nowMillis);
-        if (nowMillis >= health.ejectedUntil()
+        if (nowMillis >= health.halfOpenAtMillis()
                 && (health.isEjected() || health.consecutiveFailures() >= Tuning.EJECTION_FAILURES)
                 && mayEject(host)) {
             eject(host, nowMillis);
@@ -138,9 +138,9 @@
     void onFleetEjection(HostState host, boolean ejected, double probeAtMillis) {
         HostHealth health = host.health();
         if (!ejected) {
-            health.moveProbe(Math.min(health.ejectedUntil(), probeAtMillis));
+            health.setHalfOpenAt(Math.min(health.halfOpenAtMillis(), probeAtMillis));
         } else if (mayEject(host)) {
-            health.eject(Math.max(health.ejectedUntil(), probeAtMillis));
+            health.eject(Math.max(health.halfOpenAtMillis(), probeAtMillis));
             hosts.onEjectionChanged(host);
         }
     }
@@ -160,12 +160,12 @@
         double length = objectiveMillis * Math.min(Tuning.MAX_EJECTION_OBJECTIVES, backoff);
         health.countEjection(nowMillis);
         double jitter = MIN_EJECTION_JITTER + EJECTION_JITTER_SPAN * random.nextDouble();
-        double ejectedUntil = nowMillis + length * jitter;
+        double halfOpenAtMillis = nowMillis + length * jitter;
         if (!health.isEjected()) {
             actions.log("outlier: host ejected, host=" + host.id() + " failures=" + health.consecutiveFailures()
-                    + " backoff_ms=" + Math.round(ejectedUntil - nowMillis));
+                    + " backoff_ms=" + Math.round(halfOpenAtMillis - nowMillis));
         }
-        health.eject(ejectedUntil);
+        health.eject(halfOpenAtMillis);
         hosts.onEjectionChanged(host);
     }
 }
--- a/src/main/java/rillyard/balancer/RequestClassStats.java
+++ b/src/main/java/rillyard/balancer/RequestClassStats.java
@@ -13,7 +13,7 @@
 
     private final Settings.RequestClass settings;
     private final MeanAndDeviation latency;
-    private double firstAttemptMillis;
+    private double firstAttemptTimeoutMillis; // the time that clients give their first attempts, as lately seen
 
     RequestClassStats(Settings.RequestClass settings) {
         this.settings = settings;
@@ -40,9 +40,10 @@
      */
     double remainingObjectiveMillis(double remainingMillis) {
         double timeMillis = Math.min(remainingMillis, settings.deadlineMillis());
-        double decayed = firstAttemptMillis + Tuning.DEADLINE_SAMPLE_WEIGHT * (timeMillis - firstAttemptMillis);
-        firstAttemptMillis = Math.max(timeMillis, decayed);
-        if (timeMillis >= Tuning.RETRY_DEADLINE_FRACTION * firstAttemptMillis) {
+        double decayed =
+                firstAttemptTimeoutMillis + Tuning.DEADLINE_SAMPLE_WEIGHT * (timeMillis - firstAttemptTimeoutMillis);
+        firstAttemptTimeoutMillis = Math.max(timeMillis, decayed);
+        if (timeMillis >= Tuning.RETRY_DEADLINE_FRACTION * firstAttemptTimeoutMillis) {
             return settings.latencyObjectiveMillis();
         }
         double spentBeforeMillis = settings.deadlineMillis() - timeMillis;
--- a/src/main/java/rillyard/balancer/SlowStart.java
+++ b/src/main/java/rillyard/balancer/SlowStart.java
@@ -21,8 +21,8 @@
 
     /** Returns the least part of its full capacity that the host has by now, 1 once it is warm. */
     private double capacity(HostState host, double nowMillis) {
-        double age = nowMillis - host.onlineSince();
-        if (host.onlineSince() <= 0 || age >= rules.warmUpMillis()) {
+        double age = nowMillis - host.startedAtMillis();
+        if (host.startedAtMillis() <= 0 || age >= rules.warmUpMillis()) {
             return 1;
         }
         return rules.initialCapacity() + (1 - rules.initialCapacity()) * Math.max(0, age) / rules.warmUpMillis();
--- a/src/main/java/rillyard/endpoints/DisabledHosts.java
+++ b/src/main/java/rillyard/endpoints/DisabledHosts.java
@@ -109,8 +109,8 @@
         boolean isReady = announced.condition() == EndpointEntry.Condition.READY;
         EndpointEntry.Condition condition =
                 isReady && disabled.contains(name) ? EndpointEntry.Condition.TERMINATING : announced.condition();
-        double onlineSince = Math.max(announced.onlineSince(), enabledAt.getOrDefault(name, 0.0));
-        return condition == announced.condition() && onlineSince == announced.onlineSince()
+        double startedAtMillis = Math.max(announced.startedAtMillis(), enabledAt.getOrDefault(name, 0.0));
+        return condition == announced.condition() && startedAtMillis == announced.startedAtMillis()
                 ? announced
                 : new EndpointEntry(
                         announced.id(),
@@ -118,6 +118,6 @@
                         announced.machineKind(),
                         announced.cell(),
                         condition,
-                        onlineSince);
+                        startedAtMillis);
     }
 }
--- a/src/main/java/rillyard/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointListParser.java
@@ -7,7 +7,7 @@
 import rillyard.balancer.EndpointEntry;
 import rillyard.proxy.config.ProxyConfig;
 
-/** Parses endpoint lists in discovery's JSON form, without {@link EndpointEntry#onlineSince}; changes nothing. */
+/** Parses endpoint lists in discovery's JSON form, without {@link EndpointEntry#startedAtMillis}; changes nothing. */
 final class EndpointListParser {
     private final EndpointRegistry registry;
 
--- a/src/main/java/rillyard/proxy/discovery/EndpointRegistry.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointRegistry.java
@@ -135,22 +135,22 @@
         Map<String, Double> startedAt = hostStartClock.onList(isCached, startedUnixMillis, now);
         List<ListedEndpoint> hosts = new ArrayList<>(list.hosts().size());
         for (ListedEndpoint listed : list.hosts()) {
-            hosts.add(withOnlineSince(listed, startedAt.get(listed.name())));
+            hosts.add(withStartTime(listed, startedAt.get(listed.name())));
         }
         if (!list.full()) {
             startedAt.forEach((name, since) -> {
                 if (!startedUnixMillis.containsKey(name) && findListed(name) != null) {
-                    hosts.add(withOnlineSince(lastAnnounced(name), since));
+                    hosts.add(withStartTime(lastAnnounced(name), since));
                 }
             });
         }
         return new EndpointList(list.version(), list.full(), hosts);
     }
 
-    private static ListedEndpoint withOnlineSince(ListedEndpoint listed, double onlineSince) {
+    private static ListedEndpoint withStartTime(ListedEndpoint listed, double startedAtMillis) {
         EndpointEntry entry = listed.entry();
         EndpointEntry started = new EndpointEntry(
-                entry.id(), entry.zone(), entry.machineKind(), entry.cell(), entry.condition(), onlineSince);
+                entry.id(), entry.zone(), entry.machineKind(), entry.cell(), entry.condition(), startedAtMillis);
         return new ListedEndpoint(listed.name(), listed.address(), started, listed.startedUnixMillis());
     }
 
@@ -220,7 +220,7 @@
                 entry.machineKind(),
                 entry.cell(),
                 EndpointEntry.Condition.GONE,
-                entry.onlineSince());
+                entry.startedAtMillis());
         return new ListedEndpoint(name, host.address(), removed, 0);
     }
 
--- a/src/main/java/rillyard/proxy/dispatch/OutcomeRecorder.java
+++ b/src/main/java/rillyard/proxy/dispatch/OutcomeRecorder.java
@@ -35,7 +35,7 @@
             peerGossip.onAttemptEnded(host.name(), outcome, clock.now());
         }
         if (trace != null) {
-            double hostAge = clock.now() - elapsedMillis - host.entry().onlineSince();
+            double hostAge = clock.now() - elapsedMillis - host.entry().startedAtMillis();
             trace.recordAttempt(
                     host.name(), outcome.traceWord(), elapsedMillis, hostAge >= 0 && hostAge < warmUpMillis);
         }
--- a/src/test/java/rillyard/balancer/RandomWorld.java
+++ b/src/test/java/rillyard/balancer/RandomWorld.java
@@ -67,7 +67,7 @@
                 violations.add("rule 2: repeated where it may have run");
             }
         }
-        if (entry != null && entry.onlineSince() > 0 && now - entry.onlineSince() < 8_000) {
+        if (entry != null && entry.startedAtMillis() > 0 && now - entry.startedAtMillis() < 8_000) {
             slowStartSends.computeIfAbsent(host, key -> new ArrayList<>()).add(now);
         }
         int number = request.attempts.size();
@@ -184,7 +184,7 @@
                     case 1 -> Condition.GONE;
                     default -> Condition.READY;
                 };
-        double since = random.nextInt(3) == 0 ? now : previous == null ? 0 : previous.onlineSince();
+        double since = random.nextInt(3) == 0 ? now : previous == null ? 0 : previous.startedAtMillis();
         EndpointEntry entry = BalancerFixture.host(id, condition, since);
         endpoints.put(id, entry);
         if (random.nextInt(4) > 0) {
@@ -198,7 +198,7 @@
                 continue;
             }
             if (random.nextInt(10) == 0) {
-                endpoints.put(hostId, BalancerFixture.host(hostId, Condition.GONE, endpointEntry.onlineSince()));
+                endpoints.put(hostId, BalancerFixture.host(hostId, Condition.GONE, endpointEntry.startedAtMillis()));
             } else {
                 entries.add(endpointEntry);
             }
--- a/src/test/java/rillyard/balancer/RulesTest.java
+++ b/src/test/java/rillyard/balancer/RulesTest.java
@@ -38,7 +38,7 @@
             return;
         }
         for (Map.Entry<Long, List<Double>> entry : world.slowStartSends.entrySet()) {
-            double since = world.endpoints.get(entry.getKey()).onlineSince();
+            double since = world.endpoints.get(entry.getKey()).startedAtMillis();
             List<Double> sends = entry.getValue();
             for (int i = 0; i < sends.size(); i++) {
                 int count = 0;
--- a/src/test/java/rillyard/endpoints/DisabledHostsTest.java
+++ b/src/test/java/rillyard/endpoints/DisabledHostsTest.java
@@ -45,8 +45,8 @@
     void enabledHostCountsAsJustStarted() {
         disabledHosts.disable("a");
         disabledHosts.enable("a", 5_000);
-        assertThat(effective(Condition.READY, 0).onlineSince()).isEqualTo(5_000);
-        assertThat(effective(Condition.READY, 6_000).onlineSince()).isEqualTo(6_000);
+        assertThat(effective(Condition.READY, 0).startedAtMillis()).isEqualTo(5_000);
+        assertThat(effective(Condition.READY, 6_000).startedAtMillis()).isEqualTo(6_000);
         assertThat(effective(Condition.TERMINATING, 0).condition()).isEqualTo(Condition.TERMINATING);
     }
 
--- a/src/test/java/rillyard/proxy/discovery/EndpointRegistryTest.java
+++ b/src/test/java/rillyard/proxy/discovery/EndpointRegistryTest.java
@@ -53,7 +53,7 @@
 
         assertThat(entries)
                 .singleElement()
-                .extracting(EndpointEntry::onlineSince)
+                .extracting(EndpointEntry::startedAtMillis)
                 .isEqualTo(NOW + 9_050);
     }
 
@@ -66,9 +66,9 @@
         List<EndpointEntry> entries = receive(wrong, NOW + 2_050, false, server("b", NOW + 2_000));
 
         assertThat(entries).extracting(EndpointEntry::id).containsExactly(wrong.idOf("b"), wrong.idOf("a"));
-        assertThat(entries.get(1).onlineSince()).isBetween(NOW - 1_000, NOW);
-        assertThat(wrong.findListed("a").entry().onlineSince())
-                .isEqualTo(entries.get(1).onlineSince());
+        assertThat(entries.get(1).startedAtMillis()).isBetween(NOW - 1_000, NOW);
+        assertThat(wrong.findListed("a").entry().startedAtMillis())
+                .isEqualTo(entries.get(1).startedAtMillis());
     }
 
     private static String server(String name, double startedAt) {
