--- a/src/main/java/rillyard/admin/AdminServer.java
+++ b/src/main/java/rillyard/admin/AdminServer.java
@@ -15,6 +15,7 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
 
 /**
  * The HTTP server of the admin endpoint; it serves one request a connection.
@@ -35,11 +36,13 @@
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("operator", true), NioIoHandler.newFactory());
     private final ArrayDeque<Channel> connections = new ArrayDeque<>();
     private final AdminOperations operations;
+    private final Consumer<String> log;
     private Channel listener;
 
-    /** Creates a server that does not listen yet. */
-    public AdminServer(AdminOperations operations) {
+    /** Creates a server that does not listen yet; {@code log} gets its log lines. */
+    public AdminServer(AdminOperations operations, Consumer<String> log) {
         this.operations = operations;
+        this.log = log;
     }
 
     /**
@@ -54,7 +57,7 @@
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
-                .handler(new AcceptBackoff())
+                .handler(new AcceptBackoff("admin", log))
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
--- a/src/main/java/rillyard/membership/net/FleetMember.java
+++ b/src/main/java/rillyard/membership/net/FleetMember.java
@@ -187,7 +187,9 @@
         }
         if (config.admin() != null) {
             try {
-                new MemberAdminServer(() -> MembershipView.toJson(membership, startedUnix, now(), usage))
+                new MemberAdminServer(
+                                () -> MembershipView.toJson(membership, startedUnix, now(), usage),
+                                line -> log.println("rillyard: " + line))
                         .listen(group, config.admin());
             } catch (IOException e) {
                 close();
--- a/src/main/java/rillyard/membership/net/MemberAdminServer.java
+++ b/src/main/java/rillyard/membership/net/MemberAdminServer.java
@@ -13,6 +13,7 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
 import java.util.function.Supplier;
 import rillyard.admin.AcceptBackoff;
 
@@ -29,11 +30,13 @@
     private static final long CONNECTION_TIMEOUT_MS = 2_500;
 
     private final Supplier<String> view;
+    private final Consumer<String> log;
     private int connections;
 
-    /** Creates a server; {@code view} is called on the event loop. */
-    MemberAdminServer(Supplier<String> view) {
+    /** Creates a server; {@code view} is called on the event loop, and {@code log} gets the log lines there. */
+    MemberAdminServer(Supplier<String> view, Consumer<String> log) {
         this.view = view;
+        this.log = log;
     }
 
     /**
@@ -48,7 +51,7 @@
             return new ServerBootstrap()
                     .group(loop)
                     .channel(NioServerSocketChannel.class)
-                    .handler(new AcceptBackoff())
+                    .handler(new AcceptBackoff("fleet", log))
                     .childHandler(new ChannelInitializer<SocketChannel>() {
                         @Override
                         protected void initChannel(SocketChannel channel) {
--- a/src/main/java/rillyard/proxy/admin/ProxyAdmin.java
+++ b/src/main/java/rillyard/proxy/admin/ProxyAdmin.java
@@ -30,7 +30,7 @@
     /** Period at which the directory is read, well within the grace time of a drain. */
     private static final long MAINTENANCE_PERIOD_MS = 150;
 
-    private final AdminServer server = new AdminServer(this);
+    private final AdminServer server;
     private final EventLoop loop;
     private final ClientListener clientListener;
     private final BalancerDriver driver;
@@ -54,6 +54,7 @@
         this.clientListener = clientListener;
         this.driver = driver;
         this.log = log;
+        this.server = new AdminServer(this, log::info);
         this.disabledHostStore = new DisabledHostStore(directory);
         this.restartLock = new HotRestartLock(directory);
     }
--- a/src/test/java/rillyard/admin/AcceptBackoffTest.java
+++ b/src/test/java/rillyard/admin/AcceptBackoffTest.java
@@ -8,9 +8,11 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.Executor;
+import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -45,7 +47,8 @@
 
     @Test
     void callAfterFailedAcceptIsAnsweredAtOnce() throws Exception {
-        try (AdminServer server = new AdminServer(new ReadyProxy())) {
+        BlockingQueue<String> log = new LinkedBlockingQueue<>();
+        try (AdminServer server = new AdminServer(new ReadyProxy(), log::add)) {
             InetSocketAddress address = server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             call(address); // loads the classes
             for (int i = 0; i < 3; i++) {
@@ -54,6 +57,8 @@
                 call(address);
                 assertThat(System.nanoTime() - calledAt).isLessThan(LIMIT_NANOS);
             }
+            assertThat(log)
+                    .containsExactly("admin: accept failed, count=1 cause=java.io.IOException: Too many open files");
         }
     }
 
--- a/src/test/java/rillyard/membership/net/MemberAdminServerTest.java
+++ b/src/test/java/rillyard/membership/net/MemberAdminServerTest.java
@@ -20,6 +20,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -62,8 +64,9 @@
     @Test
     void callAfterFailedAcceptIsAnsweredAtOnce() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+        BlockingQueue<String> log = new LinkedBlockingQueue<>();
         try {
-            Channel listener = new MemberAdminServer(() -> "view")
+            Channel listener = new MemberAdminServer(() -> "view", log::add)
                     .listen(group, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             InetSocketAddress address = (InetSocketAddress) listener.localAddress();
             for (int i = 0; i < 4; i++) { // the first loads the classes
@@ -74,6 +77,8 @@
                 assertThat(i == 0 ? 0 : System.nanoTime() - calledAt).isLessThan(TimeUnit.MILLISECONDS.toNanos(500));
                 listener.pipeline().fireExceptionCaught(new IOException("Too many open files"));
             }
+            assertThat(log)
+                    .containsExactly("fleet: accept failed, count=1 cause=java.io.IOException: Too many open files");
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
         }
