--- a/src/main/java/rillyard/proxy/dispatch/RequestExchange.java
+++ b/src/main/java/rillyard/proxy/dispatch/RequestExchange.java
@@ -128,6 +128,9 @@
     /** Starts an attempt; {@code attemptTimeoutMillis} and {@code notAfter} as of {@link UpstreamAttempt#start}. */
     void send(UpstreamHost host, double attemptTimeoutMillis, double notAfter) {
         UpstreamAttempt attempt = new UpstreamAttempt(this, driver, host, attempts.size(), driver.now());
+        if (attempts.stream().anyMatch(UpstreamAttempt::hasLostKeptConnection)) {
+            attempt.requireNewConnection(); // all that are kept may be gone
+        }
         attempts.add(attempt);
         openAttempts++;
         if (response.isDecided()
--- a/src/main/java/rillyard/proxy/upstream/UpstreamCall.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamCall.java
@@ -18,6 +18,8 @@
     private final UpstreamHost host;
     private Channel connectingChannel;
     private UpstreamConnection connection;
+    private boolean lostKeptConnection;
+    private boolean needsNewConnection;
 
     /** Creates a call to the host; it counts as open there until {@link UpstreamPool#release}. */
     protected UpstreamCall(UpstreamHost host) {
@@ -83,6 +85,24 @@
         return connection != null && connection.isRequestWritten();
     }
 
+    /** Returns whether a kept connection ended before any byte of the response: the host may have forgotten it. */
+    public final boolean hasLostKeptConnection() {
+        return lostKeptConnection;
+    }
+
+    void onKeptConnectionLost() {
+        lostKeptConnection = true;
+    }
+
+    /** Has the call open a connection of its own; to be called before {@link UpstreamPool#start}. */
+    public final void requireNewConnection() {
+        needsNewConnection = true;
+    }
+
+    boolean needsNewConnection() {
+        return needsNewConnection;
+    }
+
     void onConnecting(Channel channel) {
         connectingChannel = channel;
     }
--- a/src/main/java/rillyard/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamConnection.java
@@ -257,7 +257,8 @@
         if (failed == null) {
             return;
         }
-        if (!decoder.hasBegun()) {
+        if (!decoder.hasBegun() && reusedAfterNanos != NOT_REUSED) {
+            failed.onKeptConnectionLost();
             reportReuse(true);
         }
         try {
--- a/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
@@ -83,7 +83,8 @@
         UpstreamHost host = call.host();
         UpstreamConnection connection;
         long now = System.nanoTime();
-        while ((connection = selectIdle(host.idleConnections(), UpstreamConnection::idleSinceNanos, now)) != null) {
+        while (!call.needsNewConnection()
+                && (connection = selectIdle(host.idleConnections(), UpstreamConnection::idleSinceNanos, now)) != null) {
             removeIdle(host, connection);
             if (connection.isAlive()
                     && connection.isReusable()
