--- a/src/main/java/rillyard/balancer/Balancer.java
+++ b/src/main/java/rillyard/balancer/Balancer.java
@@ -87,7 +87,7 @@
         admission.onRequest(nowMillis, requestClass.settings());
         double quotaWeight = quotas.onRequest(nowMillis, incoming.tenant());
         RequestState request = new RequestState(incoming.id(), requestClass, nowMillis, remainingMillis, quotaWeight);
-        retryBudget.onRequest();
+        retryBudget.onRequest(nowMillis);
         requests.add(request);
         if (admission.sheds(nowMillis, request)) {
             admission.onEnded(false);
--- a/src/main/java/rillyard/balancer/Tuning.java
+++ b/src/main/java/rillyard/balancer/Tuning.java
@@ -84,6 +84,9 @@
 
     static final double MAX_RETRY_TOKENS = 10; // the most that can be saved up
 
+    /** Time without a request after which the next one may be retried: so few requests feed no overload. */
+    static final double RETRY_QUIET_MILLIS = 30_000;
+
     /** An attempt is overdue this many mean deviations past the mean latency of its class. */
     static final double OVERDUE_DEVIATIONS = 5;
 
