--- /dev/null
+++ b/src/test/java/rillyard/proxy/discovery/ReconnectBackoffTest.java
@@ -0,0 +1,25 @@
+package rillyard.proxy.discovery;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import org.junit.jupiter.api.Test;
+
+class ReconnectBackoffTest {
+    private static final long HOUR_MILLIS = 3_600_000;
+    private static final long MAX_DELAY_MILLIS = 375;
+    private static final long MAX_FIRST_DELAY_MILLIS = 75;
+
+    @Test
+    void delayStaysBoundedThroughAnHourOfFailuresAndStartsOver() {
+        ReconnectBackoff backoff = new ReconnectBackoff();
+        int delays = 0;
+        for (long now = 0; now < HOUR_MILLIS; delays++) {
+            long delayMillis = backoff.nextDelayMillis();
+            assertThat(delayMillis).isBetween(1L, MAX_DELAY_MILLIS);
+            now += delayMillis;
+        }
+        assertThat(delays).isLessThan((int) (HOUR_MILLIS / 200)); // and does not fall below its mean of 0.25 s
+        backoff.reset();
+        assertThat(backoff.nextDelayMillis()).isLessThanOrEqualTo(MAX_FIRST_DELAY_MILLIS);
+    }
+}
