--- a/src/main/java/rillyard/balancer/OutcomeLearner.java
+++ b/src/main/java/rillyard/balancer/OutcomeLearner.java
@@ -53,6 +53,9 @@
     }
 
     private void onTimeout(AttemptState attempt, double nowMillis) {
+        if (hadTooLittleTime(attempt)) {
+            return;
+        }
         outliers.onAttemptEnded(attempt.host(), attempt.requestClass(), nowMillis, true);
         if (!OutlierDetector.isOvertaken(attempt)) {
             outliers.onFailure(attempt.host(), nowMillis, false);
@@ -60,6 +63,12 @@
         }
     }
 
+    /** Whether the client gave the host less time than an answer usually takes, which tells nothing of the host. */
+    private static boolean hadTooLittleTime(AttemptState attempt) {
+        double givenMillis = attempt.request().deadlineMillis() - attempt.sentAtMillis();
+        return givenMillis < attempt.requestClass().leastTellingTimeoutMillis();
+    }
+
     private void onReset(AttemptState attempt, double nowMillis) {
         outliers.onAttemptEnded(attempt.host(), attempt.requestClass(), nowMillis, true);
         outliers.onFailure(attempt.host(), nowMillis, false);
--- a/src/main/java/rillyard/balancer/RequestClassStats.java
+++ b/src/main/java/rillyard/balancer/RequestClassStats.java
@@ -60,6 +60,14 @@
         return meanLatencyMillis() + Tuning.OVERDUE_DEVIATIONS * latency.deviation();
     }
 
+    /**
+     * Returns the least time given to a host from which a timeout tells of the host: the mean latency, while that is short. A
+     * mean beyond the latency assumed at first may be that of an overload, of which timeouts have to tell.
+     */
+    double leastTellingTimeoutMillis() {
+        return Math.min(meanLatencyMillis(), INITIAL_LATENCY_FRACTION * settings.latencyObjectiveMillis());
+    }
+
     /** Whether an attempt that may have been executed may be repeated at all. */
     boolean isRepeatable() {
         return settings.semantics() != Settings.Semantics.AT_MOST_ONCE;
