--- a/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
+++ b/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
@@ -4,7 +4,6 @@
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import java.util.List;
-import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import rillyard.admin.ProxyMetrics;
 import rillyard.balancer.AttemptResult;
@@ -21,6 +20,7 @@
 import rillyard.proxy.config.ProxyConfig;
 import rillyard.proxy.discovery.EndpointListListener;
 import rillyard.proxy.discovery.EndpointRegistry;
+import rillyard.proxy.eventloop.GuardedTimer;
 import rillyard.proxy.logging.ProxyLog;
 import rillyard.proxy.resources.BodyMemoryBudget;
 import rillyard.proxy.resources.BufferedBody;
@@ -99,9 +99,9 @@
         return (long) clock.toUnixMillis(clock.now());
     }
 
-    /** Runs something on the loop after a delay; a negative one counts as 0. */
-    public Future<?> schedule(double delayMillis, Runnable action) {
-        return loop.schedule(action, Math.max(0, (long) (delayMillis * NANOS_PER_MILLI)), TimeUnit.NANOSECONDS);
+    /** Runs something on the loop after a delay, a negative one counts as 0; the handler gets what it throws. */
+    Future<?> schedule(double delayMillis, Runnable action, Consumer<Throwable> failureHandler) {
+        return GuardedTimer.schedule(loop, (long) (delayMillis * NANOS_PER_MILLI), action, failureHandler);
     }
 
     ProxyLog log() {
@@ -318,7 +318,7 @@
         if (exchange != null) {
             exchange.schedule(delay, event);
         } else if (token < 0) {
-            schedule(delay, event);
+            schedule(delay, event, cause -> log.error("balancer: timer failed", cause));
         }
     }
 
--- a/src/main/java/rillyard/proxy/dispatch/BalancerEvents.java
+++ b/src/main/java/rillyard/proxy/dispatch/BalancerEvents.java
@@ -10,6 +10,8 @@
 final class BalancerEvents {
     private record Event(RequestExchange exchange, Runnable delivery) {}
 
+    private static final String EVENT_FAILED = "balancer: event failed";
+
     private final ProxyLog log;
     private final ArrayDeque<Event> queue = new ArrayDeque<>();
     private boolean delivering;
@@ -41,18 +43,11 @@
         try {
             event.delivery().run();
         } catch (RuntimeException | Error e) {
-            log.error("balancer: event failed", e);
             if (event.exchange() != null) {
-                fail(event.exchange());
+                event.exchange().onFailure(EVENT_FAILED, e);
+            } else {
+                log.error(EVENT_FAILED, e);
             }
         }
     }
-
-    private void fail(RequestExchange exchange) {
-        try {
-            exchange.onHandlerFailed();
-        } catch (RuntimeException | Error e) {
-            log.error("balancer: request without a response", e);
-        }
-    }
 }
--- a/src/main/java/rillyard/proxy/dispatch/ExchangeTimers.java
+++ b/src/main/java/rillyard/proxy/dispatch/ExchangeTimers.java
@@ -3,25 +3,32 @@
 import io.netty.util.concurrent.Future;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.function.Consumer;
 
-/** Timers of one request; while its body is still being received, new ones start with the last byte. */
+/**
+ * Timers of one request and of its attempts. While the body of the request is still being received, those of the request
+ * itself start with the last byte.
+ */
 final class ExchangeTimers {
     private record DeferredTimer(double delayMillis, Runnable action) {}
 
     private final BalancerDriver driver;
     private final ClientRequest request;
+    private final Consumer<Throwable> failureHandler;
     private final List<Future<?>> timers = new ArrayList<>(2);
     private List<DeferredTimer> deferred;
 
-    ExchangeTimers(BalancerDriver driver, ClientRequest request) {
+    /** Creates an object without timers; {@code failureHandler} gets what their actions throw. */
+    ExchangeTimers(BalancerDriver driver, ClientRequest request, Consumer<Throwable> failureHandler) {
         this.driver = driver;
         this.request = request;
+        this.failureHandler = failureHandler;
     }
 
     /** Runs {@code action} after the delay unless the timers are cancelled by then. */
     void schedule(double delayMillis, Runnable action) {
         if (!request.isUploadIncomplete()) {
-            timers.add(driver.schedule(delayMillis, action));
+            timers.add(startNow(delayMillis, action));
             return;
         }
         if (deferred == null) {
@@ -30,6 +37,11 @@
         deferred.add(new DeferredTimer(delayMillis, action));
     }
 
+    /** Runs {@code action} after the delay from now, whatever of the body is missing; the caller cancels it. */
+    Future<?> startNow(double delayMillis, Runnable action) {
+        return driver.schedule(delayMillis, action, failureHandler);
+    }
+
     /** Starts what was deferred, as the request is complete. */
     void startDeferred() {
         List<DeferredTimer> starting = deferred;
--- a/src/main/java/rillyard/proxy/dispatch/RequestExchange.java
+++ b/src/main/java/rillyard/proxy/dispatch/RequestExchange.java
@@ -4,6 +4,7 @@
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.handler.codec.http.HttpResponse;
+import io.netty.util.concurrent.Future;
 import java.util.ArrayList;
 import java.util.List;
 import rillyard.balancer.AttemptOutcome;
@@ -49,7 +50,7 @@
         this.driver = driver;
         this.client = client;
         this.response = new FinalResponse(driver.outcomeRecorder(), client, request.requestClass());
-        this.timers = new ExchangeTimers(driver, request);
+        this.timers = new ExchangeTimers(driver, request, this::onTimerFailed);
         if (request.isUpload()) {
             deadlineAt = Double.POSITIVE_INFINITY;
         } else {
@@ -80,6 +81,15 @@
         timers.schedule(delayMillis, action);
     }
 
+    /** Runs something for an attempt after a delay from now; the attempt cancels it. */
+    Future<?> scheduleForAttempt(double delayMillis, Runnable action) {
+        return timers.startNow(delayMillis, action);
+    }
+
+    private void onTimerFailed(Throwable cause) {
+        onFailure("request: timer failed", cause);
+    }
+
     // --- a body that is forwarded as it comes
 
     /** Returns whether the body is forwarded as it comes, or was. */
@@ -225,6 +235,16 @@
         }
     }
 
+    /** Logs what was thrown as {@code event}, and ends the request and its attempts. */
+    void onFailure(String event, Throwable cause) {
+        driver.log().error(event, cause);
+        try {
+            onHandlerFailed();
+        } catch (RuntimeException | Error e) {
+            driver.log().error("request: ended without a response", e);
+        }
+    }
+
     private void cancelOpenAttempts() {
         for (int i = 0; i < attempts.size(); i++) {
             attempts.get(i).cancel(); // without an effect on those that have ended
--- a/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
+++ b/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
@@ -84,10 +84,10 @@
     void start(double timeoutMillis, double notAfter) {
         this.notAfter = notAfter;
         if (notAfter < Double.POSITIVE_INFINITY) {
-            writeDeadline = driver.schedule(notAfter - driver.now(), this::onWriteDeadline);
+            writeDeadline = exchange.scheduleForAttempt(notAfter - driver.now(), this::onWriteDeadline);
         }
         if (timeoutMillis > 0) {
-            timeout = driver.schedule(timeoutMillis, this::onTimeout);
+            timeout = exchange.scheduleForAttempt(timeoutMillis, this::onTimeout);
         }
         driver.upstreams().start(this);
     }
@@ -287,15 +287,20 @@
         }
         state = State.STREAMING;
         stopWaiting();
+        try {
+            forwardBuffered();
+        } finally {
+            releaseBody();
+            exchange.onAttemptEnded(this, AttemptOutcome.OK, elapsedMillis(), loadReport);
+        }
+    }
+
+    private void forwardBuffered() {
         if (body != null) {
-            BufferedBody start = body;
-            body = null;
-            for (ByteBuf block : start.retainedBlocks()) {
+            for (ByteBuf block : body.retainedBlocks()) {
                 forward(block);
             }
-            start.release();
         }
-        exchange.onAttemptEnded(this, AttemptOutcome.OK, elapsedMillis(), loadReport);
     }
 
     private void forward(ByteBuf content) {
@@ -321,18 +326,14 @@
             return;
         }
         state = State.ENDED;
-        stopWaiting();
-        if (body != null) {
-            body.release();
-            body = null;
-        }
-        if (outcome == AttemptOutcome.TIMEOUT
-                || outcome == AttemptOutcome.RESET
-                || outcome == AttemptOutcome.CONNECT_FAILED) {
-            driver.log().info(() -> describe(outcome));
+        try {
+            stopWaiting();
+            releaseBody();
+            logFailure(outcome);
+            driver.upstreams().release(this);
+        } finally {
+            exchange.onAttemptEnded(this, outcome, elapsedMillis(), loadReport); // the request ends after its attempts
         }
-        driver.upstreams().release(this);
-        exchange.onAttemptEnded(this, outcome, elapsedMillis(), loadReport);
     }
 
     private void stopWaiting() {
@@ -345,6 +346,21 @@
         driver.bodyMemory().cancelWait(memoryWaiter);
     }
 
+    private void releaseBody() {
+        if (body != null) {
+            body.release();
+            body = null;
+        }
+    }
+
+    private void logFailure(AttemptOutcome outcome) {
+        if (outcome == AttemptOutcome.TIMEOUT
+                || outcome == AttemptOutcome.RESET
+                || outcome == AttemptOutcome.CONNECT_FAILED) {
+            driver.log().info(() -> describe(outcome));
+        }
+    }
+
     private double elapsedMillis() {
         return driver.now() - sentAt;
     }
--- a/src/main/java/rillyard/proxy/downstream/RequestBodyReceiver.java
+++ b/src/main/java/rillyard/proxy/downstream/RequestBodyReceiver.java
@@ -7,6 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import rillyard.proxy.dispatch.BalancerDriver;
 import rillyard.proxy.dispatch.StreamingUpload;
+import rillyard.proxy.eventloop.GuardedTimer;
 import rillyard.proxy.eventloop.PeekableSocketChannel;
 import rillyard.proxy.resources.BodyMemoryBudget;
 import rillyard.proxy.resources.BufferedBody;
@@ -179,7 +180,11 @@
         }
         memory.awaitCapacity(memoryWaiter);
         long waitMillis = (long) Math.min(MAX_MEMORY_WAIT_MILLIS, timeoutMillis / 2);
-        memoryTimeout = channel.eventLoop().schedule(reader::rejectForMemory, waitMillis, TimeUnit.MILLISECONDS);
+        memoryTimeout = GuardedTimer.schedule(
+                channel.eventLoop(),
+                TimeUnit.MILLISECONDS.toNanos(waitMillis),
+                reader::rejectForMemory,
+                channel.pipeline()::fireExceptionCaught);
     }
 
     private void resume() {
--- a/src/main/java/rillyard/proxy/eventloop/package-info.java
+++ b/src/main/java/rillyard/proxy/eventloop/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Netty extensions of the event loop: sockets that can be read ahead of it, and detection of stalls in its turns.
+ * Netty extensions of the event loop: sockets that can be read ahead of it, detection of stalls in its turns, and timers
+ * whose failures are reported.
  */
 package rillyard.proxy.eventloop;
--- a/src/main/java/rillyard/proxy/upstream/ResponseStallCheck.java
+++ b/src/main/java/rillyard/proxy/upstream/ResponseStallCheck.java
@@ -1,7 +1,7 @@
 package rillyard.proxy.upstream;
 
 import io.netty.channel.Channel;
-import java.util.concurrent.TimeUnit;
+import rillyard.proxy.eventloop.GuardedTimer;
 
 /**
  * Notices that a response has stopped half way on an open connection, as its client can know long before the deadline.
@@ -33,7 +33,7 @@
     private void schedule(long delayNanos) {
         isScheduled = true;
         long dueAt = System.nanoTime() + delayNanos;
-        channel.eventLoop().schedule(() -> check(dueAt), delayNanos, TimeUnit.NANOSECONDS);
+        GuardedTimer.schedule(channel.eventLoop(), delayNanos, () -> check(dueAt), connection::onHandlerFailed);
     }
 
     private void check(long dueAt) {
--- a/src/main/java/rillyard/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamConnection.java
@@ -251,23 +251,22 @@
     /** Closes the connection and reports its end to the call, if it carries one. */
     private void fail() {
         UpstreamCall failed = call;
-        call = null;
-        state = State.CLOSED;
-        channel.close();
-        if (failed == null) {
-            return;
-        }
-        if (!decoder.hasBegun()) {
-            reportReuse(true);
-        }
         try {
-            reportEnd(failed);
+            call = null;
+            state = State.CLOSED;
+            channel.close();
+            if (failed != null) {
+                reportEnd(failed);
+            }
         } catch (RuntimeException | Error e) {
             onHandlerFailed(failed, e);
         }
     }
 
     private void reportEnd(UpstreamCall failed) {
+        if (!decoder.hasBegun()) {
+            reportReuse(true);
+        }
         if (requestWritten) {
             failed.onConnectionLost();
         } else {
@@ -275,8 +274,13 @@
         }
     }
 
+    /** A handler or timer has thrown: ends the present call, if there is one, and closes the connection. */
+    void onHandlerFailed(Throwable cause) {
+        onHandlerFailed(call, cause);
+    }
+
     /** A handler has thrown: ends the call that was at hand, null if there was none, and closes the connection. */
-    private void onHandlerFailed(UpstreamCall affected, Throwable cause) {
+    void onHandlerFailed(UpstreamCall affected, Throwable cause) {
         pool.onHandlerFailed(host, cause);
         call = null;
         state = State.CLOSED;
@@ -354,7 +358,7 @@
             pool.onMalformedResponse(host, cause);
             fail();
         } else {
-            onHandlerFailed(call, cause);
+            onHandlerFailed(cause);
         }
     }
 
--- a/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
@@ -1,6 +1,7 @@
 package rillyard.proxy.upstream;
 
 import io.netty.bootstrap.Bootstrap;
+import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
@@ -140,23 +141,34 @@
         call.onConnecting(channel);
         host.onConnecting(call);
         future.addListener(connected -> {
-            traceConnect(future, host);
-            if (!host.onConnectEnded(call)) {
-                channel.close(); // the call was given up meanwhile
-            } else if (!future.isSuccess()) {
-                connectFailures.report(call, future.cause());
-            } else if (!call.mayBegin()) {
-                connectFailures.onReached(host);
-                channel.close();
-                call.onNotNeeded();
-            } else {
-                connectFailures.onReached(host);
-                channel.pipeline().addLast(decoder, new HttpRequestEncoder(), connection);
-                connection.run(call);
+            try {
+                onConnectEnded(future, call, connection, decoder);
+            } catch (RuntimeException | Error e) {
+                connection.onHandlerFailed(call, e);
             }
         });
     }
 
+    private void onConnectEnded(
+            ChannelFuture future, UpstreamCall call, UpstreamConnection connection, UpstreamResponseDecoder decoder) {
+        UpstreamHost host = call.host();
+        Channel channel = future.channel();
+        traceConnect(future, host);
+        if (!host.onConnectEnded(call)) {
+            channel.close(); // the call was given up meanwhile
+        } else if (!future.isSuccess()) {
+            connectFailures.report(call, future.cause());
+        } else if (!call.mayBegin()) {
+            connectFailures.onReached(host);
+            channel.close();
+            call.onNotNeeded();
+        } else {
+            connectFailures.onReached(host);
+            channel.pipeline().addLast(decoder, new HttpRequestEncoder(), connection);
+            connection.run(call);
+        }
+    }
+
     private void traceConnect(ChannelFuture future, UpstreamHost host) {
         if (log.trace() == null) {
             return;
--- a/src/test/java/rillyard/proxy/HandlerFailureTest.java
+++ b/src/test/java/rillyard/proxy/HandlerFailureTest.java
@@ -67,6 +67,11 @@
         assertThat(fixture.log()).contains(FaultInjectingChannels.INJECTED);
     }
 
+    private static void assertNoOpenRequest(ProxyFixture fixture) throws Exception {
+        assertThat(fixture.proxy.loop().submit(fixture.proxy::openRequests).get())
+                .isZero();
+    }
+
     private static void assertServesNext(ProxyFixture fixture) throws Exception {
         assertThat(fixture.call(claim()).status()).isEqualTo(200);
         // On the loop, where it comes after the turn that wrote the response's last byte and ended the request.
@@ -174,13 +179,26 @@
 
     @Test
     void throwWithinForwardedResponseEndsBothConnections() throws Exception {
+        assertThrowWithinResponseEndsBothConnections(
+                "Content-Length: " + LONG_BODY_BYTES + "\r\n\r\n" + "x".repeat(LONG_BODY_BYTES / 2));
+    }
+
+    @Test
+    void throwAsBufferedStartIsForwardedEndsBothConnections() throws Exception {
+        assertThrowWithinResponseEndsBothConnections("Transfer-Encoding: chunked\r\n\r\n"
+                + Integer.toHexString(LONG_BODY_BYTES) + "\r\n" + "x".repeat(LONG_BODY_BYTES / 2));
+    }
+
+    private void assertThrowWithinResponseEndsBothConnections(String response) throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
         try (ScriptedServer host = new ScriptedServer(peer -> {
-                    peer.read();
-                    peer.write("HTTP/1.1 200 OK\r\nContent-Length: " + LONG_BODY_BYTES + "\r\n\r\n");
-                    peer.write("x".repeat(LONG_BODY_BYTES / 2));
-                    peer.awaitEnd();
-                    ended.countDown();
+                    try {
+                        peer.read();
+                        peer.write("HTTP/1.1 200 OK\r\n" + response);
+                        peer.awaitEnd();
+                    } finally {
+                        ended.countDown(); // the connection may end while the response is still being written
+                    }
                 });
                 ProxyFixture fixture = fixture(host);
                 TestPeer client = fixture.client()) {
@@ -190,6 +208,7 @@
             client.awaitEnd();
             assertThat(ended.await(2, TimeUnit.SECONDS)).isTrue();
             assertLogged(fixture);
+            assertNoOpenRequest(fixture);
         }
     }
 
@@ -216,6 +235,32 @@
         }
     }
 
+    @Test
+    void throwInStallCheckIsAnswered() throws Exception {
+        try (ScriptedServer host = new ScriptedServer(peer -> {
+                    peer.read();
+                    peer.write("HTTP/1.1 200 OK\r\nContent-Le");
+                    peer.awaitEnd();
+                });
+                ProxyFixture fixture = fixture(host)) {
+            channels.throwOnNextCloseTo(host.port());
+            assertFailsAtOnce(fixture);
+        }
+    }
+
+    @Test
+    void throwAtDeadlineIsAnswered() throws Exception {
+        try (ScriptedServer host = silentHost(new CountDownLatch(1), new CountDownLatch(1));
+                ProxyFixture fixture = fixture(host)) {
+            channels.throwOnNextCloseTo(host.port());
+            assertThat(fixture.call(ProxyFixture.post("claim", 300, "", "visit=1"))
+                            .status())
+                    .isEqualTo(504);
+            assertNoOpenRequest(fixture); // on the loop, where it comes after the turn that threw and logged it
+            assertLogged(fixture);
+        }
+    }
+
     /** The next request is handled where the response of the first is written, in the handler of its host's connection. */
     @Test
     void throwInPipelinedRequestIsAnsweredBehindResponseBeforeIt() throws Exception {
--- a/src/test/java/rillyard/proxy/dispatch/BalancerFailureTest.java
+++ b/src/test/java/rillyard/proxy/dispatch/BalancerFailureTest.java
@@ -36,10 +36,11 @@
 import rillyard.proxy.resources.DescriptorBudget;
 import rillyard.proxy.upstream.UpstreamPool;
 
-/** A balancer that throws: the request that the event is about has its answer, and its attempt ends. */
+/** A balancer or a timer that throws: the request that the event is about has its answer, and its attempt ends. */
 @Timeout(30)
 class BalancerFailureTest {
     private static final double REMAINING_MILLIS = 20_000;
+    private static final String EVENT_FAILED = "balancer: event failed";
 
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
     private final BlockingQueue<Integer> statuses = new LinkedBlockingQueue<>();
@@ -50,6 +51,10 @@
     private ScriptedServer host;
     private BalancerDriver driver;
 
+    private interface TimerStarter {
+        void start(RequestExchange exchange, double delayMillis, Runnable action);
+    }
+
     private final class StatusReceiver implements ResponseReceiver {
         @Override
         public void sendStatus(int status, double retryAfterMillis) {
@@ -121,18 +126,18 @@
                 new ClientRequest("r", "read", head, null, null, REMAINING_MILLIS), driver, new StatusReceiver());
     }
 
-    private void assertFailedAtOnce() throws Exception {
+    private void assertFailedAtOnce(String logLine) throws Exception {
         assertThat(statuses.poll(2, TimeUnit.SECONDS)).isEqualTo(502);
         assertThat(loop.submit(() -> driver.openRequests()).get()).isZero();
         assertThat(driver.metrics().text()).contains("pending:0|");
-        assertThat(logged.toString(StandardCharsets.UTF_8)).contains("balancer: event failed");
+        assertThat(logged.toString(StandardCharsets.UTF_8)).contains(logLine);
         assertThat(statuses).isEmpty();
     }
 
     @Test
     void throwOnRequestIsAnswered() throws Exception {
         loop.submit(() -> driver.onRequest(newExchange(), null)).get(); // the balancer reads the request
-        assertFailedAtOnce();
+        assertFailedAtOnce(EVENT_FAILED);
     }
 
     @Test
@@ -141,7 +146,7 @@
         loop.submit(exchange::dispatch).get();
         assertThat(received.await(10, TimeUnit.SECONDS)).isTrue();
         loop.submit(() -> driver.onAttemptEnded(exchange, null)).get(); // the balancer reads the result
-        assertFailedAtOnce();
+        assertFailedAtOnce(EVENT_FAILED);
         assertThat(ended.await(2, TimeUnit.SECONDS)).isTrue();
     }
 
@@ -155,7 +160,29 @@
                     throw new StackOverflowError("thrown by the test");
                 }))
                 .get();
-        assertFailedAtOnce();
+        assertFailedAtOnce(EVENT_FAILED);
+        assertThat(ended.await(2, TimeUnit.SECONDS)).isTrue();
+    }
+
+    @Test
+    void throwInTimerOfRequestIsAnsweredAndEndsAttempt() throws Exception {
+        assertTimerFailureIsAnswered(RequestExchange::schedule);
+    }
+
+    @Test
+    void throwInTimerOfAttemptIsAnsweredAndEndsAttempt() throws Exception {
+        assertTimerFailureIsAnswered(RequestExchange::scheduleForAttempt);
+    }
+
+    private void assertTimerFailureIsAnswered(TimerStarter starter) throws Exception {
+        RequestExchange exchange = loop.submit(this::newExchange).get();
+        loop.submit(exchange::dispatch).get();
+        assertThat(received.await(10, TimeUnit.SECONDS)).isTrue();
+        loop.submit(() -> starter.start(exchange, 1, () -> {
+                    throw new StackOverflowError("thrown by the test");
+                }))
+                .get();
+        assertFailedAtOnce("request: timer failed");
         assertThat(ended.await(2, TimeUnit.SECONDS)).isTrue();
     }
 }
--- a/src/test/java/rillyard/proxy/eventloop/FaultInjectingChannels.java
+++ b/src/test/java/rillyard/proxy/eventloop/FaultInjectingChannels.java
@@ -43,6 +43,7 @@
     private final BlockingQueue<Channel> accepted = new LinkedBlockingQueue<>();
     private volatile WriteTrap writeTrap;
     private volatile boolean throwsOnEndOfStreamCheck;
+    private volatile int closeTrapPort = -1;
     private volatile int bytesPerRead = Integer.MAX_VALUE;
     private volatile int bytesPerWrite = Integer.MAX_VALUE;
 
@@ -79,6 +80,11 @@
         throwsOnEndOfStreamCheck = true;
     }
 
+    /** Has the next close of a connection to this port throw. */
+    public void throwOnNextCloseTo(int port) {
+        closeTrapPort = port;
+    }
+
     /** Returns the next channel that was accepted from a client. */
     public Channel nextAccepted() throws InterruptedException {
         return accepted.poll(10, TimeUnit.SECONDS);
@@ -163,6 +169,15 @@
             return super.writeAndFlush(message);
         }
 
+        @Override
+        public ChannelFuture close() {
+            if (parent() == null && remoteAddress() != null && remoteAddress().getPort() == closeTrapPort) {
+                closeTrapPort = -1;
+                throw new IllegalStateException(INJECTED);
+            }
+            return super.close();
+        }
+
         @Override
         public boolean isEndOfStream() {
             if (throwsOnEndOfStreamCheck) {
--- /dev/null
+++ b/src/test/java/rillyard/proxy/upstream/UpstreamCallFailureTest.java
@@ -0,0 +1,160 @@
+package rillyard.proxy.upstream;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.EventLoop;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.HttpContent;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpVersion;
+import java.io.ByteArrayOutputStream;
+import java.io.PrintStream;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Map;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import rillyard.balancer.EndpointEntry;
+import rillyard.proxy.ProxyFixture;
+import rillyard.proxy.ScriptedServer;
+import rillyard.proxy.config.ProxyConfig;
+import rillyard.proxy.eventloop.SocketChannelFactory;
+import rillyard.proxy.logging.ProxyLog;
+import rillyard.proxy.resources.DescriptorBudget;
+
+/** Calls that throw where no handler of a channel catches it: within a timer, and as a connect ends. */
+@Timeout(30)
+class UpstreamCallFailureTest {
+    private static final long SHORT_STALL_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+    private static final String HANDLER_FAILED = "handler failed";
+
+    private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
+    private final BlockingQueue<String> reports = new LinkedBlockingQueue<>();
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoop loop = (EventLoop) group.next();
+    private final UpstreamHost upstreamHost = new UpstreamHost("a", 0);
+    private ScriptedServer server;
+    private UpstreamPool pool;
+
+    /** Reports what it is told of its end. */
+    private class ReportingCall extends UpstreamCall {
+        ReportingCall() {
+            super(upstreamHost);
+        }
+
+        @Override
+        public ChannelFuture write(Channel channel) {
+            return channel.writeAndFlush(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/"));
+        }
+
+        @Override
+        public void onWritten() {}
+
+        @Override
+        public void onNotSent() {
+            reports.add("not sent");
+        }
+
+        @Override
+        public void onLocalFailure() {
+            reports.add("local failure");
+        }
+
+        @Override
+        public void onNotNeeded() {
+            reports.add("not needed");
+        }
+
+        @Override
+        public void onResponseHead(HttpResponse head) {}
+
+        @Override
+        public void onResponseContent(HttpContent part) {}
+
+        @Override
+        public void onResponseEnd() {
+            reports.add("end");
+        }
+
+        @Override
+        public void onConnectionLost() {
+            reports.add("connection lost");
+        }
+
+        @Override
+        public void onHandlerFailed() {
+            reports.add(HANDLER_FAILED);
+        }
+    }
+
+    @BeforeEach
+    void startPool() throws Exception {
+        server = new ScriptedServer(peer -> {
+            peer.read();
+            peer.write("HTTP/1.1 200 OK\r\nContent-Le");
+            peer.awaitEnd();
+        });
+        Path file = ProxyFixture.writeConfig(1, config -> {});
+        ProxyConfig config = ProxyConfig.load(Map.of("BALANCER_CONFIG", file.toString()));
+        Files.delete(file);
+        ProxyLog log = new ProxyLog(new PrintStream(logged, true, StandardCharsets.UTF_8));
+        pool = new UpstreamPool(group, new SocketChannelFactory(), config, new DescriptorBudget(100), log);
+        upstreamHost.onAnnounced(
+                new EndpointEntry(0, "z", "k", 0, EndpointEntry.Condition.READY, 0),
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), server.port()));
+        upstreamHost.setSendable(true);
+    }
+
+    @AfterEach
+    void stop() throws Exception {
+        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
+        server.close();
+    }
+
+    private void assertHandlerFailureIsReported(UpstreamCall call) throws Exception {
+        loop.submit(() -> pool.start(call)).get();
+        assertThat(reports.poll(10, TimeUnit.SECONDS)).isEqualTo(HANDLER_FAILED);
+        loop.submit(() -> pool.release(call)).get();
+        assertThat(logged.toString(StandardCharsets.UTF_8)).contains("upstream: handler failed, host=a");
+        assertThat(reports).isEmpty();
+    }
+
+    @Test
+    void throwInStallCheckEndsCall() throws Exception {
+        assertHandlerFailureIsReported(new ReportingCall() {
+            private boolean isScheduled;
+
+            @Override
+            public long stallNanos() {
+                if (isScheduled) {
+                    throw new IllegalStateException("thrown by the test");
+                }
+                isScheduled = true;
+                return SHORT_STALL_NANOS;
+            }
+        });
+    }
+
+    @Test
+    void throwAtEndOfConnectEndsCall() throws Exception {
+        assertHandlerFailureIsReported(new ReportingCall() {
+            @Override
+            public boolean mayBegin() {
+                throw new IllegalStateException("thrown by the test");
+            }
+        });
+    }
+}
