--- a/src/main/java/rillyard/proxy/dispatch/FinalResponse.java
+++ b/src/main/java/rillyard/proxy/dispatch/FinalResponse.java
@@ -22,7 +22,7 @@
     private boolean undelivered;
 
     private AttemptOutcome lastOutcome;
-    private UpstreamAttempt streamingAttempt;
+    private ForwardedResponse stream;
 
     FinalResponse(OutcomeRecorder recorder, ResponseReceiver client, String requestClass) {
         this.recorder = recorder;
@@ -38,16 +38,16 @@
 
     /** Returns whether it is decided and no part of it is to come. */
     boolean isComplete() {
-        return decided && streamingAttempt == null;
+        return decided && stream == null;
     }
 
     /** Returns whether this attempt's response is the one that is forwarded. */
     boolean isStreamOf(UpstreamAttempt attempt) {
-        return streamingAttempt == attempt;
+        return stream != null && stream.attempt() == attempt;
     }
 
     boolean isStreaming() {
-        return streamingAttempt != null;
+        return stream != null;
     }
 
     /** Notes the outcome of the latest attempt, which the trace names with a response of the proxy's own. */
@@ -96,16 +96,16 @@
     }
 
     /** Offers a response that is forwarded as it comes; {@code contentLength} is -1 if unknown. */
-    boolean beginStream(UpstreamAttempt attempt, HttpResponse response, long contentLength) {
+    boolean beginStream(ForwardedResponse offered, HttpResponse response, long contentLength) {
         if (decided) {
             return false;
         }
         decided = true;
-        streamingAttempt = attempt;
+        stream = offered;
         try {
             client.beginResponse(response, contentLength);
         } catch (RuntimeException | Error e) {
-            streamingAttempt = null; // nothing of it was written: the request may have another response
+            stream = null; // nothing of it was written: the request may have another response
             decided = false;
             throw e;
         }
@@ -119,14 +119,14 @@
 
     /** The client takes more. */
     void onClientWritable() {
-        if (streamingAttempt != null) {
-            streamingAttempt.resumeStream();
+        if (stream != null) {
+            stream.resume();
         }
     }
 
     /** The forwarded response is complete, or has broken off. */
     void endStream(boolean complete) {
-        streamingAttempt = null;
+        stream = null;
         recorder.metrics().addPending(-1);
         recorder.metrics()
                 .requestEnded(
@@ -141,10 +141,10 @@
 
     /** The client has left in the middle of a forwarded response. */
     void abandonStream() {
-        UpstreamAttempt attempt = streamingAttempt;
-        streamingAttempt = null;
+        ForwardedResponse abandoned = stream;
+        stream = null;
         recorder.metrics().addPending(-1);
-        attempt.abandonStream();
+        abandoned.abandon();
     }
 
     /**
@@ -152,8 +152,8 @@
      * with the client's connection.
      */
     void onDeliveryFailed() {
-        if (streamingAttempt != null) {
-            streamingAttempt.abandonStream();
+        if (stream != null) {
+            stream.abandon();
             endStream(false);
         } else if (undelivered) {
             undelivered = false;
--- a/src/main/java/rillyard/proxy/dispatch/RequestExchange.java
+++ b/src/main/java/rillyard/proxy/dispatch/RequestExchange.java
@@ -256,8 +256,8 @@
     }
 
     /** Begins a response that is forwarded as it comes; returns false if the request has another one. */
-    boolean beginStream(UpstreamAttempt attempt, HttpResponse hostResponse, long contentLength) {
-        return response.beginStream(attempt, hostResponse, contentLength);
+    boolean beginStream(ForwardedResponse stream, HttpResponse hostResponse, long contentLength) {
+        return response.beginStream(stream, hostResponse, contentLength);
     }
 
     /** Forwards part of it; returns whether the client takes more for now. */
--- a/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
+++ b/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
@@ -1,16 +1,13 @@
 package rillyard.proxy.dispatch;
 
-import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpUtil;
 import io.netty.util.concurrent.Future;
 import rillyard.balancer.AttemptOutcome;
 import rillyard.balancer.LoadReport;
 import rillyard.proxy.http.ProtocolHeaders;
-import rillyard.proxy.resources.BufferedBody;
 import rillyard.proxy.upstream.LoadReportParser;
 import rillyard.proxy.upstream.UpstreamCall;
 import rillyard.proxy.upstream.UpstreamHost;
@@ -18,28 +15,10 @@
 /**
  * One attempt of a request at a host, which ends with exactly one outcome.
  *
- * <p>A short response is buffered until it is complete. A longer one is forwarded as it comes; its attempt has ended
- * for the balancer by then, and only the client and the host are left.
+ * <p>A short response is buffered until it is complete. A longer one is forwarded as it comes, and its attempt ends as
+ * that begins: the rest is between the client and the host.
  */
 public final class UpstreamAttempt extends UpstreamCall {
-    private enum State {
-        /** No outcome yet. */
-        OPEN,
-        /** Ended with success, while the response is forwarded. */
-        STREAMING,
-        /** Ended. */
-        ENDED
-    }
-
-    /** How long (ns) a host may pause within a response that is forwarded. */
-    private static final long STREAM_STALL_NANOS = 10_000_000_000L;
-
-    /** The most of a response of unknown length that is buffered in the hope of its end. */
-    private static final long MAX_UNKNOWN_LENGTH_BYTES = 32 * 1024;
-
-    /** The longest (ms) it is buffered: of a long one the first bytes count, and hosts may send them slowly. */
-    private static final double MAX_UNKNOWN_LENGTH_MILLIS = 30;
-
     private static final int OK = 200;
     private static final int SERVICE_UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
@@ -47,18 +26,14 @@
     private final RequestExchange exchange;
     private final BalancerDriver driver;
     private final int number;
-    private final Runnable memoryWaiter = this::resumeReading;
-    private State state = State.OPEN;
+    private boolean open = true;
     private double sentAt;
     private double notAfter = Double.POSITIVE_INFINITY;
     private Future<?> timeout;
     private Future<?> writeDeadline;
     private LoadReport loadReport;
-    private HttpResponse head;
-    private double headAt;
-    private BufferedBody body;
-    private long contentLength;
-    private long receivedBytes;
+    /** Null until the head of a successful response has come. */
+    private HostResponse response;
 
     /**
      * Creates an attempt that is not started.
@@ -94,7 +69,7 @@
 
     /** Returns whether it has no outcome yet. */
     boolean isOpen() {
-        return state == State.OPEN;
+        return open;
     }
 
     int number() {
@@ -126,11 +101,6 @@
         exchange.onHostWritable();
     }
 
-    @Override
-    public long stallNanos() {
-        return state == State.STREAMING ? STREAM_STALL_NANOS : STALL_NANOS;
-    }
-
     @Override
     public void onNotSent() {
         finish(AttemptOutcome.CONNECT_FAILED);
@@ -165,13 +135,13 @@
     // --- the response
 
     @Override
-    public void onResponseHead(HttpResponse response) {
-        loadReport = LoadReportParser.parse(response.headers().get(ProtocolHeaders.SERVER_LOAD));
-        if (response.status().code() == OK) {
-            onSuccessHead(response);
+    public void onResponseHead(HttpResponse head) {
+        loadReport = LoadReportParser.parse(head.headers().get(ProtocolHeaders.SERVER_LOAD));
+        if (head.status().code() == OK) {
+            onSuccessHead(head);
         } else {
             connection().discardRest();
-            finish(outcomeOf(response));
+            finish(outcomeOf(head));
         }
     }
 
@@ -185,171 +155,83 @@
         return mayHaveRun() ? AttemptOutcome.ERROR : AttemptOutcome.CONNECT_FAILED;
     }
 
-    private void onSuccessHead(HttpResponse response) {
+    private void onSuccessHead(HttpResponse head) {
         if (!mayHaveRun()) {
             finish(AttemptOutcome.CONNECT_FAILED); // no host can serve what it has not been sent
             return;
         }
-        head = response;
-        contentLength = HttpUtil.getContentLength(response, -1L);
-        boolean endsWithConnection = contentLength < 0 && !HttpUtil.isTransferEncodingChunked(response);
-        // A response longer than any may be never ends. One that ends with its connection, which is to stay open,
-        // can't be told from one that broke off.
-        if (contentLength > BufferedBody.MAX_BYTES || (endsWithConnection && HttpUtil.isKeepAlive(response))) {
-            onConnectionLost();
-            return;
-        }
-        headAt = driver.now();
-        if (contentLength > BufferedBody.MAX_BUFFERED_BYTES) {
-            startStream();
-        }
+        response = new HostResponse(this, exchange, driver, head);
+        response.begin();
     }
 
     @Override
     public void onResponseContent(HttpContent part) {
-        ByteBuf content = part.content();
-        receivedBytes += content.readableBytes();
-        if (receivedBytes > BufferedBody.MAX_BYTES) {
-            onConnectionLost(); // longer than any response may be
-        } else if (state == State.STREAMING) {
-            forward(content.retain());
-        } else if (content.isReadable()) {
-            buffer(content);
-        }
+        response.onContent(part.content());
     }
 
-    private void buffer(ByteBuf content) {
-        if (body == null) {
-            body = driver.newBody(contentLength, false);
-        }
-        body.append(content);
-        if (isTooLongToBuffer()) {
-            startStream();
-        } else if (driver.bodyMemory().isExhausted(body.size())) {
-            connection().pauseReading();
-            driver.bodyMemory().awaitCapacity(memoryWaiter);
-        }
-    }
-
-    private boolean isTooLongToBuffer() {
-        if (body.size() > BufferedBody.MAX_BUFFERED_BYTES) {
-            return true;
-        }
-        return contentLength < 0
-                && (body.size() > MAX_UNKNOWN_LENGTH_BYTES || driver.now() - headAt > MAX_UNKNOWN_LENGTH_MILLIS);
-    }
-
-    private void resumeReading() {
-        if (isOpen() && connection() != null) {
-            connection().resumeReading();
-        }
+    /** The response is forwarded from here on: the host has responded, and what follows concerns it and the client. */
+    void onForwarding() {
+        open = false;
+        reportEnd(AttemptOutcome.OK);
     }
 
     @Override
     public void onResponseEnd() {
-        if (state == State.STREAMING) {
-            driver.upstreams().release(this);
-            exchange.onStreamEnded(true);
-            return;
-        }
-        BufferedBody complete = body;
-        body = null;
-        exchange.onResponse(head, complete);
-        finish(AttemptOutcome.OK);
+        response.onEnd();
     }
 
     @Override
     public void onConnectionLost() {
-        if (state == State.STREAMING) {
+        if (isForwarding()) {
             driver.log().info(() -> describe(AttemptOutcome.RESET));
-            driver.upstreams().release(this);
-            exchange.onStreamEnded(false);
-            return;
-        }
-        finish(AttemptOutcome.RESET);
-    }
-
-    @Override
-    public void onHandlerFailed() {
-        exchange.onHandlerFailed();
-    }
-
-    // --- a response that is forwarded as it comes
-
-    /**
-     * Makes this response the request's and forwards it from here on. The balancer learns that the host has responded;
-     * a client that reads slowly is no queue of the host's.
-     */
-    private void startStream() {
-        if (!exchange.beginStream(this, head, contentLength)) {
-            finish(AttemptOutcome.OK); // the request has another response
-            return;
-        }
-        state = State.STREAMING;
-        stopWaiting();
-        try {
-            forwardBuffered();
-        } finally {
-            releaseBody();
-            exchange.onAttemptEnded(this, AttemptOutcome.OK, elapsedMillis(), loadReport);
+            response.onBrokenOff();
+        } else {
+            finish(AttemptOutcome.RESET);
         }
     }
 
-    private void forwardBuffered() {
-        if (body != null) {
-            for (ByteBuf block : body.retainedBlocks()) {
-                forward(block);
-            }
-        }
+    private boolean isForwarding() {
+        return response != null && response.isForwarded();
     }
 
-    private void forward(ByteBuf content) {
-        if (!exchange.forward(content)) {
-            connection().pauseReading();
-        }
-    }
-
-    /** The client takes more. */
-    void resumeStream() {
-        connection().resumeReading();
+    @Override
+    public long stallNanos() {
+        return isForwarding() ? ForwardedResponse.STALL_NANOS : STALL_NANOS;
     }
 
-    /** The client has left in the middle of the response. */
-    void abandonStream() {
-        driver.upstreams().release(this);
+    @Override
+    public void onHandlerFailed() {
+        exchange.onHandlerFailed();
     }
 
     // --- the outcome
 
-    private void finish(AttemptOutcome outcome) {
-        if (!isOpen()) {
+    /** Ends it and its use of the connection; does nothing if it has an outcome. */
+    void finish(AttemptOutcome outcome) {
+        if (!open) {
             return;
         }
-        state = State.ENDED;
+        open = false;
         try {
-            stopWaiting();
-            releaseBody();
             logFailure(outcome);
             driver.upstreams().release(this);
         } finally {
-            exchange.onAttemptEnded(this, outcome, elapsedMillis(), loadReport); // the request ends after its attempts
+            reportEnd(outcome); // the request ends after its attempts
         }
     }
 
-    private void stopWaiting() {
-        if (timeout != null) {
-            timeout.cancel(false);
+    private void reportEnd(AttemptOutcome outcome) {
+        cancel(timeout);
+        cancel(writeDeadline);
+        if (response != null) {
+            response.release();
         }
-        if (writeDeadline != null) {
-            writeDeadline.cancel(false);
-        }
-        driver.bodyMemory().cancelWait(memoryWaiter);
+        exchange.onAttemptEnded(this, outcome, driver.now() - sentAt, loadReport);
     }
 
-    private void releaseBody() {
-        if (body != null) {
-            body.release();
-            body = null;
+    private static void cancel(Future<?> timer) {
+        if (timer != null) {
+            timer.cancel(false);
         }
     }
 
@@ -361,18 +243,14 @@
         }
     }
 
-    private double elapsedMillis() {
-        return driver.now() - sentAt;
-    }
-
     private String describe(AttemptOutcome outcome) {
         String received = "nothing";
-        if (head != null) {
-            received = receivedBytes + "/" + contentLength;
+        if (response != null) {
+            received = response.progress();
         } else if (connection() == null) {
             received = "no_connection";
         }
         return "attempt: failed, host=" + host().name() + " outcome=" + outcome + " elapsed_ms="
-                + Math.round(elapsedMillis()) + " received=" + received;
+                + Math.round(driver.now() - sentAt) + " received=" + received;
     }
 }
