--- a/src/main/java/rillyard/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamConnection.java
@@ -1,18 +1,10 @@
 package rillyard.proxy.upstream;
 
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.handler.codec.DecoderException;
+import io.netty.channel.ChannelHandler;
 import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.LastHttpContent;
-import io.netty.util.ReferenceCountUtil;
-import java.io.IOException;
 import java.net.InetSocketAddress;
 import rillyard.proxy.eventloop.PeekableSocketChannel;
 import rillyard.proxy.resources.DescriptorBudget;
@@ -22,40 +14,17 @@
  *
  * <p>Confined to the event loop of its channel.
  */
-public final class UpstreamConnection extends ChannelInboundHandlerAdapter implements DescriptorBudget.IdleConnection {
-    private enum State {
-        /** No call is assigned; bytes that arrive belong to no request. */
-        IDLE,
-        /** A call is assigned; the head of its final response has not been read. */
-        AWAITING_RESPONSE,
-        /** An interim (1xx) response to the call is being read. */
-        READING_INTERIM_RESPONSE,
-        /** The body of the call's final response is being read. */
-        READING_RESPONSE,
-        /** The call is over; the rest of its response is discarded so that the connection can be reused. */
-        DISCARDING,
-        /** The connection is closed, or about to be, and carries no call. */
-        CLOSED
-    }
-
-    /** Bytes of a response that are discarded before the connection is closed instead. */
-    private static final int MAX_DISCARDED_BYTES = 64 * 1024;
-
-    private static final long NOT_REUSED = -1;
-
+public final class UpstreamConnection implements DescriptorBudget.IdleConnection {
     private final UpstreamPool pool;
     private final UpstreamHost host;
     private final InetSocketAddress address;
     private final PeekableSocketChannel channel;
     private final UpstreamResponseDecoder decoder;
-    private final ResponseStallCheck stallCheck;
-    private State state = State.IDLE;
+    private final ResponseReader reader;
+    private final ConnectionReuse reuse;
     private UpstreamCall call;
     private boolean requestWritten;
     private boolean keepAlive;
-    private int discardedBytes;
-    private long idleSinceNanos;
-    private long reusedAfterNanos = NOT_REUSED;
 
     UpstreamConnection(
             UpstreamPool pool, UpstreamHost host, PeekableSocketChannel channel, UpstreamResponseDecoder decoder) {
@@ -64,7 +33,8 @@
         this.address = host.address();
         this.channel = channel;
         this.decoder = decoder;
-        this.stallCheck = new ResponseStallCheck(this, channel, decoder);
+        this.reader = new ResponseReader(this, decoder);
+        this.reuse = new ConnectionReuse(pool);
     }
 
     /** Returns the channel of the connection. */
@@ -72,6 +42,16 @@
         return channel;
     }
 
+    /** Returns a new handler of the channel's events. */
+    ChannelHandler newHandler() {
+        return new UpstreamChannelHandler(this, reader, new ResponseStallCheck(this, channel, decoder));
+    }
+
+    /** Returns the call that the connection carries, null if there is none. */
+    UpstreamCall call() {
+        return call;
+    }
+
     /** Returns whether the last byte of the present call's request has been written to the socket. */
     boolean isRequestWritten() {
         return requestWritten;
@@ -84,7 +64,7 @@
 
     /** Returns the time ({@link System#nanoTime}) at which the connection became idle or began to discard. */
     long idleSinceNanos() {
-        return idleSinceNanos;
+        return reuse.idleSinceNanos();
     }
 
     /** Returns whether new requests may be sent to the host at the address of this connection. */
@@ -96,9 +76,8 @@
     void run(UpstreamCall next) {
         assert channel.eventLoop().inEventLoop();
         call = next;
-        state = State.AWAITING_RESPONSE;
-        reusedAfterNanos = idleSinceNanos == 0 ? NOT_REUSED : System.nanoTime() - idleSinceNanos;
-        decoder.onRequestStarted();
+        reuse.onCallStarted();
+        reader.onRequestStarted();
         requestWritten = false;
         keepAlive = true;
         next.onAttached(this);
@@ -127,70 +106,16 @@
 
     // --- the response
 
-    @Override
-    public void channelRead(ChannelHandlerContext ctx, Object msg) {
-        UpstreamCall receiver = call;
-        try {
-            read((HttpObject) msg);
-        } catch (RuntimeException | Error e) {
-            onHandlerFailed(receiver, e);
-        } finally {
-            ReferenceCountUtil.release(msg);
-        }
-    }
-
-    private void read(HttpObject part) {
-        if (state == State.IDLE || state == State.CLOSED) {
-            // Surplus bytes behind one response would otherwise be taken for the response to the next request.
-            channel.close();
-            return;
-        }
-        if (part.decoderResult().isFailure()) {
-            pool.onMalformedResponse(host, part.decoderResult().cause());
-            fail();
-            return;
-        }
-        if (part instanceof HttpResponse head) {
-            readHead(head);
-        }
-        // A response without a length ends with its connection: its last part arrives on a closed channel.
-        if (part instanceof HttpContent content) {
-            readContent(content);
-        }
-    }
-
-    private void readHead(HttpResponse head) {
-        if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-            if (head.status().code() == HttpResponseStatus.SWITCHING_PROTOCOLS.code()) {
-                fail(); // no request asks for another protocol
-            } else {
-                state = State.READING_INTERIM_RESPONSE;
-            }
-            return;
-        }
-        state = State.READING_RESPONSE;
-        reportReuse(false);
+    /** The head of the final response has been read. */
+    void onResponseHead(HttpResponse head) {
+        reuse.report(false);
         // A response that precedes the request's last byte leaves an incomplete request on the connection.
         keepAlive = requestWritten && HttpUtil.isKeepAlive(head);
         call.onResponseHead(head);
     }
 
-    private void readContent(HttpContent part) {
-        boolean isLast = part instanceof LastHttpContent;
-        switch (state) {
-            case READING_INTERIM_RESPONSE -> {
-                if (isLast) {
-                    state = State.AWAITING_RESPONSE;
-                    decoder.onInterimResponseEnd();
-                }
-            }
-            case READING_RESPONSE -> deliver(part, isLast);
-            case DISCARDING -> discard(part, isLast);
-            default -> channel.close(); // the call ended with the head of this very response
-        }
-    }
-
-    private void deliver(HttpContent part, boolean isLast) {
+    /** A part of the final response's body has been read. */
+    void onResponseContent(HttpContent part, boolean isLast) {
         UpstreamCall receiver = call;
         receiver.onResponseContent(part);
         if (isLast && call == receiver) {
@@ -199,24 +124,15 @@
         }
     }
 
-    private void discard(HttpContent part, boolean isLast) {
-        discardedBytes += part.content().readableBytes();
-        if (isLast) {
-            onResponseEnd();
-        } else if (discardedBytes > MAX_DISCARDED_BYTES) {
-            channel.close();
-        }
-    }
-
-    private void onResponseEnd() {
+    /** The last byte of a response has been read: the connection is idle, or closed. */
+    void onResponseEnd() {
         call = null;
+        reader.stop();
         channel.config().setAutoRead(true);
         if (keepAlive && channel.isActive() && !decoder.hasSurplusBytes() && isReusable()) {
-            state = State.IDLE;
-            idleSinceNanos = System.nanoTime();
+            reuse.onIdle();
             pool.onIdle(host, this);
         } else {
-            state = State.CLOSED;
             channel.close();
         }
     }
@@ -229,9 +145,8 @@
             return;
         }
         call = null;
-        state = State.DISCARDING;
-        discardedBytes = 0;
-        idleSinceNanos = System.nanoTime();
+        reader.discardRest();
+        reuse.onIdle();
         if (keepAlive) {
             pool.onDiscarding(this);
         } else {
@@ -242,19 +157,28 @@
     /** Ends the given call, if the connection carries it, and closes the connection: its response must reach no other. */
     void abort(UpstreamCall abandoned) {
         if (call == abandoned) {
-            call = null;
-            state = State.CLOSED;
-            channel.close();
+            end();
         }
     }
 
+    /** Ends the present call, if there is one, without a report, and closes the connection. */
+    private void end() {
+        call = null;
+        reader.stop();
+        channel.close();
+    }
+
+    /** The host has sent what is no response. */
+    void onMalformedResponse(Throwable cause) {
+        pool.onMalformedResponse(host, cause);
+        fail();
+    }
+
     /** Closes the connection and reports its end to the call, if it carries one. */
-    private void fail() {
+    void fail() {
         UpstreamCall failed = call;
         try {
-            call = null;
-            state = State.CLOSED;
-            channel.close();
+            end();
             if (failed != null) {
                 reportEnd(failed);
             }
@@ -265,7 +189,7 @@
 
     private void reportEnd(UpstreamCall failed) {
         if (!decoder.hasBegun()) {
-            reportReuse(true);
+            reuse.report(true);
         }
         if (requestWritten) {
             failed.onConnectionLost();
@@ -282,9 +206,7 @@
     /** A handler has thrown: ends the call that was at hand, null if there was none, and closes the connection. */
     void onHandlerFailed(UpstreamCall affected, Throwable cause) {
         pool.onHandlerFailed(host, cause);
-        call = null;
-        state = State.CLOSED;
-        channel.close();
+        end();
         if (affected == null) {
             return;
         }
@@ -295,19 +217,7 @@
         }
     }
 
-    private void reportReuse(boolean wasReset) {
-        if (reusedAfterNanos != NOT_REUSED) {
-            pool.onReuse(reusedAfterNanos, wasReset);
-            reusedAfterNanos = NOT_REUSED;
-        }
-    }
-
-    // --- stalled responses
-
-    @Override
-    public void channelReadComplete(ChannelHandlerContext ctx) {
-        stallCheck.onReadComplete();
-    }
+    // --- the flow of a response
 
     /** Returns whether the host has begun its response and the proxy reads it. */
     boolean isAwaitingProgress() {
@@ -337,31 +247,19 @@
 
     // --- the channel
 
-    @Override
-    public void channelWritabilityChanged(ChannelHandlerContext ctx) {
+    /** The channel takes more, or no more for now. */
+    void onWritabilityChanged() {
         if (call != null && channel.isWritable()) {
             call.onWritable();
         }
     }
 
-    @Override
-    public void channelInactive(ChannelHandlerContext ctx) {
+    /** The channel is closed. */
+    void onClosed() {
         fail();
         pool.onClosed(host, this);
     }
 
-    @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        if (cause instanceof IOException) {
-            fail();
-        } else if (cause instanceof DecoderException) {
-            pool.onMalformedResponse(host, cause);
-            fail();
-        } else {
-            onHandlerFailed(cause);
-        }
-    }
-
     @Override
     public void closeIdle() {
         channel.close();
--- a/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
@@ -164,7 +164,7 @@
             call.onNotNeeded();
         } else {
             connectFailures.onReached(host);
-            channel.pipeline().addLast(decoder, new HttpRequestEncoder(), connection);
+            channel.pipeline().addLast(decoder, new HttpRequestEncoder(), connection.newHandler());
             connection.run(call);
         }
     }
