--- a/src/main/java/rillyard/proxy/dispatch/ForwardedResponse.java
+++ b/src/main/java/rillyard/proxy/dispatch/ForwardedResponse.java
@@ -29,7 +29,7 @@
 
     /** Forwards a part of the body, of which it takes over the reference. */
     void forward(ByteBuf content) {
-        if (!exchange.forward(content)) {
+        if (!exchange.response().forward(content)) {
             attempt.connection().pauseReading();
         }
     }
--- a/src/main/java/rillyard/proxy/dispatch/HostResponse.java
+++ b/src/main/java/rillyard/proxy/dispatch/HostResponse.java
@@ -79,7 +79,7 @@
     /** Makes it the response of the request, unless that has another one, and forwards it from here on. */
     private void startForwarding() {
         ForwardedResponse stream = new ForwardedResponse(attempt, exchange, driver.upstreams());
-        if (!exchange.beginStream(stream, head, contentLength)) {
+        if (!exchange.response().beginStream(stream, head, contentLength)) {
             attempt.finish(AttemptOutcome.OK);
             return;
         }
@@ -106,7 +106,7 @@
         if (isForwarded()) {
             forwarded.end(true);
         } else {
-            exchange.onResponse(head, buffer.takeBody());
+            exchange.response().complete(head, buffer.takeBody());
             attempt.finish(AttemptOutcome.OK);
         }
     }
--- a/src/main/java/rillyard/proxy/dispatch/RequestExchange.java
+++ b/src/main/java/rillyard/proxy/dispatch/RequestExchange.java
@@ -1,16 +1,11 @@
 package rillyard.proxy.dispatch;
 
-import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
-import io.netty.handler.codec.http.HttpResponse;
 import io.netty.util.concurrent.Future;
-import java.util.ArrayList;
-import java.util.List;
 import rillyard.balancer.AttemptOutcome;
 import rillyard.balancer.AttemptResult;
 import rillyard.balancer.LoadReport;
-import rillyard.proxy.resources.BufferedBody;
 import rillyard.proxy.upstream.UpstreamHost;
 
 /**
@@ -20,9 +15,6 @@
  * {@link FinalResponse}.
  */
 public final class RequestExchange {
-    /** A client that takes nothing of its response for so long (ns) has left. */
-    public static final long CLIENT_STALL_NANOS = 30_000_000_000L;
-
     private static final int BAD_GATEWAY = 502;
     private static final int GATEWAY_TIMEOUT = 504;
 
@@ -32,10 +24,8 @@
     private final ResponseReceiver client;
     private final FinalResponse response;
     private final ExchangeTimers timers;
-    private final List<UpstreamAttempt> attempts = new ArrayList<>(2);
+    private final AttemptList attempts = new AttemptList();
     private double deadlineAt;
-    private int openAttempts;
-    private boolean mayHaveExecuted;
 
     /**
      * Creates the exchange of a request, of which the balancer knows nothing before {@link #dispatch}.
@@ -113,11 +103,7 @@
 
     /** The host has stopped taking an upload, which it can't have executed: the attempt ends. */
     public void onHostStalled() {
-        for (int i = 0; i < attempts.size(); i++) {
-            if (attempts.get(i).isOpen()) {
-                attempts.get(i).onNotSent();
-            }
-        }
+        attempts.endAllAsNotSent();
     }
 
     /** The host takes more of an upload. */
@@ -139,22 +125,25 @@
     void send(UpstreamHost host, double attemptTimeoutMillis, double notAfter) {
         UpstreamAttempt attempt = new UpstreamAttempt(this, driver, host, attempts.size(), driver.now());
         attempts.add(attempt);
-        openAttempts++;
-        if (response.isDecided()
-                || !host.isSendable()
-                || request.isBoundToConnection()
-                || attempts.size() > driver.maxAttempts()
-                || attemptTimeoutMillis < 0
-                || driver.now() >= deadlineAt) {
-            attempt.onNotNeeded();
-        } else {
+        if (attemptTimeoutMillis >= 0 && mayStartAttempt(host)) {
             attempt.start(attemptTimeoutMillis, notAfter);
+        } else {
+            attempt.onNotNeeded();
         }
     }
 
+    /** Returns whether the attempt that was added last may be started. */
+    private boolean mayStartAttempt(UpstreamHost host) {
+        return !response.isDecided()
+                && host.isSendable()
+                && !request.isBoundToConnection()
+                && attempts.size() <= driver.maxAttempts()
+                && driver.now() < deadlineAt;
+    }
+
     /** Cancels the attempt with this number, counted from 0. */
     void cancel(int attemptNumber) {
-        attempts.get(attemptNumber).cancel();
+        attempts.cancel(attemptNumber);
     }
 
     /** Writes the request to a host; returns the future of its last byte. */
@@ -166,7 +155,7 @@
     }
 
     void onAttemptEnded(UpstreamAttempt attempt, AttemptOutcome outcome, double elapsedMillis, LoadReport report) {
-        openAttempts--;
+        attempts.onEnded();
         response.setLastOutcome(outcome);
         driver.outcomeRecorder().recordAttempt(attempt.host(), outcome, elapsedMillis);
         if (request.isUpload() && !response.isStreamOf(attempt)) {
@@ -178,15 +167,16 @@
     }
 
     private void onUploadAttemptEnded(UpstreamAttempt attempt, AttemptOutcome outcome) {
-        request.upload().onAttemptEnded(attempt.connection());
-        mayHaveExecuted |= !outcome.provesNotExecuted();
-        if (request.upload().isConsumed() && openAttempts == 0 && !response.isDecided()) {
-            // Nothing is left to send: what never ran is rejected, what may have run has failed.
-            if (mayHaveExecuted) {
-                fail();
-            } else {
-                reject(0);
-            }
+        StreamingUpload upload = request.upload();
+        upload.onAttemptEnded(attempt.connection(), outcome);
+        if (!upload.isConsumed() || attempts.hasOpen() || response.isDecided()) {
+            return;
+        }
+        // Nothing is left to send: what never ran is rejected, what may have run has failed.
+        if (upload.mayHaveExecuted()) {
+            fail();
+        } else {
+            reject(0);
         }
     }
 
@@ -230,7 +220,7 @@
                 failWithoutDecision();
             }
         } finally {
-            cancelOpenAttempts();
+            attempts.cancelAll();
             closeIfDone();
         }
     }
@@ -245,24 +235,9 @@
         }
     }
 
-    private void cancelOpenAttempts() {
-        for (int i = 0; i < attempts.size(); i++) {
-            attempts.get(i).cancel(); // without an effect on those that have ended
-        }
-    }
-
-    void onResponse(HttpResponse hostResponse, BufferedBody body) {
-        response.complete(hostResponse, body);
-    }
-
-    /** Begins a response that is forwarded as it comes; returns false if the request has another one. */
-    boolean beginStream(ForwardedResponse stream, HttpResponse hostResponse, long contentLength) {
-        return response.beginStream(stream, hostResponse, contentLength);
-    }
-
-    /** Forwards part of it; returns whether the client takes more for now. */
-    boolean forward(ByteBuf content) {
-        return response.forward(content);
+    /** Returns the response, for hosts' responses to be offered. */
+    FinalResponse response() {
+        return response;
     }
 
     /** The forwarded response is complete, or has broken off. */
@@ -296,11 +271,10 @@
      * connection may come up later, and the rest of an upload never comes.
      */
     private void cancelUnwritten() {
-        for (int i = 0; i < attempts.size(); i++) {
-            UpstreamAttempt attempt = attempts.get(i);
-            if (request.isUploadIncomplete() || !attempt.mayHaveRun()) {
-                attempt.cancel();
-            }
+        if (request.isUploadIncomplete()) {
+            attempts.cancelAll();
+        } else {
+            attempts.cancelUnwritten();
         }
     }
 
@@ -329,22 +303,16 @@
     }
 
     private void onDeadline(boolean isCausedByStall) {
-        for (int i = 0; i < attempts.size(); i++) {
-            UpstreamAttempt attempt = attempts.get(i);
-            if (!attempt.isOpen()) {
-                continue;
-            }
-            if (isCausedByStall) {
-                attempt.cancel();
-            } else {
-                attempt.onTimeout();
-            }
+        if (isCausedByStall) {
+            attempts.cancelAll();
+        } else {
+            attempts.timeOutAll();
         }
         failWithoutDecision(); // where the balancer still queues it, the client's time is up all the same
     }
 
     private void closeIfDone() {
-        if (openAttempts == 0 && response.isComplete()) {
+        if (!attempts.hasOpen() && response.isComplete()) {
             timers.cancelAll();
             request.release();
             driver.onExchangeClosed(this);
--- a/src/main/java/rillyard/proxy/dispatch/StreamingUpload.java
+++ b/src/main/java/rillyard/proxy/dispatch/StreamingUpload.java
@@ -12,6 +12,7 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
+import rillyard.balancer.AttemptOutcome;
 import rillyard.proxy.resources.BufferedBody;
 import rillyard.proxy.upstream.UpstreamConnection;
 
@@ -29,6 +30,7 @@
     private ChannelPromise lastByteWritten;
     private boolean complete;
     private boolean consumed;
+    private boolean mayHaveExecuted;
 
     /**
      * Creates the upload of a body of which a part has come.
@@ -46,6 +48,11 @@
         return consumed;
     }
 
+    /** Returns whether a host may have executed the request, by the outcomes of the attempts that have ended. */
+    boolean mayHaveExecuted() {
+        return mayHaveExecuted;
+    }
+
     /** Returns whether it can't go to another connection, now or at all. */
     boolean isBound() {
         return consumed || (hostChannel != null && !complete);
@@ -102,7 +109,8 @@
     }
 
     /** An attempt has ended that used this connection; null if it had none. */
-    void onAttemptEnded(UpstreamConnection connection) {
+    void onAttemptEnded(UpstreamConnection connection, AttemptOutcome outcome) {
+        mayHaveExecuted |= !outcome.provesNotExecuted();
         if (connection != null && connection.channel() == hostChannel) {
             hostChannel = null;
         }
--- a/src/main/java/rillyard/proxy/downstream/ConnectionTimeouts.java
+++ b/src/main/java/rillyard/proxy/downstream/ConnectionTimeouts.java
@@ -1,7 +1,6 @@
 package rillyard.proxy.downstream;
 
 import io.netty.channel.Channel;
-import rillyard.proxy.dispatch.RequestExchange;
 
 /** Decides whether a client connection, its client or the host behind it has taken too long. */
 final class ConnectionTimeouts {
@@ -31,6 +30,9 @@
     /** How long (ns) a host may take nothing of a body, whose request has no deadline yet. */
     private static final long HOST_STALL_NANOS = 5_000_000_000L;
 
+    /** How long (ns) a client may take nothing of its response before it counts as gone. */
+    private static final long CLIENT_STALL_NANOS = 30_000_000_000L;
+
     /** How long (ns) a body that has begun may bring nothing. */
     private static final long MAX_BODY_SILENCE_NANOS = 2_200_000_000L;
 
@@ -71,8 +73,8 @@
         if (!connection.isDiscardingInput() && isRequestSlow(nowNanos, hasExchange)) {
             return Expiry.SLOW_REQUEST;
         }
-        if ((hasExchange && writer.isBlockedLongerThan(RequestExchange.CLIENT_STALL_NANOS, nowNanos))
-                || writer.isWritingLongerThan(RequestExchange.CLIENT_STALL_NANOS, nowNanos)) {
+        if ((hasExchange && writer.isBlockedLongerThan(CLIENT_STALL_NANOS, nowNanos))
+                || writer.isWritingLongerThan(CLIENT_STALL_NANOS, nowNanos)) {
             return Expiry.CLIENT_STALLED;
         }
         return !connection.isBusy() && nowNanos - idleSinceNanos > MAX_IDLE_NANOS ? Expiry.IDLE : Expiry.NONE;
