--- a/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
+++ b/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
@@ -1,6 +1,5 @@
 package rillyard.proxy.dispatch;
 
-import io.netty.buffer.PooledByteBufAllocator;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import java.util.List;
@@ -8,7 +7,6 @@
 import rillyard.admin.ProxyMetrics;
 import rillyard.balancer.AttemptResult;
 import rillyard.balancer.Balancer;
-import rillyard.balancer.BalancerActions;
 import rillyard.balancer.EndpointEntry;
 import rillyard.balancer.IncomingRequest;
 import rillyard.balancer.Settings;
@@ -23,17 +21,16 @@
 import rillyard.proxy.eventloop.GuardedTimer;
 import rillyard.proxy.logging.ProxyLog;
 import rillyard.proxy.resources.BodyMemoryBudget;
-import rillyard.proxy.resources.BufferedBody;
 import rillyard.proxy.upstream.UpstreamCall;
 import rillyard.proxy.upstream.UpstreamHost;
 import rillyard.proxy.upstream.UpstreamPool;
 
 /**
- * Runs the {@link Balancer} on the event loop: delivers its events and carries out its actions.
+ * Runs the {@link Balancer} on the event loop: delivers its events and has its actions carried out.
  *
  * <p>Confined to the event loop, except {@link #metrics}.
  */
-public final class BalancerDriver implements BalancerActions, EndpointListListener {
+public final class BalancerDriver implements EndpointListListener {
     private static final double NANOS_PER_MILLI = 1e6;
 
     private final EventLoop loop;
@@ -84,7 +81,7 @@
         this.metrics = new ProxyMetrics(
                 settings.classes().stream().map(Settings.RequestClass::name).toList());
         this.outcomeRecorder = new OutcomeRecorder(clock, metrics, log.trace(), peerGossip, settings);
-        this.balancer = new Balancer(settings, config.seed(), this);
+        this.balancer = new Balancer(settings, config.seed(), new RequestActions(this, openRequests, endpoints));
     }
 
     // --- what exchanges and attempts use
@@ -129,16 +126,6 @@
         return outcomeRecorder;
     }
 
-    /**
-     * Creates an empty buffer for a body.
-     *
-     * @param expectedBytes announced length, -1 if unknown
-     * @param isRequest whether it is that of a request that is still being received
-     */
-    public BufferedBody newBody(long expectedBytes, boolean isRequest) {
-        return new BufferedBody(bodyMemory, PooledByteBufAllocator.DEFAULT, expectedBytes, isRequest);
-    }
-
     // --- open requests
 
     /** Returns the number of requests that have not ended, or whose attempts have not. */
@@ -157,9 +144,7 @@
 
     /** Fails all requests that have no response yet, as the process ends. */
     public void failOpenRequests() {
-        for (RequestExchange exchange : openRequests.snapshot()) {
-            exchange.failWithoutDecision();
-        }
+        openRequests.failAll();
     }
 
     /**
@@ -167,14 +152,8 @@
      * clients would otherwise wait behind all that has come meanwhile.
      */
     public void endOverdueRequests(long stallNanos) {
-        double now = now();
         double stallMillis = stallNanos / NANOS_PER_MILLI;
-        int ended = 0;
-        for (RequestExchange exchange : openRequests.snapshot()) {
-            if (exchange.endIfOverdue(now, stallMillis)) {
-                ended++;
-            }
-        }
+        int ended = openRequests.endOverdue(now(), stallMillis);
         if (ended > 0) {
             log.info("loop: stalled, stall_ms=" + (long) stallMillis + " overdue_requests=" + ended);
         }
@@ -248,6 +227,11 @@
         events.deliver(exchange, () -> balancer.onAttemptEnded(now(), exchange.id(), result));
     }
 
+    /** A timer that the balancer asked for is due; {@code exchange} is the request it is about, or null. */
+    void onBalancerTimer(RequestExchange exchange, long token) {
+        events.deliver(exchange, () -> balancer.onTimer(now(), token));
+    }
+
     void onClientDisconnected(RequestExchange exchange) {
         events.deliver(exchange, () -> balancer.onClientDisconnected(now(), exchange.id()));
     }
@@ -275,60 +259,14 @@
         metrics.setHosts(endpoints.listedCount(), balancer.avoidedHostCount());
     }
 
-    // --- actions of the balancer
-
-    @Override
-    public void send(long requestId, long hostId, double attemptTimeout, double notAfter) {
-        RequestExchange exchange = openRequests.get(requestId);
-        UpstreamHost host = endpoints.get(hostId);
-        if (exchange == null || host == null) {
-            throw new IllegalStateException("send of " + requestId + " to " + hostId + ": not known");
-        }
-        exchange.send(host, attemptTimeout, notAfter);
-    }
-
-    @Override
-    public void reject(long requestId, double retryAfter) {
-        RequestExchange exchange = openRequests.get(requestId);
-        if (exchange != null) {
-            exchange.reject(retryAfter);
-        }
-    }
-
-    @Override
-    public void fail(long requestId) {
-        RequestExchange exchange = openRequests.get(requestId);
-        if (exchange != null) {
-            exchange.fail();
-        }
-    }
-
-    @Override
-    public void cancel(long requestId, int attempt) {
-        RequestExchange exchange = openRequests.get(requestId);
-        if (exchange != null) {
-            exchange.cancel(attempt);
-        }
-    }
-
-    @Override
-    public void scheduleTimer(double delay, long token) {
-        RequestExchange exchange = openRequests.get(token);
-        Runnable event = () -> events.deliver(openRequests.get(token), () -> balancer.onTimer(now(), token));
-        if (exchange != null) {
-            exchange.schedule(delay, event);
-        } else if (token < 0) {
-            schedule(delay, event, cause -> log.error("balancer: timer failed", cause));
-        }
-    }
+    // --- what the balancer asks for beside requests
 
-    @Override
-    public void subscribe() {
+    void openWatch() {
         openWatch.run();
     }
 
-    @Override
-    public void log(String line) {
-        log.info(() -> endpoints.replaceHostId(line));
+    /** Runs something that is about no request after a delay (ms). */
+    void schedule(double delayMillis, Runnable action) {
+        schedule(delayMillis, action, cause -> log.error("balancer: timer failed", cause));
     }
 }
--- a/src/main/java/rillyard/proxy/dispatch/OpenRequests.java
+++ b/src/main/java/rillyard/proxy/dispatch/OpenRequests.java
@@ -37,8 +37,26 @@
         return exchanges.size();
     }
 
-    /** Returns the open exchanges as of now. */
-    List<RequestExchange> snapshot() {
+    /** Fails all requests that have no response yet. */
+    void failAll() {
+        for (RequestExchange exchange : snapshot()) {
+            exchange.failWithoutDecision();
+        }
+    }
+
+    /** Ends the requests whose deadline has passed and returns their number; times as of {@link RequestExchange#endIfOverdue}. */
+    int endOverdue(double now, double stallMillis) {
+        int ended = 0;
+        for (RequestExchange exchange : snapshot()) {
+            if (exchange.endIfOverdue(now, stallMillis)) {
+                ended++;
+            }
+        }
+        return ended;
+    }
+
+    /** Returns the open exchanges as of now: those that end are removed meanwhile. */
+    private List<RequestExchange> snapshot() {
         return new ArrayList<>(exchanges.values());
     }
 
--- a/src/main/java/rillyard/proxy/dispatch/ResponseBuffer.java
+++ b/src/main/java/rillyard/proxy/dispatch/ResponseBuffer.java
@@ -34,7 +34,7 @@
     /** Copies a part of the body. */
     void append(ByteBuf content) {
         if (body == null) {
-            body = driver.newBody(contentLength, false);
+            body = driver.bodyMemory().newBody(contentLength, false);
         }
         body.append(content);
     }
--- a/src/main/java/rillyard/proxy/downstream/ClientListener.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientListener.java
@@ -241,10 +241,6 @@
         return dispatcher;
     }
 
-    BalancerDriver driver() {
-        return driver;
-    }
-
     /** Returns the budget of descriptors that the connections share with those to hosts. */
     public DescriptorBudget descriptors() {
         return descriptors;
--- a/src/main/java/rillyard/proxy/downstream/RequestBodyReceiver.java
+++ b/src/main/java/rillyard/proxy/downstream/RequestBodyReceiver.java
@@ -5,7 +5,6 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import rillyard.proxy.dispatch.BalancerDriver;
 import rillyard.proxy.dispatch.StreamingUpload;
 import rillyard.proxy.eventloop.GuardedTimer;
 import rillyard.proxy.eventloop.PeekableSocketChannel;
@@ -52,7 +51,6 @@
     private final RequestReader reader;
     private final PeekableSocketChannel channel;
     private final ClientRequestDecoder decoder;
-    private final BalancerDriver driver;
     private final BodyMemoryBudget memory;
     private State state = State.IDLE;
     private HttpRequest head;
@@ -75,7 +73,6 @@
         this.reader = reader;
         this.channel = channel;
         this.decoder = decoder;
-        this.driver = listener.driver();
         this.memory = listener.bodyMemory();
     }
 
@@ -153,7 +150,7 @@
 
     private AppendResult buffer(ByteBuf bytes) {
         if (buffered == null) {
-            buffered = driver.newBody(HttpUtil.getContentLength(head, -1L), true);
+            buffered = memory.newBody(HttpUtil.getContentLength(head, -1L), true);
         }
         buffered.append(bytes);
         if (buffered.size() > BufferedBody.MAX_BUFFERED_BYTES) {
--- a/src/main/java/rillyard/proxy/resources/BodyMemoryBudget.java
+++ b/src/main/java/rillyard/proxy/resources/BodyMemoryBudget.java
@@ -1,5 +1,6 @@
 package rillyard.proxy.resources;
 
+import io.netty.buffer.PooledByteBufAllocator;
 import java.util.LinkedHashSet;
 import java.util.Set;
 
@@ -25,6 +26,16 @@
         this.limitBytes = limitBytes;
     }
 
+    /**
+     * Creates an empty body that is charged to the budget.
+     *
+     * @param expectedBytes announced length, -1 if unknown
+     * @param isRequest whether it is that of a request that is still being received
+     */
+    public BufferedBody newBody(long expectedBytes, boolean isRequest) {
+        return new BufferedBody(this, PooledByteBufAllocator.DEFAULT, expectedBytes, isRequest);
+    }
+
     private long limitFor(long bodyBytes) {
         return bodyBytes <= SMALL_BODY_BYTES ? limitBytes : (long) (LARGE_BODY_SHARE * limitBytes);
     }
