--- a/src/main/java/rillyard/proxy/downstream/RequestBodyReceiver.java
+++ b/src/main/java/rillyard/proxy/downstream/RequestBodyReceiver.java
@@ -5,8 +5,8 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import rillyard.proxy.dispatch.BalancerDriver;
 import rillyard.proxy.dispatch.StreamingUpload;
+import rillyard.proxy.eventloop.GuardedTimer;
 import rillyard.proxy.eventloop.PeekableSocketChannel;
 import rillyard.proxy.resources.BodyMemoryBudget;
 import rillyard.proxy.resources.BufferedBody;
@@ -51,7 +51,6 @@
     private final RequestReader reader;
     private final PeekableSocketChannel channel;
     private final ClientRequestDecoder decoder;
-    private final BalancerDriver driver;
     private final BodyMemoryBudget memory;
     private State state = State.IDLE;
     private HttpRequest head;
@@ -74,7 +73,6 @@
         this.reader = reader;
         this.channel = channel;
         this.decoder = decoder;
-        this.driver = listener.driver();
         this.memory = listener.bodyMemory();
     }
 
@@ -152,7 +150,7 @@
 
     private AppendResult buffer(ByteBuf bytes) {
         if (buffered == null) {
-            buffered = driver.newBody(HttpUtil.getContentLength(head, -1L), true);
+            buffered = memory.newBody(HttpUtil.getContentLength(head, -1L), true);
         }
         buffered.append(bytes);
         if (buffered.size() > BufferedBody.MAX_BUFFERED_BYTES) {
@@ -179,7 +177,11 @@
         }
         memory.awaitCapacity(memoryWaiter);
         long waitMillis = (long) Math.min(MAX_MEMORY_WAIT_MILLIS, timeoutMillis / 2);
-        memoryTimeout = channel.eventLoop().schedule(reader::rejectForMemory, waitMillis, TimeUnit.MILLISECONDS);
+        memoryTimeout = GuardedTimer.schedule(
+                channel.eventLoop(),
+                TimeUnit.MILLISECONDS.toNanos(waitMillis),
+                reader::rejectForMemory,
+                channel.pipeline()::fireExceptionCaught);
     }
 
     private void resume() {
