--- a/src/main/java/rillyard/proxy/dispatch/HostResponse.java
+++ b/src/main/java/rillyard/proxy/dispatch/HostResponse.java
@@ -14,6 +14,7 @@
     private final HttpResponse head;
     private final long contentLength;
     private long receivedBytes;
+    private boolean isAwaitingMemory;
     /** Null unless the response is being buffered. */
     private ResponseBuffer buffer;
     /** Null unless the response is, or was, forwarded. */
@@ -66,12 +67,20 @@
         if (buffer.isTooLong()) {
             startForwarding();
         } else if (buffer.mustAwaitMemory()) {
+            isAwaitingMemory = true;
             attempt.connection().pauseReading();
         }
     }
 
     private void resumeBuffering() {
         if (buffer != null) {
+            endMemoryWait();
+        }
+    }
+
+    private void endMemoryWait() {
+        if (isAwaitingMemory) {
+            isAwaitingMemory = false;
             attempt.connection().resumeReading();
         }
     }
@@ -87,6 +96,7 @@
         ResponseBuffer start = buffer;
         buffer = null;
         attempt.onForwarding();
+        endMemoryWait(); // a further part of the same read has made it too long to buffer
         try {
             for (ByteBuf block : start.retainedBlocks()) {
                 stream.forward(block);
--- a/src/test/java/rillyard/proxy/dispatch/BalancerFailureTest.java
+++ b/src/test/java/rillyard/proxy/dispatch/BalancerFailureTest.java
@@ -4,19 +4,7 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.EventLoop;
-import io.netty.channel.MultiThreadIoEventLoopGroup;
-import io.netty.channel.nio.NioIoHandler;
-import io.netty.handler.codec.http.DefaultHttpRequest;
-import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpVersion;
-import java.io.ByteArrayOutputStream;
-import java.io.PrintStream;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.Map;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
@@ -25,30 +13,20 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import rillyard.proxy.ProxyFixture;
 import rillyard.proxy.ScriptedServer;
-import rillyard.proxy.config.ProxyConfig;
-import rillyard.proxy.discovery.EndpointWatch;
-import rillyard.proxy.eventloop.SocketChannelFactory;
-import rillyard.proxy.logging.ProxyLog;
-import rillyard.proxy.resources.BodyMemoryBudget;
 import rillyard.proxy.resources.BufferedBody;
-import rillyard.proxy.resources.DescriptorBudget;
-import rillyard.proxy.upstream.UpstreamPool;
 
 /** A balancer or a timer that throws: the request that the event is about has its answer, and its attempt ends. */
 @Timeout(30)
 class BalancerFailureTest {
-    private static final double REMAINING_MILLIS = 20_000;
     private static final String EVENT_FAILED = "balancer: event failed";
 
-    private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
     private final BlockingQueue<Integer> statuses = new LinkedBlockingQueue<>();
     private final CountDownLatch received = new CountDownLatch(1);
     private final CountDownLatch ended = new CountDownLatch(1);
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop loop = (EventLoop) group.next();
     private ScriptedServer host;
+    private DriverFixture fixture;
+    private EventLoop loop;
     private BalancerDriver driver;
 
     private interface TimerStarter {
@@ -103,34 +81,26 @@
             peer.awaitEnd();
             ended.countDown();
         });
-        Path file = ProxyFixture.writeConfig(1, config -> {}, ProxyFixture.endpoint("a", host.port()));
-        ProxyConfig config = ProxyConfig.load(Map.of("BALANCER_CONFIG", file.toString()));
-        Files.delete(file);
-        ProxyLog log = new ProxyLog(new PrintStream(logged, true, StandardCharsets.UTF_8));
-        SocketChannelFactory channels = new SocketChannelFactory();
-        UpstreamPool upstreams = new UpstreamPool(group, channels, config, new DescriptorBudget(1_000), log);
-        driver = new BalancerDriver(loop, config, upstreams, new BodyMemoryBudget(1 << 20), log, null, null);
-        EndpointWatch watch = new EndpointWatch(group, channels, config, driver.endpoints(), driver, log);
-        loop.submit(() -> watch.start(config.cachedEndpoints())).get();
+        fixture = new DriverFixture(host.port());
+        loop = fixture.loop;
+        driver = fixture.driver;
     }
 
     @AfterEach
     void stop() throws Exception {
-        group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
+        fixture.close();
         host.close();
     }
 
     private RequestExchange newExchange() {
-        HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/");
-        return new RequestExchange(
-                new ClientRequest("r", "read", head, null, null, REMAINING_MILLIS), driver, new StatusReceiver());
+        return fixture.newExchange(new StatusReceiver());
     }
 
     private void assertFailedAtOnce(String logLine) throws Exception {
         assertThat(statuses.poll(2, TimeUnit.SECONDS)).isEqualTo(502);
         assertThat(loop.submit(() -> driver.openRequests()).get()).isZero();
         assertThat(driver.metrics().text()).contains("pending:0|");
-        assertThat(logged.toString(StandardCharsets.UTF_8)).contains(logLine);
+        assertThat(fixture.log()).contains(logLine);
         assertThat(statuses).isEmpty();
     }
 
@@ -155,7 +125,7 @@
         RequestExchange exchange = loop.submit(this::newExchange).get();
         loop.submit(exchange::dispatch).get();
         assertThat(received.await(10, TimeUnit.SECONDS)).isTrue();
-        BalancerEvents events = new BalancerEvents(new ProxyLog(new PrintStream(logged, true, StandardCharsets.UTF_8)));
+        BalancerEvents events = new BalancerEvents(fixture.log);
         loop.submit(() -> events.deliver(exchange, () -> {
                     throw new StackOverflowError("thrown by the test");
                 }))
