--- a/src/main/java/rillyard/balancer/SubsetSelector.java
+++ b/src/main/java/rillyard/balancer/SubsetSelector.java
@@ -40,7 +40,7 @@
 
     /** Returns the subset, cut anew if the hosts have changed or its size does not fit {@code peakInFlight}. */
     HostSubset select(double peakInFlight, double nowMillis) {
-        // Bounds the connections of all proxies together at a host (if1c0a3); those in use add up to the same.
+        // Bounds the connections of all proxies together at a host; those in use add up to the same.
         double shared = Tuning.MAX_PROXIES_PER_HOST * hosts.ready().size() / settings.proxyCount();
         double most = Math.max(Math.max(Tuning.MIN_CANDIDATES, shared), peakInFlight);
         double wanted = Tuning.BASE_SUBSET_SIZE + Tuning.SUBSET_HOSTS_PER_IN_FLIGHT * peakInFlight;
--- a/src/test/java/rillyard/balancer/HostSelectorTest.java
+++ b/src/test/java/rillyard/balancer/HostSelectorTest.java
@@ -29,7 +29,7 @@
                 fixture.now, id, new AttemptResult(send.number(), AttemptOutcome.OK, spent, true, null));
     }
 
-    /** Many proxies must not use up the hosts' connections together (if1c0a3). */
+    /** Many proxies must not use up the hosts' connections together. */
     @Test
     void manyProxiesOnFewHostsKeepSmallSubsets() {
         Settings settings =
