--- a/src/main/java/rillyard/balancer/HostSet.java
+++ b/src/main/java/rillyard/balancer/HostSet.java
@@ -61,10 +61,8 @@
 
     /** Returns the number of listed hosts that get no requests in the ordinary way: not ready, or ejected. */
     int avoidedHostCount() {
-        return (int) byId.values().stream()
-                .filter(host ->
-                        host.isListed() && (!host.isReady() || host.health().isEjected()))
-                .count();
+        int listedCount = byId.size() - unlisted.size();
+        return listedCount - ready.size() + ejectedHostCount(null);
     }
 
     /** Returns the hosts that may get requests, in ring order, as a view. */
@@ -106,7 +104,7 @@
         }
     }
 
-    /** Returns how many {@link #ready} hosts other than {@code except} are ejected. */
+    /** Returns how many {@link #ready} hosts other than {@code except}, which may be null, are ejected. */
     int ejectedHostCount(HostState except) {
         int count = 0;
         for (HostState host : ejected) {
--- a/src/main/java/rillyard/proxy/discovery/EndpointRegistry.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointRegistry.java
@@ -111,11 +111,7 @@
 
     /** Returns how many hosts are listed. */
     public int listedCount() {
-        int count = 0;
-        for (UpstreamHost host : hostsById.values()) {
-            count += host.isListed() ? 1 : 0;
-        }
-        return count;
+        return hostsById.size() - unlisted.size();
     }
 
     // --- lists
--- a/src/test/java/rillyard/balancer/HostSetTest.java
+++ b/src/test/java/rillyard/balancer/HostSetTest.java
@@ -11,6 +11,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
+import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 import rillyard.balancer.EndpointEntry.Condition;
 import rillyard.balancer.Settings.Scope;
@@ -19,6 +20,7 @@
 /** The hosts that a balancer keeps in memory. */
 class HostSetTest {
     private static final String SAFE = "safe";
+    private static final int MAX_IDS = 40;
     private static final List<Condition> CONDITIONS = List.of(Condition.values());
 
     private final BalancerFixture fixture = new BalancerFixture();
@@ -81,6 +83,7 @@
                 }
             }
             hosts.apply(fixture.now, isFull ? WatchEvent.FULL : WatchEvent.DELTA, entries, random);
+            assertThat(hosts.avoidedHostCount()).isEqualTo(countAvoided(hosts));
             assertThat(hosts.ready())
                     .extracting(HostState::id)
                     .containsExactlyElementsOf(expected.stream()
@@ -95,6 +98,16 @@
         }
     }
 
+    /** Counts one by one what the set derives from its sizes; ids are those of {@link #distinctIds}. */
+    private static long countAvoided(HostSet hosts) {
+        return LongStream.range(0, MAX_IDS)
+                .mapToObj(hosts::get)
+                .filter(host -> host != null
+                        && host.isListed()
+                        && (!host.isReady() || host.health().isEjected()))
+                .count();
+    }
+
     private static List<HostState> readyOfZone(HostSet hosts, boolean isLocal) {
         return hosts.ready().stream()
                 .filter(host -> host.zone().equals("a") == isLocal)
@@ -194,7 +207,7 @@
     private static Set<Long> distinctIds(SplittableRandom random, int count) {
         Set<Long> ids = new HashSet<>();
         while (ids.size() < count) {
-            ids.add((long) random.nextInt(40));
+            ids.add((long) random.nextInt(MAX_IDS));
         }
         return ids;
     }
