--- a/src/main/java/rillyard/proxy/upstream/ConnectFailureClassifier.java
+++ b/src/main/java/rillyard/proxy/upstream/ConnectFailureClassifier.java
@@ -10,9 +10,9 @@
 /**
  * Tells connects that failed on this machine (no socket, port, buffer or route) from those that failed at the host.
  *
- * <p>A failure without a class of its own, such as ENETUNREACH, tells of the host only where other hosts are reached:
- * where another one was since the host's failure before. The first such failure of a host counts as local. Confined to
- * the event loop.
+ * <p>A failure that neither its class nor its message assigns, such as ENETUNREACH, tells of the host only where other
+ * hosts are reached: where another one was since the host's failure before. The first such failure of a host counts as
+ * local. Confined to the event loop.
  */
 final class ConnectFailureClassifier {
     /**
--- a/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
@@ -82,27 +82,33 @@
     /** Sends a call to its host on an idle connection, or on a new one. */
     public void start(UpstreamCall call) {
         UpstreamHost host = call.host();
-        UpstreamConnection connection;
+        UpstreamConnection kept = call.needsNewConnection() ? null : takeIdle(host);
+        if (kept != null) {
+            kept.run(call);
+        } else if (descriptors.hasCapacity()) {
+            connect(call, host);
+        } else {
+            if (rejectedAttempts++ % REJECTIONS_PER_LOG_LINE == 0) {
+                log.info("descriptors: limit reached, rejected_attempts=" + rejectedAttempts);
+            }
+            call.onLocalFailure();
+        }
+    }
+
+    /** Takes an idle connection that can be used, and closes those before it that can't; returns null if there is none. */
+    private UpstreamConnection takeIdle(UpstreamHost host) {
         long now = System.nanoTime();
-        while (!call.needsNewConnection()
-                && (connection = selectIdle(host.idleConnections(), UpstreamConnection::idleSinceNanos, now)) != null) {
+        UpstreamConnection connection;
+        while ((connection = selectIdle(host.idleConnections(), UpstreamConnection::idleSinceNanos, now)) != null) {
             removeIdle(host, connection);
             if (connection.isAlive()
                     && connection.isReusable()
                     && !idleResets.isReuseRisky(now - connection.idleSinceNanos(), now)) {
-                connection.run(call);
-                return;
+                return connection;
             }
             connection.channel().close();
         }
-        if (!descriptors.hasCapacity()) {
-            if (rejectedAttempts++ % REJECTIONS_PER_LOG_LINE == 0) {
-                log.info("descriptors: limit reached, rejected_attempts=" + rejectedAttempts);
-            }
-            call.onLocalFailure();
-            return;
-        }
-        connect(call, host);
+        return null;
     }
 
     /**
