--- a/src/main/java/rillyard/proxy/ClientProxy.java
+++ b/src/main/java/rillyard/proxy/ClientProxy.java
@@ -210,18 +210,23 @@
         try {
             driver.endOverdueRequests(stallNanos); // before anything new is read
             endpointWatch.readPending();
-        } catch (RuntimeException e) {
+        } catch (RuntimeException | Error e) {
             log.error("loop: stall not handled", e); // timers end what is overdue
         }
     }
 
     private void runMaintenance() {
+        maintain(driver::runMaintenance);
+        maintain(listener::runMaintenance);
+        maintain(endpointWatch::runMaintenance);
+    }
+
+    /** Runs a part of the maintenance; were a failure thrown, neither the other parts nor this one would run again. */
+    private void maintain(Runnable part) {
         try {
-            driver.runMaintenance();
-            listener.runMaintenance();
-            endpointWatch.runMaintenance();
-        } catch (RuntimeException e) {
-            log.error("proxy: maintenance failed", e); // the task would not run again if this were thrown
+            part.run();
+        } catch (RuntimeException | Error e) {
+            log.error("proxy: maintenance failed", e);
         }
     }
 
--- a/src/main/java/rillyard/proxy/DrainController.java
+++ b/src/main/java/rillyard/proxy/DrainController.java
@@ -62,17 +62,45 @@
         double drainMillis = Math.min(longestDeadlineMillis, MAX_DEADLINE_MILLIS) + DRAIN_MARGIN_MILLIS;
         drainUntilNanos = now + (long) (drainMillis * NANOS_PER_MILLI);
         log.info("proxy: draining, successor=" + hasSuccessor);
+        try {
+            stopAccepting(hasSuccessor);
+        } catch (RuntimeException | Error e) {
+            onFailed(e);
+        }
+        poll();
+    }
+
+    private void stopAccepting(boolean hasSuccessor) {
         if (hasSuccessor) {
             listener.closeServerChannel();
             listener.requestClientMigration();
         } else {
             listener.drain();
         }
-        poll();
+    }
+
+    /** A step of the drain has thrown. The next one goes on, as a drain that does not end costs all open requests. */
+    private void onFailed(Throwable cause) {
+        log.error("proxy: drain failed", cause);
     }
 
     private void poll() {
         long now = System.nanoTime();
+        boolean isDone = false;
+        try {
+            isDone = drainFurther(now);
+        } catch (RuntimeException | Error e) {
+            onFailed(e);
+        }
+        if (isDone || now >= drainUntilNanos) {
+            end(isDone);
+        } else {
+            loop.schedule(this::poll, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        }
+    }
+
+    /** Takes what steps are due by now; returns whether nothing is left to do. */
+    private boolean drainFurther(long now) {
         boolean hasStoppedAccepting = now >= acceptUntilNanos;
         if (hasStoppedAccepting) {
             // Ends connections that are new since the drain began and idle so far: a request on one of them could
@@ -82,13 +110,15 @@
         if (now >= drainUntilNanos - FAIL_OPEN_REQUESTS_MILLIS * NANOS_PER_MILLI) {
             driver.failOpenRequests();
         }
-        boolean isDone = hasStoppedAccepting && !listener.isBusy() && hasNothingToAccept();
-        if (isDone || now >= drainUntilNanos) {
-            log.info(isDone ? "proxy: drained" : "proxy: drain timed out");
+        return hasStoppedAccepting && !listener.isBusy() && hasNothingToAccept();
+    }
+
+    private void end(boolean isDone) {
+        log.info(isDone ? "proxy: drained" : "proxy: drain timed out");
+        try {
             listener.closeServerChannel();
+        } finally {
             markEnded();
-        } else {
-            loop.schedule(this::poll, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/main/java/rillyard/proxy/discovery/EndpointWatch.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointWatch.java
@@ -129,6 +129,18 @@
 
     /** Opens the watch, in place of one that is open or waits to be opened. */
     private void open() {
+        try {
+            closeAndConnect();
+        } catch (RuntimeException | Error e) {
+            // Thrown further, it would be the last attempt: nobody else opens the watch again.
+            log.error("watch: not opened", e);
+            if (connections.isEmpty()) {
+                scheduleReconnect();
+            }
+        }
+    }
+
+    private void closeAndConnect() {
         if (reconnect != null) {
             reconnect.cancel(false);
             reconnect = null;
--- a/src/test/java/rillyard/proxy/HandlerFailureTest.java
+++ b/src/test/java/rillyard/proxy/HandlerFailureTest.java
@@ -286,4 +286,42 @@
             assertServesNext(fixture);
         }
     }
+
+    /** Nothing else ends idle connections, nor replaces a silent watch. */
+    @Test
+    void maintenanceGoesOnAfterError() throws Exception {
+        try (ScriptedServer host = answeringHost();
+                ProxyFixture fixture = fixture(host);
+                TestPeer client = fixture.client()) {
+            client.write(claim());
+            assertThat(client.read().status()).isEqualTo(200);
+            channels.throwOnNextEndOfStreamCheck(new StackOverflowError(FaultInjectingChannels.INJECTED));
+            client.awaitEnd(); // idle connections end after 2.1 s; the look before that has thrown
+            assertLogged(fixture);
+        }
+    }
+
+    @Test
+    void drainEndsThoughStepOfItThrows() throws Exception {
+        try (ScriptedServer host = answeringHost();
+                ProxyFixture fixture = fixture(host);
+                TestPeer client = fixture.client()) {
+            client.write(claim());
+            assertThat(client.read().status()).isEqualTo(200);
+            channels.throwOnNextEndOfStreamCheck(); // with which the drain closes idle connections
+            fixture.proxy.drain();
+            CountDownLatch drained = new CountDownLatch(1);
+            Thread waiter = new Thread(() -> {
+                fixture.proxy.awaitEnd();
+                drained.countDown();
+            });
+            waiter.start();
+            try {
+                assertThat(drained.await(10, TimeUnit.SECONDS)).isTrue();
+                assertThat(fixture.log()).contains("proxy: drain failed").contains("proxy: drained");
+            } finally {
+                waiter.interrupt();
+            }
+        }
+    }
 }
--- a/src/test/java/rillyard/proxy/eventloop/FaultInjectingChannels.java
+++ b/src/test/java/rillyard/proxy/eventloop/FaultInjectingChannels.java
@@ -42,7 +42,7 @@
     private volatile Map<Call, Fault> faults = Map.of();
     private final BlockingQueue<Channel> accepted = new LinkedBlockingQueue<>();
     private volatile WriteTrap writeTrap;
-    private volatile boolean throwsOnEndOfStreamCheck;
+    private volatile Throwable endOfStreamTrap;
     private volatile int closeTrapPort = -1;
     private volatile int bytesPerRead = Integer.MAX_VALUE;
     private volatile int bytesPerWrite = Integer.MAX_VALUE;
@@ -77,7 +77,17 @@
 
     /** Has the next look for the end of a client's stream throw, which comes before a request is dispatched. */
     public void throwOnNextEndOfStreamCheck() {
-        throwsOnEndOfStreamCheck = true;
+        throwOnNextEndOfStreamCheck(new IllegalStateException(INJECTED));
+    }
+
+    /** Has the next look for the end of a client's stream throw this. */
+    public void throwOnNextEndOfStreamCheck(RuntimeException failure) {
+        endOfStreamTrap = failure;
+    }
+
+    /** Has the next look for the end of a client's stream throw this. */
+    public void throwOnNextEndOfStreamCheck(Error failure) {
+        endOfStreamTrap = failure;
     }
 
     /** Has the next close of a connection to this port throw. */
@@ -180,9 +190,13 @@
 
         @Override
         public boolean isEndOfStream() {
-            if (throwsOnEndOfStreamCheck) {
-                throwsOnEndOfStreamCheck = false;
-                throw new IllegalStateException(INJECTED);
+            Throwable trap = endOfStreamTrap;
+            endOfStreamTrap = null;
+            if (trap instanceof Error error) {
+                throw error;
+            }
+            if (trap instanceof RuntimeException failure) {
+                throw failure;
             }
             return super.isEndOfStream();
         }
