--- a/src/main/java/rillyard/proxy/downstream/ClientConnection.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientConnection.java
@@ -118,11 +118,11 @@
             exchange.onHandlerFailed();
             return exchange == null;
         }
-        if (isDiscardingInput() || !(awaitsResponse || decoder.isReceiving())) {
-            return false;
+        if (awaitsResponse || (!isDiscardingInput() && decoder.isReceiving())) {
+            reject(BAD_GATEWAY); // also in place of a rejection whose write has thrown
+            return true;
         }
-        reject(BAD_GATEWAY);
-        return true;
+        return false;
     }
 
     // --- the request at hand
@@ -232,6 +232,7 @@
     /** Answers what can't be served as a request and ends the connection. */
     void reject(int status) {
         state = State.DISCARDING_INPUT;
+        awaitsResponse = true;
         RequestExchange abandoned = exchange;
         exchange = null;
         decoder.discardInput();
--- a/src/test/java/rillyard/proxy/BodyMemoryTest.java
+++ b/src/test/java/rillyard/proxy/BodyMemoryTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.netty.handler.codec.http.FullHttpResponse;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
@@ -11,6 +12,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import rillyard.proxy.eventloop.FaultInjectingChannels;
 
 /** Requests that come while the memory for bodies is used up by requests whose host has yet to answer. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
@@ -20,6 +22,7 @@
 
     private static final int FILLERS = 128;
 
+    private final FaultInjectingChannels channels = new FaultInjectingChannels();
     private final CountDownLatch release = new CountDownLatch(1);
     private final List<TestPeer> fillers = new ArrayList<>();
     private ScriptedServer host;
@@ -36,6 +39,7 @@
             return ScriptedServer.ok("x");
         });
         fixture = new ProxyFixture(
+                channels,
                 config -> ((ObjectNode) config.get("limits")).put("memory_mb", 64),
                 ProxyFixture.endpoint("a", host.port()));
         String body = "x".repeat(FILLER_BYTES);
@@ -83,6 +87,18 @@
         }
     }
 
+    @Test
+    void throwAtEndOfWaitIsAnswered() throws Exception {
+        try (TestPeer client = fixture.client()) {
+            client.write(
+                    ProxyFixture.head("POST", "claim", 600_000, "") + "Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n");
+            channels.throwOnNextWriteToClient(FullHttpResponse.class); // of the rejection
+            assertThat(client.read().status()).isEqualTo(502);
+            assertThat(client.read()).isNull();
+            assertThat(fixture.log()).contains(FaultInjectingChannels.INJECTED);
+        }
+    }
+
     @Test
     void healthCheckWithBodyIsRejectedAndNotCounted() throws Exception {
         try (TestPeer client = fixture.client()) {
--- a/src/test/java/rillyard/proxy/ProxyFixture.java
+++ b/src/test/java/rillyard/proxy/ProxyFixture.java
@@ -66,7 +66,12 @@
 
     /** Starts a proxy whose channels come from {@code channels}. */
     ProxyFixture(SocketChannelFactory channels, String... servers) throws Exception {
-        this(channels, false, null, config -> {}, servers);
+        this(channels, config -> {}, servers);
+    }
+
+    /** Starts a proxy whose channels come from {@code channels}; {@code change} edits the configuration. */
+    ProxyFixture(SocketChannelFactory channels, Consumer<ObjectNode> change, String... servers) throws Exception {
+        this(channels, false, null, change, servers);
     }
 
     private ProxyFixture(
