--- a/src/main/java/rillyard/scheduling/EventLoopScheduler.java
+++ b/src/main/java/rillyard/scheduling/EventLoopScheduler.java
@@ -4,7 +4,7 @@
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** A {@link Scheduler} on a Netty event loop and the system's monotonic clock. Used on the loop's thread only. */
+/** A {@link Scheduler} that uses a Netty event loop and the system's monotonic clock. Confined to the loop's thread. */
 public final class EventLoopScheduler implements Scheduler {
     private final EventLoop loop;
 
--- a/src/main/java/rillyard/scheduling/EventLoops.java
+++ b/src/main/java/rillyard/scheduling/EventLoops.java
@@ -15,17 +15,17 @@
 import io.netty.util.concurrent.DefaultThreadFactory;
 
 /**
- * Creates event loops with precise timers, and names the channel types that run on them.
+ * Creates event loops with precise timers, and returns the channel types that run on them.
  *
- * <p>The JDK's selector waits in whole milliseconds, too coarse for a schedule of several thousand sends per second;
- * epoll waits in nanoseconds. On platforms other than Linux the selector is used, and timers are up to a millisecond
- * late.
+ * <p>The JDK's selector waits in whole milliseconds, which is too coarse for several thousand scheduled sends per
+ * second; epoll waits in nanoseconds. On platforms other than Linux the selector is used, and timers are up to one
+ * millisecond late.
  */
 public final class EventLoops {
     private static final boolean EPOLL;
 
     static {
-        // Prevents waits that are rounded to whole milliseconds past the default threshold.
+        // Raises the threshold past which epoll waits would be rounded to whole milliseconds.
         if (System.getProperty("io.netty.channel.epoll.epollWaitThreshold") == null) {
             System.setProperty("io.netty.channel.epoll.epollWaitThreshold", "1000000");
         }
@@ -35,7 +35,7 @@
     private EventLoops() {}
 
     /**
-     * Creates a group of event loops, each on a daemon thread of its own.
+     * Creates a group of event loops, each on its own daemon thread.
      *
      * @param threads number of loops, at least 1
      * @param name prefix of the threads' names
--- a/src/main/java/rillyard/scheduling/Scheduler.java
+++ b/src/main/java/rillyard/scheduling/Scheduler.java
@@ -9,8 +9,8 @@
      * Schedules a task for an absolute time.
      *
      * @param atNanos time on the clock of {@link #now()}, in nanoseconds; a task whose time is past runs soon, but
-     *     never from within this call
-     * @param task what to run
+     *     never within this call
+     * @param task the task to run
      */
     ScheduledTask scheduleAt(long atNanos, Runnable task);
 
@@ -19,7 +19,7 @@
         return scheduleAt(now() + delayNanos, task);
     }
 
-    /** A task that has been scheduled and may be cancelled. */
+    /** A scheduled task, which may be cancelled. */
     interface ScheduledTask {
         /** Cancels the task. Has no effect once the task has run. */
         void cancel();
--- a/src/test/java/rillyard/scheduling/VirtualScheduler.java
+++ b/src/test/java/rillyard/scheduling/VirtualScheduler.java
@@ -3,16 +3,16 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** A {@link Scheduler} whose clock moves only when a test advances it. */
+/** A {@link Scheduler} with a virtual clock that moves only when a test advances it. */
 public final class VirtualScheduler implements Scheduler {
     private static final class VirtualTask implements ScheduledTask {
-        final long at;
+        final long atNanos;
         final long order;
         final Runnable action;
         boolean cancelled;
 
-        VirtualTask(long at, long order, Runnable action) {
-            this.at = at;
+        VirtualTask(long atNanos, long order, Runnable action) {
+            this.atNanos = atNanos;
             this.order = order;
             this.action = action;
         }
@@ -24,18 +24,18 @@
     }
 
     private final PriorityQueue<VirtualTask> due = new PriorityQueue<>(
-            Comparator.<VirtualTask>comparingLong(task -> task.at).thenComparingLong(task -> task.order));
-    private long now = 1_000_000_000L;
+            Comparator.<VirtualTask>comparingLong(task -> task.atNanos).thenComparingLong(task -> task.order));
+    private long nowNanos = 1_000_000_000L;
     private long order;
 
     @Override
     public long now() {
-        return now;
+        return nowNanos;
     }
 
     @Override
-    public ScheduledTask scheduleAt(long at, Runnable action) {
-        VirtualTask task = new VirtualTask(Math.max(now, at), order++, action);
+    public ScheduledTask scheduleAt(long atNanos, Runnable action) {
+        VirtualTask task = new VirtualTask(Math.max(nowNanos, atNanos), order++, action);
         due.add(task);
         return task;
     }
@@ -45,15 +45,15 @@
      * times.
      */
     public void advance(long nanos) {
-        long until = now + nanos;
-        while (!due.isEmpty() && due.peek().at <= until) {
+        long untilNanos = nowNanos + nanos;
+        while (!due.isEmpty() && due.peek().atNanos <= untilNanos) {
             VirtualTask task = due.poll();
             if (!task.cancelled) {
-                now = Math.max(now, task.at);
+                nowNanos = Math.max(nowNanos, task.atNanos);
                 task.action.run();
             }
         }
-        now = Math.max(now, until);
+        nowNanos = Math.max(nowNanos, untilNanos);
     }
 
     /**
@@ -61,7 +61,7 @@
      * blocked.
      */
     public void skip(long nanos) {
-        now += nanos;
+        nowNanos += nanos;
     }
 
     /** Advances the clock by {@code ms} milliseconds and runs the tasks that become due. */
@@ -75,7 +75,7 @@
             if (due.isEmpty()) {
                 return;
             }
-            advance(Math.max(0, due.peek().at - now));
+            advance(Math.max(0, due.peek().atNanos - nowNanos));
         }
     }
 }
