--- a/src/main/java/rillyard/settings/JsonTreeReader.java
+++ b/src/main/java/rillyard/settings/JsonTreeReader.java
@@ -10,8 +10,9 @@
 import java.io.IOException;
 
 /**
- * Reads JSON (RFC 8259) into Jackson's tree model with Jackson's parser, but without its mapper: that loads some 200 classes
- * before it reads a first byte, such as calendars, locales and serializers, for which each start of a proxy would wait.
+ * Reads JSON (RFC 8259) into Jackson's tree model with Jackson's parser but without its mapper. The mapper loads about
+ * 200 classes before it reads the first byte, such as calendars, locales and serializers, which would delay each start
+ * of a proxy.
  */
 public final class JsonTreeReader {
     private static final JsonFactory PARSERS = new JsonFactory();
@@ -20,11 +21,11 @@
     private JsonTreeReader() {}
 
     /**
-     * Reads the first value; like a mapper, it ignores what follows.
+     * Reads the first value and, like the mapper, ignores what follows.
      *
-     * @return the value, null if there is nothing but whitespace
-     * @throws com.fasterxml.jackson.core.JsonProcessingException if it is not JSON, or is nested deeper than the parser's
-     *     limit of 1,000 levels
+     * @return the value, null if there is only whitespace
+     * @throws com.fasterxml.jackson.core.JsonProcessingException if the text is not JSON, or is nested deeper than the
+     *     parser's limit of 1,000 levels
      */
     public static JsonNode read(byte[] text, int from, int length) throws IOException {
         try (JsonParser parser = PARSERS.createParser(text, from, length)) {
@@ -67,7 +68,7 @@
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             String name = parser.currentName();
             parser.nextToken();
-            node.set(name, value(parser)); // the last of two with the same name wins, as with the mapper
+            node.set(name, value(parser)); // the last of several fields with one name wins, as with the mapper
         }
         return node;
     }
--- a/src/main/java/rillyard/settings/MalformedInputException.java
+++ b/src/main/java/rillyard/settings/MalformedInputException.java
@@ -1,6 +1,6 @@
 package rillyard.settings;
 
-/** Thrown for input that is malformed. The message is a single line for operators. */
+/** Thrown if input is malformed. The message is a single line for operators. */
 public final class MalformedInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/rillyard/settings/SettingsReader.java
+++ b/src/main/java/rillyard/settings/SettingsReader.java
@@ -8,25 +8,25 @@
 import rillyard.balancer.Settings;
 
 /**
- * Reads the settings of a proxy. Keys that are not known or no longer used are skipped; what is absent has a default that is
- * harmless. {@link SettingsValidator} tells values that can't be used.
+ * Reads the settings of a proxy. Keys that are unknown or no longer used are skipped, and absent values have harmless
+ * defaults. Values that can't be used are reported by {@link SettingsValidator}.
  */
 public final class SettingsReader {
-    private static final double DEFAULT_DEADLINE = 1_000;
+    private static final double DEFAULT_DEADLINE_MILLIS = 1_000;
 
     private SettingsReader() {}
 
     /**
-     * Reads settings from JSON.
+     * Reads settings from JSON text.
      *
-     * @throws MalformedInputException if they are not a JSON object
+     * @throws MalformedInputException if the text is not a JSON object
      */
-    public static Settings read(String conf) {
+    public static Settings read(String json) {
         JsonNode root;
         try {
-            root = JsonTreeReader.read(conf);
+            root = JsonTreeReader.read(json);
         } catch (JsonProcessingException e) {
-            throw new MalformedInputException("malformed conf: " + e.getOriginalMessage(), e);
+            throw new MalformedInputException("malformed settings (conf): " + e.getOriginalMessage(), e);
         } catch (IOException e) {
             throw new IllegalStateException("reading from a string can't fail", e);
         }
@@ -36,11 +36,11 @@
     /**
      * Reads settings from parsed JSON.
      *
-     * @throws MalformedInputException if they are not a JSON object
+     * @throws MalformedInputException if {@code root} is null or not a JSON object
      */
     public static Settings read(JsonNode root) {
         if (root == null || !root.isObject()) {
-            throw new MalformedInputException("malformed conf: not a JSON object");
+            throw new MalformedInputException("settings: expected a JSON object");
         }
         List<Settings.RequestClass> classes = new ArrayList<>();
         for (JsonNode node : root.path("classes")) {
@@ -81,11 +81,11 @@
     }
 
     private static Settings.RequestClass requestClass(JsonNode node) {
-        double deadline = node.path("deadline").asDouble(DEFAULT_DEADLINE);
+        double deadlineMillis = node.path("deadline").asDouble(DEFAULT_DEADLINE_MILLIS);
         return new Settings.RequestClass(
                 node.path("name").asText(),
-                Math.max(1, node.path("aim").asDouble(deadline)),
-                deadline,
+                Math.max(1, node.path("aim").asDouble(deadlineMillis)),
+                deadlineMillis,
                 semantics(node.path("semantics").asText()),
                 scope(node.path("keyScope").asText()),
                 node.path("repeatWindow").asDouble(0),
@@ -93,19 +93,19 @@
                 node.path("lateWorth").asDouble(0));
     }
 
-    private static Settings.Semantics semantics(String word) {
-        return switch (word) {
+    private static Settings.Semantics semantics(String value) {
+        return switch (value) {
             case "idempotent" -> Settings.Semantics.IDEMPOTENT;
             case "deduplicated" -> Settings.Semantics.DEDUPLICATED;
-            default -> Settings.Semantics.AT_MOST_ONCE; // the strictest one, for an unknown word
+            default -> Settings.Semantics.AT_MOST_ONCE; // the strictest one, for an unknown value
         };
     }
 
-    private static Settings.Scope scope(String word) {
-        return switch (word) {
+    private static Settings.Scope scope(String value) {
+        return switch (value) {
             case "all" -> Settings.Scope.ALL;
             case "zone" -> Settings.Scope.ZONE;
-            default -> Settings.Scope.CELL; // the strictest one, for an unknown word
+            default -> Settings.Scope.CELL; // the strictest one, for an unknown value
         };
     }
 }
--- a/src/main/java/rillyard/settings/SettingsValidator.java
+++ b/src/main/java/rillyard/settings/SettingsValidator.java
@@ -6,22 +6,23 @@
 import java.util.Set;
 
 /**
- * Validates settings, so that a proxy does not serve with a deadline or an idempotency window that nobody meant. A key that
- * is absent, null or not known is valid; a value that {@link SettingsReader} would have to replace by a default is not.
+ * Validates settings, so that a proxy doesn't run with an unintended deadline or idempotency window. A key that is
+ * absent, null or unknown is valid; a value that {@link SettingsReader} would have to replace by a default is not.
  */
 public final class SettingsValidator {
-    /** The longest time that settings may state, some eleven days. */
+    /** Maximum time that settings may contain, about eleven days. */
     private static final double MAX_MILLIS = 1e9;
 
     private static final double MAX_NUMBER = Integer.MAX_VALUE;
-    private static final int MAX_TEXT_SHOWN = 60;
+    private static final int MAX_SHOWN_CHARS = 60;
 
     private SettingsValidator() {}
 
     /**
      * Validates the settings of a proxy.
      *
-     * @throws MalformedInputException if a value can't be used; the message names the key, the expected and the actual value
+     * @throws MalformedInputException if a value can't be used; the message contains the key, the expected value and
+     *     the actual one
      */
     public static void check(JsonNode settings) {
         if (settings == null || !settings.isObject()) {
@@ -57,7 +58,7 @@
             String prefix = "classes[" + i + "].";
             JsonNode name = node.path("name");
             if (!name.isTextual() || name.asText().isBlank() || !names.add(name.asText())) {
-                throw invalid(prefix + "name", "a name that no other class has", name);
+                throw invalidValue(prefix + "name", "a non-blank string that is unique among the class names", name);
             }
             checkTime(node, prefix, "deadline", 1);
             checkTime(node, prefix, "aim", 0);
@@ -70,7 +71,7 @@
     private static JsonNode object(JsonNode parent, String key) {
         JsonNode node = parent.path(key);
         if (!isAbsent(node) && !node.isObject()) {
-            throw invalid(key, "an object", node);
+            throw invalidValue(key, "an object", node);
         }
         return node;
     }
@@ -78,7 +79,7 @@
     private static JsonNode list(JsonNode parent, String key) {
         JsonNode node = parent.path(key);
         if (!isAbsent(node) && !node.isArray()) {
-            throw invalid(key, "a list", node);
+            throw invalidValue(key, "a list", node);
         }
         return node;
     }
@@ -91,14 +92,14 @@
         checkNumber(parent, prefix, key, min, max);
         JsonNode node = parent.path(key);
         if (!isAbsent(node) && node.asDouble() != Math.rint(node.asDouble())) {
-            throw invalid(prefix + key, "a whole number", node);
+            throw invalidValue(prefix + key, "a whole number", node);
         }
     }
 
     private static void checkNumber(JsonNode parent, String prefix, String key, double min, double max) {
         JsonNode node = parent.path(key);
         if (!isAbsent(node) && !(node.isNumber() && node.asDouble() >= min && node.asDouble() <= max)) {
-            throw invalid(prefix + key, String.format(Locale.ROOT, "a number from %.0f to %.0f", min, max), node);
+            throw invalidValue(prefix + key, String.format(Locale.ROOT, "a number from %.0f to %.0f", min, max), node);
         }
     }
 
@@ -106,9 +107,9 @@
         return node.isMissingNode() || node.isNull();
     }
 
-    private static MalformedInputException invalid(String key, String expected, JsonNode actual) {
+    private static MalformedInputException invalidValue(String key, String expected, JsonNode actual) {
         String shown = actual.isMissingNode() ? "nothing" : actual.toString();
         return new MalformedInputException("settings." + key + ": expected " + expected + ", found "
-                + (shown.length() > MAX_TEXT_SHOWN ? shown.substring(0, MAX_TEXT_SHOWN) + "..." : shown));
+                + (shown.length() > MAX_SHOWN_CHARS ? shown.substring(0, MAX_SHOWN_CHARS) + "..." : shown));
     }
 }
--- a/src/main/java/rillyard/settings/package-info.java
+++ b/src/main/java/rillyard/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Reads and validates the settings of a proxy, given as JSON, without the parts of Jackson that slow down a start. */
+/** Reads and validates the JSON settings of a proxy, without the parts of Jackson that delay a start. */
 package rillyard.settings;
--- a/src/test/java/rillyard/settings/JsonTreeReaderTest.java
+++ b/src/test/java/rillyard/settings/JsonTreeReaderTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Compares the trees with those of the mapper that the reader replaces. */
+/**
+ * Compares the trees with those of Jackson's mapper, which the reader replaces. A difference would change how settings
+ * are read.
+ */
 class JsonTreeReaderTest {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
--- a/src/test/java/rillyard/settings/SettingsReaderTest.java
+++ b/src/test/java/rillyard/settings/SettingsReaderTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 import rillyard.balancer.Settings;
 
-/** Keys that settings may hold although nothing uses them. */
+/** Guards against settings being rejected or read differently because they contain keys that the proxy doesn't use. */
 class SettingsReaderTest {
     @Test
     void unusedKeysAreAcceptedAndChangeNothing() {
--- a/src/test/java/rillyard/settings/SettingsValidatorTest.java
+++ b/src/test/java/rillyard/settings/SettingsValidatorTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which settings are valid, and how invalid ones are reported. */
+/**
+ * Guards against invalid settings being accepted, valid ones being rejected, and error messages that don't name the
+ * key.
+ */
 class SettingsValidatorTest {
     private static void check(String json) throws Exception {
         SettingsValidator.check(JsonTreeReader.read(json));
