--- a/src/main/java/rillyard/subset/SubsetSize.java
+++ b/src/main/java/rillyard/subset/SubsetSize.java
@@ -1,14 +1,14 @@
 package rillyard.subset;
 
 /**
- * The number of hosts an instance may use so that hosts can hold the connections of all instances.
+ * The number of hosts in each instance's subset, limited so that no host exceeds its connection limit.
  *
- * @param hosts hosts of an instance
- * @param maxInstances greatest number of instances that use one host
- * @param maxConnections connections that such a host then holds at most
+ * @param hosts hosts in the subset of an instance
+ * @param maxInstances maximum number of instances that use one host
+ * @param maxConnections maximum number of connections to one host
  */
 public record SubsetSize(int hosts, int maxInstances, long maxConnections) {
-    /** The least number of hosts of an instance, as the choice of a host needs two candidates. */
+    /** Minimum number of hosts in a subset, as the choice of a host needs two candidates. */
     public static final int MIN_HOSTS = 2;
 
     /** Thrown if even the smallest subsets exceed the hosts' connection limit. */
@@ -23,10 +23,10 @@
     /**
      * Returns the largest size that respects the hosts' connection limit.
      *
-     * @param instances 1 or more
-     * @param hosts 2 or more
+     * @param instances number of instances, 1 or more
+     * @param hosts number of hosts, 2 or more
      * @param connectionLimit connections that a host accepts
-     * @param connectionsPerHost greatest number of connections of an instance to a host of its subset
+     * @param connectionsPerHost maximum number of connections of an instance to a host of its subset
      * @param reserve fraction of the limit, from 0 to below 1, that is left free: for instances that run twice during a
      *     rolling restart, and for subsets that grow
      * @throws IllegalArgumentException if a parameter is out of its range
@@ -46,8 +46,8 @@
                 || connectionLimit < 1
                 || connectionsPerHost < 1
                 || !(reserve >= 0 && reserve < 1)) {
-            throw new IllegalArgumentException("expected instances, cap and connections each of 1 or more, " + MIN_HOSTS
-                    + " hosts or more and a reserve from 0 to below 1");
+            throw new IllegalArgumentException("expected instances, cap and connections per host >= 1, hosts >= "
+                    + MIN_HOSTS + " and 0 <= reserve < 1");
         }
         long usable = (long) Math.floor(connectionLimit * (1 - reserve) + 1e-9);
         int size = (int) Math.min(hosts, usable * hosts / ((long) instances * connectionsPerHost));
--- a/src/main/java/rillyard/subset/SubsetStatistics.java
+++ b/src/main/java/rillyard/subset/SubsetStatistics.java
@@ -11,18 +11,19 @@
 import java.util.stream.LongStream;
 
 /**
- * Statistics of a subsetting algorithm over a whole fleet.
+ * The statistics of a subsetting algorithm over a whole fleet.
  *
- * @param size hosts of an instance
- * @param minInstances instances of the host that has the fewest
- * @param maxInstances instances of the host that has the most
- * @param meanInstances mean number of instances of a host
- * @param identicalNeighbours pairs of consecutive instances with identical subsets, which a lost host hits alike
+ * @param size number of hosts in the subset of an instance
+ * @param minInstances minimum number of instances that use a host
+ * @param maxInstances maximum number of instances that use a host
+ * @param meanInstances mean number of instances that use a host
+ * @param identicalNeighbours number of pairs of consecutive instances with identical subsets, which the loss of a host
+ *     affects alike
  * @param meanSharedHosts mean number of hosts that two instances share, over pairs of all distances
- * @param movesPerHostRemoved hosts that all instances together newly use when one host is removed, per instance it had; 1
- *     is the least
- * @param movesPerInstanceAdded hosts that the other instances newly use when one instance is added, per host of it; 0 is
- *     the least
+ * @param movesPerHostRemoved number of hosts that all instances together add to their subsets when one host is removed,
+ *     per instance that used the host; 1 is the minimum
+ * @param movesPerInstanceAdded number of hosts that the other instances add to their subsets when one instance is
+ *     added, per host of the added instance; 0 is the minimum
  */
 public record SubsetStatistics(
         int size,
@@ -33,57 +34,60 @@
         double meanSharedHosts,
         double movesPerHostRemoved,
         double movesPerInstanceAdded) {
-    /** Pairs of instances that are sampled for shared hosts. */
+    /** Number of pairs of instances that are sampled for shared hosts. */
     private static final int SAMPLED_PAIRS = 4_000;
 
-    /** A prime stride, so that the sampled pairs begin all over the fleet. */
+    /** A prime stride, so that the first instances of the sampled pairs are spread over the fleet. */
     private static final long PAIR_STRIDE = 7_919;
 
     /**
      * Computes the statistics from all subsets.
      *
-     * @param instances 1 or more
-     * @param hosts 1 or more
-     * @param size 1 or more
+     * @param instances number of instances, 1 or more
+     * @param hosts number of hosts, 1 or more
+     * @param size number of hosts in a subset, 1 or more
      */
     public static SubsetStatistics of(SubsettingStrategy strategy, int instances, int hosts, int size) {
         List<Long> allHosts = hosts(hosts);
         List<Set<Long>> subsets = subsets(strategy, instances, allHosts, size);
-        Map<Long, Integer> load = load(subsets);
+        Map<Long, Integer> instancesByHost = instancesByHost(subsets);
         List<Long> remaining = new ArrayList<>(allHosts);
-        int vacated = load.getOrDefault(remaining.remove(hosts / 2), 0);
-        int movesOfHost = hosts == 1 ? 0 : moves(subsets, subsets(strategy, instances, remaining, size));
-        int movesOfInstance = moves(subsets, subsets(strategy, instances + 1, allHosts, size));
+        int instancesOfRemoved = instancesByHost.getOrDefault(remaining.remove(hosts / 2), 0);
+        int movesOnRemoval = hosts == 1 ? 0 : moves(subsets, subsets(strategy, instances, remaining, size));
+        int movesOnAddition = moves(subsets, subsets(strategy, instances + 1, allHosts, size));
         int actualSize = subsets.get(0).size();
         return new SubsetStatistics(
                 actualSize,
                 allHosts.stream()
-                        .mapToInt(host -> load.getOrDefault(host, 0))
+                        .mapToInt(host -> instancesByHost.getOrDefault(host, 0))
                         .min()
                         .orElse(0),
-                load.values().stream().mapToInt(Integer::intValue).max().orElse(0),
+                instancesByHost.values().stream()
+                        .mapToInt(Integer::intValue)
+                        .max()
+                        .orElse(0),
                 (double) instances * actualSize / hosts,
                 identicalNeighbours(subsets),
                 meanSharedHosts(subsets),
-                vacated == 0 ? 0 : (double) movesOfHost / vacated,
-                (double) movesOfInstance / actualSize);
+                instancesOfRemoved == 0 ? 0 : (double) movesOnRemoval / instancesOfRemoved,
+                (double) movesOnAddition / actualSize);
     }
 
-    /** Returns the greatest number of instances of a host, without the other statistics. */
+    /** Returns the maximum number of instances that use a host, without computing the other statistics. */
     static int maxInstances(SubsettingStrategy strategy, int instances, int hosts, int size) {
-        return Collections.max(
-                load(strategy.allSubsets(instances, hosts(hosts), size)).values());
+        return Collections.max(instancesByHost(strategy.allSubsets(instances, hosts(hosts), size))
+                .values());
     }
 
     private static List<Long> hosts(int count) {
         return LongStream.rangeClosed(1, count).boxed().toList();
     }
 
-    /** Returns the number of instances by host, without hosts that have none. */
-    private static Map<Long, Integer> load(List<? extends Collection<Long>> subsets) {
-        Map<Long, Integer> load = new HashMap<>();
-        subsets.forEach(subset -> subset.forEach(host -> load.merge(host, 1, Integer::sum)));
-        return load;
+    /** Returns the number of instances by host, without hosts that no instance uses. */
+    private static Map<Long, Integer> instancesByHost(List<? extends Collection<Long>> subsets) {
+        Map<Long, Integer> instancesByHost = new HashMap<>();
+        subsets.forEach(subset -> subset.forEach(host -> instancesByHost.merge(host, 1, Integer::sum)));
+        return instancesByHost;
     }
 
     private static List<Set<Long>> subsets(SubsettingStrategy strategy, int instances, List<Long> hosts, int size) {
@@ -92,7 +96,10 @@
                 .toList();
     }
 
-    /** Returns how many hosts the instances of {@code before} have only afterwards. */
+    /**
+     * Returns the number of hosts that instances have in {@code after} but not in {@code before}, for the instances of
+     * {@code before}.
+     */
     private static int moves(List<Set<Long>> before, List<Set<Long>> after) {
         int moves = 0;
         for (int instance = 0; instance < before.size(); instance++) {
--- a/src/main/java/rillyard/subset/SubsettingAlgorithm.java
+++ b/src/main/java/rillyard/subset/SubsettingAlgorithm.java
@@ -15,8 +15,8 @@
 /** The subsetting algorithms that were compared; {@code docs/design/many-instances.md} has the results. */
 public enum SubsettingAlgorithm implements SubsettingStrategy {
     /**
-     * A window on the ring of hosts that starts at the instance's part of it, like the deterministic aperture of Finagle.
-     * Even, but neighbours share nearly all hosts, and one more instance moves all windows.
+     * A window on the ring of hosts that starts at the instance's fraction of the ring, like the deterministic aperture
+     * of Finagle. The load is even, but neighbours share nearly all hosts, and one more instance moves all windows.
      */
     RING {
         @Override
@@ -28,9 +28,9 @@
     },
 
     /**
-     * Deterministic subsetting as in chapter 20 of <i>Site Reliability Engineering</i> (2016): rounds of as many instances as
-     * there are complete subsets, each round with the hosts shuffled anew. Even but for the hosts that a round leaves over;
-     * one host less reshuffles all rounds.
+     * Deterministic subsetting as in chapter 20 of <i>Site Reliability Engineering</i> (2016): each round has as many
+     * instances as there are complete subsets and shuffles the hosts anew. The load is even but for the hosts that a
+     * round leaves over. Removing one host reshuffles all rounds.
      */
     SHUFFLED {
         @Override
@@ -38,15 +38,15 @@
             int subsets = Math.max(1, hosts.size() / Math.max(1, size));
             List<Long> all = new ArrayList<>(hosts);
             all.sort(null);
-            Collections.shuffle(all, new Random(instance / subsets)); // its sequence is specified
+            Collections.shuffle(all, new Random(instance / subsets)); // a specified sequence, the same everywhere
             return slice(all, instance % subsets * size, size);
         }
     },
 
     /**
-     * Rounds of instances as well, each with an order of its own that follows from each host's number alone: the instances of
-     * a round take consecutive windows, and the last of them wraps around. A host that is added or removed moves each window
-     * by one at most.
+     * Rounds of instances as in {@link #SHUFFLED}, each with its own order, in which a host's place depends on a hash
+     * of its number only. The instances of a round take consecutive windows, and the last window wraps around. Adding
+     * or removing a host moves each window by at most one host.
      */
     LOTS {
         @Override
@@ -60,7 +60,10 @@
         }
     },
 
-    /** Rendezvous hashing: the hosts with the least hashes with the instance. The fewest moves, but uneven. */
+    /**
+     * Rendezvous hashing: each instance uses the hosts with the smallest hashes of instance and host. It has the fewest
+     * moves, but an uneven load.
+     */
     RENDEZVOUS {
         @Override
         public List<Long> subsetOf(int instance, int instances, List<Long> hosts, int size) {
@@ -69,8 +72,8 @@
     },
 
     /**
-     * Rendezvous hashing with bounded loads: a host that has a tenth more than the mean takes no further instance (after
-     * Mirrokni, Thorup and Zadimoghaddam, 2018). Each instance has to compute all before it.
+     * Rendezvous hashing with bounded loads: a host with a tenth more instances than the mean gets no further one
+     * (Mirrokni, Thorup and Zadimoghaddam, 2018). An instance has to compute the subsets of all instances before it.
      */
     BOUNDED {
         @Override
@@ -85,41 +88,41 @@
 
         /** Returns the subsets of the first {@code upTo} instances. */
         private List<List<Long>> assign(int upTo, int instances, List<Long> hosts, int size) {
-            int maxInstances = bound(instances, hosts.size(), size);
-            Map<Long, Integer> load = new HashMap<>();
+            int maxInstances = maxInstancesPerHost(instances, hosts.size(), size);
+            Map<Long, Integer> instanceCounts = new HashMap<>();
             List<List<Long>> subsets = new ArrayList<>(upTo);
             for (int instance = 0; instance < upTo; instance++) {
-                Set<Long> own = new LinkedHashSet<>();
+                Set<Long> subset = new LinkedHashSet<>();
                 List<Long> order = ordered(hosts, -1L - instance);
                 order.stream()
-                        .filter(host -> load.getOrDefault(host, 0) < maxInstances)
+                        .filter(host -> instanceCounts.getOrDefault(host, 0) < maxInstances)
                         .limit(size)
-                        .forEach(own::add);
-                for (Long host : order) { // the last instances may find too few hosts below the bound
-                    if (own.size() < Math.min(size, hosts.size())) {
-                        own.add(host);
+                        .forEach(subset::add);
+                for (Long host : order) { // the last instances may find too few hosts below the maximum
+                    if (subset.size() < Math.min(size, hosts.size())) {
+                        subset.add(host);
                     }
                 }
-                own.forEach(host -> load.merge(host, 1, Integer::sum));
-                subsets.add(List.copyOf(own));
+                subset.forEach(host -> instanceCounts.merge(host, 1, Integer::sum));
+                subsets.add(List.copyOf(subset));
             }
             return subsets;
         }
 
-        private int bound(int instances, int hosts, int size) {
+        private int maxInstancesPerHost(int instances, int hosts, int size) {
             return hosts == 0 ? 0 : (int) Math.ceil(LOAD_FACTOR * instances * Math.min(size, hosts) / hosts);
         }
     };
 
-    /** The greatest number of instances of a host in {@link #BOUNDED}, relative to the mean. */
+    /** Maximum number of instances of a host in {@link #BOUNDED}, relative to the mean. */
     private static final double LOAD_FACTOR = 1.1;
 
-    /** Returns the name as it is given on the command line. */
+    /** Returns the name used on the command line. */
     public String optionName() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** Returns the hosts in a pseudorandom order, in which the order of two hosts does not depend on the others. */
+    /** Returns the hosts in a pseudorandom order, in which the order of two hosts doesn't depend on the others. */
     private static List<Long> ordered(List<Long> hosts, long salt) {
         List<Long> order = new ArrayList<>(hosts);
         order.sort(Comparator.comparingLong((Long host) -> SplitMix64.hash(salt, host))
@@ -127,7 +130,10 @@
         return order;
     }
 
-    /** Returns {@code size} elements from {@code start} on, at most all, with wrap-around. */
+    /**
+     * Returns {@code size} elements from index {@code start} on, wrapping around at the end; all elements if there are
+     * fewer.
+     */
     private static List<Long> slice(List<Long> ring, int start, int size) {
         int count = Math.min(size, ring.size());
         List<Long> slice = new ArrayList<>(count);
--- a/src/test/java/rillyard/outlier/ObservationCodecPropertiesTest.java
+++ b/src/test/java/rillyard/outlier/ObservationCodecPropertiesTest.java
@@ -50,7 +50,7 @@
         try {
             assertThat(RequestRate.decode(bytes)).isBetween(0.0, 1e6);
         } catch (IllegalArgumentException e) {
-            assertThat(e).hasMessageStartingWith("no rate");
+            assertThat(e).hasMessageStartingWith("invalid request rate");
         }
     }
 
--- a/src/test/java/rillyard/subset/SubsettingTest.java
+++ b/src/test/java/rillyard/subset/SubsettingTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import rillyard.balancer.SplitMix64;
 
-/** The subsetting algorithms: size, evenness, moves and limits. */
+/** Guards against subsets of the wrong size, an uneven load on hosts, needless moves and exceeded connection limits. */
 class SubsettingTest {
     private static List<Long> hosts(int hostCount) {
         return LongStream.range(0, hostCount)
@@ -30,25 +30,25 @@
         for (int hostCount : new int[] {0, 1, 2, 7, 20}) {
             for (int size : new int[] {0, 1, 2, 3, 19, 20, 21}) {
                 for (int i = 0; i < 13; i++) {
-                    List<Long> got = algorithm.subsetOf(i, 13, hosts(hostCount), size);
-                    assertThat(got)
+                    List<Long> subset = algorithm.subsetOf(i, 13, hosts(hostCount), size);
+                    assertThat(subset)
                             .as("%s, %d of %d", algorithm, size, hostCount)
                             .hasSize(Math.min(size, hostCount))
                             .doesNotHaveDuplicates();
-                    assertThat(hosts(hostCount)).containsAll(got);
+                    assertThat(hosts(hostCount)).containsAll(subset);
                 }
             }
         }
     }
 
-    /** There is no coordination, so an instance that knows the hosts in another order must come to the same result. */
+    /** Instances don't coordinate, so an instance that has the hosts in another order must compute the same subset. */
     @ParameterizedTest
     @EnumSource(SubsettingAlgorithm.class)
     void subsetIsIndependentOfHostOrder(SubsettingAlgorithm algorithm) {
-        List<Long> mixed = new ArrayList<>(hosts(20));
-        Collections.shuffle(mixed, new Random(3));
+        List<Long> shuffledHosts = new ArrayList<>(hosts(20));
+        Collections.shuffle(shuffledHosts, new Random(3));
         for (int i = 0; i < 30; i++) {
-            assertThat(new HashSet<>(algorithm.subsetOf(i, 30, mixed, 4)))
+            assertThat(new HashSet<>(algorithm.subsetOf(i, 30, shuffledHosts, 4)))
                     .isEqualTo(new HashSet<>(algorithm.subsetOf(i, 30, hosts(20), 4)));
         }
     }
@@ -56,10 +56,10 @@
     @Test
     void lotsAreMoreEvenThanRendezvous() {
         SubsetStatistics lots = SubsetStatistics.of(SubsettingAlgorithm.LOTS, 2_000, 20, 3);
-        SubsetStatistics chance = SubsetStatistics.of(SubsettingAlgorithm.RENDEZVOUS, 2_000, 20, 3);
+        SubsetStatistics rendezvous = SubsetStatistics.of(SubsettingAlgorithm.RENDEZVOUS, 2_000, 20, 3);
         assertThat(lots.meanInstances()).isEqualTo(300);
         assertThat(lots.maxInstances() - lots.minInstances())
-                .isLessThan((chance.maxInstances() - chance.minInstances()) / 2);
+                .isLessThan((rendezvous.maxInstances() - rendezvous.minInstances()) / 2);
         assertThat(lots.maxInstances()).isLessThan(330);
         assertThat(lots.minInstances()).isGreaterThan(270);
         assertThat(lots.identicalNeighbours()).isZero();
@@ -94,8 +94,11 @@
         SubsetSize size = SubsetSize.largest(algorithm, 300, 20, 400, 4, 0.1);
         assertThat(size.maxConnections()).isLessThanOrEqualTo(360);
         assertThat(size.hosts()).isGreaterThanOrEqualTo(SubsetSize.MIN_HOSTS);
-        int more = SubsetStatistics.of(algorithm, 300, 20, size.hosts() + 1).maxInstances();
-        assertThat(4 * more).as("one host more would be too much").isGreaterThan(360);
+        int maxInstancesWithOneMoreHost =
+                SubsetStatistics.of(algorithm, 300, 20, size.hosts() + 1).maxInstances();
+        assertThat(4 * maxInstancesWithOneMoreHost)
+                .as("one host more would be too much")
+                .isGreaterThan(360);
     }
 
     @Test
