--- a/src/main/java/rillyard/balancer/AttemptController.java
+++ b/src/main/java/rillyard/balancer/AttemptController.java
@@ -1,8 +1,11 @@
 package rillyard.balancer;
 
-/** Starts attempts at the hosts that are selected for them, and cancels attempts. */
+/** Starts attempts at the hosts that {@link HostSelector} chooses, and cancels attempts. */
 final class AttemptController {
-    /** With so many attempts no hedging timer is set any more: a request that three hosts don't answer in time is costly. */
+    /**
+     * Number of attempts from which no hedging timer is set: a request that three hosts don't answer in time is
+     * expensive.
+     */
     private static final int MAX_ATTEMPTS_WITH_TIMER = 3;
 
     private final Settings.Limits limits;
@@ -27,16 +30,19 @@
         this.actions = actions;
     }
 
-    /** Starts an attempt at a host that is expected to answer in time; returns false if there is none. */
+    /** Starts an attempt at a host that is expected to respond in time; returns false if there is none. */
     boolean start(RequestState request, double nowMillis) {
-        // Under overload: no work is begun that no host can finish in time.
+        // Under overload, no attempt is started that no host is expected to finish in time.
         request.limitExpectedLatency(Tuning.MAX_WAIT_FRACTION
                 * Math.max(0, request.remainingObjectiveMillis())
                 * Math.max(Tuning.MIN_QUOTA_WAIT_WEIGHT, request.quotaWeight()));
         return startWithinLimit(request, nowMillis);
     }
 
-    /** Starts an attempt within the limit on the expected latency set before; returns false if there is no host for it. */
+    /**
+     * Starts an attempt within the limit on the expected latency that {@link #start} has set; returns false if no host
+     * is eligible.
+     */
     boolean startWithinLimit(RequestState request, double nowMillis) {
         HostState host = selector.select(request, nowMillis);
         if (host == null) {
@@ -64,7 +70,7 @@
         }
     }
 
-    /** Cancels an attempt in flight, unless that has been done or the settings forbid it. */
+    /** Cancels an attempt in flight, unless it has been cancelled already or the settings forbid cancellation. */
     void cancel(AttemptState attempt) {
         if (attempt.isOpen() && !attempt.isCancelled() && limits.mayCancel()) {
             attempt.cancel();
--- a/src/main/java/rillyard/balancer/AttemptState.java
+++ b/src/main/java/rillyard/balancer/AttemptState.java
@@ -1,6 +1,6 @@
 package rillyard.balancer;
 
-/** One attempt of a request at a host: plain data. Not thread-safe. */
+/** The state of one attempt of a request at a host, without decision logic. Not thread-safe. */
 final class AttemptState {
     private final RequestState request;
     private final int number;
@@ -16,8 +16,8 @@
     /**
      * Creates an attempt that is in flight.
      *
-     * @param sentAtMillis when it was sent (ms); infinite while the request's body is still being received
-     * @param outstandingAtSend requests the host held then, NaN if not known
+     * @param sentAtMillis time of the send (ms); infinite while the request's body is still being received
+     * @param outstandingAtSend requests that the host held at that time, NaN if unknown
      */
     AttemptState(RequestState request, int number, HostState host, double sentAtMillis, double outstandingAtSend) {
         this.request = request;
@@ -33,12 +33,12 @@
         return request;
     }
 
-    /** Returns the class of its request. */
+    /** Returns the class of the request. */
     RequestClassStats requestClass() {
         return request.requestClass();
     }
 
-    /** Returns its place among the request's attempts, from 0. */
+    /** Returns the attempt's index among the attempts of its request, from 0. */
     int number() {
         return number;
     }
@@ -65,32 +65,32 @@
         return outstandingAtSend;
     }
 
-    /** Whether its outcome is still to come. */
+    /** Returns whether the attempt has no outcome yet. */
     boolean isOpen() {
         return open;
     }
 
-    /** Whether the host may have executed the request; true until an outcome proves otherwise. */
+    /** Returns whether the host may have executed the request; true until an outcome proves otherwise. */
     boolean mayHaveExecuted() {
         return mayHaveExecuted;
     }
 
-    /** Whether its cancellation was asked for already. */
+    /** Returns whether cancellation has been requested. */
     boolean isCancelled() {
         return cancelled;
     }
 
-    /** Records that its cancellation is asked for. */
+    /** Records that cancellation has been requested. */
     void cancel() {
         cancelled = true;
     }
 
-    /** Records that the request's last byte has been received: the attempt counts as sent from then on. */
+    /** Records that the request's last byte has been received. The attempt counts as sent from this time on. */
     void requestCompleted(double nowMillis) {
         sentAtMillis = Math.min(sentAtMillis, nowMillis);
     }
 
-    /** Records its outcome, at the request and at the host as well. */
+    /** Records the outcome here, in the request and in the host. */
     void end(AttemptOutcome outcome) {
         open = false;
         mayHaveExecuted = !outcome.provesNotExecuted();
--- a/src/main/java/rillyard/balancer/Balancer.java
+++ b/src/main/java/rillyard/balancer/Balancer.java
@@ -4,9 +4,10 @@
 import java.util.SplittableRandom;
 
 /**
- * The decisions of one client proxy: which host gets an attempt, when to retry, to hedge, to reject. It is fed events with
- * the time in ms, from a clock that never goes back, and answers through {@link BalancerActions}. It passes each event on to
- * the parts that decide on it. Not thread-safe.
+ * Makes the load-balancing decisions of one client proxy: which host gets an attempt, and when to retry, hedge or
+ * reject. The caller passes in events with their time (ms of a clock that never goes back), and the balancer acts
+ * through {@link BalancerActions}. This class dispatches each event to the components that decide on it. Not
+ * thread-safe.
  */
 public final class Balancer {
     private final SplittableRandom random;
@@ -19,12 +20,12 @@
     private final SubscriptionBackoff subscription;
     private final RequestClasses classes;
     private final OpenRequests requests = new OpenRequests();
-    private final OutcomeLearner learner;
+    private final AttemptOutcomeHandler outcomeHandler;
     private final AttemptController attempts;
     private final RetryController retries;
     private final RequestConclusion conclusion;
 
-    /** Creates a balancer that knows no host yet; with the same seed and events it takes the same actions. */
+    /** Creates a balancer without hosts. With the same seed and the same events it takes the same actions. */
     public Balancer(Settings settings, long seed, BalancerActions actions) {
         Settings.Limits limits = settings.limits();
         LoadEstimator load = new LoadEstimator(settings);
@@ -37,29 +38,31 @@
         this.selector = new HostSelector(settings, hosts, load, outliers, retryPolicy, admission, random);
         this.subscription = new SubscriptionBackoff(settings, random, actions);
         this.classes = new RequestClasses(settings.classes());
-        this.learner = new OutcomeLearner(load, outliers, admission);
+        this.outcomeHandler = new AttemptOutcomeHandler(load, outliers, admission);
         this.attempts = new AttemptController(limits, selector, retryPolicy, load, admission, actions);
         this.retries = new RetryController(limits, retryBudget, admission, outliers, attempts);
         this.conclusion = new RequestConclusion(requests, attempts, retryPolicy, admission, actions);
     }
 
-    /** Starts the balancer: called once, before any other event. */
+    /** Starts the balancer; called once, before any other event. */
     public void onStart(double nowMillis) {
         subscription.onStart();
     }
 
-    /** Applies an event of the watch on the endpoint list; {@code entries} is ignored if it is a failure. */
+    /** Applies a watch event of the endpoint list; {@code entries} is ignored if the event is a failure. */
     public void onWatchEvent(double nowMillis, WatchEvent event, List<EndpointEntry> entries) {
         hosts.apply(nowMillis, event, entries, random);
         subscription.onWatchEvent(event);
     }
 
-    /** Returns the number of listed hosts that get no requests in the ordinary way: not ready, or ejected. */
+    /** Returns the number of listed hosts that normally get no requests: those that are not ready or are ejected. */
     public int avoidedHostCount() {
         return hosts.avoidedHostCount();
     }
 
-    /** Applies the fleet's decision to eject a host or to take it back; it may be probed in {@code probeAfterMillis}. */
+    /**
+     * Applies the fleet's decision to eject or to readmit a host, which may be probed after {@code probeAfterMillis}.
+     */
     public void onFleetEjection(double nowMillis, long hostId, boolean ejected, double probeAfterMillis) {
         HostState host = hosts.get(hostId);
         if (host != null) {
@@ -67,12 +70,15 @@
         }
     }
 
-    /** Moves this proxy's subset to another position than the settings' one. */
+    /** Moves this proxy's subset to another position. The initial position is that of the settings. */
     public void onSubsetPosition(SubsetPosition position) {
         selector.moveSubset(position);
     }
 
-    /** Records that a request which arrived with infinite time is complete, with {@code remainingMillis} left for it. */
+    /**
+     * Records that a request that arrived with an infinite remaining time is complete and has {@code remainingMillis}
+     * left.
+     */
     public void onRequestComplete(double nowMillis, long requestId, double remainingMillis) {
         RequestState request = requests.get(requestId);
         if (request != null) {
@@ -80,7 +86,10 @@
         }
     }
 
-    /** Handles a client's request that is complete, or of which so much has come that the rest must be streamed. */
+    /**
+     * Handles a client's request that is complete, or of which enough has been received that the rest has to be
+     * streamed.
+     */
     public void onRequest(double nowMillis, IncomingRequest incoming) {
         double remainingMillis = incoming.remainingMillis();
         RequestClassStats requestClass = classes.get(incoming.requestClass(), remainingMillis);
@@ -89,15 +98,15 @@
         RequestState request = new RequestState(incoming.id(), requestClass, nowMillis, remainingMillis, quotaWeight);
         retryBudget.onRequest(nowMillis);
         requests.add(request);
-        if (admission.sheds(nowMillis, request)) {
+        if (admission.shouldShed(nowMillis, request)) {
             admission.onEnded(false);
-            conclusion.conclude(request, nowMillis);
+            conclusion.rejectOrFail(request, nowMillis);
         } else if (!attempts.start(request, nowMillis)) {
-            conclusion.conclude(request, nowMillis);
+            conclusion.rejectOrFail(request, nowMillis);
         }
     }
 
-    /** Handles the end of an attempt. One that is not known, or has ended already, is ignored. */
+    /** Handles the end of an attempt. An attempt that is unknown or has ended already is ignored. */
     public void onAttemptEnded(double nowMillis, long requestId, AttemptResult result) {
         RequestState request = requests.get(requestId);
         AttemptState attempt = request == null ? null : request.openAttempt(result.attempt());
@@ -105,31 +114,31 @@
             return;
         }
         attempt.end(result.outcome());
-        learner.onAttemptEnded(attempt, result, nowMillis);
+        outcomeHandler.onAttemptEnded(attempt, result, nowMillis);
         if (request.isEnded()) {
             requests.removeIfDone(request);
         } else if (result.requestEnded()) {
             conclusion.endAndCancelAttempts(request);
         } else if (request.openAttempts() == 0 && !retries.retry(request, nowMillis)) {
-            conclusion.conclude(request, nowMillis);
+            conclusion.rejectOrFail(request, nowMillis);
         }
     }
 
-    /** Ends a request whose client has gone; attempts in flight still get their outcome. */
+    /** Ends a request whose client has disconnected; attempts in flight still report their outcome. */
     public void onClientDisconnected(double nowMillis, long requestId) {
-        RequestState request = requests.unanswered(requestId);
+        RequestState request = requests.awaitingResponse(requestId);
         if (request != null) {
             conclusion.endAndCancelAttempts(request);
         }
     }
 
-    /** Handles a timer asked for by {@link BalancerActions#scheduleTimer}. */
+    /** Handles the expiry of a timer set by {@link BalancerActions#scheduleTimer}. */
     public void onTimer(double nowMillis, long token) {
         if (token == SubscriptionBackoff.TIMER_TOKEN) {
             subscription.onTimer();
             return;
         }
-        RequestState request = requests.unanswered(token);
+        RequestState request = requests.awaitingResponse(token);
         if (request != null && request.openAttempts() > 0) {
             retries.hedge(request, nowMillis);
         }
--- a/src/main/java/rillyard/balancer/BalancerActions.java
+++ b/src/main/java/rillyard/balancer/BalancerActions.java
@@ -1,35 +1,37 @@
 package rillyard.balancer;
 
-/** What a {@link Balancer} asks its proxy to do. The calls are made from within the balancer's event methods. */
+/**
+ * The actions that a {@link Balancer} requests of its proxy. They are called from within the balancer's event methods.
+ */
 public interface BalancerActions {
     /**
      * Starts an attempt. The attempts of a request are numbered 0, 1, 2 and so on in the order of the calls.
      *
-     * @param giveUpAfterMillis ms for which its answer is waited for; 0 for as long as the request has
-     * @param notAfterMillis time (ms) past which it must not be written any more, as a connection may take long to come up;
-     *     infinite if the request may be executed whenever it reaches the host
+     * @param timeoutMillis time (ms) to wait for the response; 0 waits as long as the request has time
+     * @param notAfterMillis time (ms) after which the attempt must not be written any more, as connecting may take
+     *     long; infinite if the request may be executed whenever it reaches the host
      */
-    void send(long request, long host, double giveUpAfterMillis, double notAfterMillis);
+    void send(long requestId, long hostId, double timeoutMillis, double notAfterMillis);
 
     /**
-     * Gives the final answer that the request was rejected, and was not executed.
+     * Sends the final response that the request was rejected and not executed.
      *
-     * @param retryAfterMillis ms after which the client should retry; 0 gives no advice
+     * @param retryAfterMillis time (ms) after which the client should retry; 0 for no advice
      */
-    void reject(long request, double retryAfterMillis);
+    void reject(long requestId, double retryAfterMillis);
 
-    /** Gives the final answer that the request failed, which promises nothing about its effect. */
-    void fail(long request);
+    /** Sends the final response that the request failed; it may or may not have been executed. */
+    void fail(long requestId);
 
-    /** Cancels an attempt, whose outcome is reported nonetheless. */
-    void cancel(long request, int attempt);
+    /** Cancels an attempt. Its outcome is still reported. */
+    void cancel(long requestId, int attempt);
 
-    /** Asks for {@link Balancer#onTimer} with this token after {@code delayMillis}. */
+    /** Schedules a call of {@link Balancer#onTimer} with this token after {@code delayMillis}. */
     void scheduleTimer(double delayMillis, long token);
 
     /** Subscribes to changes of the endpoint list from now on. */
     void subscribe();
 
-    /** Writes a line to the log for operators. */
+    /** Writes a line to the operators' log. */
     void log(String line);
 }
--- a/src/main/java/rillyard/balancer/CandidateDraw.java
+++ b/src/main/java/rillyard/balancer/CandidateDraw.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Draws the hosts that are compared for an attempt: random usable ones of the subset. Not thread-safe. */
+/** Draws random usable hosts of the subset as the candidates that are compared for an attempt. Not thread-safe. */
 final class CandidateDraw {
-    /** Draws for each candidate that is wanted: more would cost time where nearly all hosts are unusable. */
+    /** Maximum number of draws per wanted candidate: more would cost time where nearly all hosts are unusable. */
     private static final int DRAWS_PER_CANDIDATE = 4;
 
     private final HostEligibility eligibility;
@@ -23,9 +23,10 @@
     }
 
     /**
-     * Draws from the own zone, and from the others as well once latency has become a good part of the objective.
+     * Draws candidates from the proxy's own zone, and from other zones as well if the own zone has none or the latency
+     * pressure exceeds {@link Tuning#SPILL_PRESSURE}.
      *
-     * @return the candidates, in a list that the next draw overwrites; only one if that is an ejected host to probe
+     * @return the candidates, in a list that the next draw overwrites; a single one if it is an ejected host to probe
      */
     List<HostState> draw(HostSubset subset, RequestState request, double nowMillis) {
         candidates.clear();
@@ -36,7 +37,10 @@
         return candidatesView;
     }
 
-    /** Adds random hosts of the pool to the candidates; returns true if the only one is an ejected host to probe. */
+    /**
+     * Adds random usable hosts of the pool to the candidates; returns true if the only candidate is an ejected host to
+     * probe.
+     */
     private boolean drawFrom(List<HostState> pool, HostSubset subset, RequestState request, double nowMillis) {
         if (pool.isEmpty()) {
             return false;
@@ -49,7 +53,7 @@
                 continue;
             }
             if (host.health().isEjected() && request.requestClass().isRepeatable()) {
-                candidates.clear(); // an ejected host that loses each comparison would stay out for ever
+                candidates.clear(); // an ejected host that lost every comparison would never be readmitted
                 candidates.add(host);
                 return true;
             }
--- a/src/main/java/rillyard/balancer/DecayingAverage.java
+++ b/src/main/java/rillyard/balancer/DecayingAverage.java
@@ -1,8 +1,8 @@
 package rillyard.balancer;
 
 /**
- * A weighted moving average that decays exponentially to a baseline while no samples come. The baseline is zero unless the
- * caller states another one. Times are milliseconds of a clock that never goes back. Not thread-safe.
+ * A weighted moving average that decays exponentially to a baseline while there are no samples. The baseline is zero
+ * unless the caller passes another one. Times are milliseconds of a clock that never goes back. Not thread-safe.
  */
 final class DecayingAverage {
     private final double timeConstantMillis;
@@ -13,7 +13,7 @@
      * Creates an average with an initial value.
      *
      * @param timeConstantMillis time (ms) in which the distance from the baseline decays to 1/e
-     * @param updatedAtMillis time of the initial value; negative infinity if it is to count for nothing
+     * @param updatedAtMillis time of the initial value; negative infinity gives the initial value no weight
      */
     DecayingAverage(double timeConstantMillis, double initialValue, double updatedAtMillis) {
         this.timeConstantMillis = timeConstantMillis;
@@ -31,17 +31,17 @@
         return baseline + (value - baseline) * decayFactor(nowMillis);
     }
 
-    /** Returns the average as of its last change, without the decay since. */
+    /** Returns the average as of its last update, without the decay since then. */
     double lastValue() {
         return value;
     }
 
-    /** Returns the part, from 0 to 1, that is left at {@code nowMillis} of the distance from the baseline. */
+    /** Returns the fraction, from 0 to 1, of the distance from the baseline that remains at {@code nowMillis}. */
     double decayFactor(double nowMillis) {
         return Math.exp(-millisSinceUpdate(nowMillis) / timeConstantMillis);
     }
 
-    /** Returns the time since the last change. */
+    /** Returns the time (ms) since the last update. */
     double millisSinceUpdate(double nowMillis) {
         return nowMillis - updatedAtMillis;
     }
@@ -51,7 +51,7 @@
         add(nowMillis, 0, sample, weight);
     }
 
-    /** As {@link #add(double, double, double)}, for an average that decays to {@code baseline}. */
+    /** Adds a sample as {@link #add(double, double, double)} does, for an average that decays to {@code baseline}. */
     void add(double nowMillis, double baseline, double sample, double weight) {
         double decayed = valueAt(nowMillis, baseline);
         set(nowMillis, decayed + weight * (sample - decayed));
--- a/src/main/java/rillyard/balancer/DecayingCounter.java
+++ b/src/main/java/rillyard/balancer/DecayingCounter.java
@@ -1,8 +1,8 @@
 package rillyard.balancer;
 
 /**
- * A sum whose value decays exponentially to zero as time passes. Times are milliseconds of a clock that never goes back,
- * which starts at 0. Not thread-safe.
+ * A sum that decays exponentially to zero. Times are milliseconds of a clock that starts at 0 and never goes back. Not
+ * thread-safe.
  */
 final class DecayingCounter {
     private final double timeConstantMillis;
@@ -14,22 +14,22 @@
         this.timeConstantMillis = timeConstantMillis;
     }
 
-    /** Returns what is left of the sum at {@code nowMillis}. */
+    /** Returns the decayed sum at {@code nowMillis}. */
     double valueAt(double nowMillis) {
         return value * decayFactor(nowMillis);
     }
 
-    /** Returns the sum as of its last change, without the decay since. */
+    /** Returns the sum as of its last update, without the decay since then. */
     double lastValue() {
         return value;
     }
 
-    /** Returns the part, from 0 to 1, that is left at {@code nowMillis} of the value at its last change. */
+    /** Returns the fraction, from 0 to 1, of the last updated value that remains at {@code nowMillis}. */
     double decayFactor(double nowMillis) {
         return Math.exp(-(nowMillis - updatedAtMillis) / timeConstantMillis);
     }
 
-    /** Adds {@code amount} to what is left of the sum. */
+    /** Adds {@code amount} to the decayed sum. */
     void add(double nowMillis, double amount) {
         set(nowMillis, valueAt(nowMillis) + amount);
     }
--- a/src/main/java/rillyard/balancer/DecayingPeak.java
+++ b/src/main/java/rillyard/balancer/DecayingPeak.java
@@ -1,11 +1,11 @@
 package rillyard.balancer;
 
-/** A changing number together with its recent peak, which decays exponentially to the number. Not thread-safe. */
+/** A number and its recent peak, which decays exponentially towards the number. Not thread-safe. */
 final class DecayingPeak {
     private final DecayingCounter peak;
     private int current;
 
-    /** Creates a peak at 0 whose distance decays to 1/e within {@code timeConstantMillis} ms. */
+    /** Creates a peak of 0 that decays to 1/e within {@code timeConstantMillis} ms. */
     DecayingPeak(double timeConstantMillis) {
         this.peak = new DecayingCounter(timeConstantMillis);
     }
@@ -15,7 +15,7 @@
         peak.set(nowMillis, valueAt(nowMillis));
     }
 
-    /** Sets the number; the peak of the time until now decays from now on, however long ago it was reached. */
+    /** Sets the number. The peak so far decays from now on, however long ago it was reached. */
     void set(double nowMillis, int newNumber) {
         peak.set(nowMillis, valueAt(nowMillis));
         current = newNumber;
--- a/src/main/java/rillyard/balancer/EndpointEntry.java
+++ b/src/main/java/rillyard/balancer/EndpointEntry.java
@@ -1,23 +1,23 @@
 package rillyard.balancer;
 
 /**
- * One entry of an endpoint list.
+ * An entry of the endpoint list.
  *
  * @param zone the host's zone, may be null
- * @param machineKind its kind of machine; hosts of one kind are expected to be about equally fast
- * @param cell its cell, a group of hosts that share the memory of idempotency keys
- * @param startedAtMillis when its process started, or was enabled again by an operator (ms of the balancer's clock), 0 for
- *     long ago
+ * @param machineKind the host's kind of machine; hosts of one kind are expected to be about equally fast
+ * @param cell the host's cell, a group of hosts that share the memory of idempotency keys
+ * @param startedAtMillis when the host's process started or an operator enabled it again (ms of the balancer's clock);
+ *     0 for long ago
  */
 public record EndpointEntry(
         long id, String zone, String machineKind, long cell, Condition condition, double startedAtMillis) {
-    /** The condition of a host by the endpoint list. */
+    /** The condition of a host according to the endpoint list. */
     public enum Condition {
-        /** It accepts requests. */
+        /** The host accepts requests. */
         READY,
-        /** It drains: it gets no new requests, but still answers. */
+        /** The host is draining: it gets no new requests, but still responds to those in flight. */
         TERMINATING,
-        /** It is no longer part of the deployment. */
+        /** The host is no longer part of the deployment. */
         GONE
     }
 }
--- a/src/main/java/rillyard/balancer/LastResort.java
+++ b/src/main/java/rillyard/balancer/FallbackSelector.java
@@ -3,19 +3,23 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** The choice among all hosts, for an attempt for which the subset has none. */
-final class LastResort {
+/** Selects a host among all hosts for an attempt for which the subset has none. */
+final class FallbackSelector {
     private final HostSet hosts;
     private final HostEligibility eligibility;
     private final SplittableRandom random;
 
-    LastResort(HostSet hosts, HostEligibility eligibility, SplittableRandom random) {
+    FallbackSelector(HostSet hosts, HostEligibility eligibility, SplittableRandom random) {
         this.hosts = hosts;
         this.eligibility = eligibility;
         this.random = random;
     }
 
-    /** Returns a healthy host in time; else, unless a healthy one is overloaded, the least loaded unhealthy host. */
+    /**
+     * Returns a healthy host that the request hasn't tried and, for a first attempt, that is expected to respond in
+     * time. If there is none, a first attempt gets the unhealthy host with the fewest attempts in flight that is
+     * expected to respond in time, unless a healthy host is overloaded. Returns null if no host is eligible.
+     */
     HostState select(RequestState request, double nowMillis) {
         List<HostState> all = hosts.ready();
         int start = all.isEmpty() ? 0 : random.nextInt(all.size());
@@ -39,7 +43,7 @@
         return overloaded ? null : leastLoaded;
     }
 
-    /** Returns the host with fewer attempts in flight, {@code first} if they are equal; {@code first} may be null. */
+    /** Returns the host with fewer attempts in flight, {@code first} on a tie; {@code first} may be null. */
     private static HostState lessLoaded(HostState first, HostState second) {
         return first == null || second.inFlight() < first.inFlight() ? second : first;
     }
--- a/src/main/java/rillyard/balancer/HostEligibility.java
+++ b/src/main/java/rillyard/balancer/HostEligibility.java
@@ -1,6 +1,6 @@
 package rillyard.balancer;
 
-/** Whether a host may get the next attempt of a request, by each of the rules that can exclude it. */
+/** Checks whether a host may get the next attempt of a request, by each of the rules that can exclude it. */
 final class HostEligibility {
     private final RetryPolicy retryPolicy;
     private final OutlierDetector outliers;
@@ -14,7 +14,10 @@
         this.load = load;
     }
 
-    /** Whether the host of a subset may get the attempt: a first one where it is in time, a retry where none has been. */
+    /**
+     * Returns whether a host of the subset may get the next attempt. A first attempt must be expected to be answered in
+     * time; a retry must go to a host that the request hasn't tried.
+     */
     boolean isUsable(HostState host, HostSubset subset, RequestState request, double nowMillis) {
         return retryPolicy.permits(request, host, nowMillis)
                 && (request.isFirstAttempt() ? isInTime(host, request, nowMillis) : !request.hasTried(host))
@@ -22,19 +25,23 @@
                 && slowStart.permits(host, subset.hostCount(), nowMillis);
     }
 
-    /** Whether neither the earlier attempts nor a slow start among {@code hostCount} hosts forbid an attempt at the host. */
+    /**
+     * Returns whether both the request's earlier attempts and the slow start among {@code hostCount} hosts permit an
+     * attempt at the host.
+     */
     boolean isPermitted(HostState host, int hostCount, RequestState request, double nowMillis) {
         return retryPolicy.permits(request, host, nowMillis) && slowStart.permits(host, hostCount, nowMillis);
     }
 
-    /** Whether the host is neither unresponsive nor ejected, or is to be probed. */
+    /** Returns whether the host is neither unresponsive nor ejected, or is due for a probe. */
     boolean isHealthy(HostState host, RequestState request, double nowMillis) {
         return outliers.isAvailable(host, nowMillis, request.requestClass().overdueAfterMillis());
     }
 
     /**
-     * Whether the host is expected to answer a first attempt in time. Checked for every candidate: were only the winner
-     * checked, an idle host without load reports could win every comparison and cause every request to be rejected.
+     * Returns whether the host is expected to respond to a first attempt in time. This is checked for every candidate:
+     * if only the winner were checked, an idle host without load reports could win every comparison and cause every
+     * request to be rejected.
      */
     boolean isInTime(HostState host, RequestState request, double nowMillis) {
         return load.expectedLatency(host, nowMillis) <= request.maxExpectedLatencyMillis();
--- a/src/main/java/rillyard/balancer/HostHealth.java
+++ b/src/main/java/rillyard/balancer/HostHealth.java
@@ -3,25 +3,27 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What {@link OutlierDetector}, the only writer, has recorded of one host: plain data. Not thread-safe. */
+/**
+ * The health statistics of one host, without decision logic; only {@link OutlierDetector} writes them. Not thread-safe.
+ */
 final class HostHealth {
     private final double failureRateDecayMillis;
     private final Map<RequestClassStats, DecayingAverage> failureRates = new HashMap<>(4);
     private final DecayingCounter penalty;
     private int consecutiveFailures;
-    private double lastAnswerAtMillis = Double.NEGATIVE_INFINITY;
+    private double lastResponseAtMillis = Double.NEGATIVE_INFINITY;
     private boolean ejected;
     private double halfOpenAtMillis;
     private int ejections;
     private double lastEjectionAtMillis = Double.NEGATIVE_INFINITY;
 
-    /** Creates the health of a host without failures, with the time constants (ms) of its statistics. */
+    /** Creates the statistics of a host without failures; the parameters are their time constants (ms). */
     HostHealth(double penaltyDecayMillis, double failureRateDecayMillis) {
         this.penalty = new DecayingCounter(penaltyDecayMillis);
         this.failureRateDecayMillis = failureRateDecayMillis;
     }
 
-    /** Forgets the failures and the ejection, but not the backoff, for a new process of the host. */
+    /** Clears the failures and the ejection, but not the backoff, for a new process of the host. */
     void reset() {
         failureRates.clear();
         penalty.set(0, 0);
@@ -30,12 +32,12 @@
         halfOpenAtMillis = 0;
     }
 
-    /** Returns the statistic of requests that failures add to the host's count. */
+    /** Returns the penalty: the number of requests that failures add to the host's count. */
     DecayingCounter penalty() {
         return penalty;
     }
 
-    /** Returns the fraction, from 0 to 1, of the requests of a class that the host has recently lost. */
+    /** Returns the fraction, from 0 to 1, of the recent requests of a class that the host has lost. */
     double failureRate(RequestClassStats requestClass, double nowMillis) {
         DecayingAverage rate = failureRates.get(requestClass);
         return rate == null ? 0 : rate.valueAt(nowMillis);
@@ -60,26 +62,29 @@
         consecutiveFailures = 0;
     }
 
-    /** Returns when the host last sent any answer (ms), negative infinity before the first. */
-    double lastAnswerAtMillis() {
-        return lastAnswerAtMillis;
+    /** Returns when the host last sent any response (ms), negative infinity before the first one. */
+    double lastResponseAtMillis() {
+        return lastResponseAtMillis;
     }
 
-    void recordAnswer(double nowMillis) {
-        lastAnswerAtMillis = nowMillis;
+    void recordResponse(double nowMillis) {
+        lastResponseAtMillis = nowMillis;
     }
 
-    /** Whether the host is ejected; it is half-open, and gets one request at a time, from {@link #halfOpenAtMillis} on. */
+    /**
+     * Returns whether the host is ejected. From {@link #halfOpenAtMillis} on it is half-open and gets one request at a
+     * time.
+     */
     boolean isEjected() {
         return ejected;
     }
 
-    /** Returns when an ejected host becomes half-open (ms): until then it gets no request at all. */
+    /** Returns when an ejected host becomes half-open (ms); before that it gets no request at all. */
     double halfOpenAtMillis() {
         return halfOpenAtMillis;
     }
 
-    /** Returns the number of ejections since the backoff last started anew. */
+    /** Returns the number of ejections since the backoff was last reset. */
     int ejections() {
         return ejections;
     }
@@ -88,13 +93,13 @@
         return lastEjectionAtMillis;
     }
 
-    /** Ejects the host, or prolongs its ejection. */
+    /** Ejects the host, or extends its ejection. */
     void eject(double untilMillis) {
         ejected = true;
         halfOpenAtMillis = untilMillis;
     }
 
-    /** Moves the time from which an ejected host is half-open, without a change of the ejection itself. */
+    /** Changes the time from which an ejected host is half-open, without changing whether it is ejected. */
     void setHalfOpenAt(double atMillis) {
         halfOpenAtMillis = atMillis;
     }
@@ -103,7 +108,7 @@
         ejected = false;
     }
 
-    /** Counts an ejection, from which the next one's backoff follows. */
+    /** Counts an ejection; the length of the next one depends on the count. */
     void countEjection(double nowMillis) {
         ejections++;
         lastEjectionAtMillis = nowMillis;
--- a/src/main/java/rillyard/balancer/HostLoad.java
+++ b/src/main/java/rillyard/balancer/HostLoad.java
@@ -1,6 +1,9 @@
 package rillyard.balancer;
 
-/** What {@link LoadEstimator}, the only writer but for the sends, has recorded of one host: plain data. Not thread-safe. */
+/**
+ * The load statistics of one host, without decision logic. Only {@link LoadEstimator} writes them, except that each
+ * send is recorded by {@link HostState}. Not thread-safe.
+ */
 final class HostLoad {
     private final DecayingAverage slowness;
     private int samples;
@@ -8,27 +11,27 @@
     private double reportedAtMillis = Double.NEGATIVE_INFINITY;
     private int sentSinceReport;
 
-    /** Creates the load of a host without a report; {@code slownessDecayMillis} is a time constant (ms). */
+    /** Creates the statistics of a host without a load report; {@code slownessDecayMillis} is a time constant (ms). */
     HostLoad(double slownessDecayMillis) {
         slowness = new DecayingAverage(slownessDecayMillis, 1, Double.NEGATIVE_INFINITY);
     }
 
-    /** Returns the statistic of the host's latency relative to the mean. */
+    /** Returns the average of the host's latency relative to the mean over all hosts. */
     DecayingAverage slowness() {
         return slowness;
     }
 
-    /** Counts an answer and returns the number of answers so far. */
+    /** Counts a response and returns the number of responses so far. */
     int countSample() {
         return ++samples;
     }
 
-    /** Returns the requests that the last report told of, NaN without one. */
+    /** Returns the number of outstanding requests in the last report, NaN without one. */
     double reportedOutstanding() {
         return report.outstanding();
     }
 
-    /** Returns when the last report came (ms), negative infinity without one. */
+    /** Returns when the last report arrived (ms), negative infinity without one. */
     double reportedAtMillis() {
         return reportedAtMillis;
     }
@@ -37,7 +40,7 @@
         return sentSinceReport;
     }
 
-    /** Returns the requests the last report told of and those sent since, NaN without a report. */
+    /** Returns the number of outstanding requests in the last report plus those sent since, NaN without a report. */
     double knownOutstanding() {
         return report.outstanding() + sentSinceReport;
     }
@@ -52,7 +55,7 @@
         sentSinceReport++;
     }
 
-    /** Forgets the load report, which a former process of the host made. */
+    /** Discards the load report, which is that of a previous process of the host. */
     void reset() {
         recordReport(LoadReport.NONE, Double.NEGATIVE_INFINITY);
     }
--- a/src/main/java/rillyard/balancer/HostRing.java
+++ b/src/main/java/rillyard/balancer/HostRing.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Hosts in ring order, kept sorted as they come and go: a change searches for its place and shifts an array, a look at a
- * few neighbours costs time in their number only. Not thread-safe.
+ * A list of hosts in ring order. Adding or removing a host costs a binary search and a shift of the array; reading a
+ * window costs time in its size only. Not thread-safe.
  */
 final class HostRing {
     private static final Comparator<HostState> RING_ORDER =
@@ -16,13 +16,13 @@
     private final List<HostState> hosts;
     private final List<HostState> hostsView;
 
-    /** Creates a ring in an empty list with fast access by index, which belongs to the ring from then on. */
+    /** Creates a ring that is stored in an empty random-access list, which the caller must not use afterwards. */
     HostRing(List<HostState> emptyList) {
         this.hosts = emptyList;
         this.hostsView = Collections.unmodifiableList(emptyList);
     }
 
-    /** Adds the host, or removes it; returns whether that was a change. */
+    /** Adds or removes the host; returns whether the ring has changed. */
     boolean setMember(HostState host, boolean isMember) {
         int index = Collections.binarySearch(hosts, host, RING_ORDER);
         if (isMember == (index >= 0)) {
@@ -40,12 +40,15 @@
         return hosts.size();
     }
 
-    /** Returns all hosts in ring order, as a view. */
+    /** Returns a view of all hosts in ring order. */
     List<HostState> hosts() {
         return hostsView;
     }
 
-    /** Returns a copy of {@code count} neighbours from index {@code start} on, over the end of the ring; all if there are fewer. */
+    /**
+     * Returns a copy of {@code count} consecutive hosts from index {@code start} on, wrapping around at the end; all
+     * hosts if there are fewer.
+     */
     List<HostState> window(int start, int count) {
         if (hosts.size() <= count) {
             return List.copyOf(hosts);
--- a/src/main/java/rillyard/balancer/HostSelector.java
+++ b/src/main/java/rillyard/balancer/HostSelector.java
@@ -3,9 +3,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Chooses the host for an attempt, in three steps: the {@link CandidateDraw} picks several random hosts of the subset, {@link
- * LeastRequestComparison} finds the one with the fewest own requests, and {@link LastResort} looks at all hosts where the
- * draw has found none. Not thread-safe.
+ * Chooses the host for an attempt in three steps: {@link CandidateDraw} draws several random hosts of the subset,
+ * {@link LeastRequestComparison} finds the one with the fewest requests of this proxy, and {@link FallbackSelector}
+ * searches all hosts if the draw has found none. Not thread-safe.
  */
 final class HostSelector {
     private final OutlierDetector outliers;
@@ -15,7 +15,7 @@
     private final SubsetSelector subsets;
     private final SlowStart slowStart;
     private final CandidateDraw candidateDraw;
-    private final LastResort lastResort;
+    private final FallbackSelector fallbackSelector;
 
     HostSelector(
             Settings settings,
@@ -33,20 +33,20 @@
         this.slowStart = new SlowStart(settings.rules(), hosts, admission, load);
         HostEligibility eligibility = new HostEligibility(retryPolicy, outliers, slowStart, load);
         this.candidateDraw = new CandidateDraw(eligibility, admission, random);
-        this.lastResort = new LastResort(hosts, eligibility, random);
+        this.fallbackSelector = new FallbackSelector(hosts, eligibility, random);
     }
 
-    /** Moves the subset from the next selection on. */
+    /** Moves the subset to another position, from the next selection on. */
     void moveSubset(SubsetPosition position) {
         subsets.moveTo(position);
     }
 
-    /** Returns the host for the next attempt of the request, null if there is none that may and should get it. */
+    /** Returns the host for the next attempt of the request, null if no host is eligible. */
     HostState select(RequestState request, double nowMillis) {
         HostSubset subset = subsets.select(admission.peakInFlight(nowMillis), nowMillis);
         HostState selected = selectFromSubset(subset, request, nowMillis);
         if (selected == null) {
-            selected = lastResort.select(request, nowMillis);
+            selected = fallbackSelector.select(request, nowMillis);
         }
         if (selected != null) {
             slowStart.onSend(selected, nowMillis);
@@ -63,7 +63,10 @@
         return comparison.winner();
     }
 
-    /** Returns the expected wait by which the host is compared: none if the subset prefers it as one that is warming up. */
+    /**
+     * Returns the expected wait to compare the host by: 0 for a host that is warming up if the subset prefers such
+     * hosts.
+     */
     private double comparedWait(HostSubset subset, HostState host, double nowMillis) {
         boolean preferred = subset.preferWarmingUp() && slowStart.isWarmingUp(host, nowMillis);
         return preferred ? 0 : load.expectedWait(host, nowMillis);
--- a/src/main/java/rillyard/balancer/HostSet.java
+++ b/src/main/java/rillyard/balancer/HostSet.java
@@ -11,10 +11,10 @@
 import java.util.function.Supplier;
 
 /**
- * The hosts that the endpoint list names, and those it no longer names while attempts are in flight there.
+ * The hosts of the endpoint list, and those that were removed from it while attempts are in flight there.
  *
- * <p>The ready ones are kept in ring order as entries come, so that nothing is rebuilt for the request after a change. A
- * delta costs time in the number of its entries, whatever the number of hosts, but for the shift of an array. Not
+ * <p>Ready hosts are kept in ring order as entries arrive, so that a request after a change rebuilds nothing. Apart
+ * from the shift of an array, the cost of a delta depends on the number of its entries, not on the number of hosts. Not
  * thread-safe.
  */
 final class HostSet {
@@ -27,8 +27,8 @@
     private final Set<HostState> unlisted = new HashSet<>();
     private final Set<HostState> ejected = new HashSet<>();
     private final DecayingPeak readyPeak;
-    private int readyReference; // the number of ready hosts since many left last, or the greatest since then
-    private double manyLeftAtMillis = Double.NEGATIVE_INFINITY;
+    private int readyCountBaseline; // greatest number of ready hosts since many were removed at once
+    private double manyRemovedAtMillis = Double.NEGATIVE_INFINITY;
     private long readyVersion;
     private int generation;
 
@@ -36,7 +36,7 @@
         this(settings, ArrayList::new);
     }
 
-    /** Creates a set whose rings lie in lists that {@code emptyLists} makes. */
+    /** Creates a set whose rings are stored in lists from {@code emptyLists}. */
     HostSet(Settings settings, Supplier<List<HostState>> emptyLists) {
         this.objectiveMillis = settings.meanLatencyObjectiveMillis();
         this.zone = settings.zone();
@@ -59,43 +59,49 @@
         return byId.get(id);
     }
 
-    /** Returns the number of listed hosts that get no requests in the ordinary way: not ready, or ejected. */
+    /** Returns the number of listed hosts that normally get no requests: those that are not ready or are ejected. */
     int avoidedHostCount() {
         int listedCount = byId.size() - unlisted.size();
         return listedCount - ready.size() + ejectedHostCount(null);
     }
 
-    /** Returns the hosts that may get requests, in ring order, as a view. */
+    /** Returns a view of the hosts that may get requests, in ring order. */
     List<HostState> ready() {
         return ready.hosts();
     }
 
-    /** Returns those of the {@link #ready} hosts that are in the proxy's zone, all if it has none. */
+    /** Returns the {@link #ready} hosts in the proxy's zone, all of them if the proxy has no zone. */
     HostRing readyLocal() {
         return readyLocal;
     }
 
-    /** Returns those of the {@link #ready} hosts that are in other zones. */
+    /** Returns the {@link #ready} hosts in other zones. */
     HostRing readyRemote() {
         return readyRemote;
     }
 
-    /** Returns a number, from 0, that grows with each change of the {@link #ready} hosts or of the zone of one. */
+    /**
+     * Returns a number, from 0, that increases with each change of the {@link #ready} hosts or of the zone of one of
+     * them.
+     */
     long readyVersion() {
         return readyVersion;
     }
 
-    /** Returns the recent peak of the number of {@link #ready} hosts, at least their number now. */
+    /** Returns the recent peak of the number of {@link #ready} hosts, at least the current number. */
     double recentReadyCount(double nowMillis) {
         return readyPeak.valueAt(nowMillis);
     }
 
-    /** Returns when so many hosts had left last that what one of them was served is not known from the others (ms). */
-    double manyLeftAtMillis() {
-        return manyLeftAtMillis;
+    /**
+     * Returns the last time (ms) at which so many hosts were removed that the requests one of them served can't be
+     * inferred from the remaining hosts.
+     */
+    double manyRemovedAtMillis() {
+        return manyRemovedAtMillis;
     }
 
-    /** Records that the host has been ejected, or is so no more. */
+    /** Updates the set of ejected hosts after the host was ejected or readmitted. */
     void onEjectionChanged(HostState host) {
         if (host.health().isEjected()) {
             ejected.add(host);
@@ -125,20 +131,20 @@
             apply(nowMillis, entry, random);
         }
         if (event != WatchEvent.DELTA) {
-            removeUnnamed();
+            unlistMissingHosts();
         }
-        forgetUnlisted();
+        removeUnlisted();
         updateReadyPeak(nowMillis);
     }
 
     private void updateReadyPeak(double nowMillis) {
         int readyCount = ready.size();
         readyPeak.set(nowMillis, readyCount);
-        if (readyCount < Tuning.MIN_READY_FRACTION * readyReference) {
-            manyLeftAtMillis = nowMillis;
-            readyReference = readyCount;
+        if (readyCount < Tuning.MIN_READY_FRACTION * readyCountBaseline) {
+            manyRemovedAtMillis = nowMillis;
+            readyCountBaseline = readyCount;
         }
-        readyReference = Math.max(readyReference, readyCount);
+        readyCountBaseline = Math.max(readyCountBaseline, readyCount);
     }
 
     private void apply(double nowMillis, EndpointEntry entry, SplittableRandom random) {
@@ -152,7 +158,7 @@
         } else {
             unlisted.add(host);
         }
-        if (isRestarted) { // its new process has neither the faults nor the queue of the former one
+        if (isRestarted) { // a new process has neither the faults nor the queue of the previous one
             host.health().reset();
             onEjectionChanged(host);
             host.load().reset();
@@ -170,8 +176,8 @@
         }
     }
 
-    /** Takes the hosts off the list that a full list has not named. */
-    private void removeUnnamed() {
+    /** Marks the hosts that the full list doesn't contain as unlisted. */
+    private void unlistMissingHosts() {
         for (HostState host : byId.values()) {
             if (host.listGeneration() != generation) {
                 host.removeFromList();
@@ -181,8 +187,8 @@
         }
     }
 
-    /** Forgets the hosts that are off the list and have no attempt in flight, so that churn does not accumulate. */
-    private void forgetUnlisted() {
+    /** Removes the unlisted hosts without attempts in flight, so that former hosts don't accumulate. */
+    private void removeUnlisted() {
         for (Iterator<HostState> hosts = unlisted.iterator(); hosts.hasNext(); ) {
             HostState host = hosts.next();
             if (host.inFlight() == 0) {
--- a/src/main/java/rillyard/balancer/HostState.java
+++ b/src/main/java/rillyard/balancer/HostState.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * What this proxy knows of one host: its entry in the endpoint list, its attempts in flight, and one part for each class
- * that keeps a state of its own about hosts. Plain data. Not thread-safe.
+ * The state that this proxy keeps of one host: its entry in the endpoint list, its attempts in flight, and one part for
+ * each component that keeps its own state of hosts. Contains no decision logic. Not thread-safe.
  */
 final class HostState {
     private final long id;
@@ -21,9 +21,9 @@
     private boolean listed;
     private boolean ready;
     private int listGeneration;
-    private double newestAnsweredSentAtMillis = Double.NEGATIVE_INFINITY;
+    private double latestSuccessSentAtMillis = Double.NEGATIVE_INFINITY;
 
-    /** Creates the state of a host that no list has named yet. */
+    /** Creates the state of a host that no endpoint list has contained yet. */
     HostState(long id, HostHealth health, HostLoad load) {
         this.id = id;
         this.ringPosition = SplitMix64.ringPosition(id);
@@ -35,7 +35,10 @@
         return id;
     }
 
-    /** Returns the host's position in the order from which subsets are cut, which is independent of its neighbours' ids. */
+    /**
+     * Returns the host's position in the ring from which subsets are taken, which doesn't depend on which other hosts
+     * exist.
+     */
     long ringPosition() {
         return ringPosition;
     }
@@ -57,17 +60,17 @@
         return entry == null ? 0 : entry.startedAtMillis();
     }
 
-    /** Whether the endpoint list names the host, in whatever condition. */
+    /** Returns whether the endpoint list contains the host, in any condition. */
     boolean isListed() {
         return listed;
     }
 
-    /** Whether the endpoint list permits requests to the host. */
+    /** Returns whether the endpoint list permits requests to the host. */
     boolean isReady() {
         return ready;
     }
 
-    /** Returns the number of the last list event that named the host. */
+    /** Returns the number of the last list event that contained the host. */
     int listGeneration() {
         return listGeneration;
     }
@@ -80,7 +83,7 @@
         listGeneration = generation;
     }
 
-    /** Records that a complete list does not name the host. */
+    /** Records that a full list doesn't contain the host. */
     void removeFromList() {
         listed = false;
         ready = false;
@@ -108,24 +111,27 @@
         return attemptsView;
     }
 
-    /** Returns the latest send time (ms) of the attempts that the host has answered, negative infinity before the first. */
-    double newestAnsweredSentAtMillis() {
-        return newestAnsweredSentAtMillis;
+    /**
+     * Returns the latest send time (ms) among the attempts with a successful response, negative infinity before the
+     * first one.
+     */
+    double latestSuccessSentAtMillis() {
+        return latestSuccessSentAtMillis;
     }
 
-    /** Records an attempt that is sent to the host. */
+    /** Records that an attempt is sent to the host. */
     void attemptStarted(AttemptState attempt) {
         attempts.add(attempt);
         load.recordSend();
     }
 
-    /** Records that an attempt is in flight no more. */
+    /** Records that an attempt is no longer in flight. */
     void attemptEnded(AttemptState attempt) {
         attempts.remove(attempt);
     }
 
-    /** Records that the host has answered an attempt. */
-    void attemptAnswered(AttemptState attempt) {
-        newestAnsweredSentAtMillis = Math.max(newestAnsweredSentAtMillis, attempt.sentAtMillis());
+    /** Records that the host has responded successfully to an attempt. */
+    void attemptSucceeded(AttemptState attempt) {
+        latestSuccessSentAtMillis = Math.max(latestSuccessSentAtMillis, attempt.sentAtMillis());
     }
 }
--- a/src/main/java/rillyard/balancer/IncomingRequest.java
+++ b/src/main/java/rillyard/balancer/IncomingRequest.java
@@ -1,10 +1,10 @@
 package rillyard.balancer;
 
 /**
- * A client's request.
+ * A request of a client.
  *
  * @param tenant name of the tenant, may be null
- * @param remainingMillis time (ms) until the client's deadline, infinite while its last byte has not been received: see {@link
- *     Balancer#onRequestComplete}
+ * @param remainingMillis time (ms) until the client's deadline, infinite until the request's last byte has been
+ *     received: see {@link Balancer#onRequestComplete}
  */
 public record IncomingRequest(long id, String requestClass, String tenant, double remainingMillis) {}
--- a/src/main/java/rillyard/balancer/LeastRequestComparison.java
+++ b/src/main/java/rillyard/balancer/LeastRequestComparison.java
@@ -3,11 +3,11 @@
 import java.util.SplittableRandom;
 
 /**
- * One comparison of candidates: the host with the fewest weighted requests wins, among equal ones the one with the shortest
- * expected wait, and among those chance decides. Made for one selection. Not thread-safe.
+ * Compares candidates: the host with the fewest weighted requests wins, among equal counts the one with the shortest
+ * expected wait, and remaining ties are broken at random. One instance serves one selection. Not thread-safe.
  */
 final class LeastRequestComparison {
-    /** Counts that differ by no more than this are equal: penalties that have nearly decayed decide nothing. */
+    /** Difference up to which counts are equal, so that penalties that have nearly decayed decide nothing. */
     private static final double COUNT_TOLERANCE = 0.5;
 
     private final SplittableRandom random;
@@ -21,16 +21,16 @@
         this.random = random;
     }
 
-    /** Returns the host that has won so far, null before the first candidate. */
+    /** Returns the winner so far, null before the first candidate. */
     HostState winner() {
         return winner;
     }
 
-    /** Compares a further candidate with the winner so far. */
+    /** Compares another candidate with the winner so far. */
     void offer(HostState host, double count, double wait) {
         if (winner == null || count < winnerCount - COUNT_TOLERANCE) {
             tiedHosts = 1;
-            win(host, count, wait);
+            setWinner(host, count, wait);
         } else if (count <= winnerCount + COUNT_TOLERANCE) {
             offerWithEqualCount(host, count, wait);
         }
@@ -40,10 +40,10 @@
         if (isTie(wait)) {
             tiedHosts++;
             if (random.nextInt(tiedHosts) == 0) {
-                win(host, count, wait);
+                setWinner(host, count, wait);
             }
         } else if (wait < winnerWait) {
-            win(host, count, wait);
+            setWinner(host, count, wait);
         }
     }
 
@@ -51,7 +51,7 @@
         return Math.abs(wait - winnerWait) <= Tuning.WAIT_TIE_TOLERANCE * winnerWait;
     }
 
-    private void win(HostState host, double count, double wait) {
+    private void setWinner(HostState host, double count, double wait) {
         winner = host;
         winnerCount = count;
         winnerWait = wait;
--- a/src/main/java/rillyard/balancer/LoadEstimator.java
+++ b/src/main/java/rillyard/balancer/LoadEstimator.java
@@ -3,27 +3,27 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Estimates the speed and the queue of hosts, from the latency of their answers and from their load reports. */
+/** Estimates the speed and the queue of each host from the latency of its responses and from its load reports. */
 final class LoadEstimator {
-    /** The greatest relative latency that an answer counts for: a pause of the host tells nothing of its speed. */
+    /** Maximum relative latency that a response counts for: a pause of the host is no evidence of its speed. */
     private static final double MAX_RELATIVE_LATENCY = 8;
 
-    /** Answers of the mean speed that a host is taken to have given before its first one. */
+    /** Number of responses with mean latency that are assumed before a host's first response. */
     private static final int HOST_PRIOR_SAMPLES = 2;
 
-    /** The same for a machine kind. */
+    /** Number of responses with mean latency that are assumed before the first response of a machine kind. */
     private static final int KIND_PRIOR_SAMPLES = 4;
 
-    /** Weight of an answer in the slowness of a machine kind, of which more answers come than of a host. */
+    /** Weight of a response in the slowness of a machine kind, which gets more responses than a single host. */
     private static final double KIND_SAMPLE_WEIGHT = Tuning.SAMPLE_WEIGHT / 2;
 
-    /** The least weight of a load report in the mean over all hosts, for reports in quick succession. */
+    /** Minimum weight of a load report in the mean over all hosts, for reports in quick succession. */
     private static final double MIN_REPORT_WEIGHT = 0.02;
 
-    /** Freshness up to which a load report counts for nothing in a comparison. */
+    /** Freshness up to which a load report is ignored in comparisons. */
     private static final double MIN_FRESHNESS = 0.01;
 
-    private final Map<String, MachineKindStats> kinds = new HashMap<>();
+    private final Map<String, MachineKindStats> statsByKind = new HashMap<>();
     private final double reportDecayMillis;
     private final MovingAverage meanOutstanding = new MovingAverage(0);
     private double lastReportAtMillis = Double.NEGATIVE_INFINITY;
@@ -32,11 +32,11 @@
         this.reportDecayMillis = Tuning.REPORT_DECAY_OBJECTIVES * settings.meanLatencyObjectiveMillis();
     }
 
-    /** Records an answer that took {@code relativeLatency} times the mean latency of its class. */
-    void onAnswer(HostState host, double nowMillis, double relativeLatency) {
+    /** Records a response that took {@code relativeLatency} times the mean latency of its class. */
+    void onResponse(HostState host, double nowMillis, double relativeLatency) {
         double capped = Math.min(relativeLatency, MAX_RELATIVE_LATENCY);
         HostLoad load = host.load();
-        // The first answers weigh more: a proxy with few requests would otherwise take a minute to learn.
+        // The first responses weigh more: otherwise a proxy with few requests would need a minute for an estimate.
         double weight = Math.max(Tuning.SAMPLE_WEIGHT, 1.0 / (load.countSample() + HOST_PRIOR_SAMPLES));
         load.slowness().add(nowMillis, kindSlowness(host), capped, weight);
         MachineKindStats kind = kindOf(host);
@@ -44,20 +44,25 @@
         kind.slowness().add(capped, kindWeight);
     }
 
-    /** Learns from an answer behind a queue how long a host of this kind takes for each request it holds. */
-    void onQueuedAnswer(HostState host, double outstandingAtSend, double latencyMillis) {
+    /**
+     * Updates the time that hosts of this kind take per outstanding request, from a response that waited in a queue.
+     */
+    void onQueuedResponse(HostState host, double outstandingAtSend, double latencyMillis) {
         double outstanding = Double.isNaN(outstandingAtSend) ? host.load().reportedOutstanding() : outstandingAtSend;
         if (outstanding >= Tuning.MIN_QUEUE_OUTSTANDING) {
-            // The median: a few expensive requests do not tell how long the next one takes.
+            // A median, as a few expensive requests don't indicate how long the next one takes.
             kindOf(host).millisPerRequest().add(latencyMillis / (outstanding + 1));
         }
     }
 
     private MachineKindStats kindOf(HostState host) {
-        return kinds.computeIfAbsent(host.machineKind(), name -> new MachineKindStats(Tuning.QUEUE_MEDIAN_STEP));
+        return statsByKind.computeIfAbsent(host.machineKind(), name -> new MachineKindStats(Tuning.QUEUE_MEDIAN_STEP));
     }
 
-    /** Records a load report, null for none; one that is not {@code typical} is left out of the mean over all hosts. */
+    /**
+     * Records a load report, null for none. A report that is not {@code typical} is left out of the mean over all
+     * hosts.
+     */
     void onReport(HostState host, double nowMillis, LoadReport report, boolean typical) {
         if (report == null || Double.isNaN(report.outstanding())) {
             return;
@@ -71,7 +76,10 @@
         lastReportAtMillis = nowMillis;
     }
 
-    /** Returns the requests the host holds by a recent report and by what was sent since, NaN without a recent one. */
+    /**
+     * Returns the host's outstanding requests by a recent report plus the requests sent since, NaN without a recent
+     * report.
+     */
     double outstandingNow(HostState host, double nowMillis) {
         HostLoad load = host.load();
         return nowMillis - load.reportedAtMillis() <= Tuning.FRESH_REPORT_MILLIS ? load.knownOutstanding() : Double.NaN;
@@ -80,9 +88,10 @@
     /**
      * Returns the time (ms) the host's queue is expected to take, 0 if there is no evidence of a queue.
      *
-     * <p>A report is believed no longer than its queue lasts, as the requests rejected because of it bring no newer one; the
-     * rest decays, so that requests without an answer are no queue for ever. The host holds at least the own attempts in
-     * flight that are not lost. Limit: a queue that lasts for objectives without any answer is underestimated.
+     * <p>A reported queue counts for no longer than it takes to drain, as requests that are rejected because of it
+     * bring no newer report. What remains decays, so that requests without a response don't count as a queue for ever.
+     * The host holds at least this proxy's attempts in flight that are not lost. Limit: a queue that lasts for several
+     * latency objectives without any response is underestimated.
      */
     double expectedLatency(HostState host, double nowMillis) {
         double millisPerRequest = kindOf(host).millisPerRequest().value();
@@ -104,17 +113,23 @@
         return Math.exp(-(nowMillis - load.reportedAtMillis()) / reportDecayMillis);
     }
 
-    /** Returns the latency of the host's machine kind relative to the mean, 1 while it is not known. */
+    /** Returns the latency of the host's machine kind relative to the mean, 1 while it is unknown. */
     double kindSlowness(HostState host) {
         return kindOf(host).slowness().value();
     }
 
-    /** Returns the host's latency relative to the mean; without new answers it decays to that of its machine kind. */
+    /**
+     * Returns the host's latency relative to the mean. Without new responses it decays to that of the host's machine
+     * kind.
+     */
     double slowness(HostState host, double nowMillis) {
         return host.load().slowness().valueAt(nowMillis, kindSlowness(host));
     }
 
-    /** Returns the expected wait at the host in units of the mean latency, for hosts with equal numbers of requests. */
+    /**
+     * Returns the expected wait at the host in units of the mean latency, to compare hosts with equal numbers of
+     * requests.
+     */
     double expectedWait(HostState host, double nowMillis) {
         double outstanding = meanOutstanding.value();
         double freshness = freshness(host.load(), nowMillis);
--- a/src/main/java/rillyard/balancer/LoadReport.java
+++ b/src/main/java/rillyard/balancer/LoadReport.java
@@ -1,14 +1,14 @@
 package rillyard.balancer;
 
 /**
- * Metrics that a host reports of itself, NaN where one is not reported.
+ * The metrics that a host reports of itself, NaN for each one that is not reported.
  *
- * @param inFlight requests it holds
+ * @param inFlight requests that the host holds
  * @param queued requests that wait for service
- * @param busy part of its capacity in use
+ * @param busy fraction of the host's capacity in use
  * @param latencyMs latency (ms)
  * @param served requests served per second
- * @param failRate part of the requests that failed
+ * @param failRate fraction of the requests that failed
  */
 public record LoadReport(
         double inFlight, double queued, double busy, double latencyMs, double served, double failRate) {
@@ -16,7 +16,10 @@
     public static final LoadReport NONE =
             new LoadReport(Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
 
-    /** Returns the requests the host holds by whichever metric tells, NaN if none does. */
+    /**
+     * Returns the number of requests the host holds, by the first of {@code inFlight} and {@code queued} that is
+     * reported, NaN without both.
+     */
     public double outstanding() {
         return Double.isNaN(inFlight) ? queued : inFlight;
     }
--- a/src/main/java/rillyard/balancer/MachineKindStats.java
+++ b/src/main/java/rillyard/balancer/MachineKindStats.java
@@ -1,27 +1,30 @@
 package rillyard.balancer;
 
-/** What the hosts of one machine kind have in common: a prior for hosts with few answers of their own. Not thread-safe. */
+/**
+ * The statistics over all hosts of one machine kind, used as a prior for hosts with few responses of their own. Not
+ * thread-safe.
+ */
 final class MachineKindStats {
     private final MovingAverage slowness = new MovingAverage(1);
     private final StepMedian millisPerRequest;
     private int samples;
 
-    /** Creates statistics without samples; {@code medianStep} is the relative step of the median. */
+    /** Creates statistics without samples; {@code medianStep} is the relative step of the median estimate. */
     MachineKindStats(double medianStep) {
         millisPerRequest = new StepMedian(medianStep);
     }
 
-    /** Returns the statistic of the latency of such hosts relative to the mean. */
+    /** Returns the average of the latency of these hosts relative to the mean over all hosts. */
     MovingAverage slowness() {
         return slowness;
     }
 
-    /** Returns the statistic of the time (ms) such hosts take for each request they hold. */
+    /** Returns the median of the time (ms) that these hosts take per outstanding request. */
     StepMedian millisPerRequest() {
         return millisPerRequest;
     }
 
-    /** Counts an answer and returns the number of answers so far. */
+    /** Counts a response and returns the number of responses so far. */
     int countSample() {
         return ++samples;
     }
--- a/src/main/java/rillyard/balancer/MeanAndDeviation.java
+++ b/src/main/java/rillyard/balancer/MeanAndDeviation.java
@@ -1,6 +1,6 @@
 package rillyard.balancer;
 
-/** A moving average with the mean absolute deviation from it; the first samples weigh more. Not thread-safe. */
+/** A moving average and the mean absolute deviation from it. The first samples weigh more. Not thread-safe. */
 final class MeanAndDeviation {
     private final MovingAverage mean;
     private final MovingAverage deviation;
@@ -9,10 +9,10 @@
     private int samples;
 
     /**
-     * Creates an average whose deviation is as large as itself.
+     * Creates an average whose initial deviation equals its initial value.
      *
-     * @param priorSamples number of samples for which the initial value counts
-     * @param minWeight weight of a sample after many others
+     * @param priorSamples number of samples that the initial value counts as
+     * @param minWeight minimum weight of a sample, reached after many samples
      */
     MeanAndDeviation(double initialValue, int priorSamples, double minWeight) {
         this.mean = new MovingAverage(initialValue);
--- a/src/main/java/rillyard/balancer/MovingAverage.java
+++ b/src/main/java/rillyard/balancer/MovingAverage.java
@@ -1,6 +1,6 @@
 package rillyard.balancer;
 
-/** An average that moves towards each sample by a weight which the caller states. Not thread-safe. */
+/** A moving average in which the caller sets the weight of each sample. Not thread-safe. */
 final class MovingAverage {
     private double value;
 
@@ -12,7 +12,7 @@
         return value;
     }
 
-    /** Moves the average towards {@code sample} by {@code weight}, from 0 (not at all) to 1 (all of the way). */
+    /** Moves the average towards {@code sample} by {@code weight}, from 0 (unchanged) to 1 (replaced by the sample). */
     void add(double sample, double weight) {
         value += weight * (sample - value);
     }
--- a/src/main/java/rillyard/balancer/OpenRequests.java
+++ b/src/main/java/rillyard/balancer/OpenRequests.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The requests that wait for their final answer or have attempts in flight. Not thread-safe. */
+/** The requests that wait for their final response or have attempts in flight. Not thread-safe. */
 final class OpenRequests {
     private final Map<Long, RequestState> byId = new HashMap<>();
 
@@ -12,8 +12,8 @@
         return byId.get(id);
     }
 
-    /** Returns the request with this id, null if it is not open or has its final answer. */
-    RequestState unanswered(long id) {
+    /** Returns the request with this id, null if it is not open or has its final response. */
+    RequestState awaitingResponse(long id) {
         RequestState request = byId.get(id);
         return request == null || request.isEnded() ? null : request;
     }
@@ -22,7 +22,7 @@
         byId.put(request.id(), request);
     }
 
-    /** Forgets the request if it has its final answer and no attempt in flight. */
+    /** Removes the request if it has its final response and no attempt in flight. */
     void removeIfDone(RequestState request) {
         if (request.isEnded() && request.openAttempts() == 0) {
             byId.remove(request.id());
--- a/src/main/java/rillyard/balancer/OutlierDetector.java
+++ b/src/main/java/rillyard/balancer/OutlierDetector.java
@@ -2,15 +2,18 @@
 
 import java.util.SplittableRandom;
 
-/** Outlier detection: unresponsive and failing hosts, ejection with backoff, half-open probes. */
+/**
+ * Detects unresponsive and failing hosts, ejects them with exponential backoff and readmits them after half-open
+ * probes.
+ */
 final class OutlierDetector {
-    /** Penalty below which it counts for nothing, which spares the decay's exponential for nearly all hosts. */
+    /** Penalty below which it is ignored, which avoids computing the exponential decay for nearly all hosts. */
     private static final double MIN_PENALTY = 0.05;
 
-    /** The least part of an ejection's length, with jitter so that many proxies do not probe at the same moment. */
+    /** Minimum factor of an ejection's length; jitter keeps many proxies from probing at the same moment. */
     private static final double MIN_EJECTION_JITTER = 0.75;
 
-    private static final double EJECTION_JITTER_SPAN = 0.5; // above that
+    private static final double EJECTION_JITTER_SPAN = 0.5; // range of the factor above the minimum
 
     private final HostSet hosts;
     private final double objectiveMillis;
@@ -24,7 +27,7 @@
         this.actions = actions;
     }
 
-    /** Whether the host may get a request; one that is half-open gets one at a time. */
+    /** Returns whether the host may get a request; a half-open host gets one at a time. */
     boolean isAvailable(HostState host, double nowMillis, double overdueAfterMillis) {
         HostHealth health = host.health();
         if (nowMillis < health.halfOpenAtMillis()) {
@@ -36,30 +39,40 @@
         return !isUnresponsive(host, nowMillis, overdueAfterMillis);
     }
 
-    /** Whether the host has answered nothing for so long, with complete requests in flight, that it seems to hang. */
+    /**
+     * Returns whether the host has sent no response for so long, with complete requests in flight, that it seems to
+     * hang.
+     */
     boolean isUnresponsive(HostState host, double nowMillis, double overdueAfterMillis) {
         for (AttemptState attempt : host.attempts()) {
             if (!isOvertaken(attempt) && attempt.sentAtMillis() <= nowMillis) {
-                double since = Math.max(attempt.sentAtMillis(), host.health().lastAnswerAtMillis());
-                double expected =
+                double silentSinceMillis =
+                        Math.max(attempt.sentAtMillis(), host.health().lastResponseAtMillis());
+                double toleratedMillis =
                         overdueAfterMillis * Math.max(1, host.load().slowness().lastValue());
-                return nowMillis - since > Math.max(Tuning.MIN_UNRESPONSIVE_MILLIS, expected);
+                return nowMillis - silentSinceMillis > Math.max(Tuning.MIN_UNRESPONSIVE_MILLIS, toleratedMillis);
             }
         }
         return false;
     }
 
-    /** Whether the host has answered a later attempt: it has lost this one, but neither hangs nor has a long queue. */
+    /**
+     * Returns whether the host has responded successfully to an attempt sent later: it has lost this one, but neither
+     * hangs nor has a long queue.
+     */
     static boolean isOvertaken(AttemptState attempt) {
-        return attempt.sentAtMillis() < attempt.host().newestAnsweredSentAtMillis();
+        return attempt.sentAtMillis() < attempt.host().latestSuccessSentAtMillis();
     }
 
-    /** Returns how many attempts in flight are overtaken and past their objective, without those of class {@code except}. */
+    /**
+     * Returns the number of lost attempts: those in flight that are overtaken and past their latency objective.
+     * Attempts of the class {@code except}, which may be null, are not counted.
+     */
     static int lostAttempts(HostState host, RequestClassStats except, double nowMillis) {
         int count = 0;
         for (AttemptState attempt : host.attempts()) {
             if (!isOvertaken(attempt)) {
-                break; // they are in the order of their sends
+                break; // attempts are in the order in which they were sent
             }
             RequestClassStats requestClass = attempt.requestClass();
             if (requestClass != except
@@ -72,9 +85,10 @@
     }
 
     /**
-     * Returns the own requests in flight plus a penalty for failures: a host that loses requests of this class, or answers
-     * with quick errors, must not look idle. It gets requests again once the others are busier by the penalty. Limit: a class
-     * that all hosts lose is distributed by the penalties rather than by the load.
+     * Returns this proxy's requests in flight at the host plus a penalty for failures, as a host that loses requests of
+     * this class or quickly responds with errors must not appear idle. The host gets requests again once the other
+     * hosts have more requests by the amount of the penalty. Limit: a class that all hosts lose is distributed by the
+     * penalties rather than by the load.
      */
     double weightedInFlight(HostState host, RequestClassStats requestClass, double nowMillis) {
         return host.inFlight()
@@ -92,23 +106,23 @@
         host.health().penalty().set(nowMillis, penalty(host, nowMillis) + Tuning.FAILURE_PENALTY);
     }
 
-    /** Records whether an attempt of this class was lost or answered. */
+    /** Records whether an attempt of this class was lost or got a successful response. */
     void onAttemptEnded(HostState host, RequestClassStats requestClass, double nowMillis, boolean lost) {
         host.health().recordEnd(requestClass, nowMillis, lost, Tuning.SAMPLE_WEIGHT);
     }
 
-    /** Records a successful answer, which ends an ejection. */
+    /** Records a successful response, which ends an ejection. */
     void onSuccess(HostState host, double nowMillis) {
-        host.health().recordAnswer(nowMillis);
+        host.health().recordResponse(nowMillis);
         host.health().recordSuccess();
         readmit(host);
     }
 
-    /** Records a failure; {@code answered} tells whether the host has sent an answer. */
-    void onFailure(HostState host, double nowMillis, boolean answered) {
+    /** Records a failure; {@code responded} is whether the host has sent a response. */
+    void onFailure(HostState host, double nowMillis, boolean responded) {
         HostHealth health = host.health();
-        if (answered) {
-            health.recordAnswer(nowMillis);
+        if (responded) {
+            health.recordResponse(nowMillis);
         }
         health.recordFailure();
         addPenalty(host, nowMillis);
@@ -119,9 +133,12 @@
         }
     }
 
-    /** Records that the host rejected an attempt as over its capacity, which gives it a penalty but is no failure. */
+    /**
+     * Records that the host rejected an attempt as over its capacity, which adds a penalty but doesn't count as a
+     * failure.
+     */
     void onRejection(HostState host, double nowMillis) {
-        host.health().recordAnswer(nowMillis);
+        host.health().recordResponse(nowMillis);
         addPenalty(host, nowMillis);
         readmit(host);
     }
@@ -134,7 +151,10 @@
         }
     }
 
-    /** Applies what the fleet has found: ejects the host until {@code probeAtMillis} or later, or probes it by then. */
+    /**
+     * Applies the fleet's decision: ejects the host until at least {@code probeAtMillis}, or permits a probe by then at
+     * the latest.
+     */
     void onFleetEjection(HostState host, boolean ejected, double probeAtMillis) {
         HostHealth health = host.health();
         if (!ejected) {
@@ -145,7 +165,7 @@
         }
     }
 
-    /** Whether few enough other hosts are ejected; a fault of many must not overload the rest. */
+    /** Returns whether few enough other hosts are ejected: a fault of many hosts must not overload the rest. */
     private boolean mayEject(HostState host) {
         return hosts.ejectedHostCount(host)
                 < Tuning.MAX_EJECTED_FRACTION * hosts.ready().size();
@@ -156,11 +176,11 @@
         if (nowMillis - health.lastEjectionAtMillis() > Tuning.EJECTION_RESET_OBJECTIVES * objectiveMillis) {
             health.resetBackoff();
         }
-        double backoff = Tuning.BASE_EJECTION_OBJECTIVES * Math.pow(2, health.ejections());
-        double length = objectiveMillis * Math.min(Tuning.MAX_EJECTION_OBJECTIVES, backoff);
+        double backoffObjectives = Tuning.BASE_EJECTION_OBJECTIVES * Math.pow(2, health.ejections());
+        double lengthMillis = objectiveMillis * Math.min(Tuning.MAX_EJECTION_OBJECTIVES, backoffObjectives);
         health.countEjection(nowMillis);
         double jitter = MIN_EJECTION_JITTER + EJECTION_JITTER_SPAN * random.nextDouble();
-        double halfOpenAtMillis = nowMillis + length * jitter;
+        double halfOpenAtMillis = nowMillis + lengthMillis * jitter;
         if (!health.isEjected()) {
             actions.log("outlier: host ejected, host=" + host.id() + " failures=" + health.consecutiveFailures()
                     + " backoff_ms=" + Math.round(halfOpenAtMillis - nowMillis));
--- a/src/main/java/rillyard/balancer/RateEstimator.java
+++ b/src/main/java/rillyard/balancer/RateEstimator.java
@@ -1,17 +1,19 @@
 package rillyard.balancer;
 
-/** Estimates the rate of events with an exponential memory that is corrected while it is not yet full. Not thread-safe. */
+/**
+ * Estimates the rate of events with exponential decay, corrected for the time before the first event. Not thread-safe.
+ */
 final class RateEstimator {
     private final double timeConstantMillis;
     private final double minWindowMillis;
     private final DecayingCounter rate;
-    private double firstAtMillis = Double.NaN;
+    private double firstEventAtMillis = Double.NaN;
 
     /**
      * Creates an estimator without events.
      *
-     * @param timeConstantMillis time (ms) after which an event counts 1/e
-     * @param minWindowMillis least time (ms) over which the rate is taken
+     * @param timeConstantMillis time (ms) after which an event's weight is 1/e
+     * @param minWindowMillis minimum time (ms) over which the rate is averaged
      */
     RateEstimator(double timeConstantMillis, double minWindowMillis) {
         this.timeConstantMillis = timeConstantMillis;
@@ -20,13 +22,14 @@
     }
 
     void onEvent(double nowMillis) {
-        firstAtMillis = Double.isNaN(firstAtMillis) ? nowMillis : firstAtMillis;
+        firstEventAtMillis = Double.isNaN(firstEventAtMillis) ? nowMillis : firstEventAtMillis;
         rate.add(nowMillis, 1 / timeConstantMillis);
     }
 
-    /** Returns the events per ms. */
+    /** Returns the rate in events per ms. */
     double rate(double nowMillis) {
-        double observed = 1 - Math.exp(-(nowMillis - firstAtMillis + minWindowMillis) / timeConstantMillis);
-        return rate.valueAt(nowMillis) / (observed > 0 ? observed : 1);
+        double observedFraction =
+                1 - Math.exp(-(nowMillis - firstEventAtMillis + minWindowMillis) / timeConstantMillis);
+        return rate.valueAt(nowMillis) / (observedFraction > 0 ? observedFraction : 1);
     }
 }
--- a/src/main/java/rillyard/balancer/RequestClassStats.java
+++ b/src/main/java/rillyard/balancer/RequestClassStats.java
@@ -1,19 +1,19 @@
 package rillyard.balancer;
 
-/** A class of requests with the latency observed for it. Times are milliseconds. */
+/** A request class with its observed latency. Times are milliseconds. */
 final class RequestClassStats {
-    /** Mean latency assumed before the first answer, as a part of the latency objective. */
+    /** Mean latency assumed before the first response, as a fraction of the latency objective. */
     private static final double INITIAL_LATENCY_FRACTION = 0.25;
 
-    /** Answers for which the assumed latency counts. */
+    /** Number of responses that the assumed latency counts as. */
     private static final int PRIOR_SAMPLES = 4;
 
-    /** Weight of an answer: half of the usual one, as latencies of a class vary more than those of a host. */
+    /** Weight of a response: half of the usual weight, as latencies vary more within a class than at one host. */
     private static final double LATENCY_SAMPLE_WEIGHT = Tuning.SAMPLE_WEIGHT / 2;
 
     private final Settings.RequestClass settings;
     private final MeanAndDeviation latency;
-    private double firstAttemptTimeoutMillis; // the time that clients give their first attempts, as lately seen
+    private double firstAttemptTimeoutMillis; // recently observed timeout of clients' first attempts
 
     RequestClassStats(Settings.RequestClass settings) {
         this.settings = settings;
@@ -29,14 +29,15 @@
         return latency.mean();
     }
 
-    void onAnswer(double millis) {
-        latency.add(millis);
+    void onResponse(double latencyMillis) {
+        latency.add(latencyMillis);
     }
 
     /**
-     * Returns what is left of the latency objective, which runs from the client's first attempt, below 0 if it is past. A
-     * request with less time than first attempts have is taken for a client's retry, so that retries which are late already
-     * do not displace requests in time. Limit: a client that always asks for less time is shed first in an overload.
+     * Returns the remaining part of the latency objective, which starts with the client's first attempt; below 0 if it
+     * is past. A request with less time than first attempts have is taken for a client's retry, so that retries that
+     * are already late don't displace requests that are in time. Limit: a client that always sets shorter timeouts is
+     * shed first in an overload.
      */
     double remainingObjectiveMillis(double remainingMillis) {
         double timeMillis = Math.min(remainingMillis, settings.deadlineMillis());
@@ -46,29 +47,33 @@
         if (timeMillis >= Tuning.RETRY_DEADLINE_FRACTION * firstAttemptTimeoutMillis) {
             return settings.latencyObjectiveMillis();
         }
-        double spentBeforeMillis = settings.deadlineMillis() - timeMillis;
-        return settings.latencyObjectiveMillis() - spentBeforeMillis;
+        double elapsedMillis = settings.deadlineMillis() - timeMillis;
+        return settings.latencyObjectiveMillis() - elapsedMillis;
     }
 
-    /** Whether a request with so much of its objective left would be late at the latency observed now. */
+    /** Returns whether a request with this remaining objective would be late at the currently observed latency. */
     boolean isTooLate(double remainingObjectiveMillis) {
         return remainingObjectiveMillis < Math.min(meanLatencyMillis(), settings.latencyObjectiveMillis());
     }
 
-    /** Returns the age past which an attempt is overdue; earlier hedging would waste the work of a merely long one. */
+    /**
+     * Returns the age after which an attempt is overdue. Hedging earlier would duplicate the work of attempts that just
+     * take long.
+     */
     double overdueAfterMillis() {
         return meanLatencyMillis() + Tuning.OVERDUE_DEVIATIONS * latency.deviation();
     }
 
     /**
-     * Returns the least time given to a host from which a timeout tells of the host: the mean latency, while that is short. A
-     * mean beyond the latency assumed at first may be that of an overload, of which timeouts have to tell.
+     * Returns the minimum time a host must have had for a timeout to be evidence about the host: the mean latency,
+     * while that is short. A mean above the initially assumed latency may be caused by an overload, in which timeouts
+     * have to count.
      */
-    double leastTellingTimeoutMillis() {
+    double minConclusiveTimeoutMillis() {
         return Math.min(meanLatencyMillis(), INITIAL_LATENCY_FRACTION * settings.latencyObjectiveMillis());
     }
 
-    /** Whether an attempt that may have been executed may be repeated at all. */
+    /** Returns whether a request that may have been executed may be sent again at all. */
     boolean isRepeatable() {
         return settings.semantics() != Settings.Semantics.AT_MOST_ONCE;
     }
--- a/src/main/java/rillyard/balancer/RequestClasses.java
+++ b/src/main/java/rillyard/balancer/RequestClasses.java
@@ -4,9 +4,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** The classes of requests with their statistics: those of the settings, and others as requests name them. */
+/**
+ * The request classes with their statistics: those of the settings, and others that are added when requests name them.
+ */
 final class RequestClasses {
-    private static final double MIN_DEADLINE_MILLIS = 1; // an objective of 0 could be met by nothing
+    private static final double MIN_DEADLINE_MILLIS = 1; // an objective of 0 could never be met
 
     private final Map<String, RequestClassStats> byName = new HashMap<>();
 
@@ -14,7 +16,9 @@
         configured.forEach(each -> byName.put(each.name(), new RequestClassStats(each)));
     }
 
-    /** Returns the class of a request with so much time left; one that the settings do not name is added. */
+    /**
+     * Returns the class of a request with {@code remainingMillis} left; a class that is not in the settings is added.
+     */
     RequestClassStats get(String name, double remainingMillis) {
         RequestClassStats known = byName.get(name);
         if (known != null) {
@@ -25,7 +29,7 @@
         return added;
     }
 
-    /** Returns a class that the settings do not name: nothing is assumed to be repeatable. */
+    /** Returns a class for a name that is not in the settings: nothing is assumed to be repeatable. */
     private static Settings.RequestClass strictestClass(String name, double remainingMillis) {
         double deadlineMillis = Math.max(MIN_DEADLINE_MILLIS, remainingMillis);
         return new Settings.RequestClass(
@@ -36,6 +40,6 @@
                 Settings.Scope.ALL,
                 0, // idempotency window
                 1, // priority weight
-                0); // weight of a late answer
+                0); // weight of a late response
     }
 }
--- a/src/main/java/rillyard/balancer/RequestConclusion.java
+++ b/src/main/java/rillyard/balancer/RequestConclusion.java
@@ -1,6 +1,6 @@
 package rillyard.balancer;
 
-/** Ends requests: with a final answer where no attempt brings it, or without one where none is needed any more. */
+/** Ends requests, either with a final response of the proxy's own or without one where none is needed any more. */
 final class RequestConclusion {
     private final OpenRequests requests;
     private final AttemptController attempts;
@@ -21,8 +21,11 @@
         this.actions = actions;
     }
 
-    /** Gives the final answer, where no attempt can bring it any more: a rejection only if nothing was executed. */
-    void conclude(RequestState request, double nowMillis) {
+    /**
+     * Sends the final response of a request for which no attempt will bring one. The request is rejected only if
+     * nothing was executed, otherwise it fails.
+     */
+    void rejectOrFail(RequestState request, double nowMillis) {
         if (retryPolicy.permits(request, null, nowMillis)) {
             admission.onRejected(nowMillis, request);
             actions.reject(request.id(), 0);
@@ -33,7 +36,7 @@
         requests.removeIfDone(request);
     }
 
-    /** Ends a request that needs no answer any more and cancels its attempts, which still get their outcome. */
+    /** Ends a request that needs no response any more, and cancels its attempts, which still report their outcome. */
     void endAndCancelAttempts(RequestState request) {
         request.end();
         for (AttemptState attempt : request.attempts()) {
--- a/src/main/java/rillyard/balancer/RequestState.java
+++ b/src/main/java/rillyard/balancer/RequestState.java
@@ -4,7 +4,10 @@
 import java.util.Collections;
 import java.util.List;
 
-/** A client's request while it waits for its answer or has attempts in flight: plain data. Not thread-safe. */
+/**
+ * The state of a client's request until it has its response and no attempts in flight, without decision logic. Not
+ * thread-safe.
+ */
 final class RequestState {
     private final long id;
     private final RequestClassStats requestClass;
@@ -21,7 +24,7 @@
      * Creates a request without attempts.
      *
      * @param remainingMillis time (ms) until the client's deadline, infinite while the request is being received
-     * @param quotaWeight weight of its tenant, 1 if it is within its quota
+     * @param quotaWeight weight of the request's tenant, 1 if the tenant is within its quota
      */
     RequestState(
             long id, RequestClassStats requestClass, double nowMillis, double remainingMillis, double quotaWeight) {
@@ -40,7 +43,7 @@
         return requestClass;
     }
 
-    /** Returns the part of the latency objective (ms) that was left on arrival, below 0 if it was past. */
+    /** Returns the part of the latency objective (ms) that remained on arrival, below 0 if it was past. */
     double remainingObjectiveMillis() {
         return remainingObjectiveMillis;
     }
@@ -70,7 +73,7 @@
         return deadlineMillis;
     }
 
-    /** Returns the expected latency (ms) past which a host is not given its first attempt. */
+    /** Returns the expected latency (ms) above which a host doesn't get the first attempt. */
     double maxExpectedLatencyMillis() {
         return maxExpectedLatencyMillis;
     }
@@ -79,17 +82,17 @@
         return openAttempts;
     }
 
-    /** Whether the request has its final answer, or needs none any more. */
+    /** Returns whether the request has its final response, or needs none any more. */
     boolean isEnded() {
         return ended;
     }
 
-    /** Whether the next attempt is the first one. */
+    /** Returns whether the next attempt is the first one. */
     boolean isFirstAttempt() {
         return attempts.isEmpty();
     }
 
-    /** Whether an attempt has been sent to {@code host}. */
+    /** Returns whether an attempt has been sent to {@code host}. */
     boolean hasTried(HostState host) {
         for (AttemptState attempt : attempts) {
             if (attempt.host() == host) {
@@ -109,7 +112,7 @@
         attempts.forEach(attempt -> attempt.requestCompleted(nowMillis));
     }
 
-    /** Records that the next attempt is sent to {@code host}, at the host as well. */
+    /** Records that the next attempt is sent to {@code host}, both here and in the host. */
     AttemptState startAttempt(HostState host, double sentAtMillis, double outstandingAtSend) {
         AttemptState attempt = new AttemptState(this, attempts.size(), host, sentAtMillis, outstandingAtSend);
         attempts.add(attempt);
@@ -123,7 +126,7 @@
         openAttempts--;
     }
 
-    /** Records that no further attempt is to be made. */
+    /** Records that no further attempt will be made. */
     void end() {
         ended = true;
     }
--- a/src/main/java/rillyard/balancer/RetryController.java
+++ b/src/main/java/rillyard/balancer/RetryController.java
@@ -1,8 +1,14 @@
 package rillyard.balancer;
 
-/** Decides whether a request gets a further attempt: a retry after one that ended, or a hedge beside one that is overdue. */
+/**
+ * Decides whether a request gets another attempt: a retry after an attempt that ended, or a hedged request beside an
+ * overdue one.
+ */
 final class RetryController {
-    /** Part of the overdue time that suffices when the hedging timer fires, as timers may fire a rounding early. */
+    /**
+     * Fraction of the overdue time that suffices when the hedging timer fires, as rounding may make timers fire
+     * slightly early.
+     */
     private static final double TIMER_TOLERANCE = 0.99;
 
     private final Settings.Limits limits;
@@ -24,7 +30,9 @@
         this.attempts = attempts;
     }
 
-    /** Retries a request without an attempt in flight; returns false if that may not be, or no host may get it. */
+    /**
+     * Retries a request without an attempt in flight; returns false if a retry is not allowed or no host is eligible.
+     */
     boolean retry(RequestState request, double nowMillis) {
         return hasTime(request, nowMillis)
                 && !admission.isOverloaded(nowMillis)
@@ -32,7 +40,9 @@
                 && attempts.start(request, nowMillis);
     }
 
-    /** Hedges an overdue request; where only one attempt may be in flight, cancels it so that a retry can follow. */
+    /**
+     * Hedges an overdue request. If only one attempt may be in flight, cancels it instead, so that a retry can follow.
+     */
     void hedge(RequestState request, double nowMillis) {
         AttemptState last = request.lastAttempt();
         if (!mayHedge(request, last, nowMillis)) {
@@ -45,7 +55,10 @@
         }
     }
 
-    /** Whether the host seems to have lost the attempt: copies of requests that merely take long would feed an overload. */
+    /**
+     * Returns whether the host seems to have lost the attempt: hedging requests that just take long would increase an
+     * overload.
+     */
     private boolean mayHedge(RequestState request, AttemptState last, double nowMillis) {
         return hasTime(request, nowMillis)
                 && admission.pressure(nowMillis) <= Tuning.SHED_PRESSURE
--- a/src/main/java/rillyard/balancer/RetryPolicy.java
+++ b/src/main/java/rillyard/balancer/RetryPolicy.java
@@ -1,6 +1,8 @@
 package rillyard.balancer;
 
-/** Decides whether a request may be sent, again or for the first time, by what its earlier attempts may have done. */
+/**
+ * Decides whether a request may be sent, for the first time or again, by the possible effects of its earlier attempts.
+ */
 final class RetryPolicy {
     private final Settings.Limits limits;
 
@@ -8,7 +10,10 @@
         this.limits = limits;
     }
 
-    /** Whether the request may be sent to {@code target}; if that is null, whether it may be rejected as not executed. */
+    /**
+     * Returns whether the request may be sent to {@code target} or, if that is null, whether it may be rejected as not
+     * executed.
+     */
     boolean permits(RequestState request, HostState target, double nowMillis) {
         if (request.isEnded() || (target != null && !permitsAttempt(request, target, nowMillis))) {
             return false;
@@ -17,7 +22,8 @@
             return true;
         }
         for (AttemptState attempt : request.attempts()) {
-            if (attempt.mayHaveExecuted() && (nowMillis >= repeatableUntil(attempt) || !sharesKeys(attempt, target))) {
+            if (attempt.mayHaveExecuted()
+                    && (nowMillis >= repeatableUntilMillis(attempt) || !sharesKeys(attempt, target))) {
                 return false;
             }
         }
@@ -31,22 +37,27 @@
                 && nowMillis < request.deadlineMillis();
     }
 
-    /** Returns until when (ms) the next attempt must be written, as hosts forget idempotency keys after a time. */
+    /**
+     * Returns the latest time (ms) at which the next attempt may be written, as hosts remember idempotency keys for a
+     * limited time.
+     */
     double notAfterMillis(RequestState request) {
         return request.attempts().stream()
                 .filter(AttemptState::mayHaveExecuted)
-                .mapToDouble(RetryPolicy::repeatableUntil)
+                .mapToDouble(RetryPolicy::repeatableUntilMillis)
                 .min()
                 .orElse(Double.POSITIVE_INFINITY);
     }
 
-    /** Starts an attempt; for a request that is still being received it counts as sent with the last byte only. */
+    /**
+     * Starts an attempt. If the request is still being received, the attempt counts as sent only with its last byte.
+     */
     AttemptState start(RequestState request, HostState host, double nowMillis, double outstandingAtSend) {
         double sentAtMillis = Double.isInfinite(request.deadlineMillis()) ? request.deadlineMillis() : nowMillis;
         return request.startAttempt(host, sentAtMillis, outstandingAtSend);
     }
 
-    private static double repeatableUntil(AttemptState attempt) {
+    private static double repeatableUntilMillis(AttemptState attempt) {
         Settings.RequestClass settings = attempt.requestClass().settings();
         return switch (settings.semantics()) {
             case IDEMPOTENT -> Double.POSITIVE_INFINITY;
--- a/src/main/java/rillyard/balancer/Settings.java
+++ b/src/main/java/rillyard/balancer/Settings.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * The settings of a deployment, fixed at the start. All times are milliseconds.
+ * The settings of a deployment, which don't change after the start. All times are milliseconds.
  *
- * @param classes classes of requests, by unique names
+ * @param classes request classes, with unique names
  * @param tenants tenants with a quota
- * @param mustSubscribe whether the proxy has to subscribe to changes of the endpoint list itself
- * @param zone this proxy's zone, null if zones do not matter
- * @param proxyIndex index of this proxy among all of them
- * @param proxyCount number of proxies; less than 1 is taken for 1
- * @param overQuotaWeight least weight of a request whose tenant is over its quota, from 0 to 1
+ * @param mustSubscribe whether the proxy itself has to subscribe to changes of the endpoint list
+ * @param zone this proxy's zone, null if zones are not used
+ * @param proxyIndex index of this proxy among all proxies
+ * @param proxyCount number of proxies; values below 1 are replaced by 1
+ * @param overQuotaWeight minimum weight, from 0 to 1, of a request whose tenant is over its quota
  */
 public record Settings(
         List<RequestClass> classes,
@@ -24,17 +24,17 @@
         int proxyCount,
         double overQuotaWeight) {
 
-    /** The latency objective of settings that name no class. */
+    /** The mean latency objective if the settings contain no class. */
     private static final double DEFAULT_OBJECTIVE_MILLIS = 400;
 
-    /** Copies the lists, so that settings never change. */
+    /** Copies the lists, so that the settings are immutable. */
     public Settings {
         classes = List.copyOf(classes);
         tenants = List.copyOf(tenants);
         proxyCount = Math.max(1, proxyCount);
     }
 
-    /** Returns the mean latency objective over the classes, the unit of times that the settings do not state. */
+    /** Returns the mean latency objective over the classes, which is the unit of times that are not in the settings. */
     public double meanLatencyObjectiveMillis() {
         double sum = 0;
         for (RequestClass requestClass : classes) {
@@ -43,13 +43,16 @@
         return classes.isEmpty() ? DEFAULT_OBJECTIVE_MILLIS : sum / classes.size();
     }
 
-    /** What may be repeated once it may have been executed. */
+    /** Which requests may be sent again after they may have been executed. */
     public enum Semantics {
-        /** Any request. */
+        /** Any request may be sent again. */
         IDEMPOTENT,
-        /** A request to a host that shares the memory of idempotency keys with the first one, within a window of time. */
+        /**
+         * A request may be sent again to a host that shares the memory of idempotency keys with the first host, within
+         * the idempotency window.
+         */
         DEDUPLICATED,
-        /** No request. */
+        /** No request may be sent again. */
         AT_MOST_ONCE
     }
 
@@ -64,13 +67,13 @@
     }
 
     /**
-     * A class of requests.
+     * A request class.
      *
-     * @param latencyObjectiveMillis latency up to which an answer is of full use
-     * @param deadlineMillis time a client waits for an answer
-     * @param idempotencyWindowMillis how long hosts remember an idempotency key
-     * @param priorityWeight value of an answer in time, relative to other classes
-     * @param latePriorityWeight part of its value, from 0 to 1, that a late answer has
+     * @param latencyObjectiveMillis latency up to which a response has its full value
+     * @param deadlineMillis time that a client waits for a response
+     * @param idempotencyWindowMillis time for which hosts remember an idempotency key
+     * @param priorityWeight value of a response in time, relative to other classes
+     * @param latePriorityWeight fraction of that value, from 0 to 1, that a late response has
      */
     public record RequestClass(
             String name,
@@ -85,27 +88,27 @@
     /**
      * A tenant.
      *
-     * @param quotaShare part of the traffic, from 0 to 1, that is its quota; 0 for none
+     * @param quotaShare the tenant's quota as a fraction of the traffic, from 0 to 1; 0 for none
      */
     public record Tenant(String name, double quotaShare) {}
 
     /**
-     * What the deployment permits.
+     * The limits on attempts.
      *
      * @param mayCancel whether attempts may be cancelled
      * @param mayRunParallelAttempts whether a request may have several attempts in flight
-     * @param maxAttempts greatest number of attempts of a request
+     * @param maxAttempts maximum number of attempts of a request
      */
     public record Limits(boolean mayCancel, boolean mayRunParallelAttempts, int maxAttempts) {}
 
     /**
-     * Rules of the deployment on hosts that warm up and on discovery.
+     * The rules for hosts that are warming up and for discovery.
      *
      * @param warmUpMillis time a host takes to reach its full capacity
-     * @param initialCapacity part of its capacity, from 0 to 1, that it has at first
-     * @param overloadWindowMillis time over which its load counts
-     * @param overloadMultiple multiple of its capacity that overloads it
-     * @param maxPollIntervalMillis greatest interval between polls of discovery, 0 if not stated
+     * @param initialCapacity fraction of its full capacity, from 0 to 1, that a host has at its start
+     * @param overloadWindowMillis time over which the load of a host counts
+     * @param overloadMultiple multiple of its capacity at which a host is overloaded
+     * @param maxPollIntervalMillis maximum interval between polls of discovery, 0 if not set
      */
     public record Rules(
             double warmUpMillis,
@@ -113,9 +116,12 @@
             double overloadWindowMillis,
             double overloadMultiple,
             double maxPollIntervalMillis) {
-        /** Returns the longest wait before discovery is polled: {@code mostMillis}, or half of the interval if that is less. */
-        double pollIntervalMillis(double mostMillis) {
-            return maxPollIntervalMillis > 0 ? Math.min(mostMillis, maxPollIntervalMillis / 2) : mostMillis;
+        /**
+         * Returns the maximum wait before discovery is polled: half of the maximum poll interval if it is set, but at
+         * most {@code maxMillis}.
+         */
+        double pollIntervalMillis(double maxMillis) {
+            return maxPollIntervalMillis > 0 ? Math.min(maxMillis, maxPollIntervalMillis / 2) : maxMillis;
         }
     }
 }
--- a/src/main/java/rillyard/balancer/SlowStartAllowance.java
+++ b/src/main/java/rillyard/balancer/SlowStartAllowance.java
@@ -1,9 +1,12 @@
 package rillyard.balancer;
 
-/** The requests that a host which is warming up may still get; {@link SlowStart} is the only writer. Not thread-safe. */
+/**
+ * The number of requests that a host which is warming up may still get; only {@link SlowStart} updates it. Not
+ * thread-safe.
+ */
 final class SlowStartAllowance {
     private double requests;
-    private double fraction; // of a request: what is left of all that was earned, once whole requests are taken off
+    private double earnedFraction; // fractional part of the total number of requests earned
     private double updatedAtMillis;
 
     double requests() {
@@ -20,10 +23,10 @@
         return nowMillis - updatedAtMillis;
     }
 
-    /** Adds requests, up to {@code most} in all. */
-    void add(double nowMillis, double earned, double most) {
-        requests = Math.min(requests + earned, most);
-        fraction = (fraction + earned) % 1;
+    /** Adds earned requests; the total is limited to {@code max}. */
+    void add(double nowMillis, double earned, double max) {
+        requests = Math.min(requests + earned, max);
+        earnedFraction = (earnedFraction + earned) % 1;
         updatedAtMillis = nowMillis;
     }
 
@@ -32,17 +35,17 @@
     }
 
     /**
-     * Gives up the whole requests that have been saved. The fraction of a request that stays is independent of that of the
+     * Discards the whole requests that have accumulated. The fractional part that remains is independent of that of
      * other proxies, so that they don't all send a request at once.
      */
-    void forfeitSaved() {
-        requests = Math.min(requests, fraction);
+    void discardAccumulated() {
+        requests = Math.min(requests, earnedFraction);
     }
 
-    /** Starts anew for a new process of the host. */
+    /** Resets the allowance for a new process of the host. */
     void reset(double nowMillis, double initialRequests) {
         requests = initialRequests;
-        fraction = initialRequests;
+        earnedFraction = initialRequests;
         updatedAtMillis = nowMillis;
     }
 }
--- a/src/main/java/rillyard/balancer/SplitMix64.java
+++ b/src/main/java/rillyard/balancer/SplitMix64.java
@@ -12,7 +12,10 @@
         return mix(mix(first + GOLDEN_GAMMA) ^ (second * GOLDEN_GAMMA));
     }
 
-    /** Returns a number that orders hosts with adjacent ids at random, without the last round of {@link #hash}. */
+    /**
+     * Returns a number that puts hosts with adjacent ids into a pseudorandom order; it omits the last round of {@link
+     * #hash}.
+     */
     static long ringPosition(long id) {
         long mixed = firstRound(id * GOLDEN_GAMMA);
         return mixed ^ (mixed >>> 27);
--- a/src/main/java/rillyard/balancer/StepMedian.java
+++ b/src/main/java/rillyard/balancer/StepMedian.java
@@ -1,6 +1,9 @@
 package rillyard.balancer;
 
-/** Estimates the median of a stream of positive samples by a relative step towards each of them. Not thread-safe. */
+/**
+ * Estimates the median of a stream of positive samples by moving the estimate a relative step towards each sample. Not
+ * thread-safe.
+ */
 final class StepMedian {
     private final double step;
     private double value;
--- a/src/main/java/rillyard/balancer/SubscriptionBackoff.java
+++ b/src/main/java/rillyard/balancer/SubscriptionBackoff.java
@@ -3,14 +3,15 @@
 import java.util.SplittableRandom;
 
 /**
- * Subscribes to changes of the endpoint list, where the proxy has to do so itself, and again after each failure: with
- * backoff and jitter, as discovery may be overloaded, but never later than a change of the list allows. Not thread-safe.
+ * Subscribes to changes of the endpoint list if the settings require it, and subscribes again after each failure.
+ * Backoff and jitter spare an overloaded discovery, but the backoff is limited by the time within which a change of the
+ * list must be seen. Not thread-safe.
  */
 final class SubscriptionBackoff {
-    /** The timer token of the next subscription; those of requests are their ids, which are never negative. */
+    /** The timer token of the next subscription. Timers of requests use the request ids, which are never negative. */
     static final long TIMER_TOKEN = -1;
 
-    /** Jitter: each wait is this part of the backoff at least, and as much above the backoff at most. */
+    /** Minimum factor by which the backoff is multiplied for a wait; jitter adds up to 1 to the factor. */
     private static final double MIN_JITTER = 0.5;
 
     private final boolean mustSubscribe;
@@ -34,7 +35,7 @@
         }
     }
 
-    /** Schedules the next subscription after a failure; a list from discovery resets the backoff. */
+    /** Schedules the next subscription after a failure; a full list or a delta resets the backoff. */
     void onWatchEvent(WatchEvent event) {
         if (event == WatchEvent.FAILED && mustSubscribe && !pending) {
             pending = true;
@@ -45,7 +46,7 @@
         }
     }
 
-    /** Subscribes again once the backoff is over. */
+    /** Subscribes again when the backoff has expired. */
     void onTimer() {
         pending = false;
         actions.subscribe();
--- a/src/main/java/rillyard/balancer/TenantQuotas.java
+++ b/src/main/java/rillyard/balancer/TenantQuotas.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Weighs requests by their tenant's part of the recent traffic, so that one tenant's burst does not displace the others. */
+/**
+ * Weights requests by their tenant's share of the recent traffic, so that one tenant's burst doesn't displace the
+ * others.
+ */
 final class TenantQuotas {
     private record Usage(double quotaShare, DecayingCounter requests) {}
 
@@ -19,7 +22,7 @@
         }
     }
 
-    /** Counts a request and returns its weight: 1 while the tenant is within its quota or has none, else less. */
+    /** Counts a request and returns its weight: 1 while its tenant is within its quota or has none, otherwise less. */
     double onRequest(double nowMillis, String tenant) {
         allRequests.add(nowMillis, 1);
         Usage usage = usages.get(tenant);
@@ -28,7 +31,7 @@
         }
         usage.requests.add(nowMillis, 1);
         double used = usage.requests.lastValue() + Tuning.QUOTA_PRIOR_REQUESTS * usage.quotaShare;
-        double part = used / (allRequests.lastValue() + Tuning.QUOTA_PRIOR_REQUESTS);
-        return Math.min(1, Math.max(overQuotaWeight, usage.quotaShare / part));
+        double usedShare = used / (allRequests.lastValue() + Tuning.QUOTA_PRIOR_REQUESTS);
+        return Math.min(1, Math.max(overQuotaWeight, usage.quotaShare / usedShare));
     }
 }
--- a/src/main/java/rillyard/balancer/WatchEvent.java
+++ b/src/main/java/rillyard/balancer/WatchEvent.java
@@ -1,13 +1,13 @@
 package rillyard.balancer;
 
-/** The kind of an event of the watch on the endpoint list. */
+/** The kind of a watch event of the endpoint list. */
 public enum WatchEvent {
     /** Only the changed entries. */
     DELTA,
-    /** The complete list; hosts not in it are gone. */
+    /** The full list; hosts that are not in it are gone. */
     FULL,
-    /** The complete list as last known, possibly outdated. */
+    /** The full list as last known, which may be outdated. */
     CACHED,
-    /** A call to discovery failed or the subscription broke. */
+    /** A call to discovery failed, or the subscription broke. */
     FAILED
 }
--- a/src/test/java/rillyard/balancer/HostSelectorTest.java
+++ b/src/test/java/rillyard/balancer/HostSelectorTest.java
@@ -66,7 +66,7 @@
             detector.onFailure(hosts.get(1), fixture.now, true);
         }
         assertThat(selector.select(request, fixture.now)).isSameAs(hosts.get(0));
-        load.onQueuedAnswer(hosts.get(0), 9, 100);
+        load.onQueuedResponse(hosts.get(0), 9, 100);
         load.onReport(
                 hosts.get(0),
                 fixture.now,
--- a/src/test/java/rillyard/balancer/LatencyPressureTest.java
+++ b/src/test/java/rillyard/balancer/LatencyPressureTest.java
@@ -66,9 +66,9 @@
     private void record(AdmissionController admission, boolean lost) {
         fixture.now += 1;
         if (lost) {
-            admission.onNoAnswer(fixture.now);
+            admission.onRejectionOrTimeout(fixture.now);
         } else {
-            admission.onAnswer(fixture.now, 0.25);
+            admission.onResponse(fixture.now, 0.25);
         }
     }
 
--- a/src/test/java/rillyard/balancer/LoadEstimatorTest.java
+++ b/src/test/java/rillyard/balancer/LoadEstimatorTest.java
@@ -22,7 +22,7 @@
         hosts.apply(fixture.now, WatchEvent.FULL, BalancerFixture.hosts(1), new java.util.SplittableRandom(1));
         HostState host = hosts.get(0);
         LoadEstimator load = new LoadEstimator(settings);
-        load.onQueuedAnswer(host, 9, 100); // 10 ms for each request held
+        load.onQueuedResponse(host, 9, 100); // 10 ms for each request held
         load.onReport(host, fixture.now, BalancerFixture.reportOf(0), true);
         assertThat(load.expectedLatency(host, fixture.now)).isZero();
         RequestClassStats type = new RequestClassStats(settings.classes().get(0));
--- a/src/test/java/rillyard/balancer/MeanInFlightTest.java
+++ b/src/test/java/rillyard/balancer/MeanInFlightTest.java
@@ -19,7 +19,7 @@
     private final LoadEstimator load = new LoadEstimator(settings);
 
     private void reportQueue(HostState host) {
-        load.onQueuedAnswer(host, HELD, MS_PER_HELD * (HELD + 1));
+        load.onQueuedResponse(host, HELD, MS_PER_HELD * (HELD + 1));
         load.onReport(host, now += 5, BalancerFixture.reportOf(HELD), true);
     }
 
