--- a/src/main/java/rillyard/membership/AttributeStore.java
+++ b/src/main/java/rillyard/membership/AttributeStore.java
@@ -11,17 +11,17 @@
 import java.util.TreeSet;
 
 /**
- * The attributes of all members, and which of them are to be piggybacked on messages.
+ * Stores the attributes of all members and selects those to piggyback on messages.
  *
- * <p>An attribute holds while its owner is present in the incarnation that published it, until it expires; the owner
- * renews it in time. An expired one is kept until its member is removed, so that no older version is accepted after it.
- * Bounded by the member table times the kinds. Not thread-safe.
+ * <p>An attribute is valid while the process that published it is present, until it expires; the owner renews it before
+ * then. An expired attribute is kept until its owner is removed, so that no older version is accepted after it. The
+ * store has at most one attribute per member and kind. Not thread-safe.
  */
 final class AttributeStore {
-    /** Share of its time to live after which an attribute is renewed, so that two renewals may be lost. */
-    private static final double RENEW_AFTER = 1 / 3.0;
+    /** Fraction of its time to live after which an attribute is renewed, so that two renewals may be lost. */
+    private static final double RENEWAL_SHARE = 1 / 3.0;
 
-    /** Versions a second that a process can publish over its life, after the initial ones. */
+    /** Versions a second that a process can publish on average, in addition to {@link #INITIAL_VERSIONS}. */
     private static final double MAX_VERSIONS_PER_SECOND = 10;
 
     private static final long INITIAL_VERSIONS = 1_024;
@@ -34,19 +34,19 @@
         }
     }
 
-    /** An attribute and when its owner published it. */
-    private record StoredAttribute(MemberAttribute attribute, double publishedAt) {
-        double ageMillis(double now) {
-            return Math.max(0, now - publishedAt);
+    /** An attribute and the time at which its owner published it. */
+    private record StoredAttribute(MemberAttribute attribute, double publishedAtMillis) {
+        double ageMillis(double nowMillis) {
+            return Math.max(0, nowMillis - publishedAtMillis);
         }
 
-        boolean isExpired(double now) {
-            return ageMillis(now) >= attribute.ttlMillis();
+        boolean isExpired(double nowMillis) {
+            return ageMillis(nowMillis) >= attribute.ttlMillis();
         }
 
-        /** Returns the attribute with its present age. */
-        MemberAttribute at(double now) {
-            return attribute.withAge(Math.min(MemberAttribute.MAX_MILLIS, ageMillis(now)));
+        /** Returns the attribute with its age at a time. */
+        MemberAttribute withAgeAt(double nowMillis) {
+            return attribute.withAge(Math.min(MemberAttribute.MAX_MILLIS, ageMillis(nowMillis)));
         }
     }
 
@@ -54,23 +54,29 @@
     private final Set<Integer> renewedKinds = new TreeSet<>();
     private final BroadcastQueue<Key> queue = new BroadcastQueue<>(Key.ORDER);
 
-    /** Queued keys whose value is new, which justifies a datagram of their own. */
+    /** Queued keys whose value is new; gossip is sent for them even if no update is queued. */
     private final Set<Key> newKeys = new HashSet<>();
 
     /**
      * Publishes an attribute of this member; an empty value withdraws it.
      *
-     * @param renew whether it is renewed until it is published otherwise
-     * @param unixNow this machine's Unix time (ms)
+     * @param renew whether this version is renewed until another is published
+     * @param unixNowMillis this machine's Unix time
      * @return false if this member has published so many versions that others would reject one more
      */
     boolean publish(
-            MemberUpdate self, int kind, byte[] value, double ttlMillis, boolean renew, long unixNow, double now) {
+            MemberUpdate self,
+            int kind,
+            byte[] value,
+            double ttlMillis,
+            boolean renew,
+            long unixNowMillis,
+            double nowMillis) {
         String owner = self.identity().name();
-        long startedAt = self.incarnation().startedAtMillis();
+        long startedAtMillis = self.incarnation().startedAtMillis();
         StoredAttribute previous = stored.get(new Key(owner, kind));
         long version = previous == null ? 0 : previous.attribute.version() + 1;
-        if (!isPlausible(version, startedAt, unixNow)) {
+        if (!isPlausible(version, startedAtMillis, unixNowMillis)) {
             return false;
         }
         if (renew) {
@@ -78,17 +84,17 @@
         } else {
             renewedKinds.remove(kind);
         }
-        store(new MemberAttribute(owner, startedAt, kind, version, 0, ttlMillis, value), now, true);
+        store(new MemberAttribute(owner, startedAtMillis, kind, version, 0, ttlMillis, value), nowMillis, true);
         return true;
     }
 
-    /** Renews this member's own attributes that are due. */
-    void renewOwn(MemberUpdate self, double now) {
+    /** Renews this member's own attributes that are due for renewal. */
+    void renewOwn(MemberUpdate self, double nowMillis) {
         for (int kind : renewedKinds) {
             StoredAttribute own = stored.get(new Key(self.identity().name(), kind));
             MemberAttribute attribute = own.attribute;
-            if (!attribute.isWithdrawn() && own.ageMillis(now) >= attribute.ttlMillis() * RENEW_AFTER) {
-                store(nextVersion(attribute, 0, attribute.ttlMillis(), attribute.value()), now, false);
+            if (!attribute.isWithdrawn() && own.ageMillis(nowMillis) >= attribute.ttlMillis() * RENEWAL_SHARE) {
+                store(nextVersion(attribute, 0, attribute.ttlMillis(), attribute.value()), nowMillis, false);
             }
         }
     }
@@ -105,9 +111,9 @@
                 value);
     }
 
-    private void store(MemberAttribute attribute, double now, boolean isNew) {
+    private void store(MemberAttribute attribute, double nowMillis, boolean isNew) {
         Key key = Key.of(attribute);
-        stored.put(key, new StoredAttribute(attribute, now - attribute.ageMillis()));
+        stored.put(key, new StoredAttribute(attribute, nowMillis - attribute.ageMillis()));
         queue.add(key);
         if (isNew) {
             newKeys.add(key);
@@ -122,58 +128,62 @@
     }
 
     /**
-     * Handles an attribute that was received, from whichever member.
+     * Handles an attribute that was received from any member.
      *
-     * @param ownerIncarnation the incarnation of its owner that this member knows, or null if the owner is not present
-     * @param unixNow this machine's Unix time (ms)
+     * @param ownerIncarnation the owner's incarnation in the member table, or null if the owner is not present
+     * @param unixNowMillis this machine's Unix time
      */
     void onReceived(
-            MemberAttribute attribute, MemberUpdate self, Incarnation ownerIncarnation, long unixNow, double now) {
+            MemberAttribute attribute,
+            MemberUpdate self,
+            Incarnation ownerIncarnation,
+            long unixNowMillis,
+            double nowMillis) {
         boolean isOwn = attribute.owner().equals(self.identity().name());
         Incarnation incarnation = isOwn ? self.incarnation() : ownerIncarnation;
         if (incarnation == null
                 || incarnation.startedAtMillis() != attribute.ownerStartedAtMillis()
-                || !isPlausible(attribute.version(), attribute.ownerStartedAtMillis(), unixNow)) {
+                || !isPlausible(attribute.version(), attribute.ownerStartedAtMillis(), unixNowMillis)) {
             return;
         }
         StoredAttribute known = stored.get(Key.of(attribute));
         if (isOwn) {
-            onOwnReceived(attribute, known, now);
+            onOwnReceived(attribute, known, nowMillis);
         } else {
-            onOthersReceived(attribute, known, now);
+            onOthersReceived(attribute, known, nowMillis);
         }
     }
 
-    private void onOthersReceived(MemberAttribute attribute, StoredAttribute known, double now) {
+    private void onOthersReceived(MemberAttribute attribute, StoredAttribute known, double nowMillis) {
         boolean isSameProcess =
                 known != null && known.attribute.ownerStartedAtMillis() == attribute.ownerStartedAtMillis();
         if (isSameProcess && attribute.version() <= known.attribute.version()) {
             return;
         }
-        store(attribute, now, !isSameProcess || !known.attribute.hasValueOf(attribute));
+        store(attribute, nowMillis, !isSameProcess || !known.attribute.hasValueOf(attribute));
         if (attribute.ageMillis() >= attribute.ttlMillis() && !attribute.isWithdrawn()) {
-            removeFromQueue(Key.of(attribute)); // expired already: not passed on
+            removeFromQueue(Key.of(attribute)); // already expired, so it isn't passed on
         }
     }
 
-    /** Overrides a version of this member's own attribute that it did not publish. */
-    private void onOwnReceived(MemberAttribute attribute, StoredAttribute own, double now) {
+    /** Overrides a received version of this member's own attribute if this member did not publish it. */
+    private void onOwnReceived(MemberAttribute attribute, StoredAttribute own, double nowMillis) {
         if (own == null) {
-            store(nextVersion(attribute, 0, attribute.ttlMillis(), new byte[0]), now, true);
+            store(nextVersion(attribute, 0, attribute.ttlMillis(), new byte[0]), nowMillis, true);
             return;
         }
         boolean isForged = attribute.version() > own.attribute.version()
                 || (attribute.version() == own.attribute.version() && !attribute.hasValueOf(own.attribute));
         if (isForged) {
-            // With its present age, as it may expire unrenewed.
-            double ageMillis = Math.min(MemberAttribute.MAX_MILLIS, own.ageMillis(now));
-            store(nextVersion(attribute, ageMillis, own.attribute.ttlMillis(), own.attribute.value()), now, true);
+            // The age is kept, as an attribute that isn't renewed still has to expire on time.
+            double ageMillis = Math.min(MemberAttribute.MAX_MILLIS, own.ageMillis(nowMillis));
+            store(nextVersion(attribute, ageMillis, own.attribute.ttlMillis(), own.attribute.value()), nowMillis, true);
         }
     }
 
-    /** Returns whether a process of that start can have published so many versions. */
-    private static boolean isPlausible(long version, long startedAt, long unixNow) {
-        double maxLifetimeMillis = unixNow + IncarnationValidator.MAX_CLOCK_SKEW_MILLIS - startedAt;
+    /** Returns whether a process that started at that time can have published so many versions. */
+    private static boolean isPlausible(long version, long startedAtMillis, long unixNowMillis) {
+        double maxLifetimeMillis = unixNowMillis + IncarnationValidator.MAX_CLOCK_SKEW_MILLIS - startedAtMillis;
         double maxVersions = INITIAL_VERSIONS + maxLifetimeMillis / 1_000 * MAX_VERSIONS_PER_SECOND;
         return version < Math.min(MemberAttribute.MAX_VERSION, maxVersions);
     }
@@ -183,9 +193,9 @@
         return !newKeys.isEmpty();
     }
 
-    /** Selects attributes for one datagram, least sent first, as far as the capacity (bytes) allows. */
-    List<MemberAttribute> select(int capacity, int maxTransmissions, double now) {
-        Selection selection = new Selection(capacity, now);
+    /** Selects attributes for one datagram, least sent first, that fit into {@code capacity} bytes. */
+    List<MemberAttribute> select(int capacity, int maxTransmissions, double nowMillis) {
+        Selection selection = new Selection(capacity, nowMillis);
         List<Key> removed = queue.offer(
                 maxTransmissions, () -> selection.remainingBytes >= MemberAttribute.MIN_SIZE, selection::take);
         newKeys.removeAll(removed);
@@ -196,17 +206,17 @@
     private final class Selection {
         private final List<MemberAttribute> attributes = new ArrayList<>();
         private final List<Key> expired = new ArrayList<>();
-        private final double now;
+        private final double nowMillis;
         private int remainingBytes;
 
-        Selection(int capacity, double now) {
+        Selection(int capacity, double nowMillis) {
             this.remainingBytes = capacity;
-            this.now = now;
+            this.nowMillis = nowMillis;
         }
 
         boolean take(Key key) {
             StoredAttribute candidate = stored.get(key);
-            if (candidate.isExpired(now)) {
+            if (candidate.isExpired(nowMillis)) {
                 expired.add(key);
                 return false;
             }
@@ -214,24 +224,25 @@
                 return false;
             }
             remainingBytes -= candidate.attribute.size();
-            return attributes.add(candidate.at(now));
+            return attributes.add(candidate.withAgeAt(nowMillis));
         }
     }
 
-    /** Returns the attributes of a kind that hold at present, by owner. */
-    Map<String, MemberAttribute> current(int kind, MemberUpdate self, Map<String, MemberState> members, double now) {
+    /** Returns the valid attributes of a kind, keyed by owner. */
+    Map<String, MemberAttribute> current(
+            int kind, MemberUpdate self, Map<String, MemberState> members, double nowMillis) {
         Map<String, MemberAttribute> current = new TreeMap<>();
         for (StoredAttribute candidate : stored.values()) {
             MemberAttribute attribute = candidate.attribute;
-            boolean isHeld = attribute.kind() == kind && !attribute.isWithdrawn() && !candidate.isExpired(now);
-            if (isHeld && isOwnerPresent(attribute, self, members)) {
-                current.put(attribute.owner(), candidate.at(now));
+            boolean isCurrent = attribute.kind() == kind && !attribute.isWithdrawn() && !candidate.isExpired(nowMillis);
+            if (isCurrent && isOwnerPresent(attribute, self, members)) {
+                current.put(attribute.owner(), candidate.withAgeAt(nowMillis));
             }
         }
         return current;
     }
 
-    /** Returns whether the owner is present in the process that published the attribute. */
+    /** Returns whether the process that published the attribute is present. */
     private static boolean isOwnerPresent(
             MemberAttribute attribute, MemberUpdate self, Map<String, MemberState> members) {
         if (attribute.owner().equals(self.identity().name())) {
@@ -253,12 +264,12 @@
         }
     }
 
-    /** Describes the state for the model checker; times are relative to the given one. */
-    String state(double now) {
+    /** Returns the state as text for the model checker, with times relative to {@code nowMillis}. */
+    String state(double nowMillis) {
         StringBuilder out = new StringBuilder();
         stored.entrySet().stream().sorted(Map.Entry.comparingByKey(Key.ORDER)).forEach(entry -> out.append(
                         "; attribute ")
-                .append(entry.getValue().at(now))
+                .append(entry.getValue().withAgeAt(nowMillis))
                 .append(newKeys.contains(entry.getKey())));
         return out.append(queue.state()).toString();
     }
--- a/src/main/java/rillyard/membership/BroadcastQueue.java
+++ b/src/main/java/rillyard/membership/BroadcastQueue.java
@@ -11,10 +11,10 @@
 import java.util.function.Predicate;
 
 /**
- * Keys that are to be piggybacked on messages, in the order of how often they have been sent, least first.
+ * Queues keys that are to be piggybacked on messages, ordered by the number of transmissions, fewest first.
  *
- * <p>The order is maintained incrementally, as thousands of members may join at once and each datagram takes ten. Not
- * thread-safe.
+ * <p>The order is maintained incrementally, as thousands of members may join at once and each datagram takes only about
+ * ten keys. Not thread-safe.
  */
 final class BroadcastQueue<K> {
     private static final int TYPICAL_SELECTION = 10;
@@ -39,7 +39,7 @@
                 .thenComparing(entry -> entry.key, tieBreaker));
     }
 
-    /** Adds a key, or resets its count if it is queued. */
+    /** Adds a key, or resets its transmission count if it is already queued. */
     void add(K key) {
         remove(key);
         Entry<K> entry = new Entry<>(key);
@@ -59,11 +59,11 @@
     }
 
     /**
-     * Offers all keys in order and counts those that are taken.
+     * Offers the keys in order and counts a transmission for each key that is taken.
      *
-     * @param maxTransmissions count at which a key leaves the queue
-     * @param hasCapacity whether any further key could be taken at all
-     * @param take takes a key, or returns false; must not change the queue
+     * @param maxTransmissions transmissions after which a key leaves the queue
+     * @param hasCapacity returns whether a further key could be taken at all
+     * @param take takes a key and returns true, or returns false; must not change the queue
      * @return the keys that have left the queue
      */
     List<K> offer(int maxTransmissions, BooleanSupplier hasCapacity, Predicate<K> take) {
@@ -90,12 +90,12 @@
         return removed;
     }
 
-    /** Describes the state for the model checker. */
+    /** Returns the state as text for the model checker. */
     String state() {
         StringBuilder out = new StringBuilder();
         Map<K, Entry<K>> sorted = new TreeMap<>(tieBreaker);
         sorted.putAll(entries);
-        sorted.values().forEach(entry -> out.append("; tell ").append(entry.key).append(entry.transmissions));
+        sorted.values().forEach(entry -> out.append("; queued ").append(entry.key).append(entry.transmissions));
         return out.toString();
     }
 }
--- a/src/main/java/rillyard/membership/Dissemination.java
+++ b/src/main/java/rillyard/membership/Dissemination.java
@@ -3,26 +3,25 @@
 import rillyard.membership.Message.Kind;
 
 /**
- * Spreads updates and attributes beyond what probes piggyback: gossip rounds while something is queued, and pages of the
- * member table for members whose table differs (anti-entropy). Not thread-safe.
+ * Sends updates and attributes in addition to those that probes piggyback: gossip rounds while something is queued, and
+ * pages of the member table to members whose table differs (anti-entropy). Not thread-safe.
  */
 final class Dissemination {
-    /** Members that receive gossip in a round. */
+    /** Number of members that receive gossip in a round. */
     private static final int GOSSIP_FANOUT = 3;
 
-    /** Gossip rounds in a protocol period. */
-    private static final double GOSSIP_ROUNDS = 2.5;
+    private static final double GOSSIP_ROUNDS_PER_PERIOD = 2.5;
 
-    /** Datagrams in a protocol period for members whose table differs. */
-    private static final int SYNC_PAGES = 8;
+    /** Maximum datagrams that are sent in a protocol period to a member whose table differs. */
+    private static final int MAX_SYNC_PAGES = 8;
 
     private final MembershipSettings settings;
     private final MemberTable members;
     private final UpdateQueue updates;
     private final AttributeStore attributes;
     private final MessageSender sender;
-    private double lastGossipAt = Double.NEGATIVE_INFINITY;
-    private double lastSyncAt = Double.NEGATIVE_INFINITY;
+    private double lastGossipAtMillis = Double.NEGATIVE_INFINITY;
+    private double lastSyncAtMillis = Double.NEGATIVE_INFINITY;
 
     Dissemination(
             MembershipSettings settings,
@@ -38,26 +37,26 @@
     }
 
     /** Begins a gossip round if one is due and something is queued. */
-    void onTick(double now) {
+    void onTick(double nowMillis) {
         boolean hasPending = !updates.isEmpty() || attributes.hasNew();
-        if (hasPending && now - lastGossipAt >= settings.probeIntervalMillis() / GOSSIP_ROUNDS) {
-            lastGossipAt = now;
+        if (hasPending && nowMillis - lastGossipAtMillis >= settings.probeIntervalMillis() / GOSSIP_ROUNDS_PER_PERIOD) {
+            lastGossipAtMillis = nowMillis;
             members.pickRandom(GOSSIP_FANOUT, "", true).forEach(member -> sender.gossip(member.address()));
         }
     }
 
-    /** Sends pages of the member table to the sender of a message whose table differs, unless it was gossip. */
-    void synchronize(double now, MemberAddress from, Message message) {
+    /** Sends pages of the member table to the sender of a message other than gossip if its table differs. */
+    void synchronize(double nowMillis, MemberAddress from, Message message) {
         if (message.kind() != Kind.GOSSIP
                 && message.digest() != sender.digest()
-                && now - lastSyncAt >= settings.probeIntervalMillis()) {
-            lastSyncAt = now;
-            sender.sendPages(from, SYNC_PAGES);
+                && nowMillis - lastSyncAtMillis >= settings.probeIntervalMillis()) {
+            lastSyncAtMillis = nowMillis;
+            sender.sendPages(from, MAX_SYNC_PAGES);
         }
     }
 
-    /** Describes the state for the model checker; times are relative to the given one. */
-    String state(double now) {
-        return (now - lastSyncAt) + " " + (now - lastGossipAt);
+    /** Returns the state as text for the model checker, with times relative to {@code nowMillis}. */
+    String state(double nowMillis) {
+        return (nowMillis - lastSyncAtMillis) + " " + (nowMillis - lastGossipAtMillis);
     }
 }
--- a/src/main/java/rillyard/membership/FailureDetector.java
+++ b/src/main/java/rillyard/membership/FailureDetector.java
@@ -6,7 +6,7 @@
 
 /**
  * SWIM's failure detector with Lifeguard's extensions: probes one member in each protocol period, directly and through
- * helpers, and declares suspects dead that do not refute in time. Not thread-safe.
+ * helpers, and declares suspects dead that do not refute the suspicion in time. Not thread-safe.
  */
 final class FailureDetector {
     /** Average number of members that ping a suspect in a period, besides its suspectors. */
@@ -15,9 +15,10 @@
     /** Points by which a pause of this process lowers the local health. */
     private static final int PAUSE_PENALTY = 2;
 
-    /** Source of this member's updates ({@link MembershipEvent#source}): an unanswered probe, a suspicion timeout. */
-    private static final String SOURCE_PROBE = "a probe"; // stored in the history, as is the next
+    /** {@link MembershipEvent#source} of a suspicion after a failed probe; written to the event log. */
+    private static final String SOURCE_PROBE = "a probe";
 
+    /** {@link MembershipEvent#source} of a death after a suspicion timeout; written to the event log. */
     private static final String SOURCE_TIMEOUT = "its time";
 
     private final MembershipSettings settings;
@@ -48,42 +49,42 @@
         this.indirectProbes = new IndirectProbes(settings);
     }
 
-    /** Does what is due. */
-    void onTick(double now) {
-        for (IndirectProbe overdue : indirectProbes.removeOverdue(now)) {
+    /** Performs the actions that are due: nacks, probes, pings to suspects and suspicion timeouts. */
+    void onTick(double nowMillis) {
+        for (IndirectProbe overdue : indirectProbes.removeOverdue(nowMillis)) {
             sender.send(Kind.NACK, overdue.sequence(), overdue.requesterAddress(), overdue.requester());
         }
         if (probe != null) {
-            continueProbe(now);
+            continueProbe(nowMillis);
         }
         if (probe == null) {
-            beginProbe(now);
+            beginProbe(nowMillis);
         }
         for (MemberState suspect : members.suspects()) {
-            pingSuspect(suspect, now);
-            expireSuspect(suspect, now);
+            pingSuspect(suspect, nowMillis);
+            expireSuspect(suspect, nowMillis);
         }
     }
 
     /**
-     * Handles a pause of this process, in which acks may have been left unread and suspects could not be heard.
+     * Handles a pause of this process, during which acks and refutations could not be read.
      *
-     * <p>A process that resumes must not declare everybody dead.
+     * <p>Without this a process that resumes would declare members dead because of its own pause.
      */
     void onProcessPause(double pauseMillis) {
         probe = null;
         indirectProbes.clear();
         health.degrade(PAUSE_PENALTY);
-        members.suspects().forEach(suspect -> suspect.extend(pauseMillis));
+        members.suspects().forEach(suspect -> suspect.excludePause(pauseMillis));
     }
 
     // --- this member's own probe
 
-    private void beginProbe(double now) {
+    private void beginProbe(double nowMillis) {
         MemberState member = members.nextToProbe();
         if (member != null) {
             MemberIdentity target = member.update().identity();
-            probe = new Probe(sender.nextSequence(), target, now, health.factor(), settings);
+            probe = new Probe(sender.nextSequence(), target, nowMillis, health.factor(), settings);
             pingTarget();
         }
     }
@@ -93,15 +94,15 @@
         sender.send(Kind.PING, probe.sequence(), target.address(), target.name());
     }
 
-    private void continueProbe(double now) {
-        if (probe.shouldProbeIndirectly(now)) {
+    private void continueProbe(double nowMillis) {
+        if (probe.shouldProbeIndirectly(nowMillis)) {
             probeIndirectly();
         }
-        if (probe.isOver(now)) {
+        if (probe.isOver(nowMillis)) {
             Probe ended = probe;
             probe = null;
-            onProbeEnded(ended, now);
-        } else if (probe.shouldPingAgain(now)) {
+            onProbeEnded(ended, nowMillis);
+        } else if (probe.shouldPingAgain(nowMillis)) {
             pingTarget();
         }
     }
@@ -109,12 +110,12 @@
     private void probeIndirectly() {
         MemberIdentity target = probe.target();
         for (MemberState helper : members.pickRandom(settings.indirectProbes(), target.name(), false)) {
-            probe.onHelperAsked();
+            probe.onPingRequested();
             sender.requestPing(probe.sequence(), helper.address(), target);
         }
     }
 
-    private void onProbeEnded(Probe ended, double now) {
+    private void onProbeEnded(Probe ended, double nowMillis) {
         if (ended.isAcknowledged()) {
             health.improve();
             return;
@@ -122,7 +123,7 @@
         health.degrade(ended.healthPenalty());
         MemberState member = members.get(ended.target().name());
         if (member != null && member.status().isPresent()) {
-            updates.apply(ownUpdate(member, MemberStatus.SUSPECT), now, SOURCE_PROBE);
+            updates.apply(ownUpdate(member, MemberStatus.SUSPECT), nowMillis, SOURCE_PROBE);
         }
     }
 
@@ -134,17 +135,17 @@
     // --- suspects
 
     /**
-     * Pings a suspect repeatedly, so that it learns of the suspicion and its refutation arrives, also if much is lost.
+     * Pings a suspect once a period, so that it learns of the suspicion and its refutation arrives, even at high loss.
      *
-     * <p>Its suspectors do so, some of the other members and, once half of the suspicion timeout has passed, every
-     * member still without the refutation, as gossip misses about one member in several hundred.
+     * <p>Its suspectors do so, some of the other members and, after half of the minimum suspicion timeout, every member
+     * that has not received the refutation, as gossip misses about one member in several hundred.
      */
-    private void pingSuspect(MemberState suspect, double now) {
-        if (now < suspect.nextPingAtMillis()) {
+    private void pingSuspect(MemberState suspect, double nowMillis) {
+        if (nowMillis < suspect.nextPingAtMillis()) {
             return;
         }
-        suspect.scheduleNextPing(now + settings.probeIntervalMillis());
-        boolean isOverdue = now - suspect.sinceMillis() >= settings.minSuspicionMillis(presentCount()) / 2;
+        suspect.scheduleNextPing(nowMillis + settings.probeIntervalMillis());
+        boolean isOverdue = nowMillis - suspect.sinceMillis() >= settings.minSuspicionMillis(presentCount()) / 2;
         if (isOverdue
                 || suspect.suspectors().contains(localMember.update().reporterId())
                 || random.nextDouble() * presentCount() < EXTRA_SUSPECT_PINGS) {
@@ -152,15 +153,15 @@
         }
     }
 
-    private void expireSuspect(MemberState suspect, double now) {
+    private void expireSuspect(MemberState suspect, double nowMillis) {
         double timeoutMillis = SuspicionTimeout.millis(
                 settings, presentCount(), suspect.suspectors().size());
-        if (now - suspect.sinceMillis() >= timeoutMillis) {
-            updates.override(suspect, ownUpdate(suspect, MemberStatus.DEAD), now, SOURCE_TIMEOUT);
+        if (nowMillis - suspect.sinceMillis() >= timeoutMillis) {
+            updates.override(suspect, ownUpdate(suspect, MemberStatus.DEAD), nowMillis, SOURCE_TIMEOUT);
         }
     }
 
-    /** Returns how many members are present, this one included. */
+    /** Returns the number of present members, this one included. */
     private int presentCount() {
         return members.presentCount() + 1;
     }
@@ -168,10 +169,10 @@
     // --- messages
 
     /** Handles the part of a message that concerns probes. */
-    void onMessage(double now, MemberAddress from, Message message) {
+    void onMessage(double nowMillis, MemberAddress from, Message message) {
         switch (message.kind()) {
             case PING -> onPing(from, message);
-            case PING_REQUEST -> onPingRequest(now, from, message);
+            case PING_REQUEST -> onPingRequest(nowMillis, from, message);
             case ACK -> onAck(message);
             case NACK -> {
                 if (isForProbe(message)) {
@@ -193,11 +194,11 @@
         }
     }
 
-    private void onPingRequest(double now, MemberAddress from, Message message) {
+    private void onPingRequest(double nowMillis, MemberAddress from, Message message) {
         if (indirectProbes.hasCapacity() && !localMember.hasName(message.target())) {
             int sequence = sender.nextSequence();
-            indirectProbes.begin(sequence, message, from, now);
-            sender.send(Kind.PING, sequence, message.targetAt(), message.target());
+            indirectProbes.begin(sequence, message, from, nowMillis);
+            sender.send(Kind.PING, sequence, message.targetAddress(), message.target());
         }
     }
 
@@ -214,8 +215,8 @@
         return probe != null && probe.sequence() == message.sequence();
     }
 
-    /** Describes the state for the model checker; times are relative to the given one. */
-    String state(double now) {
-        return (probe == null ? " -" : probe.state(now, sender.lastSequence())) + indirectProbes.state(now);
+    /** Returns the state as text for the model checker, with times relative to {@code nowMillis}. */
+    String state(double nowMillis) {
+        return (probe == null ? " -" : probe.state(nowMillis, sender.lastSequence())) + indirectProbes.state(nowMillis);
     }
 }
--- a/src/main/java/rillyard/membership/Incarnation.java
+++ b/src/main/java/rillyard/membership/Incarnation.java
@@ -1,10 +1,10 @@
 package rillyard.membership;
 
 /**
- * Orders the updates of a member about itself; only the member itself creates new ones.
+ * The incarnation of a member, which orders the updates about it; only the member itself creates new ones.
  *
  * @param startedAtMillis Unix time at which its process started, 0 to {@link #MAX_STARTED_AT_MILLIS}
- * @param counter how often it has refuted since, 0 to {@link #MAX_COUNTER}
+ * @param counter number of refutations since then, 0 to {@link #MAX_COUNTER}
  */
 public record Incarnation(long startedAtMillis, int counter) implements Comparable<Incarnation> {
     /** Latest start time, which has 48 bits in datagrams. */
@@ -16,11 +16,12 @@
     /** Checks both ranges. */
     public Incarnation {
         if (startedAtMillis < 0 || startedAtMillis > MAX_STARTED_AT_MILLIS || counter < 0 || counter > MAX_COUNTER) {
-            throw new IllegalArgumentException("no incarnation: " + startedAtMillis + ", " + counter);
+            throw new IllegalArgumentException(
+                    "incarnation out of range: start " + startedAtMillis + ", counter " + counter);
         }
     }
 
-    /** Returns the next incarnation of the same process; beyond the counter's range its start moves by a millisecond. */
+    /** Returns the next incarnation of the same process; if the counter overflows, the start increases by 1 ms. */
     Incarnation next() {
         return counter < MAX_COUNTER
                 ? new Incarnation(startedAtMillis, counter + 1)
--- a/src/main/java/rillyard/membership/JoinProtocol.java
+++ b/src/main/java/rillyard/membership/JoinProtocol.java
@@ -8,10 +8,10 @@
  * join. Not thread-safe.
  */
 final class JoinProtocol {
-    /** Datagrams of the member table for a member that joins, some 300 members; the rest follows by gossip. */
+    /** Maximum datagrams of the member table for a joining member, about 300 members; gossip delivers the rest. */
     private static final int JOIN_PAGES = 32;
 
-    /** Members that are told directly that this one leaves. */
+    /** Number of members that are notified directly when this one leaves. */
     private static final int LEAVE_FANOUT = 6;
 
     private final List<MemberAddress> seeds;
@@ -33,8 +33,8 @@
         this.random = random;
     }
 
-    /** Pings a dead member and a seed at which no member is known, so that the parts of a partition join again. */
-    void reachOut() {
+    /** Pings a dead member, and a seed at whose address no member is present, so that a partition heals. */
+    void tryToRejoin() {
         MemberState dead = members.pickRandomDead();
         if (dead != null) {
             sender.ping(dead.address(), dead.name());
@@ -54,17 +54,17 @@
                                 member.status().isPresent() && member.address().equals(address));
     }
 
-    /** Sends the member table to a member that joins. */
-    void welcome(MemberAddress address) {
+    /** Sends the member table to a joining member. */
+    void sendMemberTable(MemberAddress address) {
         sender.sendPages(address, JOIN_PAGES);
     }
 
-    /** Announces that this member leaves. */
+    /** Announces that this member leaves, and stops it. */
     void leave() {
         localMember.leave();
         for (MemberState member : members.pickRandom(LEAVE_FANOUT, "", false)) {
             sender.gossip(member.address());
         }
-        localMember.fallSilent();
+        localMember.stop();
     }
 }
--- a/src/main/java/rillyard/membership/LocalMember.java
+++ b/src/main/java/rillyard/membership/LocalMember.java
@@ -1,33 +1,33 @@
 package rillyard.membership;
 
-/** This member's own identity and incarnation, and its reactions to what others claim under its name. Not thread-safe. */
+/** Holds this member's update about itself, and handles the updates of others about its name. Not thread-safe. */
 final class LocalMember {
-    /** What an update under this member's name requires. */
+    /** The action that an update about this member's name requires. */
     enum Reaction {
-        /** Nothing. */
+        /** No action. */
         NONE,
         /** This member has refuted the update: its own update has a new incarnation. */
         REFUTED,
-        /** A later process may have the name; as only its own update counts, it is to be pinged. */
+        /** A later process may have taken the name; it has to be pinged, as only its own update is decisive. */
         PING
     }
 
     private final double pingIntervalMillis;
     private MemberUpdate update;
-    private boolean silent;
-    private double pingedAt = Double.NEGATIVE_INFINITY;
+    private boolean stopped;
+    private double pingedAtMillis = Double.NEGATIVE_INFINITY;
 
     /**
      * Creates a member that has just started.
      *
-     * @param startedUnix the Unix time (ms) of its start
-     * @param pingIntervalMillis least time between two pings to processes of the same name
+     * @param startedUnixMillis the Unix time of its start
+     * @param pingIntervalMillis minimum time between two pings to other processes with this name
      */
-    LocalMember(MemberIdentity identity, long startedUnix, double pingIntervalMillis) {
+    LocalMember(MemberIdentity identity, long startedUnixMillis, double pingIntervalMillis) {
         this.pingIntervalMillis = pingIntervalMillis;
         this.update = new MemberUpdate(
                 identity,
-                new Incarnation(startedUnix, 0),
+                new Incarnation(startedUnixMillis, 0),
                 MemberStatus.ALIVE,
                 MemberUpdate.reporterId(identity.name()));
     }
@@ -41,49 +41,51 @@
         return update.identity().name();
     }
 
-    /** Returns whether it has left, or another process has its name. */
-    boolean isSilent() {
-        return silent;
+    /** Returns whether this member sends nothing any more: it has left, or a later process has its name. */
+    boolean hasStopped() {
+        return stopped;
     }
 
     boolean hasName(String name) {
         return name().equals(name);
     }
 
-    /** Changes its update to its last one. */
+    /** Changes the status of this member to left. */
     void leave() {
         update = new MemberUpdate(update.identity(), update.incarnation(), MemberStatus.LEFT, update.reporterId());
     }
 
-    void fallSilent() {
-        silent = true;
+    void stop() {
+        stopped = true;
     }
 
     /**
-     * Handles an update that a process of the same name sent itself: the process that started later has the name.
+     * Handles an update that another process with this name sent about itself: the process that started later keeps the
+     * name, the other stops.
      *
      * @return whether this process started later
      */
-    boolean onNamesake(MemberUpdate other, long unixNow) {
-        long otherStart = other.incarnation().startedAtMillis();
-        long ownStart = update.incarnation().startedAtMillis();
-        if (otherStart > ownStart && IncarnationValidator.isPlausible(other.incarnation(), null, unixNow)) {
-            silent = true;
+    boolean onNameConflict(MemberUpdate other, long unixNowMillis) {
+        long otherStartMillis = other.incarnation().startedAtMillis();
+        long ownStartMillis = update.incarnation().startedAtMillis();
+        if (otherStartMillis > ownStartMillis
+                && IncarnationValidator.isPlausible(other.incarnation(), null, unixNowMillis)) {
+            stopped = true;
         }
-        return otherStart < ownStart;
+        return otherStartMillis < ownStartMillis;
     }
 
-    /** Handles an update about this member's name that others pass on, and refutes it where it is wrong. */
-    Reaction onUpdate(MemberUpdate claimed, double now, long unixNow) {
+    /** Handles an update about this member's name that another member passed on, and refutes it if it is wrong. */
+    Reaction onUpdate(MemberUpdate claimed, double nowMillis, long unixNowMillis) {
         Incarnation own = update.incarnation();
-        if (!IncarnationValidator.isPlausible(claimed.incarnation(), own, unixNow)) {
-            return Reaction.NONE; // nobody but this member can have created it
+        if (!IncarnationValidator.isPlausible(claimed.incarnation(), own, unixNowMillis)) {
+            return Reaction.NONE; // forged: only this member creates incarnations
         }
         if (mayBeSuccessor(claimed)) {
-            if (now - pingedAt < pingIntervalMillis) {
+            if (nowMillis - pingedAtMillis < pingIntervalMillis) {
                 return Reaction.NONE;
             }
-            pingedAt = now;
+            pingedAtMillis = nowMillis;
             return Reaction.PING;
         }
         boolean isLater = claimed.incarnation().compareTo(own) > 0;
@@ -98,9 +100,9 @@
     }
 
     /**
-     * Returns whether an update may be of a process that took over the name.
+     * Returns whether an update may be about a process that took over the name.
      *
-     * <p>At the same address a later start is one of an earlier process, after which the machine's clock was set back.
+     * <p>A later start at the same address is that of an earlier process, after which the machine's clock was set back.
      */
     private boolean mayBeSuccessor(MemberUpdate claimed) {
         return claimed.incarnation().startedAtMillis() > update.incarnation().startedAtMillis()
@@ -108,8 +110,8 @@
                 && claimed.status().isPresent();
     }
 
-    /** Describes the state for the model checker; times are relative to the given one. */
-    String state(double now) {
-        return update + " " + silent + (now - pingedAt);
+    /** Returns the state as text for the model checker, with times relative to {@code nowMillis}. */
+    String state(double nowMillis) {
+        return update + " " + stopped + (nowMillis - pingedAtMillis);
     }
 }
--- a/src/main/java/rillyard/membership/LoopHealth.java
+++ b/src/main/java/rillyard/membership/LoopHealth.java
@@ -1,8 +1,8 @@
 package rillyard.membership;
 
-/** How late this member's own periodic steps run, over the last 10 to 20 s. Not thread-safe. */
+/** Measures how late this member's periodic steps run, over the last 10 to 20 s. Not thread-safe. */
 public final class LoopHealth {
-    /** The kind of attribute by which members publish their level; its value is the level's code. */
+    /** The kind of the attribute in which a member publishes its level; its value is the level's code. */
     public static final int ATTRIBUTE_KIND = 0;
 
     /** Levels of lateness. */
@@ -27,7 +27,7 @@
             return code;
         }
 
-        /** Returns the level of a code, or null if there is none. */
+        /** Returns the level with a code, or null if there is none. */
         public static Level ofCode(int code) {
             return switch (code) {
                 case 0 -> WELL;
@@ -38,29 +38,29 @@
         }
     }
 
-    /** Length of a period; the worst of the present and of the previous one counts. */
+    /** Length of a measurement period; the level is the worst of the current and the previous period. */
     private static final double PERIOD_MILLIS = 10_000;
 
-    private double periodBeganAt = Double.NaN;
+    private double periodStartedAtMillis = Double.NaN;
     private double worstMillis;
     private double previousWorstMillis;
 
-    /** Records a step that runs so many milliseconds later than planned. */
-    public void onStep(double now, double lateMillis) {
-        if (Double.isNaN(periodBeganAt) || now - periodBeganAt >= PERIOD_MILLIS) {
+    /** Records a step that runs {@code lateMillis} later than planned. */
+    public void onStep(double nowMillis, double lateMillis) {
+        if (Double.isNaN(periodStartedAtMillis) || nowMillis - periodStartedAtMillis >= PERIOD_MILLIS) {
             previousWorstMillis = worstMillis;
             worstMillis = 0;
-            periodBeganAt = now;
+            periodStartedAtMillis = nowMillis;
         }
         worstMillis = Math.max(worstMillis, lateMillis);
     }
 
     /** Returns the level as of the last step. */
     public Level level() {
-        double worst = Math.max(worstMillis, previousWorstMillis);
-        if (worst >= Level.ILL.minLateMillis) {
+        double maxMillis = Math.max(worstMillis, previousWorstMillis);
+        if (maxMillis >= Level.ILL.minLateMillis) {
             return Level.ILL;
         }
-        return worst >= Level.LATE.minLateMillis ? Level.LATE : Level.WELL;
+        return maxMillis >= Level.LATE.minLateMillis ? Level.LATE : Level.WELL;
     }
 }
--- a/src/main/java/rillyard/membership/MemberAddress.java
+++ b/src/main/java/rillyard/membership/MemberAddress.java
@@ -1,10 +1,10 @@
 package rillyard.membership;
 
 /**
- * The address of a member.
+ * The IPv4 address and UDP port of a member.
  *
- * @param ip an IPv4 address, its first byte the most significant
- * @param port a port from 1 to 65535
+ * @param ip the IPv4 address, its first byte the most significant
+ * @param port the port, from 1 to 65535
  */
 public record MemberAddress(int ip, int port) {
     private static final int MAX_PORT = 65_535;
--- a/src/main/java/rillyard/membership/MemberAttribute.java
+++ b/src/main/java/rillyard/membership/MemberAttribute.java
@@ -2,21 +2,21 @@
 
 import java.util.Arrays;
 
-/** A small value that a member publishes about itself, for other parts of the program. Immutable. */
+/** A small value that a member publishes about itself to the whole fleet, for use by other packages. Immutable. */
 public final class MemberAttribute {
     /** Largest kind. */
     public static final int MAX_KIND = 15;
 
-    /** Bytes of the longest value. */
+    /** Maximum length of a value in bytes. */
     public static final int MAX_VALUE = 32;
 
-    /** Longest time, which has 16 bits of 100 ms in datagrams. */
+    /** Maximum age and time to live; datagrams have 16 bits for each, in units of 100 ms. */
     public static final double MAX_MILLIS = 6_553_500;
 
-    /** Largest version, which has 32 bits in datagrams. */
+    /** Largest version; datagrams have 32 bits for it. */
     static final long MAX_VERSION = 0xFFFFFFFFL;
 
-    /** Bytes of the shortest attribute in a datagram. */
+    /** Minimum size of an attribute in a datagram, in bytes. */
     static final int MIN_SIZE = 18;
 
     private static final int FIXED_SIZE = 17;
@@ -32,10 +32,10 @@
     /**
      * Creates an attribute.
      *
-     * @param owner the name of the member that publishes it; only it creates versions
+     * @param owner the name of the member that publishes it; only that member creates versions
      * @param ownerStartedAtMillis the Unix time of the start of the owner's process, with which the attribute ends
-     * @param kind what it is about, 0 to {@link #MAX_KIND}; an owner has one attribute of a kind
-     * @param version the owner's count of versions; the greatest holds
+     * @param kind the kind of its content, 0 to {@link #MAX_KIND}; an owner has at most one attribute of a kind
+     * @param version the number of the version, counted by the owner; the greatest is valid
      * @param ageMillis the time since the owner published it, 0 to {@link #MAX_MILLIS}
      * @param ttlMillis the time from then until it expires, 0 to {@link #MAX_MILLIS}
      * @param value at most {@link #MAX_VALUE} bytes; empty if the owner has withdrawn it
@@ -49,7 +49,7 @@
             double ageMillis,
             double ttlMillis,
             byte[] value) {
-        if (!MemberIdentity.isName(owner)
+        if (!MemberIdentity.isValidName(owner)
                 || kind < 0
                 || kind > MAX_KIND
                 || value.length > MAX_VALUE
@@ -57,8 +57,9 @@
                 || version > MAX_VERSION
                 || !isTime(ageMillis)
                 || !isTime(ttlMillis)) {
-            throw new IllegalArgumentException("no attribute: kind " + kind + " of '" + owner + "', " + value.length
-                    + " bytes, expected a kind to " + MAX_KIND + ", a name and " + MAX_VALUE + " bytes at most");
+            throw new IllegalArgumentException("invalid attribute: kind " + kind + " of '" + owner + "', "
+                    + value.length + " bytes, expected a kind up to " + MAX_KIND + ", a name and " + MAX_VALUE
+                    + " bytes at most");
         }
         this.owner = owner;
         this.ownerStartedAtMillis = ownerStartedAtMillis;
@@ -88,7 +89,7 @@
         return kind;
     }
 
-    /** Returns the owner's count of versions. */
+    /** Returns the number of the version, counted by the owner. */
     public long version() {
         return version;
     }
@@ -108,7 +109,7 @@
         return value.clone();
     }
 
-    /** Returns whether the value is that of another attribute. */
+    /** Returns whether another attribute has the same value. */
     boolean hasValueOf(MemberAttribute other) {
         return Arrays.equals(value, other.value);
     }
@@ -118,12 +119,12 @@
         return value.length == 0;
     }
 
-    /** Returns this version with another age. */
+    /** Returns a copy with another age. */
     MemberAttribute withAge(double newAgeMillis) {
         return new MemberAttribute(owner, ownerStartedAtMillis, kind, version, newAgeMillis, ttlMillis, value);
     }
 
-    /** Returns the number of bytes in a datagram. */
+    /** Returns the size in a datagram, in bytes. */
     int size() {
         return FIXED_SIZE + owner.length() + value.length;
     }
--- a/src/main/java/rillyard/membership/MemberIdentity.java
+++ b/src/main/java/rillyard/membership/MemberIdentity.java
@@ -9,7 +9,7 @@
  * @param region the number of its region, 0 to 255
  */
 public record MemberIdentity(String name, MemberAddress address, int zone, int region) {
-    /** Characters of the longest name. */
+    /** Maximum length of a name in characters. */
     public static final int MAX_NAME = 16;
 
     private static final int MAX_LOCATION = 255;
@@ -17,7 +17,7 @@
 
     /** Checks all ranges. */
     public MemberIdentity {
-        if (!isName(name)) {
+        if (!isValidName(name)) {
             throw new IllegalArgumentException(
                     "name '" + name + "', expected 1 to " + MAX_NAME + " printable ASCII characters");
         }
@@ -26,7 +26,7 @@
         }
     }
 
-    static boolean isName(String text) {
+    static boolean isValidName(String text) {
         return !text.isEmpty()
                 && text.length() <= MAX_NAME
                 && text.chars().allMatch(character -> character > ' ' && character < ASCII_DELETE);
--- a/src/main/java/rillyard/membership/MemberSnapshot.java
+++ b/src/main/java/rillyard/membership/MemberSnapshot.java
@@ -1,10 +1,10 @@
 package rillyard.membership;
 
 /**
- * What is known of a member.
+ * The state of a member as known to this process.
  *
- * @param update the update that holds
- * @param sinceMillis since when it holds, in milliseconds since this process started
- * @param source who reported it, as {@link MembershipEvent#source}
+ * @param update the current update about the member
+ * @param sinceMillis when its status or incarnation last changed, in milliseconds since this process started
+ * @param source the source of that change, as {@link MembershipEvent#source}
  */
 public record MemberSnapshot(MemberUpdate update, double sinceMillis, String source) {}
--- a/src/main/java/rillyard/membership/MemberState.java
+++ b/src/main/java/rillyard/membership/MemberState.java
@@ -3,9 +3,9 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What is known of one other member, and since when. Not thread-safe. */
+/** The known state of one other member. Not thread-safe. */
 final class MemberState {
-    /** Suspectors beyond which further ones change nothing. */
+    /** Number of suspectors beyond which further ones have no effect. */
     private static final int MAX_SUSPECTORS = 8;
 
     private MemberUpdate update;
@@ -13,7 +13,7 @@
     private String source = "";
     private double nextPingAtMillis;
 
-    /** The reporters that suspect the member; most members are never suspected, and keep no set. */
+    /** Ids of the reporters that suspect the member; allocated with the first, as most members are never suspected. */
     private Set<Integer> suspectors = Set.of();
 
     MemberState(MemberUpdate update, double sinceMillis) {
@@ -21,7 +21,7 @@
         this.sinceMillis = sinceMillis;
     }
 
-    /** Returns the update that holds. */
+    /** Returns the current update about the member. */
     MemberUpdate update() {
         return update;
     }
@@ -42,7 +42,7 @@
         return sinceMillis;
     }
 
-    /** Returns who reported the status, as {@link MembershipEvent#source}. */
+    /** Returns the source of the status, as {@link MembershipEvent#source}. */
     String source() {
         return source;
     }
@@ -52,23 +52,23 @@
     }
 
     /** Replaces the update by one that overrides it. */
-    void override(MemberUpdate newUpdate, double now) {
+    void override(MemberUpdate newUpdate, double nowMillis) {
         update = newUpdate;
-        sinceMillis = now;
+        sinceMillis = nowMillis;
         suspectors = Set.of();
     }
 
-    /** Replaces the update by an independent one of the same status and incarnation. */
+    /** Replaces the update by another reporter's update with the same status and incarnation. */
     void confirm(MemberUpdate newUpdate) {
         update = newUpdate;
     }
 
-    /** Extends the time for which the member has had its status, after a pause of this process. */
-    void extend(double pauseMillis) {
+    /** Moves the start of the status later, so that a pause of this process doesn't count for the suspicion timeout. */
+    void excludePause(double pauseMillis) {
         sinceMillis += pauseMillis;
     }
 
-    /** Returns when a suspect is pinged next. */
+    /** Returns the time of the next ping to a suspect. */
     double nextPingAtMillis() {
         return nextPingAtMillis;
     }
@@ -81,7 +81,7 @@
         return suspectors;
     }
 
-    /** Adds a suspector; returns whether it is new and its confirmation counts. */
+    /** Adds a suspector; returns false if it is known already or the maximum is reached. */
     boolean addSuspector(int reporterId) {
         if (suspectors.size() >= MAX_SUSPECTORS) {
             return false;
--- a/src/main/java/rillyard/membership/MemberStatus.java
+++ b/src/main/java/rillyard/membership/MemberStatus.java
@@ -1,12 +1,13 @@
 package rillyard.membership;
 
 /**
- * The status of a member. Of two updates of one incarnation the later in this order overrides the other.
+ * The status of a member. Of two updates with the same incarnation, the one whose status comes later in this order
+ * overrides the other.
  */
 public enum MemberStatus {
-    /** The member answers, or nobody suspects it. */
+    /** The member is not suspected, or has refuted the suspicion. */
     ALIVE(0),
-    /** The member did not answer a probe; unless it refutes the suspicion in time it is dead. */
+    /** The member did not respond to a probe; it is declared dead unless it refutes the suspicion in time. */
     SUSPECT(1),
     /** The member did not refute a suspicion in time. */
     DEAD(2),
@@ -25,7 +26,7 @@
     }
 
     /**
-     * Returns the status of a code.
+     * Returns the status with a code.
      *
      * @throws IllegalArgumentException if there is none
      */
@@ -35,7 +36,7 @@
             case 1 -> SUSPECT;
             case 2 -> DEAD;
             case 3 -> LEFT;
-            default -> throw new IllegalArgumentException("kind or status " + code + ", expected 0 to 3");
+            default -> throw new IllegalArgumentException("status code " + code + ", expected 0 to 3");
         };
     }
 
--- a/src/main/java/rillyard/membership/MemberTable.java
+++ b/src/main/java/rillyard/membership/MemberTable.java
@@ -13,21 +13,21 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The other members that are known, and the order in which they are probed: a random permutation for each round (SWIM,
- * 4.3). Not thread-safe.
+ * The table of all other known members, and the order in which they are probed: a random permutation for each round
+ * (SWIM, 4.3). Not thread-safe.
  */
 final class MemberTable {
-    /** Draws for each member that is wanted at random, and at the least. */
+    /** Random draws for each member to pick, in addition to {@link #BASE_DRAWS}. */
     private static final int DRAWS_PER_MEMBER = 3;
 
-    private static final int MIN_DRAWS = 8;
+    private static final int BASE_DRAWS = 8;
     private static final int DRAWS_FOR_DEAD = 16;
 
     private final Map<String, MemberState> members = new HashMap<>();
     private final List<String> probeRound = new ArrayList<>();
     private final List<String> names = new ArrayList<>();
 
-    /** Suspects in the order in which they became suspected; checked many times a protocol period. */
+    /** Suspects in the order of their suspicion; kept separately, as they are checked many times a protocol period. */
     private final Set<MemberState> suspects = new LinkedHashSet<>();
 
     private final RandomGenerator random;
@@ -45,27 +45,27 @@
         return members;
     }
 
-    /** Returns the present suspects; the table may be changed meanwhile. */
+    /** Returns a copy of the current suspects; the table may be changed while it is iterated. */
     List<MemberState> suspects() {
         return suspects.isEmpty() ? List.of() : new ArrayList<>(suspects);
     }
 
-    /** Returns the member of a name, or null. */
+    /** Returns the member with a name, or null if it is unknown. */
     MemberState get(String name) {
         return members.get(name);
     }
 
-    /** Returns how many members are alive or suspected. */
+    /** Returns the number of members that are alive or suspected. */
     int presentCount() {
         return presentCount;
     }
 
-    /** Returns a number for all members that are present; two tables with the same members have the same. */
+    /** Returns a hash of all present members; two tables with the same present members have the same digest. */
     int digest() {
         return digest;
     }
 
-    /** Returns the part of the digest for a present member; it depends on the name and the start of its process. */
+    /** Returns the part of the digest for a present member, a hash of its name and the start of its process. */
     static int digestOf(MemberUpdate update) {
         int hash = update.identity().name().hashCode() * 31
                 + Long.hashCode(update.incarnation().startedAtMillis());
@@ -79,17 +79,17 @@
         String name = member.name();
         members.put(name, member);
         names.add(name);
-        // At a random position, so that members that join together are not probed together for ever.
+        // At a random position, so that members that join together are not always probed together.
         probeRound.add(probeRound.isEmpty() ? 0 : random.nextInt(probeRound.size() + 1), name);
         count(member.update(), 1);
         trackSuspicion(member);
     }
 
-    /** Applies an update that overrides the present one of a member. */
-    void override(MemberState member, MemberUpdate update, double now) {
+    /** Applies an update that overrides the current one about a member. */
+    void override(MemberState member, MemberUpdate update, double nowMillis) {
         count(member.update(), -1);
         count(update, 1);
-        member.override(update, now);
+        member.override(update, nowMillis);
         trackSuspicion(member);
     }
 
@@ -108,12 +108,12 @@
         }
     }
 
-    /** Removes members that have been dead or have left since before a time; returns their names. */
-    List<String> removeDepartedBefore(double time) {
+    /** Removes members that have been dead or left since before a time, and returns their names. */
+    List<String> removeDepartedBefore(double timeMillis) {
         List<String> removed = new ArrayList<>();
         for (Iterator<MemberState> states = members.values().iterator(); states.hasNext(); ) {
             MemberState member = states.next();
-            if (!member.status().isPresent() && member.sinceMillis() < time) {
+            if (!member.status().isPresent() && member.sinceMillis() < timeMillis) {
                 states.remove();
                 removed.add(member.name());
             }
@@ -152,21 +152,21 @@
         }
     }
 
-    /** Returns up to {@code count} present members at random, without the given name; suspects only if included. */
-    List<MemberState> pickRandom(int count, String without, boolean includeSuspects) {
+    /** Returns up to {@code count} random present members except the named one; suspects only if included. */
+    List<MemberState> pickRandom(int count, String excludedName, boolean includeSuspects) {
         List<MemberState> picked = new ArrayList<>(count);
-        int draws = DRAWS_PER_MEMBER * count + MIN_DRAWS;
+        int draws = DRAWS_PER_MEMBER * count + BASE_DRAWS;
         for (int i = 0; i < draws && picked.size() < count && !names.isEmpty(); i++) {
             MemberState member = drawRandom();
             boolean isEligible = includeSuspects ? member.status().isPresent() : member.status() == MemberStatus.ALIVE;
-            if (isEligible && !member.name().equals(without) && !picked.contains(member)) {
+            if (isEligible && !member.name().equals(excludedName) && !picked.contains(member)) {
                 picked.add(member);
             }
         }
         return picked;
     }
 
-    /** Returns a dead member at random, or null if the draws find none. */
+    /** Returns a random dead member, or null if the draws find none. */
     MemberState pickRandomDead() {
         for (int i = 0; i < DRAWS_FOR_DEAD && !names.isEmpty(); i++) {
             MemberState member = drawRandom();
@@ -181,7 +181,7 @@
         return members.get(names.get(random.nextInt(names.size())));
     }
 
-    /** Returns the next updates in turn that fit into the capacity (bytes): page by page the whole table. */
+    /** Returns the next page of the table: updates that fit into {@code capacity} bytes, after the previous page. */
     List<MemberUpdate> nextPage(int capacity) {
         List<MemberUpdate> page = new ArrayList<>(12);
         int remaining = capacity;
@@ -198,7 +198,7 @@
         return page;
     }
 
-    /** Returns up to {@code count} names from a random position on. */
+    /** Returns up to {@code count} consecutive names, starting at a random position. */
     List<String> namesFromRandomPosition(int count) {
         List<String> selected = new ArrayList<>(count);
         int start = names.isEmpty() ? 0 : random.nextInt(names.size());
@@ -208,14 +208,14 @@
         return selected;
     }
 
-    /** Describes the state for the model checker; times are relative to the given one. */
-    String state(double now) {
+    /** Returns the state as text for the model checker, with times relative to {@code nowMillis}. */
+    String state(double nowMillis) {
         StringBuilder out = new StringBuilder();
         new TreeMap<>(members).values().forEach(member -> out.append("; ")
                 .append(member.update())
-                .append(now - member.sinceMillis())
+                .append(nowMillis - member.sinceMillis())
                 .append(' ')
-                .append(member.nextPingAtMillis() - now)
+                .append(member.nextPingAtMillis() - nowMillis)
                 .append(new TreeSet<>(member.suspectors())));
         suspects.forEach(suspect -> out.append(suspect.name()));
         return out + "; " + probeRound + nextInRound + " " + names + pageCursor;
--- a/src/main/java/rillyard/membership/MemberUpdate.java
+++ b/src/main/java/rillyard/membership/MemberUpdate.java
@@ -1,12 +1,12 @@
 package rillyard.membership;
 
 /**
- * A statement about a member, which members pass on.
+ * An update about a member's status, which members pass on to each other.
  *
  * @param identity the member
- * @param incarnation the member's incarnation that it is about
+ * @param incarnation the incarnation of the member that the update is about
  * @param status the member's status
- * @param reporterId the id of the member that made the statement first, by which independent ones are counted
+ * @param reporterId the id of the member that created the update, by which independent suspicions are counted
  */
 public record MemberUpdate(MemberIdentity identity, Incarnation incarnation, MemberStatus status, int reporterId) {
     private static final int HASH_MULTIPLIER = 0x9E3779B1;
--- a/src/main/java/rillyard/membership/Membership.java
+++ b/src/main/java/rillyard/membership/Membership.java
@@ -6,23 +6,23 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One member of the fleet, and what it knows of the others.
+ * One member of the fleet, with its view of the others.
  *
- * <p>The caller passes messages and the time; the member acts through {@link Output}. Times are milliseconds since its
- * process started, by a clock that never goes back. Not thread-safe.
+ * <p>The caller passes in messages and the time; the member sends messages and events through {@link Output}. Times are
+ * milliseconds since its process started, on a monotonic clock. Not thread-safe.
  */
 public final class Membership {
-    /** Receives what the member does. */
+    /** Receives the messages and events of the member. */
     public interface Output {
         /** Sends a message, which may be lost. */
         void send(MemberAddress to, Message message);
 
         /** Is called when the status of a member has changed. */
-        void onMembershipEvent(MembershipEvent change);
+        void onMembershipEvent(MembershipEvent event);
     }
 
     /** Protocol periods between two attempts to reach dead members and seeds. */
-    private static final int REACH_OUT_PERIODS = 2;
+    private static final int REJOIN_PERIODS = 2;
 
     private static final double MIN_TTL_MILLIS = 1_000;
 
@@ -38,26 +38,26 @@
     private final FailureDetector failureDetector;
     private final Dissemination dissemination;
     private final JoinProtocol joinProtocol;
-    private double lastTickAt = Double.NaN;
-    private double lastReachOutAt = Double.NEGATIVE_INFINITY;
+    private double lastTickAtMillis = Double.NaN;
+    private double lastRejoinAtMillis = Double.NEGATIVE_INFINITY;
 
     /**
-     * Creates a member that knows no other.
+     * Creates a member that does not know any other.
      *
-     * @param startedUnix the Unix time (ms) of the start of its process
-     * @param seeds addresses of members, for joining and after a partition
+     * @param startedUnixMillis the Unix time of the start of its process
+     * @param seeds addresses of members, used to join and to rejoin after a partition
      * @param random its only source of randomness
      */
     public Membership(
             MembershipSettings settings,
             MemberIdentity identity,
-            long startedUnix,
+            long startedUnixMillis,
             List<MemberAddress> seeds,
             RandomGenerator random,
             Output output) {
         this.settings = settings;
         this.output = output;
-        this.localMember = new LocalMember(identity, startedUnix, settings.probeIntervalMillis());
+        this.localMember = new LocalMember(identity, startedUnixMillis, settings.probeIntervalMillis());
         this.members = new MemberTable(random);
         this.sender = new MessageSender(settings, localMember, members, updateQueue, attributes, output);
         this.updates = new UpdateProcessor(settings, localMember, health, members, updateQueue, sender, output);
@@ -66,19 +66,19 @@
         this.joinProtocol = new JoinProtocol(seeds, localMember, members, sender, random);
     }
 
-    // --- what it knows
+    // --- known members
 
     /** Returns this member's update about itself. */
     public MemberUpdate self() {
         return localMember.update();
     }
 
-    /** Returns whether it has left, or another process has its name; it sends nothing any more. */
+    /** Returns whether this member sends nothing any more: it has left, or a later process has its name. */
     public boolean hasLeft() {
-        return localMember.isSilent();
+        return localMember.hasStopped();
     }
 
-    /** Returns what is known of all other members, in the order of their names. */
+    /** Returns the known state of all other members, ordered by name. */
     public List<MemberSnapshot> snapshot() {
         return members.members().values().stream()
                 .map(member -> new MemberSnapshot(member.update(), member.sinceMillis(), member.source()))
@@ -87,12 +87,12 @@
                 .toList();
     }
 
-    /** Returns the updates that hold for all other known members, in no order. */
+    /** Returns the current updates about all other known members, in no particular order. */
     public List<MemberUpdate> others() {
         return members.members().values().stream().map(MemberState::update).toList();
     }
 
-    /** Returns how many members are alive or suspected, this one included. */
+    /** Returns the number of members that are alive or suspected, this one included. */
     public int presentCount() {
         return members.presentCount() + 1;
     }
@@ -102,7 +102,7 @@
         return health.factor();
     }
 
-    /** Returns a number for all members that are present, this one included. */
+    /** Returns a hash of all present members, this one included. */
     int digest() {
         return sender.digest();
     }
@@ -113,56 +113,56 @@
      * Publishes an attribute of this member.
      *
      * @param kind 0 to {@link MemberAttribute#MAX_KIND}
-     * @param value 1 to {@link MemberAttribute#MAX_VALUE} bytes, or none to withdraw it
+     * @param value 1 to {@link MemberAttribute#MAX_VALUE} bytes, or empty to withdraw the attribute
      * @param ttlMillis the time after which it expires unless it is renewed, 1,000 to {@link MemberAttribute#MAX_MILLIS}
-     * @param renew whether it is renewed until it is published otherwise
-     * @return false if this member publishes more than ten a second for long, which others would reject
+     * @param renew whether this version is renewed until another is published
+     * @return false if this member has published more than ten versions a second for long, which others would reject
      * @throws IllegalArgumentException if a parameter is out of its range
      */
-    public boolean setAttribute(double now, int kind, byte[] value, double ttlMillis, boolean renew) {
+    public boolean setAttribute(double nowMillis, int kind, byte[] value, double ttlMillis, boolean renew) {
         if (!(ttlMillis >= MIN_TTL_MILLIS)) {
-            throw new IllegalArgumentException("time to live " + ttlMillis + " ms, expected 1,000 and more");
+            throw new IllegalArgumentException("attribute time to live " + ttlMillis + " ms, expected at least 1,000");
         }
-        return attributes.publish(self(), kind, value, ttlMillis, renew, updates.unixTime(now), now);
+        return attributes.publish(self(), kind, value, ttlMillis, renew, updates.unixMillis(nowMillis), nowMillis);
     }
 
-    /** Returns the attributes of a kind that members that are present, this one included, have published, by owner. */
-    public Map<String, MemberAttribute> attributes(double now, int kind) {
-        return attributes.current(kind, self(), members.members(), now);
+    /** Returns the valid attributes of a kind of all present members, this one included, keyed by owner. */
+    public Map<String, MemberAttribute> attributes(double nowMillis, int kind) {
+        return attributes.current(kind, self(), members.members(), nowMillis);
     }
 
     // --- time
 
-    /** Does what is due; to be called many times a protocol period. */
-    public void onTick(double now) {
+    /** Performs all actions that are due; to be called many times a protocol period. */
+    public void onTick(double nowMillis) {
         if (hasLeft()) {
             return;
         }
-        sender.setNow(now);
-        double sinceLastTick = now - lastTickAt;
-        if (sinceLastTick > settings.probeIntervalMillis()) {
-            failureDetector.onProcessPause(sinceLastTick);
+        sender.setNow(nowMillis);
+        double sinceLastTickMillis = nowMillis - lastTickAtMillis;
+        if (sinceLastTickMillis > settings.probeIntervalMillis()) {
+            failureDetector.onProcessPause(sinceLastTickMillis);
         }
-        lastTickAt = now;
-        failureDetector.onTick(now);
-        attributes.renewOwn(self(), now);
-        dissemination.onTick(now);
-        if (now - lastReachOutAt >= REACH_OUT_PERIODS * settings.probeIntervalMillis()) {
-            lastReachOutAt = now;
-            joinProtocol.reachOut();
-            removeDeparted(now);
+        lastTickAtMillis = nowMillis;
+        failureDetector.onTick(nowMillis);
+        attributes.renewOwn(self(), nowMillis);
+        dissemination.onTick(nowMillis);
+        if (nowMillis - lastRejoinAtMillis >= REJOIN_PERIODS * settings.probeIntervalMillis()) {
+            lastRejoinAtMillis = nowMillis;
+            joinProtocol.tryToRejoin();
+            removeDeparted(nowMillis);
         }
     }
 
-    private void removeDeparted(double now) {
-        for (String name : members.removeDepartedBefore(now - settings.forgetAfterMillis())) {
+    private void removeDeparted(double nowMillis) {
+        for (String name : members.removeDepartedBefore(nowMillis - settings.forgetAfterMillis())) {
             updateQueue.remove(name);
             attributes.forget(name);
         }
     }
 
     /** Announces that this member leaves, and sends nothing afterwards. */
-    public void leave(double now) {
+    public void leave(double nowMillis) {
         if (!hasLeft()) {
             joinProtocol.leave();
         }
@@ -170,62 +170,62 @@
 
     // --- messages
 
-    /** Handles a message that came from an address. */
-    public void onMessage(double now, MemberAddress from, Message message) {
-        sender.setNow(now);
+    /** Handles a message that was received from an address. */
+    public void onMessage(double nowMillis, MemberAddress from, Message message) {
+        sender.setNow(nowMillis);
         MemberUpdate source = message.sender();
         if (hasLeft() || !source.identity().address().equals(from)) {
             return; // a member can't send from another member's address
         }
         String name = source.identity().name();
         if (localMember.hasName(name)) {
-            onNamesake(now, source);
+            onNameConflict(nowMillis, source);
             return;
         }
         boolean wasUnknown = members.get(name) == null;
-        applyContent(now, message);
-        failureDetector.onMessage(now, from, message);
+        applyContent(nowMillis, message);
+        failureDetector.onMessage(nowMillis, from, message);
         boolean isJoining = wasUnknown && source.status() == MemberStatus.ALIVE && members.get(name) != null;
         if (isJoining) {
-            joinProtocol.welcome(from);
+            joinProtocol.sendMemberTable(from);
         } else {
-            dissemination.synchronize(now, from, message);
+            dissemination.synchronize(nowMillis, from, message);
         }
     }
 
-    private void applyContent(double now, Message message) {
-        updates.apply(message.sender(), now, message.sender().identity().name());
+    private void applyContent(double nowMillis, Message message) {
+        updates.apply(message.sender(), nowMillis, message.sender().identity().name());
         for (MemberUpdate update : message.updates()) {
-            updates.apply(update, now, "#" + update.reporterId());
+            updates.apply(update, nowMillis, "#" + update.reporterId());
         }
         for (MemberAttribute attribute : message.attributes()) {
             MemberState owner = members.get(attribute.owner());
             Incarnation incarnation =
                     owner != null && owner.status().isPresent() ? owner.update().incarnation() : null;
-            attributes.onReceived(attribute, self(), incarnation, updates.unixTime(now), now);
+            attributes.onReceived(attribute, self(), incarnation, updates.unixMillis(nowMillis), nowMillis);
         }
     }
 
-    /** Handles an update that a process with this member's name sent itself. */
-    private void onNamesake(double now, MemberUpdate other) {
-        if (localMember.onNamesake(other, updates.unixTime(now))) {
+    /** Handles an update that another process with this member's name sent about itself. */
+    private void onNameConflict(double nowMillis, MemberUpdate other) {
+        if (localMember.onNameConflict(other, updates.unixMillis(nowMillis))) {
             sender.gossip(other.identity().address());
         } else if (hasLeft()) {
             output.onMembershipEvent(new MembershipEvent(
-                    now, other, MemberStatus.ALIVE, other.identity().name()));
+                    nowMillis, other, MemberStatus.ALIVE, other.identity().name()));
         }
     }
 
-    /** Describes for the model checker all that its next steps depend on but randomness, relative to the given time. */
-    String state(double now) {
-        return localMember.state(now)
+    /** Returns as text all state that the next steps depend on, except randomness, relative to {@code nowMillis}. */
+    String state(double nowMillis) {
+        return localMember.state(nowMillis)
                 + health.factor()
-                + " " + (now - lastTickAt)
-                + " " + (now - lastReachOutAt)
-                + " " + dissemination.state(now)
-                + failureDetector.state(now)
+                + " " + (nowMillis - lastTickAtMillis)
+                + " " + (nowMillis - lastRejoinAtMillis)
+                + " " + dissemination.state(nowMillis)
+                + failureDetector.state(nowMillis)
                 + updateQueue.state()
-                + attributes.state(now)
-                + members.state(now);
+                + attributes.state(nowMillis)
+                + members.state(nowMillis);
     }
 }
--- a/src/main/java/rillyard/membership/MembershipSettings.java
+++ b/src/main/java/rillyard/membership/MembershipSettings.java
@@ -6,13 +6,14 @@
  * @param probeIntervalMillis length of a protocol period of a healthy member, 100 to 60,000
  * @param probeTimeoutMillis time for the ack of a ping before indirect probes are sent, 10 to half of the
  *     interval
- * @param indirectProbes helpers for an indirect probe, 1 to 10
- * @param suspicionMultiplier minimum time from suspect to dead, in periods and decades of members, 1 to 20
+ * @param indirectProbes number of helpers for an indirect probe, 1 to 10
+ * @param suspicionMultiplier minimum time from suspect to dead, as a multiple of the period times the decimal logarithm
+ *     of the number of members, 1 to 20
  * @param maxSuspicionMultiplier maximum of that time, as a multiple of the minimum, 1 to 20
- * @param retransmitMultiplier how often an update is sent, in doublings of the members, 1 to 10
+ * @param retransmitMultiplier transmissions of an update for each doubling of the number of members, 1 to 10
  * @param forgetAfterMillis time for which a member that is dead or has left is kept, 10,000 to 3,600,000
- * @param maxMembers limit of known members, 2 to 100,000
- * @param datagramBytes bytes of a datagram, 128 to {@link MessageCodec#MAX_BYTES}
+ * @param maxMembers maximum number of known members, 2 to 100,000
+ * @param datagramBytes maximum size of a datagram, 128 to {@link MessageCodec#MAX_BYTES}
  */
 public record MembershipSettings(
         double probeIntervalMillis,
@@ -47,13 +48,13 @@
         }
     }
 
-    /** Returns the minimum time from suspect to dead in a fleet of so many members. */
+    /** Returns the minimum time from suspect to dead in a fleet with that number of members. */
     double minSuspicionMillis(int members) {
         return suspicionMultiplier * Math.max(1, Math.log10(members + 1.0)) * probeIntervalMillis;
     }
 
-    /** Returns how often an update is sent in a fleet of so many members. */
-    int transmits(int members) {
+    /** Returns the number of transmissions of an update in a fleet with that number of members. */
+    int maxTransmissions(int members) {
         return retransmitMultiplier * Math.max(1, 32 - Integer.numberOfLeadingZeros(members));
     }
 }
--- a/src/main/java/rillyard/membership/Message.java
+++ b/src/main/java/rillyard/membership/Message.java
@@ -6,11 +6,11 @@
  * The content of a datagram.
  *
  * @param kind the kind of message
- * @param sequence the number of the ping that it is, requests or answers; 0 for gossip
- * @param digest a number for the members that the sender has present, as {@link MemberTable#digest}
+ * @param sequence the sequence number of the ping that it is, requests or responds to; 0 for gossip
+ * @param digest the hash of the members that are present for the sender, itself included, as {@link Membership#digest}
  * @param sender the sender's update about itself
- * @param target the name of the member that a ping is for; empty for any at that address
- * @param targetAt the address of the target for {@link Kind#PING_REQUEST}; else null
+ * @param target the name of the member that a ping is for; empty for any member at that address
+ * @param targetAddress the address of the target for {@link Kind#PING_REQUEST}; else null
  * @param updates updates about other members
  * @param attributes attributes of members
  */
@@ -20,7 +20,7 @@
         int digest,
         MemberUpdate sender,
         String target,
-        MemberAddress targetAt,
+        MemberAddress targetAddress,
         List<MemberUpdate> updates,
         List<MemberAttribute> attributes) {
     /** Creates a message without attributes. */
@@ -30,20 +30,20 @@
             int digest,
             MemberUpdate sender,
             String target,
-            MemberAddress targetAt,
+            MemberAddress targetAddress,
             List<MemberUpdate> updates) {
-        this(kind, sequence, digest, sender, target, targetAt, updates, List.of());
+        this(kind, sequence, digest, sender, target, targetAddress, updates, List.of());
     }
 
     /** Kinds of messages. */
     public enum Kind {
         /** Asks the target for an ack. */
         PING(0),
-        /** Answers a ping, directly or on behalf of a helper. */
+        /** Responds to a ping, directly or forwarded by a helper. */
         ACK(1),
         /** Asks a helper to ping the target (indirect probe). */
         PING_REQUEST(2),
-        /** Tells the requester of an indirect probe that the target did not answer the helper either. */
+        /** Notifies the requester of an indirect probe that the target did not respond to the helper either. */
         NACK(3),
         /** Carries updates and attributes only. */
         GOSSIP(4);
@@ -60,7 +60,7 @@
         }
 
         /**
-         * Returns the kind of a code.
+         * Returns the kind with a code.
          *
          * @throws IllegalArgumentException if there is none
          */
@@ -71,7 +71,7 @@
                 case 2 -> PING_REQUEST;
                 case 3 -> NACK;
                 case 4 -> GOSSIP;
-                default -> throw new IllegalArgumentException("kind or status " + code + ", expected 0 to 4");
+                default -> throw new IllegalArgumentException("message kind code " + code + ", expected 0 to 4");
             };
         }
     }
--- a/src/main/java/rillyard/membership/MessageCodec.java
+++ b/src/main/java/rillyard/membership/MessageCodec.java
@@ -16,7 +16,7 @@
  * values follow their lengths (1).
  */
 public final class MessageCodec {
-    /** Bytes of the largest datagram, which any platform carries. */
+    /** Maximum size of a datagram in bytes, which any platform carries. */
     public static final int MAX_BYTES = 256;
 
     private static final byte VERSION = 1;
@@ -35,17 +35,17 @@
     /** Added to the kind in an attribute's first byte; an update's first byte is its status, which is less. */
     private static final int ATTRIBUTE_MARK = 64;
 
-    /** Unit of the times of attributes. */
+    /** Unit of the age and time to live of attributes. */
     private static final double TIME_UNIT_MILLIS = 100;
 
     private MessageCodec() {}
 
-    /** Returns the bytes of an update. */
+    /** Returns the size of an update in bytes. */
     static int size(MemberUpdate update) {
         return UPDATE_FIXED_SIZE + update.identity().name().length();
     }
 
-    /** Returns the bytes of a message without updates and attributes. */
+    /** Returns the size of a message without updates and attributes, in bytes. */
     static int emptySize(MemberUpdate sender, String target, boolean hasTargetAddress) {
         return HEADER_SIZE + size(sender) + target.length() + (hasTargetAddress ? ADDRESS_SIZE : 0);
     }
@@ -64,7 +64,7 @@
         put(buffer, message.sender());
         put(buffer, message.target());
         if (message.kind() == Message.Kind.PING_REQUEST) {
-            put(buffer, message.targetAt());
+            put(buffer, message.targetAddress());
         }
         for (MemberUpdate update : message.updates()) {
             put(buffer, update);
@@ -78,7 +78,7 @@
             }
         }
         if (buffer.position() > maxBytes) {
-            throw new IllegalArgumentException("a datagram of more than " + maxBytes + " bytes");
+            throw new IllegalArgumentException("message needs more than " + maxBytes + " bytes");
         }
         byte[] encoded = new byte[buffer.position()];
         buffer.flip().get(encoded);
@@ -104,8 +104,8 @@
         buffer.put((byte) attribute.value().length).put(attribute.value());
     }
 
-    private static void putStart(ByteBuffer buffer, long start) {
-        buffer.putShort((short) (start >> 32)).putInt((int) start);
+    private static void putStart(ByteBuffer buffer, long startedAtMillis) {
+        buffer.putShort((short) (startedAtMillis >> 32)).putInt((int) startedAtMillis);
     }
 
     private static void put(ByteBuffer buffer, MemberAddress address) {
@@ -119,7 +119,7 @@
     /**
      * Decodes a message.
      *
-     * @throws IllegalArgumentException if the bytes are no message; its text says what was expected
+     * @throws IllegalArgumentException if the bytes are not a valid message; its text says what was expected
      */
     public static Message decode(byte[] bytes) {
         if (bytes.length > MAX_BYTES) {
@@ -156,22 +156,22 @@
                     List.copyOf(updates),
                     List.copyOf(attributes));
         } catch (BufferUnderflowException e) {
-            throw new IllegalArgumentException("cut off after " + bytes.length + " bytes", e);
+            throw new IllegalArgumentException("datagram truncated after " + bytes.length + " bytes", e);
         }
     }
 
     private static MemberUpdate readSender(ByteBuffer buffer) {
         MemberUpdate sender = readUpdate(buffer);
         if (sender.status() != MemberStatus.ALIVE && sender.status() != MemberStatus.LEFT) {
-            throw new IllegalArgumentException("a sender that calls itself " + sender.status());
+            throw new IllegalArgumentException("expected status ALIVE or LEFT of the sender, found " + sender.status());
         }
         return sender;
     }
 
     private static String readTarget(ByteBuffer buffer) {
         String target = readText(buffer);
-        if (!target.isEmpty() && !MemberIdentity.isName(target)) {
-            throw new IllegalArgumentException("a target that is no name");
+        if (!target.isEmpty() && !MemberIdentity.isValidName(target)) {
+            throw new IllegalArgumentException("target is not a valid member name");
         }
         return target;
     }
@@ -179,8 +179,8 @@
     private static MemberUpdate readUpdate(ByteBuffer buffer) {
         MemberStatus status = MemberStatus.ofCode(buffer.get());
         int reporterId = buffer.getShort() & 0xFFFF;
-        long startedAt = readStart(buffer);
-        Incarnation incarnation = new Incarnation(startedAt, buffer.getShort() & 0xFFFF);
+        long startedAtMillis = readStart(buffer);
+        Incarnation incarnation = new Incarnation(startedAtMillis, buffer.getShort() & 0xFFFF);
         MemberAddress address = readAddress(buffer);
         int zone = buffer.get() & 255;
         int region = buffer.get() & 255;
@@ -191,18 +191,18 @@
     private static MemberAttribute readAttribute(ByteBuffer buffer) {
         int kind = buffer.get() - ATTRIBUTE_MARK;
         String owner = readText(buffer);
-        long startedAt = readStart(buffer);
+        long startedAtMillis = readStart(buffer);
         long version = buffer.getInt() & 0xFFFFFFFFL;
         double ageMillis = TIME_UNIT_MILLIS * (buffer.getShort() & 0xFFFF);
         double ttlMillis = TIME_UNIT_MILLIS * (buffer.getShort() & 0xFFFF);
         int length = buffer.get();
         if (length < 0 || length > MemberAttribute.MAX_VALUE) {
             throw new IllegalArgumentException(
-                    "a value of " + length + " bytes, expected " + MemberAttribute.MAX_VALUE + " at most");
+                    "attribute value of " + length + " bytes, expected " + MemberAttribute.MAX_VALUE + " at most");
         }
         byte[] value = new byte[length];
         buffer.get(value);
-        return new MemberAttribute(owner, startedAt, kind, version, ageMillis, ttlMillis, value);
+        return new MemberAttribute(owner, startedAtMillis, kind, version, ageMillis, ttlMillis, value);
     }
 
     private static long readStart(ByteBuffer buffer) {
@@ -219,7 +219,7 @@
         int length = buffer.get();
         if (length < 0 || length > MemberIdentity.MAX_NAME) {
             throw new IllegalArgumentException(
-                    "a name of " + length + " bytes, expected " + MemberIdentity.MAX_NAME + " at most");
+                    "name of " + length + " bytes, expected " + MemberIdentity.MAX_NAME + " at most");
         }
         byte[] text = new byte[length];
         buffer.get(text);
--- a/src/main/java/rillyard/membership/MessageSender.java
+++ b/src/main/java/rillyard/membership/MessageSender.java
@@ -7,18 +7,18 @@
 /**
  * Sends messages and piggybacks updates and attributes on them, as far as the datagram has capacity.
  *
- * <p>First comes what is known of the target, then queued updates, attributes, and further updates at random, so that
- * all member tables converge whatever was lost. Not thread-safe.
+ * <p>The update about the target comes first if the target has to learn of it, then queued updates, attributes and
+ * random other updates, so that all member tables converge whatever was lost. Not thread-safe.
  */
 final class MessageSender {
-    /** Updates at random that a datagram may be filled with. */
-    private static final int MAX_FILL = 12;
+    /** Maximum number of random updates with which a datagram is filled. */
+    private static final int MAX_FILL_UPDATES = 12;
 
-    /** Transmissions of attributes relative to updates; attributes are renewed anyway. */
-    private static final double ATTRIBUTE_TRANSMISSIONS = 2 / 3.0;
+    /** Transmissions of attributes relative to updates; fewer suffice, as attributes are renewed. */
+    private static final double ATTRIBUTE_TRANSMISSION_SHARE = 2 / 3.0;
 
-    /** Share of a datagram that is reserved for new attributes, so that many updates don't displace them. */
-    private static final double ATTRIBUTE_SHARE = 0.25;
+    /** Fraction of a datagram that is reserved for new attributes, so that many updates don't displace them. */
+    private static final double RESERVED_ATTRIBUTE_SHARE = 0.25;
 
     private final MembershipSettings settings;
     private final LocalMember localMember;
@@ -27,7 +27,7 @@
     private final AttributeStore attributes;
     private final Membership.Output output;
     private int lastSequence;
-    private double now;
+    private double nowMillis;
 
     MessageSender(
             MembershipSettings settings,
@@ -44,9 +44,9 @@
         this.output = output;
     }
 
-    /** Sets the present time, from which the ages of attributes count. */
-    void setNow(double now) {
-        this.now = now;
+    /** Sets the current time, for the ages of attributes that are sent. */
+    void setNow(double nowMillis) {
+        this.nowMillis = nowMillis;
     }
 
     int nextSequence() {
@@ -57,12 +57,12 @@
         return lastSequence;
     }
 
-    /** Returns a number for all members that are present, this one included. */
+    /** Returns a hash of all present members, this one included. */
     int digest() {
         return members.digest() + MemberTable.digestOf(localMember.update());
     }
 
-    /** Pings a member under a new sequence number. */
+    /** Pings a member with a new sequence number. */
     void ping(MemberAddress address, String name) {
         send(Kind.PING, nextSequence(), address, name);
     }
@@ -85,18 +85,18 @@
     private void send(Kind kind, int sequence, MemberAddress to, String target, MemberAddress targetAddress) {
         MemberUpdate self = localMember.update();
         int capacity = settings.datagramBytes() - MessageCodec.emptySize(self, target, targetAddress != null);
-        int maxTransmissions = settings.transmits(members.presentCount() + 1);
-        int reserved = attributes.hasNew() ? (int) (ATTRIBUTE_SHARE * capacity) : 0;
+        int maxTransmissions = settings.maxTransmissions(members.presentCount() + 1);
+        int reservedBytes = attributes.hasNew() ? (int) (RESERVED_ATTRIBUTE_SHARE * capacity) : 0;
 
         List<MemberUpdate> selectedUpdates =
-                updates.select(members.members(), firstUpdates(to, target), capacity - reserved, maxTransmissions);
+                updates.select(members.members(), firstUpdates(to, target), capacity - reservedBytes, maxTransmissions);
         capacity -= selectedUpdates.stream().mapToInt(MessageCodec::size).sum();
 
-        int maxAttributeTransmissions = (int) Math.ceil(ATTRIBUTE_TRANSMISSIONS * maxTransmissions);
-        List<MemberAttribute> selectedAttributes = attributes.select(capacity, maxAttributeTransmissions, now);
+        int maxAttributeTransmissions = (int) Math.ceil(ATTRIBUTE_TRANSMISSION_SHARE * maxTransmissions);
+        List<MemberAttribute> selectedAttributes = attributes.select(capacity, maxAttributeTransmissions, nowMillis);
         capacity -= selectedAttributes.stream().mapToInt(MemberAttribute::size).sum();
 
-        List<String> fill = members.namesFromRandomPosition(MAX_FILL);
+        List<String> fill = members.namesFromRandomPosition(MAX_FILL_UPDATES);
         updates.fill(members.members(), selectedUpdates, capacity, fill);
         output.send(
                 to,
@@ -104,7 +104,7 @@
                         kind, sequence, digest(), self, target, targetAddress, selectedUpdates, selectedAttributes));
     }
 
-    /** Returns the target's name if it must learn its own status first, or who has its name now. */
+    /** Returns the target's name if it has to learn that it is not alive in the table, or has another address there. */
     private List<String> firstUpdates(MemberAddress to, String target) {
         List<String> first = new ArrayList<>(1);
         MemberState known = target.isEmpty() ? null : members.get(target);
@@ -115,7 +115,7 @@
         return first;
     }
 
-    /** Sends the member table, as far as so many datagrams have capacity for it. */
+    /** Sends the member table in up to {@code maxDatagrams} datagrams, as far as it fits. */
     void sendPages(MemberAddress to, int maxDatagrams) {
         MemberUpdate self = localMember.update();
         int capacity = settings.datagramBytes() - MessageCodec.emptySize(self, "", false);
--- a/src/main/java/rillyard/membership/Probe.java
+++ b/src/main/java/rillyard/membership/Probe.java
@@ -4,23 +4,23 @@
 final class Probe {
     private final int sequence;
     private final MemberIdentity target;
-    private final double indirectAt;
-    private final double endsAt;
+    private final double indirectAtMillis;
+    private final double endsAtMillis;
     private final double timeoutMillis;
-    private double nextPingAt;
+    private double nextPingAtMillis;
     private boolean indirectSent;
     private int helpers;
     private int nacks;
     private boolean acknowledged;
 
-    /** Begins a probe; {@code healthFactor} stretches its times where this member does not trust itself. */
-    Probe(int sequence, MemberIdentity target, double now, int healthFactor, MembershipSettings settings) {
+    /** Begins a probe; {@code healthFactor} ({@link LocalHealth#factor}) multiplies its timeouts. */
+    Probe(int sequence, MemberIdentity target, double nowMillis, int healthFactor, MembershipSettings settings) {
         this.sequence = sequence;
         this.target = target;
         this.timeoutMillis = healthFactor * settings.probeTimeoutMillis();
-        this.indirectAt = now + timeoutMillis;
-        this.nextPingAt = indirectAt;
-        this.endsAt = now + healthFactor * settings.probeIntervalMillis();
+        this.indirectAtMillis = nowMillis + timeoutMillis;
+        this.nextPingAtMillis = indirectAtMillis;
+        this.endsAtMillis = nowMillis + healthFactor * settings.probeIntervalMillis();
     }
 
     int sequence() {
@@ -34,27 +34,27 @@
     /**
      * Returns whether to ping the target once more, and schedules the next ping.
      *
-     * <p>A second ping costs one datagram; in a lossy network without it so many members are suspected that their
+     * <p>A second ping costs one datagram; without it so many members are suspected in a lossy network that their
      * updates displace each other.
      */
-    boolean shouldPingAgain(double now) {
-        if (acknowledged || now < nextPingAt) {
+    boolean shouldPingAgain(double nowMillis) {
+        if (acknowledged || nowMillis < nextPingAtMillis) {
             return false;
         }
-        nextPingAt = now + timeoutMillis;
+        nextPingAtMillis = nowMillis + timeoutMillis;
         return true;
     }
 
-    /** Returns whether to send indirect probes now; true once. */
-    boolean shouldProbeIndirectly(double now) {
-        if (acknowledged || indirectSent || now < indirectAt) {
+    /** Returns whether to send indirect probes now; true at most once. */
+    boolean shouldProbeIndirectly(double nowMillis) {
+        if (acknowledged || indirectSent || nowMillis < indirectAtMillis) {
             return false;
         }
         indirectSent = true;
         return true;
     }
 
-    void onHelperAsked() {
+    void onPingRequested() {
         helpers++;
     }
 
@@ -70,21 +70,22 @@
         return acknowledged;
     }
 
-    boolean isOver(double now) {
-        return now >= endsAt;
+    boolean isOver(double nowMillis) {
+        return nowMillis >= endsAtMillis;
     }
 
     /**
-     * Returns by how much a failed probe lowers the local health (Lifeguard, 3.1): helpers that stay silent indicate
-     * that this member is not heard itself, those that send a nack speak for it.
+     * Returns the points by which a failed probe lowers the local health (Lifeguard, 3.1): a helper without a nack
+     * indicates that this member's own datagrams are lost or read late, a nack that they are not.
      */
     int healthPenalty() {
         return helpers == 0 ? 1 : Math.max(0, helpers - nacks);
     }
 
-    /** Describes the state for the model checker, relative to the given time and sequence number. */
-    String state(double now, int lastSequence) {
-        return " " + target.name() + (lastSequence - sequence) + " " + (indirectAt - now) + " " + (endsAt - now) + " "
-                + (nextPingAt - now) + indirectSent + helpers + nacks + acknowledged;
+    /** Returns the state as text for the model checker, relative to the given time and sequence number. */
+    String state(double nowMillis, int lastSequence) {
+        return " " + target.name() + (lastSequence - sequence) + " " + (indirectAtMillis - nowMillis) + " "
+                + (endsAtMillis - nowMillis) + " " + (nextPingAtMillis - nowMillis) + indirectSent + helpers + nacks
+                + acknowledged;
     }
 }
--- a/src/main/java/rillyard/membership/UpdateProcessor.java
+++ b/src/main/java/rillyard/membership/UpdateProcessor.java
@@ -1,8 +1,8 @@
 package rillyard.membership;
 
 /**
- * Applies updates to the member table: decides which of them hold, queues those for others and reports changes of
- * status. Refutes wrong updates about this member itself. Not thread-safe.
+ * Applies updates to the member table: determines which of them are valid, queues those for other members and reports
+ * status changes. Refutes wrong updates about this member itself. Not thread-safe.
  */
 final class UpdateProcessor {
     private final MembershipSettings settings;
@@ -12,9 +12,9 @@
     private final UpdateQueue queue;
     private final MessageSender sender;
     private final Membership.Output output;
-    private final long startedUnix;
+    private final long startedUnixMillis;
 
-    /** Creates a processor; the local member must not have refuted anything yet, as its start is taken from it. */
+    /** Creates a processor; the local member must not have refuted anything yet, as its incarnation has the start. */
     UpdateProcessor(
             MembershipSettings settings,
             LocalMember localMember,
@@ -30,41 +30,41 @@
         this.queue = queue;
         this.sender = sender;
         this.output = output;
-        this.startedUnix = localMember.update().incarnation().startedAtMillis();
+        this.startedUnixMillis = localMember.update().incarnation().startedAtMillis();
     }
 
-    /** Returns this machine's Unix time (ms). */
-    long unixTime(double now) {
-        return startedUnix + (long) now;
+    /** Converts a time of this member to the Unix time. */
+    long unixMillis(double nowMillis) {
+        return startedUnixMillis + (long) nowMillis;
     }
 
     /**
-     * Applies an update of whatever origin.
+     * Applies an update from any source.
      *
-     * @param source who reported it, as {@link MembershipEvent#source}
+     * @param source the source of the update, as {@link MembershipEvent#source}
      */
-    void apply(MemberUpdate update, double now, String source) {
+    void apply(MemberUpdate update, double nowMillis, String source) {
         if (localMember.hasName(update.identity().name())) {
-            applyToSelf(update, now);
+            applyToSelf(update, nowMillis);
             return;
         }
         MemberState member = members.get(update.identity().name());
         Incarnation known = member == null ? null : member.update().incarnation();
-        if (!IncarnationValidator.isPlausible(update.incarnation(), known, unixTime(now))) {
+        if (!IncarnationValidator.isPlausible(update.incarnation(), known, unixMillis(nowMillis))) {
             return;
         }
         if (member == null) {
-            add(update, now, source);
+            add(update, nowMillis, source);
         } else if (update.overrides(member.update())) {
-            override(member, update, now, source);
+            override(member, update, nowMillis, source);
         } else if (isConfirmation(update, member) && member.addSuspector(update.reporterId())) {
             member.confirm(update); // an independent suspicion is passed on as well
             queue.enqueue(update.identity().name());
         }
     }
 
-    private void applyToSelf(MemberUpdate update, double now) {
-        switch (localMember.onUpdate(update, now, unixTime(now))) {
+    private void applyToSelf(MemberUpdate update, double nowMillis) {
+        switch (localMember.onUpdate(update, nowMillis, unixMillis(nowMillis))) {
             case REFUTED -> health.degrade(1);
             case PING -> sender.ping(update.identity().address(), localMember.name());
             case NONE -> {}
@@ -72,11 +72,11 @@
         }
     }
 
-    private void add(MemberUpdate update, double now, String source) {
+    private void add(MemberUpdate update, double nowMillis, String source) {
         if (update.status().isPresent() && members.members().size() < settings.maxMembers()) {
-            MemberState member = new MemberState(update, now);
+            MemberState member = new MemberState(update, nowMillis);
             members.add(member);
-            onChanged(member, now, null, source);
+            onChanged(member, nowMillis, null, source);
         }
     }
 
@@ -86,21 +86,21 @@
                 && update.incarnation().equals(member.update().incarnation());
     }
 
-    /** Applies an update of this member's own about a known member, which overrides the present one. */
-    void override(MemberState member, MemberUpdate update, double now, String source) {
+    /** Applies an update about a known member that overrides the current one. */
+    void override(MemberState member, MemberUpdate update, double nowMillis, String source) {
         MemberStatus previous = member.status();
-        members.override(member, update, now);
-        onChanged(member, now, previous, source);
+        members.override(member, update, nowMillis);
+        onChanged(member, nowMillis, previous, source);
     }
 
-    private void onChanged(MemberState member, double now, MemberStatus previous, String source) {
+    private void onChanged(MemberState member, double nowMillis, MemberStatus previous, String source) {
         member.setSource(source);
         if (member.status() == MemberStatus.SUSPECT) {
             member.addSuspector(member.update().reporterId());
         }
         queue.enqueue(member.name());
         if (member.status() != previous) {
-            output.onMembershipEvent(new MembershipEvent(now, member.update(), previous, source));
+            output.onMembershipEvent(new MembershipEvent(nowMillis, member.update(), previous, source));
         }
     }
 }
--- a/src/main/java/rillyard/membership/UpdateQueue.java
+++ b/src/main/java/rillyard/membership/UpdateQueue.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The members whose newest updates are to be piggybacked on messages. Bounded by the member table; not thread-safe. */
+/** Queues members whose latest updates are piggybacked on messages. Bounded by the member table; not thread-safe. */
 final class UpdateQueue {
     private final BroadcastQueue<String> names = new BroadcastQueue<>(Comparator.<String>naturalOrder());
 
@@ -27,9 +27,9 @@
     /**
      * Selects updates for one datagram.
      *
-     * @param first names that come first, however often they have been sent
-     * @param capacity bytes that are available
-     * @param maxTransmissions how often an update is sent
+     * @param first names whose updates are selected first, however often they have been sent
+     * @param capacity available bytes
+     * @param maxTransmissions transmissions after which an update leaves the queue
      */
     List<MemberUpdate> select(
             Map<String, MemberState> members, List<String> first, int capacity, int maxTransmissions) {
@@ -42,7 +42,7 @@
         return selection.updates;
     }
 
-    /** Appends updates about the given members to a selection, in their order, as far as the capacity (bytes) allows. */
+    /** Appends the updates about {@code candidates}, in their order, that fit into {@code capacity} bytes. */
     void fill(Map<String, MemberState> members, List<MemberUpdate> selected, int capacity, List<String> candidates) {
         Selection selection = new Selection(capacity);
         selected.forEach(update -> selection.names.add(update.identity().name()));
@@ -50,7 +50,7 @@
         selected.addAll(selection.updates);
     }
 
-    /** Describes the state for the model checker. */
+    /** Returns the state as text for the model checker. */
     String state() {
         return names.state();
     }
--- a/src/test/java/rillyard/membership/AttributeStoreTest.java
+++ b/src/test/java/rillyard/membership/AttributeStoreTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Attributes in whole fleets on a virtual clock; random seeds are in the calls. */
+/** Tests attributes in whole fleets on a virtual clock; random seeds are in the calls. */
 class AttributeStoreTest {
     private static final double SECOND = 1_000;
     private static final int KIND = 3;
@@ -21,15 +21,17 @@
         return fleet;
     }
 
-    private static void publish(VirtualFleet fleet, int i, int value, double lasts) {
+    private static void publish(VirtualFleet fleet, int i, int value, double ttlMillis) {
         byte[] bytes = value < 0 ? new byte[0] : new byte[] {(byte) value};
-        fleet.node(i).member.setAttribute(fleet.now - fleet.node(i).startedAt, KIND, bytes, lasts, true);
+        fleet.node(i)
+                .member
+                .setAttribute(fleet.nowMillis - fleet.node(i).startedAtMillis, KIND, bytes, ttlMillis, true);
     }
 
-    /** Returns the value that member {@code by} has of member {@code i}; -1 if it has none. */
-    private static int valueAt(VirtualFleet fleet, int by, int i) {
+    /** Returns the value of member {@code i}'s attribute at member {@code holder}, or -1 if it has none. */
+    private static int valueAt(VirtualFleet fleet, int holder, int i) {
         Map<String, MemberAttribute> attributes =
-                fleet.node(by).member.attributes(fleet.now - fleet.node(by).startedAt, KIND);
+                fleet.node(holder).member.attributes(fleet.nowMillis - fleet.node(holder).startedAtMillis, KIND);
         MemberAttribute attribute = attributes.get("m" + i);
         return attribute == null ? -1 : attribute.value()[0];
     }
@@ -66,14 +68,17 @@
     @Test
     void attributeWithoutRenewalExpiresAndItsAgeNeverDecreases() {
         VirtualFleet fleet = joinedFleet(9, 20);
-        fleet.node(4).member.setAttribute(fleet.now - fleet.node(4).startedAt, KIND, new byte[] {1}, 9 * SECOND, false);
+        fleet.node(4)
+                .member
+                .setAttribute(
+                        fleet.nowMillis - fleet.node(4).startedAtMillis, KIND, new byte[] {1}, 9 * SECOND, false);
         assertThat(fleet.runUntil(5 * SECOND, () -> allHaveValue(fleet, 4, 1)))
                 .as("time (ms)")
                 .isBetween(0.0, 5 * SECOND);
         fleet.run(4 * SECOND); // past a third of its time to live, at which it would be renewed
         MemberAttribute received = fleet.node(7)
                 .member
-                .attributes(fleet.now - fleet.node(7).startedAt, KIND)
+                .attributes(fleet.nowMillis - fleet.node(7).startedAtMillis, KIND)
                 .get("m4");
         assertThat(received.ageMillis()).isGreaterThan(4 * SECOND);
         assertThat(received.version()).isZero();
@@ -91,7 +96,7 @@
         publish(fleet, 4, 1, 12 * SECOND);
         fleet.run(120 * SECOND);
         assertThat(allHaveValue(fleet, 4, 1)).isTrue();
-        // No other hears the owner: its attribute ends with its time to live at the latest.
+        // No other member receives the owner's datagrams: its attribute expires after its time to live at the latest.
         fleet.connectivity = (from, to) -> !from.equals("m4");
         assertThat(fleet.runUntil(13 * SECOND, () -> allHaveValue(fleet, 4, -1)))
                 .isNotNegative();
@@ -138,8 +143,8 @@
             forge(fleet, i, new MemberAttribute("m99", start, KIND, 0, 0, 30 * SECOND, new byte[] {9}));
         }
         assertThat(allHaveValue(fleet, 4, 2)).isTrue();
-        assertThat(fleet.node(7).member.attributes(fleet.now, KIND)).containsOnlyKeys("m4");
-        // A plausible one: its owner receives it and overrides it.
+        assertThat(fleet.node(7).member.attributes(fleet.nowMillis, KIND)).containsOnlyKeys("m4");
+        // A plausible version: the owner receives and overrides it.
         forge(fleet, 7, new MemberAttribute("m4", start, KIND, 900, 0, 30 * SECOND, new byte[] {9}));
         forge(
                 fleet,
@@ -165,7 +170,7 @@
             fleet.node(i)
                     .member
                     .onMessage(
-                            fleet.now - fleet.node(i).startedAt,
+                            fleet.nowMillis - fleet.node(i).startedAtMillis,
                             forger.address,
                             new Message(
                                     Message.Kind.GOSSIP,
@@ -185,7 +190,8 @@
         VirtualFleet fleet = joinedFleet(6, 3);
         Membership membership = fleet.node(0).member;
         int published = 0;
-        while (membership.setAttribute(fleet.now, KIND, new byte[] {(byte) (published % 100)}, 60 * SECOND, true)) {
+        while (membership.setAttribute(
+                fleet.nowMillis, KIND, new byte[] {(byte) (published % 100)}, 60 * SECOND, true)) {
             published++;
         }
         assertThat(published)
@@ -193,7 +199,7 @@
         int last = (published - 1) % 100;
         assertThat(fleet.runUntil(10 * SECOND, () -> allHaveValue(fleet, 0, last)))
                 .isNotNegative();
-        assertThat(membership.setAttribute(fleet.now, KIND, new byte[] {1}, 60 * SECOND, true))
+        assertThat(membership.setAttribute(fleet.nowMillis, KIND, new byte[] {1}, 60 * SECOND, true))
                 .as("ten seconds later")
                 .isTrue();
     }
--- a/src/test/java/rillyard/membership/MembershipModel.java
+++ b/src/test/java/rillyard/membership/MembershipModel.java
@@ -11,7 +11,7 @@
 import java.util.function.UnaryOperator;
 import rillyard.modelcheck.Model;
 
-/** A model of three members that know each other, with all that a network and a bounded number of restarts can do. */
+/** A model of three joined members with any deliveries, losses and duplicates, and a bounded number of restarts. */
 final class MembershipModel implements Model<String> {
     private static final int MEMBERS = 3;
     private static final double STEP_MILLIS = 250;
@@ -58,11 +58,11 @@
 
     private final class ModelRun implements Run<String> {
         private final Map<String, Membership> members = new TreeMap<>();
-        private final Map<String, Double> startedAt = new HashMap<>();
+        private final Map<String, Double> startedAtMillis = new HashMap<>();
         private final List<InFlightMessage> inFlight = new ArrayList<>();
         private final Map<String, Set<Incarnation>> announcedIncarnations = new HashMap<>();
         private Map<String, Incarnation> previousIncarnations = new HashMap<>();
-        private double now;
+        private double nowMillis;
         private boolean joined;
         private int restarts;
         private String violation;
@@ -83,9 +83,9 @@
             return new MemberAddress(1 + i, 1);
         }
 
-        private void startMember(int i, long start) {
+        private void startMember(int i, long startedUnixMillis) {
             String name = "m" + i;
-            startedAt.put(name, now);
+            startedAtMillis.put(name, nowMillis);
             Membership.Output out = new Membership.Output() {
                 @Override
                 public void send(MemberAddress to, Message message) {
@@ -93,7 +93,7 @@
                             .computeIfAbsent(name, n -> new HashSet<>())
                             .add(message.sender().incarnation());
                     if ((!joined || sendFilter.test(name, message))
-                            && inFlight.size() < MAX_IN_FLIGHT * (now == 0 ? 100 : 1)) {
+                            && inFlight.size() < MAX_IN_FLIGHT * (nowMillis == 0 ? 100 : 1)) {
                         inFlight.add(new InFlightMessage(name, address(i), to, messageFault.apply(message)));
                     }
                 }
@@ -108,24 +108,24 @@
                     new Membership(
                             MembershipSettings.DEFAULT,
                             new MemberIdentity(name, address(i), 0, 0),
-                            start,
+                            startedUnixMillis,
                             seeds,
                             () -> 0L,
                             out));
         }
 
-        private double localTime(String name) {
-            return now - startedAt.get(name);
+        private double localMillis(String name) {
+            return nowMillis - startedAtMillis.get(name);
         }
 
         private void step() {
-            now += STEP_MILLIS;
-            members.forEach((name, membership) -> membership.onTick(localTime(name)));
+            nowMillis += STEP_MILLIS;
+            members.forEach((name, membership) -> membership.onTick(localMillis(name)));
         }
 
-        private void deliver(InFlightMessage flying) {
-            String to = "m" + (flying.to.ip() - 1);
-            members.get(to).onMessage(localTime(to), flying.source, flying.message);
+        private void deliver(InFlightMessage delivered) {
+            String to = "m" + (delivered.to.ip() - 1);
+            members.get(to).onMessage(localMillis(to), delivered.source, delivered.message);
         }
 
         private void deliverAll() {
@@ -140,7 +140,7 @@
             for (int i = 0; i < Math.min(MAX_CHOICES, inFlight.size()); i++) {
                 all.add("deliver " + i + ": " + inFlight.get(i));
                 all.add("lose " + i + ": " + inFlight.get(i));
-                all.add("double " + i + ": " + inFlight.get(i));
+                all.add("duplicate " + i + ": " + inFlight.get(i));
             }
             if (restarts < MAX_RESTARTS) {
                 all.add("restart m0");
@@ -168,7 +168,7 @@
             check();
         }
 
-        /** Returns the incarnation that each member knows of each other one. */
+        /** Returns the incarnations that the members know of each other, keyed by {@code member:other}. */
         private Map<String, Incarnation> knownIncarnations() {
             Map<String, Incarnation> all = new HashMap<>();
             members.forEach((name, membership) -> membership
@@ -179,14 +179,14 @@
 
         private void check() {
             Map<String, Incarnation> after = knownIncarnations();
-            after.forEach((who, life) -> {
-                Incarnation old = previousIncarnations.get(who);
-                if (old != null && life.compareTo(old) < 0) {
-                    violation = "an older life has overridden a newer one: " + who;
+            after.forEach((pair, incarnation) -> {
+                Incarnation previous = previousIncarnations.get(pair);
+                if (previous != null && incarnation.compareTo(previous) < 0) {
+                    violation = "an older incarnation has overridden a newer one: " + pair;
                 }
-                String about = who.substring(3);
-                if (!announcedIncarnations.getOrDefault(about, Set.of()).contains(life)) {
-                    violation = "somebody has spoken for another's incarnation: " + who + " holds " + life;
+                String about = pair.substring(3);
+                if (!announcedIncarnations.getOrDefault(about, Set.of()).contains(incarnation)) {
+                    violation = "an incarnation that its member has not announced: " + pair + " has " + incarnation;
                 }
             });
             previousIncarnations = after;
@@ -200,7 +200,7 @@
         @Override
         public String state() {
             StringBuilder out = new StringBuilder().append(restarts).append(inFlight);
-            members.forEach((name, membership) -> out.append('\n').append(membership.state(localTime(name))));
+            members.forEach((name, membership) -> out.append('\n').append(membership.state(localMillis(name))));
             return out.toString();
         }
 
@@ -214,12 +214,12 @@
             for (Map.Entry<String, Membership> entry : members.entrySet()) {
                 for (MemberUpdate update : entry.getValue().others()) {
                     if (update.status() != MemberStatus.ALIVE) {
-                        return "a live process that is heard stays " + update.status() + ": "
-                                + update.identity().name() + " to " + entry.getKey();
+                        return "a running member that can be reached stays " + update.status() + ": "
+                                + update.identity().name() + " at " + entry.getKey();
                     }
                 }
                 if (entry.getValue().presentCount() != MEMBERS) {
-                    return entry.getKey() + " does not know all";
+                    return entry.getKey() + " does not have all members present";
                 }
             }
             return null;
--- a/src/test/java/rillyard/membership/MembershipModelTest.java
+++ b/src/test/java/rillyard/membership/MembershipModelTest.java
@@ -34,7 +34,7 @@
                         message.digest(),
                         message.sender(),
                         message.target(),
-                        message.targetAt(),
+                        message.targetAddress(),
                         message.updates().stream()
                                 .map(update -> update.status() == MemberStatus.SUSPECT
                                         ? new MemberUpdate(
@@ -48,7 +48,7 @@
         ModelChecker.Result<String> result = new ModelChecker<>(faulty).check(8, STATES, 0);
         assertThat(result.violation())
                 .as(result.toString())
-                .startsWith("somebody has spoken for another's incarnation");
+                .startsWith("an incarnation that its member has not announced");
         assertThat(result.history()).hasSizeLessThanOrEqualTo(8).contains("time");
     }
 
@@ -60,7 +60,9 @@
                 (from, message) ->
                         !(message.kind() == Kind.PING && message.target().equals("m0")) && !from.equals("m0"));
         ModelChecker.Result<String> result = new ModelChecker<>(faulty).check(2, STATES, 1);
-        assertThat(result.violation()).as(result.toString()).startsWith("a live process that is heard stays DEAD");
+        assertThat(result.violation())
+                .as(result.toString())
+                .startsWith("a running member that can be reached stays DEAD");
         assertThat(result.history()).hasSize(1);
     }
 
--- a/src/test/java/rillyard/membership/MembershipPropertiesTest.java
+++ b/src/test/java/rillyard/membership/MembershipPropertiesTest.java
@@ -51,12 +51,12 @@
             @ForAll("steps") List<FaultStep> steps) {
         VirtualFleet fleet = new VirtualFleet(seed, members);
         assertThat(fleet.runUntilConverged(30 * SECOND)).as("join (ms)").isNotNegative();
-        Map<String, Incarnation> spoken = new HashMap<>();
+        Map<String, Incarnation> announced = new HashMap<>();
         for (FaultStep step : steps) {
             apply(fleet, step, step.member() % members);
             fleet.run(step.durationMillis());
             assertNoUnannouncedIncarnation(fleet);
-            assertOwnIncarnationsNeverDecrease(fleet, spoken);
+            assertOwnIncarnationsNeverDecrease(fleet, announced);
         }
         heal(fleet);
         fleet.run(15 * SECOND); // pauses are over
@@ -68,22 +68,23 @@
                 .isEmpty();
     }
 
-    private static void apply(VirtualFleet fleet, FaultStep step, int who) {
+    private static void apply(VirtualFleet fleet, FaultStep step, int target) {
         switch (step.fault()) {
             case KILL -> {
                 if (fleet.nodes.values().stream().filter(node -> !node.isKilled).count() > 2
-                        && who > 2) { // seeds stay, as advised
-                    fleet.kill(who);
+                        && target > 2) { // the seeds keep running, as advised
+                    fleet.kill(target);
                 }
             }
             case RESTART -> {
-                fleet.kill(who);
+                fleet.kill(target);
                 fleet.run(50);
-                fleet.start(who);
+                fleet.start(target);
             }
-            case STOP -> fleet.pause(who, step.durationMillis());
-            case CUT -> fleet.connectivity = (from, to) -> number(from) % (2 + who % 2) == number(to) % (2 + who % 2);
-            case ONE_WAY -> fleet.connectivity = (from, to) -> number(from) != who;
+            case STOP -> fleet.pause(target, step.durationMillis());
+            case CUT -> fleet.connectivity =
+                    (from, to) -> number(from) % (2 + target % 2) == number(to) % (2 + target % 2);
+            case ONE_WAY -> fleet.connectivity = (from, to) -> number(from) != target;
             case LOSE -> {
                 fleet.lossProbability = 0.3;
                 fleet.duplicationProbability = 0.3;
@@ -110,17 +111,17 @@
                 Incarnation own =
                         fleet.nodes.get(update.identity().name()).member.self().incarnation();
                 assertThat(update.incarnation())
-                        .as("%s, as %s holds it", update.identity().name(), node.name)
+                        .as("%s, as known to %s", update.identity().name(), node.name)
                         .isLessThanOrEqualTo(own);
             }
         }
     }
 
-    private static void assertOwnIncarnationsNeverDecrease(VirtualFleet fleet, Map<String, Incarnation> spoken) {
+    private static void assertOwnIncarnationsNeverDecrease(VirtualFleet fleet, Map<String, Incarnation> announced) {
         for (VirtualFleet.Node node : fleet.nodes.values()) {
-            Incarnation now = node.member.self().incarnation();
-            Incarnation before = spoken.put(node.name, now);
-            assertThat(before == null || before.compareTo(now) <= 0)
+            Incarnation current = node.member.self().incarnation();
+            Incarnation previous = announced.put(node.name, current);
+            assertThat(previous == null || previous.compareTo(current) <= 0)
                     .as(node.name)
                     .isTrue();
         }
--- a/src/test/java/rillyard/membership/MembershipStatisticsTest.java
+++ b/src/test/java/rillyard/membership/MembershipStatisticsTest.java
@@ -9,13 +9,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Measurements of membership on a virtual clock for docs/PERFORMANCE.md; enabled by rillyard.figures, the members. */
+/** Measures membership on a virtual clock for docs/PERFORMANCE.md; rillyard.figures, the member count, enables it. */
 @EnabledIfSystemProperty(named = "rillyard.figures", matches = "\\d+")
 class MembershipStatisticsTest {
     private static final double SECOND = 1_000;
-    private static final int KILLED = 7;
+    private static final int KILLED_MEMBER = 7;
 
-    /** Loss, with as much duplication, and up to 40 ms of delay where there is any. */
+    /** Loss, with the same probability of duplication, and a delay of up to 40 ms if there is any loss. */
     @ParameterizedTest
     @ValueSource(doubles = {0, 0.05, 0.3})
     void detectionTimesAndCosts(double loss) {
@@ -40,13 +40,13 @@
                     "%.1f datagrams, %.0f bytes a second a member",
                     fleet.sentDatagrams / memberSeconds,
                     fleet.sentBytes / memberSeconds);
-            fleet.kill(KILLED);
+            fleet.kill(KILLED_MEMBER);
             double detectionMillis =
-                    fleet.runUntil(60 * SECOND, () -> fleet.allReport("m" + KILLED, MemberStatus.DEAD));
+                    fleet.runUntil(60 * SECOND, () -> fleet.allReport("m" + KILLED_MEMBER, MemberStatus.DEAD));
             System.out.printf(
                     Locale.ROOT,
-                    "%d members, loss %.2f, seed %d: joined %.1f s, false deaths %d of %d members in %.0f s, killed one held"
-                            + " dead by all after %.2f s, %s%n",
+                    "%d members, loss %.2f, seed %d: joined %.1f s, false deaths %d of %d members in %.0f s, killed one"
+                            + " reported dead by all after %.2f s, %s%n",
                     members,
                     loss,
                     seed,
@@ -62,7 +62,7 @@
         }
     }
 
-    /** What one member in a fleet of so many at rest costs. */
+    /** CPU time and memory of one member in a fleet at rest. */
     @Test
     void singleMemberAtRest() {
         Membership first = measureSingleMember(); // loads classes, which would count as the second's memory
@@ -71,7 +71,7 @@
 
     private static Membership measureSingleMember() {
         int members = Integer.getInteger("rillyard.figures");
-        long before = usedMemoryBytes();
+        long usedBytesBefore = usedMemoryBytes();
         SingleMemberSimulation simulation = new SingleMemberSimulation(members);
         simulation.run();
         Membership member = simulation.member();
@@ -80,7 +80,7 @@
                 "one of %d at rest: %.4f %% of a core, %.2f MiB; %d present%n",
                 members,
                 simulation.cpuPercent(),
-                (usedMemoryBytes() - before) / 1048576.0,
+                (usedMemoryBytes() - usedBytesBefore) / 1048576.0,
                 member.presentCount());
         assertThat(member.presentCount()).isEqualTo(members);
         return member;
--- a/src/test/java/rillyard/membership/MembershipTest.java
+++ b/src/test/java/rillyard/membership/MembershipTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The membership protocol in whole fleets on a virtual clock; random seeds are in the calls. */
+/** Tests the membership protocol in whole fleets on a virtual clock; random seeds are in the calls. */
 class MembershipTest {
     private static final double SECOND = 1_000;
 
@@ -85,11 +85,11 @@
     @Test
     void flappingLinksCauseNoFalseDeathOfOthers() {
         VirtualFleet fleet = joinedFleet(15, 40);
-        fleet.connectivity = (from, to) -> !isLink(from, to, "m3", "m9") || (long) (fleet.now / SECOND) % 2 == 0;
+        fleet.connectivity = (from, to) -> !isLink(from, to, "m3", "m9") || (long) (fleet.nowMillis / SECOND) % 2 == 0;
         fleet.run(60 * SECOND);
         assertThat(fleet.deaths).isEmpty();
         fleet.connectivity =
-                (from, to) -> (!from.equals("m9") && !to.equals("m9")) || (long) (fleet.now / SECOND) % 2 == 0;
+                (from, to) -> (!from.equals("m9") && !to.equals("m9")) || (long) (fleet.nowMillis / SECOND) % 2 == 0;
         fleet.run(60 * SECOND);
         assertThat(fleet.deaths.stream().filter(name -> !name.equals("m9"))).isEmpty();
         fleet.connectivity = (from, to) -> true;
@@ -125,7 +125,10 @@
         assertThat(fleet.deaths).isEmpty();
     }
 
-    /** The refutation does not reach one member, which can still ping the suspect, but no other member. */
+    /**
+     * The observer m9 exchanges datagrams only with the suspect m4, so that no gossip brings it the refutation: it has
+     * to ping m4 in time, or it declares m4 dead.
+     */
     @ParameterizedTest
     @ValueSource(longs = {20, 23})
     void suspectWhoseRefutationIsLostIsPingedBeforeTimeout(long seed) {
@@ -137,7 +140,7 @@
         MemberUpdate suspect =
                 new MemberUpdate(m4.identity(), m4.incarnation(), MemberStatus.SUSPECT, MemberUpdate.reporterId("m5"));
         observer.member.onMessage(
-                fleet.now,
+                fleet.nowMillis,
                 fleet.node(5).address,
                 new Message(Message.Kind.GOSSIP, 0, 0, fleet.node(5).member.self(), "", null, List.of(suspect)));
         assertThat(observer.member.others()).contains(suspect);
@@ -162,7 +165,7 @@
         return Integer.parseInt(name.substring(1)) % 2;
     }
 
-    /** A member that no other hears is reported dead; one that hears no other must not make others so. */
+    /** A member whose datagrams are lost is reported dead; one that receives none must not cause deaths of others. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void oneWayPartitionCausesNoFalseDeathOfOthers(boolean isSenderCut) {
@@ -172,7 +175,7 @@
         for (int i = 0; i < 40; i++) {
             if (i != 9) {
                 assertThat(fleet.node(i).member.presentCount())
-                        .as("members that m%d holds", i)
+                        .as("members present at m%d", i)
                         .isGreaterThanOrEqualTo(39);
             }
         }
@@ -199,18 +202,18 @@
         fleet.start(4);
         assertThat(fleet.runUntilConverged(10 * SECOND)).as("convergence (ms)").isNotNegative();
         fleet.run(30 * SECOND);
-        MemberUpdate now = fleet.node(4).member.self();
-        assertThat(now.incarnation().startedAtMillis())
+        MemberUpdate current = fleet.node(4).member.self();
+        assertThat(current.incarnation().startedAtMillis())
                 .isGreaterThan(old.incarnation().startedAtMillis());
         Membership other = fleet.node(5).member;
         for (MemberStatus status : MemberStatus.values()) {
-            MemberUpdate late = new MemberUpdate(old.identity(), old.incarnation(), status, old.reporterId());
+            MemberUpdate outdated = new MemberUpdate(old.identity(), old.incarnation(), status, old.reporterId());
             other.onMessage(
-                    fleet.now,
+                    fleet.nowMillis,
                     fleet.node(6).address,
-                    new Message(Message.Kind.GOSSIP, 0, 0, fleet.node(6).member.self(), "", null, List.of(late)));
+                    new Message(Message.Kind.GOSSIP, 0, 0, fleet.node(6).member.self(), "", null, List.of(outdated)));
         }
-        assertThat(other.others()).contains(now);
+        assertThat(other.others()).contains(current);
     }
 
     @Test
@@ -227,7 +230,7 @@
     @Test
     void leavingMemberIsNeverSuspected() {
         VirtualFleet fleet = joinedFleet(9, 20);
-        fleet.node(3).member.leave(fleet.now);
+        fleet.node(3).member.leave(fleet.nowMillis);
         fleet.kill(3);
         assertThat(fleet.runUntilConverged(5 * SECOND)).as("convergence (ms)").isNotNegative();
         assertThat(fleet.deaths).isEmpty();
@@ -251,7 +254,7 @@
                         dead.identity(), new Incarnation(Incarnation.MAX_STARTED_AT_MILLIS, 0), MemberStatus.DEAD, 1);
                 if (node != forger) {
                     node.member.onMessage(
-                            fleet.now - node.startedAt,
+                            fleet.nowMillis - node.startedAtMillis,
                             forger.address,
                             new Message(
                                     Message.Kind.GOSSIP,
@@ -261,9 +264,9 @@
                                     "",
                                     null,
                                     List.of(dead, lastIncarnation, future)));
-                    // In the name of another member, from the forger's own address.
+                    // Sent in the name of another member, but from the forger's own address.
                     node.member.onMessage(
-                            fleet.now - node.startedAt,
+                            fleet.nowMillis - node.startedAtMillis,
                             forger.address,
                             new Message(
                                     Message.Kind.GOSSIP,
@@ -292,14 +295,14 @@
         assertThat(fleet.node(2).member.self().incarnation().counter()).isZero();
     }
 
-    /** The successor has another address: no member sends to the old one until it sends itself. */
+    /** The successor has another address, so no member sends to the old process until that process itself sends. */
     @Test
-    void memberReplacedDuringPauseFallsSilentAfterIt() {
+    void memberReplacedDuringPauseStopsSendingAfterIt() {
         VirtualFleet fleet = joinedFleet(13, 20);
         VirtualFleet.Node old = fleet.node(4);
         fleet.pause(4, 20 * SECOND);
         fleet.run(10 * SECOND);
-        VirtualFleet.Node successor = fleet.startElsewhere(4, 90);
+        VirtualFleet.Node successor = fleet.startAtAddress(4, 90);
         fleet.run(10 * SECOND);
         assertThat(fleet.runUntil(10 * SECOND, old.member::hasLeft))
                 .as("time (ms)")
@@ -310,13 +313,14 @@
     }
 
     @Test
-    void laterProcessOfSameNameSilencesEarlierOne() {
+    void laterProcessOfSameNameStopsEarlierOne() {
         VirtualFleet fleet = joinedFleet(11, 10);
         Membership old = fleet.node(2).member;
         MemberIdentity moved = new MemberIdentity("m2", new MemberAddress(0x7F00FF01, 4_000), 0, 0);
         MemberUpdate later = new MemberUpdate(
                 moved, new Incarnation(old.self().incarnation().startedAtMillis() + 20_000, 0), MemberStatus.ALIVE, 1);
-        old.onMessage(fleet.now, moved.address(), new Message(Message.Kind.PING, 1, 0, later, "", null, List.of()));
+        old.onMessage(
+                fleet.nowMillis, moved.address(), new Message(Message.Kind.PING, 1, 0, later, "", null, List.of()));
         assertThat(old.hasLeft()).isTrue();
     }
 }
--- a/src/test/java/rillyard/membership/MessageCodecTest.java
+++ b/src/test/java/rillyard/membership/MessageCodecTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Encoding and decoding of datagrams, hostile ones included. */
+/** Tests the encoding and decoding of datagrams, malformed and forged ones included. */
 class MessageCodecTest {
     private static final long SEED = 20_261_201;
     private static final int HOSTILE_DATAGRAMS = 1_000_000;
@@ -46,7 +46,7 @@
         int updateBytes =
                 message.updates().stream().mapToInt(MessageCodec::size).sum();
         assertThat(MessageCodec.encode(message, MessageCodec.MAX_BYTES))
-                .hasSize(MessageCodec.emptySize(message.sender(), message.target(), message.targetAt() != null)
+                .hasSize(MessageCodec.emptySize(message.sender(), message.target(), message.targetAddress() != null)
                         + updateBytes);
     }
 
@@ -99,7 +99,7 @@
             try {
                 Message message = MessageCodec.decode(datagram);
                 decoded++;
-                node.member.onMessage(fleet.now, message.sender().identity().address(), message);
+                node.member.onMessage(fleet.nowMillis, message.sender().identity().address(), message);
             } catch (IllegalArgumentException e) {
                 assertThat(e).hasMessageNotContaining("null");
             }
--- a/src/test/java/rillyard/membership/SingleMemberSimulation.java
+++ b/src/test/java/rillyard/membership/SingleMemberSimulation.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** One member in a fleet at rest, all others of which are simulated, with the time that the member's work takes. */
+/** Simulates all other members of a fleet at rest for one member, and measures the time that its work takes. */
 final class SingleMemberSimulation implements Membership.Output {
     private static final int FIRST_IP = 0x0A000000;
     private static final int PORT = 4_000;
     private static final long START_UNIX_MILLIS = 1_700_000_000_000L;
     private static final double STEP_MILLIS = 50;
 
-    /** 75 minutes, in which the updates of the join are sent; the last ten minutes are measured. */
+    /** 75 minutes, in which the updates of the join are all sent; the last ten minutes are measured. */
     private static final int STEPS = 90_000;
 
     private static final int FIRST_MEASURED_STEP = 78_000;
@@ -24,7 +24,7 @@
     private final ArrayList<Message> sent = new ArrayList<>();
     private final ArrayList<MemberAddress> receivers = new ArrayList<>();
     private final Membership member;
-    private double now;
+    private double nowMillis;
     private long busyNanos;
     private double measuredMillis;
 
@@ -54,21 +54,21 @@
     void run() {
         join();
         for (int step = 0; step < STEPS; step++) {
-            now += STEP_MILLIS;
+            nowMillis += STEP_MILLIS;
             List<Message> pending = List.copyOf(sent);
             List<MemberAddress> pendingReceivers = List.copyOf(receivers);
             sent.clear();
             receivers.clear();
-            long stepBeganAt = System.nanoTime();
+            long stepStartedAtNanos = System.nanoTime();
             for (int i = 0; i < pending.size(); i++) {
                 acknowledge(pending.get(i), pendingReceivers.get(i));
             }
             if (step % STEPS_PER_PING == 0) {
                 pingMember(step);
             }
-            member.onTick(now);
+            member.onTick(nowMillis);
             if (step >= FIRST_MEASURED_STEP) {
-                busyNanos += System.nanoTime() - stepBeganAt;
+                busyNanos += System.nanoTime() - stepStartedAtNanos;
                 measuredMillis += STEP_MILLIS;
             }
         }
@@ -95,14 +95,14 @@
             MemberUpdate responder = update(receiver.ip() - FIRST_IP);
             Message ack = new Message(
                     Message.Kind.ACK, message.sequence(), message.digest(), responder, "m0", null, List.of());
-            member.onMessage(now, receiver, transmit(ack));
+            member.onMessage(nowMillis, receiver, transmit(ack));
         }
     }
 
     private void pingMember(int sequence) {
         MemberUpdate sender = update(1 + random.nextInt(members - 1));
         Message ping = new Message(Message.Kind.PING, sequence, member.digest(), sender, "m0", null, List.of());
-        member.onMessage(now, sender.identity().address(), transmit(ping));
+        member.onMessage(nowMillis, sender.identity().address(), transmit(ping));
     }
 
     private static Message transmit(Message message) {
--- a/src/test/java/rillyard/membership/VirtualFleet.java
+++ b/src/test/java/rillyard/membership/VirtualFleet.java
@@ -12,23 +12,23 @@
 import java.util.function.BiPredicate;
 import java.util.function.BooleanSupplier;
 
-/** Members on a virtual clock; every datagram is encoded and decoded, and faults can be injected between them. */
+/** Runs members on a virtual clock; every datagram is encoded and decoded, and faults can be injected into delivery. */
 final class VirtualFleet {
     /** Unix time at which the clock begins. */
     private static final long START_UNIX_MILLIS = 1_700_000_000_000L;
 
     private static final double TICK_MILLIS = 20;
 
-    private record Event(double at, long order, Runnable action) {}
+    private record Event(double atMillis, long order, Runnable action) {}
 
     /** One process. */
     final class Node implements Membership.Output {
         final String name;
-        final double startedAt = now;
+        final double startedAtMillis = nowMillis;
         final MemberAddress address;
         final Membership member;
         final List<MembershipEvent> events = new ArrayList<>();
-        double pausedUntil;
+        double pausedUntilMillis;
         boolean isKilled;
 
         Node(String name, int index) {
@@ -37,20 +37,20 @@
             this.member = new Membership(
                     settings,
                     new MemberIdentity(name, address, index % 3, 0),
-                    START_UNIX_MILLIS + (long) now + clockOffsetMillis,
+                    START_UNIX_MILLIS + (long) nowMillis + clockOffsetMillis,
                     seeds,
                     random.split(),
                     this);
         }
 
-        private double time() {
-            return now - startedAt;
+        private double localMillis() {
+            return nowMillis - startedAtMillis;
         }
 
         private void tick() {
             if (!isKilled) {
-                if (now >= pausedUntil) {
-                    member.onTick(time());
+                if (nowMillis >= pausedUntilMillis) {
+                    member.onTick(localMillis());
                 }
                 schedule(TICK_MILLIS * (0.9 + 0.2 * random.nextDouble()), this::tick);
             }
@@ -73,10 +73,10 @@
             if (node == null || node.isKilled || !connectivity.test(name, node.name)) {
                 return;
             }
-            if (now < node.pausedUntil) {
-                schedule(node.pausedUntil - now + 0.1, () -> deliver(to, bytes)); // it waits in the socket
+            if (nowMillis < node.pausedUntilMillis) {
+                schedule(node.pausedUntilMillis - nowMillis + 0.1, () -> deliver(to, bytes)); // buffered by the socket
             } else {
-                node.member.onMessage(node.time(), address, intern(MessageCodec.decode(bytes)));
+                node.member.onMessage(node.localMillis(), address, intern(MessageCodec.decode(bytes)));
             }
         }
 
@@ -90,8 +90,8 @@
                 return;
             }
             events.add(event);
-            history.add(name + " holds " + event.update().identity().name() + " "
-                    + event.update().status() + " at " + (long) now);
+            history.add(name + " reports " + event.update().identity().name() + " "
+                    + event.update().status() + " at " + (long) nowMillis);
             if (event.update().status() == MemberStatus.DEAD) {
                 deaths.add(event.update().identity().name());
             }
@@ -112,9 +112,11 @@
     private final boolean isLarge;
 
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
+            new PriorityQueue<>((a, b) -> a.atMillis != b.atMillis
+                    ? Double.compare(a.atMillis, b.atMillis)
+                    : Long.compare(a.order, b.order));
     private long nextEventOrder;
-    double now;
+    double nowMillis;
     /** Offset of the wall clock at the start of the next process. */
     long clockOffsetMillis;
 
@@ -149,14 +151,14 @@
         return nodes.get(name(i));
     }
 
-    /** Starts member {@code i}, also in place of one that ended. */
+    /** Starts member {@code i}, or its next process if it has ended. */
     Node start(int i) {
-        return startElsewhere(i, i);
+        return startAtAddress(i, i);
     }
 
-    /** Starts a process of that member's name at the address that member {@code place} would have. */
-    Node startElsewhere(int i, int place) {
-        Node node = new Node(name(i), place);
+    /** Starts a process with the name of member {@code i} at the address of member {@code addressIndex}. */
+    Node startAtAddress(int i, int addressIndex) {
+        Node node = new Node(name(i), addressIndex);
         nodes.put(node.name, node);
         byAddress.put(node.address, node);
         schedule(random.nextDouble() * TICK_MILLIS, node::tick);
@@ -167,12 +169,12 @@
         node(i).isKilled = true;
     }
 
-    void pause(int i, double ms) {
-        node(i).pausedUntil = now + ms;
+    void pause(int i, double durationMillis) {
+        node(i).pausedUntilMillis = nowMillis + durationMillis;
     }
 
-    void schedule(double ms, Runnable what) {
-        events.add(new Event(now + ms, nextEventOrder++, what));
+    void schedule(double delayMillis, Runnable action) {
+        events.add(new Event(nowMillis + delayMillis, nextEventOrder++, action));
     }
 
     /** Shares equal updates among the members of large fleets, as millions of them would not fit into memory. */
@@ -180,52 +182,52 @@
         if (!isLarge) {
             return message;
         }
-        List<MemberUpdate> news = message.updates().stream().map(this::intern).toList();
+        List<MemberUpdate> updates = message.updates().stream().map(this::intern).toList();
         return new Message(
                 message.kind(),
                 message.sequence(),
                 message.digest(),
                 intern(message.sender()),
                 message.target(),
-                message.targetAt(),
-                news,
+                message.targetAddress(),
+                updates,
                 message.attributes());
     }
 
     private MemberUpdate intern(MemberUpdate update) {
-        return internedUpdates.computeIfAbsent(update, memberUpdate -> memberUpdate);
+        return internedUpdates.computeIfAbsent(update, interned -> interned);
     }
 
-    /** Runs for so many milliseconds. */
-    void run(double ms) {
-        double until = now + ms;
+    /** Runs for a duration. */
+    void run(double durationMillis) {
+        double untilMillis = nowMillis + durationMillis;
         Event event;
-        while ((event = events.peek()) != null && event.at <= until) {
+        while ((event = events.peek()) != null && event.atMillis <= untilMillis) {
             events.poll();
-            now = event.at;
+            nowMillis = event.atMillis;
             event.action.run();
         }
-        now = until;
+        nowMillis = untilMillis;
     }
 
-    /** Runs until all running members know just the running ones; returns the milliseconds it took, or -1. */
+    /** Runs until all running members know exactly the running ones; returns the milliseconds it took, or -1. */
     double runUntilConverged(double maxMillis) {
         return runUntil(maxMillis, this::hasConverged);
     }
 
     /** Runs until a condition holds; returns the milliseconds it took, or -1. */
     double runUntil(double maxMillis, BooleanSupplier condition) {
-        double from = now;
-        while (now - from < maxMillis) {
+        double startMillis = nowMillis;
+        while (nowMillis - startMillis < maxMillis) {
             if (condition.getAsBoolean()) {
-                return now - from;
+                return nowMillis - startMillis;
             }
             run(50);
         }
         return -1;
     }
 
-    /** Returns whether all other running members have this status of one member. */
+    /** Returns whether all other running members report this status of a member. */
     boolean allReport(String name, MemberStatus status) {
         return nodes.values().stream()
                 .filter(node -> !node.isKilled && !node.name.equals(name))
