--- a/src/main/java/rillyard/membership/net/DatagramCipher.java
+++ b/src/main/java/rillyard/membership/net/DatagramCipher.java
@@ -15,12 +15,13 @@
 /**
  * Encrypts and authenticates datagrams with a key of the fleet (AES-256-GCM).
  *
- * <p>Each sender's key is derived from the fleet's and its address, so that no two senders share a nonce and no member
- * can seal for another address. A nonce is the sender's start (Unix ms, 48 bits) and a count (48 bits). Datagrams that
- * were opened before, or that come from an earlier process of the sender, are rejected.
+ * <p>Each sender's key is derived from the fleet's key and the sender's address, so that no two senders share a nonce
+ * and a datagram opens only as one from the address that it was sealed for. A nonce is the sender's start (Unix ms,
+ * 48 bits) and a count (48 bits). Datagrams that were opened before, or that come from an earlier process of the
+ * sender, are rejected.
  *
- * <p>The first key seals; all keys open, so that a fleet changes its key in two rounds: the new one second everywhere,
- * then first. Not thread-safe.
+ * <p>Datagrams are sealed with the first key and opened with any, so that a fleet changes its key in two rounds: the
+ * new key is added as the second on all members, then it becomes the first on all. Not thread-safe.
  */
 final class DatagramCipher {
     private static final int NONCE_BYTES = 12;
@@ -43,7 +44,7 @@
     private final List<byte[]> fleetKeys;
     private final Map<MemberAddress, SenderState> senders;
     private final SecretKeySpec ownKey;
-    private final long startedAt;
+    private final long startedAtMillis;
     private long count;
 
     /**
@@ -51,16 +52,16 @@
      *
      * @param fleetKeys one or two keys of 32 bytes
      * @param self the address that datagrams of this process come from
-     * @param startedAt the Unix time (ms) of the start of this process
-     * @param maxSenders senders that are remembered, which bounds what forged addresses can add
+     * @param startedAtMillis the Unix time of the start of this process
+     * @param maxSenders maximum number of senders whose state is kept, which bounds what forged addresses can add
      */
-    DatagramCipher(List<byte[]> fleetKeys, MemberAddress self, long startedAt, int maxSenders) {
+    DatagramCipher(List<byte[]> fleetKeys, MemberAddress self, long startedAtMillis, int maxSenders) {
         boolean areValid = fleetKeys.stream().allMatch(key -> key.length == KEY_BYTES);
         if (fleetKeys.isEmpty() || fleetKeys.size() > MAX_KEYS || !areValid) {
             throw new IllegalArgumentException("expected one or two keys of " + KEY_BYTES + " bytes");
         }
         this.fleetKeys = List.copyOf(fleetKeys);
-        this.startedAt = startedAt;
+        this.startedAtMillis = startedAtMillis;
         this.ownKey = deriveKey(fleetKeys.get(0), self);
         this.senders = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1;
@@ -85,7 +86,7 @@
     /** Seals a datagram of this process. */
     byte[] seal(byte[] plain) {
         ByteBuffer nonce = ByteBuffer.allocate(NONCE_BYTES);
-        putUnsigned48(nonce, startedAt);
+        putUnsigned48(nonce, startedAtMillis);
         putUnsigned48(nonce, ++count);
         try {
             Cipher cipher = Cipher.getInstance(CIPHER);
@@ -111,22 +112,22 @@
             throw new IllegalArgumentException("not sealed");
         }
         ByteBuffer nonce = ByteBuffer.wrap(sealed, 1, NONCE_BYTES);
-        long senderStartedAt = getUnsigned48(nonce);
+        long senderStartedAtMillis = getUnsigned48(nonce);
         long senderCount = getUnsigned48(nonce);
         SenderState known = senders.get(from);
-        if (known != null && known.window.isReplayed(senderStartedAt, senderCount)) {
-            throw new IllegalArgumentException("opened before, or of an older process");
+        if (known != null && known.window.isReplayed(senderStartedAtMillis, senderCount)) {
+            throw new IllegalArgumentException("datagram replayed, or sent by an older process");
         }
         SenderState state = known != null ? known : newSender(from);
         for (SecretKeySpec key : state.keys) {
             byte[] plain = decrypt(sealed, key);
             if (plain != null) {
-                senders.put(from, state); // only a sender with a key is remembered
-                state.window.accept(senderStartedAt, senderCount);
+                senders.put(from, state); // state is kept only for senders with a key
+                state.window.accept(senderStartedAtMillis, senderCount);
                 return plain;
             }
         }
-        throw new IllegalArgumentException("sealed by no key of this fleet for that address");
+        throw new IllegalArgumentException("not sealed with a key of this fleet for the sender's address");
     }
 
     private SenderState newSender(MemberAddress from) {
--- a/src/main/java/rillyard/membership/net/FleetConfig.java
+++ b/src/main/java/rillyard/membership/net/FleetConfig.java
@@ -14,11 +14,11 @@
  * @param identity the member, with the address at which others reach it
  * @param seeds addresses of other members
  * @param membership the parameters of the protocol
- * @param keys the fleet's keys; the first seals, all open; empty if datagrams are not sealed
+ * @param keys the fleet's keys: the first for sealing, all for opening; empty if datagrams are not sealed
  * @param history the file of the event log, or null
  * @param admin the address for {@code members --admin}, or null
  * @param outlierGossip whether proxies gossip about failing hosts
- * @param clockRate milliseconds that pass in one on the member's clock; not 1 in tests of bad clocks only
+ * @param clockRate milliseconds that the member's clock advances per real millisecond; other than 1 only in tests
  */
 public record FleetConfig(
         InetSocketAddress listen,
--- a/src/main/java/rillyard/membership/net/FleetConfigReader.java
+++ b/src/main/java/rillyard/membership/net/FleetConfigReader.java
@@ -20,19 +20,19 @@
 import rillyard.membership.MembershipSettings;
 import rillyard.membership.MessageCodec;
 
-/** Reads the configuration of a member, as {@code deploy/fleet.toml}. */
+/** Reads the configuration of a member from a file such as {@code deploy/fleet.toml}. */
 public final class FleetConfigReader {
     private static final int KEY_BYTES = 32;
     private static final int MAX_KEYS = 2;
     private static final int HEX_DIGITS_PER_BYTE = 2;
 
-    /** Stands for an address that is missing or invalid, which is reported. */
+    /** Placeholder for a missing or invalid address, which is reported as a problem. */
     private static final MemberAddress INVALID_ADDRESS = new MemberAddress(0x7F000001, 1);
 
     private FleetConfigReader() {}
 
     /**
-     * Reads a file. The name of the member is that of {@code BALANCER_NAME} unless the file has one.
+     * Reads a file. The member's name is the value of {@code BALANCER_NAME} unless the file has one.
      *
      * @throws InvalidConfigException with all problems, by line
      */
@@ -73,7 +73,7 @@
             return new MemberIdentity(name, advertised, zone, region);
         } catch (IllegalArgumentException e) {
             self.error("name", e.getMessage());
-            return null; // the problem ends the reading
+            return null; // read throws for the problem
         }
     }
 
@@ -112,7 +112,7 @@
         }
     }
 
-    /** Returns the keys of all lines that are not blank; a line of another length gives an empty key. */
+    /** Returns the keys of all lines that are not blank; a line of the wrong length yields an empty key. */
     private static List<byte[]> parseKeys(List<String> lines) {
         List<byte[]> keys = new ArrayList<>();
         for (String line : lines) {
@@ -125,18 +125,21 @@
         return keys;
     }
 
-    /** Reads the protocol's parameters; sealing takes {@code sealOverhead} bytes of each datagram. */
+    /** Reads the protocol's parameters; sealing uses {@code sealOverhead} bytes of each datagram. */
     private static MembershipSettings readMembership(TomlTable table, int sealOverhead) {
         MembershipSettings defaults = MembershipSettings.DEFAULT;
-        double interval = table.number("interval_ms", defaults.probeIntervalMillis(), 100, 60_000);
-        double timeout = table.number("timeout_ms", Math.min(defaults.probeTimeoutMillis(), interval / 2), 10, 30_000);
-        if (timeout > interval / 2) {
-            table.error("timeout_ms", "found " + timeout + ", expected at most half of interval_ms, " + interval / 2);
-            timeout = interval / 2;
+        double intervalMillis = table.number("interval_ms", defaults.probeIntervalMillis(), 100, 60_000);
+        double timeoutMillis =
+                table.number("timeout_ms", Math.min(defaults.probeTimeoutMillis(), intervalMillis / 2), 10, 30_000);
+        if (timeoutMillis > intervalMillis / 2) {
+            table.error(
+                    "timeout_ms",
+                    "found " + timeoutMillis + ", expected at most half of interval_ms, " + intervalMillis / 2);
+            timeoutMillis = intervalMillis / 2;
         }
         return new MembershipSettings(
-                interval,
-                timeout,
+                intervalMillis,
+                timeoutMillis,
                 (int) table.integer("helpers", defaults.indirectProbes(), 1, 10),
                 table.number("suspicion", defaults.suspicionMultiplier(), 1, 20),
                 table.number("suspicion_most", defaults.maxSuspicionMultiplier(), 1, 20),
@@ -154,8 +157,8 @@
         if (address != null && address.getPort() > 0 && address.getAddress() instanceof Inet4Address) {
             return toMemberAddress(address);
         }
-        if (!text.isEmpty()) { // a missing one is reported already
-            table.error(key, "found '" + text + "', expected IPv4:port, as 10.1.0.4:7400");
+        if (!text.isEmpty()) { // a missing address is reported already
+            table.error(key, "found '" + text + "', expected IPv4:port, such as 10.1.0.4:7400");
         }
         return INVALID_ADDRESS;
     }
--- a/src/main/java/rillyard/membership/net/FleetMember.java
+++ b/src/main/java/rillyard/membership/net/FleetMember.java
@@ -44,14 +44,14 @@
     /** Time to live of the published loop health, which is renewed. */
     private static final double LOOP_HEALTH_TTL_MS = 600_000;
 
-    /** Period at which a snapshot is taken for followers of attributes. */
+    /** Interval between snapshots, which are taken only if attributes are followed. */
     private static final double SNAPSHOT_PERIOD_MS = 200;
 
-    /** One log line is written for so many rejected datagrams. */
+    /** Number of rejected datagrams for each log line about them. */
     private static final int REJECTIONS_PER_LOG_LINE = 1_000;
 
     /**
-     * What this member knew at some recent time. Immutable.
+     * The members and attributes as known to this member at a recent time. Immutable.
      *
      * @param selfName the name of this member
      * @param presentNames the names of all members that are present, this one included; empty before the first snapshot
@@ -68,7 +68,7 @@
             return attributesByKind.getOrDefault(kind, Map.of());
         }
 
-        /** Returns the present age of an attribute of this snapshot, also if this member has ended since. */
+        /** Returns the current age of an attribute of this snapshot, even if this member has ended since. */
         public double ageMillis(MemberAttribute attribute) {
             return attribute.ageMillis() + (System.nanoTime() - takenAtNanos) / 1e6;
         }
@@ -78,8 +78,8 @@
     private final PrintStream log;
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("fleet", true), NioIoHandler.newFactory());
-    private final long startedUnix = System.currentTimeMillis();
-    private final long startedAt = System.nanoTime();
+    private final long startedUnixMillis = System.currentTimeMillis();
+    private final long startedAtNanos = System.nanoTime();
     private final Membership membership;
     private final MembershipEventLog eventLog; // null if there is none
     private final DatagramCipher cipher; // null if datagrams are not sealed
@@ -87,9 +87,9 @@
     private final ResourceUsage usage = new ResourceUsage();
     private final LoopHealth loopHealth = new LoopHealth();
     private LoopHealth.Level publishedLevel = LoopHealth.Level.WELL;
-    private double nextTickAt = Double.NaN;
+    private double nextTickAtMillis = Double.NaN;
     private int[] followedKinds = {};
-    private double lastSnapshotAt = Double.NEGATIVE_INFINITY;
+    private double lastSnapshotAtMillis = Double.NEGATIVE_INFINITY;
     private volatile FleetSnapshot snapshot;
 
     /**
@@ -108,16 +108,16 @@
                 : new DatagramCipher(
                         config.keys(),
                         config.identity().address(),
-                        startedUnix,
+                        startedUnixMillis,
                         config.membership().maxMembers());
         this.membership = new Membership(
                 config.membership(),
                 config.identity(),
-                startedUnix,
+                startedUnixMillis,
                 config.seeds(),
                 new SplittableRandom(seed),
                 new SocketOutput());
-        this.snapshot = new FleetSnapshot(config.identity().name(), List.of(), Map.of(), startedAt);
+        this.snapshot = new FleetSnapshot(config.identity().name(), List.of(), Map.of(), startedAtNanos);
     }
 
     /** Includes attributes of these kinds in snapshots; to be called before {@link #start}. */
@@ -140,7 +140,7 @@
     public void setAttribute(int kind, byte[] value, double ttlMillis, boolean renew) {
         try {
             channel.eventLoop().execute(() -> {
-                if (!membership.setAttribute(now(), kind, value, ttlMillis, renew)) {
+                if (!membership.setAttribute(nowMillis(), kind, value, ttlMillis, renew)) {
                     log.println("rillyard: fleet: attribute rejected, kind=" + kind + " cause=rate limit");
                 }
             });
@@ -149,14 +149,14 @@
         }
     }
 
-    private void takeSnapshot(double now) {
-        if (followedKinds.length == 0 || now - lastSnapshotAt < SNAPSHOT_PERIOD_MS) {
+    private void takeSnapshot(double nowMillis) {
+        if (followedKinds.length == 0 || nowMillis - lastSnapshotAtMillis < SNAPSHOT_PERIOD_MS) {
             return;
         }
-        lastSnapshotAt = now;
+        lastSnapshotAtMillis = nowMillis;
         Map<Integer, Map<String, MemberAttribute>> attributes = new HashMap<>();
         for (int kind : followedKinds) {
-            attributes.put(kind, membership.attributes(now, kind));
+            attributes.put(kind, membership.attributes(nowMillis, kind));
         }
         List<String> presentNames = new ArrayList<>(List.of(config.identity().name()));
         membership.others().stream()
@@ -188,7 +188,7 @@
         if (config.admin() != null) {
             try {
                 new MemberAdminServer(
-                                () -> MembershipView.toJson(membership, startedUnix, now(), usage),
+                                () -> MembershipView.toJson(membership, startedUnixMillis, nowMillis(), usage),
                                 line -> log.println("rillyard: " + line))
                         .listen(group, config.admin());
             } catch (IOException e) {
@@ -198,7 +198,7 @@
         }
         if (eventLog != null) {
             eventLog.append(
-                    startedUnix,
+                    startedUnixMillis,
                     new MembershipEvent(
                             0, membership.self(), null, config.identity().name()));
         }
@@ -206,36 +206,37 @@
         channel.eventLoop().scheduleWithFixedDelay(this::tick, 0, periodNanos, TimeUnit.NANOSECONDS);
     }
 
-    private double now() {
-        return (System.nanoTime() - startedAt) / 1e6 * config.clockRate();
+    private double nowMillis() {
+        return (System.nanoTime() - startedAtNanos) / 1e6 * config.clockRate();
     }
 
     private void tick() {
-        long tickBeganAt = System.nanoTime();
+        long tickStartedAtNanos = System.nanoTime();
         try {
-            double now = now();
-            double period = config.membership().probeIntervalMillis() / TICKS_PER_PERIOD;
-            loopHealth.onStep(now, Double.isNaN(nextTickAt) ? 0 : Math.max(0, now - nextTickAt));
-            nextTickAt = now + period;
+            double nowMillis = nowMillis();
+            double periodMillis = config.membership().probeIntervalMillis() / TICKS_PER_PERIOD;
+            loopHealth.onStep(
+                    nowMillis, Double.isNaN(nextTickAtMillis) ? 0 : Math.max(0, nowMillis - nextTickAtMillis));
+            nextTickAtMillis = nowMillis + periodMillis;
             if (loopHealth.level() != publishedLevel) {
                 publishedLevel = loopHealth.level();
                 byte[] value = {(byte) publishedLevel.code()};
-                membership.setAttribute(now, LoopHealth.ATTRIBUTE_KIND, value, LOOP_HEALTH_TTL_MS, true);
+                membership.setAttribute(nowMillis, LoopHealth.ATTRIBUTE_KIND, value, LOOP_HEALTH_TTL_MS, true);
             }
-            membership.onTick(now);
-            takeSnapshot(now);
+            membership.onTick(nowMillis);
+            takeSnapshot(nowMillis);
         } catch (RuntimeException e) {
             // An exception would cancel the periodic task.
             log.println("rillyard: fleet: tick failed, cause=" + e);
         }
-        usage.addBusySince(tickBeganAt);
+        usage.addBusySince(tickStartedAtNanos);
     }
 
     /** Announces that this member leaves and closes its socket. */
     @Override
     public void close() {
         if (channel != null) {
-            channel.eventLoop().submit(() -> membership.leave(now())).awaitUninterruptibly();
+            channel.eventLoop().submit(() -> membership.leave(nowMillis())).awaitUninterruptibly();
         }
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
         try {
@@ -257,19 +258,19 @@
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             byte[] bytes = new byte[packet.content().readableBytes()];
             packet.content().readBytes(bytes);
-            long receivedAt = System.nanoTime();
+            long receivedAtNanos = System.nanoTime();
             usage.onReceived(bytes.length);
             try {
                 InetSocketAddress sender = packet.sender();
                 if (sender.getAddress() instanceof Inet4Address) {
                     MemberAddress from = FleetConfigReader.toMemberAddress(sender);
                     membership.onMessage(
-                            now(), from, MessageCodec.decode(cipher == null ? bytes : cipher.open(from, bytes)));
+                            nowMillis(), from, MessageCodec.decode(cipher == null ? bytes : cipher.open(from, bytes)));
                 }
             } catch (IllegalArgumentException e) {
                 onRejected(packet.sender(), e);
             }
-            usage.addBusySince(receivedAt);
+            usage.addBusySince(receivedAtNanos);
         }
 
         private void onRejected(InetSocketAddress sender, IllegalArgumentException cause) {
@@ -282,7 +283,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            if (!(cause instanceof IOException)) { // an unreachable port elsewhere is reported here, too
+            if (!(cause instanceof IOException)) { // an unreachable remote port is reported here, too
                 log.println("rillyard: fleet: datagram handler failed, cause=" + cause);
             }
         }
@@ -304,7 +305,7 @@
                 return;
             }
             try {
-                eventLog.append(startedUnix + (long) event.atMillis(), event);
+                eventLog.append(startedUnixMillis + (long) event.atMillis(), event);
             } catch (IOException e) {
                 log.println("rillyard: fleet: event not logged, cause=" + e);
             }
--- a/src/main/java/rillyard/membership/net/MemberAdminClient.java
+++ b/src/main/java/rillyard/membership/net/MemberAdminClient.java
@@ -11,7 +11,7 @@
 public final class MemberAdminClient {
     private static final int TIMEOUT_MS = 3_000;
 
-    /** Some 300 bytes for each of 100,000 members. */
+    /** Maximum size of a view, enough for about 300 bytes for each of 100,000 members. */
     private static final int MAX_BYTES = 64 << 20;
 
     private MemberAdminClient() {}
@@ -19,7 +19,7 @@
     /**
      * Fetches a view.
      *
-     * @throws IOException if nobody answers in time, or the answer is no view
+     * @throws IOException if there is no response in time, or the response is not a view
      */
     public static JsonNode fetchView(InetSocketAddress address) throws IOException {
         byte[] response = read(address);
@@ -49,7 +49,8 @@
 
     private static IOException noView(InetSocketAddress address, byte[] response, JsonProcessingException cause) {
         return new IOException(
-                address + " is no member's `admin` address: " + response.length + " bytes that are no view of a fleet",
+                address + " is not the `admin` address of a member: its " + response.length
+                        + " bytes are not a membership view",
                 cause);
     }
 }
--- a/src/main/java/rillyard/membership/net/MemberAdminServer.java
+++ b/src/main/java/rillyard/membership/net/MemberAdminServer.java
@@ -18,12 +18,12 @@
 import rillyard.admin.AcceptBackoff;
 
 /**
- * Sends the view of a member, one line, to whoever connects, and closes the connection; reads nothing.
+ * Sends the view of a member as one line on each new connection, and closes the connection; reads nothing.
  *
  * <p>Confined to its event loop.
  */
 final class MemberAdminServer {
-    /** Connections open at a time; further ones are closed at once. */
+    /** Maximum number of open connections; further ones are closed at once. */
     private static final int MAX_CONNECTIONS = 8;
 
     /** Milliseconds after which a connection is closed. */
@@ -33,17 +33,17 @@
     private final Consumer<String> log;
     private int connections;
 
-    /** Creates a server; {@code view} is called on the event loop, and {@code log} gets the log lines there. */
+    /** Creates a server; {@code view} is called on the event loop, and {@code log} receives log lines there. */
     MemberAdminServer(Supplier<String> view, Consumer<String> log) {
         this.view = view;
         this.log = log;
     }
 
     /**
-     * Listens.
+     * Listens on an address.
      *
      * @param loop a group of one event loop
-     * @return the channel that is listened on
+     * @return the listening channel
      * @throws IOException if the address can't be bound
      */
     Channel listen(EventLoopGroup loop, InetSocketAddress address) throws IOException {
@@ -74,7 +74,7 @@
         connections++;
         channel.closeFuture().addListener(closed -> connections--);
         channel.eventLoop().schedule(() -> channel.close(), CONNECTION_TIMEOUT_MS, TimeUnit.MILLISECONDS);
-        // The registration has not completed yet: what is written before would be lost.
+        // Data that is written before the registration of the channel has completed would be lost.
         channel.eventLoop().execute(() -> sendView(channel));
     }
 
--- a/src/main/java/rillyard/membership/net/MembershipEventLog.java
+++ b/src/main/java/rillyard/membership/net/MembershipEventLog.java
@@ -27,7 +27,7 @@
      * Appends an event.
      *
      * @param unixMillis when it happened
-     * @throws IOException if the line can't be written; the log can be used on
+     * @throws IOException if the line can't be written; the log stays usable
      */
     void append(long unixMillis, MembershipEvent event) throws IOException {
         MemberUpdate update = event.update();
--- a/src/main/java/rillyard/membership/net/MembershipView.java
+++ b/src/main/java/rillyard/membership/net/MembershipView.java
@@ -12,7 +12,7 @@
 import rillyard.membership.MemberUpdate;
 import rillyard.membership.Membership;
 
-/** Writes what a member knows of the fleet as a JSON object on one line, for {@code members --admin}. */
+/** Formats a member's view of the fleet as a JSON object on one line, for {@code members --admin}. */
 final class MembershipView {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -21,15 +21,15 @@
     /**
      * Returns the view.
      *
-     * @param startedUnix the Unix time (ms) of the start of this process
-     * @param now milliseconds since then
+     * @param startedUnixMillis the Unix time of the start of this process
+     * @param nowMillis milliseconds since then
      */
-    static String toJson(Membership membership, long startedUnix, double now, ResourceUsage usage) {
-        Map<String, MemberAttribute> loopHealth = membership.attributes(now, LoopHealth.ATTRIBUTE_KIND);
+    static String toJson(Membership membership, long startedUnixMillis, double nowMillis, ResourceUsage usage) {
+        Map<String, MemberAttribute> loopHealth = membership.attributes(nowMillis, LoopHealth.ATTRIBUTE_KIND);
         List<MemberSnapshot> snapshots = membership.snapshot();
         Map<String, String> namesBySource = namesBySource(membership.self(), snapshots);
         ObjectNode view = JSON.createObjectNode();
-        view.put("at", startedUnix + (long) now)
+        view.put("at", startedUnixMillis + (long) nowMillis)
                 .put("over", membership.hasLeft())
                 .put("present", membership.presentCount());
         view.put("distrust", membership.localHealthFactor());
@@ -37,15 +37,15 @@
         ArrayNode members = view.putArray("members");
         for (MemberSnapshot snapshot : snapshots) {
             ObjectNode member = member(snapshot.update(), loopHealth);
-            member.put("since", startedUnix + (long) snapshot.sinceMillis())
+            member.put("since", startedUnixMillis + (long) snapshot.sinceMillis())
                     .put("by", namesBySource.getOrDefault(snapshot.source(), snapshot.source()));
             members.add(member);
         }
-        addUsage(view, usage, now);
+        addUsage(view, usage, nowMillis);
         return view.toString();
     }
 
-    /** Returns the names of all members by the source that stands for their reporter ids. */
+    /** Returns the names of all members, keyed by the source ({@code #ID}) that stands for their reporter ids. */
     private static Map<String, String> namesBySource(MemberUpdate self, List<MemberSnapshot> snapshots) {
         Map<String, String> names = new HashMap<>();
         for (MemberSnapshot snapshot : snapshots) {
@@ -56,7 +56,7 @@
         return names;
     }
 
-    private static void addUsage(ObjectNode view, ResourceUsage usage, double now) {
+    private static void addUsage(ObjectNode view, ResourceUsage usage, double nowMillis) {
         view.putObject("costs")
                 .put("datagrams_sent", usage.sentDatagrams())
                 .put("bytes_sent", usage.sentBytes())
@@ -64,7 +64,7 @@
                 .put("bytes_received", usage.receivedBytes())
                 .put("turned_away", usage.rejectedDatagrams())
                 .put("busy_ms", usage.busyMillis())
-                .put("up_ms", (long) now);
+                .put("up_ms", (long) nowMillis);
     }
 
     private static ObjectNode member(MemberUpdate update, Map<String, MemberAttribute> loopHealth) {
@@ -80,7 +80,7 @@
         return member;
     }
 
-    /** Returns the name of the published level; members publish changes only, so one without has always been well. */
+    /** Returns the name of the published level; members publish only changes, so one without has always been WELL. */
     private static String levelName(MemberAttribute published) {
         LoopHealth.Level level = published == null
                 ? LoopHealth.Level.WELL
--- a/src/main/java/rillyard/membership/net/ResourceUsage.java
+++ b/src/main/java/rillyard/membership/net/ResourceUsage.java
@@ -1,6 +1,6 @@
 package rillyard.membership.net;
 
-/** What membership has cost this process so far. Confined to the event loop of the fleet. */
+/** Counts the datagrams and the thread time that membership uses. Confined to the event loop of the fleet. */
 final class ResourceUsage {
     private long sentDatagrams;
     private long sentBytes;
--- a/src/test/java/rillyard/membership/net/DatagramCipherTest.java
+++ b/src/test/java/rillyard/membership/net/DatagramCipherTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import rillyard.membership.MemberAddress;
 
-/** Sealing and opening of datagrams, replays and key changes. */
+/** Tests the sealing and opening of datagrams, replays and key changes. */
 class DatagramCipherTest {
     private static final MemberAddress A = new MemberAddress(0x0A010004, 7_400);
     private static final MemberAddress B = new MemberAddress(0x0A020004, 7_400);
@@ -20,9 +20,9 @@
         return key;
     }
 
-    private static DatagramCipher cipher(MemberAddress at, long start, int... keys) {
+    private static DatagramCipher cipher(MemberAddress address, long startedAtMillis, int... keys) {
         return new DatagramCipher(
-                Arrays.stream(keys).mapToObj(DatagramCipherTest::key).toList(), at, start, 100);
+                Arrays.stream(keys).mapToObj(DatagramCipherTest::key).toList(), address, startedAtMillis, 100);
     }
 
     @Test
@@ -32,9 +32,9 @@
         byte[] sealed = sender.seal(PLAIN);
         assertThat(sealed).hasSize(PLAIN.length + DatagramCipher.OVERHEAD_BYTES);
         assertThatThrownBy(() -> receiver.open(B, sealed))
-                .hasMessageContaining("no key of this fleet for that address");
+                .hasMessageContaining("not sealed with a key of this fleet for the sender's address");
         assertThat(receiver.open(A, sealed)).isEqualTo(PLAIN);
-        assertThatThrownBy(() -> receiver.open(A, sealed)).hasMessageContaining("opened before");
+        assertThatThrownBy(() -> receiver.open(A, sealed)).hasMessageContaining("datagram replayed");
     }
 
     @Test
@@ -46,19 +46,19 @@
         byte[] third = sender.seal(PLAIN);
         receiver.open(A, third);
         assertThat(receiver.open(A, second)).isEqualTo(PLAIN);
-        assertThatThrownBy(() -> receiver.open(A, second)).hasMessageContaining("opened before");
+        assertThatThrownBy(() -> receiver.open(A, second)).hasMessageContaining("datagram replayed");
         byte[] newest = third;
         for (int i = 0; i < 64; i++) {
             newest = sender.seal(PLAIN);
         }
         receiver.open(A, newest);
-        assertThatThrownBy(() -> receiver.open(A, first)).hasMessageContaining("opened before");
+        assertThatThrownBy(() -> receiver.open(A, first)).hasMessageContaining("datagram replayed");
     }
 
     @Test
     void datagramOfEarlierProcessIsRejected() {
-        DatagramCipher before = cipher(A, 1_000, 1);
-        byte[] recorded = before.seal(PLAIN);
+        DatagramCipher earlier = cipher(A, 1_000, 1);
+        byte[] recorded = earlier.seal(PLAIN);
         DatagramCipher cipher = cipher(B, 1_000, 1);
         cipher.open(A, cipher(A, 2_000, 1).seal(PLAIN));
         assertThatThrownBy(() -> cipher.open(A, recorded)).hasMessageContaining("older process");
@@ -68,11 +68,12 @@
     void fleetChangesItsKeyInTwoRounds() {
         DatagramCipher old = cipher(A, 1_000, 1);
         DatagramCipher both = cipher(B, 1_000, 1, 2);
-        DatagramCipher fresh = cipher(A, 2_000, 2, 1);
+        DatagramCipher restarted = cipher(A, 2_000, 2, 1);
         assertThat(both.open(A, old.seal(PLAIN))).isEqualTo(PLAIN);
-        assertThat(both.open(A, fresh.seal(PLAIN))).isEqualTo(PLAIN);
-        assertThat(fresh.open(B, both.seal(PLAIN))).isEqualTo(PLAIN);
-        assertThatThrownBy(() -> old.open(A, fresh.seal(PLAIN))).hasMessageContaining("no key");
+        assertThat(both.open(A, restarted.seal(PLAIN))).isEqualTo(PLAIN);
+        assertThat(restarted.open(B, both.seal(PLAIN))).isEqualTo(PLAIN);
+        assertThatThrownBy(() -> old.open(A, restarted.seal(PLAIN)))
+                .hasMessageContaining("not sealed with a key of this fleet");
     }
 
     @Test
--- a/src/test/java/rillyard/membership/net/FleetConfigReaderTest.java
+++ b/src/test/java/rillyard/membership/net/FleetConfigReaderTest.java
@@ -12,7 +12,7 @@
 import rillyard.config.InvalidConfigException;
 import rillyard.membership.MembershipSettings;
 
-/** Reading of a member's configuration, and its problems. */
+/** Tests the reading of a member's configuration, and the problems that are reported. */
 class FleetConfigReaderTest {
     @TempDir
     Path folder;
--- a/src/test/java/rillyard/membership/net/MemberAdminServerTest.java
+++ b/src/test/java/rillyard/membership/net/MemberAdminServerTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import rillyard.cli.Cli;
 
-/** The admin view of members that run on sockets. */
+/** Tests the admin view of members that run on sockets. */
 @Timeout(30)
 class MemberAdminServerTest {
     @TempDir
@@ -60,21 +60,22 @@
         }
     }
 
-    /** Netty's own acceptor would pause for a second. */
+    /** Netty's own acceptor would stop accepting for a second after a failed accept. */
     @Test
-    void callAfterFailedAcceptIsAnsweredAtOnce() throws Exception {
+    void connectionAfterFailedAcceptIsServedAtOnce() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         BlockingQueue<String> log = new LinkedBlockingQueue<>();
         try {
             Channel listener = new MemberAdminServer(() -> "view", log::add)
                     .listen(group, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             InetSocketAddress address = (InetSocketAddress) listener.localAddress();
-            for (int i = 0; i < 4; i++) { // the first loads the classes
-                long calledAt = System.nanoTime();
+            for (int i = 0; i < 4; i++) { // the first connection loads the classes
+                long connectedAtNanos = System.nanoTime();
                 try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
                     assertThat(socket.getInputStream().read()).isEqualTo('v');
                 }
-                assertThat(i == 0 ? 0 : System.nanoTime() - calledAt).isLessThan(TimeUnit.MILLISECONDS.toNanos(500));
+                assertThat(i == 0 ? 0 : System.nanoTime() - connectedAtNanos)
+                        .isLessThan(TimeUnit.MILLISECONDS.toNanos(500));
                 listener.pipeline().fireExceptionCaught(new IOException("Too many open files"));
             }
             assertThat(log)
@@ -132,7 +133,7 @@
     }
 
     @Test
-    void idleCallersDoNotBlockOthers() throws Exception {
+    void idleConnectionsDoNotBlockOthers() throws Exception {
         int[] ports = freePorts();
         InetSocketAddress admin = new InetSocketAddress(InetAddress.getLoopbackAddress(), ports[2]);
         List<Socket> idle = new ArrayList<>();
--- a/src/test/java/rillyard/membership/net/StoredMembershipHistoryTest.java
+++ b/src/test/java/rillyard/membership/net/StoredMembershipHistoryTest.java
@@ -16,7 +16,7 @@
 import rillyard.membership.MemberUpdate;
 import rillyard.membership.MembershipEvent;
 
-/** The lines of a membership history have the form that revision 9259448 gave them. */
+/** The lines of a membership event log keep the format that revision 9259448 wrote. */
 class StoredMembershipHistoryTest {
     private static final Path SAMPLE = Path.of("src/test/resources/stored-9259448/membership.jsonl");
     private static final ObjectMapper JSON = new ObjectMapper();
