--- a/src/main/java/rillyard/membership/BroadcastQueue.java
+++ b/src/main/java/rillyard/membership/BroadcastQueue.java
@@ -95,7 +95,8 @@
         StringBuilder out = new StringBuilder();
         Map<K, Entry<K>> sorted = new TreeMap<>(tieBreaker);
         sorted.putAll(entries);
-        sorted.values().forEach(entry -> out.append("; queued ").append(entry.key).append(entry.transmissions));
+        sorted.values()
+                .forEach(entry -> out.append("; queued ").append(entry.key).append(entry.transmissions));
         return out.toString();
     }
 }
--- a/src/main/java/rillyard/membership/IndirectProbes.java
+++ b/src/main/java/rillyard/membership/IndirectProbes.java
@@ -69,10 +69,9 @@
     /** Returns the state as text for the model checker, with times relative to {@code nowMillis}. */
     String state(double nowMillis) {
         StringBuilder out = new StringBuilder();
-        openProbes
-                .values()
-                .forEach(probe ->
-                        out.append("; for ").append(probe.requester()).append(probe.nackAtMillis() - nowMillis));
+        openProbes.values().forEach(probe -> out.append("; for ")
+                .append(probe.requester())
+                .append(probe.nackAtMillis() - nowMillis));
         return out.toString();
     }
 }
--- a/src/test/java/rillyard/membership/AttributeStoreTest.java
+++ b/src/test/java/rillyard/membership/AttributeStoreTest.java
@@ -70,8 +70,7 @@
         VirtualFleet fleet = joinedFleet(9, 20);
         fleet.node(4)
                 .member
-                .setAttribute(
-                        fleet.nowMillis - fleet.node(4).startedAtMillis, KIND, new byte[] {1}, 9 * SECOND, false);
+                .setAttribute(fleet.nowMillis - fleet.node(4).startedAtMillis, KIND, new byte[] {1}, 9 * SECOND, false);
         assertThat(fleet.runUntil(5 * SECOND, () -> allHaveValue(fleet, 4, 1)))
                 .as("time (ms)")
                 .isBetween(0.0, 5 * SECOND);
--- a/src/test/java/rillyard/membership/MembershipPropertiesTest.java
+++ b/src/test/java/rillyard/membership/MembershipPropertiesTest.java
@@ -82,8 +82,8 @@
                 fleet.start(target);
             }
             case STOP -> fleet.pause(target, step.durationMillis());
-            case CUT -> fleet.connectivity =
-                    (from, to) -> number(from) % (2 + target % 2) == number(to) % (2 + target % 2);
+            case CUT ->
+                fleet.connectivity = (from, to) -> number(from) % (2 + target % 2) == number(to) % (2 + target % 2);
             case ONE_WAY -> fleet.connectivity = (from, to) -> number(from) != target;
             case LOSE -> {
                 fleet.lossProbability = 0.3;
--- a/src/test/java/rillyard/membership/MessageCodecTest.java
+++ b/src/test/java/rillyard/membership/MessageCodecTest.java
@@ -99,7 +99,8 @@
             try {
                 Message message = MessageCodec.decode(datagram);
                 decoded++;
-                node.member.onMessage(fleet.nowMillis, message.sender().identity().address(), message);
+                node.member.onMessage(
+                        fleet.nowMillis, message.sender().identity().address(), message);
             } catch (IllegalArgumentException e) {
                 assertThat(e).hasMessageNotContaining("null");
             }
--- a/src/test/java/rillyard/membership/VirtualFleet.java
+++ b/src/test/java/rillyard/membership/VirtualFleet.java
@@ -111,10 +111,8 @@
     /** Whether the fleet is so large that no histories are kept. */
     private final boolean isLarge;
 
-    private final PriorityQueue<Event> events =
-            new PriorityQueue<>((a, b) -> a.atMillis != b.atMillis
-                    ? Double.compare(a.atMillis, b.atMillis)
-                    : Long.compare(a.order, b.order));
+    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) ->
+            a.atMillis != b.atMillis ? Double.compare(a.atMillis, b.atMillis) : Long.compare(a.order, b.order));
     private long nextEventOrder;
     double nowMillis;
     /** Offset of the wall clock at the start of the next process. */
@@ -182,7 +180,8 @@
         if (!isLarge) {
             return message;
         }
-        List<MemberUpdate> updates = message.updates().stream().map(this::intern).toList();
+        List<MemberUpdate> updates =
+                message.updates().stream().map(this::intern).toList();
         return new Message(
                 message.kind(),
                 message.sequence(),
