--- a/src/main/java/rillyard/proxy/http/ProtocolHeaders.java
+++ b/src/main/java/rillyard/proxy/http/ProtocolHeaders.java
@@ -24,7 +24,7 @@
     /** Set to 1 on a response to a request that the host rejected without processing it. */
     public static final AsciiString NOT_PROCESSED = AsciiString.cached("X-Not-Processed");
 
-    /** An empty set of trailers; not to be changed. */
+    /** An empty set of trailers, which must not be changed. */
     public static final HttpHeaders NONE =
             DefaultHttpHeadersFactory.trailersFactory().newEmptyHeaders();
 
@@ -38,7 +38,7 @@
         HttpHeaderNames.UPGRADE
     };
 
-    /** Headers that a peer must not have removed by naming them in Connection (RFC 9110, 7.6.1). */
+    /** Headers that are kept even if a peer names them in Connection (RFC 9110, 7.6.1). */
     private static final Set<String> END_TO_END =
             Set.of("close", "host", "content-length", "x-request-id", "idempotency-key");
 
@@ -49,10 +49,10 @@
     private ProtocolHeaders() {}
 
     /**
-     * Returns a time of {@code millis} ms as seconds with three decimals, as for Retry-After.
+     * Formats a duration in milliseconds as seconds with three decimals, for Retry-After.
      *
-     * <p>Written by hand as {@link java.util.Formatter} loads the locales' data at its first use: tens of milliseconds
-     * of a fraction of a core, on the event loop.
+     * <p>It avoids {@link java.util.Formatter}, which loads the locales' data at its first use: tens of milliseconds on
+     * the event loop with a fraction of a core.
      */
     public static String toSeconds(double millis) {
         long rounded = Math.round(millis);
@@ -61,7 +61,7 @@
         return rounded / MILLIS_PER_SECOND + "." + decimals;
     }
 
-    /** Removes the hop-by-hop headers, including those that Connection names, except end-to-end ones. */
+    /** Removes the hop-by-hop headers, and the headers that Connection names unless they are end-to-end. */
     public static void dropHopByHop(HttpHeaders headers) {
         if (headers.contains(HttpHeaderNames.CONNECTION)) {
             for (String value : headers.getAll(HttpHeaderNames.CONNECTION)) {
--- a/src/main/java/rillyard/proxy/resources/BodyMemoryBudget.java
+++ b/src/main/java/rillyard/proxy/resources/BodyMemoryBudget.java
@@ -7,11 +7,11 @@
 /**
  * The memory budget of all buffered bodies, of requests and of responses.
  *
- * <p>A reader that finds the budget exhausted pauses; what does not fit waits in its socket, and readers are resumed in
+ * <p>A reader pauses when the budget is exhausted, so that further input waits in its socket; readers are resumed in
  * the order in which they paused. Confined to the event loop.
  */
 public final class BodyMemoryBudget {
-    /** Bytes up to which a body may use all of the budget; larger ones leave a part to the small. */
+    /** Size (bytes) up to which a body may use the whole budget; larger ones leave a part of it to the smaller ones. */
     private static final int SMALL_BODY_BYTES = 64 * 1024;
 
     private static final double LARGE_BODY_SHARE = 0.85;
@@ -30,7 +30,7 @@
      * Creates an empty body that is charged to the budget.
      *
      * @param expectedBytes announced length, -1 if unknown
-     * @param isRequest whether it is that of a request that is still being received
+     * @param isRequest whether it is the body of a request that is still being received
      */
     public BufferedBody newBody(long expectedBytes, boolean isRequest) {
         return new BufferedBody(this, PooledByteBufAllocator.DEFAULT, expectedBytes, isRequest);
@@ -73,17 +73,17 @@
         return usedBytes >= limitFor(bodyBytes);
     }
 
-    /** Returns whether waiting might never end, as incomplete requests hold all that they may. */
+    /** Returns whether a wait might never end, as incomplete requests hold all the memory that large bodies may use. */
     public boolean isDeadlocked() {
         return incompleteBytes >= largeBodyLimit();
     }
 
-    /** Runs {@code resume} once when bytes have been released; a second call for the same one does nothing. */
+    /** Runs {@code resume} once when bytes have been released; does nothing if it is waiting already. */
     public void awaitCapacity(Runnable resume) {
         waiting.add(resume);
     }
 
-    /** Cancels {@link #awaitCapacity}; does nothing if {@code resume} does not wait. */
+    /** Cancels {@link #awaitCapacity}; does nothing if {@code resume} is not waiting. */
     public void cancelWait(Runnable resume) {
         waiting.remove(resume);
     }
--- a/src/main/java/rillyard/proxy/resources/BufferedBody.java
+++ b/src/main/java/rillyard/proxy/resources/BufferedBody.java
@@ -8,7 +8,7 @@
 /**
  * A body that is buffered in memory and charged to the {@link BodyMemoryBudget}.
  *
- * <p>Bytes are copied into blocks of the body's own: when a body arrives slowly, slices of the read buffers would keep
+ * <p>Bytes are copied into the body's own blocks: when a body arrives slowly, slices of the read buffers would keep
  * whole read buffers alive for a few bytes each. Confined to the event loop.
  */
 public final class BufferedBody {
@@ -20,7 +20,7 @@
 
     private static final int BLOCK_BYTES = 64 * 1024;
 
-    /** Capacity of the first block where the length is unknown. */
+    /** Initial capacity of a block if the length of the body is unknown. */
     private static final int INITIAL_BLOCK_BYTES = 512;
 
     private final BodyMemoryBudget budget;
--- a/src/main/java/rillyard/proxy/resources/ConnectionLimits.java
+++ b/src/main/java/rillyard/proxy/resources/ConnectionLimits.java
@@ -10,7 +10,7 @@
     public static final AdaptiveRecvByteBufAllocator READ_BUFFER_ALLOCATOR =
             new AdaptiveRecvByteBufAllocator(512, 2048, 16_384);
 
-    /** Marks of the write buffer (bytes); they bound the memory of one connection. */
+    /** Water marks of the write buffer (bytes); they bound the memory of one connection. */
     public static final WriteBufferWaterMark WRITE_BUFFER_WATER_MARK = new WriteBufferWaterMark(16_384, 32_768);
 
     /** Limits of the HTTP decoders on either side of the proxy. */
--- a/src/main/java/rillyard/proxy/resources/DescriptorBudget.java
+++ b/src/main/java/rillyard/proxy/resources/DescriptorBudget.java
@@ -6,8 +6,8 @@
 /**
  * The budget of file descriptors for the connections of clients and to hosts.
  *
- * <p>When it is exhausted, idle connections are closed for new ones, the longest idle first: client connections for
- * clients, upstream connections for either. Confined to the event loop.
+ * <p>When it is exhausted, idle connections of either kind are closed for new ones, the longest idle of a kind first;
+ * when clients hold their share, idle client connections are closed for new clients. Confined to the event loop.
  */
 public final class DescriptorBudget {
     /** A connection that can be closed for another one while it is idle. */
@@ -24,19 +24,20 @@
     /** Descriptors for the JVM itself, the listener, discovery and connections that are being closed. */
     private static final int RESERVED_DESCRIPTORS = 48;
 
-    /** Share that clients may use, as each of their requests needs a connection to a host, too. */
+    /** Share of the limit that clients may use, as each of their requests needs a connection to a host, too. */
     private static final double CLIENT_SHARE = 0.6;
 
     /**
-     * Share of client connections beyond which idle ones are closed for new ones.
+     * Share of the descriptors beyond which idle client connections are closed for new ones.
      *
-     * <p>Clients that send one request and keep their connection would otherwise use up the clients' share, and requests
-     * would wait for the idle timeout. The cost is that more than so many returning clients reconnect each time.
+     * <p>Clients that send one request and keep their connection would otherwise use up the clients' share, and
+     * requests would wait for the idle timeout. The cost is that returning clients reconnect each time if there are
+     * more of them.
      */
-    private static final double KEPT_CLIENT_SHARE = 0.25;
+    private static final double IDLE_EVICTION_SHARE = 0.25;
 
     private final int limit;
-    private final int keptLimit;
+    private final int idleEvictionThreshold;
     private final int clientLimit;
     private final Set<IdleConnection> idleClients = new LinkedHashSet<>();
     private final Set<IdleConnection> unusedClients = new LinkedHashSet<>();
@@ -47,13 +48,13 @@
     /** Creates an unused budget for a process with the given descriptor limit. */
     public DescriptorBudget(int descriptors) {
         this.limit = Math.max(16, descriptors - RESERVED_DESCRIPTORS);
-        this.keptLimit = Math.max(4, (int) (KEPT_CLIENT_SHARE * descriptors));
+        this.idleEvictionThreshold = Math.max(4, (int) (IDLE_EVICTION_SHARE * descriptors));
         this.clientLimit = Math.max(8, (int) (CLIENT_SHARE * limit));
     }
 
     /** Returns whether one more client can be accepted, after closing idle connections where needed. */
     public boolean hasCapacityForClient() {
-        while (clientCount >= keptLimit && closeOldest(idleClients)) {
+        while (clientCount >= idleEvictionThreshold && closeOldest(idleClients)) {
             // idle connections that have carried requests are closed first
         }
         while (clientCount >= clientLimit) {
@@ -118,7 +119,7 @@
 
     /** Records whether a client connection is idle. */
     public void setClientIdle(IdleConnection connection, boolean idle) {
-        // Connections that never carried a request are closed first, so that a flood of them displaces no user.
+        // Connections that never carried a request are closed first, so that a flood of them displaces no others.
         setMember(connection.wasUsed() ? idleClients : unusedClients, connection, idle);
     }
 
