--- a/src/main/java/rillyard/proxy/dispatch/AttemptList.java
+++ b/src/main/java/rillyard/proxy/dispatch/AttemptList.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** The attempts of one request, in the order in which they were begun. */
+/** Holds the attempts of one request in the order in which they were added. */
 final class AttemptList {
     private final List<UpstreamAttempt> attempts = new ArrayList<>(2);
     private int open;
@@ -15,7 +15,7 @@
         open++;
     }
 
-    /** One of the attempts has its outcome. */
+    /** Records that one of the attempts has its outcome. */
     void onEnded() {
         open--;
     }
@@ -30,10 +30,10 @@
         return open > 0;
     }
 
-    /** Returns whether one of them was lost with a connection that the host may have forgotten. */
-    boolean hasLostKeptConnection() {
+    /** Returns whether an attempt lost a reused connection, which the host may have dropped while it was idle. */
+    boolean hasLostReusedConnection() {
         for (int i = 0; i < attempts.size(); i++) {
-            if (attempts.get(i).hasLostKeptConnection()) {
+            if (attempts.get(i).hasLostReusedConnection()) {
                 return true;
             }
         }
@@ -45,31 +45,31 @@
         attempts.get(number).cancel();
     }
 
-    /** Cancels the open ones. */
+    /** Cancels all open attempts. */
     void cancelAll() {
         forEachOpen(UpstreamAttempt::cancel);
     }
 
-    /** Cancels the open ones whose last byte no host can have. */
+    /** Cancels the open attempts whose request has not been written completely. */
     void cancelUnwritten() {
         forEachOpen(attempt -> {
-            if (!attempt.mayHaveRun()) {
+            if (!attempt.mayHaveExecuted()) {
                 attempt.cancel();
             }
         });
     }
 
-    /** Ends the open ones as their time is up. */
+    /** Ends all open attempts, as their time is up. */
     void timeOutAll() {
         forEachOpen(UpstreamAttempt::onTimeout);
     }
 
-    /** Ends the open ones as their request can't be written completely. */
-    void endAllAsNotSent() {
-        forEachOpen(UpstreamAttempt::onNotSent);
+    /** Ends all open attempts, as their request can't be written completely. */
+    void endAllAsSendFailed() {
+        forEachOpen(UpstreamAttempt::onSendFailed);
     }
 
-    /** The end of one may begin another, which is visited as well. */
+    /** Visits the open attempts, those included that are added when the action ends another. */
     private void forEachOpen(Consumer<UpstreamAttempt> action) {
         for (int i = 0; i < attempts.size(); i++) {
             UpstreamAttempt attempt = attempts.get(i);
--- a/src/main/java/rillyard/proxy/dispatch/BalancerClock.java
+++ b/src/main/java/rillyard/proxy/dispatch/BalancerClock.java
@@ -2,16 +2,16 @@
 
 /** Monotonic clock of the balancer, in ms. */
 final class BalancerClock {
-    /** Time at the start of the process, large enough for a host that started before it to have a positive time. */
+    /** Time of this clock at the start of the process; large enough for earlier starts of hosts to be positive. */
     private static final double START_MILLIS = 1e9;
 
     private static final double NANOS_PER_MILLI = 1e6;
 
     private final long startedAtNanos = System.nanoTime();
-    private final double unixOffsetMillis = System.currentTimeMillis() - now();
+    private final double unixOffsetMillis = System.currentTimeMillis() - nowMillis();
 
     /** Returns the current time (ms). */
-    double now() {
+    double nowMillis() {
         return START_MILLIS + (System.nanoTime() - startedAtNanos) / NANOS_PER_MILLI;
     }
 
@@ -20,12 +20,12 @@
         return unixOffsetMillis;
     }
 
-    /** Converts a time of this clock to Unix time (ms), which runs on from the start whatever the wall clock does. */
-    double toUnixMillis(double time) {
-        return time + unixOffsetMillis;
+    /** Converts a time of this clock to Unix time (ms), as if the wall clock had not been set since the start. */
+    double toUnixMillis(double timeMillis) {
+        return timeMillis + unixOffsetMillis;
     }
 
-    /** Converts what {@link #toUnixMillis} returns back to this clock's time. */
+    /** Converts a result of {@link #toUnixMillis} back to this clock's time. */
     double fromUnixMillis(double unixMillis) {
         return unixMillis - unixOffsetMillis;
     }
--- a/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
+++ b/src/main/java/rillyard/proxy/dispatch/BalancerDriver.java
@@ -26,9 +26,9 @@
 import rillyard.proxy.upstream.UpstreamPool;
 
 /**
- * Runs the {@link Balancer} on the event loop: delivers its events and has its actions carried out.
+ * Runs the {@link Balancer} on the event loop: delivers events to it and has its actions carried out.
  *
- * <p>Confined to the event loop, except {@link #metrics}.
+ * <p>Confined to the event loop, except {@link #metrics} and {@link #steadyUnixMillis}.
  */
 public final class BalancerDriver implements EndpointListListener {
     private static final double NANOS_PER_MILLI = 1e6;
@@ -54,8 +54,8 @@
     /**
      * Creates a driver that is not started.
      *
-     * @param guard null where full endpoint lists are always believed
-     * @param peerGossip null where there is none
+     * @param guard null if full endpoint lists are always applied as received
+     * @param peerGossip null if no observations are exchanged with other proxies
      */
     public BalancerDriver(
             EventLoop loop,
@@ -84,19 +84,22 @@
         this.balancer = new Balancer(settings, config.seed(), new RequestActions(this, openRequests, endpoints));
     }
 
-    // --- what exchanges and attempts use
+    // --- services for exchanges and attempts
 
-    /** Returns the time (ms) of the balancer's clock. */
-    public double now() {
-        return clock.now();
+    /** Returns the current time (ms) of the balancer's clock. */
+    public double nowMillis() {
+        return clock.nowMillis();
     }
 
-    /** Returns Unix time (ms) that is never stepped: the wall clock at the start, run on by the monotonic one. Any thread. */
+    /**
+     * Returns a Unix time (ms) that never jumps: the wall clock's time at the start plus the monotonic time since then.
+     * May be called on any thread.
+     */
     public long steadyUnixMillis() {
-        return (long) clock.toUnixMillis(clock.now());
+        return (long) clock.toUnixMillis(clock.nowMillis());
     }
 
-    /** Runs something on the loop after a delay, a negative one counts as 0; the handler gets what it throws. */
+    /** Runs {@code action} on the loop after a delay (0 if negative); {@code failureHandler} gets what it throws. */
     Future<?> schedule(double delayMillis, Runnable action, Consumer<Throwable> failureHandler) {
         return GuardedTimer.schedule(loop, (long) (delayMillis * NANOS_PER_MILLI), action, failureHandler);
     }
@@ -117,7 +120,7 @@
         return maxAttempts;
     }
 
-    /** Returns the counters of this proxy. Any thread. */
+    /** Returns the metrics of this proxy. May be called on any thread. */
     public ProxyMetrics metrics() {
         return metrics;
     }
@@ -128,7 +131,7 @@
 
     // --- open requests
 
-    /** Returns the number of requests that have not ended, or whose attempts have not. */
+    /** Returns the number of requests that lack their complete response or have open attempts. */
     public int openRequests() {
         return openRequests.size();
     }
@@ -137,23 +140,23 @@
         return openRequests.nextId();
     }
 
-    /** Returns whether a request with this id of a client's is open, or was until a moment ago. */
+    /** Returns whether a request with this id, which its client chose, is open or has ended recently. */
     public boolean isKnownRequestId(String requestId) {
         return openRequests.isKnown(requestId);
     }
 
-    /** Fails all requests that have no response yet, as the process ends. */
+    /** Fails all requests that have no response yet; to be called when the process ends. */
     public void failOpenRequests() {
         openRequests.failAll();
     }
 
     /**
-     * Ends the requests whose deadline has passed, after the process or its loop stalled for {@code stallNanos}: their
-     * clients would otherwise wait behind all that has come meanwhile.
+     * Ends the requests whose deadline has passed, after the process or its loop stalled for {@code stallNanos}.
+     * Otherwise their clients would wait until all input that arrived during the stall has been processed.
      */
     public void endOverdueRequests(long stallNanos) {
         double stallMillis = stallNanos / NANOS_PER_MILLI;
-        int ended = openRequests.endOverdue(now(), stallMillis);
+        int ended = openRequests.endOverdue(nowMillis(), stallMillis);
         if (ended > 0) {
             log.info("loop: stalled, stall_ms=" + (long) stallMillis + " overdue_requests=" + ended);
         }
@@ -162,10 +165,10 @@
     // --- events of the endpoint watch and of operators
 
     @Override
-    public void onWatchStarting(EndpointRegistry.EndpointList known, Runnable watchOpener) {
+    public void onWatchStarting(EndpointRegistry.EndpointList cached, Runnable watchOpener) {
         openWatch = watchOpener;
-        events.deliver(null, () -> balancer.onStart(now()));
-        onEndpointList(WatchEvent.CACHED, known);
+        events.deliver(null, () -> balancer.onStart(nowMillis()));
+        onEndpointList(WatchEvent.CACHED, cached);
     }
 
     /** Returns the hosts by name and id. */
@@ -175,21 +178,25 @@
 
     @Override
     public void onEndpointList(WatchEvent kind, EndpointRegistry.EndpointList list) {
-        endpointLists.apply(kind, endpoints.withStartTimes(list, kind == WatchEvent.CACHED, now()));
+        endpointLists.apply(kind, endpoints.withStartTimes(list, kind == WatchEvent.CACHED, nowMillis()));
     }
 
     @Override
     public void onWatchFailed() {
-        events.deliver(null, () -> balancer.onWatchEvent(now(), WatchEvent.FAILED, null));
+        events.deliver(null, () -> balancer.onWatchEvent(nowMillis(), WatchEvent.FAILED, null));
     }
 
-    /** Notifies the balancer of hosts that have changed; {@code unusable} are those that get nothing new from now on. */
+    /**
+     * Notifies the balancer of hosts that have changed.
+     *
+     * @param unusable the hosts that may no longer receive requests, or not at their previous address
+     */
     void onEndpointsChanged(WatchEvent kind, List<EndpointEntry> entries, Iterable<UpstreamHost> unusable) {
-        events.deliver(null, () -> balancer.onWatchEvent(now(), kind, entries));
+        events.deliver(null, () -> balancer.onWatchEvent(nowMillis(), kind, entries));
         for (UpstreamHost host : unusable) {
-            // Nothing may be sent to a host that drains or has moved while a connection to it comes up.
-            for (UpstreamCall call : upstreams.closeIdleAndConnecting(host)) {
-                call.onNotNeeded();
+            // A host that drains or has moved must not receive the requests that wait for a connection to it.
+            for (UpstreamCall call : upstreams.closeIdleAndTakeConnecting(host)) {
+                call.onAbandonedBeforeSend();
             }
         }
     }
@@ -199,12 +206,12 @@
         return disabledHosts.isKnownHost(name);
     }
 
-    /** Disables or enables a host for operators; returns false if it is not known. */
+    /** Disables or enables a host as an operator asked; returns false if the host is not known. */
     public boolean setDisabled(String name, boolean disabled) {
         return disabledHosts.setDisabled(name, disabled);
     }
 
-    /** Takes over what operators asked of another process of this proxy; times in it are {@link #steadyUnixMillis}. */
+    /** Adopts the disabled hosts of another process of this proxy; times in it are {@link #steadyUnixMillis}. */
     public void setDisabled(DisabledHostStore.Contents stored) {
         disabledHosts.adopt(stored);
     }
@@ -214,58 +221,58 @@
     void onRequest(RequestExchange exchange, IncomingRequest request) {
         assert loop.inEventLoop();
         openRequests.add(exchange);
-        events.deliver(exchange, () -> balancer.onRequest(now(), request));
+        events.deliver(exchange, () -> balancer.onRequest(nowMillis(), request));
     }
 
-    /** An upload is complete and has {@code remainingMillis} left. */
+    /** Notifies the balancer that an upload has been received completely, with {@code remainingMillis} left. */
     void onRequestComplete(RequestExchange exchange, double remainingMillis) {
-        events.deliver(exchange, () -> balancer.onRequestComplete(now(), exchange.id(), remainingMillis));
+        events.deliver(exchange, () -> balancer.onRequestComplete(nowMillis(), exchange.id(), remainingMillis));
     }
 
-    /** An attempt of a request has ended. */
+    /** Notifies the balancer that an attempt of a request has ended. */
     void onAttemptEnded(RequestExchange exchange, AttemptResult result) {
-        events.deliver(exchange, () -> balancer.onAttemptEnded(now(), exchange.id(), result));
+        events.deliver(exchange, () -> balancer.onAttemptEnded(nowMillis(), exchange.id(), result));
     }
 
-    /** A timer that the balancer asked for is due; {@code exchange} is the request it is about, or null. */
+    /** Notifies the balancer that its timer is due; {@code exchange} is the request that it concerns, or null. */
     void onBalancerTimer(RequestExchange exchange, long token) {
-        events.deliver(exchange, () -> balancer.onTimer(now(), token));
+        events.deliver(exchange, () -> balancer.onTimer(nowMillis(), token));
     }
 
     void onClientDisconnected(RequestExchange exchange) {
-        events.deliver(exchange, () -> balancer.onClientDisconnected(now(), exchange.id()));
+        events.deliver(exchange, () -> balancer.onClientDisconnected(nowMillis(), exchange.id()));
     }
 
-    /** A request and its attempts have ended. */
+    /** Removes a request that has ended with all of its attempts. */
     void onExchangeClosed(RequestExchange exchange) {
         openRequests.remove(exchange);
     }
 
     // --- other events
 
-    /** Notifies the balancer of something that no request is about. */
+    /** Delivers an event to the balancer that concerns no single request. */
     void notifyBalancer(Consumer<Balancer> event) {
         events.deliver(null, () -> event.accept(balancer));
     }
 
-    /** Does what is due from time to time; called a few times a second. */
+    /** Does the periodic maintenance; to be called a few times a second. */
     public void runMaintenance() {
         endpointLists.removeExpired();
         if (peerGossip != null) {
-            peerGossip.step(now(), endpoints.readyHostNames(), peerGossipListener);
+            peerGossip.step(nowMillis(), endpoints.readyHostNames(), peerGossipListener);
         }
         upstreams.runMaintenance(endpoints.hosts());
         endpoints.removeUnused();
         metrics.setHosts(endpoints.listedCount(), balancer.avoidedHostCount());
     }
 
-    // --- what the balancer asks for beside requests
+    // --- actions of the balancer that concern no request
 
     void openWatch() {
         openWatch.run();
     }
 
-    /** Runs something that is about no request after a delay (ms). */
+    /** Runs {@code action}, which concerns no request, after a delay (ms). */
     void schedule(double delayMillis, Runnable action) {
         schedule(delayMillis, action, cause -> log.error("balancer: timer failed", cause));
     }
--- a/src/main/java/rillyard/proxy/dispatch/BalancerEvents.java
+++ b/src/main/java/rillyard/proxy/dispatch/BalancerEvents.java
@@ -4,8 +4,8 @@
 import rillyard.proxy.logging.ProxyLog;
 
 /**
- * Delivers events to the balancer one at a time, in the order in which they came: what an action of the balancer brings
- * about at once waits until the balancer has returned.
+ * Delivers events to the balancer one at a time, in the order in which they occurred. An event that an action of the
+ * balancer causes at once is queued until the balancer has returned.
  */
 final class BalancerEvents {
     private record Event(RequestExchange exchange, Runnable delivery) {}
@@ -20,7 +20,7 @@
         this.log = log;
     }
 
-    /** Delivers an event, now or after those before it; {@code exchange} is what it is about, or null. */
+    /** Delivers an event, now or after the queued ones; {@code exchange} is the request that it concerns, or null. */
     void deliver(RequestExchange exchange, Runnable delivery) {
         queue.add(new Event(exchange, delivery));
         if (delivering) {
@@ -38,7 +38,7 @@
         }
     }
 
-    /** A failure of the balancer costs the request that the event is about, and not the process. */
+    /** Delivers an event; if the balancer throws, only the request that the event concerns fails. */
     private void run(Event event) {
         try {
             event.delivery().run();
--- a/src/main/java/rillyard/proxy/dispatch/ClientRequest.java
+++ b/src/main/java/rillyard/proxy/dispatch/ClientRequest.java
@@ -18,14 +18,14 @@
 import rillyard.proxy.resources.BufferedBody;
 
 /**
- * A validated request of a client, with either a buffered body, a body that is forwarded as it comes, or none.
+ * A validated request of a client, with a buffered body, a streaming upload, or no body.
  *
- * @param requestId id that the client gave it
+ * @param requestId id that the client gave the request
  * @param requestClass name of a configured class
  * @param head method, target and headers
  * @param body buffered body, null if there is none
- * @param upload body that is forwarded as it comes, null if it is complete
- * @param timeoutMillis time that is left for it; of an upload it runs from the last byte on
+ * @param upload body that is forwarded while it is received, null if the request is no upload
+ * @param timeoutMillis time that is left for the request; for an upload it starts at the last byte
  */
 public record ClientRequest(
         String requestId,
@@ -35,22 +35,22 @@
         StreamingUpload upload,
         double timeoutMillis) {
 
-    /** Returns whether the body is forwarded as it comes, or was. */
+    /** Returns whether the body is, or was, forwarded while it is received. */
     boolean isUpload() {
         return upload != null;
     }
 
-    /** Returns whether the last byte of the body has not come yet. */
+    /** Returns whether the request is an upload whose last byte has not been received. */
     boolean isUploadIncomplete() {
         return upload != null && !upload.isComplete();
     }
 
-    /** Returns whether the request can't be sent on another connection, now or at all. */
+    /** Returns whether the request can't be sent on another connection, for the time being or for good. */
     boolean isBoundToConnection() {
-        return upload != null && upload.isBound();
+        return upload != null && upload.isBoundToConnection();
     }
 
-    /** Changes the headers to those that go to a host. */
+    /** Changes the headers to those that are sent to a host. */
     void prepareHeaders() {
         HttpHeaders headers = head.headers();
         ProtocolHeaders.dropHopByHop(headers);
@@ -60,17 +60,17 @@
         headers.remove(HttpHeaderNames.EXPECT);
     }
 
-    /** Returns the request as the balancer sees it, under the exchange's {@code id}. */
+    /** Returns what the balancer needs of the request; {@code id} is that of the exchange. */
     IncomingRequest toIncomingRequest(long id) {
         String tenant = head.headers().get(ProtocolHeaders.TENANT);
         return new IncomingRequest(id, requestClass, tenant, isUpload() ? Double.POSITIVE_INFINITY : timeoutMillis);
     }
 
     /**
-     * Writes the request, or as much of an upload as has come.
+     * Writes the request, or the part of an upload that has been received.
      *
-     * @param remainingMillis time that the host is told
-     * @return the future of the request's last byte
+     * @param remainingMillis remaining time, which is sent to the host
+     * @return the future of the write of the request's last byte
      */
     ChannelFuture writeTo(Channel channel, double remainingMillis) {
         HttpHeaders headers = head.headers();
--- a/src/main/java/rillyard/proxy/dispatch/DisabledHostsUpdater.java
+++ b/src/main/java/rillyard/proxy/dispatch/DisabledHostsUpdater.java
@@ -13,7 +13,7 @@
 import rillyard.proxy.logging.ProxyLog;
 import rillyard.proxy.upstream.UpstreamHost;
 
-/** Takes hosts out of use and back as operators ask, and notifies the balancer. */
+/** Disables and enables hosts as operators ask, and notifies the balancer. */
 final class DisabledHostsUpdater {
     private final BalancerDriver driver;
     private final BalancerClock clock;
@@ -39,18 +39,18 @@
         return endpoints.findListed(name) != null || disabledHosts.contains(name);
     }
 
-    /** Disables or enables a host; returns false if it is not known. */
+    /** Disables or enables a host; returns false if the host is not known. */
     boolean setDisabled(String name, boolean disabled) {
         if (!isKnownHost(name)) {
             return false;
         }
-        if (disabled ? disabledHosts.disable(name) : disabledHosts.enable(name, clock.now())) {
+        if (disabled ? disabledHosts.disable(name) : disabledHosts.enable(name, clock.nowMillis())) {
             onChanged(Set.of(name));
         }
         return true;
     }
 
-    /** Takes over what operators asked of another process of this proxy. */
+    /** Adopts the hosts that operators disabled or enabled in another process of this proxy. */
     void adopt(DisabledHostStore.Contents stored) {
         Map<String, Double> enabledAt = new HashMap<>();
         for (var enabled : stored.enabledAtUnixMillis().entrySet()) {
--- a/src/main/java/rillyard/proxy/dispatch/EndpointListApplier.java
+++ b/src/main/java/rillyard/proxy/dispatch/EndpointListApplier.java
@@ -12,14 +12,14 @@
 import rillyard.proxy.logging.ProxyLog;
 import rillyard.proxy.upstream.UpstreamHost;
 
-/** Applies endpoint lists, of which the guard may keep hosts that a full list lacks in use for a while. */
+/** Applies endpoint lists; hosts that a full list lacks may stay in use for a while if the guard retains them. */
 final class EndpointListApplier {
     private final BalancerDriver driver;
     private final EndpointRegistry endpoints;
     private final EndpointListGuard guard;
     private final ProxyLog log;
 
-    /** Creates an applier; {@code guard} is null where full lists are always believed. */
+    /** Creates an applier; {@code guard} is null if full lists are always applied as received. */
     EndpointListApplier(BalancerDriver driver, EndpointRegistry endpoints, EndpointListGuard guard, ProxyLog log) {
         this.driver = driver;
         this.endpoints = endpoints;
@@ -29,30 +29,30 @@
 
     /** Applies a list and notifies the balancer. */
     void apply(WatchEvent kind, EndpointList list) {
-        EndpointList believed = guard == null ? list : withGuardedHosts(list);
-        Set<UpstreamHost> drained = endpoints.apply(believed);
-        driver.onEndpointsChanged(kind, endpoints.effective(believed), drained);
+        EndpointList guarded = guard == null ? list : withGuardedHosts(list);
+        Set<UpstreamHost> drained = endpoints.apply(guarded);
+        driver.onEndpointsChanged(kind, endpoints.effective(guarded), drained);
         endpoints.removeUnused();
     }
 
-    /** Ends the use of hosts that the guard has kept for long enough. */
+    /** Removes the hosts that the guard retains no longer. */
     void removeExpired() {
         if (guard == null) {
             return;
         }
-        List<ListedEndpoint> gone = new ArrayList<>();
-        for (String name : guard.expired(driver.now())) {
+        List<ListedEndpoint> removed = new ArrayList<>();
+        for (String name : guard.expired(driver.nowMillis())) {
             if (endpoints.findListed(name) != null) {
                 log.info("watch: missing host removed, host=" + name);
-                gone.add(endpoints.asRemoved(name));
+                removed.add(endpoints.asRemoved(name));
             }
         }
-        if (!gone.isEmpty()) {
-            apply(WatchEvent.DELTA, new EndpointList(0, false, gone));
+        if (!removed.isEmpty()) {
+            apply(WatchEvent.DELTA, new EndpointList(0, false, removed));
         }
     }
 
-    /** Returns the list with the hosts that the guard keeps although the list lacks them. */
+    /** Returns the list, extended by the hosts that it lacks and that the guard retains. */
     private EndpointList withGuardedHosts(EndpointList list) {
         if (!list.full()) {
             for (ListedEndpoint listed : list.hosts()) {
@@ -64,13 +64,14 @@
         for (ListedEndpoint listed : list.hosts()) {
             named.add(listed.name());
         }
-        Set<String> kept = guard.onFullList(driver.now(), endpoints.readyHostNames(), named);
-        if (kept.isEmpty()) {
+        Set<String> retained = guard.onFullList(driver.nowMillis(), endpoints.readyHostNames(), named);
+        if (retained.isEmpty()) {
             return list;
         }
-        log.info("watch: full list not believed for now, hosts=" + named.size() + " missing_in_use=" + kept.size());
+        log.info("watch: full list lacks hosts that stay in use, hosts=" + named.size() + " missing_in_use="
+                + retained.size());
         List<ListedEndpoint> hosts = new ArrayList<>(list.hosts());
-        for (String name : kept) {
+        for (String name : retained) {
             hosts.add(endpoints.lastAnnounced(name));
         }
         return new EndpointList(list.version(), true, hosts);
--- a/src/main/java/rillyard/proxy/dispatch/ExchangeTimers.java
+++ b/src/main/java/rillyard/proxy/dispatch/ExchangeTimers.java
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 
 /**
- * Timers of one request and of its attempts. While the body of the request is still being received, those of the request
- * itself start with the last byte.
+ * Schedules the timers of one request and of its attempts. While the body of the request is still being received, those
+ * of the request itself are deferred until its last byte.
  */
 final class ExchangeTimers {
     private record DeferredTimer(double delayMillis, Runnable action) {}
@@ -18,7 +18,7 @@
     private final List<Future<?>> timers = new ArrayList<>(2);
     private List<DeferredTimer> deferred;
 
-    /** Creates an object without timers; {@code failureHandler} gets what their actions throw. */
+    /** Creates an object without timers; {@code failureHandler} gets what the actions throw. */
     ExchangeTimers(BalancerDriver driver, ClientRequest request, Consumer<Throwable> failureHandler) {
         this.driver = driver;
         this.request = request;
@@ -37,12 +37,12 @@
         deferred.add(new DeferredTimer(delayMillis, action));
     }
 
-    /** Runs {@code action} after the delay from now, whatever of the body is missing; the caller cancels it. */
+    /** Runs {@code action} after the delay from now, even if the body is incomplete; the caller cancels the timer. */
     Future<?> startNow(double delayMillis, Runnable action) {
         return driver.schedule(delayMillis, action, failureHandler);
     }
 
-    /** Starts what was deferred, as the request is complete. */
+    /** Starts the deferred timers, as the request is complete. */
     void startDeferred() {
         List<DeferredTimer> starting = deferred;
         deferred = null;
@@ -53,12 +53,12 @@
         }
     }
 
-    /** Drops what was deferred. */
+    /** Drops the deferred timers. */
     void dropDeferred() {
         deferred = null;
     }
 
-    /** Cancels what has been started. */
+    /** Cancels the timers of the request that have been started. */
     void cancelAll() {
         for (int i = 0; i < timers.size(); i++) {
             timers.get(i).cancel(false);
--- a/src/main/java/rillyard/proxy/dispatch/FinalResponse.java
+++ b/src/main/java/rillyard/proxy/dispatch/FinalResponse.java
@@ -7,9 +7,9 @@
 import rillyard.proxy.resources.BufferedBody;
 
 /**
- * The one response of a request: sends the first that is offered, counts it, and refuses every other.
+ * Gives a request exactly one response: sends and counts the first that is offered, and ignores every other.
  *
- * <p>Each method that offers a response returns whether that response was taken.
+ * <p>The methods that offer a response, other than {@link #complete}, return whether it was accepted.
  */
 final class FinalResponse {
     private static final int SERVICE_UNAVAILABLE = 503;
@@ -18,7 +18,7 @@
     private final ResponseReceiver client;
     private final String requestClass;
     private boolean decided;
-    /** Whether a complete response has been decided on that the receiver has not taken yet. */
+    /** Whether a complete response was accepted that has not been passed to the receiver completely. */
     private boolean undelivered;
 
     private AttemptOutcome lastOutcome;
@@ -31,17 +31,17 @@
         recorder.metrics().addPending(1);
     }
 
-    /** Returns whether the response has been sent or begun, or nobody waits for it any more. */
+    /** Returns whether the response has been sent or begun, or the client has left. */
     boolean isDecided() {
         return decided;
     }
 
-    /** Returns whether it is decided and no part of it is to come. */
+    /** Returns whether the response is decided and no part of it is outstanding. */
     boolean isComplete() {
         return decided && stream == null;
     }
 
-    /** Returns whether this attempt's response is the one that is forwarded. */
+    /** Returns whether the response of this attempt is the one that is being forwarded. */
     boolean isStreamOf(UpstreamAttempt attempt) {
         return stream != null && stream.attempt() == attempt;
     }
@@ -50,12 +50,12 @@
         return stream != null;
     }
 
-    /** Notes the outcome of the latest attempt, which the trace names with a response of the proxy's own. */
+    /** Sets the outcome of the latest attempt, which the trace records with a rejection or failure. */
     void setLastOutcome(AttemptOutcome outcome) {
         lastOutcome = outcome;
     }
 
-    /** Offers a rejection; {@code retryAfterMillis} is 0 if not known. */
+    /** Offers a rejection; {@code retryAfterMillis} is 0 if unknown. */
     boolean reject(double retryAfterMillis) {
         if (!decide(ProxyMetrics.RequestOutcome.REJECTED)) {
             return false;
@@ -85,7 +85,7 @@
         }
     }
 
-    /** Ends the request without a response, as its client has left; returns false if it had one. */
+    /** Ends the request without a response, as its client has left; returns false if a response was accepted before. */
     boolean discard() {
         if (decided) {
             return false;
@@ -95,7 +95,7 @@
         return true;
     }
 
-    /** Offers a response that is forwarded as it comes; {@code contentLength} is -1 if unknown. */
+    /** Offers a response that is forwarded while it is received; {@code contentLength} is -1 if unknown. */
     boolean beginStream(ForwardedResponse offered, HttpResponse response, long contentLength) {
         if (decided) {
             return false;
@@ -105,26 +105,26 @@
         try {
             client.beginResponse(response, contentLength);
         } catch (RuntimeException | Error e) {
-            stream = null; // nothing of it was written: the request may have another response
+            stream = null; // nothing of it was written: the request may get another response
             decided = false;
             throw e;
         }
         return true;
     }
 
-    /** Forwards part of it; returns whether the client takes more for now. */
+    /** Forwards a part of the response; returns whether the client accepts more for now. */
     boolean forward(ByteBuf content) {
         return client.sendContent(content);
     }
 
-    /** The client takes more. */
+    /** Resumes a forwarded response, as the client accepts more. */
     void onClientWritable() {
         if (stream != null) {
             stream.resume();
         }
     }
 
-    /** The forwarded response is complete, or has broken off. */
+    /** Ends the forwarded response, which is complete or was truncated. */
     void endStream(boolean complete) {
         stream = null;
         recorder.metrics().addPending(-1);
@@ -139,7 +139,7 @@
         }
     }
 
-    /** The client has left in the middle of a forwarded response. */
+    /** Gives up the forwarded response, as the client has left. */
     void abandonStream() {
         ForwardedResponse abandoned = stream;
         stream = null;
@@ -148,8 +148,8 @@
     }
 
     /**
-     * Ends a response that was decided on and whose delivery has thrown: with a failure if nothing of it was written, else
-     * with the client's connection.
+     * Ends an accepted response whose delivery has thrown: with a failure if nothing of it was written, else by closing
+     * the client's connection.
      */
     void onDeliveryFailed() {
         if (stream != null) {
--- a/src/main/java/rillyard/proxy/dispatch/ForwardedResponse.java
+++ b/src/main/java/rillyard/proxy/dispatch/ForwardedResponse.java
@@ -4,12 +4,12 @@
 import rillyard.proxy.upstream.UpstreamPool;
 
 /**
- * Forwards the response of a host to the client as it comes, as fast as the client takes it.
+ * Forwards the response of a host to the client while it is received, as fast as the client reads it.
  *
- * <p>The attempt has ended for the balancer: a client that reads slowly is no queue of the host's.
+ * <p>For the balancer the attempt has ended: a response to a slow client does not count as in flight at the host.
  */
 final class ForwardedResponse {
-    /** How long (ns) a host may pause within the response. */
+    /** Longest time (ns) for which a host may pause within the response. */
     static final long STALL_NANOS = 10_000_000_000L;
 
     private final UpstreamAttempt attempt;
@@ -22,30 +22,30 @@
         this.upstreams = upstreams;
     }
 
-    /** Returns the attempt whose response it is. */
+    /** Returns the attempt whose response is forwarded. */
     UpstreamAttempt attempt() {
         return attempt;
     }
 
-    /** Forwards a part of the body, of which it takes over the reference. */
+    /** Forwards a part of the body; takes over the caller's reference. */
     void forward(ByteBuf content) {
         if (!exchange.response().forward(content)) {
             attempt.connection().pauseReading();
         }
     }
 
-    /** The client takes more. */
+    /** Resumes reading from the host, as the client accepts more. */
     void resume() {
         attempt.connection().resumeReading();
     }
 
-    /** The host has sent the last byte, or the response has broken off. */
+    /** Ends the response, which is complete or was truncated. */
     void end(boolean complete) {
         upstreams.release(attempt);
         exchange.onStreamEnded(complete);
     }
 
-    /** The client has left in the middle of the response. */
+    /** Gives up the response, as the client has left. */
     void abandon() {
         upstreams.release(attempt);
     }
--- a/src/main/java/rillyard/proxy/dispatch/HostResponse.java
+++ b/src/main/java/rillyard/proxy/dispatch/HostResponse.java
@@ -6,7 +6,7 @@
 import rillyard.balancer.AttemptOutcome;
 import rillyard.proxy.resources.BufferedBody;
 
-/** The successful response of a host to one attempt: buffered at first, and forwarded as it comes if it is long. */
+/** Handles the successful response to one attempt: buffers it, or forwards it while it is received if it is long. */
 final class HostResponse {
     private final UpstreamAttempt attempt;
     private final RequestExchange exchange;
@@ -20,7 +20,7 @@
     /** Null unless the response is, or was, forwarded. */
     private ForwardedResponse forwarded;
 
-    /** Creates a response whose head has come; nothing is done with it before {@link #begin}. */
+    /** Creates a response whose head has been received; it is not processed before {@link #begin}. */
     HostResponse(UpstreamAttempt attempt, RequestExchange exchange, BalancerDriver driver, HttpResponse head) {
         this.attempt = attempt;
         this.exchange = exchange;
@@ -29,7 +29,7 @@
         this.contentLength = HttpUtil.getContentLength(head, -1L);
     }
 
-    /** Begins to buffer or to forward it, or ends the attempt if neither is possible. */
+    /** Begins to buffer or forward the response, or ends the attempt if the response is not acceptable. */
     void begin() {
         if (!isAcceptable()) {
             attempt.onConnectionLost();
@@ -42,19 +42,20 @@
     }
 
     /**
-     * Returns whether it can be passed on. A response that is longer than any may be never ends; one that ends with its
-     * connection, which is to stay open, can't be told from one that broke off.
+     * Returns whether the response can be passed on. A response that is longer than the protocol allows counts as
+     * endless; one that only the end of its connection delimits, though the connection is to stay open, can't be
+     * distinguished from a truncated one.
      */
     private boolean isAcceptable() {
         boolean endsWithConnection = contentLength < 0 && !HttpUtil.isTransferEncodingChunked(head);
         return contentLength <= BufferedBody.MAX_BYTES && !(endsWithConnection && HttpUtil.isKeepAlive(head));
     }
 
-    /** Takes a part of the body; the caller keeps its own reference. */
+    /** Buffers or forwards a part of the body; the caller keeps its own reference. */
     void onContent(ByteBuf content) {
         receivedBytes += content.readableBytes();
         if (receivedBytes > BufferedBody.MAX_BYTES) {
-            attempt.onConnectionLost(); // longer than any response may be
+            attempt.onConnectionLost(); // longer than the protocol allows
         } else if (isForwarded()) {
             forwarded.forward(content.retain());
         } else if (content.isReadable()) {
@@ -66,7 +67,7 @@
         buffer.append(content);
         if (buffer.isTooLong()) {
             startForwarding();
-        } else if (buffer.mustAwaitMemory()) {
+        } else if (buffer.awaitMemoryIfExhausted()) {
             isAwaitingMemory = true;
             attempt.connection().pauseReading();
         }
@@ -85,7 +86,7 @@
         }
     }
 
-    /** Makes it the response of the request, unless that has another one, and forwards it from here on. */
+    /** Forwards the response from here on, or ends the attempt if the request has a response already. */
     private void startForwarding() {
         ForwardedResponse stream = new ForwardedResponse(attempt, exchange, driver.upstreams());
         if (!exchange.response().beginStream(stream, head, contentLength)) {
@@ -93,25 +94,25 @@
             return;
         }
         forwarded = stream;
-        ResponseBuffer start = buffer;
+        ResponseBuffer prefix = buffer;
         buffer = null;
         attempt.onForwarding();
-        endMemoryWait(); // a further part of the same read has made it too long to buffer
+        endMemoryWait(); // an earlier part of the same read may have paused reading
         try {
-            for (ByteBuf block : start.retainedBlocks()) {
+            for (ByteBuf block : prefix.retainedBlocks()) {
                 stream.forward(block);
             }
         } finally {
-            start.release();
+            prefix.release();
         }
     }
 
-    /** Returns whether it is forwarded as it comes, or was. */
+    /** Returns whether the response is, or was, forwarded. */
     boolean isForwarded() {
         return forwarded != null;
     }
 
-    /** The last byte of the body has come. */
+    /** Handles the end of the body: ends the forwarded response, or delivers the buffered one. */
     void onEnd() {
         if (isForwarded()) {
             forwarded.end(true);
@@ -121,12 +122,12 @@
         }
     }
 
-    /** It has broken off while it was forwarded. */
-    void onBrokenOff() {
+    /** Ends a forwarded response that was truncated. */
+    void onTruncated() {
         forwarded.end(false);
     }
 
-    /** Frees what is buffered. */
+    /** Frees the buffered part. */
     void release() {
         if (buffer != null) {
             ResponseBuffer released = buffer;
@@ -135,7 +136,7 @@
         }
     }
 
-    /** Returns the received and the announced bytes, for the log. */
+    /** Returns the numbers of received and of announced bytes (-1 if unknown), for the log. */
     String progress() {
         return receivedBytes + "/" + contentLength;
     }
--- a/src/main/java/rillyard/proxy/dispatch/OpenRequests.java
+++ b/src/main/java/rillyard/proxy/dispatch/OpenRequests.java
@@ -5,13 +5,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** The exchanges that have not ended, and the ids of requests. */
+/** Holds the exchanges that have not ended, and assigns and tracks the ids of requests. */
 final class OpenRequests {
     private final Map<Long, RequestExchange> exchanges = new HashMap<>();
     private final RequestIdCache requestIds = new RequestIdCache();
     private long nextId;
 
-    /** Returns a new id of the balancer's, from 0 on. */
+    /** Returns a new id for the balancer, counted from 0. */
     long nextId() {
         return nextId++;
     }
@@ -21,14 +21,14 @@
         requestIds.onOpened(exchange.requestId());
     }
 
-    /** Removes an exchange, if it was added; its request's id stays known for a while. */
+    /** Removes an exchange, if it was added; the id that its client chose stays known for a while. */
     void remove(RequestExchange exchange) {
         if (exchanges.remove(exchange.id()) != null) {
             requestIds.onClosed(exchange.requestId(), System.nanoTime());
         }
     }
 
-    /** Returns the exchange with an id of the balancer's, null if it has ended. */
+    /** Returns the exchange with this id of {@link #nextId}, or null if it has ended. */
     RequestExchange get(long id) {
         return exchanges.get(id);
     }
@@ -44,23 +44,23 @@
         }
     }
 
-    /** Ends the requests whose deadline has passed and returns their number; times as of {@link RequestExchange#endIfOverdue}. */
-    int endOverdue(double now, double stallMillis) {
+    /** Ends the overdue requests and returns their number; for the times see {@link RequestExchange#endIfOverdue}. */
+    int endOverdue(double nowMillis, double stallMillis) {
         int ended = 0;
         for (RequestExchange exchange : snapshot()) {
-            if (exchange.endIfOverdue(now, stallMillis)) {
+            if (exchange.endIfOverdue(nowMillis, stallMillis)) {
                 ended++;
             }
         }
         return ended;
     }
 
-    /** Returns the open exchanges as of now: those that end are removed meanwhile. */
+    /** Returns a copy of the open exchanges, as those that end are removed during an iteration. */
     private List<RequestExchange> snapshot() {
         return new ArrayList<>(exchanges.values());
     }
 
-    /** Returns whether a request with this id of a client's is open, or was until a moment ago. */
+    /** Returns whether a request with this id, which its client chose, is open or has ended recently. */
     boolean isKnown(String requestId) {
         return requestIds.contains(requestId, System.nanoTime());
     }
--- a/src/main/java/rillyard/proxy/dispatch/OutcomeRecorder.java
+++ b/src/main/java/rillyard/proxy/dispatch/OutcomeRecorder.java
@@ -7,7 +7,7 @@
 import rillyard.trace.ProxyTrace;
 import rillyard.trace.TraceEvent.Kind;
 
-/** Records what becomes of attempts and requests, in metrics, in the trace and with the peer gossip if there is any. */
+/** Records the outcomes of attempts and requests in the metrics, the trace and the peer gossip. */
 final class OutcomeRecorder {
     private final BalancerClock clock;
     private final ProxyMetrics metrics;
@@ -32,16 +32,20 @@
     /** Records an attempt that has ended after {@code elapsedMillis}. */
     void recordAttempt(UpstreamHost host, AttemptOutcome outcome, double elapsedMillis) {
         if (peerGossip != null) {
-            peerGossip.onAttemptEnded(host.name(), outcome, clock.now());
+            peerGossip.onAttemptEnded(host.name(), outcome, clock.nowMillis());
         }
         if (trace != null) {
-            double hostAge = clock.now() - elapsedMillis - host.entry().startedAtMillis();
+            double hostAgeMillis =
+                    clock.nowMillis() - elapsedMillis - host.entry().startedAtMillis();
             trace.recordAttempt(
-                    host.name(), outcome.traceWord(), elapsedMillis, hostAge >= 0 && hostAge < warmUpMillis);
+                    host.name(),
+                    outcome.traceWord(),
+                    elapsedMillis,
+                    hostAgeMillis >= 0 && hostAgeMillis < warmUpMillis);
         }
     }
 
-    /** Records a response of the proxy's own; {@code lastOutcome} as of {@link ProxyTrace#recordRejection}. */
+    /** Records a rejection or failure in the trace; {@code lastOutcome} is null if no attempt has ended. */
     void recordFinalOutcome(ProxyMetrics.RequestOutcome outcome, AttemptOutcome lastOutcome) {
         if (trace != null && outcome != ProxyMetrics.RequestOutcome.COMPLETED) {
             Kind kind = outcome == ProxyMetrics.RequestOutcome.REJECTED ? Kind.REFUSED : Kind.FAILED;
--- a/src/main/java/rillyard/proxy/dispatch/PeerGossip.java
+++ b/src/main/java/rillyard/proxy/dispatch/PeerGossip.java
@@ -6,28 +6,28 @@
 
 /** Exchanges observations of hosts with other proxies. All calls are on the proxy's event loop. */
 public interface PeerGossip {
-    /** Receives what other proxies have observed; hosts that are not listed are ignored. */
+    /** Receives the decisions based on observations of other proxies; hosts that are not listed are ignored. */
     interface Listener {
-        /** Ejects a host; after {@code trialDelayMillis} it may get a half-open probe. */
-        void eject(String host, double trialDelayMillis);
+        /** Ejects a host, which may get a half-open probe after {@code probeDelayMillis}. */
+        void eject(String host, double probeDelayMillis);
 
-        /** Readmits an ejected host to a half-open probe after {@code trialDelayMillis}. */
-        void readmit(String host, double trialDelayMillis);
+        /** Readmits an ejected host, which may get a half-open probe after {@code probeDelayMillis}. */
+        void readmit(String host, double probeDelayMillis);
 
-        /** Sets this proxy's position among the host subsets. */
+        /** Sets this proxy's subset position. */
         void moveSubset(SubsetPosition position);
 
         /** Logs a line. */
         void log(String line);
     }
 
-    /** An attempt at a host has ended at time {@code now} (ms) of the proxy's clock. */
-    void onAttemptEnded(String host, AttemptOutcome result, double now);
+    /** Records that an attempt at a host has ended at {@code nowMillis} of the proxy's clock. */
+    void onAttemptEnded(String host, AttemptOutcome outcome, double nowMillis);
 
     /**
-     * Advances to time {@code now} (ms) of the proxy's clock; called a few times a second.
+     * Does the work that is due at {@code nowMillis} of the proxy's clock; called a few times a second.
      *
      * @param hosts names of the hosts in use
      */
-    void step(double now, Set<String> hosts, Listener listener);
+    void step(double nowMillis, Set<String> hosts, Listener listener);
 }
--- a/src/main/java/rillyard/proxy/dispatch/PeerGossipListener.java
+++ b/src/main/java/rillyard/proxy/dispatch/PeerGossipListener.java
@@ -4,23 +4,23 @@
 import rillyard.balancer.SubsetPosition;
 import rillyard.proxy.upstream.UpstreamHost;
 
-/** Passes on to the balancer what other proxies have observed, of hosts that this proxy's own list names. */
+/** Passes the decisions of the peer gossip on to the balancer, for hosts on this proxy's own endpoint list. */
 record PeerGossipListener(BalancerDriver driver) implements PeerGossip.Listener {
     @Override
-    public void eject(String host, double trialDelayMillis) {
-        setEjected(host, true, trialDelayMillis);
+    public void eject(String host, double probeDelayMillis) {
+        setEjected(host, true, probeDelayMillis);
     }
 
     @Override
-    public void readmit(String host, double trialDelayMillis) {
-        setEjected(host, false, trialDelayMillis);
+    public void readmit(String host, double probeDelayMillis) {
+        setEjected(host, false, probeDelayMillis);
     }
 
-    private void setEjected(String hostName, boolean ejected, double trialDelayMillis) {
+    private void setEjected(String hostName, boolean ejected, double probeDelayMillis) {
         UpstreamHost host = driver.endpoints().findListed(hostName);
         if (host != null) {
             driver.notifyBalancer((Balancer balancer) ->
-                    balancer.onFleetEjection(driver.now(), host.id(), ejected, trialDelayMillis));
+                    balancer.onFleetEjection(driver.nowMillis(), host.id(), ejected, probeDelayMillis));
         }
     }
 
--- a/src/main/java/rillyard/proxy/dispatch/RequestActions.java
+++ b/src/main/java/rillyard/proxy/dispatch/RequestActions.java
@@ -4,7 +4,7 @@
 import rillyard.proxy.discovery.EndpointRegistry;
 import rillyard.proxy.upstream.UpstreamHost;
 
-/** Carries out the actions of the balancer on the open requests; what concerns no request goes to the driver. */
+/** Carries out the actions of the balancer on the open requests; actions that concern no request go to the driver. */
 final class RequestActions implements BalancerActions {
     private final BalancerDriver driver;
     private final OpenRequests openRequests;
@@ -17,20 +17,20 @@
     }
 
     @Override
-    public void send(long requestId, long hostId, double attemptTimeout, double notAfter) {
+    public void send(long requestId, long hostId, double attemptTimeoutMillis, double notAfterMillis) {
         RequestExchange exchange = openRequests.get(requestId);
         UpstreamHost host = endpoints.get(hostId);
         if (exchange == null || host == null) {
-            throw new IllegalStateException("send of " + requestId + " to " + hostId + ": not known");
+            throw new IllegalStateException("unknown request or host: request=" + requestId + " host=" + hostId);
         }
-        exchange.send(host, attemptTimeout, notAfter);
+        exchange.send(host, attemptTimeoutMillis, notAfterMillis);
     }
 
     @Override
-    public void reject(long requestId, double retryAfter) {
+    public void reject(long requestId, double retryAfterMillis) {
         RequestExchange exchange = openRequests.get(requestId);
         if (exchange != null) {
-            exchange.reject(retryAfter);
+            exchange.reject(retryAfterMillis);
         }
     }
 
@@ -51,13 +51,13 @@
     }
 
     @Override
-    public void scheduleTimer(double delay, long token) {
+    public void scheduleTimer(double delayMillis, long token) {
         RequestExchange exchange = openRequests.get(token);
         Runnable event = () -> driver.onBalancerTimer(openRequests.get(token), token);
         if (exchange != null) {
-            exchange.schedule(delay, event);
+            exchange.schedule(delayMillis, event);
         } else if (token < 0) {
-            driver.schedule(delay, event);
+            driver.schedule(delayMillis, event);
         }
     }
 
--- a/src/main/java/rillyard/proxy/dispatch/RequestExchange.java
+++ b/src/main/java/rillyard/proxy/dispatch/RequestExchange.java
@@ -9,9 +9,9 @@
 import rillyard.proxy.upstream.UpstreamHost;
 
 /**
- * One client request from its dispatch to the end of its response and of its attempts.
+ * Handles one client request from its dispatch to the end of its response and of its attempts.
  *
- * <p>Keeps the deadline and carries out the balancer's decisions about the request. It ends with exactly one
+ * <p>Enforces the deadline and carries out the balancer's decisions about the request, which gets exactly one
  * {@link FinalResponse}.
  */
 public final class RequestExchange {
@@ -25,13 +25,13 @@
     private final FinalResponse response;
     private final ExchangeTimers timers;
     private final AttemptList attempts = new AttemptList();
-    private double deadlineAt;
+    private double deadlineAtMillis;
 
     /**
-     * Creates the exchange of a request, of which the balancer knows nothing before {@link #dispatch}.
+     * Creates the exchange of a request, which is passed to the balancer only by {@link #dispatch}.
      *
      * @param request the request, whose body the exchange releases
-     * @param client gets the response
+     * @param client receives the response
      */
     public RequestExchange(ClientRequest request, BalancerDriver driver, ResponseReceiver client) {
         request.prepareHeaders();
@@ -42,9 +42,9 @@
         this.response = new FinalResponse(driver.outcomeRecorder(), client, request.requestClass());
         this.timers = new ExchangeTimers(driver, request, this::onTimerFailed);
         if (request.isUpload()) {
-            deadlineAt = Double.POSITIVE_INFINITY;
+            deadlineAtMillis = Double.POSITIVE_INFINITY;
         } else {
-            deadlineAt = driver.now() + request.timeoutMillis();
+            deadlineAtMillis = driver.nowMillis() + request.timeoutMillis();
             timers.schedule(request.timeoutMillis(), this::onDeadline);
         }
     }
@@ -53,7 +53,7 @@
         return id;
     }
 
-    /** Returns the id that the client gave the request. */
+    /** Returns the id that the client chose for the request. */
     String requestId() {
         return request.requestId();
     }
@@ -64,14 +64,14 @@
     }
 
     /**
-     * Runs something later unless the request and its attempts have ended by then. The delay runs from the last byte of
-     * a request that is still being received.
+     * Runs {@code action} after a delay unless the request and its attempts have ended by then. If the request is still
+     * being received, the delay starts at its last byte.
      */
     void schedule(double delayMillis, Runnable action) {
         timers.schedule(delayMillis, action);
     }
 
-    /** Runs something for an attempt after a delay from now; the attempt cancels it. */
+    /** Runs {@code action} for an attempt after a delay from now; the attempt cancels the timer. */
     Future<?> scheduleForAttempt(double delayMillis, Runnable action) {
         return timers.startNow(delayMillis, action);
     }
@@ -80,18 +80,18 @@
         onFailure("request: timer failed", cause);
     }
 
-    // --- a body that is forwarded as it comes
+    // --- streaming uploads
 
-    /** Returns whether the body is forwarded as it comes, or was. */
+    /** Returns whether the body is, or was, forwarded while it is received. */
     boolean isUpload() {
         return request.isUpload();
     }
 
-    /** The last byte of an upload has come, and may have waited in its socket for {@code waitedMillis}. */
+    /** Handles the last byte of an upload, which may have waited in its socket for {@code waitedMillis}. */
     public void onUploadComplete(double waitedMillis) {
         request.upload().complete();
         double remainingMillis = Math.max(0, request.timeoutMillis() - waitedMillis);
-        deadlineAt = driver.now() + remainingMillis;
+        deadlineAtMillis = driver.nowMillis() + remainingMillis;
         driver.onRequestComplete(this, remainingMillis);
         if (response.isDecided()) {
             timers.dropDeferred();
@@ -101,12 +101,12 @@
         }
     }
 
-    /** The host has stopped taking an upload, which it can't have executed: the attempt ends. */
+    /** Ends the attempt, as the host has stopped reading an upload; it can't have executed the request. */
     public void onHostStalled() {
-        attempts.endAllAsNotSent();
+        attempts.endAllAsSendFailed();
     }
 
-    /** The host takes more of an upload. */
+    /** Resumes reading an upload from the client, as the host accepts more. */
     void onHostWritable() {
         if (request.isUploadIncomplete()) {
             client.resumeRequestBody();
@@ -115,23 +115,23 @@
 
     // --- attempts
 
-    /** Returns whether an attempt may be written now that must not be written past {@code notAfter} (ms). */
-    boolean mayBegin(double notAfter) {
-        double now = driver.now();
-        return !response.isDecided() && now < notAfter && now < deadlineAt;
+    /** Returns whether an attempt that must not be written after {@code notAfterMillis} may be written now. */
+    boolean mayWriteAttempt(double notAfterMillis) {
+        double nowMillis = driver.nowMillis();
+        return !response.isDecided() && nowMillis < notAfterMillis && nowMillis < deadlineAtMillis;
     }
 
-    /** Starts an attempt; {@code attemptTimeoutMillis} and {@code notAfter} as of {@link UpstreamAttempt#start}. */
-    void send(UpstreamHost host, double attemptTimeoutMillis, double notAfter) {
-        UpstreamAttempt attempt = new UpstreamAttempt(this, driver, host, attempts.size(), driver.now());
-        if (attempts.hasLostKeptConnection()) {
-            attempt.requireNewConnection(); // all that are kept may be gone
+    /** Starts an attempt; for the times see {@link UpstreamAttempt#start}. */
+    void send(UpstreamHost host, double attemptTimeoutMillis, double notAfterMillis) {
+        UpstreamAttempt attempt = new UpstreamAttempt(this, driver, host, attempts.size(), driver.nowMillis());
+        if (attempts.hasLostReusedConnection()) {
+            attempt.requireNewConnection(); // the host may have dropped all idle connections
         }
         attempts.add(attempt);
         if (attemptTimeoutMillis >= 0 && mayStartAttempt(host)) {
-            attempt.start(attemptTimeoutMillis, notAfter);
+            attempt.start(attemptTimeoutMillis, notAfterMillis);
         } else {
-            attempt.onNotNeeded();
+            attempt.onAbandonedBeforeSend();
         }
     }
 
@@ -141,7 +141,7 @@
                 && host.isSendable()
                 && !request.isBoundToConnection()
                 && attempts.size() <= driver.maxAttempts()
-                && driver.now() < deadlineAt;
+                && driver.nowMillis() < deadlineAtMillis;
     }
 
     /** Cancels the attempt with this number, counted from 0. */
@@ -149,9 +149,10 @@
         attempts.cancel(attemptNumber);
     }
 
-    /** Writes the request to a host; returns the future of its last byte. */
+    /** Writes the request to a host; returns the future of the write of its last byte. */
     ChannelFuture writeTo(Channel channel) {
-        double remainingMillis = request.isUploadIncomplete() ? request.timeoutMillis() : deadlineAt - driver.now();
+        double remainingMillis =
+                request.isUploadIncomplete() ? request.timeoutMillis() : deadlineAtMillis - driver.nowMillis();
         ChannelFuture written = request.writeTo(channel, remainingMillis);
         onHostWritable();
         return written;
@@ -175,7 +176,7 @@
         if (!upload.isConsumed() || attempts.hasOpen() || response.isDecided()) {
             return;
         }
-        // Nothing is left to send: what never ran is rejected, what may have run has failed.
+        // The body can't be sent again: the request is rejected if no host can have executed it, and fails otherwise.
         if (upload.mayHaveExecuted()) {
             fail();
         } else {
@@ -185,21 +186,21 @@
 
     // --- the response
 
-    /** Rejects the request unless it has its response; {@code retryAfterMillis} is 0 if not known. */
+    /** Rejects the request unless it has a response; {@code retryAfterMillis} is 0 if unknown. */
     public void reject(double retryAfterMillis) {
         if (response.reject(retryAfterMillis)) {
             closeIfDone();
         }
     }
 
-    /** Fails the request unless it has its response. */
+    /** Fails the request unless it has a response. */
     void fail() {
-        if (response.fail(driver.now() >= deadlineAt ? GATEWAY_TIMEOUT : BAD_GATEWAY)) {
+        if (response.fail(driver.nowMillis() >= deadlineAtMillis ? GATEWAY_TIMEOUT : BAD_GATEWAY)) {
             closeIfDone();
         }
     }
 
-    /** Fails a request on which the balancer has not decided, and tells the balancer that it has ended. */
+    /** Fails a request on which the balancer has not decided, and notifies the balancer of the end of the request. */
     public void failWithoutDecision() {
         if (response.isDecided()) {
             return;
@@ -212,8 +213,8 @@
     }
 
     /**
-     * Ends the request and its attempts, as its handling has thrown: with a failure, or, where part of a response was
-     * written, with the client's connection. The hosts are not to blame.
+     * Ends the request and its attempts, as its handling has thrown: with a failure, or, if part of a response was
+     * written, by closing the client's connection. It does not count as a failure of the hosts.
      */
     public void onHandlerFailed() {
         try {
@@ -228,7 +229,7 @@
         }
     }
 
-    /** Logs what was thrown as {@code event}, and ends the request and its attempts. */
+    /** Logs {@code cause} as {@code event}, and ends the request and its attempts. */
     void onFailure(String event, Throwable cause) {
         driver.log().error(event, cause);
         try {
@@ -238,25 +239,25 @@
         }
     }
 
-    /** Returns the response, for hosts' responses to be offered. */
+    /** Returns the response, to which the responses of hosts are offered. */
     FinalResponse response() {
         return response;
     }
 
-    /** The forwarded response is complete, or has broken off. */
+    /** Ends the forwarded response, which is complete or was truncated. */
     void onStreamEnded(boolean complete) {
         response.endStream(complete);
         closeIfDone();
     }
 
-    /** The client takes more of a response that is forwarded. */
+    /** Resumes a forwarded response, as the client accepts more. */
     public void onClientWritable() {
         response.onClientWritable();
     }
 
-    // --- ends
+    // --- the end of the request
 
-    /** The client has left before the end of its response. */
+    /** Ends the request, as the client has left before the end of its response. */
     public void onClientDisconnected() {
         if (response.isStreaming()) {
             response.abandonStream();
@@ -270,8 +271,8 @@
     }
 
     /**
-     * Cancels what must not begin for a client that has left, whether or not the balancer may cancel attempts: a
-     * connection may come up later, and the rest of an upload never comes.
+     * Cancels the attempts that must not start for a client that has left, whether or not the balancer may cancel
+     * attempts: a connection may be established later, and the rest of an upload never arrives.
      */
     private void cancelUnwritten() {
         if (request.isUploadIncomplete()) {
@@ -288,16 +289,17 @@
     }
 
     /**
-     * Ends the request if its deadline has passed by {@code now} (ms), after the process stalled for
-     * {@code stallMillis}. Hosts whose response may lie in a socket of the proxy are not to blame.
+     * Ends the request if its deadline has passed by {@code nowMillis}, after the process stalled for
+     * {@code stallMillis}. A deadline that passed during the stall does not count as a timeout of the hosts, whose
+     * response may be waiting in a socket of the proxy.
      *
      * @return whether the deadline has passed
      */
-    boolean endIfOverdue(double now, double stallMillis) {
-        if (response.isDecided() || now < deadlineAt) {
+    boolean endIfOverdue(double nowMillis, double stallMillis) {
+        if (response.isDecided() || nowMillis < deadlineAtMillis) {
             return false;
         }
-        onDeadline(now - stallMillis < deadlineAt);
+        onDeadline(nowMillis - stallMillis < deadlineAtMillis);
         return true;
     }
 
@@ -311,7 +313,7 @@
         } else {
             attempts.timeOutAll();
         }
-        failWithoutDecision(); // where the balancer still queues it, the client's time is up all the same
+        failWithoutDecision(); // the deadline holds for a request that the balancer still queues, too
     }
 
     private void closeIfDone() {
--- a/src/main/java/rillyard/proxy/dispatch/RequestIdCache.java
+++ b/src/main/java/rillyard/proxy/dispatch/RequestIdCache.java
@@ -5,11 +5,11 @@
 import java.util.Set;
 
 /**
- * The ids of requests that are open or were until a moment ago.
+ * Holds the ids of requests that are open or have ended recently.
  *
- * <p>A second request with the id of another one could be served the other's response. Hosts reject such a request, and
- * would be held to be faulty for it. An id is forgotten {@link #RETENTION_NANOS} after its request, or sooner when
- * {@link #MAX_CLOSED} others have ended since.
+ * <p>A second request with the id of another one could be served the other's response. Hosts reject such a request,
+ * which would count as their failure. An id is removed {@link #RETENTION_NANOS} after the end of its request, or sooner
+ * if {@link #MAX_CLOSED} others have ended since.
  */
 final class RequestIdCache {
     private static final long RETENTION_NANOS = 2_000_000_000L;
@@ -20,12 +20,12 @@
     private final Set<String> ids = new HashSet<>();
     private final ArrayDeque<ClosedRequest> closed = new ArrayDeque<>();
 
-    /** A request has been opened. */
+    /** Adds the id of a request that was opened. */
     void onOpened(String id) {
         ids.add(id);
     }
 
-    /** A request has ended. */
+    /** Starts the retention of the id of a request that has ended. */
     void onClosed(String id, long nowNanos) {
         closed.add(new ClosedRequest(id, nowNanos));
         expire(nowNanos);
--- a/src/main/java/rillyard/proxy/dispatch/ResponseBuffer.java
+++ b/src/main/java/rillyard/proxy/dispatch/ResponseBuffer.java
@@ -4,22 +4,25 @@
 import java.util.List;
 import rillyard.proxy.resources.BufferedBody;
 
-/** Buffers the body of a host's response until it is complete, or proves too long for that. */
+/** Buffers the body of a host's response until it is complete or too long to be buffered. */
 final class ResponseBuffer {
-    /** The most of a response of unknown length that is buffered in the hope of its end. */
+    /** Most bytes of a response of unknown length that are buffered, in case it ends soon. */
     private static final long MAX_UNKNOWN_LENGTH_BYTES = 32 * 1024;
 
-    /** The longest (ms) it is buffered: of a long one the first bytes count, and hosts may send them slowly. */
+    /**
+     * Longest time (ms) for which a response of unknown length is buffered: for a long one the time to the first bytes
+     * counts, and hosts may send them slowly.
+     */
     private static final double MAX_UNKNOWN_LENGTH_MILLIS = 30;
 
     private final BalancerDriver driver;
     private final long contentLength;
     private final Runnable memoryWaiter;
-    private final double createdAt;
+    private final double createdAtMillis;
     private BufferedBody body;
 
     /**
-     * Creates an empty buffer as the head of the response has come.
+     * Creates an empty buffer; to be called when the head of the response has been received.
      *
      * @param contentLength announced length in bytes, -1 if unknown
      * @param memoryWaiter resumes reading; may be run once more after {@link #release}
@@ -28,10 +31,10 @@
         this.driver = driver;
         this.contentLength = contentLength;
         this.memoryWaiter = memoryWaiter;
-        this.createdAt = driver.now();
+        this.createdAtMillis = driver.nowMillis();
     }
 
-    /** Copies a part of the body. */
+    /** Appends a copy of a part of the body. */
     void append(ByteBuf content) {
         if (body == null) {
             body = driver.bodyMemory().newBody(contentLength, false);
@@ -39,20 +42,23 @@
         body.append(content);
     }
 
-    /** Returns whether the response is to be forwarded as it comes. */
+    /** Returns whether the response is to be forwarded instead of buffered. */
     boolean isTooLong() {
         if (contentLength >= 0) {
             return contentLength > BufferedBody.MAX_BUFFERED_BYTES;
         }
-        return size() > MAX_UNKNOWN_LENGTH_BYTES || driver.now() - createdAt > MAX_UNKNOWN_LENGTH_MILLIS;
+        return size() > MAX_UNKNOWN_LENGTH_BYTES || driver.nowMillis() - createdAtMillis > MAX_UNKNOWN_LENGTH_MILLIS;
     }
 
     private long size() {
         return body == null ? 0 : body.size();
     }
 
-    /** Returns whether reading must pause for want of memory; the waiter is run when there is some again. */
-    boolean mustAwaitMemory() {
+    /**
+     * Returns whether body memory is exhausted, so that reading must pause; the waiter then runs when there is memory
+     * again.
+     */
+    boolean awaitMemoryIfExhausted() {
         if (!driver.bodyMemory().isExhausted(size())) {
             return false;
         }
@@ -60,19 +66,19 @@
         return true;
     }
 
-    /** Returns what is buffered, for one write; the caller releases the blocks. */
+    /** Returns the buffered blocks for one write; the caller releases them. */
     List<ByteBuf> retainedBlocks() {
         return body == null ? List.of() : body.retainedBlocks();
     }
 
-    /** Returns the body, which the caller releases, or null if it is empty. */
+    /** Removes and returns the body, which the caller releases; null if it is empty. */
     BufferedBody takeBody() {
         BufferedBody taken = body;
         body = null;
         return taken;
     }
 
-    /** Frees what is buffered, and waits for no memory any more. */
+    /** Frees the buffered bytes and ends the wait for memory. */
     void release() {
         driver.bodyMemory().cancelWait(memoryWaiter);
         if (body != null) {
--- a/src/main/java/rillyard/proxy/dispatch/ResponseReceiver.java
+++ b/src/main/java/rillyard/proxy/dispatch/ResponseReceiver.java
@@ -6,16 +6,16 @@
 
 /**
  * Receives the response of a {@link RequestExchange}: a status, a complete response, or a response that is forwarded
- * as it comes, which ends with {@link #endResponse} or {@link #abortResponse}.
+ * while it is received, which ends with {@link #endResponse} or {@link #abortResponse}.
  *
  * <p>Calls are on the event loop.
  */
 public interface ResponseReceiver {
     /**
-     * Sends a response of the proxy's own.
+     * Sends a response of the proxy itself, which has no body.
      *
      * @param status HTTP status code
-     * @param retryAfterMillis how long the client should wait before a retry, 0 if not known
+     * @param retryAfterMillis how long the client should wait before a retry, 0 if unknown
      */
     void sendStatus(int status, double retryAfterMillis);
 
@@ -28,30 +28,31 @@
     void sendResponse(HttpResponse response, BufferedBody body);
 
     /**
-     * Sends the head of a response that is forwarded as it comes.
+     * Sends the head of a response that is forwarded while it is received.
      *
      * @param contentLength length of its body in bytes, -1 if unknown
      */
     void beginResponse(HttpResponse response, long contentLength);
 
     /**
-     * Sends part of the body of a forwarded response; the receiver takes over the reference.
+     * Sends a part of the body of a forwarded response; takes over the caller's reference.
      *
-     * @return whether the client takes more for now; {@link RequestExchange#onClientWritable} follows if not
+     * @return whether the client accepts more for now; {@link RequestExchange#onClientWritable} follows if not
      */
     boolean sendContent(ByteBuf content);
 
     /** Ends a forwarded response that is complete. */
     void endResponse();
 
-    /** Ends a forwarded response that broke off, so that the client notices. */
+    /** Ends a forwarded response that was truncated, in a way that the client can detect. */
     void abortResponse();
 
     /**
-     * Ends a response whose delivery has thrown: with a failure if nothing of it was sent, else so that the client notices.
+     * Ends a response whose delivery has thrown: with a failure if nothing of it was sent, else as
+     * {@link #abortResponse} does.
      */
     void failResponse();
 
-    /** Reads on the body of the request, as the host takes more of it. */
+    /** Resumes reading the body of the request, as the host accepts more of it. */
     void resumeRequestBody();
 }
--- a/src/main/java/rillyard/proxy/dispatch/StreamingUpload.java
+++ b/src/main/java/rillyard/proxy/dispatch/StreamingUpload.java
@@ -17,14 +17,14 @@
 import rillyard.proxy.upstream.UpstreamConnection;
 
 /**
- * A request body that is longer than may be buffered.
+ * A request body that is too long to be buffered.
  *
- * <p>What came first is buffered until a connection to a host is up, and may go to another host until then. What
- * follows is forwarded as it comes, as fast as the host takes it, and is not kept: from then on the request can't be
- * retried.
+ * <p>Its first part is buffered until a connection to a host is established, and may be sent to another host until
+ * then. The rest is forwarded while it is received, as fast as the host reads it, and is not kept: from then on the
+ * request can't be retried.
  */
 public final class StreamingUpload {
-    private final BufferedBody start;
+    private final BufferedBody prefix;
     private final long contentLength;
     private Channel hostChannel;
     private ChannelPromise lastByteWritten;
@@ -33,42 +33,42 @@
     private boolean mayHaveExecuted;
 
     /**
-     * Creates the upload of a body of which a part has come.
+     * Creates the upload of a body of which the first part has been received.
      *
-     * @param start what has come
+     * @param prefix the first part
      * @param contentLength length of the complete body in bytes, -1 if unknown
      */
-    public StreamingUpload(BufferedBody start, long contentLength) {
-        this.start = start;
+    public StreamingUpload(BufferedBody prefix, long contentLength) {
+        this.prefix = prefix;
         this.contentLength = contentLength;
     }
 
-    /** Returns whether bytes have been forwarded that are not kept. */
+    /** Returns whether bytes have been forwarded that were not kept. */
     boolean isConsumed() {
         return consumed;
     }
 
-    /** Returns whether a host may have executed the request, by the outcomes of the attempts that have ended. */
+    /** Returns whether a host may have executed the request, judging by the attempts that have ended. */
     boolean mayHaveExecuted() {
         return mayHaveExecuted;
     }
 
-    /** Returns whether it can't go to another connection, now or at all. */
-    boolean isBound() {
+    /** Returns whether the upload can't be sent on another connection, for the time being or for good. */
+    boolean isBoundToConnection() {
         return consumed || (hostChannel != null && !complete);
     }
 
-    /** Returns whether its last byte has come. */
+    /** Returns whether the last byte has been received. */
     boolean isComplete() {
         return complete;
     }
 
-    /** Returns whether more of it should be read from the client now. */
+    /** Returns whether more of the body should be read from the client now. */
     public boolean hasCapacity() {
         return hostChannel != null && hostChannel.isWritable();
     }
 
-    /** Writes the head and what is buffered; returns the future of the body's last byte. */
+    /** Writes the head and the buffered part; returns the future of the write of the body's last byte. */
     ChannelFuture writeTo(Channel channel, HttpRequest head, HttpHeaders headers) {
         if (contentLength >= 0) {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, contentLength);
@@ -77,7 +77,7 @@
             headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
         channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), headers));
-        for (ByteBuf block : start.retainedBlocks()) {
+        for (ByteBuf block : prefix.retainedBlocks()) {
             channel.write(new DefaultHttpContent(block));
         }
         hostChannel = channel;
@@ -89,18 +89,18 @@
         return lastByteWritten;
     }
 
-    /** Takes more of the body; the caller keeps its own reference. */
+    /** Forwards or buffers a part of the body; the caller keeps its own reference. */
     public void append(ByteBuf bytes) {
         if (hostChannel == null) {
-            start.append(bytes); // read before the client was paused: a few reads at the most
+            prefix.append(bytes); // read before reading was paused: a few reads at most
             return;
         }
         consumed = true;
-        start.release();
+        prefix.release();
         hostChannel.writeAndFlush(new DefaultHttpContent(bytes.retain()));
     }
 
-    /** The last byte has come. */
+    /** Handles the last byte of the body, and ends the request at the host. */
     void complete() {
         complete = true;
         if (hostChannel != null) {
@@ -108,7 +108,7 @@
         }
     }
 
-    /** An attempt has ended that used this connection; null if it had none. */
+    /** Handles the end of an attempt; {@code connection} is null if the attempt had none. */
     void onAttemptEnded(UpstreamConnection connection, AttemptOutcome outcome) {
         mayHaveExecuted |= !outcome.provesNotExecuted();
         if (connection != null && connection.channel() == hostChannel) {
@@ -116,8 +116,8 @@
         }
     }
 
-    /** Frees what is buffered. */
+    /** Frees the buffered part. */
     void release() {
-        start.release();
+        prefix.release();
     }
 }
--- a/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
+++ b/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
@@ -15,8 +15,8 @@
 /**
  * One attempt of a request at a host, which ends with exactly one outcome.
  *
- * <p>A short response is buffered until it is complete. A longer one is forwarded as it comes, and its attempt ends as
- * that begins: the rest is between the client and the host.
+ * <p>A short response is buffered until it is complete. A longer one is forwarded while it is received, and its attempt
+ * ends when that begins: the rest of the transfer depends on the client as well as on the host.
  */
 public final class UpstreamAttempt extends UpstreamCall {
     private static final int OK = 200;
@@ -27,47 +27,49 @@
     private final BalancerDriver driver;
     private final int number;
     private boolean open = true;
-    private double sentAt;
-    private double notAfter = Double.POSITIVE_INFINITY;
-    private Future<?> timeout;
-    private Future<?> writeDeadline;
+    private double sentAtMillis;
+    private double notAfterMillis = Double.POSITIVE_INFINITY;
+    private Future<?> timeoutTimer;
+    private Future<?> writeDeadlineTimer;
     private LoadReport loadReport;
-    /** Null until the head of a successful response has come. */
+    /** Null until the head of a successful response has been received. */
     private HostResponse response;
 
     /**
      * Creates an attempt that is not started.
      *
      * @param number number of the attempt within its request, counted from 0
-     * @param sentAt time (ms) of the driver's clock
+     * @param sentAtMillis time (ms) of the driver's clock
      */
-    UpstreamAttempt(RequestExchange exchange, BalancerDriver driver, UpstreamHost host, int number, double sentAt) {
+    UpstreamAttempt(
+            RequestExchange exchange, BalancerDriver driver, UpstreamHost host, int number, double sentAtMillis) {
         super(host);
         this.exchange = exchange;
         this.driver = driver;
         this.number = number;
-        this.sentAt = sentAt;
+        this.sentAtMillis = sentAtMillis;
     }
 
     /**
      * Starts the attempt.
      *
-     * @param timeoutMillis time until it ends, 0 for the deadline of the request
-     * @param notAfter time (ms) past which it is not written: hosts have forgotten the idempotency key of the request
-     *     that it retries; infinite if that does not matter
+     * @param timeoutMillis time until the attempt ends, 0 for the deadline of the request
+     * @param notAfterMillis time (ms) past which the attempt is not written: hosts no longer hold the idempotency key
+     *     of the request that it retries; infinite if that does not matter
      */
-    void start(double timeoutMillis, double notAfter) {
-        this.notAfter = notAfter;
-        if (notAfter < Double.POSITIVE_INFINITY) {
-            writeDeadline = exchange.scheduleForAttempt(notAfter - driver.now(), this::onWriteDeadline);
+    void start(double timeoutMillis, double notAfterMillis) {
+        this.notAfterMillis = notAfterMillis;
+        if (notAfterMillis < Double.POSITIVE_INFINITY) {
+            writeDeadlineTimer =
+                    exchange.scheduleForAttempt(notAfterMillis - driver.nowMillis(), this::onWriteDeadline);
         }
         if (timeoutMillis > 0) {
-            timeout = exchange.scheduleForAttempt(timeoutMillis, this::onTimeout);
+            timeoutTimer = exchange.scheduleForAttempt(timeoutMillis, this::onTimeout);
         }
         driver.upstreams().start(this);
     }
 
-    /** Returns whether it has no outcome yet. */
+    /** Returns whether the attempt has no outcome yet. */
     boolean isOpen() {
         return open;
     }
@@ -79,8 +81,8 @@
     // --- the request
 
     @Override
-    public boolean mayBegin() {
-        return exchange.mayBegin(notAfter);
+    public boolean mayBeWritten() {
+        return exchange.mayWriteAttempt(notAfterMillis);
     }
 
     @Override
@@ -92,7 +94,7 @@
     public void onWritten() {
         driver.metrics().attemptWritten();
         if (exchange.isUpload()) {
-            sentAt = driver.now(); // a host begins with the last byte
+            sentAtMillis = driver.nowMillis(); // a host starts executing an upload at its last byte
         }
     }
 
@@ -102,7 +104,7 @@
     }
 
     @Override
-    public void onNotSent() {
+    public void onSendFailed() {
         finish(AttemptOutcome.CONNECT_FAILED);
     }
 
@@ -112,24 +114,24 @@
     }
 
     @Override
-    public void onNotNeeded() {
+    public void onAbandonedBeforeSend() {
         finish(AttemptOutcome.NOT_SENT);
     }
 
     private void onWriteDeadline() {
-        if (!mayHaveRun()) {
+        if (!mayHaveExecuted()) {
             finish(AttemptOutcome.NOT_SENT);
         }
     }
 
-    /** Ends it as its time is up. What was not written completely never ran, whatever it waited for. */
+    /** Ends the attempt, as its time is up; a request that was not written completely was not executed. */
     void onTimeout() {
-        finish(mayHaveRun() ? AttemptOutcome.TIMEOUT : AttemptOutcome.NOT_SENT);
+        finish(mayHaveExecuted() ? AttemptOutcome.TIMEOUT : AttemptOutcome.NOT_SENT);
     }
 
-    /** Ends it as its response is not wanted. */
+    /** Ends the attempt, as its response is not needed. */
     void cancel() {
-        finish(mayHaveRun() ? AttemptOutcome.CANCELLED : AttemptOutcome.NOT_SENT);
+        finish(mayHaveExecuted() ? AttemptOutcome.CANCELLED : AttemptOutcome.NOT_SENT);
     }
 
     // --- the response
@@ -152,12 +154,12 @@
         if (isProvenNotProcessed) {
             return AttemptOutcome.REJECTED;
         }
-        return mayHaveRun() ? AttemptOutcome.ERROR : AttemptOutcome.CONNECT_FAILED;
+        return mayHaveExecuted() ? AttemptOutcome.ERROR : AttemptOutcome.CONNECT_FAILED;
     }
 
     private void onSuccessHead(HttpResponse head) {
-        if (!mayHaveRun()) {
-            finish(AttemptOutcome.CONNECT_FAILED); // no host can serve what it has not been sent
+        if (!mayHaveExecuted()) {
+            finish(AttemptOutcome.CONNECT_FAILED); // no host can have executed a request that was not sent completely
             return;
         }
         response = new HostResponse(this, exchange, driver, head);
@@ -169,7 +171,7 @@
         response.onContent(part.content());
     }
 
-    /** The response is forwarded from here on: the host has responded, and what follows concerns it and the client. */
+    /** Ends the attempt as successful, as its response is forwarded from here on. */
     void onForwarding() {
         open = false;
         reportEnd(AttemptOutcome.OK);
@@ -184,7 +186,7 @@
     public void onConnectionLost() {
         if (isForwarding()) {
             driver.log().info(() -> describe(AttemptOutcome.RESET));
-            response.onBrokenOff();
+            response.onTruncated();
         } else {
             finish(AttemptOutcome.RESET);
         }
@@ -206,7 +208,7 @@
 
     // --- the outcome
 
-    /** Ends it and its use of the connection; does nothing if it has an outcome. */
+    /** Ends the attempt and its use of the connection; does nothing if the attempt has an outcome. */
     void finish(AttemptOutcome outcome) {
         if (!open) {
             return;
@@ -216,17 +218,17 @@
             logFailure(outcome);
             driver.upstreams().release(this);
         } finally {
-            reportEnd(outcome); // the request ends after its attempts
+            reportEnd(outcome); // even if that has thrown: the request ends after its attempts
         }
     }
 
     private void reportEnd(AttemptOutcome outcome) {
-        cancel(timeout);
-        cancel(writeDeadline);
+        cancel(timeoutTimer);
+        cancel(writeDeadlineTimer);
         if (response != null) {
             response.release();
         }
-        exchange.onAttemptEnded(this, outcome, driver.now() - sentAt, loadReport);
+        exchange.onAttemptEnded(this, outcome, driver.nowMillis() - sentAtMillis, loadReport);
     }
 
     private static void cancel(Future<?> timer) {
@@ -251,6 +253,6 @@
             received = "no_connection";
         }
         return "attempt: failed, host=" + host().name() + " outcome=" + outcome + " elapsed_ms="
-                + Math.round(driver.now() - sentAt) + " received=" + received;
+                + Math.round(driver.nowMillis() - sentAtMillis) + " received=" + received;
     }
 }
--- a/src/main/java/rillyard/proxy/upstream/ConnectionReuse.java
+++ b/src/main/java/rillyard/proxy/upstream/ConnectionReuse.java
@@ -1,6 +1,6 @@
 package rillyard.proxy.upstream;
 
-/** The idle times of one connection, and whether the host had closed it when a call reused it. */
+/** Tracks how long one connection was idle before its reuse, and reports whether it had been reset meanwhile. */
 final class ConnectionReuse {
     private static final long NOT_REUSED = -1;
 
@@ -12,7 +12,7 @@
         this.pool = pool;
     }
 
-    /** The connection carries no call from now on. */
+    /** Records that the connection becomes idle. */
     void onIdle() {
         idleSinceNanos = System.nanoTime();
     }
@@ -22,12 +22,16 @@
         return idleSinceNanos;
     }
 
-    /** The connection carries a call from now on. */
+    /** Records that the connection starts to carry a call. */
     void onCallStarted() {
         reusedAfterNanos = idleSinceNanos == 0 ? NOT_REUSED : System.nanoTime() - idleSinceNanos;
     }
 
-    /** Reports to the pool, once a call, whether the connection had been reset; returns false for a first call, no reuse. */
+    /**
+     * Reports to the pool, once per call, whether the connection had been reset.
+     *
+     * @return false if there was nothing to report: the call is the connection's first, or has been reported
+     */
     boolean report(boolean wasReset) {
         if (reusedAfterNanos == NOT_REUSED) {
             return false;
--- a/src/main/java/rillyard/proxy/upstream/LoadReportParser.java
+++ b/src/main/java/rillyard/proxy/upstream/LoadReportParser.java
@@ -44,7 +44,7 @@
                 readValue(pair.substring(0, equals).trim(), value);
             }
         } catch (NumberFormatException ignored) {
-            // a value that is no number does not invalidate the others
+            // a value that is not a number does not invalidate the others
         }
     }
 
--- a/src/main/java/rillyard/proxy/upstream/ResponseReader.java
+++ b/src/main/java/rillyard/proxy/upstream/ResponseReader.java
@@ -8,8 +8,8 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * Reads the responses of one connection: skips interim ones, delivers the final one to the connection, and discards
- * what nobody wants any more.
+ * Reads the responses of one connection: skips interim ones, delivers the final one to the connection, and discards the
+ * rest of a response that is no longer needed.
  */
 final class ResponseReader {
     private enum State {
@@ -38,27 +38,27 @@
         this.decoder = decoder;
     }
 
-    /** A request is about to be written, whose response is expected from now on. */
+    /** Starts to expect the response to a request that is about to be written. */
     void onRequestStarted() {
         state = State.AWAITING_HEAD;
         decoder.onRequestStarted();
     }
 
-    /** Discards the rest of the present response. */
+    /** Discards the rest of the current response. */
     void discardRest() {
         state = State.DISCARDING;
         discardedBytes = 0;
     }
 
-    /** No response is expected any more. */
+    /** Stops expecting a response. */
     void stop() {
         state = State.NOT_EXPECTED;
     }
 
-    /** Reads a part of a response; the caller releases it. */
+    /** Reads a part of a response, which the caller releases. */
     void read(HttpObject part) {
         if (state == State.NOT_EXPECTED) {
-            // Surplus bytes behind one response would otherwise be taken for the response to the next request.
+            // Surplus bytes after one response would otherwise be taken for the response to the next request.
             connection.channel().close();
             return;
         }
@@ -97,7 +97,7 @@
             }
             case READING_BODY -> connection.onResponseContent(part, isLast);
             case DISCARDING -> discard(part, isLast);
-            default -> connection.channel().close(); // the call ended with the head of this very response
+            default -> connection.channel().close(); // the call ended with the head of this response
         }
     }
 
--- a/src/main/java/rillyard/proxy/upstream/ResponseStallCheck.java
+++ b/src/main/java/rillyard/proxy/upstream/ResponseStallCheck.java
@@ -4,12 +4,13 @@
 import rillyard.proxy.eventloop.GuardedTimer;
 
 /**
- * Notices that a response has stopped half way on an open connection, as its client can know long before the deadline.
+ * Detects a response that has stopped half way on an open connection, so that its attempt ends long before the
+ * deadline.
  *
- * <p>One serves all calls of a connection, one after the other; confined to its event loop.
+ * <p>One object serves all calls of a connection, one after the other; confined to its event loop.
  */
 final class ResponseStallCheck {
-    /** Delay of a timer beyond which the event loop is behind and has reads to catch up with. */
+    /** Lateness of a timer beyond which the event loop is behind, so that it may not have read what has arrived. */
     private static final long LATE_TIMER_NANOS = 10_000_000L;
 
     private final UpstreamConnection connection;
@@ -23,7 +24,7 @@
         this.decoder = decoder;
     }
 
-    /** All that had arrived has been read: from now on the host is awaited, if a response has begun. */
+    /** Starts the check, if a response has begun: all bytes that had arrived have been read. */
     void onReadComplete() {
         if (!isScheduled && connection.isAwaitingProgress()) {
             schedule(connection.stallNanos());
@@ -32,21 +33,21 @@
 
     private void schedule(long delayNanos) {
         isScheduled = true;
-        long dueAt = System.nanoTime() + delayNanos;
-        GuardedTimer.schedule(channel.eventLoop(), delayNanos, () -> check(dueAt), connection::onHandlerFailed);
+        long dueAtNanos = System.nanoTime() + delayNanos;
+        GuardedTimer.schedule(channel.eventLoop(), delayNanos, () -> check(dueAtNanos), connection::onHandlerFailed);
     }
 
-    private void check(long dueAt) {
+    private void check(long dueAtNanos) {
         isScheduled = false;
         if (!connection.isAwaitingProgress()) {
             return;
         }
-        long now = System.nanoTime();
-        long remaining = decoder.lastReadNanos() + connection.stallNanos() - now;
-        if (remaining > 0) {
-            schedule(remaining);
-        } else if (now - dueAt > LATE_TIMER_NANOS) {
-            schedule(LATE_TIMER_NANOS); // the loop was late: what has arrived meanwhile is read first
+        long nowNanos = System.nanoTime();
+        long remainingNanos = decoder.lastReadNanos() + connection.stallNanos() - nowNanos;
+        if (remainingNanos > 0) {
+            schedule(remainingNanos);
+        } else if (nowNanos - dueAtNanos > LATE_TIMER_NANOS) {
+            schedule(LATE_TIMER_NANOS); // the loop was late: pending reads come first
         } else {
             connection.onResponseStalled();
         }
--- a/src/main/java/rillyard/proxy/upstream/UpstreamCall.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamCall.java
@@ -6,19 +6,20 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * One request to one host, as a connection carries it: an attempt.
+ * One attempt at a host, as the connection pool handles it: a request and its response on one connection.
  *
- * <p>A subclass writes the request and receives the response. Of {@link #onNotSent}, {@link #onLocalFailure},
- * {@link #onNotNeeded}, {@link #onResponseEnd} and {@link #onConnectionLost} at most one is called. Confined to the event loop.
+ * <p>A subclass writes the request and receives the response. Of {@link #onSendFailed}, {@link #onLocalFailure},
+ * {@link #onAbandonedBeforeSend}, {@link #onResponseEnd} and {@link #onConnectionLost} at most one is called. Confined
+ * to the event loop.
  */
 public abstract class UpstreamCall {
-    /** Default nanoseconds without progress after which a response counts as broken; hosts pause for 0.1 s at most. */
+    /** Default nanoseconds without progress after which a response counts as lost; hosts pause for 0.1 s at most. */
     public static final long STALL_NANOS = 150_000_000L;
 
     private final UpstreamHost host;
     private Channel connectingChannel;
     private UpstreamConnection connection;
-    private boolean lostKeptConnection;
+    private boolean lostReusedConnection;
     private boolean needsNewConnection;
 
     /** Creates a call to the host; it counts as open there until {@link UpstreamPool#release}. */
@@ -32,25 +33,25 @@
         return host;
     }
 
-    /** Returns whether the request may still be written; checked once a connection has come up, which may be late. */
-    public boolean mayBegin() {
+    /** Returns whether the request may still be written; checked when a connection is established, maybe late. */
+    public boolean mayBeWritten() {
         return true;
     }
 
-    /** Writes the complete request and returns the future of its last byte. */
+    /** Writes the complete request and returns the future of the write of its last byte. */
     public abstract ChannelFuture write(Channel channel);
 
     /** Is called when the last byte of the request has been written to the socket. */
     public abstract void onWritten();
 
-    /** Is called when the last byte was not written: there was no connection, or it ended before. */
-    public abstract void onNotSent();
+    /** Is called when the last byte was not written: no connection was established, or it ended before. */
+    public abstract void onSendFailed();
 
-    /** Is called when this machine could not open a connection, whatever the host. */
+    /** Is called when this machine could not open a connection, for a reason that is unrelated to the host. */
     public abstract void onLocalFailure();
 
     /** Is called when the host must not receive the request any more and no byte of it was written. */
-    public abstract void onNotNeeded();
+    public abstract void onAbandonedBeforeSend();
 
     /** Is called with the head of the final response. */
     public abstract void onResponseHead(HttpResponse head);
@@ -61,7 +62,7 @@
     /** Is called when the connection accepts more of the request. */
     public void onWritable() {}
 
-    /** Returns the nanoseconds without progress after which a response that has begun counts as broken. */
+    /** Returns the nanoseconds without progress after which a response that has begun counts as lost. */
     public long stallNanos() {
         return STALL_NANOS;
     }
@@ -72,29 +73,29 @@
     /** Is called when the connection broke or the response is malformed, after the last byte was written. */
     public abstract void onConnectionLost();
 
-    /** Is called when a handler of this program has thrown; the call is to end itself, and the host is not to blame. */
+    /** Is called when a handler of the proxy has thrown; the call must end itself, not as a failure of the host. */
     public abstract void onHandlerFailed();
 
-    /** Returns the connection that carries the call, or null if none was assigned yet. */
+    /** Returns the connection that carries the call, or null if none has been assigned. */
     public UpstreamConnection connection() {
         return connection;
     }
 
-    /** Returns whether the last byte of the request may have reached the host. */
-    public boolean mayHaveRun() {
+    /** Returns whether the host may have executed the request: its last byte has been written. */
+    public boolean mayHaveExecuted() {
         return connection != null && connection.isRequestWritten();
     }
 
-    /** Returns whether a kept connection ended before any byte of the response: the host may have forgotten it. */
-    public final boolean hasLostKeptConnection() {
-        return lostKeptConnection;
+    /** Returns whether a reused connection ended before the response: the host may have dropped it while idle. */
+    public final boolean hasLostReusedConnection() {
+        return lostReusedConnection;
     }
 
-    void onKeptConnectionLost() {
-        lostKeptConnection = true;
+    void onReusedConnectionLost() {
+        lostReusedConnection = true;
     }
 
-    /** Has the call open a connection of its own; to be called before {@link UpstreamPool#start}. */
+    /** Makes the call open a new connection; to be called before {@link UpstreamPool#start}. */
     public final void requireNewConnection() {
         needsNewConnection = true;
     }
--- a/src/main/java/rillyard/proxy/upstream/UpstreamChannelHandler.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamChannelHandler.java
@@ -7,7 +7,7 @@
 import io.netty.util.ReferenceCountUtil;
 import java.io.IOException;
 
-/** Passes the events of a channel on to its {@link UpstreamConnection}; what throws there ends the call at hand. */
+/** Passes the events of a channel to its {@link UpstreamConnection}; an exception there ends the current call. */
 final class UpstreamChannelHandler extends ChannelInboundHandlerAdapter {
     private final UpstreamConnection connection;
     private final ResponseReader reader;
--- a/src/main/java/rillyard/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamConnection.java
@@ -10,7 +10,7 @@
 import rillyard.proxy.resources.DescriptorBudget;
 
 /**
- * A connection to a host. It carries one call at a time and returns to its pool in between.
+ * A connection to a host, which carries one call at a time and returns to its pool in between.
  *
  * <p>Confined to the event loop of its channel.
  */
@@ -42,7 +42,7 @@
         return channel;
     }
 
-    /** Returns a new handler of the channel's events. */
+    /** Creates a handler for the events of the channel. */
     ChannelHandler newHandler() {
         return new UpstreamChannelHandler(this, reader, new ResponseStallCheck(this, channel, decoder));
     }
@@ -52,7 +52,7 @@
         return call;
     }
 
-    /** Returns whether the last byte of the present call's request has been written to the socket. */
+    /** Returns whether the last byte of the current call's request has been written to the socket. */
     boolean isRequestWritten() {
         return requestWritten;
     }
@@ -62,7 +62,7 @@
         return channel.isActive() && channel.hasNothingToRead();
     }
 
-    /** Returns the time ({@link System#nanoTime}) at which the connection became idle or began to discard. */
+    /** Returns the time ({@link System#nanoTime}) at which the connection became idle or began discarding. */
     long idleSinceNanos() {
         return reuse.idleSinceNanos();
     }
@@ -72,8 +72,8 @@
         return host.isSendable() && address.equals(host.address());
     }
 
-    /** Writes the request of a call; it can't be held back any more. */
-    void run(UpstreamCall next) {
+    /** Writes the request of a call, which can no longer be withheld from the host. */
+    void send(UpstreamCall next) {
         assert channel.eventLoop().inEventLoop();
         call = next;
         reuse.onCallStarted();
@@ -106,7 +106,7 @@
 
     // --- the response
 
-    /** The head of the final response has been read. */
+    /** Handles the head of the final response. */
     void onResponseHead(HttpResponse head) {
         reuse.report(false);
         // A response that precedes the request's last byte leaves an incomplete request on the connection.
@@ -114,7 +114,7 @@
         call.onResponseHead(head);
     }
 
-    /** A part of the final response's body has been read. */
+    /** Handles a part of the final response's body. */
     void onResponseContent(HttpContent part, boolean isLast) {
         UpstreamCall receiver = call;
         receiver.onResponseContent(part);
@@ -124,7 +124,7 @@
         }
     }
 
-    /** The last byte of a response has been read: the connection is idle, or closed. */
+    /** Handles the last byte of a response: the connection becomes idle, or is closed. */
     void onResponseEnd() {
         call = null;
         reader.stop();
@@ -139,7 +139,7 @@
 
     // --- the end of a call
 
-    /** Ends the call, which needs no more than the response's head; the connection may be reused after the rest. */
+    /** Ends the call, which needs only the response's head; the rest is discarded to reuse the connection. */
     public void discardRest() {
         if (call == null) {
             return;
@@ -154,21 +154,21 @@
         }
     }
 
-    /** Ends the given call, if the connection carries it, and closes the connection: its response must reach no other. */
+    /** Ends the given call and closes the connection if it carries the call: the response must reach no other. */
     void abort(UpstreamCall abandoned) {
         if (call == abandoned) {
             end();
         }
     }
 
-    /** Ends the present call, if there is one, without a report, and closes the connection. */
+    /** Ends the current call, if there is one, without a report, and closes the connection. */
     private void end() {
         call = null;
         reader.stop();
         channel.close();
     }
 
-    /** The host has sent what is no response. */
+    /** Logs a malformed response and fails the connection. */
     void onMalformedResponse(Throwable cause) {
         pool.onMalformedResponse(host, cause);
         fail();
@@ -188,22 +188,22 @@
     }
 
     private void reportEnd(UpstreamCall failed) {
-        if (!decoder.hasBegun() && reuse.report(true)) {
-            failed.onKeptConnectionLost();
+        if (!decoder.hasResponseBegun() && reuse.report(true)) {
+            failed.onReusedConnectionLost();
         }
         if (requestWritten) {
             failed.onConnectionLost();
         } else {
-            failed.onNotSent();
+            failed.onSendFailed();
         }
     }
 
-    /** A handler or timer has thrown: ends the present call, if there is one, and closes the connection. */
+    /** Handles an exception of a handler or timer: ends the current call, if any, and closes the connection. */
     void onHandlerFailed(Throwable cause) {
         onHandlerFailed(call, cause);
     }
 
-    /** A handler has thrown: ends the call that was at hand, null if there was none, and closes the connection. */
+    /** Handles an exception of a handler: ends the affected call, which may be null, and closes the connection. */
     void onHandlerFailed(UpstreamCall affected, Throwable cause) {
         pool.onHandlerFailed(host, cause);
         end();
@@ -217,19 +217,19 @@
         }
     }
 
-    // --- the flow of a response
+    // --- flow control of a response
 
-    /** Returns whether the host has begun its response and the proxy reads it. */
+    /** Returns whether the host has begun its response and reading is not paused. */
     boolean isAwaitingProgress() {
-        return call != null && decoder.hasBegun() && channel.config().isAutoRead();
+        return call != null && decoder.hasResponseBegun() && channel.config().isAutoRead();
     }
 
-    /** Returns the nanoseconds without progress after which the present call's response counts as broken. */
+    /** Returns the nanoseconds without progress after which the current call's response counts as lost. */
     long stallNanos() {
         return call.stallNanos();
     }
 
-    /** Ends the call, as its response has stopped half way. */
+    /** Fails the connection, as the response has stopped half way. */
     void onResponseStalled() {
         fail();
     }
@@ -239,7 +239,7 @@
         channel.config().setAutoRead(false);
     }
 
-    /** Continues reading; the pause does not count as a stall of the host. */
+    /** Resumes reading; the pause does not count as a stall of the host. */
     public void resumeReading() {
         decoder.onReadingResumed();
         channel.config().setAutoRead(true);
@@ -247,14 +247,14 @@
 
     // --- the channel
 
-    /** The channel takes more, or no more for now. */
+    /** Notifies the call if the channel accepts more. */
     void onWritabilityChanged() {
         if (call != null && channel.isWritable()) {
             call.onWritable();
         }
     }
 
-    /** The channel is closed. */
+    /** Fails the call, if there is one, and removes the closed connection from the pool. */
     void onClosed() {
         fail();
         pool.onClosed(host, this);
--- a/src/main/java/rillyard/proxy/upstream/UpstreamHost.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamHost.java
@@ -9,7 +9,7 @@
 import rillyard.balancer.EndpointEntry;
 
 /**
- * A host as the proxy's sockets see it: its address, whether it may receive new requests, and its connections.
+ * A host as a destination of requests: its address, whether it may receive new requests, and its connections.
  *
  * <p>The endpoint registry owns the state that discovery announces, {@link UpstreamPool} the connections. Confined to
  * the event loop.
@@ -26,13 +26,13 @@
     private boolean listed;
     private boolean sendable;
     private int openCalls;
-    private long unreachableMark = NOT_UNREACHABLE;
+    private long reachedCountAtFailure = NOT_UNREACHABLE;
 
     /**
      * Creates a host that is neither listed nor sendable.
      *
      * @param name the name that discovery gives it
-     * @param id the number by which the balancer knows it
+     * @param id the number that identifies the host to the balancer
      */
     public UpstreamHost(String name, long id) {
         this.name = name;
@@ -44,7 +44,7 @@
         return name;
     }
 
-    /** Returns the number by which the balancer knows the host. */
+    /** Returns the number that identifies the host to the balancer. */
     public long id() {
         return id;
     }
@@ -54,7 +54,7 @@
         return address;
     }
 
-    /** Returns the entry that discovery announced last, regardless of hosts that operators disabled. */
+    /** Returns the entry that discovery announced last, whether or not operators have disabled the host. */
     public EndpointEntry entry() {
         return entry;
     }
@@ -69,7 +69,7 @@
         return sendable;
     }
 
-    /** Returns whether the host is off the endpoint list and carries no call any more. */
+    /** Returns whether the host is off the endpoint list and has no open call. */
     public boolean isRemovable() {
         return !listed && openCalls == 0;
     }
@@ -78,7 +78,7 @@
      * Records what discovery announced of the host.
      *
      * @param announced the new entry
-     * @param newAddress the address announced with it, or null to keep the present one
+     * @param newAddress the address announced with it, or null to keep the current one
      */
     public void onAnnounced(EndpointEntry announced, InetSocketAddress newAddress) {
         entry = announced;
@@ -114,7 +114,7 @@
         connectingCalls.add(call);
     }
 
-    /** Returns whether the call still waited for its connection; it does not any more. */
+    /** Records that the connect of a call has ended; returns whether the call was still waiting for it. */
     boolean onConnectEnded(UpstreamCall call) {
         return connectingCalls.remove(call);
     }
@@ -128,22 +128,23 @@
 
     /** Records that the host was reached. */
     void onReached() {
-        unreachableMark = NOT_UNREACHABLE;
+        reachedCountAtFailure = NOT_UNREACHABLE;
     }
 
     /**
      * Records that there was no route to the host.
      *
-     * @param reached how often any host has been reached so far
-     * @return whether another host has been reached since the failure before, if this one was not reached after that
+     * @param reachedCount number of times that any host has been reached so far
+     * @return whether another host has been reached since this host's previous failure; false if there is none, or this
+     *     host was reached after it
      */
-    boolean onUnreachable(long reached) {
-        boolean isOnlyThisHost = unreachableMark != NOT_UNREACHABLE && reached > unreachableMark;
-        unreachableMark = reached;
+    boolean onUnreachable(long reachedCount) {
+        boolean isOnlyThisHost = reachedCountAtFailure != NOT_UNREACHABLE && reachedCount > reachedCountAtFailure;
+        reachedCountAtFailure = reachedCount;
         return isOnlyThisHost;
     }
 
-    /** Returns the idle connections, the one that has been idle for longest first; changed by the pool only. */
+    /** Returns the idle connections, longest idle first; only the pool changes them. */
     ArrayDeque<UpstreamConnection> idleConnections() {
         return idleConnections;
     }
--- a/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamPool.java
@@ -24,21 +24,21 @@
 import rillyard.trace.TraceEvent.Kind;
 
 /**
- * The connections to hosts: opens them on demand, keeps idle ones for reuse and closes them in time.
+ * Manages the connections to hosts: opens them on demand, keeps idle ones for reuse and closes them before hosts do.
  *
  * <p>Confined to the event loop.
  */
 public final class UpstreamPool {
-    /** Fraction of the host's idle timeout after which a connection is closed, well before the host does. */
+    /** Fraction of the host's idle timeout after which a connection is closed, well before the host closes it. */
     private static final double IDLE_TIMEOUT_FRACTION = 0.7;
 
-    /** Idle time after which the end of a connection, if the host ended it, has been received. */
+    /** Idle time after which the end of the connection has been received if the host closed it after the response. */
     private static final long SETTLE_NANOS = 30_000_000L;
 
-    /** Time for which the rest of an unwanted response is awaited. */
+    /** Time for which the rest of a discarded response is awaited. */
     private static final long DISCARD_TIMEOUT_NANOS = 500_000_000L;
 
-    /** One log line is written for so many attempts that find no descriptor. */
+    /** Number of attempts without a free descriptor for which one log line is written. */
     private static final int REJECTIONS_PER_LOG_LINE = 100;
 
     private final Bootstrap bootstrap;
@@ -82,9 +82,9 @@
     /** Sends a call to its host on an idle connection, or on a new one. */
     public void start(UpstreamCall call) {
         UpstreamHost host = call.host();
-        UpstreamConnection kept = call.needsNewConnection() ? null : takeIdle(host);
-        if (kept != null) {
-            kept.run(call);
+        UpstreamConnection idle = call.needsNewConnection() ? null : takeIdle(host);
+        if (idle != null) {
+            idle.send(call);
         } else if (descriptors.hasCapacity()) {
             connect(call, host);
         } else {
@@ -95,15 +95,16 @@
         }
     }
 
-    /** Takes an idle connection that can be used, and closes those before it that can't; returns null if there is none. */
+    /** Removes and returns a usable idle connection, null if there is none; closes unusable ones selected before. */
     private UpstreamConnection takeIdle(UpstreamHost host) {
-        long now = System.nanoTime();
+        long nowNanos = System.nanoTime();
         UpstreamConnection connection;
-        while ((connection = selectIdle(host.idleConnections(), UpstreamConnection::idleSinceNanos, now)) != null) {
+        while ((connection = selectIdle(host.idleConnections(), UpstreamConnection::idleSinceNanos, nowNanos))
+                != null) {
             removeIdle(host, connection);
             if (connection.isAlive()
                     && connection.isReusable()
-                    && !idleResets.isReuseRisky(now - connection.idleSinceNanos(), now)) {
+                    && !idleResets.isReuseRisky(nowNanos - connection.idleSinceNanos(), nowNanos)) {
                 return connection;
             }
             connection.channel().close();
@@ -112,21 +113,21 @@
     }
 
     /**
-     * Selects the idle connection to use: the newest of those that have settled, else the oldest.
+     * Selects the idle connection to use: the latest to become idle of those that have settled, else the longest idle.
      *
-     * <p>A host that ends its connection right behind a response, or shuts down, does so within the settle time; a
-     * request that crosses the end counts as one that may have run. The cost is one or two more connections to each
-     * host, all of them in use.
+     * <p>A host that closes its connection right after a response, or shuts down, does so within the settle time; a
+     * request that crosses the close counts as one that may have been executed. The cost is one or two more connections
+     * to each host, all of them in use.
      *
      * @param idle connections in the order in which they became idle
-     * @param idleSince gives the time at which a connection became idle
-     * @param now the present time, nanoseconds of the same clock
+     * @param idleSinceNanos returns the time at which a connection became idle
+     * @param nowNanos the current time on the same clock
      * @return the connection, still in {@code idle}, or null if there is none
      */
-    public static <T> T selectIdle(ArrayDeque<T> idle, ToLongFunction<T> idleSince, long now) {
+    public static <T> T selectIdle(ArrayDeque<T> idle, ToLongFunction<T> idleSinceNanos, long nowNanos) {
         for (Iterator<T> newestFirst = idle.descendingIterator(); newestFirst.hasNext(); ) {
             T connection = newestFirst.next();
-            if (now - idleSince.applyAsLong(connection) >= SETTLE_NANOS) {
+            if (nowNanos - idleSinceNanos.applyAsLong(connection) >= SETTLE_NANOS) {
                 return connection;
             }
         }
@@ -136,7 +137,7 @@
     private void connect(UpstreamCall call, UpstreamHost host) {
         ChannelFuture future = bootstrap.connect(host.address());
         if (!(future.channel() instanceof PeekableSocketChannel channel)) {
-            // The system has no socket. The channel that Netty puts in its place has no event loop, and the listeners
+            // No socket could be created. The channel that Netty returns instead has no event loop, and the listeners
             // of its future would run on another thread.
             connectFailures.reportLocal(call, future.cause());
             return;
@@ -162,17 +163,17 @@
         Channel channel = future.channel();
         traceConnect(future, host);
         if (!host.onConnectEnded(call)) {
-            channel.close(); // the call was given up meanwhile
+            channel.close(); // the call was abandoned meanwhile
         } else if (!future.isSuccess()) {
             connectFailures.report(call, future.cause());
-        } else if (!call.mayBegin()) {
+        } else if (!call.mayBeWritten()) {
             connectFailures.onReached(host);
             channel.close();
-            call.onNotNeeded();
+            call.onAbandonedBeforeSend();
         } else {
             connectFailures.onReached(host);
             channel.pipeline().addLast(decoder, new HttpRequestEncoder(), connection.newHandler());
-            connection.run(call);
+            connection.send(call);
         }
     }
 
@@ -186,7 +187,7 @@
         }
     }
 
-    /** Releases a call that is over, whether or not it was ever started. */
+    /** Releases a call that has ended, whether or not it was ever started. */
     public void release(UpstreamCall call) {
         call.host().onCallReleased(call);
         call.abandon();
@@ -232,9 +233,9 @@
     /**
      * Closes the idle connections that may not be reused, after a host was drained or has moved.
      *
-     * @return the calls that waited for a connection to the host; they wait no longer and are the caller's to end
+     * @return the calls that waited for a connection to the host; they wait no longer, and the caller must end them
      */
-    public List<UpstreamCall> closeIdleAndConnecting(UpstreamHost host) {
+    public List<UpstreamCall> closeIdleAndTakeConnecting(UpstreamHost host) {
         for (UpstreamConnection connection : new ArrayList<>(host.idleConnections())) {
             if (!connection.isReusable()) {
                 connection.channel().close();
@@ -243,23 +244,23 @@
         return host.takeConnectingCalls();
     }
 
-    /** Closes connections that have been idle, or have discarded a response, for too long; to be called periodically. */
+    /** Closes connections that have been idle, or discarding a response, for too long; to be called periodically. */
     public void runMaintenance(Iterable<UpstreamHost> hosts) {
-        long now = System.nanoTime();
+        long nowNanos = System.nanoTime();
         for (UpstreamHost host : hosts) {
-            closeExpired(host.idleConnections(), now);
+            closeExpired(host.idleConnections(), nowNanos);
         }
         for (UpstreamConnection connection : new ArrayList<>(discarding)) {
-            if (now - connection.idleSinceNanos() > DISCARD_TIMEOUT_NANOS) {
+            if (nowNanos - connection.idleSinceNanos() > DISCARD_TIMEOUT_NANOS) {
                 connection.channel().close();
             }
         }
     }
 
-    private void closeExpired(ArrayDeque<UpstreamConnection> idle, long now) {
+    private void closeExpired(ArrayDeque<UpstreamConnection> idle, long nowNanos) {
         UpstreamConnection oldest;
         while ((oldest = idle.peekFirst()) != null
-                && idleTimeouts.isExpired(idle.size(), now - oldest.idleSinceNanos())) {
+                && idleTimeouts.isExpired(idle.size(), nowNanos - oldest.idleSinceNanos())) {
             idle.pollFirst();
             oldest.channel().close();
         }
--- a/src/main/java/rillyard/proxy/upstream/UpstreamResponseDecoder.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamResponseDecoder.java
@@ -7,12 +7,12 @@
 import io.netty.util.AsciiString;
 
 /**
- * Decodes the responses of a host strictly, and tells whether and when bytes of the present response have come.
+ * Decodes the responses of a host strictly, and records whether and when bytes of the current response were read.
  *
  * <p>Confined to the event loop.
  */
 final class UpstreamResponseDecoder extends HttpResponseDecoder {
-    private boolean hasBegun;
+    private boolean hasResponseBegun;
     private long lastReadNanos;
 
     UpstreamResponseDecoder(HttpDecoderConfig config) {
@@ -21,29 +21,29 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) throws Exception {
-        hasBegun = true;
+        hasResponseBegun = true;
         lastReadNanos = System.nanoTime();
         super.channelRead(ctx, msg);
     }
 
     /** Prepares for the response to the next request. */
     void onRequestStarted() {
-        hasBegun = false;
+        hasResponseBegun = false;
     }
 
-    /** Prepares for the response behind an interim one, of which bytes may have been read already. */
+    /** Prepares for the response after an interim one, of which bytes may have been read already. */
     void onInterimResponseEnd() {
-        hasBegun = hasSurplusBytes();
+        hasResponseBegun = hasSurplusBytes();
     }
 
-    /** Restarts the time since the last read, after a pause in reading that was the proxy's own. */
+    /** Restarts the time since the last read, after the proxy itself has paused reading. */
     void onReadingResumed() {
         lastReadNanos = System.nanoTime();
     }
 
-    /** Returns whether any byte has been read since the present request was started, interim responses excluded. */
-    boolean hasBegun() {
-        return hasBegun;
+    /** Returns whether any byte has been read since the current request was started, interim responses excluded. */
+    boolean hasResponseBegun() {
+        return hasResponseBegun;
     }
 
     /** Returns the time ({@link System#nanoTime}) of the last read. */
@@ -51,18 +51,18 @@
         return lastReadNanos;
     }
 
-    /** Returns whether bytes have been read that lie behind the end of the decoded response. */
+    /** Returns whether bytes after the end of the decoded response have been read. */
     boolean hasSurplusBytes() {
         return actualReadableBytes() > 0;
     }
 
-    /** Rejects a message with both lengths, which may contradict each other (RFC 9112, 6.3). */
+    /** Rejects a message with both headers, which may contradict each other about its length (RFC 9112, 6.3). */
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
         throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
     }
 
-    /** Rejects a header line without a colon, which the base class takes for a field without a value (RFC 9112, 5). */
+    /** Rejects a header line without a colon, which the base class accepts as a field without a value (RFC 9112, 5). */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         int colon = start + length;
--- a/src/main/java/rillyard/proxy/upstream/package-info.java
+++ b/src/main/java/rillyard/proxy/upstream/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Connections to hosts: the pool, one connection, the call that it carries, and what is learned of idle connections.
+ * Connections to hosts: the pool, a connection, the call that it carries, and the statistics of idle connections.
  *
  * <p>Everything in this package is confined to the event loop of the proxy.
  */
--- a/src/test/java/rillyard/proxy/IncompleteListTest.java
+++ b/src/test/java/rillyard/proxy/IncompleteListTest.java
@@ -76,7 +76,7 @@
             // The full list names one of four hosts, and that one as draining.
             fixture.announce(2, true, allEndpoints()[0].replace("\"up\"", "\"draining\""));
             assertThat(respondingHosts(fixture)).containsExactly("b", "c", "d");
-            assertThat(fixture.log()).contains("full list not believed for now, hosts=1 missing_in_use=3");
+            assertThat(fixture.log()).contains("full list lacks hosts that stay in use, hosts=1 missing_in_use=3");
             fixture.announce(3, false, allEndpoints()[1].replace("\"up\"", "\"removed\""));
             assertThat(respondingHosts(fixture)).containsExactly("c", "d");
         }
--- a/src/test/java/rillyard/proxy/upstream/ConnectFailureClassifierTest.java
+++ b/src/test/java/rillyard/proxy/upstream/ConnectFailureClassifierTest.java
@@ -24,11 +24,11 @@
 
     @Test
     void refusedUnreachableOrLateHostHasFailed() {
-        assertThat(classifier.isOfHost(host, new ConnectException("Connection refused")))
+        assertThat(classifier.isHostFailure(host, new ConnectException("Connection refused")))
                 .isTrue();
-        assertThat(classifier.isOfHost(host, new ConnectTimeoutException("late")))
+        assertThat(classifier.isHostFailure(host, new ConnectTimeoutException("late")))
                 .isTrue();
-        assertThat(classifier.isOfHost(host, new NoRouteToHostException("No route to host")))
+        assertThat(classifier.isHostFailure(host, new NoRouteToHostException("No route to host")))
                 .isTrue();
     }
 
@@ -36,19 +36,19 @@
     void resetConnectIsTheHostsAtOnce() {
         Throwable annotated = new SocketException("Connection reset by peer: /127.0.0.1:80"); // as Netty wraps it
         annotated.initCause(new SocketException("Connection reset by peer"));
-        assertThat(classifier.isOfHost(host, annotated)).isTrue();
+        assertThat(classifier.isHostFailure(host, annotated)).isTrue();
     }
 
     @Test
     void lackOfPortsOrBuffersIsLocalWhoeverIsReached() {
         for (int i = 0; i < 3; i++) {
             classifier.onReached(other);
-            assertThat(classifier.isOfHost(host, new SocketException("No buffer space available")))
+            assertThat(classifier.isHostFailure(host, new SocketException("No buffer space available")))
                     .isFalse();
             // As Netty wraps it.
             Throwable annotated = new SocketException("Cannot assign requested address: /127.0.0.1:80");
             annotated.initCause(new BindException("Cannot assign requested address"));
-            assertThat(classifier.isOfHost(host, annotated)).isFalse();
+            assertThat(classifier.isHostFailure(host, annotated)).isFalse();
         }
     }
 
@@ -57,19 +57,19 @@
         classifier.onReached(host);
         classifier.onReached(other);
         for (int i = 0; i < 5; i++) {
-            assertThat(classifier.isOfHost(host, noRoute)).isFalse();
-            assertThat(classifier.isOfHost(other, noRoute)).isFalse();
+            assertThat(classifier.isHostFailure(host, noRoute)).isFalse();
+            assertThat(classifier.isHostFailure(other, noRoute)).isFalse();
         }
     }
 
     @Test
     void lackOfRouteToOneHostTellsOfItWhileAnotherIsReached() {
-        assertThat(classifier.isOfHost(host, noRoute)).isFalse();
+        assertThat(classifier.isHostFailure(host, noRoute)).isFalse();
         classifier.onReached(other);
-        assertThat(classifier.isOfHost(host, noRoute)).isTrue();
-        assertThat(classifier.isOfHost(host, noRoute)).isFalse(); // no other was reached meanwhile
+        assertThat(classifier.isHostFailure(host, noRoute)).isTrue();
+        assertThat(classifier.isHostFailure(host, noRoute)).isFalse(); // no other was reached meanwhile
         classifier.onReached(host);
         classifier.onReached(other);
-        assertThat(classifier.isOfHost(host, noRoute)).isFalse(); // the first one since it was reached
+        assertThat(classifier.isHostFailure(host, noRoute)).isFalse(); // the first one since it was reached
     }
 }
--- a/src/test/java/rillyard/proxy/upstream/UpstreamCallFailureTest.java
+++ b/src/test/java/rillyard/proxy/upstream/UpstreamCallFailureTest.java
@@ -64,7 +64,7 @@
         public void onWritten() {}
 
         @Override
-        public void onNotSent() {
+        public void onSendFailed() {
             reports.add("not sent");
         }
 
@@ -74,7 +74,7 @@
         }
 
         @Override
-        public void onNotNeeded() {
+        public void onAbandonedBeforeSend() {
             reports.add("not needed");
         }
 
@@ -152,7 +152,7 @@
     void throwAtEndOfConnectEndsCall() throws Exception {
         assertHandlerFailureIsReported(new ReportingCall() {
             @Override
-            public boolean mayBegin() {
+            public boolean mayBeWritten() {
                 throw new IllegalStateException("thrown by the test");
             }
         });
