--- a/src/main/java/rillyard/stall/StallDetector.java
+++ b/src/main/java/rillyard/stall/StallDetector.java
@@ -1,115 +1,116 @@
 package rillyard.stall;
 
 /**
- * Computes since when what an event loop reads in a turn may have waited in its socket.
+ * Computes since when the input that an event loop reads may have waited in its socket.
  *
- * <p>A client counts the time of its request from when it sent it, but a socket does not tell when its bytes arrived.
- * What was there at one poll of the selector has been read by the next, so nothing is older than the previous poll. If
- * the loop slept in its poll, whatever arrives wakes it: then nothing has waited, unless the process itself was paused,
- * which shows where the loop wakes after its wake-up time.
+ * <p>A client measures the time of a request from when it sends the request, but a socket doesn't report when its bytes
+ * arrived. Input that was there at one poll of the selector has been read by the next, so no input is older than the
+ * previous poll. If the loop slept in its poll, it was woken up by the first input, which has not waited then, unless
+ * the process itself was paused. A pause shows as a wake-up after the time at which the poll had to end.
  *
- * <p>Times are nanoseconds of one clock. A pause that begins before the wake-up time is underestimated by at most the
- * time until then; a proxy's periodic maintenance limits that to 0.25 s. Not thread-safe.
+ * <p>A turn is one iteration of the event loop: a poll, and the reads and tasks after it. Times are nanoseconds of one
+ * clock. A pause that begins before the wake-up time is underestimated by at most the time until then; a proxy's
+ * periodic maintenance limits that to 0.25 s. Not thread-safe.
  */
 public final class StallDetector {
     /**
-     * Duration beyond which a poll has slept, so that nothing was pending when it began.
+     * Duration of a poll above which it has slept, so that no input was pending when it began.
      *
-     * <p>It exceeds the time for which the scheduler commonly takes a thread off a shared core, which looks the same. The
-     * cost is that up to so much is taken off the time of a request that has not waited.
+     * <p>It exceeds the time for which the scheduler commonly takes a thread off a shared core, which looks the same.
+     * The cost is that up to this duration is deducted from the remaining time of a request that has not waited.
      */
     private static final long MIN_SLEEP_NANOS = 5_000_000;
 
-    /** A turn before all others. */
+    /** A turn number below all others. */
     private static final long NO_TURN = -2;
 
-    private long pollBeganAt;
-    private long wakeUpAt;
-    private long pollEndedAt;
-    private long readableSince;
+    private long pollBeganAtNanos;
+    private long wakeUpAtNanos;
+    private long pollEndedAtNanos;
+    private long readableSinceNanos;
     private long turn;
     private long backlogTurn = NO_TURN;
-    private long backlogSince;
+    private long backlogSinceNanos;
 
-    /** Creates a detector for a loop that starts now. */
-    public StallDetector(long now) {
-        pollBeganAt = now;
-        pollEndedAt = now;
-        readableSince = now;
+    /** Creates a detector for a loop that starts at {@code nowNanos}. */
+    public StallDetector(long nowNanos) {
+        pollBeganAtNanos = nowNanos;
+        pollEndedAtNanos = nowNanos;
+        readableSinceNanos = nowNanos;
     }
 
-    /** Is called before a poll, which sleeps until {@code wakeUpAt} at the latest, and not at all if that is now. */
-    public void beforePoll(long now, long wakeUpAt) {
-        pollBeganAt = now;
-        this.wakeUpAt = wakeUpAt;
+    /** Records the start of a poll that sleeps until {@code wakeUpAtNanos} at the latest; not at all if that is now. */
+    public void beforePoll(long nowNanos, long wakeUpAtNanos) {
+        pollBeganAtNanos = nowNanos;
+        this.wakeUpAtNanos = wakeUpAtNanos;
     }
 
-    /** Is called after a poll, before its results are read; begins a turn. */
-    public void afterPoll(long now) {
-        boolean hasSlept = mayHaveSlept() && now - pollBeganAt > MIN_SLEEP_NANOS;
-        readableSince = hasSlept ? Math.min(now, wakeUpAt) : pollEndedAt;
-        pollEndedAt = now;
+    /** Records the end of a poll, before its input is read; begins a turn. */
+    public void afterPoll(long nowNanos) {
+        boolean hasSlept = mayHaveSlept() && nowNanos - pollBeganAtNanos > MIN_SLEEP_NANOS;
+        readableSinceNanos = hasSlept ? Math.min(nowNanos, wakeUpAtNanos) : pollEndedAtNanos;
+        pollEndedAtNanos = nowNanos;
         turn++;
     }
 
     /**
-     * Is called after a poll that found nothing.
+     * Records that the last poll found nothing.
      *
-     * <p>One that ended after its wake-up time may not have polled at all: a process that was stopped resumes in an
-     * interrupted wait, which the JDK ends as timed out. What the next poll finds may have waited as long.
+     * <p>A poll that ended after its wake-up time may not have polled at all: a process that was stopped resumes in an
+     * interrupted wait, which the JDK ends as timed out. The input that the next poll finds may have waited as long.
      */
     public void onEmptyPoll() {
-        if (mayHaveSlept() && pollEndedAt - wakeUpAt > 0) {
-            pollEndedAt = readableSince;
+        if (mayHaveSlept() && pollEndedAtNanos - wakeUpAtNanos > 0) {
+            pollEndedAtNanos = readableSinceNanos;
         }
     }
 
     private boolean mayHaveSlept() {
-        return wakeUpAt - pollBeganAt > 0;
+        return wakeUpAtNanos - pollBeganAtNanos > 0;
     }
 
-    /** Returns a time before which no byte arrived that this turn reads on a connection that was open by then. */
+    /** Returns the earliest arrival time of the bytes that this turn reads on connections that were open by then. */
     public long readableSince() {
-        return readableSince;
+        return readableSinceNanos;
     }
 
-    /** Returns the longest time for which what this turn reads may have waited when the turn began. */
+    /** Returns the longest time for which input of this turn may have waited when the turn began. */
     public long lateNanos() {
-        return pollEndedAt - readableSince;
+        return pollEndedAtNanos - readableSinceNanos;
     }
 
     /**
-     * Is called when a connection is accepted; returns since when it and what arrived on it may have waited.
+     * Records that a connection is accepted; returns since when the connection and its input may have waited.
      *
-     * <p>That is more than one turn if the previous turns left connections in the backlog.
+     * <p>That is longer than since the previous poll if previous turns left connections in the backlog.
      */
     public long acceptableSince() {
         if (backlogTurn < turn - 1) {
-            backlogSince = readableSince;
+            backlogSinceNanos = readableSinceNanos;
         }
         backlogTurn = turn;
-        return backlogSince;
+        return backlogSinceNanos;
     }
 
-    /** Is called when an accept found the backlog empty. */
+    /** Records that an accept found the backlog empty. */
     public void onBacklogEmpty() {
         backlogTurn = turn - 2; // neither this turn nor the one before
     }
 
-    /** Returns the number of the present turn. */
+    /** Returns the number of the current turn. */
     public long turn() {
         return turn;
     }
 
     /**
-     * Returns since when what is read now may have waited on an accepted connection.
+     * Returns since when the input that is read now on an accepted connection may have waited.
      *
-     * <p>What arrived before the accept is read by the turn after it.
+     * <p>Input that arrived before the accept is read no later than in the turn after the accept.
      *
-     * @param acceptTurn the turn in which it was accepted
-     * @param acceptedSince what {@link #acceptableSince} returned then
+     * @param acceptTurn the turn in which the connection was accepted
+     * @param acceptableSinceNanos the result of {@link #acceptableSince} for the connection
      */
-    public long readableSince(long acceptTurn, long acceptedSince) {
-        return turn <= acceptTurn + 1 ? acceptedSince : readableSince;
+    public long readableSince(long acceptTurn, long acceptableSinceNanos) {
+        return turn <= acceptTurn + 1 ? acceptableSinceNanos : readableSinceNanos;
     }
 }
--- a/src/test/java/rillyard/stall/StallDetectorTest.java
+++ b/src/test/java/rillyard/stall/StallDetectorTest.java
@@ -4,15 +4,21 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Waiting times of what a loop reads, by the times of its polls in milliseconds. */
+/**
+ * Tests the times for which input may have waited, given the times of polls in ms.
+ *
+ * <p>Guards against a stall that is not deducted from the remaining time of requests, as a socket doesn't report when
+ * bytes arrived, and against a deduction from requests that have not waited.
+ */
 class StallDetectorTest {
+    /** Nanoseconds per millisecond. */
     private static final long MS = 1_000_000;
 
     private final StallDetector detector = new StallDetector(0);
 
-    private void poll(long from, long wakeUpAt, long to) {
-        detector.beforePoll(from * MS, wakeUpAt * MS);
-        detector.afterPoll(to * MS);
+    private void poll(long fromMillis, long wakeUpAtMillis, long toMillis) {
+        detector.beforePoll(fromMillis * MS, wakeUpAtMillis * MS);
+        detector.afterPoll(toMillis * MS);
     }
 
     @Test
@@ -40,7 +46,7 @@
     @Test
     void durationOfPollWithoutSleepIsNoWaitingTime() {
         poll(0, 250, 10);
-        poll(20, 23, 24); // off its core during the poll
+        poll(20, 23, 24); // the thread was off its core during the poll
         assertThat(detector.readableSince()).isEqualTo(10 * MS);
     }
 
@@ -53,7 +59,7 @@
         detector.onEmptyPoll();
         poll(1_202, 1_202, 1_202);
         assertThat(detector.readableSince())
-                .as("a poll without a wait has polled")
+                .as("a poll that does not sleep has really polled")
                 .isEqualTo(1_201 * MS);
     }
 
@@ -63,7 +69,7 @@
         assertThat(detector.acceptableSince()).isEqualTo(200 * MS);
         poll(240, 240, 240);
         assertThat(detector.acceptableSince())
-                .as("left over by the turn before")
+                .as("left in the backlog by the previous turn")
                 .isEqualTo(200 * MS);
         detector.onBacklogEmpty();
         poll(260, 260, 260);
@@ -78,11 +84,13 @@
     @Test
     void firstReadAfterAcceptCountsFromAccept() {
         poll(0, 250, 200);
-        long turn = detector.turn();
-        long since = detector.acceptableSince();
+        long acceptTurn = detector.turn();
+        long acceptableSinceNanos = detector.acceptableSince();
         poll(240, 240, 240);
         poll(280, 280, 280);
-        assertThat(detector.readableSince(turn + 1, since)).isEqualTo(200 * MS);
-        assertThat(detector.readableSince(turn, since)).as("it came later").isEqualTo(240 * MS);
+        assertThat(detector.readableSince(acceptTurn + 1, acceptableSinceNanos)).isEqualTo(200 * MS);
+        assertThat(detector.readableSince(acceptTurn, acceptableSinceNanos))
+                .as("input of a later turn")
+                .isEqualTo(240 * MS);
     }
 }
