--- a/src/main/java/rillyard/endpoints/DisabledHosts.java
+++ b/src/main/java/rillyard/endpoints/DisabledHosts.java
@@ -7,20 +7,20 @@
 import rillyard.balancer.EndpointEntry;
 
 /**
- * The hosts that operators disabled, laid over discovery's entries.
+ * The hosts that operators disabled; changes the entries that discovery announced accordingly.
  *
- * <p>A disabled host receives no new requests, whatever discovery announces in between. A host that was enabled again
+ * <p>A disabled host receives no new requests, whatever discovery announces meanwhile. A host that was enabled again
  * counts as started at that time, as hosts are restarted while they are disabled. Not thread-safe.
  */
 public final class DisabledHosts {
-    /** Most hosts that can be disabled, which bounds what a faulty script can add. */
+    /** Maximum number of disabled hosts, which limits what a faulty script can add. */
     public static final int MAX_HOSTS = 4_096;
 
     private final Set<String> disabled = new HashSet<>();
-    private final Map<String, Double> enabledAt = new LinkedHashMap<>() {
+    private final Map<String, Double> enabledAtMillis = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
-        /** Bounds the names that never return to the list; the oldest finish their slow start first. */
+        /** Limits the entries of hosts that don't return to the list; the slow start of the oldest ends first. */
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Double> eldest) {
             return size() > MAX_HOSTS;
@@ -32,7 +32,7 @@
         return disabled.contains(name);
     }
 
-    /** Returns how many hosts are disabled, listed or not. */
+    /** Returns the number of disabled hosts, listed or not. */
     public int size() {
         return disabled.size();
     }
@@ -45,23 +45,23 @@
      */
     public boolean disable(String name) {
         if (!disabled.contains(name) && disabled.size() >= MAX_HOSTS) {
-            throw new IllegalStateException(MAX_HOSTS + " hosts are out, no more may be");
+            throw new IllegalStateException(MAX_HOSTS + " hosts are disabled, no more can be");
         }
-        enabledAt.remove(name);
+        enabledAtMillis.remove(name);
         return disabled.add(name);
     }
 
     /**
      * Enables a host, however often it was disabled.
      *
-     * @param at the balancer's clock (ms) at which it was enabled
+     * @param atMillis the time on the balancer's clock at which it was enabled
      * @return whether the host's state changed
      */
-    public boolean enable(String name, double at) {
+    public boolean enable(String name, double atMillis) {
         if (!disabled.remove(name)) {
             return false;
         }
-        enabledAt.put(name, at);
+        enabledAtMillis.put(name, atMillis);
         return true;
     }
 
@@ -69,10 +69,10 @@
      * Adopts the state that another process of the same proxy stored.
      *
      * @param disabledNow the hosts that are disabled
-     * @param enabledTimes when (ms, the balancer's clock) hosts were enabled lately
+     * @param enabledTimesMillis the times (ms, the balancer's clock) at which hosts were recently enabled
      * @return the hosts whose state changed
      */
-    public Set<String> adopt(Set<String> disabledNow, Map<String, Double> enabledTimes) {
+    public Set<String> adopt(Set<String> disabledNow, Map<String, Double> enabledTimesMillis) {
         Set<String> changed = new HashSet<>();
         for (String name : disabledNow) {
             if (disabled.size() < MAX_HOSTS && disable(name)) {
@@ -85,31 +85,31 @@
                 changed.add(name);
             }
         }
-        enabledTimes.forEach((name, at) -> {
-            if (!disabled.contains(name) && (changed.contains(name) || !enabledAt.containsKey(name))) {
-                enabledAt.put(name, at);
+        enabledTimesMillis.forEach((name, atMillis) -> {
+            if (!disabled.contains(name) && (changed.contains(name) || !enabledAtMillis.containsKey(name))) {
+                enabledAtMillis.put(name, atMillis);
                 changed.add(name);
             }
         });
         return changed;
     }
 
-    /** Returns for how many hosts it is known when they were enabled. */
+    /** Returns the number of hosts whose enable time is known. */
     public int enabledTimeCount() {
-        return enabledAt.size();
+        return enabledAtMillis.size();
     }
 
-    /** Forgets when a host was enabled, as it has left the list. */
+    /** Removes the enable time of a host that has left the list. */
     public void forget(String name) {
-        enabledAt.remove(name);
+        enabledAtMillis.remove(name);
     }
 
-    /** Returns the entry of a host for the balancer, given the one that discovery announced. */
+    /** Returns the entry that the balancer uses for a host, given the one that discovery announced. */
     public EndpointEntry effective(String name, EndpointEntry announced) {
         boolean isReady = announced.condition() == EndpointEntry.Condition.READY;
         EndpointEntry.Condition condition =
                 isReady && disabled.contains(name) ? EndpointEntry.Condition.TERMINATING : announced.condition();
-        double startedAtMillis = Math.max(announced.startedAtMillis(), enabledAt.getOrDefault(name, 0.0));
+        double startedAtMillis = Math.max(announced.startedAtMillis(), enabledAtMillis.getOrDefault(name, 0.0));
         return condition == announced.condition() && startedAtMillis == announced.startedAtMillis()
                 ? announced
                 : new EndpointEntry(
--- a/src/test/java/rillyard/endpoints/DisabledHostsTest.java
+++ b/src/test/java/rillyard/endpoints/DisabledHostsTest.java
@@ -9,16 +9,21 @@
 import rillyard.balancer.EndpointEntry;
 import rillyard.balancer.EndpointEntry.Condition;
 
-/** Entries of hosts that operators disabled and enabled. */
+/**
+ * Tests the entries of hosts that operators disabled and enabled.
+ *
+ * <p>Guards against a disabled host that gets requests again when discovery announces it as ready, and against a
+ * restarted host that gets full load without slow start.
+ */
 class DisabledHostsTest {
     private final DisabledHosts disabledHosts = new DisabledHosts();
 
-    private static EndpointEntry entry(Condition condition, double since) {
-        return new EndpointEntry(7, "z", "k", 3, condition, since);
+    private static EndpointEntry entry(Condition condition, double startedAtMillis) {
+        return new EndpointEntry(7, "z", "k", 3, condition, startedAtMillis);
     }
 
-    private EndpointEntry effective(Condition condition, double since) {
-        return disabledHosts.effective("a", entry(condition, since));
+    private EndpointEntry effective(Condition condition, double startedAtMillis) {
+        return disabledHosts.effective("a", entry(condition, startedAtMillis));
     }
 
     @Test
@@ -28,7 +33,7 @@
             assertThat(effective(announced, 0).condition()).isEqualTo(Condition.TERMINATING);
         }
         assertThat(effective(Condition.GONE, 0).condition()).isEqualTo(Condition.GONE);
-        disabledHosts.forget("a"); // it left the list and returned
+        disabledHosts.forget("a"); // as when the host leaves the list and returns
         assertThat(effective(Condition.READY, 0).condition()).isEqualTo(Condition.TERMINATING);
     }
 
--- a/src/test/java/rillyard/endpoints/EndpointListGuardTest.java
+++ b/src/test/java/rillyard/endpoints/EndpointListGuardTest.java
@@ -6,7 +6,12 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Hosts that are retained although a full list lacks them. */
+/**
+ * Tests which hosts are retained although a full list lacks them.
+ *
+ * <p>Guards against an overload of the remaining hosts after a registry has lost its data, and against hosts that stay
+ * in use for too long after they were really removed.
+ */
 class EndpointListGuardTest {
     private static final Set<String> ALL = Set.of("a", "b", "c", "d", "e", "f");
 
@@ -41,7 +46,7 @@
     @Test
     void plausibleListDoesNotReleaseHostsRetainedBefore() {
         guard.onFullList(0, ALL, Set.of("a"));
-        // a and three that are back; two are still retained
+        // the list names a and three others again; two are still retained
         assertThat(guard.onFullList(500, ALL, Set.of("a", "b", "c", "d"))).containsExactlyInAnyOrder("e", "f");
         assertThat(guard.expired(1_000)).containsExactlyInAnyOrder("e", "f");
     }
@@ -56,7 +61,7 @@
         assertThat(guard.expired(Double.MAX_VALUE)).isEmpty();
     }
 
-    /** Hosts that have drained before are not brought back. */
+    /** Hosts that have drained are not used again. */
     @Test
     void onlyHostsInUseAreRetained() {
         assertThat(guard.onFullList(0, Set.of("a", "b", "c"), Set.of("d"))).containsExactlyInAnyOrder("a", "b", "c");
--- a/src/test/java/rillyard/endpoints/HostStartClockTest.java
+++ b/src/test/java/rillyard/endpoints/HostStartClockTest.java
@@ -11,12 +11,17 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** Starts of hosts on the balancer's clock, with wall clocks that are right and wrong. */
+/**
+ * Tests the conversion of the start times of hosts, with wall clocks that are right and wrong. Times are in ms.
+ *
+ * <p>Guards against a host that gets full load without slow start because it looks older than it is: the wall clock of
+ * this machine or the clock of a host is ahead, or a clock has been set back.
+ */
 class HostStartClockTest {
-    private static final double WARM_UP = 8_000;
+    private static final double WARM_UP_MILLIS = 8_000;
     private static final double HOUR = 3_600_000;
 
-    /** The true clock of the lists less the balancer's. */
+    /** The true clock of the lists minus the balancer's clock. */
     private static final double OFFSET = 1.7e12;
 
     /** When the process starts, on the balancer's clock. */
@@ -24,22 +29,22 @@
 
     private static final double EXACT = 0.01;
 
-    private static HostStartClock clockWithWallClockAheadBy(double error) {
-        return new HostStartClock(OFFSET + error, WARM_UP);
+    private static HostStartClock clockWithWallClockAheadBy(double errorMillis) {
+        return new HostStartClock(OFFSET + errorMillis, WARM_UP_MILLIS);
     }
 
-    private static double unix(double at) {
-        return OFFSET + at;
+    private static double unixMillis(double atMillis) {
+        return OFFSET + atMillis;
     }
 
-    private static double learn(HostStartClock clock, String host, double startedAt, double now) {
-        return clock.onList(false, Map.of(host, unix(startedAt)), now).get(host);
+    private static double learn(HostStartClock clock, String host, double startedAtMillis, double nowMillis) {
+        return clock.onList(false, Map.of(host, unixMillis(startedAtMillis)), nowMillis).get(host);
     }
 
-    /** Learns a list of hosts that are warm, as most proxies start with. */
-    private static HostStartClock afterFirstList(double wallClockError) {
-        HostStartClock clock = clockWithWallClockAheadBy(wallClockError);
-        clock.onList(false, Map.of("a", unix(START - 5 * HOUR), "b", unix(START - 6 * HOUR)), START);
+    /** Returns a clock that has learnt a list of warm hosts, as most proxies do at their start. */
+    private static HostStartClock afterFirstList(double wallClockErrorMillis) {
+        HostStartClock clock = clockWithWallClockAheadBy(wallClockErrorMillis);
+        clock.onList(false, Map.of("a", unixMillis(START - 5 * HOUR), "b", unixMillis(START - 6 * HOUR)), START);
         return clock;
     }
 
@@ -48,7 +53,9 @@
         HostStartClock clock = clockWithWallClockAheadBy(0);
 
         Map<String, Double> first = clock.onList(
-                false, Map.of("old", unix(START - HOUR), "young", unix(START - 2_000), "unstated", 0.0), START);
+                false,
+                Map.of("old", unixMillis(START - HOUR), "young", unixMillis(START - 2_000), "unstated", 0.0),
+                START);
 
         assertThat(first.get("old")).isEqualTo(START - HOUR, within(EXACT));
         assertThat(first.get("young")).isEqualTo(START - 2_000, within(EXACT));
@@ -72,7 +79,12 @@
         HostStartClock clock = clockWithWallClockAheadBy(-HOUR);
 
         Map<String, Double> first = clock.onList(
-                false, Map.of("a", unix(START - 5_000), "b", unix(START - 10_000), "c", unix(START - 600_000)), START);
+                false,
+                Map.of(
+                        "a", unixMillis(START - 5_000),
+                        "b", unixMillis(START - 10_000),
+                        "c", unixMillis(START - 600_000)),
+                START);
 
         assertThat(first.get("a")).isEqualTo(START);
         assertThat(first.get("b")).isEqualTo(START);
@@ -100,10 +112,15 @@
     void youngHostOfFirstListIsCorrectedOnceRestartShowsWallClockAhead() {
         HostStartClock clock = clockWithWallClockAheadBy(HOUR);
         Map<String, Double> first = clock.onList(
-                false, Map.of("young", unix(START - 1_000), "old", unix(START - HOUR), "c", unix(START - HOUR)), START);
-        assertThat(first.get("young")).as("not to be told from an old host").isLessThan(START - WARM_UP);
+                false,
+                Map.of(
+                        "young", unixMillis(START - 1_000),
+                        "old", unixMillis(START - HOUR),
+                        "c", unixMillis(START - HOUR)),
+                START);
+        assertThat(first.get("young")).as("not to be told from an old host").isLessThan(START - WARM_UP_MILLIS);
 
-        Map<String, Double> later = clock.onList(false, Map.of("c", unix(START + 2_000)), START + 2_050);
+        Map<String, Double> later = clock.onList(false, Map.of("c", unixMillis(START + 2_000)), START + 2_050);
 
         assertThat(later.get("young")).isBetween(START - 1_000, START);
         assertThat(later).doesNotContainKey("old");
@@ -113,7 +130,7 @@
     @Test
     void hostKeepsItsStartWhileListsLackIt() {
         HostStartClock clock = afterFirstList(0);
-        clock.onList(false, Map.of("a", unix(START - 5 * HOUR)), START + 5_000);
+        clock.onList(false, Map.of("a", unixMillis(START - 5 * HOUR)), START + 5_000);
 
         assertThat(learn(clock, "b", START - 6 * HOUR, START + 10_000)).isEqualTo(START - 6 * HOUR, within(EXACT));
     }
@@ -122,8 +139,8 @@
     void oneHostWithClockAheadMakesNoOtherOlder() {
         HostStartClock clock = clockWithWallClockAheadBy(0);
 
-        Map<String, Double> first =
-                clock.onList(false, Map.of("a", unix(START + HOUR), "b", unix(START - 1_000), "c", 0.0), START);
+        Map<String, Double> first = clock.onList(
+                false, Map.of("a", unixMillis(START + HOUR), "b", unixMillis(START - 1_000), "c", 0.0), START);
 
         assertThat(first.get("a")).isEqualTo(START);
         assertThat(first.get("b")).isEqualTo(START - 1_000, within(EXACT));
@@ -143,52 +160,53 @@
     @Test
     void cachedListProvesNothingAboutWallClock() {
         HostStartClock clock = clockWithWallClockAheadBy(0);
-        clock.onList(true, Map.of("a", unix(START - 5 * HOUR)), START);
+        clock.onList(true, Map.of("a", unixMillis(START - 5 * HOUR)), START);
 
-        Map<String, Double> first = clock.onList(false, Map.of("a", unix(START - HOUR)), START + 50);
+        Map<String, Double> first = clock.onList(false, Map.of("a", unixMillis(START - HOUR)), START + 50);
 
         assertThat(first.get("a")).isEqualTo(START - HOUR, within(EXACT));
     }
 
     @Property
     void laterStartIsNeverTakenForMuchOlder(
-            @ForAll @DoubleRange(min = -2 * HOUR, max = 2 * HOUR) double wallClockError,
-            @ForAll @Size(max = 6) List<@DoubleRange(max = 5 * HOUR) Double> agesAtFirst,
-            @ForAll @Size(min = 1, max = 20) List<@DoubleRange(max = 20_000) Double> ages) {
-        HostStartClock clock = clockWithWallClockAheadBy(wallClockError);
-        for (int i = 0; i < agesAtFirst.size(); i++) {
-            double age = agesAtFirst.get(i);
-            assertThat(clock.onList(true, Map.of("first" + i, unix(START - age)), START)
+            @ForAll @DoubleRange(min = -2 * HOUR, max = 2 * HOUR) double wallClockErrorMillis,
+            @ForAll @Size(max = 6) List<@DoubleRange(max = 5 * HOUR) Double> agesAtFirstMillis,
+            @ForAll @Size(min = 1, max = 20) List<@DoubleRange(max = 20_000) Double> agesMillis) {
+        HostStartClock clock = clockWithWallClockAheadBy(wallClockErrorMillis);
+        for (int i = 0; i < agesAtFirstMillis.size(); i++) {
+            double ageMillis = agesAtFirstMillis.get(i);
+            assertThat(clock.onList(true, Map.of("first" + i, unixMillis(START - ageMillis)), START)
                             .get("first" + i))
                     .isLessThanOrEqualTo(START);
         }
         clock.onList(false, Map.of(), START);
-        double now = START;
-        for (int i = 0; i < ages.size(); i++) {
-            now += 25_000;
-            double startedAt = now - ages.get(i);
-            assertThat(learn(clock, "host" + i % 4, startedAt, now))
-                    .isBetween(startedAt - HostStartClock.TOLERANCE_MILLIS - EXACT, now);
+        double nowMillis = START;
+        for (int i = 0; i < agesMillis.size(); i++) {
+            nowMillis += 25_000;
+            double startedAtMillis = nowMillis - agesMillis.get(i);
+            assertThat(learn(clock, "host" + i % 4, startedAtMillis, nowMillis))
+                    .isBetween(startedAtMillis - HostStartClock.TOLERANCE_MILLIS - EXACT, nowMillis);
         }
     }
 
     @Property
     void rightWallClockGivesExactStartsWhereverTheyAreLearntInTime(
-            @ForAll @Size(max = 6) List<@DoubleRange(max = 5 * HOUR) Double> agesAtFirst,
-            @ForAll @Size(max = 20) List<@DoubleRange(max = 499) Double> ages) {
+            @ForAll @Size(max = 6) List<@DoubleRange(max = 5 * HOUR) Double> agesAtFirstMillis,
+            @ForAll @Size(max = 20) List<@DoubleRange(max = 499) Double> agesMillis) {
         HostStartClock clock = clockWithWallClockAheadBy(0);
-        for (int i = 0; i < agesAtFirst.size(); i++) {
-            double startedAt = START - agesAtFirst.get(i);
-            assertThat(clock.onList(true, Map.of("first" + i, unix(startedAt)), START)
+        for (int i = 0; i < agesAtFirstMillis.size(); i++) {
+            double startedAtMillis = START - agesAtFirstMillis.get(i);
+            assertThat(clock.onList(true, Map.of("first" + i, unixMillis(startedAtMillis)), START)
                             .get("first" + i))
-                    .isEqualTo(startedAt, within(EXACT));
+                    .isEqualTo(startedAtMillis, within(EXACT));
         }
         clock.onList(false, Map.of(), START);
-        double now = START;
-        for (int i = 0; i < ages.size(); i++) {
-            now += 1_000;
-            double startedAt = now - ages.get(i);
-            assertThat(learn(clock, "host" + i % 4, startedAt, now)).isEqualTo(startedAt, within(EXACT));
+        double nowMillis = START;
+        for (int i = 0; i < agesMillis.size(); i++) {
+            nowMillis += 1_000;
+            double startedAtMillis = nowMillis - agesMillis.get(i);
+            assertThat(learn(clock, "host" + i % 4, startedAtMillis, nowMillis))
+                    .isEqualTo(startedAtMillis, within(EXACT));
         }
     }
 }
