--- a/src/main/java/rillyard/connections/package-info.java
+++ b/src/main/java/rillyard/connections/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Decides how long idle connections to hosts are kept, from how many proxies share the hosts; no I/O and no clock.
+ * Determines how long idle connections to hosts are kept, given how many proxies share the hosts; no I/O and no clock.
  */
 package rillyard.connections;
--- a/src/test/java/rillyard/connections/IdleTimeoutPolicyTest.java
+++ b/src/test/java/rillyard/connections/IdleTimeoutPolicyTest.java
@@ -4,8 +4,13 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Timeouts of idle connections by the number of proxies. */
+/**
+ * Tests the timeouts of idle connections by the number of proxies.
+ *
+ * <p>Guards against a host whose connection table fills up because many proxies keep idle connections to it.
+ */
 class IdleTimeoutPolicyTest {
+    /** Nanoseconds per second. */
     private static final long SECOND = 1_000_000_000L;
 
     @Test
@@ -16,7 +21,7 @@
         assertThat(single.isExpired(5, 5 * SECOND)).isTrue();
     }
 
-    /** The sum of idle connections at a host, after a burst of five from each proxy, does not grow with the proxies. */
+    /** The sum of idle connections at a host, after each proxy opened five, doesn't grow with the number of proxies. */
     @Test
     void timeoutsShrinkWithNumberOfProxies() {
         IdleTimeoutPolicy fourteen = IdleTimeoutPolicy.of(14, 42 * SECOND);
