--- a/src/main/java/rillyard/admin/AcceptBackoff.java
+++ b/src/main/java/rillyard/admin/AcceptBackoff.java
@@ -7,29 +7,29 @@
 import java.util.function.Consumer;
 
 /**
- * Has a server channel accept again some ms after an accept has failed; counts the failures and logs one in many.
+ * Suspends the accepts of a server channel for some ms after one has failed; counts failures and logs one in many.
  *
- * <p>It stands ahead of Netty's acceptor, which would log each failure with its stack trace and pause for a second.
- * Confined to the event loop of its channel.
+ * <p>It precedes Netty's acceptor in the pipeline, which would log each failure with its stack trace and pause for a
+ * second. Confined to the event loop of its channel.
  */
 public class AcceptBackoff extends ChannelInboundHandlerAdapter {
-    /** Milliseconds without an accept after one that failed, so that a lasting failure does not use up the processor. */
+    /** Time (ms) without accepts after a failed one, so that a lasting failure doesn't use up the CPU. */
     private static final long BACKOFF_MILLIS = 5;
 
-    /** One log line is written for so many accepts that failed. */
+    /** Number of failed accepts for which one log line is written. */
     private static final int FAILURES_PER_LOG_LINE = 100;
 
     private final String subject;
     private final Consumer<String> log;
     private ChannelHandlerContext context;
     private boolean isBackingOff;
-    private long failures;
+    private long failureCount;
 
     /**
      * Creates a handler for one channel.
      *
-     * @param subject with which log lines begin
-     * @param log gets the lines
+     * @param subject the start of the log lines
+     * @param log receives the log lines
      */
     public AcceptBackoff(String subject, Consumer<String> log) {
         this.subject = subject;
@@ -41,12 +41,12 @@
         context = ctx;
     }
 
-    /** Returns whether there is no other reason not to accept. */
+    /** Returns whether connections may be accepted if no accept has just failed. */
     protected boolean mayAccept() {
         return true;
     }
 
-    /** Accepts from now on, or not, as {@link #mayAccept} and the last failure allow. */
+    /** Resumes or suspends accepting, as {@link #mayAccept} and the last failure require. */
     public final void update() {
         if (context.channel().isOpen()) {
             context.channel().config().setAutoRead(!isBackingOff && mayAccept());
@@ -63,10 +63,10 @@
         }
     }
 
-    /** Counts an accept that failed: with an {@link IOException}, or by a fault of the program. */
+    /** Counts a failed accept, whose cause is an {@link IOException} or an internal error. */
     public void onAcceptFailed(Throwable cause) {
-        if (failures++ % FAILURES_PER_LOG_LINE == 0) {
-            log.accept(subject + ": accept failed, count=" + failures + " cause=" + cause);
+        if (failureCount++ % FAILURES_PER_LOG_LINE == 0) {
+            log.accept(subject + ": accept failed, count=" + failureCount + " cause=" + cause);
         }
     }
 
--- a/src/main/java/rillyard/admin/AdminOperations.java
+++ b/src/main/java/rillyard/admin/AdminOperations.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.Executor;
 
-/** The operations of a running proxy that operators can call; called on the admin server's thread. */
+/** The operations that operators can call on a running proxy; called on the admin server's thread. */
 public interface AdminOperations {
     /** Returns whether the proxy is ready to serve requests. */
     boolean isReady();
@@ -14,16 +14,16 @@
     /**
      * Disables a host.
      *
-     * @param fileExecutor runs all access to files
-     * @return completes with whether the host is known, once it is disabled; fails if that could not be stored
+     * @param fileExecutor runs all file accesses
+     * @return completes when the host is disabled, with whether it is known; fails if the change can't be stored
      */
     CompletionStage<Boolean> detach(String host, Executor fileExecutor);
 
     /**
      * Enables a host.
      *
-     * @param fileExecutor runs all access to files
-     * @return completes with whether the host is known, once it is enabled; fails if that could not be stored
+     * @param fileExecutor runs all file accesses
+     * @return completes when the host is enabled, with whether it is known; fails if the change can't be stored
      */
     CompletionStage<Boolean> attach(String host, Executor fileExecutor);
 }
--- a/src/main/java/rillyard/admin/AdminRequestHandler.java
+++ b/src/main/java/rillyard/admin/AdminRequestHandler.java
@@ -17,9 +17,9 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.Executor;
 
-/** One call on the second address: 2xx means yes, 4xx and 5xx no, with a line that says why. */
+/** Handles a request to the admin address. Status 2xx means yes, 4xx and 5xx no; the body is a line with the reason. */
 final class AdminRequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
-    private static final int MAX_NAME = 128;
+    private static final int MAX_HOST_ID_LENGTH = 128;
 
     private record AdminResponse(HttpResponseStatus status, String text) {}
 
@@ -31,61 +31,64 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-        CompletionStage<AdminResponse> reply = request.decoderResult().isFailure()
-                ? reply(HttpResponseStatus.BAD_REQUEST, "not a request that can be read\n")
-                : carriedOut(request, ctx.channel().eventLoop());
-        reply.whenComplete((response, failure) -> answer(
+        CompletionStage<AdminResponse> completion = request.decoderResult().isFailure()
+                ? completed(HttpResponseStatus.BAD_REQUEST, "not a request that can be read\n")
+                : execute(request, ctx.channel().eventLoop());
+        completion.whenComplete((response, failure) -> writeResponse(
                 ctx,
                 failure == null
                         ? response
                         : new AdminResponse(HttpResponseStatus.INTERNAL_SERVER_ERROR, "not done: " + failure + "\n")));
     }
 
-    private static void answer(ChannelHandlerContext ctx, AdminResponse reply) {
-        ByteBuf body = Unpooled.copiedBuffer(reply.text(), StandardCharsets.UTF_8);
-        DefaultFullHttpResponse r = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, reply.status(), body);
-        r.headers()
+    private static void writeResponse(ChannelHandlerContext ctx, AdminResponse response) {
+        ByteBuf body = Unpooled.copiedBuffer(response.text(), StandardCharsets.UTF_8);
+        DefaultFullHttpResponse httpResponse =
+                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, response.status(), body);
+        httpResponse.headers()
                 .set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8")
                 .set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes())
                 .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-        ctx.writeAndFlush(r).addListener(ChannelFutureListener.CLOSE);
+        ctx.writeAndFlush(httpResponse).addListener(ChannelFutureListener.CLOSE);
     }
 
-    private static CompletionStage<AdminResponse> reply(HttpResponseStatus status, String why) {
-        return CompletableFuture.completedFuture(new AdminResponse(status, why));
+    private static CompletionStage<AdminResponse> completed(HttpResponseStatus status, String text) {
+        return CompletableFuture.completedFuture(new AdminResponse(status, text));
     }
 
-    private CompletionStage<AdminResponse> carriedOut(FullHttpRequest request, Executor files) {
+    private CompletionStage<AdminResponse> execute(FullHttpRequest request, Executor fileExecutor) {
         String path = request.uri();
-        boolean post = path.startsWith("/_hosts/");
+        boolean requiresPost = path.startsWith("/_hosts/");
         if (!path.equals("/_ready")
                 && !path.equals("/_vars")
                 && !path.equals("/_hosts/detach")
                 && !path.equals("/_hosts/attach")) {
-            return reply(HttpResponseStatus.NOT_FOUND, "no such call: " + path + "\n");
+            return completed(HttpResponseStatus.NOT_FOUND, "no such call: " + path + "\n");
         }
-        if (!request.method().equals(post ? HttpMethod.POST : HttpMethod.GET)) {
-            return reply(
-                    HttpResponseStatus.METHOD_NOT_ALLOWED, path + " is called by " + (post ? "POST" : "GET") + "\n");
+        if (!request.method().equals(requiresPost ? HttpMethod.POST : HttpMethod.GET)) {
+            return completed(
+                    HttpResponseStatus.METHOD_NOT_ALLOWED,
+                    path + " is called by " + (requiresPost ? "POST" : "GET") + "\n");
         }
         if (path.equals("/_ready")) {
             return operations.isReady()
-                    ? reply(HttpResponseStatus.OK, "ready\n")
-                    : reply(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready\n");
+                    ? completed(HttpResponseStatus.OK, "ready\n")
+                    : completed(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready\n");
         }
         if (path.equals("/_vars")) {
-            return reply(HttpResponseStatus.OK, operations.metrics().text());
+            return completed(HttpResponseStatus.OK, operations.metrics().text());
         }
         String host = request.content().toString(StandardCharsets.UTF_8).strip();
-        if (host.isEmpty() || host.length() > MAX_NAME) {
-            return reply(
+        if (host.isEmpty() || host.length() > MAX_HOST_ID_LENGTH) {
+            return completed(
                     HttpResponseStatus.BAD_REQUEST,
-                    "the body is to be the id of one host, 1 to " + MAX_NAME + " characters\n");
+                    "the body is to be the id of one host, 1 to " + MAX_HOST_ID_LENGTH + " characters\n");
         }
-        boolean out = path.endsWith("/detach");
-        return (out ? operations.detach(host, files) : operations.attach(host, files))
+        boolean isDetach = path.endsWith("/detach");
+        return (isDetach ? operations.detach(host, fileExecutor) : operations.attach(host, fileExecutor))
                 .thenApply(known -> known
-                        ? new AdminResponse(HttpResponseStatus.OK, host + (out ? " is out\n" : " may serve again\n"))
+                        ? new AdminResponse(
+                                HttpResponseStatus.OK, host + (isDetach ? " is out\n" : " may serve again\n"))
                         : new AdminResponse(HttpResponseStatus.NOT_FOUND, "no host of the id " + host + "\n"));
     }
 
--- a/src/main/java/rillyard/admin/AdminServer.java
+++ b/src/main/java/rillyard/admin/AdminServer.java
@@ -18,12 +18,12 @@
 import java.util.function.Consumer;
 
 /**
- * The HTTP server of the admin endpoint; it serves one request a connection.
+ * The HTTP server of the admin endpoint; it serves one request per connection.
  *
- * <p>It has a thread of its own, so that operators are answered while the proxy's event loop is overloaded.
+ * <p>It has its own thread, so that operators get responses while the proxy's event loop is overloaded.
  */
 public final class AdminServer implements Closeable {
-    /** Connections open at a time; beyond it the oldest is closed, as it has had the longest time. */
+    /** Maximum number of open connections; the oldest is closed for a new one, as it has had the longest time. */
     private static final int MAX_CONNECTIONS = 16;
 
     /** Milliseconds after which a connection is closed. */
@@ -37,9 +37,9 @@
     private final ArrayDeque<Channel> connections = new ArrayDeque<>();
     private final AdminOperations operations;
     private final Consumer<String> log;
-    private Channel listener;
+    private Channel serverChannel;
 
-    /** Creates a server that does not listen yet; {@code log} gets its log lines. */
+    /** Creates a server that does not listen yet; {@code log} receives its log lines. */
     public AdminServer(AdminOperations operations, Consumer<String> log) {
         this.operations = operations;
         this.log = log;
@@ -48,12 +48,11 @@
     /**
      * Listens on an address.
      *
-     * @return the address that is listened on
-     *
-     * @throws Exception what the bind throws
+     * @return the bound address
+     * @throws Exception if the address can't be bound
      */
     public InetSocketAddress listen(InetSocketAddress address) throws Exception {
-        listener = new ServerBootstrap()
+        serverChannel = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
@@ -67,15 +66,15 @@
                 .bind(address)
                 .sync()
                 .channel();
-        return (InetSocketAddress) listener.localAddress();
+        return (InetSocketAddress) serverChannel.localAddress();
     }
 
-    /** Returns the channel that is listened on; null before {@link #listen}. */
-    Channel listener() {
-        return listener;
+    /** Returns the channel that accepts connections; null before {@link #listen}. */
+    Channel serverChannel() {
+        return serverChannel;
     }
 
-    /** Runs a task on the server's thread, {@code periodMillis} after each end of the last run. */
+    /** Runs a task periodically on the server's thread, each time {@code periodMillis} after the last run has ended. */
     public void schedulePeriodically(long periodMillis, Runnable task) {
         group.scheduleWithFixedDelay(task, periodMillis, periodMillis, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/rillyard/admin/ProxyMetrics.java
+++ b/src/main/java/rillyard/admin/ProxyMetrics.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The metrics of one process, from 0 at its start, in the text form of statsd.
+ * The metrics of one process, counted from its start, in the text format of statsd.
  *
  * <p>A line is {@code name:value|c} for a counter and {@code name:value|g} for a gauge. The proxy's event loop updates
  * them; any thread may read.
@@ -29,7 +29,7 @@
 
     private static final String PREFIX = "proxy.";
 
-    /** Types of statsd. */
+    /** Metric types of statsd. */
     private static final char COUNTER = 'c';
 
     private static final char GAUGE = 'g';
@@ -40,7 +40,7 @@
     private volatile int listedHosts;
     private volatile int avoidedHosts;
 
-    /** Creates metrics for the given request classes; requests of others are not counted. */
+    /** Creates metrics for the given request classes; requests of other classes are not counted. */
     public ProxyMetrics(Collection<String> classes) {
         for (String requestClass : classes) {
             Map<RequestOutcome, AtomicLong> counters = new EnumMap<>(RequestOutcome.class);
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Counts a request that has had its final response. */
+    /** Counts a request that has ended. */
     public void requestEnded(String requestClass, RequestOutcome outcome) {
         Map<RequestOutcome, AtomicLong> counters = endedByClass.get(requestClass);
         if (counters != null) {
@@ -69,13 +69,13 @@
         pendingRequests.addAndGet(change);
     }
 
-    /** Sets the number of listed hosts, and of those among them that are disabled or avoided. */
+    /** Sets the number of listed hosts, and how many of them are disabled or avoided. */
     public void setHosts(int listed, int avoided) {
         listedHosts = listed;
         avoidedHosts = avoided;
     }
 
-    /** Returns all metrics, one a line. */
+    /** Returns the text of all metrics, one per line. */
     public String text() {
         StringBuilder out = new StringBuilder(512);
         for (RequestOutcome outcome : RequestOutcome.values()) {
--- a/src/test/java/rillyard/admin/AcceptBackoffTest.java
+++ b/src/test/java/rillyard/admin/AcceptBackoffTest.java
@@ -17,11 +17,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** An accept that fails delays the callers of the admin endpoint by some ms. */
+/**
+ * Tests that a failed accept delays the next calls of the admin endpoint by a few ms only.
+ *
+ * <p>Guards against Netty's own acceptor, which pauses for a second after each failure.
+ */
 @Timeout(30)
 class AcceptBackoffTest {
-    /** Netty's own acceptor pauses for twice that time. */
-    private static final long LIMIT_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+    /** Maximum duration of a call; half the pause of Netty's own acceptor. */
+    private static final long MAX_CALL_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
     private static final class ReadyProxy implements AdminOperations {
         @Override
@@ -52,10 +56,10 @@
             InetSocketAddress address = server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             call(address); // loads the classes
             for (int i = 0; i < 3; i++) {
-                server.listener().pipeline().fireExceptionCaught(new IOException("Too many open files"));
-                long calledAt = System.nanoTime();
+                server.serverChannel().pipeline().fireExceptionCaught(new IOException("Too many open files"));
+                long calledAtNanos = System.nanoTime();
                 call(address);
-                assertThat(System.nanoTime() - calledAt).isLessThan(LIMIT_NANOS);
+                assertThat(System.nanoTime() - calledAtNanos).isLessThan(MAX_CALL_NANOS);
             }
             assertThat(log)
                     .containsExactly("admin: accept failed, count=1 cause=java.io.IOException: Too many open files");
