--- a/src/main/java/rillyard/hotrestart/HotRestartLock.java
+++ b/src/main/java/rillyard/hotrestart/HotRestartLock.java
@@ -10,12 +10,12 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Orders the processes of one proxy that run side by side during a hot restart.
+ * Determines the roles of the processes of one proxy that run side by side during a hot restart.
  *
- * <p>The active process holds a lock on the file {@code serving}; the standby holds one on {@code next} from the time at
- * which it listens until the active one has ended. The kernel releases the locks of a process that was killed.
+ * <p>The active process holds a lock on the file {@code serving}; the standby holds one on {@code next} from when it
+ * listens until the active one has ended. The kernel releases the locks of a process that was killed.
  *
- * <p>Thread-safe: the event loop asks for a standby at the end, the admin server's thread does the rest.
+ * <p>Thread-safe: the event loop calls {@link #hasStandby} at the start of a drain, the admin server's thread the rest.
  */
 public final class HotRestartLock implements Closeable {
     private final FileChannel activeFile;
@@ -45,7 +45,7 @@
         try {
             return file.tryLock();
         } catch (OverlappingFileLockException ignored) {
-            return null; // held by this very process, as in tests
+            return null; // held by this process itself, as in tests
         }
     }
 
@@ -55,7 +55,7 @@
     }
 
     /**
-     * Announces that this process listens, so that the active one may end; to be called periodically.
+     * Records that this process listens, so that the active one can shut down; to be called periodically.
      *
      * <p>Once the active process has ended, a call makes this one active.
      *
@@ -74,7 +74,7 @@
     }
 
     /**
-     * Returns whether another process listens and is to follow this one.
+     * Returns whether a standby listens, which takes over when this process ends.
      *
      * @throws IOException if the file can't be locked
      */
--- a/src/main/java/rillyard/hotrestart/package-info.java
+++ b/src/main/java/rillyard/hotrestart/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What the processes of one proxy share on a machine: which of them is active, and the hosts that operators disabled.
+ * State that the processes of one proxy share on a machine: which of them is active, and the hosts that operators
+ * disabled.
  */
 package rillyard.hotrestart;
--- a/src/test/java/rillyard/hotrestart/HotRestartLockTest.java
+++ b/src/test/java/rillyard/hotrestart/HotRestartLockTest.java
@@ -12,7 +12,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The directory that the processes of one proxy share: its locks and its disabled hosts. */
+/**
+ * Tests the directory that the processes of one proxy share: its locks and its disabled hosts.
+ *
+ * <p>Guards against a process that shuts down before its successor listens, a disabled host that another process still
+ * uses, and a step of the wall clock that changes when a host was enabled. Times are in ms.
+ */
 class HotRestartLockTest {
     private static final long HOUR = 3_600_000;
 
@@ -38,25 +43,25 @@
         third.becomeStandby();
         assertThat(second.hasStandby()).isTrue();
         third.close();
-        assertThat(second.hasStandby()).isFalse(); // it ended: there is no standby any more
+        assertThat(second.hasStandby()).isFalse(); // the standby has ended
         second.close();
     }
 
     @Test
     void disabledHostsAreSeenByOtherProcess() throws Exception {
-        DisabledHostStore one = new DisabledHostStore(tmp);
-        DisabledHostStore other = new DisabledHostStore(tmp);
+        DisabledHostStore first = new DisabledHostStore(tmp);
+        DisabledHostStore second = new DisabledHostStore(tmp);
         String unusualName = "../s-5be2a07c/ü \"";
-        one.disable("a");
-        one.disable("a");
-        other.disable(unusualName);
-        assertThat(other.read(1_000, 1_000).disabled()).containsExactlyInAnyOrder("a", unusualName);
-        other.enable("a", 5_000);
-        other.enable("a", 6_000); // enabled already: the first call counts
-        assertThat(one.read(7_000, 7_000))
+        first.disable("a");
+        first.disable("a");
+        second.disable(unusualName);
+        assertThat(second.read(1_000, 1_000).disabled()).containsExactlyInAnyOrder("a", unusualName);
+        second.enable("a", 5_000);
+        second.enable("a", 6_000); // the host is enabled already: the first call counts
+        assertThat(first.read(7_000, 7_000))
                 .isEqualTo(new DisabledHostStore.Contents(Set.of(unusualName), Map.of("a", 5_000L)));
-        one.disable("a");
-        assertThat(other.read(8_000, 8_000))
+        first.disable("a");
+        assertThat(second.read(8_000, 8_000))
                 .isEqualTo(new DisabledHostStore.Contents(Set.of("a", unusualName), Map.of()));
     }
 
@@ -85,30 +90,30 @@
 
     @ParameterizedTest
     @ValueSource(longs = {-HOUR, HOUR})
-    void stepOfWallClockLeavesEnabledTimeAsItWas(long step) throws Exception {
+    void stepOfWallClockLeavesEnabledTimeAsItWas(long stepMillis) throws Exception {
         DisabledHostStore store = new DisabledHostStore(tmp);
         store.disable("a");
         store.enable("a", HOUR * 2);
         assertThat(store.read(HOUR * 2, 1_000).enabledAtUnixMillis()).isEqualTo(Map.of("a", 1_000L));
 
-        assertThat(store.read(HOUR * 2 + step, 1_150).enabledAtUnixMillis()).isEqualTo(Map.of("a", 1_000L));
-        assertThat(store.read(HOUR * 2 + step, 121_000).enabledAtUnixMillis()).isEqualTo(Map.of("a", 1_000L));
-        assertThat(store.read(HOUR * 2 + step, 121_001).enabledAtUnixMillis()).isEmpty();
+        assertThat(store.read(HOUR * 2 + stepMillis, 1_150).enabledAtUnixMillis()).isEqualTo(Map.of("a", 1_000L));
+        assertThat(store.read(HOUR * 2 + stepMillis, 121_000).enabledAtUnixMillis()).isEqualTo(Map.of("a", 1_000L));
+        assertThat(store.read(HOUR * 2 + stepMillis, 121_001).enabledAtUnixMillis()).isEmpty();
         assertThat(tmp).isEmptyDirectory();
     }
 
     @ParameterizedTest
     @ValueSource(longs = {-HOUR, HOUR})
-    void stepOfWallClockBetweenEnablingAndReadingCountsAsNoAge(long step) throws Exception {
+    void stepOfWallClockBetweenEnablingAndReadingCountsAsNoAge(long stepMillis) throws Exception {
         DisabledHostStore store = new DisabledHostStore(tmp);
         store.disable("a");
         store.read(HOUR * 2, 1_000);
         store.enable("a", HOUR * 2 + 100);
 
-        Map<String, Long> enabledAt = store.read(HOUR * 2 + step, 1_150).enabledAtUnixMillis();
+        Map<String, Long> enabledAtUnixMillis = store.read(HOUR * 2 + stepMillis, 1_150).enabledAtUnixMillis();
 
-        assertThat(enabledAt).containsOnlyKeys("a");
-        assertThat(enabledAt.get("a")).isBetween(1_000L, 1_150L);
+        assertThat(enabledAtUnixMillis).containsOnlyKeys("a");
+        assertThat(enabledAtUnixMillis.get("a")).isBetween(1_000L, 1_150L);
     }
 
     @Test
