--- a/src/main/java/rillyard/trace/ProxyTrace.java
+++ b/src/main/java/rillyard/trace/ProxyTrace.java
@@ -3,18 +3,18 @@
 import java.io.PrintStream;
 
 /**
- * Writes what a proxy does to hosts and discovery, one line an event.
+ * Writes the events of a proxy's connections, requests and endpoint watch, one line per event.
  *
  * <p>It costs about as much as a log line for each attempt, so it is for analysis and not for production. Not
  * thread-safe.
  */
 public final class ProxyTrace {
-    /** The system property that enables it by {@code true}; without it no class of this package is loaded. */
+    /** The system property that enables the trace if {@code true}; without it no class of this package is loaded. */
     public static final String PROPERTY = "rillyard.trace";
 
     private final PrintStream out;
 
-    /** Creates a trace; {@code out} must flush each line, so that nothing is lost with a killed process. */
+    /** Creates a trace; {@code out} must flush each line, so that no line is lost if the process is killed. */
     public ProxyTrace(PrintStream out) {
         this.out = out;
         write(TraceEvent.Kind.STARTED, TraceEvent.NONE, TraceEvent.NONE, 0, false);
@@ -28,14 +28,14 @@
     /**
      * Records the end of an attempt.
      *
-     * @param spentMillis milliseconds since it was sent
-     * @param isWarmingUp whether the host was in its slow start then
+     * @param elapsedMillis the time since the attempt was sent
+     * @param isWarmingUp whether the host was in its slow start when the attempt was sent
      */
-    public void recordAttempt(String host, String outcome, double spentMillis, boolean isWarmingUp) {
-        write(TraceEvent.Kind.ATTEMPT, host, outcome, Math.round(spentMillis), isWarmingUp);
+    public void recordAttempt(String host, String outcome, double elapsedMillis, boolean isWarmingUp) {
+        write(TraceEvent.Kind.ATTEMPT, host, outcome, Math.round(elapsedMillis), isWarmingUp);
     }
 
-    /** Records a final response of the proxy itself; {@code lastOutcome} is null if no attempt was made. */
+    /** Records a final response that the proxy itself sent; {@code lastOutcome} is null if no attempt was made. */
     public void recordRejection(TraceEvent.Kind kind, String lastOutcome) {
         write(kind, TraceEvent.NONE, lastOutcome == null ? TraceEvent.NONE : lastOutcome, 0, false);
     }
--- a/src/main/java/rillyard/trace/TraceEvent.java
+++ b/src/main/java/rillyard/trace/TraceEvent.java
@@ -10,24 +10,24 @@
  * @param kind the kind of event
  * @param host the host it concerns, or {@link #NONE}
  * @param detail the outcome of an attempt, or {@link #NONE}
- * @param durationMillis how long it took, or 0 where that is of no interest
+ * @param durationMillis how long an attempt took, or 0 for other events
  * @param warmingUp whether the host was in its slow start when the attempt was sent
  */
 public record TraceEvent(
         long unixMillis, Kind kind, String host, String detail, long durationMillis, boolean warmingUp) {
-    /** Stands for no host and no detail. */
+    /** The value of {@code host} and {@code detail} if there is none. */
     public static final String NONE = "-";
 
-    /** Begins a line, behind whatever a supervisor puts before it. */
+    /** Start of the event in a line, after any prefix that a supervisor adds. */
     private static final String LINE_PREFIX = "rillyard: trace ";
 
     private static final int FIELD_COUNT = 6;
 
     private static final Pattern FIELD_BREAK = Pattern.compile("[\\s\\p{Cntrl}]");
 
-    /** Kinds of events; their names in lower case stand in the trace. */
+    /** Kinds of events; the trace contains their names in lower case. */
     public enum Kind {
-        /** The process has started; connections of an earlier one are closed. */
+        /** The process has started; the connections of an earlier one are closed. */
         STARTED,
         /** A connection to a host was established. */
         CONNECTED,
@@ -47,7 +47,7 @@
 
     /** Returns the line of the event. */
     public String text() {
-        // Discovery names hosts: a name must not break the line into more fields or lines.
+        // Host names come from discovery: a name must not split the line into more fields or lines.
         String hostField = FIELD_BREAK.matcher(host).replaceAll("_");
         return LINE_PREFIX
                 + unixMillis
@@ -65,9 +65,8 @@
     /**
      * Parses a line of a log.
      *
-     * @return the event, or null if the line is no event
-     * @throws IllegalArgumentException if the line begins as an event and is incomplete, as the last one of a killed
-     *     process may be
+     * @return the event, or null if the line contains no event
+     * @throws IllegalArgumentException if the event is incomplete, as the last one of a killed process may be
      */
     public static TraceEvent parse(String line) {
         int start = line.indexOf(LINE_PREFIX);
@@ -77,7 +76,7 @@
         String[] fields = line.substring(start + LINE_PREFIX.length()).split(" ", 0);
         if (fields.length != FIELD_COUNT || !(fields[5].equals("cold") || fields[5].equals("warm"))) {
             throw new IllegalArgumentException(
-                    "expected " + FIELD_COUNT + " fields behind '" + LINE_PREFIX + "': " + line);
+                    "expected " + FIELD_COUNT + " fields after '" + LINE_PREFIX + "': " + line);
         }
         return new TraceEvent(
                 Long.parseLong(fields[0]),
--- a/src/main/java/rillyard/trace/package-info.java
+++ b/src/main/java/rillyard/trace/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Records what a proxy did, line by line, for analysis across a fleet; loaded only where it is asked for.
+ * Records the events of a proxy, one line per event, for analysis across a fleet; loaded only where it is enabled.
  */
 package rillyard.trace;
--- a/src/test/java/rillyard/trace/TraceEventTest.java
+++ b/src/test/java/rillyard/trace/TraceEventTest.java
@@ -10,7 +10,12 @@
 import org.junit.jupiter.api.Test;
 import rillyard.trace.TraceEvent.Kind;
 
-/** Lines of a trace, written and parsed. */
+/**
+ * Tests how the lines of a trace are written and parsed.
+ *
+ * <p>Guards against events that are lost or wrong in an analysis because a log holds other lines, a line of a killed
+ * process is incomplete, or a host name contains a separator.
+ */
 class TraceEventTest {
     @Test
     void writtenEventIsParsedWhateverPrecedesIt() {
@@ -42,7 +47,7 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         ProxyTrace trace = new ProxyTrace(new PrintStream(bytes, true, StandardCharsets.UTF_8));
         trace.record(Kind.CONNECTED, "s-1");
-        trace.recordAttempt("s-1", Kind.LIST.name(), 11.6, true); // any word does
+        trace.recordAttempt("s-1", Kind.LIST.name(), 11.6, true); // any word can be the outcome
         trace.recordRejection(Kind.REFUSED, null);
         List<TraceEvent> lines = bytes.toString(StandardCharsets.UTF_8)
                 .lines()
