--- a/src/main/java/rillyard/proxy/admin/ProxyAdmin.java
+++ b/src/main/java/rillyard/proxy/admin/ProxyAdmin.java
@@ -24,10 +24,10 @@
  * The admin endpoint of a proxy and the directory through which its processes cooperate in a hot restart.
  *
  * <p>Files are accessed on the admin server's thread only, and their contents are applied on the proxy's event loop in
- * the same order, so that an operator's call is not undone by an older reading of the directory.
+ * the same order, so that an operator's call is not undone by an earlier read of the directory.
  */
 public final class ProxyAdmin implements AdminOperations, Closeable {
-    /** Period at which the directory is read, well within the grace time of a drain. */
+    /** Interval at which the directory is read, well within the grace time of a drain. */
     private static final long MAINTENANCE_PERIOD_MS = 150;
 
     private final AdminServer server;
@@ -59,7 +59,7 @@
         this.restartLock = new HotRestartLock(directory);
     }
 
-    /** Returns the directory that all processes of a proxy on this machine share, and no other proxy's. */
+    /** Returns the directory that is shared by the processes of this proxy on this machine and by no others. */
     public static Path hotRestartDirectory(Map<String, String> env, ProxyConfig config) {
         String temporary = env.get("TMPDIR");
         String proxyKey = config.name() + "-" + config.listen().getAddress().getHostAddress() + "-"
@@ -69,10 +69,10 @@
     }
 
     /**
-     * Applies what other processes left in the directory and listens.
+     * Applies the disabled hosts that are stored in the directory, and listens.
      *
-     * @return the address that is listened on
-     * @throws Exception if the directory can't be read, or what the bind throws
+     * @return the bound address
+     * @throws Exception if the directory can't be read or the address can't be bound
      */
     public InetSocketAddress start(InetSocketAddress address) throws Exception {
         applyStoredHosts();
@@ -87,7 +87,7 @@
     }
 
     /**
-     * Records that this process serves now, which lets an earlier one end.
+     * Records that this process listens, so that an earlier one can shut down.
      *
      * @throws IOException if the directory can't be used
      */
@@ -96,7 +96,7 @@
         isListening = true;
     }
 
-    /** Returns whether a later process serves, so that this one can end; false if that can't be determined. */
+    /** Returns whether a later process listens, so that this one can shut down; false if that can't be determined. */
     public boolean hasSuccessor() {
         try {
             return restartLock.hasStandby();
--- a/src/main/java/rillyard/proxy/config/ConfigException.java
+++ b/src/main/java/rillyard/proxy/config/ConfigException.java
@@ -4,12 +4,12 @@
 public final class ConfigException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Creates an exception for a fault of the configuration itself. */
+    /** Creates an exception without a cause. */
     public ConfigException(String message) {
         super(message);
     }
 
-    /** Creates an exception for a fault that another exception reported. */
+    /** Creates an exception with the cause of the failure. */
     public ConfigException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/src/main/java/rillyard/proxy/config/ProxyConfig.java
+++ b/src/main/java/rillyard/proxy/config/ProxyConfig.java
@@ -18,7 +18,7 @@
 import rillyard.settings.SettingsValidator;
 
 /**
- * The configuration of one client proxy, as the platform provides it. Times are milliseconds.
+ * The configuration of one client proxy, as the platform provides it. Times are in milliseconds.
  *
  * @param name the proxy's name, unique among the proxies of the platform
  * @param listen the address for clients
@@ -26,10 +26,10 @@
  * @param seed the seed of the balancer's random numbers
  * @param memoryMb the memory limit of the process in MiB
  * @param maxDescriptors the limit of file descriptors of the process
- * @param cachedEndpoints the endpoint list that was last known; a missing node if there is none
+ * @param cachedEndpoints the last known endpoint list; a missing node if there is none
  * @param settings the settings of the balancer
  * @param idleTimeoutMs the time after which hosts close idle connections
- * @param connectTimeoutMs the time after which a connect to a host has failed
+ * @param connectTimeoutMs the time after which a connect to a host fails
  * @param maxOpenRequests the limit of open requests
  * @param adminAddress the address of the admin endpoint, or null if there is none
  */
@@ -54,10 +54,10 @@
     private static final int SEED_RADIX = 16;
 
     /**
-     * Reads the file that {@code BALANCER_CONFIG} names.
+     * Reads the configuration file that {@code BALANCER_CONFIG} names.
      *
-     * <p>The other variables take precedence over the file, but for the address of discovery: the file is replaced while
-     * the process runs, its environment never is.
+     * <p>The other variables take precedence over the file, except for the discovery address: the file can be replaced
+     * while the process runs, its environment can't.
      *
      * @throws ConfigException if the file is missing or invalid
      */
@@ -124,7 +124,7 @@
         return text.isEmpty() ? null : requireAddress(text, "operator");
     }
 
-    /** Returns the value of a variable, or of the file's key if the variable is not set; empty if neither is. */
+    /** Returns the value of the variable, or of the key in the file if the variable is not set; empty without both. */
     private static String value(Map<String, String> env, String variable, JsonNode root, String key) {
         String text = env.get(variable);
         return text == null || text.isEmpty() ? root.path(key).asText("") : text;
@@ -134,7 +134,7 @@
         try {
             return Long.parseUnsignedLong(text, SEED_RADIX);
         } catch (NumberFormatException ignored) {
-            return text.hashCode() ^ System.nanoTime(); // any seed that differs from start to start
+            return text.hashCode() ^ System.nanoTime(); // a seed that differs at each start
         }
     }
 
@@ -149,7 +149,7 @@
     /**
      * Parses an {@code IP:port}; host names are not resolved, as the platform has no DNS.
      *
-     * @return the address, or null if the text is none
+     * @return the address, or null if the text is not an address
      */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
--- a/src/main/java/rillyard/proxy/logging/ProxyLog.java
+++ b/src/main/java/rillyard/proxy/logging/ProxyLog.java
@@ -7,9 +7,9 @@
 import rillyard.trace.ProxyTrace;
 
 /**
- * The log of a proxy for its operators: one line an event, rate-limited; lines above the limit are counted.
+ * The log of a proxy for its operators: one line per event, rate-limited; lines above the limit are only counted.
  *
- * <p>Thread-safe: configurations are reloaded on a thread of their own.
+ * <p>Thread-safe, as configurations are reloaded on other threads than the event loop.
  */
 public final class ProxyLog {
     private static final int MAX_LINES_PER_SECOND = 50;
@@ -33,7 +33,7 @@
         this.trace = trace;
     }
 
-    /** Returns the trace of what is done to hosts and discovery, or null if there is none. */
+    /** Returns the trace of the proxy's events, or null if there is none. */
     public ProxyTrace trace() {
         return trace;
     }
@@ -43,25 +43,25 @@
         info(() -> text);
     }
 
-    /** Writes a line whose text is only built if it is within the rate limit. */
+    /** Writes a line; its text is built only if the line is within the rate limit. */
     public synchronized void info(Supplier<String> text) {
         if (acquirePermit()) {
             out.println(PREFIX + printable(text.get()));
         }
     }
 
-    /** Writes a failure of the program itself with its stack trace, each line of which counts within the rate limit. */
+    /** Writes an internal failure with its stack trace; each line counts towards the rate limit. */
     public synchronized void error(String text, Throwable cause) {
         if (!acquirePermit()) {
             return;
         }
         out.println(PREFIX + printable(text));
-        StringWriter trace = new StringWriter();
-        cause.printStackTrace(new PrintWriter(trace));
-        trace.toString().lines().filter(line -> acquirePermit()).forEach(line -> out.println(printable(line)));
+        StringWriter stackTrace = new StringWriter();
+        cause.printStackTrace(new PrintWriter(stackTrace));
+        stackTrace.toString().lines().filter(line -> acquirePermit()).forEach(line -> out.println(printable(line)));
     }
 
-    /** Returns the text with a space for each control character, as hosts and clients determine parts of it. */
+    /** Returns the text with control characters replaced by spaces, as parts of it come from hosts and clients. */
     private static String printable(String text) {
         StringBuilder printable = new StringBuilder(text);
         for (int i = 0; i < printable.length(); i++) {
@@ -74,12 +74,12 @@
 
     /** Returns whether a line is within the rate limit, and counts it. */
     private boolean acquirePermit() {
-        long now = System.nanoTime() / 1_000_000_000L;
-        if (now != currentSecond) {
+        long nowSeconds = System.nanoTime() / 1_000_000_000L;
+        if (nowSeconds != currentSecond) {
             if (droppedLines > 0) {
                 out.println(PREFIX + "log: lines dropped, count=" + droppedLines);
             }
-            currentSecond = now;
+            currentSecond = nowSeconds;
             writtenLines = 0;
             droppedLines = 0;
         }
