--- a/src/main/java/rillyard/proxy/lifecycle/ClassArchiveTraining.java
+++ b/src/main/java/rillyard/proxy/lifecycle/ClassArchiveTraining.java
@@ -14,10 +14,10 @@
 import rillyard.proxy.config.ConfigException;
 
 /**
- * Runs a proxy through its start, warm-up, failing requests and its drain, for the JVM to record the classes that it loads.
+ * Runs a proxy through start, warm-up, failing requests and drain, so that the JVM records the classes that it loads.
  *
- * <p>The build runs it to make the class archive, which shortens the time that a restart leaves clients without a proxy.
- * A proxy without the archive starts as well, only later.
+ * <p>The build runs it to create the class archive, which shortens the time for which a restart leaves clients without
+ * a proxy. Without the archive, a proxy only starts more slowly.
  */
 public final class ClassArchiveTraining {
     private static final long MAX_WARM_UP_MILLIS = 30_000;
@@ -40,7 +40,7 @@
         "rules":{"cold":8700,"startCapacity":0.3,"fall":1500,"fallMultiple":3}}}
       """;
 
-    /** Hosts of the trained proxy; so many that a few failures of each do not eject all of them. */
+    /** Number of hosts of the proxy; large enough that a few failures of each don't eject all of them. */
     private static final int HOST_COUNT = 16;
 
     private ClassArchiveTraining() {}
@@ -54,7 +54,7 @@
         return CONFIG.replace("HOSTS", hosts.toString());
     }
 
-    private static void call(InetSocketAddress address, String methodAndTarget, String body) throws IOException {
+    private static void callAdmin(InetSocketAddress address, String methodAndTarget, String body) throws IOException {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             String request = methodAndTarget + " HTTP/1.1\r\nHost: operator\r\nContent-Length: " + body.length()
                     + "\r\n\r\n" + body;
@@ -64,17 +64,17 @@
     }
 
     /**
-     * Runs the proxy, has requests fail at it, and ends the process: with status 0, or with 1 and one line on standard
-     * error if it could not be run to the end. The proxy logs each failure on standard error, as one that serves does.
+     * Runs the proxy, sends it requests that fail, and exits the process: with status 0, or with 1 and one line on
+     * standard error if the run could not be completed. The proxy logs each failure there, as in production.
      */
     public static void run() {
         try {
             train();
         } catch (IOException | ConfigException | RuntimeException e) {
             System.err.println("rillyard: archive: training failed, cause=" + e);
-            System.exit(1); // threads of the proxy would keep the process alive
+            System.exit(1); // the proxy's threads would keep the process alive
         }
-        System.exit(0); // as SIGTERM would end it: what a drain loads is recorded too
+        System.exit(0); // drains as on SIGTERM, which records the classes of a drain, too
     }
 
     private static void train() throws IOException, ConfigException {
@@ -84,10 +84,10 @@
             Map<String, String> env = Map.of("BALANCER_CONFIG", file.toString(), "TMPDIR", directory.toString());
             ClientProxy proxy = ProxyLauncher.launch(env, MAX_WARM_UP_MILLIS, null);
             InetSocketAddress admin = proxy.adminAddress();
-            call(admin, "GET /_ready", "");
-            call(admin, "GET /_vars", "");
-            call(admin, "POST /_hosts/detach", "host-0");
-            call(admin, "POST /_hosts/attach", "host-0");
+            callAdmin(admin, "GET /_ready", "");
+            callAdmin(admin, "GET /_vars", "");
+            callAdmin(admin, "POST /_hosts/detach", "host-0");
+            callAdmin(admin, "POST /_hosts/attach", "host-0");
             new FaultPathTraining(proxy.address()).run();
         } finally {
             deleteRecursively(directory);
--- a/src/main/java/rillyard/proxy/lifecycle/FaultPathTraining.java
+++ b/src/main/java/rillyard/proxy/lifecycle/FaultPathTraining.java
@@ -7,26 +7,26 @@
 import rillyard.proxy.lifecycle.FaultyHost.Behavior;
 
 /**
- * Sends requests that fail in the common ways through a proxy, for the class archive to hold what they load.
+ * Sends requests that fail in the common ways through a proxy, so that the class archive contains what they load.
  *
- * <p>A class that is not in the archive is loaded, verified and linked on the event loop by the first request that needs
- * it: tens of milliseconds of a fraction of a core, in the moment in which hosts begin to fail. Blocking; used by
- * {@link ClassArchiveTraining} alone.
+ * <p>A class that is not in the archive is loaded, verified and linked on the event loop by the first request that
+ * needs it. That takes tens of milliseconds on a fraction of a core, just when hosts begin to fail. Blocking; used by
+ * {@link ClassArchiveTraining} only.
  */
 final class FaultPathTraining {
-    /** Time (ms) that is told for requests; a silent host takes all of it. */
+    /** Timeout (ms) that the header of each request states; a host that doesn't respond uses all of it. */
     private static final int TIMEOUT_MILLIS = 400;
 
-    /** A body that is longer than a proxy buffers, so that it is streamed. */
+    /** Length of a body that exceeds what a proxy buffers, so that it is streamed. */
     private static final int UPLOAD_BYTES = 200_000;
 
-    /** Time (ms) after which a response is given up, and the training with it. */
-    private static final int MAX_RESPONSE_MILLIS = 10_000;
+    /** Read timeout (ms) of a response; the training fails when it expires. */
+    private static final int RESPONSE_TIMEOUT_MILLIS = 10_000;
 
     private final InetSocketAddress proxy;
     private int sentRequests;
 
-    /** Creates a training of the proxy at this address, whose hosts are {@link FaultyHost}s. */
+    /** Creates a training that sends to the proxy at this address, whose hosts are {@link FaultyHost}s. */
     FaultPathTraining(InetSocketAddress proxy) {
         this.proxy = proxy;
     }
@@ -46,7 +46,7 @@
         exchange(head("POST", "unsafe", Behavior.SILENT) + "Content-Length: " + UPLOAD_BYTES + "\r\n\r\n" + upload());
         exchange(head("POST", "keyed", Behavior.OK) + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n");
         exchange("malformed\r\n\r\n");
-        leaveWithoutResponse();
+        disconnectBeforeResponse();
     }
 
     private String get(Behavior behavior) {
@@ -76,15 +76,15 @@
         }
     }
 
-    private void leaveWithoutResponse() throws IOException {
+    private void disconnectBeforeResponse() throws IOException {
         try (Socket socket = new Socket(proxy.getAddress(), proxy.getPort())) {
             send(socket, get(Behavior.SILENT));
         }
-        exchange(get(Behavior.OK)); // the proxy has noticed the close once it has answered this
+        exchange(get(Behavior.OK)); // the proxy has noticed the close once it has responded to this
     }
 
     private static void send(Socket socket, String request) throws IOException {
-        socket.setSoTimeout(MAX_RESPONSE_MILLIS);
+        socket.setSoTimeout(RESPONSE_TIMEOUT_MILLIS);
         socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
     }
 }
--- a/src/main/java/rillyard/proxy/lifecycle/FaultyHost.java
+++ b/src/main/java/rillyard/proxy/lifecycle/FaultyHost.java
@@ -10,33 +10,33 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A host on loopback whose responses fail in the way that a header of the request names.
+ * A host on the loopback address whose responses fail in the way that a request header selects.
  *
- * <p>Used by {@link FaultPathTraining} alone. It serves one request a connection, on a daemon thread each.
+ * <p>Used by {@link FaultPathTraining} only. It serves one request per connection, each on its own daemon thread.
  */
 final class FaultyHost implements AutoCloseable {
-    /** The header of a request that names a {@link Behavior}. */
+    /** Request header that names a {@link Behavior}. */
     static final String BEHAVIOR_HEADER = "X-Behavior";
 
-    /** A response, or the fault in its place. */
+    /** A response to a request, or a fault instead of it. */
     enum Behavior {
         /** A short response. */
         OK,
-        /** Status 500. */
+        /** A response with status 500. */
         ERROR,
-        /** Status 503 of a request that was not processed. */
+        /** A response with status 503 which states that the request was not processed. */
         REJECTED,
-        /** Bytes that are no response. */
+        /** Bytes that are not a valid response. */
         MALFORMED,
-        /** A reset in place of a response. */
+        /** A connection reset without a response. */
         RESET,
-        /** An end of the connection in place of a response. */
+        /** A connection close without a response. */
         CLOSED,
-        /** No response. */
+        /** No response on a connection that stays open. */
         SILENT,
-        /** A response without a length, which ends with its connection. */
+        /** A response without a length, which ends when its connection is closed. */
         UNBOUNDED,
-        /** A response that is longer than a proxy buffers. */
+        /** A response whose body exceeds what a proxy buffers. */
         LONG,
         /** A chunked response. */
         CHUNKED,
@@ -75,7 +75,7 @@
                 startThread(() -> serve(socket));
             }
         } catch (IOException ignored) {
-            // closed
+            // the server socket was closed
         }
     }
 
@@ -130,22 +130,22 @@
             case RESET -> socket.setSoLinger(true, 0);
             case CLOSED -> {} // the connection is closed by the caller
             case SILENT -> socket.getInputStream().readAllBytes();
-            case UNBOUNDED -> writeLong(out, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", LONG_BODY.length);
-            case LONG -> writeLong(out, lengthHead(), LONG_BODY.length);
+            case UNBOUNDED -> writeLongBody(out, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", LONG_BODY.length);
+            case LONG -> writeLongBody(out, headWithLength(), LONG_BODY.length);
             case CHUNKED ->
                 write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n3\r\n...\r\n0\r\n\r\n");
             case TRUNCATED -> {
-                writeLong(out, lengthHead(), LONG_BODY.length / 2);
+                writeLongBody(out, headWithLength(), LONG_BODY.length / 2);
                 socket.setSoLinger(true, 0);
             }
         }
     }
 
-    private static String lengthHead() {
+    private static String headWithLength() {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + LONG_BODY.length + "\r\n\r\n";
     }
 
-    private static void writeLong(OutputStream out, String head, int length) throws IOException {
+    private static void writeLongBody(OutputStream out, String head, int length) throws IOException {
         write(out, head);
         out.write(LONG_BODY, 0, length);
     }
--- a/src/main/java/rillyard/proxy/lifecycle/ProxyLauncher.java
+++ b/src/main/java/rillyard/proxy/lifecycle/ProxyLauncher.java
@@ -11,42 +11,42 @@
 import rillyard.proxy.logging.ProxyLog;
 import rillyard.trace.ProxyTrace;
 
-/** Launches the client proxy of a process, from its configuration to its shutdown by SIGTERM. */
+/** Runs the client proxy of a process, from reading its configuration to its shutdown on SIGTERM. */
 public final class ProxyLauncher {
-    /** The longest warm-up (ms): a slow core gets a proxy that is partly warm in time. */
+    /** Longest warm-up (ms); on a slow core the proxy is ready in time, but only partly warmed up. */
     private static final long MAX_WARM_UP_MILLIS = 2_000;
 
     private ProxyLauncher() {}
 
     /**
-     * Runs a client proxy as the environment describes it, until SIGTERM has been carried out.
+     * Runs a client proxy, configured by the environment, until it has shut down on SIGTERM.
      *
-     * @throws ConfigException if there is no configuration to run with
+     * @throws ConfigException if the proxy can't be started as configured
      */
     public static void run(Map<String, String> env) throws ConfigException {
         run(env, null);
     }
 
     /**
-     * Runs a client proxy that exchanges observations with others, until SIGTERM has been carried out.
+     * Runs a client proxy that exchanges observations with others, until it has shut down on SIGTERM.
      *
-     * @param peerGossip null where there is none
-     * @throws ConfigException if there is no configuration to run with
+     * @param peerGossip exchanges observations with other proxies; null for none
+     * @throws ConfigException if the proxy can't be started as configured
      */
     public static void run(Map<String, String> env, PeerGossip peerGossip) throws ConfigException {
         launch(env, MAX_WARM_UP_MILLIS, peerGossip).awaitEnd();
     }
 
     /**
-     * Starts a proxy and returns once it is as warm as it gets within the given time.
+     * Starts a proxy and returns when it is ready, after a warm-up of at most {@code maxWarmUpMillis}.
      *
-     * <p>A proxy without a predecessor listens before its warm-up, as a slow response is better than none. One with a
-     * predecessor, which is warm, listens after it.
+     * <p>A proxy without a predecessor listens before its warm-up, as a slow response is better than none. With a
+     * predecessor, which is warmed up and serves meanwhile, it listens after its warm-up.
      */
     static ClientProxy launch(Map<String, String> env, long maxWarmUpMillis, PeerGossip peerGossip)
             throws ConfigException {
         StartupTimeline.mark("main");
-        // Netty would look for two other libraries first, in a jar that holds neither.
+        // Netty would first look for two other logging libraries, which the jar doesn't contain.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         ProxyConfig config = ProxyConfig.load(env);
         StartupTimeline.mark("settings");
@@ -54,7 +54,7 @@
         ProxyLog log = new ProxyLog(System.err, trace);
         ClientProxy proxy =
                 new ClientProxy(config, log, EndpointListOptions.createGuard(System.getProperties()), peerGossip);
-        drainAtShutdown(proxy); // before it listens, so that a signal never finds it without a drain
+        drainAtShutdown(proxy); // before it listens, so that SIGTERM always drains it
         StartupTimeline.mark("loop");
         proxy.setWarmingUp();
         proxy.startAdmin(env);
@@ -79,7 +79,7 @@
         Runnable drain = () -> {
             proxy.drain();
             proxy.awaitEnd();
-            // The JVM's status of an end by SIGTERM is 143, and a drain that is done is a success.
+            // The JVM would exit with status 143 on SIGTERM, but a completed drain is a success.
             Runtime.getRuntime().halt(0);
         };
         Runtime.getRuntime().addShutdownHook(new Thread(drain, "drain"));
@@ -89,7 +89,7 @@
         try {
             new Warmup(config).run(maxMillis);
         } catch (Exception e) {
-            log.error("warm-up: failed", e); // a proxy that is not warm serves as well
+            log.error("warm-up: failed", e); // a proxy without warm-up serves as well
         }
     }
 }
--- a/src/main/java/rillyard/proxy/lifecycle/StartupTimeline.java
+++ b/src/main/java/rillyard/proxy/lifecycle/StartupTimeline.java
@@ -5,17 +5,18 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Prints how far a start has come on standard error, if the system property {@code rillyard.marks} is {@code true}.
+ * Prints the times of the steps of a start on standard error, if the system property {@code rillyard.marks} is
+ * {@code true}.
  *
- * <p>{@code measure start} reads the lines. A mark takes less than a millisecond.
+ * <p>The command {@code measure start} reads the lines. A mark takes less than a millisecond.
  */
 public final class StartupTimeline {
     private static final boolean ENABLED = Boolean.getBoolean("rillyard.marks");
 
-    /** File of Linux with the process's CPU time, see proc(5). */
+    /** Linux file with the CPU time of the process, see proc(5). */
     private static final String STAT_FILE = "/proc/self/stat";
 
-    /** Positions of user and system time among the fields behind the name of the process, in ticks. */
+    /** Indexes of the user and system time (in ticks) among the fields after the process name. */
     private static final int USER_TIME_FIELD = 11;
 
     private static final int SYSTEM_TIME_FIELD = 12;
@@ -37,7 +38,7 @@
             return MILLIS_PER_TICK
                     * (Long.parseLong(fields[USER_TIME_FIELD]) + Long.parseLong(fields[SYSTEM_TIME_FIELD]));
         } catch (IOException | RuntimeException e) {
-            return -1; // another system than Linux
+            return -1; // not on Linux
         }
     }
 }
--- a/src/main/java/rillyard/proxy/lifecycle/Warmup.java
+++ b/src/main/java/rillyard/proxy/lifecycle/Warmup.java
@@ -43,23 +43,23 @@
 import rillyard.proxy.logging.ProxyLog;
 
 /**
- * Warms the process up: a second proxy, on ports of its own, forwards requests from this process to this process, so
- * that what a request needs is loaded and mostly compiled before the process reports that it is ready.
+ * Warms up the process: a second proxy, on its own ports, forwards requests between clients and hosts in this process,
+ * so that the code that requests need is loaded and mostly compiled before the process reports that it is ready.
  *
- * <p>With part of a core the first requests would take ten times as long otherwise. Clients wait for a proxy that
- * restarts, so the warm-up ends when more of it would gain less than it costs.
+ * <p>On a fraction of a core the first requests would otherwise take ten times as long. Clients wait while a proxy
+ * restarts, so the warm-up ends when a longer one would cost more than it gains.
  */
 public final class Warmup {
     /**
-     * Requests of a warm-up, chosen by runs of whole days with restarts. With 40 a proxy is back a second sooner, which
-     * gained on one day and lost more on another, where half a core could not keep up with the first requests and
-     * clients gave up by the tenth; 10 lost on both.
+     * Number of requests of a warm-up. With 40 a proxy is ready a second sooner, but half a core may not keep up with
+     * the first requests, so that clients give up by the tenth, which costs more than the second gains; 10 is worse in
+     * any case.
      */
     private static final int REQUEST_COUNT = 200;
 
     private static final int CLIENT_COUNT = 8;
 
-    /** Milliseconds before a client connects again after a connect that failed. */
+    /** Time (ms) before a client connects again after a failed connect or a closed connection. */
     private static final long RECONNECT_DELAY_MILLIS = 5;
 
     private static final int HOST_COUNT = 8;
@@ -68,41 +68,41 @@
 
     private final ProxyConfig config;
     private final SocketChannelFactory channels;
-    private final CountDownLatch unanswered = new CountDownLatch(REQUEST_COUNT);
+    private final CountDownLatch remainingResponses = new CountDownLatch(REQUEST_COUNT);
     private long sentRequests;
-    private long unansweredSends;
+    private long lostRequests;
 
     /** Creates a warm-up for a proxy with this configuration. */
     public Warmup(ProxyConfig config) {
         this(config, new SocketChannelFactory());
     }
 
-    /** Creates a warm-up whose second proxy has its channels from {@code channels}. */
+    /** Creates a warm-up whose second proxy gets its channels from {@code channels}. */
     Warmup(ProxyConfig config, SocketChannelFactory channels) {
         this.config = config;
         this.channels = channels;
     }
 
     /**
-     * Runs until all requests are answered, and no longer than {@code maxMillis}.
+     * Runs until all requests have responses, but no longer than {@code maxMillis}.
      *
-     * @return how many requests were answered
-     * @throws Exception if a port can't be bound or the second proxy not be started
+     * @return the number of requests that got a response
+     * @throws Exception if a port can't be bound or the second proxy can't be started
      */
     public int run(long maxMillis) throws Exception {
         if (config.settings().classes().isEmpty()) {
-            return 0; // no request could be sent, and none be served either
+            return 0; // without request classes no request can be sent or served
         }
         EventLoopGroup group = ClientProxy.newGroup(NioIoHandler.newFactory());
         try {
-            InetSocketAddress hosts = startHosts(group);
+            InetSocketAddress hostAddress = startHosts(group);
             ProxyLog silentLog = new ProxyLog(new PrintStream(OutputStream.nullOutputStream()));
-            ClientProxy proxy = new ClientProxy(configFor(hosts), silentLog, null, null, channels);
+            ClientProxy proxy = new ClientProxy(configFor(hostAddress), silentLog, null, null, channels);
             try {
                 proxy.start();
                 startClients(group, proxy.address());
-                unanswered.await(maxMillis, TimeUnit.MILLISECONDS);
-                return REQUEST_COUNT - (int) unanswered.getCount();
+                remainingResponses.await(maxMillis, TimeUnit.MILLISECONDS);
+                return REQUEST_COUNT - (int) remainingResponses.getCount();
             } finally {
                 proxy.stop();
             }
@@ -142,7 +142,7 @@
         }
     }
 
-    /** Connects a client, and another one after it: a connection that fails must not leave requests unsent. */
+    /** Connects a client and replaces it when its connection ends, as a failed one must not leave requests unsent. */
     private void connect(Bootstrap clients, InetSocketAddress proxyAddress) {
         clients.connect(proxyAddress).addListener((ChannelFuture connected) -> {
             if (connected.isSuccess()) {
@@ -155,27 +155,27 @@
 
     private void reconnect(Bootstrap clients, InetSocketAddress proxyAddress) {
         EventLoopGroup group = clients.config().group();
-        if (unanswered.getCount() > 0 && !group.isShuttingDown()) {
+        if (remainingResponses.getCount() > 0 && !group.isShuttingDown()) {
             group.schedule(() -> connect(clients, proxyAddress), RECONNECT_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Returns the configuration with other addresses, and with hosts that are all at {@code hosts}. */
-    private ProxyConfig configFor(InetSocketAddress hosts) {
+    /** Returns the configuration of the second proxy, whose discovery and hosts are all at {@code hostAddress}. */
+    private ProxyConfig configFor(InetSocketAddress hostAddress) {
         ObjectNode known =
                 JsonNodeFactory.instance.objectNode().put("version", 1).put("full", true);
         ArrayNode servers = known.putArray("servers");
         for (int i = 0; i < HOST_COUNT; i++) {
             servers.addObject()
                     .put("id", "warm-" + i)
-                    .put("addr", hosts.getAddress().getHostAddress() + ":" + hosts.getPort())
+                    .put("addr", hostAddress.getAddress().getHostAddress() + ":" + hostAddress.getPort())
                     .put("zone", config.settings().zone())
                     .put("state", "up");
         }
         return new ProxyConfig(
                 config.name(),
                 new InetSocketAddress(config.listen().getAddress(), 0),
-                hosts,
+                hostAddress,
                 config.seed(),
                 config.memoryMb(),
                 config.maxDescriptors(),
@@ -187,7 +187,7 @@
                 null);
     }
 
-    /** Answers every request as a host would. */
+    /** Responds to every request as a host would. */
     private static final class Host extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object msg) {
@@ -207,9 +207,9 @@
         }
     }
 
-    /** Sends the next request once the last one is answered; one that is not is left to the other clients. */
+    /** Sends a request after each response; the other clients send one in place of a request that gets no response. */
     private final class Client extends ChannelInboundHandlerAdapter {
-        private boolean isAwaitingAnswer;
+        private boolean isAwaitingResponse;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
@@ -219,8 +219,8 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object msg) {
             if (msg instanceof LastHttpContent) {
-                isAwaitingAnswer = false;
-                unanswered.countDown();
+                isAwaitingResponse = false;
+                remainingResponses.countDown();
                 sendNext(ctx);
             }
             ReferenceCountUtil.release(msg);
@@ -228,9 +228,9 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (isAwaitingAnswer) {
-                isAwaitingAnswer = false;
-                unansweredSends++;
+            if (isAwaitingResponse) {
+                isAwaitingResponse = false;
+                lostRequests++;
             }
         }
 
@@ -240,8 +240,8 @@
         }
 
         private void sendNext(ChannelHandlerContext ctx) {
-            if (sentRequests - unansweredSends < REQUEST_COUNT) {
-                isAwaitingAnswer = true;
+            if (sentRequests - lostRequests < REQUEST_COUNT) {
+                isAwaitingResponse = true;
                 List<Settings.RequestClass> classes = config.settings().classes();
                 Settings.RequestClass requestClass = classes.get((int) (sentRequests % classes.size()));
                 sentRequests++;
