--- a/src/main/java/rillyard/Main.java
+++ b/src/main/java/rillyard/Main.java
@@ -13,10 +13,11 @@
     private Main() {}
 
     /**
-     * Runs {@code proxy}, a client proxy on sockets, or {@code adapter}, the same decisions on the
-     * simulator's wire on standard input and output. The build runs {@code rehearse}, for the JVM to
-     * record what a proxy loads. These three start without the parser of the command line; all else
-     * goes through it.
+     * Runs the command that the arguments name.
+     *
+     * <p>{@code proxy} is a client proxy on sockets; {@code adapter} makes the same decisions for the simulator, by its
+     * protocol on standard input and output. The build runs {@code rehearse}, in which the JVM records the classes that
+     * a proxy loads. These three start without the command-line parser, which handles all other commands.
      */
     public static void main(String[] args) throws IOException {
         String command = args.length == 1 ? args[0] : "";
--- a/src/main/java/rillyard/proxy/ClientProxy.java
+++ b/src/main/java/rillyard/proxy/ClientProxy.java
@@ -29,17 +29,17 @@
 import rillyard.stall.StallDetector;
 
 /**
- * A client proxy: composes its parts, which all run on one event loop thread, and starts, drains and stops them.
+ * A client proxy. It creates its components, which all run on one event loop thread, and starts, drains and stops them.
  *
  * <p>Methods may be called on any thread unless they say otherwise.
  */
 public final class ClientProxy {
-    /** Part of the memory limit (MB) that the JVM takes besides bodies. */
+    /** Part of the memory limit (MB) that the JVM uses for other things than buffered bodies. */
     private static final long BASE_MEMORY_MB = 76;
 
     private static final long MIN_BODY_MEMORY_MB = 8;
 
-    /** Buffered bodies are small, and two processes may share the limit while one follows the other. */
+    /** Buffered bodies are small, and two processes may share the memory limit during a hot restart. */
     private static final long MAX_BODY_MEMORY_MB = 48;
 
     private static final int MEGABYTE_SHIFT = 20;
@@ -57,7 +57,10 @@
     private volatile ProxyAdmin admin;
     private InetSocketAddress adminAddress;
 
-    /** Creates a proxy that believes all endpoint lists and has no gossip with others; nothing is started. */
+    /**
+     * Creates a proxy that applies every endpoint list as it is and doesn't gossip with other proxies; nothing is
+     * started.
+     */
     public ClientProxy(ProxyConfig config, ProxyLog log) {
         this(config, log, null, null);
     }
@@ -65,8 +68,8 @@
     /**
      * Creates a proxy; nothing is started.
      *
-     * @param guard null where full endpoint lists are always believed
-     * @param peerGossip null where there is none
+     * @param guard retains hosts that an implausible full endpoint list lacks; null to apply every list as it is
+     * @param peerGossip exchanges observations with other proxies; null for none
      */
     public ClientProxy(ProxyConfig config, ProxyLog log, EndpointListGuard guard, PeerGossip peerGossip) {
         this(config, log, guard, peerGossip, new SocketChannelFactory());
@@ -91,22 +94,22 @@
         this.driver = new BalancerDriver(loop, config, upstreams, bodyMemory, log, guard, peerGossip);
         this.listener = new ClientListener(driver, config, descriptors, bodyMemory, log, stallDetector);
         this.endpointWatch = new EndpointWatch(group, channels, config, driver.endpoints(), driver, log);
-        this.drainController = new DrainController(loop, listener, driver, log, longestDeadline(config));
+        this.drainController = new DrainController(loop, listener, driver, log, longestDeadlineMillis(config));
     }
 
     private static long bodyMemoryMb(ProxyConfig config) {
         return Math.max(MIN_BODY_MEMORY_MB, Math.min(MAX_BODY_MEMORY_MB, config.memoryMb() - BASE_MEMORY_MB));
     }
 
-    private static double longestDeadline(ProxyConfig config) {
-        double longest = 0;
+    private static double longestDeadlineMillis(ProxyConfig config) {
+        double longestMillis = 0;
         for (Settings.RequestClass requestClass : config.settings().classes()) {
-            longest = Math.max(longest, requestClass.deadlineMillis());
+            longestMillis = Math.max(longestMillis, requestClass.deadlineMillis());
         }
-        return longest;
+        return longestMillis;
     }
 
-    /** Creates an event loop on a daemon thread of its own. */
+    /** Creates an event loop group of one loop, which runs on its own daemon thread. */
     public static MultiThreadIoEventLoopGroup newGroup(IoHandlerFactory ioHandlers) {
         return new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop", true), ioHandlers);
     }
@@ -114,7 +117,7 @@
     // --- start
 
     /**
-     * Starts the endpoint watch and listens.
+     * Starts the endpoint watch and listens for clients.
      *
      * @throws ConfigException if the proxy can't be started as configured
      */
@@ -133,7 +136,7 @@
             loop.submit(() -> endpointWatch.start(config.cachedEndpoints())).sync();
         } catch (Exception e) {
             stopGroup();
-            throw new ConfigException("can't start: " + e);
+            throw new ConfigException("can't start the endpoint watch: " + e);
         }
         loop.scheduleAtFixedRate(
                 this::runMaintenance, MAINTENANCE_INTERVAL_MILLIS, MAINTENANCE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
@@ -160,7 +163,7 @@
      * Opens the admin address, if one is configured.
      *
      * @param env environment of the process, for the directory of temporary files
-     * @throws ConfigException if the address can't be bound or the directory not be used
+     * @throws ConfigException if the address can't be bound or the directory can't be used
      */
     public void startAdmin(Map<String, String> env) throws ConfigException {
         if (config.adminAddress() == null) {
@@ -172,21 +175,21 @@
             adminAddress = started.start(config.adminAddress());
             admin = started;
         } catch (Exception e) {
-            throw new ConfigException("can't listen for operators on " + config.adminAddress() + ": " + e);
+            throw new ConfigException("can't start the admin endpoint on " + config.adminAddress() + ": " + e);
         }
     }
 
-    /** Returns whether another process serves the same address; false where there is no admin address. */
+    /** Returns whether another process of this proxy serves the same address; false without an admin address. */
     public boolean hasPredecessor() {
         return admin != null && admin.hasPredecessor();
     }
 
-    /** Reports the proxy as not ready until {@link #onReady}; requests are served all the same. */
+    /** Reports the proxy as not ready until {@link #onReady}; requests are served nevertheless. */
     public void setWarmingUp() {
         listener.setWarmingUp(true);
     }
 
-    /** The warm-up has ended: reports the proxy as ready and tells a predecessor that it may go. */
+    /** Ends the warm-up: reports the proxy as ready and signals a predecessor that it can shut down. */
     public void onReady() {
         listener.setWarmingUp(false);
         loop.execute(this::runMaintenance);
@@ -199,40 +202,40 @@
         }
     }
 
-    /** Takes over what of a new configuration may change while requests are executed: the discovery address. */
+    /** Applies the one setting of a new configuration that can change at run time: the discovery address. */
     public void reload(ProxyConfig newConfig) {
         loop.execute(() -> endpointWatch.moveTo(newConfig.discovery()));
     }
 
-    // --- on the loop
+    // --- event loop tasks
 
     private void onStall(long stallNanos) {
         try {
-            driver.endOverdueRequests(stallNanos); // before anything new is read
+            driver.endOverdueRequests(stallNanos); // before new input is read
             endpointWatch.readPending();
         } catch (RuntimeException | Error e) {
-            log.error("loop: stall not handled", e); // timers end what is overdue
+            log.error("loop: stall not handled", e); // the timers of overdue requests end them
         }
     }
 
     private void runMaintenance() {
-        maintain(driver::runMaintenance);
-        maintain(listener::runMaintenance);
-        maintain(endpointWatch::runMaintenance);
+        runMaintenanceTask(driver::runMaintenance);
+        runMaintenanceTask(listener::runMaintenance);
+        runMaintenanceTask(endpointWatch::runMaintenance);
     }
 
-    /** Runs a part of the maintenance; were a failure thrown, neither the other parts nor this one would run again. */
-    private void maintain(Runnable part) {
+    /** Runs one task and logs its failure; an exception would end the periodic maintenance of all components. */
+    private void runMaintenanceTask(Runnable task) {
         try {
-            part.run();
+            task.run();
         } catch (RuntimeException | Error e) {
             log.error("proxy: maintenance failed", e);
         }
     }
 
-    // --- end
+    // --- drain and stop
 
-    /** Starts to drain: what was received is answered, then {@link #awaitEnd} returns. */
+    /** Starts to drain: open requests get their responses, then {@link #awaitEnd} returns. */
     public void drain() {
         loop.execute(() -> drainController.start(admin != null && admin.hasSuccessor()));
     }
@@ -242,7 +245,7 @@
         drainController.awaitEnd();
     }
 
-    /** Stops at once, and closes all connections. */
+    /** Stops immediately and closes all connections. */
     public void stop() {
         try {
             if (admin != null) {
@@ -271,17 +274,17 @@
         return adminAddress;
     }
 
-    /** Returns the number of open client connections; only on the loop. */
+    /** Returns the number of open client connections; only on the event loop. */
     int clientConnections() {
         return listener.openConnections();
     }
 
-    /** Returns the number of requests that have not ended, or whose attempts have not; only on the loop. */
+    /** Returns the number of requests that have not ended, or whose attempts have not; only on the event loop. */
     int openRequests() {
         return driver.openRequests();
     }
 
-    /** Returns the number of connections to hosts that are open or come up; only on the loop. */
+    /** Returns the number of connections to hosts, open or being established; only on the event loop. */
     int hostConnections() {
         return listener.descriptors().upstreamConnections();
     }
--- a/src/main/java/rillyard/proxy/DrainController.java
+++ b/src/main/java/rillyard/proxy/DrainController.java
@@ -8,24 +8,31 @@
 import rillyard.proxy.logging.ProxyLog;
 
 /**
- * Drains a proxy: new connections are accepted for a while, what was received is answered, and then the proxy has ended.
+ * Drains a proxy: accepts new connections for a short time, completes the requests that were received, and then marks
+ * the proxy as ended.
  *
  * <p>Confined to the event loop, except {@link #awaitEnd} and {@link #markEnded}.
  */
 final class DrainController {
-    /** How long (ms) connections are accepted; after SIGTERM new ones come for 0.4 s at most. */
+    /** Time (ms) for which connections are accepted; clients open new ones for at most 0.4 s after SIGTERM. */
     private static final long ACCEPT_MILLIS = 800;
 
-    /** How long (ms) idle connections stay open for a request whose response tells clients to move to a successor. */
+    /**
+     * Time (ms) for which idle connections stay open when there is a successor. The response to a request in this time
+     * closes its connection, so that the client connects to the successor.
+     */
     private static final long MIGRATION_MILLIS = 400;
 
-    /** SIGKILL comes no sooner than 0.7 s after the longest deadline; the process needs part of that to end (ms). */
+    /**
+     * Time (ms) from the longest deadline to the end of the drain. SIGKILL comes at least 0.7 s after that deadline,
+     * and the process needs part of that to exit.
+     */
     private static final long DRAIN_MARGIN_MILLIS = 550;
 
-    /** The longest deadline (ms) for which SIGKILL waits. */
+    /** The longest deadline (ms) that the time until SIGKILL allows for. */
     private static final double MAX_DEADLINE_MILLIS = 3_000;
 
-    /** So long (ms) before the end of its time a drain fails open requests, for their responses to get out. */
+    /** Time (ms) before the end of the drain at which open requests are failed, so that their responses are sent. */
     private static final long FAIL_OPEN_REQUESTS_MILLIS = 100;
 
     private static final long POLL_INTERVAL_MILLIS = 10;
@@ -40,7 +47,7 @@
     private long acceptUntilNanos;
     private long drainUntilNanos;
 
-    /** Creates a controller; {@code longestDeadlineMillis} is that of the request classes. */
+    /** Creates a controller; {@code longestDeadlineMillis} is the longest deadline of the request classes. */
     DrainController(
             EventLoop loop,
             ClientListener listener,
@@ -54,18 +61,21 @@
         this.longestDeadlineMillis = longestDeadlineMillis;
     }
 
-    /** Starts the drain; with a successor this proxy accepts no more, and its clients are told to move. */
+    /**
+     * Starts the drain. With a successor this proxy stops accepting at once, and its responses close their connections,
+     * so that the clients connect to the successor.
+     */
     void start(boolean hasSuccessor) {
         assert loop.inEventLoop();
-        long now = System.nanoTime();
-        acceptUntilNanos = now + (hasSuccessor ? MIGRATION_MILLIS : ACCEPT_MILLIS) * NANOS_PER_MILLI;
+        long nowNanos = System.nanoTime();
+        acceptUntilNanos = nowNanos + (hasSuccessor ? MIGRATION_MILLIS : ACCEPT_MILLIS) * NANOS_PER_MILLI;
         double drainMillis = Math.min(longestDeadlineMillis, MAX_DEADLINE_MILLIS) + DRAIN_MARGIN_MILLIS;
-        drainUntilNanos = now + (long) (drainMillis * NANOS_PER_MILLI);
+        drainUntilNanos = nowNanos + (long) (drainMillis * NANOS_PER_MILLI);
         log.info("proxy: draining, successor=" + hasSuccessor);
         try {
             stopAccepting(hasSuccessor);
         } catch (RuntimeException | Error e) {
-            onFailed(e);
+            logStepFailure(e);
         }
         poll();
     }
@@ -79,38 +89,38 @@
         }
     }
 
-    /** A step of the drain has thrown. The next one goes on, as a drain that does not end costs all open requests. */
-    private void onFailed(Throwable cause) {
+    /** Logs the failure of a step. The drain continues, as one that doesn't end would lose all open requests. */
+    private void logStepFailure(Throwable cause) {
         log.error("proxy: drain failed", cause);
     }
 
     private void poll() {
-        long now = System.nanoTime();
+        long nowNanos = System.nanoTime();
         boolean isDone = false;
         try {
-            isDone = drainFurther(now);
+            isDone = runDueSteps(nowNanos);
         } catch (RuntimeException | Error e) {
-            onFailed(e);
+            logStepFailure(e);
         }
-        if (isDone || now >= drainUntilNanos) {
+        if (isDone || nowNanos >= drainUntilNanos) {
             end(isDone);
         } else {
             loop.schedule(this::poll, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Takes what steps are due by now; returns whether nothing is left to do. */
-    private boolean drainFurther(long now) {
-        boolean hasStoppedAccepting = now >= acceptUntilNanos;
+    /** Runs the steps that are due at {@code nowNanos}; returns whether the drain is done. */
+    private boolean runDueSteps(long nowNanos) {
+        boolean hasStoppedAccepting = nowNanos >= acceptUntilNanos;
         if (hasStoppedAccepting) {
-            // Ends connections that are new since the drain began and idle so far: a request on one of them could
-            // come in the moment in which the process ends.
+            // Closes connections that were accepted during the drain and are idle: a request on one of them could
+            // arrive just as the process exits.
             listener.drain();
         }
-        if (now >= drainUntilNanos - FAIL_OPEN_REQUESTS_MILLIS * NANOS_PER_MILLI) {
+        if (nowNanos >= drainUntilNanos - FAIL_OPEN_REQUESTS_MILLIS * NANOS_PER_MILLI) {
             driver.failOpenRequests();
         }
-        return hasStoppedAccepting && !listener.isBusy() && hasNothingToAccept();
+        return hasStoppedAccepting && !listener.isBusy() && isIdleAfterLastAccept();
     }
 
     private void end(boolean isDone) {
@@ -122,19 +132,22 @@
         }
     }
 
-    /** Accepts what came while the process stalled and waits unaccepted; returns whether that is idle, too. */
-    private boolean hasNothingToAccept() {
+    /**
+     * Closes the server channel, which first accepts the connections that arrived during a stall of the process;
+     * returns whether these are idle, too.
+     */
+    private boolean isIdleAfterLastAccept() {
         listener.closeServerChannel();
         listener.drain();
         return !listener.isBusy();
     }
 
-    /** The proxy has ended. Any thread. */
+    /** Marks the proxy as ended, so that {@link #awaitEnd} returns. Any thread. */
     void markEnded() {
         ended.countDown();
     }
 
-    /** Waits until the drain is done, or the proxy was stopped; an interrupt ends the wait. */
+    /** Waits until the drain has ended or the proxy was stopped; an interrupt ends the wait. */
     void awaitEnd() {
         try {
             ended.await();
--- a/src/main/java/rillyard/proxy/package-info.java
+++ b/src/main/java/rillyard/proxy/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Composition root of the client proxy: {@link rillyard.proxy.ClientProxy} creates its parts, starts, drains and stops
- * them.
+ * Composition root of the client proxy: {@link rillyard.proxy.ClientProxy} creates, starts, drains and stops its
+ * components.
  *
  * <p>Only {@code lifecycle} and packages outside the proxy depend on this one.
  */
