--- a/src/main/java/rillyard/admin/AdminRequestHandler.java
+++ b/src/main/java/rillyard/admin/AdminRequestHandler.java
@@ -45,7 +45,8 @@
         ByteBuf body = Unpooled.copiedBuffer(response.text(), StandardCharsets.UTF_8);
         DefaultFullHttpResponse httpResponse =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, response.status(), body);
-        httpResponse.headers()
+        httpResponse
+                .headers()
                 .set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8")
                 .set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes())
                 .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
--- a/src/test/java/rillyard/endpoints/HostStartClockTest.java
+++ b/src/test/java/rillyard/endpoints/HostStartClockTest.java
@@ -38,7 +38,8 @@
     }
 
     private static double learn(HostStartClock clock, String host, double startedAtMillis, double nowMillis) {
-        return clock.onList(false, Map.of(host, unixMillis(startedAtMillis)), nowMillis).get(host);
+        return clock.onList(false, Map.of(host, unixMillis(startedAtMillis)), nowMillis)
+                .get(host);
     }
 
     /** Returns a clock that has learnt a list of warm hosts, as most proxies do at their start. */
--- a/src/test/java/rillyard/hotrestart/HotRestartLockTest.java
+++ b/src/test/java/rillyard/hotrestart/HotRestartLockTest.java
@@ -96,9 +96,12 @@
         store.enable("a", HOUR * 2);
         assertThat(store.read(HOUR * 2, 1_000).enabledAtUnixMillis()).isEqualTo(Map.of("a", 1_000L));
 
-        assertThat(store.read(HOUR * 2 + stepMillis, 1_150).enabledAtUnixMillis()).isEqualTo(Map.of("a", 1_000L));
-        assertThat(store.read(HOUR * 2 + stepMillis, 121_000).enabledAtUnixMillis()).isEqualTo(Map.of("a", 1_000L));
-        assertThat(store.read(HOUR * 2 + stepMillis, 121_001).enabledAtUnixMillis()).isEmpty();
+        assertThat(store.read(HOUR * 2 + stepMillis, 1_150).enabledAtUnixMillis())
+                .isEqualTo(Map.of("a", 1_000L));
+        assertThat(store.read(HOUR * 2 + stepMillis, 121_000).enabledAtUnixMillis())
+                .isEqualTo(Map.of("a", 1_000L));
+        assertThat(store.read(HOUR * 2 + stepMillis, 121_001).enabledAtUnixMillis())
+                .isEmpty();
         assertThat(tmp).isEmptyDirectory();
     }
 
@@ -110,7 +113,8 @@
         store.read(HOUR * 2, 1_000);
         store.enable("a", HOUR * 2 + 100);
 
-        Map<String, Long> enabledAtUnixMillis = store.read(HOUR * 2 + stepMillis, 1_150).enabledAtUnixMillis();
+        Map<String, Long> enabledAtUnixMillis =
+                store.read(HOUR * 2 + stepMillis, 1_150).enabledAtUnixMillis();
 
         assertThat(enabledAtUnixMillis).containsOnlyKeys("a");
         assertThat(enabledAtUnixMillis.get("a")).isBetween(1_000L, 1_150L);
