--- a/src/main/java/rillyard/proxy/downstream/AcceptControl.java
+++ b/src/main/java/rillyard/proxy/downstream/AcceptControl.java
@@ -6,7 +6,7 @@
 import rillyard.proxy.resources.DescriptorBudget;
 
 /**
- * Decides when the server channel accepts: not while no descriptor is left, nor for some ms after an accept has failed.
+ * Pauses the accepts of the server channel while no descriptor is left, and for some ms after an accept has failed.
  *
  * <p>Confined to the event loop.
  */
--- a/src/main/java/rillyard/proxy/downstream/ClientConnection.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientConnection.java
@@ -10,19 +10,19 @@
 import rillyard.proxy.resources.DescriptorBudget;
 
 /**
- * Channel handler of one client connection: passes what is read to its {@link RequestReader}, follows the request at
- * hand to its response, and closes the connection.
+ * Channel handler of one client connection: passes parsed input to its {@link RequestReader}, tracks the current
+ * request until its response is written, and closes the connection.
  *
  * <p>Confined to the event loop.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter implements DescriptorBudget.IdleConnection {
-    /** How the connection goes on; later states are final. */
+    /** How the connection continues; {@link #DISCARDING_INPUT} is final. */
     private enum State {
         /** Another request may follow. */
         OPEN,
         /** The next response is the last one. */
         CLOSE_AFTER_RESPONSE,
-        /** No request is read any more, and what comes is discarded. */
+        /** No further request is read, and all input is discarded. */
         DISCARDING_INPUT
     }
 
@@ -45,7 +45,7 @@
      * Creates the handler of an accepted channel.
      *
      * @param decoder decoder of the channel's pipeline, with the same {@code pipelineBuffer}
-     * @param overflow marks a connection beyond what is allowed, whose request is rejected
+     * @param overflow whether the connection exceeds the limit, so that its requests are rejected
      */
     ClientConnection(
             ClientListener listener,
@@ -98,7 +98,10 @@
         }
     }
 
-    /** A handler has thrown: answers the request at hand, unless part of a response is written, and ends the connection. */
+    /**
+     * Handles an exception of a handler: fails the current request, unless part of its response is written, and closes
+     * the connection.
+     */
     private void onHandlerFailed(Throwable cause) {
         listener.log().error("client: connection failed", cause);
         closeAfterResponse();
@@ -107,12 +110,12 @@
                 channel.close();
             }
         } catch (RuntimeException | Error e) {
-            listener.log().error("client: failure without a response", e);
+            listener.log().error("client: error response not sent", e);
             channel.close();
         }
     }
 
-    /** Answers a request whose handling has failed; returns whether the connection lingers for its response. */
+    /** Answers a request whose handling has failed; returns whether the connection stays open until that is written. */
     private boolean answerFailure() {
         if (exchange != null) {
             exchange.onHandlerFailed();
@@ -125,9 +128,9 @@
         return false;
     }
 
-    // --- the request at hand
+    // --- current request
 
-    /** The head of a request has come. */
+    /** Records that the head of a request has been received. */
     void onRequestStarted(boolean isKeepAlive) {
         listener.descriptors().setClientIdle(this, false);
         used = true;
@@ -135,7 +138,7 @@
         state = isKeepAlive ? State.OPEN : State.CLOSE_AFTER_RESPONSE;
     }
 
-    /** The request is being executed from now on, until its response is written. */
+    /** Sets the exchange that executes the current request from now on, until its response is written. */
     void startExchange(RequestExchange newExchange) {
         exchange = newExchange;
     }
@@ -144,12 +147,12 @@
         return exchange != null;
     }
 
-    /** Returns the exchange of the request at hand, null if none is being executed. */
+    /** Returns the exchange of the current request, or null if none is being executed. */
     RequestExchange exchange() {
         return exchange;
     }
 
-    /** All has come of a request whose response was written before. */
+    /** Handles the end of a request whose response was written before. */
     void onRequestSkipped() {
         if (state != State.OPEN) {
             lingeringClose();
@@ -158,20 +161,20 @@
         }
     }
 
-    /** What comes of a request whose response was written before can't be read: the connection ends without another. */
-    void onMalformedRest() {
+    /** Closes the connection after a malformed rest of a request whose response was written before. */
+    void onMalformedSkippedBody() {
         body.completeSkipping();
         lingeringClose();
     }
 
-    /** Returns whether the proxy would serve requests. */
+    /** Returns whether the proxy is ready to serve requests. */
     boolean isProxyReady() {
         return listener.isReady();
     }
 
-    // --- its response
+    // --- response
 
-    /** Returns whether the connection ends with the response that is about to be written. */
+    /** Returns whether the connection is closed after the response that is about to be written. */
     boolean isLastResponse() {
         if (listener.isDraining()) {
             closeAfterResponse();
@@ -179,11 +182,11 @@
         return state != State.OPEN;
     }
 
-    /** The end of a response has been passed to the channel; {@code written} completes when it is sent. */
+    /** Handles the end of a response, which was passed to the channel; {@code written} completes when it is sent. */
     void onResponseWritten(ChannelFuture written) {
         exchange = null;
         awaitsResponse = false;
-        if (isRefused(written)) {
+        if (hasFailedInHandler(written)) {
             onHandlerFailed(written.cause());
             return;
         }
@@ -195,16 +198,16 @@
             return;
         }
         writer.awaitWritten(written);
-        decoder.clearReceiveTimer(); // what came meanwhile had to wait, by no fault of its client's
+        decoder.clearReceiveTimer(); // input that arrived meanwhile was delayed by the proxy
         readNext();
     }
 
-    /** Returns whether a write has failed already, and not because of the socket. */
-    static boolean isRefused(ChannelFuture written) {
+    /** Returns whether a write has already failed, and in a handler rather than by an I/O error of the socket. */
+    static boolean hasFailedInHandler(ChannelFuture written) {
         return written.cause() != null && !(written.cause() instanceof IOException);
     }
 
-    /** Goes on with what has come behind a request. A failure there is none of the request before. */
+    /** Continues with the input behind a request. An exception there does not concern that request. */
     private void readNext() {
         try {
             if (!reader.readPipelined() && !decoder.isReceiving() && !body.isSkipping()) {
@@ -215,21 +218,21 @@
         }
     }
 
-    /** The response broke off: the client has to see that it is not complete. */
+    /** Closes the connection after an incomplete response, so that the client notices that it is incomplete. */
     void onResponseAborted() {
         exchange = null;
         awaitsResponse = false;
         channel.close();
     }
 
-    /** Reads on, as the host takes more of the body that is forwarded. */
+    /** Resumes reading, because the host accepts more of the forwarded body. */
     void resumeUpload() {
         body.resumeUpload();
     }
 
     // --- closing
 
-    /** Answers what can't be served as a request and ends the connection. */
+    /** Sends an error status for input that can't be served, and closes the connection. */
     void reject(int status) {
         state = State.DISCARDING_INPUT;
         awaitsResponse = true;
@@ -237,14 +240,14 @@
         exchange = null;
         decoder.discardInput();
         body.abort();
-        if (abandoned != null) { // its body goes wrong while it is forwarded: no host gets the end of it
+        if (abandoned != null) { // its body is invalid or late while it is forwarded: no host gets the end of it
             abandoned.onClientDisconnected();
         }
         writer.sendStatus(status, 0);
         channel.config().setAutoRead(true);
     }
 
-    /** Has the next response be the last one. */
+    /** Makes the next response the last one. */
     void closeAfterResponse() {
         if (state == State.OPEN) {
             state = State.CLOSE_AFTER_RESPONSE;
@@ -273,20 +276,20 @@
         }
     }
 
-    /** Ends the connection unless a request has just come. */
-    void endIdle() {
+    /** Closes the connection unless a request has just arrived. */
+    void lingeringCloseIfIdle() {
         if (!hasInputOrEnd()) {
             lingeringClose();
         }
     }
 
-    /** Returns whether input has come that is not read yet, or the client has closed the connection. */
+    /** Returns whether unread input has arrived, or the client has closed the connection. */
     private boolean hasInputOrEnd() {
         if (channel.isEndOfStream()) {
             channel.close();
             return true;
         }
-        decoder.checkHeldByte();
+        decoder.checkPeekedByte();
         return channel.hasPeekedByte();
     }
 
@@ -297,7 +300,7 @@
         listener.descriptors().setClientIdle(this, true);
     }
 
-    /** Returns whether a request, part of one, or a response that is not written yet is under way. */
+    /** Returns whether a request is being received or executed, or its response is not written yet. */
     boolean isBusy() {
         return exchange != null
                 || body.isSkipping()
@@ -311,7 +314,7 @@
         return used;
     }
 
-    /** Ends what has taken too long by {@code nowNanos}. */
+    /** Acts on the timeout that has expired by {@code nowNanos}, if any. */
     void enforceTimeouts(long nowNanos) {
         switch (timeouts.check(nowNanos, this)) {
             case HOST_STALLED -> exchange.onHostStalled();
@@ -323,7 +326,7 @@
                 }
             }
             case CLIENT_STALLED -> channel.close();
-            case IDLE -> endIdle();
+            case IDLE -> lingeringCloseIfIdle();
             default -> {}
         }
     }
--- a/src/main/java/rillyard/proxy/downstream/ClientListener.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientListener.java
@@ -25,14 +25,14 @@
 import rillyard.stall.StallDetector;
 
 /**
- * Accepts the connections of clients and keeps track of them.
+ * Accepts client connections and keeps track of them.
  *
- * <p>Confined to the event loop, but for the methods that say otherwise.
+ * <p>Confined to the event loop, except for the methods whose documentation says otherwise.
  */
 public final class ClientListener {
     private static final int BACKLOG = 1_024;
 
-    /** Tries to empty the backlog before it is closed; together with their pauses they hold the event loop for 10 ms. */
+    /** Most tries to empty the backlog before it is closed; with their pauses they block the event loop for 10 ms. */
     private static final int MAX_PENDING_ACCEPT_TRIES = 20;
 
     private static final long PENDING_ACCEPT_RETRY_NANOS = 500_000;
@@ -54,7 +54,7 @@
     /**
      * Creates a listener that is not bound yet.
      *
-     * @param stallDetector tells how long an accepted connection may have waited
+     * @param stallDetector detector of the event loop, which computes how long an accepted connection may have waited
      */
     public ClientListener(
             BalancerDriver driver,
@@ -76,10 +76,11 @@
     /**
      * Binds to the configured address.
      *
-     * <p>A proxy with an admin address may be replaced by a successor that binds to the same address meanwhile. Without
-     * one the address is not shared, so that two proxies with the same address by mistake are an error.
+     * <p>If an admin address is configured, the address is shared ({@code SO_REUSEPORT}), because a successor process
+     * may bind to it while this one still listens. Otherwise it is not shared, so that a second proxy with the same
+     * address by mistake fails to start.
      *
-     * @throws Exception what the bind throws
+     * @throws Exception if the bind fails
      */
     public void listen(EventLoopGroup loop, SocketChannelFactory channels, ProxyConfig config) throws Exception {
         ServerBootstrap bootstrap = new ServerBootstrap();
@@ -97,7 +98,7 @@
                 .handler(new ChannelInitializer<PeekableSocketChannel.Server>() {
                     @Override
                     protected void initChannel(PeekableSocketChannel.Server channel) {
-                        serverChannel = channel; // before the first accept, which may come ahead of the bind's end
+                        serverChannel = channel; // before the first accept, which may precede the end of the bind
                         channel.pipeline().addLast(acceptControl);
                     }
                 })
@@ -117,7 +118,7 @@
                 .sync();
     }
 
-    /** Returns the bound channel; null before {@link #listen}. Any thread. */
+    /** Returns the bound channel, or null before {@link #listen}. May be called on any thread. */
     public Channel serverChannel() {
         return serverChannel;
     }
@@ -128,11 +129,11 @@
         ClientRequestDecoder decoder = new ClientRequestDecoder(pipelineBuffer);
         ClientConnection connection = new ClientConnection(this, channel, decoder, pipelineBuffer, overflow);
         descriptors.onClientOpened();
-        // The close future completes when the descriptor is free; the handlers are called later.
+        // The close future completes when the descriptor is free; the handlers are notified later.
         channel.closeFuture().addListener(future -> onClosed(connection));
         channel.pipeline().addLast(decoder, new HttpResponseEncoder(), connection);
         if (descriptors.isExhausted()) {
-            acceptControl.update(); // the rest waits in the backlog, as accepts would fail again and again
+            acceptControl.update(); // other connections wait in the backlog, as accepts would fail
         }
     }
 
@@ -148,25 +149,25 @@
     }
 
     /**
-     * Accepts the connections that wait and closes the server channel, as a successor listens.
+     * Accepts the connections in the backlog and closes the server channel, because a successor process listens.
      *
-     * <p>The close follows the last accept at once, as the kernel may establish connections between the two. An accept that
-     * fails is tried again for some ms before: the close would reset the connections that wait.
+     * <p>The channel is closed immediately after the last accept, as the kernel may establish connections in between.
+     * An accept that fails is retried for some ms first, because the close resets the connections in the backlog.
      */
     public void closeServerChannel() {
-        PeekableSocketChannel.Server open = serverChannel;
-        if (open != null && open.isOpen()) { // null if the drain began before the bind
-            for (int tries = 0; tries < MAX_PENDING_ACCEPT_TRIES && !acceptPending(open); tries++) {
+        PeekableSocketChannel.Server channel = serverChannel;
+        if (channel != null && channel.isOpen()) { // null if the drain began before the bind
+            for (int tries = 0; tries < MAX_PENDING_ACCEPT_TRIES && !acceptPending(channel); tries++) {
                 LockSupport.parkNanos(PENDING_ACCEPT_RETRY_NANOS);
             }
-            open.close();
+            channel.close();
         }
     }
 
-    /** Accepts what waits; returns whether the backlog is empty then. */
-    private boolean acceptPending(PeekableSocketChannel.Server open) {
+    /** Accepts the connections in the backlog; returns whether it is empty then. */
+    private boolean acceptPending(PeekableSocketChannel.Server channel) {
         try {
-            open.acceptPending();
+            channel.acceptPending();
             return true;
         } catch (IOException e) {
             acceptControl.onAcceptFailed(e);
@@ -174,17 +175,17 @@
         }
     }
 
-    /** Starts or goes on draining: responses close their connections, and idle connections are closed now. */
+    /** Starts or continues draining: connections are closed after their next response, and idle ones now. */
     public void drain() {
         requestClientMigration();
         for (ClientConnection connection : new ArrayList<>(connections)) {
             if (!connection.isBusy()) {
-                connection.endIdle();
+                connection.lingeringCloseIfIdle();
             }
         }
     }
 
-    /** From now on responses close their connections; idle connections stay open for that. */
+    /** From now on closes each connection after its next response; idle connections stay open until then. */
     public void requestClientMigration() {
         draining = true;
         wasRecentlyReady = false;
@@ -209,7 +210,10 @@
         return false;
     }
 
-    /** Reports the proxy as not ready while it warms up; requests are served all the same. Any thread. */
+    /**
+     * Sets whether the proxy is warming up, and is therefore reported as not ready; requests are served nevertheless.
+     * May be called on any thread.
+     */
     public void setWarmingUp(boolean isWarmingUp) {
         warmingUp = isWarmingUp;
     }
@@ -219,7 +223,9 @@
         return !draining && !warmingUp && driver.endpoints().hasSendableHost();
     }
 
-    /** Returns whether requests would have been served at the last {@link #runMaintenance}. Any thread. */
+    /**
+     * Returns whether requests would have been served at the last {@link #runMaintenance}. May be called on any thread.
+     */
     public boolean wasRecentlyReady() {
         return wasRecentlyReady;
     }
@@ -227,9 +233,9 @@
     /** Enforces the timeouts of all connections; called a few times a second. */
     public void runMaintenance() {
         wasRecentlyReady = isReady();
-        long now = System.nanoTime();
+        long nowNanos = System.nanoTime();
         for (ClientConnection connection : new ArrayList<>(connections)) {
-            connection.enforceTimeouts(now);
+            connection.enforceTimeouts(nowNanos);
         }
     }
 
@@ -241,7 +247,7 @@
         return dispatcher;
     }
 
-    /** Returns the budget of descriptors that the connections share with those to hosts. */
+    /** Returns the descriptor budget, which client connections share with connections to hosts. */
     public DescriptorBudget descriptors() {
         return descriptors;
     }
--- a/src/main/java/rillyard/proxy/downstream/ClientRequestDecoder.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientRequestDecoder.java
@@ -9,12 +9,12 @@
 import rillyard.proxy.resources.ConnectionLimits;
 
 /**
- * Parses the bytes of a client connection into requests, and knows whether and since when a request is being received.
+ * Parses the bytes of a client connection into requests, and tracks whether and since when one is being received.
  *
- * <p>Bytes that are sent ahead of their turn go to the {@link PipelineBuffer} unparsed.
+ * <p>Pipelined bytes are stored unparsed in the {@link PipelineBuffer}.
  */
 final class ClientRequestDecoder extends HttpRequestDecoder {
-    /** The most that is read of input that is discarded. */
+    /** Number of discarded bytes beyond which the connection is closed. */
     private static final int MAX_DISCARDED_BYTES = 256 * 1024;
 
     private final PipelineBuffer pipelineBuffer;
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Discards without parsing, which would cost the loop time for input that nobody uses. */
+    /** Discards input without parsing it, which would take event loop time for nothing. */
     private void discard(ChannelHandlerContext ctx, ByteBuf read) {
         discardedBytes += read.readableBytes();
         read.release();
@@ -66,17 +66,17 @@
         }
     }
 
-    /** From here on all input is discarded. */
+    /** From now on discards all input. */
     void discardInput() {
         discardingInput = true;
     }
 
-    /** From here on input is held unparsed, up to a bound, so that the connection's end is still seen. */
+    /** From now on holds input unparsed, up to a limit, so that the end of the connection is still noticed. */
     void holdInput() {
         pipelineBuffer.holdBytes(context.alloc());
     }
 
-    /** Parses the oldest of what was held; what is read from here on is parsed once nothing is held any more. */
+    /** Parses the oldest held input; input that is read later is parsed directly once nothing is held any more. */
     void releaseHeldInput() {
         ByteBuf held = pipelineBuffer.takeBytes();
         if (held == null || discardingInput) {
@@ -91,17 +91,17 @@
         }
     }
 
-    /** Returns whether part of a request has been received that is not complete. */
+    /** Returns whether a request has been received in part. */
     boolean isReceiving() {
         return receiving;
     }
 
-    /** Counts a byte that a look at the socket has read as the start of a request. */
-    void checkHeldByte() {
+    /** Counts a byte that was peeked from the socket as the start of a request. */
+    void checkPeekedByte() {
         receiving |= ((PeekableSocketChannel) context.channel()).hasPeekedByte();
     }
 
-    /** The request being received is complete. */
+    /** Records that the request that was being received is complete. */
     void onRequestComplete() {
         receiving = actualReadableBytes() > 0 || pipelineBuffer.hasBytes();
         receivingSinceNanos = 0;
@@ -116,7 +116,7 @@
         lastReadNanos = System.nanoTime();
     }
 
-    /** Returns since when the request is being received, 0 if unknown or if the proxy itself has delayed it. */
+    /** Returns since when the request is being received, or 0 if unknown or if the proxy itself has delayed it. */
     long receivingSinceNanos() {
         return receivingSinceNanos;
     }
@@ -135,7 +135,7 @@
         receivingSinceNanos = 0;
     }
 
-    /** Rejects a request that could hide another one in its body (RFC 9112, 6.1). */
+    /** Rejects a request whose length is ambiguous, so that its body could hide another request (RFC 9112, 6.1). */
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
         throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
--- a/src/main/java/rillyard/proxy/downstream/ConnectionTimeouts.java
+++ b/src/main/java/rillyard/proxy/downstream/ConnectionTimeouts.java
@@ -2,41 +2,41 @@
 
 import io.netty.channel.Channel;
 
-/** Decides whether a client connection, its client or the host behind it has taken too long. */
+/** Checks the timeouts of a client connection: of its client, of the host that reads its body, and of idleness. */
 final class ConnectionTimeouts {
-    /** What has taken too long. */
+    /** The timeout that has expired. */
     enum Expiry {
-        /** Nothing. */
+        /** No timeout. */
         NONE,
-        /** A host that has stopped taking the body that is forwarded to it. */
+        /** The host has stopped reading the body that is forwarded to it. */
         HOST_STALLED,
-        /** A client that sends its request too slowly. */
+        /** The client sends its request too slowly. */
         SLOW_REQUEST,
-        /** A client that does not take its response. */
+        /** The client does not read its response. */
         CLIENT_STALLED,
-        /** A connection without a request. */
+        /** The connection has had no request for too long. */
         IDLE
     }
 
-    /** How long (ns) a head may take, of which clients are allowed 2 s. */
+    /** Longest time to receive a request head; clients are allowed 2 s. */
     private static final long MAX_HEAD_NANOS = 2_300_000_000L;
 
-    /** How long (ns) a body may take besides what its bytes take at {@link #MIN_BYTES_PER_SECOND}. */
+    /** Longest time to receive a body, in addition to the time that it takes at {@link #MIN_BYTES_PER_SECOND}. */
     private static final long MAX_BODY_NANOS = 6_000_000_000L;
 
-    /** Lowest rate of a buffered body; clients send and read bodies at 64 kB a second. */
+    /** Lowest rate at which a buffered body may arrive; clients send and read bodies at 64 kB per second. */
     private static final double MIN_BYTES_PER_SECOND = 8_192;
 
-    /** How long (ns) a host may take nothing of a body, whose request has no deadline yet. */
+    /** Longest time for which a host may read nothing of a forwarded body, whose request has no deadline yet. */
     private static final long HOST_STALL_NANOS = 5_000_000_000L;
 
-    /** How long (ns) a client may take nothing of its response before it counts as gone. */
+    /** Longest time for which a client may read nothing of its response before it is regarded as gone. */
     private static final long CLIENT_STALL_NANOS = 30_000_000_000L;
 
-    /** How long (ns) a body that has begun may bring nothing. */
+    /** Longest time without input while a body is being received. */
     private static final long MAX_BODY_SILENCE_NANOS = 2_200_000_000L;
 
-    /** How long (ns) a connection may be idle, which clients may do for 2 s: each holds a descriptor. */
+    /** Longest time for which a connection may be idle, as it holds a descriptor; clients are allowed 2 s. */
     private static final long MAX_IDLE_NANOS = 2_100_000_000L;
 
     private final Channel channel;
@@ -52,15 +52,15 @@
         this.writer = writer;
     }
 
-    /** The connection has no request from now on. */
+    /** Records that the connection has no request from now on. */
     void onIdle() {
         idleSinceNanos = System.nanoTime();
     }
 
     /**
-     * Returns what has expired at {@code nowNanos}; to be asked a few times a second.
+     * Returns the timeout that has expired at {@code nowNanos}; called a few times a second.
      *
-     * @param connection the connection itself, for its state
+     * @param connection the connection that is checked
      */
     Expiry check(long nowNanos, ClientConnection connection) {
         decoder.startReceiveTimer(nowNanos);
@@ -80,22 +80,22 @@
         return !connection.isBusy() && nowNanos - idleSinceNanos > MAX_IDLE_NANOS ? Expiry.IDLE : Expiry.NONE;
     }
 
-    /** Returns whether what is being received takes too long, by no fault of the proxy's or a host's. */
+    /** Returns whether the client sends its request too slowly; delays by the proxy or by a host do not count. */
     private boolean isRequestSlow(long nowNanos, boolean hasExchange) {
-        long receivingSince = decoder.receivingSinceNanos();
-        if (body.isAwaitingMemory() || receivingSince == 0 || !channel.config().isAutoRead()) {
+        long receivingSinceNanos = decoder.receivingSinceNanos();
+        if (body.isAwaitingMemory() || receivingSinceNanos == 0 || !channel.config().isAutoRead()) {
             return false;
         }
         if (!body.isReceiving()) {
-            return !hasExchange && nowNanos - receivingSince > MAX_HEAD_NANOS;
+            return !hasExchange && nowNanos - receivingSinceNanos > MAX_HEAD_NANOS;
         }
         if (nowNanos - decoder.lastReadNanos() > MAX_BODY_SILENCE_NANOS) {
             return true;
         }
         if (body.isUploading() || body.isSkipping()) {
-            return false; // a forwarded body comes as fast as its host takes it
+            return false; // a forwarded body arrives as fast as its host reads it
         }
         long maxNanos = MAX_BODY_NANOS + (long) (body.receivedBytes() * 1e9 / MIN_BYTES_PER_SECOND);
-        return nowNanos - receivingSince > maxNanos;
+        return nowNanos - receivingSinceNanos > maxNanos;
     }
 }
--- a/src/main/java/rillyard/proxy/downstream/LingeringClose.java
+++ b/src/main/java/rillyard/proxy/downstream/LingeringClose.java
@@ -6,16 +6,17 @@
 /**
  * Closes a connection without a reset that could overtake its last response.
  *
- * <p>A close while bytes are unread sends a reset, so the output is shut down first, and input is read and discarded
- * for a while. A request among it is sent nowhere: its client sees the end before any response, and asks elsewhere.
+ * <p>Closing a socket with unread bytes sends a reset, so the output is shut down first, and input is read and
+ * discarded for {@link #LINGER_MILLIS}. A request in the discarded input is not forwarded: its client sees the end of
+ * the connection without a response, and retries elsewhere.
  */
 final class LingeringClose {
-    /** How long (ms) input is still read. */
+    /** Time for which input is read and discarded. */
     private static final long LINGER_MILLIS = 500;
 
     private LingeringClose() {}
 
-    /** Shuts the output down and closes the channel later; the caller discards what is read until then. */
+    /** Shuts down the output and closes the channel later; the caller discards the input that is read until then. */
     static void start(PeekableSocketChannel channel) {
         channel.shutdownOutput();
         channel.config().setAutoRead(true);
--- a/src/main/java/rillyard/proxy/downstream/PipelineBuffer.java
+++ b/src/main/java/rillyard/proxy/downstream/PipelineBuffer.java
@@ -9,20 +9,20 @@
 import rillyard.proxy.resources.BodyMemoryBudget;
 
 /**
- * Holds what a client sends ahead of the response to its current request: parts that were parsed in the same read, and
- * behind them bytes as they came.
+ * Holds pipelined input, which a client sends before the response to its current request: the parts that were parsed in
+ * the same read, and behind them unparsed bytes.
  *
- * <p>Nothing is allocated for a connection that does not pipeline. What is held beyond {@link #FREE_BYTES} counts as
- * memory for bodies.
+ * <p>Nothing is allocated for a connection that does not pipeline. Held bytes beyond {@link #UNCHARGED_BYTES} are
+ * charged to the memory budget of bodies.
  */
 final class PipelineBuffer {
-    /** Bytes past which no more is read, so that a close behind them is not seen. */
+    /** Number of held bytes at which reading is paused, so that a close behind them is not noticed. */
     static final int MAX_BYTES = 1024 * 1024;
 
-    /** Bytes that are held without being charged to the memory for bodies. */
-    private static final int FREE_BYTES = 32 * 1024;
+    /** Number of bytes that are held without being charged to the memory budget of bodies. */
+    private static final int UNCHARGED_BYTES = 32 * 1024;
 
-    /** Bytes that are parsed at a time, as parsed requests take a multiple of their bytes. */
+    /** Most bytes that are taken to be parsed at a time, as parsed requests use a multiple of their memory. */
     private static final int MAX_TAKEN_BYTES = 32 * 1024;
 
     private static final int MAX_COMPONENTS = 64;
@@ -32,12 +32,12 @@
     private CompositeByteBuf bytes;
     private int chargedBytes;
 
-    /** Creates an empty buffer that shares the memory for bodies. */
+    /** Creates an empty buffer that is charged to the memory budget of bodies. */
     PipelineBuffer(BodyMemoryBudget memory) {
         this.memory = memory;
     }
 
-    /** Appends a parsed part, of which the buffer takes over the reference. */
+    /** Appends a parsed part; the buffer takes over its reference. */
     void addPart(HttpObject part) {
         if (parts == null) {
             parts = new ArrayDeque<>(2);
@@ -49,7 +49,7 @@
         return parts != null && !parts.isEmpty();
     }
 
-    /** Returns the oldest part with its reference, null if there is none. */
+    /** Removes and returns the oldest part with its reference, or returns null if there is none. */
     HttpObject pollPart() {
         return parts == null ? null : parts.poll();
     }
@@ -61,7 +61,7 @@
         }
     }
 
-    /** From here on bytes are held unparsed until {@link #takeBytes}. */
+    /** From now on holds bytes unparsed, until {@link #takeBytes} has returned the last ones. */
     void holdBytes(ByteBufAllocator allocator) {
         if (bytes == null) {
             bytes = allocator.compositeBuffer(MAX_COMPONENTS);
@@ -76,14 +76,17 @@
         return bytes != null && bytes.isReadable();
     }
 
-    /** Appends bytes, of which the buffer takes over the reference; returns whether it is full now. */
+    /** Appends bytes, whose reference the buffer takes over; returns whether it is full now. */
     boolean addBytes(ByteBuf read) {
         bytes.addComponent(true, read);
         chargeHeldBytes();
         return bytes.readableBytes() >= MAX_BYTES || memory.isExhausted(MAX_BYTES);
     }
 
-    /** Returns the oldest bytes with their reference, null if none were to be held; stops holding with the last ones. */
+    /**
+     * Removes and returns the oldest bytes with their reference, or returns null if the buffer does not hold bytes. It
+     * stops holding them with the last ones.
+     */
     ByteBuf takeBytes() {
         if (bytes == null || bytes.readableBytes() <= MAX_TAKEN_BYTES) {
             ByteBuf taken = bytes;
@@ -91,7 +94,7 @@
             chargeHeldBytes();
             return taken;
         }
-        ByteBuf taken = bytes.readBytes(MAX_TAKEN_BYTES); // copied, as a slice would move with what is discarded
+        ByteBuf taken = bytes.readBytes(MAX_TAKEN_BYTES); // copied, as a slice would change with the discard
         bytes.discardReadComponents();
         chargeHeldBytes();
         return taken;
@@ -105,7 +108,7 @@
 
     private void chargeHeldBytes() {
         int heldBytes = bytes == null ? 0 : bytes.readableBytes();
-        int charge = Math.max(0, heldBytes - FREE_BYTES);
+        int charge = Math.max(0, heldBytes - UNCHARGED_BYTES);
         int before = chargedBytes;
         chargedBytes = charge;
         if (charge > before) {
--- a/src/main/java/rillyard/proxy/downstream/RequestBodyReceiver.java
+++ b/src/main/java/rillyard/proxy/downstream/RequestBodyReceiver.java
@@ -12,40 +12,40 @@
 import rillyard.proxy.resources.BufferedBody;
 
 /**
- * Receives the current request of one client connection: buffers its body up to a bound, forwards a longer one, and
- * stops reading while there is no memory or the host takes no more.
+ * Receives the body of the current request of one client connection: buffers it up to a limit, forwards a longer one,
+ * and pauses reading while memory is exhausted or the host accepts no more.
  */
 final class RequestBodyReceiver {
-    /** What becomes of the body of the current request. */
+    /** How the body of the current request is handled. */
     private enum State {
         /** No request is being received. */
         IDLE,
-        /** The head is there, and what comes is buffered. */
+        /** The head has been received, and the body is buffered. */
         BUFFERING,
         /** As {@link #BUFFERING}, while reading is paused because memory is exhausted. */
         AWAITING_MEMORY,
-        /** What comes is forwarded to a host. */
+        /** The body is forwarded to a host as it arrives. */
         UPLOADING,
-        /** The response has been written ahead of the request's end, and what comes is dropped. */
+        /** The response was written before the end of the request, whose rest is discarded. */
         SKIPPING
     }
 
-    /** What the connection has to do after part of a body. */
+    /** What the connection has to do after a part of a body was appended. */
     enum AppendResult {
-        /** Nothing. */
+        /** Continue reading. */
         CONTINUE,
         /** Reject the request: its body is longer than allowed. */
         TOO_LARGE,
-        /** Hand the request over to a host: its body is longer than may be buffered. */
+        /** Dispatch the request and forward its body, which is longer than may be buffered. */
         UPLOAD,
-        /** Reject the request: the memory that it waits for is held by requests that wait themselves. */
+        /** Reject the request: the memory that it waits for is held by other incomplete requests, which also wait. */
         MEMORY_DEADLOCK
     }
 
-    /** Longest wait (ms) for memory; half of the request's timeout if that is shorter. */
+    /** Longest wait for memory; half of the request's timeout if that is shorter. */
     private static final double MAX_MEMORY_WAIT_MILLIS = 400;
 
-    /** If a request completes within this time (ns) of a pause, its bytes are assumed to have waited in the socket. */
+    /** If a request completes within this time after a pause, its bytes are assumed to have waited in the socket. */
     private static final long RESUMED_RECENTLY_NANOS = 20_000_000L;
 
     private final RequestReader reader;
@@ -76,19 +76,19 @@
         this.memory = listener.bodyMemory();
     }
 
-    /** The head of a request has come. */
+    /** Starts a request, whose head has been received. */
     void start(HttpRequest requestHead) {
         head = requestHead;
         receivedBytes = 0;
         state = State.BUFFERING;
     }
 
-    /** The request is one for the proxy itself. */
+    /** Records that the request is a health check of the proxy itself. */
     void onHealthCheck() {
         healthCheck = true;
     }
 
-    /** The request may be dispatched. */
+    /** Records that the request may be dispatched. */
     void onAccepted(ValidationResult.Accepted request) {
         healthCheck = false;
         requestClass = request.requestClass();
@@ -131,7 +131,7 @@
         return state == State.SKIPPING;
     }
 
-    /** Takes part of the body; the caller keeps its reference. */
+    /** Appends a part of the body; the caller keeps its reference. */
     AppendResult append(ByteBuf bytes) {
         receivedBytes += bytes.readableBytes();
         if (receivedBytes > BufferedBody.MAX_BYTES
@@ -167,7 +167,7 @@
 
     private void pauseForMemory() {
         if (state == State.AWAITING_MEMORY) {
-            return; // a further part of the same read: the wait has begun
+            return; // another part of the same read: the wait has begun
         }
         state = State.AWAITING_MEMORY;
         pausedAtNanos = System.nanoTime();
@@ -199,7 +199,7 @@
         }
     }
 
-    /** The last byte has come of a request that is buffered; returns its body, null if it has none. */
+    /** Completes a buffered request, whose last byte has been received; returns its body, or null if it has none. */
     BufferedBody complete() {
         if (state == State.AWAITING_MEMORY) {
             resume();
@@ -212,7 +212,7 @@
         return body;
     }
 
-    /** Gives what is buffered to the caller, and forgets the request. */
+    /** Ends the request; returns its buffered body, which the caller takes over, or null if it has none. */
     BufferedBody detach() {
         endMemoryWait();
         BufferedBody body = buffered;
@@ -222,13 +222,13 @@
         return body;
     }
 
-    /** Forwards from here on what comes. */
+    /** From now on forwards the body as it arrives. */
     void startUpload(StreamingUpload newUpload) {
         upload = newUpload;
         state = State.UPLOADING;
     }
 
-    /** The last byte has come of a request that is forwarded. */
+    /** Completes a forwarded request, whose last byte has been received. */
     void completeUpload() {
         decoder.onRequestComplete();
         upload = null;
@@ -236,26 +236,26 @@
         resumeUpload();
     }
 
-    /** Resumes reading; the time since the last read does not count as silence of the client. */
+    /** Resumes reading; the time since the last read does not count as inactivity of the client. */
     void resumeUpload() {
         decoder.resetLastRead();
         channel.config().setAutoRead(true);
     }
 
-    /** Drops the rest of a request that is forwarded: its response has been written. */
+    /** Discards the rest of a forwarded request, whose response has been written. */
     void skipUpload() {
         upload = null;
         state = State.SKIPPING;
         channel.config().setAutoRead(true);
     }
 
-    /** The last byte has come of a request whose rest was dropped. */
+    /** Completes a request whose rest was discarded; its last byte has been received. */
     void completeSkipping() {
         state = State.IDLE;
         decoder.onRequestComplete();
     }
 
-    /** Drops the current request and releases its memory; a request that is being skipped remains so. */
+    /** Discards the current request and releases its memory; the rest of a skipped request is still skipped. */
     void abort() {
         endMemoryWait();
         if (buffered != null) {
@@ -269,10 +269,10 @@
         }
     }
 
-    /** Returns for how long (ms) the last byte read may have waited, in its socket or for an accept. */
+    /** Returns how long the last byte that was read may have waited in the socket, or its connection for an accept. */
     double waitedMillis() {
-        long now = System.nanoTime();
-        long paused = now - resumedAtNanos < RESUMED_RECENTLY_NANOS ? resumedAtNanos - pausedAtNanos : 0;
-        return Math.max(paused, now - channel.readableSince()) / 1e6;
+        long nowNanos = System.nanoTime();
+        long pausedNanos = nowNanos - resumedAtNanos < RESUMED_RECENTLY_NANOS ? resumedAtNanos - pausedAtNanos : 0;
+        return Math.max(pausedNanos, nowNanos - channel.readableSinceNanos()) / 1e6;
     }
 }
--- a/src/main/java/rillyard/proxy/downstream/RequestDispatcher.java
+++ b/src/main/java/rillyard/proxy/downstream/RequestDispatcher.java
@@ -11,7 +11,7 @@
 import rillyard.proxy.logging.ProxyLog;
 import rillyard.proxy.resources.BufferedBody;
 
-/** Turns received requests into exchanges, within the proxy's limits; one serves all client connections. */
+/** Creates the exchanges of received requests within the proxy's limits; shared by all client connections. */
 final class RequestDispatcher {
     private final BalancerDriver driver;
     private final ProxyLog log;
@@ -30,7 +30,7 @@
         return driver.openRequests() < maxOpenRequests;
     }
 
-    /** Returns whether another request has the same id, which may have come while this one was received. */
+    /** Returns whether another request has the same id; it may have arrived while this one was being received. */
     boolean isDuplicate(HttpRequest head) {
         return driver.isKnownRequestId(requestIdOf(head));
     }
@@ -66,12 +66,12 @@
         driver.metrics().requestEnded(requestClass, ProxyMetrics.RequestOutcome.REJECTED);
     }
 
-    /** Logs a request that found no memory for its body. */
+    /** Logs a request that is rejected because there is no memory for its body. */
     void logRejectedForMemory() {
         log.info("client: request rejected, reason=body_memory total=" + ++rejectedForMemory);
     }
 
-    /** Logs a request beyond the number that may be open, or on a connection beyond those allowed. */
+    /** Logs a request that exceeds the limit of open requests, or whose connection exceeds that of connections. */
     void logRejectedForCapacity() {
         log.info("client: request rejected, reason=descriptors total=" + ++rejectedForCapacity);
     }
--- a/src/main/java/rillyard/proxy/downstream/RequestReader.java
+++ b/src/main/java/rillyard/proxy/downstream/RequestReader.java
@@ -15,7 +15,7 @@
 /**
  * Assembles the requests of one client connection from parsed parts, one at a time, and dispatches them.
  *
- * <p>Requests that are sent ahead of a response wait in the {@link PipelineBuffer}.
+ * <p>Pipelined requests wait in the {@link PipelineBuffer}.
  */
 final class RequestReader {
     private static final int OK = 200;
@@ -33,7 +33,11 @@
     private final RequestBodyReceiver body;
     private final boolean overflow;
 
-    /** Creates the reader of a connection; {@code overflow} marks one beyond those allowed, which is not served. */
+    /**
+     * Creates the reader of a connection.
+     *
+     * @param overflow whether the connection exceeds the limit, so that its requests are rejected
+     */
     RequestReader(
             ClientConnection connection,
             ClientListener listener,
@@ -53,15 +57,15 @@
         this.body = new RequestBodyReceiver(this, channel, decoder, listener);
     }
 
-    /** Returns the state of the body at hand. */
+    /** Returns the receiver of the current request's body. */
     RequestBodyReceiver body() {
         return body;
     }
 
-    /** Takes a parsed part, of which the reader takes over the reference. */
+    /** Handles or buffers a parsed part; the reader takes over its reference. */
     void read(HttpObject part) {
         if (connection.hasExchange() && !body.isUploading() && !connection.isDiscardingInput()) {
-            // What follows a pipelined request is read all the same, as the end of the connection lies behind it,
+            // Input behind a pipelined request is still read, because only then is the end of the connection noticed,
             // after which no request may be started for this client.
             pipelineBuffer.addPart(part);
             decoder.holdInput();
@@ -70,7 +74,7 @@
         }
     }
 
-    /** Goes on with what was sent ahead of a response, now that it is written; returns false if there is nothing. */
+    /** Handles pipelined input after the response before it has been written; returns false if there is none. */
     boolean readPipelined() {
         if (!pipelineBuffer.hasParts() && !pipelineBuffer.isHoldingBytes()) {
             return false;
@@ -79,7 +83,7 @@
             handleAndRelease(pipelineBuffer.pollPart());
         }
         if (!connection.hasExchange() && pipelineBuffer.isHoldingBytes()) {
-            // Not at once: the decoder may be at work, and can't be entered again.
+            // Deferred, because the decoder may be active and is not reentrant.
             channel.eventLoop().execute(this::releaseHeldInput);
         }
         return true;
@@ -94,12 +98,12 @@
         }
     }
 
-    /** Returns whether the next held bytes have their turn: no request is at hand, or it is the one they belong to. */
+    /** Returns whether the next held bytes may be parsed: there is no current request, or they belong to it. */
     private boolean mayParseHeldInput() {
         return body.isUploading() || (!connection.hasExchange() && !pipelineBuffer.hasParts());
     }
 
-    /** Frees what is held for a connection that is closed. */
+    /** Releases the memory that is held for a connection that is closed. */
     void close() {
         body.abort();
         pipelineBuffer.releaseParts();
@@ -118,7 +122,7 @@
             return;
         }
         if (part.decoderResult().isFailure() && body.isSkipping()) {
-            connection.onMalformedRest();
+            connection.onMalformedSkippedBody();
             return;
         }
         if (part.decoderResult().isFailure()) {
@@ -197,7 +201,7 @@
     }
 
     private void dispatch(HttpRequest head, BufferedBody content) {
-        // Time in the proxy's own queue comes off the client's: the last byte may have waited there.
+        // The last byte may have waited to be read: that time counts against the client's timeout.
         double remainingMillis = Math.max(0, body.timeoutMillis() - body.waitedMillis());
         if (dispatcher.isDuplicate(head)) {
             release(content);
@@ -207,13 +211,13 @@
         RequestExchange exchange = newExchange(head, content, remainingMillis);
         connection.startExchange(exchange);
         if (channel.isEndOfStream()) {
-            // The client left while the loop was behind. An attempt would be cancelled at once, which costs its
-            // connection and has the loop fall further behind.
+            // The client disconnected while the event loop was behind. An attempt would be cancelled at once, which
+            // costs its connection and delays the event loop further.
             exchange.discard();
             channel.close();
             return;
         }
-        decoder.checkHeldByte();
+        decoder.checkPeekedByte();
         exchange.dispatch();
     }
 
@@ -226,7 +230,7 @@
         }
     }
 
-    /** Dispatches a request whose body is longer than may be buffered; the rest of the body follows it. */
+    /** Dispatches a request whose body is too long to be buffered; the rest of the body is forwarded as it arrives. */
     private void startUpload() {
         HttpRequest head = body.head();
         BufferedBody start = body.detach();
@@ -262,12 +266,12 @@
     }
 
     /**
-     * Rejects a request that found no memory: what is not read may be complete in its socket, with a client that waits
-     * for the response. No host has seen it, so a retry is harmless.
+     * Rejects a request for whose body there is no memory. The client may have sent all of it, and wait for the
+     * response. No host has seen the request, so a retry is harmless.
      */
     void rejectForMemory() {
         dispatcher.logRejectedForMemory();
-        if (!body.isHealthCheck()) { // which has no class
+        if (!body.isHealthCheck()) { // a health check has no request class
             dispatcher.countRejected(body.requestClass());
         }
         connection.reject(SERVICE_UNAVAILABLE);
--- a/src/main/java/rillyard/proxy/downstream/RequestValidator.java
+++ b/src/main/java/rillyard/proxy/downstream/RequestValidator.java
@@ -20,17 +20,17 @@
 /**
  * Checks the head of each request against the protocol.
  *
- * <p>A malformed request is rejected here because a host that rejects it, or closes its connection over it, would be
- * held to be faulty, and because header values of any length would be kept in memory. A form that the protocol gains
- * later has to be added here as well.
+ * <p>A malformed request is rejected here because a host that rejects it, or closes its connection because of it, would
+ * be regarded as faulty, and because header values of any length would be kept in memory. A request form that is added
+ * to the protocol later has to be added here as well.
  */
 final class RequestValidator {
     private static final String HEALTH_CHECK_PATH = "/_health";
 
-    /** The longest time (ms) that a client may ask for; longer ones are cut to it. */
+    /** Longest timeout that a client may set; a longer one is reduced to it. */
     private static final double MAX_TIMEOUT_MILLIS = 600_000;
 
-    /** Longest run of digits in a timeout for it to be at most {@link #MAX_TIMEOUT_MILLIS}. */
+    /** Most digits of a timeout; a timeout of {@link #MAX_TIMEOUT_MILLIS} has as many. */
     private static final int MAX_TIMEOUT_DIGITS = 6;
 
     private static final int MAX_VALUE_LENGTH = 128;
@@ -57,7 +57,7 @@
         this.driver = driver;
     }
 
-    /** Decides what becomes of a request; a target in absolute form is rewritten to origin form first. */
+    /** Validates the head of a request; a target in absolute form is rewritten to origin form first. */
     ValidationResult validate(HttpRequest request) {
         rewriteToOriginForm(request);
         if (!request.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
@@ -73,7 +73,7 @@
         return request.uri().equals(HEALTH_CHECK_PATH) ? HEALTH_CHECK : validateHeaders(request);
     }
 
-    /** Returns the status of a request whose head or body can't be parsed. */
+    /** Returns the response status for a request whose head or body can't be parsed. */
     static int statusOf(Throwable decoderFailure) {
         if (decoderFailure instanceof TooLongHttpLineException) {
             return URI_TOO_LONG;
@@ -98,10 +98,10 @@
             return new ValidationResult.Rejected(NOT_FOUND);
         }
         double timeoutMillis = parseTimeout(headers.get(ProtocolHeaders.TIMEOUT_MS), requestClass);
-        if (!hasFormOfClass(requestClass, request) || Double.isNaN(timeoutMillis)) {
+        if (!matchesClassSemantics(requestClass, request) || Double.isNaN(timeoutMillis)) {
             return new ValidationResult.Rejected(BAD_REQUEST);
         }
-        // The id of another request, which alone has a claim to its response.
+        // A known id is that of another request, which alone gets its response.
         return driver.isKnownRequestId(requestId)
                 ? new ValidationResult.Rejected(CONFLICT)
                 : new ValidationResult.Accepted(requestClass.name(), timeoutMillis);
@@ -122,7 +122,7 @@
         return true;
     }
 
-    /** Returns the client's timeout in ms, that of the class where none is given, or NaN if it is no number. */
+    /** Returns the client's timeout in ms, that of the class if none is given, or NaN if it is malformed. */
     private static double parseTimeout(String value, Settings.RequestClass requestClass) {
         if (value == null) {
             return requestClass.deadlineMillis();
@@ -151,8 +151,8 @@
         return end;
     }
 
-    /** Returns whether a request has the form that its class requires, so that its retries follow the class. */
-    private static boolean hasFormOfClass(Settings.RequestClass requestClass, HttpRequest request) {
+    /** Returns whether a request has the method, body and key of its class, so that the rules for its retries apply. */
+    private static boolean matchesClassSemantics(Settings.RequestClass requestClass, HttpRequest request) {
         boolean isPost = request.method().equals(HttpMethod.POST);
         return switch (requestClass.semantics()) {
             case IDEMPOTENT ->
@@ -166,7 +166,7 @@
         };
     }
 
-    /** RFC 9112, 3.2.2: a target in absolute form names the host, and is forwarded in origin form. */
+    /** Rewrites a target in absolute form to origin form, and sets the Host header from it (RFC 9112, 3.2.2). */
     private static void rewriteToOriginForm(HttpRequest request) {
         String uri = request.uri();
         int authority = ABSOLUTE_FORM_PREFIX.length();
--- a/src/main/java/rillyard/proxy/downstream/ResponseWriter.java
+++ b/src/main/java/rillyard/proxy/downstream/ResponseWriter.java
@@ -18,7 +18,7 @@
 import rillyard.proxy.http.ProtocolHeaders;
 import rillyard.proxy.resources.BufferedBody;
 
-/** Writes the responses of one client connection, and knows since when its client takes none of them. */
+/** Writes the responses of one client connection, and tracks since when the client has not read them. */
 final class ResponseWriter implements ResponseReceiver {
 
     private final ClientConnection connection;
@@ -31,7 +31,7 @@
         this.channel = channel;
     }
 
-    /** Asks for the body of a request that waits for that. */
+    /** Sends status 100 (Continue) to a client that waits for it before it sends the body. */
     void writeContinue() {
         channel.writeAndFlush(
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
@@ -53,7 +53,7 @@
         HttpHeaders headers = hostResponse.headers();
         ProtocolHeaders.dropHopByHop(headers);
         headers.set(HttpHeaderNames.CONTENT_LENGTH, body == null ? 0 : body.size());
-        ByteBuf content = body == null ? Unpooled.EMPTY_BUFFER : joined(body);
+        ByteBuf content = body == null ? Unpooled.EMPTY_BUFFER : joinBlocks(body);
         DefaultFullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, HttpResponseStatus.OK, content, headers, ProtocolHeaders.NONE);
         ChannelFuture written = write(withConnectionHeader(response), body);
@@ -94,7 +94,7 @@
     @Override
     public void failResponse() {
         connection.closeAfterResponse();
-        if (connection.hasExchange()) { // as long as no complete response was passed to the channel
+        if (connection.hasExchange()) { // no complete response was passed to the channel yet
             sendStatus(HttpResponseStatus.BAD_GATEWAY.code(), 0);
         } else {
             connection.onResponseAborted();
@@ -106,7 +106,7 @@
         connection.resumeUpload();
     }
 
-    /** Counts the response as being written until {@code written} is done. */
+    /** Regards the response as being written until {@code written} is done. */
     void awaitWritten(ChannelFuture written) {
         if (!written.isDone()) {
             writingSinceNanos = System.nanoTime();
@@ -114,23 +114,23 @@
         }
     }
 
-    /** Follows the channel's writability; returns whether it is writable. */
+    /** Records the channel's writability; returns whether it is writable. */
     boolean updateWritability() {
         blockedSinceNanos = channel.isWritable() ? 0 : System.nanoTime();
         return blockedSinceNanos == 0;
     }
 
-    /** Returns whether the end of a response is not written yet. */
+    /** Returns whether the end of a response has not been written yet. */
     boolean isWriting() {
         return writingSinceNanos != 0;
     }
 
-    /** Returns whether the end of a response has been waiting for the client for longer than this. */
+    /** Returns whether the end of a response has been waiting for the client for longer than {@code nanos}. */
     boolean isWritingLongerThan(long nanos, long nowNanos) {
         return writingSinceNanos != 0 && nowNanos - writingSinceNanos > nanos;
     }
 
-    /** Returns whether the channel has been unwritable for longer than this. */
+    /** Returns whether the channel has been unwritable for longer than {@code nanos}. */
     boolean isBlockedLongerThan(long nanos, long nowNanos) {
         return blockedSinceNanos != 0 && nowNanos - blockedSinceNanos > nanos;
     }
@@ -143,22 +143,22 @@
     }
 
     /**
-     * Writes part of a response and releases {@code body} after it, which may be null.
+     * Writes a part of a response, and releases {@code body}, which may be null, once it is written.
      *
-     * @throws IllegalStateException if a handler refuses it; nothing of this part is written then
+     * @throws IllegalStateException if a handler has failed; nothing of this part is written then
      */
     private ChannelFuture write(Object part, BufferedBody body) {
         ChannelFuture written = channel.writeAndFlush(part);
         if (body != null) {
             written.addListener(future -> body.release());
         }
-        if (ClientConnection.isRefused(written)) {
+        if (ClientConnection.hasFailedInHandler(written)) {
             throw new IllegalStateException("response: not written", written.cause());
         }
         return written;
     }
 
-    private static ByteBuf joined(BufferedBody body) {
+    private static ByteBuf joinBlocks(BufferedBody body) {
         ByteBuf[] blocks = body.retainedBlocks().toArray(ByteBuf[]::new);
         return blocks.length == 1 ? blocks[0] : Unpooled.wrappedBuffer(blocks);
     }
--- a/src/main/java/rillyard/proxy/eventloop/GuardedTimer.java
+++ b/src/main/java/rillyard/proxy/eventloop/GuardedTimer.java
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 
 /**
- * A timer of the event loop whose failure is reported: what a scheduled task throws is otherwise kept in its future, at
- * which nobody looks.
+ * A timer of the event loop that reports exceptions of its action. An exception of a task that is scheduled directly is
+ * only kept in its future, which no code checks.
  */
 public final class GuardedTimer implements Runnable {
     private final Runnable action;
@@ -22,8 +22,8 @@
      * Runs {@code action} on the loop after a delay.
      *
      * @param delayNanos the delay; a negative one counts as 0
-     * @param failureHandler gets what the action throws, on the loop
-     * @return a future to cancel the timer with
+     * @param failureHandler receives what the action throws, on the loop
+     * @return a future that cancels the timer
      */
     public static Future<?> schedule(
             EventExecutor loop, long delayNanos, Runnable action, Consumer<Throwable> failureHandler) {
--- a/src/main/java/rillyard/proxy/eventloop/PeekableSocketChannel.java
+++ b/src/main/java/rillyard/proxy/eventloop/PeekableSocketChannel.java
@@ -14,7 +14,7 @@
 /**
  * A socket channel whose pending input and end of stream can be checked at once, ahead of the event loop's next turn.
  *
- * <p>All methods are for the channel's event loop.
+ * <p>Confined to the channel's event loop.
  */
 public class PeekableSocketChannel extends NioSocketChannel {
     /** A server channel that accepts {@link PeekableSocketChannel}s. */
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Bytes that are read and dropped before a socket is closed. */
+    /** Most bytes that are read and discarded before a socket is closed. */
     private static final int MAX_DRAINED_BYTES = 64 * 1024;
 
     private static final int DRAIN_BUFFER_BYTES = 4_096;
@@ -74,14 +74,14 @@
     private final ByteBuffer peekBuffer = ByteBuffer.allocate(1);
     private final StallDetector stallDetector;
     private final long acceptTurn;
-    private final long acceptableSince;
+    private final long acceptableSinceNanos;
     private boolean hasPeekedByte;
 
-    /** Creates a channel for a connect; {@link #readableSince} is not supported by it. */
+    /** Creates a channel for a connect; {@link #readableSinceNanos} is not supported by it. */
     public PeekableSocketChannel() {
         this.stallDetector = null;
         this.acceptTurn = 0;
-        this.acceptableSince = 0;
+        this.acceptableSinceNanos = 0;
     }
 
     /** Creates a channel for a connection that {@code parent} has accepted in this turn of the event loop. */
@@ -89,19 +89,19 @@
         super(parent, socket);
         this.stallDetector = stallDetector;
         this.acceptTurn = stallDetector.turn();
-        this.acceptableSince = stallDetector.acceptableSince();
+        this.acceptableSinceNanos = stallDetector.acceptableSince();
     }
 
     /** Returns since when ({@link System#nanoTime}) what an accepted connection reads in this turn may have waited. */
-    public long readableSince() {
-        return stallDetector.readableSince(acceptTurn, acceptableSince);
+    public long readableSinceNanos() {
+        return stallDetector.readableSince(acceptTurn, acceptableSinceNanos);
     }
 
     /**
-     * Returns whether the connection is open and no byte has arrived; consumes a byte that has.
+     * Returns whether the connection is open and no byte has arrived; a byte that has arrived is consumed.
      *
-     * <p>For pooled connections: a request written to one whose end waits in the kernel would count as one that may have
-     * run.
+     * <p>Used for pooled connections: a request that is written after the end of the connection has arrived in the
+     * kernel would count as one that may have been executed.
      */
     public boolean hasNothingToRead() {
         return peek() == 0;
@@ -114,15 +114,15 @@
         return read == END_OF_STREAM;
     }
 
-    /** Returns whether a byte was read ahead that belongs before the next read. */
+    /** Returns whether a byte was read ahead, which precedes the bytes of the next read. */
     public boolean hasPeekedByte() {
         return hasPeekedByte;
     }
 
     /**
-     * Returns the bytes of a read with the byte that was read ahead before them.
+     * Returns the bytes of a read, preceded by the byte that was read ahead, if any.
      *
-     * <p>That byte is not passed on when it is read, as the decoder is active then and can't be entered again.
+     * <p>That byte is not passed on when it is read, as the decoder is active then and is not reentrant.
      */
     public ByteBuf prependPeekedByte(ByteBuf read) {
         if (!hasPeekedByte) {
@@ -133,9 +133,9 @@
     }
 
     /**
-     * Shuts down the output, drops pending input and closes.
+     * Shuts down the output, discards pending input and closes the channel.
      *
-     * <p>A close with unread input would be a reset, which discards what was sent before and has not been read.
+     * <p>Closing a socket with unread input sends a reset, which discards sent data that the peer has not read yet.
      */
     public void shutdownOutputAndDrain() {
         if (isActive()) {
--- a/src/main/java/rillyard/proxy/eventloop/SocketChannelFactory.java
+++ b/src/main/java/rillyard/proxy/eventloop/SocketChannelFactory.java
@@ -3,7 +3,7 @@
 import rillyard.stall.StallDetector;
 
 /**
- * Creates the channels of a proxy's sockets; the one place where tests have system calls fail.
+ * Creates the channels of a proxy's sockets; tests replace it to make system calls fail.
  *
  * <p>Called on the event loop.
  */
--- a/src/main/java/rillyard/proxy/eventloop/StallAwareIoHandler.java
+++ b/src/main/java/rillyard/proxy/eventloop/StallAwareIoHandler.java
@@ -10,13 +10,13 @@
 import rillyard.stall.StallDetector;
 
 /**
- * An NIO handler that reports the times of each poll to a {@link StallDetector}.
+ * An NIO handler that reports the start and end of each selector poll to a {@link StallDetector}.
  *
- * <p>After a stall of the loop or of its process the listener is called between the poll and the reads, so that overdue
- * requests are ended before anything new is read. Confined to its event loop.
+ * <p>After a stall of the loop or of its process the listener is called between the poll and the reads, so that
+ * requests past their deadline are ended before new input is read. Confined to its event loop.
  */
 public final class StallAwareIoHandler implements IoHandler {
-    /** Nanoseconds of lateness that are reported; a shorter stall is noticed by the tasks of the turn soon enough. */
+    /** Delay beyond which a turn is reported as late; a shorter stall is noticed by the tasks of the turn in time. */
     private static final long MIN_REPORTED_NANOS = 20_000_000L;
 
     private final IoHandler delegate;
@@ -43,8 +43,8 @@
 
     @Override
     public int run(IoHandlerContext context) {
-        long now = System.nanoTime();
-        stallDetector.beforePoll(now, context.canBlock() ? now + context.delayNanos(now) : now);
+        long nowNanos = System.nanoTime();
+        stallDetector.beforePoll(nowNanos, context.canBlock() ? nowNanos + context.delayNanos(nowNanos) : nowNanos);
         pollContext.context = context;
         int handled = delegate.run(pollContext);
         if (handled == 0) {
@@ -61,10 +61,10 @@
     }
 
     /**
-     * A context that notices the end of the poll.
+     * A context that detects the end of the poll.
      *
-     * <p>Netty asks between the poll and its reads whether the time of the reads is to be reported, which is the only
-     * hook at that moment (NioIoHandler.run; a test relies on it).
+     * <p>Netty calls {@link #shouldReportActiveIoTime} between the poll and its reads, which is the only hook at that
+     * point (NioIoHandler.run; a test relies on it).
      */
     private final class PollContext implements IoHandlerContext {
         private IoHandlerContext context;
--- a/src/main/java/rillyard/proxy/eventloop/package-info.java
+++ b/src/main/java/rillyard/proxy/eventloop/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Netty extensions of the event loop: sockets that can be read ahead of it, detection of stalls in its turns, and timers
- * whose failures are reported.
+ * Netty extensions of the event loop: sockets whose input can be checked ahead of its next turn, detection of stalls,
+ * and timers whose failures are reported.
  */
 package rillyard.proxy.eventloop;
