--- a/src/main/java/rillyard/proxy/discovery/EndpointListListener.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointListListener.java
@@ -8,8 +8,8 @@
      * Is called once, ahead of all other methods, when the watch starts.
      *
      * @param cached the endpoint list of the configuration; empty if it has none that can be read
-     * @param openWatch opens the watch, or opens it anew; to be called on the event loop. Where discovery is polled
-     *     the watch opens only when this is called.
+     * @param openWatch opens or reopens the watch; must be called on the event loop. If discovery is polled, the watch
+     *     opens only when this is called.
      */
     void onWatchStarting(EndpointRegistry.EndpointList cached, Runnable openWatch);
 
@@ -17,7 +17,7 @@
      * Is called with each list that the watch has received and accepted.
      *
      * @param kind {@link WatchEvent#FULL} or {@link WatchEvent#DELTA}
-     * @param list the list, checked in full
+     * @param list the list, which is valid
      */
     void onEndpointList(WatchEvent kind, EndpointRegistry.EndpointList list);
 
--- a/src/main/java/rillyard/proxy/discovery/EndpointListOptions.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointListOptions.java
@@ -4,34 +4,39 @@
 import rillyard.endpoints.EndpointListGuard;
 import rillyard.proxy.config.ConfigException;
 
-/** Reads the system properties of {@code deploy/lists.jvm}; without them every full list is accepted as it is. */
+/**
+ * Reads the system properties of {@code deploy/lists.jvm}, which configure an {@link EndpointListGuard}. Without them
+ * every full list is accepted unchanged.
+ */
 public final class EndpointListOptions {
-    /** Milliseconds for which hosts are used on that an implausible list lacks; no guard if it is not set. */
-    public static final String HOLD = "rillyard.lists.hold_ms";
+    /** Property with the time for which hosts that an implausible list lacks are still used; unset for no guard. */
+    public static final String HOLD_MILLIS_PROPERTY = "rillyard.lists.hold_ms";
 
-    /** Share of the hosts in use, 0 to 1, that a full list has to name in order to be plausible. */
-    public static final String LEAST_SHARE = "rillyard.lists.least_share";
+    /** Property with the share of the hosts in use, 0 to 1, that a full list has to name to be plausible. */
+    public static final String LEAST_SHARE_PROPERTY = "rillyard.lists.least_share";
 
     private static final String DEFAULT_LEAST_SHARE = "0.5";
 
     private EndpointListOptions() {}
 
     /**
-     * Creates the guard that the properties ask for.
+     * Creates the guard that the properties configure.
      *
-     * @return the guard, or null if none is asked for
-     * @throws ConfigException if a property is no number or out of its range
+     * @return the guard, or null if none is configured
+     * @throws ConfigException if a property is not a number or is out of its range
      */
     public static EndpointListGuard createGuard(Properties properties) throws ConfigException {
-        if (properties.getProperty(HOLD) == null) {
+        if (properties.getProperty(HOLD_MILLIS_PROPERTY) == null) {
             return null;
         }
-        double holdMillis = parseNumber(HOLD, properties.getProperty(HOLD));
-        double leastShare = parseNumber(LEAST_SHARE, properties.getProperty(LEAST_SHARE, DEFAULT_LEAST_SHARE));
+        double holdMillis = parseNumber(HOLD_MILLIS_PROPERTY, properties.getProperty(HOLD_MILLIS_PROPERTY));
+        double leastShare =
+                parseNumber(LEAST_SHARE_PROPERTY, properties.getProperty(LEAST_SHARE_PROPERTY, DEFAULT_LEAST_SHARE));
         try {
             return new EndpointListGuard(leastShare, holdMillis);
         } catch (IllegalArgumentException e) {
-            throw new ConfigException("-D" + HOLD + ", -D" + LEAST_SHARE + ": " + e.getMessage(), e);
+            throw new ConfigException(
+                    "-D" + HOLD_MILLIS_PROPERTY + ", -D" + LEAST_SHARE_PROPERTY + ": " + e.getMessage(), e);
         }
     }
 
--- a/src/main/java/rillyard/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointListParser.java
@@ -7,11 +7,14 @@
 import rillyard.balancer.EndpointEntry;
 import rillyard.proxy.config.ProxyConfig;
 
-/** Parses endpoint lists in discovery's JSON form, without {@link EndpointEntry#startedAtMillis}; changes nothing. */
+/**
+ * Parses endpoint lists in discovery's JSON format. Does not change the registry, and leaves
+ * {@link EndpointEntry#startedAtMillis} at 0.
+ */
 final class EndpointListParser {
     private final EndpointRegistry registry;
 
-    /** Creates a parser; the registry gives the hosts' ids. */
+    /** Creates a parser that takes the ids of hosts from the registry. */
     EndpointListParser(EndpointRegistry registry) {
         this.registry = registry;
     }
@@ -19,12 +22,12 @@
     /**
      * Parses a list.
      *
-     * @throws MalformedEndpointListException if it is not of discovery's form
+     * @throws MalformedEndpointListException if it is not in discovery's format
      */
     EndpointRegistry.EndpointList parse(JsonNode list) throws MalformedEndpointListException {
         JsonNode servers = list.path("servers");
         if (!list.isObject() || !servers.isArray() || !list.path("version").canConvertToLong()) {
-            throw new MalformedEndpointListException("not a list with version and servers");
+            throw new MalformedEndpointListException("list lacks an integer 'version' or an array 'servers'");
         }
         List<EndpointRegistry.ListedEndpoint> hosts = new ArrayList<>(servers.size());
         for (JsonNode server : servers) {
@@ -39,7 +42,7 @@
         InetSocketAddress address = ProxyConfig.parseAddress(server.path("addr").asText(""));
         EndpointEntry.Condition condition = parseCondition(server.path("state").asText(""));
         if (name.isEmpty() || (address == null && condition == EndpointEntry.Condition.READY)) {
-            throw new MalformedEndpointListException("an entry without id or address");
+            throw new MalformedEndpointListException("entry in 'servers' lacks 'id', or is 'up' without valid 'addr'");
         }
         double startedUnixMillis = server.path("started_ms").asDouble(0);
         EndpointEntry entry = new EndpointEntry(
@@ -52,7 +55,7 @@
         return new EndpointRegistry.ListedEndpoint(name, address, entry, Math.max(0, startedUnixMillis));
     }
 
-    /** Returns the condition of a state; a host in an unknown state receives nothing new. */
+    /** Returns the condition for a state; a host in an unknown state receives no new requests. */
     private static EndpointEntry.Condition parseCondition(String state) {
         return switch (state) {
             case "up" -> EndpointEntry.Condition.READY;
--- a/src/main/java/rillyard/proxy/discovery/EndpointRegistry.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointRegistry.java
@@ -18,16 +18,16 @@
 import rillyard.proxy.upstream.UpstreamHost;
 
 /**
- * The hosts that discovery has named, by name and by the id under which the balancer knows them.
+ * Registry of the hosts that discovery has listed, by name and by the id that the balancer uses for them.
  *
- * <p>Hosts that operators disabled are laid over discovery's entries. Confined to the event loop.
+ * <p>For hosts that are disabled by an operator, that state overrides discovery's entry. Confined to the event loop.
  */
 public final class EndpointRegistry {
     /**
-     * An endpoint list of discovery's.
+     * An endpoint list from discovery.
      *
      * @param version discovery's version of the list
-     * @param full whether the list names all hosts, so that any other is gone
+     * @param full whether the list names all hosts, so that all others are removed
      * @param hosts the entries, in discovery's order
      */
     public record EndpointList(long version, boolean full, List<ListedEndpoint> hosts) {}
@@ -37,8 +37,8 @@
      *
      * @param name discovery's name of the host
      * @param address the host's address; may be null unless the host is ready
-     * @param entry the entry as the balancer reads it
-     * @param startedUnixMillis the host's start as discovery states it, 0 for long ago
+     * @param entry the entry in the balancer's form
+     * @param startedUnixMillis the start of the host as stated by discovery, 0 for long ago
      */
     public record ListedEndpoint(
             String name, InetSocketAddress address, EndpointEntry entry, double startedUnixMillis) {}
@@ -65,18 +65,18 @@
         this.hostStartClock = hostStartClock;
     }
 
-    /** Returns the host of an id, or null if there is none. */
+    /** Returns the host with an id, or null if there is none. */
     public UpstreamHost get(long id) {
         return hostsById.get(id);
     }
 
-    /** Returns the host of a name if it is on the endpoint list, else null. */
+    /** Returns the host with a name if it is on the endpoint list, else null. */
     public UpstreamHost findListed(String name) {
         UpstreamHost host = hostsByName.get(name);
         return host != null && host.isListed() ? host : null;
     }
 
-    /** Returns all hosts, as a view; hosts that are off the list stay until {@link #removeUnused}. */
+    /** Returns a view of all hosts; hosts that are off the list remain until {@link #removeUnused}. */
     public Collection<UpstreamHost> hosts() {
         return hostsById.values();
     }
@@ -98,7 +98,7 @@
         return false;
     }
 
-    /** Returns the names of listed hosts that discovery calls ready, disabled ones among them. */
+    /** Returns the names of the hosts that discovery lists as ready, including disabled ones. */
     public Set<String> readyHostNames() {
         Set<String> names = new HashSet<>();
         for (UpstreamHost host : hostsById.values()) {
@@ -109,7 +109,7 @@
         return names;
     }
 
-    /** Returns how many hosts are listed. */
+    /** Returns the number of listed hosts. */
     public int listedCount() {
         return hostsById.size() - unlisted.size();
     }
@@ -117,26 +117,26 @@
     // --- lists
 
     /**
-     * Returns a list that discovery sent, or that was cached, with its hosts' starts on the balancer's clock. A delta is
-     * extended by other hosts of which it shows that they started later than was assumed.
+     * Returns a copy of a received or cached list with the start times of its hosts on the balancer's clock. To a
+     * delta, entries are added for other hosts if it shows that they started later than was assumed.
      *
      * @param isCached whether it is the list that the process was started with
-     * @param now when it was received (ms, the balancer's clock)
+     * @param nowMillis when it was received, on the balancer's clock
      */
-    public EndpointList withStartTimes(EndpointList list, boolean isCached, double now) {
+    public EndpointList withStartTimes(EndpointList list, boolean isCached, double nowMillis) {
         Map<String, Double> startedUnixMillis = new LinkedHashMap<>();
         for (ListedEndpoint listed : list.hosts()) {
             startedUnixMillis.put(listed.name(), listed.startedUnixMillis());
         }
-        Map<String, Double> startedAt = hostStartClock.onList(isCached, startedUnixMillis, now);
+        Map<String, Double> startedAtMillis = hostStartClock.onList(isCached, startedUnixMillis, nowMillis);
         List<ListedEndpoint> hosts = new ArrayList<>(list.hosts().size());
         for (ListedEndpoint listed : list.hosts()) {
-            hosts.add(withStartTime(listed, startedAt.get(listed.name())));
+            hosts.add(withStartTime(listed, startedAtMillis.get(listed.name())));
         }
         if (!list.full()) {
-            startedAt.forEach((name, since) -> {
+            startedAtMillis.forEach((name, startMillis) -> {
                 if (!startedUnixMillis.containsKey(name) && findListed(name) != null) {
-                    hosts.add(withStartTime(lastAnnounced(name), since));
+                    hosts.add(withStartTime(lastAnnounced(name), startMillis));
                 }
             });
         }
@@ -153,7 +153,7 @@
     /**
      * Applies a list.
      *
-     * @return the hosts that may no longer receive requests, or not at the address that they had
+     * @return the hosts that may not receive requests any more, or not at their previous address
      */
     public Set<UpstreamHost> apply(EndpointList list) {
         Set<UpstreamHost> withdrawn = new HashSet<>();
@@ -187,7 +187,7 @@
         return host;
     }
 
-    /** Records an entry; returns whether the host may no longer receive requests where it received them before. */
+    /** Records an entry; returns whether the host may not receive requests any more, or not at its previous address. */
     private boolean announce(UpstreamHost host, ListedEndpoint listed) {
         InetSocketAddress previousAddress = host.address();
         host.onAnnounced(listed.entry(), listed.address());
@@ -200,13 +200,13 @@
         return !host.isSendable() || !listed.address().equals(previousAddress);
     }
 
-    /** Returns the last announcement of a known host, as an entry for another list. */
+    /** Returns the last entry of a known host, for use in another list. */
     public ListedEndpoint lastAnnounced(String name) {
         UpstreamHost host = hostsByName.get(name);
         return new ListedEndpoint(name, host.address(), host.entry(), 0);
     }
 
-    /** Returns an entry that removes a known host, as discovery would announce it. */
+    /** Returns an entry that removes a known host, in the form in which discovery announces removals. */
     public ListedEndpoint asRemoved(String name) {
         UpstreamHost host = hostsByName.get(name);
         EndpointEntry entry = host.entry();
@@ -220,7 +220,7 @@
         return new ListedEndpoint(name, host.address(), removed, 0);
     }
 
-    /** Forgets the hosts that are off the list and carry no call, so that churn does not accumulate. */
+    /** Forgets the hosts that are off the list and unused, so that replaced hosts do not accumulate. */
     public void removeUnused() {
         for (Iterator<UpstreamHost> hosts = unlisted.iterator(); hosts.hasNext(); ) {
             UpstreamHost host = hosts.next();
--- a/src/main/java/rillyard/proxy/discovery/EndpointWatch.java
+++ b/src/main/java/rillyard/proxy/discovery/EndpointWatch.java
@@ -20,36 +20,36 @@
 import rillyard.trace.TraceEvent;
 
 /**
- * Watches the endpoint list of discovery, and reopens the watch when it breaks.
+ * Watches the endpoint list of discovery, and reopens the watch when it fails.
  *
- * <p>A watch resumes from the last version that was applied, so that a break loses no change. Where lists are pushed,
- * this class reopens it after a {@link ReconnectBackoff}; where discovery is polled, the listener decides when.
+ * <p>A watch resumes from the last version that was applied, so that a failure loses no change. If lists are pushed,
+ * this class reopens it after a {@link ReconnectBackoff}; if discovery is polled, the listener decides when.
  *
- * <p>A change counts as announced 6 s after a watch fell silent. To stay within that time where the repair is slow as
- * well, a connection that is overdue is not awaited: another is opened beside it, at most {@link #MAX_CONNECTIONS} at a
- * time, and the first that shows a sign of life ends the others. The steps add up in docs/design/endings.md. Confined to
- * the event loop.
+ * <p>A change counts as announced 6 s after a watch fell silent. To stay within that time even if the reconnect is
+ * slow, another connection is opened beside one that is overdue, at most {@link #MAX_CONNECTIONS} at a time; the first
+ * that receives a list or a blank line ends the others. The steps add up in docs/design/endings.md. Confined to the
+ * event loop.
  */
 public final class EndpointWatch {
-    /** Milliseconds after which a connect to discovery has failed. */
+    /** Timeout of a connect to discovery. */
     public static final int CONNECT_TIMEOUT_MS = 1_000;
 
-    /** Nanoseconds without a list or a blank line after which a watch is broken; discovery sends one every 2 s. */
+    /** Time without a list or a blank line after which a watch has failed; discovery sends one every 2 s. */
     public static final long SILENCE_NANOS = 2_800_000_000L;
 
-    /** Nanoseconds that a call may go unanswered; polled discovery lets it wait for 2 s at most. */
+    /** Time for which a watch request may go unanswered; polled discovery holds it for at most 2 s. */
     public static final long UNANSWERED_NANOS = 2_400_000_000L;
 
-    /** Nanoseconds without a sign of life after which another connection is opened beside the silent one. */
+    /** Time without a list or a blank line after which another connection is opened beside the silent one. */
     public static final long OVERDUE_NANOS = 2_300_000_000L;
 
     /**
-     * Nanoseconds after which the same is done for a connect, and for a call that discovery answers at once: where lists
-     * are pushed. Two calls in a row may go wrong then within the time that a change has.
+     * Time after which another connection is opened beside one that is connecting, or whose request is unanswered if
+     * lists are pushed, as discovery then answers at once. It allows two failures in a row within the 6 s for a change.
      */
     public static final long OVERDUE_ATTEMPT_NANOS = 800_000_000L;
 
-    /** The most connections to discovery at a time, which bounds the load of many proxies on a discovery that hangs. */
+    /** Most connections to discovery at a time; limits the load of many proxies on a discovery that hangs. */
     static final int MAX_CONNECTIONS = 2;
 
     private final EventLoopGroup loop;
@@ -104,7 +104,7 @@
             cached = parser.parse(cachedList);
             version = cached.version();
         } catch (MalformedEndpointListException e) {
-            cached = new EndpointRegistry.EndpointList(0, true, List.of()); // a proxy starts without a list, too
+            cached = new EndpointRegistry.EndpointList(0, true, List.of()); // a proxy also starts without a list
         }
         listener.onWatchStarting(cached, this::open);
         if (!isPolling) {
@@ -113,9 +113,9 @@
     }
 
     /**
-     * Continues the watch at a new address from the last version on; does nothing if the address is the present one.
+     * Continues the watch at a new address from the last version; does nothing if the address has not changed.
      *
-     * <p>The present connection is not awaited, as it may stay open and silent.
+     * <p>The present connection is closed at once, as it might stay open and silent.
      */
     public void moveTo(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
@@ -127,12 +127,12 @@
         open();
     }
 
-    /** Opens the watch, in place of one that is open or waits to be opened. */
+    /** Opens the watch, in place of one that is open or scheduled to be opened. */
     private void open() {
         try {
             closeAndConnect();
         } catch (RuntimeException | Error e) {
-            // Thrown further, it would be the last attempt: nobody else opens the watch again.
+            // Must not propagate, as nothing else would reopen the watch.
             log.error("watch: not opened", e);
             if (connections.isEmpty()) {
                 scheduleReconnect();
@@ -157,8 +157,8 @@
         }
         ChannelFuture connect = bootstrap.connect(address);
         if (!(connect.channel() instanceof PeekableSocketChannel)) {
-            // The system has no socket. The channel that Netty puts in its place can't be closed, and the listeners
-            // of its future would run on another thread.
+            // No socket could be created. The channel that Netty substitutes can't be closed, and the listeners of its
+            // future would run on another thread.
             reconnectIfNoneIsOpen("no socket, cause=" + connect.cause().getCause());
             return;
         }
@@ -174,10 +174,10 @@
     }
 
     /**
-     * Reads what the watch has pending, ahead of all other sockets.
+     * Reads the pending input of the watch before that of all other sockets.
      *
-     * <p>Called after a stall of this process: requests that arrived before a list did would otherwise be read before
-     * it and be sent to hosts that drain by then.
+     * <p>Called after a stall of this process: otherwise requests that arrived before a list would also be read before
+     * it, and be sent to hosts that are draining by then.
      */
     public void readPending() {
         for (WatchConnection connection : List.copyOf(connections)) {
@@ -185,22 +185,22 @@
         }
     }
 
-    /** Opens another connection beside an overdue one, and ends silent ones; to be called periodically. */
+    /** Opens another connection beside an overdue one, and ends silent ones; called periodically. */
     public void runMaintenance() {
-        long now = System.nanoTime();
-        if (isOverdue(now) && connections.size() < MAX_CONNECTIONS) {
+        long nowNanos = System.nanoTime();
+        if (isOverdue(nowNanos) && connections.size() < MAX_CONNECTIONS) {
             log.info("watch: overdue, another connection is opened");
             connect();
         }
         for (WatchConnection connection : List.copyOf(connections)) {
-            if (connection.isSilent(now)) {
+            if (connection.isSilent(nowNanos)) {
                 connection.fail("silent");
             }
         }
     }
 
-    private boolean isOverdue(long now) {
-        return !connections.isEmpty() && connections.get(connections.size() - 1).isOverdue(now, isPolling);
+    private boolean isOverdue(long nowNanos) {
+        return !connections.isEmpty() && connections.get(connections.size() - 1).isOverdue(nowNanos, isPolling);
     }
 
     private void scheduleReconnect() {
@@ -211,7 +211,7 @@
         reconnect = loop.schedule(this::open, backoff.nextDelayMillis(), TimeUnit.MILLISECONDS);
     }
 
-    // --- reports of the connections that are open
+    // --- callbacks of open connections
 
     EndpointListParser parser() {
         return parser;
@@ -221,8 +221,8 @@
         return log;
     }
 
-    /** A connection has shown a sign of life: the watch needs no other. */
-    void onSignOfLife(WatchConnection live) {
+    /** Handles a list or a blank line on a connection: closes all other connections. */
+    void onMessage(WatchConnection live) {
         backoff.reset();
         for (WatchConnection other : List.copyOf(connections)) {
             if (other != live) {
@@ -232,7 +232,7 @@
         }
     }
 
-    /** A connection has ended. */
+    /** Handles the end of a connection, and reopens the watch if no other connection is open. */
     void onEnded(WatchConnection ended, String reason) {
         connections.remove(ended);
         reconnectIfNoneIsOpen(reason);
@@ -245,15 +245,15 @@
         }
     }
 
-    /** A malformed list has come; the last good one stays and the changes come again from its version on. */
+    /** Logs a malformed list; the last valid one stays in use, and changes since its version are requested again. */
     void onMalformedList(String reason) {
         malformedLists++;
         log.info("watch: malformed list, " + malformedLists + " so far: " + reason);
     }
 
-    /** A list has come; {@code isFirst} tells whether it is the first sign of life of its connection. */
+    /** Handles a list; {@code isFirst} if no list or blank line has been received on its connection before. */
     void onList(EndpointRegistry.EndpointList list, boolean isFirst) {
-        // A full list that opens a watch is all that this discovery knows, whatever its versions count from.
+        // A full list at the start of a watch is all that discovery knows, even if its versions have started over.
         boolean isNewBase = isFirst && list.full();
         if (list.version() < version && !isNewBase) {
             log.info("watch: outdated list ignored, version=" + list.version() + " present_version=" + version);
--- a/src/main/java/rillyard/proxy/discovery/JsonObjectFramer.java
+++ b/src/main/java/rillyard/proxy/discovery/JsonObjectFramer.java
@@ -4,17 +4,17 @@
 import java.util.Arrays;
 
 /**
- * Splits the byte stream of a watch into JSON objects, one to a line or indented over many lines, with blank lines
- * between them.
+ * Splits the byte stream of a watch into JSON objects, which are on one line each or indented over many lines, with
+ * blank lines between them.
  *
- * <p>An object that was cut off must not swallow those behind it. So an object may not begin where JSON allows none, no
- * line may end within a string, and no line within an object may be blank, as blank lines are the watch's sign of
- * life. Not thread-safe.
+ * <p>An object that was cut off must not absorb the objects behind it. Therefore an object may not begin where JSON
+ * allows none, a line may not end within a string, and a line within an object may not be blank, as blank lines are the
+ * keep-alive of the watch. Not thread-safe.
  */
 final class JsonObjectFramer {
     /** Receives complete objects and blank lines. */
     interface Listener {
-        /** Is called with an object, in the first {@code length} bytes; the array is reused after the call. */
+        /** Is called with an object, which is the first {@code length} bytes; the array is reused after the call. */
         void onObject(byte[] bytes, int length);
 
         /** Is called for a blank line between objects. */
@@ -35,9 +35,10 @@
     private byte lastNonBlank;
 
     /**
-     * Consumes the input and reports everything that is complete with it.
+     * Consumes the input, and reports the objects and blank lines that it completes.
      *
-     * @throws MalformedEndpointListException if the stream is no sequence of objects; the framer must not be used on
+     * @throws MalformedEndpointListException if the stream is not a sequence of objects; the framer must not be used
+     *     again
      */
     void consume(ByteBuf input, Listener listener) throws MalformedEndpointListException {
         while (input.isReadable()) {
@@ -55,7 +56,7 @@
                 return;
             }
             if (next != '{') {
-                throw new MalformedEndpointListException("text outside of a list");
+                throw new MalformedEndpointListException("text outside of a JSON object");
             }
         }
         consumeWithinObject(next, listener);
@@ -70,7 +71,7 @@
         lineHasText = false;
         if (depth > 0) {
             if (isBlankLine) {
-                throw new MalformedEndpointListException("a list without an end");
+                throw new MalformedEndpointListException("incomplete list: blank line within the JSON object");
             }
             append((byte) '\n');
         } else if (isBlankLine) {
@@ -98,7 +99,7 @@
 
     private void consumeWithinString(byte next) throws MalformedEndpointListException {
         if (next == '\n') {
-            throw new MalformedEndpointListException("a line that ends within a string");
+            throw new MalformedEndpointListException("incomplete list: line ends within a string");
         }
         inString = escaped || next != '"';
         escaped = next == '\\' && !escaped;
@@ -109,7 +110,7 @@
             inString = true;
         } else if (next == '{' || next == '[') {
             if (next == '{' && depth > 0 && !mayPrecedeObject(lastNonBlank)) {
-                throw new MalformedEndpointListException("a list within another");
+                throw new MalformedEndpointListException("incomplete list: another JSON object begins within it");
             }
             depth++;
         } else if (next == '}' || next == ']') {
@@ -123,7 +124,7 @@
 
     private void append(byte next) throws MalformedEndpointListException {
         if (size == MAX_BYTES) {
-            throw new MalformedEndpointListException("a list of more than " + MAX_BYTES + " bytes");
+            throw new MalformedEndpointListException("list is longer than " + MAX_BYTES + " bytes");
         }
         if (size == buffer.length) {
             buffer = Arrays.copyOf(buffer, Math.min(MAX_BYTES, 2 * size));
--- a/src/main/java/rillyard/proxy/discovery/MalformedEndpointListException.java
+++ b/src/main/java/rillyard/proxy/discovery/MalformedEndpointListException.java
@@ -1,6 +1,6 @@
 package rillyard.proxy.discovery;
 
-/** Signals that what discovery sent is not a sequence of endpoint lists. */
+/** Signals that data from discovery is not a valid sequence of endpoint lists. */
 final class MalformedEndpointListException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/rillyard/proxy/discovery/WatchConnection.java
+++ b/src/main/java/rillyard/proxy/discovery/WatchConnection.java
@@ -22,17 +22,18 @@
 import rillyard.settings.JsonTreeReader;
 
 /**
- * One connection of an {@link EndpointWatch} to discovery: sends the call and reads lists until it ends.
+ * One connection of an {@link EndpointWatch} to discovery: sends the watch request and reads lists until it ends.
  *
- * <p>Once it has ended it reports nothing more. Confined to the event loop.
+ * <p>A message of the watch is a complete list or a blank line. After the end nothing more is reported. Confined to the
+ * event loop.
  */
 final class WatchConnection extends ChannelInboundHandlerAdapter implements JsonObjectFramer.Listener {
     private enum State {
-        /** Neither a list nor a blank line has come yet. */
+        /** No message has been received yet. */
         UNCONFIRMED,
-        /** The watch has shown a sign of life. */
+        /** A message has been received. */
         LIVE,
-        /** The connection is closed, or about to be. */
+        /** The connection is closed or being closed. */
         ENDED
     }
 
@@ -41,21 +42,21 @@
     private final JsonObjectFramer framer = new JsonObjectFramer();
     private State state = State.UNCONFIRMED;
     private boolean isConnected;
-    private long lastSignOfLifeNanos = System.nanoTime();
+    private long lastMessageNanos = System.nanoTime();
 
     WatchConnection(EndpointWatch watch, Channel channel) {
         this.watch = watch;
         this.channel = channel;
     }
 
-    /** Sends the call for all changes since a version. */
+    /** Requests all changes since a version. */
     void onConnected(InetSocketAddress address, long version) {
         if (state == State.ENDED) {
             channel.close();
             return;
         }
         isConnected = true;
-        lastSignOfLifeNanos = System.nanoTime();
+        lastMessageNanos = System.nanoTime();
         channel.pipeline().addLast(new HttpResponseDecoder(), new HttpRequestEncoder(), this);
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
@@ -66,33 +67,33 @@
         channel.writeAndFlush(request);
     }
 
-    /** Returns whether neither a list nor a blank line has come for too long. */
-    boolean isSilent(long now) {
+    /** Returns whether no message has been received for so long that the connection has failed. */
+    boolean isSilent(long nowNanos) {
         long limitNanos = state == State.LIVE ? EndpointWatch.SILENCE_NANOS : EndpointWatch.UNANSWERED_NANOS;
-        return now - lastSignOfLifeNanos > limitNanos;
+        return nowNanos - lastMessageNanos > limitNanos;
     }
 
-    /** Returns whether a list or a blank line should have come by now, so that the connection may be broken. */
-    boolean isOverdue(long now, boolean isPolling) {
-        boolean mayWait = state == State.LIVE || (isPolling && isConnected); // a poll is answered after 2 s at most
+    /** Returns whether a message should have been received by now, so that the connection may be broken. */
+    boolean isOverdue(long nowNanos, boolean isPolling) {
+        boolean mayWait = state == State.LIVE || (isPolling && isConnected); // a poll is answered after at most 2 s
         long limitNanos = mayWait ? EndpointWatch.OVERDUE_NANOS : EndpointWatch.OVERDUE_ATTEMPT_NANOS;
-        return now - lastSignOfLifeNanos > limitNanos;
+        return nowNanos - lastMessageNanos > limitNanos;
     }
 
-    /** Reads from the socket at once, if the connection is up. */
+    /** Reads from the socket at once if it is connected. */
     void readPending() {
         if (channel instanceof AbstractNioChannel socket && socket.isActive()) {
             socket.unsafe().read();
         }
     }
 
-    /** Ends the connection without a report. */
+    /** Ends the connection without reporting it. */
     void close() {
         state = State.ENDED;
         channel.close();
     }
 
-    /** Ends the connection and reports it, unless it has ended before. */
+    /** Ends the connection and reports the reason, unless it has already ended. */
     void fail(String reason) {
         boolean isFirstEnd = state != State.ENDED;
         close();
@@ -136,7 +137,7 @@
     @Override
     public void onObject(byte[] bytes, int length) {
         if (state == State.ENDED) {
-            return; // ended by a list that came in the same read
+            return; // ended by an earlier list of the same read
         }
         EndpointRegistry.EndpointList list;
         try {
@@ -146,7 +147,7 @@
             return;
         }
         watch.onList(list, state == State.UNCONFIRMED);
-        recordSignOfLife();
+        recordMessage();
     }
 
     private EndpointRegistry.EndpointList parse(byte[] bytes, int length) throws MalformedEndpointListException {
@@ -159,17 +160,17 @@
 
     @Override
     public void onBlankLine() {
-        recordSignOfLife();
+        recordMessage();
     }
 
-    /** Only complete lists and blank lines are signs of life; bytes that never become a complete list are none. */
-    private void recordSignOfLife() {
+    /** Records a message: a complete list or a blank line. Bytes that never become a complete list do not count. */
+    private void recordMessage() {
         if (state == State.ENDED) {
-            return; // ended by something that came in the same read
+            return; // ended by earlier input of the same read
         }
-        lastSignOfLifeNanos = System.nanoTime();
+        lastMessageNanos = System.nanoTime();
         state = State.LIVE;
-        watch.onSignOfLife(this);
+        watch.onMessage(this);
     }
 
     private void failMalformed(MalformedEndpointListException cause) {
@@ -187,7 +188,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            watch.log().error("the watch failed", cause);
+            watch.log().error("watch: connection failed", cause);
         }
         fail("failed");
     }
--- a/src/test/java/rillyard/proxy/IncompleteListTest.java
+++ b/src/test/java/rillyard/proxy/IncompleteListTest.java
@@ -120,14 +120,14 @@
     void guardIsConfiguredByProperties() throws Exception {
         Properties properties = new Properties();
         assertThat(EndpointListOptions.createGuard(properties)).isNull();
-        properties.setProperty(EndpointListOptions.HOLD, "30000");
+        properties.setProperty(EndpointListOptions.HOLD_MILLIS_PROPERTY, "30000");
         assertThat(EndpointListOptions.createGuard(properties)).isNotNull();
-        properties.setProperty(EndpointListOptions.LEAST_SHARE, "1.5");
+        properties.setProperty(EndpointListOptions.LEAST_SHARE_PROPERTY, "1.5");
         assertThatThrownBy(() -> EndpointListOptions.createGuard(properties))
                 .isInstanceOf(ConfigException.class)
                 .hasMessageContaining("least_share")
                 .hasMessageContaining("expected 0 to 1, found 1.5");
-        properties.setProperty(EndpointListOptions.HOLD, "soon");
+        properties.setProperty(EndpointListOptions.HOLD_MILLIS_PROPERTY, "soon");
         assertThatThrownBy(() -> EndpointListOptions.createGuard(properties))
                 .isInstanceOf(ConfigException.class)
                 .hasMessage("-Drillyard.lists.hold_ms: expected a number, found 'soon'");
