--- a/src/main/java/rillyard/outlier/HostObservation.java
+++ b/src/main/java/rillyard/outlier/HostObservation.java
@@ -20,8 +20,7 @@
      */
     public HostObservation {
         if (!(ageMillis >= 0 && ageMillis <= MAX_AGE_MILLIS)) {
-            throw new IllegalArgumentException(
-                    "ageMillis is " + ageMillis + ", expected 0 to " + MAX_AGE_MILLIS);
+            throw new IllegalArgumentException("ageMillis is " + ageMillis + ", expected 0 to " + MAX_AGE_MILLIS);
         }
     }
 
--- a/src/main/java/rillyard/proxy/downstream/ConnectionTimeouts.java
+++ b/src/main/java/rillyard/proxy/downstream/ConnectionTimeouts.java
@@ -83,7 +83,9 @@
     /** Returns whether the client sends its request too slowly; delays by the proxy or by a host do not count. */
     private boolean isRequestSlow(long nowNanos, boolean hasExchange) {
         long receivingSinceNanos = decoder.receivingSinceNanos();
-        if (body.isAwaitingMemory() || receivingSinceNanos == 0 || !channel.config().isAutoRead()) {
+        if (body.isAwaitingMemory()
+                || receivingSinceNanos == 0
+                || !channel.config().isAutoRead()) {
             return false;
         }
         if (!body.isReceiving()) {
--- a/src/test/java/rillyard/outlier/FleetOutlierDetectorTest.java
+++ b/src/test/java/rillyard/outlier/FleetOutlierDetectorTest.java
@@ -27,7 +27,9 @@
             ObservationFleet fleet = new ObservationFleet(sizes[index], DELAY_MILLIS, 12.0 / sizes[index], 7);
             fleet.run(4_000, 0);
             fleet.run(8_000, 1);
-            assertThat(fleet.ejectedCount()).as("ejected by proxies of " + sizes[index]).isEqualTo(sizes[index]);
+            assertThat(fleet.ejectedCount())
+                    .as("ejected by proxies of " + sizes[index])
+                    .isEqualTo(sizes[index]);
             errors[index] = fleet.failed;
         }
         // 12 per second during the delay of 1 s, the confirmation time and a step or two; then two probes per second.
@@ -44,7 +46,9 @@
             fleet.run(60_000, failureShare);
             runsWithEjection += fleet.proxies.stream().anyMatch(proxy -> !proxy.ejections.isEmpty()) ? 1 : 0;
         }
-        assertThat(runsWithEjection).as("with an ejection, of 20 runs of a minute").isLessThanOrEqualTo(maxRuns);
+        assertThat(runsWithEjection)
+                .as("with an ejection, of 20 runs of a minute")
+                .isLessThanOrEqualTo(maxRuns);
     }
 
     @Test
@@ -86,7 +90,9 @@
             probes[index++] = fleet.sent - before;
         }
         assertThat(probes[0]).as("in 30 s, two per second configured").isBetween(20, 90);
-        assertThat(probes[1]).as("with half of the proxies underestimating the fleet").isLessThan(135);
+        assertThat(probes[1])
+                .as("with half of the proxies underestimating the fleet")
+                .isLessThan(135);
     }
 
     @Test
--- a/src/test/java/rillyard/outlier/ObservationCodecPropertiesTest.java
+++ b/src/test/java/rillyard/outlier/ObservationCodecPropertiesTest.java
@@ -40,8 +40,7 @@
             assertThat(decoded.get(i).host()).isEqualTo(observations.get(i).host());
             assertThat(decoded.get(i).failed()).isEqualTo(observations.get(i).failed());
             assertThat(decoded.get(i).ageMillis())
-                    .isBetween(
-                            ageMillis + elapsedMillis - ObservationCodec.AGE_STEP_MILLIS, ageMillis + elapsedMillis);
+                    .isBetween(ageMillis + elapsedMillis - ObservationCodec.AGE_STEP_MILLIS, ageMillis + elapsedMillis);
         }
     }
 
--- a/src/test/java/rillyard/outlier/net/ObservationGossipTest.java
+++ b/src/test/java/rillyard/outlier/net/ObservationGossipTest.java
@@ -127,7 +127,8 @@
             stepAll();
         }
         assertThat(listeners.get(4).readmitted).containsOnly("a");
-        assertThat(listeners.stream().flatMap(listener -> listener.ejected.stream())).containsOnly("a");
+        assertThat(listeners.stream().flatMap(listener -> listener.ejected.stream()))
+                .containsOnly("a");
         while (listeners.get(0).subsetPosition.weight() <= 1) {
             gossips.get(0).onAttemptEnded("a", AttemptOutcome.OK, nowMillis()); // the only one that still sends
             stepAll();
