--- a/src/main/java/rillyard/proxy/discovery/JsonObjectFramer.java
+++ b/src/main/java/rillyard/proxy/discovery/JsonObjectFramer.java
@@ -124,7 +124,7 @@
 
     private void append(byte next) throws MalformedEndpointListException {
         if (size == MAX_BYTES) {
-            throw new MalformedEndpointListException("list is longer than " + MAX_BYTES + " bytes");
+            throw new MalformedEndpointListException("list has more than " + MAX_BYTES + " bytes");
         }
         if (size == buffer.length) {
             buffer = Arrays.copyOf(buffer, Math.min(MAX_BYTES, 2 * size));
