--- a/src/test/java/rillyard/balancer/AttemptOutcomeTraceTest.java
+++ b/src/test/java/rillyard/balancer/AttemptOutcomeTraceTest.java
@@ -5,7 +5,10 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** The words that traces of earlier versions hold, and that the statistics over traces read. */
+/**
+ * Guards against a changed name of an outcome in trace lines: traces of earlier versions contain these words, and the
+ * statistics over traces read them.
+ */
 class AttemptOutcomeTraceTest {
     @Test
     void traceWordsStayTheSame() {
@@ -19,6 +22,6 @@
                         "RESET",
                         "CANCELLED",
                         "MOOT",
-                        "CONNECT_FAILED"); // a local failure
+                        "CONNECT_FAILED"); // LOCAL_FAILURE
     }
 }
--- a/src/test/java/rillyard/balancer/BalancerFixture.java
+++ b/src/test/java/rillyard/balancer/BalancerFixture.java
@@ -3,19 +3,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Builds settings and hosts for tests, and records what a balancer asks for. */
+/** Builds settings, hosts and requests for tests, and records the actions that a balancer requests. */
 final class BalancerFixture implements BalancerActions {
-    record Send(long request, int number, long host, double at) {}
+    record Send(long requestId, int attempt, long host, double atMillis) {}
 
-    double now = 1_000;
+    double nowMillis = 1_000;
     final List<Send> sends = new ArrayList<>();
     final List<Long> rejected = new ArrayList<>();
     final List<Long> failed = new ArrayList<>();
     final List<String> logs = new ArrayList<>();
     final List<Long> cancelled = new ArrayList<>();
-    final java.util.TreeMap<Double, List<Long>> timers = new java.util.TreeMap<>();
+    final java.util.TreeMap<Double, List<Long>> timers = new java.util.TreeMap<>(); // tokens by due time (ms)
     int subscriptions;
-    private final java.util.Map<Long, Integer> numbers = new java.util.HashMap<>();
+    private final java.util.Map<Long, Integer> attemptCounts = new java.util.HashMap<>();
 
     static Settings.RequestClass requestClass(String name, Settings.Semantics semantics, Settings.Scope scope) {
         return new Settings.RequestClass(name, 400, 800, semantics, scope, 300, 1, 0);
@@ -56,8 +56,8 @@
         return host(id, EndpointEntry.Condition.READY, 0);
     }
 
-    static EndpointEntry host(long id, EndpointEntry.Condition condition, double since) {
-        return new EndpointEntry(id, id % 5 == 4 ? "b" : "a", "k" + id % 2, id / 4, condition, since);
+    static EndpointEntry host(long id, EndpointEntry.Condition condition, double startedAtMillis) {
+        return new EndpointEntry(id, id % 5 == 4 ? "b" : "a", "k" + id % 2, id / 4, condition, startedAtMillis);
     }
 
     static List<EndpointEntry> hosts(int count) {
@@ -68,11 +68,11 @@
         return entries;
     }
 
-    static IncomingRequest request(long id, String requestClass, double budget) {
-        return new IncomingRequest(id, requestClass, null, budget);
+    static IncomingRequest request(long id, String requestClass, double remainingMillis) {
+        return new IncomingRequest(id, requestClass, null, remainingMillis);
     }
 
-    /** Returns a load report with only the requests in flight. */
+    /** Returns a load report that contains nothing but the number of requests the host holds. */
     static LoadReport reportOf(double outstanding) {
         return new LoadReport(outstanding, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
     }
@@ -82,28 +82,29 @@
     }
 
     @Override
-    public void send(long request, long host, double giveUpAfter, double notAfter) {
-        sends.add(new Send(request, numbers.merge(request, 1, Integer::sum) - 1, host, now));
+    public void send(long requestId, long hostId, double timeoutMillis, double notAfterMillis) {
+        sends.add(new Send(requestId, attemptCounts.merge(requestId, 1, Integer::sum) - 1, hostId, nowMillis));
     }
 
     @Override
-    public void reject(long request, double retryAfter) {
-        rejected.add(request);
+    public void reject(long requestId, double retryAfterMillis) {
+        rejected.add(requestId);
     }
 
     @Override
-    public void fail(long request) {
-        failed.add(request);
+    public void fail(long requestId) {
+        failed.add(requestId);
     }
 
     @Override
-    public void cancel(long request, int attempt) {
-        cancelled.add(request);
+    public void cancel(long requestId, int attempt) {
+        cancelled.add(requestId);
     }
 
     @Override
-    public void scheduleTimer(double delay, long token) {
-        timers.computeIfAbsent(now + delay, x -> new ArrayList<>()).add(token);
+    public void scheduleTimer(double delayMillis, long token) {
+        timers.computeIfAbsent(nowMillis + delayMillis, time -> new ArrayList<>())
+                .add(token);
     }
 
     @Override
--- a/src/test/java/rillyard/balancer/CheckedAttempt.java
+++ b/src/test/java/rillyard/balancer/CheckedAttempt.java
@@ -1,14 +1,14 @@
 package rillyard.balancer;
 
-/** What {@link RandomWorld} itself knows of an attempt. */
+/** An attempt as {@link RandomWorld} records it, independently of the balancer. */
 final class CheckedAttempt {
     final long host;
-    final double sentAt;
+    final double sentAtMillis;
     AttemptOutcome outcome;
 
-    CheckedAttempt(long host, double at) {
+    CheckedAttempt(long host, double atMillis) {
         this.host = host;
-        this.sentAt = at;
+        this.sentAtMillis = atMillis;
     }
 
     boolean mayHaveExecuted() {
--- a/src/test/java/rillyard/balancer/CheckedRequest.java
+++ b/src/test/java/rillyard/balancer/CheckedRequest.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What {@link RandomWorld} itself knows of a request. */
+/** A request as {@link RandomWorld} records it, independently of the balancer. */
 final class CheckedRequest {
     Settings.RequestClass requestClass;
-    double deadline;
+    double deadlineMillis;
     boolean ended;
     final List<CheckedAttempt> attempts = new ArrayList<>();
 }
--- a/src/test/java/rillyard/balancer/FleetEjectionTest.java
+++ b/src/test/java/rillyard/balancer/FleetEjectionTest.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Ejections decided by the fleet, and positions of the subset. */
+/** Tests that a balancer follows the ejections and the subset position that the fleet of proxies decides on. */
 class FleetEjectionTest {
     private final BalancerFixture fixture = new BalancerFixture();
     private final Balancer balancer = new Balancer(
@@ -15,50 +15,53 @@
                     BalancerFixture.requestClass("visit", Settings.Semantics.IDEMPOTENT, Settings.Scope.ALL)),
             1,
             fixture);
-    private long next;
+    private long nextId;
 
     FleetEjectionTest() {
-        balancer.onStart(fixture.now);
+        balancer.onStart(fixture.nowMillis);
     }
 
-    private void hosts(int count) {
-        balancer.onWatchEvent(fixture.now, WatchEvent.FULL, BalancerFixture.hosts(count));
+    private void listHosts(int count) {
+        balancer.onWatchEvent(fixture.nowMillis, WatchEvent.FULL, BalancerFixture.hosts(count));
     }
 
-    /** Hosts that get something of so many requests, each answered at once. */
-    private Set<Long> used(int requests) {
+    /** Sends {@code requests} requests, each answered after 5 ms; returns the hosts that got at least one of them. */
+    private Set<Long> hostsUsed(int requests) {
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < requests; i++) {
-            fixture.now += 20;
-            balancer.onRequest(fixture.now, BalancerFixture.request(next, "visit", 800));
+            fixture.nowMillis += 20;
+            balancer.onRequest(fixture.nowMillis, BalancerFixture.request(nextId, "visit", 800));
             used.add(fixture.lastSend().host());
-            balancer.onAttemptEnded(fixture.now + 5, next++, new AttemptResult(0, AttemptOutcome.OK, 5, true, null));
+            balancer.onAttemptEnded(
+                    fixture.nowMillis + 5, nextId++, new AttemptResult(0, AttemptOutcome.OK, 5, true, null));
         }
         return used;
     }
 
     @Test
     void fleetEjectedHostGetsNoRequestsUntilProbe() {
-        hosts(4);
-        assertThat(used(50)).contains(2L);
-        balancer.onFleetEjection(fixture.now, 2, true, 10_000);
-        assertThat(used(400)).doesNotContain(2L); // 8 s
-        assertThat(used(200)).contains(2L);
-        balancer.onFleetEjection(fixture.now, 2, true, 60_000);
-        assertThat(used(100)).doesNotContain(2L);
-        balancer.onFleetEjection(fixture.now, 2, false, 500);
-        assertThat(used(100)).contains(2L);
+        listHosts(4);
+        assertThat(hostsUsed(50)).contains(2L);
+        balancer.onFleetEjection(fixture.nowMillis, 2, true, 10_000);
+        assertThat(hostsUsed(400)).doesNotContain(2L); // 8 s
+        assertThat(hostsUsed(200)).contains(2L);
+        balancer.onFleetEjection(fixture.nowMillis, 2, true, 60_000);
+        assertThat(hostsUsed(100)).doesNotContain(2L);
+        balancer.onFleetEjection(fixture.nowMillis, 2, false, 500);
+        assertThat(hostsUsed(100)).contains(2L);
     }
 
     @Test
     void fleetEjectionKeepsMaxEjectedFraction() {
-        hosts(4);
+        listHosts(4);
         for (long host = 0; host < 4; host++) {
-            balancer.onFleetEjection(fixture.now, host, true, 60_000);
+            balancer.onFleetEjection(fixture.nowMillis, host, true, 60_000);
         }
-        assertThat(used(200)).hasSize(2); // two out of four are past three in ten
-        balancer.onFleetEjection(fixture.now, 99, true, 60_000);
-        assertThat(used(200)).as("a host that no list names").hasSize(2);
+        assertThat(hostsUsed(200)).hasSize(2); // two of four already exceed the maximum fraction of 0.3
+        balancer.onFleetEjection(fixture.nowMillis, 99, true, 60_000);
+        assertThat(hostsUsed(200))
+                .as("ejection of a host that is in no endpoint list")
+                .hasSize(2);
     }
 
     @Test
@@ -69,20 +72,23 @@
                 .map(entry ->
                         new EndpointEntry(entry.id(), "a", entry.machineKind(), entry.cell(), entry.condition(), 0))
                 .toList();
-        balancer.onWatchEvent(fixture.now, WatchEvent.FULL, all);
-        Set<Long> first = used(300);
-        assertThat(first).hasSizeBetween(5, 9);
+        balancer.onWatchEvent(fixture.nowMillis, WatchEvent.FULL, all);
+        Set<Long> firstSubset = hostsUsed(300);
+        assertThat(firstSubset).hasSizeBetween(5, 9);
         balancer.onSubsetPosition(new SubsetPosition(1, 2, 1, false));
-        Set<Long> other = used(300);
-        assertThat(other).hasSizeBetween(5, 9).doesNotContainAnyElementsOf(first);
+        Set<Long> otherSubset = hostsUsed(300);
+        assertThat(otherSubset).hasSizeBetween(5, 9).doesNotContainAnyElementsOf(firstSubset);
         balancer.onSubsetPosition(new SubsetPosition(1, 2, 5, false));
-        assertThat(used(2_000)).hasSizeGreaterThan(28);
+        assertThat(hostsUsed(2_000)).hasSizeGreaterThan(28);
         assertThat(settings.proxyIndex()).isZero();
     }
 
-    /** Returns the requests to a host in its first three seconds, from 40 proxies that send six hosts 50 a second. */
+    /**
+     * Returns the number of requests to a host in the first three seconds after its restart. Together 40 proxies send
+     * their six hosts 50 requests per second.
+     */
     private static int countFirstSendsToWarmingHost(boolean preferWarmingUp) {
-        int got = 0;
+        int sends = 0;
         for (int proxy = 0; proxy < 40; proxy++) {
             BalancerFixture fixture = new BalancerFixture();
             Balancer balancer = new Balancer(
@@ -90,34 +96,38 @@
                             BalancerFixture.requestClass("visit", Settings.Semantics.IDEMPOTENT, Settings.Scope.ALL)),
                     proxy,
                     fixture);
-            balancer.onStart(fixture.now);
-            balancer.onWatchEvent(fixture.now, WatchEvent.FULL, BalancerFixture.hosts(6));
+            balancer.onStart(fixture.nowMillis);
+            balancer.onWatchEvent(fixture.nowMillis, WatchEvent.FULL, BalancerFixture.hosts(6));
             balancer.onSubsetPosition(new SubsetPosition(0, 1, 1, preferWarmingUp));
-            fixture.now += proxy * 20;
-            double started = 31_000; // each has sent for half a minute by then
-            for (int i = 0; fixture.now < started + 3_000; i++) {
-                if (fixture.now >= started && fixture.now - 800 < started) {
+            fixture.nowMillis += proxy * 20;
+            double startedAtMillis = 31_000; // by then, each proxy has sent for half a minute
+            for (int i = 0; fixture.nowMillis < startedAtMillis + 3_000; i++) {
+                if (fixture.nowMillis >= startedAtMillis && fixture.nowMillis - 800 < startedAtMillis) {
                     balancer.onWatchEvent(
-                            started,
+                            startedAtMillis,
                             WatchEvent.DELTA,
-                            List.of(BalancerFixture.host(2, EndpointEntry.Condition.READY, started)));
+                            List.of(BalancerFixture.host(2, EndpointEntry.Condition.READY, startedAtMillis)));
                 }
-                balancer.onRequest(fixture.now, BalancerFixture.request(i, "visit", 800));
-                got += fixture.now >= started && fixture.lastSend().host() == 2 ? 1 : 0;
-                balancer.onAttemptEnded(fixture.now + 5, i, new AttemptResult(0, AttemptOutcome.OK, 5, true, null));
-                fixture.now += 800;
+                balancer.onRequest(fixture.nowMillis, BalancerFixture.request(i, "visit", 800));
+                sends += fixture.nowMillis >= startedAtMillis
+                                && fixture.lastSend().host() == 2
+                        ? 1
+                        : 0;
+                balancer.onAttemptEnded(
+                        fixture.nowMillis + 5, i, new AttemptResult(0, AttemptOutcome.OK, 5, true, null));
+                fixture.nowMillis += 800;
             }
         }
-        return got;
+        return sends;
     }
 
     @Test
     void slowStartAllowanceIsUsedWhereWarmingHostWinsTies() {
-        int byChance = countFirstSendsToWarmingHost(false);
-        int first = countFirstSendsToWarmingHost(true);
-        assertThat(first).isGreaterThan(byChance * 3 / 2);
-        // Half of three times three to five tenths of its sixth of 50 a second, in three seconds: 15, and as much by
-        // chance again.
-        assertThat(first).isBetween(5, 25);
+        int sendsWithRandomTies = countFirstSendsToWarmingHost(false);
+        int sendsWithTiesWon = countFirstSendsToWarmingHost(true);
+        assertThat(sendsWithTiesWon).isGreaterThan(sendsWithRandomTies * 3 / 2);
+        // The allowance is 0.5 * 3 * (0.3 to 0.5 of its capacity) * 50 / 6 per second, 15 in three seconds, and chance
+        // may add about as many.
+        assertThat(sendsWithTiesWon).isBetween(5, 25);
     }
 }
--- a/src/test/java/rillyard/balancer/HostSetTest.java
+++ b/src/test/java/rillyard/balancer/HostSetTest.java
@@ -17,7 +17,7 @@
 import rillyard.balancer.Settings.Scope;
 import rillyard.balancer.Settings.Semantics;
 
-/** The hosts that a balancer keeps in memory. */
+/** Tests that the host set follows the endpoint list, and that an update takes no time per host of the fleet. */
 class HostSetTest {
     private static final String SAFE = "safe";
     private static final int MAX_IDS = 40;
@@ -31,28 +31,31 @@
                 BalancerFixture.settings(BalancerFixture.requestClass(SAFE, Semantics.IDEMPOTENT, Scope.ALL)));
         SplittableRandom random = new SplittableRandom(1);
         List<EndpointEntry> three = BalancerFixture.hosts(3);
-        hosts.apply(fixture.now, WatchEvent.FULL, three, random);
+        hosts.apply(fixture.nowMillis, WatchEvent.FULL, three, random);
         EndpointEntry first = three.get(0);
         EndpointEntry gone =
                 new EndpointEntry(first.id(), first.zone(), first.machineKind(), first.cell(), Condition.GONE, 0);
-        hosts.apply(fixture.now, WatchEvent.DELTA, List.of(gone), random);
+        hosts.apply(fixture.nowMillis, WatchEvent.DELTA, List.of(gone), random);
         assertThat(hosts.get(first.id())).isNull();
-        hosts.apply(fixture.now, WatchEvent.FULL, List.of(three.get(2)), random);
+        hosts.apply(fixture.nowMillis, WatchEvent.FULL, List.of(three.get(2)), random);
         assertThat(hosts.get(three.get(1).id())).isNull();
         assertThat(hosts.get(three.get(2).id())).isNotNull();
     }
 
-    /** A fleet of many hosts is released in steps: each step is a delta of few entries. */
+    /**
+     * A release of a large fleet in steps arrives as many deltas of a few entries each. The time that a delta takes
+     * must depend on its entries, not on the number of hosts.
+     */
     @Test
-    void deltaCostsTimeInItsEntriesHoweverManyHostsThereAre() {
+    void timeOfDeltaDependsOnItsEntriesOnly() {
         int hostCount = 50_000;
         HostSet hosts = new HostSet(
                 BalancerFixture.settings(BalancerFixture.requestClass(SAFE, Semantics.IDEMPOTENT, Scope.ALL)));
         SplittableRandom random = new SplittableRandom(1);
-        hosts.apply(fixture.now, WatchEvent.FULL, BalancerFixture.hosts(hostCount), random);
+        hosts.apply(fixture.nowMillis, WatchEvent.FULL, BalancerFixture.hosts(hostCount), random);
         assertTimeoutPreemptively(Duration.ofSeconds(20), () -> {
             for (int i = 0; i < hostCount; i++) {
-                hosts.apply(fixture.now, WatchEvent.DELTA, List.of(entry(i, Condition.TERMINATING)), random);
+                hosts.apply(fixture.nowMillis, WatchEvent.DELTA, List.of(entry(i, Condition.TERMINATING)), random);
             }
         });
         assertThat(hosts.ready()).isEmpty();
@@ -82,7 +85,7 @@
                     expected.remove(entry.id());
                 }
             }
-            hosts.apply(fixture.now, isFull ? WatchEvent.FULL : WatchEvent.DELTA, entries, random);
+            hosts.apply(fixture.nowMillis, isFull ? WatchEvent.FULL : WatchEvent.DELTA, entries, random);
             assertThat(hosts.avoidedHostCount()).isEqualTo(countAvoided(hosts));
             assertThat(hosts.ready())
                     .extracting(HostState::id)
@@ -98,7 +101,10 @@
         }
     }
 
-    /** Counts one by one what the set derives from its sizes; ids are those of {@link #distinctIds}. */
+    /**
+     * Counts the listed hosts that aren't ready or are ejected by visiting each, where the set derives the count from
+     * its sizes. Ids are those of {@link #distinctIds}.
+     */
     private static long countAvoided(HostSet hosts) {
         return LongStream.range(0, MAX_IDS)
                 .mapToObj(hosts::get)
@@ -114,9 +120,12 @@
                 .toList();
     }
 
-    /** A hundred hosts drain one after the other, and each change is followed by a request. */
+    /**
+     * A hundred hosts drain one after the other, and each change is followed by a request. The subset selected for that
+     * request must cost the same in a fleet of any size.
+     */
     @Test
-    void requestAfterDeltaVisitsAsManyHostsHoweverManyThereAre() {
+    void requestAfterDeltaVisitsSameNumberOfHostsInFleetOfAnySize() {
         long visitsOfSmallFleet = visitsOfRequestsAfterDeltas(200);
         assertThat(visitsOfSmallFleet).isPositive();
         assertThat(visitsOfRequestsAfterDeltas(3_200)).isEqualTo(visitsOfSmallFleet);
@@ -130,12 +139,12 @@
         HostSet hosts = new HostSet(settings, () -> newRing(rings));
         SubsetSelector subsets = new SubsetSelector(settings, hosts, new LoadEstimator(settings));
         SplittableRandom random = new SplittableRandom(1);
-        hosts.apply(fixture.now, WatchEvent.FULL, BalancerFixture.hosts(hostCount), random);
+        hosts.apply(fixture.nowMillis, WatchEvent.FULL, BalancerFixture.hosts(hostCount), random);
         long visits = 0;
         for (int id = 0; id < 100; id++) {
-            hosts.apply(fixture.now, WatchEvent.DELTA, List.of(entry(id, Condition.TERMINATING)), random);
+            hosts.apply(fixture.nowMillis, WatchEvent.DELTA, List.of(entry(id, Condition.TERMINATING)), random);
             rings.forEach(ring -> ring.visits = 0);
-            subsets.select(10, fixture.now);
+            subsets.select(10, fixture.nowMillis);
             visits += visits(rings);
         }
         return visits;
@@ -149,21 +158,21 @@
         HostSet hosts = new HostSet(settings, () -> newRing(rings));
         SplittableRandom random = new SplittableRandom(1);
         OutlierDetector outliers = new OutlierDetector(hosts, settings.meanLatencyObjectiveMillis(), random, fixture);
-        hosts.apply(fixture.now, WatchEvent.FULL, BalancerFixture.hosts(100), random);
+        hosts.apply(fixture.nowMillis, WatchEvent.FULL, BalancerFixture.hosts(100), random);
         rings.forEach(ring -> ring.visits = 0);
         for (long id = 0; id < 40; id++) {
             for (int failure = 0; failure < Tuning.EJECTION_FAILURES; failure++) {
-                outliers.onFailure(hosts.get(id), fixture.now, true);
+                outliers.onFailure(hosts.get(id), fixture.nowMillis, true);
             }
         }
         assertThat(visits(rings)).isZero();
-        assertThat(hosts.avoidedHostCount()).isEqualTo(30); // of a hundred: no more may be ejected
+        assertThat(hosts.avoidedHostCount()).isEqualTo(30); // at most 0.3 of the hundred may be ejected
         assertThat(hosts.ejectedHostCount(hosts.get(5))).isEqualTo(29);
-        outliers.onSuccess(hosts.get(0), fixture.now);
-        hosts.apply(fixture.now, WatchEvent.DELTA, List.of(entry(1, Condition.TERMINATING)), random);
-        hosts.apply(fixture.now, WatchEvent.DELTA, List.of(entry(2, Condition.GONE)), random);
-        EndpointEntry restarted = BalancerFixture.host(3, Condition.READY, fixture.now);
-        hosts.apply(fixture.now, WatchEvent.DELTA, List.of(restarted), random);
+        outliers.onSuccess(hosts.get(0), fixture.nowMillis);
+        hosts.apply(fixture.nowMillis, WatchEvent.DELTA, List.of(entry(1, Condition.TERMINATING)), random);
+        hosts.apply(fixture.nowMillis, WatchEvent.DELTA, List.of(entry(2, Condition.GONE)), random);
+        EndpointEntry restarted = BalancerFixture.host(3, Condition.READY, fixture.nowMillis);
+        hosts.apply(fixture.nowMillis, WatchEvent.DELTA, List.of(restarted), random);
         assertThat(hosts.ejectedHostCount(null)).isEqualTo(26);
     }
 
@@ -177,7 +186,7 @@
         return rings.stream().mapToLong(ring -> ring.visits).sum();
     }
 
-    /** A list that counts how often a host in it is looked at. */
+    /** A list that counts the reads of its elements. */
     private static final class CountingList extends AbstractList<HostState> {
         private final List<HostState> hosts = new ArrayList<>();
         private long visits;
--- a/src/test/java/rillyard/balancer/IdempotencyWindowTest.java
+++ b/src/test/java/rillyard/balancer/IdempotencyWindowTest.java
@@ -8,36 +8,39 @@
 import rillyard.balancer.Settings.Scope;
 import rillyard.balancer.Settings.Semantics;
 
-/** The time until which an attempt that waits for its connection may be written. */
+/**
+ * Tests the time after which an attempt must not be written any more. A retry may have to wait for its connection;
+ * written after the idempotency window of the first attempt, it could be executed a second time.
+ */
 class IdempotencyWindowTest {
-    private static final double WINDOW = 300;
+    private static final double WINDOW_MILLIS = 300;
 
-    private final List<Double> notAfter = new ArrayList<>();
+    private final List<Double> notAfterMillis = new ArrayList<>();
     private final BalancerFixture fixture = new BalancerFixture();
 
     private Balancer balancer(Semantics semantics) {
         BalancerActions actions = new BalancerActions() {
             @Override
-            public void send(long request, long host, double giveUpAfter, double latest) {
-                notAfter.add(latest);
-                fixture.send(request, host, giveUpAfter, latest);
+            public void send(long requestId, long hostId, double timeoutMillis, double latestMillis) {
+                notAfterMillis.add(latestMillis);
+                fixture.send(requestId, hostId, timeoutMillis, latestMillis);
             }
 
             @Override
-            public void reject(long request, double coolDown) {
-                fixture.reject(request, coolDown);
+            public void reject(long requestId, double retryAfterMillis) {
+                fixture.reject(requestId, retryAfterMillis);
             }
 
             @Override
-            public void fail(long request) {
-                fixture.fail(request);
+            public void fail(long requestId) {
+                fixture.fail(requestId);
             }
 
             @Override
-            public void cancel(long request, int attempt) {}
+            public void cancel(long requestId, int attempt) {}
 
             @Override
-            public void scheduleTimer(double delay, long token) {}
+            public void scheduleTimer(double delayMillis, long token) {}
 
             @Override
             public void subscribe() {}
@@ -47,42 +50,43 @@
         };
         Balancer balancer = new Balancer(
                 BalancerFixture.settings(BalancerFixture.requestClass("c", semantics, Scope.ALL)), 1, actions);
-        balancer.onStart(fixture.now);
-        balancer.onWatchEvent(fixture.now, WatchEvent.FULL, BalancerFixture.hosts(4));
+        balancer.onStart(fixture.nowMillis);
+        balancer.onWatchEvent(fixture.nowMillis, WatchEvent.FULL, BalancerFixture.hosts(4));
         return balancer;
     }
 
     @Test
     void retryHasRestOfFirstAttemptsWindow() {
         Balancer balancer = balancer(Semantics.DEDUPLICATED);
-        double first = fixture.now;
-        balancer.onRequest(fixture.now, BalancerFixture.request(1, "c", 800));
-        fixture.now += 100;
-        balancer.onAttemptEnded(fixture.now, 1, new AttemptResult(0, AttemptOutcome.ERROR, 100, false, null));
-        fixture.now += 50;
-        balancer.onAttemptEnded(fixture.now, 1, new AttemptResult(1, AttemptOutcome.ERROR, 50, false, null));
-        assertThat(notAfter).hasSize(3);
-        assertThat(notAfter.get(0)).isEqualTo(Double.POSITIVE_INFINITY);
-        assertThat(notAfter.get(1))
-                .isEqualTo(first + WINDOW - Tuning.IDEMPOTENCY_MARGIN_MILLIS)
-                .isEqualTo(notAfter.get(2));
+        double firstSentAtMillis = fixture.nowMillis;
+        balancer.onRequest(fixture.nowMillis, BalancerFixture.request(1, "c", 800));
+        fixture.nowMillis += 100;
+        balancer.onAttemptEnded(fixture.nowMillis, 1, new AttemptResult(0, AttemptOutcome.ERROR, 100, false, null));
+        fixture.nowMillis += 50;
+        balancer.onAttemptEnded(fixture.nowMillis, 1, new AttemptResult(1, AttemptOutcome.ERROR, 50, false, null));
+        assertThat(notAfterMillis).hasSize(3);
+        assertThat(notAfterMillis.get(0)).isEqualTo(Double.POSITIVE_INFINITY);
+        assertThat(notAfterMillis.get(1))
+                .isEqualTo(firstSentAtMillis + WINDOW_MILLIS - Tuning.IDEMPOTENCY_MARGIN_MILLIS)
+                .isEqualTo(notAfterMillis.get(2));
     }
 
     @Test
     void unexecutedAttemptOpensNoWindow() {
         Balancer balancer = balancer(Semantics.DEDUPLICATED);
-        balancer.onRequest(fixture.now, BalancerFixture.request(1, "c", 800));
-        fixture.now += 100;
-        balancer.onAttemptEnded(fixture.now, 1, new AttemptResult(0, AttemptOutcome.CONNECT_FAILED, 100, false, null));
-        assertThat(notAfter).containsExactly(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY);
+        balancer.onRequest(fixture.nowMillis, BalancerFixture.request(1, "c", 800));
+        fixture.nowMillis += 100;
+        balancer.onAttemptEnded(
+                fixture.nowMillis, 1, new AttemptResult(0, AttemptOutcome.CONNECT_FAILED, 100, false, null));
+        assertThat(notAfterMillis).containsExactly(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY);
     }
 
     @Test
     void idempotentRetryHasNoWindow() {
         Balancer balancer = balancer(Semantics.IDEMPOTENT);
-        balancer.onRequest(fixture.now, BalancerFixture.request(1, "c", 800));
-        fixture.now += 100;
-        balancer.onAttemptEnded(fixture.now, 1, new AttemptResult(0, AttemptOutcome.ERROR, 100, false, null));
-        assertThat(notAfter).containsExactly(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY);
+        balancer.onRequest(fixture.nowMillis, BalancerFixture.request(1, "c", 800));
+        fixture.nowMillis += 100;
+        balancer.onAttemptEnded(fixture.nowMillis, 1, new AttemptResult(0, AttemptOutcome.ERROR, 100, false, null));
+        assertThat(notAfterMillis).containsExactly(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY);
     }
 }
--- a/src/test/java/rillyard/balancer/JointRestartTest.java
+++ b/src/test/java/rillyard/balancer/JointRestartTest.java
@@ -12,65 +12,70 @@
 import rillyard.balancer.Settings.Scope;
 import rillyard.balancer.Settings.Semantics;
 
-/** Most proxies are killed within a second while discovery, one service for all, can't keep up. */
+/**
+ * Guards against a storm of subscriptions: 60 proxies restart within a second and subscribe to one discovery service,
+ * which can't serve that many at once and fails calls. The proxies must serve from their cached endpoint list
+ * meanwhile.
+ */
 class JointRestartTest {
     private static final String SAFE = "safe";
     private static final int PROXIES = 60;
     private static final int HOSTS = 20;
 
-    /** Discovery works through calls in turn (ms each), and fails one that would wait for longer. */
-    private static final double CALL = 50;
+    /** Time that discovery takes for a call; it serves one at a time, and fails a call that would wait for longer. */
+    private static final double CALL_MILLIS = 50;
 
-    private static final double WAITS = 500;
+    private static final double MAX_WAIT_MILLIS = 500;
 
-    private record Event(double at, int proxy, Runnable what) {}
+    private record Event(double atMillis, int proxy, Runnable action) {}
 
-    private final PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingDouble(Event::at));
+    private final PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingDouble(Event::atMillis));
     private final BalancerFixture[] fixtures = new BalancerFixture[PROXIES];
     private final Balancer[] proxies = new Balancer[PROXIES];
-    private final double[] listReceivedAt = new double[PROXIES];
-    private final List<Double> calls = new ArrayList<>();
-    private double freeAt;
+    private final double[] listReceivedAtMillis = new double[PROXIES];
+    private final List<Double> callTimesMillis = new ArrayList<>();
+    private double discoveryFreeAtMillis;
 
     private static Settings settings() {
         return BalancerFixture.settings(
                 true, 4, true, BalancerFixture.requestClass(SAFE, Semantics.IDEMPOTENT, Scope.ALL));
     }
 
-    /** A call comes: it is answered in its turn, or fails at once. */
-    private void call(int proxy, double now) {
-        calls.add(now);
-        if (freeAt - now > WAITS) {
-            events.add(new Event(now, proxy, () -> proxies[proxy].onWatchEvent(now, WatchEvent.FAILED, null)));
+    /** Handles a call to discovery: it is answered after those before it, or fails at once. */
+    private void call(int proxy, double nowMillis) {
+        callTimesMillis.add(nowMillis);
+        if (discoveryFreeAtMillis - nowMillis > MAX_WAIT_MILLIS) {
+            events.add(
+                    new Event(nowMillis, proxy, () -> proxies[proxy].onWatchEvent(nowMillis, WatchEvent.FAILED, null)));
             return;
         }
-        freeAt = Math.max(freeAt, now) + CALL;
-        double at = freeAt;
-        events.add(new Event(at, proxy, () -> {
-            proxies[proxy].onWatchEvent(at, WatchEvent.FULL, BalancerFixture.hosts(HOSTS));
-            listReceivedAt[proxy] = at;
+        discoveryFreeAtMillis = Math.max(discoveryFreeAtMillis, nowMillis) + CALL_MILLIS;
+        double atMillis = discoveryFreeAtMillis;
+        events.add(new Event(atMillis, proxy, () -> {
+            proxies[proxy].onWatchEvent(atMillis, WatchEvent.FULL, BalancerFixture.hosts(HOSTS));
+            listReceivedAtMillis[proxy] = atMillis;
         }));
     }
 
-    /** What the proxy asked for in its last event. */
-    private void carryOut(int proxy, int followed, double now) {
-        for (int i = followed; i < fixtures[proxy].subscriptions; i++) {
-            call(proxy, now);
+    /** Performs the subscriptions and timers that the proxy requested during its last event. */
+    private void performActions(int proxy, int subscriptionsBefore, double nowMillis) {
+        for (int i = subscriptionsBefore; i < fixtures[proxy].subscriptions; i++) {
+            call(proxy, nowMillis);
         }
         Map.Entry<Double, List<Long>> due;
         while ((due = fixtures[proxy].timers.pollFirstEntry()) != null) {
-            double at = due.getKey();
+            double atMillis = due.getKey();
             for (long token : due.getValue()) {
-                events.add(new Event(at, proxy, () -> proxies[proxy].onTimer(at, token)));
+                events.add(new Event(atMillis, proxy, () -> proxies[proxy].onTimer(atMillis, token)));
             }
         }
     }
 
-    private void handle(int proxy, double now, Runnable what) {
-        int followed = fixtures[proxy].subscriptions;
-        fixtures[proxy].now = now;
-        what.run();
-        carryOut(proxy, followed, now);
+    private void handle(int proxy, double nowMillis, Runnable action) {
+        int subscriptionsBefore = fixtures[proxy].subscriptions;
+        fixtures[proxy].nowMillis = nowMillis;
+        action.run();
+        performActions(proxy, subscriptionsBefore, nowMillis);
     }
 
     @Test
@@ -78,44 +83,44 @@
         SplittableRandom random = new SplittableRandom(5);
         for (int proxyIndex = 0; proxyIndex < PROXIES; proxyIndex++) {
             int proxy = proxyIndex;
-            double at = 1_000 + 1_000 * random.nextDouble();
-            events.add(new Event(at, proxyIndex, () -> {
-                fixtures[proxy].now = at;
+            double atMillis = 1_000 + 1_000 * random.nextDouble();
+            events.add(new Event(atMillis, proxyIndex, () -> {
+                fixtures[proxy].nowMillis = atMillis;
                 proxies[proxy] = new Balancer(settings(), 100 + proxy, fixtures[proxy]);
-                proxies[proxy].onStart(at);
-                proxies[proxy].onWatchEvent(at, WatchEvent.CACHED, BalancerFixture.hosts(HOSTS));
-                proxies[proxy].onRequest(at, BalancerFixture.request(1, SAFE, 800));
-                proxies[proxy].onAttemptEnded(at, 1, new AttemptResult(0, AttemptOutcome.OK, 1, true, null));
+                proxies[proxy].onStart(atMillis);
+                proxies[proxy].onWatchEvent(atMillis, WatchEvent.CACHED, BalancerFixture.hosts(HOSTS));
+                proxies[proxy].onRequest(atMillis, BalancerFixture.request(1, SAFE, 800));
+                proxies[proxy].onAttemptEnded(atMillis, 1, new AttemptResult(0, AttemptOutcome.OK, 1, true, null));
             }));
             fixtures[proxyIndex] = new BalancerFixture();
         }
         Event event;
         while ((event = events.poll()) != null) {
-            Event now = event;
-            handle(now.proxy(), now.at(), now.what());
+            Event current = event;
+            handle(current.proxy(), current.atMillis(), current.action());
         }
         for (int proxyIndex = 0; proxyIndex < PROXIES; proxyIndex++) {
             assertThat(fixtures[proxyIndex].sends)
-                    .as("proxy %d served at once", proxyIndex)
+                    .as("requests sent by proxy %d at its start", proxyIndex)
                     .hasSize(1);
-            assertThat(listReceivedAt[proxyIndex])
-                    .as("proxy %d told", proxyIndex)
+            assertThat(listReceivedAtMillis[proxyIndex])
+                    .as("time at which proxy %d received the endpoint list", proxyIndex)
                     .isBetween(1_000.0, 2_000.0 + 10_000);
         }
-        // Each that fails asks again, later each time: little more than one call in service or in the queue.
-        assertThat(calls.size()).isBetween(PROXIES, 3 * PROXIES);
-        assertThat(mostWithin(1_000, calls)).isLessThanOrEqualTo(PROXIES + PROXIES / 2);
+        // A failed call is repeated after a growing backoff, so each proxy makes only a few calls.
+        assertThat(callTimesMillis.size()).isBetween(PROXIES, 3 * PROXIES);
+        assertThat(maxCallsWithin(1_000, callTimesMillis)).isLessThanOrEqualTo(PROXIES + PROXIES / 2);
     }
 
-    private static int mostWithin(double ms, List<Double> calls) {
-        calls.sort(null);
-        int most = 0;
-        for (int first = 0, last = 0; last < calls.size(); last++) {
-            while (calls.get(last) - calls.get(first) >= ms) {
+    private static int maxCallsWithin(double windowMillis, List<Double> callTimesMillis) {
+        callTimesMillis.sort(null);
+        int maxCalls = 0;
+        for (int first = 0, last = 0; last < callTimesMillis.size(); last++) {
+            while (callTimesMillis.get(last) - callTimesMillis.get(first) >= windowMillis) {
                 first++;
             }
-            most = Math.max(most, last - first + 1);
+            maxCalls = Math.max(maxCalls, last - first + 1);
         }
-        return most;
+        return maxCalls;
     }
 }
--- a/src/test/java/rillyard/balancer/LongOutageTest.java
+++ b/src/test/java/rillyard/balancer/LongOutageTest.java
@@ -8,7 +8,10 @@
 import rillyard.balancer.Settings.Scope;
 import rillyard.balancer.Settings.Semantics;
 
-/** Outages and quiet times of an hour, and the trouble that follows them. */
+/**
+ * Guards against faults that appear only after an hour without discovery or without requests: a backoff that has grown
+ * too long, and a retry budget that is still empty when a connection closed meanwhile fails the first request.
+ */
 class LongOutageTest {
     private static final String SAFE = "safe";
     private static final double HOUR_MILLIS = 3_600_000;
@@ -24,35 +27,36 @@
     private long lastId;
 
     private void start() {
-        balancer.onStart(fixture.now);
-        balancer.onWatchEvent(fixture.now, WatchEvent.FULL, BalancerFixture.hosts(4));
+        balancer.onStart(fixture.nowMillis);
+        balancer.onWatchEvent(fixture.nowMillis, WatchEvent.FULL, BalancerFixture.hosts(4));
     }
 
-    /** Has a subscription fail; returns the wait before the next one, which has begun then. */
+    /** Fails the subscription and runs the timer that starts the next one; returns the wait (ms) between the two. */
     private double failSubscription() {
-        balancer.onWatchEvent(fixture.now, WatchEvent.FAILED, List.of());
+        balancer.onWatchEvent(fixture.nowMillis, WatchEvent.FAILED, List.of());
         Map.Entry<Double, List<Long>> timer = fixture.timers.pollFirstEntry();
-        double delayMillis = timer.getKey() - fixture.now;
-        fixture.now = timer.getKey();
+        double delayMillis = timer.getKey() - fixture.nowMillis;
+        fixture.nowMillis = timer.getKey();
         int subscriptions = fixture.subscriptions;
-        timer.getValue().forEach(token -> balancer.onTimer(fixture.now, token));
+        timer.getValue().forEach(token -> balancer.onTimer(fixture.nowMillis, token));
         assertThat(fixture.subscriptions).isEqualTo(subscriptions + 1);
         return delayMillis;
     }
 
     private void request() {
-        balancer.onRequest(fixture.now, BalancerFixture.request(++lastId, SAFE, 800));
+        balancer.onRequest(fixture.nowMillis, BalancerFixture.request(++lastId, SAFE, 800));
     }
 
     private void endLastAttempt(AttemptOutcome outcome) {
-        fixture.now += 1;
+        fixture.nowMillis += 1;
         BalancerFixture.Send send = fixture.lastSend();
         boolean isAnswered = outcome == AttemptOutcome.OK;
-        balancer.onAttemptEnded(fixture.now, lastId, new AttemptResult(send.number(), outcome, 1, isAnswered, null));
+        balancer.onAttemptEnded(
+                fixture.nowMillis, lastId, new AttemptResult(send.attempt(), outcome, 1, isAnswered, null));
     }
 
-    /** Has all attempts of a request reset; returns their number. */
-    private int requestThatIsReset() {
+    /** Sends a request of which all attempts are reset; returns the number of attempts. */
+    private int sendRequestWithResets() {
         int attemptsBefore = fixture.sends.size();
         request();
         int attempts;
@@ -60,32 +64,32 @@
             attempts = fixture.sends.size();
             endLastAttempt(AttemptOutcome.RESET);
         } while (fixture.sends.size() > attempts);
-        fixture.now += 1_000;
+        fixture.nowMillis += 1_000;
         return attempts - attemptsBefore;
     }
 
     @Test
     void backoffStaysBoundedThroughAnHourWithoutDiscovery() {
         start();
-        double end = fixture.now + HOUR_MILLIS;
-        while (fixture.now < end) {
+        double endMillis = fixture.nowMillis + HOUR_MILLIS;
+        while (fixture.nowMillis < endMillis) {
             assertThat(failSubscription()).isLessThanOrEqualTo(MAX_DELAY_MILLIS);
         }
         request();
-        assertThat(fixture.sends).as("the last list serves").hasSize(1);
-        balancer.onWatchEvent(fixture.now, WatchEvent.FULL, BalancerFixture.hosts(4));
-        fixture.timers.clear(); // of the request
+        assertThat(fixture.sends).as("requests sent by the last endpoint list").hasSize(1);
+        balancer.onWatchEvent(fixture.nowMillis, WatchEvent.FULL, BalancerFixture.hosts(4));
+        fixture.timers.clear(); // those of the request
         assertThat(failSubscription()).isLessThanOrEqualTo(MAX_FIRST_DELAY_MILLIS);
     }
 
     @Test
-    void firstRequestAfterAnHourOfQuietIsRetriedOnClosedConnection() {
+    void firstRequestAfterAnHourWithoutRequestsIsRetriedOnClosedConnection() {
         start();
         for (int i = 0; i < 100; i++) {
             request();
             endLastAttempt(AttemptOutcome.OK);
         }
-        fixture.now += HOUR_MILLIS;
+        fixture.nowMillis += HOUR_MILLIS;
         fixture.sends.clear();
         request();
         endLastAttempt(AttemptOutcome.RESET);
@@ -95,12 +99,12 @@
     }
 
     @Test
-    void firstRequestAfterTroubleAndAnHourOfQuietIsRetried() {
+    void firstRequestAfterResetsAndAnHourWithoutRequestsIsRetried() {
         start();
-        while (requestThatIsReset() > 1) {} // until the budget has less than a token
-        while (requestThatIsReset() == 1) {} // and has just lost the next one
+        while (sendRequestWithResets() > 1) {} // until the retry budget is below one token
+        while (sendRequestWithResets() == 1) {} // and until the next token has been used
         fixture.failed.clear();
-        fixture.now += HOUR_MILLIS;
+        fixture.nowMillis += HOUR_MILLIS;
         fixture.sends.clear();
         request();
         endLastAttempt(AttemptOutcome.RESET);
--- a/src/test/java/rillyard/balancer/RandomWorld.java
+++ b/src/test/java/rillyard/balancer/RandomWorld.java
@@ -9,7 +9,18 @@
 import rillyard.balancer.Settings.Scope;
 import rillyard.balancer.Settings.Semantics;
 
-/** Plays random legal events against a balancer, and checks what it does against the rules without sharing code with it. */
+/**
+ * Sends a balancer random legal events and checks the actions that it requests, without using its code. The rules are:
+ *
+ * <ol>
+ *   <li>Each request gets exactly one final response, by its deadline, and no attempt after that.
+ *   <li>A request that may have been executed is repeated or rejected only where its class permits it, and parallel
+ *       attempts are started only where the settings permit them.
+ *   <li>No attempt is sent to a host that is draining or removed.
+ *   <li>A host that is warming up isn't overloaded; {@link RulesTest} checks this with {@link
+ *       #slowStartSendTimesMillis}.
+ * </ol>
+ */
 final class RandomWorld implements BalancerActions {
     private static final List<AttemptOutcome> ANY_OUTCOME = List.of(
             AttemptOutcome.OK,
@@ -20,79 +31,83 @@
             AttemptOutcome.RESET,
             AttemptOutcome.CANCELLED);
 
-    private static final double SLACK = 20;
-    private static final double WINDOW = 300;
+    private static final double SLACK_MILLIS = 20;
+    private static final double WINDOW_MILLIS = 300;
 
     final Random random;
-    final boolean parallel;
+    final boolean mayRunParallelAttempts;
     final int maxAttempts;
     final Map<Long, CheckedRequest> requests = new HashMap<>();
     final Map<Long, EndpointEntry> endpoints = new HashMap<>();
-    final Map<Long, List<Double>> slowStartSends = new HashMap<>();
+    final Map<Long, List<Double>> slowStartSendTimesMillis = new HashMap<>();
     final List<Object[]> events = new ArrayList<>();
     final List<String> violations = new ArrayList<>();
-    double now = 500;
+    double nowMillis = 500;
     Balancer balancer;
     long nextId;
-    int answered;
+    int answeredCount;
 
     RandomWorld(long seed) {
         random = new Random(seed);
-        parallel = random.nextBoolean();
+        mayRunParallelAttempts = random.nextBoolean();
         maxAttempts = 1 + random.nextInt(5);
     }
 
-    void at(double delay, Runnable what) {
-        events.add(new Object[] {now + delay, what});
+    void schedule(double delayMillis, Runnable action) {
+        events.add(new Object[] {nowMillis + delayMillis, action});
     }
 
     @Override
-    public void send(long id, long host, double giveUpAfter, double notAfter) {
+    public void send(long id, long host, double timeoutMillis, double notAfterMillis) {
         CheckedRequest request = requests.get(id);
         EndpointEntry entry = endpoints.get(host);
         if (request.ended) {
-            violations.add("rule 1: sent after the end");
+            violations.add("rule 1: attempt sent after the end of the request");
         }
         if (entry == null || entry.condition() != Condition.READY) {
-            violations.add("rule 3: sent to a host that drains or is gone");
+            violations.add("rule 3: attempt sent to a host that is draining or removed");
         }
         if (request.attempts.size() >= maxAttempts) {
-            violations.add("more attempts than allowed");
+            violations.add("more attempts than the limit");
         }
         for (CheckedAttempt attempt : request.attempts) {
-            if (attempt.outcome == null && !parallel) {
-                violations.add("rule 2: two attempts out");
+            if (attempt.outcome == null && !mayRunParallelAttempts) {
+                violations.add("rule 2: two attempts in flight, parallel attempts are off");
             }
-            if (attempt.mayHaveExecuted() && !repeatable(request, attempt, entry)) {
-                violations.add("rule 2: repeated where it may have run");
+            if (attempt.mayHaveExecuted() && !mayBeRepeated(request, attempt, entry)) {
+                violations.add("rule 2: repeated although an earlier attempt may have been executed");
             }
         }
-        if (entry != null && entry.startedAtMillis() > 0 && now - entry.startedAtMillis() < 8_000) {
-            slowStartSends.computeIfAbsent(host, key -> new ArrayList<>()).add(now);
+        if (entry != null && entry.startedAtMillis() > 0 && nowMillis - entry.startedAtMillis() < 8_000) {
+            slowStartSendTimesMillis
+                    .computeIfAbsent(host, key -> new ArrayList<>())
+                    .add(nowMillis);
         }
         int number = request.attempts.size();
-        CheckedAttempt attempt = new CheckedAttempt(host, now);
+        CheckedAttempt attempt = new CheckedAttempt(host, nowMillis);
         request.attempts.add(attempt);
-        double left = request.deadline - now;
+        double remainingMillis = request.deadlineMillis - nowMillis;
         double chance = random.nextDouble();
-        double spent = Math.min(left, -60 * Math.log(1 - random.nextDouble()));
-        AttemptOutcome end = chance < 0.5 && spent < left
+        double latencyMillis = Math.min(remainingMillis, -60 * Math.log(1 - random.nextDouble()));
+        AttemptOutcome drawnOutcome = chance < 0.5 && latencyMillis < remainingMillis
                 ? AttemptOutcome.OK
                 : chance < 0.6 ? AttemptOutcome.TIMEOUT : ANY_OUTCOME.get(random.nextInt(ANY_OUTCOME.size()));
-        if (end == AttemptOutcome.TIMEOUT || (end == AttemptOutcome.OK && spent >= left)) {
-            end = AttemptOutcome.TIMEOUT;
-            spent = left;
+        if (drawnOutcome == AttemptOutcome.TIMEOUT
+                || (drawnOutcome == AttemptOutcome.OK && latencyMillis >= remainingMillis)) {
+            drawnOutcome = AttemptOutcome.TIMEOUT;
+            latencyMillis = remainingMillis;
         }
-        AttemptOutcome result = end;
-        double latency = spent;
-        at(spent, () -> settle(id, request, attempt, number, result, latency));
+        AttemptOutcome outcome = drawnOutcome;
+        double latency = latencyMillis;
+        schedule(latencyMillis, () -> endAttempt(id, request, attempt, number, outcome, latency));
     }
 
-    private boolean repeatable(CheckedRequest request, CheckedAttempt attempt, EndpointEntry entry) {
+    private boolean mayBeRepeated(CheckedRequest request, CheckedAttempt attempt, EndpointEntry entry) {
         if (request.requestClass.semantics() == Semantics.IDEMPOTENT) {
             return true;
         }
-        if (request.requestClass.semantics() == Semantics.AT_MOST_ONCE || now - attempt.sentAt >= WINDOW) {
+        if (request.requestClass.semantics() == Semantics.AT_MOST_ONCE
+                || nowMillis - attempt.sentAtMillis >= WINDOW_MILLIS) {
             return false;
         }
         EndpointEntry first = endpoints.get(attempt.host);
@@ -103,79 +118,89 @@
         };
     }
 
-    private void settle(
-            long id, CheckedRequest request, CheckedAttempt attempt, int number, AttemptOutcome result, double spent) {
+    private void endAttempt(
+            long id,
+            CheckedRequest request,
+            CheckedAttempt attempt,
+            int number,
+            AttemptOutcome outcome,
+            double latencyMillis) {
         if (attempt.outcome != null) {
             return;
         }
-        attempt.outcome = result;
-        boolean ended = request.ended || result == AttemptOutcome.OK;
+        attempt.outcome = outcome;
+        boolean ended = request.ended || outcome == AttemptOutcome.OK;
         request.ended |= ended;
-        if (result == AttemptOutcome.OK) {
-            answered++;
+        if (outcome == AttemptOutcome.OK) {
+            answeredCount++;
         }
-        LoadReport report = held(random.nextInt(9));
+        LoadReport report = reportOf(random.nextInt(9));
         balancer.onAttemptEnded(
-                now, id, new AttemptResult(number, result, spent, ended, random.nextBoolean() ? report : null));
+                nowMillis,
+                id,
+                new AttemptResult(number, outcome, latencyMillis, ended, random.nextBoolean() ? report : null));
     }
 
-    private static LoadReport held(double outstanding) {
+    private static LoadReport reportOf(double outstanding) {
         return new LoadReport(outstanding, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
     }
 
-    private void end(long id) {
+    private void recordFinalResponse(long id) {
         CheckedRequest request = requests.get(id);
         if (request.ended) {
-            violations.add("rule 1: answered twice");
+            violations.add("rule 1: two final responses");
         }
-        if (now > request.deadline + SLACK) {
-            violations.add("rule 1: answered too late");
+        if (nowMillis > request.deadlineMillis + SLACK_MILLIS) {
+            violations.add("rule 1: final response after the deadline");
         }
         request.ended = true;
-        answered++;
+        answeredCount++;
     }
 
     @Override
-    public void reject(long id, double retryAfter) {
+    public void reject(long id, double retryAfterMillis) {
         CheckedRequest request = requests.get(id);
         for (CheckedAttempt attempt : request.attempts) {
             if (attempt.mayHaveExecuted()
                     && request.requestClass.semantics() != Semantics.IDEMPOTENT
                     && !(request.requestClass.semantics() == Semantics.DEDUPLICATED
                             && request.requestClass.keyScope() == Scope.ALL
-                            && now - attempt.sentAt < WINDOW)) {
+                            && nowMillis - attempt.sentAtMillis < WINDOW_MILLIS)) {
                 violations.add("rule 2: rejected although it may have been executed");
             }
         }
-        end(id);
+        recordFinalResponse(id);
     }
 
     @Override
     public void fail(long id) {
-        end(id);
+        recordFinalResponse(id);
     }
 
     @Override
     public void cancel(long id, int number) {
         CheckedRequest request = requests.get(id);
         CheckedAttempt attempt = request.attempts.get(number);
-        at(0, () -> settle(id, request, attempt, number, AttemptOutcome.CANCELLED, now - attempt.sentAt));
+        schedule(
+                0,
+                () -> endAttempt(
+                        id, request, attempt, number, AttemptOutcome.CANCELLED, nowMillis - attempt.sentAtMillis));
     }
 
     @Override
-    public void scheduleTimer(double delay, long token) {
-        at(Math.max(delay, 0.001), () -> balancer.onTimer(now, token));
+    public void scheduleTimer(double delayMillis, long token) {
+        schedule(Math.max(delayMillis, 0.001), () -> balancer.onTimer(nowMillis, token));
     }
 
     @Override
     public void subscribe() {
-        at(50, () -> balancer.onWatchEvent(now, WatchEvent.FAILED, List.of()));
+        schedule(50, () -> balancer.onWatchEvent(nowMillis, WatchEvent.FAILED, List.of()));
     }
 
     @Override
     public void log(String line) {}
 
-    void change(int hosts) {
+    void changeEndpoint(int hosts) {
         long id = random.nextInt(hosts);
         EndpointEntry previous = endpoints.get(id);
         Condition condition =
@@ -184,11 +209,11 @@
                     case 1 -> Condition.GONE;
                     default -> Condition.READY;
                 };
-        double since = random.nextInt(3) == 0 ? now : previous == null ? 0 : previous.startedAtMillis();
-        EndpointEntry entry = BalancerFixture.host(id, condition, since);
+        double startedAtMillis = random.nextInt(3) == 0 ? nowMillis : previous == null ? 0 : previous.startedAtMillis();
+        EndpointEntry entry = BalancerFixture.host(id, condition, startedAtMillis);
         endpoints.put(id, entry);
         if (random.nextInt(4) > 0) {
-            balancer.onWatchEvent(now, WatchEvent.DELTA, List.of(entry));
+            balancer.onWatchEvent(nowMillis, WatchEvent.DELTA, List.of(entry));
             return;
         }
         List<EndpointEntry> entries = new ArrayList<>();
@@ -203,12 +228,12 @@
                 entries.add(endpointEntry);
             }
         }
-        balancer.onWatchEvent(now, WatchEvent.FULL, entries);
+        balancer.onWatchEvent(nowMillis, WatchEvent.FULL, entries);
     }
 
-    void run(int hosts, double length) {
+    void run(int hosts, double durationMillis) {
         Settings settings = BalancerFixture.settings(
-                parallel,
+                mayRunParallelAttempts,
                 maxAttempts,
                 random.nextBoolean(),
                 BalancerFixture.requestClass("safe", Semantics.IDEMPOTENT, Scope.ALL),
@@ -220,12 +245,12 @@
         for (EndpointEntry entry : BalancerFixture.hosts(hosts)) {
             endpoints.put(entry.id(), entry);
         }
-        balancer.onStart(now);
-        balancer.onWatchEvent(now, WatchEvent.CACHED, new ArrayList<>(endpoints.values()));
-        double stop = now + length;
-        arrive(settings, stop);
-        for (double attempt = 100; attempt < length; attempt += 100 + random.nextInt(400)) {
-            at(attempt, () -> change(hosts));
+        balancer.onStart(nowMillis);
+        balancer.onWatchEvent(nowMillis, WatchEvent.CACHED, new ArrayList<>(endpoints.values()));
+        double stopMillis = nowMillis + durationMillis;
+        sendRequestAndScheduleNext(settings, stopMillis);
+        for (double atMillis = 100; atMillis < durationMillis; atMillis += 100 + random.nextInt(400)) {
+            schedule(atMillis, () -> changeEndpoint(hosts));
         }
         while (!events.isEmpty()) {
             int first = 0;
@@ -235,39 +260,39 @@
                 }
             }
             Object[] next = events.remove(first);
-            now = Math.max(now, (double) next[0]);
-            if (now > stop + 5_000) {
+            nowMillis = Math.max(nowMillis, (double) next[0]);
+            if (nowMillis > stopMillis + 5_000) {
                 break;
             }
             ((Runnable) next[1]).run();
         }
         for (CheckedRequest request : requests.values()) {
             if (!request.ended) {
-                violations.add("rule 1: lost");
+                violations.add("rule 1: no final response");
             }
         }
     }
 
-    private void arrive(Settings settings, double stop) {
-        if (now > stop) {
+    private void sendRequestAndScheduleNext(Settings settings, double stopMillis) {
+        if (nowMillis > stopMillis) {
             return;
         }
         CheckedRequest request = new CheckedRequest();
         request.requestClass = settings.classes().get(random.nextInt(5));
-        double budget = random.nextInt(20) == 0 ? random.nextInt(3) - 1 : 50 + random.nextInt(700);
-        request.deadline = now + budget;
+        double timeoutMillis = random.nextInt(20) == 0 ? random.nextInt(3) - 1 : 50 + random.nextInt(700);
+        request.deadlineMillis = nowMillis + timeoutMillis;
         long id = nextId++;
         requests.put(id, request);
-        balancer.onRequest(now, BalancerFixture.request(id, request.requestClass.name(), budget));
-        // A client may leave early; what is out still ends.
+        balancer.onRequest(nowMillis, BalancerFixture.request(id, request.requestClass.name(), timeoutMillis));
+        // A client may disconnect early; the attempts in flight still end.
         if (random.nextInt(30) == 0) {
-            at(random.nextInt(100), () -> {
+            schedule(random.nextInt(100), () -> {
                 if (!request.ended) {
                     request.ended = true;
-                    balancer.onClientDisconnected(now, id);
+                    balancer.onClientDisconnected(nowMillis, id);
                 }
             });
         }
-        at(-8 * Math.log(1 - random.nextDouble()), () -> arrive(settings, stop));
+        schedule(-8 * Math.log(1 - random.nextDouble()), () -> sendRequestAndScheduleNext(settings, stopMillis));
     }
 }
--- a/src/test/java/rillyard/balancer/ShortClientTimeoutTest.java
+++ b/src/test/java/rillyard/balancer/ShortClientTimeoutTest.java
@@ -7,7 +7,10 @@
 import rillyard.balancer.Settings.Scope;
 import rillyard.balancer.Settings.Semantics;
 
-/** Clients that give a request less time than an answer takes: their timeouts tell nothing of hosts or of the load. */
+/**
+ * Guards against timeouts that a client causes: if a client waits for less time than a response takes, its timeouts are
+ * no evidence of a faulty host or of an overload. Counted as such, they would reject requests of other clients.
+ */
 class ShortClientTimeoutTest {
     private static final String READ = "read";
     private static final String CLAIM = "claim";
@@ -24,29 +27,29 @@
             fixture);
     private long lastId;
 
-    /** Sends a request, of which the host answers nothing within {@code timeoutMillis} if that is shorter than an answer. */
+    /** Sends a request, which times out if {@code timeoutMillis} is shorter than the time a response takes. */
     private void request(String requestClass, double timeoutMillis) {
         int sendsBefore = fixture.sends.size();
-        balancer.onRequest(fixture.now, BalancerFixture.request(++lastId, requestClass, timeoutMillis));
+        balancer.onRequest(fixture.nowMillis, BalancerFixture.request(++lastId, requestClass, timeoutMillis));
         if (fixture.sends.size() == sendsBefore) {
             return; // rejected
         }
         boolean isAnswered = timeoutMillis >= ANSWER_MILLIS;
         double latencyMillis = Math.min(timeoutMillis, ANSWER_MILLIS);
         AttemptOutcome outcome = isAnswered ? AttemptOutcome.OK : AttemptOutcome.TIMEOUT;
-        fixture.now += latencyMillis;
+        fixture.nowMillis += latencyMillis;
         balancer.onAttemptEnded(
-                fixture.now,
+                fixture.nowMillis,
                 lastId,
-                new AttemptResult(fixture.lastSend().number(), outcome, latencyMillis, isAnswered, null));
-        fixture.now += 1;
+                new AttemptResult(fixture.lastSend().attempt(), outcome, latencyMillis, isAnswered, null));
+        fixture.nowMillis += 1;
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {2, 5, 20})
     void shortTimeoutsRejectNoRequestOfOtherClients(double shortTimeoutMillis) {
-        balancer.onStart(fixture.now);
-        balancer.onWatchEvent(fixture.now, WatchEvent.FULL, BalancerFixture.hosts(3));
+        balancer.onStart(fixture.nowMillis);
+        balancer.onWatchEvent(fixture.nowMillis, WatchEvent.FULL, BalancerFixture.hosts(3));
         for (int i = 0; i < 100; i++) {
             request(READ, USUAL_TIMEOUT_MILLIS);
             request(CLAIM, USUAL_TIMEOUT_MILLIS);
