--- a/src/test/java/rillyard/ArchitectureTest.java
+++ b/src/test/java/rillyard/ArchitectureTest.java
@@ -12,11 +12,11 @@
 import java.time.Instant;
 import java.util.Date;
 
-/** The arrows of docs/ARCHITECTURE.md. */
+/** Checks that packages depend on each other only as docs/ARCHITECTURE.md permits. */
 @AnalyzeClasses(packages = "rillyard", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
-    /** Packages that decide, and do nothing else. */
-    private static final String[] DECISIONS = {
+    /** Packages that contain decisions only: they do no I/O and get the time from their caller. */
+    private static final String[] DECISION_PACKAGES = {
         "rillyard.balancer..",
         "rillyard.audit..",
         "rillyard.endpoints..",
@@ -40,16 +40,16 @@
     @ArchTest
     static final ArchRule DECISIONS_DO_NO_IO = noClasses()
             .that()
-            .resideInAnyPackage(DECISIONS)
+            .resideInAnyPackage(DECISION_PACKAGES)
             .should()
             .dependOnClassesThat()
             .resideInAnyPackage("io.netty..", "java.net..", "java.nio.channels..", "java.util.concurrent..")
-            .because("a decision that does I/O can't be tested as one");
+            .because("decisions that do I/O can't be tested on their own");
 
     @ArchTest
     static final ArchRule DECISIONS_HAVE_NO_CLOCK = noClasses()
             .that()
-            .resideInAnyPackage(DECISIONS)
+            .resideInAnyPackage(DECISION_PACKAGES)
             .should()
             .callMethod(System.class, "nanoTime")
             .orShould()
@@ -57,7 +57,7 @@
             .orShould()
             .dependOnClassesThat()
             .resideInAnyPackage("java.time..")
-            .because("the caller tells the time");
+            .because("the caller passes in the time");
 
     @ArchTest
     static final ArchRule NO_FORMATTER_WHILE_SERVING = noClasses()
@@ -69,16 +69,16 @@
             .callMethod(String.class, "format", java.util.Locale.class, String.class, Object[].class)
             .orShould()
             .callMethod(String.class, "formatted", Object[].class)
-            .because("its first use loads the data of locales: tens of milliseconds on the event loop");
+            .because("its first use loads locale data, which stalls the event loop for tens of milliseconds");
 
     @ArchTest
-    static final ArchRule BALANCER_STANDS_ALONE = classes()
+    static final ArchRule BALANCER_DEPENDS_ON_JDK_ONLY = classes()
             .that()
             .resideInAPackage("rillyard.balancer..")
             .should()
             .onlyDependOnClassesThat()
             .resideInAnyPackage("rillyard.balancer..", "java..")
-            .because("it is the same code on sockets and on the simulator's wire");
+            .because("the same code runs in the proxy and in the simulation");
 
     @ArchTest
     static final ArchRule NO_CYCLES =
@@ -89,7 +89,7 @@
             slices().matching("rillyard.proxy.(*)..").should().beFreeOfCycles();
 
     @ArchTest
-    static final ArchRule ONLY_LIFECYCLE_KNOWS_COMPOSITION_ROOT = noClasses()
+    static final ArchRule ONLY_LIFECYCLE_DEPENDS_ON_COMPOSITION_ROOT = noClasses()
             .that()
             .resideInAPackage("rillyard.proxy.*..")
             .and()
@@ -97,10 +97,10 @@
             .should()
             .dependOnClassesThat()
             .resideInAPackage("rillyard.proxy")
-            .because("the composition root knows the proxy's parts, and no part knows it");
+            .because("the composition root depends on the proxy's parts, and no part depends on it");
 
     @ArchTest
-    static final ArchRule THE_PROXY_KNOWS_NOTHING_OF_ITS_REHEARSAL = noClasses()
+    static final ArchRule PROXY_DOES_NOT_DEPEND_ON_REHEARSAL = noClasses()
             .that()
             .resideInAnyPackage(
                     "rillyard.proxy..", "rillyard.balancer..", "rillyard.simulation..", "rillyard.settings..")
@@ -126,11 +126,11 @@
                     "org.HdrHistogram..",
                     "com.fasterxml.jackson.dataformat..",
                     "io.netty.channel.epoll..")
-            .because("the platform's process loads none of it");
+            .because("the proxy's process must load none of these classes");
 
-    /** Each place is listed in docs/design/host-age.md with what a step of the wall clock does there. */
+    /** docs/design/host-age.md lists each of these classes and the effect that a step of the wall clock has there. */
     @ArchTest
-    static final ArchRule THE_WALL_CLOCK_IS_READ_IN_FEW_PLACES = noClasses()
+    static final ArchRule WALL_CLOCK_IS_READ_BY_LISTED_CLASSES_ONLY = noClasses()
             .that()
             .haveNameNotMatching(WALL_CLOCK_READERS)
             .should()
@@ -143,10 +143,10 @@
             .orShould()
             .dependOnClassesThat()
             .areAssignableTo(Date.class)
-            .because("deadlines, windows, waits and graces are spans of real time, and the wall clock may be stepped");
+            .because("deadlines, windows, waits and grace periods are durations, and the wall clock may be stepped");
 
     @ArchTest
-    static final ArchRule WHAT_MAKES_LOAD_AND_WHAT_BEARS_IT_ARE_APART = noClasses()
+    static final ArchRule LOAD_GENERATOR_DOES_NOT_DEPEND_ON_TEST_SERVER = noClasses()
             .that()
             .resideInAPackage("rillyard.loadgen..")
             .should()
--- a/src/test/java/rillyard/DocumentationTest.java
+++ b/src/test/java/rillyard/DocumentationTest.java
@@ -16,15 +16,15 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** The types and methods that the page of the architecture names exist. */
+/** Guards against a renamed or removed type or method that docs/ARCHITECTURE.md still names. */
 class DocumentationTest {
     private static final Path PAGE = Path.of("docs/ARCHITECTURE.md");
 
-    /** A type in code ticks, perhaps with a method: {@code Type}, {@code Type#method} or {@code Type.method}. */
-    private static final Pattern TICKED = Pattern.compile("`([A-Z][A-Za-z]+)(?:[#.]([a-z][A-Za-z]*))?`");
+    /** A type in backticks, optionally with a method: {@code Type}, {@code Type#method} or {@code Type.method}. */
+    private static final Pattern NAME_IN_BACKTICKS = Pattern.compile("`([A-Z][A-Za-z]+)(?:[#.]([a-z][A-Za-z]*))?`");
 
-    /** Any word of a diagram that reads as a type's name. */
-    private static final Pattern IN_DIAGRAM =
+    /** A word of a diagram that has the form of a type name of two or more words, optionally with a method. */
+    private static final Pattern NAME_IN_DIAGRAM =
             Pattern.compile("\\b([A-Z][a-z]+(?:[A-Z][a-z]+)+)(?:\\.([a-z][A-Za-z]*))?");
 
     private final Map<String, List<JavaClass>> types = new ClassFileImporter()
@@ -36,13 +36,15 @@
         String page = Files.readString(PAGE);
         List<String> missing = new ArrayList<>();
 
-        int named = collectMissing(TICKED.matcher(page), missing);
+        int named = collectMissing(NAME_IN_BACKTICKS.matcher(page), missing);
         Matcher diagrams = Pattern.compile("```mermaid(.*?)```", Pattern.DOTALL).matcher(page);
         while (diagrams.find()) {
-            named += collectMissing(IN_DIAGRAM.matcher(diagrams.group(1)), missing);
+            named += collectMissing(NAME_IN_DIAGRAM.matcher(diagrams.group(1)), missing);
         }
 
-        assertThat(missing).as("names in %s without a type or method", PAGE).isEmpty();
+        assertThat(missing)
+                .as("names in %s of types or methods that don't exist", PAGE)
+                .isEmpty();
         assertThat(named).isGreaterThan(100);
     }
 
--- a/src/test/java/rillyard/PolicyFilesTest.java
+++ b/src/test/java/rillyard/PolicyFilesTest.java
@@ -12,7 +12,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The platform's file names the decision module: all of its package, by files that exist. */
+/**
+ * Guards against a list {@code policy} in deploy/balancer.toml that no longer matches the decision module: a source
+ * file of {@code rillyard.balancer} that is added, renamed or removed must be changed in the list as well.
+ */
 class PolicyFilesTest {
     private static final Path PLATFORM_FILE = Path.of("deploy/balancer.toml");
     private static final Path DECISION_PACKAGE = Path.of("src/main/java/rillyard/balancer");
--- a/src/test/java/rillyard/StoredDataTest.java
+++ b/src/test/java/rillyard/StoredDataTest.java
@@ -23,7 +23,10 @@
 import rillyard.requestlog.RequestLogReader;
 import rillyard.trace.TraceEvent;
 
-/** Data that revision 9259448 stored is read, and what is written has the form that it had then. */
+/**
+ * Guards against a change to the format of stored data: files written by revision 9259448 must still be read, and what
+ * is written now must have the same format.
+ */
 class StoredDataTest {
     private static final Path SAMPLES = Path.of("src/test/resources/stored-9259448");
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -106,7 +109,7 @@
         return new RunReport.Quantiles(0, 0, 0, 0, 0, 0, 0);
     }
 
-    /** Paths of all fields below a node; of a list, those of its first element. */
+    /** Returns the paths of all fields below a node; for a list, those of its first element. */
     private static Set<String> fields(String prefix, JsonNode node) {
         Set<String> paths = new TreeSet<>();
         if (node.isArray() && !node.isEmpty()) {
