--- a/src/main/java/rillyard/simulation/SimulatorSession.java
+++ b/src/main/java/rillyard/simulation/SimulatorSession.java
@@ -19,11 +19,11 @@
 import rillyard.settings.SettingsReader;
 
 /**
- * One session with the simulator: feeds the events it writes to one {@link Balancer} for each proxy it names, and replies
- * with their actions. Not thread-safe.
+ * Runs one session with the simulator: passes its events to one {@link Balancer} for each simulated proxy and replies
+ * with the actions of the balancers. Not thread-safe.
  */
 public final class SimulatorSession {
-    /** The outcomes by their codes on the wire; code 0 is not used. */
+    /** Attempt outcomes, indexed by their codes on the wire; code 0 is not used. */
     private static final AttemptOutcome[] OUTCOMES = {
         null,
         AttemptOutcome.OK,
@@ -43,7 +43,7 @@
     private final WireWriter reply = new WireWriter();
     private final Map<Long, Balancer> balancers = new HashMap<>();
     private final Map<Long, List<EndpointEntry>> endpointLists = new HashMap<>();
-    private double now;
+    private double nowMillis;
 
     /** Creates a session on these streams; stack traces of failures go to {@code errors}. */
     public SimulatorSession(InputStream in, OutputStream out, PrintStream errors) {
@@ -53,16 +53,16 @@
     }
 
     /**
-     * Replies to batches until the input ends, or until a balancer has failed.
+     * Handles batches and replies to them until the input ends or a balancer throws an exception.
      *
      * @throws MalformedInputException if the input is malformed
      */
     public void run() throws IOException {
         while (reader.next(message)) {
             if (!message.isNamed("sync")) {
-                throw message.malformed("a batch starts with 'sync'");
+                throw message.malformed("expected 'sync' at the start of a batch");
             }
-            now = message.decimal("wall");
+            nowMillis = message.decimal("wall");
             boolean succeeded = handleBatch();
             reply.flush(out);
             if (!succeeded) {
@@ -71,7 +71,10 @@
         }
     }
 
-    /** Handles the events of a batch; after a failure the others are read, but not handled. Returns false then. */
+    /**
+     * Handles the events of a batch and returns whether all succeeded; after a failure the remaining events are read
+     * but not handled.
+     */
     private boolean handleBatch() throws IOException {
         boolean succeeded = true;
         while (true) {
@@ -93,7 +96,7 @@
         } catch (MalformedInputException e) {
             throw e;
         } catch (RuntimeException e) {
-            // A defect of the decisions: the simulator has to see it.
+            // A defect of the balancer is reported to the simulator.
             e.printStackTrace(errors);
             reply.word("crash who=").number(message.number("who", 0));
             reply.word(" text=").text(e.toString()).endLine();
@@ -101,7 +104,7 @@
         }
     }
 
-    /** Handles one event; one of an unknown kind is skipped. */
+    /** Handles one event; events of unknown kinds are skipped. */
     private void handleEvent() throws IOException {
         if (message.isNamed("outcome")) {
             onOutcome();
@@ -120,11 +123,11 @@
         } else if (message.isNamed("new_instance")) {
             startInstance();
         } else if (message.isNamed("sync") || message.isNamed("host")) {
-            throw message.malformed("'" + message.name() + "' is out of place");
+            throw message.malformed("'" + message.name() + "' is not expected here");
         }
     }
 
-    /** Returns the balancer the event is for, null if it has been retired. */
+    /** Returns the balancer that the event is addressed to, or null if that balancer has been retired. */
     private Balancer balancer() {
         return balancers.get(message.number("who"));
     }
@@ -134,7 +137,7 @@
         WireActions actions = new WireActions(reply, instance);
         Balancer balancer = new Balancer(SettingsReader.read(message.string("conf")), message.number("prng"), actions);
         balancers.put(instance, balancer);
-        balancer.onStart(now);
+        balancer.onStart(nowMillis);
     }
 
     private void onOutcome() {
@@ -147,11 +150,11 @@
                 message.flag("terminal"),
                 balancer == null ? null : loadReport());
         if (balancer != null) {
-            balancer.onAttemptEnded(now, request, result);
+            balancer.onAttemptEnded(nowMillis, request, result);
         }
     }
 
-    /** An unknown code is taken for an error, which proves nothing about the effect. */
+    /** Returns the outcome of a code; an unknown code is an error, after which the effect is unknown. */
     private static AttemptOutcome outcome(int code) {
         return code > 0 && code < OUTCOMES.length ? OUTCOMES[code] : AttemptOutcome.ERROR;
     }
@@ -165,10 +168,10 @@
         Balancer balancer = balancer();
         long request = message.number("txn");
         String requestClass = message.string("class");
-        double remainingTime = message.decimal("budget");
+        double remainingMillis = message.decimal("budget");
         if (balancer != null) {
             String tenant = message.string("org", null);
-            balancer.onRequest(now, new IncomingRequest(request, requestClass, tenant, remainingTime));
+            balancer.onRequest(nowMillis, new IncomingRequest(request, requestClass, tenant, remainingMillis));
         }
     }
 
@@ -176,7 +179,7 @@
         Balancer balancer = balancer();
         long request = message.number("txn");
         if (balancer != null) {
-            balancer.onClientDisconnected(now, request);
+            balancer.onClientDisconnected(nowMillis, request);
         }
     }
 
@@ -184,24 +187,24 @@
         Balancer balancer = balancer();
         long token = message.number("token");
         if (balancer != null) {
-            balancer.onTimer(now, token);
+            balancer.onTimer(nowMillis, token);
         }
     }
 
     private void readEndpointList() throws IOException {
-        long buffer = message.number("buffer");
-        long records = message.number("records");
+        long listNumber = message.number("buffer");
+        long entryCount = message.number("records");
         List<EndpointEntry> entries = new ArrayList<>();
-        for (long record = 0; record < records; record++) {
+        for (long index = 0; index < entryCount; index++) {
             if (!reader.next(message)) {
-                throw new MalformedInputException("the input ends in the middle of a ledger");
+                throw new MalformedInputException("the input ends within the lines of a 'ledger'");
             }
             if (!message.isNamed("host")) {
-                throw message.malformed("a ledger has fewer 'host' lines than it says");
+                throw message.malformed("'ledger' has fewer 'host' lines than its field 'records' states");
             }
             entries.add(endpointEntry());
         }
-        endpointLists.put(buffer, entries);
+        endpointLists.put(listNumber, entries);
     }
 
     private EndpointEntry endpointEntry() {
@@ -218,7 +221,7 @@
         return switch (word) {
             case "Ready" -> EndpointEntry.Condition.READY;
             case "Gone" -> EndpointEntry.Condition.GONE;
-            default -> EndpointEntry.Condition.TERMINATING; // nothing new is sent to a host in an unknown condition
+            default -> EndpointEntry.Condition.TERMINATING; // a host in an unknown condition gets no new requests
         };
     }
 
@@ -232,13 +235,13 @@
         if (event != WatchEvent.FAILED) {
             entries = endpointLists.get(message.number("buffer"));
             if (entries == null) {
-                throw message.malformed("no ledger with this number has come");
+                throw message.malformed("no 'ledger' with the number in field 'buffer' has been received");
             }
         }
-        balancer.onWatchEvent(now, event, entries);
+        balancer.onWatchEvent(nowMillis, event, entries);
     }
 
-    /** Returns the kind of event by its word on the wire, null for an unknown one. */
+    /** Returns the watch event with this name on the wire, or null for an unknown name. */
     private static WatchEvent watchEvent(String word) {
         return switch (word) {
             case "delta" -> WatchEvent.DELTA;
--- a/src/main/java/rillyard/simulation/WireActions.java
+++ b/src/main/java/rillyard/simulation/WireActions.java
@@ -2,7 +2,7 @@
 
 import rillyard.balancer.BalancerActions;
 
-/** Writes the actions of one simulated proxy to the reply, in the order in which they are taken. */
+/** Writes the actions of one simulated proxy to the reply, in the order of the calls. */
 final class WireActions implements BalancerActions {
     private final WireWriter reply;
     private final long instance;
@@ -16,42 +16,42 @@
         return reply.word(action).word(" who=").number(instance);
     }
 
-    private WireWriter start(String action, long request) {
-        return start(action).word(" txn=").number(request);
+    private WireWriter start(String action, long requestId) {
+        return start(action).word(" txn=").number(requestId);
     }
 
-    /** {@inheritDoc} The wire has no field for {@code notAfter}, as a simulated connection comes up at once. */
+    /** {@inheritDoc} The wire has no {@code notAfterMillis}, as simulated connections are opened without delay. */
     @Override
-    public void send(long request, long host, double giveUpAfter, double notAfter) {
-        start("transmit", request).word(" host=").number(host);
-        if (giveUpAfter > 0) {
-            reply.word(" giveUpAfter=").time(giveUpAfter);
+    public void send(long requestId, long hostId, double timeoutMillis, double notAfterMillis) {
+        start("transmit", requestId).word(" host=").number(hostId);
+        if (timeoutMillis > 0) {
+            reply.word(" giveUpAfter=").time(timeoutMillis);
         }
         reply.endLine();
     }
 
     @Override
-    public void reject(long request, double retryAfter) {
-        start("shed", request);
-        if (retryAfter > 0) {
-            reply.word(" coolDown=").time(retryAfter);
+    public void reject(long requestId, double retryAfterMillis) {
+        start("shed", requestId);
+        if (retryAfterMillis > 0) {
+            reply.word(" coolDown=").time(retryAfterMillis);
         }
         reply.endLine();
     }
 
     @Override
-    public void fail(long request) {
-        start("abort", request).endLine();
+    public void fail(long requestId) {
+        start("abort", requestId).endLine();
     }
 
     @Override
-    public void cancel(long request, int attempt) {
-        start("cancel", request).word(" sendNo=").number(attempt).endLine();
+    public void cancel(long requestId, int attempt) {
+        start("cancel", requestId).word(" sendNo=").number(attempt).endLine();
     }
 
     @Override
-    public void scheduleTimer(double delay, long token) {
-        start("set_timer").word(" sleepFor=").time(Math.max(0, delay));
+    public void scheduleTimer(double delayMillis, long token) {
+        start("set_timer").word(" sleepFor=").time(Math.max(0, delayMillis));
         reply.word(" token=").number(token).endLine();
     }
 
--- a/src/main/java/rillyard/simulation/WireMessage.java
+++ b/src/main/java/rillyard/simulation/WireMessage.java
@@ -5,13 +5,13 @@
 import rillyard.settings.MalformedInputException;
 
 /**
- * One line of the wire, {@code name key=value key=value ...}, parsed in place without copying the bytes.
+ * Parses one line of the form {@code name key=value key=value ...} in place, without copying its bytes.
  *
- * <p>An instance is used for one line after the other; it is valid until its bytes change. The accessors throw {@link
- * MalformedInputException} if a field is missing or not of the type asked for. Not thread-safe.
+ * <p>An instance is reused for successive lines; its fields are valid until the buffer changes. The accessors throw
+ * {@link MalformedInputException} if a field is missing or not of the requested type. Not thread-safe.
  */
 final class WireMessage {
-    private static final int MAX_TEXT_SHOWN = 60;
+    private static final int MAX_EXCERPT_BYTES = 60;
     private static final int INITIAL_FIELDS = 16;
 
     private byte[] buffer = {};
@@ -23,7 +23,7 @@
     private int[] keyEnd = new int[INITIAL_FIELDS];
     private int[] valueEnd = new int[INITIAL_FIELDS];
 
-    /** Parses the line in {@code bytes[from, to)}; the value of {@code conf} and {@code text} runs to its end. */
+    /** Parses the line in {@code bytes[from, to)}; values of {@code conf} and {@code text} extend to the line's end. */
     void parse(byte[] bytes, int from, int to) {
         buffer = bytes;
         start = from;
@@ -31,7 +31,7 @@
         fieldCount = 0;
         nameEnd = indexOf(' ', from);
         if (nameEnd == start) {
-            throw malformed("a line without a name");
+            throw malformed("the line has no name");
         }
         int position = nameEnd;
         while (position < end) {
@@ -39,14 +39,14 @@
         }
     }
 
-    /** Parses the field whose key starts at {@code key} and returns where it ends. */
+    /** Parses the field whose key starts at {@code key} and returns the end of the field. */
     private int parseField(int key) {
         int equals = key;
         while (equals < end && buffer[equals] != '=' && buffer[equals] != ' ') {
             equals++;
         }
         if (equals >= end || buffer[equals] != '=' || equals == key) {
-            throw malformed("a field is not name=value");
+            throw malformed("a field does not have the form key=value");
         }
         boolean freeText = matches(key, equals, "conf") || matches(key, equals, "text");
         int fieldEnd = freeText ? end : indexOf(' ', equals);
@@ -54,7 +54,7 @@
         return fieldEnd;
     }
 
-    /** Returns the index of the next such byte of the line, its end if there is none. */
+    /** Returns the index of the next occurrence of a byte in the line, or the end of the line if there is none. */
     private int indexOf(char wanted, int from) {
         int index = from;
         while (index < end && buffer[index] != wanted) {
@@ -87,7 +87,7 @@
         return true;
     }
 
-    /** Whether the line has this name. */
+    /** Returns whether the line has this name. */
     boolean isNamed(String name) {
         return matches(start, nameEnd, name);
     }
@@ -96,7 +96,7 @@
         return text(start, nameEnd);
     }
 
-    /** Returns the index of a field, -1 if there is none. */
+    /** Returns the index of a field, or -1 if there is none. */
     private int find(String key) {
         for (int field = 0; field < fieldCount; field++) {
             if (matches(keyStart[field], keyEnd[field], key)) {
@@ -119,7 +119,7 @@
         return longValue(require(key), key);
     }
 
-    /** Returns an integer, {@code defaultValue} if the field is missing. */
+    /** Returns an integer, or {@code defaultValue} if the field is missing. */
     long number(String key, long defaultValue) {
         int field = find(key);
         return field < 0 ? defaultValue : longValue(field, key);
@@ -139,7 +139,7 @@
         return doubleValue(keyEnd[field] + 1, valueEnd[field], key);
     }
 
-    /** Returns a finite number, {@code defaultValue} if the field is missing. */
+    /** Returns a finite number, or {@code defaultValue} if the field is missing. */
     double decimal(String key, double defaultValue) {
         int field = find(key);
         return field < 0 ? defaultValue : doubleValue(keyEnd[field] + 1, valueEnd[field], key);
@@ -153,7 +153,7 @@
         }
     }
 
-    /** Whether the field is there and is {@code 1}. */
+    /** Returns whether the field is present and has the value {@code 1}. */
     boolean flag(String key) {
         int field = find(key);
         return field >= 0 && matches(keyEnd[field] + 1, valueEnd[field], "1");
@@ -165,15 +165,15 @@
         return text(keyEnd[field] + 1, valueEnd[field]);
     }
 
-    /** Returns a text, {@code defaultValue} if the field is missing. */
+    /** Returns a text, or {@code defaultValue} if the field is missing. */
     String string(String key, String defaultValue) {
         int field = find(key);
         return field < 0 ? defaultValue : text(keyEnd[field] + 1, valueEnd[field]);
     }
 
     /**
-     * Returns the values of a field of the form {@code name:value,name:value}, in the order of {@code names}. A value that is
-     * not there is NaN and an unknown name is skipped; {@code -} is a field without values.
+     * Returns the values of a field of the form {@code name:value,name:value}, in the order of {@code names}. An
+     * absent value is NaN, an unknown name is skipped, and {@code -} stands for a field without values.
      *
      * @return null if the field is missing
      */
@@ -202,7 +202,7 @@
                 }
             }
         } else if (to > from && !matches(from, to, "-")) {
-            throw malformed("field '" + key + "' is not name:value pairs");
+            throw malformed("field '" + key + "' is not a list of name:value pairs");
         }
     }
 
@@ -210,13 +210,13 @@
         return new String(buffer, from, to - from, StandardCharsets.UTF_8);
     }
 
-    /** Returns an exception whose message says {@code reason} and shows the start of the line. */
+    /** Returns an exception whose message contains {@code reason} and the start of the line. */
     MalformedInputException malformed(String reason) {
         return malformed(reason, null);
     }
 
     private MalformedInputException malformed(String reason, Throwable cause) {
-        String shown = text(start, Math.min(end, start + MAX_TEXT_SHOWN));
-        return new MalformedInputException("malformed line: " + reason + ": " + shown, cause);
+        String excerpt = text(start, Math.min(end, start + MAX_EXCERPT_BYTES));
+        return new MalformedInputException("malformed line: " + reason + ": " + excerpt, cause);
     }
 }
--- a/src/main/java/rillyard/simulation/WireNumbers.java
+++ b/src/main/java/rillyard/simulation/WireNumbers.java
@@ -4,10 +4,10 @@
 
 /** Parses numbers from bytes without allocation in the usual case. */
 final class WireNumbers {
-    /** The most digits of which every combination fits a {@code long}. */
+    /** Maximum number of digits for which every integer fits a {@code long}. */
     private static final int MAX_LONG_DIGITS = 18;
 
-    /** Length up to which digits and scale are exact as {@code double}s, so that their quotient is rounded correctly. */
+    /** Length up to which digits and scale are exact {@code double}s, so that their quotient is rounded correctly. */
     private static final int MAX_EXACT_LENGTH = 16;
 
     private WireNumbers() {}
@@ -60,7 +60,7 @@
         return digits / scale;
     }
 
-    /** Parses signs, exponents and numbers too long for the quick way. */
+    /** Parses a number that has a sign or an exponent, or that is too long for the fast path. */
     private static double parseOtherDouble(byte[] bytes, int from, int to) {
         double value = Double.parseDouble(new String(bytes, from, to - from, StandardCharsets.UTF_8));
         if (!Double.isFinite(value)) {
--- a/src/main/java/rillyard/simulation/WireWriter.java
+++ b/src/main/java/rillyard/simulation/WireWriter.java
@@ -14,7 +14,7 @@
     private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int size;
 
-    /** Appends ASCII characters as they are. */
+    /** Appends ASCII characters unchanged. */
     WireWriter word(String word) {
         int length = word.length();
         ensureCapacity(length);
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Appends a time in ms, with microseconds if it is not a whole number of ms. */
+    /** Appends a time in ms, with three decimals if it is not a whole number of ms. */
     WireWriter time(double millis) {
         long micros = Math.round(millis * MICROS_PER_MILLI);
         if (micros < 0) {
@@ -67,7 +67,7 @@
         return this;
     }
 
-    /** Appends free text in UTF-8, with line ends replaced by blanks. */
+    /** Appends free text in UTF-8, with line ends replaced by spaces. */
     WireWriter text(String text) {
         byte[] bytes = text.replace('\n', ' ').replace('\r', ' ').getBytes(StandardCharsets.UTF_8);
         ensureCapacity(bytes.length);
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Writes the collected lines and starts anew. */
+    /** Writes the collected lines and clears the buffer. */
     void flush(OutputStream out) throws IOException {
         out.write(buffer, 0, size);
         out.flush();
--- a/src/test/java/rillyard/simulation/RecordedDecisionsTest.java
+++ b/src/test/java/rillyard/simulation/RecordedDecisionsTest.java
@@ -15,10 +15,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Replays events that were recorded with revision 9259448 on the simulator's wire and compares the decisions byte for
- * byte with those that revision made: six instances and 24 hosts over 43 s, with unresponsive, failing, lossy and full
- * hosts, a surge, drains, cold restarts, failed watches and an instance that starts again. Only the texts of log lines
- * may differ.
+ * Guards against unintended changes of decisions: replays events that were recorded on the simulator's wire with
+ * revision 9259448 and compares the decisions byte for byte with those of that revision. Six instances and 24 hosts run
+ * for 43 s, with unresponsive, failing, lossy and full hosts, a load surge, draining hosts, hosts that restart and warm
+ * up, failed watches and a restarted instance. Only the texts of log lines may differ.
  */
 class RecordedDecisionsTest {
     private static final String FOLDER = "/recorded-decisions/";
--- a/src/test/java/rillyard/simulation/SimulatorSessionTest.java
+++ b/src/test/java/rillyard/simulation/SimulatorSessionTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import rillyard.settings.MalformedInputException;
 
-/** Batches on the wire and the replies to them. */
+/** Tests the replies to batches of events, and that malformed input is rejected with a message of one line. */
 class SimulatorSessionTest {
     private static final String SETTINGS =
             "{\"balancers\":2,\"position\":0,\"zone\":\"z1\",\"novel\":[1],\"classes\":[{\"name\":\"c\","
@@ -31,11 +31,11 @@
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    private static String start(int who) {
-        return "new_instance who=" + who + " prng=5 conf=" + SETTINGS + "\n"
+    private static String start(int instance) {
+        return "new_instance who=" + instance + " prng=5 conf=" + SETTINGS + "\n"
                 + "ledger buffer=0 records=1\n"
                 + "host host=77 hall=z1 model=m group=0 condition=Ready capacityHint=1 later=1\n"
-                + "membership who=" + who + " buffer=0 how=cached stamp=1\n";
+                + "membership who=" + instance + " buffer=0 how=cached stamp=1\n";
     }
 
     @Test
