--- a/src/main/java/rillyard/requestlog/ClientAttempt.java
+++ b/src/main/java/rillyard/requestlog/ClientAttempt.java
@@ -5,20 +5,20 @@
 import java.io.IOException;
 
 /**
- * One attempt of a client's request, recorded when it has ended. Times are microseconds of Unix time.
+ * Records one attempt of a client's request after it has ended. Times are microseconds of Unix time.
  *
  * @param request number of the request, the same for all of its attempts
  * @param attemptNumber number of the attempt, from 0
  * @param requestId value of {@code X-Request-ID}
  * @param idempotencyKey value of {@code Idempotency-Key}, or null
  * @param requestClass class of the request
- * @param tenant its tenant, or null
+ * @param tenant tenant of the request, or null
  * @param client number of the client
  * @param scheduledAt when the schedule required the request's first attempt to be sent
  * @param sentAt when this attempt was sent
- * @param endedAt when its last byte arrived, or when the client gave it up
- * @param timeoutMicros the timeout that the client stated
- * @param outcome how it ended
+ * @param endedAt when the last byte of the response arrived, or when the client gave up
+ * @param timeoutMicros timeout that the client stated in the request
+ * @param outcome how the attempt ended
  * @param status status of the response, 0 without one
  * @param retryAfterMicros value of {@code Retry-After}, 0 without one
  * @param lastAttempt whether the request ended with this attempt
--- a/src/main/java/rillyard/requestlog/ClientOutcome.java
+++ b/src/main/java/rillyard/requestlog/ClientOutcome.java
@@ -6,9 +6,9 @@
     SERVED,
     /** Rejected with 429 or 503: a retry is harmless. */
     REFUSED,
-    /** Any other status. */
+    /** A response with any other status. */
     FAILED,
-    /** The client left before its stated time was up; no answer is owed. */
+    /** The client disconnected before its stated timeout, so that no response is required. */
     ABANDONED,
     /** No complete response within the stated timeout and the grace period after it. */
     UNANSWERED,
@@ -16,11 +16,11 @@
     BROKEN,
     /** A response that is malformed, or that belongs to another request. */
     GARBLED,
-    /** No connection, or one that ended before the complete request was written: it was not accepted. */
+    /** No connection, or one that ended before the request was written completely: the request was not accepted. */
     UNREACHABLE,
     /**
-     * A cached connection was closed as the request was sent, and nothing was forwarded: the target may close a
-     * connection between requests. The same request is sent once more on a new connection.
+     * A reused connection was closed while the request was being sent, and nothing was forwarded: the target may close
+     * a connection between requests. The same request is sent once more on a new connection.
      */
     STALE,
     /** Never sent: the load generator had reached its own limit. */
--- a/src/main/java/rillyard/requestlog/ExecutionResult.java
+++ b/src/main/java/rillyard/requestlog/ExecutionResult.java
@@ -2,25 +2,25 @@
 
 /** The result of a request that a host received; the names are stored in the log. */
 public enum ExecutionResult {
-    /** It was executed, and the response was sent. */
+    /** The request was executed, and the response was sent. */
     DONE(true, true),
-    /** It was answered with an error before it was executed. */
+    /** The request was answered with an error before it was executed. */
     ERROR(true, false),
-    /** It was executed; the response was cut off by a reset. */
+    /** The request was executed; the response was cut off by a reset. */
     RESET(true, true),
-    /** It was executed; the response was corrupted. */
+    /** The request was executed; the response was corrupted. */
     GARBLED(true, true),
-    /** Its client left while it was being executed, and the execution was completed. */
+    /** The sender disconnected during the execution, which was completed. */
     LEFT(true, true),
-    /** It was executed, and no response was sent. */
+    /** The request was executed, and no response was sent. */
     HUNG(true, true),
     /** The host was killed during the execution. */
     KILLED(true, false),
-    /** Its idempotency key was known: the stored response was returned, with no second effect. */
+    /** The idempotency key was known: the stored response was returned, without a second effect. */
     REMEMBERED(false, false),
-    /** It was rejected without being processed. */
+    /** The request was rejected without being processed. */
     TURNED_AWAY(false, false),
-    /** It was still queued when its client left or the host was killed. */
+    /** The request was still queued when its sender disconnected or the host was killed. */
     DROPPED(false, false);
 
     private final boolean mayHaveRun;
--- a/src/main/java/rillyard/requestlog/HostEvent.java
+++ b/src/main/java/rillyard/requestlog/HostEvent.java
@@ -5,13 +5,13 @@
 import java.io.IOException;
 
 /**
- * An event of a host, or the begin or end of an injected fault.
+ * Records an event of a host, or the start or end of an injected fault.
  *
  * @param at Unix time in microseconds
  * @param host id of the host; {@code discovery} for a fault of discovery
  * @param kind what happened
  * @param detail description for a human reader, or null
- * @param capacity number of cores times speed: microseconds of work per microsecond that a warm host does
+ * @param capacity number of cores times speed: microseconds of work that the host does per microsecond once it is warm
  * @param initialCapacityShare share of the capacity that the host has when it starts; 1 without slow start
  * @param warmUpMicros time that the host takes to reach its full capacity
  */
--- a/src/main/java/rillyard/requestlog/HostExecution.java
+++ b/src/main/java/rillyard/requestlog/HostExecution.java
@@ -5,20 +5,20 @@
 import java.io.IOException;
 
 /**
- * One request that a host received, recorded when the host has finished with it. Times are microseconds of Unix time.
+ * Records one request that a host received, after the host has finished with it. Times are microseconds of Unix time.
  *
  * @param requestId value of {@code X-Request-ID}
  * @param idempotencyKey value of {@code Idempotency-Key}, or null
  * @param requestClass class of the request
  * @param host id of the host
- * @param cell the cell whose hosts share idempotency keys
+ * @param cell number of the host's cell, whose hosts share idempotency keys
  * @param zone the host's zone
  * @param attempt number of times that this id had been received before, by all hosts together
- * @param receivedAt when its first byte arrived
- * @param startedAt when its execution began, 0 if it never did
+ * @param receivedAt when the first byte of the request arrived
+ * @param startedAt when the execution began, 0 if it never did
  * @param endedAt when the host had finished with it
- * @param workMicros its cost in core time of a warm host
- * @param result the result
+ * @param workMicros cost of the request in core time of a warm host
+ * @param result how the host handled the request
  */
 public record HostExecution(
         String requestId,
--- a/src/main/java/rillyard/requestlog/JsonFields.java
+++ b/src/main/java/rillyard/requestlog/JsonFields.java
@@ -4,8 +4,8 @@
 import java.util.Arrays;
 
 /**
- * Reads the fields of a record and checks their types. All methods throw {@link IllegalArgumentException} that says
- * what was expected.
+ * Reads the fields of a record and checks their types. All methods throw an {@link IllegalArgumentException} whose
+ * message says what was expected.
  */
 final class JsonFields {
     private JsonFields() {}
--- a/src/main/java/rillyard/requestlog/LogHeader.java
+++ b/src/main/java/rillyard/requestlog/LogHeader.java
@@ -14,7 +14,7 @@
 public record LogHeader(String logKind, long at, long seed) implements LogRecord {
     static final String KIND = "head";
 
-    /** Version of the record format; a reader rejects any other. */
+    /** Version of the record format; readers reject any other version. */
     static final int VERSION = 1;
 
     @Override
--- a/src/main/java/rillyard/requestlog/LogRecord.java
+++ b/src/main/java/rillyard/requestlog/LogRecord.java
@@ -13,7 +13,7 @@
     /**
      * Parses a record from its JSON object.
      *
-     * @throws IllegalArgumentException if the object is no record; the message says what was expected
+     * @throws IllegalArgumentException if the object is not a valid record; the message says what was expected
      */
     static LogRecord read(JsonNode node) {
         return switch (JsonFields.text(node, "k")) {
--- a/src/main/java/rillyard/requestlog/LogTrailer.java
+++ b/src/main/java/rillyard/requestlog/LogTrailer.java
@@ -5,11 +5,11 @@
 import java.io.IOException;
 
 /**
- * The last record of a request log that was closed in order. A log without it is truncated and proves nothing by what
- * it lacks.
+ * The last record of a request log that was closed properly. A log without a trailer is truncated, so that the absence
+ * of a record in it proves nothing.
  *
  * @param at Unix time in microseconds
- * @param recordCount number of records before it
+ * @param recordCount number of records before the trailer
  */
 public record LogTrailer(long at, long recordCount) implements LogRecord {
     static final String KIND = "end";
--- a/src/main/java/rillyard/requestlog/RequestLogReader.java
+++ b/src/main/java/rillyard/requestlog/RequestLogReader.java
@@ -19,12 +19,12 @@
      * Reads a log and passes each record between header and trailer to a consumer.
      *
      * @param logKind the expected kind: {@code clients} or {@code hosts}
-     * @return whether the log was closed in order; one that was not may lack its last records
-     * @throws InvalidConfigException at the first line that is no record, or if the file can't be read
+     * @return whether the log was closed properly; otherwise its last records may be missing
+     * @throws InvalidConfigException at the first line that is not a record, or if the file can't be read
      */
     public static boolean read(Path file, String logKind, Consumer<LogRecord> consumer) throws InvalidConfigException {
         int lineNumber = 0;
-        boolean closedInOrder = false;
+        boolean closedProperly = false;
         try (BufferedReader in = Files.newBufferedReader(file)) {
             String line;
             while ((line = in.readLine()) != null) {
@@ -37,10 +37,10 @@
                         && !(logRecord instanceof LogHeader header
                                 && header.logKind().equals(logKind))) {
                     throw new IllegalArgumentException(
-                            "expected the head of a ledger of " + logKind + ", found " + line);
+                            "expected the header of a request log of " + logKind + ", found " + line);
                 }
-                closedInOrder = logRecord instanceof LogTrailer;
-                if (lineNumber > 1 && !closedInOrder) {
+                closedProperly = logRecord instanceof LogTrailer;
+                if (lineNumber > 1 && !closedProperly) {
                     consumer.accept(logRecord);
                 }
             }
@@ -53,8 +53,8 @@
             throw new InvalidConfigException(file.toString(), lineNumber, "can't be read: " + e);
         }
         if (lineNumber == 0) {
-            throw new InvalidConfigException(file.toString(), 0, "empty, expected a ledger of " + logKind);
+            throw new InvalidConfigException(file.toString(), 0, "empty, expected a request log of " + logKind);
         }
-        return closedInOrder;
+        return closedProperly;
     }
 }
--- a/src/main/java/rillyard/requestlog/RequestLogWriter.java
+++ b/src/main/java/rillyard/requestlog/RequestLogWriter.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.BlockingQueue;
 
 /**
- * Writes a request log. Records are gathered in blocks and written by a thread of its own, so that a slow disk does not
- * block an event loop until {@value #MAX_QUEUED_BLOCKS} blocks are queued; from then on it does, since a request log
+ * Writes a request log. Records are collected in blocks that a separate thread writes, so that a slow disk does not
+ * block an event loop. Once {@value #MAX_QUEUED_BLOCKS} blocks are queued, the caller is blocked, since a request log
  * with a gap proves nothing. Thread-safe.
  */
 public final class RequestLogWriter implements AutoCloseable {
@@ -63,8 +63,8 @@
     }
 
     /**
-     * Appends a record; does nothing once the log is closed. Blocks while {@value #MAX_QUEUED_BLOCKS} blocks wait for
-     * the disk.
+     * Appends a record; does nothing once the log is closed. Blocks while {@value #MAX_QUEUED_BLOCKS} blocks are queued
+     * for the disk.
      */
     public synchronized void append(LogRecord logRecord) {
         if (closed) {
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Hands the records gathered so far to the writer thread, so that a reader finds them soon. */
+    /** Passes the records collected so far to the writer thread, so that they reach the file soon. */
     public synchronized void flush() {
         if (!closed && block.size() > 0) {
             enqueueBlock();
@@ -142,7 +142,7 @@
         }
     }
 
-    /** Returns the number of records written so far. */
+    /** Returns the number of records appended so far, including the header. */
     public synchronized long recordCount() {
         return recordCount;
     }
@@ -150,7 +150,7 @@
     /**
      * Closes the log: writes all records and a trailer, and waits for the writer thread.
      *
-     * @throws IOException if any could not be written
+     * @throws IOException if any record could not be written
      */
     @Override
     public void close() throws IOException {
--- a/src/main/java/rillyard/requestlog/UnexpectedResponse.java
+++ b/src/main/java/rillyard/requestlog/UnexpectedResponse.java
@@ -5,10 +5,10 @@
 import java.io.IOException;
 
 /**
- * Bytes that arrived on a client's connection after the one response it was owed.
+ * Records that bytes arrived on a client's connection after its final response.
  *
  * @param at Unix time in microseconds
- * @param requestId id of the request that was answered last on that connection
+ * @param requestId id of the last request that was answered on that connection
  */
 public record UnexpectedResponse(long at, String requestId) implements LogRecord {
     static final String KIND = "surplus";
--- a/src/main/java/rillyard/requestlog/UnixClock.java
+++ b/src/main/java/rillyard/requestlog/UnixClock.java
@@ -3,8 +3,8 @@
 import java.time.Instant;
 
 /**
- * Provides Unix time in microseconds that never goes back: the wall clock is read once, and the monotonic clock gives
- * the time since. Two processes on one machine agree to well under a millisecond. Thread-safe.
+ * Provides Unix time in microseconds that never decreases: the wall clock is read once, and the monotonic clock gives
+ * the time since. The clocks of two processes on one machine differ by well under a millisecond. Thread-safe.
  */
 // Both clocks are meant to be read once, when the class is loaded: later readings are relative to that moment.
 @SuppressWarnings("TimeInStaticInitializer")
--- a/src/main/java/rillyard/requestlog/WatchNotification.java
+++ b/src/main/java/rillyard/requestlog/WatchNotification.java
@@ -5,9 +5,9 @@
 import java.io.IOException;
 
 /**
- * A change of a host's state that discovery made, or that a watch was notified of.
+ * Records a change of a host's state by discovery, or the notification of a watch of such a change.
  *
- * @param at Unix time in microseconds at which it was written
+ * @param at Unix time in microseconds at which the change was made or the notification was written
  * @param watcher number of the watch, from 1; 0 marks the change itself, before any watch was notified
  * @param host id of the host
  * @param state {@code up}, {@code draining} or {@code removed}
--- a/src/test/java/rillyard/requestlog/RequestLogTest.java
+++ b/src/test/java/rillyard/requestlog/RequestLogTest.java
@@ -13,7 +13,7 @@
 
 /** Tests that request logs are written completely and read back, and that malformed ones are rejected. */
 class RequestLogTest {
-    private static final List<LogRecord> LINES = List.of(
+    private static final List<LogRecord> RECORDS = List.of(
             new ClientAttempt(
                     7, 1, "ab", "k", "claim", "t", 3, 10, 11, 12, 400_000, ClientOutcome.REFUSED, 503, 9, false),
             new ClientAttempt(
@@ -31,30 +31,30 @@
         return folder.resolve("l.jsonl");
     }
 
-    private static LogHeader head() {
+    private static LogHeader header() {
         return new LogHeader("hosts", 1, 42);
     }
 
     @Test
     void writtenRecordsAreReadBack() throws Exception {
-        try (RequestLogWriter writer = RequestLogWriter.open(file(), head())) {
-            LINES.forEach(writer::append);
+        try (RequestLogWriter writer = RequestLogWriter.open(file(), header())) {
+            RECORDS.forEach(writer::append);
         }
         List<LogRecord> read = new ArrayList<>();
         assertThat(RequestLogReader.read(file(), "hosts", read::add)).isTrue();
-        assertThat(read).isEqualTo(LINES);
+        assertThat(read).isEqualTo(RECORDS);
     }
 
     @Test
     void concurrentWritersProduceCompleteLines() throws Exception {
         int threads = 8;
-        int each = 5_000;
-        try (RequestLogWriter writer = RequestLogWriter.open(file(), head())) {
+        int recordsPerThread = 5_000;
+        try (RequestLogWriter writer = RequestLogWriter.open(file(), header())) {
             List<Thread> all = new ArrayList<>();
             for (int i = 0; i < threads; i++) {
                 Thread thread = new Thread(() -> {
-                    for (int n = 0; n < each; n++) {
-                        writer.append(LINES.get(n % LINES.size()));
+                    for (int n = 0; n < recordsPerThread; n++) {
+                        writer.append(RECORDS.get(n % RECORDS.size()));
                     }
                 });
                 thread.start();
@@ -66,37 +66,37 @@
         }
         int[] count = new int[1];
         assertThat(RequestLogReader.read(file(), "hosts", line -> count[0]++)).isTrue();
-        assertThat(count[0]).isEqualTo(threads * each);
+        assertThat(count[0]).isEqualTo(threads * recordsPerThread);
     }
 
     @Test
     void flushedButUnclosedLogIsReportedIncomplete() throws Exception {
-        RequestLogWriter writer = RequestLogWriter.open(file(), head());
-        writer.append(LINES.get(0));
+        RequestLogWriter writer = RequestLogWriter.open(file(), header());
+        writer.append(RECORDS.get(0));
         writer.flush();
-        long until = System.nanoTime() + 20_000_000_000L;
-        while (Files.size(file()) == 0 && System.nanoTime() < until) {
+        long untilNanos = System.nanoTime() + 20_000_000_000L;
+        while (Files.size(file()) == 0 && System.nanoTime() < untilNanos) {
             Thread.onSpinWait();
         }
         List<LogRecord> read = new ArrayList<>();
         assertThat(RequestLogReader.read(file(), "hosts", read::add)).isFalse();
-        assertThat(read).containsExactly(LINES.get(0));
+        assertThat(read).containsExactly(RECORDS.get(0));
         writer.close();
-        writer.append(LINES.get(1)); // without effect
+        writer.append(RECORDS.get(1)); // is ignored: the log is closed
         assertThat(RequestLogReader.read(file(), "hosts", line -> {})).isTrue();
     }
 
     @Test
     void malformedLogIsRejectedWithLineNumber() throws Exception {
-        String head = "{\"k\":\"head\",\"version\":1,\"of\":\"hosts\",\"at\":1,\"seed\":2}\n";
+        String header = "{\"k\":\"head\",\"version\":1,\"of\":\"hosts\",\"at\":1,\"seed\":2}\n";
         for (String[] testCase : new String[][] {
-            {"", ": empty, expected a ledger of hosts"},
+            {"", ": empty, expected a request log of hosts"},
             {"{\"k\":\"head\",\"version\":9,\"of\":\"hosts\",\"at\":1,\"seed\":2}\n", ":1: version: found 9, expected 1"
             },
-            {head.replace("hosts", "clients"), ":1: expected the head of a ledger of hosts"},
-            {head + "{\"k\":\"told\"}\n", ":2: at: found nothing, expected a whole number"},
-            {head + "{\"k\":\"else\"}\n", ":2: k: found \"else\", expected head"},
-            {head + "{\"k\":\"told\",\"at\":1,\"wat", ":2: expected a JSON object"}
+            {header.replace("hosts", "clients"), ":1: expected the header of a request log of hosts"},
+            {header + "{\"k\":\"told\"}\n", ":2: at: found nothing, expected a whole number"},
+            {header + "{\"k\":\"else\"}\n", ":2: k: found \"else\", expected head"},
+            {header + "{\"k\":\"told\",\"at\":1,\"wat", ":2: expected a JSON object"}
         }) {
             Files.writeString(file(), testCase[0]);
             assertThatThrownBy(() -> RequestLogReader.read(file(), "hosts", line -> {}))
