--- a/src/main/java/rillyard/config/ConfigProblem.java
+++ b/src/main/java/rillyard/config/ConfigProblem.java
@@ -3,8 +3,8 @@
 /**
  * A problem in a configuration file.
  *
- * @param file the file as the operator named it
- * @param line the line, from 1; 0 for the file as a whole
+ * @param file name of the file as the operator gave it
+ * @param line number of the line, from 1; 0 for the file as a whole
  * @param message what was found and what is allowed, on one line
  */
 public record ConfigProblem(String file, int line, String message) {
--- a/src/main/java/rillyard/config/DidYouMean.java
+++ b/src/main/java/rillyard/config/DidYouMean.java
@@ -4,7 +4,7 @@
 
 /** Suggests the known name that a mistyped one was most likely meant to be. */
 public final class DidYouMean {
-    /** Maximum number of edits as a share of the word's length; with more it is taken for another word. */
+    /** Maximum number of edits as a share of the word's length; with more edits a name is not suggested. */
     private static final double MAX_EDIT_SHARE = 0.4;
 
     private DidYouMean() {}
--- a/src/main/java/rillyard/config/TomlLines.java
+++ b/src/main/java/rillyard/config/TomlLines.java
@@ -6,11 +6,9 @@
 /**
  * Finds the line of each key and table of a TOML text.
  *
- *
  * <p>The parser that reads the values (jackson-dataformat-toml) does not keep positions. This class reads just enough
- * of the grammar (TOML 1.0.0) to tell keys from values: strings, comments, brackets and headers. It is used on texts
- * that the parser has accepted, so that it does not detect errors.
- *
+ * of the grammar (TOML 1.0.0) to tell keys from values: strings, comments, brackets and headers. It is used only on
+ * texts that the parser has accepted, and does not detect errors.
  *
  * <p>Paths join keys with dots, and an element of an array of tables has its index as a key: {@code fault.2.host}. Keys
  * within inline tables are found by the line of the key that contains them.
@@ -68,7 +66,7 @@
         currentTable = name;
     }
 
-    /** Returns a header's path with the index of the last element after each array of tables. */
+    /** Returns the path of a header, with the index of the last element after the name of each array of tables. */
     private String resolve(String name) {
         String resolved = "";
         String[] keys = name.split("\\.");
--- a/src/main/java/rillyard/config/TomlTable.java
+++ b/src/main/java/rillyard/config/TomlTable.java
@@ -20,9 +20,9 @@
 import java.util.stream.Collectors;
 
 /**
- * A table of a TOML file that is read key by key. An absent key has its default. An invalid one is recorded as a
- * problem and has its default too, so that all problems are found in one pass. The reader of the root calls
- * {@link #finish} at the end, which reports keys that were never read. Not thread-safe.
+ * Reads a table of a TOML file key by key. An absent key has its default value. An invalid value is recorded as a
+ * problem and replaced by the default, so that all problems are found in one pass. The reader of the root table calls
+ * {@link #finish} at the end, which reports all problems and the keys that were never read. Not thread-safe.
  */
 public final class TomlTable {
     /** The file that a table belongs to, with the problems found so far and all tables that were read. */
@@ -132,7 +132,7 @@
     }
 
     /**
-     * Returns the constant that a text names, in lower case and with {@code _} and {@code -} treated alike, or the
+     * Returns the constant whose name in lower case is the text, with {@code _} and {@code -} treated alike, or the
      * default.
      */
     public <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) {
@@ -251,7 +251,7 @@
             return tables;
         }
         if (!node.isArray()) {
-            error(key, "found " + node + ", expected tables, each headed [[" + key + "]]");
+            error(key, "found " + node + ", expected an array of tables, each with the header [[" + key + "]]");
             return tables;
         }
         for (int i = 0; i < node.size(); i++) {
