--- a/src/main/java/rillyard/cli/AuditCommand.java
+++ b/src/main/java/rillyard/cli/AuditCommand.java
@@ -13,28 +13,28 @@
 @Command(
         name = "audit",
         description = {
-            "Holds the clients' and the hosts' ledgers of a run against the four rules.",
-            "Ends with 0 if the rules were kept and the ledgers prove it, else with 1."
+            "Checks the request logs of a run's clients and hosts against the rules of the protocol.",
+            "Exits with 0 if all rules were kept and the logs prove it, otherwise with 1."
         },
         mixinStandardHelpOptions = true,
         versionProvider = VersionProvider.class)
 final class AuditCommand implements Callable<Integer> {
-    @Option(names = "--clients", required = true, description = "The ledger of 'load'.")
+    @Option(names = "--clients", required = true, description = "Request log of 'load'.")
     private Path clients;
 
-    @Option(names = "--hosts", required = true, description = "The ledger of 'stand-in'.")
+    @Option(names = "--hosts", required = true, description = "Request log of 'stand-in'.")
     private Path hosts;
 
     @Option(
             names = "--settings",
             required = true,
-            description = "The platform's settings, or a file that holds them, as a ready file does.")
+            description = "The platform's settings (JSON), or a file that contains them, such as a ready file.")
     private Path settings;
 
     @Option(
             names = "--most",
             defaultValue = "20",
-            description = "Breaches that are printed with their history (${DEFAULT-VALUE}).")
+            description = "Maximum number of violations printed with their history (${DEFAULT-VALUE}).")
     private int most;
 
     @Override
--- a/src/main/java/rillyard/cli/BenchmarkCommand.java
+++ b/src/main/java/rillyard/cli/BenchmarkCommand.java
@@ -33,27 +33,30 @@
 final class BenchmarkCommand implements Callable<Integer> {
     @Override
     public Integer call() {
-        System.err.println("rillyard: say what to measure: proxy, generator, start or fleet");
+        System.err.println("rillyard: missing subcommand, expected proxy, generator, start or fleet");
         return Cli.USAGE;
     }
 
     /** Measures the latency and CPU time that the proxy adds. */
     @Command(
             name = "proxy",
-            description = "What the proxy adds, in pairs in turn: latency, and CPU a request beside the generator's.",
+            description = "Measures the latency and the CPU time per request that the proxy adds, in alternating runs.",
             mixinStandardHelpOptions = true,
             versionProvider = VersionProvider.class)
     static final class Proxy implements Callable<Integer> {
         @Option(
                 names = "--rates",
                 defaultValue = "500,1000,2000",
-                description = "Requests a second (${DEFAULT-VALUE}).")
+                description = "Request rates per second, separated by commas (${DEFAULT-VALUE}).")
         private String rates;
 
-        @Option(names = "--pairs", defaultValue = "5", description = "Pairs of runs (${DEFAULT-VALUE}).")
+        @Option(
+                names = "--pairs",
+                defaultValue = "5",
+                description = "Pairs of runs, without and with the proxy (${DEFAULT-VALUE}).")
         private int pairs;
 
-        @Option(names = "--seconds", defaultValue = "5", description = "Length of a run (${DEFAULT-VALUE}).")
+        @Option(names = "--seconds", defaultValue = "5", description = "Length of a run in seconds (${DEFAULT-VALUE}).")
         private int seconds;
 
         @Override
@@ -68,29 +71,35 @@
     /** Measures the start of one or two builds. */
     @Command(
             name = "start",
-            description = "What a start costs: wall and CPU time to each mark, and the first requests' latency.",
+            description = "Measures starts: wall and CPU time to each mark, and the latency of the first requests.",
             mixinStandardHelpOptions = true,
             versionProvider = VersionProvider.class)
     static final class Start implements Callable<Integer> {
-        @Option(names = "--starts", defaultValue = "10", description = "Starts of each build (${DEFAULT-VALUE}).")
+        @Option(
+                names = "--starts",
+                defaultValue = "10",
+                description = "Number of starts of each build (${DEFAULT-VALUE}).")
         private int starts;
 
         @Option(
                 names = "--cores",
                 defaultValue = "1",
-                description = "Part of a core for the proxy, left to it by busy neighbours (${DEFAULT-VALUE}).")
+                description = "Share of a core for the proxy; busy processes use the rest (${DEFAULT-VALUE}).")
         private double cores;
 
         @Option(
                 names = "--root",
                 defaultValue = ".",
-                description = "Folder that holds deploy/ and target/ (${DEFAULT-VALUE}).")
+                description = "Folder that contains deploy/ and target/ (${DEFAULT-VALUE}).")
         private Path root;
 
-        @Option(names = "--against", paramLabel = "ROOT", description = "Such a folder of another build, in turn.")
+        @Option(
+                names = "--against",
+                paramLabel = "ROOT",
+                description = "Such a folder of another build, started alternately.")
         private Path against;
 
-        @Option(names = "--option", paramLabel = "OPTION", description = "A further option of the JVM, for all.")
+        @Option(names = "--option", paramLabel = "OPTION", description = "An additional JVM option for all starts.")
         private List<String> options = List.of();
 
         @Override
@@ -106,7 +115,7 @@
             }
             for (Path build : builds.values()) {
                 if (!Files.exists(build.resolve("target/rillyard.jar"))) {
-                    System.err.println("rillyard: " + build + ": expected a folder with target/rillyard.jar, a build");
+                    System.err.println("rillyard: " + build + ": expected a build, with target/rillyard.jar");
                     return Cli.USAGE;
                 }
             }
@@ -120,8 +129,8 @@
     @Command(
             name = "fleet",
             description = {
-                "Counts over a whole fleet what its proxies did to hosts and discovery.",
-                "Reads their logs, written with -Drillyard.trace=true, one file for each proxy."
+                "Computes statistics of the load that the proxies of a whole fleet put on hosts and discovery.",
+                "Reads the proxies' logs, written with -Drillyard.trace=true, one file per proxy."
             },
             mixinStandardHelpOptions = true,
             versionProvider = VersionProvider.class)
@@ -129,16 +138,16 @@
         @Option(
                 names = "--window",
                 defaultValue = "2500",
-                description = "A row of the timetable, ms (${DEFAULT-VALUE}).")
+                description = "Length of a row of the timetable in ms (${DEFAULT-VALUE}).")
         private int window;
 
         @Option(
                 names = "--cold-window",
                 defaultValue = "1500",
-                description = "Work at a cold host is summed over so many ms (${DEFAULT-VALUE}).")
+                description = "Window in ms in which the work of a warming-up host is summed (${DEFAULT-VALUE}).")
         private int coldWindow;
 
-        @Parameters(arity = "1..*", paramLabel = "LOG", description = "What one proxy wrote on standard error.")
+        @Parameters(arity = "1..*", paramLabel = "LOG", description = "Standard error output of one proxy.")
         private List<Path> logs;
 
         @Override
@@ -175,20 +184,29 @@
     /** Measures the highest rate of the load generator. */
     @Command(
             name = "generator",
-            description = "The highest rate that one core of the generator holds on schedule.",
+            description = "Measures the highest rate at which the load generator keeps its schedule on one core.",
             mixinStandardHelpOptions = true,
             versionProvider = VersionProvider.class)
     static final class Generator implements Callable<Integer> {
-        @Option(names = "--from", defaultValue = "5000", description = "First rate (${DEFAULT-VALUE}).")
+        @Option(
+                names = "--from",
+                defaultValue = "5000",
+                description = "First rate, requests per second (${DEFAULT-VALUE}).")
         private int from;
 
-        @Option(names = "--step", defaultValue = "5000", description = "Step (${DEFAULT-VALUE}).")
+        @Option(
+                names = "--step",
+                defaultValue = "5000",
+                description = "Increase of the rate from run to run (${DEFAULT-VALUE}).")
         private int step;
 
-        @Option(names = "--most", defaultValue = "100000", description = "Last rate (${DEFAULT-VALUE}).")
+        @Option(
+                names = "--most",
+                defaultValue = "100000",
+                description = "Last rate, requests per second (${DEFAULT-VALUE}).")
         private int most;
 
-        @Option(names = "--seconds", defaultValue = "5", description = "Length of a run (${DEFAULT-VALUE}).")
+        @Option(names = "--seconds", defaultValue = "5", description = "Length of a run in seconds (${DEFAULT-VALUE}).")
         private int seconds;
 
         @Override
--- a/src/main/java/rillyard/cli/Cli.java
+++ b/src/main/java/rillyard/cli/Cli.java
@@ -7,10 +7,10 @@
 import picocli.CommandLine.HelpCommand;
 import rillyard.config.InvalidConfigException;
 
-/** The root command, with {@code --help} and {@code --version} on each subcommand. */
+/** Parses command lines: the root command, with {@code --help} and {@code --version} on each subcommand. */
 @Command(
         name = "rillyard",
-        description = "A client-side load-balancing proxy, and what rehearses it.",
+        description = "A client-side load-balancing proxy, with test servers, a load generator and an audit.",
         mixinStandardHelpOptions = true,
         versionProvider = VersionProvider.class,
         synopsisSubcommandLabel = "COMMAND",
--- a/src/main/java/rillyard/cli/DemoCommand.java
+++ b/src/main/java/rillyard/cli/DemoCommand.java
@@ -12,13 +12,13 @@
 @Command(
         name = "demo",
         description = {
-            "Discovery, eight hosts, one proxy and a surge of 20 s, in which one host hangs and one drains.",
-            "Ends with 0 only if no rule was broken."
+            "Runs discovery, eight hosts and a proxy under a load surge of 20 s; one host hangs and one drains.",
+            "Exits with 0 only if no rule was broken."
         },
         mixinStandardHelpOptions = true,
         versionProvider = VersionProvider.class)
 final class DemoCommand implements Callable<Integer> {
-    @Option(names = "--keep", description = "A folder that gets the ledgers and the report.")
+    @Option(names = "--keep", description = "Folder to which the request logs and the report are written.")
     private Path keep;
 
     @Override
--- a/src/main/java/rillyard/cli/FaultInjectionCommand.java
+++ b/src/main/java/rillyard/cli/FaultInjectionCommand.java
@@ -16,7 +16,7 @@
 /** Runs fault-injection plans. */
 @Command(
         name = "trial",
-        description = "Starts many processes of this program, with faults between them.",
+        description = "Starts many processes of this program and injects faults between them.",
         mixinStandardHelpOptions = true,
         versionProvider = VersionProvider.class,
         synopsisSubcommandLabel = "WHAT",
@@ -24,57 +24,57 @@
 final class FaultInjectionCommand implements Callable<Integer> {
     @Override
     public Integer call() {
-        System.err.println("rillyard: say what of trials: run");
+        System.err.println("rillyard: missing subcommand, expected run");
         return Cli.USAGE;
     }
 
-    /** Executes a plan, with random faults on request. */
+    /** Executes a plan, with additional random faults on request. */
     @Command(
             name = "run",
             description = {
-                "Runs a plan and tells what the processes believed and what clients were served (docs/trials.md). Ends with 1",
-                "if a process that could be heard was held dead, if those that live don't agree in the end, or if a",
-                "rule of the proxies was broken."
+                "Runs a plan and reports the membership views of its processes and the results of its clients",
+                "(docs/trials.md). Exits with 1 if a reachable process was declared dead, if the surviving processes",
+                "do not agree at the end, or if a rule of the proxies was broken."
             },
             mixinStandardHelpOptions = true,
             versionProvider = VersionProvider.class)
     static final class Run implements Callable<Integer> {
-        @Parameters(paramLabel = "PLAN", description = "TOML: processes, zones, and faults by their times.")
+        @Parameters(paramLabel = "PLAN", description = "TOML file: processes, zones, and faults by their times.")
         private Path plan;
 
-        @Option(names = "--out", required = true, description = "A new folder for logs, histories and the report.")
+        @Option(names = "--out", required = true, description = "New folder for logs, histories and the report.")
         private Path out;
 
         @Option(
                 names = "--build",
                 defaultValue = ".",
-                description = "The folder that holds deploy and target of the build to start (${DEFAULT-VALUE}).")
+                description = "Folder that contains deploy/ and target/ of the build to start (${DEFAULT-VALUE}).")
         private Path build;
 
         @Option(
                 names = "--nemesis",
                 split = ",",
-                description = "Draws faults besides those of the plan: ${COMPLETION-CANDIDATES}.")
+                description = "Adds random faults to those of the plan: ${COMPLETION-CANDIDATES}.")
         private Set<RandomFaultSchedule.Kind> nemesis = Set.of();
 
-        @Option(names = "--seed", defaultValue = "1", description = "What they are drawn from (${DEFAULT-VALUE}).")
+        @Option(names = "--seed", defaultValue = "1", description = "Seed of the random faults (${DEFAULT-VALUE}).")
         private long seed;
 
         @Override
         public Integer call() throws Exception {
             var faultPlan = FaultInjectionPlanReader.read(plan);
             if (Files.exists(out)) {
-                System.err.println("rillyard: " + out + " is there already, expected a new folder");
+                System.err.println("rillyard: " + out + " already exists, expected a new folder");
                 return Cli.USAGE;
             }
             if (!Files.exists(build.resolve("deploy/proxy.jvm"))
                     || !Files.exists(build.resolve("target/rillyard.jar"))) {
-                System.err.println("rillyard: no deploy/proxy.jvm and target/rillyard.jar in " + build
-                        + ", expected a build there");
+                System.err.println("rillyard: no deploy/proxy.jvm or no target/rillyard.jar in " + build
+                        + ", expected the folder of a build");
                 return Cli.USAGE;
             }
             if (!nemesis.isEmpty()) {
-                System.out.println("nemesis of seed " + seed);
+                System.out.println("random faults with seed " + seed);
                 faultPlan = faultPlan.withFaults(RandomFaultSchedule.draw(faultPlan, nemesis, seed));
             }
             FaultInjectionResult result = new FaultInjectionRun(faultPlan, out, System.out)
--- a/src/main/java/rillyard/cli/FleetCommand.java
+++ b/src/main/java/rillyard/cli/FleetCommand.java
@@ -10,7 +10,7 @@
 import rillyard.membership.net.FleetConfig;
 import rillyard.membership.net.FleetConfigReader;
 
-/** Works on the settings of a fleet. */
+/** Groups the commands for the settings of a fleet. */
 @Command(
         name = "fleet",
         description = "Settings of the processes that form a fleet.",
@@ -21,21 +21,21 @@
 final class FleetCommand implements Callable<Integer> {
     @Override
     public Integer call() {
-        System.err.println("rillyard: say what of the fleet: check");
+        System.err.println("rillyard: missing subcommand, expected check");
         return Cli.USAGE;
     }
 
     /** Checks the settings of one process. */
     @Command(
             name = "check",
-            description = "Reads a file as `proxy --fleet` would, and tells all that is wrong with it, by line.",
+            description = "Validates a file as `proxy --fleet` does, and reports all of its problems by line.",
             mixinStandardHelpOptions = true,
             versionProvider = VersionProvider.class)
     static final class Check implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
-        @Parameters(paramLabel = "FILE", description = "TOML, as deploy/fleet.toml.")
+        @Parameters(paramLabel = "FILE", description = "TOML file, such as deploy/fleet.toml.")
         private Path file;
 
         @Override
--- a/src/main/java/rillyard/cli/GracefulShutdown.java
+++ b/src/main/java/rillyard/cli/GracefulShutdown.java
@@ -5,10 +5,10 @@
 
 /**
  * Lets a command finish on SIGINT and SIGTERM: a callback is run, and the JVM's shutdown waits until the command has
- * completed. Without it the JVM would exit before request logs are complete.
+ * completed, for at most 20 s. Otherwise the JVM would exit before request logs are complete.
  *
- * <p>It does not wait for the command's thread to end: that thread calls {@link System#exit}, which blocks for as long as
- * a shutdown runs.
+ * <p>The shutdown does not wait for the end of the command's thread: that thread calls {@link System#exit}, which
+ * blocks as long as a shutdown runs.
  */
 final class GracefulShutdown {
     private static final long MAX_WAIT_MS = 20_000;
@@ -18,9 +18,9 @@
     private volatile boolean signalled;
 
     /**
-     * Installs the shutdown hook, which waits for {@link #cancel}.
+     * Installs the shutdown hook, which waits for {@link #complete}.
      *
-     * @param onSignal run at the signal, on a thread of its own
+     * @param onSignal run when the signal arrives, on a separate thread
      */
     GracefulShutdown(Runnable onSignal) {
         hook = new Thread(
@@ -37,8 +37,8 @@
         Runtime.getRuntime().addShutdownHook(hook);
     }
 
-    /** Ends the wait of a shutdown, or removes the hook, as the command has completed. */
-    void cancel() {
+    /** Reports that the command has completed: a waiting shutdown proceeds, or the hook is removed. */
+    void complete() {
         completed.countDown();
         try {
             Runtime.getRuntime().removeShutdownHook(hook);
--- a/src/main/java/rillyard/cli/LoadCommand.java
+++ b/src/main/java/rillyard/cli/LoadCommand.java
@@ -23,7 +23,7 @@
 /** Runs the load generator. */
 @Command(
         name = "load",
-        description = "Sends a plan's requests on its schedule, whatever the target does, and reports.",
+        description = "Sends the requests of a plan on schedule, whatever the target does, and prints a report.",
         mixinStandardHelpOptions = true,
         versionProvider = VersionProvider.class)
 final class LoadCommand implements Callable<Integer> {
@@ -32,28 +32,28 @@
             required = true,
             split = ",",
             converter = SocketAddressConverter.class,
-            description = "Where requests go, IP:port; several are taken in turn.")
+            description = "Target of the requests, IP:port; several, separated by commas, are used in turn.")
     private List<InetSocketAddress> targets;
 
     @Option(
             names = "--plan",
             required = true,
-            description = "TOML: shapes or a trace, classes, clients, tenants, a seed.")
+            description = "TOML file: load shapes or a trace, classes, clients, tenants and a seed.")
     private Path planFile;
 
-    @Option(names = "--ledger", description = "Gets a line for every try.")
-    private Path ledgerFile;
+    @Option(names = "--ledger", description = "Request log to write, with one line per attempt.")
+    private Path logFile;
 
-    @Option(names = "--report", description = "A folder that gets report.json, report.html and .hgrm files.")
+    @Option(names = "--report", description = "Folder to which report.json, report.html and .hgrm files are written.")
     private Path report;
 
-    @Option(names = "--marks", description = "A ledger of the hosts, whose faults the report marks.")
+    @Option(names = "--marks", description = "Request log of the hosts; the report marks the faults in it.")
     private Path marks;
 
-    @Option(names = "--json", description = "The report on standard output as JSON, with no progress.")
+    @Option(names = "--json", description = "Prints the report on standard output as JSON, without progress.")
     private boolean json;
 
-    @Option(names = "--cold", description = "Starts at once, with code that is not compiled yet.")
+    @Option(names = "--cold", description = "Starts without warm-up, with code that is not compiled yet.")
     private boolean cold;
 
     @Override
@@ -70,7 +70,7 @@
         LoadRun run;
         GracefulShutdown shutdown;
         try (RequestLogWriter requestLog =
-                ledgerFile == null ? RequestLogWriter.disabled() : RequestLogWriter.open(ledgerFile, header)) {
+                logFile == null ? RequestLogWriter.disabled() : RequestLogWriter.open(logFile, header)) {
             run = new LoadRun(plan, targets, requestLog, json ? null : System.out);
             shutdown = new GracefulShutdown(run::interrupt);
             run.run();
@@ -85,7 +85,7 @@
                         ? new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(runReport) + "\n"
                         : ReportTable.of(runReport));
         System.out.flush();
-        shutdown.cancel();
+        shutdown.complete();
         return runReport.valid() ? Cli.DONE : Cli.FAILED;
     }
 }
--- a/src/main/java/rillyard/cli/MembersCommand.java
+++ b/src/main/java/rillyard/cli/MembersCommand.java
@@ -19,7 +19,7 @@
 @Command(
         name = "members",
         description =
-                "Shows what one process of a fleet holds of the others: who lives, since when, by whose word, and what it costs.",
+                "Shows the members that one process knows: their status, since when and from whom, and what it costs.",
         mixinStandardHelpOptions = true,
         versionProvider = VersionProvider.class)
 final class MembersCommand implements Callable<Integer> {
@@ -32,13 +32,13 @@
             names = "--admin",
             required = true,
             converter = SocketAddressConverter.class,
-            description = "The process's `admin` of its fleet.toml, IP:port.")
+            description = "The `admin` address in the fleet.toml of the process, IP:port.")
     private InetSocketAddress admin;
 
-    @Option(names = "--watch", description = "Goes on with a line for each change until it is ended.")
+    @Option(names = "--watch", description = "Continues with a line for each change until interrupted.")
     private boolean watch;
 
-    @Option(names = "--json", description = "All of it as JSON, one line.")
+    @Option(names = "--json", description = "Prints the whole view as JSON on one line.")
     private boolean json;
 
     @Override
@@ -53,26 +53,26 @@
         if (watch) {
             CountDownLatch stopSignal = new CountDownLatch(1);
             GracefulShutdown shutdown = new GracefulShutdown(stopSignal::countDown);
-            Map<String, String> before = memberStates(view);
+            Map<String, String> previous = memberStates(view);
             while (!stopSignal.await(POLL_INTERVAL_MS, TimeUnit.MILLISECONDS)) {
-                Map<String, String> now = memberStates(MemberAdminClient.fetchView(admin));
-                changes(before, now).forEach(out::println);
-                before = now;
+                Map<String, String> current = memberStates(MemberAdminClient.fetchView(admin));
+                changes(previous, current).forEach(out::println);
+                previous = current;
             }
-            shutdown.cancel();
+            shutdown.complete();
         }
         return Cli.DONE;
     }
 
     private static void printTable(JsonNode view, PrintWriter out) {
         JsonNode self = view.path("self");
-        long at = view.path("at").asLong();
+        long atUnixMillis = view.path("at").asLong();
         out.printf(
                 Locale.ROOT,
-                "%s holds %d present, itself among them%s%n",
+                "%s holds %d present members, including itself%s%n",
                 self.path("name").asText(),
                 view.path("present").asInt(),
-                view.path("over").asBoolean() ? "; it is silent: another has its name" : "");
+                view.path("over").asBoolean() ? "; it has stopped sending: another process has its name" : "");
         out.printf(
                 "%-16s %-21s %4s %6s %-7s %-7s %9s  %s%n",
                 "name", "address", "zone", "region", "status", "loop", "for s", "by");
@@ -80,23 +80,26 @@
         for (JsonNode node : view.path("members")) {
             printRow(
                     node,
-                    String.format(Locale.ROOT, "%.1f", (at - node.path("since").asLong()) / 1e3),
+                    String.format(
+                            Locale.ROOT,
+                            "%.1f",
+                            (atUnixMillis - node.path("since").asLong()) / 1e3),
                     node.path("by").asText(),
                     out);
         }
         JsonNode usage = view.path("costs");
-        double upSeconds = Math.max(1, usage.path("up_ms").asDouble()) / 1e3;
+        double uptimeSeconds = Math.max(1, usage.path("up_ms").asDouble()) / 1e3;
         out.printf(
                 Locale.ROOT,
-                "a second, over %.0f s: %.1f datagrams and %.0f bytes sent, %.1f and %.0f received; %d turned away;"
+                "per second, over %.0f s: %.1f datagrams and %.0f bytes sent, %.1f and %.0f received; %d rejected;"
                         + " its thread busy %.2f %% of the time%n",
-                upSeconds,
-                usage.path("datagrams_sent").asLong() / upSeconds,
-                usage.path("bytes_sent").asLong() / upSeconds,
-                usage.path("datagrams_received").asLong() / upSeconds,
-                usage.path("bytes_received").asLong() / upSeconds,
+                uptimeSeconds,
+                usage.path("datagrams_sent").asLong() / uptimeSeconds,
+                usage.path("bytes_sent").asLong() / uptimeSeconds,
+                usage.path("datagrams_received").asLong() / uptimeSeconds,
+                usage.path("bytes_received").asLong() / uptimeSeconds,
                 usage.path("turned_away").asLong(),
-                usage.path("busy_ms").asLong() / upSeconds / 10);
+                usage.path("busy_ms").asLong() / uptimeSeconds / 10);
     }
 
     private static void printRow(JsonNode node, String seconds, String by, PrintWriter out) {
@@ -123,17 +126,17 @@
         return states;
     }
 
-    private static java.util.List<String> changes(Map<String, String> before, Map<String, String> now) {
+    private static java.util.List<String> changes(Map<String, String> previous, Map<String, String> current) {
         java.util.List<String> lines = new java.util.ArrayList<>();
-        now.forEach((name, state) -> {
-            String previousState = before.get(name);
+        current.forEach((name, state) -> {
+            String previousState = previous.get(name);
             if (!state.equals(previousState)) {
                 lines.add(java.time.Instant.now() + " " + name + " is " + state
                         + (previousState == null ? " (new)" : " (was " + previousState + ")"));
             }
         });
-        before.keySet().stream()
-                .filter(name -> !now.containsKey(name))
+        previous.keySet().stream()
+                .filter(name -> !current.containsKey(name))
                 .forEach(name -> lines.add(java.time.Instant.now() + " " + name + " is forgotten"));
         return lines;
     }
--- a/src/main/java/rillyard/cli/ProxyCommands.java
+++ b/src/main/java/rillyard/cli/ProxyCommands.java
@@ -17,8 +17,8 @@
 import rillyard.simulation.SimulatorSession;
 
 /**
- * The commands that the platform starts. They are declared here for their help and options; given alone they are run
- * before the parser is loaded.
+ * Declares the commands that the platform starts, for their help and options. Without arguments they are run before
+ * the parser is loaded.
  */
 final class ProxyCommands {
     private ProxyCommands() {}
@@ -28,15 +28,15 @@
             name = "proxy",
             description = {
                 "Runs one client proxy until SIGTERM.",
-                "BALANCER_CONFIG names its configuration (JSON); BALANCER_NAME, BALANCER_LISTEN and"
-                        + " BALANCER_DISCOVERY win over it. SIGHUP reads the file again."
+                "BALANCER_CONFIG names its configuration file (JSON); BALANCER_NAME, BALANCER_LISTEN and"
+                        + " BALANCER_DISCOVERY take precedence over it. SIGHUP reloads the file."
             },
             mixinStandardHelpOptions = true,
             versionProvider = VersionProvider.class)
     static final class ProxyCommand implements Callable<Integer> {
         @Option(
                 names = "--fleet",
-                description = "TOML: joins the fleet that it describes (docs/membership.md). Not on the platform.")
+                description = "TOML file of a fleet to join (docs/membership.md). Not used on the platform.")
         private Path fleet;
 
         @Override
@@ -61,7 +61,7 @@
     /** Runs a simulator session on standard input and output. */
     @Command(
             name = "adapter",
-            description = "Runs the decisions on the simulator's wire, on standard input and output.",
+            description = "Runs the balancer for a simulator, which is connected to standard input and output.",
             mixinStandardHelpOptions = true,
             versionProvider = VersionProvider.class)
     static final class AdapterCommand implements Callable<Integer> {
@@ -80,7 +80,7 @@
     /** Runs the training for the class archive. */
     @Command(
             name = "rehearse",
-            description = "Starts and warms up with nobody there; the build records what is loaded.",
+            description = "Starts and warms up without other processes; the build records which classes are loaded.",
             mixinStandardHelpOptions = true,
             versionProvider = VersionProvider.class)
     static final class RehearseCommand implements Callable<Integer> {
--- a/src/main/java/rillyard/cli/SocketAddressConverter.java
+++ b/src/main/java/rillyard/cli/SocketAddressConverter.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.ITypeConverter;
 import picocli.CommandLine.TypeConversionException;
 
-/** Converts {@code IP:port}; host names are not resolved. */
+/** Converts the text {@code IP:port} to a socket address; host names are not resolved. */
 final class SocketAddressConverter implements ITypeConverter<InetSocketAddress> {
     @Override
     public InetSocketAddress convert(String text) {
@@ -12,6 +12,6 @@
         if (address != null) {
             return address;
         }
-        throw new TypeConversionException("'" + text + "', expected IP:port, as 127.0.0.1:9000");
+        throw new TypeConversionException("'" + text + "', expected IP:port, such as 127.0.0.1:9000");
     }
 }
--- a/src/main/java/rillyard/cli/SubsetCommand.java
+++ b/src/main/java/rillyard/cli/SubsetCommand.java
@@ -11,10 +11,10 @@
 import rillyard.subset.SubsetStatistics;
 import rillyard.subset.SubsettingAlgorithm;
 
-/** Plans the subsets of a fleet. */
+/** Groups the commands for the subsets of a fleet. */
 @Command(
         name = "subset",
-        description = "What instances of a fleet would hold of its hosts.",
+        description = "Computes which part of a fleet's hosts each instance uses.",
         mixinStandardHelpOptions = true,
         versionProvider = VersionProvider.class,
         synopsisSubcommandLabel = "WHAT",
@@ -22,46 +22,45 @@
 final class SubsetCommand implements Callable<Integer> {
     @Override
     public Integer call() {
-        System.err.println("rillyard: say what of subsets: plan");
+        System.err.println("rillyard: missing subcommand, expected plan");
         return Cli.USAGE;
     }
 
-    /** Computes the largest subset whose connections the hosts can bear. */
+    /** Computes the largest subset size that keeps the hosts within their connection limit. */
     @Command(
             name = "plan",
             description = {
-                "The most hosts an instance may have so that hosts bear the connections of all, and what that",
-                "comes to by each way of subsetting. Ends with 1 if even two hosts each are too much."
+                "Computes the largest subset of an instance that keeps all hosts within their connection limit, with",
+                "statistics of each subsetting algorithm. Exits with 1 if even two hosts per instance are too many."
             },
             mixinStandardHelpOptions = true,
             versionProvider = VersionProvider.class)
     static final class Plan implements Callable<Integer> {
-        /** Maximum number of instances times hosts; as every subset is computed, more would take too long. */
+        /** Maximum number of instances times hosts; a higher number takes too long, as every subset is computed. */
         private static final long MAX_PAIRS = 10_000_000;
 
         @Spec
         private CommandSpec spec;
 
-        @Option(names = "--instances", required = true, description = "Instances of the proxy.")
+        @Option(names = "--instances", required = true, description = "Number of proxy instances.")
         private int instances;
 
-        @Option(names = "--hosts", required = true, description = "Hosts.")
+        @Option(names = "--hosts", required = true, description = "Number of hosts.")
         private int hosts;
 
-        @Option(names = "--cap", required = true, description = "Connections that a host takes.")
+        @Option(names = "--cap", required = true, description = "Maximum number of connections per host.")
         private int cap;
 
         @Option(
                 names = "--each",
                 defaultValue = "1",
-                description = "Connections of an instance to a host of its subset at most (${DEFAULT-VALUE}).")
+                description = "Maximum connections from an instance to a host of its subset (${DEFAULT-VALUE}).")
         private int each;
 
         @Option(
                 names = "--reserve",
                 defaultValue = "0.1",
-                description =
-                        "Part of the cap left free, for rolling restarts and subsets that widen (${DEFAULT-VALUE}).")
+                description = "Share of the cap kept free for rolling restarts and growing subsets (${DEFAULT-VALUE}).")
         private double reserve;
 
         @Override
@@ -75,13 +74,13 @@
                     || each < 1
                     || !(reserve >= 0 && reserve < 1)) {
                 err.println("rillyard: expected --instances of 1 or more, --hosts of " + SubsetSize.MIN_HOSTS
-                        + " or more, both times" + " each other up to " + MAX_PAIRS
+                        + " or more, their product" + " up to " + MAX_PAIRS
                         + ", --cap and --each of 1 or more, --reserve from 0 to below 1");
                 return Cli.USAGE;
             }
             boolean anyFeasible = false;
-            out.println("| way | hosts each | instances a host: least, mean, most | connections a host, most |"
-                    + " neighbours alike | shared by two | moved when a host goes | when an instance comes |");
+            out.println("| algorithm | subset size | instances per host: min, mean, max | connections per host, max |"
+                    + " identical neighbours | shared by two | moves per host removed | per instance added |");
             out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
             for (SubsettingAlgorithm algorithm : SubsettingAlgorithm.values()) {
                 try {
--- a/src/main/java/rillyard/cli/TestClusterCommand.java
+++ b/src/main/java/rillyard/cli/TestClusterCommand.java
@@ -20,44 +20,47 @@
 import rillyard.testserver.TestClusterPlan;
 import rillyard.testserver.TestClusterPlanReader;
 
-/** Runs a test cluster: hosts and discovery. */
+/** Runs a test cluster: test hosts and discovery. */
 @Command(
         name = "stand-in",
-        description = "Runs hosts and a discovery that stand in for the real ones, until SIGINT or SIGTERM.",
+        description = "Runs test hosts and a test discovery until SIGINT or SIGTERM.",
         mixinStandardHelpOptions = true,
         versionProvider = VersionProvider.class)
 final class TestClusterCommand implements Callable<Integer> {
-    @Option(names = "--hosts", description = "How many hosts there are, where the timetable names none (8).")
+    @Option(names = "--hosts", description = "Number of hosts if the timetable names none (8).")
     private int hosts;
 
     @Option(
             names = "--listen",
             converter = SocketAddressConverter.class,
             defaultValue = "127.0.0.1:0",
-            description = "Where discovery listens; hosts have free ports of that address (${DEFAULT-VALUE}).")
+            description = "Address of discovery, IP:port; hosts use free ports of the same IP (${DEFAULT-VALUE}).")
     private InetSocketAddress listen;
 
     @Option(
             names = "--ready-file",
-            description = "Written once all listens: a proxy's configuration, and every address.")
+            description = "File written when all servers listen: a proxy's configuration and all addresses.")
     private Path readyFile;
 
-    @Option(names = "--ledger", description = "Gets a line for every request that a host receives.")
-    private Path ledgerFile;
+    @Option(names = "--ledger", description = "Request log to write, with one line per request that a host receives.")
+    private Path logFile;
 
-    @Option(names = "--timetable", description = "TOML: hosts, classes, rules, and faults by their times.")
+    @Option(names = "--timetable", description = "TOML file: hosts, classes, rules, and faults by their times.")
     private Path timetable;
 
-    @Option(names = "--threads", defaultValue = "2", description = "Event loops for the hosts (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--threads",
+            defaultValue = "2",
+            description = "Number of event loops for the hosts (${DEFAULT-VALUE}).")
     private int threads;
 
-    @Option(names = "--cold", description = "Is ready at once, with code that is not compiled yet.")
+    @Option(names = "--cold", description = "Starts without warm-up, with code that is not compiled yet.")
     private boolean cold;
 
     @Override
     public Integer call() throws Exception {
         if (hosts < 0 || hosts > 10_000 || threads < 1 || threads > 256) {
-            System.err.println("--hosts takes 1 to 10000, --threads 1 to 256");
+            System.err.println("rillyard: expected --hosts from 1 to 10000 and --threads from 1 to 256");
             return Cli.USAGE;
         }
         TestClusterPlan plan = timetable == null
@@ -71,7 +74,7 @@
         LogHeader header = new LogHeader("hosts", UnixClock.micros(), plan.seed());
         PrintStream hostLog = System.err;
         try (RequestLogWriter requestLog =
-                        ledgerFile == null ? RequestLogWriter.disabled() : RequestLogWriter.open(ledgerFile, header);
+                        logFile == null ? RequestLogWriter.disabled() : RequestLogWriter.open(logFile, header);
                 TestCluster cluster = new TestCluster(plan, listen, threads, requestLog, hostLog)) {
             cluster.start();
             cluster.startFaultSchedule();
@@ -87,7 +90,7 @@
                 requestLog.flush();
             }
         }
-        shutdown.cancel();
+        shutdown.complete();
         return Cli.DONE;
     }
 
--- a/src/test/java/rillyard/cli/UsageIT.java
+++ b/src/test/java/rillyard/cli/UsageIT.java
@@ -31,18 +31,18 @@
     private final List<Process> started = new ArrayList<>();
 
     private Process rillyard(String... args) throws IOException {
-        List<String> line = new ArrayList<>();
-        line.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        line.addAll(
+        List<String> command = new ArrayList<>();
+        command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
+        command.addAll(
                 List.of("-jar", Path.of("target/rillyard.jar").toAbsolutePath().toString()));
-        line.addAll(List.of(args));
-        Process process = TestProcess.start(new ProcessBuilder(line).directory(folder.toFile()));
+        command.addAll(List.of(args));
+        Process process = TestProcess.start(new ProcessBuilder(command).directory(folder.toFile()));
         started.add(process);
         return process;
     }
 
     @AfterEach
-    void endAll() {
+    void killProcesses() {
         started.forEach(Process::destroyForcibly);
     }
 
@@ -61,7 +61,7 @@
         TestProcess.signal(process.pid(), name);
     }
 
-    /** Sends a signal and waits until the process has ended, as soon as its command is done. */
+    /** Sends a signal and checks that the process ends as soon as its command has completed. */
     private static void end(Process process, String signalName) throws Exception {
         long startNanos = System.nanoTime();
         signal(process, signalName);
@@ -91,8 +91,8 @@
                 "faults.toml");
         Path ready = folder.resolve("ready.json");
         await(ready, cluster);
-        JsonNode told = new ObjectMapper().readTree(ready.toFile());
-        assertThat(told.path("hosts")).hasSize(20);
+        JsonNode readyFile = new ObjectMapper().readTree(ready.toFile());
+        assertThat(readyFile.path("hosts")).hasSize(20);
         Process load;
         try (ProxyProcess proxy = ProxyProcess.start(ready, folder.resolve("proxy.log"))) {
             String target = "127.0.0.1:" + proxy.address().getPort();
