--- a/src/main/java/rillyard/demo/Demo.java
+++ b/src/main/java/rillyard/demo/Demo.java
@@ -124,7 +124,7 @@
                         hosts, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 2, hostLog, messages)) {
             cluster.start();
             new ObjectMapper().writerWithDefaultPrettyPrinter().writeValue(ready.toFile(), cluster.readyFile());
-            progress.println("rillyard: " + hosts.hosts().size() + " hosts are up, a proxy starts");
+            progress.println("rillyard: " + hosts.hosts().size() + " hosts started, starting the proxy");
             try (ProxyProcess proxy = ProxyProcess.start(ready, folder.resolve("proxy.log"))) {
                 progress.println(
                         "rillyard: the proxy is ready at " + proxy.address().getPort() + "; the surge begins");
--- a/src/main/java/rillyard/demo/JvmWarmup.java
+++ b/src/main/java/rillyard/demo/JvmWarmup.java
@@ -15,8 +15,8 @@
 
 /**
  * Warms up the JVM of a load generator or a test cluster by sending requests through the same classes to test hosts in
- * its own process. Without it code that is not compiled yet would be about ten times slower, the schedule could not be
- * kept, and the JVM would be measured.
+ * its own process. Code that is not compiled yet is about ten times slower: without the warm-up, the schedule could not
+ * be kept, and the run would measure the JVM.
  */
 public final class JvmWarmup {
     private static final String HOSTS =
@@ -58,10 +58,10 @@
     public static void run() throws Exception {
         TestClusterPlan hosts = TestClusterPlanReader.parse("warm-up", HOSTS, 0);
         LoadPlan load = LoadPlanReader.parse("warm-up", PLAN, Path.of("."));
-        InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        InetSocketAddress anyFreePort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         PrintStream hostLog = System.err;
         try (RequestLogWriter requestLog = RequestLogWriter.disabled();
-                TestCluster cluster = new TestCluster(hosts, anyPort, 1, requestLog, hostLog)) {
+                TestCluster cluster = new TestCluster(hosts, anyFreePort, 1, requestLog, hostLog)) {
             cluster.start();
             new LoadRun(load, List.of(cluster.address("s-0"), cluster.address("s-1")), requestLog, null).run();
         }
--- a/src/test/java/rillyard/demo/DemoAuditTest.java
+++ b/src/test/java/rillyard/demo/DemoAuditTest.java
@@ -23,20 +23,20 @@
 import rillyard.testserver.TestClusterPlanReader;
 
 /**
- * Runs load without a proxy, so that rules are violated: clients keep sending to a draining host, overload a warming-up
- * one, lose their connections, and retry what must not be retried.
+ * Tests the audit on request logs of real runs without a proxy, in which rules are violated: clients keep sending to a
+ * draining host, overload a warming-up host, lose their connections, and retry what must not be retried.
  */
 class DemoAuditTest {
     @TempDir
     Path folder;
 
-    private Set<Violation.Rule> broken(String hosts, String plan) throws Exception {
-        Path path = folder.resolve("h");
-        Path c = folder.resolve("c");
+    private Set<Violation.Rule> violatedRules(String hosts, String plan) throws Exception {
+        Path hostsFile = folder.resolve("h");
+        Path clientsFile = folder.resolve("c");
         AuditSettings settings;
         PrintStream messages = System.err;
-        try (RequestLogWriter hostLog = RequestLogWriter.open(path, new LogHeader("hosts", 1, 1));
-                RequestLogWriter requestLog = RequestLogWriter.open(c, new LogHeader("clients", 1, 1));
+        try (RequestLogWriter hostLog = RequestLogWriter.open(hostsFile, new LogHeader("hosts", 1, 1));
+                RequestLogWriter requestLog = RequestLogWriter.open(clientsFile, new LogHeader("clients", 1, 1));
                 TestCluster cluster = new TestCluster(
                         TestClusterPlanReader.parse("h", hosts, 0),
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
@@ -51,23 +51,23 @@
             cluster.startFaultSchedule();
             run.run();
         }
-        Audit.Verdict verdict = Audit.of(c, path, settings);
+        Audit.Verdict verdict = Audit.of(clientsFile, hostsFile, settings);
         assertThat(verdict.warnings()).isEmpty();
         return verdict.violations().stream().map(Violation::rule).collect(Collectors.toSet());
     }
 
-    private static String plan(String more, int rate) {
-        return "lateness_ms = 5000\n" + more + "[[shape]]\nkind = 'poisson'\nfor_s = 1.5\nrate = " + rate + "\n";
+    private static String plan(String settings, int rate) {
+        return "lateness_ms = 5000\n" + settings + "[[shape]]\nkind = 'poisson'\nfor_s = 1.5\nrate = " + rate + "\n";
     }
 
     @Test
     void runWithoutFaultsIsClean() throws Exception {
-        assertThat(broken("", plan("", 100))).isEmpty();
+        assertThat(violatedRules("", plan("", 100))).isEmpty();
     }
 
     @Test
     void forwardingToDrainingHostIsFound() throws Exception {
-        assertThat(broken(
+        assertThat(violatedRules(
                         "[rules]\ndrain_grace_ms = 0\n[discovery]\nnotice_ms = 0\n"
                                 + "[[fault]]\nkind = 'drain'\nhost = 's-0'\nfor_s = 60\n",
                         // No proxy watches discovery, so that the change counts as notified after 6 s.
@@ -77,19 +77,19 @@
 
     @Test
     void overloadOfWarmingUpHostIsFound() throws Exception {
-        assertThat(broken("[hosts]\ncores = 1\nqueue = 1000\nstarts_cold = true\n", plan("", 500)))
+        assertThat(violatedRules("[hosts]\ncores = 1\nqueue = 1000\nstarts_cold = true\n", plan("", 500)))
                 .contains(Violation.Rule.COLD);
     }
 
     @Test
     void truncatedResponsesAreFound() throws Exception {
-        assertThat(broken("[[fault]]\nkind = 'reset'\nhost = 's-0'\nsize = 0.3\n", plan("", 100)))
+        assertThat(violatedRules("[[fault]]\nkind = 'reset'\nhost = 's-0'\nsize = 0.3\n", plan("", 100)))
                 .containsExactly(Violation.Rule.ANSWER);
     }
 
     @Test
     void clientRetryOfPossiblyExecutedRequestIsFound() throws Exception {
-        assertThat(broken(
+        assertThat(violatedRules(
                         "[[fault]]\nkind = 'errors'\nhost = 's-0'\nsize = 0.5\n",
                         plan("[[class]]\nname = 'claim'\nsemantics = 'keyed-everywhere'\n", 100)))
                 .containsExactly(Violation.Rule.EFFECT);
