--- a/src/test/java/rillyard/proxy/LateConnectServer.java
+++ b/src/test/java/rillyard/proxy/LateConnectServer.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * A host whose accept backlog is full: the next connect stays pending until {@link #freeBacklog}, and completes when the
- * connecting kernel sends its SYN again, 1 s after the first.
+ * A TCP server whose accept backlog is full, so that the next connect to it stays pending. After {@link #freeBacklog}
+ * the connect completes when the connecting kernel retransmits its SYN, 1 s after the first.
  */
 final class LateConnectServer implements AutoCloseable {
     private final ServerSocket server;
@@ -17,7 +17,7 @@
 
     LateConnectServer() throws IOException {
         server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        for (int i = 0; i < 2; i++) { // a backlog of one holds two
+        for (int i = 0; i < 2; i++) { // a backlog of 1 holds two connections
             backlog.add(new Socket(InetAddress.getLoopbackAddress(), server.getLocalPort()));
         }
     }
@@ -26,14 +26,14 @@
         return server.getLocalPort();
     }
 
-    /** Accepts and closes the connections that fill the backlog. */
+    /** Accepts and closes the connections that fill the backlog, so that the pending connect can complete. */
     void freeBacklog() throws IOException {
         for (int i = 0; i < backlog.size(); i++) {
             server.accept().close();
         }
     }
 
-    /** Accepts the connection that was pending. */
+    /** Waits for the pending connect to complete and returns its connection. */
     TestPeer accept() throws IOException {
         server.setSoTimeout(20_000);
         return new TestPeer(server.accept());
--- a/src/test/java/rillyard/proxy/ProxyFixture.java
+++ b/src/test/java/rillyard/proxy/ProxyFixture.java
@@ -21,9 +21,9 @@
 import rillyard.proxy.logging.ProxyLog;
 import rillyard.trace.ProxyTrace;
 
-/** A client proxy on loopback, with a discovery service whose lists the test announces. */
+/** A client proxy on loopback, with a discovery service that sends the endpoint lists which the test announces. */
 public final class ProxyFixture implements AutoCloseable {
-    /** Request ids, unique across threads, as a second request with an id is a conflict (409). */
+    /** Source of request ids. They are unique, as the proxy rejects a second request with the same id (409). */
     private static final AtomicLong REQUEST_IDS = new AtomicLong(System.nanoTime());
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -41,37 +41,45 @@
        "rules":{"cold":8700,"startCapacity":0.3,"fall":1500,"fallMultiple":3,"drainGrace":500}}
       """;
 
+    /** Lines for discovery to send on the watch; an empty line ends the watch. */
     final BlockingQueue<String> discoveryLines = new LinkedBlockingQueue<>();
+    /** Request lines of the watches that the proxy has opened. */
     final BlockingQueue<String> watchRequests = new LinkedBlockingQueue<>();
-    private final AtomicReference<Thread> currentWatcher = new AtomicReference<>();
+
+    private final AtomicReference<Thread> currentWatchThread = new AtomicReference<>();
     final ScriptedServer discovery;
     final ClientProxy proxy;
     final int port;
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
 
-    public ProxyFixture(String... servers) throws Exception {
-        this(config -> {}, servers);
+    public ProxyFixture(String... endpoints) throws Exception {
+        this(config -> {}, endpoints);
     }
 
-    /** Starts a proxy; {@code servers} are entries as of {@link #endpoint}, {@code change} edits the configuration. */
-    public ProxyFixture(Consumer<ObjectNode> change, String... servers) throws Exception {
-        this(false, null, change, servers);
+    /**
+     * Starts a proxy.
+     *
+     * @param change edits the configuration
+     * @param endpoints the entries, as {@link #endpoint} creates them, of the list that is known at the start
+     */
+    public ProxyFixture(Consumer<ObjectNode> change, String... endpoints) throws Exception {
+        this(false, null, change, endpoints);
     }
 
-    /** Starts a proxy; {@code traced} writes the trace to the log, and {@code guard} may be null. */
-    ProxyFixture(boolean traced, EndpointListGuard guard, Consumer<ObjectNode> change, String... servers)
+    /** Starts a proxy, which writes its trace to the log if {@code traced}; {@code guard} may be null. */
+    ProxyFixture(boolean traced, EndpointListGuard guard, Consumer<ObjectNode> change, String... endpoints)
             throws Exception {
-        this(new SocketChannelFactory(), traced, guard, change, servers);
+        this(new SocketChannelFactory(), traced, guard, change, endpoints);
     }
 
-    /** Starts a proxy whose channels come from {@code channels}. */
-    ProxyFixture(SocketChannelFactory channels, String... servers) throws Exception {
-        this(channels, config -> {}, servers);
+    /** Starts a proxy whose channels are created by {@code channels}. */
+    ProxyFixture(SocketChannelFactory channels, String... endpoints) throws Exception {
+        this(channels, config -> {}, endpoints);
     }
 
-    /** Starts a proxy whose channels come from {@code channels}; {@code change} edits the configuration. */
-    ProxyFixture(SocketChannelFactory channels, Consumer<ObjectNode> change, String... servers) throws Exception {
-        this(channels, false, null, change, servers);
+    /** Starts a proxy whose channels are created by {@code channels}; {@code change} edits the configuration. */
+    ProxyFixture(SocketChannelFactory channels, Consumer<ObjectNode> change, String... endpoints) throws Exception {
+        this(channels, false, null, change, endpoints);
     }
 
     private ProxyFixture(
@@ -79,25 +87,25 @@
             boolean traced,
             EndpointListGuard guard,
             Consumer<ObjectNode> change,
-            String... servers)
+            String... endpoints)
             throws Exception {
         discovery = new ScriptedServer(peer -> {
             String request = peer.read().startLine();
-            Thread previous = currentWatcher.getAndSet(Thread.currentThread());
+            Thread previous = currentWatchThread.getAndSet(Thread.currentThread());
             if (previous != null) {
-                previous.interrupt(); // what is announced from now on belongs to the new watch
+                previous.interrupt(); // lists announced from now on are for the new watch
             }
             watchRequests.add(request);
             peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             while (true) {
                 String line = discoveryLines.take();
                 if (line.isEmpty()) {
-                    return; // an empty line ends the watch
+                    return; // ends the watch
                 }
                 peer.write(Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
             }
         });
-        Path file = writeConfig(discovery.port(), change, servers);
+        Path file = writeConfig(discovery.port(), change, endpoints);
         PrintStream out = new PrintStream(log, true, StandardCharsets.UTF_8);
         proxy = new ClientProxy(
                 ProxyConfig.load(Map.of("BALANCER_CONFIG", file.toString())),
@@ -110,15 +118,15 @@
         port = proxy.address().getPort();
     }
 
-    /** Writes a configuration to a temporary file. */
-    public static Path writeConfig(int discoveryPort, Consumer<ObjectNode> change, String... servers)
+    /** Writes a configuration to a temporary file, which the caller deletes, and returns its path. */
+    public static Path writeConfig(int discoveryPort, Consumer<ObjectNode> change, String... endpoints)
             throws IOException {
         ObjectNode config = JSON.createObjectNode();
         config.put("name", "n0").put("listen", "127.0.0.1:0").put("discovery", "127.0.0.1:" + discoveryPort);
         config.put("seed", "8c1f30d27a5be964");
         config.putObject("limits").put("cores", 1.0).put("memory_mb", 128).put("sockets", 1024);
         config.set("settings", JSON.readTree(SETTINGS));
-        config.set("known", JSON.readTree(endpointList(1, true, servers)));
+        config.set("known", JSON.readTree(endpointList(1, true, endpoints)));
         change.accept(config);
         return Files.write(Files.createTempFile("rillyard", ".json"), JSON.writeValueAsBytes(config));
     }
@@ -132,20 +140,20 @@
                 + cell + ",\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":0}";
     }
 
-    static String endpointList(int version, boolean full, String... servers) {
-        return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", servers) + "]}";
+    static String endpointList(int version, boolean full, String... endpoints) {
+        return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", endpoints) + "]}";
     }
 
-    /** Has discovery send a list on the watch. */
-    void announce(int version, boolean full, String... servers) {
-        discoveryLines.add(endpointList(version, full, servers) + "\n");
+    /** Has discovery send a full list or a delta on the watch. */
+    void announce(int version, boolean full, String... endpoints) {
+        discoveryLines.add(endpointList(version, full, endpoints) + "\n");
     }
 
     public TestPeer client() throws IOException {
         return TestPeer.connect(port);
     }
 
-    /** Sends one request on a connection of its own and returns the response. */
+    /** Sends one request on a new connection and returns the response. */
     public TestPeer.Message call(String request) throws IOException {
         try (TestPeer peer = client()) {
             peer.write(request);
@@ -153,21 +161,22 @@
         }
     }
 
-    static String get(String type, int timeout) {
-        return head("GET", type, timeout, "") + "\r\n";
+    static String get(String requestClass, int timeoutMillis) {
+        return head("GET", requestClass, timeoutMillis, "") + "\r\n";
     }
 
-    public static String post(String type, int timeout, String headers, String body) {
-        return head("POST", type, timeout, headers) + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+    public static String post(String requestClass, int timeoutMillis, String headers, String body) {
+        return head("POST", requestClass, timeoutMillis, headers) + "Content-Length: " + body.length() + "\r\n\r\n"
+                + body;
     }
 
-    static String head(String method, String type, int timeout, String headers) {
-        return method + " /" + type + " HTTP/1.1\r\nHost: api.internal\r\nX-Request-ID: "
-                + Long.toHexString(REQUEST_IDS.incrementAndGet()) + "\r\nX-Priority-Class: " + type
-                + "\r\nX-Timeout-Ms: " + timeout + "\r\n" + headers;
+    static String head(String method, String requestClass, int timeoutMillis, String headers) {
+        return method + " /" + requestClass + " HTTP/1.1\r\nHost: api.internal\r\nX-Request-ID: "
+                + Long.toHexString(REQUEST_IDS.incrementAndGet()) + "\r\nX-Priority-Class: " + requestClass
+                + "\r\nX-Timeout-Ms: " + timeoutMillis + "\r\n" + headers;
     }
 
-    /** Blocks the event loop until the returned latch is counted down; input waits in its sockets meanwhile. */
+    /** Blocks the event loop until the returned latch is counted down; input stays in the sockets meanwhile. */
     CountDownLatch blockLoop() throws InterruptedException {
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch unblock = new CountDownLatch(1);
@@ -187,7 +196,7 @@
         return log.toString(StandardCharsets.UTF_8);
     }
 
-    /** Returns a port of loopback on which nothing listens. */
+    /** Returns a free port, on which nothing listens. */
     static int freePort() throws IOException {
         try (java.net.ServerSocket server = new java.net.ServerSocket(0)) {
             return server.getLocalPort();
--- a/src/test/java/rillyard/proxy/ScriptedServer.java
+++ b/src/test/java/rillyard/proxy/ScriptedServer.java
@@ -7,14 +7,17 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A TCP server that runs the test's script on each connection, on a thread of its own: a host or discovery. */
+/**
+ * A TCP server for tests that acts as a host or as discovery. It runs the test's script for each connection, on one
+ * thread per connection.
+ */
 public final class ScriptedServer implements AutoCloseable {
-    /** Serves one connection, which is closed after it. */
+    /** Serves one connection, which is closed when the script ends. */
     public interface Script {
         void serve(TestPeer peer) throws Exception;
     }
 
-    /** Makes the response to one request. */
+    /** Creates the response to one request. */
     public interface Reply {
         String respond(TestPeer.Message request) throws Exception;
     }
@@ -28,14 +31,14 @@
         this(0, script);
     }
 
-    /** Creates a server on a port; 0 is any free one. */
+    /** Creates a server on a port of loopback; 0 selects any free port. */
     ScriptedServer(int port, Script script) throws IOException {
         this.server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
         this.script = script;
         startThread(this::acceptConnections);
     }
 
-    /** Creates a host that answers each request on a persistent connection. */
+    /** Creates a host with persistent connections, which answers each request with {@code reply}. */
     public static ScriptedServer host(Reply reply) throws IOException {
         ScriptedServer[] server = new ScriptedServer[1];
         server[0] = new ScriptedServer(peer -> {
@@ -60,17 +63,17 @@
         return server.getLocalPort();
     }
 
-    /** Returns the next accepted connection, null if none comes in time. */
+    /** Removes and returns the next accepted connection; null if there is none within 20 s. */
     TestPeer nextConnection() throws InterruptedException {
         return accepted.poll(20, TimeUnit.SECONDS);
     }
 
-    /** Returns whether a connection was accepted that {@link #accepted} has not returned. */
+    /** Returns whether a connection was accepted that {@link #nextConnection} has not returned. */
     boolean hasMoreConnections() {
         return !accepted.isEmpty();
     }
 
-    /** Returns the next request of a {@link #host}, null if none comes in time. */
+    /** Removes and returns the next request that a {@link #host} received; null if there is none within 20 s. */
     TestPeer.Message nextRequest() throws InterruptedException {
         return requests.poll(20, TimeUnit.SECONDS);
     }
@@ -87,16 +90,16 @@
         }
     }
 
-    private interface Work {
+    private interface ThrowingTask {
         void run() throws Exception;
     }
 
-    private static void startThread(Work work) {
+    private static void startThread(ThrowingTask task) {
         Thread thread = new Thread(() -> {
             try {
-                work.run();
+                task.run();
             } catch (Exception e) {
-                // the connection or the server was closed, which the test sees on its own side
+                // The connection or the server was closed, which the test notices on its own connections.
             }
         });
         thread.setDaemon(true);
--- a/src/test/java/rillyard/proxy/TestPeer.java
+++ b/src/test/java/rillyard/proxy/TestPeer.java
@@ -10,12 +10,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** One end of a TCP connection that speaks HTTP byte by byte: a client's, a host's or discovery's. */
+/** One end of a TCP connection for tests, which reads and writes raw HTTP as a client, a host or discovery. */
 public final class TestPeer implements AutoCloseable {
-    /** Time after which a read fails, so that no test waits for ever. */
+    /** Time after which a read fails, so that no test waits indefinitely. */
     private static final int READ_TIMEOUT_MILLIS = 20_000;
 
-    /** A received message: its head without the blank line, and its body. */
+    /** A received request or response: its head without the blank line at the end, and its body. */
     public record Message(String head, byte[] body) {
         String startLine() {
             return head.split("\r\n", 2)[0];
@@ -63,7 +63,7 @@
         socket.getOutputStream().write(bytes);
     }
 
-    /** Reads the next complete message; null if the connection ended before its first byte. */
+    /** Reads and returns the next complete message; null if the connection ended before its first byte. */
     public Message read() throws IOException {
         String head = readHead();
         if (head == null) {
@@ -92,7 +92,7 @@
                 return null;
             }
             if (line == null) {
-                throw new EOFException("within a head: " + head);
+                throw new EOFException("connection ended within a message head: " + head);
             }
             if (line.isEmpty()) {
                 return head.toString();
@@ -118,12 +118,12 @@
     byte[] readExactly(int length) throws IOException {
         byte[] bytes = in.readNBytes(length);
         if (bytes.length < length) {
-            throw new EOFException("after " + bytes.length + " of " + length + " bytes");
+            throw new EOFException("connection ended after " + bytes.length + " of " + length + " bytes");
         }
         return bytes;
     }
 
-    /** Waits until the other side has closed or reset the connection. */
+    /** Discards input until the other side has closed or reset the connection. */
     public void awaitEnd() throws IOException {
         try {
             byte[] rest = new byte[8_192];
@@ -132,11 +132,11 @@
                 count = in.read(rest);
             } while (count >= 0);
         } catch (java.net.SocketException e) {
-            // a reset ends it, too
+            // The connection was reset.
         }
     }
 
-    /** Resets the connection. */
+    /** Closes the connection with a reset. */
     public void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
