--- a/src/test/java/rillyard/proxy/AdminEndpointTest.java
+++ b/src/test/java/rillyard/proxy/AdminEndpointTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The admin address of a proxy: readiness, metrics, disabled hosts. */
+/**
+ * Guards against faults of the admin endpoint of a proxy: metrics that differ from what clients saw, a host that gets
+ * requests though an operator disabled it, and admin calls that keep the proxy or other admin calls waiting.
+ */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class AdminEndpointTest {
     @TempDir
@@ -38,7 +41,7 @@
         return call(fixture, "POST /_hosts/" + path, host).status();
     }
 
-    /** Waits until a metric has a value; the test times out if it never has. */
+    /** Waits until the metrics contain a line; the test times out if they never do. */
     private static void awaitMetric(ProxyFixture fixture, String line) throws Exception {
         while (!call(fixture, "GET /_vars", "").text().contains(line + "\n")) {
             Thread.sleep(10);
@@ -154,10 +157,10 @@
                 peer.write("GET /_vars HT");
                 silent.add(peer);
             }
-            CountDownLatch unblock = fixture.blockLoop(); // nor does a busy event loop
+            CountDownLatch unblock = fixture.blockLoop(); // a busy event loop must not delay admin calls either
             assertThat(call(fixture, "GET /_vars", "").text()).contains("proxy.pending:0|g");
             unblock.countDown();
-            assertThat(silent.get(0).read()).isNull(); // the oldest was closed
+            assertThat(silent.get(0).read()).isNull(); // the oldest connection was closed
         } finally {
             for (TestPeer peer : silent) {
                 peer.close();
@@ -186,7 +189,7 @@
             try (var directories = Files.list(temporaryDirectory)) {
                 folder = directories.findFirst().orElseThrow();
             }
-            // What the name would be is taken by a folder that can't be replaced.
+            // To disable host "a", its file back-YQ must be deleted, which fails for a folder that is not empty.
             Files.createDirectories(folder.resolve("back-YQ/in"));
             assertThat(post(fixture, "detach", "a")).isEqualTo(500);
             assertThat(fixture.call(claim()).status()).isEqualTo(200);
--- a/src/test/java/rillyard/proxy/AttemptOutcomeTest.java
+++ b/src/test/java/rillyard/proxy/AttemptOutcomeTest.java
@@ -12,13 +12,17 @@
 import org.junit.jupiter.api.Test;
 import rillyard.proxy.upstream.UpstreamPool;
 
-/** Outcomes of attempts, by whether the request may be retried. */
+/**
+ * Guards the classification of attempts by whether the host may have executed the request. A request that may run only
+ * once must not be sent again after an outcome that leaves this open (502), and is retried or rejected (503) after one
+ * that excludes it.
+ */
 class AttemptOutcomeTest {
     private static String claim() {
         return ProxyFixture.post("claim", 800, "", "visit=1");
     }
 
-    /** Sends a request that may run at most once to a host; its only attempt decides the response. */
+    /** Sends a request that may run at most once to the only host, so that the response shows the attempt's outcome. */
     private static TestPeer.Message claimAt(ScriptedServer host) throws Exception {
         try (host;
                 ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()))) {
@@ -26,7 +30,7 @@
         }
     }
 
-    /** A host that never responds, and counts down once its connection has ended. */
+    /** Creates a host that never responds, and counts {@code ended} down once its connection has ended. */
     private static ScriptedServer unresponsiveHost(CountDownLatch ended) throws Exception {
         return new ScriptedServer(peer -> {
             peer.read();
@@ -62,17 +66,17 @@
     }
 
     @Test
-    void connectThatNeverComesUpNeverRan() throws Exception {
-        List<Socket> filling = new ArrayList<>();
+    void connectThatTimesOutNeverRan() throws Exception {
+        List<Socket> backlog = new ArrayList<>();
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            for (int i = 0; i < 2; i++) { // a backlog of one holds two
-                filling.add(new Socket(InetAddress.getLoopbackAddress(), full.getLocalPort()));
+            for (int i = 0; i < 2; i++) { // a backlog of 1 holds two connections
+                backlog.add(new Socket(InetAddress.getLoopbackAddress(), full.getLocalPort()));
             }
             try (ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", full.getLocalPort()))) {
                 assertThat(fixture.call(claim()).status()).isEqualTo(503);
             }
         } finally {
-            for (Socket socket : filling) {
+            for (Socket socket : backlog) {
                 socket.close();
             }
         }
@@ -201,8 +205,8 @@
                 TestPeer client = fixture.client()) {
             client.write(claim());
             assertThat(client.read().status()).isEqualTo(200);
-            // The request, and the close of the connection that it would be sent on, are read in the same loop
-            // iteration.
+            // The event loop reads the request in the same iteration as the close of the connection that it would be
+            // sent on.
             CountDownLatch unblock = fixture.blockLoop();
             client.write(claim());
             host.nextConnection().close();
@@ -217,7 +221,7 @@
         ArrayDeque<Long> idle = new ArrayDeque<>(List.of(10 * millis, 20 * millis, 95 * millis, 99 * millis));
         assertThat(UpstreamPool.selectIdle(idle, at -> at, 100 * millis)).isEqualTo(20 * millis);
         assertThat(UpstreamPool.selectIdle(idle, at -> at, 200 * millis)).isEqualTo(99 * millis);
-        assertThat(UpstreamPool.selectIdle(idle, at -> at, 30 * millis)).isEqualTo(10 * millis); // none has settled
+        assertThat(UpstreamPool.selectIdle(idle, at -> at, 30 * millis)).isEqualTo(10 * millis); // none has settled yet
         assertThat(UpstreamPool.selectIdle(new ArrayDeque<Long>(), at -> at, 0)).isNull();
     }
 
@@ -256,7 +260,7 @@
             });
             try (host;
                     ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()))) {
-                // With this deadline only the stall can end it before the test's own reads give up.
+                // With this deadline, only the stall timeout can end the attempt before the test's own reads time out.
                 assertThat(fixture.call(ProxyFixture.post("claim", 600_000, "", "x"))
                                 .status())
                         .isEqualTo(502);
--- a/src/test/java/rillyard/proxy/BodyMemoryTest.java
+++ b/src/test/java/rillyard/proxy/BodyMemoryTest.java
@@ -14,10 +14,14 @@
 import org.junit.jupiter.api.Timeout;
 import rillyard.proxy.eventloop.FaultInjectingChannels;
 
-/** Requests that come while the memory for bodies is used up by requests whose host has yet to answer. */
+/**
+ * Guards requests that arrive while the memory for bodies is used up by requests that await their host's response. Such
+ * a request waits for memory, for a limited time; a fault at the end of this wait would reject a later request on the
+ * same connection or leave the client without a response.
+ */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class BodyMemoryTest {
-    /** 128 of these are 8 MB: all the memory for bodies of a proxy with 64 MB. */
+    /** Size of a body; 128 of them take 8 MB, which is all the memory for bodies of a proxy with 64 MB. */
     private static final int FILLER_BYTES = 64 * 1024;
 
     private static final int FILLERS = 128;
@@ -34,7 +38,7 @@
             if (message.body().length == FILLER_BYTES) {
                 release.await();
             } else if (message.text().equals("slow")) {
-                Thread.sleep(800); // longer than any wait for memory
+                Thread.sleep(800); // longer than the longest wait for memory
             }
             return ScriptedServer.ok("x");
         });
@@ -61,13 +65,13 @@
         host.close();
     }
 
-    /** Has the parts of one read wait for memory, so that each of them asks for it. */
+    /** Sends a text that the proxy receives in one read, so that each of its chunks asks for memory. */
     private void writeAtOnce(TestPeer peer, String text) throws Exception {
         CountDownLatch unblock = fixture.blockLoop();
         peer.write(text);
-        Thread.sleep(20); // it is in the proxy's socket
+        Thread.sleep(20); // until the text is in the proxy's socket
         unblock.countDown();
-        Thread.sleep(50); // and is read
+        Thread.sleep(50); // until the proxy has read it
     }
 
     @Test
@@ -79,20 +83,20 @@
                             + "Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n1\r\nb\r\n1\r\nc\r\n");
             release.countDown();
             client.write("0\r\n\r\n");
-            assertThat(client.read()).isNotNull(); // 200, or 503 where the late answers have requests shed
+            assertThat(client.read()).isNotNull(); // 200, or 503 if the late responses cause shedding
             client.write(ProxyFixture.post("claim", 600_000, "", "slow"));
             assertThat(client.read()).isNotNull();
-            Thread.sleep(500); // past any wait for memory, if the response came at once
+            Thread.sleep(500); // longer than any wait for memory, in case the response came at once
             assertThat(fixture.log()).doesNotContain("reason=body_memory");
         }
     }
 
     @Test
-    void throwAtEndOfWaitIsAnswered() throws Exception {
+    void throwAtEndOfMemoryWaitIsAnswered() throws Exception {
         try (TestPeer client = fixture.client()) {
             client.write(
                     ProxyFixture.head("POST", "claim", 600_000, "") + "Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n");
-            channels.throwOnNextWriteToClient(FullHttpResponse.class); // of the rejection
+            channels.throwOnNextWriteToClient(FullHttpResponse.class); // the rejection is that write
             assertThat(client.read().status()).isEqualTo(502);
             assertThat(client.read()).isNull();
             assertThat(fixture.log()).contains(FaultInjectingChannels.INJECTED);
--- a/src/test/java/rillyard/proxy/ClientConnectionTest.java
+++ b/src/test/java/rillyard/proxy/ClientConnectionTest.java
@@ -15,11 +15,15 @@
 import rillyard.proxy.config.ConfigException;
 import rillyard.proxy.config.ProxyConfig;
 
-/** Requests of clients, valid and not, and the responses to them. */
+/**
+ * Guards the handling of client connections: malformed requests, slow or silent clients, pipelined requests, and limits
+ * of connections and of memory for bodies. A client that exceeds or violates a limit gets its response and disturbs no
+ * other client.
+ */
 class ClientConnectionTest {
     private static final ScriptedServer.Reply OK = message -> ScriptedServer.ok("x");
 
-    /** Leaves 8 MB for bodies, the least there is. */
+    /** Leaves 8 MB for bodies, the minimum. */
     private static final Consumer<ObjectNode> SMALL_MEMORY = limit("memory_mb", 64);
 
     private static Consumer<ObjectNode> limit(String name, int value) {
@@ -82,7 +86,7 @@
             assertThat(fixture.call(request).status()).isEqualTo(409);
             release.countDown();
             assertThat(first.read().text()).isEqualTo("mine");
-            assertThat(fixture.call(request).status()).isEqualTo(409); // nor just after the first has ended
+            assertThat(fixture.call(request).status()).isEqualTo(409); // also just after the first has ended
             assertThat(host.requests).isEmpty();
         }
     }
@@ -128,12 +132,12 @@
             List<TestPeer> silent = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 silent.add(fixture.client());
-                if (i % 8 == 0) { // so that it is idle for a few connects only
+                if (i % 8 == 0) { // so that this connection is idle during a few connects only
                     used.write(ProxyFixture.get("read", 800));
                     assertThat(used.read().status()).isEqualTo(200);
                 }
             }
-            silent.get(0).awaitEnd(); // the unused connections are more than may be open
+            silent.get(0).awaitEnd(); // more unused connections than the limit allows
             used.write(ProxyFixture.get("read", 800));
             assertThat(used.read().status()).isEqualTo(200);
             for (TestPeer peer : silent) {
@@ -241,14 +245,14 @@
                 ProxyFixture fixture = new ProxyFixture(SMALL_MEMORY, ProxyFixture.endpoint("a", host.port()))) {
             String body = "x".repeat(64 * 1024);
             List<TestPeer> clients = new ArrayList<>();
-            for (int i = 0; i < 150; i++) { // 9.4 MB, and the budget is 8 MB
+            for (int i = 0; i < 150; i++) { // 9.4 MB in all; the limit is 8 MB
                 TestPeer peer = fixture.client();
                 clients.add(peer);
                 peer.write(ProxyFixture.post("claim", 600_000, "", body));
             }
             // Which of them are rejected depends on the order in which they are read.
-            long deadline = System.nanoTime() + 20_000_000_000L;
-            while (!fixture.log().contains("reason=body_memory") && System.nanoTime() < deadline) {
+            long deadlineNanos = System.nanoTime() + 20_000_000_000L;
+            while (!fixture.log().contains("reason=body_memory") && System.nanoTime() < deadlineNanos) {
                 Thread.sleep(5);
             }
             release.countDown();
@@ -287,7 +291,7 @@
 
     @Test
     void pipelinedRequestInNextReadKeepsFirstByte() throws Exception {
-        // The first read of a connection takes 2 kB: the second request begins within it or behind it.
+        // The first read of a connection takes 2 kB; with these sizes the second request begins within or after it.
         for (int size = 1_700; size < 2_100; size += 20) {
             String first = "x".repeat(size);
             try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok(message.text()));
@@ -305,7 +309,7 @@
         }
     }
 
-    /** Clients that send one request and keep their connections would take all descriptors otherwise. */
+    /** Guards against clients that send one request, keep their connections and thereby use up all descriptors. */
     @Test
     void usedIdleConnectionsAreClosedForNewOnes() throws Exception {
         List<TestPeer> kept = new ArrayList<>();
@@ -322,7 +326,7 @@
                     .loop()
                     .submit(() -> fixture.proxy.clientConnections())
                     .get();
-            assertThat(open).isLessThanOrEqualTo(41); // a quarter, and the one that came last
+            assertThat(open).isLessThanOrEqualTo(41); // a quarter of the descriptors, and the connection accepted last
         } finally {
             for (TestPeer peer : kept) {
                 peer.close();
--- a/src/test/java/rillyard/proxy/ConnectionEndTest.java
+++ b/src/test/java/rillyard/proxy/ConnectionEndTest.java
@@ -14,7 +14,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Ends of connections and requests while something is in flight; see docs/design/endings.md. */
+/**
+ * Guards against requests that are sent, retried or left open after their client, their idempotency window or their
+ * connection has ended, and against responses that are lost or seem complete then. Each test ends a connection or a
+ * request while something is in flight; see docs/design/endings.md.
+ */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class ConnectionEndTest {
     private static final long AWAIT_NANOS = 20_000_000_000L;
@@ -23,11 +27,11 @@
         return config -> change.accept((ObjectNode) config.get("settings").get("limits"));
     }
 
-    /** Waits until a condition holds, which is evaluated on the proxy's event loop. */
+    /** Waits until a condition, which is evaluated on the proxy's event loop, holds. */
     private static void await(ProxyFixture fixture, Callable<Boolean> condition) throws Exception {
-        long deadline = System.nanoTime() + AWAIT_NANOS;
+        long deadlineNanos = System.nanoTime() + AWAIT_NANOS;
         while (!fixture.proxy.loop().submit(condition).get()) {
-            assertThat(System.nanoTime()).as("time is up").isLessThan(deadline);
+            assertThat(System.nanoTime()).as("time limit for the condition").isLessThan(deadlineNanos);
             Thread.sleep(1);
         }
     }
@@ -40,7 +44,7 @@
         }
     }
 
-    /** A host that reads one request, never responds, and counts down once its connection has ended. */
+    /** Creates a host that reads a request, never responds, and counts {@code ended} down when its connection ends. */
     private static ScriptedServer unresponsiveHost(CountDownLatch ended) throws IOException {
         return new ScriptedServer(peer -> {
             peer.read();
@@ -49,12 +53,12 @@
         });
     }
 
-    /** A host that responds with the body of the request. */
+    /** Creates a host that responds with the body of the request. */
     private static ScriptedServer echoHost() throws IOException {
         return ScriptedServer.host(message -> ScriptedServer.ok(message.text()));
     }
 
-    /** A host that responds with {@code x}. */
+    /** Creates a host that responds with {@code x}. */
     private static ScriptedServer servingHost() throws IOException {
         return ScriptedServer.host(message -> ScriptedServer.ok("x"));
     }
@@ -63,7 +67,7 @@
         await(fixture, () -> fixture.proxy.openRequests() == count);
     }
 
-    /** Ends the watch and waits for the next one: the lists before it have been applied then. */
+    /** Ends the watch and waits for the next one, before which all announced lists have been applied. */
     private static void awaitListsApplied(ProxyFixture fixture) throws Exception {
         fixture.discoveryLines.add("");
         String request;
@@ -75,7 +79,7 @@
     @Test
     void retryWithPendingConnectAtEndOfIdempotencyWindowIsAbandoned() throws Exception {
         retryAtLateConnection((fixture, lateServer, client) -> {
-            assertThat(client.read().status()).isEqualTo(502); // 504 by the deadline of 15 s
+            assertThat(client.read().status()).isEqualTo(502); // at the deadline of 15 s it would be 504
             awaitRequests(fixture, 0);
         });
     }
@@ -84,7 +88,8 @@
     void connectCompletedPastIdempotencyWindowGetsNoRetry() throws Exception {
         retryAtLateConnection((fixture, lateServer, client) -> {
             CountDownLatch unblock = fixture.blockLoop();
-            lateServer.freeBacklog(); // connected 1 s after the start: past the idempotency window of 750 ms
+            // The connect completes 1 s after its start: past the idempotency window of 750 ms.
+            lateServer.freeBacklog();
             try (TestPeer host = lateServer.accept()) {
                 unblock.countDown();
                 assertThat(host.read()).isNull();
@@ -97,26 +102,26 @@
         void check(ProxyFixture fixture, LateConnectServer lateServer, TestPeer client) throws Exception;
     }
 
-    /** Has a request with an idempotency key fail at one host, with the connect for its retry at another pending. */
+    /** Runs a check when a request with an idempotency key has failed and the connect for its retry is pending. */
     private static void retryAtLateConnection(LateRetry check) throws Exception {
         try (LateConnectServer lateServer = new LateConnectServer()) {
             ProxyFixture[] fixture = new ProxyFixture[1];
             ScriptedServer first = ScriptedServer.host(message -> {
                 fixture[0].announce(2, false, ProxyFixture.endpoint("b", lateServer.port()));
-                awaitListsApplied(fixture[0]); // there is a host for the retry
+                awaitListsApplied(fixture[0]); // now there is a host for the retry
                 return ScriptedServer.status(500, "");
             });
             try (first;
-                    ProxyFixture madeFixture = new ProxyFixture(
+                    ProxyFixture startedFixture = new ProxyFixture(
                             limits(limits -> limits.put("connectTimeout", 15_000)),
                             ProxyFixture.endpoint("a", first.port()));
-                    TestPeer client = madeFixture.client()) {
-                fixture[0] = madeFixture;
+                    TestPeer client = startedFixture.client()) {
+                fixture[0] = startedFixture;
                 client.write(
                         ProxyFixture.post("log", 15_000, "Idempotency-Key: k\r\n", "x")); // idempotency window: 750 ms
                 first.nextRequest();
-                await(madeFixture, () -> madeFixture.proxy.hostConnections() == 2);
-                check.check(madeFixture, lateServer, client);
+                await(startedFixture, () -> startedFixture.proxy.hostConnections() == 2);
+                check.check(startedFixture, lateServer, client);
             }
         }
     }
@@ -125,7 +130,7 @@
     void clientDisconnectDuringConnectStartsNoAttempt() throws Exception {
         try (LateConnectServer lateServer = new LateConnectServer();
                 ProxyFixture fixture =
-                        new ProxyFixture( // nothing else can end the attempt, and it may not be cancelled
+                        new ProxyFixture( // only the disconnect can end the attempt, and it may not be cancelled
                                 limits(limits ->
                                         limits.put("connectTimeout", 600_000).put("cancel", false)),
                                 ProxyFixture.endpoint("a", lateServer.port()))) {
@@ -148,9 +153,9 @@
                 client.write(ProxyFixture.post("claim", 600_000, "", "second"));
                 client.write(ProxyFixture.post("claim", 600_000, "", "third " + "x".repeat(10_000)));
             }
-            ended.await(); // the first is cancelled
+            ended.await(); // the first request is cancelled
             awaitRequests(fixture, 0);
-            assertThat(host.hasMoreConnections()).isFalse(); // and the others are never sent
+            assertThat(host.hasMoreConnections()).isFalse(); // the others are never sent
         }
     }
 
@@ -187,7 +192,7 @@
         try (ScriptedServer host = echoHost();
                 ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()));
                 TestPeer client = fixture.client()) {
-            int count = 200; // 60 kB: more than is buffered
+            int count = 200; // 60 kB, more than the proxy buffers
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < count; i++) {
                 all.append(ProxyFixture.post("claim", 20_000, "", "r" + i + "x".repeat(150)));
@@ -199,7 +204,7 @@
                         client.write(all.substring(from, Math.min(all.length(), from + 777)));
                     }
                 } catch (IOException e) {
-                    // the reads below fail
+                    // The reads below fail.
                 }
             });
             writer.start();
@@ -218,7 +223,7 @@
                 TestPeer client = fixture.client()) {
             client.write(ProxyFixture.post("claim", 800, "", "first"));
             assertThat(client.read().status()).isEqualTo(200);
-            // The drain shuts the output down, and the loop is blocked until the client has written.
+            // The drain shuts down the connection's output; then the loop is blocked until the client has written.
             CountDownLatch unblock = fixture.blockLoop();
             fixture.proxy.drain();
             CountDownLatch resume = new CountDownLatch(1);
@@ -226,7 +231,8 @@
             unblock.countDown();
             assertThat(client.read()).as("end of the output").isNull();
             client.write(ProxyFixture.post("claim", 800, "", "late"));
-            client.write(ProxyFixture.post("claim", 800, "", "later")); // fails if the first was answered by a reset
+            // Fails if the write before it was answered by a reset.
+            client.write(ProxyFixture.post("claim", 800, "", "later"));
             resume.countDown();
             client.socket.shutdownOutput();
             fixture.proxy.awaitEnd();
@@ -244,7 +250,7 @@
             client.write(ProxyFixture.post("claim", 20_000, "", "first"));
             host.nextRequest();
             await(fixture, () -> fixture.proxy.openRequests() == 0);
-            // The response is not read while other connections take the place of this one.
+            // The client has not read the response when the proxy closes its connection for new ones.
             TestPeer[] others = new TestPeer[40];
             for (int i = 0; i < others.length; i++) {
                 others[i] = fixture.client();
@@ -257,7 +263,10 @@
         }
     }
 
-    /** SIGKILL comes 3.7 s after SIGTERM at the latest, whatever the longest deadline is. */
+    /**
+     * Guards against a drain that waits for the deadline of an open request: SIGKILL comes 3.7 s after SIGTERM at the
+     * latest, whatever the longest deadline is.
+     */
     @ParameterizedTest
     @ValueSource(ints = {1_200, 600_000})
     void openRequestIsAnsweredBeforeDrainEnds(int longestDeadlineMillis) throws Exception {
@@ -271,7 +280,8 @@
                                 ((ObjectNode) config.at("/settings/classes/1")).put("deadline", longestDeadlineMillis),
                         ProxyFixture.endpoint("a", host.port()));
                 TestPeer client = fixture.client()) {
-            client.write(ProxyFixture.post("claim", 600_000, "", "x")); // far longer than a drain may take
+            // The timeout is far longer than a drain may take.
+            client.write(ProxyFixture.post("claim", 600_000, "", "x"));
             host.nextRequest();
             fixture.proxy.drain();
             TestPeer.Message answer = client.read();
@@ -317,7 +327,7 @@
                     complete |= line.equals("0"); // the last chunk
                 }
             } catch (SocketException e) {
-                // the client notices a reset as well
+                // A reset also shows the client that the response is incomplete.
             }
             assertThat(complete).isFalse();
         }
--- a/src/test/java/rillyard/proxy/DescriptorLimitIT.java
+++ b/src/test/java/rillyard/proxy/DescriptorLimitIT.java
@@ -15,7 +15,10 @@
 import rillyard.childprocess.LaunchCommand;
 import rillyard.childprocess.ProxyProcess;
 
-/** The built jar with as few descriptors as the platform gives, which the kernel holds it to. */
+/**
+ * Guards against idle clients that take all descriptors, so that the proxy can no longer connect to discovery or to
+ * hosts. Runs the built jar with as few descriptors as the platform grants, a limit that the kernel enforces.
+ */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class DescriptorLimitIT {
     private static final int DESCRIPTORS = 256;
@@ -23,7 +26,7 @@
     @TempDir
     Path folder;
 
-    private static LaunchCommand limited() {
+    private static LaunchCommand limitedCommand() {
         LaunchCommand built = LaunchCommand.platform(Path.of("").toAbsolutePath());
         List<String> options = new ArrayList<>();
         options.add("-c");
@@ -33,7 +36,7 @@
         return new LaunchCommand(Path.of("/bin/sh"), built.folder(), null, options, built.program(), Map.of());
     }
 
-    /** Idle clients take all that they can get while discovery refuses: its return is seen all the same. */
+    /** Idle clients open all connections that they can while discovery refuses connects; then discovery returns. */
     @Test
     void idleClientsLeaveDescriptorsForDiscoveryHostsAndSignals() throws Exception {
         int port = ProxyFixture.freePort();
@@ -45,7 +48,7 @@
                     config);
             List<TestPeer> idle = new ArrayList<>();
             try (ProxyProcess proxy =
-                    ProxyProcess.launch(limited(), config, ProxyProcess.freeAddress(), folder.resolve("log"))) {
+                    ProxyProcess.launch(limitedCommand(), config, ProxyProcess.freeAddress(), folder.resolve("log"))) {
                 proxy.await(ProxyProcess.State.LISTENING);
                 for (int i = 0; i < 2 * DESCRIPTORS; i++) {
                     idle.add(TestPeer.connect(proxy.address().getPort()));
--- a/src/test/java/rillyard/proxy/EndpointWatchTest.java
+++ b/src/test/java/rillyard/proxy/EndpointWatchTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.api.Test;
 import rillyard.proxy.discovery.EndpointWatch;
 
-/** Endpoint lists, failures of the watch, and their effect on connections. */
+/**
+ * Guards the watch of endpoint lists. A watch that broke, went silent or delivered a malformed list must be reopened
+ * without losing a change, and connections to hosts must follow the list that was applied last.
+ */
 class EndpointWatchTest {
     private static String claim() {
         return ProxyFixture.post("claim", 800, "", "x");
@@ -48,7 +51,7 @@
             }
             assertThat(nextWatchRequest(fixture)).contains("since=1 ");
             assertThat(fixture.call(claim()).status()).isEqualTo(200);
-            // One log line each, counted; a watch that ended in between may have taken a line with it.
+            // Each malformed list is logged with a running count. A list may be lost with a watch that ends first.
             List<String> logLines = fixture.log()
                     .lines()
                     .filter(line -> line.contains("malformed list"))
@@ -64,7 +67,7 @@
     void silentWatchIsReopened() throws Exception {
         try (ProxyFixture fixture = new ProxyFixture()) {
             assertThat(nextWatchRequest(fixture)).isNotNull();
-            assertThat(nextWatchRequest(fixture)).contains("since=1 "); // the first one was silent
+            assertThat(nextWatchRequest(fixture)).contains("since=1 "); // the first watch was silent
         }
     }
 
@@ -84,7 +87,7 @@
         }
     }
 
-    /** A list that never ends is no sign of life, however long its bytes arrive. */
+    /** Guards against a watch that is kept open by the bytes of a list that never ends. */
     @Test
     void endlessListCountsAsSilence() throws Exception {
         try (ProxyFixture fixture = new ProxyFixture()) {
@@ -100,32 +103,34 @@
         }
     }
 
-    /** A change has to be applied within 6 s, also after the watch fell silent: the steps add up. */
+    /** Guards the bound of 6 s in which a change is applied, by adding up the steps after a watch fell silent. */
     @Test
     void worstCaseStepsStayWithinPropagationTime() {
         long maintenanceMillis = 250;
-        long maxBackoffMillis = 2_100; // held by BalancerTest; less where lists are pushed
+        long maxBackoffMillis = 2_100; // checked by BalancerTest; less if lists are pushed
         long silenceMillis = EndpointWatch.SILENCE_NANOS / 1_000_000;
         long unansweredMillis = EndpointWatch.UNANSWERED_NANOS / 1_000_000;
         long overdueMillis = EndpointWatch.OVERDUE_NANOS / 1_000_000;
         long overdueAttemptMillis = EndpointWatch.OVERDUE_ATTEMPT_NANOS / 1_000_000;
-        long waitMillis = 2_000; // for which polled discovery may hold a call
+        long waitMillis = 2_000; // longest time for which polled discovery holds a request
         int connectMillis = EndpointWatch.CONNECT_TIMEOUT_MS;
         assertThat(maxBackoffMillis + connectMillis + unansweredMillis + maintenanceMillis)
                 .isLessThan(6_000);
         assertThat(silenceMillis + maintenanceMillis + maxBackoffMillis).isLessThan(6_000);
-        // Silence, then a late connect and a late answer.
+        // Silence, then a slow connect and a slow response.
         assertThat(overdueMillis + maintenanceMillis + connectMillis + waitMillis)
                 .isLessThan(6_000);
-        // Silence, then a call that is lost after a late connect, then a connect that is late as well.
+        // Silence, then a request that is lost after a slow connect, then another slow connect.
         assertThat(overdueMillis + maintenanceMillis + 2 * overdueAttemptMillis + maintenanceMillis + connectMillis)
                 .isLessThan(6_000);
-        // A poll that is lost after a late connect, then a late connect.
+        // A poll that is lost after a slow connect, then another slow connect.
         assertThat(connectMillis + overdueMillis + maintenanceMillis + connectMillis)
                 .isLessThan(6_000);
-        assertThat(overdueMillis).as("a watch says something every 2 s").isGreaterThan(2_000);
-        assertThat(silenceMillis).as("another connection comes first").isGreaterThan(overdueMillis);
-        assertThat(unansweredMillis).as("another connection comes first").isGreaterThan(overdueMillis);
+        assertThat(overdueMillis)
+                .as("discovery sends a list or a blank line every 2 s")
+                .isGreaterThan(2_000);
+        assertThat(silenceMillis).as("another connection is opened first").isGreaterThan(overdueMillis);
+        assertThat(unansweredMillis).as("another connection is opened first").isGreaterThan(overdueMillis);
     }
 
     @Test
@@ -221,12 +226,12 @@
                 TestPeer first = TestPeer.connect(full.getLocalPort());
                 TestPeer second = TestPeer.connect(full.getLocalPort());
                 ProxyFixture fixture = new ProxyFixture(
-                        // Nothing but the drain can end the connect before the test's reads give up.
+                        // Only the drain can end the connect before the test's own reads time out.
                         config -> ((ObjectNode) config.get("settings").get("limits")).put("connectTimeout", 600_000),
                         ProxyFixture.endpoint("a", full.getLocalPort()));
                 TestPeer client = fixture.client()) {
             assertThat(first.socket.isConnected() && second.socket.isConnected())
-                    .isTrue(); // the backlog is full
+                    .isTrue(); // and thereby fill the backlog
             client.write(ProxyFixture.post("claim", 600_000, "", "x"));
             fixture.announce(2, false, ProxyFixture.endpoint("a", full.getLocalPort(), 0, "draining"));
             assertThat(client.read().status()).isEqualTo(503);
--- a/src/test/java/rillyard/proxy/EventLoopStallTest.java
+++ b/src/test/java/rillyard/proxy/EventLoopStallTest.java
@@ -6,14 +6,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A stall of the event loop while requests arrive, and what the loop does first after it. */
+/**
+ * Guards against requests that are handled after a stall of the event loop as if no time had passed: they would be sent
+ * to a host past their deadline or with too long a timeout, be recorded as a host's failure, or be sent to a host that
+ * an endpoint list received meanwhile reports as draining.
+ */
 @Timeout(60)
 class EventLoopStallTest {
     private static final int TIMEOUT_MILLIS = 300;
 
-    /** Lets the stall last for a time, and ends it. */
+    /** Lets the stall go on for a time, then ends it. */
     private static void stall(CountDownLatch unblock, long millis) throws InterruptedException {
-        Thread.sleep(millis); // the stall itself
+        Thread.sleep(millis); // duration of the stall
         unblock.countDown();
     }
 
@@ -27,7 +31,7 @@
             host.nextRequest();
             CountDownLatch unblock = fixture.blockLoop();
             kept.write(ProxyFixture.post("claim", TIMEOUT_MILLIS, "", "x"));
-            try (TestPeer fresh = fixture.client()) { // waits unaccepted
+            try (TestPeer fresh = fixture.client()) { // not accepted until the stall ends
                 fresh.write(ProxyFixture.post("claim", TIMEOUT_MILLIS, "", "x"));
                 stall(unblock, 2 * TIMEOUT_MILLIS);
                 assertThat(kept.read().status()).isEqualTo(503);
@@ -82,7 +86,7 @@
                 TestPeer peer = fixture.client()) {
             fixture.announce(2, true, ProxyFixture.endpoint("b", hostB.port()));
             String responder;
-            do { // until the list has been applied
+            do { // repeated until the list has been applied
                 peer.write(ProxyFixture.get("read", 2_000));
                 responder = peer.read().text();
             } while (!responder.equals("b"));
--- a/src/test/java/rillyard/proxy/FailureRateByClassTest.java
+++ b/src/test/java/rillyard/proxy/FailureRateByClassTest.java
@@ -5,7 +5,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** A host that never responds to one request class and is fast with another. */
+/**
+ * Guards against a host that never responds to one request class and is fast with another. Its fast responses make it
+ * look idle, so that it would get most requests of the failing class, unless failures are recorded by class.
+ */
 class FailureRateByClassTest {
     private static final int ROUNDS = 40;
 
@@ -25,12 +28,12 @@
             logs.incrementAndGet();
             return ScriptedServer.ok("x");
         };
-        ScriptedServer.Reply sound = message -> {
+        ScriptedServer.Reply healthy = message -> {
             Thread.sleep(20);
             return ScriptedServer.ok("x");
         };
         try (ScriptedServer hostA = ScriptedServer.host(lossy);
-                ScriptedServer hostB = ScriptedServer.host(sound);
+                ScriptedServer hostB = ScriptedServer.host(healthy);
                 ProxyFixture fixture = new ProxyFixture(
                         ProxyFixture.endpoint("a", hostA.port()), ProxyFixture.endpoint("b", hostB.port()));
                 TestPeer claim = fixture.client();
@@ -39,7 +42,8 @@
                 TestPeer three = fixture.client()) {
             for (int i = 0; i < ROUNDS; i++) {
                 claim.write(ProxyFixture.post("claim", 250, "", "x"));
-                // While it is out, so many logs that each host gets one: the lost claim is overtaken.
+                // Enough logs, while the claim is in flight, that each host gets one: its response overtakes the claim,
+                // which therefore counts as lost.
                 for (TestPeer peer : new TestPeer[] {one, two, three}) {
                     peer.write(log());
                 }
@@ -48,7 +52,8 @@
                 }
             }
         }
-        assertThat(claims.get()).isLessThan(ROUNDS / 4); // half of them or more by counts alone
+        // At least half of the claims if hosts are chosen by requests in flight alone.
+        assertThat(claims.get()).isLessThan(ROUNDS / 4);
         assertThat(logs.get()).isGreaterThan(ROUNDS / 2);
     }
 }
--- a/src/test/java/rillyard/proxy/ForgottenConnectionTest.java
+++ b/src/test/java/rillyard/proxy/ForgottenConnectionTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Hosts that forget idle connections without notice: the next request on one is answered by a reset. */
+/**
+ * Guards against requests that fail, or are sent twice, because hosts drop idle connections without notice. The next
+ * request on such a connection is answered by a reset, and several hosts may have dropped theirs.
+ */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class ForgottenConnectionTest {
     private static final int HOSTS = 2;
@@ -24,8 +27,8 @@
     private final BlockingQueue<String> attempts = new LinkedBlockingQueue<>();
     private final CountDownLatch firstRequests = new CountDownLatch(HOSTS);
 
-    /** Answers the first request of each connection, and resets the connection at the second. */
-    private ScriptedServer forgetfulHost() throws IOException {
+    /** Creates a host that answers the first request of each connection, and resets the connection at the second. */
+    private ScriptedServer droppingHost() throws IOException {
         return new ScriptedServer(peer -> {
             attempts.add(peer.read().header("X-Request-ID"));
             firstRequests.countDown();
@@ -36,7 +39,7 @@
         });
     }
 
-    /** Has the proxy keep a connection to each of the hosts. */
+    /** Has the proxy open a connection to each of the hosts and keep it idle. */
     private void keepConnections(ProxyFixture fixture) throws IOException {
         List<TestPeer> clients = new ArrayList<>();
         for (int i = 0; i < HOSTS; i++) {
@@ -51,33 +54,33 @@
         attempts.clear();
     }
 
-    private TestPeer.Message callOnForgottenConnections(String request) throws Exception {
-        try (ScriptedServer hostA = forgetfulHost();
-                ScriptedServer hostB = forgetfulHost();
+    private TestPeer.Message callOnDroppedConnections(String request) throws Exception {
+        try (ScriptedServer hostA = droppingHost();
+                ScriptedServer hostB = droppingHost();
                 ProxyFixture fixture = new ProxyFixture(
                         ProxyFixture.endpoint("a", hostA.port()), ProxyFixture.endpoint("b", hostB.port()))) {
             keepConnections(fixture);
-            long sentAt = System.nanoTime();
+            long sentAtNanos = System.nanoTime();
             TestPeer.Message answer = fixture.call(request);
-            assertThat(System.nanoTime() - sentAt).isLessThan(AT_ONCE_NANOS);
+            assertThat(System.nanoTime() - sentAtNanos).isLessThan(AT_ONCE_NANOS);
             return answer;
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"read", "log"})
-    void repeatableRequestIsRetriedThoughAllHostsHaveForgotten(String requestClass) throws Exception {
+    void retryableRequestSucceedsThoughAllHostsDroppedConnections(String requestClass) throws Exception {
         String request = requestClass.equals("read")
                 ? ProxyFixture.get(requestClass, TIMEOUT_MILLIS)
                 : ProxyFixture.post(requestClass, TIMEOUT_MILLIS, "Idempotency-Key: k\r\n", "x");
-        assertThat(callOnForgottenConnections(request).status())
+        assertThat(callOnDroppedConnections(request).status())
                 .as("after attempts %s", attempts)
                 .isEqualTo(200);
     }
 
     @Test
     void requestThatMayRunOnceHasOneAttemptAndFailsAtOnce() throws Exception {
-        TestPeer.Message answer = callOnForgottenConnections(ProxyFixture.post("claim", TIMEOUT_MILLIS, "", "x"));
+        TestPeer.Message answer = callOnDroppedConnections(ProxyFixture.post("claim", TIMEOUT_MILLIS, "", "x"));
         assertThat(answer.status()).isEqualTo(502);
         assertThat(attempts).hasSize(1);
     }
--- a/src/test/java/rillyard/proxy/HandlerFailureTest.java
+++ b/src/test/java/rillyard/proxy/HandlerFailureTest.java
@@ -21,10 +21,13 @@
 import org.junit.jupiter.api.Timeout;
 import rillyard.proxy.eventloop.FaultInjectingChannels;
 
-/** Handlers that throw: the request has its final answer at once, and its attempt ends; deadlines are 20 s. */
+/**
+ * Guards against an exception in a channel handler that leaves a request without a response, an attempt open or the
+ * periodic maintenance stopped. The client must get its final response at once, although the deadlines are 20 s.
+ */
 @Timeout(60)
 class HandlerFailureTest {
-    /** Time in which an answer counts as given at once. */
+    /** Longest time to a response that counts as sent at once. */
     private static final long AT_ONCE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
     private static final int LONG_BODY_BYTES = 300_000;
@@ -43,7 +46,7 @@
         return ScriptedServer.host(message -> ScriptedServer.ok("x"));
     }
 
-    /** A host that takes a request and says nothing until its connection ends. */
+    /** Creates a host that reads a request and sends nothing until its connection ends. */
     private static ScriptedServer silentHost(CountDownLatch received, CountDownLatch ended) throws IOException {
         return new ScriptedServer(peer -> {
             peer.read();
@@ -55,10 +58,10 @@
 
     private static void assertFailsAtOnce(ProxyFixture fixture) throws IOException {
         try (TestPeer client = fixture.client()) {
-            long sentAt = System.nanoTime();
+            long sentAtNanos = System.nanoTime();
             client.write(claim());
             assertThat(client.read().status()).isEqualTo(502);
-            assertThat(System.nanoTime() - sentAt).isLessThan(AT_ONCE_NANOS);
+            assertThat(System.nanoTime() - sentAtNanos).isLessThan(AT_ONCE_NANOS);
         }
         assertLogged(fixture);
     }
@@ -74,13 +77,13 @@
 
     private static void assertServesNext(ProxyFixture fixture) throws Exception {
         assertThat(fixture.call(claim()).status()).isEqualTo(200);
-        // On the loop, where it comes after the turn that wrote the response's last byte and ended the request.
+        // Runs on the loop after the task that wrote the response's last byte and ended the request.
         String metrics =
                 fixture.proxy.loop().submit(fixture.proxy.metrics()::text).get();
         assertThat(metrics).contains("pending:0|");
     }
 
-    /** Adds a handler to the connection that was accepted last, between the codec and the proxy's own handler. */
+    /** Adds a handler to the next accepted connection, between the codec and the proxy's own handler. */
     private void addToClientPipeline(ProxyFixture fixture, ChannelHandler handler) throws Exception {
         Channel channel = channels.nextAccepted();
         fixture.proxy
@@ -197,7 +200,7 @@
                         peer.write("HTTP/1.1 200 OK\r\n" + response);
                         peer.awaitEnd();
                     } finally {
-                        ended.countDown(); // the connection may end while the response is still being written
+                        ended.countDown(); // also if the connection ends while the response is being written
                     }
                 });
                 ProxyFixture fixture = fixture(host);
@@ -224,12 +227,12 @@
 
     @Test
     void throwInWriteToHostIsAnswered() throws Exception {
-        channels.throwOnNextWriteToHost("claim"); // on a new connection; the watch opens first
+        channels.throwOnNextWriteToHost("claim"); // on a new connection; requests of the watch do not match
         try (ScriptedServer host = answeringHost();
                 ProxyFixture fixture = fixture(host)) {
             assertFailsAtOnce(fixture);
             assertServesNext(fixture);
-            channels.throwOnNextWriteToHost("claim"); // on a kept one
+            channels.throwOnNextWriteToHost("claim"); // on an idle connection
             assertFailsAtOnce(fixture);
             assertServesNext(fixture);
         }
@@ -256,12 +259,12 @@
             assertThat(fixture.call(ProxyFixture.post("claim", 300, "", "visit=1"))
                             .status())
                     .isEqualTo(504);
-            assertNoOpenRequest(fixture); // on the loop, where it comes after the turn that threw and logged it
+            assertNoOpenRequest(fixture); // runs on the loop after the task that threw, which was logged
             assertLogged(fixture);
         }
     }
 
-    /** The next request is handled where the response of the first is written, in the handler of its host's connection. */
+    /** The pipelined request begins when the response before it is written, in the handler of a host's connection. */
     @Test
     void throwInPipelinedRequestIsAnsweredBehindResponseBeforeIt() throws Exception {
         CountDownLatch received = new CountDownLatch(1);
@@ -276,7 +279,7 @@
             client.write(claim());
             assertThat(received.await(10, TimeUnit.SECONDS)).isTrue();
             client.write(claim());
-            Thread.sleep(100); // until the second one is read; without it the test would only force less
+            Thread.sleep(100); // until the second request is read; without the wait the test would only check less
             channels.throwOnNextEndOfStreamCheck();
             reply.countDown();
             assertThat(client.read().status()).isEqualTo(200);
@@ -287,7 +290,7 @@
         }
     }
 
-    /** Nothing else ends idle connections, nor replaces a silent watch. */
+    /** Guards against errors that end maintenance. Nothing else closes idle connections or replaces a silent watch. */
     @Test
     void maintenanceGoesOnAfterError() throws Exception {
         try (ScriptedServer host = answeringHost();
@@ -296,7 +299,7 @@
             client.write(claim());
             assertThat(client.read().status()).isEqualTo(200);
             channels.throwOnNextEndOfStreamCheck(new StackOverflowError(FaultInjectingChannels.INJECTED));
-            client.awaitEnd(); // idle connections end after 2.1 s; the look before that has thrown
+            client.awaitEnd(); // idle connections are closed after 2.1 s; the check before that has thrown
             assertLogged(fixture);
         }
     }
@@ -308,7 +311,7 @@
                 TestPeer client = fixture.client()) {
             client.write(claim());
             assertThat(client.read().status()).isEqualTo(200);
-            channels.throwOnNextEndOfStreamCheck(); // with which the drain closes idle connections
+            channels.throwOnNextEndOfStreamCheck(); // the drain makes this check to close idle connections
             fixture.proxy.drain();
             CountDownLatch drained = new CountDownLatch(1);
             Thread waiter = new Thread(() -> {
--- a/src/test/java/rillyard/proxy/HotRestartIT.java
+++ b/src/test/java/rillyard/proxy/HotRestartIT.java
@@ -17,7 +17,11 @@
 import rillyard.childprocess.LaunchCommand;
 import rillyard.childprocess.ProxyProcess;
 
-/** The built jar, replaced by a successor process under load. Discovery never responds. */
+/**
+ * Guards against requests that are lost, and disabled hosts that get requests again, when a successor process replaces
+ * its predecessor (a hot restart), and against a successor that fails and keeps its predecessor from serving. Runs the
+ * built jar under load; discovery never responds.
+ */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class HotRestartIT {
     private static final int CLIENTS = 8;
@@ -25,10 +29,10 @@
     @TempDir
     Path folder;
 
-    /** Clients with persistent connections, which connect anew after a response with {@code Connection: close}. */
+    /** Clients with persistent connections, which reconnect after a response with {@code Connection: close}. */
     private static final class Load implements AutoCloseable {
         final AtomicInteger served = new AtomicInteger();
-        /** Requests without a host's response, each with its time (ms since the start). */
+        /** Requests that got no response of a host, each with its time (ms since the start). */
         final Queue<String> failures = new ConcurrentLinkedQueue<>();
 
         private final long startNanos = System.nanoTime();
@@ -54,7 +58,7 @@
                     peer.write(ProxyFixture.post("claim", 1_500, "", "x"));
                     TestPeer.Message message = peer.read();
                     if (message == null || message.status() != 200) {
-                        recordFailure(message == null ? "ended without an answer" : message.startLine());
+                        recordFailure(message == null ? "connection ended without a response" : message.startLine());
                     } else {
                         served.incrementAndGet();
                     }
@@ -64,7 +68,7 @@
                     }
                     Thread.sleep(2);
                 } catch (IOException e) {
-                    recordFailure((peer == null ? "connecting: " : "on a connection: ") + e);
+                    recordFailure((peer == null ? "connect failed: " : "connection failed: ") + e);
                     peer = null;
                 } catch (InterruptedException e) {
                     return;
@@ -81,17 +85,17 @@
 
         @Override
         public void close() {
-            stopped.set(true); // each ends with its present request
+            stopped.set(true); // each client stops after its present request
         }
     }
 
     private ProxyProcess launch(
-            ScriptedServer discovery, String name, InetSocketAddress listen, int operator, String... known)
+            ScriptedServer discovery, String name, InetSocketAddress listen, int adminPort, String... known)
             throws Exception {
         Path config = folder.resolve(name + ".json");
         Files.move(
                 ProxyFixture.writeConfig(
-                        discovery.port(), json -> json.put("operator", "127.0.0.1:" + operator), known),
+                        discovery.port(), json -> json.put("operator", "127.0.0.1:" + adminPort), known),
                 config);
         LaunchCommand built = LaunchCommand.platform(Path.of("").toAbsolutePath())
                 .with("TMPDIR", folder.resolve("tmp").toString());
@@ -102,22 +106,22 @@
         return Files.readString(folder.resolve(name + ".log"));
     }
 
-    private static int call(int operator, String methodAndTarget, String body) throws IOException {
-        try (TestPeer peer = TestPeer.connect(operator)) {
+    private static int call(int adminPort, String methodAndTarget, String body) throws IOException {
+        try (TestPeer peer = TestPeer.connect(adminPort)) {
             peer.write(
                     methodAndTarget + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             return peer.read().status();
         }
     }
 
-    private static void awaitReady(int operator) throws InterruptedException {
+    private static void awaitReady(int adminPort) throws InterruptedException {
         while (true) {
             try {
-                if (call(operator, "GET /_ready", "") == 200) {
+                if (call(adminPort, "GET /_ready", "") == 200) {
                     return;
                 }
             } catch (IOException e) {
-                // not there yet
+                // not listening yet
             }
             Thread.sleep(10);
         }
@@ -127,8 +131,8 @@
     void successorTakesOverUnderLoadWithDisabledHosts() throws Exception {
         Files.createDirectory(folder.resolve("tmp"));
         InetSocketAddress listen = ProxyProcess.freeAddress();
-        int oldOperator = ProxyProcess.freeAddress().getPort();
-        int newOperator = ProxyProcess.freeAddress().getPort();
+        int oldAdminPort = ProxyProcess.freeAddress().getPort();
+        int newAdminPort = ProxyProcess.freeAddress().getPort();
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
                 ScriptedServer hostA = ScriptedServer.host(message -> ScriptedServer.ok("a"));
                 ScriptedServer hostB = ScriptedServer.host(message -> ScriptedServer.ok("b"));
@@ -136,21 +140,21 @@
                         silent,
                         "old",
                         listen,
-                        oldOperator,
+                        oldAdminPort,
                         ProxyFixture.endpoint("a", hostA.port()),
                         ProxyFixture.endpoint("b", hostB.port()))) {
-            awaitReady(oldOperator);
+            awaitReady(oldAdminPort);
             try (Load load = new Load(listen)) {
                 load.awaitServed(200);
-                assertThat(call(oldOperator, "POST /_hosts/detach", "a")).isEqualTo(200);
+                assertThat(call(oldAdminPort, "POST /_hosts/detach", "a")).isEqualTo(200);
                 try (ProxyProcess successor = launch(
                         silent,
                         "next",
                         listen,
-                        newOperator,
+                        newAdminPort,
                         ProxyFixture.endpoint("a", hostA.port()),
                         ProxyFixture.endpoint("b", hostB.port()))) {
-                    awaitReady(newOperator);
+                    awaitReady(newAdminPort);
                     load.awaitServed(200);
                     hostA.requests.clear();
                     predecessor.process().terminate();
@@ -159,7 +163,7 @@
                     load.awaitServed(400);
                     assertThat(load.failures).isEmpty();
                     assertThat(hostA.requests).isEmpty();
-                    assertThat(call(newOperator, "POST /_hosts/attach", "a")).isEqualTo(200);
+                    assertThat(call(newAdminPort, "POST /_hosts/attach", "a")).isEqualTo(200);
                     while (hostA.requests.isEmpty()) {
                         load.awaitServed(1);
                     }
@@ -173,16 +177,16 @@
     void failedSuccessorLeavesPredecessorServing() throws Exception {
         Files.createDirectory(folder.resolve("tmp"));
         InetSocketAddress listen = ProxyProcess.freeAddress();
-        int oldOperator = ProxyProcess.freeAddress().getPort();
-        int newOperator = ProxyProcess.freeAddress().getPort();
+        int oldAdminPort = ProxyProcess.freeAddress().getPort();
+        int newAdminPort = ProxyProcess.freeAddress().getPort();
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
                 ScriptedServer hostA = ScriptedServer.host(message -> ScriptedServer.ok("a"));
                 ProxyProcess predecessor =
-                        launch(silent, "old", listen, oldOperator, ProxyFixture.endpoint("a", hostA.port()))) {
-            awaitReady(oldOperator);
+                        launch(silent, "old", listen, oldAdminPort, ProxyFixture.endpoint("a", hostA.port()))) {
+            awaitReady(oldAdminPort);
             try (ProxyProcess successor =
-                    launch(silent, "next", listen, newOperator, ProxyFixture.endpoint("a", hostA.port()))) {
-                awaitReady(newOperator);
+                    launch(silent, "next", listen, newAdminPort, ProxyFixture.endpoint("a", hostA.port()))) {
+                awaitReady(newAdminPort);
                 successor.process().kill();
             }
             try (Load load = new Load(listen)) {
--- a/src/test/java/rillyard/proxy/IncompleteListTest.java
+++ b/src/test/java/rillyard/proxy/IncompleteListTest.java
@@ -16,7 +16,10 @@
 import rillyard.proxy.config.ConfigException;
 import rillyard.proxy.discovery.EndpointListOptions;
 
-/** Full lists that lack most hosts, with and without the guard. */
+/**
+ * Guards against a full list that lacks most hosts because discovery lost its data: with the guard, the missing hosts
+ * stay in use for a time, and without it the list applies as it is.
+ */
 class IncompleteListTest {
     private static final String[] NAMES = {"a", "b", "c", "d"};
     private static final double LONG_HOLD_MILLIS = 3_600_000;
@@ -27,7 +30,7 @@
     void start() throws Exception {
         for (String name : NAMES) {
             hosts.add(ScriptedServer.host(message -> {
-                Thread.sleep(20); // so that simultaneous requests are spread over the hosts
+                Thread.sleep(20); // so that simultaneous requests are distributed over the hosts
                 return ScriptedServer.ok(name);
             }));
         }
@@ -50,7 +53,7 @@
 
     /** Returns the hosts that respond once the announced lists have been applied. */
     private static Set<String> respondingHosts(ProxyFixture fixture) throws Exception {
-        fixture.discoveryLines.add(""); // ends the watch; the next one is opened after all of it was read
+        fixture.discoveryLines.add(""); // ends the watch; the next one is opened once all of this one was read
         assertThat(fixture.watchRequests.poll(20, TimeUnit.SECONDS)).isNotNull();
         assertThat(fixture.watchRequests.poll(20, TimeUnit.SECONDS)).isNotNull();
         Set<String> names = new TreeSet<>();
@@ -90,13 +93,13 @@
             fixture.discoveryLines.add("");
             assertThat(fixture.watchRequests.poll(20, TimeUnit.SECONDS)).isNotNull();
             assertThat(fixture.watchRequests.poll(20, TimeUnit.SECONDS)).isNotNull();
-            long deadline = System.nanoTime() + 20_000_000_000L;
+            long deadlineNanos = System.nanoTime() + 20_000_000_000L;
             while (fixture.log()
                                     .lines()
                                     .filter(line -> line.contains("watch: missing host removed"))
                                     .count()
                             < 3
-                    && System.nanoTime() < deadline) {
+                    && System.nanoTime() < deadlineNanos) {
                 Thread.onSpinWait();
             }
             for (int i = 0; i < 20; i++) {
@@ -107,7 +110,7 @@
         }
     }
 
-    /** The platform's rule, which holds without the guard. */
+    /** Without the guard, the rule of the platform applies: a host that a full list lacks is removed. */
     @Test
     void incompleteListIsAppliedWithoutGuard() throws Exception {
         try (ProxyFixture fixture = new ProxyFixture(allEndpoints())) {
--- a/src/test/java/rillyard/proxy/JarIT.java
+++ b/src/test/java/rillyard/proxy/JarIT.java
@@ -18,11 +18,18 @@
 import org.junit.jupiter.api.Timeout;
 import rillyard.childprocess.TestProcess;
 
-/** Starts the built jar both ways, with the options the platform starts it with. */
+/**
+ * Guards against faults that only the built jar shows: in its reaction to signals, its exit codes, its memory use, and
+ * classes that are missing from the class archive. Runs the commands {@code proxy} and {@code adapter} with the options
+ * that the platform uses.
+ */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class JarIT {
-    /** The JVM's own, made at run time: proxies of annotations, method handles, accessors; 15 now. */
-    private static final long OUTSIDE_ARCHIVE = 25;
+    /**
+     * Most classes that may be loaded from outside the archive. The JVM generates some at run time, as proxies of
+     * annotations, method handles and accessors; 15 now.
+     */
+    private static final long MAX_CLASSES_OUTSIDE_ARCHIVE = 25;
 
     private static Process start(Path config, String command) throws IOException {
         return start(config, command, Map.of());
@@ -48,18 +55,18 @@
         return TestProcess.read(process.getErrorStream());
     }
 
-    /** A proxy that is ready, with one host and a discovery that says nothing. */
-    private static final class Running implements AutoCloseable {
+    /** A proxy process that is ready, with one host and a discovery that never responds. */
+    private static final class RunningProxy implements AutoCloseable {
         final int port = ProxyFixture.freePort();
         final Process process;
         private final ScriptedServer discovery = new ScriptedServer(TestPeer::awaitEnd);
         private final Path config;
 
-        Running(ScriptedServer host) throws Exception {
+        RunningProxy(ScriptedServer host) throws Exception {
             this(host, Map.of());
         }
 
-        Running(ScriptedServer host, Map<String, String> environment) throws Exception {
+        RunningProxy(ScriptedServer host, Map<String, String> environment) throws Exception {
             config = ProxyFixture.writeConfig(
                     discovery.port(),
                     json -> json.put("listen", "127.0.0.1:" + port),
@@ -68,7 +75,7 @@
             awaitReady();
         }
 
-        /** The same configuration but for discovery's address, in a file of its own. */
+        /** Writes the same configuration, but for the address of discovery, to a new file and returns its path. */
         Path newConfig(ScriptedServer discovery, ScriptedServer host) throws IOException {
             return ProxyFixture.writeConfig(
                     discovery.port(),
@@ -112,7 +119,7 @@
                     }
                     return ScriptedServer.ok("served");
                 });
-                Running proxy = new Running(host)) {
+                RunningProxy proxy = new RunningProxy(host)) {
             try (TestPeer held = TestPeer.connect(proxy.port);
                     TestPeer idle = TestPeer.connect(proxy.port)) {
                 idle.write(ProxyFixture.post("claim", 800, "", "x"));
@@ -120,7 +127,7 @@
                 host.nextRequest();
                 held.write(ProxyFixture.post("claim", 1_200, "", "slow"));
                 host.nextRequest();
-                proxy.process.toHandle().destroy(); // SIGTERM; the process's own method would close its streams
+                proxy.process.toHandle().destroy(); // SIGTERM; Process.destroy would also close the process's streams
                 assertThat(idle.read()).isNull();
                 try (TestPeer late = TestPeer.connect(proxy.port)) {
                     late.write(ProxyFixture.post("claim", 800, "", "x"));
@@ -140,10 +147,10 @@
     @Test
     void manyLargeBodiesStayWithinMemoryLimit() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("" + message.body().length));
-                Running proxy = new Running(host)) {
+                RunningProxy proxy = new RunningProxy(host)) {
             byte[] body = new byte[(64 << 10) - 1];
             List<TestPeer> clients = new ArrayList<>();
-            for (int i = 0; i < 400; i++) { // 25 MB at once, if all came in
+            for (int i = 0; i < 400; i++) { // 25 MB at once if all were received
                 TestPeer peer = TestPeer.connect(proxy.port);
                 clients.add(peer);
                 Thread thread = new Thread(() -> {
@@ -155,7 +162,7 @@
                         peer.write(body);
                         peer.write("x");
                     } catch (IOException e) {
-                        // refused half way: its answer is there all the same
+                        // The request was rejected before its end, and its response can be read nevertheless.
                     }
                 });
                 thread.setDaemon(true);
@@ -206,16 +213,19 @@
                         "rillyard.subset",
                         "rillyard.membership",
                         "rillyard.faultinjection")
-                // Each of these took a part of every start: a mapper with calendars and locales, the
-                // recorder's events, libraries for logs that are not there.
+                // Each of these made every start slower: an object mapper with calendars and locales, events of the
+                // flight recorder, and the search for logging libraries that are absent.
                 .doesNotContain("databind.ObjectMapper ", "jdk.jfr.internal.EventClassBuilder", "Slf4JLogger");
         long outside = log.lines()
                 .filter(line -> line.contains(" source: ") && !line.contains("shared objects file"))
                 .count();
-        assertThat(outside).as("classes from outside the archive").isBetween(1L, OUTSIDE_ARCHIVE);
+        assertThat(outside).as("classes from outside the archive").isBetween(1L, MAX_CLASSES_OUTSIDE_ARCHIVE);
     }
 
-    /** What a request loads on the event loop keeps all others waiting: 25 to 40 ms on half a core were seen. */
+    /**
+     * Guards against classes that the first failures load on the event loop, which delays all other requests: by 25 to
+     * 40 ms on half a core where they are not in the archive.
+     */
     @Test
     void firstFailuresLoadNoClassOutsideArchive() throws Exception {
         Path loaded = Files.createTempFile("classes", ".log");
@@ -223,7 +233,8 @@
                     peer.read();
                     peer.reset();
                 });
-                Running proxy = new Running(host, Map.of("JAVA_TOOL_OPTIONS", "-Xlog:class+load:file=" + loaded))) {
+                RunningProxy proxy =
+                        new RunningProxy(host, Map.of("JAVA_TOOL_OPTIONS", "-Xlog:class+load:file=" + loaded))) {
             long linesBefore = lineCount(loaded);
             for (int i = 0; i < 4; i++) {
                 try (TestPeer client = TestPeer.connect(proxy.port)) {
@@ -251,14 +262,14 @@
 
     @Test
     void sighupMovesWatchAndKeepsServing() throws Exception {
-        BlockingQueue<String> asked = new LinkedBlockingQueue<>();
+        BlockingQueue<String> watchRequests = new LinkedBlockingQueue<>();
         try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("served"));
                 ScriptedServer moved = new ScriptedServer(peer -> {
-                    asked.add(peer.read().startLine());
+                    watchRequests.add(peer.read().startLine());
                     peer.awaitEnd();
                 });
-                Running proxy = new Running(host)) {
-            // One that can't be read, one that can't be used, and a good one.
+                RunningProxy proxy = new RunningProxy(host)) {
+            // A file that is not JSON, one with an invalid value, and a valid one.
             for (String file : new String[] {"{", "{\"settings\":{\"classes\":7}}", null}) {
                 if (file == null) {
                     Files.move(proxy.newConfig(moved, host), proxy.config, REPLACE_EXISTING);
@@ -271,7 +282,7 @@
                     assertThat(client.read().text()).isEqualTo("served");
                 }
             }
-            assertThat(asked.poll(20, TimeUnit.SECONDS)).contains("follow=1&since=1 ");
+            assertThat(watchRequests.poll(20, TimeUnit.SECONDS)).contains("follow=1&since=1 ");
             assertThat(proxy.process.isAlive()).isTrue();
         }
     }
--- a/src/test/java/rillyard/proxy/LoadSheddingTest.java
+++ b/src/test/java/rillyard/proxy/LoadSheddingTest.java
@@ -9,10 +9,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** Load shedding as clients see it: what is rejected, and for how long. */
+/**
+ * Guards against faults of load shedding that clients see: rejections that go on after the overload has ended, late
+ * requests that are preferred to timely ones, and simultaneous retries of which some get through by chance.
+ */
 class LoadSheddingTest {
-    private static String claim(int timeout) {
-        return ProxyFixture.post("claim", timeout, "", "visit=1");
+    private static String claim(int timeoutMillis) {
+        return ProxyFixture.post("claim", timeoutMillis, "", "visit=1");
     }
 
     private static String responseWithReport(int requestsInFlight) {
@@ -20,8 +23,8 @@
     }
 
     /**
-     * Guards against a host that is left alone for good: what was sent to it and lost brought no newer
-     * report, and must not count as its queue for ever.
+     * Guards against a host that never gets requests again. Requests that it lost brought no newer load report than the
+     * one with a long queue, and must not count as its queue indefinitely.
      */
     @Test
     void rejectionsEndAfterTheirCause() throws Exception {
@@ -29,7 +32,7 @@
         ScriptedServer.Reply reply = message -> {
             int count = seen.incrementAndGet();
             if (count == 1) {
-                Thread.sleep(350); // one of a queue of six: each takes long
+                Thread.sleep(350); // a slow response that reports a queue of six
                 return responseWithReport(6);
             }
             if (count <= 9) {
@@ -40,22 +43,20 @@
         try (ScriptedServer host = ScriptedServer.host(reply);
                 ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()))) {
             assertThat(fixture.call(claim(60_000)).status()).isEqualTo(200);
-            long deadline = System.nanoTime() + 30_000_000_000L;
+            long deadlineNanos = System.nanoTime() + 30_000_000_000L;
             int status = 0;
-            while (status != 200 && System.nanoTime() < deadline) {
+            while (status != 200 && System.nanoTime() < deadlineNanos) {
                 status = fixture.call(claim(100)).status();
             }
             assertThat(status).isEqualTo(200);
         }
     }
 
-    /**
-     * Guards against retries whose aim is past taking the place of requests that can still be of use.
-     */
+    /** Guards against late retries, past their latency objective, that displace requests which can still meet it. */
     @Test
     void lateRequestsAreShedFirst() throws Exception {
         ScriptedServer.Reply slow = message -> {
-            Thread.sleep(240); // six tenths of the aim
+            Thread.sleep(240); // 0.6 of the latency objective
             return ScriptedServer.ok("ok");
         };
         try (ScriptedServer host = ScriptedServer.host(slow);
@@ -65,7 +66,7 @@
             }
             int served = host.requests.size();
             for (int i = 0; i < 10; i++) {
-                assertThat(fixture.call(claim(300)).status()).isEqualTo(503); // 500 ms of 800 are gone
+                assertThat(fixture.call(claim(300)).status()).isEqualTo(503); // 500 of 800 ms have passed
             }
             assertThat(host.requests).hasSize(served);
             int status = 0;
@@ -76,11 +77,13 @@
         }
     }
 
-    /** Clients that retry at once must not get through by chance. */
+    /**
+     * Guards against a random decision for each request, by which clients that retry at once get through by chance.
+     */
     @Test
     void simultaneousRetriesGetSameDecision() throws Exception {
         ScriptedServer.Reply slow = message -> {
-            Thread.sleep(300); // about half are refused at three quarters of the aim
+            Thread.sleep(300); // at 0.75 of the latency objective, about half of the requests are rejected
             return ScriptedServer.ok("ok");
         };
         List<TestPeer> clients = new ArrayList<>();
@@ -98,9 +101,10 @@
                 for (TestPeer peer : clients) {
                     answers.add(peer.read().status());
                 }
-                mixedRounds += i >= 8 && answers.size() > 1 ? 1 : 0; // the first ones raise the pressure
+                mixedRounds += i >= 8 && answers.size() > 1 ? 1 : 0; // the first rounds raise the latency pressure
             }
-            assertThat(mixedRounds).isLessThan(8); // of 16; chance for each mixes nearly all
+            // Of 16 rounds; a random decision for each request would mix nearly all of them.
+            assertThat(mixedRounds).isLessThan(8);
         } finally {
             for (TestPeer client : clients) {
                 client.close();
