--- a/src/main/java/rillyard/testserver/DiscoveryServer.java
+++ b/src/main/java/rillyard/testserver/DiscoveryServer.java
@@ -40,8 +40,8 @@
  */
 final class DiscoveryServer {
     /**
-     * Interval at which a watch without changes gets an empty line, so that its client can tell an idle watch from a
-     * lost one.
+     * Interval at which a watch without changes gets an empty line, so that its client can distinguish an idle watch
+     * from a lost one.
      */
     private static final long KEEPALIVE_MILLIS = 2_000;
 
@@ -71,7 +71,7 @@
      *
      * @throws Exception if the bind fails
      */
-    InetSocketAddress start(InetSocketAddress at) throws Exception {
+    InetSocketAddress start(InetSocketAddress bindAddress) throws Exception {
         listener = new ServerBootstrap()
                 .group(loop)
                 .channel(EventLoops.serverChannelType())
@@ -81,7 +81,7 @@
                         channel.pipeline().addLast(new HttpServerCodec(), new CatalogHandler());
                     }
                 })
-                .bind(at)
+                .bind(bindAddress)
                 .sync()
                 .channel();
         loop.scheduleAtFixedRate(this::sendKeepAlive, KEEPALIVE_MILLIS, KEEPALIVE_MILLIS, TimeUnit.MILLISECONDS);
@@ -130,7 +130,7 @@
         }
     }
 
-    /** Returns the mapping from a host's address to the one that the given client is told. */
+    /** Returns the mapping from a host's address to the address that is advertised to the given client. */
     private UnaryOperator<String> advertisedTo(Channel caller) {
         InetAddress from = ((InetSocketAddress) caller.remoteAddress()).getAddress();
         return address -> advertisedAddresses.address(from, address);
@@ -167,7 +167,7 @@
         }
     }
 
-    /** Handles the requests of one connection: a list, or a watch, after which the connection carries nothing else. */
+    /** Handles the requests of one connection: for the list, or for a watch, which then occupies the connection. */
     private final class CatalogHandler extends ChannelInboundHandlerAdapter {
         private HttpRequest head;
         private Watch watch;
--- a/src/main/java/rillyard/testserver/EndpointCatalog.java
+++ b/src/main/java/rillyard/testserver/EndpointCatalog.java
@@ -95,7 +95,7 @@
      * cached.
      *
      * @param since version that the client has
-     * @param address maps a host's address to the one that the client is told
+     * @param address maps a host's address to the address that is advertised to the client
      */
     String changesSince(long since, UnaryOperator<String> address) {
         return line(needsFullList(since), entriesSince(since), address);
@@ -104,7 +104,7 @@
     /**
      * Returns the JSON line for the full list.
      *
-     * @param address maps a host's address to the one that the client is told
+     * @param address maps a host's address to the address that is advertised to the client
      */
     String fullList(UnaryOperator<String> address) {
         return line(true, entries.values(), address);
--- a/src/main/java/rillyard/testserver/FaultControlServer.java
+++ b/src/main/java/rillyard/testserver/FaultControlServer.java
@@ -42,7 +42,7 @@
      *
      * @throws Exception if the bind fails
      */
-    InetSocketAddress start(EventLoopGroup loop, InetSocketAddress at) throws Exception {
+    InetSocketAddress start(EventLoopGroup loop, InetSocketAddress bindAddress) throws Exception {
         return (InetSocketAddress) new ServerBootstrap()
                 .group(loop)
                 .channel(EventLoops.serverChannelType())
@@ -56,7 +56,7 @@
                                         new FaultHandler());
                     }
                 })
-                .bind(at)
+                .bind(bindAddress)
                 .sync()
                 .channel()
                 .localAddress();
--- a/src/main/java/rillyard/testserver/HostConnection.java
+++ b/src/main/java/rillyard/testserver/HostConnection.java
@@ -36,8 +36,8 @@
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object msg) throws Exception {
-            if (connection.firstByte == 0) {
-                connection.firstByte = connection.host.scheduler.now();
+            if (connection.firstByteAtNanos == 0) {
+                connection.firstByteAtNanos = connection.host.scheduler.now();
             }
             super.channelRead(ctx, msg);
         }
@@ -46,9 +46,9 @@
     private final HostServer host;
     private final SocketChannel channel;
     private final boolean rejected;
-    private final long readyAt;
-    private long idleSince;
-    private long firstByte;
+    private final long readyAtNanos;
+    private long idleSinceNanos;
+    private long firstByteAtNanos;
     private HttpRequest head;
     private CRC32 crc;
     private long bodyBytes;
@@ -63,8 +63,8 @@
         this.host = host;
         this.channel = channel;
         this.rejected = rejected;
-        this.idleSince = host.scheduler.now();
-        this.readyAt = idleSince + (long) (host.spec.handshakeMillis() * 1e6);
+        this.idleSinceNanos = host.scheduler.now();
+        this.readyAtNanos = idleSinceNanos + (long) (host.spec.handshakeMillis() * 1e6);
     }
 
     /** Enables or disables reading from the socket; a paused host does not read. */
@@ -79,12 +79,12 @@
 
     /** Closes the connection if it has been idle for at least {@code nanos} nanoseconds. */
     void closeIfIdle(long nanos) {
-        if (!isBusy() && firstByte == 0 && host.scheduler.now() - idleSince >= nanos) {
+        if (!isBusy() && firstByteAtNanos == 0 && host.scheduler.now() - idleSinceNanos >= nanos) {
             channel.close();
         }
     }
 
-    /** Resets the connection because its host has died, and logs what became of its request. */
+    /** Resets the connection because its host has stopped, and logs the outcome of its request. */
     void kill() {
         if (exchange != null) {
             exchange.onKilled();
@@ -160,15 +160,15 @@
             reject(400, false, false);
             return;
         }
-        long now = host.scheduler.now();
-        long deadline = now + (long) (timeout(headers.get("X-Timeout-Ms"), spec.deadlineMillis()) * 1e6);
-        exchange = new Exchange(
-                new HostRequest(id, key, spec, request.uri(), bodyBytes, crc.getValue(), firstByte, deadline));
+        long nowNanos = host.scheduler.now();
+        long deadlineNanos = nowNanos + (long) (timeout(headers.get("X-Timeout-Ms"), spec.deadlineMillis()) * 1e6);
+        exchange = new Exchange(new HostRequest(
+                id, key, spec, request.uri(), bodyBytes, crc.getValue(), firstByteAtNanos, deadlineNanos));
         if (rejected) {
             exchange.rejectRequest(503, true);
-        } else if (now < readyAt) {
+        } else if (nowNanos < readyAtNanos) {
             Exchange pending = exchange;
-            host.scheduler.scheduleAt(readyAt, pending::begin);
+            host.scheduler.scheduleAt(readyAtNanos, pending::begin);
         } else {
             exchange.begin();
         }
@@ -208,14 +208,14 @@
 
     private void onExchangeEnded() {
         exchange = null;
-        firstByte = 0;
-        idleSince = host.scheduler.now();
+        firstByteAtNanos = 0;
+        idleSinceNanos = host.scheduler.now();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         if (exchange != null) {
-            exchange.onClientLeft();
+            exchange.onClientDisconnected();
         }
     }
 
@@ -227,7 +227,7 @@
         channel.close();
     }
 
-    /** One request, from its last byte to its record in the request log, which is written exactly once. */
+    /** Handles one request from its last byte to its record in the request log, which is written exactly once. */
     private final class Exchange {
         private final HostRequest request;
         private final int attempt;
@@ -239,7 +239,7 @@
         Exchange(HostRequest request) {
             this.request = request;
             this.attempt = host.context().nextAttemptNumber(request.id());
-            this.job = new HostQueue.Job(request.spec().serviceTime().sample(host.random) * 1e6) {
+            this.job = new HostQueue.Job(request.spec().serviceTime().sampleMillis(host.random) * 1e6) {
                 @Override
                 boolean mayStart() {
                     return Exchange.this.mayStart();
@@ -309,7 +309,7 @@
             if (logged) {
                 return false;
             }
-            if (host.scheduler.now() >= request.deadline()) {
+            if (host.scheduler.now() >= request.deadlineNanos()) {
                 rejectRequest(504, false); // the client's deadline has passed, so running it would waste a core
                 return false;
             }
@@ -326,38 +326,38 @@
             if (host.faults.applies(HostFault.Kind.HANG)) {
                 unresponsive = true; // logged when its connection is closed or the cluster stops
             } else if (host.faults.applies(HostFault.Kind.RESET)) {
-                log(job.startedAt(), ExecutionResult.RESET);
+                log(job.startedAtNanos(), ExecutionResult.RESET);
                 ByteBuf response = HostResponse.success(channel.alloc(), request, host.spec.id(), host.loadReport());
                 channel.writeAndFlush(response.readSlice(response.readableBytes() / 2))
                         .addListener(f -> reset());
             } else if (host.faults.applies(HostFault.Kind.GARBLE)) {
-                log(job.startedAt(), ExecutionResult.GARBLED);
+                log(job.startedAtNanos(), ExecutionResult.GARBLED);
                 channel.writeAndFlush(HostResponse.malformed(channel.alloc(), host.random.nextInt()));
             } else {
-                log(job.startedAt(), ExecutionResult.DONE);
+                log(job.startedAtNanos(), ExecutionResult.DONE);
                 respond(HostResponse.success(channel.alloc(), request, host.spec.id(), host.loadReport()));
             }
         }
 
         /** Logs the request after its client closed the connection. */
-        void onClientLeft() {
+        void onClientDisconnected() {
             if (host.queue.withdraw(job) || (!job.isRunning() && !unresponsive)) {
                 forgetKey();
                 log(0, ExecutionResult.DROPPED);
             } else {
-                log(job.startedAt(), unresponsive ? ExecutionResult.HUNG : ExecutionResult.LEFT);
+                log(job.startedAtNanos(), unresponsive ? ExecutionResult.HUNG : ExecutionResult.LEFT);
             }
         }
 
-        /** Logs the request after its host was killed. */
+        /** Logs the request after its host has stopped. */
         void onKilled() {
             if (unresponsive) {
-                log(job.startedAt(), ExecutionResult.HUNG);
+                log(job.startedAtNanos(), ExecutionResult.HUNG);
                 return;
             }
             boolean wasRunning = job.isRunning();
-            forgetKey(); // unfinished work of a killed host has no effect, so the key may run again
-            log(wasRunning ? job.startedAt() : 0, wasRunning ? ExecutionResult.KILLED : ExecutionResult.DROPPED);
+            forgetKey(); // unfinished work of a stopped host has no effect, so its key may be executed again
+            log(wasRunning ? job.startedAtNanos() : 0, wasRunning ? ExecutionResult.KILLED : ExecutionResult.DROPPED);
         }
 
         private void forgetKey() {
@@ -367,10 +367,10 @@
             }
         }
 
-        private void log(long startedAt, ExecutionResult result) {
+        private void log(long startedAtNanos, ExecutionResult result) {
             if (!logged) {
                 logged = true;
-                host.logExecution(request, attempt, startedAt, job.workNanos, result);
+                host.logExecution(request, attempt, startedAtNanos, job.workNanos, result);
             }
         }
     }
--- a/src/main/java/rillyard/testserver/HostContext.java
+++ b/src/main/java/rillyard/testserver/HostContext.java
@@ -3,8 +3,8 @@
 import rillyard.requestlog.RequestLogWriter;
 
 /**
- * What a host uses of the cluster it belongs to. Methods are called on the host's event loop; implementations are
- * thread-safe, as the hosts of a cluster run on several loops.
+ * Gives a host access to its cluster. Methods are called on the host's event loop; implementations are thread-safe, as
+ * the hosts of a cluster run on several loops.
  */
 interface HostContext {
     /** Returns the cluster's plan. */
--- a/src/main/java/rillyard/testserver/HostFault.java
+++ b/src/main/java/rillyard/testserver/HostFault.java
@@ -25,7 +25,7 @@
 
     /** Kinds of fault. */
     public enum Kind {
-        /** The process stalls, as in a long garbage collection; what arrives meanwhile is served afterwards. */
+        /** The process stalls, as in a long garbage collection; requests are served after the stall. */
         PAUSE,
         /** Requests are accepted and run but never answered. */
         HANG,
@@ -37,7 +37,7 @@
         SLOW,
         /** Requests are run and get a malformed response. */
         GARBLE,
-        /** The process dies: its connections are reset and new ones are refused. */
+        /** The process is killed: its connections are reset and new ones are refused. */
         KILL,
         /** Discovery announces that the host is draining; it stops when the fault's duration is over. */
         DRAIN,
--- a/src/main/java/rillyard/testserver/HostQueue.java
+++ b/src/main/java/rillyard/testserver/HostQueue.java
@@ -14,9 +14,9 @@
     /** A unit of work for one core. */
     abstract static class Job {
         final double workNanos;
-        private long startedAt;
+        private long startedAtNanos;
         private double remainingNanos;
-        private long resumedAt;
+        private long resumedAtNanos;
         private double rate;
         private Scheduler.ScheduledTask timer;
         private boolean queued;
@@ -31,7 +31,7 @@
             this.workNanos = workNanos;
         }
 
-        /** Called when a core is free. Returns false to discard the job, for example because its client has left. */
+        /** Called when a core is free. Returns false to discard the job, for example if its client disconnected. */
         abstract boolean mayStart();
 
         /** Called when the job has completed. */
@@ -43,8 +43,8 @@
         }
 
         /** Returns when the job started, in nanoseconds of the scheduler's clock, or 0 if it has not. */
-        long startedAt() {
-            return startedAt;
+        long startedAtNanos() {
+            return startedAtNanos;
         }
     }
 
@@ -53,24 +53,24 @@
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
     private final Set<Job> running = new LinkedHashSet<>();
     private double slowdown = 1;
-    private long startedAt;
+    private long startedAtNanos;
     private boolean warmingUp;
     private boolean paused;
     private double busyNanos;
-    private long busyCountedAt;
-    private long utilisationSince;
+    private long busyCountedAtNanos;
+    private long utilisationSinceNanos;
 
     HostQueue(HostSpec spec, Scheduler scheduler) {
         this.spec = spec;
         this.scheduler = scheduler;
-        this.busyCountedAt = scheduler.now();
-        this.utilisationSince = busyCountedAt;
+        this.busyCountedAtNanos = scheduler.now();
+        this.utilisationSinceNanos = busyCountedAtNanos;
     }
 
     /** Records that the host starts now. A host that warms up gains speed linearly over its warm-up time. */
     void onStarted(boolean isWarmingUp) {
         warmingUp = isWarmingUp;
-        startedAt = scheduler.now();
+        startedAtNanos = scheduler.now();
     }
 
     /** Returns the current share of the host's full speed, above 0 and at most 1. */
@@ -78,7 +78,7 @@
         if (!warmingUp || spec.warmUpMillis() <= 0) {
             return 1;
         }
-        double share = (scheduler.now() - startedAt) / (spec.warmUpMillis() * 1e6);
+        double share = (scheduler.now() - startedAtNanos) / (spec.warmUpMillis() * 1e6);
         return Math.min(1, spec.initialCapacityShare() + (1 - spec.initialCapacityShare()) * share);
     }
 
@@ -125,16 +125,17 @@
         }
         countBusyTime();
         job.running = true;
-        job.startedAt = scheduler.now();
+        job.startedAtNanos = scheduler.now();
         job.remainingNanos = job.workNanos;
         running.add(job);
         run(job);
     }
 
     private void run(Job job) {
-        job.resumedAt = scheduler.now();
+        job.resumedAtNanos = scheduler.now();
         job.rate = spec.speed() * capacityShare() / slowdown;
-        job.timer = scheduler.scheduleAt(job.resumedAt + (long) (job.remainingNanos / job.rate), () -> finish(job));
+        job.timer =
+                scheduler.scheduleAt(job.resumedAtNanos + (long) (job.remainingNanos / job.rate), () -> finish(job));
     }
 
     private void finish(Job job) {
@@ -160,7 +161,7 @@
         paused = true;
         for (Job job : running) {
             job.timer.cancel();
-            job.remainingNanos = Math.max(0, job.remainingNanos - (scheduler.now() - job.resumedAt) * job.rate);
+            job.remainingNanos = Math.max(0, job.remainingNanos - (scheduler.now() - job.resumedAtNanos) * job.rate);
         }
     }
 
@@ -208,16 +209,18 @@
     /** Returns the mean share of busy cores since the previous call, 0 to 1. */
     double utilisation() {
         countBusyTime();
-        long now = scheduler.now();
-        double share = now == utilisationSince ? 0 : busyNanos / ((double) (now - utilisationSince) * spec.cores());
-        utilisationSince = now;
+        long nowNanos = scheduler.now();
+        double share = nowNanos == utilisationSinceNanos
+                ? 0
+                : busyNanos / ((double) (nowNanos - utilisationSinceNanos) * spec.cores());
+        utilisationSinceNanos = nowNanos;
         busyNanos = 0;
         return Math.min(1, share);
     }
 
     private void countBusyTime() {
-        long now = scheduler.now();
-        busyNanos += paused ? 0 : (double) (now - busyCountedAt) * running.size();
-        busyCountedAt = now;
+        long nowNanos = scheduler.now();
+        busyNanos += paused ? 0 : (double) (nowNanos - busyCountedAtNanos) * running.size();
+        busyCountedAtNanos = nowNanos;
     }
 }
--- a/src/main/java/rillyard/testserver/HostRequest.java
+++ b/src/main/java/rillyard/testserver/HostRequest.java
@@ -9,8 +9,8 @@
  * @param path path and query as received
  * @param bodyBytes length of the body in bytes
  * @param crc CRC-32 of the body
- * @param firstByte arrival of the first byte, in nanoseconds of the host's clock
- * @param deadline end of the client's wait, on the same clock
+ * @param firstByteAtNanos arrival of the first byte, in nanoseconds of the host's clock
+ * @param deadlineNanos time until which the client waits, on the same clock
  */
 record HostRequest(
         String id,
@@ -19,5 +19,5 @@
         String path,
         long bodyBytes,
         long crc,
-        long firstByte,
-        long deadline) {}
+        long firstByteAtNanos,
+        long deadlineNanos) {}
--- a/src/main/java/rillyard/testserver/HostServer.java
+++ b/src/main/java/rillyard/testserver/HostServer.java
@@ -45,7 +45,7 @@
     private InetSocketAddress address;
     private boolean up;
     private String loadReport;
-    private long loadMeasuredAt;
+    private long loadMeasuredAtNanos;
     private Future<?> idleSweep;
 
     HostServer(HostSpec spec, EventLoop loop, HostContext context, long seed) {
@@ -79,28 +79,28 @@
      * @param warmingUp whether the host starts with reduced capacity
      * @throws Exception if the bind fails
      */
-    void start(InetSocketAddress at, boolean warmingUp) throws Exception {
-        listener = listen(at).sync().channel();
+    void start(InetSocketAddress bindAddress, boolean warmingUp) throws Exception {
+        listener = listen(bindAddress).sync().channel();
         address = (InetSocketAddress) listener.localAddress();
         loop.submit(() -> onListening(warmingUp)).sync();
     }
 
     /** Starts, warming up, on an address that this or another host used before; retries while the port is in use. */
-    void restart(InetSocketAddress at) {
-        address = at;
-        listen(at).addListener((ChannelFuture future) -> {
+    void restart(InetSocketAddress bindAddress) {
+        address = bindAddress;
+        listen(bindAddress).addListener((ChannelFuture future) -> {
             if (future.isSuccess()) {
                 listener = future.channel();
                 onListening(true);
                 context.onRestarted(this);
             } else {
                 // A connection of the previous host still occupies the port.
-                scheduler.scheduleAfter(BIND_RETRY_NANOS, () -> restart(at));
+                scheduler.scheduleAfter(BIND_RETRY_NANOS, () -> restart(bindAddress));
             }
         });
     }
 
-    private ChannelFuture listen(InetSocketAddress at) {
+    private ChannelFuture listen(InetSocketAddress bindAddress) {
         return new ServerBootstrap()
                 .group(loop)
                 .channel(EventLoops.serverChannelType())
@@ -113,7 +113,7 @@
                         onAccepted(channel);
                     }
                 })
-                .bind(at);
+                .bind(bindAddress);
     }
 
     private void onListening(boolean warmingUp) {
@@ -275,8 +275,9 @@
         if (fields.isEmpty()) {
             return null;
         }
-        long now = scheduler.now();
-        if (loadReport == null || now - loadMeasuredAt >= context.plan().reportPeriodMillis() * 1e6) {
+        long nowNanos = scheduler.now();
+        if (loadReport == null
+                || nowNanos - loadMeasuredAtNanos >= context.plan().reportPeriodMillis() * 1e6) {
             StringBuilder out = new StringBuilder();
             for (String field : fields) {
                 double value =
@@ -293,7 +294,7 @@
                                 : String.format(Locale.ROOT, "%.3f", value));
             }
             loadReport = out.toString();
-            loadMeasuredAt = now;
+            loadMeasuredAtNanos = nowNanos;
         }
         return loadReport;
     }
@@ -301,9 +302,9 @@
     /**
      * Logs the outcome of a request.
      *
-     * @param startedAt start on the host's clock in nanoseconds, or 0 if it never ran
+     * @param startedAtNanos start on the host's clock in nanoseconds, or 0 if it never ran
      */
-    void logExecution(HostRequest request, int attempt, long startedAt, double workNanos, ExecutionResult result) {
+    void logExecution(HostRequest request, int attempt, long startedAtNanos, double workNanos, ExecutionResult result) {
         context.requestLog()
                 .append(new HostExecution(
                         request.id(),
@@ -313,8 +314,8 @@
                         spec.cell(),
                         spec.zone(),
                         attempt,
-                        UnixClock.micros(request.firstByte()),
-                        startedAt == 0 ? 0 : UnixClock.micros(startedAt),
+                        UnixClock.micros(request.firstByteAtNanos()),
+                        startedAtNanos == 0 ? 0 : UnixClock.micros(startedAtNanos),
                         UnixClock.micros(scheduler.now()),
                         (long) (workNanos / 1_000),
                         result));
--- a/src/main/java/rillyard/testserver/IdempotencyKeyStore.java
+++ b/src/main/java/rillyard/testserver/IdempotencyKeyStore.java
@@ -12,18 +12,18 @@
  * after its first receipt, which bounds the number of stored keys. Thread-safe.
  */
 final class IdempotencyKeyStore {
-    /** State of one key. */
+    /** Holds the state of one key. */
     private static final class Entry {
-        final long expiresAt;
+        final long expiresAtNanos;
         boolean done;
         List<Runnable> waiting = List.of();
 
-        Entry(long expiresAt) {
-            this.expiresAt = expiresAt;
+        Entry(long expiresAtNanos) {
+            this.expiresAtNanos = expiresAtNanos;
         }
     }
 
-    /** Whether a received key is new. */
+    /** State of a received key. */
     enum KeyState {
         /** Unknown so far: the caller runs the request and then calls {@link #markDone} or {@link #forget}. */
         NEW,
@@ -48,17 +48,17 @@
     /**
      * Registers the receipt of a key and returns its state.
      *
-     * @param now current time in nanoseconds, on a clock that all callers share
+     * @param nowNanos current time in nanoseconds, on a clock that all callers share
      * @param onCompleted run once when a running first request completes or is forgotten, on the thread that reports
      *     it; used only if the result is {@code RUNNING}
      */
-    synchronized KeyState register(String key, long now, Runnable onCompleted) {
-        for (Iterator<Entry> i = keys.values().iterator(); i.hasNext() && i.next().expiresAt <= now; ) {
+    synchronized KeyState register(String key, long nowNanos, Runnable onCompleted) {
+        for (Iterator<Entry> i = keys.values().iterator(); i.hasNext() && i.next().expiresAtNanos <= nowNanos; ) {
             i.remove();
         }
         Entry entry = keys.get(key);
-        if (entry == null || entry.expiresAt <= now) {
-            keys.put(key, new Entry(now + windowNanos));
+        if (entry == null || entry.expiresAtNanos <= nowNanos) {
+            keys.put(key, new Entry(nowNanos + windowNanos));
             return KeyState.NEW;
         }
         if (entry.done) {
--- a/src/main/java/rillyard/testserver/ServiceTime.java
+++ b/src/main/java/rillyard/testserver/ServiceTime.java
@@ -11,44 +11,44 @@
     /** Upper bound on a sample in milliseconds, so that no request blocks a core for the rest of a run. */
     double MAX_MILLIS = 600_000;
 
-    /** Returns a sample in milliseconds. */
-    double sample(RandomGenerator random);
+    /** Returns a random sample in milliseconds. */
+    double sampleMillis(RandomGenerator random);
 
     /** Returns the mean in milliseconds, before the bound on samples. */
-    double mean();
+    double meanMillis();
 
-    /** Always the same service time. */
+    /** Constant service time. */
     record Constant(double millis) implements ServiceTime {
         @Override
-        public double sample(RandomGenerator random) {
+        public double sampleMillis(RandomGenerator random) {
             return millis;
         }
 
         @Override
-        public double mean() {
+        public double meanMillis() {
             return millis;
         }
     }
 
     /** Exponential distribution, as of a memoryless server. */
-    record Exponential(double mean) implements ServiceTime {
+    record Exponential(double meanMillis) implements ServiceTime {
         @Override
-        public double sample(RandomGenerator random) {
-            return Math.min(MAX_MILLIS, mean * random.nextExponential());
+        public double sampleMillis(RandomGenerator random) {
+            return Math.min(MAX_MILLIS, meanMillis * random.nextExponential());
         }
     }
 
     /**
      * Lognormal distribution.
      *
-     * @param mean mean in milliseconds, above 0
+     * @param meanMillis mean, above 0
      * @param cv coefficient of variation (standard deviation over mean), above 0
      */
-    record Lognormal(double mean, double cv) implements ServiceTime {
+    record Lognormal(double meanMillis, double cv) implements ServiceTime {
         @Override
-        public double sample(RandomGenerator random) {
+        public double sampleMillis(RandomGenerator random) {
             double variance = Math.log1p(cv * cv);
-            double mu = Math.log(mean) - variance / 2;
+            double mu = Math.log(meanMillis) - variance / 2;
             return Math.min(MAX_MILLIS, Math.exp(mu + Math.sqrt(variance) * random.nextGaussian()));
         }
     }
@@ -72,14 +72,14 @@
         }
 
         @Override
-        public double sample(RandomGenerator random) {
-            double at = random.nextDouble() * (sorted.length - 1);
-            int i = (int) at;
-            return sorted[i] + (at - i) * (sorted[i + 1] - sorted[i]);
+        public double sampleMillis(RandomGenerator random) {
+            double position = random.nextDouble() * (sorted.length - 1);
+            int i = (int) position;
+            return sorted[i] + (position - i) * (sorted[i + 1] - sorted[i]);
         }
 
         @Override
-        public double mean() {
+        public double meanMillis() {
             double sum = 0;
             for (int i = 1; i < sorted.length; i++) {
                 sum += (sorted[i - 1] + sorted[i]) / 2;
--- a/src/main/java/rillyard/testserver/TestCluster.java
+++ b/src/main/java/rillyard/testserver/TestCluster.java
@@ -109,7 +109,7 @@
             InetSocketAddress anyPort = new InetSocketAddress(listen.getAddress(), 0);
             List<EndpointCatalog.Entry> entries = new ArrayList<>();
             for (HostSpec hostSpec : plan.hosts()) {
-                HostServer hostServer = host(hostSpec, loops.next());
+                HostServer hostServer = createHost(hostSpec, loops.next());
                 hostServer.start(anyPort, hostSpec.startsWarmingUp());
                 entries.add(entry(hostServer, "up", hostSpec.startsWarmingUp()));
             }
@@ -125,16 +125,16 @@
 
     /** Starts the fault schedule: start times of faults count from this call. */
     public void startFaultSchedule() {
-        plan.faults().forEach(this::plan);
+        plan.faults().forEach(this::scheduleFault);
     }
 
-    private HostServer host(HostSpec host, EventLoop loop) {
+    private HostServer createHost(HostSpec host, EventLoop loop) {
         HostServer hostServer = new HostServer(host, loop, hostContext, seeds.nextLong());
         hosts.put(host.id(), hostServer);
         return hostServer;
     }
 
-    private void plan(HostFault fault) {
+    private void scheduleFault(HostFault fault) {
         controlLoops
                 .next()
                 .schedule(() -> beginScheduled(fault), (long) (fault.startMillis() * 1e6), TimeUnit.NANOSECONDS);
@@ -143,7 +143,7 @@
     private void beginScheduled(HostFault fault) {
         begin(fault).addListener((Future<Object> begun) -> {
             if (!begun.isSuccess()) {
-                errors.println("rillyard: the fault " + fault.description() + " has not begun: "
+                errors.println("rillyard: the fault " + fault.description() + " did not begin: "
                         + begun.cause().getMessage());
             }
         });
@@ -216,13 +216,13 @@
                         TimeUnit.NANOSECONDS);
     }
 
-    private void stop(HostServer host, HostFault fault, long deadline) {
+    private void stopWhenIdle(HostServer host, HostFault fault, long deadlineNanos) {
         if (!host.isUp()) {
             return;
         }
         host.closeIdle();
-        if (host.isBusy() && host.scheduler.now() < deadline) {
-            host.scheduler.scheduleAfter(STOP_POLL_MILLIS * 1_000_000, () -> stop(host, fault, deadline));
+        if (host.isBusy() && host.scheduler.now() < deadlineNanos) {
+            host.scheduler.scheduleAfter(STOP_POLL_MILLIS * 1_000_000, () -> stopWhenIdle(host, fault, deadlineNanos));
             return;
         }
         host.stop(HostEvent.Kind.STOPPED);
@@ -242,7 +242,7 @@
             id = hostServer.spec.id().replaceFirst("\\+\\d+$", "") + "+" + ++replacementCount;
         }
         hosts.remove(hostServer.spec.id());
-        host(hostServer.spec.withId(id), hostServer.loop()).restart(hostServer.address());
+        createHost(hostServer.spec.withId(id), hostServer.loop()).restart(hostServer.address());
     }
 
     /** Returns the address that discovery listens on, or null before {@link #start}. */
@@ -286,7 +286,7 @@
         return ReadyFile.of(plan, entries, discoveryAddress, controlAddress);
     }
 
-    /** Stops all hosts, logs the requests they still held, and closes all ports. The request log stays open. */
+    /** Stops all hosts, logs the requests that have not ended, and closes all ports. The request log stays open. */
     @Override
     public void close() {
         if (closed) {
@@ -301,7 +301,7 @@
         requestLog.flush();
     }
 
-    /** The cluster as its hosts see it. Thread-safe, as hosts run on several event loops. */
+    /** Gives hosts access to the cluster. Thread-safe, as hosts run on several event loops. */
     private final class ClusterContext implements HostContext {
         @Override
         public TestClusterPlan plan() {
@@ -344,7 +344,7 @@
             announce(host, "draining", false);
             host.scheduler.scheduleAfter(
                     (long) (fault.durationMillis() * 1e6),
-                    () -> stop(host, fault, host.scheduler.now() + STOP_TIMEOUT_MILLIS * 1_000_000));
+                    () -> stopWhenIdle(host, fault, host.scheduler.now() + STOP_TIMEOUT_MILLIS * 1_000_000));
         }
 
         @Override
--- a/src/main/java/rillyard/testserver/TestClusterPlan.java
+++ b/src/main/java/rillyard/testserver/TestClusterPlan.java
@@ -10,7 +10,7 @@
  * @param classes request classes, with distinct names
  * @param reportFields fields of {@code X-Server-Load} in responses; empty for no load report
  * @param reportPeriodMillis maximum age of a load report in milliseconds
- * @param discoveryDelayMillis delay in milliseconds until discovery learns of a change
+ * @param discoveryDelayMillis delay in milliseconds until discovery publishes a change of a host
  * @param rules limits that the proxy is configured with and the auditor checks
  * @param faults fault schedule, by ascending start time
  */
--- a/src/main/java/rillyard/testserver/TestClusterPlanReader.java
+++ b/src/main/java/rillyard/testserver/TestClusterPlanReader.java
@@ -75,10 +75,10 @@
         List<HostSpec> hosts = hosts(root, count);
         List<RequestClassSpec> classes = classes(root);
         TomlTable discovery = root.table("discovery");
-        double notice = discovery.number("notice_ms", 100, 0, 60_000);
+        double discoveryDelayMillis = discovery.number("notice_ms", 100, 0, 60_000);
         TomlTable report = root.table("report");
         List<String> fields = reportFields(report);
-        double period = report.number("period_ms", 100, 0, 60_000);
+        double reportPeriodMillis = report.number("period_ms", 100, 0, 60_000);
         TomlTable table = root.table("rules");
         TestClusterPlan.Rules rules = new TestClusterPlan.Rules(
                 table.number("drain_grace_ms", 500, 0, 60_000),
@@ -90,7 +90,8 @@
         hosts.forEach(host -> ids.add(host.id()));
         List<HostFault> faults = faults(root, ids);
         root.finish();
-        return new TestClusterPlan(seed, hosts, classes, fields, period, notice, rules, faults);
+        return new TestClusterPlan(
+                seed, hosts, classes, fields, reportPeriodMillis, discoveryDelayMillis, rules, faults);
     }
 
     private static List<String> reportFields(TomlTable report) {
@@ -116,26 +117,26 @@
         HostSpec defaults = host(common, DEFAULT_HOST);
         List<HostSpec> out = new ArrayList<>();
         Set<String> ids = new HashSet<>();
-        List<TomlTable> named = root.tables("host");
-        for (int i = 0; i < named.size(); i++) {
-            TomlTable table = named.get(i);
+        List<TomlTable> hostTables = root.tables("host");
+        for (int i = 0; i < hostTables.size(); i++) {
+            TomlTable table = hostTables.get(i);
             String id = table.text("id");
             if (!id.matches("[A-Za-z0-9._-]{1,64}")) {
                 table.error("id", "found '" + id + "', expected 1 to 64 letters, digits, dots, - or _");
             } else if (!ids.add(id)) {
-                table.error("id", "'" + id + "' is another host's too");
+                table.error("id", "found '" + id + "', expected an id that no other host has");
             }
             HostSpec hostSpec = host(table, defaults.withId(id));
             long cellNumber = table.integer("cell", i / cellSize, 0, Integer.MAX_VALUE);
-            out.add(inCell(hostSpec, cellNumber));
+            out.add(withCell(hostSpec, cellNumber));
         }
-        for (int i = 0; named.isEmpty() && i < number; i++) {
-            out.add(inCell(defaults.withId("s-" + i), i / cellSize));
+        for (int i = 0; hostTables.isEmpty() && i < number; i++) {
+            out.add(withCell(defaults.withId("s-" + i), i / cellSize));
         }
         return out;
     }
 
-    private static HostSpec inCell(HostSpec host, long cell) {
+    private static HostSpec withCell(HostSpec host, long cell) {
         return new HostSpec(
                 host.id(),
                 host.zone(),
@@ -228,16 +229,16 @@
 
     private static ServiceTime serviceTime(TomlTable section) {
         Distribution distribution = section.choice("dist", Distribution.class, Distribution.LOGNORMAL);
-        double mean = section.number("mean_ms", 12, 0.001, 60_000);
-        double variation = section.number("cv", 0.6, 0.01, 10);
+        double meanMillis = section.number("mean_ms", 12, 0.001, 60_000);
+        double coefficientOfVariation = section.number("cv", 0.6, 0.01, 10);
         double[] table = section.numbers("table_ms", new double[] {10, 10}, 0, 60_000);
         if (distribution == Distribution.TABLE && (!section.has("table_ms") || table.length < 2)) {
-            section.error("table_ms", "expected two times or more for the distribution 'table'");
+            section.error("table_ms", "is missing or too short, expected at least two times for dist = 'table'");
         }
         return switch (distribution) {
-            case CONSTANT -> new ServiceTime.Constant(mean);
-            case EXPONENTIAL -> new ServiceTime.Exponential(mean);
-            case LOGNORMAL -> new ServiceTime.Lognormal(mean, variation);
+            case CONSTANT -> new ServiceTime.Constant(meanMillis);
+            case EXPONENTIAL -> new ServiceTime.Exponential(meanMillis);
+            case LOGNORMAL -> new ServiceTime.Lognormal(meanMillis, coefficientOfVariation);
             case TABLE -> new ServiceTime.Empirical(table);
         };
     }
@@ -247,7 +248,7 @@
         for (TomlTable table : root.tables("fault")) {
             HostFault.Kind kind = table.choice("kind", HostFault.Kind.class, HostFault.Kind.HANG);
             if (!table.has("kind")) {
-                table.error("kind", "is missing, expected what goes wrong");
+                table.error("kind", "is missing, expected a kind of fault");
             }
             String host = kind.isDiscoveryFault() ? "" : table.text("host");
             if (!host.isEmpty() && ids != null && !ids.contains(host)) {
@@ -256,7 +257,7 @@
             boolean slow = kind == HostFault.Kind.SLOW;
             double durationMillis = 1_000 * table.number("for_s", 0, 0, 86_400);
             if (kind == HostFault.Kind.PAUSE && durationMillis == 0) {
-                table.error("for_s", "expected how long the pause lasts, above 0");
+                table.error("for_s", "is missing or 0, expected the duration of the pause in seconds, above 0");
             }
             out.add(new HostFault(
                     1_000 * table.number("at_s", 0, 0, 86_400),
--- a/src/test/java/rillyard/testserver/IdempotencyKeyStoreTest.java
+++ b/src/test/java/rillyard/testserver/IdempotencyKeyStoreTest.java
@@ -9,8 +9,8 @@
     private final IdempotencyKeyStore keyStore = new IdempotencyKeyStore(100);
     private final AtomicInteger completions = new AtomicInteger();
 
-    private IdempotencyKeyStore.KeyState register(String key, long now) {
-        return keyStore.register(key, now, completions::incrementAndGet);
+    private IdempotencyKeyStore.KeyState register(String key, long nowNanos) {
+        return keyStore.register(key, nowNanos, completions::incrementAndGet);
     }
 
     @Test
--- a/src/test/java/rillyard/testserver/ServiceTimeTest.java
+++ b/src/test/java/rillyard/testserver/ServiceTimeTest.java
@@ -22,27 +22,27 @@
     @MethodSource("all")
     void samplesHaveStatedMean(ServiceTime time) {
         SplittableRandom random = new SplittableRandom(3);
-        double mean = Stream.generate(() -> time.sample(random))
+        double meanMillis = Stream.generate(() -> time.sampleMillis(random))
                 .limit(200_000)
                 .mapToDouble(value -> value)
                 .average()
                 .orElseThrow();
-        assertThat(mean).isCloseTo(time.mean(), within(0.02 * time.mean()));
+        assertThat(meanMillis).isCloseTo(time.meanMillis(), within(0.02 * time.meanMillis()));
     }
 
     @ParameterizedTest
     @MethodSource("all")
     void samplesHaveMedianOfDistribution(ServiceTime time) {
         SplittableRandom random = new SplittableRandom(4);
-        double[] drawn = Stream.generate(() -> time.sample(random))
+        double[] drawn = Stream.generate(() -> time.sampleMillis(random))
                 .limit(100_001)
                 .mapToDouble(value -> value)
                 .toArray();
         Arrays.sort(drawn);
         double expected = time instanceof ServiceTime.Exponential exponential
-                ? exponential.mean() * Math.log(2)
+                ? exponential.meanMillis() * Math.log(2)
                 : time instanceof ServiceTime.Lognormal lognormal
-                        ? lognormal.mean() / Math.sqrt(1 + lognormal.cv() * lognormal.cv())
+                        ? lognormal.meanMillis() / Math.sqrt(1 + lognormal.cv() * lognormal.cv())
                         : time instanceof ServiceTime.Empirical ? 3.5 : 7;
         assertThat(drawn[50_000]).isCloseTo(expected, within(0.02 * expected));
     }
--- a/src/test/java/rillyard/testserver/TestClusterTest.java
+++ b/src/test/java/rillyard/testserver/TestClusterTest.java
@@ -106,8 +106,8 @@
     }
 
     private void beginFault(String kind, int host, String more) throws IOException {
-        String answer = postFault("[[fault]]\nkind = \"" + kind + "\"\nhost = \"s-" + host + "\"\n" + more + "\n");
-        assertThat(answer).startsWith("HTTP/1.1 200").endsWith("1 begun\n");
+        String response = postFault("[[fault]]\nkind = \"" + kind + "\"\nhost = \"s-" + host + "\"\n" + more + "\n");
+        assertThat(response).startsWith("HTTP/1.1 200").endsWith("1 begun\n");
     }
 
     @Test
@@ -147,21 +147,22 @@
     @Test
     void requestOverCapacityIsRejectedAsNotProcessed() throws Exception {
         List<RawClient> clients = new ArrayList<>();
-        for (int i = 0; i < 4; i++) { // one runs, one waits, one is too many; the fourth connection too
+        // One runs, one waits, one exceeds the queue, and the fourth exceeds the connection limit.
+        for (int i = 0; i < 4; i++) {
             RawClient client = connect(0);
             clients.add(client);
             client.write(RawClient.request("claim", "c" + i, null, "x"));
         }
-        List<String> answers = new ArrayList<>();
+        List<String> responses = new ArrayList<>();
         for (RawClient rawClient : clients) {
-            answers.add(rawClient.readResponse());
+            responses.add(rawClient.readResponse());
             rawClient.close();
         }
-        assertThat(answers)
-                .filteredOn(answer -> answer.startsWith("HTTP/1.1 200"))
+        assertThat(responses)
+                .filteredOn(response -> response.startsWith("HTTP/1.1 200"))
                 .hasSize(2);
-        assertThat(answers)
-                .filteredOn(answer -> answer.startsWith("HTTP/1.1 503") && answer.contains("X-Not-Processed: 1"))
+        assertThat(responses)
+                .filteredOn(response -> response.startsWith("HTTP/1.1 503") && response.contains("X-Not-Processed: 1"))
                 .hasSize(2);
         assertThat(records(HostExecution.class))
                 .filteredOn(execution -> execution.result() == ExecutionResult.TURNED_AWAY)
@@ -191,12 +192,12 @@
     private static void awaitLoad(RawClient client, String load) throws IOException {
         try (client) {
             long deadline = System.nanoTime() + 20_000_000_000L;
-            String answer;
+            String response;
             do {
                 client.write("GET /_load HTTP/1.1\r\nHost: h\r\n\r\n");
-                answer = client.readResponse();
-            } while (!answer.contains(load) && System.nanoTime() < deadline);
-            assertThat(answer).contains(load);
+                response = client.readResponse();
+            } while (!response.contains(load) && System.nanoTime() < deadline);
+            assertThat(response).contains(load);
         }
     }
 
@@ -211,9 +212,9 @@
         try (RawClient rawClient = connect(1)) {
             rawClient.write(RawClient.request("list", "e1", null, null));
             assertThatThrownBy(() -> {
-                        String answer;
-                        while ((answer = rawClient.readResponse()) != null) {
-                            assertThat(answer).doesNotContain("id=e1 host=s-1 len=0 crc=0");
+                        String response;
+                        while ((response = rawClient.readResponse()) != null) {
+                            assertThat(response).doesNotContain("id=e1 host=s-1 len=0 crc=0");
                         }
                         throw new SocketException("ended");
                     })
@@ -392,14 +393,14 @@
         try (RawClient client = connect(0)) {
             client.socket.setSoTimeout(200);
             client.write(RawClient.request("list", "i0", null, null));
-            String answer = null;
+            String response = null;
             try {
-                answer = client.readResponse();
+                response = client.readResponse();
             } catch (IOException | RuntimeException e) {
                 // the malformed response was incomplete or not parseable
             }
-            if (answer != null) {
-                assertThat(answer).doesNotContain("id=i0 host=s-0 len=0 crc=0");
+            if (response != null) {
+                assertThat(response).doesNotContain("id=i0 host=s-0 len=0 crc=0");
             }
         }
         beginFault("slow", 1, "size = 400");
