--- a/src/main/java/rillyard/loadgen/ClientSpec.java
+++ b/src/main/java/rillyard/loadgen/ClientSpec.java
@@ -14,7 +14,7 @@
  *     uniformly
  * @param maxTimeoutShare upper bound of the attempt timeout, as a share of the deadline
  * @param announcesTimeout whether {@code X-Timeout-Ms} carries the attempt timeout; otherwise it carries the
- *     remaining time to the deadline, and the client abandons the attempt before
+ *     remaining time to the deadline, and the client abandons the attempt earlier
  * @param abandonShare share of attempts that are abandoned at a random time before their timeout, unannounced
  * @param retryAfterShare share of requests whose client honors {@code Retry-After}
  * @param maxRetryAfterMillis upper bound in milliseconds on an honored {@code Retry-After}
--- a/src/main/java/rillyard/loadgen/HistogramFiles.java
+++ b/src/main/java/rillyard/loadgen/HistogramFiles.java
@@ -9,7 +9,7 @@
 
 /** Writes histograms in HdrHistogram's percentile format, in milliseconds, for its plotter. */
 final class HistogramFiles {
-    private static final int TICKS = 10;
+    private static final int TICKS_PER_HALF_DISTANCE = 10;
 
     private HistogramFiles() {}
 
@@ -30,7 +30,7 @@
 
     private static void write(Path file, Histogram histogram) throws IOException {
         try (PrintStream out = new PrintStream(Files.newOutputStream(file), false, StandardCharsets.UTF_8)) {
-            histogram.outputPercentileDistribution(out, TICKS, 1_000.0);
+            histogram.outputPercentileDistribution(out, TICKS_PER_HALF_DISTANCE, 1_000.0);
             if (out.checkError()) {
                 throw new IOException(file + " can't be written");
             }
--- a/src/main/java/rillyard/loadgen/HttpConnection.java
+++ b/src/main/java/rillyard/loadgen/HttpConnection.java
@@ -28,7 +28,7 @@
     private boolean informational;
     private boolean keepAlive;
     private boolean hasServed;
-    private long idleSince;
+    private long idleSinceNanos;
 
     HttpConnection(HttpTransport transport, SocketChannel channel, int client) {
         this.transport = transport;
@@ -61,8 +61,8 @@
      * Returns how long the connection has been idle in nanoseconds, or 0 while it carries an attempt or before its
      * first one.
      */
-    long idleNanos(long now) {
-        return exchange == null && idleSince != 0 ? now - idleSince : 0;
+    long idleNanos(long nowNanos) {
+        return exchange == null && idleSinceNanos != 0 ? nowNanos - idleSinceNanos : 0;
     }
 
     /** Sends an attempt on this connection, which must be usable. */
@@ -127,7 +127,7 @@
         lastId = ended.request().id();
         hasServed = true;
         if (reusable) {
-            idleSince = System.nanoTime();
+            idleSinceNanos = System.nanoTime();
             transport.onIdle(this);
         } else {
             channel.close();
--- a/src/main/java/rillyard/loadgen/HttpExchange.java
+++ b/src/main/java/rillyard/loadgen/HttpExchange.java
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Returns a body derived from the request id, so that a mix-up of two requests shows in the checksum. */
+    /** Returns a body derived from the request id, so that the checksum detects a body of another request. */
     private byte[] payload() {
         byte[] payload = new byte[request.requestClass().bodyBytes()];
         byte[] id = request.id().getBytes(StandardCharsets.US_ASCII);
@@ -132,7 +132,7 @@
                     !verify || belongsToRequest() ? ClientOutcome.SERVED : ClientOutcome.GARBLED, status, 0);
         }
         if (status == 429 || status == 503) {
-            return new Transport.AttemptResult(ClientOutcome.REFUSED, status, retryAfter());
+            return new Transport.AttemptResult(ClientOutcome.REFUSED, status, retryAfterMicros());
         }
         return new Transport.AttemptResult(ClientOutcome.FAILED, status, 0);
     }
@@ -150,7 +150,7 @@
         return text.stripTrailing().endsWith(" len=" + sentBody.length + " crc=" + Long.toHexString(crc.getValue()));
     }
 
-    private long retryAfter() {
+    private long retryAfterMicros() {
         String value = head.headers().get(HttpHeaderNames.RETRY_AFTER);
         try {
             double seconds = value == null ? 0 : Double.parseDouble(value.trim());
--- a/src/main/java/rillyard/loadgen/HttpTransport.java
+++ b/src/main/java/rillyard/loadgen/HttpTransport.java
@@ -25,7 +25,7 @@
  */
 final class HttpTransport implements Transport {
     private static final int CONNECT_TIMEOUT_MS = 1_000;
-    private static final long CLOSE_IDLE_EVERY_MS = 100;
+    private static final long IDLE_CHECK_INTERVAL_MS = 100;
 
     private final EventLoop loop;
     private final Bootstrap bootstrap;
@@ -72,7 +72,8 @@
                     @Override
                     protected void initChannel(SocketChannel channel) {}
                 });
-        loop.scheduleAtFixedRate(this::closeIdle, CLOSE_IDLE_EVERY_MS, CLOSE_IDLE_EVERY_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(
+                this::closeIdle, IDLE_CHECK_INTERVAL_MS, IDLE_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -139,10 +140,10 @@
     }
 
     private void closeIdle() {
-        long now = System.nanoTime();
+        long nowNanos = System.nanoTime();
         for (Iterator<HttpConnection> iterator = new ArrayList<>(open).iterator(); iterator.hasNext(); ) {
             HttpConnection connection = iterator.next();
-            if (connection.idleNanos(now) > idleNanos) {
+            if (connection.idleNanos(nowNanos) > idleNanos) {
                 connection.close();
             }
         }
--- a/src/main/java/rillyard/loadgen/LoadClass.java
+++ b/src/main/java/rillyard/loadgen/LoadClass.java
@@ -5,7 +5,7 @@
  *
  * @param name first segment of the path, and value of {@code X-Priority-Class}
  * @param share weight among the classes
- * @param semantics what clients may retry
+ * @param semantics which failed requests clients may retry
  * @param latencyObjectiveMillis response time in milliseconds up to which a response is in time
  * @param deadlineMillis total time in milliseconds that a client waits, over all attempts
  * @param idempotencyWindowMillis time in milliseconds after the first attempt during which a request with an
@@ -23,7 +23,7 @@
         int bodyBytes,
         int keys) {
 
-    /** What clients may retry after a failure. After a rejection any request may be retried. */
+    /** Which requests clients may retry after a failure. After a rejection any request may be retried. */
     public enum Semantics {
         /** Every request may be retried; sent with GET. */
         IDEMPOTENT,
--- a/src/main/java/rillyard/loadgen/LoadGenerator.java
+++ b/src/main/java/rillyard/loadgen/LoadGenerator.java
@@ -29,7 +29,7 @@
     private final Set<LogicalRequest> openRequests = new LinkedHashSet<>();
     private final Runnable onDone;
     private ScheduledRequest next;
-    private long startedAt;
+    private long startedAtNanos;
     private long nextRequestNumber;
     private boolean stopped;
 
@@ -59,30 +59,30 @@
 
     /** Starts the schedule now. */
     void start() {
-        startedAt = scheduler.now();
-        statistics.onStarted(startedAt);
+        startedAtNanos = scheduler.now();
+        statistics.onStarted(startedAtNanos);
         next = schedule.hasNext() ? schedule.next() : null;
         sendDue();
     }
 
     private void sendDue() {
-        long now = scheduler.now();
-        while (!stopped && next != null && startedAt + next.atNanos() <= now + TICK_NANOS) {
-            send(next, now);
+        long nowNanos = scheduler.now();
+        while (!stopped && next != null && startedAtNanos + next.atNanos() <= nowNanos + TICK_NANOS) {
+            send(next, nowNanos);
             next = schedule.hasNext() ? schedule.next() : null;
-            now = scheduler.now();
+            nowNanos = scheduler.now();
         }
         if (!stopped && next != null) {
-            scheduler.scheduleAt(startedAt + next.atNanos(), this::sendDue);
+            scheduler.scheduleAt(startedAtNanos + next.atNanos(), this::sendDue);
         } else {
             finishIfIdle();
         }
     }
 
-    private void send(ScheduledRequest request, long now) {
+    private void send(ScheduledRequest request, long nowNanos) {
         LogicalRequest logicalRequest =
-                new LogicalRequest(nextRequestNumber++, request, startedAt + request.atNanos(), this);
-        statistics.onScheduled(logicalRequest, now);
+                new LogicalRequest(nextRequestNumber++, request, startedAtNanos + request.atNanos(), this);
+        statistics.onScheduled(logicalRequest, nowNanos);
         if (openRequests.size() >= plan.maxOpen()) {
             logicalRequest.markNotSent();
             return;
@@ -158,8 +158,8 @@
     }
 
     @Override
-    public void onFinished(LogicalRequest request, ClientOutcome outcome, long endedAt) {
-        statistics.onFinished(request, outcome, endedAt);
+    public void onFinished(LogicalRequest request, ClientOutcome outcome, long endedAtNanos) {
+        statistics.onFinished(request, outcome, endedAtNanos);
         if (openRequests.remove(request)) {
             finishIfIdle();
         }
--- a/src/main/java/rillyard/loadgen/LoadPlan.java
+++ b/src/main/java/rillyard/loadgen/LoadPlan.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * What a load run sends.
+ * The plan of a load run: arrivals, request classes, tenants and clients.
  *
  * @param seed seed of all random draws; the same seed gives the same arrivals
  * @param profiles rate profiles, one after the other; empty if a trace is replayed
--- a/src/main/java/rillyard/loadgen/LoadPlanReader.java
+++ b/src/main/java/rillyard/loadgen/LoadPlanReader.java
@@ -50,7 +50,7 @@
     private static LoadPlan read(TomlTable root, Path directory) throws InvalidConfigException {
         long seed = root.integer("seed", 1, 0, Long.MAX_VALUE);
         int maxOpen = (int) root.integer("max_open", 20_000, 1, 1_000_000);
-        double lateness = root.number("lateness_ms", 5, 0.01, 60_000);
+        double maxLatenessMillis = root.number("lateness_ms", 5, 0.01, 60_000);
         boolean verify = root.flag("verify", true);
         List<LoadClass> classes = classes(root);
         List<LoadPlan.Tenant> tenants = tenants(root);
@@ -64,16 +64,16 @@
             root.error(
                     traced ? "trace" : "shape",
                     traced
-                            ? "found besides [[shape]], expected one of the two"
-                            : "expected a [[shape]] at least, or a [trace]");
+                            ? "found together with [[shape]], expected only one of the two"
+                            : "expected at least one [[shape]], or a [trace]");
         }
         TomlTable traceTable = root.table("trace");
         String file = traced ? traceTable.text("file") : "";
-        TraceReader.Form form = traceTable.choice("form", TraceReader.Form.class, TraceReader.Form.CSV);
+        TraceReader.Format format = traceTable.choice("form", TraceReader.Format.class, TraceReader.Format.CSV);
         double speed = traceTable.number("speed", 1, 0.001, 10_000);
         root.finish();
-        RecordedTrace trace = traced ? TraceReader.read(directory.resolve(file), form, classes, speed) : null;
-        return new LoadPlan(seed, profiles, trace, classes, tenants, clients, maxOpen, lateness, verify);
+        RecordedTrace trace = traced ? TraceReader.read(directory.resolve(file), format, classes, speed) : null;
+        return new LoadPlan(seed, profiles, trace, classes, tenants, clients, maxOpen, maxLatenessMillis, verify);
     }
 
     private static RateProfile profile(TomlTable table) {
@@ -96,22 +96,30 @@
     }
 
     private static RateProfile surge(TomlTable table, double seconds, boolean random) {
-        double at = table.number("at_s", seconds / 4, 0, MAX_SECONDS);
-        double rise = table.number("rise_s", seconds / 8, 0, MAX_SECONDS);
-        double hold = table.number("hold_s", seconds / 4, 0, MAX_SECONDS);
-        double fall = table.number("fall_s", seconds / 8, 0, MAX_SECONDS);
-        if (at + rise + hold + fall > seconds + 1e-9) {
+        double startSeconds = table.number("at_s", seconds / 4, 0, MAX_SECONDS);
+        double riseSeconds = table.number("rise_s", seconds / 8, 0, MAX_SECONDS);
+        double holdSeconds = table.number("hold_s", seconds / 4, 0, MAX_SECONDS);
+        double fallSeconds = table.number("fall_s", seconds / 8, 0, MAX_SECONDS);
+        if (startSeconds + riseSeconds + holdSeconds + fallSeconds > seconds + 1e-9) {
             table.error(
                     "for_s",
-                    "found " + seconds + ", expected no less than at_s, rise_s, hold_s and fall_s" + " together, "
-                            + (at + rise + hold + fall));
+                    "found " + seconds + ", expected at least the sum of at_s, rise_s, hold_s and fall_s, "
+                            + (startSeconds + riseSeconds + holdSeconds + fallSeconds));
         }
-        return new RateProfile.Surge(seconds, rate(table, "base"), rate(table, "peak"), at, rise, hold, fall, random);
+        return new RateProfile.Surge(
+                seconds,
+                rate(table, "base"),
+                rate(table, "peak"),
+                startSeconds,
+                riseSeconds,
+                holdSeconds,
+                fallSeconds,
+                random);
     }
 
     private static double rate(TomlTable table, String key) {
         if (!table.has(key)) {
-            table.error(key, "is missing, expected requests a second");
+            table.error(key, "is missing, expected a rate in requests per second");
         }
         return table.number(key, 1, 0, MAX_RATE);
     }
@@ -142,7 +150,7 @@
             return standardClasses();
         }
         if (out.stream().mapToDouble(LoadClass::share).sum() <= 0) {
-            root.error("class", "expected a share above 0 at one class at least");
+            root.error("class", "expected at least one class with a share above 0");
         }
         return out;
     }
@@ -164,7 +172,7 @@
             out.add(new LoadPlan.Tenant(name, table.number("share", 1, 0, 1e9)));
         }
         if (!out.isEmpty() && out.stream().mapToDouble(LoadPlan.Tenant::share).sum() <= 0) {
-            root.error("tenant", "expected a share above 0 at one tenant at least");
+            root.error("tenant", "expected at least one tenant with a share above 0");
         }
         return out;
     }
@@ -172,7 +180,10 @@
     private static ClientSpec clients(TomlTable table) {
         double[] share = table.numbers("try_share", new double[] {0.5, 0.6}, 0.01, 1);
         if (share.length != 2 || share[0] > share[1]) {
-            table.error("try_share", "expected two shares of the deadline, the lower one first");
+            table.error(
+                    "try_share",
+                    "found " + java.util.Arrays.toString(share)
+                            + ", expected two shares of the deadline, the lower one first");
             share = new double[] {0.5, 0.6};
         }
         return new ClientSpec(
--- a/src/main/java/rillyard/loadgen/LoadRun.java
+++ b/src/main/java/rillyard/loadgen/LoadRun.java
@@ -18,7 +18,7 @@
 import rillyard.scheduling.EventLoops;
 
 /**
- * One run of a load plan against targets, on an event loop of its own. {@link #interrupt} may be called from any
+ * Runs a load plan against targets, on an event loop of its own. {@link #interrupt} may be called from any
  * thread.
  */
 public final class LoadRun {
@@ -137,7 +137,7 @@
         RunStatistics.ClassStatistics all = statistics.total();
         progress.printf(
                 Locale.ROOT,
-                "%5.0f s  sent %6d/s  answered %6d/s  open %5d  in aim %6.2f %%  p99 %8.2f ms%n",
+                "%5.0f s  offered %6d/s  finished %6d/s  open %5d  in time %6.2f %%  p99 %8.2f ms%n",
                 (UnixClock.micros() - startedMicros) / 1e6,
                 offered - shownOffered,
                 finished - shownFinished,
--- a/src/main/java/rillyard/loadgen/LogicalRequest.java
+++ b/src/main/java/rillyard/loadgen/LogicalRequest.java
@@ -11,7 +11,7 @@
  * Does no I/O and uses the scheduler's clock, real or virtual. Confined to the scheduler's thread.
  */
 final class LogicalRequest implements Transport.Listener {
-    /** What a request uses of its generator, and what it reports to it. */
+    /** The generator of a request, which provides its resources and records its results. */
     interface Context {
         /** Returns the clock and timers. */
         Scheduler scheduler();
@@ -34,24 +34,24 @@
         /**
          * Called when the request has ended.
          *
-         * @param endedAt end on the scheduler's clock, in nanoseconds
+         * @param endedAtNanos end on the scheduler's clock
          */
-        void onFinished(LogicalRequest request, ClientOutcome outcome, long endedAt);
+        void onFinished(LogicalRequest request, ClientOutcome outcome, long endedAtNanos);
     }
 
     final long number;
     final ScheduledRequest scheduled;
-    final long scheduledAt;
+    final long scheduledAtNanos;
     private final Context context;
     private final String idempotencyKey;
-    private final long deadline;
+    private final long deadlineNanos;
     private final boolean honorsRetryAfter;
-    private long firstSent;
+    private long firstSentAtNanos;
     private String id;
     private int attempts;
     private int retries;
-    private long sentAt;
-    private long timeoutNanos;
+    private long sentAtNanos;
+    private long announcedTimeoutNanos;
     private Transport.PendingAttempt pendingAttempt;
     private Scheduler.ScheduledTask timer;
     private boolean finished;
@@ -60,15 +60,15 @@
      * Creates a request that has not been sent.
      *
      * @param number number in the run, from 0
-     * @param scheduledAt scheduled send time on the scheduler's clock, in nanoseconds
+     * @param scheduledAtNanos scheduled send time on the scheduler's clock
      */
-    LogicalRequest(long number, ScheduledRequest scheduled, long scheduledAt, Context context) {
+    LogicalRequest(long number, ScheduledRequest scheduled, long scheduledAtNanos, Context context) {
         this.number = number;
         this.scheduled = scheduled;
-        this.scheduledAt = scheduledAt;
+        this.scheduledAtNanos = scheduledAtNanos;
         this.context = context;
         this.idempotencyKey = scheduled.requestClass().semantics().hasIdempotencyKey() ? context.randomId(32) : null;
-        this.deadline = scheduledAt + toNanos(scheduled.requestClass().deadlineMillis());
+        this.deadlineNanos = scheduledAtNanos + toNanos(scheduled.requestClass().deadlineMillis());
         this.honorsRetryAfter =
                 context.random().nextDouble() < context.clients().retryAfterShare();
     }
@@ -78,20 +78,20 @@
     }
 
     /** Returns when the first attempt was actually sent, in nanoseconds of the scheduler's clock. */
-    long firstSent() {
-        return firstSent;
+    long firstSentAtNanos() {
+        return firstSentAtNanos;
     }
 
     /** Sends the first attempt. */
     void start() {
-        firstSent = context.scheduler().now();
+        firstSentAtNanos = context.scheduler().now();
         sendAttempt(context.randomId(16), false, false);
     }
 
     /** Ends the request without sending it, as the generator has reached its limit of open requests. */
     void markNotSent() {
-        sentAt = context.scheduler().now();
-        firstSent = sentAt;
+        sentAtNanos = context.scheduler().now();
+        firstSentAtNanos = sentAtNanos;
         id = context.randomId(16);
         finishAttempt(ClientOutcome.NOT_SENT, 0, 0, false);
     }
@@ -106,15 +106,16 @@
     private void sendAttempt(String attemptId, boolean retried, boolean newConnection) {
         ClientSpec spec = context.clients();
         id = attemptId;
-        sentAt = context.scheduler().now();
-        long remaining = deadline - sentAt;
+        sentAtNanos = context.scheduler().now();
+        long remainingNanos = deadlineNanos - sentAtNanos;
         double share = spec.minTimeoutShare()
                 + (spec.maxTimeoutShare() - spec.minTimeoutShare())
                         * context.random().nextDouble();
-        long waitLimit = Math.max(
+        long attemptTimeoutNanos = Math.max(
                 1_000_000,
-                Math.min(remaining, toNanos(share * scheduled.requestClass().deadlineMillis())));
-        timeoutNanos = Math.max(1_000_000, spec.announcesTimeout() ? waitLimit : remaining);
+                Math.min(
+                        remainingNanos, toNanos(share * scheduled.requestClass().deadlineMillis())));
+        announcedTimeoutNanos = Math.max(1_000_000, spec.announcesTimeout() ? attemptTimeoutNanos : remainingNanos);
         pendingAttempt = context.transport()
                 .send(
                         new Transport.OutgoingRequest(
@@ -124,22 +125,22 @@
                                 scheduled.tenant(),
                                 scheduled.routeKey(),
                                 scheduled.client(),
-                                timeoutNanos / 1_000_000,
+                                announcedTimeoutNanos / 1_000_000,
                                 retried,
                                 newConnection),
                         this);
         if (context.random().nextDouble() < spec.abandonShare()) {
-            long abandonAfter = (long) (context.random().nextDouble() * waitLimit);
+            long abandonAfterNanos = (long) (context.random().nextDouble() * attemptTimeoutNanos);
             timer = context.scheduler()
-                    .scheduleAt(sentAt + abandonAfter, () -> abandonAttempt(ClientOutcome.ABANDONED, true));
-        } else if (spec.announcesTimeout() || waitLimit >= remaining) {
+                    .scheduleAt(sentAtNanos + abandonAfterNanos, () -> abandonAttempt(ClientOutcome.ABANDONED, true));
+        } else if (spec.announcesTimeout() || attemptTimeoutNanos >= remainingNanos) {
             timer = context.scheduler()
                     .scheduleAt(
-                            sentAt + waitLimit + toNanos(spec.graceMillis()),
+                            sentAtNanos + attemptTimeoutNanos + toNanos(spec.graceMillis()),
                             () -> abandonAttempt(ClientOutcome.UNANSWERED, true));
         } else {
             timer = context.scheduler()
-                    .scheduleAt(sentAt + waitLimit, () -> abandonAttempt(ClientOutcome.ABANDONED, true));
+                    .scheduleAt(sentAtNanos + attemptTimeoutNanos, () -> abandonAttempt(ClientOutcome.ABANDONED, true));
         }
     }
 
@@ -164,10 +165,10 @@
         finishAttempt(result.outcome(), result.status(), result.retryAfterMicros(), true);
     }
 
-    private void finishAttempt(ClientOutcome outcome, int status, long retryAfter, boolean mayRetry) {
-        long now = context.scheduler().now();
+    private void finishAttempt(ClientOutcome outcome, int status, long retryAfterMicros, boolean mayRetry) {
+        long nowNanos = context.scheduler().now();
         attempts++;
-        long delayNanos = mayRetry ? retryDelayNanos(outcome, retryAfter, now) : -1;
+        long delayNanos = mayRetry ? retryDelayNanos(outcome, retryAfterMicros, nowNanos) : -1;
         context.onAttemptEnded(
                 this,
                 new ClientAttempt(
@@ -178,13 +179,13 @@
                         scheduled.requestClass().name(),
                         scheduled.tenant(),
                         scheduled.client(),
-                        UnixClock.micros(scheduledAt),
-                        UnixClock.micros(sentAt),
-                        UnixClock.micros(now),
-                        timeoutNanos / 1_000,
+                        UnixClock.micros(scheduledAtNanos),
+                        UnixClock.micros(sentAtNanos),
+                        UnixClock.micros(nowNanos),
+                        announcedTimeoutNanos / 1_000,
                         outcome,
                         status,
-                        retryAfter,
+                        retryAfterMicros,
                         delayNanos < 0));
         if (delayNanos < 0) {
             finish(outcome);
@@ -197,7 +198,7 @@
     }
 
     /** Returns the delay in nanoseconds until the next attempt, or a negative value if there is none. */
-    private long retryDelayNanos(ClientOutcome outcome, long retryAfter, long now) {
+    private long retryDelayNanos(ClientOutcome outcome, long retryAfterMicros, long nowNanos) {
         ClientSpec spec = context.clients();
         if (outcome == ClientOutcome.SERVED || outcome == ClientOutcome.NOT_SENT || attempts >= spec.attempts()) {
             return -1;
@@ -205,28 +206,28 @@
         if (outcome == ClientOutcome.STALE) {
             return 0;
         }
-        if (retries >= spec.retries() || !mayRetry(outcome, now)) {
+        if (retries >= spec.retries() || !mayRetry(outcome, nowNanos)) {
             return -1;
         }
         long delayNanos = toNanos(spec.backoffMillis() * Math.pow(spec.backoffFactor(), retries));
-        if (retryAfter > 0 && honorsRetryAfter) {
-            delayNanos = Math.max(delayNanos, Math.min(1_000 * retryAfter, toNanos(spec.maxRetryAfterMillis())));
+        if (retryAfterMicros > 0 && honorsRetryAfter) {
+            delayNanos = Math.max(delayNanos, Math.min(1_000 * retryAfterMicros, toNanos(spec.maxRetryAfterMillis())));
         }
-        return now + delayNanos < deadline - 1_000_000 ? delayNanos : -1;
+        return nowNanos + delayNanos < deadlineNanos - 1_000_000 ? delayNanos : -1;
     }
 
     /**
      * Returns whether clients may send the request again: always if it was not processed, otherwise if a repeat is
      * harmless.
      */
-    private boolean mayRetry(ClientOutcome outcome, long now) {
+    private boolean mayRetry(ClientOutcome outcome, long nowNanos) {
         if (outcome == ClientOutcome.REFUSED || outcome == ClientOutcome.UNREACHABLE) {
             return true;
         }
         LoadClass requestClass = scheduled.requestClass();
         return switch (requestClass.semantics()) {
             case IDEMPOTENT -> true;
-            case KEYED_EVERYWHERE -> now - firstSent < toNanos(requestClass.idempotencyWindowMillis());
+            case KEYED_EVERYWHERE -> nowNanos - firstSentAtNanos < toNanos(requestClass.idempotencyWindowMillis());
             case KEYED, AT_MOST_ONCE -> false;
         };
     }
--- a/src/main/java/rillyard/loadgen/RateProfile.java
+++ b/src/main/java/rillyard/loadgen/RateProfile.java
@@ -12,26 +12,26 @@
     double seconds();
 
     /** Returns the number of arrivals expected up to a time; 0 at time 0 and never decreasing. */
-    double expectedArrivals(double time);
+    double expectedArrivals(double timeSeconds);
 
     /** Returns whether arrivals form a Poisson process, rather than being evenly spaced. */
     boolean isPoisson();
 
     /** Returns the rate at a time. */
-    double rate(double time);
+    double rate(double timeSeconds);
 
     /**
      * Returns the time at which the expected number of arrivals reaches {@code arrivals}, or NaN if the profile ends
      * before.
      *
-     * @param from lower bound of the result, in seconds
+     * @param fromSeconds lower bound of the result
      */
-    default double timeOf(double arrivals, double from) {
+    default double timeOf(double arrivals, double fromSeconds) {
         double high = seconds();
         if (expectedArrivals(high) < arrivals) {
             return Double.NaN;
         }
-        double low = from;
+        double low = fromSeconds;
         // The next arrival is usually near, so widen a bracket from there and bisect it to a tenth of a microsecond.
         double step = 1e-4;
         while (low + step < high && expectedArrivals(low + step) < arrivals) {
@@ -53,92 +53,95 @@
     /** A constant rate. */
     record Steady(double seconds, double rate, boolean isPoisson) implements RateProfile {
         @Override
-        public double expectedArrivals(double time) {
-            return rate * time;
+        public double expectedArrivals(double timeSeconds) {
+            return rate * timeSeconds;
         }
 
         @Override
-        public double rate(double time) {
+        public double rate(double timeSeconds) {
             return rate;
         }
     }
 
     /** A rate that changes linearly from one value to another. */
-    record Ramp(double seconds, double from, double to, boolean isPoisson) implements RateProfile {
+    record Ramp(double seconds, double startRate, double endRate, boolean isPoisson) implements RateProfile {
         @Override
-        public double expectedArrivals(double time) {
-            return from * time + (to - from) * time * time / (2 * seconds);
+        public double expectedArrivals(double timeSeconds) {
+            return startRate * timeSeconds + (endRate - startRate) * timeSeconds * timeSeconds / (2 * seconds);
         }
 
         @Override
-        public double rate(double time) {
-            return from + (to - from) * time / seconds;
+        public double rate(double timeSeconds) {
+            return startRate + (endRate - startRate) * timeSeconds / seconds;
         }
     }
 
     /**
      * A base rate that rises linearly to a peak, holds it, and falls back linearly.
      *
-     * @param at start of the rise in seconds
-     * @param rise duration of the rise in seconds
-     * @param hold duration of the peak in seconds
-     * @param fall duration of the fall in seconds
+     * @param startSeconds start of the rise
+     * @param riseSeconds duration of the rise
+     * @param holdSeconds duration of the peak
+     * @param fallSeconds duration of the fall
      */
     record Surge(
             double seconds,
             double base,
             double peak,
-            double at,
-            double rise,
-            double hold,
-            double fall,
+            double startSeconds,
+            double riseSeconds,
+            double holdSeconds,
+            double fallSeconds,
             boolean isPoisson)
             implements RateProfile {
         @Override
-        public double expectedArrivals(double time) {
-            double up = clamp(time - at, rise);
-            double top = clamp(time - at - rise, hold);
-            double down = clamp(time - at - rise - hold, fall);
-            double more =
-                    (rise > 0 ? up * up / (2 * rise) : 0) + top + (fall > 0 ? down - down * down / (2 * fall) : 0);
-            return base * time + (peak - base) * more;
+        public double expectedArrivals(double timeSeconds) {
+            double riseElapsed = clamp(timeSeconds - startSeconds, riseSeconds);
+            double holdElapsed = clamp(timeSeconds - startSeconds - riseSeconds, holdSeconds);
+            double fallElapsed = clamp(timeSeconds - startSeconds - riseSeconds - holdSeconds, fallSeconds);
+            double extraSeconds = (riseSeconds > 0 ? riseElapsed * riseElapsed / (2 * riseSeconds) : 0)
+                    + holdElapsed
+                    + (fallSeconds > 0 ? fallElapsed - fallElapsed * fallElapsed / (2 * fallSeconds) : 0);
+            return base * timeSeconds + (peak - base) * extraSeconds;
         }
 
         @Override
-        public double rate(double time) {
-            double sinceStart = time - at;
-            double share = sinceStart < 0
+        public double rate(double timeSeconds) {
+            double sinceStartSeconds = timeSeconds - startSeconds;
+            double share = sinceStartSeconds < 0
                     ? 0
-                    : sinceStart < rise
-                            ? sinceStart / rise
-                            : sinceStart < rise + hold
+                    : sinceStartSeconds < riseSeconds
+                            ? sinceStartSeconds / riseSeconds
+                            : sinceStartSeconds < riseSeconds + holdSeconds
                                     ? 1
-                                    : sinceStart < rise + hold + fall ? 1 - (sinceStart - rise - hold) / fall : 0;
+                                    : sinceStartSeconds < riseSeconds + holdSeconds + fallSeconds
+                                            ? 1 - (sinceStartSeconds - riseSeconds - holdSeconds) / fallSeconds
+                                            : 0;
             return base + (peak - base) * share;
         }
 
-        private static double clamp(double value, double most) {
-            return Math.max(0, Math.min(most, value));
+        private static double clamp(double value, double max) {
+            return Math.max(0, Math.min(max, value));
         }
     }
 
     /**
-     * A sine around a mean rate.
+     * A rate that oscillates as a sine around a mean.
      *
      * @param amplitude amplitude as a share of the mean, 0 to 1
-     * @param period period in seconds
+     * @param periodSeconds duration of one oscillation
      */
-    record Wave(double seconds, double mean, double amplitude, double period, boolean isPoisson)
+    record Wave(double seconds, double mean, double amplitude, double periodSeconds, boolean isPoisson)
             implements RateProfile {
         @Override
-        public double expectedArrivals(double time) {
-            double angularFrequency = 2 * Math.PI / period;
-            return mean * (time + amplitude / angularFrequency * (1 - Math.cos(angularFrequency * time)));
+        public double expectedArrivals(double timeSeconds) {
+            double angularFrequency = 2 * Math.PI / periodSeconds;
+            return mean * (timeSeconds + amplitude / angularFrequency * (1 - Math.cos(angularFrequency * timeSeconds)));
         }
 
         @Override
-        public double rate(double time) {
-            return mean * (1 + amplitude * Math.sin(2 * Math.PI * time / period));
+        public double rate(double timeSeconds) {
+            return mean * (1 + amplitude * Math.sin(2 * Math.PI * timeSeconds / periodSeconds));
         }
     }
 
@@ -155,18 +158,18 @@
         }
 
         @Override
-        public double expectedArrivals(double time) {
-            double each = seconds / rates.length;
+        public double expectedArrivals(double timeSeconds) {
+            double secondsPerRate = seconds / rates.length;
             double sum = 0;
             for (int i = 0; i < rates.length; i++) {
-                sum += rates[i] * Math.max(0, Math.min(each, time - i * each));
+                sum += rates[i] * Math.max(0, Math.min(secondsPerRate, timeSeconds - i * secondsPerRate));
             }
             return sum;
         }
 
         @Override
-        public double rate(double time) {
-            return rates[(int) Math.max(0, Math.min(rates.length - 1, time * rates.length / seconds))];
+        public double rate(double timeSeconds) {
+            return rates[(int) Math.max(0, Math.min(rates.length - 1, timeSeconds * rates.length / seconds))];
         }
 
         @Override
--- a/src/main/java/rillyard/loadgen/RecordedTrace.java
+++ b/src/main/java/rillyard/loadgen/RecordedTrace.java
@@ -17,21 +17,22 @@
     /**
      * One recorded request.
      *
-     * @param micros arrival in microseconds of the recording's clock
+     * @param arrivalMicros arrival in microseconds of the recording's clock
      * @param requestClass the request's class
      * @param tenant tenant, or null
      * @param client name of the client, or null if unknown
      * @param routeKey route key, or null
      */
-    public record RecordedRequest(long micros, LoadClass requestClass, String tenant, String client, String routeKey) {}
+    public record RecordedRequest(
+            long arrivalMicros, LoadClass requestClass, String tenant, String client, String routeKey) {}
 
     /** Returns when a request is to be sent, in nanoseconds from the first one. */
-    long at(RecordedRequest request) {
-        return (long) ((request.micros() - entries.get(0).micros()) * 1_000 / speed);
+    long sendAtNanos(RecordedRequest request) {
+        return (long) ((request.arrivalMicros() - entries.get(0).arrivalMicros()) * 1_000 / speed);
     }
 
     /** Returns the duration of the replay in seconds. */
     double seconds() {
-        return at(entries.get(entries.size() - 1)) / 1e9;
+        return sendAtNanos(entries.get(entries.size() - 1)) / 1e9;
     }
 }
--- a/src/main/java/rillyard/loadgen/ReportHtml.java
+++ b/src/main/java/rillyard/loadgen/ReportHtml.java
@@ -34,7 +34,7 @@
                         "%.1f s, seed %d, %d connections opened",
                         report.seconds(), report.seed(), report.connections()))
                 .append(format(
-                        ". Own sends late by p50 %.3f, p99 %.3f, max %.2f ms.",
+                        ". Lateness of the generator's sends: p50 %.3f, p99 %.3f, max %.2f ms.",
                         report.lateness().p50(),
                         report.lateness().p99(),
                         report.lateness().max()))
@@ -45,7 +45,7 @@
                     .append("</p>");
         }
         if (report.interrupted()) {
-            out.append("<p class=\"bad\">Interrupted: what was under way was left.</p>");
+            out.append("<p class=\"bad\">Interrupted: open requests were abandoned.</p>");
         }
         table(out, report);
         plots(out, report);
@@ -59,26 +59,26 @@
                 "class, tenant",
                 "offered",
                 "rate/s",
-                "in aim %",
+                "in time %",
                 "late %",
-                "refused %",
+                "rejected %",
                 "failed",
                 "lost",
-                "left",
+                "abandoned",
                 "p50 ms",
                 "p90",
                 "p99",
                 "p99.9",
                 "max",
-                "tries")) {
+                "attempts")) {
             out.append("<th>").append(heading).append("</th>");
         }
         out.append("</tr>");
         report.rows().forEach(row -> row(out, row, ""));
         row(out, report.total(), " class=\"all\"");
-        out.append("</table><p>Latency counts from the time at which the schedule had the request be sent.")
+        out.append("</table><p>Latency counts from the scheduled send time.")
                 .append(format(
-                        " From the real send: p50 %.2f, p99 %.2f, p99.9 %.2f, max %.2f ms.</p>",
+                        " From the actual send: p50 %.2f, p99 %.2f, p99.9 %.2f, max %.2f ms.</p>",
                         report.total().service().p50(),
                         report.total().service().p99(),
                         report.total().service().p999(),
@@ -116,18 +116,18 @@
     private static void plots(StringBuilder out, RunReport report) {
         double width = report.stretchSeconds();
         double end = Math.max(width, report.series().size() * width);
-        SvgPlot latency = new SvgPlot("latency, ms (logarithmic), by when requests were to be sent", end, true);
+        SvgPlot latency = new SvgPlot("latency, ms (logarithmic), by scheduled send time", end, true);
         latency.line("p50", "#2c7fb8", points(report, RunReport.Point::p50));
         latency.line("p90", "#41ae76", points(report, RunReport.Point::p90));
         latency.line("p99", "#e6862a", points(report, RunReport.Point::p99));
         latency.line("max", "#bbbbbb", points(report, RunReport.Point::max));
-        SvgPlot rate = new SvgPlot("requests a second", end, false);
+        SvgPlot rate = new SvgPlot("requests per second", end, false);
         rate.line("offered", "#222222", points(report, point -> point.offered() / width));
-        rate.line("in aim", "#41ae76", points(report, point -> point.inAim() / width));
-        SvgPlot outsideObjective = new SvgPlot("not in aim, a second", end, false);
+        rate.line("in time", "#41ae76", points(report, point -> point.inAim() / width));
+        SvgPlot outsideObjective = new SvgPlot("not in time, per second", end, false);
         outsideObjective.line("late", "#e6862a", points(report, point -> point.late() / width));
-        outsideObjective.line("refused", "#2c7fb8", points(report, point -> point.refused() / width));
-        outsideObjective.line("failed, lost, left", "#c0392b", points(report, point -> point.failed() / width));
+        outsideObjective.line("rejected", "#2c7fb8", points(report, point -> point.refused() / width));
+        outsideObjective.line("failed, lost, abandoned", "#c0392b", points(report, point -> point.failed() / width));
         for (SvgPlot plot : List.of(latency, rate, outsideObjective)) {
             report.marks().forEach(mark -> plot.mark(mark.at(), mark.host() + " " + mark.what()));
             out.append(plot.svg());
@@ -144,7 +144,7 @@
         if (marks.isEmpty()) {
             return;
         }
-        out.append("<h2>What happened to hosts</h2><table><tr><th>s</th><th>host</th><th>what</th></tr>");
+        out.append("<h2>Events of hosts</h2><table><tr><th>s</th><th>host</th><th>event</th></tr>");
         for (RunReport.Mark mark : marks) {
             out.append("<tr><td>")
                     .append(format("%.2f", mark.at()))
--- a/src/main/java/rillyard/loadgen/ReportTable.java
+++ b/src/main/java/rillyard/loadgen/ReportTable.java
@@ -25,28 +25,28 @@
 
     private static String header() {
         return String.format(
-                "%-24s %9s %8s %7s %7s %7s %6s %6s %6s %9s %9s %9s %9s %9s %6s%n",
+                "%-24s %9s %8s %7s %7s %8s %6s %6s %9s %9s %9s %9s %9s %9s %8s%n",
                 "class, tenant",
                 "offered",
                 "rate/s",
-                "in aim",
+                "in time",
                 "late",
-                "refused",
+                "rejected",
                 "failed",
                 "lost",
-                "left",
+                "abandoned",
                 "p50 ms",
                 "p90",
                 "p99",
                 "p99.9",
                 "max",
-                "tries");
+                "attempts");
     }
 
     private static void appendServiceTime(RunReport.Quantiles service, StringBuilder out) {
         out.append(String.format(
                 Locale.ROOT,
-                "service time from the real send: p50 %.2f  p99 %.2f  p99.9 %.2f  max %.2f ms%n",
+                "service time, from the actual send: p50 %.2f  p99 %.2f  p99.9 %.2f  max %.2f ms%n",
                 service.p50(),
                 service.p99(),
                 service.p999(),
@@ -56,7 +56,7 @@
     private static void appendLateness(RunReport report, StringBuilder out) {
         out.append(String.format(
                 Locale.ROOT,
-                "%.1f s, %d connections opened; own sends late by p50 %.3f  p99 %.3f  max %.2f ms%n",
+                "%.1f s, %d connections opened; lateness of the generator's sends: p50 %.3f  p99 %.3f  max %.2f ms%n",
                 report.seconds(),
                 report.connections(),
                 report.lateness().p50(),
@@ -69,10 +69,10 @@
             out.append(report.total().notSent()).append(" requests were not sent\n");
         }
         if (report.surplus() > 0) {
-            out.append(report.surplus()).append(" times more came than the one answer\n");
+            out.append(report.surplus()).append(" unexpected responses\n");
         }
         if (report.interrupted()) {
-            out.append("interrupted: what was under way was left\n");
+            out.append("interrupted: open requests were abandoned\n");
         }
         if (!report.valid()) {
             out.append("INVALID: ").append(report.invalidBecause()).append('\n');
@@ -83,7 +83,7 @@
         double percent = Math.max(1, row.offered()) / 100.0;
         return String.format(
                 Locale.ROOT,
-                "%-24s %9d %8.1f %6.2f%% %6.2f%% %6.2f%% %6d %6d %6d %9.2f %9.2f %9.2f %9.2f %9.2f %6.2f%n",
+                "%-24s %9d %8.1f %6.2f%% %6.2f%% %7.2f%% %6d %6d %9d %9.2f %9.2f %9.2f %9.2f %9.2f %8.2f%n",
                 row.tenant() == null ? row.type() : row.type() + ", " + row.tenant(),
                 row.offered(),
                 row.rate(),
--- a/src/main/java/rillyard/loadgen/RequestSchedule.java
+++ b/src/main/java/rillyard/loadgen/RequestSchedule.java
@@ -18,7 +18,7 @@
     private final WeightedSampler clients;
     private final Iterator<RecordedTrace.RecordedRequest> trace;
     private int profileIndex;
-    private double profileStart;
+    private double profileStartSeconds;
     private double secondsInProfile;
     private double arrivalsInProfile;
     private ScheduledRequest next;
@@ -63,28 +63,28 @@
         while (profileIndex < profiles.size()) {
             RateProfile profile = profiles.get(profileIndex);
             arrivalsInProfile += profile.isPoisson() ? arrivalRandom.nextExponential() : 1;
-            double at = profile.timeOf(arrivalsInProfile, secondsInProfile);
-            if (!Double.isNaN(at)) {
-                secondsInProfile = at;
-                return withClassAndClient((long) (1e9 * (profileStart + at)));
+            double atSeconds = profile.timeOf(arrivalsInProfile, secondsInProfile);
+            if (!Double.isNaN(atSeconds)) {
+                secondsInProfile = atSeconds;
+                return withClassAndClient((long) (1e9 * (profileStartSeconds + atSeconds)));
             }
-            // The remaining interval is not carried over: the next profile starts afresh.
+            // The remaining interval is not carried over: the next profile draws a new first arrival.
             profileIndex++;
-            profileStart += profile.seconds();
+            profileStartSeconds += profile.seconds();
             secondsInProfile = 0;
             arrivalsInProfile = 0;
         }
         return null;
     }
 
-    private ScheduledRequest withClassAndClient(long at) {
+    private ScheduledRequest withClassAndClient(long atNanos) {
         LoadClass requestClass = plan.classes().get(classes.sample(requestRandom));
         String tenant = tenants == null
                 ? null
                 : plan.tenants().get(tenants.sample(requestRandom)).name();
         int client = clients.sample(requestRandom);
         String key = requestClass.keys() == 0 ? null : "k" + requestRandom.nextInt(requestClass.keys());
-        return new ScheduledRequest(at, requestClass, tenant, client, key);
+        return new ScheduledRequest(atNanos, requestClass, tenant, client, key);
     }
 
     private ScheduledRequest nextOfTrace() {
@@ -96,6 +96,10 @@
                 ? clients.sample(requestRandom)
                 : Math.floorMod(request.client().hashCode(), plan.clients().count());
         return new ScheduledRequest(
-                plan.trace().at(request), request.requestClass(), request.tenant(), client, request.routeKey());
+                plan.trace().sendAtNanos(request),
+                request.requestClass(),
+                request.tenant(),
+                client,
+                request.routeKey());
     }
 }
--- a/src/main/java/rillyard/loadgen/RunReport.java
+++ b/src/main/java/rillyard/loadgen/RunReport.java
@@ -47,19 +47,19 @@
         static Quantiles of(Histogram histogram) {
             return new Quantiles(
                     histogram.getTotalCount(),
-                    round(histogram.getTotalCount() == 0 ? 0 : histogram.getMean()),
-                    at(histogram, 50),
-                    at(histogram, 90),
-                    at(histogram, 99),
-                    at(histogram, 99.9),
-                    round((double) histogram.getMaxValue()));
+                    toMillis(histogram.getTotalCount() == 0 ? 0 : histogram.getMean()),
+                    millisAt(histogram, 50),
+                    millisAt(histogram, 90),
+                    millisAt(histogram, 99),
+                    millisAt(histogram, 99.9),
+                    toMillis((double) histogram.getMaxValue()));
         }
 
-        private static double at(Histogram histogram, double percentile) {
-            return round((double) histogram.getValueAtPercentile(percentile));
+        private static double millisAt(Histogram histogram, double percentile) {
+            return toMillis((double) histogram.getValueAtPercentile(percentile));
         }
 
-        private static double round(double micros) {
+        private static double toMillis(double micros) {
             return Math.round(micros) / 1_000.0;
         }
     }
@@ -110,11 +110,12 @@
         Quantiles lateness = Quantiles.of(statistics.lateness());
         RunStatistics.ClassStatistics all = statistics.total();
         if (lateness.p99() > plan.maxLatenessMillis()) {
-            invalidBecause = "one send of a hundred was more than " + lateness.p99() + " ms late, expected "
-                    + plan.maxLatenessMillis() + " at most: the generator could not keep its schedule";
+            invalidBecause = "the 99th percentile of the lateness of sends was " + lateness.p99()
+                    + " ms, expected at most " + plan.maxLatenessMillis()
+                    + ": the generator could not keep its schedule";
         } else if (all.notSent > 0) {
-            invalidBecause = all.notSent + " requests were not sent, as " + plan.maxOpen()
-                    + " were under way: the schedule was not kept";
+            invalidBecause = all.notSent + " requests were not sent because the limit of " + plan.maxOpen()
+                    + " open requests was reached: the schedule was not kept";
         }
         double seconds = Math.max(1e-9, statistics.seconds());
         List<Row> rows = new ArrayList<>();
--- a/src/main/java/rillyard/loadgen/RunStatistics.java
+++ b/src/main/java/rillyard/loadgen/RunStatistics.java
@@ -9,7 +9,8 @@
 import rillyard.requestlog.ClientOutcome;
 
 /**
- * Counts the results of a run by class and tenant, and over time. Confined to the generator's thread during the run.
+ * Counts the results of a run by class and tenant, and over time. Histograms are in microseconds. Confined to the
+ * generator's thread during the run.
  */
 final class RunStatistics {
     /** Upper bound of recorded times in microseconds: one hour. */
@@ -18,7 +19,7 @@
     /** Upper bound on the number of intervals; longer runs have longer intervals. */
     private static final int MAX_INTERVALS = 300;
 
-    /** Counters of one class and tenant; {@code tenant} is null if the plan has none. Both are null in a total. */
+    /** Counters of one class and tenant; {@code tenant} is null if the plan has none, and both are null in a total. */
     static final class ClassStatistics {
         final LoadClass requestClass;
         final String tenant;
@@ -69,8 +70,8 @@
     private final List<IntervalStatistics> intervals = new ArrayList<>();
     private final Histogram lateness = new Histogram(MAX_MICROS, 3);
     private final long intervalNanos;
-    private long startedAt;
-    private long endedAt;
+    private long startedAtNanos;
+    private long endedAtNanos;
     private long offered;
     private long finished;
     private long unexpectedResponses;
@@ -84,20 +85,20 @@
         intervalNanos = 1_000_000_000L * (long) Math.max(1, Math.ceil(seconds / MAX_INTERVALS));
     }
 
-    /** Called when the run starts, with the time in nanoseconds of the scheduler's clock. */
-    void onStarted(long at) {
-        startedAt = at;
+    /** Called when the run starts, with the time on the scheduler's clock. */
+    void onStarted(long atNanos) {
+        startedAtNanos = atNanos;
     }
 
-    /** Called when the run ends, with the time in nanoseconds of the scheduler's clock. */
-    void onEnded(long at) {
-        endedAt = at;
+    /** Called when the run ends, with the time on the scheduler's clock. */
+    void onEnded(long atNanos) {
+        endedAtNanos = atNanos;
     }
 
-    /** Called when a request is due; {@code now} is the actual time in nanoseconds of the scheduler's clock. */
-    void onScheduled(LogicalRequest request, long now) {
+    /** Called when a request is due; {@code nowNanos} is the actual time in nanoseconds of the scheduler's clock. */
+    void onScheduled(LogicalRequest request, long nowNanos) {
         offered++;
-        lateness.recordValue(Math.max(0, Math.min(MAX_MICROS, (now - request.scheduledAt) / 1_000)));
+        lateness.recordValue(Math.max(0, Math.min(MAX_MICROS, (nowNanos - request.scheduledAtNanos) / 1_000)));
         row(request).offered++;
         intervalOf(request).offered++;
     }
@@ -112,16 +113,17 @@
         unexpectedResponses++;
     }
 
-    /** Called when a request has ended; {@code at} is in nanoseconds of the scheduler's clock. */
-    void onFinished(LogicalRequest request, ClientOutcome outcome, long at) {
+    /** Called when a request has ended; {@code atNanos} is on the scheduler's clock. */
+    void onFinished(LogicalRequest request, ClientOutcome outcome, long atNanos) {
         finished++;
         ClassStatistics statistics = row(request);
         IntervalStatistics intervalStatistics = intervalOf(request);
         switch (outcome) {
             case SERVED -> {
-                long micros = Math.min(MAX_MICROS, Math.max(0, (at - request.scheduledAt) / 1_000));
+                long micros = Math.min(MAX_MICROS, Math.max(0, (atNanos - request.scheduledAtNanos) / 1_000));
                 statistics.latency.recordValue(micros);
-                statistics.service.recordValue(Math.min(MAX_MICROS, Math.max(0, (at - request.firstSent()) / 1_000)));
+                statistics.service.recordValue(
+                        Math.min(MAX_MICROS, Math.max(0, (atNanos - request.firstSentAtNanos()) / 1_000)));
                 intervalStatistics.latency.recordValue(micros);
                 if (micros <= 1_000 * request.scheduled.requestClass().latencyObjectiveMillis()) {
                     statistics.withinObjective++;
@@ -156,12 +158,12 @@
                 key -> new ClassStatistics(request.scheduled.requestClass(), request.scheduled.tenant()));
     }
 
-    private static String name(String type, String tenant) {
-        return tenant == null ? type : type + " " + tenant;
+    private static String name(String className, String tenant) {
+        return tenant == null ? className : className + " " + tenant;
     }
 
     private IntervalStatistics intervalOf(LogicalRequest request) {
-        int index = (int) Math.max(0, (request.scheduledAt - startedAt) / intervalNanos);
+        int index = (int) Math.max(0, (request.scheduledAtNanos - startedAtNanos) / intervalNanos);
         while (intervals.size() <= index) {
             intervals.add(new IntervalStatistics());
         }
@@ -197,7 +199,7 @@
 
     /** Returns the duration of the run in seconds. */
     double seconds() {
-        return (endedAt - startedAt) / 1e9;
+        return (endedAtNanos - startedAtNanos) / 1e9;
     }
 
     /** Returns the number of requests that were due. */
--- a/src/main/java/rillyard/loadgen/SvgPlot.java
+++ b/src/main/java/rillyard/loadgen/SvgPlot.java
@@ -14,10 +14,10 @@
 
     private record Line(String name, String colour, double[][] points) {}
 
-    private record Mark(double at, String text) {}
+    private record Mark(double seconds, String text) {}
 
     private final String title;
-    private final double end;
+    private final double endSeconds;
     private final boolean logarithmic;
     private final List<Line> lines = new ArrayList<>();
     private final List<Mark> marks = new ArrayList<>();
@@ -25,12 +25,12 @@
     /**
      * Creates an empty plot.
      *
-     * @param end end of the time axis in seconds
+     * @param endSeconds end of the time axis
      * @param logarithmic whether the value axis is logarithmic
      */
-    SvgPlot(String title, double end, boolean logarithmic) {
+    SvgPlot(String title, double endSeconds, boolean logarithmic) {
         this.title = title;
-        this.end = end;
+        this.endSeconds = endSeconds;
         this.logarithmic = logarithmic;
     }
 
@@ -39,10 +39,10 @@
         lines.add(new Line(name, colour, points));
     }
 
-    /** Adds a vertical mark at a time in seconds, unless that is beyond the time axis. */
-    void mark(double at, String text) {
-        if (at >= 0 && at <= end) {
-            marks.add(new Mark(at, text));
+    /** Adds a vertical mark at a time, unless that is beyond the time axis. */
+    void mark(double seconds, String text) {
+        if (seconds >= 0 && seconds <= endSeconds) {
+            marks.add(new Mark(seconds, text));
         }
     }
 
@@ -69,7 +69,7 @@
         for (Mark mark : marks) {
             out.append(ReportHtml.format(
                     "<line x1=\"%1$.1f\" x2=\"%1$.1f\" y1=\"%2$d\" y2=\"%3$d\" stroke=\"#c0392b\" stroke-dasharray=\"3 3\"><title>%4$s</title></line>",
-                    x(mark.at()), TOP, HEIGHT - BOTTOM, ReportHtml.escape(mark.text())));
+                    x(mark.seconds()), TOP, HEIGHT - BOTTOM, ReportHtml.escape(mark.text())));
         }
         for (Line line : lines) {
             out.append("<polyline fill=\"none\" stroke=\"")
@@ -117,8 +117,8 @@
                     "<text x=\"%d\" y=\"%.1f\" text-anchor=\"end\" fill=\"#666\">%s</text>",
                     LEFT - 6, y + 4, level == Math.rint(level) ? Long.toString((long) level) : Double.toString(level)));
         }
-        double step = roundStep(end / 8);
-        for (double seconds = 0; seconds <= end; seconds += step) {
+        double step = roundStep(endSeconds / 8);
+        for (double seconds = 0; seconds <= endSeconds; seconds += step) {
             out.append(ReportHtml.format(
                     "<text x=\"%.1f\" y=\"%d\" text-anchor=\"middle\" fill=\"#666\">%.4g s</text>",
                     x(seconds), HEIGHT - 8, seconds));
@@ -131,8 +131,8 @@
         return power * (mantissa <= 1 ? 1 : mantissa <= 2 ? 2 : mantissa <= 5 ? 5 : 10);
     }
 
-    private double x(double time) {
-        return LEFT + time / end * (WIDTH - LEFT - RIGHT);
+    private double x(double seconds) {
+        return LEFT + seconds / endSeconds * (WIDTH - LEFT - RIGHT);
     }
 
     private double y(double value, double from, double to) {
--- a/src/main/java/rillyard/loadgen/TimelineEvents.java
+++ b/src/main/java/rillyard/loadgen/TimelineEvents.java
@@ -16,16 +16,16 @@
     private TimelineEvents() {}
 
     /**
-     * Returns the events of a hosts' request log.
+     * Returns the events in a request log of hosts, at most 200.
      *
-     * @param from start of the run in microseconds of Unix time; earlier events are left out
+     * @param startMicros start of the run in microseconds of Unix time; earlier events are left out
      * @throws InvalidConfigException if the file is not a request log of hosts
      */
-    public static List<RunReport.Mark> read(Path hosts, long from) throws InvalidConfigException {
+    public static List<RunReport.Mark> read(Path hostsLog, long startMicros) throws InvalidConfigException {
         List<RunReport.Mark> out = new ArrayList<>();
-        RequestLogReader.read(hosts, "hosts", line -> {
-            if (line instanceof HostEvent event && event.at() >= from && out.size() < MAX_EVENTS) {
-                out.add(new RunReport.Mark((event.at() - from) / 1e6, event.host(), description(event)));
+        RequestLogReader.read(hostsLog, "hosts", line -> {
+            if (line instanceof HostEvent event && event.at() >= startMicros && out.size() < MAX_EVENTS) {
+                out.add(new RunReport.Mark((event.at() - startMicros) / 1e6, event.host(), description(event)));
             }
         });
         return out;
--- a/src/main/java/rillyard/loadgen/TraceReader.java
+++ b/src/main/java/rillyard/loadgen/TraceReader.java
@@ -37,7 +37,7 @@
  */
 public final class TraceReader {
     /** Format of a trace file. */
-    public enum Form {
+    public enum Format {
         /** Comma-separated values with column names in the first line. */
         CSV,
 
@@ -82,11 +82,11 @@
      * @param speed factor by which the replay is faster than the recording
      * @throws InvalidConfigException with the lines that are invalid, or if no request remains
      */
-    public static RecordedTrace read(Path file, Form form, List<LoadClass> classes, double speed)
+    public static RecordedTrace read(Path file, Format format, List<LoadClass> classes, double speed)
             throws InvalidConfigException {
         TraceReader reader = new TraceReader(file.toString(), classes);
         try (BufferedReader in = Files.newBufferedReader(file)) {
-            reader.read(in, form);
+            reader.read(in, format);
         } catch (IOException e) {
             throw new InvalidConfigException(file.toString(), reader.line, "can't be read: " + e);
         }
@@ -97,16 +97,17 @@
             throw new InvalidConfigException(
                     file.toString(),
                     0,
-                    "expected one request at least"
+                    "expected at least one request"
                             + (reader.skippedLines > 0
-                                    ? "; all " + reader.skippedLines + " are of classes that the plan does not name"
+                                    ? "; skipped " + reader.skippedLines
+                                            + " lines with bad requests or with classes that are not in the plan"
                                     : ""));
         }
-        reader.entries.sort(Comparator.comparingLong(RecordedTrace.RecordedRequest::micros));
+        reader.entries.sort(Comparator.comparingLong(RecordedTrace.RecordedRequest::arrivalMicros));
         return new RecordedTrace(reader.entries, speed);
     }
 
-    private void read(BufferedReader in, Form form) throws IOException {
+    private void read(BufferedReader in, Format format) throws IOException {
         List<String> columns = null;
         String text;
         while ((text = in.readLine()) != null && problems.size() < MAX_PROBLEMS) {
@@ -115,17 +116,17 @@
                 continue;
             }
             if (entries.size() >= MAX_REQUESTS) {
-                addProblem("expected " + MAX_REQUESTS + " requests at most");
+                addProblem("expected at most " + MAX_REQUESTS + " requests");
                 return;
             }
-            if (form == Form.CSV && columns == null) {
+            if (format == Format.CSV && columns == null) {
                 columns = columns(text);
                 if (columns == null) {
                     return;
                 }
-            } else if (form == Form.CSV) {
+            } else if (format == Format.CSV) {
                 addCsvLine(columns, text);
-            } else if (form == Form.JSONL) {
+            } else if (format == Format.JSONL) {
                 addJsonLine(text);
             } else {
                 addHttplogLine(text);
@@ -136,9 +137,9 @@
     private List<String> columns(String text) {
         List<String> names =
                 Arrays.stream(text.split(",", -1)).map(String::trim).toList();
-        for (String needed : List.of("time_ms", "class")) {
-            if (!names.contains(needed)) {
-                addProblem("expected column names with '" + needed + "' among them, found '" + text + "'");
+        for (String required : List.of("time_ms", "class")) {
+            if (!names.contains(required)) {
+                addProblem("expected column names with '" + required + "' among them, found '" + text + "'");
                 return null;
             }
         }
@@ -184,7 +185,7 @@
                 node.hasNonNull("route_key") ? node.get("route_key").asText() : null);
     }
 
-    private void addEntry(String time, String type, String tenant, String client, String key) {
+    private void addEntry(String time, String className, String tenant, String client, String routeKey) {
         double ms;
         try {
             ms = Double.parseDouble(time);
@@ -195,12 +196,12 @@
             addProblem("time_ms: found '" + time + "', expected milliseconds from 0");
             return;
         }
-        LoadClass requestClass = classes.get(type);
+        LoadClass requestClass = classes.get(className);
         if (requestClass == null) {
-            addProblem("class: found '" + type + "', expected one of " + String.join(", ", classes.keySet()));
+            addProblem("class: found '" + className + "', expected one of " + String.join(", ", classes.keySet()));
             return;
         }
-        entries.add(new RecordedTrace.RecordedRequest((long) (1_000 * ms), requestClass, tenant, client, key));
+        entries.add(new RecordedTrace.RecordedRequest((long) (1_000 * ms), requestClass, tenant, client, routeKey));
     }
 
     private void addHttplogLine(String text) {
@@ -223,7 +224,7 @@
             addProblem("found '" + matcher.group(3) + "', expected an accept date as 06/Feb/2009:12:14:14.655");
             return;
         }
-        LoadClass requestClass = classes.get(firstPart(matcher.group(5)));
+        LoadClass requestClass = classes.get(firstSegment(matcher.group(5)));
         if (requestClass == null) {
             skippedLines++;
         } else {
@@ -231,7 +232,7 @@
         }
     }
 
-    private static String firstPart(String uri) {
+    private static String firstSegment(String uri) {
         String path = uri.replaceFirst("^[a-z]+://[^/]*", "");
         return path.replaceFirst("^/", "").split("[/?]", 2)[0];
     }
--- a/src/main/java/rillyard/loadgen/Transport.java
+++ b/src/main/java/rillyard/loadgen/Transport.java
@@ -33,7 +33,7 @@
     /** Receives the result of an attempt. */
     interface Listener {
         /** Called once when the attempt ends, unless it was abandoned; never from within {@link #send}. */
-        void onEnded(AttemptResult end);
+        void onEnded(AttemptResult result);
     }
 
     /** An attempt in flight. */
--- a/src/test/java/rillyard/cli/UsageIT.java
+++ b/src/test/java/rillyard/cli/UsageIT.java
@@ -143,7 +143,7 @@
         }
         signal(load, "INT");
         assertThat(out(load))
-                .contains("interrupted: what was under way was left")
+                .contains("interrupted: open requests were abandoned")
                 .contains("claim");
         TestProcess.exitCode(load);
         end(cluster, "INT");
--- a/src/test/java/rillyard/loadgen/FakeTransport.java
+++ b/src/test/java/rillyard/loadgen/FakeTransport.java
@@ -6,20 +6,21 @@
 import rillyard.requestlog.ClientOutcome;
 import rillyard.scheduling.Scheduler;
 
-/** A transport on a virtual clock whose results a test scripts. */
+/** A transport on a virtual clock whose results are scripted by a test. */
 final class FakeTransport implements Transport {
-    /** Result of an attempt {@code ms} milliseconds after it was sent; no response at all if {@code end} is null. */
-    record ScriptedResult(double ms, AttemptResult end) {
-        static ScriptedResult of(double ms, ClientOutcome outcome, int status) {
-            return new ScriptedResult(ms, new AttemptResult(outcome, status, 0));
+    /** Result of an attempt {@code delayMillis} after it was sent; no response at all if {@code result} is null. */
+    record ScriptedResult(double delayMillis, AttemptResult result) {
+        static ScriptedResult of(double delayMillis, ClientOutcome outcome, int status) {
+            return new ScriptedResult(delayMillis, new AttemptResult(outcome, status, 0));
         }
 
-        static ScriptedResult served(double ms) {
-            return of(ms, ClientOutcome.SERVED, 200);
+        static ScriptedResult served(double delayMillis) {
+            return of(delayMillis, ClientOutcome.SERVED, 200);
         }
 
-        static ScriptedResult rejected(double ms, double retryAfterMs) {
-            return new ScriptedResult(ms, new AttemptResult(ClientOutcome.REFUSED, 503, (long) (1_000 * retryAfterMs)));
+        static ScriptedResult rejected(double delayMillis, double retryAfterMs) {
+            return new ScriptedResult(
+                    delayMillis, new AttemptResult(ClientOutcome.REFUSED, 503, (long) (1_000 * retryAfterMs)));
         }
 
         static ScriptedResult noResponse() {
@@ -28,7 +29,7 @@
     }
 
     final List<OutgoingRequest> sentRequests = new ArrayList<>();
-    final List<Long> sentAt = new ArrayList<>();
+    final List<Long> sentAtNanos = new ArrayList<>();
     int abandoned;
     private final Scheduler scheduler;
     private final Function<OutgoingRequest, ScriptedResult> script;
@@ -41,11 +42,12 @@
     @Override
     public PendingAttempt send(OutgoingRequest request, Listener listener) {
         sentRequests.add(request);
-        sentAt.add(scheduler.now());
+        sentAtNanos.add(scheduler.now());
         ScriptedResult scripted = script.apply(request);
-        Scheduler.ScheduledTask due = scripted.end() == null
+        Scheduler.ScheduledTask due = scripted.result() == null
                 ? () -> {}
-                : scheduler.scheduleAfter((long) (1e6 * scripted.ms()), () -> listener.onEnded(scripted.end()));
+                : scheduler.scheduleAfter(
+                        (long) (1e6 * scripted.delayMillis()), () -> listener.onEnded(scripted.result()));
         return () -> {
             abandoned++;
             due.cancel();
--- a/src/test/java/rillyard/loadgen/LoadGeneratorTest.java
+++ b/src/test/java/rillyard/loadgen/LoadGeneratorTest.java
@@ -32,7 +32,7 @@
 
     @Test
     void stalledTargetShowsAsLateResponsesAtOfferedRate() throws Exception {
-        // The target stalls from 5 s to 7 s and responds to what arrived meanwhile at the end of the stall.
+        // The target stalls from 5 s to 7 s and responds to the requests of that time at the end of the stall.
         FakeTransport transport = new FakeTransport(scheduler, request -> {
             double seconds = (scheduler.now() - startNanos) / 1e9;
             return FakeTransport.ScriptedResult.served(seconds < 5 || seconds >= 7 ? 1 : 1 + 1_000 * (7 - seconds));
--- a/src/test/java/rillyard/loadgen/LoadPlanReaderTest.java
+++ b/src/test/java/rillyard/loadgen/LoadPlanReaderTest.java
@@ -80,14 +80,14 @@
         assertThat(exception.problems()).extracting(ConfigProblem::line).containsExactly(1, 3, 7, 9, 11, 12, 14);
         assertThat(exception.getMessage())
                 .contains("p.toml:1: max_opne: unknown key; did you mean 'max_open'?")
-                .contains("p.toml:12: shape[0].peak: is missing, expected requests a second");
+                .contains("p.toml:12: shape[0].peak: is missing, expected a rate in requests per second");
     }
 
     @Test
     void planNeedsEitherShapeOrTrace() {
-        assertThat(fails("seed = 1\n").getMessage()).contains("expected a [[shape]] at least, or a [trace]");
+        assertThat(fails("seed = 1\n").getMessage()).contains("expected at least one [[shape]], or a [trace]");
         assertThat(fails("[trace]\nfile = 'x'\n[[shape]]\nrate = 1\n").getMessage())
-                .contains("expected one of the two");
+                .contains("expected only one of the two");
         assertThat(fails("[trace]\nfile = 'no-such-file'\n").getMessage()).contains("can't be read");
     }
 }
--- a/src/test/java/rillyard/loadgen/LoadRunTest.java
+++ b/src/test/java/rillyard/loadgen/LoadRunTest.java
@@ -102,8 +102,8 @@
     }
 
     /**
-     * Noise of the machine only ever adds to a measured time and is not in every run, so one of a few runs must
-     * measure what was injected. A wrong histogram would be wrong in all of them.
+     * Noise of the machine only adds to measured times and does not affect every run, so one of a few runs must
+     * measure the injected times. A wrong histogram would be wrong in all runs.
      */
     @Test
     void quantilesMatchInjectedDistribution() throws Exception {
@@ -131,7 +131,9 @@
             mismatches.add(quantiles + " for " + quantile(drawn, 0.5) + " " + quantile(drawn, 0.9) + " "
                     + quantile(drawn, 0.99));
         }
-        assertThat(mismatches).as("quantiles that are all off").isEmpty();
+        assertThat(mismatches)
+                .as("quantiles that differ from the injected times, by run")
+                .isEmpty();
     }
 
     private static double quantile(double[] sorted, double share) {
@@ -178,13 +180,13 @@
             "max_open = 2000\n[[class]]\nname = 'c'\nsemantics = 'idempotent'\naim_ms = 100\ndeadline_ms = 300\n"
                     + "[[shape]]\nkind = 'poisson'\nfor_s = 1\nrate = 300\n";
 
-    private void assertAllEnded(RunReport report, ClientOutcome only) throws Exception {
+    private void assertAllEnded(RunReport report, ClientOutcome expected) throws Exception {
         assertThat(report.total().offered()).isGreaterThan(200);
         assertThat(report.total().inAim() + report.total().late()).isZero();
         List<ClientAttempt> attempts = records("clients", ClientAttempt.class);
         assertThat(attempts.stream().filter(ClientAttempt::lastAttempt).count())
                 .isEqualTo(report.total().offered());
-        assertThat(attempts.stream().map(ClientAttempt::outcome).filter(outcome -> outcome == only))
+        assertThat(attempts.stream().map(ClientAttempt::outcome).filter(outcome -> outcome == expected))
                 .isNotEmpty();
         assertThat(attempts).allMatch(attempt -> attempt.attemptNumber() < 6);
     }
--- a/src/test/java/rillyard/loadgen/LogicalRequestTest.java
+++ b/src/test/java/rillyard/loadgen/LogicalRequestTest.java
@@ -150,7 +150,7 @@
     @Test
     void retryAfterIsHonoredAndBackoffGrows() throws Exception {
         run("idempotent", "", FakeTransport.ScriptedResult.rejected(1, 200), FakeTransport.ScriptedResult.served(1));
-        assertThat(transport.sentAt.get(1) - transport.sentAt.get(0)).isEqualTo(201_000_000L);
+        assertThat(transport.sentAtNanos.get(1) - transport.sentAtNanos.get(0)).isEqualTo(201_000_000L);
         run(
                 "idempotent",
                 "heeding = 0\n".replace("heeding = 0", "pause_ms = 10\ngrowth = 3"),
@@ -158,9 +158,9 @@
                 rejected(),
                 rejected(),
                 FakeTransport.ScriptedResult.served(1));
-        assertThat(transport.sentAt.get(1) - transport.sentAt.get(0)).isEqualTo(11_000_000L);
-        assertThat(transport.sentAt.get(2) - transport.sentAt.get(1)).isEqualTo(31_000_000L);
-        assertThat(transport.sentAt.get(3) - transport.sentAt.get(2)).isEqualTo(91_000_000L);
+        assertThat(transport.sentAtNanos.get(1) - transport.sentAtNanos.get(0)).isEqualTo(11_000_000L);
+        assertThat(transport.sentAtNanos.get(2) - transport.sentAtNanos.get(1)).isEqualTo(31_000_000L);
+        assertThat(transport.sentAtNanos.get(3) - transport.sentAtNanos.get(2)).isEqualTo(91_000_000L);
     }
 
     @Test
--- a/src/test/java/rillyard/loadgen/TraceReaderTest.java
+++ b/src/test/java/rillyard/loadgen/TraceReaderTest.java
@@ -20,33 +20,33 @@
     @TempDir
     Path folder;
 
-    private RecordedTrace read(TraceReader.Form form, String text) throws Exception {
+    private RecordedTrace read(TraceReader.Format format, String text) throws Exception {
         Path path = Files.writeString(folder.resolve("t"), text);
-        return TraceReader.read(path, form, CLASSES, 2);
+        return TraceReader.read(path, format, CLASSES, 2);
     }
 
-    private InvalidConfigException fails(TraceReader.Form form, String text) {
-        return catchThrowableOfType(InvalidConfigException.class, () -> read(form, text));
+    private InvalidConfigException fails(TraceReader.Format format, String text) {
+        return catchThrowableOfType(InvalidConfigException.class, () -> read(format, text));
     }
 
     @Test
     void csvIsReadInAnyColumnAndLineOrder() throws Exception {
         RecordedTrace trace =
-                read(TraceReader.Form.CSV, "class,time_ms,tenant\nclaim,1500.5,t1\nlist,1000,\n\nlist,3000,t2\n");
+                read(TraceReader.Format.CSV, "class,time_ms,tenant\nclaim,1500.5,t1\nlist,1000,\n\nlist,3000,t2\n");
         assertThat(trace.entries())
                 .extracting(request -> request.requestClass().name())
                 .containsExactly("list", "claim", "list");
         assertThat(trace.entries())
                 .extracting(RecordedTrace.RecordedRequest::tenant)
                 .containsExactly(null, "t1", "t2");
-        assertThat(trace.at(trace.entries().get(1))).isEqualTo(250_250_000L); // at twice the speed
+        assertThat(trace.sendAtNanos(trace.entries().get(1))).isEqualTo(250_250_000L); // at twice the speed
         assertThat(trace.seconds()).isEqualTo(1.0);
     }
 
     @Test
     void jsonLinesAreRead() throws Exception {
         RecordedTrace trace = read(
-                TraceReader.Form.JSONL,
+                TraceReader.Format.JSONL,
                 "{\"time_ms\":5,\"class\":\"list\",\"client\":\"c1\",\"route_key\":\"r\"}\n"
                         + "{\"time_ms\":6.5,\"class\":\"claim\"}\n");
         assertThat(trace.entries())
@@ -59,7 +59,7 @@
     void httplogLinesAreRead() throws Exception {
         String before = "Nov 30 08:14:14 lb haproxy[14389]: ";
         RecordedTrace trace = read(
-                TraceReader.Form.HAPROXY,
+                TraceReader.Format.HAPROXY,
                 before + "10.0.1.2:33317 [30/Nov/2026:08:14:14.655] http-in static/srv1 10/0/30/69/109 "
                         + "200 2750 - - ---- 1/1/1/1/0 0/0 {1wt.eu} {} \"GET /list?x=1 HTTP/1.1\"\n"
                         + before + "10.0.1.3:33318 [30/Nov/2026:08:14:14.155] http-in~ b/<NOSRV> -1/-1/-1/-1/0 "
@@ -79,19 +79,19 @@
 
     @Test
     void eachUnreadableLineIsNamed() {
-        assertThat(fails(TraceReader.Form.CSV, "class,when\nlist,1\n").getMessage())
+        assertThat(fails(TraceReader.Format.CSV, "class,when\nlist,1\n").getMessage())
                 .contains(":1: expected column names with 'time_ms' among them");
-        assertThat(fails(TraceReader.Form.CSV, "class,time_ms\nlist,x\nlist\nlsit,4\nlist,-1\nlist,NaN\n")
+        assertThat(fails(TraceReader.Format.CSV, "class,time_ms\nlist,x\nlist\nlsit,4\nlist,-1\nlist,NaN\n")
                         .problems())
                 .extracting(ConfigProblem::line)
                 .containsExactly(2, 3, 4, 5, 6);
-        assertThat(fails(TraceReader.Form.JSONL, "{\"class\":\"list\"}\n[1]\n{\n")
+        assertThat(fails(TraceReader.Format.JSONL, "{\"class\":\"list\"}\n[1]\n{\n")
                         .problems())
                 .extracting(ConfigProblem::line)
                 .containsExactly(1, 2, 3);
-        assertThat(fails(TraceReader.Form.HAPROXY, "nothing of that kind\n").problems())
+        assertThat(fails(TraceReader.Format.HAPROXY, "nothing of that kind\n").problems())
                 .hasSize(1);
-        assertThat(fails(TraceReader.Form.CSV, "").getMessage()).contains("expected one request at least");
+        assertThat(fails(TraceReader.Format.CSV, "").getMessage()).contains("expected at least one request");
     }
 
     @Test
