--- a/src/test/java/rillyard/proxy/SystemCallFailureTest.java
+++ b/src/test/java/rillyard/proxy/SystemCallFailureTest.java
@@ -14,7 +14,10 @@
 import rillyard.proxy.eventloop.FaultInjectingChannels;
 import rillyard.proxy.eventloop.FaultInjectingChannels.Call;
 
-/** System calls that fail for a moment: each request has its final answer, in time. */
+/**
+ * Guards against requests that are not answered in time, hosts that are ejected, or an event loop that spins, because
+ * system calls of this machine (socket, connect, accept) fail for a while.
+ */
 class SystemCallFailureTest {
     private static IOException noBufferSpace() {
         return new SocketException("No buffer space available");
@@ -30,9 +33,9 @@
 
     private static void awaitFailures(FaultInjectingChannels channels, Call call, int count)
             throws InterruptedException {
-        long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
         while (channels.failures(call) < count) {
-            assertThat(System.nanoTime()).as("failures of " + call).isLessThan(limit);
+            assertThat(System.nanoTime()).as("failures of " + call).isLessThan(deadlineNanos);
             Thread.sleep(5);
         }
     }
@@ -43,17 +46,17 @@
         try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
                 ProxyFixture fixture = new ProxyFixture(channels, ProxyFixture.endpoint("a", host.port()))) {
             channels.fail(Call.SOCKET, 1, SystemCallFailureTest::noBufferSpace);
-            long sentAt = System.nanoTime();
-            assertThat(fixture.call(claim()).status()).isEqualTo(503); // of a request that never ran
-            assertThat(System.nanoTime() - sentAt).isLessThan(TimeUnit.SECONDS.toNanos(2)); // of 20 s otherwise
-            channels.heal();
+            long sentAtNanos = System.nanoTime();
+            assertThat(fixture.call(claim()).status()).isEqualTo(503); // the request was not executed
+            assertThat(System.nanoTime() - sentAtNanos).isLessThan(TimeUnit.SECONDS.toNanos(2)); // otherwise 20 s
+            channels.stopFailures();
             assertThat(fixture.call(claim()).status()).isEqualTo(200);
             assertThat(fixture.log()).doesNotContain("event failed");
         }
     }
 
     @Test
-    void requestIsRetriedAtAnotherHostWhereOneSocketIsLacking() throws Exception {
+    void requestIsRetriedAtAnotherHostIfOneSocketFails() throws Exception {
         FaultInjectingChannels channels = new FaultInjectingChannels();
         try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
                 ProxyFixture fixture = new ProxyFixture(
@@ -64,7 +67,7 @@
         }
     }
 
-    /** Each host would be ejected after three failures of its own. */
+    /** Failures that count against a host would eject it after the third. */
     @Test
     void localFailuresOfAllConnectsEjectNoHost() throws Exception {
         FaultInjectingChannels channels = new FaultInjectingChannels();
@@ -81,8 +84,8 @@
                     assertThat(fixture.call(claim()).status()).isEqualTo(503);
                 }
             }
-            assertThat(channels.failures(Call.CONNECT)).isLessThanOrEqualTo(60); // an attempt a host at most
-            channels.heal();
+            assertThat(channels.failures(Call.CONNECT)).isLessThanOrEqualTo(60); // at most one attempt per host
+            channels.stopFailures();
             assertThat(fixture.call(claim()).status()).isEqualTo(200);
             assertThat(fixture.log()).doesNotContain("host ejected").contains("upstream: local failure, count=1");
         }
@@ -95,11 +98,11 @@
         try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
                 ProxyFixture fixture = new ProxyFixture(channels, ProxyFixture.endpoint("a", host.port()))) {
             channels.fail(Call.ACCEPT, 2, SystemCallFailureTest::tooManyFiles);
-            long beganAt = System.nanoTime();
+            long startedAtNanos = System.nanoTime();
             for (int i = 0; i < 20; i++) {
                 assertThat(fixture.call(claim()).status()).isEqualTo(200);
             }
-            assertThat(System.nanoTime() - beganAt).isLessThan(TimeUnit.SECONDS.toNanos(5)); // of 20 s otherwise
+            assertThat(System.nanoTime() - startedAtNanos).isLessThan(TimeUnit.SECONDS.toNanos(5)); // otherwise 20 s
             assertThat(channels.failures(Call.ACCEPT)).isGreaterThan(10);
             assertThat(fixture.log())
                     .containsOnlyOnce("listener: accept failed, count=1 ")
@@ -116,14 +119,14 @@
             try (TestPeer client = fixture.client()) {
                 client.write(claim());
                 Thread.sleep(500);
-                assertThat(channels.failures(Call.ACCEPT)).isBetween(2, 101); // each 5 ms
-                channels.heal();
+                assertThat(channels.failures(Call.ACCEPT)).isBetween(2, 101); // one every 5 ms
+                channels.stopFailures();
                 assertThat(client.read().status()).isEqualTo(200);
             }
         }
     }
 
-    /** The close of the server channel would reset the connections that it has not accepted. */
+    /** Closing a server channel resets the connections of its backlog. */
     @Test
     void backlogIsAcceptedBeforeCloseThoughAcceptsFail() throws Exception {
         FaultInjectingChannels channels = new FaultInjectingChannels();
@@ -147,7 +150,7 @@
         }
     }
 
-    /** Waits until the list that discovery has announced is applied. */
+    /** Waits until the announced list has been applied. */
     private static void awaitReady(ProxyFixture fixture) throws Exception {
         while (!fixture.proxy
                 .loop()
@@ -157,7 +160,7 @@
         }
     }
 
-    /** Of connections of clients, to hosts and to discovery. */
+    /** Limits each read to 5 bytes and each write to 7, for connections of clients, to hosts and to discovery. */
     @Test
     void shortReadsAndWritesChangeNothing() throws Exception {
         FaultInjectingChannels channels = new FaultInjectingChannels();
@@ -178,7 +181,7 @@
     }
 
     @Test
-    void everyThirdConnectWithoutPortCostsNoRequest() throws Exception {
+    void failureOfEveryThirdConnectFailsNoRequest() throws Exception {
         FaultInjectingChannels channels = new FaultInjectingChannels();
         try (ScriptedServer host = new ScriptedServer(peer -> {
                     peer.read();
@@ -206,7 +209,7 @@
             channels.fail(Call.SOCKET, 1, SystemCallFailureTest::noBufferSpace);
             fixture.discoveryLines.add(""); // ends the watch
             awaitFailures(channels, Call.SOCKET, 2);
-            channels.heal();
+            channels.stopFailures();
             assertThat(fixture.watchRequests.poll(10, TimeUnit.SECONDS)).isNotNull();
             fixture.announce(2, true, ProxyFixture.endpoint("a", host.port()));
             awaitReady(fixture);
--- a/src/test/java/rillyard/proxy/eventloop/FaultInjectingChannels.java
+++ b/src/test/java/rillyard/proxy/eventloop/FaultInjectingChannels.java
@@ -19,7 +19,10 @@
 import java.util.function.Supplier;
 import rillyard.stall.StallDetector;
 
-/** Channels whose system calls fail, or transfer few bytes, as a test says; until then they work as always. */
+/**
+ * Creates channels whose system calls fail or transfer few bytes, or whose methods throw, once a test enables that;
+ * until then they work as usual.
+ */
 public final class FaultInjectingChannels extends SocketChannelFactory {
     /** A system call that can be made to fail. */
     public enum Call {
@@ -28,7 +31,7 @@
         ACCEPT
     }
 
-    private record WriteTrap(boolean toClient, Predicate<Object> messages) {}
+    private record WriteFailure(boolean toClient, Predicate<Object> messages) {}
 
     private record Fault(int oneIn, Supplier<IOException> failure) {}
 
@@ -41,9 +44,9 @@
     private final Map<Call, AtomicInteger> failures = new EnumMap<>(Call.class);
     private volatile Map<Call, Fault> faults = Map.of();
     private final BlockingQueue<Channel> accepted = new LinkedBlockingQueue<>();
-    private volatile WriteTrap writeTrap;
-    private volatile Throwable endOfStreamTrap;
-    private volatile int closeTrapPort = -1;
+    private volatile WriteFailure writeFailure;
+    private volatile Throwable endOfStreamFailure;
+    private volatile int closeFailurePort = -1;
     private volatile int bytesPerRead = Integer.MAX_VALUE;
     private volatile int bytesPerWrite = Integer.MAX_VALUE;
 
@@ -54,7 +57,7 @@
         }
     }
 
-    /** Has one in {@code oneIn} calls fail from now on. */
+    /** Makes one in {@code oneIn} calls fail from now on. */
     public void fail(Call call, int oneIn, Supplier<IOException> failure) {
         Map<Call, Fault> changed = new EnumMap<>(Call.class);
         changed.putAll(faults);
@@ -62,64 +65,66 @@
         faults = changed;
     }
 
-    /** Has the next write of such a message to a client throw, in the proxy's own code. */
+    /** Makes the next write of a message of this type to a client throw, in the proxy's own code. */
     public void throwOnNextWriteToClient(Class<?> messageType) {
-        writeTrap = new WriteTrap(true, messageType::isInstance);
+        writeFailure = new WriteFailure(true, messageType::isInstance);
     }
 
-    /** Has the next write of such a request to a host throw; the watch's own request is none and passes. */
+    /** Makes the next write of a request of this class to a host throw; the request of the watch isn't affected. */
     public void throwOnNextWriteToHost(String requestClass) {
-        writeTrap = new WriteTrap(
+        writeFailure = new WriteFailure(
                 false,
                 message -> message instanceof FullHttpRequest request
                         && request.uri().equals("/" + requestClass));
     }
 
-    /** Has the next look for the end of a client's stream throw, which comes before a request is dispatched. */
+    /** Makes the next check for the end of a client's stream throw, which precedes the dispatch of a request. */
     public void throwOnNextEndOfStreamCheck() {
         throwOnNextEndOfStreamCheck(new IllegalStateException(INJECTED));
     }
 
-    /** Has the next look for the end of a client's stream throw this. */
+    /** Makes the next check for the end of a client's stream throw this exception. */
     public void throwOnNextEndOfStreamCheck(RuntimeException failure) {
-        endOfStreamTrap = failure;
+        endOfStreamFailure = failure;
     }
 
-    /** Has the next look for the end of a client's stream throw this. */
+    /** Makes the next check for the end of a client's stream throw this error. */
     public void throwOnNextEndOfStreamCheck(Error failure) {
-        endOfStreamTrap = failure;
+        endOfStreamFailure = failure;
     }
 
-    /** Has the next close of a connection to this port throw. */
+    /** Makes the next close of a connection to this port throw. */
     public void throwOnNextCloseTo(int port) {
-        closeTrapPort = port;
+        closeFailurePort = port;
     }
 
-    /** Returns the next channel that was accepted from a client. */
+    /** Returns the next channel accepted from a client, or null if none is accepted within 10 s. */
     public Channel nextAccepted() throws InterruptedException {
         return accepted.poll(10, TimeUnit.SECONDS);
     }
 
     private void checkWrite(boolean toClient, Object message) {
-        WriteTrap trap = writeTrap;
-        if (trap != null && trap.toClient() == toClient && trap.messages().test(message)) {
-            writeTrap = null;
+        WriteFailure injected = writeFailure;
+        if (injected != null
+                && injected.toClient() == toClient
+                && injected.messages().test(message)) {
+            writeFailure = null;
             throw new IllegalStateException(INJECTED);
         }
     }
 
-    /** Ends all failures of calls. */
-    public void heal() {
+    /** Makes all calls succeed from now on. */
+    public void stopFailures() {
         faults = Map.of();
     }
 
-    /** Bounds the bytes that one system call reads or writes. */
+    /** Limits the number of bytes that one system call reads or writes. */
     public void limitTransfers(int readBytes, int writtenBytes) {
         bytesPerRead = readBytes;
         bytesPerWrite = writtenBytes;
     }
 
-    /** Returns how many calls have failed so far. */
+    /** Returns the number of failed calls so far. */
     public int failures(Call call) {
         return failures.get(call).get();
     }
@@ -181,8 +186,8 @@
 
         @Override
         public ChannelFuture close() {
-            if (parent() == null && remoteAddress() != null && remoteAddress().getPort() == closeTrapPort) {
-                closeTrapPort = -1;
+            if (parent() == null && remoteAddress() != null && remoteAddress().getPort() == closeFailurePort) {
+                closeFailurePort = -1;
                 throw new IllegalStateException(INJECTED);
             }
             return super.close();
@@ -190,12 +195,12 @@
 
         @Override
         public boolean isEndOfStream() {
-            Throwable trap = endOfStreamTrap;
-            endOfStreamTrap = null;
-            if (trap instanceof Error error) {
+            Throwable injected = endOfStreamFailure;
+            endOfStreamFailure = null;
+            if (injected instanceof Error error) {
                 throw error;
             }
-            if (trap instanceof RuntimeException failure) {
+            if (injected instanceof RuntimeException failure) {
                 throw failure;
             }
             return super.isEndOfStream();
--- a/src/test/java/rillyard/proxy/eventloop/PeekableSocketChannelTest.java
+++ b/src/test/java/rillyard/proxy/eventloop/PeekableSocketChannelTest.java
@@ -17,7 +17,10 @@
 import rillyard.proxy.ClientProxy;
 import rillyard.proxy.TestPeer;
 
-/** The close of a channel with unread input. */
+/**
+ * Guards against a response that the peer never receives: closing a socket with unread input sends a reset, which
+ * discards sent bytes that the peer has not read yet.
+ */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class PeekableSocketChannelTest {
     @Test
@@ -35,9 +38,9 @@
             try (TestPeer peer = new TestPeer(server.accept())) {
                 channel.writeAndFlush(Unpooled.copiedBuffer("answer\n", CharsetUtil.US_ASCII))
                         .sync();
-                peer.write("a request that crosses the close");
+                peer.write("a request sent during the close");
                 while (channel.eventLoop().submit(channel::hasNothingToRead).get()) {
-                    Thread.onSpinWait(); // until its first bytes have arrived; the check consumes one of them
+                    Thread.onSpinWait(); // until the first bytes have arrived; the check consumes one of them
                 }
                 channel.eventLoop().submit(channel::shutdownOutputAndDrain).sync();
                 channel.closeFuture().sync();
