--- a/src/test/java/rillyard/proxy/PipelinedDisconnectTest.java
+++ b/src/test/java/rillyard/proxy/PipelinedDisconnectTest.java
@@ -10,23 +10,27 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Clients that send far ahead of their responses, and leave or stay. */
+/**
+ * Guards against a proxy that reads too little of what a client pipelines: a close behind 900 KiB of requests is then
+ * not noticed, and attempts run for a client that has disconnected. The bytes that are read ahead must also be released
+ * and parsed in order.
+ */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class PipelinedDisconnectTest {
-    /** More than the kernel's buffers of both sides would have to hold if the proxy read no further than 32 KiB. */
-    private static final int AHEAD = 900 * 1024;
+    /** Pipelined bytes of a client; the kernel's buffers could not hold them if the proxy stopped reading at 32 KiB. */
+    private static final int PIPELINED_BYTES = 900 * 1024;
 
-    private static String requestsAhead(int bytesEach) {
-        StringBuilder ahead = new StringBuilder();
-        while (ahead.length() < AHEAD - bytesEach - 500) {
-            ahead.append(ProxyFixture.post("claim", 600_000, "", "x".repeat(bytesEach)));
+    private static String pipelinedRequests(int bytesEach) {
+        StringBuilder requests = new StringBuilder();
+        while (requests.length() < PIPELINED_BYTES - bytesEach - 500) {
+            requests.append(ProxyFixture.post("claim", 600_000, "", "x".repeat(bytesEach)));
         }
-        return ahead.toString();
+        return requests.toString();
     }
 
     @ParameterizedTest
     @CsvSource({"100, false", "100, true", "40000, false", "40000, true"})
-    void noAttemptBeginsForClientThatLeavesFarBehindItsRequests(int bytesEach, boolean reset) throws Exception {
+    void pipelinedRequestsOfDisconnectedClientStartNoAttempt(int bytesEach, boolean reset) throws Exception {
         CountDownLatch attemptEnded = new CountDownLatch(1);
         ScriptedServer host = new ScriptedServer(peer -> {
             peer.read();
@@ -38,15 +42,19 @@
                 TestPeer client = fixture.client()) {
             client.write(ProxyFixture.post("claim", 600_000, "", "first"));
             host.nextConnection();
-            client.write(requestsAhead(bytesEach));
-            long left = System.nanoTime();
+            client.write(pipelinedRequests(bytesEach));
+            long disconnectedAtNanos = System.nanoTime();
             if (reset) {
                 client.reset();
             } else {
                 client.socket.close();
             }
-            assertThat(attemptEnded.await(5, TimeUnit.SECONDS)).as("seen").isTrue();
-            assertThat((System.nanoTime() - left) / 1_000_000).as("ms").isLessThan(100);
+            assertThat(attemptEnded.await(5, TimeUnit.SECONDS))
+                    .as("attempt ended")
+                    .isTrue();
+            assertThat((System.nanoTime() - disconnectedAtNanos) / 1_000_000)
+                    .as("ms")
+                    .isLessThan(100);
             assertThat(fixture.proxy
                             .loop()
                             .submit(() -> fixture.proxy.openRequests())
@@ -58,7 +66,7 @@
 
     @ParameterizedTest
     @CsvSource({"100", "5000", "40000", "150000"})
-    void allRequestsFarAheadAreAnsweredInOrder(int bytesEach) throws Exception {
+    void manyPipelinedRequestsAreAnsweredInOrder(int bytesEach) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         try (ScriptedServer host = ScriptedServer.host(message -> {
                     release.await();
@@ -66,7 +74,7 @@
                 });
                 ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()));
                 TestPeer client = fixture.client()) {
-            int count = 2 * AHEAD / (bytesEach + 300); // more than is held
+            int count = 2 * PIPELINED_BYTES / (bytesEach + 300); // more than the proxy buffers
             Thread writer = new Thread(() -> {
                 try {
                     for (int i = 0; i < count; i++) {
@@ -79,7 +87,7 @@
             });
             writer.start();
             host.nextRequest();
-            Thread.sleep(300); // the proxy reads as far ahead as it will
+            Thread.sleep(300); // the proxy buffers as much as it can meanwhile
             release.countDown();
             for (int i = 0; i < count; i++) {
                 assertThat(client.read().text()).isEqualTo(String.format("%08d", i));
@@ -89,7 +97,7 @@
     }
 
     @Test
-    void bytesFarAheadReturnToMemoryForBodies() throws Exception {
+    void pipelinedBytesOfDisconnectedClientsReleaseBodyMemory() throws Exception {
         int clients = 12;
         Semaphore received = new Semaphore(0);
         CountDownLatch ended = new CountDownLatch(clients);
@@ -108,12 +116,12 @@
         try (host;
                 ProxyFixture fixture = new ProxyFixture(
                         config -> ((com.fasterxml.jackson.databind.node.ObjectNode) config.get("limits"))
-                                .put("memory_mb", 64), // leaves 8 MB
+                                .put("memory_mb", 64), // leaves 8 MB for bodies
                         ProxyFixture.endpoint("a", host.port()))) {
-            for (int i = 0; i < clients; i++) { // 11 MB in turn
+            for (int i = 0; i < clients; i++) { // 11 MB in total, one client after another
                 try (TestPeer client = fixture.client()) {
                     client.write(ProxyFixture.post("claim", 600_000, "", "first"));
-                    client.write(requestsAhead(1_000));
+                    client.write(pipelinedRequests(1_000));
                     assertThat(received.tryAcquire(10, TimeUnit.SECONDS))
                             .as("attempt %d", i)
                             .isTrue();
--- a/src/test/java/rillyard/proxy/ProxyTraceTest.java
+++ b/src/test/java/rillyard/proxy/ProxyTraceTest.java
@@ -10,7 +10,7 @@
 import rillyard.trace.TraceEvent;
 import rillyard.trace.TraceEvent.Kind;
 
-/** The trace that a proxy writes if it is enabled. */
+/** Checks the content of the trace, which a proxy writes to its log if it is enabled, and that it is off otherwise. */
 class ProxyTraceTest {
     private static List<TraceEvent> traceEvents(ProxyFixture fixture) {
         return fixture.log()
@@ -20,24 +20,24 @@
                 .toList();
     }
 
-    /** A host that warms up, at full capacity from the start, so that it gets requests at once. */
-    private static void startAtFullCapacity(ObjectNode config) {
+    /** Gives hosts that are warming up full capacity from the start, so that they get requests at once. */
+    private static void useFullStartCapacity(ObjectNode config) {
         ((ObjectNode) config.path("settings").path("rules")).put("startCapacity", 1);
     }
 
     @Test
     void connectsAttemptsAndRejectionsAreTracedWithHostAndOutcome() throws Exception {
-        String fresh = ProxyFixture.endpoint("a", 0)
+        String startedRecently = ProxyFixture.endpoint("a", 0)
                 .replace("\"started_ms\":0", "\"started_ms\":" + (System.currentTimeMillis() - 5_000));
-        try (ScriptedServer full = new ScriptedServer(peer -> {
+        try (ScriptedServer hostAtCapacity = new ScriptedServer(peer -> {
                     peer.read();
                     peer.write(ScriptedServer.status(503, "X-Not-Processed: 1\r\nConnection: close\r\n"));
                 });
                 ProxyFixture fixture = new ProxyFixture(
                         true,
                         null,
-                        ProxyTraceTest::startAtFullCapacity,
-                        fresh.replace("127.0.0.1:0", "127.0.0.1:" + full.port()))) {
+                        ProxyTraceTest::useFullStartCapacity,
+                        startedRecently.replace("127.0.0.1:0", "127.0.0.1:" + hostAtCapacity.port()))) {
             assertThat(fixture.call(ProxyFixture.post("claim", 800, "", "x")).status())
                     .isEqualTo(503);
             List<TraceEvent> events = traceEvents(fixture);
@@ -57,12 +57,12 @@
         }
     }
 
-    /** The crossing of a wall clock that is an hour ahead of discovery's with the restart of a host. */
+    /** A wall clock that is an hour ahead of discovery's makes a host that has just restarted look an hour old. */
     @Test
     void hostThatRestartsWarmsUpAlsoIfWallClockIsAhead() throws Exception {
         try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
                 ProxyFixture fixture = new ProxyFixture(
-                        true, null, ProxyTraceTest::startAtFullCapacity, ProxyFixture.endpoint("a", host.port()))) {
+                        true, null, ProxyTraceTest::useFullStartCapacity, ProxyFixture.endpoint("a", host.port()))) {
             fixture.announce(
                     2, true, ProxyFixture.endpoint("a", host.port()), ProxyFixture.endpoint("b", 1, 0, "down"));
             String restarted = ProxyFixture.endpoint("a", host.port())
--- a/src/test/java/rillyard/proxy/ShortTimeoutTest.java
+++ b/src/test/java/rillyard/proxy/ShortTimeoutTest.java
@@ -9,13 +9,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Requests whose clients wait for a few ms only. */
+/**
+ * Guards against requests with a timeout of 0 to 20 ms that get no response in time, or whose attempts are sent with
+ * more time than the client has left.
+ */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class ShortTimeoutTest {
     private static final int REQUESTS = 20;
 
-    /** What a final answer may take beyond the client's time (ms). */
-    private static final long ANSWER_SLACK_MILLIS = 500;
+    /** Time past its timeout within which a request must be answered. */
+    private static final long RESPONSE_SLACK_MILLIS = 500;
 
     private static String request(int number, int timeoutMillis) {
         return number % 2 == 0
@@ -25,11 +28,11 @@
 
     private static void assertFailedInTime(ProxyFixture fixture, String request, int timeoutMillis) throws Exception {
         try (TestPeer client = fixture.client()) {
-            long sentAt = System.nanoTime();
+            long sentAtNanos = System.nanoTime();
             client.write(request);
             assertThat(client.read().status()).isIn(502, 503, 504);
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt))
-                    .isLessThanOrEqualTo(timeoutMillis + ANSWER_SLACK_MILLIS);
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAtNanos))
+                    .isLessThanOrEqualTo(timeoutMillis + RESPONSE_SLACK_MILLIS);
         }
     }
 
--- a/src/test/java/rillyard/proxy/ShutdownUnderLoadTest.java
+++ b/src/test/java/rillyard/proxy/ShutdownUnderLoadTest.java
@@ -17,48 +17,51 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Shutdowns while clients go on sending: with hosts that hang until the end, and with hosts that drain themselves. */
+/**
+ * Guards against a shutdown under load that leaves forwarded requests unanswered until the process is killed, because
+ * hosts hang, or that still sends attempts to a host that is draining itself.
+ */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class ShutdownUnderLoadTest {
     private static final int CLIENTS = 16;
 
-    /** SIGKILL at the shortest time: 0.7 s after the longest deadline of the fixture's classes. */
+    /** Earliest SIGKILL after SIGTERM: 0.7 s after the longest deadline of the fixture's classes. */
     private static final long KILL_MILLIS = 1_200 + 700;
 
-    /** How long after SIGTERM clients open connections. */
-    private static final long CONNECT_MILLIS = 400;
+    /** Time after SIGTERM for which clients open new connections. */
+    private static final long CONNECTING_MILLIS = 400;
 
     private static final int[] TIMEOUTS_MILLIS = {20, 300, 800, 15_000};
-    private static final int MAX_PAUSE_MILLIS = 30;
-    private static final int ANSWER_SLACK_MILLIS = 500;
+    private static final int MAX_THINK_MILLIS = 30;
+    private static final int RESPONSE_SLACK_MILLIS = 500;
 
     private final Set<String> forwarded = ConcurrentHashMap.newKeySet();
     private final Set<String> answered = ConcurrentHashMap.newKeySet();
-    private final CountDownLatch never = new CountDownLatch(1);
+    private final CountDownLatch end = new CountDownLatch(1);
     private volatile boolean hostsHang;
-    private volatile long drainBeganAt;
+    private volatile long drainBeganAtNanos;
 
-    private long millisOfDrain() {
-        return drainBeganAt == 0 ? 0 : TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - drainBeganAt);
+    private long millisSinceDrain() {
+        return drainBeganAtNanos == 0 ? 0 : TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - drainBeganAtNanos);
     }
 
     private ScriptedServer hangingHost() throws IOException {
         return ScriptedServer.host(message -> {
             forwarded.add(message.header("X-Request-ID"));
             if (hostsHang) {
-                never.await();
+                end.await();
             }
             return ScriptedServer.ok("x");
         });
     }
 
-    /** A client that sends on its connection until it ends or a response ends it, and connects anew while it may. */
+    /** Sends requests, and reconnects when the connection has ended, for as long as connects are allowed. */
     private void sendUntilKilled(ProxyFixture fixture, SplittableRandom random) throws Exception {
-        while (millisOfDrain() < CONNECT_MILLIS) {
+        while (millisSinceDrain() < CONNECTING_MILLIS) {
             try (TestPeer connection = fixture.client()) {
                 boolean isOpen = true;
-                while (isOpen && millisOfDrain() < KILL_MILLIS) {
-                    Thread.sleep(random.nextInt(MAX_PAUSE_MILLIS));
+                while (isOpen && millisSinceDrain() < KILL_MILLIS) {
+                    Thread.sleep(random.nextInt(MAX_THINK_MILLIS));
                     isOpen = sendOne(connection, random);
                 }
             }
@@ -71,14 +74,14 @@
         String request = random.nextBoolean()
                 ? ProxyFixture.get("read", timeoutMillis)
                 : ProxyFixture.post("claim", timeoutMillis, "", "x");
-        long sentAt = System.nanoTime();
+        long sentAtNanos = System.nanoTime();
         connection.write(request);
         TestPeer.Message answer = connection.read(); // a reset fails the test
         if (answer == null) {
-            return false; // crossed the end of the connection: must not have been forwarded
+            return false; // sent as the proxy closed the connection: must not have been forwarded
         }
-        assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt))
-                .isLessThanOrEqualTo(timeoutMillis + ANSWER_SLACK_MILLIS);
+        assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAtNanos))
+                .isLessThanOrEqualTo(timeoutMillis + RESPONSE_SLACK_MILLIS);
         answered.add(new TestPeer.Message(request, new byte[0]).header("X-Request-ID"));
         return !"close".equals(answer.header("Connection"));
     }
@@ -95,9 +98,9 @@
                         ProxyFixture.endpoint("a", hostA.port()), ProxyFixture.endpoint("b", hostB.port()))) {
             List<Future<?>> clients = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
-                SplittableRandom own = random.split();
+                SplittableRandom clientRandom = random.split();
                 clients.add(threads.submit(() -> {
-                    sendUntilKilled(fixture, own);
+                    sendUntilKilled(fixture, clientRandom);
                     return null;
                 }));
             }
@@ -105,39 +108,39 @@
                 Thread.sleep(1);
             }
             hostsHang = true;
-            drainBeganAt = System.nanoTime();
+            drainBeganAtNanos = System.nanoTime();
             fixture.proxy.drain();
             fixture.proxy.awaitEnd();
-            fixture.proxy.stop(); // as the process ends
-            assertThat(millisOfDrain()).isLessThan(KILL_MILLIS);
+            fixture.proxy.stop(); // as at the end of the process
+            assertThat(millisSinceDrain()).isLessThan(KILL_MILLIS);
             for (Future<?> client : clients) {
                 client.get(10, TimeUnit.SECONDS);
             }
             assertThat(answered).containsAll(forwarded);
         } finally {
-            never.countDown();
+            end.countDown();
             threads.shutdownNow();
         }
     }
 
-    /** Reads are hedged past the end of the test only, and the drain takes 3.55 s at most. */
+    /** Delays hedged requests of reads past the end of the test; the drain takes at most 3.55 s. */
     private static void useLateHedging(ObjectNode config) {
         ((ObjectNode) config.at("/settings/classes/0")).put("aim", 4_000).put("deadline", 8_000);
     }
 
     @Test
-    void drainingHostGetsNothingAfterItsGraceThoughProxyShutsDown() throws Exception {
+    void drainingHostGetsNoAttemptAfterDrainGraceThoughProxyShutsDown() throws Exception {
         CountDownLatch hostFails = new CountDownLatch(1);
-        Set<String> attemptsAtLeaving = ConcurrentHashMap.newKeySet();
-        ScriptedServer leaving = new ScriptedServer(peer -> {
-            attemptsAtLeaving.add(peer.read().header("X-Request-ID"));
+        Set<String> attemptsAtDraining = ConcurrentHashMap.newKeySet();
+        ScriptedServer draining = new ScriptedServer(peer -> {
+            attemptsAtDraining.add(peer.read().header("X-Request-ID"));
             hostFails.await();
             peer.reset();
         });
-        try (leaving;
+        try (draining;
                 ScriptedServer added = ScriptedServer.host(message -> ScriptedServer.ok("added"));
                 ProxyFixture fixture = new ProxyFixture(
-                        ShutdownUnderLoadTest::useLateHedging, ProxyFixture.endpoint("a", leaving.port()))) {
+                        ShutdownUnderLoadTest::useLateHedging, ProxyFixture.endpoint("a", draining.port()))) {
             List<TestPeer> clients = new ArrayList<>();
             int openRequests = 8;
             for (int i = 0; i < openRequests; i++) {
@@ -145,29 +148,29 @@
                 client.write(ProxyFixture.get("read", 8_000));
                 clients.add(client);
             }
-            while (attemptsAtLeaving.size() < openRequests) {
+            while (attemptsAtDraining.size() < openRequests) {
                 Thread.sleep(1);
             }
             fixture.proxy.drain();
             fixture.announce(
                     2,
                     false,
-                    ProxyFixture.endpoint("a", leaving.port(), 0, "draining"),
+                    ProxyFixture.endpoint("a", draining.port(), 0, "draining"),
                     ProxyFixture.endpoint("b", added.port()));
-            Thread.sleep(500); // the grace
-            for (int i = 0; i < 3; i++) { // connections are accepted for 0.8 s
+            Thread.sleep(500); // the drain grace
+            for (int i = 0; i < 3; i++) { // the proxy accepts connections for 0.8 s
                 TestPeer.Message answer = fixture.call(ProxyFixture.post("claim", 800, "", "x"));
                 assertThat(answer.text()).isEqualTo("added");
             }
             hostFails.countDown();
-            for (TestPeer client : clients) { // each is retried elsewhere
+            for (TestPeer client : clients) { // each request is retried at the other host
                 TestPeer.Message answer = client.read();
                 assertThat(answer.text()).isEqualTo("added");
                 assertThat(answer.header("Connection")).isEqualTo("close");
                 client.close();
             }
             fixture.proxy.awaitEnd();
-            assertThat(attemptsAtLeaving).hasSize(openRequests);
+            assertThat(attemptsAtDraining).hasSize(openRequests);
         }
     }
 }
--- a/src/test/java/rillyard/proxy/SimultaneousFailureTest.java
+++ b/src/test/java/rillyard/proxy/SimultaneousFailureTest.java
@@ -12,20 +12,23 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Many attempts that fail at the same instant, hedged ones among them. */
+/**
+ * Guards against failures that many attempts have at the same instant, hedged ones among them: each could be retried
+ * beyond the retry budget, or a request could be answered twice or not at all.
+ */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class SimultaneousFailureTest {
     private static final int REQUESTS = 20;
     private static final int TIMEOUT_MILLIS = 15_000;
-    private static final long AT_ONCE_NANOS = TimeUnit.SECONDS.toNanos(2);
+    private static final long MAX_LATENCY_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-    /** The most retries and hedged requests that a proxy can have saved up. */
+    /** Maximum number of retries and hedged requests that the retry budget of a proxy can hold. */
     private static final int RETRY_BUDGET = 10;
 
     private final List<TestPeer.Message> attempts = Collections.synchronizedList(new ArrayList<>());
     private final CountDownLatch failure = new CountDownLatch(1);
 
-    /** Takes requests and resets their connections at the failure; what comes later is reset at once. */
+    /** Starts a host that resets all connections when {@link #failure} opens, and later ones after their request. */
     private ScriptedServer failingHost() throws IOException {
         return new ScriptedServer(peer -> {
             attempts.add(peer.read());
@@ -35,9 +38,9 @@
     }
 
     private void awaitAttempts(int count) throws InterruptedException {
-        long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (attempts.size() < count) {
-            assertThat(System.nanoTime()).as("%d attempts", attempts.size()).isLessThan(limit);
+            assertThat(System.nanoTime()).as("%d attempts", attempts.size()).isLessThan(deadlineNanos);
             Thread.sleep(1);
         }
     }
@@ -58,13 +61,13 @@
         return clients;
     }
 
-    /** Reads the one response of each client, and sees by a health check behind it that there is no second one. */
+    /** Reads the response of each client, and then a health check's, to verify that there is no second response. */
     private static void assertAnsweredOnce(List<TestPeer> clients, int readStatus, int claimStatus) throws IOException {
-        long failedAt = System.nanoTime();
+        long failedAtNanos = System.nanoTime();
         for (int i = 0; i < REQUESTS; i++) {
             assertThat(clients.get(i).read().status()).isEqualTo(i % 2 == 0 ? readStatus : claimStatus);
         }
-        assertThat(System.nanoTime() - failedAt).isLessThan(AT_ONCE_NANOS);
+        assertThat(System.nanoTime() - failedAtNanos).isLessThan(MAX_LATENCY_NANOS);
         for (TestPeer client : clients) {
             client.write("GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
             assertThat(client.read().status()).isEqualTo(200);
@@ -73,7 +76,7 @@
         }
     }
 
-    /** Reads are hedged 1.2 s after their start at the earliest, by when the spare host is listed and warm. */
+    /** Delays hedged requests of reads by at least 1.2 s; by then the spare host is listed and warm. */
     private static void useLateHedging(ObjectNode config) {
         ((ObjectNode) config.at("/settings/classes/0")).put("aim", 800).put("deadline", 1_600);
         ((ObjectNode) config.at("/settings/rules")).put("cold", 100);
@@ -90,11 +93,11 @@
                         ProxyFixture.endpoint("b", hostB.port()))) {
             List<TestPeer> clients = sendRequests(fixture);
             awaitAttempts(REQUESTS);
-            fixture.announce(2, false, ProxyFixture.endpoint("c", spare.port())); // to which reads can be hedged
+            fixture.announce(2, false, ProxyFixture.endpoint("c", spare.port())); // for hedged requests
             awaitAttempts(REQUESTS + 1);
             awaitAttempts(REQUESTS + 2);
             failure.countDown();
-            assertAnsweredOnce(clients, 503, 502); // a repeat of reads is harmless
+            assertAnsweredOnce(clients, 503, 502); // reads get 503: they are idempotent, a retry is harmless
             assertThat(attempts).hasSizeLessThanOrEqualTo(REQUESTS + RETRY_BUDGET);
             assertThat(attempts)
                     .filteredOn(attempt -> attempt.startLine().startsWith("POST"))
--- a/src/test/java/rillyard/proxy/SlowDiscoveryTest.java
+++ b/src/test/java/rillyard/proxy/SlowDiscoveryTest.java
@@ -16,14 +16,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A discovery that falls silent and then is slow in each further step: a list is applied within 6 s all the same. */
+/**
+ * Guards against lists that are applied later than 6 s after discovery fell silent, because discovery is also slow when
+ * the watch is reopened: a connect or a response is late or lost.
+ */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class SlowDiscoveryTest {
     private static final String WATCH_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long PROPAGATION_MILLIS = 6_000;
 
-    /** How discovery treats one call; {@code call} counts from 0. */
+    /** Serves one watch request of discovery; {@code call} is its number, from 0. */
     private interface CallScript {
         void serve(TestPeer peer, int call) throws Exception;
     }
@@ -45,8 +48,8 @@
         peer.write(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
     }
 
-    /** Calls until the list with the host has been applied; returns when that was. */
-    private static long awaitServed(ProxyFixture fixture) throws Exception {
+    /** Sends requests until the list with the host has been applied; returns the time of the first success. */
+    private static long awaitListApplied(ProxyFixture fixture) throws Exception {
         while (fixture.call(ProxyFixture.get("read", 500)).status() != 200) {
             Thread.sleep(10);
         }
@@ -55,14 +58,14 @@
 
     @Test
     void listIsAppliedInTimeThoughCallAfterSilenceIsLost() throws Exception {
-        long[] silentSince = new long[1];
+        long[] silentSinceNanos = new long[1];
         CountDownLatch silent = new CountDownLatch(1);
         try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
                 ScriptedServer discovery = discovery((peer, call) -> {
                     if (call == 0) {
                         peer.write(WATCH_HEAD);
                         writeLine(peer, "");
-                        silentSince[0] = System.nanoTime();
+                        silentSinceNanos[0] = System.nanoTime();
                         silent.countDown();
                     } else if (call >= 2) {
                         Thread.sleep(1_000);
@@ -73,14 +76,14 @@
                 });
                 ProxyFixture fixture = new ProxyFixture(discoveryAt(discovery))) {
             silent.await();
-            assertThat((awaitServed(fixture) - silentSince[0]) / NANOS_PER_MILLI)
+            assertThat((awaitListApplied(fixture) - silentSinceNanos[0]) / NANOS_PER_MILLI)
                     .isLessThan(PROPAGATION_MILLIS);
         }
     }
 
-    /** The first connect after the silence gets no answer from the kernel, and each call is held for 2 s. */
+    /** The first connect after the silence stays pending, as the backlog is full, and each response takes 2 s. */
     @Test
-    void listIsAppliedInTimeThoughConnectAndAnswerAfterSilenceAreLate() throws Exception {
+    void listIsAppliedInTimeThoughConnectAndResponseAfterSilenceAreLate() throws Exception {
         ServerSocket discovery = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         try (ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("x"));
                 ProxyFixture fixture =
@@ -89,21 +92,21 @@
             watch.read();
             watch.write(WATCH_HEAD);
             writeLine(watch, "");
-            long silentSince = System.nanoTime();
+            long silentSinceNanos = System.nanoTime();
             List<TestPeer> backlog = fillBacklog(discovery);
             while (!fixture.log().contains("watch: overdue") && !fixture.log().contains("watch: silent")) {
                 Thread.sleep(1);
             }
-            Thread.sleep(250); // the connect has found the backlog full by now
+            Thread.sleep(250); // by now the connect has been sent to the full backlog
             for (TestPeer peer : backlog) {
                 discovery.accept().close();
                 peer.close();
             }
             String list = ProxyFixture.endpointList(2, true, ProxyFixture.endpoint("a", host.port()));
-            Thread server = new Thread(() -> answerLate(discovery, list));
+            Thread server = new Thread(() -> respondLate(discovery, list));
             server.setDaemon(true);
             server.start();
-            assertThat((awaitServed(fixture) - silentSince) / NANOS_PER_MILLI)
+            assertThat((awaitListApplied(fixture) - silentSinceNanos) / NANOS_PER_MILLI)
                     .as(fixture.log())
                     .isLessThan(PROPAGATION_MILLIS);
         } finally {
@@ -113,13 +116,13 @@
 
     private static List<TestPeer> fillBacklog(ServerSocket discovery) throws IOException {
         List<TestPeer> backlog = new ArrayList<>();
-        for (int i = 0; i < 2; i++) { // a backlog of one holds two
+        for (int i = 0; i < 2; i++) { // the kernel queues one connection more than the backlog of 1
             backlog.add(TestPeer.connect(discovery.getLocalPort()));
         }
         return backlog;
     }
 
-    private static void answerLate(ServerSocket discovery, String list) {
+    private static void respondLate(ServerSocket discovery, String list) {
         try {
             while (true) {
                 TestPeer peer = new TestPeer(discovery.accept());
@@ -131,7 +134,7 @@
                         writeLine(peer, list);
                         peer.awaitEnd();
                     } catch (Exception e) {
-                        // the proxy has ended the connection
+                        // the proxy has closed the connection
                     }
                 });
                 answer.setDaemon(true);
@@ -143,7 +146,7 @@
     }
 
     @Test
-    void watchThatSpeaksAgainEndsTheOneBesideIt() throws Exception {
+    void overdueWatchThatResumesEndsSecondConnection() throws Exception {
         CountDownLatch secondEnded = new CountDownLatch(1);
         List<Integer> calls = Collections.synchronizedList(new ArrayList<>());
         try (ScriptedServer discovery = discovery((peer, call) -> {
@@ -158,7 +161,7 @@
                     while (calls.size() < 2) {
                         Thread.sleep(1);
                     }
-                    while (true) { // beside the second call, and for so long that a third would come
+                    while (true) { // while the second call is open, long enough for a third one to be due
                         writeLine(peer, "");
                         Thread.sleep(100);
                     }
@@ -173,12 +176,12 @@
 
     @Test
     void lostPollIsRepeatedWithoutBackoff() throws Exception {
-        int failedPolls = 5; // by then the backoff is 0.7 s at least
-        long[] callAt = new long[failedPolls + 2];
+        int failedPolls = 5; // by then a backoff would be at least 0.7 s
+        long[] calledAtNanos = new long[failedPolls + 2];
         CountDownLatch repeated = new CountDownLatch(1);
         try (ScriptedServer discovery = discovery((peer, call) -> {
-                    if (call < callAt.length) {
-                        callAt[call] = System.nanoTime();
+                    if (call < calledAtNanos.length) {
+                        calledAtNanos[call] = System.nanoTime();
                     }
                     if (call >= failedPolls) {
                         if (call > failedPolls) {
@@ -193,7 +196,7 @@
                     settings.put("membershipMode", "subscribe");
                 })) {
             repeated.await();
-            assertThat((callAt[failedPolls + 1] - callAt[failedPolls]) / NANOS_PER_MILLI)
+            assertThat((calledAtNanos[failedPolls + 1] - calledAtNanos[failedPolls]) / NANOS_PER_MILLI)
                     .as(fixture.log())
                     .isBetween(2_300L, 2_900L);
         }
--- a/src/test/java/rillyard/proxy/StreamingBodyTest.java
+++ b/src/test/java/rillyard/proxy/StreamingBodyTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Bodies that are longer than may be buffered, in both directions. */
+/**
+ * Guards against requests and responses too long to be buffered that are lost, cut off or reordered while they are
+ * forwarded, or that are retried although part of them has been forwarded.
+ */
 @Timeout(value = 90, unit = TimeUnit.SECONDS)
 class StreamingBodyTest {
     private static final int MIB = 1 << 20;
@@ -36,7 +39,7 @@
         return ProxyFixture.head("POST", "claim", 800, "") + "Content-Length: " + length + "\r\n\r\n";
     }
 
-    /** A host that reads a head and nothing more, and counts down once its connection has ended. */
+    /** Starts a host that reads a request's head, never responds, and counts down when its connection has ended. */
     private static ScriptedServer unresponsiveHost(CountDownLatch ended) throws Exception {
         return new ScriptedServer(peer -> {
             peer.readHead();
@@ -46,14 +49,14 @@
     }
 
     @Test
-    void longResponseIsForwardedBeforeItsEnd() throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
+    void longResponseIsForwardedWhileItArrives() throws Exception {
+        CountDownLatch clientHasRead = new CountDownLatch(1);
         byte[] body = randomBytes(100_000);
         try (ScriptedServer host = new ScriptedServer(peer -> {
                     peer.read();
                     peer.write(head(body.length));
                     peer.write(Arrays.copyOf(body, 10));
-                    seen.await();
+                    clientHasRead.await();
                     peer.write(Arrays.copyOfRange(body, 10, body.length));
                     peer.awaitEnd();
                 });
@@ -63,21 +66,21 @@
             assertThat(client.readHead()).contains("200 OK").containsIgnoringCase("content-length: 100000");
             assertThat(client.readExactly(10)).isEqualTo(Arrays.copyOf(body, 10));
             Thread.sleep(1_000); // past the deadline of the class: a response that has begun goes on
-            seen.countDown();
+            clientHasRead.countDown();
             assertThat(client.readExactly(body.length - 10)).isEqualTo(Arrays.copyOfRange(body, 10, body.length));
         }
     }
 
     @Test
-    void responseOfUnknownLengthIsForwardedAsItComes() throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
+    void responseOfUnknownLengthIsForwardedWhileItArrives() throws Exception {
+        CountDownLatch clientHasRead = new CountDownLatch(1);
         byte[] part = randomBytes(40_000);
         String chunk = Integer.toHexString(part.length) + "\r\n";
         try (ScriptedServer host = new ScriptedServer(peer -> {
                     peer.read();
                     peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk);
                     peer.write(part);
-                    seen.await();
+                    clientHasRead.await();
                     peer.write("\r\n" + chunk);
                     peer.write(part);
                     peer.write("\r\n0\r\n\r\n");
@@ -87,8 +90,8 @@
                 TestPeer client = fixture.client()) {
             client.write(claim());
             assertThat(client.readHead()).containsIgnoringCase("transfer-encoding: chunked");
-            assertThat(client.readLine()).isNotEmpty(); // the first chunk has come while the host waits
-            seen.countDown();
+            assertThat(client.readLine()).isNotEmpty(); // the first chunk arrives while the host waits
+            clientHasRead.countDown();
             while (!client.readLine().equals("0")) {
                 // to the end of the last chunk
             }
@@ -115,12 +118,12 @@
             client.socket.setReceiveBufferSize(64 * 1024);
             client.write(claim());
             client.readHead();
-            long before;
+            long bytesBefore;
             do {
-                before = sentBytes.get();
+                bytesBefore = sentBytes.get();
                 Thread.sleep(300);
-            } while (before < MIB || sentBytes.get() != before);
-            assertThat(sentBytes.get()).isLessThan(length); // it waits, with the kernel's buffers full
+            } while (bytesBefore < MIB || sentBytes.get() != bytesBefore);
+            assertThat(sentBytes.get()).isLessThan(length); // the host's write blocks, as the kernel's buffers are full
             InputStream in = client.socket.getInputStream();
             for (int received = 0; received < length; received += part.length) {
                 assertThat(in.readNBytes(part.length)).isEqualTo(part);
@@ -132,10 +135,10 @@
 
     @Test
     void brokenForwardedResponseIsVisiblyIncomplete() throws Exception {
-        AtomicLong asked = new AtomicLong();
+        AtomicLong requestCount = new AtomicLong();
         try (ScriptedServer host = new ScriptedServer(peer -> {
                     peer.read();
-                    asked.incrementAndGet();
+                    requestCount.incrementAndGet();
                     peer.write(head(200_000));
                     peer.write(randomBytes(100_000));
                 });
@@ -144,12 +147,12 @@
             client.write(ProxyFixture.post("log", 1_200, "Idempotency-Key: k\r\n", "x"));
             client.readHead();
             assertThat(client.socket.getInputStream().readAllBytes().length).isLessThan(200_000);
-            assertThat(asked.get()).isEqualTo(1); // it has its response, so that there is no retry
+            assertThat(requestCount.get()).isEqualTo(1); // the client has the response's head, so there is no retry
         }
     }
 
     @Test
-    void longRequestIsForwardedAsItComes() throws Exception {
+    void longRequestIsForwardedWhileItArrives() throws Exception {
         byte[] body = randomBytes(3 * MIB);
         CountDownLatch halfReceived = new CountDownLatch(1);
         byte[][] received = new byte[1][];
@@ -169,7 +172,7 @@
             client.write(upload(body.length));
             client.socket.getOutputStream().write(body, 0, 2 * MIB);
             halfReceived.await();
-            Thread.sleep(1_000); // the timeout runs from the last byte
+            Thread.sleep(1_000); // the timeout starts at the last byte of the request
             client.socket.getOutputStream().write(body, 2 * MIB, MIB);
             assertThat(client.read().text()).isEqualTo("whole");
             assertThat(received[0]).isEqualTo(body);
@@ -189,7 +192,7 @@
                 TestPeer client = fixture.client()) {
             client.write(upload(MIB));
             client.write(randomBytes(MIB / 2));
-            assertThat(client.read().status()).isEqualTo(503); // it never ran: a retry is harmless
+            assertThat(client.read().status()).isEqualTo(503); // the request was not executed: a retry is harmless
             assertThat(connections.get()).isEqualTo(1);
             client.write(randomBytes(MIB / 2));
             client.write(ProxyFixture.head("GET", "read", 800, "") + "\r\n"); // behind the rest of the rejected request
@@ -204,7 +207,7 @@
                     peer.readHead();
                     heads.incrementAndGet();
                     peer.readExactly(MIB);
-                    Thread.sleep(1_000); // overdue after some 600 ms
+                    Thread.sleep(1_000); // would be hedged after about 600 ms
                     peer.write(ScriptedServer.ok("late"));
                     peer.awaitEnd();
                 });
@@ -223,7 +226,7 @@
     void unresponsiveHostDuringUploadIsGivenUp() throws Exception {
         try (ScriptedServer host = new ScriptedServer(peer -> {
                     peer.readHead();
-                    new CountDownLatch(1).await(); // only its kernel reads
+                    new CountDownLatch(1).await(); // the host reads no more; only its kernel's buffers fill
                 });
                 ProxyFixture fixture = new ProxyFixture(ProxyFixture.endpoint("a", host.port()));
                 TestPeer client = fixture.client()) {
@@ -232,7 +235,7 @@
                     client.write(upload(32 * MIB));
                     client.write(randomBytes(32 * MIB));
                 } catch (java.io.IOException e) {
-                    // the response is there all the same
+                    // the response can be read all the same
                 }
             });
             writer.setDaemon(true);
@@ -312,12 +315,12 @@
 
     @Test
     void forwardedResponseIsCountedAtItsEnd() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch maySendRest = new CountDownLatch(1);
         try (ScriptedServer host = new ScriptedServer(peer -> {
                     peer.read();
                     peer.write(head(100_000));
                     peer.write(randomBytes(1));
-                    go.await();
+                    maySendRest.await();
                     peer.write(randomBytes(99_999));
                     peer.awaitEnd();
                 });
@@ -325,13 +328,13 @@
                 TestPeer client = fixture.client()) {
             client.write(claim());
             client.readHead();
-            String during = metricsText(fixture);
-            go.countDown();
+            String metricsDuringResponse = metricsText(fixture);
+            maySendRest.countDown();
             client.readExactly(100_000);
             while (!metricsText(fixture).contains("proxy.completed.claim:1|c")) {
                 Thread.sleep(5);
             }
-            assertThat(during).contains("proxy.pending:1|g", "proxy.completed.claim:0|c");
+            assertThat(metricsDuringResponse).contains("proxy.pending:1|g", "proxy.completed.claim:0|c");
             assertThat(metricsText(fixture)).contains("proxy.pending:0|g");
         }
     }
