--- a/src/test/java/rillyard/proxy/PlatformRunIT.java
+++ b/src/test/java/rillyard/proxy/PlatformRunIT.java
@@ -22,13 +22,17 @@
 import rillyard.childprocess.ProxyProcess;
 import rillyard.childprocess.TestProcess;
 
-/** The texts of {@code run} under deploy, started as a platform does: by the shell, also on part of a core. */
+/**
+ * Runs the {@code run} commands of the files in deploy by the shell, as a platform does. Guards against a shell that
+ * stays as parent and doesn't pass signals on, a launcher that parses options differently from java, and threads that
+ * spin where the processor is shared.
+ */
 @Timeout(value = 180, unit = java.util.concurrent.TimeUnit.SECONDS)
 class PlatformRunIT {
     private static final Path ROOT = Path.of("").toAbsolutePath();
     private static final Path LAUNCHER = ROOT.resolve("target/start");
 
-    /** Clock ticks (10 ms) in 2 s that a thread of an idle proxy may take: one that spins takes 30 and more. */
+    /** Maximum clock ticks (10 ms) of a thread of an idle proxy within 2 s; a thread that spins uses 30 or more. */
     private static final long IDLE_TICKS = 20;
 
     @TempDir
@@ -51,7 +55,7 @@
         return ProxyProcess.launch(launch, config, ProxyProcess.freeAddress(), folder.resolve("log"));
     }
 
-    private static String program(ProxyProcess proxy) throws IOException {
+    private static String executableName(ProxyProcess proxy) throws IOException {
         return Path.of("/proc", Long.toString(proxy.pid()), "exe")
                 .toRealPath()
                 .getFileName()
@@ -64,15 +68,15 @@
         }
     }
 
-    private static Map<String, Long> ticks(ProxyProcess proxy) throws IOException {
-        Map<String, Long> ticks = new HashMap<>();
+    private static Map<String, Long> ticksByThread(ProxyProcess proxy) throws IOException {
+        Map<String, Long> ticksByThread = new HashMap<>();
         for (Path thread : threads(proxy)) {
             String stat = Files.readString(thread.resolve("stat"));
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
             String name = thread.getFileName() + " " + stat.substring(stat.indexOf('('), stat.lastIndexOf(')') + 1);
-            ticks.put(name, Long.parseLong(fields[11]) + Long.parseLong(fields[12]));
+            ticksByThread.put(name, Long.parseLong(fields[11]) + Long.parseLong(fields[12]));
         }
-        return ticks;
+        return ticksByThread;
     }
 
     @ParameterizedTest
@@ -82,7 +86,7 @@
         try (ScriptedServer discovery = new ScriptedServer(TestPeer::awaitEnd);
                 ProxyProcess proxy = launch(shell(ROOT, file), discovery)) {
             proxy.await(ProxyProcess.State.READY);
-            assertThat(program(proxy)).isEqualTo(launcher ? "start" : "java");
+            assertThat(executableName(proxy)).isEqualTo(launcher ? "start" : "java");
             assertThat(ProcessHandle.of(proxy.pid()).orElseThrow().children()).isEmpty();
             proxy.process().terminate();
             assertThat(proxy.process().await()).isZero();
@@ -97,27 +101,27 @@
         try (ScriptedServer discovery = new ScriptedServer(TestPeer::awaitEnd);
                 ProxyProcess proxy = launch(shell(folder, "launcher.toml"), discovery)) {
             proxy.await(ProxyProcess.State.READY);
-            assertThat(program(proxy)).isEqualTo("java");
+            assertThat(executableName(proxy)).isEqualTo("java");
         }
     }
 
-    /** A start that is starved: a third of one core for all of its threads, and none of them may spin. */
+    /** With a third of one core for all threads the proxy must still get ready, and no idle thread may spin. */
     @Test
     void starvedProxyGetsReadyAndIdles() throws Exception {
         try (CpuContention neighbours = new CpuContention("0", 1 / 3.0);
                 ScriptedServer discovery = new ScriptedServer(TestPeer::awaitEnd);
                 ProxyProcess proxy = launch(shell(ROOT, "balancer.toml").on("0"), discovery)) {
             proxy.await(ProxyProcess.State.READY);
-            Map<String, Long> before = ticks(proxy);
-            Thread.sleep(2_000); // what is counted is processor time, which an idle thread does not take
-            ticks(proxy).forEach((thread, now) -> assertThat(now - before.getOrDefault(thread, 0L))
+            Map<String, Long> before = ticksByThread(proxy);
+            Thread.sleep(2_000); // the ticks count processor time, which an idle thread doesn't use
+            ticksByThread(proxy).forEach((thread, now) -> assertThat(now - before.getOrDefault(thread, 0L))
                     .as(thread)
                     .isLessThan(IDLE_TICKS));
             neighbours.checkRunning();
         }
     }
 
-    private String launched(Map<String, String> environment, int code, String... arguments) throws Exception {
+    private String runLauncher(Map<String, String> environment, int code, String... arguments) throws Exception {
         assumeThat(LAUNCHER).as("built where there is a C compiler").isExecutable();
         List<String> line = new ArrayList<>(List.of(LAUNCHER.toString()));
         line.addAll(List.of(arguments));
@@ -133,23 +137,23 @@
     void launcherParsesArgumentsAsJava() throws Exception {
         Path file = folder.resolve("options");
         Files.writeString(file, "# a comment\n-Done=1 \"-Dtwo=a b\"\n-Xss300k\n");
-        String output = launched(
+        String output = runLauncher(
                 Map.of(), 0, "@" + file, "-Dthree=3", "-XX:+PrintFlagsFinal", "-XshowSettings:properties", "-version");
         assertThat(output)
                 .contains("one = 1")
                 .contains("two = a b")
                 .contains("three = 3")
                 .containsPattern("ThreadStackSize +=? *= *300");
-        assertThat(launched(Map.of(), 2, "-jar", "target/rillyard.jar", "no-such-command"))
+        assertThat(runLauncher(Map.of(), 2, "-jar", "target/rillyard.jar", "no-such-command"))
                 .contains("no-such-command");
-        assertThat(launched(Map.of(), 1, "no.such.Main")).contains("no.such.Main");
+        assertThat(runLauncher(Map.of(), 1, "no.such.Main")).contains("no.such.Main");
     }
 
-    /** The JDK's launcher reads this variable; what stands in its place hands over to it. */
+    /** The JDK's launcher reads JDK_JAVA_OPTIONS; ours must start that launcher if the variable is set. */
     @Test
     void launcherKeepsOptionsOfEnvironment() throws Exception {
         String output =
-                launched(Map.of("JDK_JAVA_OPTIONS", "-Dfrom=outside"), 0, "-XshowSettings:properties", "-version");
+                runLauncher(Map.of("JDK_JAVA_OPTIONS", "-Dfrom=outside"), 0, "-XshowSettings:properties", "-version");
         assertThat(output).contains("from = outside");
     }
 }
--- a/src/test/java/rillyard/proxy/ProcessPauseIT.java
+++ b/src/test/java/rillyard/proxy/ProcessPauseIT.java
@@ -22,7 +22,10 @@
 import rillyard.childprocess.ProxyProcess;
 import rillyard.childprocess.TestProcess;
 
-/** The built jar, paused (SIGSTOP) again and again while requests arrive. */
+/**
+ * Pauses the built jar (SIGSTOP) again and again while requests arrive. Guards against requests that are lost because
+ * timers, accepts or the drain count the time of a pause, in which the proxy could not read what had arrived.
+ */
 @Timeout(120)
 class ProcessPauseIT {
     private static final LaunchCommand BUILT =
@@ -30,11 +33,11 @@
     private static final int CLIENTS = 8;
     private static final int TIMEOUT_MILLIS = 1_500;
 
-    /** More than a loop accepts in one turn. */
+    /** New connections during a pause: more than an event loop accepts in one turn. */
     private static final int BURST = 40;
 
-    /** The protocol's: a final answer may be late by so much (ms) before it counts as none. */
-    private static final long SLACK_MILLIS = 550;
+    /** Time past its timeout after which a response counts as missing, by the protocol. */
+    private static final long RESPONSE_SLACK_MILLIS = 550;
 
     @TempDir
     Path folder;
@@ -51,28 +54,28 @@
         return proxy;
     }
 
-    /** A time in which the process was paused. */
+    /** An interval in which the process was paused. */
     private record Pause(long fromNanos, long toNanos) {}
 
-    /** A request and its response, which is not complete if the connection ended before. */
+    /** A request and its response; {@code isComplete} is false if the connection ended without a response. */
     private record Exchange(long sentNanos, long endedNanos, boolean isComplete) {
         /**
-         * Whether it is lost: past its time and the slack. One whose time was up while the process stood still can
-         * be answered no sooner than that goes on; the slack counts from there.
+         * Returns whether the response is missing or later than the timeout and the slack. If the timeout ended
+         * during a pause, the slack counts from the end of the pause, before which the proxy can't respond.
          */
         boolean isLost(List<Pause> pauses) {
-            long due = sentNanos + TIMEOUT_MILLIS * 1_000_000L;
+            long dueNanos = sentNanos + TIMEOUT_MILLIS * 1_000_000L;
             for (Pause pause : pauses) {
-                if (pause.fromNanos <= due && due <= pause.toNanos) {
-                    due = pause.toNanos;
+                if (pause.fromNanos <= dueNanos && dueNanos <= pause.toNanos) {
+                    dueNanos = pause.toNanos;
                 }
             }
-            return !isComplete || endedNanos > due + SLACK_MILLIS * 1_000_000;
+            return !isComplete || endedNanos > dueNanos + RESPONSE_SLACK_MILLIS * 1_000_000;
         }
 
         String describe(List<Pause> pauses, long startNanos) {
             return "sent " + (sentNanos - startNanos) / 1_000_000 + ", answered "
-                    + (endedNanos - startNanos) / 1_000_000 + ", gaps "
+                    + (endedNanos - startNanos) / 1_000_000 + ", pauses "
                     + pauses.stream()
                             .map(pause -> (pause.fromNanos - startNanos) / 1_000_000 + "-"
                                     + (pause.toNanos - startNanos) / 1_000_000)
@@ -80,14 +83,15 @@
         }
     }
 
-    /** One client, one request after another on a kept connection, until told to end. */
+    /** Sends one request after another on a persistent connection until {@code running} is 0. */
     private static void sendRequests(
-            ProxyProcess proxy, Queue<Exchange> exchanges, AtomicLong latest, AtomicInteger running) throws Exception {
+            ProxyProcess proxy, Queue<Exchange> exchanges, AtomicLong latestSentNanos, AtomicInteger running)
+            throws Exception {
         TestPeer peer = TestPeer.connect(proxy.address().getPort());
         try {
             while (running.get() > 0) {
                 long sent = System.nanoTime();
-                latest.set(sent);
+                latestSentNanos.set(sent);
                 peer.write(ProxyFixture.post("claim", TIMEOUT_MILLIS, "", "x"));
                 TestPeer.Message message = peer.read();
                 exchanges.add(new Exchange(sent, System.nanoTime(), message != null));
@@ -101,7 +105,7 @@
         }
     }
 
-    /** Every third request meets a host that hangs, so that nothing but its time ends it. */
+    /** The host doesn't respond to every third request, so that only the timeout ends it. */
     @ParameterizedTest
     @ValueSource(ints = {50, 150, 500, 1_000})
     void requestsAcrossPausesAreAnsweredOnceInTime(int pauseMillis) throws Exception {
@@ -116,38 +120,38 @@
                     TestPeer.Message message;
                     while ((message = peer.read()) != null) {
                         if (count.incrementAndGet() % 3 == 0) {
-                            peer.awaitEnd(); // hangs under this one
+                            peer.awaitEnd(); // no response to this request
                             return;
                         }
                         peer.write(ScriptedServer.ok("served"));
                     }
                 });
                 ProxyProcess proxy = launch(silent, host)) {
-            List<Future<?>> asking = new ArrayList<>();
-            List<AtomicLong> latest = new ArrayList<>();
+            List<Future<?>> senders = new ArrayList<>();
+            List<AtomicLong> latestSentNanos = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
-                AtomicLong mine = new AtomicLong();
-                latest.add(mine);
-                asking.add(clients.submit(() -> {
-                    sendRequests(proxy, exchanges, mine, running);
+                AtomicLong sentNanos = new AtomicLong();
+                latestSentNanos.add(sentNanos);
+                senders.add(clients.submit(() -> {
+                    sendRequests(proxy, exchanges, sentNanos, running);
                     return null;
                 }));
             }
             for (int i = 0; i < 4; i++) {
-                // What was asked in one gap has its answer before the next: two that meet one request would hide each
-                // other.
+                // Each client has a response since the previous pause and has sent a new request: two pauses during
+                // one request would hide each other.
                 long since = pauses.isEmpty() ? startNanos : pauses.get(i - 1).toNanos;
-                while (latest.stream().anyMatch(sent -> sent.get() <= since)) {
+                while (latestSentNanos.stream().anyMatch(sent -> sent.get() <= since)) {
                     Thread.sleep(1);
                 }
                 long from = System.nanoTime();
                 proxy.process().pause();
-                Thread.sleep(pauseMillis); // the pause itself
+                Thread.sleep(pauseMillis); // the duration of the pause
                 proxy.process().resume();
                 pauses.add(new Pause(from, System.nanoTime()));
             }
             running.set(0);
-            for (Future<?> sender : asking) {
+            for (Future<?> sender : senders) {
                 sender.get();
             }
         } finally {
@@ -159,7 +163,7 @@
                 .isEmpty();
     }
 
-    /** More new connections than a loop accepts in one turn, and a reload, come while it stands still. */
+    /** More new connections than an event loop accepts in one turn, and SIGHUP (a reload), arrive during a pause. */
     @Test
     void burstAndReloadDuringPauseAreServed() throws Exception {
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
@@ -175,7 +179,7 @@
                         peer.write(ProxyFixture.post("claim", TIMEOUT_MILLIS, "", "x"));
                         burst.add(peer);
                     }
-                    Thread.sleep(300); // the pause itself
+                    Thread.sleep(300); // the duration of the pause
                     proxy.process().resume();
                     for (TestPeer client : burst) {
                         assertThat(client.read()).isNotNull();
@@ -189,7 +193,7 @@
         }
     }
 
-    /** SIGTERM and new connections come while it stands still, for longer than it would accept them. */
+    /** After SIGTERM, new connections arrive during a pause that outlasts the time in which they are accepted. */
     @Test
     void drainAcrossPauseAnswersWaitingConnections() throws Exception {
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
--- a/src/test/java/rillyard/proxy/RestartIT.java
+++ b/src/test/java/rillyard/proxy/RestartIT.java
@@ -18,13 +18,16 @@
 import rillyard.childprocess.LaunchCommand;
 import rillyard.childprocess.ProxyProcess;
 
-/** Start and end of the built jar, with faults. Discovery never responds. */
+/**
+ * Starts and ends the built jar while discovery never responds. Guards against a signal, unreachable hosts, many
+ * connections or a missing class archive that makes a start or a shutdown fail or hang.
+ */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class RestartIT {
     private static final LaunchCommand BUILT =
             LaunchCommand.platform(Path.of("").toAbsolutePath()).with(List.of("-Drillyard.marks=true"));
 
-    /** Far more than the timeout of the requests, 0.3 s, and far less than a hang. */
+    /** Far more than the timeout of the requests, 0.3 s, and far less than a read from a proxy that hangs. */
     private static final long MAX_LATENCY_NANOS = 5_000_000_000L;
 
     @TempDir
@@ -40,7 +43,7 @@
         return Files.readString(folder.resolve("log"));
     }
 
-    /** From the mark {@code loop} on a signal drains the proxy, whether or not it listens yet. */
+    /** Once the start mark {@code loop} is logged, SIGTERM drains the proxy, even if it doesn't listen yet. */
     @ParameterizedTest
     @ValueSource(strings = {"loop", "listening", "warm-up"})
     void sigtermDuringStartDrains(String mark) throws Exception {
@@ -57,10 +60,10 @@
 
     @Test
     void secondSigtermKeepsOpenRequests() throws Exception {
-        CountDownLatch answer = new CountDownLatch(1);
+        CountDownLatch mayRespond = new CountDownLatch(1);
         try (ScriptedServer silent = new ScriptedServer(TestPeer::awaitEnd);
                 ScriptedServer host = ScriptedServer.host(message -> {
-                    answer.await();
+                    mayRespond.await();
                     return ScriptedServer.ok("served");
                 });
                 ProxyProcess proxy = launch(silent, ProxyFixture.endpoint("a", host.port()))) {
@@ -70,7 +73,7 @@
                 host.nextRequest();
                 proxy.process().terminate();
                 proxy.process().terminate();
-                answer.countDown();
+                mayRespond.countDown();
                 assertThat(client.read().text()).isEqualTo("served");
             }
             assertThat(proxy.process().await()).isZero();
@@ -103,10 +106,10 @@
                 ScriptedServer host = ScriptedServer.host(message -> ScriptedServer.ok("served"));
                 ProxyProcess proxy = launch(silent, ProxyFixture.endpoint("a", host.port()))) {
             proxy.await(ProxyProcess.State.LISTENING);
-            List<TestPeer> crowd = new ArrayList<>();
+            List<TestPeer> clients = new ArrayList<>();
             try {
                 for (int i = 0; i < 1_000; i++) {
-                    crowd.add(TestPeer.connect(proxy.address().getPort()));
+                    clients.add(TestPeer.connect(proxy.address().getPort()));
                 }
                 proxy.await(ProxyProcess.State.READY);
                 try (TestPeer peer = TestPeer.connect(proxy.address().getPort())) {
@@ -114,7 +117,7 @@
                     assertThat(peer.read().text()).isEqualTo("served");
                 }
             } finally {
-                for (TestPeer client : crowd) {
+                for (TestPeer client : clients) {
                     client.close();
                 }
             }
@@ -122,8 +125,8 @@
     }
 
     /**
-     * An archive that is not what the build made costs time only. One that is cut off is not among
-     * these: the JVM maps it by the sizes in its head and ends by SIGBUS; see docs/restarts.md.
+     * A class archive that doesn't match the jar only slows down the start. A truncated archive is not tested: the JVM
+     * maps it by the sizes in its header and is killed by SIGBUS; see docs/restarts.md.
      */
     @ParameterizedTest
     @ValueSource(strings = {"missing", "noise", "of another jar"})
--- a/src/test/java/rillyard/proxy/SlowStartIT.java
+++ b/src/test/java/rillyard/proxy/SlowStartIT.java
@@ -22,8 +22,9 @@
 import rillyard.childprocess.ProxyProcess;
 
 /**
- * Many processes of the built program before one host that has just started: what all of them together send
- * it, counted in each window of the settings against what the settings allow and little more than chance.
+ * Guards against a fleet of proxies that together overload a host that has just started. Each of them knows only its
+ * own requests; the requests that all processes send to the host are counted in each window and must not exceed what
+ * the settings allow by more than random variation.
  */
 @Timeout(value = 180, unit = TimeUnit.SECONDS)
 class SlowStartIT {
@@ -32,15 +33,15 @@
     private static final int WARM_HOSTS = 5;
     private static final double WARM_UP_MILLIS = 8_700;
     private static final double INITIAL_CAPACITY = 0.3;
-    /** Low, so that a host which gets what each of the others gets has got too much. */
+    /** Low, so that a new host that gets as many requests as each of the others gets too many. */
     private static final double FALL_MULTIPLE = 0.6;
 
     private static final double WINDOW_MILLIS = 1_500;
 
-    /** Requests a second of each process: few, so that each knows little of the fleet. */
+    /** Requests per second of each process: few, so that a process can infer little about the fleet. */
     private static final double REQUESTS_PER_SECOND = 3;
 
-    /** The part of their capacity that hosts are used to. */
+    /** Fraction of the hosts' capacity that the load of the fleet uses. */
     private static final double UTILIZATION = 0.8;
 
     private static final long SEED = 20_261_202;
@@ -49,34 +50,34 @@
     Path folder;
 
     private final Queue<Long> arrivals = new ConcurrentLinkedQueue<>();
-    private final List<AutoCloseable> resources = new ArrayList<>();
+    private final List<AutoCloseable> closeables = new ArrayList<>();
 
     private <T extends AutoCloseable> T closeLater(T resource) {
-        synchronized (resources) {
-            resources.add(resource);
+        synchronized (closeables) {
+            closeables.add(resource);
         }
         return resource;
     }
 
-    private static String entry(String id, int port, long startedMs) throws IOException {
+    private static String endpointStartedAt(String id, int port, long startedUnixMillis) throws IOException {
         ObjectMapper json = new ObjectMapper();
         return ((ObjectNode) json.readTree(ProxyFixture.endpoint(id, port)))
-                .put("started_ms", startedMs)
+                .put("started_ms", startedUnixMillis)
                 .toString();
     }
 
-    /** Says that it lives until the latch opens, then the list, and goes on to say that it lives. */
-    private static ScriptedServer discovery(CountDownLatch announced, String[] list) throws IOException {
+    /** Starts a discovery that sends keep-alive blank lines, and the list as soon as the latch opens. */
+    private static ScriptedServer discovery(CountDownLatch announced, String[] announcedList) throws IOException {
         return new ScriptedServer(peer -> {
             peer.read();
             peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             while (!announced.await(500, TimeUnit.MILLISECONDS)) {
                 peer.write("1\r\n\n\r\n");
             }
-            String line = list[0] + "\n";
+            String line = announcedList[0] + "\n";
             peer.write(Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
-            CountDownLatch never = new CountDownLatch(1);
-            while (!never.await(500, TimeUnit.MILLISECONDS)) {
+            CountDownLatch end = new CountDownLatch(1);
+            while (!end.await(500, TimeUnit.MILLISECONDS)) {
                 peer.write("1\r\n\n\r\n");
             }
         });
@@ -99,7 +100,7 @@
                 ProxyProcess.launch(BUILT, config, ProxyProcess.freeAddress(), folder.resolve("log-" + number)));
     }
 
-    /** Sends at random times until the latch opens. */
+    /** Starts a client that sends requests at random times until the latch opens. */
     private Thread clients(ProxyProcess proxy, int number, CountDownLatch end) {
         Thread thread = new Thread(() -> {
             Random random = new Random(SEED + number);
@@ -111,7 +112,7 @@
                     peer.read();
                 }
             } catch (Exception e) {
-                // its connection has ended: what it would have sent is missing, no more is sent
+                // its connection has ended: its requests are missing, which can only lower the counts
             }
         });
         thread.setDaemon(true);
@@ -121,15 +122,15 @@
 
     @ParameterizedTest
     @CsvSource({"20, 6", "30, 10", "30, 30"})
-    void fleetKeepsSlowStartAllowanceOfNewHost(int processes, int fresh) throws Exception {
+    void fleetKeepsSlowStartAllowanceOfNewHost(int processes, int lateProcesses) throws Exception {
         try {
             CountDownLatch announced = new CountDownLatch(1);
             CountDownLatch end = new CountDownLatch(1);
-            String[] list = new String[1];
-            ScriptedServer discovery = closeLater(discovery(announced, list));
-            List<String> warm = new ArrayList<>();
+            String[] announcedList = new String[1];
+            ScriptedServer discovery = closeLater(discovery(announced, announcedList));
+            List<String> endpoints = new ArrayList<>();
             for (int i = 0; i < WARM_HOSTS; i++) {
-                warm.add(ProxyFixture.endpoint(
+                endpoints.add(ProxyFixture.endpoint(
                         "warm" + i,
                         closeLater(ScriptedServer.host(message -> ScriptedServer.ok("w")))
                                 .port()));
@@ -139,29 +140,29 @@
                 return ScriptedServer.ok("c");
             }));
             List<ProxyProcess> running = new ArrayList<>();
-            for (int i = fresh; i < processes; i++) {
-                running.add(launch(i, processes, discovery.port(), warm.toArray(String[]::new)));
+            for (int i = lateProcesses; i < processes; i++) {
+                running.add(launch(i, processes, discovery.port(), endpoints.toArray(String[]::new)));
             }
             List<Thread> senders = new ArrayList<>();
             for (int i = 0; i < running.size(); i++) {
                 running.get(i).await(ProxyProcess.State.READY);
-                senders.add(clients(running.get(i), fresh + i, end));
+                senders.add(clients(running.get(i), lateProcesses + i, end));
             }
-            // Those that are fresh start with the host on their list; it is cold from the moment that they serve.
-            List<ProxyProcess> begun = new ArrayList<>();
-            long startedMs = System.currentTimeMillis();
-            warm.add(entry("cold", cold.port(), startedMs));
-            list[0] = ProxyFixture.endpointList(2, true, warm.toArray(String[]::new));
-            for (int i = 0; i < fresh; i++) {
-                begun.add(launch(i, processes, discovery.port(), warm.toArray(String[]::new)));
+            // The late processes start with the new host on their cached list; it is in slow start when they are ready.
+            List<ProxyProcess> lateProxies = new ArrayList<>();
+            long startedUnixMillis = System.currentTimeMillis();
+            endpoints.add(endpointStartedAt("cold", cold.port(), startedUnixMillis));
+            announcedList[0] = ProxyFixture.endpointList(2, true, endpoints.toArray(String[]::new));
+            for (int i = 0; i < lateProcesses; i++) {
+                lateProxies.add(launch(i, processes, discovery.port(), endpoints.toArray(String[]::new)));
             }
-            for (ProxyProcess proxy : begun) {
+            for (ProxyProcess proxy : lateProxies) {
                 proxy.await(ProxyProcess.State.READY);
             }
-            long startedNanos = System.nanoTime() - (System.currentTimeMillis() - startedMs) * 1_000_000;
+            long startedNanos = System.nanoTime() - (System.currentTimeMillis() - startedUnixMillis) * 1_000_000;
             announced.countDown();
-            for (int i = 0; i < begun.size(); i++) {
-                senders.add(clients(begun.get(i), i, end));
+            for (int i = 0; i < lateProxies.size(); i++) {
+                senders.add(clients(lateProxies.get(i), i, end));
             }
             while (System.nanoTime() - startedNanos < (WARM_UP_MILLIS + WINDOW_MILLIS) * 1e6) {
                 Thread.sleep(50);
@@ -172,14 +173,15 @@
             }
             checkAllowance(processes, startedNanos);
         } finally {
-            for (int i = resources.size() - 1; i >= 0; i--) {
-                resources.get(i).close();
+            for (int i = closeables.size() - 1; i >= 0; i--) {
+                closeables.get(i).close();
             }
         }
     }
 
     private void checkAllowance(int processes, long startedNanos) {
-        double capacity = processes * REQUESTS_PER_SECOND / (WARM_HOSTS + 1) / UTILIZATION; // requests a second, warm
+        // Requests per second to the host once it is warm.
+        double capacityPerSecond = processes * REQUESTS_PER_SECOND / (WARM_HOSTS + 1) / UTILIZATION;
         List<Double> arrivalMillis = arrivals.stream()
                 .map(arrival -> (arrival - startedNanos) / 1e6)
                 .sorted()
@@ -191,15 +193,15 @@
             while (arrivalMillis.get(to) - arrivalMillis.get(from) > WINDOW_MILLIS) {
                 from++;
             }
-            double age = Math.max(0, arrivalMillis.get(from));
-            double warmth = Math.min(1, INITIAL_CAPACITY + (1 - INITIAL_CAPACITY) * age / WARM_UP_MILLIS);
-            double allowed = FALL_MULTIPLE * warmth * capacity * WINDOW_MILLIS / 1_000;
+            double ageMillis = Math.max(0, arrivalMillis.get(from));
+            double capacityShare = Math.min(1, INITIAL_CAPACITY + (1 - INITIAL_CAPACITY) * ageMillis / WARM_UP_MILLIS);
+            double allowed = FALL_MULTIPLE * capacityShare * capacityPerSecond * WINDOW_MILLIS / 1_000;
             assertThat((double) (to - from + 1))
                     .as(
-                            "requests within %.0f ms up to %.0f ms after the start, of which the settings allow %.1f",
+                            "requests within %.0f ms up to %.0f ms after the start; the settings allow %.1f",
                             WINDOW_MILLIS, arrivalMillis.get(to), allowed)
                     .isLessThanOrEqualTo(allowed + 2 * Math.sqrt(allowed) + 2);
         }
-        assertThat(arrivalMillis).as("what is lent is used").isNotEmpty();
+        assertThat(arrivalMillis).as("requests to the new host").isNotEmpty();
     }
 }
--- a/src/test/java/rillyard/proxy/ThreadCountIT.java
+++ b/src/test/java/rillyard/proxy/ThreadCountIT.java
@@ -18,28 +18,31 @@
 import rillyard.childprocess.ProxyProcess;
 import rillyard.childprocess.TestProcess;
 
-/** The built jar makes its threads before it is ready, and none of them ends while it serves. */
+/**
+ * Guards against threads that the built jar starts or ends while it serves, such as a second compiler thread or the
+ * thread of Netty's global executor: all threads must exist when the proxy is ready, and stay.
+ */
 @Timeout(120)
 class ThreadCountIT {
     private static final int REQUESTS = 10_000;
     private static final int BURST = 200;
 
-    /** Longer than the quiet after which idle threads of JVM or library have been seen to end (1 to 3 s). */
-    private static final long QUIET_MILLIS = 5_000;
+    /** Longer than the idle time after which threads of the JVM or a library end (1 to 3 s). */
+    private static final long IDLE_MILLIS = 5_000;
 
-    /** The JDK makes one for each signal and ends it at once. */
-    private static final String SIGNAL = "SIGHUP handler";
+    /** Name of the thread that the JDK starts for each SIGHUP and ends at once. */
+    private static final String SIGNAL_THREAD = "SIGHUP handler";
 
     @TempDir
     Path folder;
 
-    /** Threads by number, with the names that the system knows. */
+    /** Returns the names of the process's threads, as the kernel states them, by thread id. */
     private static Map<String, String> threads(ProxyProcess proxy) throws IOException {
         Map<String, String> names = new TreeMap<>();
         try (Stream<Path> all = Files.list(Path.of("/proc", Long.toString(proxy.pid()), "task"))) {
             for (Path path : all.toList()) {
                 String name = name(path);
-                if (!name.isEmpty() && !name.equals(SIGNAL)) {
+                if (!name.isEmpty() && !name.equals(SIGNAL_THREAD)) {
                     names.put(path.getFileName().toString(), name);
                 }
             }
@@ -99,8 +102,8 @@
                     }
                 }
                 assertThat(threads(proxy)).as("after a reload and a burst").isEqualTo(ready);
-                Thread.sleep(QUIET_MILLIS); // quiet is the fault here
-                assertThat(threads(proxy)).as("after quiet").isEqualTo(ready);
+                Thread.sleep(IDLE_MILLIS); // idle threads would end in this time
+                assertThat(threads(proxy)).as("after an idle time").isEqualTo(ready);
             }
         }
     }
