--- a/src/test/java/rillyard/proxy/discovery/EndpointRegistryTest.java
+++ b/src/test/java/rillyard/proxy/discovery/EndpointRegistryTest.java
@@ -13,15 +13,18 @@
 import rillyard.endpoints.DisabledHosts;
 import rillyard.endpoints.HostStartClock;
 
-/** The hosts of the endpoint list by name and id. */
+/**
+ * Guards against log lines of the balancer that name hosts by internal ids, and against a wrong wall clock that makes a
+ * host that has just started look older or younger than it is.
+ */
 class EndpointRegistryTest {
-    private static final double HOUR = 3_600_000;
-    private static final double WARM_UP = 8_000;
-    private static final double UNIX_OFFSET = 1.7e12;
-    private static final double NOW = 1e9;
+    private static final double HOUR_MILLIS = 3_600_000;
+    private static final double WARM_UP_MILLIS = 8_000;
+    private static final double UNIX_OFFSET_MILLIS = 1.7e12;
+    private static final double NOW_MILLIS = 1e9;
 
     private final EndpointRegistry registry =
-            new EndpointRegistry(new HostStartClock(UNIX_OFFSET, WARM_UP), new DisabledHosts());
+            new EndpointRegistry(new HostStartClock(UNIX_OFFSET_MILLIS, WARM_UP_MILLIS), new DisabledHosts());
 
     @Test
     void logLineOfBalancerNamesHostInPlaceOfItsId() {
@@ -43,46 +46,60 @@
     }
 
     @ParameterizedTest
-    @ValueSource(doubles = {-HOUR, -5_000, 5_000, HOUR})
-    void startLearntFromDeltaDoesNotFollowWrongWallClock(double wallClockError) throws Exception {
-        EndpointRegistry wrong =
-                new EndpointRegistry(new HostStartClock(UNIX_OFFSET + wallClockError, WARM_UP), new DisabledHosts());
-        receive(wrong, NOW, true, server("a", NOW - 5 * HOUR), server("b", NOW - 5 * HOUR));
-
-        List<EndpointEntry> entries = receive(wrong, NOW + 9_050, false, server("a", NOW + 9_000));
+    @ValueSource(doubles = {-HOUR_MILLIS, -5_000, 5_000, HOUR_MILLIS})
+    void startLearntFromDeltaDoesNotFollowWrongWallClock(double wallClockErrorMillis) throws Exception {
+        EndpointRegistry skewedRegistry = new EndpointRegistry(
+                new HostStartClock(UNIX_OFFSET_MILLIS + wallClockErrorMillis, WARM_UP_MILLIS), new DisabledHosts());
+        receive(
+                skewedRegistry,
+                NOW_MILLIS,
+                true,
+                server("a", NOW_MILLIS - 5 * HOUR_MILLIS),
+                server("b", NOW_MILLIS - 5 * HOUR_MILLIS));
+
+        List<EndpointEntry> entries =
+                receive(skewedRegistry, NOW_MILLIS + 9_050, false, server("a", NOW_MILLIS + 9_000));
 
         assertThat(entries)
                 .singleElement()
                 .extracting(EndpointEntry::startedAtMillis)
-                .isEqualTo(NOW + 9_050);
+                .isEqualTo(NOW_MILLIS + 9_050);
     }
 
     @Test
     void deltaThatShowsWallClockAheadCorrectsYoungHostsOfFirstList() throws Exception {
-        EndpointRegistry wrong =
-                new EndpointRegistry(new HostStartClock(UNIX_OFFSET + HOUR, WARM_UP), new DisabledHosts());
-        receive(wrong, NOW, true, server("a", NOW - 1_000), server("b", NOW - 5 * HOUR));
-
-        List<EndpointEntry> entries = receive(wrong, NOW + 2_050, false, server("b", NOW + 2_000));
+        EndpointRegistry skewedRegistry = new EndpointRegistry(
+                new HostStartClock(UNIX_OFFSET_MILLIS + HOUR_MILLIS, WARM_UP_MILLIS), new DisabledHosts());
+        receive(
+                skewedRegistry,
+                NOW_MILLIS,
+                true,
+                server("a", NOW_MILLIS - 1_000),
+                server("b", NOW_MILLIS - 5 * HOUR_MILLIS));
+
+        List<EndpointEntry> entries =
+                receive(skewedRegistry, NOW_MILLIS + 2_050, false, server("b", NOW_MILLIS + 2_000));
 
-        assertThat(entries).extracting(EndpointEntry::id).containsExactly(wrong.idOf("b"), wrong.idOf("a"));
-        assertThat(entries.get(1).startedAtMillis()).isBetween(NOW - 1_000, NOW);
-        assertThat(wrong.findListed("a").entry().startedAtMillis())
+        assertThat(entries)
+                .extracting(EndpointEntry::id)
+                .containsExactly(skewedRegistry.idOf("b"), skewedRegistry.idOf("a"));
+        assertThat(entries.get(1).startedAtMillis()).isBetween(NOW_MILLIS - 1_000, NOW_MILLIS);
+        assertThat(skewedRegistry.findListed("a").entry().startedAtMillis())
                 .isEqualTo(entries.get(1).startedAtMillis());
     }
 
-    private static String server(String name, double startedAt) {
+    private static String server(String name, double hostStartMillis) {
         return "{\"id\":\"" + name + "\",\"addr\":\"127.0.0.1:80\",\"state\":\"up\",\"started_ms\":"
-                + (long) (UNIX_OFFSET + startedAt) + "}";
+                + (long) (UNIX_OFFSET_MILLIS + hostStartMillis) + "}";
     }
 
-    /** Has a registry read and apply a list; returns the entries for the balancer. */
-    private static List<EndpointEntry> receive(EndpointRegistry registry, double now, boolean full, String... servers)
-            throws Exception {
+    /** Parses a list and applies it to the registry; returns the entries for the balancer. */
+    private static List<EndpointEntry> receive(
+            EndpointRegistry registry, double nowMillis, boolean full, String... servers) throws Exception {
         String list = "{\"version\":1,\"full\":" + full + ",\"servers\":[" + String.join(",", servers) + "]}";
         EndpointRegistry.EndpointList parsed =
                 new EndpointListParser(registry).parse(new ObjectMapper().readTree(list));
-        EndpointRegistry.EndpointList timed = registry.withStartTimes(parsed, false, now);
+        EndpointRegistry.EndpointList timed = registry.withStartTimes(parsed, false, nowMillis);
         registry.apply(timed);
         return registry.effective(timed);
     }
--- a/src/test/java/rillyard/proxy/discovery/EndpointWatchFailureTest.java
+++ b/src/test/java/rillyard/proxy/discovery/EndpointWatchFailureTest.java
@@ -28,14 +28,17 @@
 import rillyard.proxy.logging.ProxyLog;
 import rillyard.trace.ProxyTrace;
 
-/** A watch whose opening throws: it is opened again, as nobody else does so. */
+/**
+ * Guards against a watch that stays closed for ever because an exception was thrown while it was being opened: nothing
+ * else reopens it, and the proxy would use an outdated list.
+ */
 @Timeout(30)
 class EndpointWatchFailureTest {
     private final BlockingQueue<TestPeer.Message> requests = new LinkedBlockingQueue<>();
     private final AtomicBoolean throwsOnTrace = new AtomicBoolean();
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
 
-    /** A stream to which the watch writes before each connect, and which throws once if it is told to. */
+    /** A trace, written before each connect of the watch, that throws once when {@link #throwsOnTrace} is set. */
     private final class ThrowingStream extends PrintStream {
         ThrowingStream() {
             super(OutputStream.nullOutputStream(), true, StandardCharsets.UTF_8);
--- a/src/test/java/rillyard/proxy/discovery/JsonObjectFramerTest.java
+++ b/src/test/java/rillyard/proxy/discovery/JsonObjectFramerTest.java
@@ -22,7 +22,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Framing of lists in any form and any pieces, and rejection of text that is no list. */
+/**
+ * Guards against lists that are cut in the wrong place when they arrive in pieces or indented, and against a truncated
+ * list that is joined with the next one or accepted.
+ */
 class JsonObjectFramerTest {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -45,13 +48,13 @@
         }
     }
 
-    /** Feeds a text in pieces of the given length; returns why it was rejected, or empty if it was not. */
-    private static Optional<String> feed(RecordingListener recorder, String text, int cut) {
+    /** Passes a text to a framer in pieces of the given length; returns why it was rejected, or empty if it was not. */
+    private static Optional<String> feed(RecordingListener listener, String text, int pieceLength) {
         JsonObjectFramer framer = new JsonObjectFramer();
         byte[] all = text.getBytes(StandardCharsets.UTF_8);
-        for (int from = 0; from < all.length; from += cut) {
+        for (int from = 0; from < all.length; from += pieceLength) {
             try {
-                framer.consume(Unpooled.wrappedBuffer(all, from, Math.min(cut, all.length - from)), recorder);
+                framer.consume(Unpooled.wrappedBuffer(all, from, Math.min(pieceLength, all.length - from)), listener);
             } catch (MalformedEndpointListException e) {
                 return Optional.of(e.getMessage());
             }
@@ -69,7 +72,7 @@
     @Property(tries = 300)
     void listsInAnyFormAndAnyPiecesAreFramedUnchanged(
             @ForAll @Size(max = 4) List<@Size(max = 3) List<String>> all,
-            @ForAll @IntRange(min = 1, max = 60) int cut,
+            @ForAll @IntRange(min = 1, max = 60) int pieceLength,
             @ForAll boolean indented,
             @ForAll boolean blankLines)
             throws IOException {
@@ -77,26 +80,26 @@
         List<JsonNode> sent = new ArrayList<>();
         for (int i = 0; i < all.size(); i++) {
             ObjectNode list = list(i, all.get(i));
-            sent.add(JSON.readTree(JSON.writeValueAsBytes(list))); // as it is read, odd characters and all
+            sent.add(JSON.readTree(JSON.writeValueAsBytes(list))); // encoding changes some characters
             text.append(indented ? JSON.writerWithDefaultPrettyPrinter().writeValueAsString(list) : list.toString());
             text.append(blankLines ? "\r\n\r\n" : "\n");
         }
-        RecordingListener recorder = new RecordingListener();
-        assertThat(feed(recorder, text.toString(), cut)).isEmpty();
-        assertThat(recorder.lists).isEqualTo(sent);
-        assertThat(recorder.blanks).isEqualTo(blankLines ? all.size() : 0);
+        RecordingListener listener = new RecordingListener();
+        assertThat(feed(listener, text.toString(), pieceLength)).isEmpty();
+        assertThat(listener.lists).isEqualTo(sent);
+        assertThat(listener.blanks).isEqualTo(blankLines ? all.size() : 0);
     }
 
     @Test
     void truncatedListNeverSwallowsNextList() {
         String good = list(7, List.of("a \"b\" {[", "c\\")).toString();
         for (int at = 1; at < good.length(); at++) {
-            for (String behind : new String[] {"\n" + good + "\n", "\n\n"}) {
-                RecordingListener recorder = new RecordingListener();
-                Optional<String> rejection = feed(recorder, good.substring(0, at) + behind + "\n\n", 9);
-                // Behind a comma or a bracket an object is allowed: there the blank line reveals the truncation.
+            for (String rest : new String[] {"\n" + good + "\n", "\n\n"}) {
+                RecordingListener listener = new RecordingListener();
+                Optional<String> rejection = feed(listener, good.substring(0, at) + rest + "\n\n", 9);
+                // After a comma or a bracket an object may follow; there only the blank line shows the truncation.
                 assertThat(rejection).as("cut at %s", at).isPresent();
-                assertThat(recorder.lists).isEmpty();
+                assertThat(listener.lists).isEmpty();
             }
         }
     }
@@ -111,12 +114,12 @@
     void listWithoutEndIsRejectedAtItsMaximumLength() throws MalformedEndpointListException {
         JsonObjectFramer framer = new JsonObjectFramer();
         byte[] part = " ".repeat(1 << 20).getBytes(StandardCharsets.US_ASCII);
-        RecordingListener recorder = new RecordingListener();
-        framer.consume(Unpooled.wrappedBuffer("{".getBytes(StandardCharsets.US_ASCII)), recorder);
+        RecordingListener listener = new RecordingListener();
+        framer.consume(Unpooled.wrappedBuffer("{".getBytes(StandardCharsets.US_ASCII)), listener);
         for (int i = 0; i < 3; i++) {
-            framer.consume(Unpooled.wrappedBuffer(part), recorder);
+            framer.consume(Unpooled.wrappedBuffer(part), listener);
         }
-        assertThatThrownBy(() -> framer.consume(Unpooled.wrappedBuffer(part), recorder))
+        assertThatThrownBy(() -> framer.consume(Unpooled.wrappedBuffer(part), listener))
                 .isInstanceOf(MalformedEndpointListException.class)
                 .hasMessageContaining("more than");
     }
--- a/src/test/java/rillyard/proxy/dispatch/BalancerFailureTest.java
+++ b/src/test/java/rillyard/proxy/dispatch/BalancerFailureTest.java
@@ -16,14 +16,17 @@
 import rillyard.proxy.ScriptedServer;
 import rillyard.proxy.resources.BufferedBody;
 
-/** A balancer or a timer that throws: the request that the event is about has its answer, and its attempt ends. */
+/**
+ * Guards against requests that are never answered, and attempts that are never ended, because the balancer or a timer
+ * throws while it handles an event of the request.
+ */
 @Timeout(30)
 class BalancerFailureTest {
     private static final String EVENT_FAILED = "balancer: event failed";
 
-    private final BlockingQueue<Integer> statuses = new LinkedBlockingQueue<>();
-    private final CountDownLatch received = new CountDownLatch(1);
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final BlockingQueue<Integer> responseStatuses = new LinkedBlockingQueue<>();
+    private final CountDownLatch attemptReceived = new CountDownLatch(1);
+    private final CountDownLatch attemptEnded = new CountDownLatch(1);
     private ScriptedServer host;
     private DriverFixture fixture;
     private EventLoop loop;
@@ -36,17 +39,17 @@
     private final class StatusReceiver implements ResponseReceiver {
         @Override
         public void sendStatus(int status, double retryAfterMillis) {
-            statuses.add(status);
+            responseStatuses.add(status);
         }
 
         @Override
         public void failResponse() {
-            statuses.add(-1);
+            responseStatuses.add(-1);
         }
 
         @Override
         public void sendResponse(HttpResponse response, BufferedBody body) {
-            statuses.add(response.status().code());
+            responseStatuses.add(response.status().code());
         }
 
         @Override
@@ -77,9 +80,9 @@
     void startDriver() throws Exception {
         host = new ScriptedServer(peer -> {
             peer.read();
-            received.countDown();
+            attemptReceived.countDown();
             peer.awaitEnd();
-            ended.countDown();
+            attemptEnded.countDown();
         });
         fixture = new DriverFixture(host.port());
         loop = fixture.loop;
@@ -97,62 +100,62 @@
     }
 
     private void assertFailedAtOnce(String logLine) throws Exception {
-        assertThat(statuses.poll(2, TimeUnit.SECONDS)).isEqualTo(502);
+        assertThat(responseStatuses.poll(2, TimeUnit.SECONDS)).isEqualTo(502);
         assertThat(loop.submit(() -> driver.openRequests()).get()).isZero();
         assertThat(driver.metrics().text()).contains("pending:0|");
         assertThat(fixture.log()).contains(logLine);
-        assertThat(statuses).isEmpty();
+        assertThat(responseStatuses).isEmpty();
     }
 
     @Test
-    void throwOnRequestIsAnswered() throws Exception {
-        loop.submit(() -> driver.onRequest(newExchange(), null)).get(); // the balancer reads the request
+    void exceptionOnRequestIsAnswered() throws Exception {
+        loop.submit(() -> driver.onRequest(newExchange(), null)).get(); // the balancer throws, as the request is null
         assertFailedAtOnce(EVENT_FAILED);
     }
 
     @Test
-    void throwWhileAttemptIsOpenIsAnsweredAndEndsAttempt() throws Exception {
+    void exceptionWhileAttemptIsOpenIsAnsweredAndEndsAttempt() throws Exception {
         RequestExchange exchange = loop.submit(this::newExchange).get();
         loop.submit(exchange::dispatch).get();
-        assertThat(received.await(10, TimeUnit.SECONDS)).isTrue();
-        loop.submit(() -> driver.onAttemptEnded(exchange, null)).get(); // the balancer reads the result
+        assertThat(attemptReceived.await(10, TimeUnit.SECONDS)).isTrue();
+        loop.submit(() -> driver.onAttemptEnded(exchange, null)).get(); // the balancer throws, as the result is null
         assertFailedAtOnce(EVENT_FAILED);
-        assertThat(ended.await(2, TimeUnit.SECONDS)).isTrue();
+        assertThat(attemptEnded.await(2, TimeUnit.SECONDS)).isTrue();
     }
 
     @Test
     void errorIsAnswered() throws Exception {
         RequestExchange exchange = loop.submit(this::newExchange).get();
         loop.submit(exchange::dispatch).get();
-        assertThat(received.await(10, TimeUnit.SECONDS)).isTrue();
+        assertThat(attemptReceived.await(10, TimeUnit.SECONDS)).isTrue();
         BalancerEvents events = new BalancerEvents(fixture.log);
         loop.submit(() -> events.deliver(exchange, () -> {
                     throw new StackOverflowError("thrown by the test");
                 }))
                 .get();
         assertFailedAtOnce(EVENT_FAILED);
-        assertThat(ended.await(2, TimeUnit.SECONDS)).isTrue();
+        assertThat(attemptEnded.await(2, TimeUnit.SECONDS)).isTrue();
     }
 
     @Test
-    void throwInTimerOfRequestIsAnsweredAndEndsAttempt() throws Exception {
+    void errorInTimerOfRequestIsAnsweredAndEndsAttempt() throws Exception {
         assertTimerFailureIsAnswered(RequestExchange::schedule);
     }
 
     @Test
-    void throwInTimerOfAttemptIsAnsweredAndEndsAttempt() throws Exception {
+    void errorInTimerOfAttemptIsAnsweredAndEndsAttempt() throws Exception {
         assertTimerFailureIsAnswered(RequestExchange::scheduleForAttempt);
     }
 
     private void assertTimerFailureIsAnswered(TimerStarter starter) throws Exception {
         RequestExchange exchange = loop.submit(this::newExchange).get();
         loop.submit(exchange::dispatch).get();
-        assertThat(received.await(10, TimeUnit.SECONDS)).isTrue();
+        assertThat(attemptReceived.await(10, TimeUnit.SECONDS)).isTrue();
         loop.submit(() -> starter.start(exchange, 1, () -> {
                     throw new StackOverflowError("thrown by the test");
                 }))
                 .get();
         assertFailedAtOnce("request: timer failed");
-        assertThat(ended.await(2, TimeUnit.SECONDS)).isTrue();
+        assertThat(attemptEnded.await(2, TimeUnit.SECONDS)).isTrue();
     }
 }
--- a/src/test/java/rillyard/proxy/dispatch/DriverFixture.java
+++ b/src/test/java/rillyard/proxy/dispatch/DriverFixture.java
@@ -23,17 +23,17 @@
 import rillyard.proxy.resources.DescriptorBudget;
 import rillyard.proxy.upstream.UpstreamPool;
 
-/** A driver on an event loop of its own, with one host and no clients. */
+/** A balancer driver on its own event loop, with one host and no clients. */
 final class DriverFixture implements AutoCloseable {
-    /** Bytes of the memory for bodies. */
+    /** Size of the body memory. */
     static final int MEMORY_BYTES = 1 << 20;
 
     private static final double REMAINING_MILLIS = 20_000;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream logOutput = new ByteArrayOutputStream();
     final EventLoop loop = (EventLoop) group.next();
-    final ProxyLog log = new ProxyLog(new PrintStream(logged, true, StandardCharsets.UTF_8));
+    final ProxyLog log = new ProxyLog(new PrintStream(logOutput, true, StandardCharsets.UTF_8));
     final BalancerDriver driver;
 
     DriverFixture(int hostPort) throws Exception {
@@ -47,14 +47,14 @@
         loop.submit(() -> watch.start(config.cachedEndpoints())).get();
     }
 
-    /** Creates the exchange of an idempotent request; to be called on the loop. */
+    /** Creates the exchange of an idempotent request; must be called on the event loop. */
     RequestExchange newExchange(ResponseReceiver client) {
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/");
         return new RequestExchange(new ClientRequest("r", "read", head, null, null, REMAINING_MILLIS), driver, client);
     }
 
     String log() {
-        return logged.toString(StandardCharsets.UTF_8);
+        return logOutput.toString(StandardCharsets.UTF_8);
     }
 
     @Override
--- a/src/test/java/rillyard/proxy/dispatch/ResponseMemoryTest.java
+++ b/src/test/java/rillyard/proxy/dispatch/ResponseMemoryTest.java
@@ -14,13 +14,16 @@
 import rillyard.proxy.resources.BodyMemoryBudget;
 import rillyard.proxy.resources.BufferedBody;
 
-/** Responses of unknown length for which the memory for bodies runs out shortly before they are forwarded instead. */
+/**
+ * Guards against a response of unknown length that is never read on: body memory runs out in the same read in which the
+ * response gets too long to be buffered and is forwarded instead, so that nothing resumes the read.
+ */
 @Timeout(30)
 class ResponseMemoryTest {
     private static final int FRAME_BYTES = 512;
     private static final int FRAMES = 160;
 
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final CountDownLatch responseEnded = new CountDownLatch(1);
     private final AtomicInteger forwardedBytes = new AtomicInteger();
 
     private final class Client implements ResponseReceiver {
@@ -51,7 +54,7 @@
 
         @Override
         public void endResponse() {
-            ended.countDown();
+            responseEnded.countDown();
         }
 
         @Override
@@ -68,11 +71,11 @@
         return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + frame.repeat(FRAMES) + "0\r\n\r\n";
     }
 
-    /** Which of the sizes falls into the read in which the response proves too long depends on the reads. */
+    /** Which size of free memory runs out in the read that starts the forwarding depends on the sizes of the reads. */
     @ParameterizedTest
     @ValueSource(ints = {24, 26, 28, 29, 30, 31, 32})
     void forwardedResponseIsReadOnThoughMemoryRanOut(int freeKilobytes) throws Exception {
-        int heldBytes = DriverFixture.MEMORY_BYTES - freeKilobytes * 1024;
+        int usedBytes = DriverFixture.MEMORY_BYTES - freeKilobytes * 1024;
         try (ScriptedServer host = new ScriptedServer(peer -> {
                     peer.read();
                     peer.write(response());
@@ -80,14 +83,15 @@
                 });
                 DriverFixture fixture = new DriverFixture(host.port())) {
             BodyMemoryBudget memory = fixture.driver.bodyMemory();
-            fixture.loop.submit(() -> memory.charge(heldBytes, false)).get();
+            fixture.loop.submit(() -> memory.charge(usedBytes, false)).get();
             fixture.loop
                     .submit(() -> fixture.newExchange(new Client()).dispatch())
                     .get();
-            boolean isEarly = ended.await(200, TimeUnit.MILLISECONDS); // else it waits for the release, as it may
-            fixture.loop.submit(() -> memory.release(heldBytes, false)).get();
-            assertThat(ended.await(5, TimeUnit.SECONDS))
-                    .as("before the release: %s", isEarly)
+            // A response that has not ended by then may wait for the release.
+            boolean hasEndedBeforeRelease = responseEnded.await(200, TimeUnit.MILLISECONDS);
+            fixture.loop.submit(() -> memory.release(usedBytes, false)).get();
+            assertThat(responseEnded.await(5, TimeUnit.SECONDS))
+                    .as("before the release: %s", hasEndedBeforeRelease)
                     .isTrue();
             assertThat(forwardedBytes).hasValue(FRAMES * FRAME_BYTES);
         }
--- a/src/test/java/rillyard/proxy/http/ProtocolHeadersTest.java
+++ b/src/test/java/rillyard/proxy/http/ProtocolHeadersTest.java
@@ -6,9 +6,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Guards against a conversion to seconds, which doesn't use {@link String#format}, that rounds or pads differently. */
 class ProtocolHeadersTest {
     @Test
-    void secondsHaveTheFormOfTheFormatter() {
+    void secondsEqualFormattedNumberWithThreeDecimals() {
         SplittableRandom random = new SplittableRandom(7);
         for (double millis : new double[] {0, 0.4, 1, 9, 50, 99.5, 999.4, 999.6, 1_000, 1_001, 12_345, 3_600_000}) {
             assertThat(ProtocolHeaders.toSeconds(millis)).isEqualTo(formatted(millis));
--- a/src/test/java/rillyard/proxy/lifecycle/ConfigReloadTest.java
+++ b/src/test/java/rillyard/proxy/lifecycle/ConfigReloadTest.java
@@ -26,13 +26,16 @@
 import rillyard.proxy.config.ProxyConfig;
 import rillyard.proxy.logging.ProxyLog;
 
-/** Reloads of the configuration by SIGHUP. */
+/**
+ * Guards against reloads by SIGHUP that are lost: the process ignores the signal without a log line, or two reloads at
+ * once apply an outdated file last.
+ */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class ConfigReloadTest {
-    private static final String IGNORED = "SIGHUP is ignored by this process";
+    private static final String IGNORED_MESSAGE = "SIGHUP is ignored by this process";
 
-    /** Starts a proxy by a shell that runs {@code preparation} first; returns the log up to the line {@code last}. */
-    private static String logOfStart(String preparation, String last) throws Exception {
+    /** Starts a proxy in a shell that runs {@code preparation} first; returns its log up to {@code lastLogText}. */
+    private static String logOfStart(String preparation, String lastLogText) throws Exception {
         Path config = ProxyFixture.writeConfig(1, json -> {});
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         ProcessBuilder builder =
@@ -43,10 +46,10 @@
         try (BufferedReader lines = process.errorReader(StandardCharsets.UTF_8)) {
             StringBuilder log = new StringBuilder();
             String line;
-            while (!log.toString().contains(last) && (line = lines.readLine()) != null) {
+            while (!log.toString().contains(lastLogText) && (line = lines.readLine()) != null) {
                 log.append(line).append('\n');
-                if (line.contains("watch:") && !last.equals(IGNORED)) {
-                    process.toHandle().destroy(); // the start is past the handler when a drain is logged
+                if (line.contains("watch:") && !lastLogText.equals(IGNORED_MESSAGE)) {
+                    process.toHandle().destroy(); // the signal handler is installed before a drain is logged
                 }
             }
             return log.toString();
@@ -58,20 +61,20 @@
 
     @Test
     void ignoredSighupIsLoggedOnceAtStart() throws Exception {
-        assertThat(logOfStart("trap '' HUP;", IGNORED)).containsOnlyOnce(IGNORED);
+        assertThat(logOfStart("trap '' HUP;", IGNORED_MESSAGE)).containsOnlyOnce(IGNORED_MESSAGE);
     }
 
     @Test
     void sighupThatIsNotIgnoredIsNotLogged() throws Exception {
-        assertThat(logOfStart("", "proxy: drained")).doesNotContain(IGNORED);
+        assertThat(logOfStart("", "proxy: drained")).doesNotContain(IGNORED_MESSAGE);
     }
 
-    /** An environment whose first reader waits, and that counts those who read at a time. */
+    /** An environment whose first read blocks until {@link #release} opens, and that counts its reads. */
     private static final class BlockingEnvironment extends AbstractMap<String, String> {
         private final Path file;
-        final CountDownLatch entered = new CountDownLatch(1);
+        final CountDownLatch firstReadStarted = new CountDownLatch(1);
         final CountDownLatch release = new CountDownLatch(1);
-        final AtomicInteger readers = new AtomicInteger();
+        final AtomicInteger readCount = new AtomicInteger();
 
         BlockingEnvironment(Path file) {
             this.file = file;
@@ -79,8 +82,8 @@
 
         @Override
         public String get(Object key) {
-            if (readers.incrementAndGet() == 1) {
-                entered.countDown();
+            if (readCount.incrementAndGet() == 1) {
+                firstReadStarted.countDown();
                 try {
                     release.await();
                 } catch (InterruptedException e) {
@@ -97,7 +100,7 @@
     }
 
     @Test
-    void reloadsAtOnceTakeTurnsAndTheLastAppliesTheNewestFile() throws Exception {
+    void simultaneousReloadsAreSerializedAndLastAppliesNewestFile() throws Exception {
         Path file = ProxyFixture.writeConfig(1_001, json -> {});
         BlockingEnvironment env = new BlockingEnvironment(file);
         List<Integer> applied = Collections.synchronizedList(new ArrayList<>());
@@ -108,11 +111,11 @@
                 new ProxyLog(new PrintStream(log, true, StandardCharsets.UTF_8)));
         Thread first = new Thread(reload::run);
         first.start();
-        env.entered.await();
+        env.firstReadStarted.await();
         Thread second = new Thread(reload::run);
         second.start();
         awaitBlockedOrEnded(second);
-        assertThat(env.readers.get()).as("reloads at a time").isEqualTo(1);
+        assertThat(env.readCount.get()).as("simultaneous reloads").isEqualTo(1);
         replace(file, 1_002);
         env.release.countDown();
         first.join();
--- a/src/test/java/rillyard/proxy/lifecycle/WarmupTest.java
+++ b/src/test/java/rillyard/proxy/lifecycle/WarmupTest.java
@@ -11,10 +11,14 @@
 import rillyard.proxy.config.ProxyConfig;
 import rillyard.proxy.eventloop.FaultInjectingChannels;
 
+/**
+ * Guards against a warm-up that lengthens each start, leaves threads behind, or ends early, so that the first requests
+ * of clients run code that is not compiled yet.
+ */
 class WarmupTest {
     private static final long MAX_WARM_UP_MILLIS = 30_000;
 
-    /** What is sent before a proxy is ready is paid by each restart: counted, so that it doesn't grow unseen. */
+    /** Each restart waits for the requests of the warm-up; the test keeps their number from growing unnoticed. */
     @Test
     void warmUpAnswersAllRequestsAndLeavesNoThreads() throws Exception {
         Path file = ProxyFixture.writeConfig(1, config -> {}, ProxyFixture.endpoint("a", 1));
@@ -30,28 +34,28 @@
         }
     }
 
-    /** Requests that are not sent are code that is not compiled when the first clients come. */
+    /** Without the remaining requests, their code would not be compiled when the first clients connect. */
     @Test
     void warmUpIsCompleteThoughConnectionOfClientFails() throws Exception {
         Path file = ProxyFixture.writeConfig(1, config -> {}, ProxyFixture.endpoint("a", 1));
         ProxyConfig config = ProxyConfig.load(Map.of("BALANCER_CONFIG", file.toString()));
         Files.delete(file);
-        int usual = new Warmup(config).run(MAX_WARM_UP_MILLIS);
+        int usualCount = new Warmup(config).run(MAX_WARM_UP_MILLIS);
         FaultInjectingChannels channels = new FaultInjectingChannels();
         channels.throwOnNextEndOfStreamCheck(); // the proxy answers 502 and closes the connection
-        long from = System.nanoTime();
-        assertThat(new Warmup(config, channels).run(MAX_WARM_UP_MILLIS)).isEqualTo(usual);
-        assertThat(System.nanoTime() - from).isLessThan(MAX_WARM_UP_MILLIS * 1_000_000 / 2);
+        long startNanos = System.nanoTime();
+        assertThat(new Warmup(config, channels).run(MAX_WARM_UP_MILLIS)).isEqualTo(usualCount);
+        assertThat(System.nanoTime() - startNanos).isLessThan(MAX_WARM_UP_MILLIS * 1_000_000 / 2);
     }
 
     @Test
     void configurationWithoutClassesSkipsWarmUp() throws Exception {
         Path file = ProxyFixture.writeConfig(
                 1, config -> config.withObject("/settings").putArray("classes"), ProxyFixture.endpoint("a", 1));
-        long from = System.nanoTime();
+        long startNanos = System.nanoTime();
         int answered = new Warmup(ProxyConfig.load(Map.of("BALANCER_CONFIG", file.toString()))).run(MAX_WARM_UP_MILLIS);
         Files.delete(file);
         assertThat(answered).isZero();
-        assertThat(System.nanoTime() - from).isLessThan(MAX_WARM_UP_MILLIS * 1_000_000 / 2);
+        assertThat(System.nanoTime() - startNanos).isLessThan(MAX_WARM_UP_MILLIS * 1_000_000 / 2);
     }
 }
--- a/src/test/java/rillyard/proxy/logging/ProxyLogTest.java
+++ b/src/test/java/rillyard/proxy/logging/ProxyLogTest.java
@@ -9,7 +9,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The limit of the log's lines. */
+/**
+ * Guards against a log that exceeds its limit of lines per second, drops lines without counting them, or passes control
+ * characters of hosts on to terminals.
+ */
 class ProxyLogTest {
     private static final int MAX_LINES_PER_SECOND = 50;
     private static final int THREADS = 8;
@@ -19,12 +22,12 @@
     void linesOfStackTracesCountWithinLimit() {
         ByteArrayOutputStream written = new ByteArrayOutputStream();
         ProxyLog log = new ProxyLog(new PrintStream(written, true, StandardCharsets.UTF_8));
-        long beganAt = System.nanoTime();
+        long startNanos = System.nanoTime();
         for (int i = 0; i < 100; i++) {
             log.error("test: failed", new IllegalStateException("cause"));
         }
-        long seconds = (System.nanoTime() - beganAt) / 1_000_000_000L + 2; // that have begun meanwhile
-        // One line a second tells of those that were dropped.
+        long seconds = (System.nanoTime() - startNanos) / 1_000_000_000L + 2; // number of calendar seconds touched
+        // One more line per second states how many lines were dropped.
         assertThat(written.toString(StandardCharsets.UTF_8).lines().count())
                 .isBetween(3L, seconds * (MAX_LINES_PER_SECOND + 1));
         assertThat(written.toString(StandardCharsets.UTF_8))
@@ -60,17 +63,17 @@
         for (Thread thread : threads) {
             thread.join();
         }
-        Thread.sleep(1_001); // the next line is one of another second, and tells of those that were dropped
+        Thread.sleep(1_001); // the next line, in a new second, is preceded by the number of dropped lines
         log.info("test: end");
         List<String> lines = written.toString(StandardCharsets.UTF_8).lines().toList();
-        long counted = lines.stream().filter("rillyard: test: line"::equals).count();
-        String dropped = "rillyard: log: lines dropped, count=";
+        long lineCount = lines.stream().filter("rillyard: test: line"::equals).count();
+        String droppedPrefix = "rillyard: log: lines dropped, count=";
         for (String line : lines) {
-            if (line.startsWith(dropped)) {
-                counted += Long.parseLong(line.substring(dropped.length()));
+            if (line.startsWith(droppedPrefix)) {
+                lineCount += Long.parseLong(line.substring(droppedPrefix.length()));
             }
         }
-        assertThat(counted).isEqualTo((long) THREADS * LINES_PER_THREAD);
+        assertThat(lineCount).isEqualTo((long) THREADS * LINES_PER_THREAD);
         assertThat(lines).endsWith("rillyard: test: end");
     }
 }
--- a/src/test/java/rillyard/proxy/upstream/ConnectFailureClassifierTest.java
+++ b/src/test/java/rillyard/proxy/upstream/ConnectFailureClassifierTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.Test;
 import rillyard.proxy.logging.ProxyLog;
 
-/** What failed connects tell of hosts. */
+/**
+ * Guards against hosts that are ejected for connects that failed on this machine, and against failures of a host that
+ * count as local.
+ */
 class ConnectFailureClassifierTest {
     private final SocketException noRoute = new SocketException("Network is unreachable");
 
@@ -23,7 +26,7 @@
     private final UpstreamHost other = new UpstreamHost("b", 2);
 
     @Test
-    void refusedUnreachableOrLateHostHasFailed() {
+    void refusedUnreachableOrTimedOutConnectIsHostFailure() {
         assertThat(classifier.isHostFailure(host, new ConnectException("Connection refused")))
                 .isTrue();
         assertThat(classifier.isHostFailure(host, new ConnectTimeoutException("late")))
@@ -33,14 +36,14 @@
     }
 
     @Test
-    void resetConnectIsTheHostsAtOnce() {
+    void resetConnectIsHostFailureAtOnce() {
         Throwable annotated = new SocketException("Connection reset by peer: /127.0.0.1:80"); // as Netty wraps it
         annotated.initCause(new SocketException("Connection reset by peer"));
         assertThat(classifier.isHostFailure(host, annotated)).isTrue();
     }
 
     @Test
-    void lackOfPortsOrBuffersIsLocalWhoeverIsReached() {
+    void lackOfPortsOrBuffersIsLocalAlsoIfAnotherHostIsReached() {
         for (int i = 0; i < 3; i++) {
             classifier.onReached(other);
             assertThat(classifier.isHostFailure(host, new SocketException("No buffer space available")))
@@ -63,13 +66,13 @@
     }
 
     @Test
-    void lackOfRouteToOneHostTellsOfItWhileAnotherIsReached() {
+    void lackOfRouteToOneHostIsHostFailureWhileAnotherIsReached() {
         assertThat(classifier.isHostFailure(host, noRoute)).isFalse();
         classifier.onReached(other);
         assertThat(classifier.isHostFailure(host, noRoute)).isTrue();
-        assertThat(classifier.isHostFailure(host, noRoute)).isFalse(); // no other was reached meanwhile
+        assertThat(classifier.isHostFailure(host, noRoute)).isFalse(); // no other host was reached meanwhile
         classifier.onReached(host);
         classifier.onReached(other);
-        assertThat(classifier.isHostFailure(host, noRoute)).isFalse(); // the first one since it was reached
+        assertThat(classifier.isHostFailure(host, noRoute)).isFalse(); // its first failure since it was reached
     }
 }
--- a/src/test/java/rillyard/proxy/upstream/HostConnectionLimitTest.java
+++ b/src/test/java/rillyard/proxy/upstream/HostConnectionLimitTest.java
@@ -14,13 +14,16 @@
 import rillyard.proxy.ScriptedServer;
 import rillyard.proxy.TestPeer;
 
-/** Connections to hosts whose connection tables are limited. */
+/**
+ * Guards against proxies that fill the connection table of a host with idle connections after a burst, and against
+ * requests that fail because a host at capacity, which looks idle, is tried again and again.
+ */
 class HostConnectionLimitTest {
     private static String claim() {
         return ProxyFixture.post("claim", 800, "", "visit=1");
     }
 
-    /** Where many proxies share the hosts, the connections that a burst needed are closed soon after it. */
+    /** If many proxies share the hosts, the connections that a burst opened are closed soon after it. */
     @Test
     void idleConnectionsOfBurstAreClosedSoonWhenManyProxiesShareHosts() throws Exception {
         CountDownLatch allArrived = new CountDownLatch(6);
@@ -28,7 +31,7 @@
         try (ScriptedServer host = new ScriptedServer(peer -> {
                     peer.read();
                     allArrived.countDown();
-                    allArrived.await(); // so that each has a connection of its own
+                    allArrived.await(); // so that each request has its own connection
                     peer.write(ScriptedServer.ok("x"));
                     peer.awaitEnd();
                     ended.countDown();
@@ -46,13 +49,13 @@
                 assertThat(client.read().status()).isEqualTo(200);
                 client.close();
             }
-            assertThat(ended.await(10, TimeUnit.SECONDS)).isTrue(); // of 42 s otherwise
+            assertThat(ended.await(10, TimeUnit.SECONDS)).isTrue(); // otherwise after 42 s
         }
     }
 
-    /** A host at capacity is avoided at once, tried rarely, and used again. */
+    /** A host at capacity is avoided at once, tried rarely, and used again once it accepts requests. */
     @Test
-    void hostAtCapacityCostsNoResponseAndIsReusedOnceItHasCapacity() throws Exception {
+    void hostAtCapacityFailsNoRequestAndIsReusedOnceItHasCapacity() throws Exception {
         AtomicBoolean atCapacity = new AtomicBoolean(true);
         AtomicInteger rejections = new AtomicInteger();
         try (ScriptedServer limited = new ScriptedServer(peer -> {
@@ -66,7 +69,7 @@
                     }
                 });
                 ScriptedServer unlimited = ScriptedServer.host(message -> {
-                    Thread.sleep(20); // its work: so that others find it busier than the full one
+                    Thread.sleep(20); // so that it is busier than the host at capacity
                     return ScriptedServer.ok("unlimited");
                 });
                 ProxyFixture proxy = new ProxyFixture(
@@ -74,7 +77,7 @@
             for (int i = 0; i < 5; i++) {
                 assertThat(callConcurrently(proxy, 8)).hasSize(8).containsOnly("unlimited");
             }
-            // Without the avoidance 39 of 40 would go to the host that looks idle.
+            // If it were not avoided, 39 of 40 requests would be sent to the host at capacity, which looks idle.
             assertThat(rejections.get()).isBetween(1, 20);
             atCapacity.set(false);
             List<String> responses = List.of();
@@ -86,7 +89,7 @@
         }
     }
 
-    /** Sends so many requests at once; returns the text of each response, or its status if it is not 200. */
+    /** Sends {@code count} requests at once; returns the text of each response, or its status if it is not 200. */
     private static List<String> callConcurrently(ProxyFixture proxy, int count) throws Exception {
         List<TestPeer> clients = new ArrayList<>();
         for (int i = 0; i < count; i++) {
--- a/src/test/java/rillyard/proxy/upstream/UpstreamCallFailureTest.java
+++ b/src/test/java/rillyard/proxy/upstream/UpstreamCallFailureTest.java
@@ -35,13 +35,16 @@
 import rillyard.proxy.logging.ProxyLog;
 import rillyard.proxy.resources.DescriptorBudget;
 
-/** Calls that throw where no handler of a channel catches it: within a timer, and as a connect ends. */
+/**
+ * Guards against calls that never end because they throw in a timer or at the end of a connect, where no handler of a
+ * channel catches the exception.
+ */
 @Timeout(30)
 class UpstreamCallFailureTest {
     private static final long SHORT_STALL_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
     private static final String HANDLER_FAILED = "handler failed";
 
-    private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream logOutput = new ByteArrayOutputStream();
     private final BlockingQueue<String> reports = new LinkedBlockingQueue<>();
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
@@ -49,7 +52,7 @@
     private ScriptedServer server;
     private UpstreamPool pool;
 
-    /** Reports what it is told of its end. */
+    /** Records how it ends in {@link #reports}. */
     private class ReportingCall extends UpstreamCall {
         ReportingCall() {
             super(upstreamHost);
@@ -110,7 +113,7 @@
         Path file = ProxyFixture.writeConfig(1, config -> {});
         ProxyConfig config = ProxyConfig.load(Map.of("BALANCER_CONFIG", file.toString()));
         Files.delete(file);
-        ProxyLog log = new ProxyLog(new PrintStream(logged, true, StandardCharsets.UTF_8));
+        ProxyLog log = new ProxyLog(new PrintStream(logOutput, true, StandardCharsets.UTF_8));
         pool = new UpstreamPool(group, new SocketChannelFactory(), config, new DescriptorBudget(100), log);
         upstreamHost.onAnnounced(
                 new EndpointEntry(0, "z", "k", 0, EndpointEntry.Condition.READY, 0),
@@ -128,12 +131,12 @@
         loop.submit(() -> pool.start(call)).get();
         assertThat(reports.poll(10, TimeUnit.SECONDS)).isEqualTo(HANDLER_FAILED);
         loop.submit(() -> pool.release(call)).get();
-        assertThat(logged.toString(StandardCharsets.UTF_8)).contains("upstream: handler failed, host=a");
+        assertThat(logOutput.toString(StandardCharsets.UTF_8)).contains("upstream: handler failed, host=a");
         assertThat(reports).isEmpty();
     }
 
     @Test
-    void throwInStallCheckEndsCall() throws Exception {
+    void exceptionInStallCheckEndsCall() throws Exception {
         assertHandlerFailureIsReported(new ReportingCall() {
             private boolean isScheduled;
 
@@ -149,7 +152,7 @@
     }
 
     @Test
-    void throwAtEndOfConnectEndsCall() throws Exception {
+    void exceptionAtEndOfConnectEndsCall() throws Exception {
         assertHandlerFailureIsReported(new ReportingCall() {
             @Override
             public boolean mayBeWritten() {
