--- a/src/main/java/rillyard/balancer/AdmissionController.java
+++ b/src/main/java/rillyard/balancer/AdmissionController.java
@@ -2,10 +2,7 @@
 
 import java.util.SplittableRandom;
 
-/**
- * Sheds requests on arrival while the latency objective can't be met, by the load and the latency that this proxy
- * measures.
- */
+/** Measures this proxy's load and latency, and sheds requests on arrival while the latency objective can't be met. */
 final class AdmissionController {
     /**
      * Weight of each request in the mean priority, which covers about the last 50 requests, as classes arrive
--- a/src/main/java/rillyard/balancer/DecayingPeak.java
+++ b/src/main/java/rillyard/balancer/DecayingPeak.java
@@ -1,6 +1,6 @@
 package rillyard.balancer;
 
-/** A number and its recent peak, which decays exponentially towards the number. Not thread-safe. */
+/** A number and its recent peak, which decays exponentially but never below the number. Not thread-safe. */
 final class DecayingPeak {
     private final DecayingCounter peak;
     private int current;
--- a/src/main/java/rillyard/balancer/HostHealth.java
+++ b/src/main/java/rillyard/balancer/HostHealth.java
@@ -4,7 +4,8 @@
 import java.util.Map;
 
 /**
- * The health statistics of one host, without decision logic; only {@link OutlierDetector} writes them. Not thread-safe.
+ * The health statistics of one host, without decision logic. {@link OutlierDetector} writes them, and {@link HostSet}
+ * resets them for a new process. Not thread-safe.
  */
 final class HostHealth {
     private final double failureRateDecayMillis;
--- a/src/main/java/rillyard/balancer/HostLoad.java
+++ b/src/main/java/rillyard/balancer/HostLoad.java
@@ -1,8 +1,8 @@
 package rillyard.balancer;
 
 /**
- * The load statistics of one host, without decision logic. Only {@link LoadEstimator} writes them, except that each
- * send is recorded by {@link HostState}. Not thread-safe.
+ * The load statistics of one host, without decision logic. {@link LoadEstimator} writes them, {@link HostState} records
+ * each send, and {@link HostSet} resets them for a new process. Not thread-safe.
  */
 final class HostLoad {
     private final DecayingAverage slowness;
--- a/src/main/java/rillyard/balancer/HostSet.java
+++ b/src/main/java/rillyard/balancer/HostSet.java
@@ -11,7 +11,7 @@
 import java.util.function.Supplier;
 
 /**
- * The hosts of the endpoint list, and those that were removed from it while attempts are in flight there.
+ * The hosts of the endpoint list, and those that were removed from it but still have attempts in flight.
  *
  * <p>Ready hosts are kept in ring order as entries arrive, so that a request after a change rebuilds nothing. Apart
  * from the shift of an array, the cost of a delta depends on the number of its entries, not on the number of hosts. Not
@@ -27,7 +27,7 @@
     private final Set<HostState> unlisted = new HashSet<>();
     private final Set<HostState> ejected = new HashSet<>();
     private final DecayingPeak readyPeak;
-    private int readyCountBaseline; // greatest number of ready hosts since many were removed at once
+    private int readyCountBaseline; // greatest number of ready hosts since manyRemovedAtMillis
     private double manyRemovedAtMillis = Double.NEGATIVE_INFINITY;
     private long readyVersion;
     private int generation;
@@ -94,8 +94,8 @@
     }
 
     /**
-     * Returns the last time (ms) at which so many hosts were removed that the requests one of them served can't be
-     * inferred from the remaining hosts.
+     * Returns the last time (ms) at which so many hosts had been removed, or were no longer ready, that the requests
+     * one of them served can't be inferred from the remaining hosts.
      */
     double manyRemovedAtMillis() {
         return manyRemovedAtMillis;
--- a/src/main/java/rillyard/balancer/SlowStartAllowance.java
+++ b/src/main/java/rillyard/balancer/SlowStartAllowance.java
@@ -1,8 +1,8 @@
 package rillyard.balancer;
 
 /**
- * The number of requests that a host which is warming up may still get; only {@link SlowStart} updates it. Not
- * thread-safe.
+ * The number of requests that a host which is warming up may still get. {@link SlowStart} updates it, and {@link
+ * HostSet} resets it for a new process. Not thread-safe.
  */
 final class SlowStartAllowance {
     private double requests;
--- a/src/main/java/rillyard/balancer/SubsetSelector.java
+++ b/src/main/java/rillyard/balancer/SubsetSelector.java
@@ -11,7 +11,10 @@
     /** Minimum slowness assumed of a host: its first few responses may make it look faster than any host is. */
     private static final double MIN_SLOWNESS = 0.05;
 
-    /** The subset is reduced only when it is this many times larger than wanted, as each change costs connections. */
+    /**
+     * With unchanged hosts, the subset is reduced only when it is this many times larger than wanted, as each change
+     * costs connections.
+     */
     private static final int MAX_OVERSIZE = 2;
 
     private static final long NO_VERSION = -1; // less than any version of the ready hosts
--- a/src/main/java/rillyard/balancer/Tuning.java
+++ b/src/main/java/rillyard/balancer/Tuning.java
@@ -195,5 +195,6 @@
      */
     static final double BASE_SUBSCRIBE_BACKOFF_MILLIS = 500;
 
-    static final double MAX_SUBSCRIBE_BACKOFF_MILLIS = 1_400; // with connect and response, below 6 s per change
+    /** With jitter, connect and response, it stays below the 6 s within which a change of the list must be seen. */
+    static final double MAX_SUBSCRIBE_BACKOFF_MILLIS = 1_400;
 }
--- a/src/test/java/rillyard/balancer/BalancerTest.java
+++ b/src/test/java/rillyard/balancer/BalancerTest.java
@@ -232,7 +232,8 @@
             timer.getValue().forEach(token -> balancer.onTimer(fixture.nowMillis, token));
             assertThat(fixture.subscriptions).isEqualTo(i + 2);
         }
-        // The backoff has grown, and with 1 s to connect and 2.4 s for the response it stays below 6 s per change.
+        // The backoff has grown. With 1 s to connect and 2.4 s for the response, it stays below the 6 s within which a
+        // change of the list must be seen.
         assertThat(lastBackoffMillis).isBetween(700.0, 2_100.0);
     }
 
--- a/src/test/java/rillyard/balancer/HostSetTest.java
+++ b/src/test/java/rillyard/balancer/HostSetTest.java
@@ -17,7 +17,7 @@
 import rillyard.balancer.Settings.Scope;
 import rillyard.balancer.Settings.Semantics;
 
-/** Tests that the host set follows the endpoint list, and that an update takes no time per host of the fleet. */
+/** Tests that the host set follows the endpoint list, and that a delta takes no time per host of the fleet. */
 class HostSetTest {
     private static final String SAFE = "safe";
     private static final int MAX_IDS = 40;
--- a/src/test/java/rillyard/balancer/JointRestartTest.java
+++ b/src/test/java/rillyard/balancer/JointRestartTest.java
@@ -22,9 +22,10 @@
     private static final int PROXIES = 60;
     private static final int HOSTS = 20;
 
-    /** Time that discovery takes for a call; it serves one at a time, and fails a call that would wait for longer. */
+    /** Time that discovery takes for a call; it serves one at a time. */
     private static final double CALL_MILLIS = 50;
 
+    /** Discovery fails a call that would wait for longer than this. */
     private static final double MAX_WAIT_MILLIS = 500;
 
     private record Event(double atMillis, int proxy, Runnable action) {}
--- a/src/test/java/rillyard/balancer/SlowStartBudgetTest.java
+++ b/src/test/java/rillyard/balancer/SlowStartBudgetTest.java
@@ -16,8 +16,8 @@
 
 /**
  * Guards against too many requests to a host in slow start, summed over all proxies, for example because each proxy has
- * saved up an allowance and all use it at once. The limit in each window is N, the requests that the settings allow the
- * host then, plus 2 sqrt(N) + 2 for chance, or 3 sqrt(N) + 3 for N below 30.
+ * accumulated an allowance and all use it at once. The limit in each window is N, the requests that the settings allow
+ * the host then, plus 2 sqrt(N) + 2 for chance, or 3 sqrt(N) + 3 for N below 30.
  */
 class SlowStartBudgetTest {
     private static final String SAFE = "safe";
