--- a/src/main/java/rillyard/proxy/dispatch/ForwardedResponse.java
+++ b/src/main/java/rillyard/proxy/dispatch/ForwardedResponse.java
@@ -6,7 +6,8 @@
 /**
  * Forwards the response of a host to the client while it is received, as fast as the client reads it.
  *
- * <p>For the balancer the attempt has ended: a response to a slow client does not count as in flight at the host.
+ * <p>For the balancer the attempt ended when forwarding began, so that a response that its client reads slowly does not
+ * count as in flight at the host.
  */
 final class ForwardedResponse {
     /** Longest time (ns) for which a host may pause within the response. */
--- a/src/main/java/rillyard/proxy/dispatch/HostResponse.java
+++ b/src/main/java/rillyard/proxy/dispatch/HostResponse.java
@@ -42,9 +42,9 @@
     }
 
     /**
-     * Returns whether the response can be passed on. A response that is longer than the protocol allows counts as
-     * endless; one that only the end of its connection delimits, though the connection is to stay open, can't be
-     * distinguished from a truncated one.
+     * Returns whether the response can be passed on. A response that is longer than the protocol allows may never end;
+     * one without a length or chunks, whose connection is nevertheless to stay open, can't be distinguished from a
+     * truncated one.
      */
     private boolean isAcceptable() {
         boolean endsWithConnection = contentLength < 0 && !HttpUtil.isTransferEncodingChunked(head);
--- a/src/main/java/rillyard/proxy/dispatch/OpenRequests.java
+++ b/src/main/java/rillyard/proxy/dispatch/OpenRequests.java
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Returns the exchange with this id of {@link #nextId}, or null if it has ended. */
+    /** Returns the exchange with this id, which {@link #nextId} assigned, or null if it has ended. */
     RequestExchange get(long id) {
         return exchanges.get(id);
     }
--- a/src/main/java/rillyard/proxy/dispatch/PeerGossip.java
+++ b/src/main/java/rillyard/proxy/dispatch/PeerGossip.java
@@ -11,7 +11,7 @@
         /** Ejects a host, which may get a half-open probe after {@code probeDelayMillis}. */
         void eject(String host, double probeDelayMillis);
 
-        /** Readmits an ejected host, which may get a half-open probe after {@code probeDelayMillis}. */
+        /** Lets an ejected host get a half-open probe after {@code probeDelayMillis}, or sooner if it is due. */
         void readmit(String host, double probeDelayMillis);
 
         /** Sets this proxy's subset position. */
--- a/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
+++ b/src/main/java/rillyard/proxy/dispatch/UpstreamAttempt.java
@@ -15,8 +15,8 @@
 /**
  * One attempt of a request at a host, which ends with exactly one outcome.
  *
- * <p>A short response is buffered until it is complete. A longer one is forwarded while it is received, and its attempt
- * ends when that begins: the rest of the transfer depends on the client as well as on the host.
+ * <p>A short response is buffered until it is complete. A longer one is forwarded while it is received. Its attempt
+ * ends as successful when forwarding begins: the rest of the transfer depends on the client as well as on the host.
  */
 public final class UpstreamAttempt extends UpstreamCall {
     private static final int OK = 200;
@@ -218,7 +218,7 @@
             logFailure(outcome);
             driver.upstreams().release(this);
         } finally {
-            reportEnd(outcome); // even if that has thrown: the request ends after its attempts
+            reportEnd(outcome); // after an exception as well: the request can't end before its attempts
         }
     }
 
--- a/src/main/java/rillyard/proxy/http/ProtocolHeaders.java
+++ b/src/main/java/rillyard/proxy/http/ProtocolHeaders.java
@@ -51,8 +51,8 @@
     /**
      * Formats a duration in milliseconds as seconds with three decimals, for Retry-After.
      *
-     * <p>It avoids {@link java.util.Formatter}, which loads the locales' data at its first use: tens of milliseconds on
-     * the event loop with a fraction of a core.
+     * <p>It avoids {@link java.util.Formatter}, which loads the locales' data at its first use: with a fraction of a
+     * core that blocks the event loop for tens of milliseconds.
      */
     public static String toSeconds(double millis) {
         long rounded = Math.round(millis);
--- a/src/main/java/rillyard/proxy/resources/BufferedBody.java
+++ b/src/main/java/rillyard/proxy/resources/BufferedBody.java
@@ -20,7 +20,7 @@
 
     private static final int BLOCK_BYTES = 64 * 1024;
 
-    /** Initial capacity of a block if the length of the body is unknown. */
+    /** Minimum initial capacity of a block if the length of the body is unknown. */
     private static final int INITIAL_BLOCK_BYTES = 512;
 
     private final BodyMemoryBudget budget;
--- a/src/main/java/rillyard/proxy/resources/DescriptorBudget.java
+++ b/src/main/java/rillyard/proxy/resources/DescriptorBudget.java
@@ -31,8 +31,8 @@
      * Share of the descriptors beyond which idle client connections are closed for new ones.
      *
      * <p>Clients that send one request and keep their connection would otherwise use up the clients' share, and
-     * requests would wait for the idle timeout. The cost is that returning clients reconnect each time if there are
-     * more of them.
+     * requests would wait for the idle timeout. The cost is that returning clients reconnect each time if more than
+     * this share are connected.
      */
     private static final double IDLE_EVICTION_SHARE = 0.25;
 
@@ -55,7 +55,7 @@
     /** Returns whether one more client can be accepted, after closing idle connections where needed. */
     public boolean hasCapacityForClient() {
         while (clientCount >= idleEvictionThreshold && closeOldest(idleClients)) {
-            // idle connections that have carried requests are closed first
+            // here only idle connections that have carried a request are closed
         }
         while (clientCount >= clientLimit) {
             if (!closeOldest(unusedClients) && !closeOldest(idleClients)) {
@@ -119,7 +119,8 @@
 
     /** Records whether a client connection is idle. */
     public void setClientIdle(IdleConnection connection, boolean idle) {
-        // Connections that never carried a request are closed first, so that a flood of them displaces no others.
+        // At the limits those that never carried a request are closed first, so that a flood of them displaces no
+        // others.
         setMember(connection.wasUsed() ? idleClients : unusedClients, connection, idle);
     }
 
--- a/src/main/java/rillyard/proxy/upstream/ConnectFailureClassifier.java
+++ b/src/main/java/rillyard/proxy/upstream/ConnectFailureClassifier.java
@@ -12,8 +12,8 @@
  * host.
  *
  * <p>A failure that neither its class nor its message classifies, such as ENETUNREACH, counts against the host only if
- * another host has been reached since this host's previous failure. The first such failure of a host counts as local.
- * Confined to the event loop.
+ * another host has been reached since this host's previous such failure. A host's first such failure, and the first one
+ * since it was reached, count as local. Confined to the event loop.
  */
 final class ConnectFailureClassifier {
     /**
--- a/src/main/java/rillyard/proxy/upstream/UpstreamHost.java
+++ b/src/main/java/rillyard/proxy/upstream/UpstreamHost.java
@@ -135,8 +135,8 @@
      * Records that there was no route to the host.
      *
      * @param reachedCount number of times that any host has been reached so far
-     * @return whether another host has been reached since this host's previous failure; false if there is none, or this
-     *     host was reached after it
+     * @return whether another host has been reached since the previous failure of this kind; false for the first one,
+     *     and for the first one since this host was reached
      */
     boolean onUnreachable(long reachedCount) {
         boolean isOnlyThisHost = reachedCountAtFailure != NOT_UNREACHABLE && reachedCount > reachedCountAtFailure;
--- a/src/test/java/rillyard/proxy/ProcessPauseIT.java
+++ b/src/test/java/rillyard/proxy/ProcessPauseIT.java
@@ -90,11 +90,11 @@
         TestPeer peer = TestPeer.connect(proxy.address().getPort());
         try {
             while (running.get() > 0) {
-                long sent = System.nanoTime();
-                latestSentNanos.set(sent);
+                long sentNanos = System.nanoTime();
+                latestSentNanos.set(sentNanos);
                 peer.write(ProxyFixture.post("claim", TIMEOUT_MILLIS, "", "x"));
                 TestPeer.Message message = peer.read();
-                exchanges.add(new Exchange(sent, System.nanoTime(), message != null));
+                exchanges.add(new Exchange(sentNanos, System.nanoTime(), message != null));
                 if (message == null || "close".equals(message.header("Connection"))) {
                     peer.close();
                     peer = TestPeer.connect(proxy.address().getPort());
@@ -140,15 +140,15 @@
             for (int i = 0; i < 4; i++) {
                 // Each client has a response since the previous pause and has sent a new request: two pauses during
                 // one request would hide each other.
-                long since = pauses.isEmpty() ? startNanos : pauses.get(i - 1).toNanos;
-                while (latestSentNanos.stream().anyMatch(sent -> sent.get() <= since)) {
+                long sinceNanos = pauses.isEmpty() ? startNanos : pauses.get(i - 1).toNanos;
+                while (latestSentNanos.stream().anyMatch(sent -> sent.get() <= sinceNanos)) {
                     Thread.sleep(1);
                 }
-                long from = System.nanoTime();
+                long fromNanos = System.nanoTime();
                 proxy.process().pause();
                 Thread.sleep(pauseMillis); // the duration of the pause
                 proxy.process().resume();
-                pauses.add(new Pause(from, System.nanoTime()));
+                pauses.add(new Pause(fromNanos, System.nanoTime()));
             }
             running.set(0);
             for (Future<?> sender : senders) {
--- a/src/test/java/rillyard/proxy/ProxyTraceTest.java
+++ b/src/test/java/rillyard/proxy/ProxyTraceTest.java
@@ -69,8 +69,8 @@
                     .replace("\"started_ms\":0", "\"started_ms\":" + (System.currentTimeMillis() - 3_600_000));
             fixture.announce(3, false, restarted);
 
-            long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
-            while (!hasWarmingUpAttempt(fixture) && System.nanoTime() < deadline) {
+            long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
+            while (!hasWarmingUpAttempt(fixture) && System.nanoTime() < deadlineNanos) {
                 assertThat(fixture.call(ProxyFixture.post("claim", 800, "", "x"))
                                 .status())
                         .isEqualTo(200);
--- a/src/test/java/rillyard/proxy/RestartIT.java
+++ b/src/test/java/rillyard/proxy/RestartIT.java
@@ -20,14 +20,14 @@
 
 /**
  * Starts and ends the built jar while discovery never responds. Guards against a signal, unreachable hosts, many
- * connections or a missing class archive that makes a start or a shutdown fail or hang.
+ * connections or an unusable class archive that makes a start or a shutdown fail or hang.
  */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class RestartIT {
     private static final LaunchCommand BUILT =
             LaunchCommand.platform(Path.of("").toAbsolutePath()).with(List.of("-Drillyard.marks=true"));
 
-    /** Far more than the timeout of the requests, 0.3 s, and far less than a read from a proxy that hangs. */
+    /** Far more than the timeout of the requests, 0.3 s, and far less than the read timeout of {@link TestPeer}. */
     private static final long MAX_LATENCY_NANOS = 5_000_000_000L;
 
     @TempDir
@@ -91,10 +91,10 @@
             for (String request :
                     new String[] {ProxyFixture.get("read", 300), ProxyFixture.post("claim", 300, "", "x")}) {
                 try (TestPeer peer = TestPeer.connect(proxy.address().getPort())) {
-                    long sent = System.nanoTime();
+                    long sentNanos = System.nanoTime();
                     peer.write(request);
                     assertThat(peer.read().status()).isIn(502, 503, 504);
-                    assertThat(System.nanoTime() - sent).isLessThan(MAX_LATENCY_NANOS);
+                    assertThat(System.nanoTime() - sentNanos).isLessThan(MAX_LATENCY_NANOS);
                 }
             }
         }
--- a/src/test/java/rillyard/proxy/logging/ProxyLogTest.java
+++ b/src/test/java/rillyard/proxy/logging/ProxyLogTest.java
@@ -26,7 +26,7 @@
         for (int i = 0; i < 100; i++) {
             log.error("test: failed", new IllegalStateException("cause"));
         }
-        long seconds = (System.nanoTime() - startNanos) / 1_000_000_000L + 2; // number of calendar seconds touched
+        long seconds = (System.nanoTime() - startNanos) / 1_000_000_000L + 2; // at most so many have begun meanwhile
         // One more line per second states how many lines were dropped.
         assertThat(written.toString(StandardCharsets.UTF_8).lines().count())
                 .isBetween(3L, seconds * (MAX_LINES_PER_SECOND + 1));
--- a/src/test/java/rillyard/proxy/upstream/HostConnectionLimitTest.java
+++ b/src/test/java/rillyard/proxy/upstream/HostConnectionLimitTest.java
@@ -81,8 +81,8 @@
             assertThat(rejections.get()).isBetween(1, 20);
             atCapacity.set(false);
             List<String> responses = List.of();
-            for (long end = System.nanoTime() + 20_000_000_000L;
-                    !responses.contains("limited") && System.nanoTime() < end; ) {
+            for (long endNanos = System.nanoTime() + 20_000_000_000L;
+                    !responses.contains("limited") && System.nanoTime() < endNanos; ) {
                 responses = callConcurrently(proxy, 8);
             }
             assertThat(responses).contains("limited");
