--- a/src/main/java/rillyard/admin/AdminRequestHandler.java
+++ b/src/main/java/rillyard/admin/AdminRequestHandler.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.Executor;
 
-/** Handles a request to the admin address. Status 2xx means yes, 4xx and 5xx no; the body is a line with the reason. */
+/** Handles a request to the admin endpoint. Status 2xx means yes; 4xx and 5xx mean no, with a line that says why. */
 final class AdminRequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     private static final int MAX_HOST_ID_LENGTH = 128;
 
--- a/src/main/java/rillyard/admin/ProxyMetrics.java
+++ b/src/main/java/rillyard/admin/ProxyMetrics.java
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Counts a request that has ended. */
+    /** Counts a request that has had a final response; one whose client disconnects before is not counted. */
     public void requestEnded(String requestClass, RequestOutcome outcome) {
         Map<RequestOutcome, AtomicLong> counters = endedByClass.get(requestClass);
         if (counters != null) {
--- a/src/main/java/rillyard/endpoints/HostStartClock.java
+++ b/src/main/java/rillyard/endpoints/HostStartClock.java
@@ -30,7 +30,7 @@
      *
      * @param unixMillis the start as the lists state it
      * @param learntAtMillis when a list first stated this start
-     * @param isInitial whether it was learnt from the cached list or the first list after it
+     * @param isInitial whether it was learnt from the cached list or the first list of the watch
      * @param listedAtMillis when discovery last listed the host, negative infinity if only the cached list did
      * @param startedAtMillis the start on the balancer's clock
      */
@@ -145,7 +145,10 @@
         return !hasWatchList || isConfirmed ? Math.max(wallOffsetMillis, learntOffsetMillis) : learntOffsetMillis;
     }
 
-    /** Returns whether, by this start, a host's new process is older than the last listing of the former one allows. */
+    /**
+     * Returns whether the start of a host's new process is implausible: it lies more than {@link #PROPAGATION_MILLIS}
+     * before the last listing of the former process.
+     */
     private static boolean hasStartedBeforeFormerListing(HostStart former, double startedAtMillis, double unixMillis) {
         return former != null
                 && former.unixMillis != unixMillis
--- a/src/main/java/rillyard/hotrestart/HotRestartLock.java
+++ b/src/main/java/rillyard/hotrestart/HotRestartLock.java
@@ -15,7 +15,8 @@
  * <p>The active process holds a lock on the file {@code serving}; the standby holds one on {@code next} from when it
  * listens until the active one has ended. The kernel releases the locks of a process that was killed.
  *
- * <p>Thread-safe: the event loop calls {@link #hasStandby} at the start of a drain, the admin server's thread the rest.
+ * <p>Thread-safe, as it is called on the thread that launches the proxy, on the admin server's thread and, at the start
+ * of a drain, on the event loop.
  */
 public final class HotRestartLock implements Closeable {
     private final FileChannel activeFile;
--- a/src/main/java/rillyard/proxy/ClientProxy.java
+++ b/src/main/java/rillyard/proxy/ClientProxy.java
@@ -160,7 +160,7 @@
     }
 
     /**
-     * Opens the admin address, if one is configured.
+     * Starts the admin endpoint, if its address is configured.
      *
      * @param env environment of the process, for the directory of temporary files
      * @throws ConfigException if the address can't be bound or the directory can't be used
--- a/src/main/java/rillyard/proxy/config/ProxyConfig.java
+++ b/src/main/java/rillyard/proxy/config/ProxyConfig.java
@@ -124,7 +124,7 @@
         return text.isEmpty() ? null : requireAddress(text, "operator");
     }
 
-    /** Returns the value of the variable, or of the key in the file if the variable is not set; empty without both. */
+    /** Returns the value of the variable, or of the key in the file if it is not set; empty if neither is set. */
     private static String value(Map<String, String> env, String variable, JsonNode root, String key) {
         String text = env.get(variable);
         return text == null || text.isEmpty() ? root.path(key).asText("") : text;
--- a/src/main/java/rillyard/proxy/discovery/WatchConnection.java
+++ b/src/main/java/rillyard/proxy/discovery/WatchConnection.java
@@ -24,8 +24,8 @@
 /**
  * One connection of an {@link EndpointWatch} to discovery: sends the watch request and reads lists until it ends.
  *
- * <p>A message of the watch is a complete list or a blank line. After the end nothing more is reported. Confined to the
- * event loop.
+ * <p>A message of the watch is a complete list or a blank line. Once the connection has ended, it reports nothing more.
+ * Confined to the event loop.
  */
 final class WatchConnection extends ChannelInboundHandlerAdapter implements JsonObjectFramer.Listener {
     private enum State {
--- a/src/main/java/rillyard/proxy/downstream/ClientConnection.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientConnection.java
@@ -115,7 +115,7 @@
         }
     }
 
-    /** Answers a request whose handling has failed; returns whether the connection stays open until that is written. */
+    /** Answers a request whose handling has failed; returns false if the connection must be closed at once. */
     private boolean answerFailure() {
         if (exchange != null) {
             exchange.onHandlerFailed();
--- a/src/main/java/rillyard/proxy/downstream/ClientListener.java
+++ b/src/main/java/rillyard/proxy/downstream/ClientListener.java
@@ -76,9 +76,9 @@
     /**
      * Binds to the configured address.
      *
-     * <p>If an admin address is configured, the address is shared ({@code SO_REUSEPORT}), because a successor process
-     * may bind to it while this one still listens. Otherwise it is not shared, so that a second proxy with the same
-     * address by mistake fails to start.
+     * <p>If an admin address is configured, the client address is shared ({@code SO_REUSEPORT}), because a successor
+     * process may bind to it while this one still listens. Otherwise it is not shared, so that a second proxy with the
+     * same address by mistake fails to start.
      *
      * @throws Exception if the bind fails
      */
@@ -149,7 +149,7 @@
     }
 
     /**
-     * Accepts the connections in the backlog and closes the server channel, because a successor process listens.
+     * Accepts the connections in the backlog and closes the server channel.
      *
      * <p>The channel is closed immediately after the last accept, as the kernel may establish connections in between.
      * An accept that fails is retried for some ms first, because the close resets the connections in the backlog.
--- a/src/main/java/rillyard/proxy/downstream/RequestReader.java
+++ b/src/main/java/rillyard/proxy/downstream/RequestReader.java
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Handles pipelined input after the response before it has been written; returns false if there is none. */
+    /** Handles pipelined input, as the previous response has been written; returns false if there is none. */
     boolean readPipelined() {
         if (!pipelineBuffer.hasParts() && !pipelineBuffer.isHoldingBytes()) {
             return false;
--- a/src/main/java/rillyard/proxy/downstream/RequestValidator.java
+++ b/src/main/java/rillyard/proxy/downstream/RequestValidator.java
@@ -27,10 +27,10 @@
 final class RequestValidator {
     private static final String HEALTH_CHECK_PATH = "/_health";
 
-    /** Longest timeout that a client may set; a longer one is reduced to it. */
+    /** Longest timeout of a request; a longer one of at most {@link #MAX_TIMEOUT_DIGITS} digits is reduced to it. */
     private static final double MAX_TIMEOUT_MILLIS = 600_000;
 
-    /** Most digits of a timeout; a timeout of {@link #MAX_TIMEOUT_MILLIS} has as many. */
+    /** Most digits of a timeout, as many as {@link #MAX_TIMEOUT_MILLIS} has; one with more is malformed. */
     private static final int MAX_TIMEOUT_DIGITS = 6;
 
     private static final int MAX_VALUE_LENGTH = 128;
--- a/src/main/java/rillyard/proxy/lifecycle/Warmup.java
+++ b/src/main/java/rillyard/proxy/lifecycle/Warmup.java
@@ -52,8 +52,8 @@
 public final class Warmup {
     /**
      * Number of requests of a warm-up. With 40 a proxy is ready a second sooner, but half a core may not keep up with
-     * the first requests, so that clients give up by the tenth, which costs more than the second gains; 10 is worse in
-     * any case.
+     * the first requests, so that up to a tenth of the clients give up, which costs more than the second gains. 10 is
+     * worse even where 40 is better.
      */
     private static final int REQUEST_COUNT = 200;
 
--- a/src/main/java/rillyard/stall/StallDetector.java
+++ b/src/main/java/rillyard/stall/StallDetector.java
@@ -69,7 +69,7 @@
         return wakeUpAtNanos - pollBeganAtNanos > 0;
     }
 
-    /** Returns the earliest arrival time of the bytes that this turn reads on connections that were open by then. */
+    /** Returns when input of this turn may have arrived at the earliest, on connections that were open by then. */
     public long readableSince() {
         return readableSinceNanos;
     }
@@ -82,7 +82,7 @@
     /**
      * Records that a connection is accepted; returns since when the connection and its input may have waited.
      *
-     * <p>That is longer than since the previous poll if previous turns left connections in the backlog.
+     * <p>That is a time before the previous poll if previous turns left connections in the backlog.
      */
     public long acceptableSince() {
         if (backlogTurn < turn - 1) {
