--- a/src/main/java/rillyard/membership/LocalMember.java
+++ b/src/main/java/rillyard/membership/LocalMember.java
@@ -79,7 +79,8 @@
     Reaction onUpdate(MemberUpdate claimed, double nowMillis, long unixNowMillis) {
         Incarnation own = update.incarnation();
         if (!IncarnationValidator.isPlausible(claimed.incarnation(), own, unixNowMillis)) {
-            return Reaction.NONE; // forged: only this member creates incarnations
+            // This member has not created it, and others reject an implausible incarnation without a refutation.
+            return Reaction.NONE;
         }
         if (mayBeSuccessor(claimed)) {
             if (nowMillis - pingedAtMillis < pingIntervalMillis) {
--- a/src/main/java/rillyard/membership/MemberTable.java
+++ b/src/main/java/rillyard/membership/MemberTable.java
@@ -79,7 +79,7 @@
         String name = member.name();
         members.put(name, member);
         names.add(name);
-        // At a random position, so that members that join together are not always probed together.
+        // At a random position (SWIM, 4.3), so that members that join together are not probed in a row in this round.
         probeRound.add(probeRound.isEmpty() ? 0 : random.nextInt(probeRound.size() + 1), name);
         count(member.update(), 1);
         trackSuspicion(member);
--- a/src/main/java/rillyard/membership/net/DatagramCipher.java
+++ b/src/main/java/rillyard/membership/net/DatagramCipher.java
@@ -15,10 +15,10 @@
 /**
  * Encrypts and authenticates datagrams with a key of the fleet (AES-256-GCM).
  *
- * <p>Each sender's key is derived from the fleet's key and the sender's address, so that no two senders share a nonce
- * and a datagram opens only as one from the address that it was sealed for. A nonce is the sender's start (Unix ms,
- * 48 bits) and a count (48 bits). Datagrams that were opened before, or that come from an earlier process of the
- * sender, are rejected.
+ * <p>Each sender's key is derived from the fleet's key and the sender's address, so that two senders never use the same
+ * nonce with the same key, and a recorded datagram does not open if it is sent from another address. A nonce is the
+ * sender's start (Unix ms, 48 bits) and a count (48 bits). Datagrams that were opened before, or that come from an
+ * earlier process of the sender, are rejected.
  *
  * <p>Datagrams are sealed with the first key and opened with any, so that a fleet changes its key in two rounds: the
  * new key is added as the second on all members, then it becomes the first on all. Not thread-safe.
--- a/src/main/java/rillyard/outlier/FleetOutlierDetector.java
+++ b/src/main/java/rillyard/outlier/FleetOutlierDetector.java
@@ -64,7 +64,7 @@
      */
     public List<HostObservation> evaluate(
             List<List<HostObservation>> peers, int proxyCount, int hostCount, double nowMillis) {
-        // Assumes that each proxy uses as many hosts as this one does, which may use only a part of them.
+        // A proxy may use only a part of the hosts; this assumes that all proxies use as many as this one.
         double averageProxiesPerHost = (double) proxyCount
                 * localObservations.countUsedHosts(settings.usageWindowMillis(), nowMillis)
                 / Math.max(1, hostCount);
--- a/src/main/java/rillyard/outlier/FleetOutlierSettings.java
+++ b/src/main/java/rillyard/outlier/FleetOutlierSettings.java
@@ -3,14 +3,14 @@
 /**
  * Parameters of fleet-wide ejection.
  *
- * @param observationWindowMillis age from which on an observation is ignored; a proxy with little load sends a host
- *     some requests within it
+ * @param observationWindowMillis age from which on an observation is ignored; long enough that even a proxy with little
+ *     load sends a host some requests within it
  * @param quorum least number of proxies whose attempts at a host must have failed before others eject it
  * @param failureShare share of the proxies with recent observations of the host whose attempts must have failed; above
  *     one half, so that two halves of the fleet can't decide differently
  * @param confirmationTimeMillis time for which a host is suspected before it is ejected, in addition to the age of the
- *     first failure that a peer reports, so that proxies that the host serves can report that, though they learn of the
- *     failure equally late
+ *     newest failure when a peer first reports one. Proxies that the host serves report that only after they have
+ *     learned of the failure, equally late
  * @param probesPerSecond probes of an ejected host per second, of all proxies together
  * @param recoveryQuorum least number of proxies that the host must serve again before all proxies readmit it
  * @param usageWindowMillis time after which a host that got no request of this proxy is not counted as used
--- a/src/test/java/rillyard/membership/MembershipPropertiesTest.java
+++ b/src/test/java/rillyard/membership/MembershipPropertiesTest.java
@@ -72,7 +72,7 @@
         switch (step.fault()) {
             case KILL -> {
                 if (fleet.nodes.values().stream().filter(node -> !node.isKilled).count() > 2
-                        && target > 2) { // the seeds keep running, as advised
+                        && target > 2) { // seeds are not killed for good, as members rejoin through them
                     fleet.kill(target);
                 }
             }
--- a/src/test/java/rillyard/membership/MembershipTest.java
+++ b/src/test/java/rillyard/membership/MembershipTest.java
@@ -126,8 +126,8 @@
     }
 
     /**
-     * The observer m9 exchanges datagrams only with the suspect m4, so that no gossip brings it the refutation: it has
-     * to ping m4 in time, or it declares m4 dead.
+     * The observer m9 exchanges datagrams only with the suspect m4, so that no other member's gossip brings it the
+     * refutation: it has to ping m4 in time, or it declares m4 dead.
      */
     @ParameterizedTest
     @ValueSource(longs = {20, 23})
--- a/src/test/java/rillyard/proxy/JarIT.java
+++ b/src/test/java/rillyard/proxy/JarIT.java
@@ -26,8 +26,8 @@
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class JarIT {
     /**
-     * Most classes that may be loaded from outside the archive. The JVM generates some at run time, as proxies of
-     * annotations, method handles and accessors; 15 now.
+     * Maximum number of classes that are loaded from outside the archive. The JVM generates some at run time, such as
+     * proxies of annotations, method handles and accessors; 15 now.
      */
     private static final long MAX_CLASSES_OUTSIDE_ARCHIVE = 25;
 
--- a/src/test/java/rillyard/proxy/LoadSheddingTest.java
+++ b/src/test/java/rillyard/proxy/LoadSheddingTest.java
@@ -66,7 +66,8 @@
             }
             int served = host.requests.size();
             for (int i = 0; i < 10; i++) {
-                assertThat(fixture.call(claim(300)).status()).isEqualTo(503); // 500 of 800 ms have passed
+                assertThat(fixture.call(claim(300)).status())
+                        .isEqualTo(503); // 500 of the deadline's 800 ms have passed
             }
             assertThat(host.requests).hasSize(served);
             int status = 0;
